--- a/benchmarks/src/main/java/thistleturn/benchmarks/Main.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/Main.java
@@ -19,18 +19,36 @@
 import thistleturn.benchmarks.scale.MeasureShards;
 
 /** {@code bin/thistleturn measure}. */
-@Command(name = "measure", mixinStandardHelpOptions = true,
-        description = "Prints the tables of docs/measurements, measured now on this machine.",
-        subcommands = {MeasureFleet.class, MeasureSharing.class, MeasureHealth.class, MeasureAway.class, MeasureNoise.class, MeasurePeers.class, MeasureVirtualPeers.class, MeasurePeersCost.class, MeasureReplicas.class, MeasureVirtualReplicas.class,
-            MeasureMembership.class, MeasureDrain.class, MeasureOutage.class,
-            MeasureScale.class, MeasureShards.class, MeasureFlood.class, MeasureIdle.class,
-            MeasureProfile.class,
-            CommandLine.HelpCommand.class})
+@Command(
+    name = "measure",
+    mixinStandardHelpOptions = true,
+    description = "Prints the tables of docs/measurements, measured now on this machine.",
+    subcommands = {
+      MeasureFleet.class,
+      MeasureSharing.class,
+      MeasureHealth.class,
+      MeasureAway.class,
+      MeasureNoise.class,
+      MeasurePeers.class,
+      MeasureVirtualPeers.class,
+      MeasurePeersCost.class,
+      MeasureReplicas.class,
+      MeasureVirtualReplicas.class,
+      MeasureMembership.class,
+      MeasureDrain.class,
+      MeasureOutage.class,
+      MeasureScale.class,
+      MeasureShards.class,
+      MeasureFlood.class,
+      MeasureIdle.class,
+      MeasureProfile.class,
+      CommandLine.HelpCommand.class
+    })
 public final class Main {
-    private Main() { }
+  private Main() {}
 
-    /** Measures one thing. */
-    public static void main(final String[] args) {
-        System.exit(new CommandLine(new Main()).execute(args));
-    }
+  /** Measures one thing. */
+  public static void main(final String[] args) {
+    System.exit(new CommandLine(new Main()).execute(args));
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
@@ -16,76 +16,98 @@
 import thistleturn.testkit.Violation;
 
 /** Service through each kind of outage of the registry, beside a run without one. */
-@Command(name = "outage", mixinStandardHelpOptions = true, description = "Service through each kind of outage of the "
-        + "registry, beside a run without one: every endpoint is known by the registry alone.")
+@Command(
+    name = "outage",
+    mixinStandardHelpOptions = true,
+    description =
+        "Service through each kind of outage of the "
+            + "registry, beside a run without one: every endpoint is known by the registry alone.")
 final class MeasureOutage implements Callable<Integer> {
-    private static final long TIMEOUT_MS = 3000;
-    private static final double RATE = 200;
-    private static final long PERIOD_US = 100_000;
+  private static final long TIMEOUT_MS = 3000;
+  private static final double RATE = 200;
+  private static final long PERIOD_US = 100_000;
 
-    @Option(names = "--seconds", defaultValue = "6", description = "of outage, each; ${DEFAULT-VALUE} unless told")
-    private int seconds;
+  @Option(
+      names = "--seconds",
+      defaultValue = "6",
+      description = "of outage, each; ${DEFAULT-VALUE} unless told")
+  private int seconds;
 
-    @Override
-    public Integer call() throws Exception {
-        System.out.println("| outage | handed in | delivered | share | endpoints up at the end | rules broken |");
-        System.out.println("| --- | --- | --- | --- | --- | --- |");
-        int broken = row("none (sound registry)", world -> { });
-        broken += row("unreachable", world -> world.registry.server().down());
-        broken += row("restarted, empty", world -> world.registry.restart());
-        for (final Fault fault : Fault.values()) {
-            if (fault != Fault.NONE) {
-                broken += row(fault.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                        world -> world.registry.fault(fault));
-            }
-        }
-        return broken == 0 ? 0 : 1;
+  @Override
+  public Integer call() throws Exception {
+    System.out.println(
+        "| outage | handed in | delivered | share | endpoints up at the end | rules broken |");
+    System.out.println("| --- | --- | --- | --- | --- | --- |");
+    int broken = row("none (sound registry)", world -> {});
+    broken += row("unreachable", world -> world.registry.server().down());
+    broken += row("restarted, empty", world -> world.registry.restart());
+    for (final Fault fault : Fault.values()) {
+      if (fault != Fault.NONE) {
+        broken +=
+            row(
+                fault.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                world -> world.registry.fault(fault));
+      }
     }
+    return broken == 0 ? 0 : 1;
+  }
 
-    /** What befalls the registry. */
-    @FunctionalInterface
-    private interface Outage {
-        /** Begins it. */
-        void begin(StandInWorld world);
-    }
+  /** What befalls the registry. */
+  @FunctionalInterface
+  private interface Outage {
+    /** Begins it. */
+    void begin(StandInWorld world);
+  }
 
-    private int row(final String name, final Outage outage) throws IOException, Config.BadConfigException {
-        try (World world = new World(1)) {
-            final StandInWorld standIns = world.standIns();
-            final StandInEndpoint[] endpoints = new StandInEndpoint[4];
-            for (int index = 0; index < endpoints.length; index++) {
-                endpoints[index] = standIns.endpoint(1 + index / 2);
-                endpoints[index].fare(Manner.after(10));
-                standIns.registry.register(StandInRegistry.endpoint("heat", "i" + index, endpoints[index].port(),
-                        1 + index / 2, "UP"));
-            }
-            world.start(PERIOD_US);
-            standIns.load(RATE, TIMEOUT_MS, 1, 2);
-            standIns.await("calls everywhere", () -> List.of(endpoints).stream().allMatch(one -> one.calls() > 10));
-            outage.begin(standIns);
-            final long untilUs = standIns.ticks.nowUs() + seconds * 1_000_000L;
-            final long[] calls = new long[endpoints.length];
-            standIns.await("the half of it", () -> standIns.ticks.nowUs() > untilUs - seconds * 500_000L);
-            for (int index = 0; index < endpoints.length; index++) {
-                calls[index] = endpoints[index].calls();
-            }
-            standIns.await("the end of it", () -> standIns.ticks.nowUs() > untilUs);
-            long up = 0;
-            for (int index = 0; index < endpoints.length; index++) {
-                up += endpoints[index].calls() > calls[index] ? 1 : 0;
-            }
-            final List<Violation> broken = standIns.stopLoad();
-            final Map<String, Integer> after = standIns.auditor.ends();
-            // The whole run counts, from before the outage on: what was open when it began belongs to it.
-            final int handed = sum(after);
-            final int delivered = after.getOrDefault("delivered", 0);
-            System.out.println(String.format(Locale.ROOT, "| %s | %,d | %,d | %.4f | %d of %d | %d |", name, handed,
-                    delivered, (double) delivered / handed, up, endpoints.length, broken.size()));
-            return broken.size();
-        }
+  private int row(final String name, final Outage outage)
+      throws IOException, Config.BadConfigException {
+    try (World world = new World(1)) {
+      final StandInWorld standIns = world.standIns();
+      final StandInEndpoint[] endpoints = new StandInEndpoint[4];
+      for (int index = 0; index < endpoints.length; index++) {
+        endpoints[index] = standIns.endpoint(1 + index / 2);
+        endpoints[index].fare(Manner.after(10));
+        standIns.registry.register(
+            StandInRegistry.endpoint(
+                "heat", "i" + index, endpoints[index].port(), 1 + index / 2, "UP"));
+      }
+      world.start(PERIOD_US);
+      standIns.load(RATE, TIMEOUT_MS, 1, 2);
+      standIns.await(
+          "calls everywhere", () -> List.of(endpoints).stream().allMatch(one -> one.calls() > 10));
+      outage.begin(standIns);
+      final long untilUs = standIns.ticks.nowUs() + seconds * 1_000_000L;
+      final long[] calls = new long[endpoints.length];
+      standIns.await("the half of it", () -> standIns.ticks.nowUs() > untilUs - seconds * 500_000L);
+      for (int index = 0; index < endpoints.length; index++) {
+        calls[index] = endpoints[index].calls();
+      }
+      standIns.await("the end of it", () -> standIns.ticks.nowUs() > untilUs);
+      long up = 0;
+      for (int index = 0; index < endpoints.length; index++) {
+        up += endpoints[index].calls() > calls[index] ? 1 : 0;
+      }
+      final List<Violation> broken = standIns.stopLoad();
+      final Map<String, Integer> after = standIns.auditor.ends();
+      // The whole run counts, from before the outage on: what was open when it began belongs to it.
+      final int handed = sum(after);
+      final int delivered = after.getOrDefault("delivered", 0);
+      System.out.println(
+          String.format(
+              Locale.ROOT,
+              "| %s | %,d | %,d | %.4f | %d of %d | %d |",
+              name,
+              handed,
+              delivered,
+              (double) delivered / handed,
+              up,
+              endpoints.length,
+              broken.size()));
+      return broken.size();
     }
+  }
 
-    private static int sum(final Map<String, Integer> ends) {
-        return ends.values().stream().mapToInt(Integer::intValue).sum();
-    }
+  private static int sum(final Map<String, Integer> ends) {
+    return ends.values().stream().mapToInt(Integer::intValue).sum();
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/World.java
@@ -20,38 +20,52 @@
 
 /** A courier that follows a registry, in a world of its own. */
 final class World implements AutoCloseable {
-    private static final long STARTING_S = 60;
-    private final Path folder;
-    private final StandInWorld standIns;
-    private CourierProcess courier;
+  private static final long STARTING_S = 60;
+  private final Path folder;
+  private final StandInWorld standIns;
+  private CourierProcess courier;
 
-    World(final long seed) throws IOException {
-        this.folder = Files.createTempDirectory("thistleturn-measure");
-        this.standIns = new StandInWorld(folder, seed);
-    }
+  World(final long seed) throws IOException {
+    this.folder = Files.createTempDirectory("thistleturn-measure");
+    this.standIns = new StandInWorld(folder, seed);
+  }
 
-    StandInWorld standIns() {
-        return standIns;
-    }
+  StandInWorld standIns() {
+    return standIns;
+  }
 
-    /** Starts the courier; the registry is asked at that period. */
-    void start(final long periodUs) throws IOException, Config.BadConfigException {
-        final RegistrySettings registry = new RegistrySettings("registry", List.of(new RegistrySettings.Address(
-                new InetSocketAddress("127.0.0.1", standIns.registry.server().port()), "/eureka")), List.of(), periodUs,
-                4 * periodUs, 1_000_000, 1 << 22, true, MetadataNames.standard());
-        courier = CourierProcess.start(standIns.environment(CourierFiles.Size.usual()),
-                new MembershipExtension(() -> new MembershipSettings(Rules.standard(), List.of(registry), null)));
-        standIns.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
-    }
+  /** Starts the courier; the registry is asked at that period. */
+  void start(final long periodUs) throws IOException, Config.BadConfigException {
+    final RegistrySettings registry =
+        new RegistrySettings(
+            "registry",
+            List.of(
+                new RegistrySettings.Address(
+                    new InetSocketAddress("127.0.0.1", standIns.registry.server().port()),
+                    "/eureka")),
+            List.of(),
+            periodUs,
+            4 * periodUs,
+            1_000_000,
+            1 << 22,
+            true,
+            MetadataNames.standard());
+    courier =
+        CourierProcess.start(
+            standIns.environment(CourierFiles.Size.usual()),
+            new MembershipExtension(
+                () -> new MembershipSettings(Rules.standard(), List.of(registry), null)));
+    standIns.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
+  }
 
-    @Override
-    public void close() throws IOException {
-        if (courier != null) {
-            courier.kill();
-        }
-        standIns.close();
-        try (Stream<Path> files = Files.walk(folder)) {
-            files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
-        }
+  @Override
+  public void close() throws IOException {
+    if (courier != null) {
+      courier.kill();
+    }
+    standIns.close();
+    try (Stream<Path> files = Files.walk(folder)) {
+      files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -16,70 +16,126 @@
 import thistleturn.lab.fleet.VirtualFleet;
 import thistleturn.lab.virtual.VirtualCourier;
 
-/** Goodput and calls of fleets of several sizes, with and without sharing, by the same seeds in virtual time. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = "Worth delivered, calls, refusals, handshakes and "
-        + "list calls of fleets in virtual time: the decisions as they are, and without sharing, by the same seeds.")
+/**
+ * Goodput and calls of fleets of several sizes, with and without sharing, by the same seeds in
+ * virtual time.
+ */
+@Command(
+    name = "fleet",
+    mixinStandardHelpOptions = true,
+    description =
+        "Worth delivered, calls, refusals, handshakes and "
+            + "list calls of fleets in virtual time: the decisions as they are, and without sharing, by the same seeds.")
 public final class MeasureFleet implements Callable<Integer> {
-    @Option(names = "--seeds", defaultValue = "30", description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
-    private int seeds;
-    @Option(names = "--couriers", split = ",", defaultValue = "1,2,8,14,50", description = "sizes; ${DEFAULT-VALUE} unless told")
-    private List<Integer> sizes;
-    @Option(names = "--trouble", description = "${COMPLETION-CANDIDATES}; all of them unless told")
-    private FleetDay.Trouble only;
-    @Option(names = "--thin", description = "days on which each courier sees little, and couriers differ by ten in load")
-    private boolean thin;
-    @Option(names = "--strict", description = "against couriers that keep to even parts strictly, in place of such that share nothing")
-    private boolean strict;
-    private int broken;
+  @Option(
+      names = "--seeds",
+      defaultValue = "30",
+      description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
+  private int seeds;
 
-    @Override
-    public Integer call() {
-        if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
-            System.err.println("measure fleet: --seeds is 2 at least, and each of --couriers 1 at least");
-            return 2;
-        }
-        System.out.println("| trouble | couriers | worth delivered | without sharing | paired difference, 95% | calls a message "
-                + "| without | refused calls | without | refused messages | without | handshakes | without | list calls | most calls in 100 ms | without |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (final FleetDay.Trouble trouble : only == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {only}) {
-            if (only != null || !trouble.isOwn()) {
-                sizes.forEach(size -> row(trouble, size));
-            }
-        }
-        return broken == 0 ? 0 : 1;
-    }
+  @Option(
+      names = "--couriers",
+      split = ",",
+      defaultValue = "1,2,8,14,50",
+      description = "sizes; ${DEFAULT-VALUE} unless told")
+  private List<Integer> sizes;
 
-    private void row(final FleetDay.Trouble trouble, final int size) {
-        final List<FleetTally> with = play(trouble, size, Control::new);
-        final List<FleetTally> without = play(trouble, size, strict ? Control::withStrictParts : Control::withoutSharing);
-        final Paired goodput = Paired.of(with, without, FleetTally::goodput);
-        System.out.println(String.format(Locale.ROOT, "| %s | %d | %.3f | %.3f | %+.3f ± %.3f | %.2f | %.2f | %s | %s | %s | %s | %s | %s | %s "
-                + "| %.0f | %.0f |", trouble.name().toLowerCase(Locale.ROOT), size, mean(with, FleetTally::goodput),
-                mean(without, FleetTally::goodput), goodput.mean(), goodput.half(),
-                mean(with, FleetTally::callsAMessage), mean(without, FleetTally::callsAMessage),
-                share(with, Count.REFUSED_CALLS), share(without, Count.REFUSED_CALLS), share(with, Count.REFUSED_MESSAGES),
-                share(without, Count.REFUSED_MESSAGES), share(with, Count.HANDSHAKES),
-                share(without, Count.HANDSHAKES), share(with, Count.LIST_CALLS),
-                mean(with, tally -> tally.mostIn100Ms(Count.CALLS)), mean(without, tally -> tally.mostIn100Ms(Count.CALLS))));
-    }
+  @Option(names = "--trouble", description = "${COMPLETION-CANDIDATES}; all of them unless told")
+  private FleetDay.Trouble only;
 
-    private List<FleetTally> play(final FleetDay.Trouble trouble, final int size, final VirtualCourier.Maker maker) {
-        final List<FleetTally> tallies = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> VirtualFleet.play(thin
-                ? FleetDay.thin(size, trouble, new Random(seed)) : FleetDay.drawn(size, trouble, new Random(seed)), seed, maker))
-                .toList();
-        for (final FleetTally tally : tallies) {
-            broken += tally.broken().size();
-            tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
-        }
-        return tallies;
-    }
+  @Option(
+      names = "--thin",
+      description = "days on which each courier sees little, and couriers differ by ten in load")
+  private boolean thin;
+
+  @Option(
+      names = "--strict",
+      description =
+          "against couriers that keep to even parts strictly, in place of such that share nothing")
+  private boolean strict;
+
+  private int broken;
 
-    private static double mean(final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
-        return tallies.stream().mapToDouble(figure).average().orElse(0);
+  @Override
+  public Integer call() {
+    if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
+      System.err.println("measure fleet: --seeds is 2 at least, and each of --couriers 1 at least");
+      return 2;
     }
+    System.out.println(
+        "| trouble | couriers | worth delivered | without sharing | paired difference, 95% | calls a message "
+            + "| without | refused calls | without | refused messages | without | handshakes | without | list calls | most calls in 100 ms | without |");
+    System.out.println(
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    for (final FleetDay.Trouble trouble :
+        only == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {only}) {
+      if (only != null || !trouble.isOwn()) {
+        sizes.forEach(size -> row(trouble, size));
+      }
+    }
+    return broken == 0 ? 0 : 1;
+  }
+
+  private void row(final FleetDay.Trouble trouble, final int size) {
+    final List<FleetTally> with = play(trouble, size, Control::new);
+    final List<FleetTally> without =
+        play(trouble, size, strict ? Control::withStrictParts : Control::withoutSharing);
+    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %d | %.3f | %.3f | %+.3f ± %.3f | %.2f | %.2f | %s | %s | %s | %s | %s | %s | %s "
+                + "| %.0f | %.0f |",
+            trouble.name().toLowerCase(Locale.ROOT),
+            size,
+            mean(with, FleetTally::goodput),
+            mean(without, FleetTally::goodput),
+            goodput.mean(),
+            goodput.half(),
+            mean(with, FleetTally::callsAMessage),
+            mean(without, FleetTally::callsAMessage),
+            share(with, Count.REFUSED_CALLS),
+            share(without, Count.REFUSED_CALLS),
+            share(with, Count.REFUSED_MESSAGES),
+            share(without, Count.REFUSED_MESSAGES),
+            share(with, Count.HANDSHAKES),
+            share(without, Count.HANDSHAKES),
+            share(with, Count.LIST_CALLS),
+            mean(with, tally -> tally.mostIn100Ms(Count.CALLS)),
+            mean(without, tally -> tally.mostIn100Ms(Count.CALLS))));
+  }
 
-    /** Of each message handed in. */
-    private static String share(final List<FleetTally> tallies, final Count what) {
-        return String.format(Locale.ROOT, "%.3f", mean(tallies, tally -> (double) tally.total(what) / Math.max(1, tally.handed())));
+  private List<FleetTally> play(
+      final FleetDay.Trouble trouble, final int size, final VirtualCourier.Maker maker) {
+    final List<FleetTally> tallies =
+        LongStream.rangeClosed(1, seeds)
+            .parallel()
+            .mapToObj(
+                seed ->
+                    VirtualFleet.play(
+                        thin
+                            ? FleetDay.thin(size, trouble, new Random(seed))
+                            : FleetDay.drawn(size, trouble, new Random(seed)),
+                        seed,
+                        maker))
+            .toList();
+    for (final FleetTally tally : tallies) {
+      broken += tally.broken().size();
+      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
     }
+    return tallies;
+  }
+
+  private static double mean(
+      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+    return tallies.stream().mapToDouble(figure).average().orElse(0);
+  }
+
+  /** Of each message handed in. */
+  private static String share(final List<FleetTally> tallies, final Count what) {
+    return String.format(
+        Locale.ROOT,
+        "%.3f",
+        mean(tallies, tally -> (double) tally.total(what) / Math.max(1, tally.handed())));
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -16,59 +16,101 @@
 import thistleturn.lab.fleet.FleetTally.Count;
 import thistleturn.lab.fleet.VirtualFleet;
 
-/** Couriers of a fleet that stand still or starve, in virtual time, with and without knowing of their own health. */
-@Command(name = "away", mixinStandardHelpOptions = true, description = "What fleets deliver whose couriers stand still or "
-        + "starve, with and without own health, by the same seeds in virtual time; and whom they send out wrongly.")
+/**
+ * Couriers of a fleet that stand still or starve, in virtual time, with and without knowing of
+ * their own health.
+ */
+@Command(
+    name = "away",
+    mixinStandardHelpOptions = true,
+    description =
+        "What fleets deliver whose couriers stand still or "
+            + "starve, with and without own health, by the same seeds in virtual time; and whom they send out wrongly.")
 public final class MeasureAway implements Callable<Integer> {
-    @Option(names = "--seeds", defaultValue = "30", description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
-    private int seeds;
-    @Option(names = "--couriers", split = ",", defaultValue = "14,100", description = "sizes; ${DEFAULT-VALUE} unless told")
-    private List<Integer> sizes;
-    private int broken;
+  @Option(
+      names = "--seeds",
+      defaultValue = "30",
+      description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
+  private int seeds;
 
-    @Override
-    public Integer call() {
-        if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
-            System.err.println("measure away: --seeds is 2 at least, and each of --couriers 1 at least");
-            return 2;
-        }
-        System.out.println("| trouble | couriers | worth delivered | without | paired difference, 95% | wrongly sent out | without "
-                + "| refused messages | without | late by the pause alone | rules broken | without |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (final FleetDay.Trouble trouble : FleetDay.Trouble.values()) {
-            if (trouble.isOwn()) {
-                sizes.forEach(size -> row(trouble, size));
-            }
-        }
-        return broken == 0 ? 0 : 1;
-    }
+  @Option(
+      names = "--couriers",
+      split = ",",
+      defaultValue = "14,100",
+      description = "sizes; ${DEFAULT-VALUE} unless told")
+  private List<Integer> sizes;
 
-    private void row(final FleetDay.Trouble trouble, final int size) {
-        final List<FleetTally> with = play(trouble, size, true);
-        final List<FleetTally> without = play(trouble, size, false);
-        final Paired goodput = Paired.of(with, without, FleetTally::goodput);
-        final int rules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
-        broken += rules;
-        with.stream().flatMap(tally -> tally.broken().stream()).limit(3).forEach(what -> System.out.println("BROKEN: " + what));
-        System.out.println(String.format(Locale.ROOT, "| %s | %d | %.4f | %.4f | %+.4f ± %.4f | %.2f | %.2f | %.3f | %.3f | %.1f | %d | %d |",
-                trouble.name().toLowerCase(Locale.ROOT), size, mean(with, FleetTally::goodput), mean(without, FleetTally::goodput),
-                goodput.mean(), goodput.half(), mean(with, tally -> tally.total(Count.WRONGLY_OUT)),
-                mean(without, tally -> tally.total(Count.WRONGLY_OUT)), mean(with, MeasureAway::refused),
-                mean(without, MeasureAway::refused), mean(with, tally -> tally.total(Count.LATE_BY_PAUSE)), rules,
-                without.stream().mapToInt(tally -> tally.broken().size()).sum()));
-    }
+  private int broken;
 
-    private static double refused(final FleetTally tally) {
-        return (double) tally.total(Count.REFUSED_MESSAGES) / Math.max(1, tally.handed());
+  @Override
+  public Integer call() {
+    if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
+      System.err.println("measure away: --seeds is 2 at least, and each of --couriers 1 at least");
+      return 2;
     }
-
-    private List<FleetTally> play(final FleetDay.Trouble trouble, final int size, final boolean feels) {
-        return LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> VirtualFleet.play(Fleet.isVast(size)
-                ? FleetDay.thin(size, trouble, new Random(seed)) : FleetDay.drawn(size, trouble, new Random(seed)), seed,
-                Control::new, feels)).toList();
+    System.out.println(
+        "| trouble | couriers | worth delivered | without | paired difference, 95% | wrongly sent out | without "
+            + "| refused messages | without | late by the pause alone | rules broken | without |");
+    System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    for (final FleetDay.Trouble trouble : FleetDay.Trouble.values()) {
+      if (trouble.isOwn()) {
+        sizes.forEach(size -> row(trouble, size));
+      }
     }
+    return broken == 0 ? 0 : 1;
+  }
 
-    private static double mean(final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
-        return tallies.stream().mapToDouble(figure).average().orElse(0);
-    }
+  private void row(final FleetDay.Trouble trouble, final int size) {
+    final List<FleetTally> with = play(trouble, size, true);
+    final List<FleetTally> without = play(trouble, size, false);
+    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
+    final int rules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
+    broken += rules;
+    with.stream()
+        .flatMap(tally -> tally.broken().stream())
+        .limit(3)
+        .forEach(what -> System.out.println("BROKEN: " + what));
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %d | %.4f | %.4f | %+.4f ± %.4f | %.2f | %.2f | %.3f | %.3f | %.1f | %d | %d |",
+            trouble.name().toLowerCase(Locale.ROOT),
+            size,
+            mean(with, FleetTally::goodput),
+            mean(without, FleetTally::goodput),
+            goodput.mean(),
+            goodput.half(),
+            mean(with, tally -> tally.total(Count.WRONGLY_OUT)),
+            mean(without, tally -> tally.total(Count.WRONGLY_OUT)),
+            mean(with, MeasureAway::refused),
+            mean(without, MeasureAway::refused),
+            mean(with, tally -> tally.total(Count.LATE_BY_PAUSE)),
+            rules,
+            without.stream().mapToInt(tally -> tally.broken().size()).sum()));
+  }
+
+  private static double refused(final FleetTally tally) {
+    return (double) tally.total(Count.REFUSED_MESSAGES) / Math.max(1, tally.handed());
+  }
+
+  private List<FleetTally> play(
+      final FleetDay.Trouble trouble, final int size, final boolean feels) {
+    return LongStream.rangeClosed(1, seeds)
+        .parallel()
+        .mapToObj(
+            seed ->
+                VirtualFleet.play(
+                    Fleet.isVast(size)
+                        ? FleetDay.thin(size, trouble, new Random(seed))
+                        : FleetDay.drawn(size, trouble, new Random(seed)),
+                    seed,
+                    Control::new,
+                    feels))
+        .toList();
+  }
+
+  private static double mean(
+      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+    return tallies.stream().mapToDouble(figure).average().orElse(0);
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
@@ -20,176 +20,267 @@
 import thistleturn.testkit.Violation;
 import thistleturn.testkit.rig.ChildProcess;
 
-/** A real courier that stands still now and then, or gets little of a core, among partners that are well. */
-@Command(name = "health", mixinStandardHelpOptions = true, description = "What a courier delivers that is stopped (SIGSTOP) "
-        + "now and then, with stand-ins on other cores, against what could still be delivered.")
+/**
+ * A real courier that stands still now and then, or gets little of a core, among partners that are
+ * well.
+ */
+@Command(
+    name = "health",
+    mixinStandardHelpOptions = true,
+    description =
+        "What a courier delivers that is stopped (SIGSTOP) "
+            + "now and then, with stand-ins on other cores, against what could still be delivered.")
 public final class MeasureHealth implements Callable<Integer> {
-    private static final long US_PER_MS = 1000;
-    private static final long TIMEOUT_MS = 4000;
-    private static final int DESTINATIONS = 3;
-    /** When the trouble begins, and how long a courier is starved. */
-    private static final long FIRST_MS = 5000;
-    private static final long STARVED_MS = 10_000;
-
-    @Option(names = "--pauses", split = ",", defaultValue = "0,50,300,1000,3000,8000", description = "ms; ${DEFAULT-VALUE} unless told")
-    private List<Integer> pausesMs;
-    @Option(names = "--shares", split = ",", description = "shares of a core, in place of pauses, got for 10 s beside busy loops")
-    private List<Double> shares = List.of();
-    @Option(names = "--random", description = "so many messages under random pauses and partners' troubles, in place of the table")
-    private int messages;
-    @Option(names = "--every", split = ",", defaultValue = "0,5", description = "s; 0: once; ${DEFAULT-VALUE} unless told")
-    private List<Integer> everyS;
-    @Option(names = "--seconds", defaultValue = "25", description = "a row; ${DEFAULT-VALUE} unless told")
-    private int seconds;
-    @Option(names = "--rate", defaultValue = "200", description = "messages a second; ${DEFAULT-VALUE} unless told")
-    private int rate;
-    @Option(names = "--cores", defaultValue = "0", description = "the courier's, as taskset takes them; ${DEFAULT-VALUE} unless told")
-    private String cores;
-    @Option(names = "--seed", defaultValue = "1", description = "of all chance; ${DEFAULT-VALUE} unless told")
-    private long seed;
-    @Option(names = "--log", description = "print what the courier says")
-    private boolean log;
-    private List<StandInEndpoint> partners = List.of();
-
-    @Override
-    public Integer call() throws IOException {
-        System.out.println("| pause, s | every, s | handed in | of them deliverable | delivered | share | refused | failed | no answer "
-                + "| late or lost | other rules |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        boolean kept = true;
-        if (messages > 0) {
-            return random() ? 0 : 1;
-        }
-        for (final double share : shares) {
-            kept &= row(String.format(Locale.ROOT, "share %.2f", share), "10 s", (world, courier) -> starve(world, share));
-        }
-        if (!shares.isEmpty()) {
-            return kept ? 0 : 1;
-        }
-        for (final int pauseMs : pausesMs) {
-            for (final int every : everyS) {
-                if (pauseMs > 0 ? every == 0 || every * 1000 > 2 * pauseMs : every == 0) {
-                    kept &= row(String.format(Locale.ROOT, "%.2f", pauseMs / 1000.0), every == 0 ? "once" : Integer.toString(every),
-                            (world, courier) -> stop(world, courier, pauseMs, every));
-                }
-            }
+  private static final long US_PER_MS = 1000;
+  private static final long TIMEOUT_MS = 4000;
+  private static final int DESTINATIONS = 3;
+
+  /** When the trouble begins, and how long a courier is starved. */
+  private static final long FIRST_MS = 5000;
+
+  private static final long STARVED_MS = 10_000;
+
+  @Option(
+      names = "--pauses",
+      split = ",",
+      defaultValue = "0,50,300,1000,3000,8000",
+      description = "ms; ${DEFAULT-VALUE} unless told")
+  private List<Integer> pausesMs;
+
+  @Option(
+      names = "--shares",
+      split = ",",
+      description = "shares of a core, in place of pauses, got for 10 s beside busy loops")
+  private List<Double> shares = List.of();
+
+  @Option(
+      names = "--random",
+      description =
+          "so many messages under random pauses and partners' troubles, in place of the table")
+  private int messages;
+
+  @Option(
+      names = "--every",
+      split = ",",
+      defaultValue = "0,5",
+      description = "s; 0: once; ${DEFAULT-VALUE} unless told")
+  private List<Integer> everyS;
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "25",
+      description = "a row; ${DEFAULT-VALUE} unless told")
+  private int seconds;
+
+  @Option(
+      names = "--rate",
+      defaultValue = "200",
+      description = "messages a second; ${DEFAULT-VALUE} unless told")
+  private int rate;
+
+  @Option(
+      names = "--cores",
+      defaultValue = "0",
+      description = "the courier's, as taskset takes them; ${DEFAULT-VALUE} unless told")
+  private String cores;
+
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "of all chance; ${DEFAULT-VALUE} unless told")
+  private long seed;
+
+  @Option(names = "--log", description = "print what the courier says")
+  private boolean log;
+
+  private List<StandInEndpoint> partners = List.of();
+
+  @Override
+  public Integer call() throws IOException {
+    System.out.println(
+        "| pause, s | every, s | handed in | of them deliverable | delivered | share | refused | failed | no answer "
+            + "| late or lost | other rules |");
+    System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    boolean kept = true;
+    if (messages > 0) {
+      return random() ? 0 : 1;
+    }
+    for (final double share : shares) {
+      kept &=
+          row(
+              String.format(Locale.ROOT, "share %.2f", share),
+              "10 s",
+              (world, courier) -> starve(world, share));
+    }
+    if (!shares.isEmpty()) {
+      return kept ? 0 : 1;
+    }
+    for (final int pauseMs : pausesMs) {
+      for (final int every : everyS) {
+        if (pauseMs > 0 ? every == 0 || every * 1000 > 2 * pauseMs : every == 0) {
+          kept &=
+              row(
+                  String.format(Locale.ROOT, "%.2f", pauseMs / 1000.0),
+                  every == 0 ? "once" : Integer.toString(every),
+                  (world, courier) -> stop(world, courier, pauseMs, every));
         }
-        return kept ? 0 : 1;
+      }
     }
+    return kept ? 0 : 1;
+  }
 
-    /** What is done to a courier; tells how many messages cannot be delivered for that alone. */
-    private interface Trouble {
-        double play(StandInWorld world, ChildProcess courier) throws IOException;
-    }
+  /** What is done to a courier; tells how many messages cannot be delivered for that alone. */
+  private interface Trouble {
+    double play(StandInWorld world, ChildProcess courier) throws IOException;
+  }
 
-    private boolean row(final String what, final String when, final Trouble trouble) throws IOException {
-        final Path folder = Files.createTempDirectory("thistleturn-health");
-        try (StandInWorld world = new StandInWorld(folder, seed)) {
-            final List<StandInEndpoint> endpoints = new ArrayList<>();
-            for (int index = 0; index < 2 * DESTINATIONS; index++) {
-                final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-                endpoint.fare(Manner.after(5 + world.random(20)));
-                world.platform.tell(endpoint, "Ready", 2000);
-                endpoints.add(endpoint);
-            }
-            partners = endpoints;
-            try (ChildProcess courier = ChildProcess.java(world.environment(CourierFiles.Size.usual()), cores,
-                    "thistleturn.courier.Main")) {
-                final boolean kept = play(world, courier, what, when, trouble);
-                if (log) {
-                    courier.lines().forEach(System.err::println);
-                }
-                return kept;
-            }
-        } finally {
-            Folders.delete(folder);
+  private boolean row(final String what, final String when, final Trouble trouble)
+      throws IOException {
+    final Path folder = Files.createTempDirectory("thistleturn-health");
+    try (StandInWorld world = new StandInWorld(folder, seed)) {
+      final List<StandInEndpoint> endpoints = new ArrayList<>();
+      for (int index = 0; index < 2 * DESTINATIONS; index++) {
+        final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
+        endpoint.fare(Manner.after(5 + world.random(20)));
+        world.platform.tell(endpoint, "Ready", 2000);
+        endpoints.add(endpoint);
+      }
+      partners = endpoints;
+      try (ChildProcess courier =
+          ChildProcess.java(
+              world.environment(CourierFiles.Size.usual()), cores, "thistleturn.courier.Main")) {
+        final boolean kept = play(world, courier, what, when, trouble);
+        if (log) {
+          courier.lines().forEach(System.err::println);
         }
+        return kept;
+      }
+    } finally {
+      Folders.delete(folder);
     }
+  }
 
-    private boolean play(final StandInWorld world, final ChildProcess courier, final String what, final String when,
-            final Trouble trouble) throws IOException {
-        final String ready = courier.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(rate, TIMEOUT_MS, 1, 2, 3);
-        final double undeliverable = trouble.play(world, courier);
-        final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
-        final Map<String, Integer> ends = world.auditor.ends();
-        final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
-        final int delivered = ends.getOrDefault("delivered", 0);
-        final int refused = ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0);
-        final int failed = ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0);
-        final long lost = broken.stream().filter(one -> one.rule() == Violation.Rule.LOST).count();
-        final double deliverable = handed - undeliverable;
-        System.out.println(String.format(Locale.ROOT, "| %s | %s | %d | %.0f | %d | %.3f | %d | %d | %d | %d | %d |", what, when, handed,
-                deliverable, delivered, delivered / deliverable, refused, failed, handed - delivered - refused - failed, lost,
-                broken.size() - lost));
-        broken.stream().filter(one -> one.rule() != Violation.Rule.LOST).limit(20).forEach(one -> System.out.println("BROKEN: " + one));
-        return broken.isEmpty();
-    }
+  private boolean play(
+      final StandInWorld world,
+      final ChildProcess courier,
+      final String what,
+      final String when,
+      final Trouble trouble)
+      throws IOException {
+    final String ready = courier.await(line -> line.contains("is ready at "));
+    world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+    world.load(rate, TIMEOUT_MS, 1, 2, 3);
+    final double undeliverable = trouble.play(world, courier);
+    final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
+    final Map<String, Integer> ends = world.auditor.ends();
+    final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
+    final int delivered = ends.getOrDefault("delivered", 0);
+    final int refused =
+        ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0);
+    final int failed =
+        ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0);
+    final long lost = broken.stream().filter(one -> one.rule() == Violation.Rule.LOST).count();
+    final double deliverable = handed - undeliverable;
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %s | %d | %.0f | %d | %.3f | %d | %d | %d | %d | %d |",
+            what,
+            when,
+            handed,
+            deliverable,
+            delivered,
+            delivered / deliverable,
+            refused,
+            failed,
+            handed - delivered - refused - failed,
+            lost,
+            broken.size() - lost));
+    broken.stream()
+        .filter(one -> one.rule() != Violation.Rule.LOST)
+        .limit(20)
+        .forEach(one -> System.out.println("BROKEN: " + one));
+    return broken.isEmpty();
+  }
 
-    private double stop(final StandInWorld world, final ChildProcess courier, final int pauseMs, final int every) throws IOException {
-        final long beganUs = world.ticks.nowUs();
-        final long endUs = beganUs + seconds * 1000 * US_PER_MS;
-        double undeliverable = 0;
-        long nextUs = beganUs + FIRST_MS * US_PER_MS;
-        while (pauseMs > 0 && nextUs + 2 * pauseMs * US_PER_MS < endUs) {
-            world.until(nextUs);
-            courier.pause();
-            world.until(nextUs + pauseMs * US_PER_MS);
-            courier.resume();
-            undeliverable += Math.max(0, pauseMs - TIMEOUT_MS) / 1000.0 * rate;
-            nextUs = every == 0 ? Long.MAX_VALUE / 2 : nextUs + every * 1000L * US_PER_MS;
-        }
-        world.until(endUs);
-        return undeliverable;
+  private double stop(
+      final StandInWorld world, final ChildProcess courier, final int pauseMs, final int every)
+      throws IOException {
+    final long beganUs = world.ticks.nowUs();
+    final long endUs = beganUs + seconds * 1000 * US_PER_MS;
+    double undeliverable = 0;
+    long nextUs = beganUs + FIRST_MS * US_PER_MS;
+    while (pauseMs > 0 && nextUs + 2 * pauseMs * US_PER_MS < endUs) {
+      world.until(nextUs);
+      courier.pause();
+      world.until(nextUs + pauseMs * US_PER_MS);
+      courier.resume();
+      undeliverable += Math.max(0, pauseMs - TIMEOUT_MS) / 1000.0 * rate;
+      nextUs = every == 0 ? Long.MAX_VALUE / 2 : nextUs + every * 1000L * US_PER_MS;
     }
+    world.until(endUs);
+    return undeliverable;
+  }
 
-    /** For 10 s there are so many busy loops on the courier's core that its share of it is that. */
-    private double starve(final StandInWorld world, final double share) throws IOException {
-        final long beganUs = world.ticks.nowUs();
-        world.until(beganUs + FIRST_MS * US_PER_MS);
-        final List<Process> loops = new ArrayList<>();
-        try {
-            for (int loop = 1; loop < Math.round(1 / share); loop++) {
-                loops.add(new ProcessBuilder("taskset", "-c", cores, "timeout", "30", "sh", "-c", "while :; do :; done").start());
-            }
-            world.until(beganUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
-        } finally {
-            loops.forEach(loop -> {
-                loop.descendants().forEach(ProcessHandle::destroyForcibly);
-                loop.destroyForcibly();
-            });
-        }
-        world.until(beganUs + seconds * 1000 * US_PER_MS);
-        return 0;
+  /** For 10 s there are so many busy loops on the courier's core that its share of it is that. */
+  private double starve(final StandInWorld world, final double share) throws IOException {
+    final long beganUs = world.ticks.nowUs();
+    world.until(beganUs + FIRST_MS * US_PER_MS);
+    final List<Process> loops = new ArrayList<>();
+    try {
+      for (int loop = 1; loop < Math.round(1 / share); loop++) {
+        loops.add(
+            new ProcessBuilder(
+                    "taskset", "-c", cores, "timeout", "30", "sh", "-c", "while :; do :; done")
+                .start());
+      }
+      world.until(beganUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
+    } finally {
+      loops.forEach(
+          loop -> {
+            loop.descendants().forEach(ProcessHandle::destroyForcibly);
+            loop.destroyForcibly();
+          });
     }
+    world.until(beganUs + seconds * 1000 * US_PER_MS);
+    return 0;
+  }
 
-    /** Random stops of up to 2 s and random troubles of the partners, until so many messages were handed in. */
-    private boolean random() throws IOException {
-        final Random random = new Random(seed);
-        return row("random", "0.05 to 2 s", (world, courier) -> {
-            final long endUs = world.ticks.nowUs() + (long) (messages / (double) rate * 1000 * US_PER_MS);
-            while (world.ticks.nowUs() < endUs) {
-                world.until(world.ticks.nowUs() + (300 + random.nextInt(3000)) * US_PER_MS);
-                final StandInEndpoint partner = partners.get(random.nextInt(partners.size()));
-                partner.fare(random.nextInt(3) == 0 ? Manner.after(5 + random.nextInt(40))
-                        : switch (random.nextInt(5)) {
-                            case 0 -> Manner.of(Act.SILENCE);
-                            case 1 -> Manner.of(Act.RESET);
-                            case 2 -> Manner.of(Act.FAIL);
-                            case 3 -> new Manner(Act.REFUSE, 0, 200 + random.nextInt(800));
-                            default -> Manner.after(500 + random.nextInt(1000));
-                        });
-                if (random.nextInt(3) > 0) {
-                    courier.pause();
-                    world.until(world.ticks.nowUs() + (50 + random.nextInt(1950)) * US_PER_MS);
-                    courier.resume();
-                }
-                // At most half of the partners are in trouble at once.
-                final StandInEndpoint other = partners.get(random.nextInt(partners.size()));
-                other.fare(Manner.after(5 + random.nextInt(20)));
+  /**
+   * Random stops of up to 2 s and random troubles of the partners, until so many messages were
+   * handed in.
+   */
+  private boolean random() throws IOException {
+    final Random random = new Random(seed);
+    return row(
+        "random",
+        "0.05 to 2 s",
+        (world, courier) -> {
+          final long endUs =
+              world.ticks.nowUs() + (long) (messages / (double) rate * 1000 * US_PER_MS);
+          while (world.ticks.nowUs() < endUs) {
+            world.until(world.ticks.nowUs() + (300 + random.nextInt(3000)) * US_PER_MS);
+            final StandInEndpoint partner = partners.get(random.nextInt(partners.size()));
+            partner.fare(
+                random.nextInt(3) == 0
+                    ? Manner.after(5 + random.nextInt(40))
+                    : switch (random.nextInt(5)) {
+                      case 0 -> Manner.of(Act.SILENCE);
+                      case 1 -> Manner.of(Act.RESET);
+                      case 2 -> Manner.of(Act.FAIL);
+                      case 3 -> new Manner(Act.REFUSE, 0, 200 + random.nextInt(800));
+                      default -> Manner.after(500 + random.nextInt(1000));
+                    });
+            if (random.nextInt(3) > 0) {
+              courier.pause();
+              world.until(world.ticks.nowUs() + (50 + random.nextInt(1950)) * US_PER_MS);
+              courier.resume();
             }
-            return 0;
+            // At most half of the partners are in trouble at once.
+            final StandInEndpoint other = partners.get(random.nextInt(partners.size()));
+            other.fare(Manner.after(5 + random.nextInt(20)));
+          }
+          return 0;
         });
-    }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
@@ -6,16 +6,20 @@
 import thistleturn.lab.policy.SimpleSender;
 import thistleturn.lab.virtual.VirtualCourier;
 
-/** Who is compared: the decisions as they are, as they were before they read their refusals, and two plain senders. */
+/**
+ * Who is compared: the decisions as they are, as they were before they read their refusals, and two
+ * plain senders.
+ */
 final class Senders {
-    private Senders() { }
+  private Senders() {}
 
-    static Map<String, VirtualCourier.Maker> all() {
-        final Map<String, VirtualCourier.Maker> all = new LinkedHashMap<>();
-        all.put("thistleturn", Control::new);
-        all.put("without reading", Control::withoutReading);
-        all.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
-        all.put("fixed window", (settings, seed, actions) -> SimpleSender.fixedWindow(settings, actions));
-        return all;
-    }
+  static Map<String, VirtualCourier.Maker> all() {
+    final Map<String, VirtualCourier.Maker> all = new LinkedHashMap<>();
+    all.put("thistleturn", Control::new);
+    all.put("without reading", Control::withoutReading);
+    all.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
+    all.put(
+        "fixed window", (settings, seed, actions) -> SimpleSender.fixedWindow(settings, actions));
+    return all;
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
@@ -19,90 +19,134 @@
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
-/** What knowing one another costs a real courier, and what it does to the messages of one of them. */
-@Command(name = "peers-cost", mixinStandardHelpOptions = true, description = "CPU, memory and bytes a second of real couriers that know "
-        + "one another and are idle else; then one's deliveries while others are killed, stopped and cut off, beside peers off.")
+/**
+ * What knowing one another costs a real courier, and what it does to the messages of one of them.
+ */
+@Command(
+    name = "peers-cost",
+    mixinStandardHelpOptions = true,
+    description =
+        "CPU, memory and bytes a second of real couriers that know "
+            + "one another and are idle else; then one's deliveries while others are killed, stopped and cut off, beside peers off.")
 public final class MeasurePeersCost implements Callable<Integer> {
-    /** The system's tick, in which it counts processor time: 100 a second. */
-    private static final double TICKS_PER_S = 100;
-    private static final int USER_FIELD = 13;
-    private static final int RESIDENT_FIELD = 23;
-    private static final double KB_PER_PAGE = 4;
-    private static final long TIMEOUT_MS = 4000;
+  /** The system's tick, in which it counts processor time: 100 a second. */
+  private static final double TICKS_PER_S = 100;
 
-    @Option(names = "--members", split = ",", defaultValue = "1,5,10,20", description = "sizes of idle fleets; ${DEFAULT-VALUE} unless told")
-    private List<Integer> sizes;
-    @Option(names = "--seconds", defaultValue = "20", description = "measured of each; ${DEFAULT-VALUE} unless told")
-    private int seconds;
-    @Option(names = "--rate", defaultValue = "200", description = "messages a second; ${DEFAULT-VALUE} unless told")
-    private int rate;
+  private static final int USER_FIELD = 13;
+  private static final int RESIDENT_FIELD = 23;
+  private static final double KB_PER_PAGE = 4;
+  private static final long TIMEOUT_MS = 4000;
 
-    @Option(names = "--replicas", description = "with replicas on, too")
-    private boolean replicas;
+  @Option(
+      names = "--members",
+      split = ",",
+      defaultValue = "1,5,10,20",
+      description = "sizes of idle fleets; ${DEFAULT-VALUE} unless told")
+  private List<Integer> sizes;
 
-    /** Processor time, ticks, and resident memory, KB, of a process until now. */
-    private record Use(double ticks, double residentKb) {
-        static Use of(final long pid) throws IOException {
-            final String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-            // Behind the name, which may hold anything.
-            final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return new Use(Double.parseDouble(fields[USER_FIELD - 2]) + Double.parseDouble(fields[USER_FIELD - 1]),
-                    Double.parseDouble(fields[RESIDENT_FIELD - 2]) * KB_PER_PAGE);
-        }
+  @Option(
+      names = "--seconds",
+      defaultValue = "20",
+      description = "measured of each; ${DEFAULT-VALUE} unless told")
+  private int seconds;
+
+  @Option(
+      names = "--rate",
+      defaultValue = "200",
+      description = "messages a second; ${DEFAULT-VALUE} unless told")
+  private int rate;
+
+  @Option(names = "--replicas", description = "with replicas on, too")
+  private boolean replicas;
+
+  /** Processor time, ticks, and resident memory, KB, of a process until now. */
+  private record Use(double ticks, double residentKb) {
+    static Use of(final long pid) throws IOException {
+      final String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
+      // Behind the name, which may hold anything.
+      final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+      return new Use(
+          Double.parseDouble(fields[USER_FIELD - 2]) + Double.parseDouble(fields[USER_FIELD - 1]),
+          Double.parseDouble(fields[RESIDENT_FIELD - 2]) * KB_PER_PAGE);
     }
+  }
 
-    @Override
-    public Integer call() throws IOException {
-        System.out.println("| members | CPU, ms a second each | resident, MB each | datagrams a second each | bytes a second each | connections |");
-        System.out.println("| --- | --- | --- | --- | --- | --- |");
-        for (final int size : sizes) {
-            idle(size);
-        }
-        System.out.println();
-        System.out.println("| peers | handed in | delivered | refused | failed | rules broken |");
-        System.out.println("| --- | --- | --- | --- | --- | --- |");
-        return delivery(false) & delivery(true) ? 0 : 1;
+  @Override
+  public Integer call() throws IOException {
+    System.out.println(
+        "| members | CPU, ms a second each | resident, MB each | datagrams a second each | bytes a second each | connections |");
+    System.out.println("| --- | --- | --- | --- | --- | --- |");
+    for (final int size : sizes) {
+      idle(size);
     }
+    System.out.println();
+    System.out.println("| peers | handed in | delivered | refused | failed | rules broken |");
+    System.out.println("| --- | --- | --- | --- | --- | --- |");
+    return delivery(false) & delivery(true) ? 0 : 1;
+  }
 
-    private void idle(final int size) throws IOException {
-        final Path folder = Files.createTempDirectory("thistleturn-peers");
-        final Schedule schedule = new Schedule(size, 1, seconds * 1000L, List.of());
-        try (StandInWorld world = new StandInWorld(folder, 1);
-                RealFleet fleet = new RealFleet(folder, schedule, world.platform.address(), world.platform.known(), extra(), 5000)) {
-            final Use[] before = new Use[size];
-            final JsonNode[] pages = new JsonNode[size];
-            fleet.whole(() -> {
-                for (int number = 0; number < size; number++) {
-                    before[number] = Use.of(fleet.process(number).pid());
-                    pages[number] = fleet.page(number);
-                }
-            });
-            fleet.play();
-            double ticks = 0;
-            double kb = 0;
-            double datagrams = 0;
-            double bytes = 0;
-            double connections = 0;
+  private void idle(final int size) throws IOException {
+    final Path folder = Files.createTempDirectory("thistleturn-peers");
+    final Schedule schedule = new Schedule(size, 1, seconds * 1000L, List.of());
+    try (StandInWorld world = new StandInWorld(folder, 1);
+        RealFleet fleet =
+            new RealFleet(
+                folder,
+                schedule,
+                world.platform.address(),
+                world.platform.known(),
+                extra(),
+                5000)) {
+      final Use[] before = new Use[size];
+      final JsonNode[] pages = new JsonNode[size];
+      fleet.whole(
+          () -> {
             for (int number = 0; number < size; number++) {
-                final Use after = Use.of(fleet.process(number).pid());
-                ticks += after.ticks() - before[number].ticks();
-                kb += after.residentKb();
-                datagrams += fleet.page(number).path("sent").asDouble() - pages[number].path("sent").asDouble();
-                bytes += fleet.page(number).path("sent_bytes").asDouble() - pages[number].path("sent_bytes").asDouble();
-                connections += fleet.page(number).path("connections").asDouble();
+              before[number] = Use.of(fleet.process(number).pid());
+              pages[number] = fleet.page(number);
             }
-            System.out.println(String.format(Locale.ROOT, "| %d | %.1f | %.0f | %.0f | %.0f | %.0f |", size,
-                    ticks / TICKS_PER_S * 1000 / seconds / size, kb / 1024 / size, datagrams / seconds / size, bytes / seconds / size,
-                    connections / size));
-        } finally {
-            Folders.delete(folder);
-        }
+          });
+      fleet.play();
+      double ticks = 0;
+      double kb = 0;
+      double datagrams = 0;
+      double bytes = 0;
+      double connections = 0;
+      for (int number = 0; number < size; number++) {
+        final Use after = Use.of(fleet.process(number).pid());
+        ticks += after.ticks() - before[number].ticks();
+        kb += after.residentKb();
+        datagrams +=
+            fleet.page(number).path("sent").asDouble() - pages[number].path("sent").asDouble();
+        bytes +=
+            fleet.page(number).path("sent_bytes").asDouble()
+                - pages[number].path("sent_bytes").asDouble();
+        connections += fleet.page(number).path("connections").asDouble();
+      }
+      System.out.println(
+          String.format(
+              Locale.ROOT,
+              "| %d | %.1f | %.0f | %.0f | %.0f | %.0f |",
+              size,
+              ticks / TICKS_PER_S * 1000 / seconds / size,
+              kb / 1024 / size,
+              datagrams / seconds / size,
+              bytes / seconds / size,
+              connections / size));
+    } finally {
+      Folders.delete(folder);
     }
+  }
 
-    /** Messages to the first of five; the other four are killed, stopped, cut off and started again, at 10% loss. */
-    private boolean delivery(final boolean peers) throws IOException {
-        final Path folder = Files.createTempDirectory("thistleturn-peers");
-        final Schedule schedule = Schedule.parse("""
+  /**
+   * Messages to the first of five; the other four are killed, stopped, cut off and started again,
+   * at 10% loss.
+   */
+  private boolean delivery(final boolean peers) throws IOException {
+    final Path folder = Files.createTempDirectory("thistleturn-peers");
+    final Schedule schedule =
+        Schedule.parse(
+            """
                 members 5
                 seed 3
                 end 20s
@@ -113,48 +157,62 @@
                 at 9s start 3
                 at 12s cut 0 <-> 1,2,3,4 for 5s
                 """);
-        try (StandInWorld world = new StandInWorld(folder, 3)) {
-            for (int index = 0; index < 6; index++) {
-                final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-                endpoint.fare(StandInEndpoint.Manner.after(5 + world.random(20)));
-                world.platform.tell(endpoint, "Ready", 2000);
-            }
-            if (peers) {
-                try (RealFleet fleet = new RealFleet(folder, schedule, world.platform.address(), world.platform.known(), extra(), 5000)) {
-                    fleet.whole(() -> load(world, fleet.process(0)));
-                    fleet.play();
-                    return report(world, "on");
-                }
-            }
-            final Map<String, String> environment = world.environment(CourierFiles.Size.usual());
-            try (ChildProcess courier = ChildProcess.java(environment, "", "thistleturn.cli.Main", "serve")) {
-                load(world, courier);
-                world.until(world.ticks.nowUs() + schedule.endMs() * 1000);
-                return report(world, "off");
-            }
-        } finally {
-            Folders.delete(folder);
+    try (StandInWorld world = new StandInWorld(folder, 3)) {
+      for (int index = 0; index < 6; index++) {
+        final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
+        endpoint.fare(StandInEndpoint.Manner.after(5 + world.random(20)));
+        world.platform.tell(endpoint, "Ready", 2000);
+      }
+      if (peers) {
+        try (RealFleet fleet =
+            new RealFleet(
+                folder,
+                schedule,
+                world.platform.address(),
+                world.platform.known(),
+                extra(),
+                5000)) {
+          fleet.whole(() -> load(world, fleet.process(0)));
+          fleet.play();
+          return report(world, "on");
         }
+      }
+      final Map<String, String> environment = world.environment(CourierFiles.Size.usual());
+      try (ChildProcess courier =
+          ChildProcess.java(environment, "", "thistleturn.cli.Main", "serve")) {
+        load(world, courier);
+        world.until(world.ticks.nowUs() + schedule.endMs() * 1000);
+        return report(world, "off");
+      }
+    } finally {
+      Folders.delete(folder);
     }
+  }
 
-    private String extra() {
-        return replicas ? "[replicas]\nenabled = true\n" : "";
-    }
+  private String extra() {
+    return replicas ? "[replicas]\nenabled = true\n" : "";
+  }
 
-    private void load(final StandInWorld world, final ChildProcess courier) {
-        final String ready = courier.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(rate, TIMEOUT_MS, 1, 2, 3);
-    }
+  private void load(final StandInWorld world, final ChildProcess courier) {
+    final String ready = courier.await(line -> line.contains("is ready at "));
+    world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+    world.load(rate, TIMEOUT_MS, 1, 2, 3);
+  }
 
-    private static boolean report(final StandInWorld world, final String what) {
-        final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
-        final Map<String, Integer> ends = world.auditor.ends();
-        System.out.println(String.format(Locale.ROOT, "| %s | %d | %d | %d | %d | %d |", what,
-                ends.values().stream().mapToInt(Integer::intValue).sum(), ends.getOrDefault("delivered", 0),
-                ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0),
-                ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0), broken.size()));
-        broken.stream().limit(5).forEach(one -> System.out.println("BROKEN: " + one));
-        return broken.isEmpty();
-    }
+  private static boolean report(final StandInWorld world, final String what) {
+    final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
+    final Map<String, Integer> ends = world.auditor.ends();
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %d | %d | %d | %d | %d |",
+            what,
+            ends.values().stream().mapToInt(Integer::intValue).sum(),
+            ends.getOrDefault("delivered", 0),
+            ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0),
+            ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0),
+            broken.size()));
+    broken.stream().limit(5).forEach(one -> System.out.println("BROKEN: " + one));
+    return broken.isEmpty();
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -23,137 +23,241 @@
 import thistleturn.testkit.rig.FleetJudge;
 import thistleturn.testkit.rig.Schedule;
 
-/** The program's way of knowing one another against the rules of others, on the same schedules in virtual time. */
-@Command(name = "peers-virtual", mixinStandardHelpOptions = true, description = "Seeded schedules in virtual time, the same for each way: "
-        + "wrong deaths an hour, time until all know of an end, views, bytes.")
+/**
+ * The program's way of knowing one another against the rules of others, on the same schedules in
+ * virtual time.
+ */
+@Command(
+    name = "peers-virtual",
+    mixinStandardHelpOptions = true,
+    description =
+        "Seeded schedules in virtual time, the same for each way: "
+            + "wrong deaths an hour, time until all know of an end, views, bytes.")
 public final class MeasureVirtualPeers implements Callable<Integer> {
-    private static final long END_MS = 45_000;
-    private static final long MS = 1000;
-    private static final double MS_PER_HOUR = 3_600_000;
-
-    /** Which faults a row of the table has. */
-    enum Row { LOSS_0, LOSS_5, LOSS_30, PAUSES_30, ALL }
-
-    @Option(names = "--rows", split = ",", defaultValue = "LOSS_0,LOSS_5,LOSS_30,PAUSES_30,ALL", description = "${COMPLETION-CANDIDATES}")
-    private List<Row> rows;
-    @Option(names = "--schedules", defaultValue = "400", description = "a row; ${DEFAULT-VALUE} unless told")
-    private int schedules;
-    @Option(names = "--members", defaultValue = "0", description = "in a fleet; 0: 3 to 20, one in ten schedules 21 to 100, one in a "
-            + "hundred 101 to 500")
-    private int members;
-    @Option(names = "--threads", defaultValue = "6", description = "${DEFAULT-VALUE} unless told")
-    private int threads;
-    @Option(names = "--ours-alone", description = "without the rules of others")
-    private boolean oursAlone;
-    @Option(names = "--quiet", description = "fleets of --members without any fault, for what they cost")
-    private boolean quiet;
-
-    /** One way's outcome on one schedule. */
-    private record Played(long seed, int members, List<Long> times, int ended, int wrong, int brokenOtherwise, boolean agreed, long agreedMs,
-                          long lastFaultMs, int changes, long bytes) { }
-
-    private Map<String, Contestant.Maker> ways() {
-        final Map<String, Contestant.Maker> ways = new LinkedHashMap<>();
-        ways.put("peers", PeersContestant.maker(PeerRules.usual(), true, event -> { }));
-        ways.put("peers, datagrams alone", PeersContestant.maker(PeerRules.usual(), false, event -> { }));
-        if (!oursAlone) {
-            for (final long ms : new long[] {500, 2000, 7000}) {
-                ways.put("SWIM, suspicion " + ms + " ms", Swim.maker(ms * MS));
-            }
-            for (final long ms : new long[] {1500, 3000, 8000}) {
-                ways.put("heartbeats, limit " + ms + " ms", Heartbeats.fixed(ms * MS));
-            }
-            ways.put("phi accrual, 8", Heartbeats.accrual(8, 8000 * MS));
-        }
-        return ways;
-    }
+  private static final long END_MS = 45_000;
+  private static final long MS = 1000;
+  private static final double MS_PER_HOUR = 3_600_000;
 
-    private static Schedule.Weather weather(final Row row) {
-        return switch (row) {
-            case LOSS_0 -> Schedule.Weather.kills(0);
-            case LOSS_5 -> Schedule.Weather.kills(0.05);
-            case LOSS_30 -> Schedule.Weather.kills(0.3);
-            case PAUSES_30 -> new Schedule.Weather(0.3, true, true, 5000, true, false, true, true);
-            case ALL -> Schedule.Weather.all(0.1, 5000);
-        };
-    }
+  /** Which faults a row of the table has. */
+  enum Row {
+    LOSS_0,
+    LOSS_5,
+    LOSS_30,
+    PAUSES_30,
+    ALL
+  }
+
+  @Option(
+      names = "--rows",
+      split = ",",
+      defaultValue = "LOSS_0,LOSS_5,LOSS_30,PAUSES_30,ALL",
+      description = "${COMPLETION-CANDIDATES}")
+  private List<Row> rows;
+
+  @Option(
+      names = "--schedules",
+      defaultValue = "400",
+      description = "a row; ${DEFAULT-VALUE} unless told")
+  private int schedules;
+
+  @Option(
+      names = "--members",
+      defaultValue = "0",
+      description =
+          "in a fleet; 0: 3 to 20, one in ten schedules 21 to 100, one in a "
+              + "hundred 101 to 500")
+  private int members;
+
+  @Option(names = "--threads", defaultValue = "6", description = "${DEFAULT-VALUE} unless told")
+  private int threads;
+
+  @Option(names = "--ours-alone", description = "without the rules of others")
+  private boolean oursAlone;
 
-    private int size(final long seed) {
-        final Random random = new Random(seed * 31 + 7);
-        final int kind = random.nextInt(100);
-        return members > 0 ? members : kind == 0 ? 101 + random.nextInt(400) : kind < 10 ? 21 + random.nextInt(80) : 3 + random.nextInt(18);
+  @Option(
+      names = "--quiet",
+      description = "fleets of --members without any fault, for what they cost")
+  private boolean quiet;
+
+  /** One way's outcome on one schedule. */
+  private record Played(
+      long seed,
+      int members,
+      List<Long> times,
+      int ended,
+      int wrong,
+      int brokenOtherwise,
+      boolean agreed,
+      long agreedMs,
+      long lastFaultMs,
+      int changes,
+      long bytes) {}
+
+  private Map<String, Contestant.Maker> ways() {
+    final Map<String, Contestant.Maker> ways = new LinkedHashMap<>();
+    ways.put("peers", PeersContestant.maker(PeerRules.usual(), true, event -> {}));
+    ways.put(
+        "peers, datagrams alone", PeersContestant.maker(PeerRules.usual(), false, event -> {}));
+    if (!oursAlone) {
+      for (final long ms : new long[] {500, 2000, 7000}) {
+        ways.put("SWIM, suspicion " + ms + " ms", Swim.maker(ms * MS));
+      }
+      for (final long ms : new long[] {1500, 3000, 8000}) {
+        ways.put("heartbeats, limit " + ms + " ms", Heartbeats.fixed(ms * MS));
+      }
+      ways.put("phi accrual, 8", Heartbeats.accrual(8, 8000 * MS));
     }
+    return ways;
+  }
+
+  private static Schedule.Weather weather(final Row row) {
+    return switch (row) {
+      case LOSS_0 -> Schedule.Weather.kills(0);
+      case LOSS_5 -> Schedule.Weather.kills(0.05);
+      case LOSS_30 -> Schedule.Weather.kills(0.3);
+      case PAUSES_30 -> new Schedule.Weather(0.3, true, true, 5000, true, false, true, true);
+      case ALL -> Schedule.Weather.all(0.1, 5000);
+    };
+  }
 
-    private Played play(final Row row, final long seed, final Contestant.Maker maker) {
-        final int size = size(seed);
-        final Schedule schedule = quiet ? new Schedule(size, seed, END_MS, List.of()) : Schedule.random(seed, size, END_MS, weather(row));
-        final VirtualPeers world = new VirtualPeers(schedule, maker, 5000);
-        final long[] half = new long[1];
-        if (quiet) {
-            world.looking(at -> half[0] = half[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : half[0]);
-        }
-        final FleetJudge judge = world.play();
-        final long lastMs = schedule.faults().stream().filter(fault -> fault.atMs() > 0)
-                .mapToLong(fault -> fault.forMs() == 0 ? fault.atMs() : fault.untilMs()).max().orElse(0);
-        // Of a quiet fleet the second half counts: the first has all joins in it.
-        return new Played(seed, size, judge.timesToKnow(), judge.ended(), judge.wronglyDead(), judge.broken().size() - judge.wronglyDead(),
-                judge.isAgreed(), judge.agreedMs(), lastMs, judge.changes(), quiet ? 2 * (world.bytes() - half[0]) : world.bytes());
+  private int size(final long seed) {
+    final Random random = new Random(seed * 31 + 7);
+    final int kind = random.nextInt(100);
+    return members > 0
+        ? members
+        : kind == 0
+            ? 101 + random.nextInt(400)
+            : kind < 10 ? 21 + random.nextInt(80) : 3 + random.nextInt(18);
+  }
+
+  private Played play(final Row row, final long seed, final Contestant.Maker maker) {
+    final int size = size(seed);
+    final Schedule schedule =
+        quiet
+            ? new Schedule(size, seed, END_MS, List.of())
+            : Schedule.random(seed, size, END_MS, weather(row));
+    final VirtualPeers world = new VirtualPeers(schedule, maker, 5000);
+    final long[] half = new long[1];
+    if (quiet) {
+      world.looking(
+          at -> half[0] = half[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : half[0]);
     }
+    final FleetJudge judge = world.play();
+    final long lastMs =
+        schedule.faults().stream()
+            .filter(fault -> fault.atMs() > 0)
+            .mapToLong(fault -> fault.forMs() == 0 ? fault.atMs() : fault.untilMs())
+            .max()
+            .orElse(0);
+    // Of a quiet fleet the second half counts: the first has all joins in it.
+    return new Played(
+        seed,
+        size,
+        judge.timesToKnow(),
+        judge.ended(),
+        judge.wronglyDead(),
+        judge.broken().size() - judge.wronglyDead(),
+        judge.isAgreed(),
+        judge.agreedMs(),
+        lastMs,
+        judge.changes(),
+        quiet ? 2 * (world.bytes() - half[0]) : world.bytes());
+  }
 
-    @Override
-    public Integer call() throws InterruptedException, ExecutionException {
-        System.out.println("| faults | way | schedules | ends | known to all, ms: p50 | p99 | most | nobody knew | wrong deaths an hour of a fleet | "
-                + "number with two contents | not agreed at the end | agreed after the last fault, ms: p50 | p99 | views a fault | "
-                + "bytes a second a member |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        boolean kept = true;
-        for (final Row row : rows) {
-            for (final Map.Entry<String, Contestant.Maker> way : ways().entrySet()) {
-                kept &= row(row, way.getKey(), way.getValue());
-            }
-        }
-        return kept ? 0 : 1;
+  @Override
+  public Integer call() throws InterruptedException, ExecutionException {
+    System.out.println(
+        "| faults | way | schedules | ends | known to all, ms: p50 | p99 | most | nobody knew | wrong deaths an hour of a fleet | "
+            + "number with two contents | not agreed at the end | agreed after the last fault, ms: p50 | p99 | views a fault | "
+            + "bytes a second a member |");
+    System.out.println(
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    boolean kept = true;
+    for (final Row row : rows) {
+      for (final Map.Entry<String, Contestant.Maker> way : ways().entrySet()) {
+        kept &= row(row, way.getKey(), way.getValue());
+      }
     }
+    return kept ? 0 : 1;
+  }
 
-    private boolean row(final Row row, final String name, final Contestant.Maker maker) throws InterruptedException, ExecutionException {
-        final ExecutorService pool = Executors.newFixedThreadPool(threads);
-        final List<Future<Played>> running = new ArrayList<>();
-        for (long seed = 0; seed < schedules; seed++) {
-            final long of = seed;
-            running.add(pool.submit(() -> play(row, of, maker)));
-        }
-        final List<Played> all = new ArrayList<>();
-        for (final Future<Played> one : running) {
-            all.add(one.get());
-        }
-        pool.shutdown();
-        final List<Long> times = new ArrayList<>();
-        final List<Long> agreed = new ArrayList<>();
-        all.forEach(played -> {
-            times.addAll(played.times());
-            if (played.agreed() && played.lastFaultMs() > 0) {
-                agreed.add(Math.max(0, played.agreedMs() - played.lastFaultMs()));
-            }
+  private boolean row(final Row row, final String name, final Contestant.Maker maker)
+      throws InterruptedException, ExecutionException {
+    final ExecutorService pool = Executors.newFixedThreadPool(threads);
+    final List<Future<Played>> running = new ArrayList<>();
+    for (long seed = 0; seed < schedules; seed++) {
+      final long of = seed;
+      running.add(pool.submit(() -> play(row, of, maker)));
+    }
+    final List<Played> all = new ArrayList<>();
+    for (final Future<Played> one : running) {
+      all.add(one.get());
+    }
+    pool.shutdown();
+    final List<Long> times = new ArrayList<>();
+    final List<Long> agreed = new ArrayList<>();
+    all.forEach(
+        played -> {
+          times.addAll(played.times());
+          if (played.agreed() && played.lastFaultMs() > 0) {
+            agreed.add(Math.max(0, played.agreedMs() - played.lastFaultMs()));
+          }
         });
-        Collections.sort(times);
-        Collections.sort(agreed);
-        final int ended = all.stream().mapToInt(Played::ended).sum();
-        final int wrong = all.stream().mapToInt(Played::wrong).sum();
-        final int two = all.stream().mapToInt(Played::brokenOtherwise).sum();
-        final long apart = all.stream().filter(played -> !played.agreed()).count();
-        final double bytes = all.stream().mapToDouble(played -> played.bytes() / (END_MS / 1000.0) / played.members()).average().orElse(0);
-        final boolean ours = name.startsWith("peers");
-        System.out.println(String.format(Locale.ROOT, "| %s | %s | %d | %d | %s | %s | %s | %d | %.2f | %s | %d | %s | %s | %s | %.0f |", row, name,
-                schedules, ended, MeasurePeers.quantile(times, 0.5), MeasurePeers.quantile(times, 0.99), MeasurePeers.quantile(times, 1),
-                ended - times.size(), wrong * MS_PER_HOUR / END_MS / schedules, ours ? Integer.toString(two) : "-", apart,
-                MeasurePeers.quantile(agreed, 0.5), MeasurePeers.quantile(agreed, 0.99),
-                ours && ended > 0 ? String.format(Locale.ROOT, "%.2f", (all.stream().mapToInt(Played::changes).sum() - 2.0 * schedules)
-                        / Math.max(1, all.stream().mapToInt(Played::ended).sum())) : "-", bytes));
-        if (ours) {
-            all.stream().filter(played -> played.wrong() + played.brokenOtherwise() > 0 || !played.agreed()).limit(5)
-                    .forEach(played -> System.out.println("seed " + played.seed() + " of " + row + ", " + played.members() + " members: wrong "
-                            + played.wrong() + ", agreed " + played.agreed()));
-        }
-        return !ours || wrong == 0 && two == 0 && apart == 0;
+    Collections.sort(times);
+    Collections.sort(agreed);
+    final int ended = all.stream().mapToInt(Played::ended).sum();
+    final int wrong = all.stream().mapToInt(Played::wrong).sum();
+    final int two = all.stream().mapToInt(Played::brokenOtherwise).sum();
+    final long apart = all.stream().filter(played -> !played.agreed()).count();
+    final double bytes =
+        all.stream()
+            .mapToDouble(played -> played.bytes() / (END_MS / 1000.0) / played.members())
+            .average()
+            .orElse(0);
+    final boolean ours = name.startsWith("peers");
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %s | %d | %d | %s | %s | %s | %d | %.2f | %s | %d | %s | %s | %s | %.0f |",
+            row,
+            name,
+            schedules,
+            ended,
+            MeasurePeers.quantile(times, 0.5),
+            MeasurePeers.quantile(times, 0.99),
+            MeasurePeers.quantile(times, 1),
+            ended - times.size(),
+            wrong * MS_PER_HOUR / END_MS / schedules,
+            ours ? Integer.toString(two) : "-",
+            apart,
+            MeasurePeers.quantile(agreed, 0.5),
+            MeasurePeers.quantile(agreed, 0.99),
+            ours && ended > 0
+                ? String.format(
+                    Locale.ROOT,
+                    "%.2f",
+                    (all.stream().mapToInt(Played::changes).sum() - 2.0 * schedules)
+                        / Math.max(1, all.stream().mapToInt(Played::ended).sum()))
+                : "-",
+            bytes));
+    if (ours) {
+      all.stream()
+          .filter(played -> played.wrong() + played.brokenOtherwise() > 0 || !played.agreed())
+          .limit(5)
+          .forEach(
+              played ->
+                  System.out.println(
+                      "seed "
+                          + played.seed()
+                          + " of "
+                          + row
+                          + ", "
+                          + played.members()
+                          + " members: wrong "
+                          + played.wrong()
+                          + ", agreed "
+                          + played.agreed()));
     }
+    return !ours || wrong == 0 && two == 0 && apart == 0;
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/package-info.java
@@ -1,2 +1,5 @@
-/** How couriers know one another under faults: real processes through relays, and virtual fleets against the rules of others. */
+/**
+ * How couriers know one another under faults: real processes through relays, and virtual fleets
+ * against the rules of others.
+ */
 package thistleturn.benchmarks.peers;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
@@ -22,167 +22,237 @@
 import thistleturn.testkit.rig.Schedule;
 
 /** Random schedules of faults in virtual time, and what catching up costs. */
-@Command(name = "replicas-virtual", mixinStandardHelpOptions = true,
-        description = "Copies under random schedules: when they are equal, whether anything comes back or is lost; bytes to catch up.")
+@Command(
+    name = "replicas-virtual",
+    mixinStandardHelpOptions = true,
+    description =
+        "Copies under random schedules: when they are equal, whether anything comes back or is lost; bytes to catch up.")
 public final class MeasureVirtualReplicas implements Callable<Integer> {
-    private static final long NOW = 1_000_000_000L;
-    private static final int WRITERS = 20;
-    private static final int MS_PER_S = 1000;
-    private static final int LOAD_MS = 12_000;
-    private static final int SETTLED_MS = 2000;
-    private static final int SUBJECTS = 5000;
-
-    @Option(names = "--schedules", defaultValue = "10000", description = "${DEFAULT-VALUE} unless told")
-    private int schedules;
-    @Option(names = "--members", split = ",", defaultValue = "3,8,20", description = "${DEFAULT-VALUE} unless told")
-    private List<Integer> sizes;
-    @Option(names = "--seed", defaultValue = "1", description = "of the first; ${DEFAULT-VALUE} unless told")
-    private long seed;
-
-    private record Played(long seed, long settledMs, String broken, long bytes) { }
+  private static final long NOW = 1_000_000_000L;
+  private static final int WRITERS = 20;
+  private static final int MS_PER_S = 1000;
+  private static final int LOAD_MS = 12_000;
+  private static final int SETTLED_MS = 2000;
+  private static final int SUBJECTS = 5000;
 
-    @Override
-    public Integer call() {
-        System.out.println("| members | loss | schedules | equal after the last fault, ms: p50 | p99 | most | not equal after 12 s | lost, come back or "
-                + "wrongly read | bytes a second a member |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        int broken = 0;
-        final double[] losses = {0, 0.05, 0.2};
-        for (final int size : sizes) {
-            for (final double loss : losses) {
-                broken += row(size, loss, schedules / (sizes.size() * losses.length));
-            }
-        }
-        System.out.println();
-        catchUp();
-        System.out.println();
-        System.out.println("| members | changes a second | bytes a second a member | equal after the last change, ms | milliseconds of a core for a second |");
-        System.out.println("| --- | --- | --- | --- | --- |");
-        for (final int size : new int[] {5, 20, 100}) {
-            for (final int changes : new int[] {0, 10, 1000}) {
-                load(size, changes);
-            }
-        }
-        return broken == 0 ? 0 : 1;
-    }
+  @Option(
+      names = "--schedules",
+      defaultValue = "10000",
+      description = "${DEFAULT-VALUE} unless told")
+  private int schedules;
+
+  @Option(
+      names = "--members",
+      split = ",",
+      defaultValue = "3,8,20",
+      description = "${DEFAULT-VALUE} unless told")
+  private List<Integer> sizes;
+
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "of the first; ${DEFAULT-VALUE} unless told")
+  private long seed;
+
+  private record Played(long seed, long settledMs, String broken, long bytes) {}
 
-    private int row(final int members, final double loss, final int count) {
-        final List<Played> all = LongStream.range(seed, seed + count).parallel().mapToObj(one -> {
-            final ReplicasDay day = ReplicasDay.random(one * 31 + members, members, loss);
-            final String broken = day.play();
-            return new Played(one, day.settledMs(), broken, day.world().bytes());
-        }).toList();
-        final List<Long> settled = new ArrayList<>(all.stream().map(Played::settledMs).filter(ms -> ms >= 0).toList());
-        Collections.sort(settled);
-        final long late = all.stream().filter(one -> one.settledMs < 0).count();
-        final long broken = all.stream().filter(one -> !one.broken.isEmpty()).count();
-        all.stream().filter(one -> !one.broken.isEmpty()).limit(3).forEach(one -> System.out.println("BROKEN, seed " + one.seed + ": " + one.broken));
-        System.out.println(String.format(Locale.ROOT, "| %d | %.2f | %d | %d | %d | %d | %d | %d | %.0f |", members, loss, count,
-                settled.get(settled.size() / 2), settled.get((int) (settled.size() * 0.99)), settled.get(settled.size() - 1), late, broken,
-                all.stream().mapToLong(Played::bytes).average().orElse(0) / 40 / members));
-        return (int) broken;
+  @Override
+  public Integer call() {
+    System.out.println(
+        "| members | loss | schedules | equal after the last fault, ms: p50 | p99 | most | not equal after 12 s | lost, come back or "
+            + "wrongly read | bytes a second a member |");
+    System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    int broken = 0;
+    final double[] losses = {0, 0.05, 0.2};
+    for (final int size : sizes) {
+      for (final double loss : losses) {
+        broken += row(size, loss, schedules / (sizes.size() * losses.length));
+      }
     }
+    System.out.println();
+    catchUp();
+    System.out.println();
+    System.out.println(
+        "| members | changes a second | bytes a second a member | equal after the last change, ms | milliseconds of a core for a second |");
+    System.out.println("| --- | --- | --- | --- | --- |");
+    for (final int size : new int[] {5, 20, 100}) {
+      for (final int changes : new int[] {0, 10, 1000}) {
+        load(size, changes);
+      }
+    }
+    return broken == 0 ? 0 : 1;
+  }
 
-    /** So many changes a second over the whole fleet, for ten seconds. */
-    private static void load(final int members, final int changesPerS) {
-        final VirtualReplicas world = new VirtualReplicas(new Schedule(members, 5, LOAD_MS, List.of()), ReplicaRules.usual());
-        for (int number = 0; number < changesPerS * (LOAD_MS - SETTLED_MS) / MS_PER_S; number++) {
-            final int one = number;
-            world.at(SETTLED_MS + number * (long) MS_PER_S / changesPerS, () -> {
-                final VirtualReplicas.Courier courier = world.courier(one % members);
-                courier.replicas().limited(String.valueOf(one % SUBJECTS), 1 + one, courier.nowUs());
-            });
-        }
-        final long fromNs = System.nanoTime();
-        world.play();
-        final double cpuMs = (System.nanoTime() - fromNs) / 1e6;
-        System.out.println(String.format(Locale.ROOT, "| %d | %d | %.0f | %d | %.2f |", members, changesPerS,
-                world.bytes() * (double) MS_PER_S / LOAD_MS / members, world.settle(LOAD_MS), cpuMs * MS_PER_S / LOAD_MS / members));
+  private int row(final int members, final double loss, final int count) {
+    final List<Played> all =
+        LongStream.range(seed, seed + count)
+            .parallel()
+            .mapToObj(
+                one -> {
+                  final ReplicasDay day = ReplicasDay.random(one * 31 + members, members, loss);
+                  final String broken = day.play();
+                  return new Played(one, day.settledMs(), broken, day.world().bytes());
+                })
+            .toList();
+    final List<Long> settled =
+        new ArrayList<>(all.stream().map(Played::settledMs).filter(ms -> ms >= 0).toList());
+    Collections.sort(settled);
+    final long late = all.stream().filter(one -> one.settledMs < 0).count();
+    final long broken = all.stream().filter(one -> !one.broken.isEmpty()).count();
+    all.stream()
+        .filter(one -> !one.broken.isEmpty())
+        .limit(3)
+        .forEach(one -> System.out.println("BROKEN, seed " + one.seed + ": " + one.broken));
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %d | %.2f | %d | %d | %d | %d | %d | %d | %.0f |",
+            members,
+            loss,
+            count,
+            settled.get(settled.size() / 2),
+            settled.get((int) (settled.size() * 0.99)),
+            settled.get(settled.size() - 1),
+            late,
+            broken,
+            all.stream().mapToLong(Played::bytes).average().orElse(0) / 40 / members));
+    return (int) broken;
+  }
+
+  /** So many changes a second over the whole fleet, for ten seconds. */
+  private static void load(final int members, final int changesPerS) {
+    final VirtualReplicas world =
+        new VirtualReplicas(new Schedule(members, 5, LOAD_MS, List.of()), ReplicaRules.usual());
+    for (int number = 0; number < changesPerS * (LOAD_MS - SETTLED_MS) / MS_PER_S; number++) {
+      final int one = number;
+      world.at(
+          SETTLED_MS + number * (long) MS_PER_S / changesPerS,
+          () -> {
+            final VirtualReplicas.Courier courier = world.courier(one % members);
+            courier.replicas().limited(String.valueOf(one % SUBJECTS), 1 + one, courier.nowUs());
+          });
     }
+    final long fromNs = System.nanoTime();
+    world.play();
+    final double cpuMs = (System.nanoTime() - fromNs) / 1e6;
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %d | %d | %.0f | %d | %.2f |",
+            members,
+            changesPerS,
+            world.bytes() * (double) MS_PER_S / LOAD_MS / members,
+            world.settle(LOAD_MS),
+            cpuMs * MS_PER_S / LOAD_MS / members));
+  }
 
-    /** Between two copies: how many bytes, and at the bound on bytes a second how long, against telling everything. */
-    private static void catchUp() {
-        System.out.println("| entries | share that differs | bytes | seconds at the bound | messages | telling everything, bytes |");
-        System.out.println("| --- | --- | --- | --- | --- | --- |");
-        for (final int entries : new int[] {1000, 10_000, 100_000}) {
-            for (final double share : new double[] {0, 0.01, 0.1, 1}) {
-                final Two two = new Two(entries, share);
-                two.exchange();
-                System.out.println(String.format(Locale.ROOT, "| %d | %.2f | %d | %.1f | %d | %d |", entries, share, two.bytes,
-                        two.bytes / (double) ReplicaRules.usual().pieceBytesPerS(), two.messages, two.everything));
-            }
-        }
+  /**
+   * Between two copies: how many bytes, and at the bound on bytes a second how long, against
+   * telling everything.
+   */
+  private static void catchUp() {
+    System.out.println(
+        "| entries | share that differs | bytes | seconds at the bound | messages | telling everything, bytes |");
+    System.out.println("| --- | --- | --- | --- | --- | --- |");
+    for (final int entries : new int[] {1000, 10_000, 100_000}) {
+      for (final double share : new double[] {0, 0.01, 0.1, 1}) {
+        final Two two = new Two(entries, share);
+        two.exchange();
+        System.out.println(
+            String.format(
+                Locale.ROOT,
+                "| %d | %.2f | %d | %.1f | %d | %d |",
+                entries,
+                share,
+                two.bytes,
+                two.bytes / (double) ReplicaRules.usual().pieceBytesPerS(),
+                two.messages,
+                two.everything));
+      }
     }
+  }
 
-    /** One copy that has all, and one that lacks the latest words of a share of the subjects. */
-    private static final class Two implements Replicas.Out {
-        private final Replicas full = new Replicas(ReplicaRules.usual(), new Writer("full", 1), 1, NOW, this);
-        private final Replicas part = new Replicas(ReplicaRules.usual(), new Writer("part", 1), 2, NOW, this);
-        private final Deque<Runnable> due = new ArrayDeque<>();
-        private final int entries;
-        private long bytes;
-        private long messages;
-        private long everything;
-        private long nowUs = NOW;
-
-        Two(final int entries, final double share) {
-            this.entries = entries;
-            final List<Delta> all = new ArrayList<>();
-            final List<Delta> some = new ArrayList<>();
-            for (int writer = 0; writer < WRITERS; writer++) {
-                final Writer by = new Writer("writer-" + writer, 5);
-                final List<Entry> its = new ArrayList<>();
-                for (int number = 1; number <= entries / WRITERS; number++) {
-                    its.add(new Entry(Kind.LIMIT.code(), String.valueOf(writer * 1_000_000L + number), by, number, Kind.LIMIT.mostUs(), NOW,
-                            List.of(12.5)));
-                }
-                final int known = (int) Math.round(its.size() * (1 - share));
-                all.add(new Delta(by, 0, its.size(), its));
-                some.add(new Delta(by, 0, known, its.subList(0, known)));
-            }
-            full.restore(all, 0, NOW);
-            part.restore(some, 0, NOW);
-            full.others(List.of("part"));
-            part.others(List.of("full"));
-            everything = all.stream().mapToLong(Delta::bytes).sum();
-        }
+  /** One copy that has all, and one that lacks the latest words of a share of the subjects. */
+  private static final class Two implements Replicas.Out {
+    private final Replicas full =
+        new Replicas(ReplicaRules.usual(), new Writer("full", 1), 1, NOW, this);
+    private final Replicas part =
+        new Replicas(ReplicaRules.usual(), new Writer("part", 1), 2, NOW, this);
+    private final Deque<Runnable> due = new ArrayDeque<>();
+    private final int entries;
+    private long bytes;
+    private long messages;
+    private long everything;
+    private long nowUs = NOW;
 
-        /** Until both hold the same: marks, pages and pieces alone. */
-        void exchange() {
-            part.onMessage("full", new Message.Mark(full.sum(), full.size()), nowUs);
-            for (int turn = 0; turn < 100_000 && part.sum() != full.sum(); turn++) {
-                nowUs += ReplicaRules.usual().tickUs();
-                full.tick(nowUs);
-                part.tick(nowUs);
-                while (!due.isEmpty()) {
-                    due.poll().run();
-                }
-            }
-            if (part.sum() != full.sum() || part.size() != entries / WRITERS * WRITERS) {
-                throw new IllegalStateException("copies still differ: " + part.size() + " of " + entries);
-            }
+    Two(final int entries, final double share) {
+      this.entries = entries;
+      final List<Delta> all = new ArrayList<>();
+      final List<Delta> some = new ArrayList<>();
+      for (int writer = 0; writer < WRITERS; writer++) {
+        final Writer by = new Writer("writer-" + writer, 5);
+        final List<Entry> its = new ArrayList<>();
+        for (int number = 1; number <= entries / WRITERS; number++) {
+          its.add(
+              new Entry(
+                  Kind.LIMIT.code(),
+                  String.valueOf(writer * 1_000_000L + number),
+                  by,
+                  number,
+                  Kind.LIMIT.mostUs(),
+                  NOW,
+                  List.of(12.5)));
         }
+        final int known = (int) Math.round(its.size() * (1 - share));
+        all.add(new Delta(by, 0, its.size(), its));
+        some.add(new Delta(by, 0, known, its.subList(0, known)));
+      }
+      full.restore(all, 0, NOW);
+      part.restore(some, 0, NOW);
+      full.others(List.of("part"));
+      part.others(List.of("full"));
+      everything = all.stream().mapToLong(Delta::bytes).sum();
+    }
 
-        @Override
-        public void send(final String to, final Message message) {
-            bytes += message.bytes();
-            messages++;
-            due.add(() -> (to.equals("full") ? full : part).onMessage(to.equals("full") ? "part" : "full", message, nowUs));
+    /** Until both hold the same: marks, pages and pieces alone. */
+    void exchange() {
+      part.onMessage("full", new Message.Mark(full.sum(), full.size()), nowUs);
+      for (int turn = 0; turn < 100_000 && part.sum() != full.sum(); turn++) {
+        nowUs += ReplicaRules.usual().tickUs();
+        full.tick(nowUs);
+        part.tick(nowUs);
+        while (!due.isEmpty()) {
+          due.poll().run();
         }
+      }
+      if (part.sum() != full.sum() || part.size() != entries / WRITERS * WRITERS) {
+        throw new IllegalStateException("copies still differ: " + part.size() + " of " + entries);
+      }
+    }
 
-        @Override
-        public void piece(final String to, final Message message) {
-            send(to, message);
-        }
+    @Override
+    public void send(final String to, final Message message) {
+      bytes += message.bytes();
+      messages++;
+      due.add(
+          () ->
+              (to.equals("full") ? full : part)
+                  .onMessage(to.equals("full") ? "part" : "full", message, nowUs));
+    }
 
-        @Override
-        public void changed(final Kind kind, final String subject) {
-            // Nobody acts on it here.
-        }
+    @Override
+    public void piece(final String to, final Message message) {
+      send(to, message);
+    }
 
-        @Override
-        public void happened(final String text) {
-            throw new IllegalStateException(text);
-        }
+    @Override
+    public void changed(final Kind kind, final String subject) {
+      // Nobody acts on it here.
+    }
+
+    @Override
+    public void happened(final String text) {
+      throw new IllegalStateException(text);
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Endpoints.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/Endpoints.java
@@ -16,61 +16,80 @@
 
 /** One address that answers every call with 200, at once or after a while, and counts them. */
 final class Endpoints implements AutoCloseable {
-    private static final ByteBuf OK = Unpooled.unreleasableBuffer(Unpooled.directBuffer().writeBytes(
-            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII))).asReadOnly();
-    private static final byte[] ID = "x-request-id:".getBytes(StandardCharsets.US_ASCII);
+  private static final ByteBuf OK =
+      Unpooled.unreleasableBuffer(
+              Unpooled.directBuffer()
+                  .writeBytes(
+                      "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+                          .getBytes(StandardCharsets.US_ASCII)))
+          .asReadOnly();
+  private static final byte[] ID = "x-request-id:".getBytes(StandardCharsets.US_ASCII);
 
-    /** Calls answered so far. */
-    final AtomicLong calls = new AtomicLong();
-    /** Calls beyond the first with one message. */
-    final AtomicLong doubles = new AtomicLong();
-    private final Seen seen = new Seen();
-    private final Channel channel;
+  /** Calls answered so far. */
+  final AtomicLong calls = new AtomicLong();
 
-    /** {@code delayMs}: how long a call takes. */
-    Endpoints(final EventLoopGroup group, final int delayMs) {
-        this.channel = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 4096).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(final Channel child) {
-                        child.pipeline().addLast(new Answering(delayMs));
-                    }
-                }).bind(new InetSocketAddress("127.0.0.1", 0)).syncUninterruptibly().channel();
-    }
+  /** Calls beyond the first with one message. */
+  final AtomicLong doubles = new AtomicLong();
 
-    String address() {
-        return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
-    }
+  private final Seen seen = new Seen();
+  private final Channel channel;
 
-    @Override
-    public void close() {
-        channel.close().awaitUninterruptibly();
-    }
+  /** {@code delayMs}: how long a call takes. */
+  Endpoints(final EventLoopGroup group, final int delayMs) {
+    this.channel =
+        new ServerBootstrap()
+            .group(group)
+            .channel(NioServerSocketChannel.class)
+            .option(ChannelOption.SO_BACKLOG, 4096)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(final Channel child) {
+                    child.pipeline().addLast(new Answering(delayMs));
+                  }
+                })
+            .bind(new InetSocketAddress("127.0.0.1", 0))
+            .syncUninterruptibly()
+            .channel();
+  }
+
+  String address() {
+    return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
+  }
 
-    private final class Answering extends Framing {
-        private final int delayMs;
+  @Override
+  public void close() {
+    channel.close().awaitUninterruptibly();
+  }
 
-        private Answering(final int delayMs) {
-            this.delayMs = delayMs;
-        }
+  private final class Answering extends Framing {
+    private final int delayMs;
 
-        @Override
-        void message(final ChannelHandlerContext context, final ByteBuf bytes, final int from, final int headEnd) {
-            final int at = indexOf(bytes, ID, from, headEnd);
-            if (at >= 0 && !seen.add(number(bytes, at + ID.length))) {
-                doubles.incrementAndGet();
-            }
-            if (delayMs == 0) {
-                answer(context);
-            } else {
-                context.executor().schedule(() -> answer(context), delayMs, TimeUnit.MILLISECONDS);
-            }
-        }
+    private Answering(final int delayMs) {
+      this.delayMs = delayMs;
+    }
+
+    @Override
+    void message(
+        final ChannelHandlerContext context,
+        final ByteBuf bytes,
+        final int from,
+        final int headEnd) {
+      final int at = indexOf(bytes, ID, from, headEnd);
+      if (at >= 0 && !seen.add(number(bytes, at + ID.length))) {
+        doubles.incrementAndGet();
+      }
+      if (delayMs == 0) {
+        answer(context);
+      } else {
+        context.executor().schedule(() -> answer(context), delayMs, TimeUnit.MILLISECONDS);
+      }
+    }
 
-        private void answer(final ChannelHandlerContext context) {
-            calls.incrementAndGet();
-            context.writeAndFlush(OK.duplicate());
-        }
+    private void answer(final ChannelHandlerContext context) {
+      calls.incrementAndGet();
+      context.writeAndFlush(OK.duplicate());
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
@@ -12,90 +12,121 @@
 import jdk.jfr.consumer.RecordedFrame;
 import jdk.jfr.consumer.RecordingFile;
 
-/** Samples of a flight recording, drawn as a flame graph: the width of a box is its share of the samples. */
+/**
+ * Samples of a flight recording, drawn as a flame graph: the width of a box is its share of the
+ * samples.
+ */
 final class FlameGraph {
-    private static final int WIDTH = 1200;
-    private static final int ROW = 16;
-    private static final double LEAST_WIDTH = 1.5;
-    private static final double CHAR_WIDTH = 6.2;
+  private static final int WIDTH = 1200;
+  private static final int ROW = 16;
+  private static final double LEAST_WIDTH = 1.5;
+  private static final double CHAR_WIDTH = 6.2;
 
-    private final Map<String, FlameGraph> callees = new TreeMap<>();
-    private long samples;
+  private final Map<String, FlameGraph> callees = new TreeMap<>();
+  private long samples;
 
-    private FlameGraph() { }
+  private FlameGraph() {}
 
-    /** Reads the samples of threads whose stacks hold such a frame, from that frame on upwards. */
-    static FlameGraph read(final Path recording, final String from) throws IOException {
-        final FlameGraph root = new FlameGraph();
-        try (RecordingFile file = new RecordingFile(recording)) {
-            while (file.hasMoreEvents()) {
-                final RecordedEvent event = file.readEvent();
-                final String type = event.getEventType().getName();
-                if (event.getStackTrace() != null
-                        && (type.equals("jdk.ExecutionSample") || type.equals("jdk.NativeMethodSample"))) {
-                    root.add(event.getStackTrace().getFrames(), from);
-                }
-            }
+  /** Reads the samples of threads whose stacks hold such a frame, from that frame on upwards. */
+  static FlameGraph read(final Path recording, final String from) throws IOException {
+    final FlameGraph root = new FlameGraph();
+    try (RecordingFile file = new RecordingFile(recording)) {
+      while (file.hasMoreEvents()) {
+        final RecordedEvent event = file.readEvent();
+        final String type = event.getEventType().getName();
+        if (event.getStackTrace() != null
+            && (type.equals("jdk.ExecutionSample") || type.equals("jdk.NativeMethodSample"))) {
+          root.add(event.getStackTrace().getFrames(), from);
         }
-        return root;
+      }
     }
+    return root;
+  }
 
-    private void add(final List<RecordedFrame> frames, final String from) {
-        final List<String> names = new ArrayList<>();
-        for (int index = frames.size() - 1; index >= 0; index--) {
-            final var method = frames.get(index).getMethod();
-            names.add(method.getType().getName().replaceAll("^.*\\.", "") + "." + method.getName());
-        }
-        final int first = names.indexOf(from);
-        if (first < 0) {
-            return;
-        }
-        FlameGraph at = this;
-        at.samples++;
-        for (final String name : names.subList(first, names.size())) {
-            at = at.callees.computeIfAbsent(name, unused -> new FlameGraph());
-            at.samples++;
-        }
+  private void add(final List<RecordedFrame> frames, final String from) {
+    final List<String> names = new ArrayList<>();
+    for (int index = frames.size() - 1; index >= 0; index--) {
+      final var method = frames.get(index).getMethod();
+      names.add(method.getType().getName().replaceAll("^.*\\.", "") + "." + method.getName());
     }
-
-    long samples() {
-        return samples;
+    final int first = names.indexOf(from);
+    if (first < 0) {
+      return;
     }
-
-    /** Writes the picture. */
-    void write(final Path file) throws IOException {
-        final int height = (depth() + 1) * ROW;
-        final StringBuilder svg = new StringBuilder(String.format(Locale.ROOT, "<svg xmlns=\"http://www.w3.org/2000/svg\" "
-                + "width=\"%d\" height=\"%d\" font-family=\"monospace\" font-size=\"10\">%n", WIDTH, height));
-        draw(svg, "all: " + samples + " samples", 0, WIDTH, height - ROW);
-        Files.writeString(file, svg.append("</svg>\n"));
+    FlameGraph at = this;
+    at.samples++;
+    for (final String name : names.subList(first, names.size())) {
+      at = at.callees.computeIfAbsent(name, unused -> new FlameGraph());
+      at.samples++;
     }
+  }
 
-    private int depth() {
-        return 1 + callees.values().stream().filter(one -> one.samples > 0).mapToInt(FlameGraph::depth).max().orElse(0);
-    }
+  long samples() {
+    return samples;
+  }
 
-    private void draw(final StringBuilder svg, final String name, final double x, final double width, final int y) {
-        if (width < LEAST_WIDTH) {
-            return;
-        }
-        final boolean own = name.matches("(Host|Http|Journal|Control|Hand|Request|Answer|Lane|Destination|Ranking|Ordered|Time"
+  /** Writes the picture. */
+  void write(final Path file) throws IOException {
+    final int height = (depth() + 1) * ROW;
+    final StringBuilder svg =
+        new StringBuilder(
+            String.format(
+                Locale.ROOT,
+                "<svg xmlns=\"http://www.w3.org/2000/svg\" "
+                    + "width=\"%d\" height=\"%d\" font-family=\"monospace\" font-size=\"10\">%n",
+                WIDTH,
+                height));
+    draw(svg, "all: " + samples + " samples", 0, WIDTH, height - ROW);
+    Files.writeString(file, svg.append("</svg>\n"));
+  }
+
+  private int depth() {
+    return 1
+        + callees.values().stream()
+            .filter(one -> one.samples > 0)
+            .mapToInt(FlameGraph::depth)
+            .max()
+            .orElse(0);
+  }
+
+  private void draw(
+      final StringBuilder svg, final String name, final double x, final double width, final int y) {
+    if (width < LEAST_WIDTH) {
+      return;
+    }
+    final boolean own =
+        name.matches(
+            "(Host|Http|Journal|Control|Hand|Request|Answer|Lane|Destination|Ranking|Ordered|Time"
                 + "Heap|Notices|Roster|Arrival).*");
-        final String shown = name.replace("<", "&lt;").replace(">", "&gt;");
-        final int chars = (int) (width / CHAR_WIDTH);
-        svg.append(String.format(Locale.ROOT, "<g><title>%s: %d</title><rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" "
-                + "height=\"%d\" fill=\"%s\" stroke=\"white\" stroke-width=\"0.4\"/>", shown, samples, x, y, width, ROW - 1,
-                own ? "#e8743b" : "#f3c77a"));
-        if (chars > 2) {
-            svg.append(String.format(Locale.ROOT, "<text x=\"%.1f\" y=\"%d\">%s</text>", x + 2, y + ROW - 5,
-                    name.length() <= chars ? shown : name.substring(0, chars).replaceAll("[<>]", "")));
-        }
-        svg.append("</g>\n");
-        double at = x;
-        for (final Map.Entry<String, FlameGraph> callee : callees.entrySet()) {
-            final double part = width * callee.getValue().samples / samples;
-            callee.getValue().draw(svg, callee.getKey(), at, part, y - ROW);
-            at += part;
-        }
+    final String shown = name.replace("<", "&lt;").replace(">", "&gt;");
+    final int chars = (int) (width / CHAR_WIDTH);
+    svg.append(
+        String.format(
+            Locale.ROOT,
+            "<g><title>%s: %d</title><rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" "
+                + "height=\"%d\" fill=\"%s\" stroke=\"white\" stroke-width=\"0.4\"/>",
+            shown,
+            samples,
+            x,
+            y,
+            width,
+            ROW - 1,
+            own ? "#e8743b" : "#f3c77a"));
+    if (chars > 2) {
+      svg.append(
+          String.format(
+              Locale.ROOT,
+              "<text x=\"%.1f\" y=\"%d\">%s</text>",
+              x + 2,
+              y + ROW - 5,
+              name.length() <= chars ? shown : name.substring(0, chars).replaceAll("[<>]", "")));
+    }
+    svg.append("</g>\n");
+    double at = x;
+    for (final Map.Entry<String, FlameGraph> callee : callees.entrySet()) {
+      final double part = width * callee.getValue().samples / samples;
+      callee.getValue().draw(svg, callee.getKey(), at, part, y - ROW);
+      at += part;
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureFlood.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureFlood.java
@@ -13,78 +13,122 @@
 import picocli.CommandLine.Option;
 
 /** What is still delivered when far more is offered than can be. */
-@Command(name = "flood", mixinStandardHelpOptions = true, description = "One courier on one core; first its capacity in a "
-        + "closed loop, then 0.5 to 10 times that in an open loop by clients that wait 400 ms: what is delivered.")
+@Command(
+    name = "flood",
+    mixinStandardHelpOptions = true,
+    description =
+        "One courier on one core; first its capacity in a "
+            + "closed loop, then 0.5 to 10 times that in an open loop by clients that wait 400 ms: what is delivered.")
 public final class MeasureFlood implements Callable<Integer> {
-    private static final int DESTINATIONS = 100;
-    private static final int SLOTS = 2048;
-    private static final int HELD = 5000;
-    private static final int DRIVER_LOOPS = 4;
+  private static final int DESTINATIONS = 100;
+  private static final int SLOTS = 2048;
+  private static final int HELD = 5000;
+  private static final int DRIVER_LOOPS = 4;
 
-    @Option(names = "--times", split = ",", defaultValue = "0.5,0.8,1,1.5,2,4,7,10", description = "${DEFAULT-VALUE}")
-    private List<Double> times;
-    @Option(names = "--picture", description = "a file for the curve")
-    private Path picture;
-    @Option(names = "--core", defaultValue = "0", description = "the courier's core")
-    private String core;
-    @Option(names = "--connections", defaultValue = "2000", description = "${DEFAULT-VALUE}")
-    private int connections;
-    @Option(names = "--seconds", defaultValue = "6", description = "measured, after as many of warming up")
-    private int seconds;
+  @Option(
+      names = "--times",
+      split = ",",
+      defaultValue = "0.5,0.8,1,1.5,2,4,7,10",
+      description = "${DEFAULT-VALUE}")
+  private List<Double> times;
 
-    @Override
-    public Integer call() throws Exception {
-        final double capacity = play(0)[0];
-        System.out.println(String.format(Locale.ROOT, "Capacity in a closed loop: %,.0f a second.%n", capacity));
-        System.out.println("| offered, times capacity | offered/s | delivered/s | taken in time/s | of the best | refused/s | given up by "
-                + "clients/s | p99 of an answer, ms |");
-        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        final List<double[]> rows = new ArrayList<>();
-        for (final double one : times) {
-            System.err.println(one + " times the capacity ...");
-            rows.add(play(one * capacity));
-        }
-        final double best = rows.stream().mapToDouble(row -> row[4]).max().orElse(1);
-        for (int index = 0; index < rows.size(); index++) {
-            final double[] row = rows.get(index);
-            System.out.println(String.format(Locale.ROOT, "| %.1f | %,.0f | %,.0f | %,.0f | %.2f | %,.0f | %,.0f | %.0f |",
-                    times.get(index), times.get(index) * capacity, row[0], row[4], row[4] / best, row[1], row[2], row[3]));
-        }
-        if (picture != null) {
-            Curve.write(picture, times, List.of(
-                    new Curve.Line("taken in time, of the best", rows.stream().mapToDouble(row -> row[4] / best).toArray()),
-                    new Curve.Line("delivered, of the capacity", rows.stream().mapToDouble(row -> row[0] / capacity).toArray())));
-        }
-        return 0;
+  @Option(names = "--picture", description = "a file for the curve")
+  private Path picture;
+
+  @Option(names = "--core", defaultValue = "0", description = "the courier's core")
+  private String core;
+
+  @Option(names = "--connections", defaultValue = "2000", description = "${DEFAULT-VALUE}")
+  private int connections;
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "6",
+      description = "measured, after as many of warming up")
+  private int seconds;
+
+  @Override
+  public Integer call() throws Exception {
+    final double capacity = play(0)[0];
+    System.out.println(
+        String.format(Locale.ROOT, "Capacity in a closed loop: %,.0f a second.%n", capacity));
+    System.out.println(
+        "| offered, times capacity | offered/s | delivered/s | taken in time/s | of the best | refused/s | given up by "
+            + "clients/s | p99 of an answer, ms |");
+    System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
+    final List<double[]> rows = new ArrayList<>();
+    for (final double one : times) {
+      System.err.println(one + " times the capacity ...");
+      rows.add(play(one * capacity));
+    }
+    final double best = rows.stream().mapToDouble(row -> row[4]).max().orElse(1);
+    for (int index = 0; index < rows.size(); index++) {
+      final double[] row = rows.get(index);
+      System.out.println(
+          String.format(
+              Locale.ROOT,
+              "| %.1f | %,.0f | %,.0f | %,.0f | %.2f | %,.0f | %,.0f | %.0f |",
+              times.get(index),
+              times.get(index) * capacity,
+              row[0],
+              row[4],
+              row[4] / best,
+              row[1],
+              row[2],
+              row[3]));
+    }
+    if (picture != null) {
+      Curve.write(
+          picture,
+          times,
+          List.of(
+              new Curve.Line(
+                  "taken in time, of the best",
+                  rows.stream().mapToDouble(row -> row[4] / best).toArray()),
+              new Curve.Line(
+                  "delivered, of the capacity",
+                  rows.stream().mapToDouble(row -> row[0] / capacity).toArray())));
     }
+    return 0;
+  }
 
-    /** Delivered, refused and given up a second, and the p99 of answers in ms; an offer of 0 is a closed loop. */
-    private double[] play(final double perSecond) throws Exception {
-        final EventLoopGroup group = new MultiThreadIoEventLoopGroup(DRIVER_LOOPS, NioIoHandler.newFactory());
-        final CourierChild.Size plain = new CourierChild.Size(core, 512, SLOTS, HELD, 19_000, DESTINATIONS, 1, 10_000_000,
-                0.45, List.of());
-        try (Endpoints endpoints = new Endpoints(group, 0); CourierChild courier = new CourierChild(plain,
-                endpoints.address())) {
-            final Clients clients = new Clients(group, courier.address(), DESTINATIONS, () -> true);
-            if (perSecond == 0) {
-                clients.closed(64);
-            } else {
-                clients.open(perSecond, connections, DRIVER_LOOPS);
-            }
-            TimeUnit.SECONDS.sleep(seconds);
-            final long[] before = {endpoints.calls.get(), clients.refused.get(), clients.late.get(),
-                clients.accepted.get()};
-            clients.latencyUs.reset();
-            final long fromNs = System.nanoTime();
-            TimeUnit.SECONDS.sleep(seconds);
-            final double tookS = (System.nanoTime() - fromNs) / 1e9;
-            final double[] row = {(endpoints.calls.get() - before[0]) / tookS, (clients.refused.get() - before[1]) / tookS,
-                (clients.late.get() - before[2]) / tookS, clients.latencyUs.getValueAtPercentile(99) / 1000.0,
-                (clients.accepted.get() - before[3]) / tookS};
-            clients.close();
-            return row;
-        } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        }
+  /**
+   * Delivered, refused and given up a second, and the p99 of answers in ms; an offer of 0 is a
+   * closed loop.
+   */
+  private double[] play(final double perSecond) throws Exception {
+    final EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(DRIVER_LOOPS, NioIoHandler.newFactory());
+    final CourierChild.Size plain =
+        new CourierChild.Size(
+            core, 512, SLOTS, HELD, 19_000, DESTINATIONS, 1, 10_000_000, 0.45, List.of());
+    try (Endpoints endpoints = new Endpoints(group, 0);
+        CourierChild courier = new CourierChild(plain, endpoints.address())) {
+      final Clients clients = new Clients(group, courier.address(), DESTINATIONS, () -> true);
+      if (perSecond == 0) {
+        clients.closed(64);
+      } else {
+        clients.open(perSecond, connections, DRIVER_LOOPS);
+      }
+      TimeUnit.SECONDS.sleep(seconds);
+      final long[] before = {
+        endpoints.calls.get(), clients.refused.get(), clients.late.get(), clients.accepted.get()
+      };
+      clients.latencyUs.reset();
+      final long fromNs = System.nanoTime();
+      TimeUnit.SECONDS.sleep(seconds);
+      final double tookS = (System.nanoTime() - fromNs) / 1e9;
+      final double[] row = {
+        (endpoints.calls.get() - before[0]) / tookS,
+        (clients.refused.get() - before[1]) / tookS,
+        (clients.late.get() - before[2]) / tookS,
+        clients.latencyUs.getValueAtPercentile(99) / 1000.0,
+        (clients.accepted.get() - before[3]) / tookS
+      };
+      clients.close();
+      return row;
+    } finally {
+      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureIdle.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureIdle.java
@@ -26,151 +26,198 @@
 import picocli.CommandLine.Option;
 
 /** What connections cost that say nothing. */
-@Command(name = "idle", mixinStandardHelpOptions = true, description = "Couriers that share one core, so many idle "
-        + "connections on each: memory a connection, what active traffic waits, and the wake-up of all at once.")
+@Command(
+    name = "idle",
+    mixinStandardHelpOptions = true,
+    description =
+        "Couriers that share one core, so many idle "
+            + "connections on each: memory a connection, what active traffic waits, and the wake-up of all at once.")
 public final class MeasureIdle implements Callable<Integer> {
-    private static final int ACTIVE = 16;
-    private static final double RATE = 300;
-    private static final byte[] UP = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+  private static final int ACTIVE = 16;
+  private static final double RATE = 300;
+  private static final byte[] UP =
+      "GET /up HTTP/1.1\r\nHost: b\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    @Option(names = "--connections", defaultValue = "17000", description = "for each courier: ${DEFAULT-VALUE}")
-    private int connections;
-    @Option(names = "--couriers", defaultValue = "1", description = "${DEFAULT-VALUE}; each is a process")
-    private int couriers;
-    @Option(names = "--seconds", defaultValue = "8", description = "of active traffic in each phase")
-    private int seconds;
-    @Option(names = "--hold", hidden = true, description = "an address whose connections this process holds")
-    private String hold;
+  @Option(
+      names = "--connections",
+      defaultValue = "17000",
+      description = "for each courier: ${DEFAULT-VALUE}")
+  private int connections;
 
-    @Override
-    public Integer call() throws Exception {
-        if (hold != null) {
-            return hold();
-        }
-        final List<CourierChild> children = new ArrayList<>();
-        final List<Process> holders = new ArrayList<>();
-        final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        try (Endpoints endpoints = new Endpoints(group, 0)) {
-            for (int index = 0; index < couriers; index++) {
-                children.add(new CourierChild(new CourierChild.Size("0", 256, 256, 2000, 19_900, 10, 1, 3_600_000_000L,
-                        0.9, List.of()), endpoints.address()));
-            }
-            final Clients clients = new Clients(group, children.get(0).address(), 10, () -> true);
-            clients.open(RATE, ACTIVE, 1);
-            TimeUnit.SECONDS.sleep(2L * seconds);
-            final Histogram before = phase(clients);
-            final long heapBefore = children.get(0).heapBytes();
-            final long kbBefore = memoryKb(children);
-            final long kernelBefore = kernelKb();
-            for (final CourierChild child : children) {
-                holders.add(new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-Xmx1g", "-cp", System.getProperty("java.class.path"), "thistleturn.benchmarks.Main", "idle",
-                        "--connections", Integer.toString(connections), "--hold", child.address().getHostString() + ":"
-                        + child.address().getPort()).redirectError(ProcessBuilder.Redirect.INHERIT).start());
-            }
-            for (final Process holder : holders) {
-                await(holder, "holding");
-            }
-            // A connection gives back what it does not need within some seconds.
-            TimeUnit.SECONDS.sleep(4);
-            final long heapAfter = children.get(0).heapBytes();
-            final long kbAfter = memoryKb(children);
-            final long kernelAfter = kernelKb();
-            final Histogram during = phase(clients);
-            for (final Process holder : holders) {
-                holder.getOutputStream().write('\n');
-                holder.getOutputStream().flush();
-            }
-            final Histogram waking = phase(clients);
-            for (final Process holder : holders) {
-                await(holder, "woken");
-            }
-            final long all = (long) connections * couriers;
-            System.out.println(String.format(Locale.ROOT, "%,d idle connections, %d courier(s) on one core: heap %.0f bytes "
-                    + "a connection, process memory %.0f, the system's for both ends %.0f.%n", all, couriers,
-                    (heapAfter - heapBefore) / (double) connections, (kbAfter - kbBefore) * 1024.0 / all,
-                    (kernelAfter - kernelBefore) * 1024.0 / all));
-            System.out.println("| active traffic | p50 ms | p99 ms | p99.9 ms | requests |");
-            System.out.println("| --- | --- | --- | --- | --- |");
-            print("without", before);
-            print("beside the idle ones", during);
-            print("while all wake", waking);
-            return 0;
-        } finally {
-            holders.forEach(Process::destroyForcibly);
-            for (final CourierChild child : children) {
-                child.close();
-            }
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        }
-    }
+  @Option(
+      names = "--couriers",
+      defaultValue = "1",
+      description = "${DEFAULT-VALUE}; each is a process")
+  private int couriers;
 
-    private static void print(final String what, final Histogram histogram) {
-        System.out.println(String.format(Locale.ROOT, "| %s | %.2f | %.2f | %.2f | %,d |", what,
-                histogram.getValueAtPercentile(50) / 1000.0, histogram.getValueAtPercentile(99) / 1000.0,
-                histogram.getValueAtPercentile(99.9) / 1000.0, histogram.getTotalCount()));
-    }
+  @Option(names = "--seconds", defaultValue = "8", description = "of active traffic in each phase")
+  private int seconds;
 
-    private Histogram phase(final Clients clients) throws InterruptedException {
-        clients.latencyUs.reset();
-        TimeUnit.SECONDS.sleep(seconds);
-        return clients.latencyUs.copy();
-    }
+  @Option(
+      names = "--hold",
+      hidden = true,
+      description = "an address whose connections this process holds")
+  private String hold;
 
-    private static long memoryKb(final List<CourierChild> children) throws IOException {
-        long sum = 0;
-        for (final CourierChild child : children) {
-            sum += child.statusKb("VmRSS");
-        }
-        return sum;
+  @Override
+  public Integer call() throws Exception {
+    if (hold != null) {
+      return hold();
+    }
+    final List<CourierChild> children = new ArrayList<>();
+    final List<Process> holders = new ArrayList<>();
+    final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    try (Endpoints endpoints = new Endpoints(group, 0)) {
+      for (int index = 0; index < couriers; index++) {
+        children.add(
+            new CourierChild(
+                new CourierChild.Size(
+                    "0", 256, 256, 2000, 19_900, 10, 1, 3_600_000_000L, 0.9, List.of()),
+                endpoints.address()));
+      }
+      final Clients clients = new Clients(group, children.get(0).address(), 10, () -> true);
+      clients.open(RATE, ACTIVE, 1);
+      TimeUnit.SECONDS.sleep(2L * seconds);
+      final Histogram before = phase(clients);
+      final long heapBefore = children.get(0).heapBytes();
+      final long kbBefore = memoryKb(children);
+      final long kernelBefore = kernelKb();
+      for (final CourierChild child : children) {
+        holders.add(
+            new ProcessBuilder(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-Xmx1g",
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "thistleturn.benchmarks.Main",
+                    "idle",
+                    "--connections",
+                    Integer.toString(connections),
+                    "--hold",
+                    child.address().getHostString() + ":" + child.address().getPort())
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
+                .start());
+      }
+      for (final Process holder : holders) {
+        await(holder, "holding");
+      }
+      // A connection gives back what it does not need within some seconds.
+      TimeUnit.SECONDS.sleep(4);
+      final long heapAfter = children.get(0).heapBytes();
+      final long kbAfter = memoryKb(children);
+      final long kernelAfter = kernelKb();
+      final Histogram during = phase(clients);
+      for (final Process holder : holders) {
+        holder.getOutputStream().write('\n');
+        holder.getOutputStream().flush();
+      }
+      final Histogram waking = phase(clients);
+      for (final Process holder : holders) {
+        await(holder, "woken");
+      }
+      final long all = (long) connections * couriers;
+      System.out.println(
+          String.format(
+              Locale.ROOT,
+              "%,d idle connections, %d courier(s) on one core: heap %.0f bytes "
+                  + "a connection, process memory %.0f, the system's for both ends %.0f.%n",
+              all,
+              couriers,
+              (heapAfter - heapBefore) / (double) connections,
+              (kbAfter - kbBefore) * 1024.0 / all,
+              (kernelAfter - kernelBefore) * 1024.0 / all));
+      System.out.println("| active traffic | p50 ms | p99 ms | p99.9 ms | requests |");
+      System.out.println("| --- | --- | --- | --- | --- |");
+      print("without", before);
+      print("beside the idle ones", during);
+      print("while all wake", waking);
+      return 0;
+    } finally {
+      holders.forEach(Process::destroyForcibly);
+      for (final CourierChild child : children) {
+        child.close();
+      }
+      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
+  }
 
-    /** The system's memory that is no process's: slabs and socket buffers. */
-    private static long kernelKb() throws IOException {
-        return Files.readAllLines(Path.of("/proc/meminfo")).stream().filter(line -> line.startsWith("Slab:"))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum();
+  private static void print(final String what, final Histogram histogram) {
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "| %s | %.2f | %.2f | %.2f | %,d |",
+            what,
+            histogram.getValueAtPercentile(50) / 1000.0,
+            histogram.getValueAtPercentile(99) / 1000.0,
+            histogram.getValueAtPercentile(99.9) / 1000.0,
+            histogram.getTotalCount()));
+  }
+
+  private Histogram phase(final Clients clients) throws InterruptedException {
+    clients.latencyUs.reset();
+    TimeUnit.SECONDS.sleep(seconds);
+    return clients.latencyUs.copy();
+  }
+
+  private static long memoryKb(final List<CourierChild> children) throws IOException {
+    long sum = 0;
+    for (final CourierChild child : children) {
+      sum += child.statusKb("VmRSS");
     }
+    return sum;
+  }
 
-    private static void await(final Process holder, final String word) throws IOException {
-        final StringBuilder line = new StringBuilder();
-        while (!line.toString().contains(word)) {
-            final int next = holder.getInputStream().read();
-            if (next < 0) {
-                throw new IOException("a holder of connections ended: " + line);
-            }
-            line.append((char) next);
-        }
+  /** The system's memory that is no process's: slabs and socket buffers. */
+  private static long kernelKb() throws IOException {
+    return Files.readAllLines(Path.of("/proc/meminfo")).stream()
+        .filter(line -> line.startsWith("Slab:"))
+        .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+        .sum();
+  }
+
+  private static void await(final Process holder, final String word) throws IOException {
+    final StringBuilder line = new StringBuilder();
+    while (!line.toString().contains(word)) {
+      final int next = holder.getInputStream().read();
+      if (next < 0) {
+        throw new IOException("a holder of connections ended: " + line);
+      }
+      line.append((char) next);
     }
+  }
 
-    /** Holds connections to a courier; woken, asks {@code /up} over each of them at once. */
-    private int hold() throws Exception {
-        final String[] parts = hold.split(":");
-        final InetSocketAddress address = new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
-        final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        final Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
-                .handler(new Silent());
-        final List<Channel> channels = new ArrayList<>();
-        for (int index = 0; index < connections; index++) {
-            // Several local addresses, since one has too few ports for all.
-            final Channel channel = bootstrap.connect(address, new InetSocketAddress("127.0.0."
-                    + (2 + index / 8000), 0)).sync().channel();
-            channel.writeAndFlush(Unpooled.wrappedBuffer(UP));
-            channels.add(channel);
-        }
-        System.out.println("holding");
-        System.in.read();
-        channels.forEach(channel -> channel.writeAndFlush(Unpooled.wrappedBuffer(UP)));
-        System.out.println("woken " + channels.stream().filter(Channel::isActive).count());
-        System.in.read();
-        return 0;
+  /** Holds connections to a courier; woken, asks {@code /up} over each of them at once. */
+  private int hold() throws Exception {
+    final String[] parts = hold.split(":");
+    final InetSocketAddress address = new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
+    final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    final Bootstrap bootstrap =
+        new Bootstrap().group(group).channel(NioSocketChannel.class).handler(new Silent());
+    final List<Channel> channels = new ArrayList<>();
+    for (int index = 0; index < connections; index++) {
+      // Several local addresses, since one has too few ports for all.
+      final Channel channel =
+          bootstrap
+              .connect(address, new InetSocketAddress("127.0.0." + (2 + index / 8000), 0))
+              .sync()
+              .channel();
+      channel.writeAndFlush(Unpooled.wrappedBuffer(UP));
+      channels.add(channel);
     }
+    System.out.println("holding");
+    System.in.read();
+    channels.forEach(channel -> channel.writeAndFlush(Unpooled.wrappedBuffer(UP)));
+    System.out.println("woken " + channels.stream().filter(Channel::isActive).count());
+    System.in.read();
+    return 0;
+  }
 
-    /** Lets pass whatever comes. */
-    @ChannelHandler.Sharable
-    private static final class Silent extends ChannelInboundHandlerAdapter {
-        @Override
-        public void channelRead(final ChannelHandlerContext context, final Object part) {
-            ReferenceCountUtil.release(part);
-        }
+  /** Lets pass whatever comes. */
+  @ChannelHandler.Sharable
+  private static final class Silent extends ChannelInboundHandlerAdapter {
+    @Override
+    public void channelRead(final ChannelHandlerContext context, final Object part) {
+      ReferenceCountUtil.release(part);
     }
+  }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureProfile.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureProfile.java
@@ -12,46 +12,73 @@
 import picocli.CommandLine.Option;
 
 /** Where a message's time goes. */
-@Command(name = "profile", mixinStandardHelpOptions = true, description = "One courier on one core under a closed loop, "
-        + "sampled by the Java machine's flight recorder: a flame graph of its event loop.")
+@Command(
+    name = "profile",
+    mixinStandardHelpOptions = true,
+    description =
+        "One courier on one core under a closed loop, "
+            + "sampled by the Java machine's flight recorder: a flame graph of its event loop.")
 public final class MeasureProfile implements Callable<Integer> {
-    private static final int DESTINATIONS = 100;
-    private static final int HELD = 1000;
-    private static final long RECORDING_S = 60;
+  private static final int DESTINATIONS = 100;
+  private static final int HELD = 1000;
+  private static final long RECORDING_S = 60;
 
-    @Option(names = "--picture", defaultValue = "scale-flame.svg", description = "${DEFAULT-VALUE}")
-    private Path picture;
-    @Option(names = "--seconds", defaultValue = "12", description = "after half as many of warming up")
-    private int seconds;
-    @Option(names = "--core", defaultValue = "0", description = "the courier's core")
-    private String core;
+  @Option(names = "--picture", defaultValue = "scale-flame.svg", description = "${DEFAULT-VALUE}")
+  private Path picture;
 
-    @Override
-    public Integer call() throws Exception {
-        final Path recording = Files.createTempFile("thistleturn", ".jfr");
-        final EventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-        final CourierChild.Size size = new CourierChild.Size(core, 256, 2048, 4000, 19_000, DESTINATIONS, 1, 10_000_000, 0.4,
-                List.of("-XX:StartFlightRecording=delay=" + seconds / 2 + "s,duration=" + seconds + "s,settings=profile,"
-                        + "filename=" + recording, "-XX:FlightRecorderOptions=stackdepth=64", "-Xlog:jfr+startup=off"));
-        try (Endpoints endpoints = new Endpoints(group, 0); CourierChild courier = new CourierChild(size,
-                endpoints.address())) {
-            final Clients clients = Clients.holding(group, courier.address(), DESTINATIONS, endpoints,
-                    HELD);
-            clients.closed(64);
-            final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(RECORDING_S);
-            while (Files.size(recording) == 0 && System.nanoTime() < untilNs) {
-                TimeUnit.MILLISECONDS.sleep(100);
-            }
-            // The recorder writes its file at the end, and its last chunk soon after.
-            TimeUnit.SECONDS.sleep(1);
-            clients.close();
-            final FlameGraph graph = FlameGraph.read(recording, "SingleThreadIoEventLoop.run");
-            graph.write(picture);
-            System.out.println(graph.samples() + " samples of the event loop in " + picture);
-            return graph.samples() > 0 ? 0 : 1;
-        } finally {
-            Files.deleteIfExists(recording);
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        }
+  @Option(
+      names = "--seconds",
+      defaultValue = "12",
+      description = "after half as many of warming up")
+  private int seconds;
+
+  @Option(names = "--core", defaultValue = "0", description = "the courier's core")
+  private String core;
+
+  @Override
+  public Integer call() throws Exception {
+    final Path recording = Files.createTempFile("thistleturn", ".jfr");
+    final EventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
+    final CourierChild.Size size =
+        new CourierChild.Size(
+            core,
+            256,
+            2048,
+            4000,
+            19_000,
+            DESTINATIONS,
+            1,
+            10_000_000,
+            0.4,
+            List.of(
+                "-XX:StartFlightRecording=delay="
+                    + seconds / 2
+                    + "s,duration="
+                    + seconds
+                    + "s,settings=profile,"
+                    + "filename="
+                    + recording,
+                "-XX:FlightRecorderOptions=stackdepth=64",
+                "-Xlog:jfr+startup=off"));
+    try (Endpoints endpoints = new Endpoints(group, 0);
+        CourierChild courier = new CourierChild(size, endpoints.address())) {
+      final Clients clients =
+          Clients.holding(group, courier.address(), DESTINATIONS, endpoints, HELD);
+      clients.closed(64);
+      final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(RECORDING_S);
+      while (Files.size(recording) == 0 && System.nanoTime() < untilNs) {
+        TimeUnit.MILLISECONDS.sleep(100);
+      }
+      // The recorder writes its file at the end, and its last chunk soon after.
+      TimeUnit.SECONDS.sleep(1);
+      clients.close();
+      final FlameGraph graph = FlameGraph.read(recording, "SingleThreadIoEventLoop.run");
+      graph.write(picture);
+      System.out.println(graph.samples() + " samples of the event loop in " + picture);
+      return graph.samples() > 0 ? 0 : 1;
+    } finally {
+      Files.deleteIfExists(recording);
+      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
+  }
 }
--- a/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
+++ b/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
@@ -10,48 +10,104 @@
 
 /** The rooms, and which of them may know which. */
 final class ArchitectureTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("thistleturn");
-
-    /** Decisions have no I/O, clock, thread or randomness of their own: all of that comes in by arguments. */
-    @Test
-    void decisionsArePure() {
-        classes().that().resideInAPackage("thistleturn.decisions..").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("thistleturn.decisions..", "java.lang..", "java.util", "java.util.function",
-                        "java.util.stream").check(ALL);
-        noClasses().that().resideInAPackage("thistleturn.decisions..").should()
-                .accessClassesThat().haveFullyQualifiedName(Thread.class.getName())
-                .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-                .orShould().callMethod(System.class, "identityHashCode", Object.class)
-                .orShould().callMethod(Math.class, "random").check(ALL);
-    }
-
-    @Test
-    void theCourierKnowsNoSubsystem() {
-        noClasses().that().resideInAPackage("thistleturn.courier..").should().dependOnClassesThat()
-                .resideInAnyPackage("thistleturn.eureka..", "thistleturn.membership..", "thistleturn.cli..",
-                        "thistleturn.testkit..", "thistleturn.adapter..", "thistleturn.peers..").check(ALL);
-    }
-
-    @Test
-    void onlyTheHostTalksToControl() {
-        noClasses().that().resideOutsideOfPackages("thistleturn.decisions..", "thistleturn.adapter..").and()
-                .doNotHaveFullyQualifiedName("thistleturn.courier.Host").should().dependOnClassesThat()
-                .haveFullyQualifiedName("thistleturn.decisions.Control").check(ALL);
-    }
-
-    @Test
-    void portsKnowNoImplementation() {
-        noClasses().that().resideInAPackage("thistleturn.courier.port..").should().dependOnClassesThat()
-                .resideInAnyPackage("thistleturn.courier.http..", "thistleturn.courier.platform..",
-                        "thistleturn.courier.journal..", "io.netty..").check(ALL);
-    }
-
-    /** The stand-ins and the Auditor judge the courier; they do not know it. */
-    @Test
-    void theTestkitKnowsNothingOfTheCourier() {
-        noClasses().that().resideInAPackage("thistleturn.testkit..").should().dependOnClassesThat()
-                .resideInAnyPackage("thistleturn.courier..", "thistleturn.eureka..", "thistleturn.membership..", "thistleturn.peers..")
-                .check(ALL);
-    }
+  private static final JavaClasses ALL =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("thistleturn");
+
+  /**
+   * Decisions have no I/O, clock, thread or randomness of their own: all of that comes in by
+   * arguments.
+   */
+  @Test
+  void decisionsArePure() {
+    classes()
+        .that()
+        .resideInAPackage("thistleturn.decisions..")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage(
+            "thistleturn.decisions..",
+            "java.lang..",
+            "java.util",
+            "java.util.function",
+            "java.util.stream")
+        .check(ALL);
+    noClasses()
+        .that()
+        .resideInAPackage("thistleturn.decisions..")
+        .should()
+        .accessClassesThat()
+        .haveFullyQualifiedName(Thread.class.getName())
+        .orShould()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .orShould()
+        .callMethod(System.class, "identityHashCode", Object.class)
+        .orShould()
+        .callMethod(Math.class, "random")
+        .check(ALL);
+  }
+
+  @Test
+  void theCourierKnowsNoSubsystem() {
+    noClasses()
+        .that()
+        .resideInAPackage("thistleturn.courier..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "thistleturn.eureka..",
+            "thistleturn.membership..",
+            "thistleturn.cli..",
+            "thistleturn.testkit..",
+            "thistleturn.adapter..",
+            "thistleturn.peers..")
+        .check(ALL);
+  }
+
+  @Test
+  void onlyTheHostTalksToControl() {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages("thistleturn.decisions..", "thistleturn.adapter..")
+        .and()
+        .doNotHaveFullyQualifiedName("thistleturn.courier.Host")
+        .should()
+        .dependOnClassesThat()
+        .haveFullyQualifiedName("thistleturn.decisions.Control")
+        .check(ALL);
+  }
+
+  @Test
+  void portsKnowNoImplementation() {
+    noClasses()
+        .that()
+        .resideInAPackage("thistleturn.courier.port..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "thistleturn.courier.http..",
+            "thistleturn.courier.platform..",
+            "thistleturn.courier.journal..",
+            "io.netty..")
+        .check(ALL);
+  }
+
+  /** The stand-ins and the Auditor judge the courier; they do not know it. */
+  @Test
+  void theTestkitKnowsNothingOfTheCourier() {
+    noClasses()
+        .that()
+        .resideInAPackage("thistleturn.testkit..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "thistleturn.courier..",
+            "thistleturn.eureka..",
+            "thistleturn.membership..",
+            "thistleturn.peers..")
+        .check(ALL);
+  }
 }
--- a/cli/src/test/java/thistleturn/cli/CommandTest.java
+++ b/cli/src/test/java/thistleturn/cli/CommandTest.java
@@ -19,35 +19,38 @@
 /** The command line, and what it says of files that cannot be used. */
 @Tag("membership")
 final class CommandTest {
-    private static final String REGISTRY = "[[membership.registries]]\nname = 'r'\nurls = ['http://127.0.0.1:1/eureka']\n";
+  private static final String REGISTRY =
+      "[[membership.registries]]\nname = 'r'\nurls = ['http://127.0.0.1:1/eureka']\n";
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /** What a command printed, and its exit code. */
-    private record Ran(int code, String out, String err) { }
+  /** What a command printed, and its exit code. */
+  private record Ran(int code, String out, String err) {}
 
-    private static Ran run(final String... args) {
-        final StringWriter out = new StringWriter();
-        final StringWriter err = new StringWriter();
-        final CommandLine line = Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
-        final int code = line.execute(args);
-        return new Ran(code, out.toString(), err.toString());
-    }
+  private static Ran run(final String... args) {
+    final StringWriter out = new StringWriter();
+    final StringWriter err = new StringWriter();
+    final CommandLine line =
+        Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+    final int code = line.execute(args);
+    return new Ran(code, out.toString(), err.toString());
+  }
 
-    private Path file(final String text) throws Exception {
-        return Files.writeString(folder.resolve("t.toml"), text);
-    }
+  private Path file(final String text) throws Exception {
+    return Files.writeString(folder.resolve("t.toml"), text);
+  }
 
-    @Test
-    void theFileInTheRepositoryIsGoodAndSwitchesNothingOn() {
-        final Path file = Path.of("../deploy/thistleturn.toml");
-        assertEquals(0, run("check", file.toString()).code());
-        assertEquals(ProductConfig.off(), ProductConfig.read(file));
-    }
+  @Test
+  void theFileInTheRepositoryIsGoodAndSwitchesNothingOn() {
+    final Path file = Path.of("../deploy/thistleturn.toml");
+    assertEquals(0, run("check", file.toString()).code());
+    assertEquals(ProductConfig.off(), ProductConfig.read(file));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "[membership]\\nenabled = 'yes'                      | membership.enabled = \"yes\": expected true or false",
         "[membership]\\nstale = '1m'                         | membership.stale = \"1m\": unknown key; expected one of",
         "[membership]\\ndoubt = '10 minutes'                 | membership.doubt = \"10 minutes\": expected a duration",
@@ -72,71 +75,84 @@
         "[peers]\\ndead-after = '1s'                          | peers.dead-after = \"1s\": expected a duration from \"4s\"",
         "[peers]\\nvia = ['127.0.0.1:1']                      | peers.via = \"127.0.0.1:1\": expected ADDRESS=ADDRESS",
         "[membership                                         | line 1: no TOML",
-        "[[membership.registries]]\\nname = 'r'              | membership.registries[0].urls = (absent): expected a list"})
-    void whatCannotBeUsedIsOneLineThatNamesFileKeyValueAndWhatWasExpected(final String text, final String said)
-            throws Exception {
-        final Ran ran = run("check", file(text.strip().replace("\\n", "\n")).toString());
-        assertEquals(2, ran.code(), ran.toString());
-        assertTrue(ran.err().startsWith(folder.resolve("t.toml") + ": ") && ran.err().contains(said), ran.err());
-        assertEquals(1, ran.err().strip().lines().count(), ran.err());
-    }
+        "[[membership.registries]]\\nname = 'r'              | membership.registries[0].urls = (absent): expected a list"
+      })
+  void whatCannotBeUsedIsOneLineThatNamesFileKeyValueAndWhatWasExpected(
+      final String text, final String said) throws Exception {
+    final Ran ran = run("check", file(text.strip().replace("\\n", "\n")).toString());
+    assertEquals(2, ran.code(), ran.toString());
+    assertTrue(
+        ran.err().startsWith(folder.resolve("t.toml") + ": ") && ran.err().contains(said),
+        ran.err());
+    assertEquals(1, ran.err().strip().lines().count(), ran.err());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "urls = ['http://registry.example:80/']  | urls = \"http://registry.example:80/\": expected http://ADDRESS:PORT/PATH",
         "urls = ['https://127.0.0.1:80/']        | expected http://ADDRESS:PORT/PATH",
         "urls = []                               | expected a list of texts, at least one",
         "scope = ['all']                         | scope = \"all\": expected apps/NAME",
         "period = '20m'                          | period = 1200000ms: expected less than membership.stale-use",
         "most-bytes = '1GB'                      | most-bytes = \"1GB\": expected a size",
-        "metadata = { dest = 'd' }               | metadata.dest = \"d\": unknown key"})
-    void soIsARegistryThatCannotBeAsked(final String line, final String said) throws Exception {
-        final String base = line.startsWith("urls") ? REGISTRY.replaceAll("urls.*\n", "") : REGISTRY;
-        final Ran ran = run("check", file(base + line + "\n").toString());
-        assertEquals(2, ran.code(), ran.toString());
-        assertTrue(ran.err().contains(said), ran.err());
-    }
+        "metadata = { dest = 'd' }               | metadata.dest = \"d\": unknown key"
+      })
+  void soIsARegistryThatCannotBeAsked(final String line, final String said) throws Exception {
+    final String base = line.startsWith("urls") ? REGISTRY.replaceAll("urls.*\n", "") : REGISTRY;
+    final Ran ran = run("check", file(base + line + "\n").toString());
+    assertEquals(2, ran.code(), ran.toString());
+    assertTrue(ran.err().contains(said), ran.err());
+  }
 
-    @Test
-    void twoRegistriesOfOneNameAreRefused() throws Exception {
-        final Ran ran = run("check", file(REGISTRY + REGISTRY).toString());
-        assertTrue(ran.err().contains("membership.registries[1].name = \"r\": expected a name that no other source has"),
-                ran.err());
-    }
+  @Test
+  void twoRegistriesOfOneNameAreRefused() throws Exception {
+    final Ran ran = run("check", file(REGISTRY + REGISTRY).toString());
+    assertTrue(
+        ran.err()
+            .contains(
+                "membership.registries[1].name = \"r\": expected a name that no other source has"),
+        ran.err());
+  }
 
-    @Test
-    void aGoodFileIsSummedUp() throws Exception {
-        final Ran ran = run("check", file("[membership]\nenabled = true\n[membership.registration]\nenabled = true\n"
-                + REGISTRY).toString());
-        assertEquals(0, ran.code(), ran.err());
-        assertTrue(ran.out().contains("membership 1 registries, registers itself"), ran.out());
-    }
+  @Test
+  void aGoodFileIsSummedUp() throws Exception {
+    final Ran ran =
+        run(
+            "check",
+            file("[membership]\nenabled = true\n[membership.registration]\nenabled = true\n"
+                    + REGISTRY)
+                .toString());
+    assertEquals(0, ran.code(), ran.err());
+    assertTrue(ran.out().contains("membership 1 registries, registers itself"), ran.out());
+  }
 
-    @Test
-    void everyCommandHelps() {
-        for (final String command : new String[] {"serve", "check", "demo", "members"}) {
-            final Ran ran = run(command, "--help");
-            assertEquals(0, ran.code());
-            assertTrue(ran.out().contains("Usage: thistleturn " + command), ran.out());
-        }
-        assertTrue(run("--help").out().contains("Exit codes"));
-        assertEquals(2, run("no-such-command").code());
+  @Test
+  void everyCommandHelps() {
+    for (final String command : new String[] {"serve", "check", "demo", "members"}) {
+      final Ran ran = run(command, "--help");
+      assertEquals(0, ran.code());
+      assertTrue(ran.out().contains("Usage: thistleturn " + command), ran.out());
     }
+    assertTrue(run("--help").out().contains("Exit codes"));
+    assertEquals(2, run("no-such-command").code());
+  }
 
-    @Test
-    void membersOfACourierThatIsNotThereIsOneLine() {
-        final Ran ran = run("members", "--at", "127.0.0.1:1");
-        assertEquals(1, ran.code());
-        assertTrue(ran.err().startsWith("no courier answers at 127.0.0.1:1"), ran.err());
-        assertFalse(ran.err().contains("\tat "));
-    }
+  @Test
+  void membersOfACourierThatIsNotThereIsOneLine() {
+    final Ran ran = run("members", "--at", "127.0.0.1:1");
+    assertEquals(1, ran.code());
+    assertTrue(ran.err().startsWith("no courier answers at 127.0.0.1:1"), ran.err());
+    assertFalse(ran.err().contains("\tat "));
+  }
 
-    @Test
-    void theDemonstrationKeepsTheRulesThroughItsTroubles() {
-        final Ran ran = run("demo", "--seconds", "8", "--rate", "150");
-        assertEquals(0, ran.code(), ran.out() + ran.err());
-        assertTrue(ran.out().contains("all kept"), ran.out());
-        assertTrue(ran.out().contains("falls silent") && ran.out().contains("e4 is DOWN"), ran.out());
-        assertEquals(2, run("demo", "--seconds", "1").code());
-    }
+  @Test
+  void theDemonstrationKeepsTheRulesThroughItsTroubles() {
+    final Ran ran = run("demo", "--seconds", "8", "--rate", "150");
+    assertEquals(0, ran.code(), ran.out() + ran.err());
+    assertTrue(ran.out().contains("all kept"), ran.out());
+    assertTrue(ran.out().contains("falls silent") && ran.out().contains("e4 is DOWN"), ran.out());
+    assertEquals(2, run("demo", "--seconds", "1").code());
+  }
 }
--- a/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
@@ -11,21 +11,25 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.testkit.Auditor;
 import thistleturn.testkit.StandInClient;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
-/** A third of a real fleet stands still in turn, under load: nobody is blamed for it, and nothing is lost to it. */
+/**
+ * A third of a real fleet stands still in turn, under load: nobody is blamed for it, and nothing is
+ * lost to it.
+ */
 @Tag("health")
 final class PausedFleetTest {
-    private static final long TIMEOUT_MS = 8000;
+  private static final long TIMEOUT_MS = 8000;
 
-    @Test
-    void aThirdStandsStillInTurn(@TempDir final Path folder) throws IOException {
-        final Schedule schedule = Schedule.parse("""
+  @Test
+  void aThirdStandsStillInTurn(@TempDir final Path folder) throws IOException {
+    final Schedule schedule =
+        Schedule.parse(
+            """
                 members 6
                 seed 61
                 end 17s
@@ -33,34 +37,44 @@
                 at 6s pause 2,3 for 3s
                 at 10s pause 4,5 for 3s
                 """);
-        final List<StandInClient> clients = new ArrayList<>();
-        try (StandInWorld world = new StandInWorld(folder, schedule.seed())) {
-            for (int destination = 1; destination <= 3; destination++) {
-                final StandInEndpoint endpoint = world.endpoint(destination);
-                endpoint.fare(StandInEndpoint.Manner.after(20));
-                world.platform.tell(endpoint, "Ready", 1000);
-            }
-            try (RealFleet fleet = new RealFleet(folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-                fleet.whole(() -> {
-                    for (int number = 0; number < schedule.members(); number++) {
-                        final StandInClient client = world.client("c" + number + "-");
-                        client.courier(fleet.serves(number));
-                        clients.add(client);
-                        world.load(client, 20, TIMEOUT_MS, 1, 2, 3);
-                    }
-                });
-                fleet.at(16_000, world::stopHandingIn);
-                fleet.play();
-                assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
-                world.await("an end for all", () -> clients.stream().allMatch(client -> client.unanswered() <= 0) && world.auditor.allEnded());
-                assertEquals(List.of(), world.auditor.finish(world.ticks.nowUs()), () -> fleet.lines().toString());
-                final Map<String, Integer> ends = world.auditor.ends();
-                final int all = ends.values().stream().mapToInt(Integer::intValue).sum();
-                assertTrue(all > 1000 && ends.getOrDefault("delivered", 0) >= 0.98 * all, ends::toString);
-                assertTrue(fleet.lines().stream().anyMatch(line -> line.contains("did not run for")), "nobody noticed that it stood still");
-            } finally {
-                clients.forEach(StandInClient::close);
-            }
-        }
+    final List<StandInClient> clients = new ArrayList<>();
+    try (StandInWorld world = new StandInWorld(folder, schedule.seed())) {
+      for (int destination = 1; destination <= 3; destination++) {
+        final StandInEndpoint endpoint = world.endpoint(destination);
+        endpoint.fare(StandInEndpoint.Manner.after(20));
+        world.platform.tell(endpoint, "Ready", 1000);
+      }
+      try (RealFleet fleet =
+          new RealFleet(
+              folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
+        fleet.whole(
+            () -> {
+              for (int number = 0; number < schedule.members(); number++) {
+                final StandInClient client = world.client("c" + number + "-");
+                client.courier(fleet.serves(number));
+                clients.add(client);
+                world.load(client, 20, TIMEOUT_MS, 1, 2, 3);
+              }
+            });
+        fleet.at(16_000, world::stopHandingIn);
+        fleet.play();
+        assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
+        world.await(
+            "an end for all",
+            () ->
+                clients.stream().allMatch(client -> client.unanswered() <= 0)
+                    && world.auditor.allEnded());
+        assertEquals(
+            List.of(), world.auditor.finish(world.ticks.nowUs()), () -> fleet.lines().toString());
+        final Map<String, Integer> ends = world.auditor.ends();
+        final int all = ends.values().stream().mapToInt(Integer::intValue).sum();
+        assertTrue(all > 1000 && ends.getOrDefault("delivered", 0) >= 0.98 * all, ends::toString);
+        assertTrue(
+            fleet.lines().stream().anyMatch(line -> line.contains("did not run for")),
+            "nobody noticed that it stood still");
+      } finally {
+        clients.forEach(StandInClient::close);
+      }
     }
+  }
 }
--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -24,42 +24,53 @@
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
-/** Real couriers by {@code bin/thistleturn serve}, each pair joined by a relay in each direction, under faults. */
+/**
+ * Real couriers by {@code bin/thistleturn serve}, each pair joined by a relay in each direction,
+ * under faults.
+ */
 @Tag("peers")
 final class PeersFleetTest {
-    /** Rounds of strangers' datagrams at most. */
-    private static final int MOST_ROUNDS = 10;
-    @TempDir
-    private Path folder;
+  /** Rounds of strangers' datagrams at most. */
+  private static final int MOST_ROUNDS = 10;
 
-    private FleetJudge play(final String text, final Check check) throws IOException {
-        final Schedule schedule = Schedule.parse(text);
-        try (StandInWorld world = new StandInWorld(folder, schedule.seed());
-                RealFleet fleet = new RealFleet(folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-            final FleetJudge judge = fleet.play();
-            assertEquals(List.of(), judge.broken(), () -> fleet.tally() + fleet.lines());
-            assertTrue(judge.isAgreed(), () -> "views differ at the end: " + fleet.lines());
-            check.look(fleet);
-            return judge;
-        }
-    }
+  @TempDir private Path folder;
 
-    private interface Check {
-        void look(RealFleet fleet) throws IOException;
+  private FleetJudge play(final String text, final Check check) throws IOException {
+    final Schedule schedule = Schedule.parse(text);
+    try (StandInWorld world = new StandInWorld(folder, schedule.seed());
+        RealFleet fleet =
+            new RealFleet(
+                folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
+      final FleetJudge judge = fleet.play();
+      assertEquals(List.of(), judge.broken(), () -> fleet.tally() + fleet.lines());
+      assertTrue(judge.isAgreed(), () -> "views differ at the end: " + fleet.lines());
+      check.look(fleet);
+      return judge;
     }
+  }
 
-    private static String asked(final RealFleet fleet, final int number, final String... more) {
-        final StringWriter out = new StringWriter();
-        final List<String> args = new ArrayList<>(List.of("peers", "--at", fleet.admin(number)));
-        args.addAll(Arrays.asList(more));
-        assertEquals(0, Main.commandLine().setOut(new PrintWriter(out)).execute(args.toArray(String[]::new)));
-        return out.toString();
-    }
+  private interface Check {
+    void look(RealFleet fleet) throws IOException;
+  }
+
+  private static String asked(final RealFleet fleet, final int number, final String... more) {
+    final StringWriter out = new StringWriter();
+    final List<String> args = new ArrayList<>(List.of("peers", "--at", fleet.admin(number)));
+    args.addAll(Arrays.asList(more));
+    assertEquals(
+        0, Main.commandLine().setOut(new PrintWriter(out)).execute(args.toArray(String[]::new)));
+    return out.toString();
+  }
 
-    /** A kill, a pause under the limit, a cut of one way and a start again, at 5% loss; then what operators are told. */
-    @Test
-    void fiveProcessesKnowOneAnotherThroughFaults() throws IOException {
-        final FleetJudge judge = play("""
+  /**
+   * A kill, a pause under the limit, a cut of one way and a start again, at 5% loss; then what
+   * operators are told.
+   */
+  @Test
+  void fiveProcessesKnowOneAnotherThroughFaults() throws IOException {
+    final FleetJudge judge =
+        play(
+            """
                 members 5
                 seed 31
                 end 16s
@@ -68,49 +79,72 @@
                 at 3s kill 3
                 at 5s pause 1 for 4s
                 at 10s start 3
-                """, fleet -> {
-            final JsonNode status = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
-            assertEquals("majority", status.path("standing").asText());
-            assertEquals(5, status.path("view").path("members").size());
-            assertEquals(0, status.path("malformed").asInt());
-            assertEquals(0, status.path("too_large").asInt());
-            assertTrue(asked(fleet, 2).contains("NOT HEARD BY"));
-            assertEquals(6, asked(fleet, 2, "--matrix").lines().filter(line -> line.startsWith("n0") || line.startsWith("HEARS")).count() - 1,
-                    () -> "a head and a line for each: " + asked(fleet, 2, "--matrix"));
-        });
-        assertEquals(1, judge.timesToKnow().size());
-        assertTrue(judge.timesToKnow().get(0) < 4000, () -> "known after " + judge.timesToKnow());
-    }
+                """,
+            fleet -> {
+              final JsonNode status = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
+              assertEquals("majority", status.path("standing").asText());
+              assertEquals(5, status.path("view").path("members").size());
+              assertEquals(0, status.path("malformed").asInt());
+              assertEquals(0, status.path("too_large").asInt());
+              assertTrue(asked(fleet, 2).contains("NOT HEARD BY"));
+              assertEquals(
+                  6,
+                  asked(fleet, 2, "--matrix")
+                          .lines()
+                          .filter(line -> line.startsWith("n0") || line.startsWith("HEARS"))
+                          .count()
+                      - 1,
+                  () -> "a head and a line for each: " + asked(fleet, 2, "--matrix"));
+            });
+    assertEquals(1, judge.timesToKnow().size());
+    assertTrue(judge.timesToKnow().get(0) < 4000, () -> "known after " + judge.timesToKnow());
+  }
 
-    /** In two parts, then whole again: the smaller one knows it, and is let in again. What strangers send moves nothing. */
-    @Test
-    void aSplitAndStrangers() throws IOException {
-        play("""
+  /**
+   * In two parts, then whole again: the smaller one knows it, and is let in again. What strangers
+   * send moves nothing.
+   */
+  @Test
+  void aSplitAndStrangers() throws IOException {
+    play(
+        """
                 members 5
                 seed 32
                 end 22s
                 at 1s cut 0,1 <-> 2,3,4 for 12s
-                """, fleet -> {
-            assertTrue(fleet.lines().stream().anyMatch(line -> line.startsWith("n01: ") && line.contains(" peers: hears no majority: 2 of 5")), fleet.lines()::toString);
-            final JsonNode before = fleet.page(2);
-            final Random random = new Random(33);
-            final int strangers = 200;
-            JsonNode after = before;
-            try (DatagramSocket socket = new DatagramSocket()) {
-                final String[] at = before.path("address").asText().split(":");
-                // A busy process reads them later than it is asked here, and its system may drop some: so more are sent.
-                for (int number = 0; number < MOST_ROUNDS * strangers && (number < strangers || after.path("malformed").asInt() < strangers / 2);
-                        number++) {
-                    final byte[] noise = new byte[1 + random.nextInt(1500)];
-                    random.nextBytes(noise);
-                    socket.send(new DatagramPacket(noise, noise.length, new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
-                    if ((number + 1) % strangers == 0) {
-                        after = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
-                    }
-                }
+                """,
+        fleet -> {
+          assertTrue(
+              fleet.lines().stream()
+                  .anyMatch(
+                      line ->
+                          line.startsWith("n01: ")
+                              && line.contains(" peers: hears no majority: 2 of 5")),
+              fleet.lines()::toString);
+          final JsonNode before = fleet.page(2);
+          final Random random = new Random(33);
+          final int strangers = 200;
+          JsonNode after = before;
+          try (DatagramSocket socket = new DatagramSocket()) {
+            final String[] at = before.path("address").asText().split(":");
+            // A busy process reads them later than it is asked here, and its system may drop some:
+            // so more are sent.
+            for (int number = 0;
+                number < MOST_ROUNDS * strangers
+                    && (number < strangers || after.path("malformed").asInt() < strangers / 2);
+                number++) {
+              final byte[] noise = new byte[1 + random.nextInt(1500)];
+              random.nextBytes(noise);
+              socket.send(
+                  new DatagramPacket(
+                      noise, noise.length, new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
+              if ((number + 1) % strangers == 0) {
+                after = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
+              }
             }
-            assertEquals(before.path("view").path("members"), after.path("view").path("members"));
-            assertTrue(after.path("malformed").asInt() >= strangers / 2, after.toString());
+          }
+          assertEquals(before.path("view").path("members"), after.path("view").path("members"));
+          assertTrue(after.path("malformed").asInt() >= strangers / 2, after.toString());
         });
-    }
+  }
 }
--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -24,200 +24,261 @@
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
-/** Real couriers that hold one state, each pair joined by a relay in each direction, under faults and load. */
+/**
+ * Real couriers that hold one state, each pair joined by a relay in each direction, under faults
+ * and load.
+ */
 @Tag("replicas")
 final class ReplicasFleetTest {
-    private static final long AWAIT_MS = 15_000;
-    private static final long TIMEOUT_MS = 8000;
-    private static final String REPLICAS = "[replicas]\nenabled = true\n";
+  private static final long AWAIT_MS = 15_000;
+  private static final long TIMEOUT_MS = 8000;
+  private static final String REPLICAS = "[replicas]\nenabled = true\n";
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private StandInWorld world;
-    private RealFleet fleet;
-    private final List<StandInClient> clients = new ArrayList<>();
-    private final List<StandInEndpoint> endpoints = new ArrayList<>();
+  private StandInWorld world;
+  private RealFleet fleet;
+  private final List<StandInClient> clients = new ArrayList<>();
+  private final List<StandInEndpoint> endpoints = new ArrayList<>();
 
-    private interface Script {
-        void play() throws IOException;
-    }
+  private interface Script {
+    void play() throws IOException;
+  }
 
-    private void play(final String schedule, final Script script) throws IOException {
-        final Schedule parsed = Schedule.parse(schedule);
-        try (StandInWorld made = new StandInWorld(folder, parsed.seed())) {
-            world = made;
-            for (final int destination : new int[] {1, 1, 2}) {
-                final StandInEndpoint endpoint = world.endpoint(destination);
-                world.platform.tell(endpoint, "Ready", 1000);
-                endpoints.add(endpoint);
-            }
-            try (RealFleet started = new RealFleet(folder, parsed, world.platform.address(), world.platform.known(), REPLICAS, 5000)) {
-                fleet = started;
-                fleet.whole(() -> {
-                    for (int number = 0; number < parsed.members(); number++) {
-                        final StandInClient client = world.client("c" + number + "-");
-                        client.courier(fleet.serves(number));
-                        clients.add(client);
-                    }
-                });
-                script.play();
-                fleet.play();
-                assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
-            } finally {
-                clients.forEach(StandInClient::close);
-            }
-        }
+  private void play(final String schedule, final Script script) throws IOException {
+    final Schedule parsed = Schedule.parse(schedule);
+    try (StandInWorld made = new StandInWorld(folder, parsed.seed())) {
+      world = made;
+      for (final int destination : new int[] {1, 1, 2}) {
+        final StandInEndpoint endpoint = world.endpoint(destination);
+        world.platform.tell(endpoint, "Ready", 1000);
+        endpoints.add(endpoint);
+      }
+      try (RealFleet started =
+          new RealFleet(
+              folder, parsed, world.platform.address(), world.platform.known(), REPLICAS, 5000)) {
+        fleet = started;
+        fleet.whole(
+            () -> {
+              for (int number = 0; number < parsed.members(); number++) {
+                final StandInClient client = world.client("c" + number + "-");
+                client.courier(fleet.serves(number));
+                clients.add(client);
+              }
+            });
+        script.play();
+        fleet.play();
+        assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
+      } finally {
+        clients.forEach(StandInClient::close);
+      }
     }
+  }
 
-    private static void await(final String what, final RealFleet of, final BooleanSupplier condition) {
-        final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_MS);
-        while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < untilNs, () -> "never came: " + what + ": " + of.lines());
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
-        }
+  private static void await(
+      final String what, final RealFleet of, final BooleanSupplier condition) {
+    final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_MS);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < untilNs, () -> "never came: " + what + ": " + of.lines());
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
+  }
 
-    /** True if a courier's decisions are bound by that word on an endpoint. */
-    private boolean isLeftOut(final int number, final String endpoint) {
-        final JsonNode lanes = fleet.ask(number, "lanes");
-        boolean found = false;
-        for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
-            for (final JsonNode said : lane.path("said")) {
-                found |= said.path("what").asText().equals("exclusion") && said.path("endpoint").asText().equals(endpoint);
-            }
-        }
-        return found;
+  /** True if a courier's decisions are bound by that word on an endpoint. */
+  private boolean isLeftOut(final int number, final String endpoint) {
+    final JsonNode lanes = fleet.ask(number, "lanes");
+    boolean found = false;
+    for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
+      for (final JsonNode said : lane.path("said")) {
+        found |=
+            said.path("what").asText().equals("exclusion")
+                && said.path("endpoint").asText().equals(endpoint);
+      }
     }
+    return found;
+  }
 
-    private void deliver(final int number, final int count, final int destination) {
-        for (int message = 0; message < count; message++) {
-            clients.get(number).handIn("safe", destination, TIMEOUT_MS);
-        }
+  private void deliver(final int number, final int count, final int destination) {
+    for (int message = 0; message < count; message++) {
+      clients.get(number).handIn("safe", destination, TIMEOUT_MS);
     }
+  }
 
-    private String asked(final int code, final String... args) {
-        final StringWriter out = new StringWriter();
-        assertEquals(code, Main.commandLine().setOut(new PrintWriter(out)).execute(args), out::toString);
-        return out.toString();
-    }
+  private String asked(final int code, final String... args) {
+    final StringWriter out = new StringWriter();
+    assertEquals(
+        code, Main.commandLine().setOut(new PrintWriter(out)).execute(args), out::toString);
+    return out.toString();
+  }
 
-    /** Left out at one courier: none sends there any more, not after a kill and a start either, until one lets it serve. */
-    @Test
-    void anEndpointLeftOutAtOneIsLeftOutByAll() throws IOException {
-        play("""
+  /**
+   * Left out at one courier: none sends there any more, not after a kill and a start either, until
+   * one lets it serve.
+   */
+  @Test
+  void anEndpointLeftOutAtOneIsLeftOutByAll() throws IOException {
+    play(
+        """
                 members 4
                 seed 51
                 end 15s
                 at 0s loss 0.05
                 at 4s kill 2
                 at 6s start 2
-                """, () -> {
-            fleet.at(1000, () -> {
+                """,
+        () -> {
+          fleet.at(
+              1000,
+              () -> {
                 final StandInEndpoint first = endpoint(0);
                 assertTrue(fleet.maintain(0, first.name(), true));
                 for (int number = 0; number < 4; number++) {
-                    final int one = number;
-                    await("left out at " + one, fleet, () -> isLeftOut(one, first.name()));
+                  final int one = number;
+                  await("left out at " + one, fleet, () -> isLeftOut(one, first.name()));
                 }
                 final long before = first.calls();
                 for (int number = 0; number < 4; number++) {
-                    deliver(number, 10, 1);
+                  deliver(number, 10, 1);
                 }
                 await("all delivered", fleet, () -> allEnded());
                 assertEquals(before, first.calls(), "nothing went there");
-            });
-            fleet.at(9000, () -> {
+              });
+          fleet.at(
+              9000,
+              () -> {
                 await("known again after its start", fleet, () -> isLeftOut(2, endpoint(0).name()));
-                assertTrue(asked(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2)).contains("left out: the last word counts"));
-                await("nothing lacks anywhere", fleet, () -> fleet.ask(2, "state").path("sum").equals(fleet.ask(0, "state").path("sum")));
-                assertTrue(asked(0, "state", "diff", fleet.admin(0), fleet.admin(2)).startsWith("both hold the same"));
-                // Another operator, elsewhere, who knows of the word: it takes its place everywhere.
+                assertTrue(
+                    asked(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2))
+                        .contains("left out: the last word counts"));
+                await(
+                    "nothing lacks anywhere",
+                    fleet,
+                    () ->
+                        fleet
+                            .ask(2, "state")
+                            .path("sum")
+                            .equals(fleet.ask(0, "state").path("sum")));
+                assertTrue(
+                    asked(0, "state", "diff", fleet.admin(0), fleet.admin(2))
+                        .startsWith("both hold the same"));
+                // Another operator, elsewhere, who knows of the word: it takes its place
+                // everywhere.
                 assertTrue(fleet.maintain(3, endpoint(0).name(), false));
                 for (int number = 0; number < 4; number++) {
-                    final int one = number;
-                    await("may serve at " + one, fleet, () -> !isLeftOut(one, endpoint(0).name()));
+                  final int one = number;
+                  await("may serve at " + one, fleet, () -> !isLeftOut(one, endpoint(0).name()));
                 }
                 assertTrue(asked(0, "state", "show", "--at", fleet.admin(1)).contains("may serve"));
-            });
+              });
         });
-    }
+  }
 
-    private StandInEndpoint endpoint(final int number) {
-        return endpoints.get(number);
-    }
+  private StandInEndpoint endpoint(final int number) {
+    return endpoints.get(number);
+  }
 
-    private boolean allEnded() {
-        return clients.stream().allMatch(client -> client.unanswered() <= 0) && world.auditor.allEnded();
-    }
+  private boolean allEnded() {
+    return clients.stream().allMatch(client -> client.unanswered() <= 0)
+        && world.auditor.allEnded();
+  }
 
-    /** Two sides of a split say the opposite at once: it stays left out, and both sides are told. */
-    @Test
-    void bothSidesOfASplitSayTheOpposite() throws IOException {
-        play("""
+  /** Two sides of a split say the opposite at once: it stays left out, and both sides are told. */
+  @Test
+  void bothSidesOfASplitSayTheOpposite() throws IOException {
+    play(
+        """
                 members 4
                 seed 52
                 end 16s
                 at 1s cut 0,1 <-> 2,3 for 6s
-                """, () -> {
-            fleet.at(500, () -> assertTrue(fleet.maintain(0, endpoint(0).name(), true)));
-            fleet.at(3000, () -> {
+                """,
+        () -> {
+          fleet.at(500, () -> assertTrue(fleet.maintain(0, endpoint(0).name(), true)));
+          fleet.at(
+              3000,
+              () -> {
                 await("heard before the cut", fleet, () -> isLeftOut(3, endpoint(0).name()));
                 assertTrue(fleet.maintain(1, endpoint(0).name(), false));
                 assertTrue(fleet.maintain(2, endpoint(0).name(), true));
-            });
-            fleet.at(14_000, () -> {
+              });
+          fleet.at(
+              14_000,
+              () -> {
                 for (int number = 0; number < 4; number++) {
-                    final int one = number;
-                    await("left out at " + one, fleet, () -> isLeftOut(one, endpoint(0).name()));
+                  final int one = number;
+                  await("left out at " + one, fleet, () -> isLeftOut(one, endpoint(0).name()));
                 }
-                await("both sides are told", fleet, () -> fleet.lines().stream().filter(line -> line.contains("neither knowing of the other"))
-                        .map(line -> line.substring(0, 3)).distinct().count() == 4);
-                assertTrue(asked(0, "state", "show", "--at", fleet.admin(0)).contains("left out, disputed"));
-            });
+                await(
+                    "both sides are told",
+                    fleet,
+                    () ->
+                        fleet.lines().stream()
+                                .filter(line -> line.contains("neither knowing of the other"))
+                                .map(line -> line.substring(0, 3))
+                                .distinct()
+                                .count()
+                            == 4);
+                assertTrue(
+                    asked(0, "state", "show", "--at", fleet.admin(0))
+                        .contains("left out, disputed"));
+              });
         });
-    }
+  }
 
-    /** A wait told to one courier binds the others for as long as it was told for, and no longer. */
-    @Test
-    void aWaitToldToOneBindsAll() throws IOException {
-        play("""
+  /** A wait told to one courier binds the others for as long as it was told for, and no longer. */
+  @Test
+  void aWaitToldToOneBindsAll() throws IOException {
+    play(
+        """
                 members 4
                 seed 53
                 end 10s
-                """, () -> fleet.at(1000, () -> {
-            final StandInEndpoint third = endpoint(2);
-            deliver(0, 1, 2);
-            await("served", fleet, () -> allEnded());
-            third.fare(new Manner(Act.REFUSE, 0, 3000));
-            final long before = third.calls();
-            deliver(0, 1, 2);
-            await("refused", fleet, () -> third.calls() == before + 1);
-            final long toldNs = System.nanoTime();
-            third.fare(Manner.after(0));
-            await("heard by all", fleet, () -> waits(1) && waits(2) && waits(3));
-            assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 1500, "heard too late to be of use");
-            for (int number = 1; number < 4; number++) {
-                deliver(number, 2, 2);
-            }
-            await("its end", fleet, () -> {
-                if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 2900) {
-                    assertEquals(before + 1, third.calls(), "a call within the wait");
-                }
-                return allEnded();
-            });
-            assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 7500, "bound for longer than told");
-        }));
-    }
+                """,
+        () ->
+            fleet.at(
+                1000,
+                () -> {
+                  final StandInEndpoint third = endpoint(2);
+                  deliver(0, 1, 2);
+                  await("served", fleet, () -> allEnded());
+                  third.fare(new Manner(Act.REFUSE, 0, 3000));
+                  final long before = third.calls();
+                  deliver(0, 1, 2);
+                  await("refused", fleet, () -> third.calls() == before + 1);
+                  final long toldNs = System.nanoTime();
+                  third.fare(Manner.after(0));
+                  await("heard by all", fleet, () -> waits(1) && waits(2) && waits(3));
+                  assertTrue(
+                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 1500,
+                      "heard too late to be of use");
+                  for (int number = 1; number < 4; number++) {
+                    deliver(number, 2, 2);
+                  }
+                  await(
+                      "its end",
+                      fleet,
+                      () -> {
+                        if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 2900) {
+                          assertEquals(before + 1, third.calls(), "a call within the wait");
+                        }
+                        return allEnded();
+                      });
+                  assertTrue(
+                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 7500,
+                      "bound for longer than told");
+                }));
+  }
 
-    private boolean waits(final int number) {
-        final JsonNode lanes = fleet.ask(number, "lanes");
-        boolean found = false;
-        for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
-            for (final JsonNode said : lane.path("said")) {
-                found |= said.path("what").asText().equals("wait") && said.path("by").asText().equals("fleet: n00");
-            }
-        }
-        return found;
+  private boolean waits(final int number) {
+    final JsonNode lanes = fleet.ask(number, "lanes");
+    boolean found = false;
+    for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
+      for (final JsonNode said : lane.path("said")) {
+        found |=
+            said.path("what").asText().equals("wait")
+                && said.path("by").asText().equals("fleet: n00");
+      }
     }
+    return found;
+  }
 }
