--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierProcess.java
@@ -62,870 +62,1079 @@
 import thistleturn.decisions.words.Word;
 
 /**
- * A courier with its ports wired: one event loop that owns all state, a journal, a front, a carrier, a directory and
- * the telling of ends. It is started once and ended once; several can run in one Java machine.
+ * A courier with its ports wired: one event loop that owns all state, a journal, a front, a
+ * carrier, a directory and the telling of ends. It is started once and ended once; several can run
+ * in one Java machine.
  */
 public final class CourierProcess {
-    /** After SIGTERM new connections still come for up to 0.4 s. */
-    private static final long LISTEN_MS = 550;
-    /** When the process ends after SIGTERM: SIGKILL comes no sooner than 3.7 s after it. */
-    private static final long STOP_MS = 3100;
-    private static final long STOP_CHECK_MS = 20;
-    /** What an extension has to take leave at least. */
-    private static final long LEAVE_MS = 300;
-    private static final long US_PER_MS = 1000;
-    /** How soon it is seen what another process of this courier was told by operators. */
-    private static final long LOOK_MS = 200;
-    /** Looks after which what was learnt is put down in any case: once a second. */
-    private static final int LOOKS_A_KEEPING = 5;
-    /** How soon a process that cannot hand over now is asked again. */
-    private static final long RETRY_MS = 50;
-    private static final int HEIR_GONE_STATUS = 75;
-    /** How often a lock is tried that a process which has ended may still hold. */
-    private static final int LOCK_TRIES = 100;
-
-    private final Clock clock = new Clock();
-    private final long startedUs = clock.nowUs();
-    private final List<Shard> shards = new ArrayList<>();
-    private final EventLoop loop;
-    private final CountDownLatch stopped = new CountDownLatch(1);
-    /** What the steps of the start come to; and what is told of it, once a start that failed is undone. */
-    private final CompletableFuture<String> serving = new CompletableFuture<>();
-    private final CompletableFuture<String> ready = new CompletableFuture<>();
-    private final Map<String, String> environment;
-    private final Extension extension;
-    private final Tuning tuning;
-    private final Config config;
-    /** What was read last, at the start or on SIGHUP: of it only the platform's address counts in this process. */
-    private volatile Config latest;
-    /** Null where operators have no address here. */
-    private final Operators operators;
-    /** Endpoints that operators have left out, as all shards were last told. */
-    private volatile Set<String> leftOut;
-    /** Who hears what this courier is told and finds out; null: nobody. */
-    private Witness witness;
-    /** What tells that this process writes in the folder; null while another one does. */
-    private StateLock lock;
-    private Directory own;
-    private boolean running;
-    /** The older process that handed over to this one, or null; whether it was asked to leave the clients' address before its time. */
-    private Predecessor predecessor;
-    private boolean askedForAddress;
-    private boolean listening;
-    private boolean stopping;
+  /** After SIGTERM new connections still come for up to 0.4 s. */
+  private static final long LISTEN_MS = 550;
 
+  /** When the process ends after SIGTERM: SIGKILL comes no sooner than 3.7 s after it. */
+  private static final long STOP_MS = 3100;
+
+  private static final long STOP_CHECK_MS = 20;
+
+  /** What an extension has to take leave at least. */
+  private static final long LEAVE_MS = 300;
+
+  private static final long US_PER_MS = 1000;
+
+  /** How soon it is seen what another process of this courier was told by operators. */
+  private static final long LOOK_MS = 200;
+
+  /** Looks after which what was learnt is put down in any case: once a second. */
+  private static final int LOOKS_A_KEEPING = 5;
+
+  /** How soon a process that cannot hand over now is asked again. */
+  private static final long RETRY_MS = 50;
+
+  private static final int HEIR_GONE_STATUS = 75;
+
+  /** How often a lock is tried that a process which has ended may still hold. */
+  private static final int LOCK_TRIES = 100;
+
+  private final Clock clock = new Clock();
+  private final long startedUs = clock.nowUs();
+  private final List<Shard> shards = new ArrayList<>();
+  private final EventLoop loop;
+  private final CountDownLatch stopped = new CountDownLatch(1);
+
+  /**
+   * What the steps of the start come to; and what is told of it, once a start that failed is
+   * undone.
+   */
+  private final CompletableFuture<String> serving = new CompletableFuture<>();
+
+  private final CompletableFuture<String> ready = new CompletableFuture<>();
+  private final Map<String, String> environment;
+  private final Extension extension;
+  private final Tuning tuning;
+  private final Config config;
+
+  /**
+   * What was read last, at the start or on SIGHUP: of it only the platform's address counts in this
+   * process.
+   */
+  private volatile Config latest;
+
+  /** Null where operators have no address here. */
+  private final Operators operators;
+
+  /** Endpoints that operators have left out, as all shards were last told. */
+  private volatile Set<String> leftOut;
+
+  /** Who hears what this courier is told and finds out; null: nobody. */
+  private Witness witness;
+
+  /** What tells that this process writes in the folder; null while another one does. */
+  private StateLock lock;
+
+  private Directory own;
+  private boolean running;
+
+  /**
+   * The older process that handed over to this one, or null; whether it was asked to leave the
+   * clients' address before its time.
+   */
+  private Predecessor predecessor;
+
+  private boolean askedForAddress;
+  private boolean listening;
+  private boolean stopping;
+
+  /**
+   * What an extension is given to work with; {@code lanes} tells how each destination is, {@code
+   * health} how the courier itself is, {@code steering} takes words on them, all to be asked on the
+   * loop once the courier is ready.
+   */
+  public record Surroundings(
+      Config config,
+      EventLoop loop,
+      Clock clock,
+      Supplier<JsonNode> lanes,
+      Supplier<JsonNode> health,
+      Steering steering) {}
+
+  /** A subsystem beside the platform's own; without one nothing of it is loaded. */
+  public interface Extension {
     /**
-     * What an extension is given to work with; {@code lanes} tells how each destination is, {@code health} how the courier
-     * itself is, {@code steering} takes words on them, all to be asked on the loop once the courier is ready.
+     * The directory that the courier follows: the platform's own, or one that merges it with
+     * others.
      */
-    public record Surroundings(Config config, EventLoop loop, Clock clock, Supplier<JsonNode> lanes,
-                               Supplier<JsonNode> health, Steering steering) { }
+    Directory directory(Directory own, Surroundings surroundings);
 
-    /** A subsystem beside the platform's own; without one nothing of it is loaded. */
-    public interface Extension {
-        /** The directory that the courier follows: the platform's own, or one that merges it with others. */
-        Directory directory(Directory own, Surroundings surroundings);
+    /** The courier serves at that address from now on. Called on the event loop. */
+    void ready(String address);
 
-        /** The courier serves at that address from now on. Called on the event loop. */
-        void ready(String address);
+    /** The process ends soon; whoever knows of it may be told. Called on the event loop. */
+    void stopping();
 
-        /** The process ends soon; whoever knows of it may be told. Called on the event loop. */
-        void stopping();
+    /**
+     * Nothing is held any more, or the time is up: takes leave of whoever knows of this courier.
+     * Called on the event loop again and again until it is true that this is done.
+     */
+    boolean leave();
 
-        /**
-         * Nothing is held any more, or the time is up: takes leave of whoever knows of this courier. Called on the
-         * event loop again and again until it is true that this is done.
-         */
-        boolean leave();
+    /**
+     * The configuration is being read again; whatever the extension keeps in files of its own is,
+     * too.
+     */
+    void reload();
+  }
 
-        /** The configuration is being read again; whatever the extension keeps in files of its own is, too. */
-        void reload();
+  private static final class None implements Extension {
+    @Override
+    public Directory directory(final Directory own, final Surroundings surroundings) {
+      return own;
     }
 
-    private static final class None implements Extension {
-        @Override
-        public Directory directory(final Directory own, final Surroundings surroundings) {
-            return own;
-        }
-
-        @Override
-        public void ready(final String address) {
-            // Nobody else is told.
-        }
-
-        @Override
-        public void stopping() {
-            // Nobody else is told.
-        }
+    @Override
+    public void ready(final String address) {
+      // Nobody else is told.
+    }
 
-        @Override
-        public boolean leave() {
-            return true;
-        }
+    @Override
+    public void stopping() {
+      // Nobody else is told.
+    }
 
-        @Override
-        public void reload() {
-            // It has nothing to read.
-        }
+    @Override
+    public boolean leave() {
+      return true;
     }
 
-    private CourierProcess(final Map<String, String> environment, final Extension extension, final Tuning tuning)
-            throws Config.BadConfigException, IOException {
-        this.environment = environment;
-        this.extension = extension;
-        this.tuning = tuning;
-        this.config = Config.read(environment);
-        this.latest = config;
-        final Courier.Limits limits = config.settings().limits();
-        if (limits.slots() < tuning.shards() || limits.maxOpen() < tuning.shards()) {
-            throw new Config.BadConfigException("shards: " + tuning.shards() + " of them need at least as many slots ("
-                    + limits.slots() + ") and open messages (" + limits.maxOpen() + ")");
-        }
-        for (int index = 0; index < tuning.shards(); index++) {
-            shards.add(new Shard());
-        }
-        this.loop = shards.get(0).loop;
-        this.operators = config.operator() == null ? null : new Operators();
-        // From here on each step opens something; one that fails has those before it undone, the last one first.
-        try {
-            lockFolder();
-            this.leftOut = operators == null ? Set.of() : operators.file.read();
-        } catch (final IOException | RuntimeException e) {
-            kill();
-            throw e;
-        }
-        serving.whenComplete((bound, failure) -> {
-            if (failure == null) {
-                ready.complete(bound);
-            } else {
-                // Not on a loop: they are what is ended.
-                new Thread(() -> {
-                    kill();
-                    ready.completeExceptionally(failure);
-                }, "undo the start").start();
-            }
+    @Override
+    public void reload() {
+      // It has nothing to read.
+    }
+  }
+
+  private CourierProcess(
+      final Map<String, String> environment, final Extension extension, final Tuning tuning)
+      throws Config.BadConfigException, IOException {
+    this.environment = environment;
+    this.extension = extension;
+    this.tuning = tuning;
+    this.config = Config.read(environment);
+    this.latest = config;
+    final Courier.Limits limits = config.settings().limits();
+    if (limits.slots() < tuning.shards() || limits.maxOpen() < tuning.shards()) {
+      throw new Config.BadConfigException(
+          "shards: "
+              + tuning.shards()
+              + " of them need at least as many slots ("
+              + limits.slots()
+              + ") and open messages ("
+              + limits.maxOpen()
+              + ")");
+    }
+    for (int index = 0; index < tuning.shards(); index++) {
+      shards.add(new Shard());
+    }
+    this.loop = shards.get(0).loop;
+    this.operators = config.operator() == null ? null : new Operators();
+    // From here on each step opens something; one that fails has those before it undone, the last
+    // one first.
+    try {
+      lockFolder();
+      this.leftOut = operators == null ? Set.of() : operators.file.read();
+    } catch (final IOException | RuntimeException e) {
+      kill();
+      throw e;
+    }
+    serving.whenComplete(
+        (bound, failure) -> {
+          if (failure == null) {
+            ready.complete(bound);
+          } else {
+            // Not on a loop: they are what is ended.
+            new Thread(
+                    () -> {
+                      kill();
+                      ready.completeExceptionally(failure);
+                    },
+                    "undo the start")
+                .start();
+          }
         });
+  }
+
+  /**
+   * Takes the folder, and its journals with it; a process that may take over from another one waits
+   * for that.
+   */
+  private void lockFolder() throws IOException {
+    lock = StateLock.tryLock(config.state());
+    if (lock == null && (config.operator() == null || tuning.shards() > 1)) {
+      throw new Passing.LastingException(
+          config.state() + ": another courier that runs uses this folder");
     }
-
-    /** Takes the folder, and its journals with it; a process that may take over from another one waits for that. */
-    private void lockFolder() throws IOException {
-        lock = StateLock.tryLock(config.state());
-        if (lock == null && (config.operator() == null || tuning.shards() > 1)) {
-            throw new Passing.LastingException(config.state() + ": another courier that runs uses this folder");
-        }
-        if (lock != null) {
-            openJournals();
-        }
+    if (lock != null) {
+      openJournals();
     }
+  }
 
-    private void openJournals() throws IOException {
-        final List<Journal> journals = Layout.open(config.state(), config.diskBytes(), shards.size());
-        for (int index = 0; index < shards.size(); index++) {
-            shards.get(index).journal = journals.get(index);
-        }
+  private void openJournals() throws IOException {
+    final List<Journal> journals = Layout.open(config.state(), config.diskBytes(), shards.size());
+    for (int index = 0; index < shards.size(); index++) {
+      shards.get(index).journal = journals.get(index);
+    }
+  }
+
+  /** What a newer process is handed: all that this one decides, and its journal. */
+  private final class Estate implements Giver {
+    private final Shard only = shards.get(0);
+
+    @Override
+    public Inheritance yield(final Heir heir) throws IOException {
+      final Inheritance inheritance = only.host.yield(heir);
+      // From here on the heir decides: what fails now must not keep it from that.
+      only.journal.closeTrimmed();
+      close("unlocking the folder", lock);
+      Log.info("handed over with " + inheritance.calls().size() + " calls out");
+      return inheritance;
     }
 
-    /** What a newer process is handed: all that this one decides, and its journal. */
-    private final class Estate implements Giver {
-        private final Shard only = shards.get(0);
+    @Override
+    public void abandon(final long call, final Courier.Result result) {
+      only.host.abandon(call, result);
+    }
 
-        @Override
-        public Inheritance yield(final Heir heir) throws IOException {
-            final Inheritance inheritance = only.host.yield(heir);
-            // From here on the heir decides: what fails now must not keep it from that.
-            only.journal.closeTrimmed();
-            close("unlocking the folder", lock);
-            Log.info("handed over with " + inheritance.calls().size() + " calls out");
-            return inheritance;
-        }
+    @Override
+    public void heirListens() {
+      listening = false;
+      only.front.handOver();
+    }
 
-        @Override
-        public void abandon(final long call, final Courier.Result result) {
-            only.host.abandon(call, result);
-        }
+    @Override
+    public void heirGone() {
+      takeUpAgain(LOCK_TRIES, clock.nowUs() + Passing.PATIENCE_US);
+    }
 
-        @Override
-        public void heirListens() {
-            listening = false;
-            only.front.handOver();
+    /**
+     * The system may lift the lock of a process that died a moment after it has closed its
+     * connections.
+     */
+    private void takeUpAgain(final int tries, final long untilUs) {
+      if (stopping) {
+        return;
+      }
+      try {
+        lock = StateLock.tryLock(config.state());
+        if (lock == null && tries > 0) {
+          loop.schedule(
+              () -> takeUpAgain(tries - 1, untilUs), STOP_CHECK_MS, TimeUnit.MILLISECONDS);
+          return;
         }
-
-        @Override
-        public void heirGone() {
-            takeUpAgain(LOCK_TRIES, clock.nowUs() + Passing.PATIENCE_US);
+        if (lock == null) {
+          throw new Passing.LastingException("another process holds " + config.state());
         }
-
-        /** The system may lift the lock of a process that died a moment after it has closed its connections. */
-        private void takeUpAgain(final int tries, final long untilUs) {
-            if (stopping) {
-                return;
-            }
-            try {
-                lock = StateLock.tryLock(config.state());
-                if (lock == null && tries > 0) {
-                    loop.schedule(() -> takeUpAgain(tries - 1, untilUs), STOP_CHECK_MS, TimeUnit.MILLISECONDS);
-                    return;
-                }
-                if (lock == null) {
-                    throw new Passing.LastingException("another process holds " + config.state());
-                }
-                openJournals();
-                Log.info("the newer process has ended: this one takes up again");
-                only.host = new Succession(only.host).next();
-                listen(0, config.listen());
-            } catch (final IOException e) {
-                if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
-                    Log.event(Event.START_RETRIED, "step", "take up again", "cause", e);
-                    unlock();
-                    loop.schedule(() -> takeUpAgain(LOCK_TRIES, untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-                    return;
-                }
-                Log.info("the newer process has ended, and so does this one: " + e.getMessage());
-                new Thread(() -> System.exit(HEIR_GONE_STATUS), "heir gone").start();
-            }
+        openJournals();
+        Log.info("the newer process has ended: this one takes up again");
+        only.host = new Succession(only.host).next();
+        listen(0, config.listen());
+      } catch (final IOException e) {
+        if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
+          Log.event(Event.START_RETRIED, "step", "take up again", "cause", e);
+          unlock();
+          loop.schedule(
+              () -> takeUpAgain(LOCK_TRIES, untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+          return;
         }
+        Log.info("the newer process has ended, and so does this one: " + e.getMessage());
+        new Thread(() -> System.exit(HEIR_GONE_STATUS), "heir gone").start();
+      }
+    }
+  }
+
+  /**
+   * A host of this process that decides for one that had handed over, and goes on carrying out what
+   * it has out.
+   */
+  private final class Succession implements Heir, Remote {
+    private final Host before;
+    private final Host next;
+
+    private Succession(final Host before) {
+      this.before = before;
+      this.next = new Host(config, loop, clock, shards.get(0).journal, shards.get(0));
     }
 
-    /** A host of this process that decides for one that had handed over, and goes on carrying out what it has out. */
-    private final class Succession implements Heir, Remote {
-        private final Host before;
-        private final Host next;
-
-        private Succession(final Host before) {
-            this.before = before;
-            this.next = new Host(config, loop, clock, shards.get(0).journal, shards.get(0));
-        }
-
-        private Host next() {
-            next.countOnFrom(before);
-            next.leaveOut(leftOut);
-            if (witness != null) {
-                next.witness(new Relayed(witness));
-            }
-            final int resumed = next.start(before.passOn(this), this);
-            Log.info("resumed " + resumed + " messages");
-            return next;
-        }
+    private Host next() {
+      next.countOnFrom(before);
+      next.leaveOut(leftOut);
+      if (witness != null) {
+        next.witness(new Relayed(witness));
+      }
+      final int resumed = next.start(before.passOn(this), this);
+      Log.info("resumed " + resumed + " messages");
+      return next;
+    }
 
-        @Override
-        public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-            next.offer(held, reply);
-        }
+    @Override
+    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+      next.offer(held, reply);
+    }
 
-        @Override
-        public void withdraw(final String id, final long destination) {
-            next.withdraw(id, destination);
-        }
+    @Override
+    public void withdraw(final String id, final long destination) {
+      next.withdraw(id, destination);
+    }
 
-        @Override
-        public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
-            next.remoteOutcome(messageId, answer);
-        }
+    @Override
+    public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
+      next.remoteOutcome(messageId, answer);
+    }
 
-        @Override
-        public void serve(final Predecessor.Listener to) {
-            // It is the next host, and known.
-        }
+    @Override
+    public void serve(final Predecessor.Listener to) {
+      // It is the next host, and known.
+    }
 
-        @Override
-        public void abandon(final long call, final Courier.Result result) {
-            before.abandon(call, result);
-        }
+    @Override
+    public void abandon(final long call, final Courier.Result result) {
+      before.abandon(call, result);
     }
+  }
 
-    /** The desk of the host that counts: another may take its place. */
-    private record Counter(Shard shard) implements Front.Desk {
-        @Override
-        public Courier.MessageClass kind(final String className) {
-            return shard.host.kind(className);
-        }
+  /** The desk of the host that counts: another may take its place. */
+  private record Counter(Shard shard) implements Front.Desk {
+    @Override
+    public Courier.MessageClass kind(final String className) {
+      return shard.host.kind(className);
+    }
 
-        @Override
-        public boolean isOwn(final long destination) {
-            return shard.host.isOwn(destination);
-        }
+    @Override
+    public boolean isOwn(final long destination) {
+      return shard.host.isOwn(destination);
+    }
 
-        @Override
-        public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-            shard.host.offer(held, validUntilUs, reply);
-        }
+    @Override
+    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+      shard.host.offer(held, validUntilUs, reply);
+    }
 
-        @Override
-        public void withdraw(final String id, final long destination) {
-            shard.host.withdraw(id, destination);
-        }
+    @Override
+    public void withdraw(final String id, final long destination) {
+      shard.host.withdraw(id, destination);
     }
+  }
 
-    /** What operators ask and tell, carried to all shards. Lives on the first one's loop. */
-    private final class Operators implements OperatorDesk {
-        private final MaintenanceFile file = new MaintenanceFile(config.state(), ProcessHandle.current().pid());
+  /** What operators ask and tell, carried to all shards. Lives on the first one's loop. */
+  private final class Operators implements OperatorDesk {
+    private final MaintenanceFile file =
+        new MaintenanceFile(config.state(), ProcessHandle.current().pid());
 
-        @Override
-        public boolean isReady() {
-            return listening;
-        }
+    @Override
+    public boolean isReady() {
+      return listening;
+    }
 
-        @Override
-        public boolean isStarted() {
-            return running;
-        }
+    @Override
+    public boolean isStarted() {
+      return running;
+    }
 
-        @Override
-        public CompletionStage<Figures> figures() {
-            return each(shard -> shard.host.figures()).thenApply(Figures::sum);
-        }
+    @Override
+    public CompletionStage<Figures> figures() {
+      return each(shard -> shard.host.figures()).thenApply(Figures::sum);
+    }
 
-        @Override
-        public CompletionStage<Boolean> maintain(final String endpoint, final boolean leaveOut) {
-            return each(shard -> shard.host.knows(endpoint)).thenComposeAsync(known -> {
+    @Override
+    public CompletionStage<Boolean> maintain(final String endpoint, final boolean leaveOut) {
+      return each(shard -> shard.host.knows(endpoint))
+          .thenComposeAsync(
+              known -> {
                 if (!known.contains(true)) {
-                    return CompletableFuture.completedStage(false);
+                  return CompletableFuture.completedStage(false);
                 }
                 try {
-                    if (witness != null) {
-                        witness.maintained(endpoint, leaveOut);
-                    }
-                    return set(endpoint, leaveOut).thenApply(done -> true);
+                  if (witness != null) {
+                    witness.maintained(endpoint, leaveOut);
+                  }
+                  return set(endpoint, leaveOut).thenApply(done -> true);
                 } catch (final IOException e) {
-                    return CompletableFuture.failedStage(e);
+                  return CompletableFuture.failedStage(e);
                 }
-            }, loop);
-        }
+              },
+              loop);
+    }
 
-        /** Another process of this courier may have written since: its word counts too. */
-        private CompletionStage<?> set(final String endpoint, final boolean leaveOut) throws IOException {
-            final Set<String> names = file.read();
-            if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
-                file.write(names);
-                Log.info("operator: " + endpoint + (leaveOut ? " is left out" : " may serve again"));
-            }
-            return apply(names);
-        }
+    /** Another process of this courier may have written since: its word counts too. */
+    private CompletionStage<?> set(final String endpoint, final boolean leaveOut)
+        throws IOException {
+      final Set<String> names = file.read();
+      if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
+        file.write(names);
+        Log.info("operator: " + endpoint + (leaveOut ? " is left out" : " may serve again"));
+      }
+      return apply(names);
+    }
 
-        /** Takes over what another process of this courier has written. */
-        private void look() {
-            try {
-                final Set<String> names = file.read();
-                if (!names.equals(leftOut)) {
-                    apply(names);
-                }
-            } catch (final IOException e) {
-                Log.info("operator: cannot read who is left out: " + e.getMessage());
-            }
+    /** Takes over what another process of this courier has written. */
+    private void look() {
+      try {
+        final Set<String> names = file.read();
+        if (!names.equals(leftOut)) {
+          apply(names);
         }
-
+      } catch (final IOException e) {
+        Log.info("operator: cannot read who is left out: " + e.getMessage());
+      }
     }
-
-    /** Has exactly these left out on all shards. */
-    private CompletionStage<?> apply(final Set<String> names) {
-        leftOut = Set.copyOf(names);
-        return each(shard -> {
-            shard.host.leaveOut(names);
-            return true;
+  }
+
+  /** Has exactly these left out on all shards. */
+  private CompletionStage<?> apply(final Set<String> names) {
+    leftOut = Set.copyOf(names);
+    return each(
+        shard -> {
+          shard.host.leaveOut(names);
+          return true;
         });
+  }
+
+  /** Asks each shard on its own loop. */
+  private <T> CompletionStage<List<T>> each(final Function<Shard, T> question) {
+    final List<CompletableFuture<T>> answers =
+        shards.stream()
+            .map(shard -> CompletableFuture.supplyAsync(() -> question.apply(shard), shard.loop))
+            .toList();
+    return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
+        .thenApply(done -> answers.stream().map(CompletableFuture::join).toList());
+  }
+
+  /**
+   * What subsystems may say to the decisions, carried to all shards. Lives on the first one's loop.
+   */
+  private final class Helm implements Steering {
+    @Override
+    public void witness(final Witness by) {
+      witness = by;
+      each(
+          shard -> {
+            shard.host.witness(new Relayed(by));
+            return true;
+          });
     }
 
-    /** Asks each shard on its own loop. */
-    private <T> CompletionStage<List<T>> each(final Function<Shard, T> question) {
-        final List<CompletableFuture<T>> answers = shards.stream()
-                .map(shard -> CompletableFuture.supplyAsync(() -> question.apply(shard), shard.loop)).toList();
-        return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-                .thenApply(done -> answers.stream().map(CompletableFuture::join).toList());
+    @Override
+    public void say(final long destination, final Word word) {
+      each(
+          shard -> {
+            shard.host.say(destination, word);
+            return true;
+          });
     }
 
-    /** What subsystems may say to the decisions, carried to all shards. Lives on the first one's loop. */
-    private final class Helm implements Steering {
-        @Override
-        public void witness(final Witness by) {
-            witness = by;
-            each(shard -> {
-                shard.host.witness(new Relayed(by));
-                return true;
-            });
-        }
-
-        @Override
-        public void say(final long destination, final Word word) {
-            each(shard -> {
-                shard.host.say(destination, word);
-                return true;
-            });
-        }
-
-        @Override
-        public void maintain(final String endpoint, final boolean leaveOut) {
-            try {
-                if (operators != null) {
-                    operators.set(endpoint, leaveOut);
-                    return;
-                }
-            } catch (final IOException e) {
-                Log.info("who is left out cannot be put down: " + e.getMessage());
-            }
-            final Set<String> names = new TreeSet<>(leftOut);
-            if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
-                apply(names);
-            }
+    @Override
+    public void maintain(final String endpoint, final boolean leaveOut) {
+      try {
+        if (operators != null) {
+          operators.set(endpoint, leaveOut);
+          return;
         }
+      } catch (final IOException e) {
+        Log.info("who is left out cannot be put down: " + e.getMessage());
+      }
+      final Set<String> names = new TreeSet<>(leftOut);
+      if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
+        apply(names);
+      }
+    }
 
-        @Override
-        public Set<String> leftOut() {
-            return leftOut;
-        }
+    @Override
+    public Set<String> leftOut() {
+      return leftOut;
     }
+  }
 
-    /** What a shard finds out, told on the first one's loop. */
-    private final class Relayed implements Witness {
-        private final Witness to;
+  /** What a shard finds out, told on the first one's loop. */
+  private final class Relayed implements Witness {
+    private final Witness to;
 
-        private Relayed(final Witness to) {
-            this.to = to;
-        }
+    private Relayed(final Witness to) {
+      this.to = to;
+    }
 
-        private void tell(final Runnable what) {
-            if (loop.inEventLoop()) {
-                what.run();
-            } else {
-                loop.execute(what);
-            }
-        }
+    private void tell(final Runnable what) {
+      if (loop.inEventLoop()) {
+        what.run();
+      } else {
+        loop.execute(what);
+      }
+    }
 
-        @Override
-        public void listed() {
-            tell(to::listed);
-        }
+    @Override
+    public void listed() {
+      tell(to::listed);
+    }
 
-        @Override
-        public void waits(final long destination, final long untilUs) {
-            tell(() -> to.waits(destination, untilUs));
-        }
+    @Override
+    public void waits(final long destination, final long untilUs) {
+      tell(() -> to.waits(destination, untilUs));
+    }
 
-        @Override
-        public void limited(final long destination, final double perSecond) {
-            tell(() -> to.limited(destination, perSecond));
-        }
+    @Override
+    public void limited(final long destination, final double perSecond) {
+      tell(() -> to.limited(destination, perSecond));
+    }
 
-        @Override
-        public void turned(final long destination, final boolean isOut) {
-            tell(() -> to.turned(destination, isOut));
-        }
+    @Override
+    public void turned(final long destination, final boolean isOut) {
+      tell(() -> to.turned(destination, isOut));
+    }
 
-        @Override
-        public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
-            to.maintained(endpoint, leaveOut);
-        }
+    @Override
+    public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
+      to.maintained(endpoint, leaveOut);
     }
+  }
+
+  /** One event loop with all that it owns. */
+  private final class Shard implements Host.Wiring {
+    private final LoopTurns turns = new LoopTurns(clock);
+    private final EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(
+            1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+    private final EventLoop loop = group.next();
+    private final Descriptors descriptors =
+        new Descriptors(part(tuning.clientShare()), part(tuning.endpointShare()));
+    private Journal journal;
+
+    /** Where what was learnt is kept; null where it is not. */
+    private LearntFile learnt;
+
+    private long keptTurns;
+    private int looksSinceKept;
+    private Directory directory;
+    private Host host;
+    private HttpFront front;
+
+    /** Nothing is under way here; told across loops while the process ends. */
+    private volatile boolean idle;
 
-    /** One event loop with all that it owns. */
-    private final class Shard implements Host.Wiring {
-        private final LoopTurns turns = new LoopTurns(clock);
-        private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-                NioIoHandler.newFactory(SelectorProvider.provider(), turns));
-        private final EventLoop loop = group.next();
-        private final Descriptors descriptors = new Descriptors(part(tuning.clientShare()), part(tuning.endpointShare()));
-        private Journal journal;
-        /** Where what was learnt is kept; null where it is not. */
-        private LearntFile learnt;
-        private long keptTurns;
-        private int looksSinceKept;
-        private Directory directory;
-        private Host host;
-        private HttpFront front;
-        /** Nothing is under way here; told across loops while the process ends. */
-        private volatile boolean idle;
-
-        /** From now on what is learnt is put down: now and then, and soon after a lane went out or returns. */
-        private void keepLearnt() {
-            final LearntKeeper keeper = new LearntKeeper(learnt, clock);
-            loop.scheduleWithFixedDelay(LoopTasks.guarded("what was learnt", () -> {
+    /**
+     * From now on what is learnt is put down: now and then, and soon after a lane went out or
+     * returns.
+     */
+    private void keepLearnt() {
+      final LearntKeeper keeper = new LearntKeeper(learnt, clock);
+      loop.scheduleWithFixedDelay(
+          LoopTasks.guarded(
+              "what was learnt",
+              () -> {
                 if (++looksSinceKept < LOOKS_A_KEEPING && host.turns() == keptTurns) {
-                    return;
+                  return;
                 }
                 looksSinceKept = 0;
                 keptTurns = host.turns();
                 final Inheritance now = host.learnt();
                 if (now != null) {
-                    keeper.keep(now);
+                  keeper.keep(now);
                 }
-            }), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        }
-
-        private int part(final double share) {
-            return (int) Math.max(1, share * config.sockets() / tuning.shards());
-        }
-
-        @Override
-        public Carrier carrier(final Carrier.Listener listener) {
-            return new HttpCarrier(config, loop, clock, turns, listener, descriptors);
-        }
-
-        @Override
-        public Ends ends(final Ends.Listener listener) {
-            return new Notices(latest.discovery(), loop, clock, turns, listener);
-        }
-
-        @Override
-        public Directory directory() {
-            return directory;
-        }
-
-        @Override
-        public void afterLook(final long us, final Runnable action) {
-            turns.afterLook(loop, us, action);
-        }
+              }),
+          LOOK_MS,
+          LOOK_MS,
+          TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Starts a courier with what the environment tells.
-     *
-     * @throws Config.BadConfigException if the configuration cannot be used; one line that names what is wrong
-     * @throws IOException if the journal cannot be opened
-     */
-    public static CourierProcess start(final Map<String, String> environment)
-            throws Config.BadConfigException, IOException {
-        return start(environment, null);
-    }
-
-    /** Starts a courier with a subsystem beside the platform's own. */
-    public static CourierProcess start(final Map<String, String> environment, final Extension extension)
-            throws Config.BadConfigException, IOException {
-        return start(environment, extension, Tuning.platform());
-    }
-
-    /** Starts a courier of another size than the platform's, with a subsystem or (null) without. */
-    public static CourierProcess start(final Map<String, String> environment, final Extension extension,
-            final Tuning tuning) throws Config.BadConfigException, IOException {
-        final CourierProcess process = new CourierProcess(environment,
-                extension == null ? new None() : extension, tuning);
-        process.loop.execute(() -> {
-            try {
-                process.run();
-            } catch (final RuntimeException e) {
-                // On the loop's thread this would be swallowed, and a courier left that is never ready.
-                process.serving.completeExceptionally(e);
-            }
-        });
-        return process;
+    private int part(final double share) {
+      return (int) Math.max(1, share * config.sockets() / tuning.shards());
     }
 
-    /** The address at which it serves, or why it cannot. */
-    public CompletableFuture<String> ready() {
-        return ready;
+    @Override
+    public Carrier carrier(final Carrier.Listener listener) {
+      return new HttpCarrier(config, loop, clock, turns, listener, descriptors);
     }
 
-    /** The loop that owns all its state. */
-    public EventLoop loop() {
-        return loop;
+    @Override
+    public Ends ends(final Ends.Listener listener) {
+      return new Notices(latest.discovery(), loop, clock, turns, listener);
     }
 
-    /** Builds everything, each shard's part on its event loop, which owns it from then on. */
-    private void run() {
-        if (config.operator() != null) {
-            listenToOperators();
-        }
-        own = extension.directory(new Discovery(config, loop, clock, shards.get(0).turns), new Surroundings(config, loop, clock, this::lanes,
-                () -> shards.get(0).host.health(), new Helm()));
-        if (lock != null) {
-            begin(null, null);
-        } else {
-            Log.info(config.name() + " takes over from the process that serves");
-            new Practice(config, loop, clock).run(this::takeOver);
-        }
+    @Override
+    public Directory directory() {
+      return directory;
     }
 
-    private void listenToOperators() {
-        new OperatorServer(operators).listen(loop, config.operator()).whenComplete((bound, failure) -> {
-            if (failure == null) {
-                Log.info(config.name() + " hears operators at " + bound);
-            } else {
-                again("listen to operators", failure, this::listenToOperators);
-            }
+    @Override
+    public void afterLook(final long us, final Runnable action) {
+      turns.afterLook(loop, us, action);
+    }
+  }
+
+  /**
+   * Starts a courier with what the environment tells.
+   *
+   * @throws Config.BadConfigException if the configuration cannot be used; one line that names what
+   *     is wrong
+   * @throws IOException if the journal cannot be opened
+   */
+  public static CourierProcess start(final Map<String, String> environment)
+      throws Config.BadConfigException, IOException {
+    return start(environment, null);
+  }
+
+  /** Starts a courier with a subsystem beside the platform's own. */
+  public static CourierProcess start(
+      final Map<String, String> environment, final Extension extension)
+      throws Config.BadConfigException, IOException {
+    return start(environment, extension, Tuning.platform());
+  }
+
+  /** Starts a courier of another size than the platform's, with a subsystem or (null) without. */
+  public static CourierProcess start(
+      final Map<String, String> environment, final Extension extension, final Tuning tuning)
+      throws Config.BadConfigException, IOException {
+    final CourierProcess process =
+        new CourierProcess(environment, extension == null ? new None() : extension, tuning);
+    process.loop.execute(
+        () -> {
+          try {
+            process.run();
+          } catch (final RuntimeException e) {
+            // On the loop's thread this would be swallowed, and a courier left that is never ready.
+            process.serving.completeExceptionally(e);
+          }
         });
+    return process;
+  }
+
+  /** The address at which it serves, or why it cannot. */
+  public CompletableFuture<String> ready() {
+    return ready;
+  }
+
+  /** The loop that owns all its state. */
+  public EventLoop loop() {
+    return loop;
+  }
+
+  /** Builds everything, each shard's part on its event loop, which owns it from then on. */
+  private void run() {
+    if (config.operator() != null) {
+      listenToOperators();
     }
-
-    /** Tries a step of the start again if what it failed for may pass; else, or after a while, the start has failed. */
-    private void again(final String step, final Throwable failure, final Runnable action) {
-        if (Passing.mayPass(failure) && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
-            Log.event(Event.START_RETRIED, "step", step, "cause", failure);
-            loop.schedule(action, Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-        } else {
-            serving.completeExceptionally(failure);
-        }
+    own =
+        extension.directory(
+            new Discovery(config, loop, clock, shards.get(0).turns),
+            new Surroundings(
+                config, loop, clock, this::lanes, () -> shards.get(0).host.health(), new Helm()));
+    if (lock != null) {
+      begin(null, null);
+    } else {
+      Log.info(config.name() + " takes over from the process that serves");
+      new Practice(config, loop, clock).run(this::takeOver);
     }
-
-    private void unlock() {
-        if (lock != null) {
-            close("unlocking the folder", lock);
-            lock = null;
-        }
+  }
+
+  private void listenToOperators() {
+    new OperatorServer(operators)
+        .listen(loop, config.operator())
+        .whenComplete(
+            (bound, failure) -> {
+              if (failure == null) {
+                Log.info(config.name() + " hears operators at " + bound);
+              } else {
+                again("listen to operators", failure, this::listenToOperators);
+              }
+            });
+  }
+
+  /**
+   * Tries a step of the start again if what it failed for may pass; else, or after a while, the
+   * start has failed.
+   */
+  private void again(final String step, final Throwable failure, final Runnable action) {
+    if (Passing.mayPass(failure) && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
+      Log.event(Event.START_RETRIED, "step", step, "cause", failure);
+      loop.schedule(action, Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+    } else {
+      serving.completeExceptionally(failure);
     }
+  }
 
-    /** Asks the process that holds the folder to hand over; again, while it cannot; unless it has ended meanwhile. */
-    private void takeOver() {
-        final AtomicReference<Predecessor> asked = new AtomicReference<>();
-        asked.set(Predecessor.ask(loop, config.state(), inheritance -> succeed(inheritance, asked.get()), () -> {
-            try {
+  private void unlock() {
+    if (lock != null) {
+      close("unlocking the folder", lock);
+      lock = null;
+    }
+  }
+
+  /**
+   * Asks the process that holds the folder to hand over; again, while it cannot; unless it has
+   * ended meanwhile.
+   */
+  private void takeOver() {
+    final AtomicReference<Predecessor> asked = new AtomicReference<>();
+    asked.set(
+        Predecessor.ask(
+            loop,
+            config.state(),
+            inheritance -> succeed(inheritance, asked.get()),
+            () -> {
+              try {
                 lock = StateLock.tryLock(config.state());
                 if (lock != null) {
-                    openJournals();
-                    begin(null, null);
+                  openJournals();
+                  begin(null, null);
                 } else {
-                    loop.schedule(this::takeOver, RETRY_MS, TimeUnit.MILLISECONDS);
+                  loop.schedule(this::takeOver, RETRY_MS, TimeUnit.MILLISECONDS);
                 }
-            } catch (final IOException e) {
+              } catch (final IOException e) {
                 unlock();
                 again("take over", e, this::takeOver);
-            }
-        }));
-    }
-
-    private void succeed(final Inheritance inheritance, final Predecessor predecessor) {
-        try {
-            lock = StateLock.tryLock(config.state());
-            if (lock == null) {
-                throw new IOException(config.state() + ": handed over, but still in use");
-            }
-            openJournals();
-            begin(inheritance, predecessor);
-        } catch (final IOException e) {
-            unlock();
-            again("succeed", e, () -> succeed(inheritance, predecessor));
-        }
+              }
+            }));
+  }
+
+  private void succeed(final Inheritance inheritance, final Predecessor predecessor) {
+    try {
+      lock = StateLock.tryLock(config.state());
+      if (lock == null) {
+        throw new IOException(config.state() + ": handed over, but still in use");
+      }
+      openJournals();
+      begin(inheritance, predecessor);
+    } catch (final IOException e) {
+      unlock();
+      again("succeed", e, () -> succeed(inheritance, predecessor));
     }
-
-    /** Begins to decide; where an older process handed over, with what it handed on. */
-    private void begin(final Inheritance inheritance, final Predecessor from) {
-        predecessor = from;
-        final List<EventLoop> loops = shards.stream().map(shard -> shard.loop).toList();
-        final SharedDirectory shared = shards.size() == 1 ? null : new SharedDirectory(own, loop, loops);
-        final Courier.Limits limits = config.settings().limits();
-        final List<CompletableFuture<Void>> built = new ArrayList<>();
-        final List<String> classes = config.settings().classes().stream().map(Courier.MessageClass::name).toList();
-        for (int index = 0; index < shards.size(); index++) {
-            final Shard shard = shards.get(index);
-            shard.learnt = tuning.remembers() ? new LearntFile(config.state(), index, classes,
-                    config.diskBytes() / shards.size()) : null;
-            shard.directory = shared == null ? own : shared.view(index);
-            built.add(on(shard, () -> {
+  }
+
+  /** Begins to decide; where an older process handed over, with what it handed on. */
+  private void begin(final Inheritance inheritance, final Predecessor from) {
+    predecessor = from;
+    final List<EventLoop> loops = shards.stream().map(shard -> shard.loop).toList();
+    final SharedDirectory shared =
+        shards.size() == 1 ? null : new SharedDirectory(own, loop, loops);
+    final Courier.Limits limits = config.settings().limits();
+    final List<CompletableFuture<Void>> built = new ArrayList<>();
+    final List<String> classes =
+        config.settings().classes().stream().map(Courier.MessageClass::name).toList();
+    for (int index = 0; index < shards.size(); index++) {
+      final Shard shard = shards.get(index);
+      shard.learnt =
+          tuning.remembers()
+              ? new LearntFile(config.state(), index, classes, config.diskBytes() / shards.size())
+              : null;
+      shard.directory = shared == null ? own : shared.view(index);
+      built.add(
+          on(
+              shard,
+              () -> {
                 shard.host = new Host(config, shard.loop, clock, shard.journal, shard);
                 if (shared != null) {
-                    // An even part, until room is moved by need.
-                    shard.host.limit(limits.slots() / shards.size(), limits.maxOpen() / shards.size());
+                  // An even part, until room is moved by need.
+                  shard.host.limit(
+                      limits.slots() / shards.size(), limits.maxOpen() / shards.size());
                 }
                 if (operators != null) {
-                    shard.host.leaveOut(leftOut);
+                  shard.host.leaveOut(leftOut);
                 }
                 if (inheritance == null && shard.learnt != null) {
-                    shard.host.recall(shard.learnt.read(clock.nowUs()));
+                  shard.host.recall(shard.learnt.read(clock.nowUs()));
                 }
-                final int resumed = inheritance == null ? shard.host.start()
-                        : shard.host.start(inheritance, from);
+                final int resumed =
+                    inheritance == null ? shard.host.start() : shard.host.start(inheritance, from);
                 if (latest != config) {
-                    // SIGHUP came before there was anybody to tell.
-                    shard.host.reload(latest);
+                  // SIGHUP came before there was anybody to tell.
+                  shard.host.reload(latest);
                 }
                 if (resumed > 0) {
-                    Log.info("resumed " + resumed + " messages");
+                  Log.info("resumed " + resumed + " messages");
                 }
-            }));
-        }
-        CompletableFuture.allOf(built.toArray(CompletableFuture[]::new)).whenCompleteAsync((done, failure) -> {
-            if (failure != null) {
+              }));
+    }
+    CompletableFuture.allOf(built.toArray(CompletableFuture[]::new))
+        .whenCompleteAsync(
+            (done, failure) -> {
+              if (failure != null) {
                 serving.completeExceptionally(failure);
                 return;
-            }
-            final List<Host> hosts = shards.stream().map(shard -> shard.host).toList();
-            if (shared != null) {
+              }
+              final List<Host> hosts = shards.stream().map(shard -> shard.host).toList();
+              if (shared != null) {
                 shared.start();
                 new Room(limits, loop, loops, hosts).start();
-            }
-            for (int index = 0; index < shards.size(); index++) {
+              }
+              for (int index = 0; index < shards.size(); index++) {
                 final Shard shard = shards.get(index);
-                final Front.Desk desk = shared == null ? new Counter(shard) : new ShardDesk(index, loops, hosts);
-                shard.front = new HttpFront(config, shard.group, shard.loop, clock, shard.turns, desk,
-                        shard.descriptors, tuning);
-            }
-            shards.stream().filter(shard -> shard.learnt != null).forEach(Shard::keepLearnt);
-            running = true;
-            serving.thenAccept(bound -> {
-                if (from != null) {
-                    from.listening();
-                }
-            });
-            listen(0, config.listen());
-            if (operators != null) {
-                loop.scheduleWithFixedDelay(LoopTasks.guarded("who is left out", operators::look), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-            }
-        }, loop);
-    }
-
-    /** How each destination is; those of other shards are left out, since only their loops may ask. */
-    private JsonNode lanes() {
-        return shards.get(0).host.lanes();
-    }
-
-    /** Does something on a shard's loop, at once if that is this one. */
-    private static CompletableFuture<Void> on(final Shard shard, final Runnable action) {
-        return CompletableFuture.runAsync(action, task -> {
-            if (shard.loop.inEventLoop()) {
-                task.run();
-            } else {
-                shard.loop.execute(task);
-            }
+                final Front.Desk desk =
+                    shared == null ? new Counter(shard) : new ShardDesk(index, loops, hosts);
+                shard.front =
+                    new HttpFront(
+                        config,
+                        shard.group,
+                        shard.loop,
+                        clock,
+                        shard.turns,
+                        desk,
+                        shard.descriptors,
+                        tuning);
+              }
+              shards.stream().filter(shard -> shard.learnt != null).forEach(Shard::keepLearnt);
+              running = true;
+              serving.thenAccept(
+                  bound -> {
+                    if (from != null) {
+                      from.listening();
+                    }
+                  });
+              listen(0, config.listen());
+              if (operators != null) {
+                loop.scheduleWithFixedDelay(
+                    LoopTasks.guarded("who is left out", operators::look),
+                    LOOK_MS,
+                    LOOK_MS,
+                    TimeUnit.MILLISECONDS);
+              }
+            },
+            loop);
+  }
+
+  /**
+   * How each destination is; those of other shards are left out, since only their loops may ask.
+   */
+  private JsonNode lanes() {
+    return shards.get(0).host.lanes();
+  }
+
+  /** Does something on a shard's loop, at once if that is this one. */
+  private static CompletableFuture<Void> on(final Shard shard, final Runnable action) {
+    return CompletableFuture.runAsync(
+        action,
+        task -> {
+          if (shard.loop.inEventLoop()) {
+            task.run();
+          } else {
+            shard.loop.execute(task);
+          }
         });
-    }
-
-    /** One front after the other listens; the first one's port is that of all. */
-    private void listen(final int index, final InetSocketAddress address) {
-        // A newer process will listen there beside this one.
-        final boolean several = shards.size() > 1 || operators != null;
-        shards.get(index).front.listen(address, several).whenCompleteAsync((bound, failure) -> {
-            if (failure != null && serving.isDone() && !stopping) {
+  }
+
+  /** One front after the other listens; the first one's port is that of all. */
+  private void listen(final int index, final InetSocketAddress address) {
+    // A newer process will listen there beside this one.
+    final boolean several = shards.size() > 1 || operators != null;
+    shards
+        .get(index)
+        .front
+        .listen(address, several)
+        .whenCompleteAsync(
+            (bound, failure) -> {
+              if (failure != null && serving.isDone() && !stopping) {
                 // It served before: nobody else would try again.
                 Log.event(Event.START_RETRIED, "step", "listen again", "cause", failure);
-                loop.schedule(() -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-            } else if (failure != null && predecessor != null && !askedForAddress && Passing.isAddressTaken(failure)) {
-                // Java looks once whether sockets may share an address, and takes a failure of that look for a no.
+                loop.schedule(
+                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+              } else if (failure != null
+                  && predecessor != null
+                  && !askedForAddress
+                  && Passing.isAddressTaken(failure)) {
+                // Java looks once whether sockets may share an address, and takes a failure of that
+                // look for a no.
                 askedForAddress = true;
                 predecessor.listening();
-                loop.schedule(() -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-            } else if (failure != null && askedForAddress && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
-                loop.schedule(() -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-            } else if (failure != null) {
-                again("listen", new IOException("cannot listen on " + config.listen() + ": " + failure.getMessage(), failure),
-                        () -> listen(index, address));
-            } else if (index + 1 < shards.size()) {
+                loop.schedule(
+                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+              } else if (failure != null
+                  && askedForAddress
+                  && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
+                loop.schedule(
+                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+              } else if (failure != null) {
+                again(
+                    "listen",
+                    new IOException(
+                        "cannot listen on " + config.listen() + ": " + failure.getMessage(),
+                        failure),
+                    () -> listen(index, address));
+              } else if (index + 1 < shards.size()) {
                 listen(index + 1, Config.address("listen", bound));
-            } else {
-                Log.info(config.name() + " is ready at " + bound + (shards.size() > 1 ? " on " + shards.size() + " shards" : ""));
+              } else {
+                Log.info(
+                    config.name()
+                        + " is ready at "
+                        + bound
+                        + (shards.size() > 1 ? " on " + shards.size() + " shards" : ""));
                 listening = true;
                 if (operators != null && shards.size() == 1) {
-                    new Elder(new Estate()).listen(loop, config.state());
+                  new Elder(new Estate()).listen(loop, config.state());
                 }
                 extension.ready(bound);
                 serving.complete(bound);
-            }
-        }, loop);
-    }
-
-    /**
-     * On SIGHUP: moves to the discovery that the file names now. One reading at a time, so that of two signals in a
-     * row the later one's file counts. A file that cannot be used changes nothing.
-     */
-    public synchronized void reload() {
-        reload(clock.nowUs() + Passing.PATIENCE_US);
-    }
-
-    private synchronized void reload(final long untilUs) {
-        try {
-            final Config fresh = Config.read(environment);
-            latest = fresh;
-            shards.forEach(shard -> shard.loop.execute(() -> {
-                if (shard.host != null) {
-                    shard.host.reload(fresh);
-                }
-            }));
-        } catch (final Config.BadConfigException e) {
-            if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
-                loop.schedule(() -> reload(untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-                return;
-            }
-            Log.info("SIGHUP: the configuration stays as it was: " + e.getMessage());
-        }
-        extension.reload();
+              }
+            },
+            loop);
+  }
+
+  /**
+   * On SIGHUP: moves to the discovery that the file names now. One reading at a time, so that of
+   * two signals in a row the later one's file counts. A file that cannot be used changes nothing.
+   */
+  public synchronized void reload() {
+    reload(clock.nowUs() + Passing.PATIENCE_US);
+  }
+
+  private synchronized void reload(final long untilUs) {
+    try {
+      final Config fresh = Config.read(environment);
+      latest = fresh;
+      shards.forEach(
+          shard ->
+              shard.loop.execute(
+                  () -> {
+                    if (shard.host != null) {
+                      shard.host.reload(fresh);
+                    }
+                  }));
+    } catch (final Config.BadConfigException e) {
+      if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
+        loop.schedule(() -> reload(untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+        return;
+      }
+      Log.info("SIGHUP: the configuration stays as it was: " + e.getMessage());
     }
-
-    /** On SIGTERM: goes on for a while, and leaves what is not done by then to the next process. Returns when done. */
-    public void stop() {
-        loop.execute(() -> {
-            if (!running) {
-                stopped.countDown();
-                return;
-            }
-            final long stopUs = clock.nowUs() + STOP_MS * US_PER_MS;
-            listening = false;
-            stopping = true;
-            extension.stopping();
-            if (shards.get(0).host.hasHeir()) {
-                leaveToHeir(stopUs);
-                return;
-            }
-            shards.forEach(shard -> shard.loop.execute(() -> {
-                shard.front.drain();
-                shard.host.stopping(stopUs);
-            }));
-            loop.schedule(() -> leave(stopUs), LISTEN_MS, TimeUnit.MILLISECONDS);
+    extension.reload();
+  }
+
+  /**
+   * On SIGTERM: goes on for a while, and leaves what is not done by then to the next process.
+   * Returns when done.
+   */
+  public void stop() {
+    loop.execute(
+        () -> {
+          if (!running) {
+            stopped.countDown();
+            return;
+          }
+          final long stopUs = clock.nowUs() + STOP_MS * US_PER_MS;
+          listening = false;
+          stopping = true;
+          extension.stopping();
+          if (shards.get(0).host.hasHeir()) {
+            leaveToHeir(stopUs);
+            return;
+          }
+          shards.forEach(
+              shard ->
+                  shard.loop.execute(
+                      () -> {
+                        shard.front.drain();
+                        shard.host.stopping(stopUs);
+                      }));
+          loop.schedule(() -> leave(stopUs), LISTEN_MS, TimeUnit.MILLISECONDS);
         });
-        try {
-            if (!stopped.await(STOP_MS + LISTEN_MS / 2, TimeUnit.MILLISECONDS)) {
-                Log.info("the event loop did not stop in time");
-            }
-        } catch (final InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    try {
+      if (!stopped.await(STOP_MS + LISTEN_MS / 2, TimeUnit.MILLISECONDS)) {
+        Log.info("the event loop did not stop in time");
+      }
+    } catch (final InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
-
-    /** What is out ends here, and clients are served while they stay; what they keep open is closed last of all. */
-    private void leaveToHeir(final long stopUs) {
-        final Shard only = shards.get(0);
-        loop.schedule(only.front::drain, STOP_MS - LEAVE_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(LoopTasks.guarded("end beside a newer process", () -> {
-            final boolean due = only.host.idle() && only.front.isEmpty();
-            if (due && extension.leave() || clock.nowUs() >= stopUs) {
+  }
+
+  /**
+   * What is out ends here, and clients are served while they stay; what they keep open is closed
+   * last of all.
+   */
+  private void leaveToHeir(final long stopUs) {
+    final Shard only = shards.get(0);
+    loop.schedule(only.front::drain, STOP_MS - LEAVE_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        LoopTasks.guarded(
+            "end beside a newer process",
+            () -> {
+              final boolean due = only.host.idle() && only.front.isEmpty();
+              if (due && extension.leave() || clock.nowUs() >= stopUs) {
                 stopped.countDown();
-            }
-        }), STOP_CHECK_MS, STOP_CHECK_MS, TimeUnit.MILLISECONDS);
-    }
-
-    private void leave(final long stopUs) {
-        shards.forEach(shard -> shard.loop.execute(() -> {
-            shard.front.stopListening();
-            // So long before the process ends that its answers are on their way by then.
-            shard.loop.schedule(shard.front::turnAway, stopUs - 2 * LEAVE_MS * US_PER_MS - clock.nowUs(),
-                    TimeUnit.MICROSECONDS);
-            // A request that is coming in, or an answer on its way, would be cut off by the end of the process.
-            shard.loop.scheduleWithFixedDelay(LoopTasks.guarded("end in order", () -> shard.idle = shard.host.idle() && shard.front.isEmpty()), 0,
-                    STOP_CHECK_MS, TimeUnit.MILLISECONDS);
-        }));
-        loop.scheduleWithFixedDelay(LoopTasks.guarded("end in order", () -> {
-            final boolean due = shards.stream().allMatch(shard -> shard.idle)
-                    || clock.nowUs() >= stopUs - LEAVE_MS * US_PER_MS;
-            if (due && extension.leave() || clock.nowUs() >= stopUs) {
+              }
+            }),
+        STOP_CHECK_MS,
+        STOP_CHECK_MS,
+        TimeUnit.MILLISECONDS);
+  }
+
+  private void leave(final long stopUs) {
+    shards.forEach(
+        shard ->
+            shard.loop.execute(
+                () -> {
+                  shard.front.stopListening();
+                  // So long before the process ends that its answers are on their way by then.
+                  shard.loop.schedule(
+                      shard.front::turnAway,
+                      stopUs - 2 * LEAVE_MS * US_PER_MS - clock.nowUs(),
+                      TimeUnit.MICROSECONDS);
+                  // A request that is coming in, or an answer on its way, would be cut off by the
+                  // end of the process.
+                  shard.loop.scheduleWithFixedDelay(
+                      LoopTasks.guarded(
+                          "end in order",
+                          () -> shard.idle = shard.host.idle() && shard.front.isEmpty()),
+                      0,
+                      STOP_CHECK_MS,
+                      TimeUnit.MILLISECONDS);
+                }));
+    loop.scheduleWithFixedDelay(
+        LoopTasks.guarded(
+            "end in order",
+            () -> {
+              final boolean due =
+                  shards.stream().allMatch(shard -> shard.idle)
+                      || clock.nowUs() >= stopUs - LEAVE_MS * US_PER_MS;
+              if (due && extension.leave() || clock.nowUs() >= stopUs) {
                 stopped.countDown();
-            }
-        }), STOP_CHECK_MS, STOP_CHECK_MS, TimeUnit.MILLISECONDS);
+              }
+            }),
+        STOP_CHECK_MS,
+        STOP_CHECK_MS,
+        TimeUnit.MILLISECONDS);
+  }
+
+  /**
+   * Ends it at once, as a power cut would: connections break, and the folder stays as it is. For
+   * couriers that share a Java machine with others; a process of its own is ended by its end. What
+   * the start opened is let go in reverse: the loops with all that lives on them, the journals, the
+   * folder.
+   */
+  public void kill() {
+    // Else a loop that is ending would send again what broke by its own end, beside the next
+    // process.
+    shards.stream()
+        .filter(shard -> !shard.loop.isShuttingDown())
+        .forEach(
+            shard ->
+                shard.loop.execute(
+                    () -> {
+                      if (shard.host != null) {
+                        shard.host.cut();
+                      }
+                    }));
+    final List<? extends Future<?>> ending =
+        shards.stream()
+            .map(shard -> shard.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS))
+            .toList();
+    ending.forEach(Future::awaitUninterruptibly);
+    for (final Shard shard : shards) {
+      if (shard.journal != null) {
+        close("closing the journal", shard.journal);
+      }
     }
-
-    /**
-     * Ends it at once, as a power cut would: connections break, and the folder stays as it is. For couriers that share
-     * a Java machine with others; a process of its own is ended by its end. What the start opened is let go in reverse: the
-     * loops with all that lives on them, the journals, the folder.
-     */
-    public void kill() {
-        // Else a loop that is ending would send again what broke by its own end, beside the next process.
-        shards.stream().filter(shard -> !shard.loop.isShuttingDown()).forEach(shard -> shard.loop.execute(() -> {
-            if (shard.host != null) {
-                shard.host.cut();
-            }
-        }));
-        final List<? extends Future<?>> ending = shards.stream()
-                .map(shard -> shard.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS)).toList();
-        ending.forEach(Future::awaitUninterruptibly);
-        for (final Shard shard : shards) {
-            if (shard.journal != null) {
-                close("closing the journal", shard.journal);
-            }
-        }
-        if (lock != null) {
-            close("unlocking the folder", lock);
-        }
+    if (lock != null) {
+      close("unlocking the folder", lock);
     }
+  }
 
-    private static void close(final String what, final AutoCloseable open) {
-        try {
-            open.close();
-        } catch (final Exception e) {
-            Log.failure(what, e);
-        }
+  private static void close(final String what, final AutoCloseable open) {
+    try {
+      open.close();
+    } catch (final Exception e) {
+      Log.failure(what, e);
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/Main.java
+++ b/courier/src/main/java/thistleturn/courier/Main.java
@@ -12,70 +12,89 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.Passing;
 
-/** Starts a real courier, has it read its configuration again on SIGHUP, and ends it in order on SIGTERM. */
+/**
+ * Starts a real courier, has it read its configuration again on SIGHUP, and ends it in order on
+ * SIGTERM.
+ */
 public final class Main {
-    private Main() { }
+  private Main() {}
 
-    /** Runs a courier with what the environment tells, until it is ended. */
-    public static void main(final String[] args) {
-        try {
-            serve(System.getenv(), null, Tuning.platform());
-        } catch (final Config.BadConfigException | IOException e) {
-            System.err.println("cannot start: " + e.getMessage());
-            System.exit(1);
-        }
+  /** Runs a courier with what the environment tells, until it is ended. */
+  public static void main(final String[] args) {
+    try {
+      serve(System.getenv(), null, Tuning.platform());
+    } catch (final Config.BadConfigException | IOException e) {
+      System.err.println("cannot start: " + e.getMessage());
+      System.exit(1);
     }
+  }
 
-    /**
-     * Runs a courier as this process: signals are its own, and a start that fails later ends the process.
-     *
-     * @param extension a subsystem beside the platform's own, or null
-     * @param tuning how large it is made
-     */
-    public static CourierProcess serve(final Map<String, String> environment,
-            final CourierProcess.Extension extension, final Tuning tuning) throws Config.BadConfigException, IOException {
-        final AtomicReference<CourierProcess> started = new AtomicReference<>();
-        final AtomicBoolean asked = new AtomicBoolean();
-        // First of all: until this is in place, a SIGHUP ends the process.
-        Hangup.onSignal(() -> {
-            asked.set(true);
-            final CourierProcess process = started.get();
-            if (process == null) {
-                Log.info("SIGHUP: the configuration is read again once this process has started");
-            } else {
-                process.reload();
-            }
-        });
-        final CourierProcess process = startUnlessItLasts(environment, extension, tuning);
-        started.set(process);
-        if (asked.get()) {
-            // What was read may be what was there before the signal.
+  /**
+   * Runs a courier as this process: signals are its own, and a start that fails later ends the
+   * process.
+   *
+   * @param extension a subsystem beside the platform's own, or null
+   * @param tuning how large it is made
+   */
+  public static CourierProcess serve(
+      final Map<String, String> environment,
+      final CourierProcess.Extension extension,
+      final Tuning tuning)
+      throws Config.BadConfigException, IOException {
+    final AtomicReference<CourierProcess> started = new AtomicReference<>();
+    final AtomicBoolean asked = new AtomicBoolean();
+    // First of all: until this is in place, a SIGHUP ends the process.
+    Hangup.onSignal(
+        () -> {
+          asked.set(true);
+          final CourierProcess process = started.get();
+          if (process == null) {
+            Log.info("SIGHUP: the configuration is read again once this process has started");
+          } else {
             process.reload();
-        }
-        Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
-        process.ready().exceptionally(failure -> {
-            System.err.println("cannot start: " + failure.getMessage());
-            Runtime.getRuntime().halt(1);
-            return null;
+          }
         });
-        return process;
+    final CourierProcess process = startUnlessItLasts(environment, extension, tuning);
+    started.set(process);
+    if (asked.get()) {
+      // What was read may be what was there before the signal.
+      process.reload();
     }
+    Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
+    process
+        .ready()
+        .exceptionally(
+            failure -> {
+              System.err.println("cannot start: " + failure.getMessage());
+              Runtime.getRuntime().halt(1);
+              return null;
+            });
+    return process;
+  }
 
-    /** What the system cannot give now it may give in a moment: a start that ends for that is a crash. */
-    private static CourierProcess startUnlessItLasts(final Map<String, String> environment,
-            final CourierProcess.Extension extension, final Tuning tuning) throws Config.BadConfigException, IOException {
-        final Clock clock = new Clock();
-        final long untilUs = clock.nowUs() + Passing.PATIENCE_US;
-        while (true) {
-            try {
-                return CourierProcess.start(environment, extension, tuning);
-            } catch (final Config.BadConfigException | IOException | RuntimeException | OutOfMemoryError e) {
-                if (!Passing.mayPass(e) || clock.nowUs() > untilUs) {
-                    throw e;
-                }
-                Log.event(Event.START_RETRIED, "step", "open", "cause", e);
-            }
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(Passing.RETRY_MS));
+  /**
+   * What the system cannot give now it may give in a moment: a start that ends for that is a crash.
+   */
+  private static CourierProcess startUnlessItLasts(
+      final Map<String, String> environment,
+      final CourierProcess.Extension extension,
+      final Tuning tuning)
+      throws Config.BadConfigException, IOException {
+    final Clock clock = new Clock();
+    final long untilUs = clock.nowUs() + Passing.PATIENCE_US;
+    while (true) {
+      try {
+        return CourierProcess.start(environment, extension, tuning);
+      } catch (final Config.BadConfigException
+          | IOException
+          | RuntimeException
+          | OutOfMemoryError e) {
+        if (!Passing.mayPass(e) || clock.nowUs() > untilUs) {
+          throw e;
         }
+        Log.event(Event.START_RETRIED, "step", "open", "cause", e);
+      }
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(Passing.RETRY_MS));
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/Roster.java
+++ b/courier/src/main/java/thistleturn/courier/Roster.java
@@ -18,173 +18,201 @@
 import thistleturn.decisions.maintenance.Maintenance;
 
 /**
- * The endpoints that the directory named, under the numbers by which the decisions and the carrier know them. An
- * endpoint that is gone and named again is a new one.
+ * The endpoints that the directory named, under the numbers by which the decisions and the carrier
+ * know them. An endpoint that is gone and named again is a new one.
  */
 final class Roster {
-    /** How long a destination without an endpoint is still reckoned with. */
-    private static final long VACANT_US = 120_000_000;
-    /** Names of endpoints that are remembered, though they are gone, as ones that operators may speak of. */
-    private static final int MOST_NAMES = 10_000;
-
-    private final List<Courier.Kind> kinds;
-    private final LongSupplier nowUs;
-    private final Map<String, Long> ids = new HashMap<>();
-    private final Map<Long, String> names = new HashMap<>();
-    private final Map<Long, Courier.Endpoint> entries = new HashMap<>();
-    private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
-    /** How many endpoints each destination has. Between two of them it may have none for a while. */
-    private final Map<Long, Integer> staffed = new HashMap<>();
-    /** Since when destinations that had endpoints have none, oldest first. */
-    private final Map<Long, Long> vacant = new LinkedHashMap<>();
-    /** Who is left out by hand. */
-    private final Maintenance maintenance = new Maintenance(MOST_NAMES);
-    private long nextId = 1;
-
-    Roster(final List<Courier.Kind> kinds, final LongSupplier nowUs) {
-        this.kinds = kinds;
-        this.nowUs = nowUs;
-    }
-
-    /** An update, as the decisions are told of it, and the endpoints that are named no more. */
-    record Applied(List<Courier.Endpoint> changed, Set<Long> gone) { }
-
-    /** Takes an update over. Who is gone is to be told to {@link #forget} once the decisions know. */
-    Applied apply(final Courier.Update update, final List<Directory.Listing> listings, final Carrier carrier) {
-        final List<Courier.Endpoint> changed = new ArrayList<>();
-        final Set<Long> gone = new LinkedHashSet<>();
-        if (update == Courier.Update.WHOLE || update == Courier.Update.RESTORED) {
-            gone.addAll(entries.keySet());
-        }
-        for (final Directory.Listing listing : listings) {
-            final Courier.Endpoint entry = entry(listing);
-            maintenance.listed(listing.name());
-            changed.add(entry);
-            gone.remove(entry.id());
-            if (entry.condition() == Courier.Condition.GONE) {
-                gone.add(entry.id());
-                continue;
-            }
-            staff(entries.put(entry.id(), entry), entry);
-            addresses.put(entry.id(), listing.address());
-            final boolean apart = entry.kind() >= 0 && kinds.get(entry.kind()).routesApart();
-            carrier.listed(entry, apart, listing.address());
-        }
-        return new Applied(changed, gone);
-    }
-
-    /** Exactly these names are left out from now on; tells the numbers of those listed for which that is news: true, left out. */
-    Map<Long, Boolean> leaveOut(final Set<String> leftOut) {
-        final Map<Long, Boolean> news = new LinkedHashMap<>();
-        for (final String name : maintenance.set(leftOut)) {
-            final Long number = ids.get(name);
-            if (number != null && entries.containsKey(number)) {
-                news.put(number, maintenance.isOut(name));
-            }
-        }
-        return news;
-    }
-
-    /** True for an endpoint that is left out by hand. */
-    boolean isLeftOut(final long endpoint) {
-        final String name = names.get(endpoint);
-        return name != null && maintenance.isOut(name);
-    }
-
-    /** True if an endpoint of that name was ever listed, as far as that is remembered. */
-    boolean knows(final String name) {
-        return maintenance.knows(name);
-    }
-
-    /** The list as it was last told, with the numbers that stand for its entries. */
-    List<Inheritance.Named> listed() {
-        return entries.values().stream().map(entry -> new Inheritance.Named(entry.id(), new Directory.Listing(
-                names.get(entry.id()), entry.condition(), addresses.get(entry.id()), entry.zone(), entry.weight(),
-                entry.kind() < 0 ? "" : kinds.get(entry.kind()).name(), entry.destination()))).toList();
-    }
-
-    /** The name of an endpoint by its number, or null. */
-    String name(final long number) {
-        return names.get(number);
-    }
-
-    /** The number of a listed endpoint, or null. */
-    Long number(final String name) {
-        return ids.get(name);
-    }
-
-    /** A number for an endpoint that the list names no more. */
-    long unlisted() {
-        return nextId++;
-    }
-
-    /** How many endpoints are listed. */
-    int size() {
-        return entries.size();
-    }
-
-    /** How many of the listed endpoints are left out by hand, or are among those given. */
-    long excluded(final List<Long> avoided) {
-        final Set<Long> excluded = new HashSet<>(avoided);
-        maintenance.out().stream().map(ids::get).filter(entries::containsKey).forEach(excluded::add);
-        return excluded.size();
-    }
-
-    /** Forgets an endpoint, and what has long been without any. */
-    void forget(final long endpoint) {
-        staff(entries.remove(endpoint), null);
-        addresses.remove(endpoint);
-        ids.remove(names.remove(endpoint));
-    }
-
-    /** One entry takes the place of another; either may be null. */
-    private void staff(final Courier.Endpoint before, final Courier.Endpoint after) {
-        if (after != null) {
-            staffed.merge(after.destination(), 1, Integer::sum);
-            vacant.remove(after.destination());
-        }
-        if (before != null
-                && staffed.computeIfPresent(before.destination(), (id, count) -> count == 1 ? null : count - 1) == null) {
-            vacant.put(before.destination(), nowUs.getAsLong());
-        }
-    }
-
-    /** Forgets destinations that have long been without an endpoint. */
-    void forgetVacant() {
-        final long beforeUs = nowUs.getAsLong() - VACANT_US;
-        final Iterator<Long> since = vacant.values().iterator();
-        while (since.hasNext() && since.next() < beforeUs) {
-            since.remove();
-        }
-    }
-
-    /** True for a destination that has an endpoint, or had one a short while ago. */
-    boolean names(final long destination) {
-        return staffed.containsKey(destination) || vacant.containsKey(destination);
-    }
-
-    /** Messages that one call to an endpoint may carry. */
-    int messagesPerCall(final long endpoint) {
-        final Courier.Endpoint entry = entries.get(endpoint);
-        return entry == null || entry.kind() < 0 ? 1 : kinds.get(entry.kind()).messagesPerCall();
-    }
-
-    /** The zone of an endpoint; empty if that is not known. */
-    String zone(final long endpoint) {
-        final Courier.Endpoint entry = entries.get(endpoint);
-        return entry == null ? "" : entry.zone();
-    }
-
-    private Courier.Endpoint entry(final Directory.Listing listing) {
-        int kind = -1;
-        for (int index = 0; index < kinds.size(); index++) {
-            kind = kinds.get(index).name().equals(listing.kind()) ? index : kind;
-        }
-        final long id = ids.computeIfAbsent(listing.name(), name -> {
-            names.put(nextId, name);
-            return nextId++;
-        });
-        return new Courier.Endpoint(id, listing.condition(), listing.zone(), listing.weight(), kind,
-                listing.destination());
-    }
+  /** How long a destination without an endpoint is still reckoned with. */
+  private static final long VACANT_US = 120_000_000;
+
+  /**
+   * Names of endpoints that are remembered, though they are gone, as ones that operators may speak
+   * of.
+   */
+  private static final int MOST_NAMES = 10_000;
+
+  private final List<Courier.Kind> kinds;
+  private final LongSupplier nowUs;
+  private final Map<String, Long> ids = new HashMap<>();
+  private final Map<Long, String> names = new HashMap<>();
+  private final Map<Long, Courier.Endpoint> entries = new HashMap<>();
+  private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
+
+  /** How many endpoints each destination has. Between two of them it may have none for a while. */
+  private final Map<Long, Integer> staffed = new HashMap<>();
+
+  /** Since when destinations that had endpoints have none, oldest first. */
+  private final Map<Long, Long> vacant = new LinkedHashMap<>();
+
+  /** Who is left out by hand. */
+  private final Maintenance maintenance = new Maintenance(MOST_NAMES);
+
+  private long nextId = 1;
+
+  Roster(final List<Courier.Kind> kinds, final LongSupplier nowUs) {
+    this.kinds = kinds;
+    this.nowUs = nowUs;
+  }
+
+  /** An update, as the decisions are told of it, and the endpoints that are named no more. */
+  record Applied(List<Courier.Endpoint> changed, Set<Long> gone) {}
+
+  /** Takes an update over. Who is gone is to be told to {@link #forget} once the decisions know. */
+  Applied apply(
+      final Courier.Update update, final List<Directory.Listing> listings, final Carrier carrier) {
+    final List<Courier.Endpoint> changed = new ArrayList<>();
+    final Set<Long> gone = new LinkedHashSet<>();
+    if (update == Courier.Update.WHOLE || update == Courier.Update.RESTORED) {
+      gone.addAll(entries.keySet());
+    }
+    for (final Directory.Listing listing : listings) {
+      final Courier.Endpoint entry = entry(listing);
+      maintenance.listed(listing.name());
+      changed.add(entry);
+      gone.remove(entry.id());
+      if (entry.condition() == Courier.Condition.GONE) {
+        gone.add(entry.id());
+        continue;
+      }
+      staff(entries.put(entry.id(), entry), entry);
+      addresses.put(entry.id(), listing.address());
+      final boolean apart = entry.kind() >= 0 && kinds.get(entry.kind()).routesApart();
+      carrier.listed(entry, apart, listing.address());
+    }
+    return new Applied(changed, gone);
+  }
+
+  /**
+   * Exactly these names are left out from now on; tells the numbers of those listed for which that
+   * is news: true, left out.
+   */
+  Map<Long, Boolean> leaveOut(final Set<String> leftOut) {
+    final Map<Long, Boolean> news = new LinkedHashMap<>();
+    for (final String name : maintenance.set(leftOut)) {
+      final Long number = ids.get(name);
+      if (number != null && entries.containsKey(number)) {
+        news.put(number, maintenance.isOut(name));
+      }
+    }
+    return news;
+  }
+
+  /** True for an endpoint that is left out by hand. */
+  boolean isLeftOut(final long endpoint) {
+    final String name = names.get(endpoint);
+    return name != null && maintenance.isOut(name);
+  }
+
+  /** True if an endpoint of that name was ever listed, as far as that is remembered. */
+  boolean knows(final String name) {
+    return maintenance.knows(name);
+  }
+
+  /** The list as it was last told, with the numbers that stand for its entries. */
+  List<Inheritance.Named> listed() {
+    return entries.values().stream()
+        .map(
+            entry ->
+                new Inheritance.Named(
+                    entry.id(),
+                    new Directory.Listing(
+                        names.get(entry.id()),
+                        entry.condition(),
+                        addresses.get(entry.id()),
+                        entry.zone(),
+                        entry.weight(),
+                        entry.kind() < 0 ? "" : kinds.get(entry.kind()).name(),
+                        entry.destination())))
+        .toList();
+  }
+
+  /** The name of an endpoint by its number, or null. */
+  String name(final long number) {
+    return names.get(number);
+  }
+
+  /** The number of a listed endpoint, or null. */
+  Long number(final String name) {
+    return ids.get(name);
+  }
+
+  /** A number for an endpoint that the list names no more. */
+  long unlisted() {
+    return nextId++;
+  }
+
+  /** How many endpoints are listed. */
+  int size() {
+    return entries.size();
+  }
+
+  /** How many of the listed endpoints are left out by hand, or are among those given. */
+  long excluded(final List<Long> avoided) {
+    final Set<Long> excluded = new HashSet<>(avoided);
+    maintenance.out().stream().map(ids::get).filter(entries::containsKey).forEach(excluded::add);
+    return excluded.size();
+  }
+
+  /** Forgets an endpoint, and what has long been without any. */
+  void forget(final long endpoint) {
+    staff(entries.remove(endpoint), null);
+    addresses.remove(endpoint);
+    ids.remove(names.remove(endpoint));
+  }
+
+  /** One entry takes the place of another; either may be null. */
+  private void staff(final Courier.Endpoint before, final Courier.Endpoint after) {
+    if (after != null) {
+      staffed.merge(after.destination(), 1, Integer::sum);
+      vacant.remove(after.destination());
+    }
+    if (before != null
+        && staffed.computeIfPresent(
+                before.destination(), (id, count) -> count == 1 ? null : count - 1)
+            == null) {
+      vacant.put(before.destination(), nowUs.getAsLong());
+    }
+  }
+
+  /** Forgets destinations that have long been without an endpoint. */
+  void forgetVacant() {
+    final long beforeUs = nowUs.getAsLong() - VACANT_US;
+    final Iterator<Long> since = vacant.values().iterator();
+    while (since.hasNext() && since.next() < beforeUs) {
+      since.remove();
+    }
+  }
+
+  /** True for a destination that has an endpoint, or had one a short while ago. */
+  boolean names(final long destination) {
+    return staffed.containsKey(destination) || vacant.containsKey(destination);
+  }
+
+  /** Messages that one call to an endpoint may carry. */
+  int messagesPerCall(final long endpoint) {
+    final Courier.Endpoint entry = entries.get(endpoint);
+    return entry == null || entry.kind() < 0 ? 1 : kinds.get(entry.kind()).messagesPerCall();
+  }
+
+  /** The zone of an endpoint; empty if that is not known. */
+  String zone(final long endpoint) {
+    final Courier.Endpoint entry = entries.get(endpoint);
+    return entry == null ? "" : entry.zone();
+  }
+
+  private Courier.Endpoint entry(final Directory.Listing listing) {
+    int kind = -1;
+    for (int index = 0; index < kinds.size(); index++) {
+      kind = kinds.get(index).name().equals(listing.kind()) ? index : kind;
+    }
+    final long id =
+        ids.computeIfAbsent(
+            listing.name(),
+            name -> {
+              names.put(nextId, name);
+              return nextId++;
+            });
+    return new Courier.Endpoint(
+        id, listing.condition(), listing.zone(), listing.weight(), kind, listing.destination());
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Continuity.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Continuity.java
@@ -6,26 +6,36 @@
 import thistleturn.decisions.Memory;
 
 /**
- * What an earlier process of this courier had learnt, as the next one takes it up: handed over by one that lives, or found in the
- * folder of one that died. Endpoints are known there by numbers of that process's own.
+ * What an earlier process of this courier had learnt, as the next one takes it up: handed over by
+ * one that lives, or found in the folder of one that died. Endpoints are known there by numbers of
+ * that process's own.
  */
 public interface Continuity {
-    /** The endpoints that it speaks of, each with its number there. */
-    List<Inheritance.Named> endpoints();
+  /** The endpoints that it speaks of, each with its number there. */
+  List<Inheritance.Named> endpoints();
 
-    /**
-     * What was learnt, as it can be trusted at this moment.
-     *
-     * @param numbers the numbers of endpoints there, to those here; of others nothing is told
-     */
-    Memory memory(Map<Long, Long> numbers, Clock clock);
+  /**
+   * What was learnt, as it can be trusted at this moment.
+   *
+   * @param numbers the numbers of endpoints there, to those here; of others nothing is told
+   */
+  Memory memory(Map<Long, Long> numbers, Clock clock);
 
-    /** The same with other numbers for its endpoints; what has none is left out. */
-    static Memory renumbered(final Memory memory, final Map<Long, Long> numbers) {
-        return new Memory(memory.classMeanUs(), memory.classSamples(), memory.trustUs(),
-                memory.lanes().stream().filter(one -> numbers.containsKey(one.endpoint()))
-                        .map(one -> new Memory.OfLane(numbers.get(one.endpoint()), one.figures(), one.moments())).toList(),
-                memory.nodes().stream().filter(one -> numbers.containsKey(one.endpoint()))
-                        .map(one -> new Memory.OfNode(numbers.get(one.endpoint()), one.figures(), one.moments())).toList());
-    }
+  /** The same with other numbers for its endpoints; what has none is left out. */
+  static Memory renumbered(final Memory memory, final Map<Long, Long> numbers) {
+    return new Memory(
+        memory.classMeanUs(),
+        memory.classSamples(),
+        memory.trustUs(),
+        memory.lanes().stream()
+            .filter(one -> numbers.containsKey(one.endpoint()))
+            .map(
+                one -> new Memory.OfLane(numbers.get(one.endpoint()), one.figures(), one.moments()))
+            .toList(),
+        memory.nodes().stream()
+            .filter(one -> numbers.containsKey(one.endpoint()))
+            .map(
+                one -> new Memory.OfNode(numbers.get(one.endpoint()), one.figures(), one.moments()))
+            .toList());
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Elder.java
@@ -22,142 +22,159 @@
 import thistleturn.courier.transport.AcceptRetry;
 import thistleturn.decisions.Courier;
 
-/** The side of the process that serves: it waits for a newer one, and hands over to the first that asks. */
+/**
+ * The side of the process that serves: it waits for a newer one, and hands over to the first that
+ * asks.
+ */
 public final class Elder {
-    private static final long RETRY_US = 1_000_000;
-    /** How often an address for newer processes is asked for that the system does not give. */
-    private static final int LISTEN_TRIES = 800;
+  private static final long RETRY_US = 1_000_000;
 
-    private final Giver giver;
-    private Channel listener;
-    private Session heir;
+  /** How often an address for newer processes is asked for that the system does not give. */
+  private static final int LISTEN_TRIES = 800;
 
-    /** Not listening yet. */
-    public Elder(final Giver giver) {
-        this.giver = giver;
-    }
+  private final Giver giver;
+  private Channel listener;
+  private Session heir;
 
-    /** Waits for a newer process from now on; the folder must be locked by this one. */
-    public void listen(final EventLoop loop, final Path folder) {
-        listen(loop, folder, LISTEN_TRIES);
-    }
+  /** Not listening yet. */
+  public Elder(final Giver giver) {
+    this.giver = giver;
+  }
 
-    private void again(final EventLoop loop, final Path folder, final int tries, final Throwable failure) {
-        if (tries > 1 && Passing.mayPass(failure)) {
-            Log.event(Event.START_RETRIED, "step", "listen to a newer process", "cause", failure);
-            loop.schedule(() -> listen(loop, folder, tries - 1), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
-        } else {
-            Log.info("handover: no newer process can take over: " + failure);
-        }
+  /** Waits for a newer process from now on; the folder must be locked by this one. */
+  public void listen(final EventLoop loop, final Path folder) {
+    listen(loop, folder, LISTEN_TRIES);
+  }
+
+  private void again(
+      final EventLoop loop, final Path folder, final int tries, final Throwable failure) {
+    if (tries > 1 && Passing.mayPass(failure)) {
+      Log.event(Event.START_RETRIED, "step", "listen to a newer process", "cause", failure);
+      loop.schedule(() -> listen(loop, folder, tries - 1), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+    } else {
+      Log.info("handover: no newer process can take over: " + failure);
     }
+  }
 
-    private void listen(final EventLoop loop, final Path folder, final int tries) {
-        final UnixDomainSocketAddress address = Wire.address(folder);
-        try {
-            // What an earlier process left: nobody can be listening there while we hold the lock.
-            Files.deleteIfExists(address.getPath());
-        } catch (final IOException e) {
-            again(loop, folder, tries, e);
-            return;
-        }
-        listener = new ServerBootstrap().group(loop).channel(NioServerDomainSocketChannel.class)
-                .handler(new AcceptRetry())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(final Channel channel) {
-                        new Session().addTo(channel);
-                    }
-                }).bind(address).addListener(bound -> {
-                    if (!bound.isSuccess()) {
-                        again(loop, folder, tries, bound.cause());
-                    }
-                }).channel();
+  private void listen(final EventLoop loop, final Path folder, final int tries) {
+    final UnixDomainSocketAddress address = Wire.address(folder);
+    try {
+      // What an earlier process left: nobody can be listening there while we hold the lock.
+      Files.deleteIfExists(address.getPath());
+    } catch (final IOException e) {
+      again(loop, folder, tries, e);
+      return;
     }
+    listener =
+        new ServerBootstrap()
+            .group(loop)
+            .channel(NioServerDomainSocketChannel.class)
+            .handler(new AcceptRetry())
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(final Channel channel) {
+                    new Session().addTo(channel);
+                  }
+                })
+            .bind(address)
+            .addListener(
+                bound -> {
+                  if (!bound.isSuccess()) {
+                    again(loop, folder, tries, bound.cause());
+                  }
+                })
+            .channel();
+  }
 
-    private final class Session extends Wire.End implements Heir {
-        private final Map<Long, Front.Reply> replies = new HashMap<>();
-        private long offers;
-
-        @Override
-        void said(final String what, final JsonNode line) {
-            if (heir != this) {
-                if (heir != null || !what.equals("hello") || line.path("version").asInt() != Wire.VERSION) {
-                    Log.info("handover: refused: " + (heir != null ? "it is under way" : "another version: " + line));
-                    close();
-                    return;
-                }
-                handOver();
-                return;
-            }
-            switch (what) {
-                case "listening" -> giver.heirListens();
-                case "abandon" -> giver.abandon(line.path("call").asLong(),
-                        Courier.Result.valueOf(line.path("result").asText()));
-                case "reply" -> reply(line);
-                default -> Log.info("handover: unknown line " + what);
-            }
-        }
+  private final class Session extends Wire.End implements Heir {
+    private final Map<Long, Front.Reply> replies = new HashMap<>();
+    private long offers;
 
-        private void handOver() {
-            try {
-                final Inheritance inheritance = giver.yield(this);
-                heir = this;
-                // The newer one listens there in its turn.
-                listener.close();
-                Wire.tell(inheritance, this::say);
-                flush();
-            } catch (final IOException e) {
-                Log.info("handover: not now: " + e.getMessage());
-                close();
-            }
+    @Override
+    void said(final String what, final JsonNode line) {
+      if (heir != this) {
+        if (heir != null || !what.equals("hello") || line.path("version").asInt() != Wire.VERSION) {
+          Log.info(
+              "handover: refused: "
+                  + (heir != null ? "it is under way" : "another version: " + line));
+          close();
+          return;
         }
+        handOver();
+        return;
+      }
+      switch (what) {
+        case "listening" -> giver.heirListens();
+        case "abandon" ->
+            giver.abandon(
+                line.path("call").asLong(), Courier.Result.valueOf(line.path("result").asText()));
+        case "reply" -> reply(line);
+        default -> Log.info("handover: unknown line " + what);
+      }
+    }
 
-        private void reply(final JsonNode line) {
-            final Front.Reply reply = replies.remove(line.path("number").asLong());
-            if (reply == null) {
-                return;
-            }
-            switch (line.path("kind").asText()) {
-                case "accepted" -> reply.accepted();
-                case "refused" -> reply.refused(Front.Refusal.valueOf(line.path("why").asText()),
-                        line.path("retry").asLong());
-                case "unusable" -> reply.unusable(Front.Fault.valueOf(line.path("why").asText()));
-                default -> reply.failed();
-            }
-        }
+    private void handOver() {
+      try {
+        final Inheritance inheritance = giver.yield(this);
+        heir = this;
+        // The newer one listens there in its turn.
+        listener.close();
+        Wire.tell(inheritance, this::say);
+        flush();
+      } catch (final IOException e) {
+        Log.info("handover: not now: " + e.getMessage());
+        close();
+      }
+    }
 
-        @Override
-        public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-            if (heir != this) {
-                reply.refused(Front.Refusal.NO_ROOM, RETRY_US);
-                return;
-            }
-            replies.put(++offers, reply);
-            say(Wire.offer(offers, held, validUntilUs));
-            flush();
-        }
+    private void reply(final JsonNode line) {
+      final Front.Reply reply = replies.remove(line.path("number").asLong());
+      if (reply == null) {
+        return;
+      }
+      switch (line.path("kind").asText()) {
+        case "accepted" -> reply.accepted();
+        case "refused" ->
+            reply.refused(
+                Front.Refusal.valueOf(line.path("why").asText()), line.path("retry").asLong());
+        case "unusable" -> reply.unusable(Front.Fault.valueOf(line.path("why").asText()));
+        default -> reply.failed();
+      }
+    }
 
-        @Override
-        public void withdraw(final String id, final long destination) {
-            if (heir == this) {
-                say(Wire.line("withdraw").put("id", id).put("dest", destination));
-                flush();
-            }
-        }
+    @Override
+    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+      if (heir != this) {
+        reply.refused(Front.Refusal.NO_ROOM, RETRY_US);
+        return;
+      }
+      replies.put(++offers, reply);
+      say(Wire.offer(offers, held, validUntilUs));
+      flush();
+    }
 
-        @Override
-        public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
-            if (heir == this) {
-                say(Wire.outcome(call, messageId, answer));
-                flush();
-            }
-        }
+    @Override
+    public void withdraw(final String id, final long destination) {
+      if (heir == this) {
+        say(Wire.line("withdraw").put("id", id).put("dest", destination));
+        flush();
+      }
+    }
 
-        @Override
-        void ended() {
-            if (heir == this) {
-                giver.heirGone();
-            }
-        }
+    @Override
+    public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
+      if (heir == this) {
+        say(Wire.outcome(call, messageId, answer));
+        flush();
+      }
+    }
+
+    @Override
+    void ended() {
+      if (heir == this) {
+        giver.heirGone();
+      }
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Giver.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Giver.java
@@ -5,19 +5,19 @@
 
 /** A process that can hand over. Called on its event loop. */
 public interface Giver {
-    /**
-     * Decides nothing from this moment on, and lets the journal go.
-     *
-     * @throws IOException if that cannot be done now; then it goes on as it was
-     */
-    Inheritance yield(Heir heir) throws IOException;
+  /**
+   * Decides nothing from this moment on, and lets the journal go.
+   *
+   * @throws IOException if that cannot be done now; then it goes on as it was
+   */
+  Inheritance yield(Heir heir) throws IOException;
 
-    /** Gives up a call that is still out; its outcome is told. */
-    void abandon(long call, Courier.Result result);
+  /** Gives up a call that is still out; its outcome is told. */
+  void abandon(long call, Courier.Result result);
 
-    /** The heir takes clients: no further connection need be accepted here. */
-    void heirListens();
+  /** The heir takes clients: no further connection need be accepted here. */
+  void heirListens();
 
-    /** The heir has gone before this process. */
-    void heirGone();
+  /** The heir has gone before this process. */
+  void heirGone();
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
@@ -7,24 +7,26 @@
 import thistleturn.decisions.Memory;
 
 /**
- * What a process hands on beside the journal. Endpoints are known by numbers of its own; moments are those of
- * the monotonic clock.
+ * What a process hands on beside the journal. Endpoints are known by numbers of its own; moments
+ * are those of the monotonic clock.
  *
  * @param endpoints the list as it was last told
  * @param memory what the decisions have learnt
  * @param calls calls that are out, and stay with the older process until they end
  */
-public record Inheritance(List<Named> endpoints, Memory memory, List<CallOut> calls) implements Continuity {
+public record Inheritance(List<Named> endpoints, Memory memory, List<CallOut> calls)
+    implements Continuity {
 
-    /** An endpoint's number, and how the list names it. */
-    public record Named(long number, Directory.Listing listing) { }
+  /** An endpoint's number, and how the list names it. */
+  public record Named(long number, Directory.Listing listing) {}
 
-    /** A call with the ids of its messages in order; {@code destination} is theirs. */
-    public record CallOut(long number, long endpoint, long destination, long sentUs, List<String> messageIds) { }
+  /** A call with the ids of its messages in order; {@code destination} is theirs. */
+  public record CallOut(
+      long number, long endpoint, long destination, long sentUs, List<String> messageIds) {}
 
-    /** It was learnt up to this moment. */
-    @Override
-    public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
-        return Continuity.renumbered(memory, numbers);
-    }
+  /** It was learnt up to this moment. */
+  @Override
+  public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
+    return Continuity.renumbered(memory, numbers);
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
@@ -20,174 +20,194 @@
 import thistleturn.courier.transport.NoSocketException;
 import thistleturn.decisions.Courier;
 
-/** The older process, as the newer one sees it: first it hands over, then it is a front and a carrier for it. */
+/**
+ * The older process, as the newer one sees it: first it hands over, then it is a front and a
+ * carrier for it.
+ */
 public final class Predecessor implements Remote {
-    private final Session session = new Session();
-    private Consumer<Inheritance> taken;
-    private Runnable failed;
-    private Listener listener;
+  private final Session session = new Session();
+  private Consumer<Inheritance> taken;
+  private Runnable failed;
+  private Listener listener;
+
+  /** Who decides now. Called on its event loop. */
+  public interface Listener {
+    /** A client has handed a message in at the older process. */
+    void offer(Held held, Front.Reply reply);
+
+    /** That client went before it was answered. */
+    void withdraw(String id, long destination);
+
+    /** The outcome of one message's part in a call that the older process has out. */
+    void remoteOutcome(String messageId, Carrier.Answer answer);
+
+    /** The older process has ended; what it had out may have run. */
+    void predecessorGone();
+  }
+
+  private Predecessor() {}
+
+  /** Nobody: there is no older process, and nothing may be asked of it. */
+  public static Predecessor none() {
+    return new Predecessor();
+  }
+
+  /**
+   * Asks the process that serves to hand over. Exactly one of the two is called, on the loop:
+   * {@code taken} when it has, and then the journal is free, or {@code failed}, and nothing has
+   * changed.
+   */
+  public static Predecessor ask(
+      final EventLoop loop,
+      final Path folder,
+      final Consumer<Inheritance> taken,
+      final Runnable failed) {
+    final Predecessor predecessor = new Predecessor();
+    predecessor.taken = taken;
+    predecessor.failed = failed;
+    final Bootstrap template =
+        new Bootstrap()
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(final Channel channel) {
+                    predecessor.session.addTo(channel);
+                  }
+                });
+    try {
+      Connector.connect(
+          loop,
+          NioDomainSocketChannel::new,
+          template,
+          Wire.address(folder),
+          predecessor::connected);
+    } catch (final NoSocketException e) {
+      loop.execute(predecessor.session::ended);
+    }
+    return predecessor;
+  }
+
+  private void connected(final ChannelFuture connecting) {
+    if (connecting.isSuccess()) {
+      session.say(Wire.line("hello").put("version", Wire.VERSION));
+      session.flush();
+    } else {
+      session.ended();
+    }
+  }
 
-    /** Who decides now. Called on its event loop. */
-    public interface Listener {
-        /** A client has handed a message in at the older process. */
-        void offer(Held held, Front.Reply reply);
+  @Override
+  public void serve(final Listener to) {
+    listener = to;
+    session.hearAll();
+  }
 
-        /** That client went before it was answered. */
-        void withdraw(String id, long destination);
+  /** This process takes clients. */
+  public void listening() {
+    session.say(Wire.line("listening"));
+    session.flush();
+  }
 
-        /** The outcome of one message's part in a call that the older process has out. */
-        void remoteOutcome(String messageId, Carrier.Answer answer);
+  @Override
+  public void abandon(final long call, final Courier.Result result) {
+    session.say(Wire.line("abandon").put("call", call).put("result", result.name()));
+    session.flush();
+  }
 
-        /** The older process has ended; what it had out may have run. */
-        void predecessorGone();
-    }
-
-    private Predecessor() { }
-
-    /** Nobody: there is no older process, and nothing may be asked of it. */
-    public static Predecessor none() {
-        return new Predecessor();
-    }
+  private final class Session extends Wire.End {
+    private final Wire.Collector collector = new Wire.Collector();
 
     /**
-     * Asks the process that serves to hand over. Exactly one of the two is called, on the loop: {@code taken} when it
-     * has, and then the journal is free, or {@code failed}, and nothing has changed.
+     * What was said since it handed over, while nobody decides yet: the journal may take its time
+     * to open.
      */
-    public static Predecessor ask(final EventLoop loop, final Path folder, final Consumer<Inheritance> taken,
-            final Runnable failed) {
-        final Predecessor predecessor = new Predecessor();
-        predecessor.taken = taken;
-        predecessor.failed = failed;
-        final Bootstrap template = new Bootstrap().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(final Channel channel) {
-                predecessor.session.addTo(channel);
-            }
-        });
-        try {
-            Connector.connect(loop, NioDomainSocketChannel::new, template, Wire.address(folder), predecessor::connected);
-        } catch (final NoSocketException e) {
-            loop.execute(predecessor.session::ended);
-        }
-        return predecessor;
-    }
+    private final List<JsonNode> unheard = new ArrayList<>();
+
+    private boolean over;
 
-    private void connected(final ChannelFuture connecting) {
-        if (connecting.isSuccess()) {
-            session.say(Wire.line("hello").put("version", Wire.VERSION));
-            session.flush();
-        } else {
-            session.ended();
+    @Override
+    void said(final String what, final JsonNode line) {
+      try {
+        if (taken == null && listener == null) {
+          unheard.add(line);
+        } else if (taken == null) {
+          hear(what, line);
+        } else if (collector.add(what, line)) {
+          final Consumer<Inheritance> heir = taken;
+          taken = null;
+          heir.accept(collector.whole());
         }
+      } catch (final IOException e) {
+        throw new IllegalArgumentException("handover: " + line, e);
+      }
     }
 
-    @Override
-    public void serve(final Listener to) {
-        listener = to;
-        session.hearAll();
+    private void hearAll() {
+      final List<JsonNode> lines = List.copyOf(unheard);
+      unheard.clear();
+      lines.forEach(line -> said(line.path("t").asText(), line));
+      if (over) {
+        listener.predecessorGone();
+      }
     }
 
-    /** This process takes clients. */
-    public void listening() {
-        session.say(Wire.line("listening"));
-        session.flush();
+    private void hear(final String what, final JsonNode line) throws IOException {
+      switch (what) {
+        case "offer" -> listener.offer(Wire.held(line), new Answer(line.path("number").asLong()));
+        case "withdraw" -> listener.withdraw(line.path("id").asText(), line.path("dest").asLong());
+        case "outcome" -> listener.remoteOutcome(line.path("id").asText(), Wire.answer(line));
+        default -> throw new IOException("unknown line " + what);
+      }
     }
 
     @Override
-    public void abandon(final long call, final Courier.Result result) {
-        session.say(Wire.line("abandon").put("call", call).put("result", result.name()));
-        session.flush();
+    void ended() {
+      over = true;
+      if (taken != null) {
+        taken = null;
+        failed.run();
+      } else if (listener != null) {
+        listener.predecessorGone();
+      }
     }
+  }
 
-    private final class Session extends Wire.End {
-        private final Wire.Collector collector = new Wire.Collector();
-        /** What was said since it handed over, while nobody decides yet: the journal may take its time to open. */
-        private final List<JsonNode> unheard = new ArrayList<>();
-        private boolean over;
-
-        @Override
-        void said(final String what, final JsonNode line) {
-            try {
-                if (taken == null && listener == null) {
-                    unheard.add(line);
-                } else if (taken == null) {
-                    hear(what, line);
-                } else if (collector.add(what, line)) {
-                    final Consumer<Inheritance> heir = taken;
-                    taken = null;
-                    heir.accept(collector.whole());
-                }
-            } catch (final IOException e) {
-                throw new IllegalArgumentException("handover: " + line, e);
-            }
-        }
-
-        private void hearAll() {
-            final List<JsonNode> lines = List.copyOf(unheard);
-            unheard.clear();
-            lines.forEach(line -> said(line.path("t").asText(), line));
-            if (over) {
-                listener.predecessorGone();
-            }
-        }
-
-        private void hear(final String what, final JsonNode line) throws IOException {
-            switch (what) {
-                case "offer" -> listener.offer(Wire.held(line), new Answer(line.path("number").asLong()));
-                case "withdraw" -> listener.withdraw(line.path("id").asText(), line.path("dest").asLong());
-                case "outcome" -> listener.remoteOutcome(line.path("id").asText(), Wire.answer(line));
-                default -> throw new IOException("unknown line " + what);
-            }
-        }
+  /** Takes an answer back to the process that the client is connected to. */
+  private final class Answer implements Front.Reply {
+    private final long number;
 
-        @Override
-        void ended() {
-            over = true;
-            if (taken != null) {
-                taken = null;
-                failed.run();
-            } else if (listener != null) {
-                listener.predecessorGone();
-            }
-        }
+    private Answer(final long number) {
+      this.number = number;
     }
 
-    /** Takes an answer back to the process that the client is connected to. */
-    private final class Answer implements Front.Reply {
-        private final long number;
-
-        private Answer(final long number) {
-            this.number = number;
-        }
-
-        private void say(final String kind, final Enum<?> why, final long retryAfterUs) {
-            final ObjectNode line = Wire.line("reply").put("number", number).put("kind", kind)
-                    .put("retry", retryAfterUs);
-            if (why != null) {
-                line.put("why", why.name());
-            }
-            session.say(line);
-            session.flush();
-        }
+    private void say(final String kind, final Enum<?> why, final long retryAfterUs) {
+      final ObjectNode line =
+          Wire.line("reply").put("number", number).put("kind", kind).put("retry", retryAfterUs);
+      if (why != null) {
+        line.put("why", why.name());
+      }
+      session.say(line);
+      session.flush();
+    }
 
-        @Override
-        public void accepted() {
-            say("accepted", null, 0);
-        }
+    @Override
+    public void accepted() {
+      say("accepted", null, 0);
+    }
 
-        @Override
-        public void refused(final Front.Refusal why, final long retryAfterUs) {
-            say("refused", why, retryAfterUs);
-        }
+    @Override
+    public void refused(final Front.Refusal why, final long retryAfterUs) {
+      say("refused", why, retryAfterUs);
+    }
 
-        @Override
-        public void failed() {
-            say("failed", null, 0);
-        }
+    @Override
+    public void failed() {
+      say("failed", null, 0);
+    }
 
-        @Override
-        public void unusable(final Front.Fault fault) {
-            say("unusable", fault, 0);
-        }
+    @Override
+    public void unusable(final Front.Fault fault) {
+      say("unusable", fault, 0);
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Remote.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Remote.java
@@ -2,11 +2,14 @@
 
 import thistleturn.decisions.Courier;
 
-/** Whoever carries out calls that another one decides on: they were out at a handover. On the event loop only. */
+/**
+ * Whoever carries out calls that another one decides on: they were out at a handover. On the event
+ * loop only.
+ */
 public interface Remote {
-    /** From now on its events go there. */
-    void serve(Predecessor.Listener to);
+  /** From now on its events go there. */
+  void serve(Predecessor.Listener to);
 
-    /** Gives up a call that it has out; its outcome is told. */
-    void abandon(long call, Courier.Result result);
+  /** Gives up a call that it has out; its outcome is told. */
+  void abandon(long call, Courier.Result result);
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Wire.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Wire.java
@@ -27,225 +27,292 @@
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.Memory;
 
-/** What the two processes say to each other: JSON objects, one a line, each with what it is in {@code t}. */
+/**
+ * What the two processes say to each other: JSON objects, one a line, each with what it is in
+ * {@code t}.
+ */
 public final class Wire {
-    /** To be raised when the lines change; it and the memory's version only ever rise, so that no sum comes twice. */
-    private static final int LINES = 1;
-    /** The newer process says this first; one of another version, of lines or of what was learnt, is not handed anything. */
-    static final int VERSION = LINES + Memory.VERSION;
-    /** A message's body has 64 KiB at most, and a third more as text. */
-    private static final int MOST_LINE_BYTES = 1 << 18;
+  /**
+   * To be raised when the lines change; it and the memory's version only ever rise, so that no sum
+   * comes twice.
+   */
+  private static final int LINES = 1;
 
-    private Wire() { }
+  /**
+   * The newer process says this first; one of another version, of lines or of what was learnt, is
+   * not handed anything.
+   */
+  static final int VERSION = LINES + Memory.VERSION;
 
-    static UnixDomainSocketAddress address(final Path folder) {
-        return UnixDomainSocketAddress.of(folder.resolve("handover"));
-    }
-
-    /** One end of the connection. What cannot be read ends it. */
-    abstract static class End extends SimpleChannelInboundHandler<ByteBuf> {
-        private ChannelHandlerContext context;
-
-        abstract void said(String what, JsonNode line);
-
-        abstract void ended();
-
-        final void addTo(final Channel channel) {
-            channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE_BYTES), this);
-        }
-
-        final void say(final ObjectNode line) {
-            context.write(Unpooled.copiedBuffer(Json.text(line) + "\n", StandardCharsets.UTF_8));
-        }
+  /** A message's body has 64 KiB at most, and a third more as text. */
+  private static final int MOST_LINE_BYTES = 1 << 18;
 
-        final void flush() {
-            context.flush();
-        }
+  private Wire() {}
 
-        final void close() {
-            context.close();
-        }
+  static UnixDomainSocketAddress address(final Path folder) {
+    return UnixDomainSocketAddress.of(folder.resolve("handover"));
+  }
 
-        @Override
-        public final void handlerAdded(final ChannelHandlerContext ctx) {
-            context = ctx;
-        }
+  /** One end of the connection. What cannot be read ends it. */
+  abstract static class End extends SimpleChannelInboundHandler<ByteBuf> {
+    private ChannelHandlerContext context;
 
-        @Override
-        protected final void channelRead0(final ChannelHandlerContext ctx, final ByteBuf bytes) throws IOException {
-            final JsonNode line = Json.read(bytes.toString(StandardCharsets.UTF_8));
-            said(line.path("t").asText(), line);
-        }
+    abstract void said(String what, JsonNode line);
 
-        @Override
-        public final void channelInactive(final ChannelHandlerContext ctx) {
-            ended();
-        }
+    abstract void ended();
 
-        @Override
-        public final void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            if (!(cause instanceof IOException)) {
-                Log.failure("handover", cause);
-            }
-            ctx.close();
-        }
+    final void addTo(final Channel channel) {
+      channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE_BYTES), this);
     }
 
-    static ObjectNode line(final String what) {
-        return JsonNodeFactory.instance.objectNode().put("t", what);
+    final void say(final ObjectNode line) {
+      context.write(Unpooled.copiedBuffer(Json.text(line) + "\n", StandardCharsets.UTF_8));
     }
 
-    // ---------------------------------------------------------------- what is handed on
-
-    static void tell(final Inheritance inheritance, final Consumer<ObjectNode> to) {
-        for (final Inheritance.Named named : inheritance.endpoints()) {
-            final Directory.Listing one = named.listing();
-            to.accept(line("endpoint").put("number", named.number()).put("name", one.name())
-                    .put("condition", one.condition().name()).put("host", one.address().getHostString())
-                    .put("port", one.address().getPort()).put("zone", one.zone()).put("weight", one.weight())
-                    .put("kind", one.kind()).put("dest", one.destination()));
-        }
-        final Memory memory = inheritance.memory();
-        final ObjectNode classes = line("classes").put("trust", memory.trustUs());
-        classes.set("mean", texts(memory.classMeanUs()));
-        final ArrayNode samples = classes.putArray("samples");
-        Arrays.stream(memory.classSamples()).forEach(samples::add);
-        to.accept(classes);
-        memory.lanes().forEach(one -> to.accept(figures("lane", one.endpoint(), one.figures(), one.moments())));
-        memory.nodes().forEach(one -> to.accept(figures("node", one.endpoint(), one.figures(), one.moments())));
-        for (final Inheritance.CallOut call : inheritance.calls()) {
-            final ObjectNode line = line("call").put("number", call.number()).put("endpoint", call.endpoint())
-                    .put("dest", call.destination()).put("sent", call.sentUs());
-            final ArrayNode ids = line.putArray("ids");
-            call.messageIds().forEach(ids::add);
-            to.accept(line);
-        }
-        to.accept(line("yours"));
+    final void flush() {
+      context.flush();
     }
 
-    /** The same as lines of text. */
-    public static List<String> lines(final Inheritance inheritance) {
-        final List<String> lines = new ArrayList<>();
-        tell(inheritance, line -> lines.add(Json.text(line)));
-        return lines;
+    final void close() {
+      context.close();
     }
 
-    /** What such lines tell; what cannot be read is an error. */
-    public static Inheritance read(final List<String> lines) throws IOException {
-        final Collector collector = new Collector();
-        for (final String text : lines) {
-            final JsonNode line = Json.read(text);
-            collector.add(line.path("t").asText(), line);
-        }
-        return collector.whole();
+    @Override
+    public final void handlerAdded(final ChannelHandlerContext ctx) {
+      context = ctx;
     }
 
-    /** The same, through its text and back. */
-    public static Inheritance copy(final Inheritance inheritance) throws IOException {
-        return read(lines(inheritance));
+    @Override
+    protected final void channelRead0(final ChannelHandlerContext ctx, final ByteBuf bytes)
+        throws IOException {
+      final JsonNode line = Json.read(bytes.toString(StandardCharsets.UTF_8));
+      said(line.path("t").asText(), line);
     }
 
-    private static ObjectNode figures(final String what, final long endpoint, final double[] figures,
-            final long[] moments) {
-        final ObjectNode line = line(what).put("endpoint", endpoint);
-        line.set("figures", texts(figures));
-        final ArrayNode times = line.putArray("moments");
-        Arrays.stream(moments).forEach(times::add);
-        return line;
+    @Override
+    public final void channelInactive(final ChannelHandlerContext ctx) {
+      ended();
     }
 
-    /** As texts: JSON has no number for what is unlimited. */
-    private static ArrayNode texts(final double[] figures) {
-        final ArrayNode texts = JsonNodeFactory.instance.arrayNode();
-        Arrays.stream(figures).forEach(figure -> texts.add(Double.toString(figure)));
-        return texts;
+    @Override
+    public final void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
+      if (!(cause instanceof IOException)) {
+        Log.failure("handover", cause);
+      }
+      ctx.close();
     }
-
-    private static double[] figures(final JsonNode texts) {
-        final double[] figures = new double[texts.size()];
-        Arrays.setAll(figures, index -> Double.parseDouble(texts.get(index).asText()));
-        return figures;
+  }
+
+  static ObjectNode line(final String what) {
+    return JsonNodeFactory.instance.objectNode().put("t", what);
+  }
+
+  // ---------------------------------------------------------------- what is handed on
+
+  static void tell(final Inheritance inheritance, final Consumer<ObjectNode> to) {
+    for (final Inheritance.Named named : inheritance.endpoints()) {
+      final Directory.Listing one = named.listing();
+      to.accept(
+          line("endpoint")
+              .put("number", named.number())
+              .put("name", one.name())
+              .put("condition", one.condition().name())
+              .put("host", one.address().getHostString())
+              .put("port", one.address().getPort())
+              .put("zone", one.zone())
+              .put("weight", one.weight())
+              .put("kind", one.kind())
+              .put("dest", one.destination()));
     }
-
-    private static long[] moments(final JsonNode numbers) {
-        final long[] moments = new long[numbers.size()];
-        Arrays.setAll(moments, index -> numbers.get(index).asLong());
-        return moments;
+    final Memory memory = inheritance.memory();
+    final ObjectNode classes = line("classes").put("trust", memory.trustUs());
+    classes.set("mean", texts(memory.classMeanUs()));
+    final ArrayNode samples = classes.putArray("samples");
+    Arrays.stream(memory.classSamples()).forEach(samples::add);
+    to.accept(classes);
+    memory
+        .lanes()
+        .forEach(one -> to.accept(figures("lane", one.endpoint(), one.figures(), one.moments())));
+    memory
+        .nodes()
+        .forEach(one -> to.accept(figures("node", one.endpoint(), one.figures(), one.moments())));
+    for (final Inheritance.CallOut call : inheritance.calls()) {
+      final ObjectNode line =
+          line("call")
+              .put("number", call.number())
+              .put("endpoint", call.endpoint())
+              .put("dest", call.destination())
+              .put("sent", call.sentUs());
+      final ArrayNode ids = line.putArray("ids");
+      call.messageIds().forEach(ids::add);
+      to.accept(line);
     }
-
-    /** Collects what is handed on, line by line. */
-    static final class Collector {
-        private final List<Inheritance.Named> endpoints = new ArrayList<>();
-        private final List<Memory.OfLane> lanes = new ArrayList<>();
-        private final List<Memory.OfNode> nodes = new ArrayList<>();
-        private final List<Inheritance.CallOut> calls = new ArrayList<>();
-        private double[] means = {};
-        private int[] samples = {};
-        private double trustUs;
-
-        /** Takes a line in; true once it was the last. */
-        boolean add(final String what, final JsonNode line) throws IOException {
-            switch (what) {
-                case "endpoint" -> endpoints.add(new Inheritance.Named(line.path("number").asLong(),
-                        new Directory.Listing(line.path("name").asText(),
-                                Courier.Condition.valueOf(line.path("condition").asText()),
-                                new InetSocketAddress(line.path("host").asText(), line.path("port").asInt()),
-                                line.path("zone").asText(), line.path("weight").asDouble(),
-                                line.path("kind").asText(), line.path("dest").asLong())));
-                case "classes" -> {
-                    means = figures(line.path("mean"));
-                    samples = Arrays.stream(moments(line.path("samples"))).mapToInt(count -> (int) count).toArray();
-                    trustUs = line.path("trust").asDouble();
-                }
-                case "lane" -> lanes.add(new Memory.OfLane(line.path("endpoint").asLong(),
-                        figures(line.path("figures")), moments(line.path("moments"))));
-                case "node" -> nodes.add(new Memory.OfNode(line.path("endpoint").asLong(),
-                        figures(line.path("figures")), moments(line.path("moments"))));
-                case "call" -> {
-                    final List<String> ids = new ArrayList<>();
-                    line.path("ids").forEach(id -> ids.add(id.asText()));
-                    calls.add(new Inheritance.CallOut(line.path("number").asLong(), line.path("endpoint").asLong(),
-                            line.path("dest").asLong(), line.path("sent").asLong(), ids));
-                }
-                case "yours" -> {
-                    return true;
-                }
-                default -> throw new IOException("handover: unknown line " + what);
-            }
-            return false;
+    to.accept(line("yours"));
+  }
+
+  /** The same as lines of text. */
+  public static List<String> lines(final Inheritance inheritance) {
+    final List<String> lines = new ArrayList<>();
+    tell(inheritance, line -> lines.add(Json.text(line)));
+    return lines;
+  }
+
+  /** What such lines tell; what cannot be read is an error. */
+  public static Inheritance read(final List<String> lines) throws IOException {
+    final Collector collector = new Collector();
+    for (final String text : lines) {
+      final JsonNode line = Json.read(text);
+      collector.add(line.path("t").asText(), line);
+    }
+    return collector.whole();
+  }
+
+  /** The same, through its text and back. */
+  public static Inheritance copy(final Inheritance inheritance) throws IOException {
+    return read(lines(inheritance));
+  }
+
+  private static ObjectNode figures(
+      final String what, final long endpoint, final double[] figures, final long[] moments) {
+    final ObjectNode line = line(what).put("endpoint", endpoint);
+    line.set("figures", texts(figures));
+    final ArrayNode times = line.putArray("moments");
+    Arrays.stream(moments).forEach(times::add);
+    return line;
+  }
+
+  /** As texts: JSON has no number for what is unlimited. */
+  private static ArrayNode texts(final double[] figures) {
+    final ArrayNode texts = JsonNodeFactory.instance.arrayNode();
+    Arrays.stream(figures).forEach(figure -> texts.add(Double.toString(figure)));
+    return texts;
+  }
+
+  private static double[] figures(final JsonNode texts) {
+    final double[] figures = new double[texts.size()];
+    Arrays.setAll(figures, index -> Double.parseDouble(texts.get(index).asText()));
+    return figures;
+  }
+
+  private static long[] moments(final JsonNode numbers) {
+    final long[] moments = new long[numbers.size()];
+    Arrays.setAll(moments, index -> numbers.get(index).asLong());
+    return moments;
+  }
+
+  /** Collects what is handed on, line by line. */
+  static final class Collector {
+    private final List<Inheritance.Named> endpoints = new ArrayList<>();
+    private final List<Memory.OfLane> lanes = new ArrayList<>();
+    private final List<Memory.OfNode> nodes = new ArrayList<>();
+    private final List<Inheritance.CallOut> calls = new ArrayList<>();
+    private double[] means = {};
+    private int[] samples = {};
+    private double trustUs;
+
+    /** Takes a line in; true once it was the last. */
+    boolean add(final String what, final JsonNode line) throws IOException {
+      switch (what) {
+        case "endpoint" ->
+            endpoints.add(
+                new Inheritance.Named(
+                    line.path("number").asLong(),
+                    new Directory.Listing(
+                        line.path("name").asText(),
+                        Courier.Condition.valueOf(line.path("condition").asText()),
+                        new InetSocketAddress(
+                            line.path("host").asText(), line.path("port").asInt()),
+                        line.path("zone").asText(),
+                        line.path("weight").asDouble(),
+                        line.path("kind").asText(),
+                        line.path("dest").asLong())));
+        case "classes" -> {
+          means = figures(line.path("mean"));
+          samples =
+              Arrays.stream(moments(line.path("samples"))).mapToInt(count -> (int) count).toArray();
+          trustUs = line.path("trust").asDouble();
         }
-
-        Inheritance whole() {
-            return new Inheritance(endpoints, new Memory(means, samples, trustUs, lanes, nodes), calls);
+        case "lane" ->
+            lanes.add(
+                new Memory.OfLane(
+                    line.path("endpoint").asLong(),
+                    figures(line.path("figures")),
+                    moments(line.path("moments"))));
+        case "node" ->
+            nodes.add(
+                new Memory.OfNode(
+                    line.path("endpoint").asLong(),
+                    figures(line.path("figures")),
+                    moments(line.path("moments"))));
+        case "call" -> {
+          final List<String> ids = new ArrayList<>();
+          line.path("ids").forEach(id -> ids.add(id.asText()));
+          calls.add(
+              new Inheritance.CallOut(
+                  line.path("number").asLong(),
+                  line.path("endpoint").asLong(),
+                  line.path("dest").asLong(),
+                  line.path("sent").asLong(),
+                  ids));
         }
-    }
-
-    // ---------------------------------------------------------------- messages and outcomes
-
-    static ObjectNode offer(final long number, final Held held, final long validUntilUs) {
-        return line("offer").put("number", number).put("id", held.id()).put("class", held.className())
-                .put("key", held.idempotencyKey()).put("dest", held.destination()).put("valid", validUntilUs)
-                .put("body", held.body());
-    }
-
-    static Held held(final JsonNode line) throws IOException {
-        return new Held(line.path("id").asText(), line.path("class").asText(),
-                line.path("key").isTextual() ? line.path("key").asText() : null, line.path("dest").asLong(),
-                line.path("valid").asLong(), line.path("body").binaryValue());
-    }
-
-    static ObjectNode outcome(final long call, final String messageId, final Carrier.Answer answer) {
-        final ObjectNode line = line("outcome").put("call", call).put("id", messageId)
-                .put("result", answer.result().name()).put("over", answer.over()).put("wait", answer.waitUs());
-        if (answer.allowance() != null) {
-            line.put("left", answer.allowance().shareLeft()).put("limit", answer.allowance().callsPerSecond());
+        case "yours" -> {
+          return true;
         }
-        return line;
+        default -> throw new IOException("handover: unknown line " + what);
+      }
+      return false;
     }
 
-    static Carrier.Answer answer(final JsonNode line) {
-        return new Carrier.Answer(Courier.Result.valueOf(line.path("result").asText()), line.path("over").asBoolean(),
-                line.path("wait").asLong(), !line.has("left") ? null
-                : new Courier.Allowance(line.path("left").asDouble(), line.path("limit").asDouble()));
+    Inheritance whole() {
+      return new Inheritance(endpoints, new Memory(means, samples, trustUs, lanes, nodes), calls);
+    }
+  }
+
+  // ---------------------------------------------------------------- messages and outcomes
+
+  static ObjectNode offer(final long number, final Held held, final long validUntilUs) {
+    return line("offer")
+        .put("number", number)
+        .put("id", held.id())
+        .put("class", held.className())
+        .put("key", held.idempotencyKey())
+        .put("dest", held.destination())
+        .put("valid", validUntilUs)
+        .put("body", held.body());
+  }
+
+  static Held held(final JsonNode line) throws IOException {
+    return new Held(
+        line.path("id").asText(),
+        line.path("class").asText(),
+        line.path("key").isTextual() ? line.path("key").asText() : null,
+        line.path("dest").asLong(),
+        line.path("valid").asLong(),
+        line.path("body").binaryValue());
+  }
+
+  static ObjectNode outcome(final long call, final String messageId, final Carrier.Answer answer) {
+    final ObjectNode line =
+        line("outcome")
+            .put("call", call)
+            .put("id", messageId)
+            .put("result", answer.result().name())
+            .put("over", answer.over())
+            .put("wait", answer.waitUs());
+    if (answer.allowance() != null) {
+      line.put("left", answer.allowance().shareLeft())
+          .put("limit", answer.allowance().callsPerSecond());
     }
+    return line;
+  }
+
+  static Carrier.Answer answer(final JsonNode line) {
+    return new Carrier.Answer(
+        Courier.Result.valueOf(line.path("result").asText()),
+        line.path("over").asBoolean(),
+        line.path("wait").asLong(),
+        !line.has("left")
+            ? null
+            : new Courier.Allowance(line.path("left").asDouble(), line.path("limit").asDouble()));
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/AnswerDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/AnswerDecoder.java
@@ -9,54 +9,59 @@
 import java.util.List;
 
 /**
- * Reads answers strictly, and tells of each as soon as there is something to tell: that it has begun, and what its
- * first line says, which is true whatever becomes of the rest.
+ * Reads answers strictly, and tells of each as soon as there is something to tell: that it has
+ * begun, and what its first line says, which is true whatever becomes of the rest.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
-    private static final int MOST_LINE_BYTES = 1024;
-    private static final int MOST_HEAD_BYTES = 8192;
+  private static final int MOST_LINE_BYTES = 1024;
+  private static final int MOST_HEAD_BYTES = 8192;
 
-    /** Who is told. */
-    interface Listener {
-        /** Bytes of an answer have come. */
-        void begun();
+  /** Who is told. */
+  interface Listener {
+    /** Bytes of an answer have come. */
+    void begun();
 
-        /** The first line of an answer has come whole. */
-        void firstLine(HttpResponse answer);
-    }
+    /** The first line of an answer has come whole. */
+    void firstLine(HttpResponse answer);
+  }
 
-    private final Listener listener;
+  private final Listener listener;
 
-    AnswerDecoder(final Listener listener) {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(MOST_LINE_BYTES).setMaxHeaderSize(MOST_HEAD_BYTES)
-                .setAllowDuplicateContentLengths(false).setUseRfc9112TransferEncoding(true));
-        this.listener = listener;
-    }
+  AnswerDecoder(final Listener listener) {
+    super(
+        new HttpDecoderConfig()
+            .setMaxInitialLineLength(MOST_LINE_BYTES)
+            .setMaxHeaderSize(MOST_HEAD_BYTES)
+            .setAllowDuplicateContentLengths(false)
+            .setUseRfc9112TransferEncoding(true));
+    this.listener = listener;
+  }
 
-    @Override
-    protected void decode(final ChannelHandlerContext context, final ByteBuf bytes, final List<Object> out)
-            throws Exception {
-        if (bytes.isReadable()) {
-            listener.begun();
-        }
-        super.decode(context, bytes, out);
+  @Override
+  protected void decode(
+      final ChannelHandlerContext context, final ByteBuf bytes, final List<Object> out)
+      throws Exception {
+    if (bytes.isReadable()) {
+      listener.begun();
     }
+    super.decode(context, bytes, out);
+  }
 
-    @Override
-    protected HttpMessage createMessage(final String[] firstLine) {
-        final HttpMessage message = super.createMessage(firstLine);
-        listener.firstLine((HttpResponse) message);
-        return message;
-    }
+  @Override
+  protected HttpMessage createMessage(final String[] firstLine) {
+    final HttpMessage message = super.createMessage(firstLine);
+    listener.firstLine((HttpResponse) message);
+    return message;
+  }
 
-    @Override
-    protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-        throw new IllegalArgumentException("a length and a transfer coding");
-    }
+  @Override
+  protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
+    throw new IllegalArgumentException("a length and a transfer coding");
+  }
 
-    /** No call asks for another protocol: a 101 is one more answer that is not the last. */
-    @Override
-    protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse answer) {
-        return false;
-    }
+  /** No call asks for another protocol: a 101 is one more answer that is not the last. */
+  @Override
+  protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse answer) {
+    return false;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/Arrival.java
+++ b/courier/src/main/java/thistleturn/courier/http/Arrival.java
@@ -1,50 +1,52 @@
 package thistleturn.courier.http;
 
 /**
- * Since when what is read from a socket may have lain in its buffer. It is told of each read and of each pause, and
- * bounds the moment of arrival from below; it never guesses a later one.
+ * Since when what is read from a socket may have lain in its buffer. It is told of each read and of
+ * each pause, and bounds the moment of arrival from below; it never guesses a later one.
  */
 final class Arrival {
-    /** While false, what comes next may have been there along with what was read last. */
-    private boolean drained;
-    private long sinceUs;
-    private long lastReadUs;
+  /** While false, what comes next may have been there along with what was read last. */
+  private boolean drained;
 
-    /** {@code sinceUs}: nothing can have come before. */
-    Arrival(final long sinceUs) {
-        this.sinceUs = sinceUs;
-        this.lastReadUs = sinceUs;
-    }
+  private long sinceUs;
+  private long lastReadUs;
 
-    /**
-     * Bytes were read.
-     *
-     * @param previousLookUs when the loop began to look the last time that it found nothing here, or read something
-     * @param all false if there may be more: the read filled its buffer
-     */
-    void read(final long nowUs, final long previousLookUs, final boolean all) {
-        if (drained) {
-            sinceUs = Math.max(lastReadUs, previousLookUs);
-        }
-        lastReadUs = nowUs;
-        drained = all;
-    }
+  /** {@code sinceUs}: nothing can have come before. */
+  Arrival(final long sinceUs) {
+    this.sinceUs = sinceUs;
+    this.lastReadUs = sinceUs;
+  }
 
-    /** Whether nothing is left of what was there at the last read. */
-    void drained(final boolean all) {
-        drained = all;
+  /**
+   * Bytes were read.
+   *
+   * @param previousLookUs when the loop began to look the last time that it found nothing here, or
+   *     read something
+   * @param all false if there may be more: the read filled its buffer
+   */
+  void read(final long nowUs, final long previousLookUs, final boolean all) {
+    if (drained) {
+      sinceUs = Math.max(lastReadUs, previousLookUs);
     }
+    lastReadUs = nowUs;
+    drained = all;
+  }
 
-    /** Nothing is read for a while: what comes meanwhile lies there from now on at the earliest. */
-    void paused(final long nowUs) {
-        if (drained) {
-            drained = false;
-            sinceUs = nowUs;
-        }
-    }
+  /** Whether nothing is left of what was there at the last read. */
+  void drained(final boolean all) {
+    drained = all;
+  }
 
-    /** What was read last came no sooner than this, us. */
-    long sinceUs() {
-        return sinceUs;
+  /** Nothing is read for a while: what comes meanwhile lies there from now on at the earliest. */
+  void paused(final long nowUs) {
+    if (drained) {
+      drained = false;
+      sinceUs = nowUs;
     }
+  }
+
+  /** What was read last came no sooner than this, us. */
+  long sinceUs() {
+    return sinceUs;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpCall.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCall.java
@@ -9,48 +9,70 @@
 
 /** One call: the messages in it, and how far it has come. */
 final class HttpCall extends TimeHeap.Entry implements Carrier.Call {
-    final HttpPool pool;
-    final long endpoint;
-    final long sentUs;
-    /** When the time of the first of its messages is up: several in a call share one fate, and it is over for all of them. */
-    final long validUntilUs;
-    /** When it is given up. */
-    final long deadlineUs;
-    /** Until when all of it may go, us. */
-    final long goesUntilUs;
-    final List<Carrier.Parcel> parcels;
-    /** What falls due for it beside its deadline: the end of a connection's rest, and of the wait for a connection. */
-    final List<Future<?>> timers = new ArrayList<>(0);
-    Channel channel;
-    HttpConnection reader;
-    /** How often this machine's own system refused to begin its connection. */
-    int ownFailures;
-    boolean started;
-    boolean written;
-
-    HttpCall(final HttpPool pool, final long endpoint, final List<? extends Carrier.Parcel> parcels, final long sentUs) {
-        this.pool = pool;
-        this.endpoint = endpoint;
-        this.parcels = new ArrayList<>(parcels);
-        this.sentUs = sentUs;
-        this.validUntilUs = parcels.stream().mapToLong(Carrier.Parcel::validUntilUs).min().orElse(Long.MAX_VALUE);
-        this.deadlineUs = Math.min(validUntilUs,
-                sentUs + parcels.stream().mapToLong(Carrier.Parcel::timeoutUs).max().orElse(0));
-        this.goesUntilUs = parcels.stream().mapToLong(Carrier.Parcel::goesUntilUs).min().orElse(Long.MAX_VALUE);
-    }
-
-    /** Several messages go in one call: its answer tells each one's end. */
-    boolean isBulk() {
-        return parcels.size() > 1;
-    }
-
-    @Override
-    public long endpoint() {
-        return endpoint;
-    }
-
-    @Override
-    public long sentUs() {
-        return sentUs;
-    }
+  final HttpPool pool;
+  final long endpoint;
+  final long sentUs;
+
+  /**
+   * When the time of the first of its messages is up: several in a call share one fate, and it is
+   * over for all of them.
+   */
+  final long validUntilUs;
+
+  /** When it is given up. */
+  final long deadlineUs;
+
+  /** Until when all of it may go, us. */
+  final long goesUntilUs;
+
+  final List<Carrier.Parcel> parcels;
+
+  /**
+   * What falls due for it beside its deadline: the end of a connection's rest, and of the wait for
+   * a connection.
+   */
+  final List<Future<?>> timers = new ArrayList<>(0);
+
+  Channel channel;
+  HttpConnection reader;
+
+  /** How often this machine's own system refused to begin its connection. */
+  int ownFailures;
+
+  boolean started;
+  boolean written;
+
+  HttpCall(
+      final HttpPool pool,
+      final long endpoint,
+      final List<? extends Carrier.Parcel> parcels,
+      final long sentUs) {
+    this.pool = pool;
+    this.endpoint = endpoint;
+    this.parcels = new ArrayList<>(parcels);
+    this.sentUs = sentUs;
+    this.validUntilUs =
+        parcels.stream().mapToLong(Carrier.Parcel::validUntilUs).min().orElse(Long.MAX_VALUE);
+    this.deadlineUs =
+        Math.min(
+            validUntilUs,
+            sentUs + parcels.stream().mapToLong(Carrier.Parcel::timeoutUs).max().orElse(0));
+    this.goesUntilUs =
+        parcels.stream().mapToLong(Carrier.Parcel::goesUntilUs).min().orElse(Long.MAX_VALUE);
+  }
+
+  /** Several messages go in one call: its answer tells each one's end. */
+  boolean isBulk() {
+    return parcels.size() > 1;
+  }
+
+  @Override
+  public long endpoint() {
+    return endpoint;
+  }
+
+  @Override
+  public long sentUs() {
+    return sentUs;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
@@ -24,386 +24,448 @@
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.NoSocketException;
-import thistleturn.decisions.Courier.Result;
 import thistleturn.decisions.Courier;
+import thistleturn.decisions.Courier.Result;
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * Calls to endpoints, with one message or several, over connections that are kept and carry one call at a time. It
- * tells the {@link Host} how each message fared, above all whether it can have run: that turns on whether the call's
- * last byte was written before the connection broke.
+ * Calls to endpoints, with one message or several, over connections that are kept and carry one
+ * call at a time. It tells the {@link Host} how each message fared, above all whether it can have
+ * run: that turns on whether the call's last byte was written before the connection broke.
  */
 public final class HttpCarrier implements Carrier {
-    private static final long US_PER_MS = 1000;
-    /** Share of the endpoints' own limit after which an idle connection is closed: a request may not cross it. */
-    private static final double IDLE_SHARE = 0.8;
-
-    /**
-     * What belongs to no call may still come right behind an answer: a connection rests so long before its next, and what has
-     * come by then has been looked for. The clock alone says little where a pass takes longer than that.
-     */
-    private static final long REST_US = 5_000;
-    /** How soon a socket is asked for again that the system does not have, us. */
-    private static final long SOCKET_RETRY_US = 5_000;
-    /** So often a call is tried again whose connection this machine's own system refused to begin. */
-    private static final int MOST_OWN_FAILURES = 4;
-
-    private final Clock clock;
-    private final EventLoop loop;
-    private final LoopTurns turns;
-    private final long connectTimeoutUs;
-    private final Listener listener;
-    private final Bootstrap template;
-    private final long idleUs;
-    private final Descriptors descriptors;
-    private final Map<Long, HttpPool> pools = new HashMap<>();
-    private final Set<HttpCall> calls = new HashSet<>();
-    /** Calls that are not written whole yet: a wait that is told meanwhile binds them. */
-    private final Set<HttpCall> unwritten = new LinkedHashSet<>();
-    /** Connections that carry no call, over all endpoints, the one idle longest first. */
-    private final Set<HttpConnection> idle = new LinkedHashSet<>();
-    private final TimeHeap<HttpCall> deadlines = new TimeHeap<>();
-    /** For when the next look at deadlines is planned. */
-    private long armedUs = Long.MAX_VALUE;
-
-    /** No connection is made yet. */
-    public HttpCarrier(final Config config, final EventLoop loop, final Clock clock, final LoopTurns turns,
-                       final Listener listener, final Descriptors descriptors) {
-        this.clock = clock;
-        this.loop = loop;
-        this.turns = turns;
-        this.connectTimeoutUs = config.connectTimeoutUs();
-        this.listener = listener;
-        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleCloseUs());
-        this.descriptors = descriptors;
-        this.template = new Bootstrap().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(final Channel channel) {
-                        final HttpConnection reader = new HttpConnection(HttpCarrier.this, loop, clock);
-                        channel.pipeline().addLast(new AnswerDecoder(reader), reader);
-                    }
+  private static final long US_PER_MS = 1000;
+
+  /**
+   * Share of the endpoints' own limit after which an idle connection is closed: a request may not
+   * cross it.
+   */
+  private static final double IDLE_SHARE = 0.8;
+
+  /**
+   * What belongs to no call may still come right behind an answer: a connection rests so long
+   * before its next, and what has come by then has been looked for. The clock alone says little
+   * where a pass takes longer than that.
+   */
+  private static final long REST_US = 5_000;
+
+  /** How soon a socket is asked for again that the system does not have, us. */
+  private static final long SOCKET_RETRY_US = 5_000;
+
+  /** So often a call is tried again whose connection this machine's own system refused to begin. */
+  private static final int MOST_OWN_FAILURES = 4;
+
+  private final Clock clock;
+  private final EventLoop loop;
+  private final LoopTurns turns;
+  private final long connectTimeoutUs;
+  private final Listener listener;
+  private final Bootstrap template;
+  private final long idleUs;
+  private final Descriptors descriptors;
+  private final Map<Long, HttpPool> pools = new HashMap<>();
+  private final Set<HttpCall> calls = new HashSet<>();
+
+  /** Calls that are not written whole yet: a wait that is told meanwhile binds them. */
+  private final Set<HttpCall> unwritten = new LinkedHashSet<>();
+
+  /** Connections that carry no call, over all endpoints, the one idle longest first. */
+  private final Set<HttpConnection> idle = new LinkedHashSet<>();
+
+  private final TimeHeap<HttpCall> deadlines = new TimeHeap<>();
+
+  /** For when the next look at deadlines is planned. */
+  private long armedUs = Long.MAX_VALUE;
+
+  /** No connection is made yet. */
+  public HttpCarrier(
+      final Config config,
+      final EventLoop loop,
+      final Clock clock,
+      final LoopTurns turns,
+      final Listener listener,
+      final Descriptors descriptors) {
+    this.clock = clock;
+    this.loop = loop;
+    this.turns = turns;
+    this.connectTimeoutUs = config.connectTimeoutUs();
+    this.listener = listener;
+    this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleCloseUs());
+    this.descriptors = descriptors;
+    this.template =
+        new Bootstrap()
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(final Channel channel) {
+                    final HttpConnection reader = new HttpConnection(HttpCarrier.this, loop, clock);
+                    channel.pipeline().addLast(new AnswerDecoder(reader), reader);
+                  }
                 });
-        final long sweepUs = Math.max(US_PER_MS, idleUs / 8);
-        loop.scheduleWithFixedDelay(LoopTasks.guarded("idle connections", this::closeOld), sweepUs, sweepUs, TimeUnit.MICROSECONDS);
+    final long sweepUs = Math.max(US_PER_MS, idleUs / 8);
+    loop.scheduleWithFixedDelay(
+        LoopTasks.guarded("idle connections", this::closeOld),
+        sweepUs,
+        sweepUs,
+        TimeUnit.MICROSECONDS);
+  }
+
+  // ---------------------------------------------------------------- state
+
+  @Override
+  public void listed(
+      final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+    final HttpPool pool =
+        pools.computeIfAbsent(entry.id(), unused -> new HttpPool(entry, apart, address));
+    pool.takesNew = entry.condition() == Courier.Condition.LISTED;
+    if (!pool.address.equals(address)) {
+      pool.address = address;
+      closeIdle(entry.id());
     }
-
-    // ---------------------------------------------------------------- state
-
-    @Override
-    public void listed(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
-        final HttpPool pool = pools.computeIfAbsent(entry.id(), unused -> new HttpPool(entry, apart, address));
-        pool.takesNew = entry.condition() == Courier.Condition.LISTED;
-        if (!pool.address.equals(address)) {
-            pool.address = address;
-            closeIdle(entry.id());
-        }
+  }
+
+  @Override
+  public void removed(final long endpoint) {
+    closeIdle(endpoint);
+    final HttpPool pool = pools.remove(endpoint);
+    if (pool != null) {
+      pool.removed = true;
+      pool.takesNew = false;
     }
+  }
 
-    @Override
-    public void removed(final long endpoint) {
-        closeIdle(endpoint);
-        final HttpPool pool = pools.remove(endpoint);
-        if (pool != null) {
-            pool.removed = true;
-            pool.takesNew = false;
-        }
+  @Override
+  public void closeIdle(final long endpoint) {
+    final HttpPool pool = pools.get(endpoint);
+    if (pool != null) {
+      List.copyOf(pool.idle).forEach(HttpConnection::close);
     }
-
-    @Override
-    public void closeIdle(final long endpoint) {
-        final HttpPool pool = pools.get(endpoint);
-        if (pool != null) {
-            List.copyOf(pool.idle).forEach(HttpConnection::close);
-        }
+  }
+
+  /**
+   * Closes connections before the endpoint does: a request that crosses its close may have run, or
+   * not.
+   */
+  private void closeOld() {
+    final long beforeUs = clock.nowUs() - idleUs;
+    while (!idle.isEmpty() && idle.iterator().next().idleSinceUs() <= beforeUs) {
+      idle.iterator().next().close();
     }
+  }
 
-    /** Closes connections before the endpoint does: a request that crosses its close may have run, or not. */
-    private void closeOld() {
-        final long beforeUs = clock.nowUs() - idleUs;
-        while (!idle.isEmpty() && idle.iterator().next().idleSinceUs() <= beforeUs) {
-            idle.iterator().next().close();
-        }
+  private void makeRoom() {
+    if (descriptors.isFullOfEndpoints() && !idle.isEmpty()) {
+      idle.iterator().next().close();
     }
+  }
 
-    private void makeRoom() {
-        if (descriptors.isFullOfEndpoints() && !idle.isEmpty()) {
-            idle.iterator().next().close();
-        }
-    }
+  // ---------------------------------------------------------------- calls
 
-    // ---------------------------------------------------------------- calls
+  @Override
+  public Call prepare(final long endpoint, final List<? extends Parcel> parcels) {
+    return new HttpCall(pools.get(endpoint), endpoint, parcels, clock.nowUs());
+  }
 
-    @Override
-    public Call prepare(final long endpoint, final List<? extends Parcel> parcels) {
-        return new HttpCall(pools.get(endpoint), endpoint, parcels, clock.nowUs());
+  @Override
+  public void start(final Call prepared) {
+    final HttpCall call = (HttpCall) prepared;
+    if (call.pool == null) {
+      loop.execute(() -> abandon(call, Result.NOT_SENT));
+      return;
     }
-
-    @Override
-    public void start(final Call prepared) {
-        final HttpCall call = (HttpCall) prepared;
-        if (call.pool == null) {
-            loop.execute(() -> abandon(call, Result.NOT_SENT));
-            return;
-        }
-        calls.add(call);
-        deadlines.set(call, call.deadlineUs);
-        arm();
-        call.started = true;
-        unwritten.add(call);
-        dispatch(call);
+    calls.add(call);
+    deadlines.set(call, call.deadlineUs);
+    arm();
+    call.started = true;
+    unwritten.add(call);
+    dispatch(call);
+  }
+
+  /** A call's last byte is written. */
+  void written(final HttpCall call) {
+    call.written = true;
+    unwritten.remove(call);
+    listener.written(call.parcels.size());
+  }
+
+  /**
+   * One timer for all calls, at the first deadline; a call that ends takes its deadline with it.
+   */
+  private void arm() {
+    final long firstUs = deadlines.firstUs();
+    if (firstUs < armedUs) {
+      armedUs = firstUs;
+      loop.schedule(this::giveUp, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
     }
-
-    /** A call's last byte is written. */
-    void written(final HttpCall call) {
-        call.written = true;
-        unwritten.remove(call);
-        listener.written(call.parcels.size());
+  }
+
+  /**
+   * An answer that lies unread counts as what it says: a call is given up only after a look at the
+   * sockets that began after its time. A process that was stopped wakes to its timers first,
+   * whatever has come meanwhile.
+   */
+  private void giveUp() {
+    armedUs = Long.MAX_VALUE;
+    final long lookedUs = turns.lookUs();
+    for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
+      readUnwatched(late);
+      abandon(late, Result.TIMED_OUT);
     }
-
-    /** One timer for all calls, at the first deadline; a call that ends takes its deadline with it. */
-    private void arm() {
-        final long firstUs = deadlines.firstUs();
-        if (firstUs < armedUs) {
-            armedUs = firstUs;
-            loop.schedule(this::giveUp, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
-        }
+    // What fell due since that look began is judged in the next turn, after another.
+    arm();
+  }
+
+  /**
+   * An answer that the selector does not tell of, since the system refused to watch its connection,
+   * counts as well.
+   */
+  private static void readUnwatched(final HttpCall call) {
+    if (call.written && call.channel.isActive()) {
+      DirectRead.of(call.channel);
     }
-
-    /**
-     * An answer that lies unread counts as what it says: a call is given up only after a look at the sockets that began
-     * after its time. A process that was stopped wakes to its timers first, whatever has come meanwhile.
-     */
-    private void giveUp() {
-        armedUs = Long.MAX_VALUE;
-        final long lookedUs = turns.lookUs();
-        for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
-            readUnwatched(late);
-            abandon(late, Result.TIMED_OUT);
-        }
-        // What fell due since that look began is judged in the next turn, after another.
-        arm();
+  }
+
+  /** Runs something for a call, unless the call ends first: then nothing of it is kept. */
+  private void later(final HttpCall call, final long delayUs, final Runnable action) {
+    call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
+  }
+
+  /** Forgets a call; false if it was over already. */
+  boolean remove(final HttpCall call) {
+    call.timers.forEach(timer -> timer.cancel(false));
+    call.timers.clear();
+    deadlines.remove(call);
+    unwritten.remove(call);
+    return calls.remove(call);
+  }
+
+  /**
+   * Takes out of a call what may not go any more; the last look before its first byte.
+   *
+   * @return true if something is left
+   */
+  private boolean mayGo(final HttpCall call) {
+    if (!calls.contains(call)) {
+      return false;
     }
-
-    /** An answer that the selector does not tell of, since the system refused to watch its connection, counts as well. */
-    private static void readUnwatched(final HttpCall call) {
-        if (call.written && call.channel.isActive()) {
-            DirectRead.of(call.channel);
-        }
+    final long nowUs = clock.nowUs();
+    if (!call.pool.takesNew) {
+      // The list has changed since it was decided, while a connection came up: it drains, or is
+      // gone.
+      abandon(call, Result.NOT_SENT);
+      return false;
     }
-
-    /** Runs something for a call, unless the call ends first: then nothing of it is kept. */
-    private void later(final HttpCall call, final long delayUs, final Runnable action) {
-        call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
+    if (call.deadlineUs <= nowUs) {
+      // This process stood still since it was decided: sent now, it would be given up at once, and
+      // run all the same.
+      abandon(call, Result.NOT_SENT);
+      return false;
     }
-
-    /** Forgets a call; false if it was over already. */
-    boolean remove(final HttpCall call) {
-        call.timers.forEach(timer -> timer.cancel(false));
-        call.timers.clear();
-        deadlines.remove(call);
-        unwritten.remove(call);
-        return calls.remove(call);
+    if (call.goesUntilUs >= nowUs) {
+      return true;
     }
-
-    /**
-     * Takes out of a call what may not go any more; the last look before its first byte.
-     *
-     * @return true if something is left
-     */
-    private boolean mayGo(final HttpCall call) {
-        if (!calls.contains(call)) {
-            return false;
-        }
-        final long nowUs = clock.nowUs();
-        if (!call.pool.takesNew) {
-            // The list has changed since it was decided, while a connection came up: it drains, or is gone.
-            abandon(call, Result.NOT_SENT);
-            return false;
-        }
-        if (call.deadlineUs <= nowUs) {
-            // This process stood still since it was decided: sent now, it would be given up at once, and run all the same.
-            abandon(call, Result.NOT_SENT);
-            return false;
-        }
-        if (call.goesUntilUs >= nowUs) {
-            return true;
-        }
-        final List<Parcel> late = call.parcels.stream().filter(parcel -> parcel.goesUntilUs() < nowUs).toList();
-        if (late.size() == call.parcels.size()) {
-            abandon(call, Result.NOT_SENT);
-            return false;
-        }
-        call.parcels.removeAll(late);
-        late.forEach(parcel -> listener.outcome(parcel, call, new Answer(Result.NOT_SENT, false, 0, null)));
-        return true;
+    final List<Parcel> late =
+        call.parcels.stream().filter(parcel -> parcel.goesUntilUs() < nowUs).toList();
+    if (late.size() == call.parcels.size()) {
+      abandon(call, Result.NOT_SENT);
+      return false;
     }
-
-    /** Over an idle connection that has had its rest and a look after it; one that needs a little more is waited for. */
-    private void dispatch(final HttpCall call) {
-        if (!mayGo(call)) {
-            return;
-        }
-        final long nowUs = clock.nowUs();
-        final long lookedUs = turns.lookUs();
-        HttpConnection rested = null;
-        long restUs = Long.MAX_VALUE;
-        // Those used last stand at the end: of the rested ones the last is taken, so that the others may age.
-        for (final Iterator<HttpConnection> readers = call.pool.idle.descendingIterator(); readers.hasNext();) {
-            final HttpConnection reader = readers.next();
-            if (!reader.isActive()) {
-                readers.remove();
-                idle.remove(reader);
-            } else if (reader.idleSinceUs() + REST_US <= lookedUs) {
-                readers.remove();
-                idle.remove(reader);
-                rested = reader;
-                break;
-            } else {
-                restUs = Math.min(restUs, Math.max(0, reader.idleSinceUs() + REST_US - nowUs));
-            }
-        }
-        if (rested != null) {
-            rested.write(call);
-        } else if (restUs <= REST_US) {
-            later(call, restUs, () -> dispatch(call));
-        } else {
-            connect(call);
-        }
+    call.parcels.removeAll(late);
+    late.forEach(
+        parcel -> listener.outcome(parcel, call, new Answer(Result.NOT_SENT, false, 0, null)));
+    return true;
+  }
+
+  /**
+   * Over an idle connection that has had its rest and a look after it; one that needs a little more
+   * is waited for.
+   */
+  private void dispatch(final HttpCall call) {
+    if (!mayGo(call)) {
+      return;
     }
-
-    private void connect(final HttpCall call) {
-        makeRoom();
-        if (descriptors.isFullOfEndpoints()) {
-            loop.execute(() -> abandon(call, Result.NOT_SENT));
-            return;
-        }
-        final long fromUs = clock.nowUs();
-        final ChannelFuture connecting;
-        try {
-            connecting = Connector.connect(loop, template, call.pool.address, done -> connected(call, done, fromUs));
-        } catch (final NoSocketException e) {
-            waitForSocket(call, fromUs);
-            return;
-        }
-        descriptors.endpoints(1);
-        call.channel = connecting.channel();
-        call.channel.closeFuture().addListener(closed -> descriptors.endpoints(-1));
-        // Not the channel's own timer: that would judge before the look that tells that it has come up.
-        later(call, connectTimeoutUs, () -> turns.afterLook(loop, fromUs + connectTimeoutUs, () -> {
-            if (!connecting.isDone()) {
-                abandon(call, Result.NO_CONNECTION);
-            }
-        }));
+    final long nowUs = clock.nowUs();
+    final long lookedUs = turns.lookUs();
+    HttpConnection rested = null;
+    long restUs = Long.MAX_VALUE;
+    // Those used last stand at the end: of the rested ones the last is taken, so that the others
+    // may age.
+    for (final Iterator<HttpConnection> readers = call.pool.idle.descendingIterator();
+        readers.hasNext(); ) {
+      final HttpConnection reader = readers.next();
+      if (!reader.isActive()) {
+        readers.remove();
+        idle.remove(reader);
+      } else if (reader.idleSinceUs() + REST_US <= lookedUs) {
+        readers.remove();
+        idle.remove(reader);
+        rested = reader;
+        break;
+      } else {
+        restUs = Math.min(restUs, Math.max(0, reader.idleSinceUs() + REST_US - nowUs));
+      }
     }
-
-    /** The system has no socket now. Nothing was asked of the endpoint, so nothing is said of it when that lasts. */
-    private void waitForSocket(final HttpCall call, final long nowUs) {
-        if (nowUs - call.sentUs < connectTimeoutUs) {
-            later(call, SOCKET_RETRY_US, () -> dispatch(call));
-        } else {
-            loop.execute(() -> abandon(call, Result.NOT_SENT));
-        }
+    if (rested != null) {
+      rested.write(call);
+    } else if (restUs <= REST_US) {
+      later(call, restUs, () -> dispatch(call));
+    } else {
+      connect(call);
     }
+  }
 
-    private void connected(final HttpCall call, final ChannelFuture connecting, final long fromUs) {
-        if (connecting.isSuccess()) {
-            call.pool.shaken(clock.nowUs() - fromUs);
-        }
-        if (!connecting.isSuccess() && calls.contains(call)) {
-            if (Connector.isOwnFailure(connecting.cause()) && call.ownFailures++ < MOST_OWN_FAILURES) {
-                call.channel = null;
-                later(call, SOCKET_RETRY_US, () -> dispatch(call));
-            } else {
-                abandon(call, Result.NO_CONNECTION);
-            }
-        } else if (mayGo(call)) {
-            connecting.channel().pipeline().get(HttpConnection.class).write(call);
-        } else {
-            connecting.channel().close();
-        }
+  private void connect(final HttpCall call) {
+    makeRoom();
+    if (descriptors.isFullOfEndpoints()) {
+      loop.execute(() -> abandon(call, Result.NOT_SENT));
+      return;
     }
-
-    /**
-     * Ends a call from our side. Its connection is closed, or its sending ended, before the outcome is told, so that no
-     * further attempt of a message can meet this one.
-     */
-    @Override
-    public void abandon(final Call given, final Result result) {
-        final HttpCall call = (HttpCall) given;
-        final boolean known = remove(call);
-        if (!known && call.started) {
-            return;
-        }
-        final Answer delivered = call.reader != null && call.reader.isDelivered(call) ? call.reader.delivered() : null;
-        if (call.written && call.channel.isActive()) {
-            call.reader.giveUp();
-        } else if (call.channel != null) {
-            call.channel.close();
-        }
-        if (delivered != null) {
-            tell(call, delivered);
-            return;
-        }
-        final Result sure = call.written || result == Result.NOT_SENT ? result : neverWritten(result);
-        tell(call, new Answer(sure, false, 0, null));
+    final long fromUs = clock.nowUs();
+    final ChannelFuture connecting;
+    try {
+      connecting =
+          Connector.connect(
+              loop, template, call.pool.address, done -> connected(call, done, fromUs));
+    } catch (final NoSocketException e) {
+      waitForSocket(call, fromUs);
+      return;
     }
-
-    /** What gave up a call that was never written whole cannot have run. */
-    private static Result neverWritten(final Result result) {
-        return result == Result.CANCELLED ? Result.NOT_SENT : Result.NO_CONNECTION;
+    descriptors.endpoints(1);
+    call.channel = connecting.channel();
+    call.channel.closeFuture().addListener(closed -> descriptors.endpoints(-1));
+    // Not the channel's own timer: that would judge before the look that tells that it has come up.
+    later(
+        call,
+        connectTimeoutUs,
+        () ->
+            turns.afterLook(
+                loop,
+                fromUs + connectTimeoutUs,
+                () -> {
+                  if (!connecting.isDone()) {
+                    abandon(call, Result.NO_CONNECTION);
+                  }
+                }));
+  }
+
+  /**
+   * The system has no socket now. Nothing was asked of the endpoint, so nothing is said of it when
+   * that lasts.
+   */
+  private void waitForSocket(final HttpCall call, final long nowUs) {
+    if (nowUs - call.sentUs < connectTimeoutUs) {
+      later(call, SOCKET_RETRY_US, () -> dispatch(call));
+    } else {
+      loop.execute(() -> abandon(call, Result.NOT_SENT));
     }
+  }
 
-    /** Tells the outcome of all messages of a call. */
-    void tell(final HttpCall call, final Answer answer) {
-        call.parcels.forEach(parcel -> tell(parcel, call, answer));
+  private void connected(final HttpCall call, final ChannelFuture connecting, final long fromUs) {
+    if (connecting.isSuccess()) {
+      call.pool.shaken(clock.nowUs() - fromUs);
     }
-
-    /**
-     * Tells the outcome of one message of a call. An answer that is read after the call's time, since this process stood still,
-     * may have been written after it, when nobody counts it any more: such a message ends by a notice, which does no harm if
-     * the answer counted after all.
-     */
-    void tell(final Parcel parcel, final HttpCall call, final Answer answer) {
-        final boolean tooLate = answer.result() == Result.DELIVERED && clock.nowUs() > call.validUntilUs;
-        listener.outcome(parcel, call, tooLate ? new Answer(Result.TIMED_OUT, false, answer.waitUs(), answer.allowance())
-                : answer);
+    if (!connecting.isSuccess() && calls.contains(call)) {
+      if (Connector.isOwnFailure(connecting.cause()) && call.ownFailures++ < MOST_OWN_FAILURES) {
+        call.channel = null;
+        later(call, SOCKET_RETRY_US, () -> dispatch(call));
+      } else {
+        abandon(call, Result.NO_CONNECTION);
+      }
+    } else if (mayGo(call)) {
+      connecting.channel().pipeline().get(HttpConnection.class).write(call);
+    } else {
+      connecting.channel().close();
     }
-
-    /** A wait was told: what is on its way to that destination, and not written yet, may not go. */
-    void holdBack(final HttpPool told) {
-        for (final HttpCall call : List.copyOf(unwritten)) {
-            final boolean bound = told.apart ? call.pool == told : call.pool.destination == told.destination;
-            if (bound) {
-                abandon(call, Result.NOT_SENT);
-            }
-        }
+  }
+
+  /**
+   * Ends a call from our side. Its connection is closed, or its sending ended, before the outcome
+   * is told, so that no further attempt of a message can meet this one.
+   */
+  @Override
+  public void abandon(final Call given, final Result result) {
+    final HttpCall call = (HttpCall) given;
+    final boolean known = remove(call);
+    if (!known && call.started) {
+      return;
     }
-
-    /** An answer that comes too late for its call tells a wait all the same. */
-    void toldToWait(final HttpPool by, final long waitUs) {
-        holdBack(by);
-        listener.toldToWait(by.endpoint, waitUs);
+    final Answer delivered =
+        call.reader != null && call.reader.isDelivered(call) ? call.reader.delivered() : null;
+    if (call.written && call.channel.isActive()) {
+      call.reader.giveUp();
+    } else if (call.channel != null) {
+      call.channel.close();
     }
-
-    @Override
-    public void holdBack(final long endpoint) {
-        final HttpPool pool = pools.get(endpoint);
-        if (pool != null) {
-            holdBack(pool);
-        }
+    if (delivered != null) {
+      tell(call, delivered);
+      return;
     }
-
-    /** A connection carries no call from now on. */
-    void pool(final HttpConnection connection, final HttpPool pool) {
-        pool.idle.addLast(connection);
-        idle.add(connection);
+    final Result sure = call.written || result == Result.NOT_SENT ? result : neverWritten(result);
+    tell(call, new Answer(sure, false, 0, null));
+  }
+
+  /** What gave up a call that was never written whole cannot have run. */
+  private static Result neverWritten(final Result result) {
+    return result == Result.CANCELLED ? Result.NOT_SENT : Result.NO_CONNECTION;
+  }
+
+  /** Tells the outcome of all messages of a call. */
+  void tell(final HttpCall call, final Answer answer) {
+    call.parcels.forEach(parcel -> tell(parcel, call, answer));
+  }
+
+  /**
+   * Tells the outcome of one message of a call. An answer that is read after the call's time, since
+   * this process stood still, may have been written after it, when nobody counts it any more: such
+   * a message ends by a notice, which does no harm if the answer counted after all.
+   */
+  void tell(final Parcel parcel, final HttpCall call, final Answer answer) {
+    final boolean tooLate =
+        answer.result() == Result.DELIVERED && clock.nowUs() > call.validUntilUs;
+    listener.outcome(
+        parcel,
+        call,
+        tooLate
+            ? new Answer(Result.TIMED_OUT, false, answer.waitUs(), answer.allowance())
+            : answer);
+  }
+
+  /** A wait was told: what is on its way to that destination, and not written yet, may not go. */
+  void holdBack(final HttpPool told) {
+    for (final HttpCall call : List.copyOf(unwritten)) {
+      final boolean bound =
+          told.apart ? call.pool == told : call.pool.destination == told.destination;
+      if (bound) {
+        abandon(call, Result.NOT_SENT);
+      }
     }
-
-    /** A connection is in use, or not to be used again. */
-    void unpool(final HttpConnection connection, final HttpPool pool) {
-        if (idle.remove(connection)) {
-            pool.idle.remove(connection);
-        }
+  }
+
+  /** An answer that comes too late for its call tells a wait all the same. */
+  void toldToWait(final HttpPool by, final long waitUs) {
+    holdBack(by);
+    listener.toldToWait(by.endpoint, waitUs);
+  }
+
+  @Override
+  public void holdBack(final long endpoint) {
+    final HttpPool pool = pools.get(endpoint);
+    if (pool != null) {
+      holdBack(pool);
+    }
+  }
+
+  /** A connection carries no call from now on. */
+  void pool(final HttpConnection connection, final HttpPool pool) {
+    pool.idle.addLast(connection);
+    idle.add(connection);
+  }
+
+  /** A connection is in use, or not to be used again. */
+  void unpool(final HttpConnection connection, final HttpPool pool) {
+    if (idle.remove(connection)) {
+      pool.idle.remove(connection);
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpPool.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpPool.java
@@ -7,34 +7,38 @@
 
 /** The connections to one endpoint; its fields are the {@link HttpCarrier}'s to change. */
 final class HttpPool {
-    /** Of one handshake in the mean. */
-    private static final double WEIGHT = 0.2;
-
-    final long endpoint;
-    final long destination;
-    final boolean apart;
-    InetSocketAddress address;
-    /** Idle ones, the one used last at the end. */
-    final Deque<HttpConnection> idle = new ArrayDeque<>();
-    boolean removed;
-    /** The list names it as one that wants new calls: not while it drains, nor once it is gone. */
-    boolean takesNew = true;
-    private double handshakeUs;
-
-    HttpPool(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
-        this.endpoint = entry.id();
-        this.destination = entry.destination();
-        this.apart = apart;
-        this.address = address;
-    }
-
-    /** A connection was made in so long, us. */
-    void shaken(final long us) {
-        handshakeUs += handshakeUs == 0 ? us : WEIGHT * (us - handshakeUs);
-    }
-
-    /** How long that takes, smoothed; 0: none was made yet. */
-    double handshakeUs() {
-        return handshakeUs;
-    }
+  /** Of one handshake in the mean. */
+  private static final double WEIGHT = 0.2;
+
+  final long endpoint;
+  final long destination;
+  final boolean apart;
+  InetSocketAddress address;
+
+  /** Idle ones, the one used last at the end. */
+  final Deque<HttpConnection> idle = new ArrayDeque<>();
+
+  boolean removed;
+
+  /** The list names it as one that wants new calls: not while it drains, nor once it is gone. */
+  boolean takesNew = true;
+
+  private double handshakeUs;
+
+  HttpPool(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+    this.endpoint = entry.id();
+    this.destination = entry.destination();
+    this.apart = apart;
+    this.address = address;
+  }
+
+  /** A connection was made in so long, us. */
+  void shaken(final long us) {
+    handshakeUs += handshakeUs == 0 ? us : WEIGHT * (us - handshakeUs);
+  }
+
+  /** How long that takes, smoothed; 0: none was made yet. */
+  double handshakeUs() {
+    return handshakeUs;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpRequests.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpRequests.java
@@ -10,47 +10,50 @@
 import thistleturn.courier.port.Held;
 import thistleturn.courier.runtime.Json;
 
-/** Calls as the protocol writes them: one message with its headers, or several in one JSON array. */
+/**
+ * Calls as the protocol writes them: one message with its headers, or several in one JSON array.
+ */
 final class HttpRequests {
-    private static final long US_PER_MS = 1000;
-    private static final int HEAD_CHARS = 256;
+  private static final long US_PER_MS = 1000;
+  private static final int HEAD_CHARS = 256;
 
-    private HttpRequests() { }
+  private HttpRequests() {}
 
-    /** The bytes of a call's request; id, key and body go on unchanged. */
-    static ByteBuf request(final HttpCall call, final long nowUs) {
-        final boolean many = call.isBulk();
-        final byte[] body = many ? bulk(call) : call.parcels.get(0).held().body();
-        final StringBuilder head = new StringBuilder(HEAD_CHARS);
-        head.append(many ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
-        head.append(call.pool.address.getHostString()).append("\r\nX-Timeout-Ms: ")
-                .append(Math.max(1, (call.deadlineUs - nowUs) / US_PER_MS));
-        if (many) {
-            head.append("\r\nContent-Type: application/json");
-        } else {
-            final Held held = call.parcels.get(0).held();
-            head.append("\r\nX-Request-ID: ").append(held.id());
-            if (held.idempotencyKey() != null) {
-                head.append("\r\nIdempotency-Key: ").append(held.idempotencyKey());
-            }
-        }
-        head.append("\r\nContent-Length: ").append(body.length).append("\r\n\r\n");
-        // Each character is one byte, as it was when it came in; one buffer is one write.
-        final ByteBuf bytes = Unpooled.buffer(head.length() + body.length);
-        bytes.writeCharSequence(head, StandardCharsets.ISO_8859_1);
-        return bytes.writeBytes(body);
+  /** The bytes of a call's request; id, key and body go on unchanged. */
+  static ByteBuf request(final HttpCall call, final long nowUs) {
+    final boolean many = call.isBulk();
+    final byte[] body = many ? bulk(call) : call.parcels.get(0).held().body();
+    final StringBuilder head = new StringBuilder(HEAD_CHARS);
+    head.append(many ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
+    head.append(call.pool.address.getHostString())
+        .append("\r\nX-Timeout-Ms: ")
+        .append(Math.max(1, (call.deadlineUs - nowUs) / US_PER_MS));
+    if (many) {
+      head.append("\r\nContent-Type: application/json");
+    } else {
+      final Held held = call.parcels.get(0).held();
+      head.append("\r\nX-Request-ID: ").append(held.id());
+      if (held.idempotencyKey() != null) {
+        head.append("\r\nIdempotency-Key: ").append(held.idempotencyKey());
+      }
     }
+    head.append("\r\nContent-Length: ").append(body.length).append("\r\n\r\n");
+    // Each character is one byte, as it was when it came in; one buffer is one write.
+    final ByteBuf bytes = Unpooled.buffer(head.length() + body.length);
+    bytes.writeCharSequence(head, StandardCharsets.ISO_8859_1);
+    return bytes.writeBytes(body);
+  }
 
-    private static byte[] bulk(final HttpCall call) {
-        final ArrayNode items = JsonNodeFactory.instance.arrayNode();
-        for (final Carrier.Parcel parcel : call.parcels) {
-            final Held held = parcel.held();
-            final ObjectNode item = items.addObject().put("id", held.id());
-            if (held.idempotencyKey() != null) {
-                item.put("key", held.idempotencyKey());
-            }
-            item.put("body", held.body());
-        }
-        return Json.text(items).getBytes(StandardCharsets.UTF_8);
+  private static byte[] bulk(final HttpCall call) {
+    final ArrayNode items = JsonNodeFactory.instance.arrayNode();
+    for (final Carrier.Parcel parcel : call.parcels) {
+      final Held held = parcel.held();
+      final ObjectNode item = items.addObject().put("id", held.id());
+      if (held.idempotencyKey() != null) {
+        item.put("key", held.idempotencyKey());
+      }
+      item.put("body", held.body());
     }
+    return Json.text(items).getBytes(StandardCharsets.UTF_8);
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
@@ -9,42 +9,53 @@
 import java.util.function.Consumer;
 
 /**
- * Reads requests strictly. The library forgives a length beside a transfer coding by dropping one of them; but two
- * readers that drop different ones see different requests, and a request could be hidden in another's body.
+ * Reads requests strictly. The library forgives a length beside a transfer coding by dropping one
+ * of them; but two readers that drop different ones see different requests, and a request could be
+ * hidden in another's body.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    private static final int MOST_LINE_BYTES = 2048;
-    private static final int MOST_HEAD_BYTES = 8192;
-
-    private static final HttpDecoderConfig CONFIG = new HttpDecoderConfig().setMaxInitialLineLength(MOST_LINE_BYTES)
-            .setMaxHeaderSize(MOST_HEAD_BYTES).setAllowDuplicateContentLengths(false).setStrictLineParsing(true)
-            .setUseRfc9112TransferEncoding(true);
-
-    private final Consumer<ByteBuf> bytesCame;
-
-    /** {@code bytesCame} is told of all that is read, also of what is no head yet. */
-    RequestDecoder(final Consumer<ByteBuf> bytesCame) {
-        super(CONFIG);
-        this.bytesCame = bytesCame;
-    }
-
-    @Override
-    public void channelRead(final ChannelHandlerContext context, final Object bytes) throws Exception {
-        if (bytes instanceof ByteBuf read) {
-            bytesCame.accept(read);
-        }
-        super.channelRead(context, bytes);
-    }
-
-    @Override
-    protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-        throw new IllegalArgumentException("a length and a transfer coding");
-    }
-
-    /** True where the body's end is told by the one coding that is understood here, or by a length alone. */
-    static boolean isFramedPlainly(final HttpMessage message) {
-        final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        return codings.isEmpty() || codings.size() == 1 && codings.get(0).trim().equalsIgnoreCase("chunked")
-                && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+  private static final int MOST_LINE_BYTES = 2048;
+  private static final int MOST_HEAD_BYTES = 8192;
+
+  private static final HttpDecoderConfig CONFIG =
+      new HttpDecoderConfig()
+          .setMaxInitialLineLength(MOST_LINE_BYTES)
+          .setMaxHeaderSize(MOST_HEAD_BYTES)
+          .setAllowDuplicateContentLengths(false)
+          .setStrictLineParsing(true)
+          .setUseRfc9112TransferEncoding(true);
+
+  private final Consumer<ByteBuf> bytesCame;
+
+  /** {@code bytesCame} is told of all that is read, also of what is no head yet. */
+  RequestDecoder(final Consumer<ByteBuf> bytesCame) {
+    super(CONFIG);
+    this.bytesCame = bytesCame;
+  }
+
+  @Override
+  public void channelRead(final ChannelHandlerContext context, final Object bytes)
+      throws Exception {
+    if (bytes instanceof ByteBuf read) {
+      bytesCame.accept(read);
     }
+    super.channelRead(context, bytes);
+  }
+
+  @Override
+  protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
+    throw new IllegalArgumentException("a length and a transfer coding");
+  }
+
+  /**
+   * True where the body's end is told by the one coding that is understood here, or by a length
+   * alone.
+   */
+  static boolean isFramedPlainly(final HttpMessage message) {
+    final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+    return codings.isEmpty()
+        || codings.size() == 1
+            && codings.get(0).trim().equalsIgnoreCase("chunked")
+            && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+  }
 }
