--- a/courier/src/main/java/thistleturn/courier/operator/Figures.java
+++ b/courier/src/main/java/thistleturn/courier/operator/Figures.java
@@ -12,49 +12,65 @@
  * @param endpointsKnown endpoints in the list
  * @param endpointsExcluded those of them that get nothing new now, by hand or for trouble with them
  */
-public record Figures(List<Ends> ends, long attempts, long inFlight, long endpointsKnown, long endpointsExcluded) {
+public record Figures(
+    List<Ends> ends, long attempts, long inFlight, long endpointsKnown, long endpointsExcluded) {
 
-    /** How messages of a class ended. */
-    public record Ends(String className, long served, long refused, long failed) { }
+  /** How messages of a class ended. */
+  public record Ends(String className, long served, long refused, long failed) {}
 
-    /** The figures of several parts of one courier together; all name the same classes in the same order. */
-    public static Figures sum(final List<Figures> parts) {
-        final List<Ends> ends = new ArrayList<>();
-        for (int kind = 0; kind < parts.get(0).ends.size(); kind++) {
-            long served = 0;
-            long refused = 0;
-            long failed = 0;
-            for (final Figures part : parts) {
-                served += part.ends.get(kind).served();
-                refused += part.ends.get(kind).refused();
-                failed += part.ends.get(kind).failed();
-            }
-            ends.add(new Ends(parts.get(0).ends.get(kind).className(), served, refused, failed));
-        }
-        return new Figures(ends, parts.stream().mapToLong(Figures::attempts).sum(),
-                parts.stream().mapToLong(Figures::inFlight).sum(),
-                parts.stream().mapToLong(Figures::endpointsKnown).sum(),
-                parts.stream().mapToLong(Figures::endpointsExcluded).sum());
+  /**
+   * The figures of several parts of one courier together; all name the same classes in the same
+   * order.
+   */
+  public static Figures sum(final List<Figures> parts) {
+    final List<Ends> ends = new ArrayList<>();
+    for (int kind = 0; kind < parts.get(0).ends.size(); kind++) {
+      long served = 0;
+      long refused = 0;
+      long failed = 0;
+      for (final Figures part : parts) {
+        served += part.ends.get(kind).served();
+        refused += part.ends.get(kind).refused();
+        failed += part.ends.get(kind).failed();
+      }
+      ends.add(new Ends(parts.get(0).ends.get(kind).className(), served, refused, failed));
     }
+    return new Figures(
+        ends,
+        parts.stream().mapToLong(Figures::attempts).sum(),
+        parts.stream().mapToLong(Figures::inFlight).sum(),
+        parts.stream().mapToLong(Figures::endpointsKnown).sum(),
+        parts.stream().mapToLong(Figures::endpointsExcluded).sum());
+  }
 
-    /** As text in the form that Prometheus reads (exposition format 0.0.4). */
-    public String text() {
-        final StringBuilder text = new StringBuilder("# TYPE svc_requests_total counter\n");
-        for (final Ends kind : ends) {
-            line(text, kind.className(), "served", kind.served());
-            line(text, kind.className(), "refused", kind.refused());
-            line(text, kind.className(), "failed", kind.failed());
-        }
-        return text.append("# TYPE svc_attempts_total counter\nsvc_attempts_total ").append(attempts)
-                .append("\n# TYPE svc_in_flight gauge\nsvc_in_flight ").append(inFlight)
-                .append("\n# TYPE svc_endpoints_known gauge\nsvc_endpoints_known ").append(endpointsKnown)
-                .append("\n# TYPE svc_endpoints_excluded gauge\nsvc_endpoints_excluded ").append(endpointsExcluded)
-                .append('\n').toString();
+  /** As text in the form that Prometheus reads (exposition format 0.0.4). */
+  public String text() {
+    final StringBuilder text = new StringBuilder("# TYPE svc_requests_total counter\n");
+    for (final Ends kind : ends) {
+      line(text, kind.className(), "served", kind.served());
+      line(text, kind.className(), "refused", kind.refused());
+      line(text, kind.className(), "failed", kind.failed());
     }
+    return text.append("# TYPE svc_attempts_total counter\nsvc_attempts_total ")
+        .append(attempts)
+        .append("\n# TYPE svc_in_flight gauge\nsvc_in_flight ")
+        .append(inFlight)
+        .append("\n# TYPE svc_endpoints_known gauge\nsvc_endpoints_known ")
+        .append(endpointsKnown)
+        .append("\n# TYPE svc_endpoints_excluded gauge\nsvc_endpoints_excluded ")
+        .append(endpointsExcluded)
+        .append('\n')
+        .toString();
+  }
 
-    private static void line(final StringBuilder text, final String className, final String outcome, final long count) {
-        text.append("svc_requests_total{class=\"")
-                .append(className.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
-                .append("\",outcome=\"").append(outcome).append("\"} ").append(count).append('\n');
-    }
+  private static void line(
+      final StringBuilder text, final String className, final String outcome, final long count) {
+    text.append("svc_requests_total{class=\"")
+        .append(className.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
+        .append("\",outcome=\"")
+        .append(outcome)
+        .append("\"} ")
+        .append(count)
+        .append('\n');
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/operator/MaintenanceFile.java
+++ b/courier/src/main/java/thistleturn/courier/operator/MaintenanceFile.java
@@ -11,49 +11,57 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints that are left out by hand, in the folder that outlasts the process: a name a line. It is replaced in one
- * step, so that a reader, in this process or another one, finds one state whole.
+ * The endpoints that are left out by hand, in the folder that outlasts the process: a name a line.
+ * It is replaced in one step, so that a reader, in this process or another one, finds one state
+ * whole.
  */
 public final class MaintenanceFile {
-    private static final String FILE = "maintenance";
-    private static final int MOST_BYTES = 1 << 16;
+  private static final String FILE = "maintenance";
+  private static final int MOST_BYTES = 1 << 16;
 
-    private final Path file;
-    private final Path next;
+  private final Path file;
+  private final Path next;
 
-    /** Nothing is read or written yet; {@code writer} is this process's own. */
-    public MaintenanceFile(final Path folder, final long writer) {
-        this.file = folder.resolve(FILE);
-        this.next = folder.resolve(FILE + ".next-" + writer);
-    }
+  /** Nothing is read or written yet; {@code writer} is this process's own. */
+  public MaintenanceFile(final Path folder, final long writer) {
+    this.file = folder.resolve(FILE);
+    this.next = folder.resolve(FILE + ".next-" + writer);
+  }
 
-    /**
-     * The names in the file; none if there is no file.
-     *
-     * @throws IOException if it cannot be read
-     */
-    public Set<String> read() throws IOException {
-        final Set<String> names = new TreeSet<>();
-        try {
-            Files.readString(file, StandardCharsets.UTF_8).lines().filter(line -> !line.isEmpty()).forEach(names::add);
-        } catch (final NoSuchFileException e) {
-            return names;
-        }
-        return names;
+  /**
+   * The names in the file; none if there is no file.
+   *
+   * @throws IOException if it cannot be read
+   */
+  public Set<String> read() throws IOException {
+    final Set<String> names = new TreeSet<>();
+    try {
+      Files.readString(file, StandardCharsets.UTF_8)
+          .lines()
+          .filter(line -> !line.isEmpty())
+          .forEach(names::add);
+    } catch (final NoSuchFileException e) {
+      return names;
     }
+    return names;
+  }
 
-    /**
-     * Puts these names in the file.
-     *
-     * @throws IOException if that failed, or they would need over 64 KiB; then the file is as it was
-     */
-    public void write(final Collection<String> names) throws IOException {
-        final byte[] text = names.stream().map(name -> name + "\n").reduce("", String::concat)
-                .getBytes(StandardCharsets.UTF_8);
-        if (text.length > MOST_BYTES) {
-            throw new IOException("the names left out need " + text.length + " bytes; " + MOST_BYTES + " are allowed");
-        }
-        Files.write(next, text);
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+  /**
+   * Puts these names in the file.
+   *
+   * @throws IOException if that failed, or they would need over 64 KiB; then the file is as it was
+   */
+  public void write(final Collection<String> names) throws IOException {
+    final byte[] text =
+        names.stream()
+            .map(name -> name + "\n")
+            .reduce("", String::concat)
+            .getBytes(StandardCharsets.UTF_8);
+    if (text.length > MOST_BYTES) {
+      throw new IOException(
+          "the names left out need " + text.length + " bytes; " + MOST_BYTES + " are allowed");
     }
+    Files.write(next, text);
+    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -33,134 +33,177 @@
 import thistleturn.courier.transport.PatientServerSocketChannel;
 
 /**
- * Answers operators, one call a connection. Callers who say nothing, or half of it, hold a connection for a while and
- * nobody up: where there are many, the one that has been silent longest makes room.
+ * Answers operators, one call a connection. Callers who say nothing, or half of it, hold a
+ * connection for a while and nobody up: where there are many, the one that has been silent longest
+ * makes room.
  */
 public final class OperatorServer {
-    private static final int MOST_CONNECTIONS = 24;
-    private static final int MOST_REQUEST_BYTES = 1 << 12;
-    /** A connection without a whole call is closed after this. */
-    private static final long PATIENCE_MS = 5000;
-    private static final int BACKLOG = 128;
-    private static final Pattern ENDPOINT = Pattern.compile("/-/endpoints/([^/]+)/(disable|enable)");
-
-    private final OperatorDesk desk;
-    /** Connections without a whole call, the oldest first. */
-    private final Set<Channel> silent = new LinkedHashSet<>();
-
-    /** Not listening yet. */
-    public OperatorServer(final OperatorDesk desk) {
-        this.desk = desk;
-    }
+  private static final int MOST_CONNECTIONS = 24;
+  private static final int MOST_REQUEST_BYTES = 1 << 12;
 
-    /** Listens; completes with the address in fact, or exceptionally. */
-    public CompletableFuture<String> listen(final EventLoop loop, final InetSocketAddress address) {
-        final CompletableFuture<String> listening = new CompletableFuture<>();
-        new ServerBootstrap().group(loop).channel(PatientServerSocketChannel.class)
-                .handler(new AcceptRetry())
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(final Channel channel) {
-                        opened(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_REQUEST_BYTES),
-                                new Answer());
-                    }
-                }).bind(address).addListener((io.netty.channel.ChannelFuture bound) -> {
-                    if (bound.isSuccess()) {
-                        listening.complete(bound.channel().localAddress().toString().replaceFirst(".*/", ""));
-                    } else {
-                        listening.completeExceptionally(new IOException("cannot listen on operator " + address + ": "
-                                + bound.cause().getMessage(), bound.cause()));
-                    }
-                });
-        return listening;
-    }
+  /** A connection without a whole call is closed after this. */
+  private static final long PATIENCE_MS = 5000;
 
-    private void opened(final Channel channel) {
-        silent.add(channel);
-        if (silent.size() > MOST_CONNECTIONS) {
-            final Channel oldest = silent.iterator().next();
-            silent.remove(oldest);
-            oldest.close();
-        }
-        final var patience = channel.eventLoop().schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> {
-            silent.remove(channel);
-            patience.cancel(false);
-        });
-    }
+  private static final int BACKLOG = 128;
+  private static final Pattern ENDPOINT = Pattern.compile("/-/endpoints/([^/]+)/(disable|enable)");
+
+  private final OperatorDesk desk;
+
+  /** Connections without a whole call, the oldest first. */
+  private final Set<Channel> silent = new LinkedHashSet<>();
 
-    /** What a call is answered: a status and a text. */
-    private record Said(HttpResponseStatus status, String text) { }
-
-    private CompletionStage<Said> say(final FullHttpRequest request) {
-        if (request.decoderResult().isFailure()) {
-            return said(HttpResponseStatus.BAD_REQUEST, "this cannot be read");
-        }
-        final String path = new QueryStringDecoder(request.uri()).path();
-        final Matcher endpoint = ENDPOINT.matcher(path);
-        final boolean asks = path.equals("/-/ready") || path.equals("/-/metrics");
-        if (!asks && !endpoint.matches()) {
-            return said(HttpResponseStatus.NOT_FOUND, "no such call");
-        }
-        if (!request.method().equals(asks ? HttpMethod.GET : HttpMethod.POST)) {
-            return said(HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "asked by GET" : "asked by POST");
-        }
-        if (path.equals("/-/ready")) {
-            return desk.isReady() ? said(HttpResponseStatus.OK, "ready")
-                    : said(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
-        }
-        if (!desk.isStarted()) {
-            return said(HttpResponseStatus.SERVICE_UNAVAILABLE, "starting");
-        }
-        if (asks) {
-            return desk.figures().thenApply(figures -> new Said(HttpResponseStatus.OK, figures.text() + Log.counters()));
-        }
-        final boolean leaveOut = endpoint.group(2).equals("disable");
-        return desk.maintain(endpoint.group(1), leaveOut).thenApply(known -> known
-                ? new Said(HttpResponseStatus.OK, leaveOut ? "left out" : "may serve")
-                : new Said(HttpResponseStatus.NOT_FOUND, "no endpoint of that name was ever listed"));
+  /** Not listening yet. */
+  public OperatorServer(final OperatorDesk desk) {
+    this.desk = desk;
+  }
+
+  /** Listens; completes with the address in fact, or exceptionally. */
+  public CompletableFuture<String> listen(final EventLoop loop, final InetSocketAddress address) {
+    final CompletableFuture<String> listening = new CompletableFuture<>();
+    new ServerBootstrap()
+        .group(loop)
+        .channel(PatientServerSocketChannel.class)
+        .handler(new AcceptRetry())
+        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(final Channel channel) {
+                opened(channel);
+                channel
+                    .pipeline()
+                    .addLast(
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MOST_REQUEST_BYTES),
+                        new Answer());
+              }
+            })
+        .bind(address)
+        .addListener(
+            (io.netty.channel.ChannelFuture bound) -> {
+              if (bound.isSuccess()) {
+                listening.complete(
+                    bound.channel().localAddress().toString().replaceFirst(".*/", ""));
+              } else {
+                listening.completeExceptionally(
+                    new IOException(
+                        "cannot listen on operator " + address + ": " + bound.cause().getMessage(),
+                        bound.cause()));
+              }
+            });
+    return listening;
+  }
+
+  private void opened(final Channel channel) {
+    silent.add(channel);
+    if (silent.size() > MOST_CONNECTIONS) {
+      final Channel oldest = silent.iterator().next();
+      silent.remove(oldest);
+      oldest.close();
     }
+    final var patience =
+        channel.eventLoop().schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+    channel
+        .closeFuture()
+        .addListener(
+            closed -> {
+              silent.remove(channel);
+              patience.cancel(false);
+            });
+  }
+
+  /** What a call is answered: a status and a text. */
+  private record Said(HttpResponseStatus status, String text) {}
 
-    private static CompletionStage<Said> said(final HttpResponseStatus status, final String text) {
-        return CompletableFuture.completedStage(new Said(status, text));
+  private CompletionStage<Said> say(final FullHttpRequest request) {
+    if (request.decoderResult().isFailure()) {
+      return said(HttpResponseStatus.BAD_REQUEST, "this cannot be read");
+    }
+    final String path = new QueryStringDecoder(request.uri()).path();
+    final Matcher endpoint = ENDPOINT.matcher(path);
+    final boolean asks = path.equals("/-/ready") || path.equals("/-/metrics");
+    if (!asks && !endpoint.matches()) {
+      return said(HttpResponseStatus.NOT_FOUND, "no such call");
+    }
+    if (!request.method().equals(asks ? HttpMethod.GET : HttpMethod.POST)) {
+      return said(HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "asked by GET" : "asked by POST");
     }
+    if (path.equals("/-/ready")) {
+      return desk.isReady()
+          ? said(HttpResponseStatus.OK, "ready")
+          : said(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+    }
+    if (!desk.isStarted()) {
+      return said(HttpResponseStatus.SERVICE_UNAVAILABLE, "starting");
+    }
+    if (asks) {
+      return desk.figures()
+          .thenApply(figures -> new Said(HttpResponseStatus.OK, figures.text() + Log.counters()));
+    }
+    final boolean leaveOut = endpoint.group(2).equals("disable");
+    return desk.maintain(endpoint.group(1), leaveOut)
+        .thenApply(
+            known ->
+                known
+                    ? new Said(HttpResponseStatus.OK, leaveOut ? "left out" : "may serve")
+                    : new Said(
+                        HttpResponseStatus.NOT_FOUND, "no endpoint of that name was ever listed"));
+  }
+
+  private static CompletionStage<Said> said(final HttpResponseStatus status, final String text) {
+    return CompletableFuture.completedStage(new Said(status, text));
+  }
+
+  private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private boolean asked;
 
-    private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private boolean asked;
-
-        @Override
-        protected void channelRead0(final ChannelHandlerContext context, final FullHttpRequest request) {
-            if (asked) {
-                // One call a connection: what comes behind it is not looked at.
-                return;
-            }
-            asked = true;
-            silent.remove(context.channel());
-            say(request).whenCompleteAsync((said, failure) -> {
+    @Override
+    protected void channelRead0(
+        final ChannelHandlerContext context, final FullHttpRequest request) {
+      if (asked) {
+        // One call a connection: what comes behind it is not looked at.
+        return;
+      }
+      asked = true;
+      silent.remove(context.channel());
+      say(request)
+          .whenCompleteAsync(
+              (said, failure) -> {
                 if (failure != null) {
-                    Log.info("operator: " + failure.getMessage());
+                  Log.info("operator: " + failure.getMessage());
                 }
-                answer(context, failure == null ? said
-                        : new Said(HttpResponseStatus.SERVICE_UNAVAILABLE, "it could not be written down"));
-            }, context.executor());
-        }
-
-        private void answer(final ChannelHandlerContext context, final Said said) {
-            final var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, said.status(),
-                    Unpooled.copiedBuffer(said.text().endsWith("\n") ? said.text() : said.text() + "\n",
-                            StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8")
-                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
-                    .set(HttpHeaderNames.CONNECTION, "close");
-            context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
-        }
-
-        @Override
-        public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-            context.close();
-        }
+                answer(
+                    context,
+                    failure == null
+                        ? said
+                        : new Said(
+                            HttpResponseStatus.SERVICE_UNAVAILABLE,
+                            "it could not be written down"));
+              },
+              context.executor());
+    }
+
+    private void answer(final ChannelHandlerContext context, final Said said) {
+      final var response =
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1,
+              said.status(),
+              Unpooled.copiedBuffer(
+                  said.text().endsWith("\n") ? said.text() : said.text() + "\n",
+                  StandardCharsets.UTF_8));
+      response
+          .headers()
+          .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8")
+          .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
+          .set(HttpHeaderNames.CONNECTION, "close");
+      context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+    }
+
+    @Override
+    public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
+      context.close();
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/Dial.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Dial.java
@@ -14,77 +14,90 @@
 import thistleturn.courier.transport.NoSocketException;
 
 /**
- * One connection to the platform, from the first try to its end. While the system refuses to begin one it is asked again; when
- * to give up is the caller's to say, not the channel's own timer: that would judge before the look that tells that it has
- * come up. Used on the event loop.
+ * One connection to the platform, from the first try to its end. While the system refuses to begin
+ * one it is asked again; when to give up is the caller's to say, not the channel's own timer: that
+ * would judge before the look that tells that it has come up. Used on the event loop.
  */
 final class Dial {
-    private static final long RETRY_MS = 10;
+  private static final long RETRY_MS = 10;
 
-    private final EventLoop loop;
-    private final InetSocketAddress address;
-    private final ChannelHandler reader;
-    private final Runnable failed;
-    private Channel channel;
-    private boolean closed;
+  private final EventLoop loop;
+  private final InetSocketAddress address;
+  private final ChannelHandler reader;
+  private final Runnable failed;
+  private Channel channel;
+  private boolean closed;
 
-    private Dial(final EventLoop loop, final InetSocketAddress address, final ChannelHandler reader, final Runnable failed) {
-        this.loop = loop;
-        this.address = address;
-        this.reader = reader;
-        this.failed = failed;
-    }
+  private Dial(
+      final EventLoop loop,
+      final InetSocketAddress address,
+      final ChannelHandler reader,
+      final Runnable failed) {
+    this.loop = loop;
+    this.address = address;
+    this.reader = reader;
+    this.failed = failed;
+  }
 
-    /** Begins to connect, for a handler of HTTP's parts; {@code failed} is run on the loop if it does not come up. */
-    static Dial begin(final EventLoop loop, final InetSocketAddress address, final ChannelHandler reader,
-            final Runnable failed) {
-        final Dial dial = new Dial(loop, address, reader, failed);
-        dial.connect();
-        return dial;
-    }
+  /**
+   * Begins to connect, for a handler of HTTP's parts; {@code failed} is run on the loop if it does
+   * not come up.
+   */
+  static Dial begin(
+      final EventLoop loop,
+      final InetSocketAddress address,
+      final ChannelHandler reader,
+      final Runnable failed) {
+    final Dial dial = new Dial(loop, address, reader, failed);
+    dial.connect();
+    return dial;
+  }
 
-    private void connect() {
-        if (closed) {
-            return;
-        }
-        final Bootstrap template = new Bootstrap().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(final Channel made) {
-                        made.pipeline().addLast(new HttpClientCodec(), reader);
-                    }
+  private void connect() {
+    if (closed) {
+      return;
+    }
+    final Bootstrap template =
+        new Bootstrap()
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(final Channel made) {
+                    made.pipeline().addLast(new HttpClientCodec(), reader);
+                  }
                 });
-        try {
-            channel = Connector.connect(loop, template, address, this::connected).channel();
-        } catch (final NoSocketException e) {
-            loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
-        }
+    try {
+      channel = Connector.connect(loop, template, address, this::connected).channel();
+    } catch (final NoSocketException e) {
+      loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
     }
+  }
 
-    private void connected(final ChannelFuture connecting) {
-        if (connecting.isSuccess()) {
-            return;
-        }
-        if (!closed && Connector.isOwnFailure(connecting.cause())) {
-            channel = null;
-            loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
-        } else {
-            failed.run();
-        }
+  private void connected(final ChannelFuture connecting) {
+    if (connecting.isSuccess()) {
+      return;
     }
-
-    /** Writes at once; it has come up. */
-    void write(final Object request) {
-        channel.writeAndFlush(request);
+    if (!closed && Connector.isOwnFailure(connecting.cause())) {
+      channel = null;
+      loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
+    } else {
+      failed.run();
     }
+  }
+
+  /** Writes at once; it has come up. */
+  void write(final Object request) {
+    channel.writeAndFlush(request);
+  }
 
-    /** Gives it up; one that has not come up is told as failed. */
-    void close() {
-        if (channel != null) {
-            channel.close();
-        } else if (!closed) {
-            loop.execute(failed);
-        }
-        closed = true;
+  /** Gives it up; one that has not come up is told as failed. */
+  void close() {
+    if (channel != null) {
+      channel.close();
+    } else if (!closed) {
+      loop.execute(failed);
     }
+    closed = true;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/Discovery.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Discovery.java
@@ -1,13 +1,6 @@
 package thistleturn.courier.platform;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import thistleturn.decisions.Courier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Json;
-import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTurns;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -25,255 +18,300 @@
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
+import thistleturn.courier.port.Directory;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.Json;
+import thistleturn.courier.runtime.Log;
+import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.decisions.Courier;
 
 /**
- * The list of endpoints: the copy from the configuration at first, then a watch on its changes. When the watch breaks,
- * falls silent or says what cannot be read, the decisions are told that it is lost; they say when to ask again.
+ * The list of endpoints: the copy from the configuration at first, then a watch on its changes.
+ * When the watch breaks, falls silent or says what cannot be read, the decisions are told that it
+ * is lost; they say when to ask again.
  */
 public final class Discovery implements Directory {
-    /**
-     * What a watch misses counts as told 6 s after it fell silent: to find that out, to connect and to be answered may take
-     * no longer, all three together. A line comes every 2 s; one that is not whole by then, however many of its bytes have
-     * come, has not come.
-     */
-    private static final long SILENT_US = 2_800_000;
-    private static final long CONNECT_US = 800_000;
-    /** An answer waits its turn for two seconds at most. */
-    private static final long ANSWER_US = 2_200_000;
-    /**
-     * The decisions say when to ask again, and wait longer each time. But a change counts as told 6 s after it could be had,
-     * whatever failed before: this wait and two tries, of which the first may be turned away, have to fit into that. Couriers
-     * that lost it in one moment do not ask in one.
-     */
-    private static final long RETRY_LEAST_US = 1_200_000;
-    private static final long RETRY_MOST_US = 1_500_000;
-    /** No version of the list is known that the one asked would understand. */
-    private static final long NONE = -1;
-    private static final int OK = 200;
-
-    private final EventLoop loop;
-    private final Clock clock;
-    private final LoopTurns turns;
-    private final JsonNode known;
-    private Listener listener;
-    private InetSocketAddress address;
-    /** When a watch last said something whole: the list was up to date then. */
-    private long freshUs;
-    private long seq;
-    private Watch watch;
-
-    /** A watch that does not ask for anything yet. */
-    public Discovery(final Config config, final EventLoop loop, final Clock clock, final LoopTurns turns) {
-        this.known = config.known();
-        this.loop = loop;
-        this.clock = clock;
-        this.turns = turns;
-        this.address = config.discovery();
+  /**
+   * What a watch misses counts as told 6 s after it fell silent: to find that out, to connect and
+   * to be answered may take no longer, all three together. A line comes every 2 s; one that is not
+   * whole by then, however many of its bytes have come, has not come.
+   */
+  private static final long SILENT_US = 2_800_000;
+
+  private static final long CONNECT_US = 800_000;
+
+  /** An answer waits its turn for two seconds at most. */
+  private static final long ANSWER_US = 2_200_000;
+
+  /**
+   * The decisions say when to ask again, and wait longer each time. But a change counts as told 6 s
+   * after it could be had, whatever failed before: this wait and two tries, of which the first may
+   * be turned away, have to fit into that. Couriers that lost it in one moment do not ask in one.
+   */
+  private static final long RETRY_LEAST_US = 1_200_000;
+
+  private static final long RETRY_MOST_US = 1_500_000;
+
+  /** No version of the list is known that the one asked would understand. */
+  private static final long NONE = -1;
+
+  private static final int OK = 200;
+
+  private final EventLoop loop;
+  private final Clock clock;
+  private final LoopTurns turns;
+  private final JsonNode known;
+  private Listener listener;
+  private InetSocketAddress address;
+
+  /** When a watch last said something whole: the list was up to date then. */
+  private long freshUs;
+
+  private long seq;
+  private Watch watch;
+
+  /** A watch that does not ask for anything yet. */
+  public Discovery(
+      final Config config, final EventLoop loop, final Clock clock, final LoopTurns turns) {
+    this.known = config.known();
+    this.loop = loop;
+    this.clock = clock;
+    this.turns = turns;
+    this.address = config.discovery();
+  }
+
+  @Override
+  public void start(final Listener told) {
+    listener = told;
+    if (known.path("hosts").isArray()) {
+      apply(known, Courier.Update.RESTORED);
+    }
+  }
+
+  /**
+   * While the watch lives, what it does not name does not exist. While the list is old nothing is
+   * known not to exist: refusing a destination that was added meanwhile would be wrong, and what
+   * has no endpoint in time is refused later.
+   */
+  @Override
+  public boolean isFresh() {
+    return clock.nowUs() - freshUs <= SILENT_US;
+  }
+
+  @Override
+  public void follow() {
+    if (watch != null) {
+      return;
+    }
+    open();
+  }
+
+  /** From now on the list is at another address, whose versions are numbered in their own way. */
+  @Override
+  public void reload(final Config fresh) {
+    final InetSocketAddress next = fresh.discovery();
+    if (next.equals(address)) {
+      return;
+    }
+    address = next;
+    seq = NONE;
+    final Watch old = watch;
+    open();
+    if (old != null) {
+      old.close();
+    }
+  }
+
+  private void open() {
+    final Watch fresh = new Watch();
+    watch = fresh;
+    fresh.connect();
+  }
+
+  private void apply(final JsonNode list, final Courier.Update update) {
+    final List<Listing> listings = new ArrayList<>();
+    for (final JsonNode node : list.path("hosts")) {
+      listings.add(listing(node));
+    }
+    seq = list.path("seq").asLong(seq);
+    listener.told(update, listings);
+  }
+
+  private static Listing listing(final JsonNode node) {
+    final String name = node.path("host").asText();
+    if (name.isEmpty() || !node.path("block").canConvertToLong()) {
+      throw new IllegalArgumentException("an entry without a host or a block: " + node);
+    }
+    final Courier.Condition condition =
+        switch (node.path("health").asText()) {
+          case "Ready" -> Courier.Condition.LISTED;
+          case "Terminating" -> Courier.Condition.DRAINING;
+          case "Gone" -> Courier.Condition.GONE;
+          default -> throw new IllegalArgumentException("unknown health: " + node);
+        };
+    return new Listing(
+        name,
+        condition,
+        Config.address("dial", node.path("dial").asText()),
+        node.path("site").asText(),
+        node.path("share").asDouble(0),
+        node.path("class").asText(),
+        node.path("block").asLong());
+  }
+
+  /**
+   * One watch, until its connection ends or it falls silent; before it the whole list, where no
+   * version is known.
+   */
+  private final class Watch extends SimpleChannelInboundHandler<HttpObject>
+      implements ListStream.Listener {
+    private final ListStream stream = new ListStream(this);
+    private Dial dial;
+    private boolean asksWhole;
+
+    /** The whole list that was asked for has come. */
+    private boolean hasWhole;
+
+    /** It has said something: its answer is not waited for any more, but its next line. */
+    private boolean follows;
+
+    /** When it is given up unless something whole comes before. */
+    private long dueUs;
+
+    private void connect() {
+      expect(CONNECT_US);
+      dial = Dial.begin(loop, address, this, this::lost);
+      keepTime();
     }
 
     @Override
-    public void start(final Listener told) {
-        listener = told;
-        if (known.path("hosts").isArray()) {
-            apply(known, Courier.Update.RESTORED);
-        }
+    public void channelActive(final ChannelHandlerContext ctx) {
+      if (watch == this) {
+        ask();
+      } else {
+        ctx.close();
+      }
+    }
+
+    private void ask() {
+      expect(ANSWER_US);
+      asksWhole = seq == NONE;
+      final var request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              HttpMethod.GET,
+              asksWhole ? "/discovery/hosts" : "/discovery/hosts?watch=1&after=" + seq);
+      request.headers().set(HttpHeaderNames.HOST, address.getHostString());
+      dial.write(request);
+    }
+
+    private void expect(final long withinUs) {
+      dueUs = clock.nowUs() + withinUs;
+    }
+
+    /** What has come by the time that is over counts: it is read before the watch is given up. */
+    private void keepTime() {
+      final long checkedUs = dueUs;
+      loop.schedule(
+          () ->
+              turns.afterLook(
+                  loop,
+                  checkedUs,
+                  () -> {
+                    if (watch != this) {
+                      return;
+                    }
+                    if (dueUs > checkedUs) {
+                      keepTime();
+                    } else if (follows) {
+                      // It is opened anew at once: for how long nothing was told is known, and
+                      // counts.
+                      open();
+                      close();
+                    } else {
+                      close();
+                    }
+                  }),
+          Math.max(0, checkedUs - clock.nowUs()),
+          TimeUnit.MICROSECONDS);
+    }
+
+    private void close() {
+      dial.close();
     }
 
-    /**
-     * While the watch lives, what it does not name does not exist. While the list is old nothing is known not to exist:
-     * refusing a destination that was added meanwhile would be wrong, and what has no endpoint in time is refused later.
-     */
     @Override
-    public boolean isFresh() {
-        return clock.nowUs() - freshUs <= SILENT_US;
+    protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
+      if (watch != this
+          || part.decoderResult().isFailure()
+          || part instanceof HttpResponse response && response.status().code() != OK) {
+        ctx.close();
+        return;
+      }
+      if (part instanceof HttpContent content) {
+        final byte[] bytes = new byte[content.content().readableBytes()];
+        content.content().readBytes(bytes);
+        stream.read(bytes);
+      }
+      if (part instanceof LastHttpContent && hasWhole) {
+        hasWhole = false;
+        ask();
+      } else if (part instanceof LastHttpContent) {
+        ctx.close();
+      }
     }
 
     @Override
-    public void follow() {
-        if (watch != null) {
-            return;
-        }
-        open();
+    public void object(final String text) {
+      try {
+        final JsonNode list = Json.read(text);
+        apply(list, list.path("whole").asBoolean() ? Courier.Update.WHOLE : Courier.Update.CHANGES);
+      } catch (final IOException e) {
+        throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
+      }
+      if (asksWhole) {
+        hasWhole = true;
+      } else {
+        heard();
+      }
     }
 
-    /** From now on the list is at another address, whose versions are numbered in their own way. */
     @Override
-    public void reload(final Config fresh) {
-        final InetSocketAddress next = fresh.discovery();
-        if (next.equals(address)) {
-            return;
-        }
-        address = next;
-        seq = NONE;
-        final Watch old = watch;
-        open();
-        if (old != null) {
-            old.close();
-        }
+    public void lineEnd() {
+      if (!asksWhole) {
+        heard();
+      }
     }
 
-    private void open() {
-        final Watch fresh = new Watch();
-        watch = fresh;
-        fresh.connect();
+    private void heard() {
+      follows = true;
+      freshUs = clock.nowUs();
+      expect(SILENT_US);
     }
 
-    private void apply(final JsonNode list, final Courier.Update update) {
-        final List<Listing> listings = new ArrayList<>();
-        for (final JsonNode node : list.path("hosts")) {
-            listings.add(listing(node));
-        }
-        seq = list.path("seq").asLong(seq);
-        listener.told(update, listings);
+    @Override
+    public void channelInactive(final ChannelHandlerContext ctx) {
+      lost();
     }
 
-    private static Listing listing(final JsonNode node) {
-        final String name = node.path("host").asText();
-        if (name.isEmpty() || !node.path("block").canConvertToLong()) {
-            throw new IllegalArgumentException("an entry without a host or a block: " + node);
-        }
-        final Courier.Condition condition = switch (node.path("health").asText()) {
-            case "Ready" -> Courier.Condition.LISTED;
-            case "Terminating" -> Courier.Condition.DRAINING;
-            case "Gone" -> Courier.Condition.GONE;
-            default -> throw new IllegalArgumentException("unknown health: " + node);
-        };
-        return new Listing(name, condition, Config.address("dial", node.path("dial").asText()),
-                node.path("site").asText(), node.path("share").asDouble(0), node.path("class").asText(),
-                node.path("block").asLong());
+    @Override
+    public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
+      if (!(cause instanceof IOException)) {
+        Log.failure("watch on the list", cause);
+      }
+      ctx.close();
     }
 
-    /** One watch, until its connection ends or it falls silent; before it the whole list, where no version is known. */
-    private final class Watch extends SimpleChannelInboundHandler<HttpObject> implements ListStream.Listener {
-        private final ListStream stream = new ListStream(this);
-        private Dial dial;
-        private boolean asksWhole;
-        /** The whole list that was asked for has come. */
-        private boolean hasWhole;
-        /** It has said something: its answer is not waited for any more, but its next line. */
-        private boolean follows;
-        /** When it is given up unless something whole comes before. */
-        private long dueUs;
-
-        private void connect() {
-            expect(CONNECT_US);
-            dial = Dial.begin(loop, address, this, this::lost);
-            keepTime();
-        }
-
-        @Override
-        public void channelActive(final ChannelHandlerContext ctx) {
-            if (watch == this) {
-                ask();
-            } else {
-                ctx.close();
-            }
-        }
-
-        private void ask() {
-            expect(ANSWER_US);
-            asksWhole = seq == NONE;
-            final var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    asksWhole ? "/discovery/hosts" : "/discovery/hosts?watch=1&after=" + seq);
-            request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-            dial.write(request);
-        }
-
-        private void expect(final long withinUs) {
-            dueUs = clock.nowUs() + withinUs;
-        }
-
-        /** What has come by the time that is over counts: it is read before the watch is given up. */
-        private void keepTime() {
-            final long checkedUs = dueUs;
-            loop.schedule(() -> turns.afterLook(loop, checkedUs, () -> {
-                if (watch != this) {
-                    return;
-                }
-                if (dueUs > checkedUs) {
-                    keepTime();
-                } else if (follows) {
-                    // It is opened anew at once: for how long nothing was told is known, and counts.
-                    open();
-                    close();
-                } else {
-                    close();
-                }
-            }), Math.max(0, checkedUs - clock.nowUs()), TimeUnit.MICROSECONDS);
-        }
-
-        private void close() {
-            dial.close();
-        }
-
-        @Override
-        protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-            if (watch != this || part.decoderResult().isFailure()
-                    || part instanceof HttpResponse response && response.status().code() != OK) {
-                ctx.close();
-                return;
-            }
-            if (part instanceof HttpContent content) {
-                final byte[] bytes = new byte[content.content().readableBytes()];
-                content.content().readBytes(bytes);
-                stream.read(bytes);
-            }
-            if (part instanceof LastHttpContent && hasWhole) {
-                hasWhole = false;
-                ask();
-            } else if (part instanceof LastHttpContent) {
-                ctx.close();
-            }
-        }
-
-        @Override
-        public void object(final String text) {
-            try {
-                final JsonNode list = Json.read(text);
-                apply(list, list.path("whole").asBoolean() ? Courier.Update.WHOLE : Courier.Update.CHANGES);
-            } catch (final IOException e) {
-                throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
-            }
-            if (asksWhole) {
-                hasWhole = true;
-            } else {
-                heard();
-            }
-        }
-
-        @Override
-        public void lineEnd() {
-            if (!asksWhole) {
-                heard();
-            }
-        }
-
-        private void heard() {
-            follows = true;
-            freshUs = clock.nowUs();
-            expect(SILENT_US);
-        }
-
-        @Override
-        public void channelInactive(final ChannelHandlerContext ctx) {
-            lost();
-        }
-
-        @Override
-        public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            if (!(cause instanceof IOException)) {
-                Log.failure("watch on the list", cause);
-            }
-            ctx.close();
-        }
-
-        private void lost() {
-            if (watch == this) {
-                watch = null;
-                listener.told(Courier.Update.LOST, List.of());
-                loop.schedule(Discovery.this::follow, ThreadLocalRandom.current().nextLong(RETRY_LEAST_US, RETRY_MOST_US),
-                        TimeUnit.MICROSECONDS);
-            }
-        }
+    private void lost() {
+      if (watch == this) {
+        watch = null;
+        listener.told(Courier.Update.LOST, List.of());
+        loop.schedule(
+            Discovery.this::follow,
+            ThreadLocalRandom.current().nextLong(RETRY_LEAST_US, RETRY_MOST_US),
+            TimeUnit.MICROSECONDS);
+      }
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/Notices.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Notices.java
@@ -2,13 +2,6 @@
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import thistleturn.courier.port.Ends;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Json;
-import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTurns;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
@@ -28,210 +21,241 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
+import thistleturn.courier.port.Ends;
+import thistleturn.courier.port.Held;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.Json;
+import thistleturn.courier.runtime.Log;
+import thistleturn.courier.runtime.LoopTurns;
 
 /**
- * Tells the platform how messages ended that were taken on and not delivered: in batches, one under way at a time, and
- * again until each is confirmed. A notice that is told twice does no harm; one that is not told loses a message.
+ * Tells the platform how messages ended that were taken on and not delivered: in batches, one under
+ * way at a time, and again until each is confirmed. A notice that is told twice does no harm; one
+ * that is not told loses a message.
  */
 public final class Notices implements Ends {
-    private static final int BATCH = 200;
-    /**
-     * A message ends 200 ms before its time, and its notice may come 300 ms after it. The platform answers at once; where a
-     * connection does not come up, or has fallen silent, another try on a new one has to fit into that.
-     */
-    private static final long CONNECT_US = 200_000;
-    private static final long ANSWER_US = 200_000;
-    private static final int BACK_OFF_LEAST_MS = 50;
-    private static final int BACK_OFF_MOST_MS = 250;
-    private static final int CONFIRMED = 204;
-
-    private InetSocketAddress address;
-    private final EventLoop loop;
-    private final Clock clock;
-    private final LoopTurns turns;
-    private final Listener listener;
-    private final Map<String, Held> owed = new LinkedHashMap<>();
-    private Session session;
-    private List<Held> underWay = List.of();
-    private boolean paused;
-    private int backOffMs = BACK_OFF_LEAST_MS;
-
-    /** Nothing is told yet. */
-    public Notices(final InetSocketAddress address, final EventLoop loop, final Clock clock, final LoopTurns turns,
-                   final Listener listener) {
-        this.address = address;
-        this.loop = loop;
-        this.clock = clock;
-        this.turns = turns;
-        this.listener = listener;
-    }
+  private static final int BATCH = 200;
 
-    @Override
-    public void add(final Held held) {
-        owed.put(held.id(), held);
-    }
+  /**
+   * A message ends 200 ms before its time, and its notice may come 300 ms after it. The platform
+   * answers at once; where a connection does not come up, or has fallen silent, another try on a
+   * new one has to fit into that.
+   */
+  private static final long CONNECT_US = 200_000;
 
-    @Override
-    public boolean isEmpty() {
-        return owed.isEmpty();
-    }
+  private static final long ANSWER_US = 200_000;
+  private static final int BACK_OFF_LEAST_MS = 50;
+  private static final int BACK_OFF_MOST_MS = 250;
+  private static final int CONFIRMED = 204;
 
-    @Override
-    public void flush() {
-        if (owed.isEmpty() || !underWay.isEmpty() || paused) {
-            return;
-        }
-        underWay = owed.values().stream().limit(BATCH).toList();
-        if (session != null) {
-            session.write();
-            return;
-        }
-        final Session fresh = new Session();
-        session = fresh;
-        fresh.connect();
-    }
+  private InetSocketAddress address;
+  private final EventLoop loop;
+  private final Clock clock;
+  private final LoopTurns turns;
+  private final Listener listener;
+  private final Map<String, Held> owed = new LinkedHashMap<>();
+  private Session session;
+  private List<Held> underWay = List.of();
+  private boolean paused;
+  private int backOffMs = BACK_OFF_LEAST_MS;
 
-    /** From now on the platform is at another address: what it has not confirmed goes there, at once. */
-    @Override
-    public void reload(final Config fresh) {
-        final InetSocketAddress next = fresh.discovery();
-        if (next.equals(address)) {
-            return;
-        }
-        address = next;
-        final Session old = session;
-        session = null;
-        underWay = List.of();
-        paused = false;
-        backOffMs = BACK_OFF_LEAST_MS;
-        if (old != null) {
-            old.close();
-        }
-        flush();
+  /** Nothing is told yet. */
+  public Notices(
+      final InetSocketAddress address,
+      final EventLoop loop,
+      final Clock clock,
+      final LoopTurns turns,
+      final Listener listener) {
+    this.address = address;
+    this.loop = loop;
+    this.clock = clock;
+    this.turns = turns;
+    this.listener = listener;
+  }
+
+  @Override
+  public void add(final Held held) {
+    owed.put(held.id(), held);
+  }
+
+  @Override
+  public boolean isEmpty() {
+    return owed.isEmpty();
+  }
+
+  @Override
+  public void flush() {
+    if (owed.isEmpty() || !underWay.isEmpty() || paused) {
+      return;
+    }
+    underWay = owed.values().stream().limit(BATCH).toList();
+    if (session != null) {
+      session.write();
+      return;
     }
+    final Session fresh = new Session();
+    session = fresh;
+    fresh.connect();
+  }
 
-    private static String line(final Held held) {
-        final ObjectNode line = JsonNodeFactory.instance.objectNode().put("id", held.id());
-        line.put("status", held.notice().failed() ? "undeliverable" : "deferred");
-        if (!held.notice().failed() && held.notice().againMs() > 0) {
-            line.put("again_ms", held.notice().againMs());
-        }
-        return Json.text(line) + "\n";
+  /**
+   * From now on the platform is at another address: what it has not confirmed goes there, at once.
+   */
+  @Override
+  public void reload(final Config fresh) {
+    final InetSocketAddress next = fresh.discovery();
+    if (next.equals(address)) {
+      return;
+    }
+    address = next;
+    final Session old = session;
+    session = null;
+    underWay = List.of();
+    paused = false;
+    backOffMs = BACK_OFF_LEAST_MS;
+    if (old != null) {
+      old.close();
     }
+    flush();
+  }
 
-    private void retryLater() {
-        underWay = List.of();
-        paused = true;
-        final long delayMs = ThreadLocalRandom.current().nextLong(backOffMs / 2, backOffMs);
-        backOffMs = Math.min(2 * backOffMs, BACK_OFF_MOST_MS);
-        loop.schedule(() -> {
-            paused = false;
-            flush();
-        }, delayMs, TimeUnit.MILLISECONDS);
+  private static String line(final Held held) {
+    final ObjectNode line = JsonNodeFactory.instance.objectNode().put("id", held.id());
+    line.put("status", held.notice().failed() ? "undeliverable" : "deferred");
+    if (!held.notice().failed() && held.notice().againMs() > 0) {
+      line.put("again_ms", held.notice().againMs());
     }
+    return Json.text(line) + "\n";
+  }
 
-    /** One connection to the platform. */
-    private final class Session extends SimpleChannelInboundHandler<HttpObject> {
-        private Dial dial;
-        private HttpResponse head;
-        private long batch;
+  private void retryLater() {
+    underWay = List.of();
+    paused = true;
+    final long delayMs = ThreadLocalRandom.current().nextLong(backOffMs / 2, backOffMs);
+    backOffMs = Math.min(2 * backOffMs, BACK_OFF_MOST_MS);
+    loop.schedule(
+        () -> {
+          paused = false;
+          flush();
+        },
+        delayMs,
+        TimeUnit.MILLISECONDS);
+  }
 
-        private void connect() {
-            dial = Dial.begin(loop, address, this, this::ended);
-            giveUpAfter(CONNECT_US);
-        }
+  /** One connection to the platform. */
+  private final class Session extends SimpleChannelInboundHandler<HttpObject> {
+    private Dial dial;
+    private HttpResponse head;
+    private long batch;
 
-        /** What has come by the time that is over counts: it is read before the connection is given up. */
-        private void giveUpAfter(final long us) {
-            final long waitsFor = batch;
-            final long dueUs = clock.nowUs() + us;
-            loop.schedule(() -> turns.afterLook(loop, dueUs, () -> {
-                if (batch == waitsFor && session == this) {
-                    close();
-                }
-            }), us, TimeUnit.MICROSECONDS);
-        }
+    private void connect() {
+      dial = Dial.begin(loop, address, this, this::ended);
+      giveUpAfter(CONNECT_US);
+    }
 
-        @Override
-        public void channelActive(final ChannelHandlerContext ctx) {
-            if (session == this) {
-                write();
-            } else {
-                ctx.close();
-            }
-        }
+    /**
+     * What has come by the time that is over counts: it is read before the connection is given up.
+     */
+    private void giveUpAfter(final long us) {
+      final long waitsFor = batch;
+      final long dueUs = clock.nowUs() + us;
+      loop.schedule(
+          () ->
+              turns.afterLook(
+                  loop,
+                  dueUs,
+                  () -> {
+                    if (batch == waitsFor && session == this) {
+                      close();
+                    }
+                  }),
+          us,
+          TimeUnit.MICROSECONDS);
+    }
 
-        private void close() {
-            dial.close();
-        }
+    @Override
+    public void channelActive(final ChannelHandlerContext ctx) {
+      if (session == this) {
+        write();
+      } else {
+        ctx.close();
+      }
+    }
 
-        private void write() {
-            final StringBuilder text = new StringBuilder();
-            underWay.forEach(held -> text.append(line(held)));
-            final var body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-            final var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/v1/outcomes", body);
-            request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-            head = null;
-            batch++;
-            dial.write(request);
-            giveUpAfter(ANSWER_US);
-        }
+    private void close() {
+      dial.close();
+    }
 
-        @Override
-        protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-            if (session != this || underWay.isEmpty() || part.decoderResult().isFailure()) {
-                // What an address that was left still says, or what nothing asked for, confirms nothing that is under way.
-                ctx.close();
-                return;
-            }
-            if (part instanceof HttpResponse response) {
-                head = response;
-            }
-            if (part instanceof LastHttpContent && head != null) {
-                if (head.status().code() == CONFIRMED) {
-                    confirmed();
-                } else {
-                    Log.info("the platform answers notices with " + head.status());
-                    ctx.close();
-                }
-            }
-        }
+    private void write() {
+      final StringBuilder text = new StringBuilder();
+      underWay.forEach(held -> text.append(line(held)));
+      final var body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
+      final var request =
+          new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/v1/outcomes", body);
+      request.headers().set(HttpHeaderNames.HOST, address.getHostString());
+      request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+      head = null;
+      batch++;
+      dial.write(request);
+      giveUpAfter(ANSWER_US);
+    }
 
-        private void confirmed() {
-            final List<Held> done = underWay;
-            underWay = List.of();
-            batch++;
-            backOffMs = BACK_OFF_LEAST_MS;
-            done.forEach(held -> owed.remove(held.id()));
-            listener.confirmed(done);
-            if (!HttpUtil.isKeepAlive(head)) {
-                session = null;
-                close();
-            }
-            flush();
+    @Override
+    protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
+      if (session != this || underWay.isEmpty() || part.decoderResult().isFailure()) {
+        // What an address that was left still says, or what nothing asked for, confirms nothing
+        // that is under way.
+        ctx.close();
+        return;
+      }
+      if (part instanceof HttpResponse response) {
+        head = response;
+      }
+      if (part instanceof LastHttpContent && head != null) {
+        if (head.status().code() == CONFIRMED) {
+          confirmed();
+        } else {
+          Log.info("the platform answers notices with " + head.status());
+          ctx.close();
         }
+      }
+    }
 
-        @Override
-        public void channelInactive(final ChannelHandlerContext ctx) {
-            ended();
-        }
+    private void confirmed() {
+      final List<Held> done = underWay;
+      underWay = List.of();
+      batch++;
+      backOffMs = BACK_OFF_LEAST_MS;
+      done.forEach(held -> owed.remove(held.id()));
+      listener.confirmed(done);
+      if (!HttpUtil.isKeepAlive(head)) {
+        session = null;
+        close();
+      }
+      flush();
+    }
 
-        private void ended() {
-            if (session == this) {
-                session = null;
-                if (!underWay.isEmpty()) {
-                    retryLater();
-                }
-            }
-        }
+    @Override
+    public void channelInactive(final ChannelHandlerContext ctx) {
+      ended();
+    }
 
-        @Override
-        public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            if (!(cause instanceof java.io.IOException)) {
-                Log.failure("connection for notices", cause);
-            }
-            ctx.close();
+    private void ended() {
+      if (session == this) {
+        session = null;
+        if (!underWay.isEmpty()) {
+          retryLater();
         }
+      }
+    }
+
+    @Override
+    public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
+      if (!(cause instanceof java.io.IOException)) {
+        Log.failure("connection for notices", cause);
+      }
+      ctx.close();
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/port/Carrier.java
+++ b/courier/src/main/java/thistleturn/courier/port/Carrier.java
@@ -5,74 +5,89 @@
 import thistleturn.decisions.Courier;
 
 /**
- * A way by which calls reach endpoints. It makes a call when told to, never by itself and never again, and tells how
- * each message in it fared, above all whether it can have run. All methods run on the event loop's thread.
+ * A way by which calls reach endpoints. It makes a call when told to, never by itself and never
+ * again, and tells how each message in it fared, above all whether it can have run. All methods run
+ * on the event loop's thread.
  */
 public interface Carrier {
 
-    /** One message's part in a call. */
-    interface Parcel {
-        /** What goes out unchanged. */
-        Held held();
+  /** One message's part in a call. */
+  interface Parcel {
+    /** What goes out unchanged. */
+    Held held();
 
-        /** When the message's own time is up, on the clock of the events, us: its call goes, and waits, no longer than that. */
-        long validUntilUs();
+    /**
+     * When the message's own time is up, on the clock of the events, us: its call goes, and waits,
+     * no longer than that.
+     */
+    long validUntilUs();
+
+    /**
+     * Until when its first byte may go, us: then a key that must hold may be forgotten. Never later
+     * than that.
+     */
+    long goesUntilUs();
 
-        /** Until when its first byte may go, us: then a key that must hold may be forgotten. Never later than that. */
-        long goesUntilUs();
+    /** How long its answer is waited for, us. */
+    long timeoutUs();
+  }
 
-        /** How long its answer is waited for, us. */
-        long timeoutUs();
-    }
+  /** One call, from its preparation to its outcomes. */
+  interface Call {
+    /** Whom it calls. */
+    long endpoint();
 
-    /** One call, from its preparation to its outcomes. */
-    interface Call {
-        /** Whom it calls. */
-        long endpoint();
+    /** When it was prepared, us. */
+    long sentUs();
+  }
 
-        /** When it was prepared, us. */
-        long sentUs();
-    }
+  /**
+   * How a message fared in a call. {@code over}: it has its final answer. {@code waitUs}: what the
+   * answer told to wait, or 0. {@code allowance}: null if nothing was told.
+   */
+  record Answer(Courier.Result result, boolean over, long waitUs, Courier.Allowance allowance) {}
 
+  /** Who is told of outcomes: once for each parcel of a call. */
+  interface Listener {
     /**
-     * How a message fared in a call. {@code over}: it has its final answer. {@code waitUs}: what the answer told to
-     * wait, or 0. {@code allowance}: null if nothing was told.
+     * The outcome of one message's part in a call. Its connection carries nothing of it any more.
      */
-    record Answer(Courier.Result result, boolean over, long waitUs, Courier.Allowance allowance) { }
-
-    /** Who is told of outcomes: once for each parcel of a call. */
-    interface Listener {
-        /** The outcome of one message's part in a call. Its connection carries nothing of it any more. */
-        void outcome(Parcel parcel, Call call, Answer answer);
-
-        /** An endpoint tells a wait in an answer whose call was given up before: it binds as one in any other. */
-        void toldToWait(long endpoint, long waitUs);
-
-        /** A call with so many messages is written whole. */
-        void written(int messages);
-    }
+    void outcome(Parcel parcel, Call call, Answer answer);
 
     /**
-     * The list names an endpoint, or its address or condition has changed; {@code apart}: it is a route of its own. To one
-     * that drains nothing new goes from now on, calls that were prepared before included.
+     * An endpoint tells a wait in an answer whose call was given up before: it binds as one in any
+     * other.
      */
-    void listed(Courier.Endpoint entry, boolean apart, InetSocketAddress address);
+    void toldToWait(long endpoint, long waitUs);
+
+    /** A call with so many messages is written whole. */
+    void written(int messages);
+  }
+
+  /**
+   * The list names an endpoint, or its address or condition has changed; {@code apart}: it is a
+   * route of its own. To one that drains nothing new goes from now on, calls that were prepared
+   * before included.
+   */
+  void listed(Courier.Endpoint entry, boolean apart, InetSocketAddress address);
 
-    /** The list names an endpoint no more: nothing new goes there. */
-    void removed(long endpoint);
+  /** The list names an endpoint no more: nothing new goes there. */
+  void removed(long endpoint);
 
-    /** A call that has not begun: the journal comes before its first byte. */
-    Call prepare(long endpoint, List<? extends Parcel> parcels);
+  /** A call that has not begun: the journal comes before its first byte. */
+  Call prepare(long endpoint, List<? extends Parcel> parcels);
 
-    /** Makes a prepared call. */
-    void start(Call call);
+  /** Makes a prepared call. */
+  void start(Call call);
 
-    /** Ends a call from this side; its outcomes are told before this returns. */
-    void abandon(Call call, Courier.Result result);
+  /** Ends a call from this side; its outcomes are told before this returns. */
+  void abandon(Call call, Courier.Result result);
 
-    /** A wait was told elsewhere: calls that are on their way there and not written yet may not go. */
-    void holdBack(long endpoint);
+  /**
+   * A wait was told elsewhere: calls that are on their way there and not written yet may not go.
+   */
+  void holdBack(long endpoint);
 
-    /** Closes what is kept open to an endpoint and carries no call. */
-    void closeIdle(long endpoint);
+  /** Closes what is kept open to an endpoint and carries no call. */
+  void closeIdle(long endpoint);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Directory.java
+++ b/courier/src/main/java/thistleturn/courier/port/Directory.java
@@ -5,32 +5,44 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.Courier;
 
-/** Who tells which endpoints there are and in which state. All methods run on the event loop's thread. */
+/**
+ * Who tells which endpoints there are and in which state. All methods run on the event loop's
+ * thread.
+ */
 public interface Directory {
 
+  /**
+   * An endpoint as a directory names it. {@code name} is the same for as long as the endpoint is;
+   * {@code weight} is the calls a second that its destination takes from all couriers, 0 if that is
+   * not told; {@code kind} the name of a kind in the settings, or any other text for none.
+   */
+  record Listing(
+      String name,
+      Courier.Condition condition,
+      InetSocketAddress address,
+      String zone,
+      double weight,
+      String kind,
+      long destination) {}
+
+  /** Who is told. */
+  interface Listener {
     /**
-     * An endpoint as a directory names it. {@code name} is the same for as long as the endpoint is; {@code weight} is
-     * the calls a second that its destination takes from all couriers, 0 if that is not told; {@code kind} the name of
-     * a kind in the settings, or any other text for none.
+     * Changed entries, all, the last ones known, or that no news can be had ({@link
+     * Courier.Update}).
      */
-    record Listing(String name, Courier.Condition condition, InetSocketAddress address, String zone, double weight,
-                   String kind, long destination) { }
+    void told(Courier.Update update, List<Listing> listings);
+  }
 
-    /** Who is told. */
-    interface Listener {
-        /** Changed entries, all, the last ones known, or that no news can be had ({@link Courier.Update}). */
-        void told(Courier.Update update, List<Listing> listings);
-    }
+  /** Begins, first of all with what is known from before, if anything is. */
+  void start(Listener listener);
 
-    /** Begins, first of all with what is known from before, if anything is. */
-    void start(Listener listener);
+  /** Asks for changes from now on; while they are being asked for or come, that is enough. */
+  void follow();
 
-    /** Asks for changes from now on; while they are being asked for or come, that is enough. */
-    void follow();
+  /** True while what it does not name does not exist. */
+  boolean isFresh();
 
-    /** True while what it does not name does not exist. */
-    boolean isFresh();
-
-    /** A new configuration counts from now on, as far as it concerns this directory. */
-    void reload(Config fresh);
+  /** A new configuration counts from now on, as far as it concerns this directory. */
+  void reload(Config fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Ends.java
+++ b/courier/src/main/java/thistleturn/courier/port/Ends.java
@@ -4,25 +4,25 @@
 import thistleturn.courier.runtime.Config;
 
 /**
- * Where it is told how messages ended that were taken on and not delivered; again until that is confirmed. All methods
- * run on the event loop's thread.
+ * Where it is told how messages ended that were taken on and not delivered; again until that is
+ * confirmed. All methods run on the event loop's thread.
  */
 public interface Ends {
-    /** Who is told that ends are confirmed. */
-    interface Listener {
-        /** The platform knows these ends; nothing more is owed for them. */
-        void confirmed(List<Held> messages);
-    }
+  /** Who is told that ends are confirmed. */
+  interface Listener {
+    /** The platform knows these ends; nothing more is owed for them. */
+    void confirmed(List<Held> messages);
+  }
 
-    /** Adds an end that the store holds; it goes out with the next {@link #flush}. */
-    void add(Held held);
+  /** Adds an end that the store holds; it goes out with the next {@link #flush}. */
+  void add(Held held);
 
-    /** Tells what is to be told, unless a telling is under way already. */
-    void flush();
+  /** Tells what is to be told, unless a telling is under way already. */
+  void flush();
 
-    /** True when nothing is left to tell. */
-    boolean isEmpty();
+  /** True when nothing is left to tell. */
+  boolean isEmpty();
 
-    /** A new configuration counts from now on, as far as it concerns the telling. */
-    void reload(Config fresh);
+  /** A new configuration counts from now on, as far as it concerns the telling. */
+  void reload(Config fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Steering.java
+++ b/courier/src/main/java/thistleturn/courier/port/Steering.java
@@ -3,17 +3,26 @@
 import java.util.Set;
 import thistleturn.decisions.words.Word;
 
-/** What a subsystem may say to the decisions of all shards. To be called on the courier's first event loop. */
+/**
+ * What a subsystem may say to the decisions of all shards. To be called on the courier's first
+ * event loop.
+ */
 public interface Steering {
-    /** From now on that one hears what this courier is told and finds out. */
-    void witness(Witness witness);
+  /** From now on that one hears what this courier is told and finds out. */
+  void witness(Witness witness);
 
-    /** Says something of a destination; where it is not known, nothing comes of it until it is said again. */
-    void say(long destination, Word word);
+  /**
+   * Says something of a destination; where it is not known, nothing comes of it until it is said
+   * again.
+   */
+  void say(long destination, Word word);
 
-    /** Leaves an endpoint out, or lets it serve again, as an operator here would; a {@link Witness} is not told. */
-    void maintain(String endpoint, boolean leaveOut);
+  /**
+   * Leaves an endpoint out, or lets it serve again, as an operator here would; a {@link Witness} is
+   * not told.
+   */
+  void maintain(String endpoint, boolean leaveOut);
 
-    /** The endpoints that are left out by hand now. */
-    Set<String> leftOut();
+  /** The endpoints that are left out by hand now. */
+  Set<String> leftOut();
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/LoopTurns.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/LoopTurns.java
@@ -7,56 +7,61 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notes when each turn of an event loop began to look for what its sockets have. What a turn finds and the turn before
- * did not find came after that earlier look began: that bounds how long it can have lain in a socket's buffer, however
- * long the loop, or the whole process, stood still. Used by one event loop, on its thread.
+ * Notes when each turn of an event loop began to look for what its sockets have. What a turn finds
+ * and the turn before did not find came after that earlier look began: that bounds how long it can
+ * have lain in a socket's buffer, however long the loop, or the whole process, stood still. Used by
+ * one event loop, on its thread.
  */
 public final class LoopTurns implements SelectStrategyFactory {
-    private final Clock clock;
-    private final SelectStrategy plain = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
-    private long beganUs;
-    private long beforeUs;
-
-    /** No turn has begun yet. */
-    public LoopTurns(final Clock clock) {
-        this.clock = clock;
-        this.beganUs = clock.nowUs();
-        this.beforeUs = beganUs;
-    }
+  private final Clock clock;
+  private final SelectStrategy plain = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
+  private long beganUs;
+  private long beforeUs;
 
-    @Override
-    public SelectStrategy newSelectStrategy() {
-        return (supplier, hasTasks) -> {
-            beforeUs = beganUs;
-            beganUs = clock.nowUs();
-            return plain.calculateStrategy(supplier, hasTasks);
-        };
-    }
+  /** No turn has begun yet. */
+  public LoopTurns(final Clock clock) {
+    this.clock = clock;
+    this.beganUs = clock.nowUs();
+    this.beforeUs = beganUs;
+  }
 
-    /** When the look before this turn's began, us: what is found only now was not there then. */
-    public long previousLookUs() {
-        return beforeUs;
-    }
+  @Override
+  public SelectStrategy newSelectStrategy() {
+    return (supplier, hasTasks) -> {
+      beforeUs = beganUs;
+      beganUs = clock.nowUs();
+      return plain.calculateStrategy(supplier, hasTasks);
+    };
+  }
 
-    /**
-     * True if the sockets were looked at since that moment, so that all which had come by then has been read. It is not
-     * where a process was stopped within a look that waited: that look ends without having seen what came meanwhile.
-     */
-    private boolean hasLookedSince(final long us) {
-        return beganUs >= us;
-    }
+  /** When the look before this turn's began, us: what is found only now was not there then. */
+  public long previousLookUs() {
+    return beforeUs;
+  }
 
-    /** Does something on that loop after a look that began after that moment, at once if there was one. */
-    public void afterLook(final EventLoop loop, final long us, final Runnable action) {
-        if (hasLookedSince(us)) {
-            action.run();
-        } else {
-            loop.schedule(() -> afterLook(loop, us, action), 0, TimeUnit.MICROSECONDS);
-        }
-    }
+  /**
+   * True if the sockets were looked at since that moment, so that all which had come by then has
+   * been read. It is not where a process was stopped within a look that waited: that look ends
+   * without having seen what came meanwhile.
+   */
+  private boolean hasLookedSince(final long us) {
+    return beganUs >= us;
+  }
 
-    /** When the look of this turn began, us. */
-    public long lookUs() {
-        return beganUs;
+  /**
+   * Does something on that loop after a look that began after that moment, at once if there was
+   * one.
+   */
+  public void afterLook(final EventLoop loop, final long us, final Runnable action) {
+    if (hasLookedSince(us)) {
+      action.run();
+    } else {
+      loop.schedule(() -> afterLook(loop, us, action), 0, TimeUnit.MICROSECONDS);
     }
+  }
+
+  /** When the look of this turn began, us. */
+  public long lookUs() {
+    return beganUs;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/Layout.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Layout.java
@@ -17,106 +17,116 @@
 import thistleturn.decisions.shards.Placement;
 
 /**
- * The journals of a state folder, one for each shard. One shard has its journal in the folder itself; more have theirs in
- * {@code shards-N/K}. A file {@code shards} names the layout that counts; without it that is one shard. A change of N
- * writes the new journals beside the old ones, then puts the name in place in one step, then deletes the old ones: at
- * every moment exactly one whole layout counts, and what a kill left of another is deleted at the next start.
+ * The journals of a state folder, one for each shard. One shard has its journal in the folder
+ * itself; more have theirs in {@code shards-N/K}. A file {@code shards} names the layout that
+ * counts; without it that is one shard. A change of N writes the new journals beside the old ones,
+ * then puts the name in place in one step, then deletes the old ones: at every moment exactly one
+ * whole layout counts, and what a kill left of another is deleted at the next start.
  */
 public final class Layout {
-    private static final String MARKER = "shards";
-    private static final String NEXT_MARKER = "shards.next";
-    private static final String FOLDERS = "shards-";
-    private static final String JOURNAL = "journal";
-    private static final int MOST_SHARDS = 64;
+  private static final String MARKER = "shards";
+  private static final String NEXT_MARKER = "shards.next";
+  private static final String FOLDERS = "shards-";
+  private static final String JOURNAL = "journal";
+  private static final int MOST_SHARDS = 64;
 
-    private final Path state;
-    private final long diskBytes;
+  private final Path state;
+  private final long diskBytes;
 
-    private Layout(final Path state, final long diskBytes) {
-        this.state = state;
-        this.diskBytes = diskBytes;
-    }
+  private Layout(final Path state, final long diskBytes) {
+    this.state = state;
+    this.diskBytes = diskBytes;
+  }
 
-    /**
-     * Opens the journals for so many shards, after moving what others hold, if there are others.
-     *
-     * @throws IOException if a file cannot be read or written, or the marker names no layout
-     */
-    public static List<Journal> open(final Path state, final long diskBytes, final int shards) throws IOException {
-        final Layout layout = new Layout(state, diskBytes);
-        Files.createDirectories(state);
-        Files.deleteIfExists(state.resolve(NEXT_MARKER));
-        final int before = layout.marked();
-        layout.deleteAllBut(before);
-        if (before != shards) {
-            layout.move(before, shards);
-        }
-        return layout.journals(shards);
+  /**
+   * Opens the journals for so many shards, after moving what others hold, if there are others.
+   *
+   * @throws IOException if a file cannot be read or written, or the marker names no layout
+   */
+  public static List<Journal> open(final Path state, final long diskBytes, final int shards)
+      throws IOException {
+    final Layout layout = new Layout(state, diskBytes);
+    Files.createDirectories(state);
+    Files.deleteIfExists(state.resolve(NEXT_MARKER));
+    final int before = layout.marked();
+    layout.deleteAllBut(before);
+    if (before != shards) {
+      layout.move(before, shards);
     }
+    return layout.journals(shards);
+  }
 
-    private int marked() throws IOException {
-        final Path marker = state.resolve(MARKER);
-        if (!Files.exists(marker)) {
-            return 1;
-        }
-        final String text = Files.readString(marker).trim();
-        if (text.matches("\\d{1,2}") && Integer.parseInt(text) >= 1 && Integer.parseInt(text) <= MOST_SHARDS) {
-            return Integer.parseInt(text);
-        }
-        throw new IOException(marker + ": \"" + text + "\": expected a number of shards from 1 to " + MOST_SHARDS);
+  private int marked() throws IOException {
+    final Path marker = state.resolve(MARKER);
+    if (!Files.exists(marker)) {
+      return 1;
     }
-
-    private Path folder(final int shards, final int shard) {
-        return shards == 1 ? state : state.resolve(FOLDERS + shards).resolve(Integer.toString(shard));
+    final String text = Files.readString(marker).trim();
+    if (text.matches("\\d{1,2}")
+        && Integer.parseInt(text) >= 1
+        && Integer.parseInt(text) <= MOST_SHARDS) {
+      return Integer.parseInt(text);
     }
+    throw new IOException(
+        marker + ": \"" + text + "\": expected a number of shards from 1 to " + MOST_SHARDS);
+  }
 
-    private List<Journal> journals(final int shards) throws IOException {
-        final List<Journal> journals = new ArrayList<>();
-        try {
-            for (int shard = 0; shard < shards; shard++) {
-                journals.add(Journal.open(folder(shards, shard), diskBytes / shards));
-            }
-        } catch (final IOException | RuntimeException e) {
-            journals.forEach(Journal::close);
-            throw e;
-        }
-        return journals;
+  private Path folder(final int shards, final int shard) {
+    return shards == 1 ? state : state.resolve(FOLDERS + shards).resolve(Integer.toString(shard));
+  }
+
+  private List<Journal> journals(final int shards) throws IOException {
+    final List<Journal> journals = new ArrayList<>();
+    try {
+      for (int shard = 0; shard < shards; shard++) {
+        journals.add(Journal.open(folder(shards, shard), diskBytes / shards));
+      }
+    } catch (final IOException | RuntimeException e) {
+      journals.forEach(Journal::close);
+      throw e;
     }
+    return journals;
+  }
 
-    private void move(final int before, final int shards) throws IOException {
-        final Map<String, Held> held = new LinkedHashMap<>();
-        for (final Journal journal : journals(before)) {
-            journal.live().forEach(one -> held.put(one.id(), one));
-            journal.close();
-        }
-        for (int shard = 0; shard < shards; shard++) {
-            final int to = shard;
-            Journal.write(folder(shards, shard), diskBytes / shards, held.values().stream()
-                    .filter(one -> Placement.shardOf(one.destination(), shards) == to).toList());
-        }
-        Files.writeString(state.resolve(NEXT_MARKER), shards + "\n", StandardCharsets.US_ASCII);
-        Files.move(state.resolve(NEXT_MARKER), state.resolve(MARKER), StandardCopyOption.ATOMIC_MOVE);
-        Log.info("journals of " + before + " shards moved to " + shards + ": " + held.size() + " messages");
-        deleteAllBut(shards);
+  private void move(final int before, final int shards) throws IOException {
+    final Map<String, Held> held = new LinkedHashMap<>();
+    for (final Journal journal : journals(before)) {
+      journal.live().forEach(one -> held.put(one.id(), one));
+      journal.close();
+    }
+    for (int shard = 0; shard < shards; shard++) {
+      final int to = shard;
+      Journal.write(
+          folder(shards, shard),
+          diskBytes / shards,
+          held.values().stream()
+              .filter(one -> Placement.shardOf(one.destination(), shards) == to)
+              .toList());
     }
+    Files.writeString(state.resolve(NEXT_MARKER), shards + "\n", StandardCharsets.US_ASCII);
+    Files.move(state.resolve(NEXT_MARKER), state.resolve(MARKER), StandardCopyOption.ATOMIC_MOVE);
+    Log.info(
+        "journals of " + before + " shards moved to " + shards + ": " + held.size() + " messages");
+    deleteAllBut(shards);
+  }
 
-    /** Deletes what belongs to another layout than the one that counts. */
-    private void deleteAllBut(final int shards) throws IOException {
-        final List<Path> others;
-        try (Stream<Path> files = Files.list(state)) {
-            others = files.filter(file -> isOther(file.getFileName().toString(), shards)).toList();
-        }
-        for (final Path other : others) {
-            try (Stream<Path> files = Files.walk(other)) {
-                for (final Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(file);
-                }
-            }
+  /** Deletes what belongs to another layout than the one that counts. */
+  private void deleteAllBut(final int shards) throws IOException {
+    final List<Path> others;
+    try (Stream<Path> files = Files.list(state)) {
+      others = files.filter(file -> isOther(file.getFileName().toString(), shards)).toList();
+    }
+    for (final Path other : others) {
+      try (Stream<Path> files = Files.walk(other)) {
+        for (final Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(file);
         }
+      }
     }
+  }
 
-    private static boolean isOther(final String name, final int shards) {
-        return name.startsWith(FOLDERS) && !name.equals(FOLDERS + shards)
-                || shards > 1 && (name.equals(JOURNAL) || name.equals(JOURNAL + ".next"));
-    }
+  private static boolean isOther(final String name, final int shards) {
+    return name.startsWith(FOLDERS) && !name.equals(FOLDERS + shards)
+        || shards > 1 && (name.equals(JOURNAL) || name.equals(JOURNAL + ".next"));
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/Room.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Room.java
@@ -7,65 +7,79 @@
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.shards.Allotment;
 
-/** Moves room for calls and messages between shards; the decisions are {@link Allotment}'s. It lives on one loop. */
+/**
+ * Moves room for calls and messages between shards; the decisions are {@link Allotment}'s. It lives
+ * on one loop.
+ */
 public final class Room {
-    private static final long PERIOD_MS = 50;
+  private static final long PERIOD_MS = 50;
 
-    private final EventLoop owner;
-    private final List<EventLoop> loops;
-    private final List<? extends Tenant> tenants;
-    private final Allotment slots;
-    private final Allotment open;
+  private final EventLoop owner;
+  private final List<EventLoop> loops;
+  private final List<? extends Tenant> tenants;
+  private final Allotment slots;
+  private final Allotment open;
 
-    /** What a shard uses, and whether its limits have held it back since it was last asked. */
-    public record Use(int slots, boolean slotsPressed, int open, boolean openPressed) { }
+  /** What a shard uses, and whether its limits have held it back since it was last asked. */
+  public record Use(int slots, boolean slotsPressed, int open, boolean openPressed) {}
 
-    /** A shard, as far as room goes. Called on its own loop. */
-    public interface Tenant {
-        /** What it uses now. */
-        Use use();
+  /** A shard, as far as room goes. Called on its own loop. */
+  public interface Tenant {
+    /** What it uses now. */
+    Use use();
 
-        /** What it keeps to from now on. */
-        void limit(int slotsNow, int maxOpenNow);
-    }
+    /** What it keeps to from now on. */
+    void limit(int slotsNow, int maxOpenNow);
+  }
 
-    /** An even division to begin with. */
-    public Room(final Courier.Limits whole, final EventLoop owner, final List<EventLoop> loops,
-                final List<? extends Tenant> tenants) {
-        this.owner = owner;
-        this.loops = loops;
-        this.tenants = tenants;
-        this.slots = new Allotment(loops.size(), whole.slots());
-        this.open = new Allotment(loops.size(), whole.maxOpen());
-    }
+  /** An even division to begin with. */
+  public Room(
+      final Courier.Limits whole,
+      final EventLoop owner,
+      final List<EventLoop> loops,
+      final List<? extends Tenant> tenants) {
+    this.owner = owner;
+    this.loops = loops;
+    this.tenants = tenants;
+    this.slots = new Allotment(loops.size(), whole.slots());
+    this.open = new Allotment(loops.size(), whole.maxOpen());
+  }
 
-    /** Begins to ask and to tell. Called on the owner's loop. */
-    public void start() {
-        for (int shard = 0; shard < loops.size(); shard++) {
-            tell(shard);
-        }
-        owner.scheduleWithFixedDelay(LoopTasks.guarded("room among shards", this::plan), PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
+  /** Begins to ask and to tell. Called on the owner's loop. */
+  public void start() {
+    for (int shard = 0; shard < loops.size(); shard++) {
+      tell(shard);
     }
+    owner.scheduleWithFixedDelay(
+        LoopTasks.guarded("room among shards", this::plan),
+        PERIOD_MS,
+        PERIOD_MS,
+        TimeUnit.MILLISECONDS);
+  }
 
-    private void plan() {
-        slots.plan();
-        open.plan();
-        for (int shard = 0; shard < loops.size(); shard++) {
-            tell(shard);
-        }
+  private void plan() {
+    slots.plan();
+    open.plan();
+    for (int shard = 0; shard < loops.size(); shard++) {
+      tell(shard);
     }
+  }
 
-    /** Tells a shard its limits, and hears what it uses once it keeps to them. */
-    private void tell(final int shard) {
-        final int slotsNow = slots.limit(shard);
-        final int openNow = open.limit(shard);
-        loops.get(shard).execute(() -> {
-            tenants.get(shard).limit(slotsNow, openNow);
-            final Use use = tenants.get(shard).use();
-            owner.execute(() -> {
-                slots.onReport(shard, slotsNow, use.slots(), use.slotsPressed());
-                open.onReport(shard, openNow, use.open(), use.openPressed());
+  /** Tells a shard its limits, and hears what it uses once it keeps to them. */
+  private void tell(final int shard) {
+    final int slotsNow = slots.limit(shard);
+    final int openNow = open.limit(shard);
+    loops
+        .get(shard)
+        .execute(
+            () -> {
+              tenants.get(shard).limit(slotsNow, openNow);
+              final Use use = tenants.get(shard).use();
+              owner.execute(
+                  () -> {
+                    slots.onReport(shard, slotsNow, use.slots(), use.slotsPressed());
+                    open.onReport(shard, openNow, use.open(), use.openPressed());
+                  });
             });
-        });
-    }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -6,96 +6,113 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.courier.port.Directory;
 import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.shards.Placement;
 
 /** One directory for several shards: each is told of its own destinations, on its own loop. */
 public final class SharedDirectory {
-    private static final long FRESH_MS = 250;
+  private static final long FRESH_MS = 250;
 
-    private final Directory shared;
-    private final EventLoop owner;
-    private final List<View> views = new ArrayList<>();
-    /** Which shard knows an endpoint. */
-    private final Map<String, Integer> places = new HashMap<>();
-    private volatile boolean fresh;
+  private final Directory shared;
+  private final EventLoop owner;
+  private final List<View> views = new ArrayList<>();
 
-    /** {@code shared} lives on {@code owner}; each other loop is a shard's. */
-    public SharedDirectory(final Directory shared, final EventLoop owner, final List<EventLoop> loops) {
-        this.shared = shared;
-        this.owner = owner;
-        for (final EventLoop loop : loops) {
-            views.add(new View(loop));
-        }
-    }
+  /** Which shard knows an endpoint. */
+  private final Map<String, Integer> places = new HashMap<>();
 
-    /** What a shard follows. */
-    public Directory view(final int shard) {
-        return views.get(shard);
-    }
+  private volatile boolean fresh;
 
-    /** Begins; every view must have been started before. Called on the owner's loop. */
-    public void start() {
-        shared.start(this::told);
-        owner.scheduleWithFixedDelay(LoopTasks.guarded("freshness of the list", () -> fresh = shared.isFresh()), 0, FRESH_MS, TimeUnit.MILLISECONDS);
+  /** {@code shared} lives on {@code owner}; each other loop is a shard's. */
+  public SharedDirectory(
+      final Directory shared, final EventLoop owner, final List<EventLoop> loops) {
+    this.shared = shared;
+    this.owner = owner;
+    for (final EventLoop loop : loops) {
+      views.add(new View(loop));
     }
+  }
+
+  /** What a shard follows. */
+  public Directory view(final int shard) {
+    return views.get(shard);
+  }
+
+  /** Begins; every view must have been started before. Called on the owner's loop. */
+  public void start() {
+    shared.start(this::told);
+    owner.scheduleWithFixedDelay(
+        LoopTasks.guarded("freshness of the list", () -> fresh = shared.isFresh()),
+        0,
+        FRESH_MS,
+        TimeUnit.MILLISECONDS);
+  }
 
-    private void told(final Courier.Update update, final List<Directory.Listing> listings) {
-        fresh = shared.isFresh();
-        final List<List<Directory.Listing>> parts = new ArrayList<>();
-        views.forEach(view -> parts.add(new ArrayList<>()));
-        for (final Directory.Listing listing : listings) {
-            final int shard = Placement.shardOf(listing.destination(), views.size());
-            final boolean gone = listing.condition() == Courier.Condition.GONE;
-            final Integer before = gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
-            if (before != null && before != shard) {
-                // It serves another destination now: for the shard that knew it, it is gone.
-                parts.get(before).add(new Directory.Listing(listing.name(), Courier.Condition.GONE, listing.address(),
-                        listing.zone(), listing.weight(), listing.kind(), listing.destination()));
-            }
-            parts.get(shard).add(listing);
-        }
-        for (int shard = 0; shard < views.size(); shard++) {
-            final View view = views.get(shard);
-            final List<Directory.Listing> part = parts.get(shard);
-            if (update != Courier.Update.CHANGES && update != Courier.Update.ASIDE || !part.isEmpty()) {
-                view.loop.execute(() -> view.listener.told(update, part));
-            }
-        }
+  private void told(final Courier.Update update, final List<Directory.Listing> listings) {
+    fresh = shared.isFresh();
+    final List<List<Directory.Listing>> parts = new ArrayList<>();
+    views.forEach(view -> parts.add(new ArrayList<>()));
+    for (final Directory.Listing listing : listings) {
+      final int shard = Placement.shardOf(listing.destination(), views.size());
+      final boolean gone = listing.condition() == Courier.Condition.GONE;
+      final Integer before =
+          gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
+      if (before != null && before != shard) {
+        // It serves another destination now: for the shard that knew it, it is gone.
+        parts
+            .get(before)
+            .add(
+                new Directory.Listing(
+                    listing.name(),
+                    Courier.Condition.GONE,
+                    listing.address(),
+                    listing.zone(),
+                    listing.weight(),
+                    listing.kind(),
+                    listing.destination()));
+      }
+      parts.get(shard).add(listing);
     }
+    for (int shard = 0; shard < views.size(); shard++) {
+      final View view = views.get(shard);
+      final List<Directory.Listing> part = parts.get(shard);
+      if (update != Courier.Update.CHANGES && update != Courier.Update.ASIDE || !part.isEmpty()) {
+        view.loop.execute(() -> view.listener.told(update, part));
+      }
+    }
+  }
 
-    /** The directory as one shard sees it. */
-    private final class View implements Directory {
-        private final EventLoop loop;
-        private Listener listener;
+  /** The directory as one shard sees it. */
+  private final class View implements Directory {
+    private final EventLoop loop;
+    private Listener listener;
 
-        private View(final EventLoop loop) {
-            this.loop = loop;
-        }
+    private View(final EventLoop loop) {
+      this.loop = loop;
+    }
 
-        @Override
-        public void start(final Listener told) {
-            listener = told;
-        }
+    @Override
+    public void start(final Listener told) {
+      listener = told;
+    }
 
-        @Override
-        public void follow() {
-            owner.execute(shared::follow);
-        }
+    @Override
+    public void follow() {
+      owner.execute(shared::follow);
+    }
 
-        @Override
-        public boolean isFresh() {
-            return fresh;
-        }
+    @Override
+    public boolean isFresh() {
+      return fresh;
+    }
 
-        @Override
-        public void reload(final Config changed) {
-            if (views.get(0) == this) {
-                owner.execute(() -> shared.reload(changed));
-            }
-        }
+    @Override
+    public void reload(final Config changed) {
+      if (views.get(0) == this) {
+        owner.execute(() -> shared.reload(changed));
+      }
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/AcceptRetry.java
+++ b/courier/src/main/java/thistleturn/courier/transport/AcceptRetry.java
@@ -7,39 +7,53 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Keeps a listener accepting while the system refuses to (ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, a network error of
- * the waiting connection): it is asked again within milliseconds. Netty's acceptor would stop for a second, in which clients
- * whose requests wait in the backlog give up. To be the first handler of a listener's own pipeline.
+ * Keeps a listener accepting while the system refuses to (ECONNABORTED, ENFILE, EMFILE, ENOBUFS,
+ * ENOMEM, a network error of the waiting connection): it is asked again within milliseconds.
+ * Netty's acceptor would stop for a second, in which clients whose requests wait in the backlog
+ * give up. To be the first handler of a listener's own pipeline.
  */
 public class AcceptRetry extends ChannelInboundHandlerAdapter {
-    /** A client waits 400 ms for its answer; a loop that spins on a lasting failure serves nobody. */
-    private static final long FIRST_DELAY_MS = 1;
-    private static final long MOST_DELAY_MS = 10;
+  /** A client waits 400 ms for its answer; a loop that spins on a lasting failure serves nobody. */
+  private static final long FIRST_DELAY_MS = 1;
 
-    private long delayMs = FIRST_DELAY_MS;
-    private boolean failing;
+  private static final long MOST_DELAY_MS = 10;
 
-    @Override
-    public void channelRead(final ChannelHandlerContext context, final Object connection) {
-        delayMs = FIRST_DELAY_MS;
-        if (failing) {
-            failing = false;
-            Log.event(Event.ACCEPT_RECOVERED, "at", context.channel().localAddress());
-        }
-        context.fireChannelRead(connection);
+  private long delayMs = FIRST_DELAY_MS;
+  private boolean failing;
+
+  @Override
+  public void channelRead(final ChannelHandlerContext context, final Object connection) {
+    delayMs = FIRST_DELAY_MS;
+    if (failing) {
+      failing = false;
+      Log.event(Event.ACCEPT_RECOVERED, "at", context.channel().localAddress());
     }
+    context.fireChannelRead(connection);
+  }
 
-    /** It is not passed on: what stands behind would stop the listener. */
-    @Override
-    public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-        failing = true;
-        Log.event(Event.ACCEPT_FAILED, "at", context.channel().localAddress(), "cause", cause, "again_in_ms", delayMs);
-        context.channel().config().setAutoRead(false);
-        context.executor().schedule(() -> {
-            if (context.channel().isOpen()) {
+  /** It is not passed on: what stands behind would stop the listener. */
+  @Override
+  public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
+    failing = true;
+    Log.event(
+        Event.ACCEPT_FAILED,
+        "at",
+        context.channel().localAddress(),
+        "cause",
+        cause,
+        "again_in_ms",
+        delayMs);
+    context.channel().config().setAutoRead(false);
+    context
+        .executor()
+        .schedule(
+            () -> {
+              if (context.channel().isOpen()) {
                 context.channel().config().setAutoRead(true);
-            }
-        }, delayMs, TimeUnit.MILLISECONDS);
-        delayMs = Math.min(2 * delayMs, MOST_DELAY_MS);
-    }
+              }
+            },
+            delayMs,
+            TimeUnit.MILLISECONDS);
+    delayMs = Math.min(2 * delayMs, MOST_DELAY_MS);
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/NoSocketException.java
+++ b/courier/src/main/java/thistleturn/courier/transport/NoSocketException.java
@@ -2,11 +2,15 @@
 
 import java.io.IOException;
 
-/** The system has no socket to give at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM): nothing was asked of any other side. */
+/**
+ * The system has no socket to give at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM): nothing was
+ * asked of any other side.
+ */
 public final class NoSocketException extends IOException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    NoSocketException(final Throwable cause) {
-        super("no socket: " + (cause.getCause() == null ? cause : cause.getCause()).getMessage(), cause);
-    }
+  NoSocketException(final Throwable cause) {
+    super(
+        "no socket: " + (cause.getCause() == null ? cause : cause.getCause()).getMessage(), cause);
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/PatientServerSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/PatientServerSocketChannel.java
@@ -7,23 +7,23 @@
 
 /** A listener whose connections are {@link PatientSocketChannel}s. */
 public final class PatientServerSocketChannel extends NioServerSocketChannel {
-    /** One of its own. */
-    public PatientServerSocketChannel() {
-        super();
-    }
+  /** One of its own. */
+  public PatientServerSocketChannel() {
+    super();
+  }
 
-    /** One over a socket that is there. */
-    public PatientServerSocketChannel(final ServerSocketChannel socket) {
-        super(socket);
-    }
+  /** One over a socket that is there. */
+  public PatientServerSocketChannel(final ServerSocketChannel socket) {
+    super(socket);
+  }
 
-    @Override
-    protected int doReadMessages(final List<Object> accepted) throws Exception {
-        final SocketChannel next = javaChannel().accept();
-        if (next == null) {
-            return 0;
-        }
-        accepted.add(new PatientSocketChannel(this, next));
-        return 1;
+  @Override
+  protected int doReadMessages(final List<Object> accepted) throws Exception {
+    final SocketChannel next = javaChannel().accept();
+    if (next == null) {
+      return 0;
     }
+    accepted.add(new PatientSocketChannel(this, next));
+    return 1;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/PatientSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/PatientSocketChannel.java
@@ -12,52 +12,65 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * A connection that outlives a shortage of the system's memory (ENOBUFS, ENOMEM): what could not be read or written then is in a
- * moment. Netty's own closes at any error, and a client whose request was read would have no answer.
+ * A connection that outlives a shortage of the system's memory (ENOBUFS, ENOMEM): what could not be
+ * read or written then is in a moment. Netty's own closes at any error, and a client whose request
+ * was read would have no answer.
  */
 public final class PatientSocketChannel extends NioSocketChannel {
-    private static final long RETRY_MS = 1;
-    /** As the C library words them. */
-    private static final Set<String> SHORTAGES = Set.of("No buffer space available", "Cannot allocate memory");
+  private static final long RETRY_MS = 1;
 
-    /** One that is to be connected. */
-    public PatientSocketChannel() {
-        super();
-    }
+  /** As the C library words them. */
+  private static final Set<String> SHORTAGES =
+      Set.of("No buffer space available", "Cannot allocate memory");
 
-    /** One that was accepted. */
-    public PatientSocketChannel(final Channel parent, final SocketChannel socket) {
-        super(parent, socket);
-    }
+  /** One that is to be connected. */
+  public PatientSocketChannel() {
+    super();
+  }
 
-    private static boolean isShortage(final IOException cause) {
-        return SHORTAGES.contains(String.valueOf(cause.getMessage()));
-    }
+  /** One that was accepted. */
+  public PatientSocketChannel(final Channel parent, final SocketChannel socket) {
+    super(parent, socket);
+  }
+
+  private static boolean isShortage(final IOException cause) {
+    return SHORTAGES.contains(String.valueOf(cause.getMessage()));
+  }
 
-    @Override
-    protected int doReadBytes(final ByteBuf bytes) throws Exception {
-        try {
-            return super.doReadBytes(bytes);
-        } catch (final IOException e) {
-            if (!isShortage(e)) {
-                throw e;
-            }
-            Log.event(Event.TRANSFER_RETRIED, "with", remoteAddress(), "what", "read", "cause", e.getMessage());
-            return 0;
-        }
+  @Override
+  protected int doReadBytes(final ByteBuf bytes) throws Exception {
+    try {
+      return super.doReadBytes(bytes);
+    } catch (final IOException e) {
+      if (!isShortage(e)) {
+        throw e;
+      }
+      Log.event(
+          Event.TRANSFER_RETRIED, "with", remoteAddress(), "what", "read", "cause", e.getMessage());
+      return 0;
     }
+  }
 
-    /** What was written before the shortage is out of the buffer already: the rest goes on from there. */
-    @Override
-    protected void doWrite(final ChannelOutboundBuffer pending) throws Exception {
-        try {
-            super.doWrite(pending);
-        } catch (final IOException e) {
-            if (!isShortage(e)) {
-                throw e;
-            }
-            Log.event(Event.TRANSFER_RETRIED, "with", remoteAddress(), "what", "write", "cause", e.getMessage());
-            eventLoop().schedule(this::flush, RETRY_MS, TimeUnit.MILLISECONDS);
-        }
+  /**
+   * What was written before the shortage is out of the buffer already: the rest goes on from there.
+   */
+  @Override
+  protected void doWrite(final ChannelOutboundBuffer pending) throws Exception {
+    try {
+      super.doWrite(pending);
+    } catch (final IOException e) {
+      if (!isShortage(e)) {
+        throw e;
+      }
+      Log.event(
+          Event.TRANSFER_RETRIED,
+          "with",
+          remoteAddress(),
+          "what",
+          "write",
+          "cause",
+          e.getMessage());
+      eventLoop().schedule(this::flush, RETRY_MS, TimeUnit.MILLISECONDS);
     }
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/warm/LearntFile.java
+++ b/courier/src/main/java/thistleturn/courier/warm/LearntFile.java
@@ -21,109 +21,137 @@
 import thistleturn.decisions.Memory;
 
 /**
- * What the decisions had learnt, on disk, for the process that starts after this one has died. A file of lines: a head
- * (version, classes, the monotonic clock), what {@link Wire} says of endpoints and memory, and a checksum of all before it. It is
- * put in place by a rename, so that it is whole or the one before; a torn, old or foreign one is not used. Nothing of
- * any rule hangs on it: losing it costs what a new courier costs.
+ * What the decisions had learnt, on disk, for the process that starts after this one has died. A
+ * file of lines: a head (version, classes, the monotonic clock), what {@link Wire} says of
+ * endpoints and memory, and a checksum of all before it. It is put in place by a rename, so that it
+ * is whole or the one before; a torn, old or foreign one is not used. Nothing of any rule hangs on
+ * it: losing it costs what a new courier costs.
  */
 public final class LearntFile {
-    /** Bytes at most: some two thousand endpoints, and a twentieth of the disk, since it is written beside the one before. */
-    private static final int MOST_BYTES = 1 << 20;
-    private static final int DISK_PART = 20;
-    private static final String END = "{\"t\":\"end\",\"crc\":";
+  /**
+   * Bytes at most: some two thousand endpoints, and a twentieth of the disk, since it is written
+   * beside the one before.
+   */
+  private static final int MOST_BYTES = 1 << 20;
 
-    private final Path file;
-    private final String classes;
-    private final long mostBytes;
+  private static final int DISK_PART = 20;
+  private static final String END = "{\"t\":\"end\",\"crc\":";
 
-    /** Where it is kept, how large the disk is, and the names of the classes in their order: what was learnt of others means nothing. */
-    public LearntFile(final Path folder, final int shard, final List<String> classes, final long diskBytes) {
-        this.mostBytes = Math.min(MOST_BYTES, diskBytes / DISK_PART);
-        this.file = folder.resolve(shard == 0 ? "learnt" : "learnt-" + shard);
-        this.classes = String.join(" ", classes);
-    }
+  private final Path file;
+  private final String classes;
+  private final long mostBytes;
 
-    /**
-     * What was learnt, and when that was.
-     *
-     * @param learnt its moments are those of the monotonic clock
-     * @param takenUs when it was put down, us
-     */
-    public record Found(Inheritance learnt, long takenUs) implements Continuity {
-        @Override
-        public List<Inheritance.Named> endpoints() {
-            return learnt.endpoints();
-        }
+  /**
+   * Where it is kept, how large the disk is, and the names of the classes in their order: what was
+   * learnt of others means nothing.
+   */
+  public LearntFile(
+      final Path folder, final int shard, final List<String> classes, final long diskBytes) {
+    this.mostBytes = Math.min(MOST_BYTES, diskBytes / DISK_PART);
+    this.file = folder.resolve(shard == 0 ? "learnt" : "learnt-" + shard);
+    this.classes = String.join(" ", classes);
+  }
 
-        /** Its process has died: what it had learnt is as old as that. */
-        @Override
-        public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
-            return learnt.memory(numbers, clock).aged(takenUs, clock.nowUs());
-        }
+  /**
+   * What was learnt, and when that was.
+   *
+   * @param learnt its moments are those of the monotonic clock
+   * @param takenUs when it was put down, us
+   */
+  public record Found(Inheritance learnt, long takenUs) implements Continuity {
+    @Override
+    public List<Inheritance.Named> endpoints() {
+      return learnt.endpoints();
     }
 
-    /** The bytes of a file that tells what was learnt by now; null if it would be too large. */
-    byte[] bytes(final Inheritance learnt, final long nowUs) {
-        final StringBuilder text = new StringBuilder(Json.text(JsonNodeFactory.instance.objectNode().put("t", "learnt")
-                .put("version", Memory.VERSION).put("classes", classes).put("taken", nowUs))).append('\n');
-        Wire.lines(learnt).forEach(line -> text.append(line).append('\n'));
-        final byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
-        if (body.length > mostBytes) {
-            return null;
-        }
-        return text.append(END).append(crc(body, body.length)).append("}\n").toString().getBytes(StandardCharsets.UTF_8);
+    /** Its process has died: what it had learnt is as old as that. */
+    @Override
+    public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
+      return learnt.memory(numbers, clock).aged(takenUs, clock.nowUs());
     }
+  }
 
-    long mostBytes() {
-        return mostBytes;
+  /** The bytes of a file that tells what was learnt by now; null if it would be too large. */
+  byte[] bytes(final Inheritance learnt, final long nowUs) {
+    final StringBuilder text =
+        new StringBuilder(
+                Json.text(
+                    JsonNodeFactory.instance
+                        .objectNode()
+                        .put("t", "learnt")
+                        .put("version", Memory.VERSION)
+                        .put("classes", classes)
+                        .put("taken", nowUs)))
+            .append('\n');
+    Wire.lines(learnt).forEach(line -> text.append(line).append('\n'));
+    final byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
+    if (body.length > mostBytes) {
+      return null;
     }
+    return text.append(END)
+        .append(crc(body, body.length))
+        .append("}\n")
+        .toString()
+        .getBytes(StandardCharsets.UTF_8);
+  }
 
-    /** Puts a file in the place of the one before. */
-    void write(final byte[] bytes) throws IOException {
-        final Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        Files.write(fresh, bytes);
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    }
+  long mostBytes() {
+    return mostBytes;
+  }
 
-    /** What the process before had learnt, if that can be trusted now; else null, with a line in the log unless there is none. */
-    public Found read(final long nowUs) {
-        try {
-            if (Files.size(file) > mostBytes + END.length() + Long.SIZE) {
-                throw new IOException("more than " + mostBytes + " bytes");
-            }
-            return parse(Files.readAllBytes(file), nowUs);
-        } catch (final NoSuchFileException e) {
-            return null;
-        } catch (final IOException | RuntimeException e) {
-            Log.info(file + " is not used: " + e.getMessage());
-            return null;
-        }
-    }
+  /** Puts a file in the place of the one before. */
+  void write(final byte[] bytes) throws IOException {
+    final Path fresh = file.resolveSibling(file.getFileName() + ".new");
+    Files.write(fresh, bytes);
+    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+  }
 
-    private Found parse(final byte[] bytes, final long nowUs) throws IOException {
-        final String text = new String(bytes, StandardCharsets.UTF_8);
-        final int last = text.lastIndexOf(END);
-        final int bodyBytes = last < 0 ? 0 : text.substring(0, last).getBytes(StandardCharsets.UTF_8).length;
-        if (last < 0 || !text.substring(last).equals(END + crc(bytes, bodyBytes) + "}\n")) {
-            throw new IOException("torn, or changed since it was written");
-        }
-        final List<String> lines = new ArrayList<>(text.substring(0, last).lines().toList());
-        final JsonNode head = Json.read(lines.remove(0));
-        if (head.path("version").asInt() != Memory.VERSION || !head.path("classes").asText().equals(classes)) {
-            throw new IOException("written by another version, or for other classes");
-        }
-        final long takenUs = head.path("taken").asLong();
-        final long ageUs = nowUs - takenUs;
-        if (ageUs < 0 || ageUs > Memory.MOST_AGE_US) {
-            throw new IOException(ageUs < 0 ? "the machine was started anew since it was written"
-                    : "it is " + ageUs / 1_000_000 + " s old");
-        }
-        return new Found(Wire.read(lines), takenUs);
+  /**
+   * What the process before had learnt, if that can be trusted now; else null, with a line in the
+   * log unless there is none.
+   */
+  public Found read(final long nowUs) {
+    try {
+      if (Files.size(file) > mostBytes + END.length() + Long.SIZE) {
+        throw new IOException("more than " + mostBytes + " bytes");
+      }
+      return parse(Files.readAllBytes(file), nowUs);
+    } catch (final NoSuchFileException e) {
+      return null;
+    } catch (final IOException | RuntimeException e) {
+      Log.info(file + " is not used: " + e.getMessage());
+      return null;
     }
+  }
 
-    private static long crc(final byte[] bytes, final int length) {
-        final CRC32C crc = new CRC32C();
-        crc.update(bytes, 0, length);
-        return crc.getValue();
+  private Found parse(final byte[] bytes, final long nowUs) throws IOException {
+    final String text = new String(bytes, StandardCharsets.UTF_8);
+    final int last = text.lastIndexOf(END);
+    final int bodyBytes =
+        last < 0 ? 0 : text.substring(0, last).getBytes(StandardCharsets.UTF_8).length;
+    if (last < 0 || !text.substring(last).equals(END + crc(bytes, bodyBytes) + "}\n")) {
+      throw new IOException("torn, or changed since it was written");
     }
+    final List<String> lines = new ArrayList<>(text.substring(0, last).lines().toList());
+    final JsonNode head = Json.read(lines.remove(0));
+    if (head.path("version").asInt() != Memory.VERSION
+        || !head.path("classes").asText().equals(classes)) {
+      throw new IOException("written by another version, or for other classes");
+    }
+    final long takenUs = head.path("taken").asLong();
+    final long ageUs = nowUs - takenUs;
+    if (ageUs < 0 || ageUs > Memory.MOST_AGE_US) {
+      throw new IOException(
+          ageUs < 0
+              ? "the machine was started anew since it was written"
+              : "it is " + ageUs / 1_000_000 + " s old");
+    }
+    return new Found(Wire.read(lines), takenUs);
+  }
+
+  private static long crc(final byte[] bytes, final int length) {
+    final CRC32C crc = new CRC32C();
+    crc.update(bytes, 0, length);
+    return crc.getValue();
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/warm/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/warm/package-info.java
@@ -1,2 +1,5 @@
-/** What was learnt outlives the process: a small file beside the journal, written away from the loop, trusted for a minute. */
+/**
+ * What was learnt outlives the process: a small file beside the journal, written away from the
+ * loop, trusted for a minute.
+ */
 package thistleturn.courier.warm;
--- a/courier/src/test/java/thistleturn/courier/ClosingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ClosingTest.java
@@ -19,190 +19,221 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Connections that a courier ends, and requests that meet that: each gets its one answer, or is surely not taken. */
+/**
+ * Connections that a courier ends, and requests that meet that: each gets its one answer, or is
+ * surely not taken.
+ */
 @Tag("crossings")
 @Timeout(120)
 final class ClosingTest {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final long IDLE_US = 300_000;
-    /** A process that is waited for ends so long after its order to. */
-    private static final long FULL_STOP_MS = 2800;
-
-    @TempDir
-    private Path folder;
-    private Rig rig;
-    private CourierProcess courier;
-    private String address;
-
-    @BeforeEach
-    void start() throws Exception {
-        rig = new Rig(folder);
-        final Tuning usual = Tuning.platform();
-        courier = CourierProcess.start(Map.of("PROXY_CONFIG", rig.configure(rig.platform.address()).toString(),
-                "PROXY_STATE", folder.resolve("state").toString()), null,
-                new Tuning(IDLE_US, usual.clientShare(), usual.endpointShare(), usual.shards(), usual.remembers()));
-        address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
-    }
-
-    @AfterEach
-    void end() throws IOException {
-        courier.kill();
-        rig.close();
-    }
-
-    private int port() {
-        return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
-    }
-
-    private Socket connect() throws IOException {
-        final Socket socket = new Socket("127.0.0.1", port());
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-        return socket;
-    }
-
-    /** A connection that has been used and asks nothing. */
-    private Socket idle() throws IOException {
-        final Socket socket = connect();
-        assertEquals(200, Rig.send(socket, UP).status());
-        return socket;
-    }
-
-    private static void write(final Socket socket, final String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-    }
-
-    /** Has the loop stand still from now on until that is done. */
-    private CountDownLatch hold() throws InterruptedException {
-        final CountDownLatch standing = new CountDownLatch(1);
-        final CountDownLatch release = new CountDownLatch(1);
-        courier.loop().execute(() -> {
-            standing.countDown();
-            try {
+  private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+  private static final long IDLE_US = 300_000;
+
+  /** A process that is waited for ends so long after its order to. */
+  private static final long FULL_STOP_MS = 2800;
+
+  @TempDir private Path folder;
+  private Rig rig;
+  private CourierProcess courier;
+  private String address;
+
+  @BeforeEach
+  void start() throws Exception {
+    rig = new Rig(folder);
+    final Tuning usual = Tuning.platform();
+    courier =
+        CourierProcess.start(
+            Map.of(
+                "PROXY_CONFIG",
+                rig.configure(rig.platform.address()).toString(),
+                "PROXY_STATE",
+                folder.resolve("state").toString()),
+            null,
+            new Tuning(
+                IDLE_US,
+                usual.clientShare(),
+                usual.endpointShare(),
+                usual.shards(),
+                usual.remembers()));
+    address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+  }
+
+  @AfterEach
+  void end() throws IOException {
+    courier.kill();
+    rig.close();
+  }
+
+  private int port() {
+    return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
+  }
+
+  private Socket connect() throws IOException {
+    final Socket socket = new Socket("127.0.0.1", port());
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    return socket;
+  }
+
+  /** A connection that has been used and asks nothing. */
+  private Socket idle() throws IOException {
+    final Socket socket = connect();
+    assertEquals(200, Rig.send(socket, UP).status());
+    return socket;
+  }
+
+  private static void write(final Socket socket, final String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+  }
+
+  /** Has the loop stand still from now on until that is done. */
+  private CountDownLatch hold() throws InterruptedException {
+    final CountDownLatch standing = new CountDownLatch(1);
+    final CountDownLatch release = new CountDownLatch(1);
+    courier
+        .loop()
+        .execute(
+            () -> {
+              standing.countDown();
+              try {
                 assertTrue(release.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
-            } catch (final InterruptedException e) {
+              } catch (final InterruptedException e) {
                 throw new IllegalStateException(e);
-            }
-        });
-        assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
-        return release;
-    }
-
-    private Thread stop() {
-        final Thread stopping = new Thread(courier::stop);
-        stopping.start();
-        return stopping;
-    }
-
-    /** The request lies in the socket when the courier is told to end: it came before, and is answered. */
-    @Test
-    void aRequestThatLiesUnreadAtTheShutdownIsAnswered() throws Exception {
-        final Socket socket = idle();
-        final CountDownLatch release = hold();
-        write(socket, Rig.message("m1", "safe"));
-        final Thread stopping = stop();
-        rig.await("the order to end waits behind", () -> courier.loop() instanceof SingleThreadEventExecutor loop
-                && loop.pendingTasks() > 0);
-        release.countDown();
-        final Rig.Answer answer = Rig.read(socket.getInputStream());
-        assertEquals(202, answer.status());
-        assertTrue(answer.head().contains("connection: close"), answer.head());
-        assertEquals(-1, socket.getInputStream().read(), "an end in order");
-        rig.await("the call", () -> rig.first.requests.size() == 1);
-        stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-    }
-
-    /** The same reset, where a connection has been idle for too long. */
-    @Test
-    void whatCrossesTheEndOfAConnectionThatWasIdleForTooLongDoesNotResetIt() throws Exception {
-        final Socket socket = idle();
-        assertEquals(-1, socket.getInputStream().read(), "an end in order");
-        write(socket, Rig.message("m1", "safe"));
-        write(socket, Rig.message("m1", "safe"));
-        assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-        assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
-    }
-
-    /** What crosses the end of a connection is read away: a reset could overtake an answer that is on its way. */
-    @Test
-    void whatCrossesTheEndOfAnIdleConnectionDoesNotResetIt() throws Exception {
-        final Socket socket = idle();
-        final Thread stopping = stop();
-        assertEquals(-1, socket.getInputStream().read(), "an end in order");
-        write(socket, Rig.message("m1", "safe"));
-        write(socket, Rig.message("m1", "safe"));
-        assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-        stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-        assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
+              }
+            });
+    assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
+    return release;
+  }
+
+  private Thread stop() {
+    final Thread stopping = new Thread(courier::stop);
+    stopping.start();
+    return stopping;
+  }
+
+  /**
+   * The request lies in the socket when the courier is told to end: it came before, and is
+   * answered.
+   */
+  @Test
+  void aRequestThatLiesUnreadAtTheShutdownIsAnswered() throws Exception {
+    final Socket socket = idle();
+    final CountDownLatch release = hold();
+    write(socket, Rig.message("m1", "safe"));
+    final Thread stopping = stop();
+    rig.await(
+        "the order to end waits behind",
+        () -> courier.loop() instanceof SingleThreadEventExecutor loop && loop.pendingTasks() > 0);
+    release.countDown();
+    final Rig.Answer answer = Rig.read(socket.getInputStream());
+    assertEquals(202, answer.status());
+    assertTrue(answer.head().contains("connection: close"), answer.head());
+    assertEquals(-1, socket.getInputStream().read(), "an end in order");
+    rig.await("the call", () -> rig.first.requests.size() == 1);
+    stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+  }
+
+  /** The same reset, where a connection has been idle for too long. */
+  @Test
+  void whatCrossesTheEndOfAConnectionThatWasIdleForTooLongDoesNotResetIt() throws Exception {
+    final Socket socket = idle();
+    assertEquals(-1, socket.getInputStream().read(), "an end in order");
+    write(socket, Rig.message("m1", "safe"));
+    write(socket, Rig.message("m1", "safe"));
+    assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
+    assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
+  }
+
+  /**
+   * What crosses the end of a connection is read away: a reset could overtake an answer that is on
+   * its way.
+   */
+  @Test
+  void whatCrossesTheEndOfAnIdleConnectionDoesNotResetIt() throws Exception {
+    final Socket socket = idle();
+    final Thread stopping = stop();
+    assertEquals(-1, socket.getInputStream().read(), "an end in order");
+    write(socket, Rig.message("m1", "safe"));
+    write(socket, Rig.message("m1", "safe"));
+    assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
+    stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
+  }
+
+  /** The first half came before the order to end, the second after the listener has gone. */
+  @Test
+  void aRequestInPiecesAcrossTheShutdownIsAnswered(@TempDir final Path other) throws Exception {
+    try (Rig process = new Rig(other)) {
+      process.start();
+      final String text = Rig.message("m1", "safe");
+      final Socket socket = process.connect();
+      write(socket, text.substring(0, text.length() / 2));
+      assertEquals(200, process.send(UP).status(), "the half has been read by then");
+      final Process ending = process.terminate();
+      awaitNoMoreConnections(process);
+      write(socket, text.substring(text.length() / 2));
+      final Rig.Answer answer = Rig.read(socket.getInputStream());
+      assertEquals(202, answer.status());
+      assertTrue(answer.head().contains("connection: close"), answer.head());
+      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      // A call that the end of this process could cut off is left to the next one.
+      process.start();
+      process.await(
+          "its call, by this process or the next", () -> process.first.requests.size() == 1);
     }
-
-    /** The first half came before the order to end, the second after the listener has gone. */
-    @Test
-    void aRequestInPiecesAcrossTheShutdownIsAnswered(@TempDir final Path other) throws Exception {
-        try (Rig process = new Rig(other)) {
-            process.start();
-            final String text = Rig.message("m1", "safe");
-            final Socket socket = process.connect();
-            write(socket, text.substring(0, text.length() / 2));
-            assertEquals(200, process.send(UP).status(), "the half has been read by then");
-            final Process ending = process.terminate();
-            awaitNoMoreConnections(process);
-            write(socket, text.substring(text.length() / 2));
-            final Rig.Answer answer = Rig.read(socket.getInputStream());
-            assertEquals(202, answer.status());
-            assertTrue(answer.head().contains("connection: close"), answer.head());
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-            // A call that the end of this process could cut off is left to the next one.
-            process.start();
-            process.await("its call, by this process or the next", () -> process.first.requests.size() == 1);
-        }
-    }
-
-    private static void awaitNoMoreConnections(final Rig process) {
-        process.await("no more connections", () -> {
-            try {
-                process.connect().close();
-                return false;
-            } catch (final ConnectException e) {
-                return true;
-            } catch (final IOException e) {
-                throw new IllegalStateException(e);
-            }
+  }
+
+  private static void awaitNoMoreConnections(final Rig process) {
+    process.await(
+        "no more connections",
+        () -> {
+          try {
+            process.connect().close();
+            return false;
+          } catch (final ConnectException e) {
+            return true;
+          } catch (final IOException e) {
+            throw new IllegalStateException(e);
+          }
         });
+  }
+
+  /**
+   * Connections that ask nothing, and others that come and go, do not have the process wait for its
+   * last moment.
+   */
+  @Test
+  void whoAsksNothingDoesNotHoldUpTheEnd(@TempDir final Path other) throws Exception {
+    try (Rig process = new Rig(other)) {
+      process.start();
+      final Socket silent = process.connect();
+      assertEquals(200, process.send(UP).status(), "the silent one has been accepted by then");
+      final long sinceNs = System.nanoTime();
+      final Process ending = process.terminate();
+      awaitNoMoreConnections(process);
+      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
+      assertTrue(tookMs < FULL_STOP_MS, "ended after " + tookMs + " ms");
+      silent.close();
     }
-
-    /** Connections that ask nothing, and others that come and go, do not have the process wait for its last moment. */
-    @Test
-    void whoAsksNothingDoesNotHoldUpTheEnd(@TempDir final Path other) throws Exception {
-        try (Rig process = new Rig(other)) {
-            process.start();
-            final Socket silent = process.connect();
-            assertEquals(200, process.send(UP).status(), "the silent one has been accepted by then");
-            final long sinceNs = System.nanoTime();
-            final Process ending = process.terminate();
-            awaitNoMoreConnections(process);
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-            final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
-            assertTrue(tookMs < FULL_STOP_MS, "ended after " + tookMs + " ms");
-            silent.close();
-        }
-    }
-
-    /** A request that never comes in whole is told so before the process ends. */
-    @Test
-    void aRequestThatIsNotWholeWhenTheProcessEndsIsTurnedAway(@TempDir final Path other) throws Exception {
-        try (Rig process = new Rig(other)) {
-            process.start();
-            final String text = Rig.message("m1", "safe");
-            final Socket socket = process.connect();
-            write(socket, text.substring(0, text.length() / 2));
-            assertEquals(200, process.send(UP).status(), "the half has been read by then");
-            final Process ending = process.terminate();
-            // By how it came: for the time that it took, or for want of any.
-            final int status = Rig.read(socket.getInputStream()).status();
-            assertTrue(status == 408 || status == 503, "told " + status);
-            assertEquals(-1, socket.getInputStream().read(), "an end in order");
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-            assertTrue(process.first.requests.isEmpty());
-        }
+  }
+
+  /** A request that never comes in whole is told so before the process ends. */
+  @Test
+  void aRequestThatIsNotWholeWhenTheProcessEndsIsTurnedAway(@TempDir final Path other)
+      throws Exception {
+    try (Rig process = new Rig(other)) {
+      process.start();
+      final String text = Rig.message("m1", "safe");
+      final Socket socket = process.connect();
+      write(socket, text.substring(0, text.length() / 2));
+      assertEquals(200, process.send(UP).status(), "the half has been read by then");
+      final Process ending = process.terminate();
+      // By how it came: for the time that it took, or for want of any.
+      final int status = Rig.read(socket.getInputStream()).status();
+      assertTrue(status == 408 || status == 503, "told " + status);
+      assertEquals(-1, socket.getInputStream().read(), "an end in order");
+      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      assertTrue(process.first.requests.isEmpty());
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/CrowdAfterStandstillTest.java
+++ b/courier/src/test/java/thistleturn/courier/CrowdAfterStandstillTest.java
@@ -18,61 +18,78 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** More clients than the courier has room for connect while it stands still, each with a whole request. */
+/**
+ * More clients than the courier has room for connect while it stands still, each with a whole
+ * request.
+ */
 @Tag("crossings")
 @Timeout(120)
 final class CrowdAfterStandstillTest {
-    private static final int SOCKETS = 100;
-    private static final int CLIENTS = 150;
+  private static final int SOCKETS = 100;
+  private static final int CLIENTS = 150;
 
-    private Rig rig;
-    private CourierProcess courier;
-    private int port;
-    private final List<Socket> clients = new ArrayList<>();
+  private Rig rig;
+  private CourierProcess courier;
+  private int port;
+  private final List<Socket> clients = new ArrayList<>();
 
-    @BeforeEach
-    void start(@TempDir final Path folder) throws Exception {
-        rig = new Rig(folder);
-        rig.sockets = SOCKETS;
-        rig.maxOpen = 2 * CLIENTS;
-        courier = CourierProcess.start(Map.of("PROXY_CONFIG", rig.configure(rig.platform.address()).toString(),
-                "PROXY_STATE", folder.resolve("state").toString()));
-        final String address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
-        port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
-    }
+  @BeforeEach
+  void start(@TempDir final Path folder) throws Exception {
+    rig = new Rig(folder);
+    rig.sockets = SOCKETS;
+    rig.maxOpen = 2 * CLIENTS;
+    courier =
+        CourierProcess.start(
+            Map.of(
+                "PROXY_CONFIG",
+                rig.configure(rig.platform.address()).toString(),
+                "PROXY_STATE",
+                folder.resolve("state").toString()));
+    final String address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+    port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
+  }
 
-    @AfterEach
-    void end() throws IOException {
-        for (final Socket client : clients) {
-            client.close();
-        }
-        courier.kill();
-        rig.close();
+  @AfterEach
+  void end() throws IOException {
+    for (final Socket client : clients) {
+      client.close();
     }
+    courier.kill();
+    rig.close();
+  }
 
-    /** What waits to be accepted and read only seems to say nothing: it is read before anyone has to make room. */
-    @Test
-    void eachOfThemIsAnswered() throws Exception {
-        final CountDownLatch standing = new CountDownLatch(1);
-        final CountDownLatch goOn = new CountDownLatch(1);
-        courier.loop().execute(() -> {
-            standing.countDown();
-            try {
+  /**
+   * What waits to be accepted and read only seems to say nothing: it is read before anyone has to
+   * make room.
+   */
+  @Test
+  void eachOfThemIsAnswered() throws Exception {
+    final CountDownLatch standing = new CountDownLatch(1);
+    final CountDownLatch goOn = new CountDownLatch(1);
+    courier
+        .loop()
+        .execute(
+            () -> {
+              standing.countDown();
+              try {
                 goOn.await();
-            } catch (final InterruptedException e) {
+              } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
-        });
-        standing.await();
-        for (int number = 0; number < CLIENTS; number++) {
-            final Socket client = new Socket("127.0.0.1", port);
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-            client.getOutputStream().write(Rig.message("m" + number, "safe").getBytes(StandardCharsets.US_ASCII));
-            clients.add(client);
-        }
-        goOn.countDown();
-        for (int number = 0; number < CLIENTS; number++) {
-            assertEquals(202, Rig.read(clients.get(number).getInputStream()).status(), "client " + number);
-        }
+              }
+            });
+    standing.await();
+    for (int number = 0; number < CLIENTS; number++) {
+      final Socket client = new Socket("127.0.0.1", port);
+      client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+      client
+          .getOutputStream()
+          .write(Rig.message("m" + number, "safe").getBytes(StandardCharsets.US_ASCII));
+      clients.add(client);
+    }
+    goOn.countDown();
+    for (int number = 0; number < CLIENTS; number++) {
+      assertEquals(
+          202, Rig.read(clients.get(number).getInputStream()).status(), "client " + number);
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/FakeServer.java
+++ b/courier/src/test/java/thistleturn/courier/FakeServer.java
@@ -14,141 +14,154 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BiConsumer;
 
-/** A small HTTP server for tests, on a port of the system's choice: it records requests and answers by a script. */
+/**
+ * A small HTTP server for tests, on a port of the system's choice: it records requests and answers
+ * by a script.
+ */
 final class FakeServer implements AutoCloseable {
-    /** One request that has come in whole. */
-    record Request(String line, Map<String, String> headers, byte[] body, Connection connection, long atNs) {
-        String text() {
-            return new String(body, StandardCharsets.UTF_8);
-        }
+  /** One request that has come in whole. */
+  record Request(
+      String line, Map<String, String> headers, byte[] body, Connection connection, long atNs) {
+    String text() {
+      return new String(body, StandardCharsets.UTF_8);
+    }
 
-        String header(final String name) {
-            return headers.get(name.toLowerCase(Locale.ROOT));
+    String header(final String name) {
+      return headers.get(name.toLowerCase(Locale.ROOT));
+    }
+  }
+
+  final List<Request> requests = new CopyOnWriteArrayList<>();
+  final List<Connection> connections = new CopyOnWriteArrayList<>();
+  private final ServerSocket server;
+  private volatile BiConsumer<Request, Connection> script;
+
+  FakeServer(final BiConsumer<Request, Connection> script) throws IOException {
+    this.script = script;
+    this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    daemon(this::accept);
+  }
+
+  void script(final BiConsumer<Request, Connection> next) {
+    script = next;
+  }
+
+  String address() {
+    return "127.0.0.1:" + server.getLocalPort();
+  }
+
+  private static void daemon(final Runnable work) {
+    final Thread thread = new Thread(work);
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private void accept() {
+    try {
+      while (true) {
+        final Connection connection = new Connection(server.accept());
+        connections.add(connection);
+        daemon(() -> serve(connection));
+      }
+    } catch (final IOException e) {
+      assert server.isClosed();
+    }
+  }
+
+  private void serve(final Connection connection) {
+    try {
+      final InputStream in = connection.socket.getInputStream();
+      while (true) {
+        final Request request = read(in, connection);
+        if (request == null) {
+          break;
         }
+        requests.add(request);
+        script.accept(request, connection);
+      }
+    } catch (final IOException e) {
+      connection.ended = true;
     }
-
-    final List<Request> requests = new CopyOnWriteArrayList<>();
-    final List<Connection> connections = new CopyOnWriteArrayList<>();
-    private final ServerSocket server;
-    private volatile BiConsumer<Request, Connection> script;
-
-    FakeServer(final BiConsumer<Request, Connection> script) throws IOException {
-        this.script = script;
-        this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+    connection.ended = true;
+  }
+
+  private static Request read(final InputStream in, final Connection connection)
+      throws IOException {
+    final String line = line(in);
+    if (line.isEmpty()) {
+      return null;
     }
-
-    void script(final BiConsumer<Request, Connection> next) {
-        script = next;
+    final Map<String, String> headers = new TreeMap<>();
+    for (String header = line(in); !header.isEmpty(); header = line(in)) {
+      final int colon = header.indexOf(':');
+      headers.put(
+          header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
     }
-
-    String address() {
-        return "127.0.0.1:" + server.getLocalPort();
+    final byte[] body =
+        in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
+    return new Request(line, headers, body, connection, System.nanoTime());
+  }
+
+  static String line(final InputStream in) throws IOException {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
+      bytes.write(next);
     }
+    return bytes.toString(StandardCharsets.UTF_8).trim();
+  }
 
-    private static void daemon(final Runnable work) {
-        final Thread thread = new Thread(work);
-        thread.setDaemon(true);
-        thread.start();
-    }
+  @Override
+  public void close() throws IOException {
+    server.close();
+    connections.forEach(Connection::reset);
+  }
 
-    private void accept() {
-        try {
-            while (true) {
-                final Connection connection = new Connection(server.accept());
-                connections.add(connection);
-                daemon(() -> serve(connection));
-            }
-        } catch (final IOException e) {
-            assert server.isClosed();
-        }
-    }
+  /** One connection that was made to it. */
+  static final class Connection {
+    private final Socket socket;
 
-    private void serve(final Connection connection) {
-        try {
-            final InputStream in = connection.socket.getInputStream();
-            while (true) {
-                final Request request = read(in, connection);
-                if (request == null) {
-                    break;
-                }
-                requests.add(request);
-                script.accept(request, connection);
-            }
-        } catch (final IOException e) {
-            connection.ended = true;
-        }
-        connection.ended = true;
-    }
+    /** The other side has ended its sending, or the connection is gone. */
+    volatile boolean ended;
 
-    private static Request read(final InputStream in, final Connection connection) throws IOException {
-        final String line = line(in);
-        if (line.isEmpty()) {
-            return null;
-        }
-        final Map<String, String> headers = new TreeMap<>();
-        for (String header = line(in); !header.isEmpty(); header = line(in)) {
-            final int colon = header.indexOf(':');
-            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
-        }
-        final byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Request(line, headers, body, connection, System.nanoTime());
+    Connection(final Socket socket) {
+      this.socket = socket;
     }
 
-    static String line(final InputStream in) throws IOException {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
-            bytes.write(next);
-        }
-        return bytes.toString(StandardCharsets.UTF_8).trim();
+    void answer(final int status, final String body, final String... headers) {
+      final StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
+      for (final String header : headers) {
+        head.append(header).append("\r\n");
+      }
+      write(
+          head
+              + "Content-Length: "
+              + body.getBytes(StandardCharsets.UTF_8).length
+              + "\r\n\r\n"
+              + body);
     }
 
-    @Override
-    public void close() throws IOException {
-        server.close();
-        connections.forEach(Connection::reset);
+    void write(final String text) {
+      try {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+      } catch (final IOException e) {
+        ended = true;
+      }
     }
 
-    /** One connection that was made to it. */
-    static final class Connection {
-        private final Socket socket;
-        /** The other side has ended its sending, or the connection is gone. */
-        volatile boolean ended;
-
-        Connection(final Socket socket) {
-            this.socket = socket;
-        }
-
-        void answer(final int status, final String body, final String... headers) {
-            final StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
-            for (final String header : headers) {
-                head.append(header).append("\r\n");
-            }
-            write(head + "Content-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body);
-        }
-
-        void write(final String text) {
-            try {
-                socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-            } catch (final IOException e) {
-                ended = true;
-            }
-        }
-
-        void chunk(final String text) {
-            write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-        }
+    void chunk(final String text) {
+      write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    }
 
-        /** Breaks the connection without a word. */
-        void reset() {
-            try {
-                if (!socket.isClosed()) {
-                    socket.setSoLinger(true, 0);
-                    socket.close();
-                }
-            } catch (final IOException e) {
-                throw new IllegalStateException(e);
-            }
+    /** Breaks the connection without a word. */
+    void reset() {
+      try {
+        if (!socket.isClosed()) {
+          socket.setSoLinger(true, 0);
+          socket.close();
         }
+      } catch (final IOException e) {
+        throw new IllegalStateException(e);
+      }
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
@@ -24,135 +24,162 @@
 import thistleturn.testkit.rig.FaultShim;
 
 /**
- * Of each kind of system call the n-th fails, once or from then on for a while, over a start, messages, a kill, a restart and an
- * end in order; then seeded mixes of calls, disk, clock, signals and partners. A few in every run; by hand as many as
- * {@code -Dfaults.seeds} and {@code -Dfaults.nth} say.
+ * Of each kind of system call the n-th fails, once or from then on for a while, over a start,
+ * messages, a kill, a restart and an end in order; then seeded mixes of calls, disk, clock, signals
+ * and partners. A few in every run; by hand as many as {@code -Dfaults.seeds} and {@code
+ * -Dfaults.nth} say.
  */
 @Tag("faults")
 final class FaultSoakTest {
-    private static final int SEEDS = Integer.getInteger("faults.seeds", 2);
-    private static final int FIRST_SEED = Integer.getInteger("faults.first", 1);
-    private static final int MOST_NTH = Integer.getInteger("faults.nth", 1);
-    private static final double RATE = 150;
-    private static final Pattern REPEAT = Pattern.compile(
-            "\\S+ \\((safe|keyed|brief)\\) was sent after it was delivered, (\\d+) us after its answer");
-    /** The window of the class {@code brief}, less the time of a call. */
-    private static final long BRIEF_WINDOW_US = 270_000;
-    private static final long[] WALL_SHIFTS_MS = {0, 5_000, -5_000, 3_600_000, -3_600_000};
-    private static final List<String> CALLS = List.of("accept,errno=23/103", "socket,errno=23/105", "connect,errno=99/101",
-            "write,errno=28/5,how=half", "write,errno=28/5,how=whole", "open,errno=23/5", "read,errno=5", "rename,errno=5",
-            "rename,errno=5,how=whole");
-
-    @TempDir
-    private Path folder;
-
-    static Stream<String> nthFailures() {
-        return CALLS.stream().flatMap(call -> IntStream.rangeClosed(1, MOST_NTH).boxed()
-                .flatMap(nth -> Stream.of(call + ",nth=" + nth, call + ",nth=" + nth + ",count=40")));
-    }
+  private static final int SEEDS = Integer.getInteger("faults.seeds", 2);
+  private static final int FIRST_SEED = Integer.getInteger("faults.first", 1);
+  private static final int MOST_NTH = Integer.getInteger("faults.nth", 1);
+  private static final double RATE = 150;
+  private static final Pattern REPEAT =
+      Pattern.compile(
+          "\\S+ \\((safe|keyed|brief)\\) was sent after it was delivered, (\\d+) us after its answer");
 
-    static Stream<Integer> seeds() {
-        return IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).boxed();
-    }
+  /** The window of the class {@code brief}, less the time of a call. */
+  private static final long BRIEF_WINDOW_US = 270_000;
 
-    @ParameterizedTest
-    @MethodSource("nthFailures")
-    void theNthCallFails(final String rule) throws IOException {
-        try (FaultScenario scenario = new FaultScenario(folder, rule.hashCode())) {
-            final FaultShim faults = scenario.faults().rule(rule);
-            scenario.start(faults);
-            scenario.load(RATE);
-            scenario.pass(500);
-            scenario.restart(faults);
-            scenario.pass(500);
-            scenario.restartInOrder(scenario.faults());
-            scenario.pass(300);
-            assertEquals(List.of(), broken(scenario), scenario::story);
-        }
-    }
+  private static final long[] WALL_SHIFTS_MS = {0, 5_000, -5_000, 3_600_000, -3_600_000};
+  private static final List<String> CALLS =
+      List.of(
+          "accept,errno=23/103",
+          "socket,errno=23/105",
+          "connect,errno=99/101",
+          "write,errno=28/5,how=half",
+          "write,errno=28/5,how=whole",
+          "open,errno=23/5",
+          "read,errno=5",
+          "rename,errno=5",
+          "rename,errno=5,how=whole");
 
-    @ParameterizedTest
-    @MethodSource("seeds")
-    void mixedFaultsBreakNoRule(final int seed) throws IOException {
-        final Random random = new Random(seed);
-        try (FaultScenario scenario = new FaultScenario(folder, seed)) {
-            scenario.world.loadClasses("safe", "keyed", "brief", "once");
-            scenario.world.client.keepConnections(random.nextBoolean());
-            scenario.start(faults(scenario, random));
-            scenario.load(RATE);
-            for (int step = 0; step < 5; step++) {
-                trouble(scenario, random);
-                scenario.pass(400 + random.nextInt(1200));
-                if (random.nextInt(3) == 0) {
-                    scenario.restartInOrder(faults(scenario, random));
-                } else if (random.nextInt(2) == 0) {
-                    scenario.restart(faults(scenario, random));
-                }
-            }
-            scenario.endpoints.forEach(endpoint -> endpoint.fare(Manner.after(20)));
-            assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
-        }
+  @TempDir private Path folder;
+
+  static Stream<String> nthFailures() {
+    return CALLS.stream()
+        .flatMap(
+            call ->
+                IntStream.rangeClosed(1, MOST_NTH)
+                    .boxed()
+                    .flatMap(
+                        nth ->
+                            Stream.of(call + ",nth=" + nth, call + ",nth=" + nth + ",count=40")));
+  }
+
+  static Stream<Integer> seeds() {
+    return IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).boxed();
+  }
+
+  @ParameterizedTest
+  @MethodSource("nthFailures")
+  void theNthCallFails(final String rule) throws IOException {
+    try (FaultScenario scenario = new FaultScenario(folder, rule.hashCode())) {
+      final FaultShim faults = scenario.faults().rule(rule);
+      scenario.start(faults);
+      scenario.load(RATE);
+      scenario.pass(500);
+      scenario.restart(faults);
+      scenario.pass(500);
+      scenario.restartInOrder(scenario.faults());
+      scenario.pass(300);
+      assertEquals(List.of(), broken(scenario), scenario::story);
     }
+  }
 
-    /** A newer process takes over while calls of both fail. */
-    @ParameterizedTest
-    @MethodSource("seeds")
-    void aTakeoverUnderFaultsBreaksNoRule(final int seed) throws IOException {
-        final Random random = new Random(1000 + seed);
-        try (FaultScenario scenario = new FaultScenario(folder, seed)) {
-            scenario.listenAt(freePort());
-            scenario.operatorAt(freePort());
-            scenario.start(faults(scenario, random));
-            scenario.load(RATE);
-            scenario.pass(700);
-            scenario.operatorAt(freePort());
-            scenario.takeOver(faults(scenario, random));
-            scenario.pass(700);
-            assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void mixedFaultsBreakNoRule(final int seed) throws IOException {
+    final Random random = new Random(seed);
+    try (FaultScenario scenario = new FaultScenario(folder, seed)) {
+      scenario.world.loadClasses("safe", "keyed", "brief", "once");
+      scenario.world.client.keepConnections(random.nextBoolean());
+      scenario.start(faults(scenario, random));
+      scenario.load(RATE);
+      for (int step = 0; step < 5; step++) {
+        trouble(scenario, random);
+        scenario.pass(400 + random.nextInt(1200));
+        if (random.nextInt(3) == 0) {
+          scenario.restartInOrder(faults(scenario, random));
+        } else if (random.nextInt(2) == 0) {
+          scenario.restart(faults(scenario, random));
         }
+      }
+      scenario.endpoints.forEach(endpoint -> endpoint.fare(Manner.after(20)));
+      assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
     }
+  }
 
-    /**
-     * What the rules forbid. What was delivered and may be repeated is answered as delivered once more: an answer that crosses
-     * the end of its call, or of the process, makes it go again.
-     */
-    private static List<Violation> broken(final FaultScenario scenario) {
-        return scenario.verdict().stream().filter(one -> !isHarmlessRepeat(one.what())).toList();
+  /** A newer process takes over while calls of both fail. */
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void aTakeoverUnderFaultsBreaksNoRule(final int seed) throws IOException {
+    final Random random = new Random(1000 + seed);
+    try (FaultScenario scenario = new FaultScenario(folder, seed)) {
+      scenario.listenAt(freePort());
+      scenario.operatorAt(freePort());
+      scenario.start(faults(scenario, random));
+      scenario.load(RATE);
+      scenario.pass(700);
+      scenario.operatorAt(freePort());
+      scenario.takeOver(faults(scenario, random));
+      scenario.pass(700);
+      assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
     }
+  }
 
-    private static boolean isHarmlessRepeat(final String what) {
-        final Matcher repeat = REPEAT.matcher(what);
-        return repeat.matches() && (!repeat.group(1).equals("brief") || Long.parseLong(repeat.group(2)) < BRIEF_WINDOW_US);
-    }
+  /**
+   * What the rules forbid. What was delivered and may be repeated is answered as delivered once
+   * more: an answer that crosses the end of its call, or of the process, makes it go again.
+   */
+  private static List<Violation> broken(final FaultScenario scenario) {
+    return scenario.verdict().stream().filter(one -> !isHarmlessRepeat(one.what())).toList();
+  }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
-        }
+  private static boolean isHarmlessRepeat(final String what) {
+    final Matcher repeat = REPEAT.matcher(what);
+    return repeat.matches()
+        && (!repeat.group(1).equals("brief") || Long.parseLong(repeat.group(2)) < BRIEF_WINDOW_US);
+  }
+
+  private static int freePort() throws IOException {
+    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return free.getLocalPort();
     }
+  }
 
-    private static FaultShim faults(final FaultScenario scenario, final Random random) {
-        final FaultShim faults = scenario.faults().seed(random.nextInt(1 << 20));
-        final List<String> calls = new ArrayList<>(CALLS);
-        for (int count = random.nextInt(4); count > 0; count--) {
-            final String call = calls.remove(random.nextInt(calls.size()));
-            faults.rule(call + (random.nextBoolean() ? ",share=0." + (1 + random.nextInt(3))
-                    : ",period=" + (700 + random.nextInt(1800)) + ",for=" + (20 + random.nextInt(280))));
-        }
-        final long shiftMs = WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)];
-        return faults.wallClock(0, shiftMs).wallClock(500 + random.nextInt(1500),
-                WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)]);
+  private static FaultShim faults(final FaultScenario scenario, final Random random) {
+    final FaultShim faults = scenario.faults().seed(random.nextInt(1 << 20));
+    final List<String> calls = new ArrayList<>(CALLS);
+    for (int count = random.nextInt(4); count > 0; count--) {
+      final String call = calls.remove(random.nextInt(calls.size()));
+      faults.rule(
+          call
+              + (random.nextBoolean()
+                  ? ",share=0." + (1 + random.nextInt(3))
+                  : ",period="
+                      + (700 + random.nextInt(1800))
+                      + ",for="
+                      + (20 + random.nextInt(280))));
     }
+    final long shiftMs = WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)];
+    return faults
+        .wallClock(0, shiftMs)
+        .wallClock(
+            500 + random.nextInt(1500), WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)]);
+  }
 
-    private static void trouble(final FaultScenario scenario, final Random random) {
-        for (final StandInEndpoint endpoint : scenario.endpoints) {
-            endpoint.fare(switch (random.nextInt(10)) {
-                case 0 -> Manner.of(Act.SILENCE);
-                case 1 -> Manner.of(Act.RESET);
-                case 2 -> Manner.of(Act.FAIL);
-                case 3 -> new Manner(Act.REFUSE, 5, 200);
-                default -> Manner.after(20);
-            });
-        }
+  private static void trouble(final FaultScenario scenario, final Random random) {
+    for (final StandInEndpoint endpoint : scenario.endpoints) {
+      endpoint.fare(
+          switch (random.nextInt(10)) {
+            case 0 -> Manner.of(Act.SILENCE);
+            case 1 -> Manner.of(Act.RESET);
+            case 2 -> Manner.of(Act.FAIL);
+            case 3 -> new Manner(Act.REFUSE, 5, 200);
+            default -> Manner.after(20);
+          });
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -18,51 +18,64 @@
 import thistleturn.testkit.StandInEndpoint.Manner;
 import thistleturn.testkit.StandInWorld;
 
-/** A courier that is killed within its Java machine ends as a power cut would end it: nothing is decided any more. */
+/**
+ * A courier that is killed within its Java machine ends as a power cut would end it: nothing is
+ * decided any more.
+ */
 final class KillTest {
-    /**
-     * A call may take eight times what is expected of it, and no less than a message has left: so long a service and so short
-     * a time leave no time-out of a call before its message's own end, however long the machine stands still in between.
-     */
-    private static final long TIMEOUT_MS = 8000;
-    private static final long SERVICE_MS = 1000;
+  /**
+   * A call may take eight times what is expected of it, and no less than a message has left: so
+   * long a service and so short a time leave no time-out of a call before its message's own end,
+   * however long the machine stands still in between.
+   */
+  private static final long TIMEOUT_MS = 8000;
 
-    /** Calls whose connections break with the process are not sent again by the process that is ending. */
-    @Test
-    void whatBreaksWithTheProcessIsNotSentAgainByIt(@TempDir final Path folder) throws Exception {
-        try (StandInWorld world = new StandInWorld(folder, 11)) {
-            // One call each: whatever a destination's window is, that many are always allowed.
-            final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(2));
-            endpoints.forEach(endpoint -> world.platform.tell(endpoint, "Ready", 1000));
-            final CourierProcess courier = CourierProcess.start(world.environment(CourierFiles.Size.usual()));
-            world.client.courier(courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS));
-            // A destination that serves well is called again at once when a call of its breaks.
-            endpoints.forEach(endpoint -> endpoint.fare(Manner.after(SERVICE_MS)));
-            world.load(10, TIMEOUT_MS, 1, 2);
-            world.await("deliveries", () -> calls(endpoints) > 10);
-            assertEquals(List.of(), world.stopLoad());
-            endpoints.forEach(endpoint -> endpoint.fare(Manner.of(Act.SILENCE)));
-            final long served = calls(endpoints);
-            world.client.handIn("safe", 1, TIMEOUT_MS);
-            world.client.handIn("keyed", 2, TIMEOUT_MS);
-            world.await("both of them out", () -> calls(endpoints) == served + 2);
-            courier.kill();
-            // Connections are taken in the order in which they came: what the ending process opened came before this one.
-            for (final StandInEndpoint endpoint : endpoints) {
-                try (Socket last = new Socket("127.0.0.1", endpoint.port())) {
-                    last.getOutputStream().write("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-                            .getBytes(StandardCharsets.US_ASCII));
-                    Rig.read(last.getInputStream());
-                }
-            }
-            world.endConnections();
-            assertEquals(served + 2, calls(endpoints));
-            final Collection<Held> owed = Layout.open(folder.resolve("state"), 1_000_000, 1).get(0).live();
-            assertEquals(List.of(1, 1), owed.stream().map(Held::attempts).toList());
+  private static final long SERVICE_MS = 1000;
+
+  /**
+   * Calls whose connections break with the process are not sent again by the process that is
+   * ending.
+   */
+  @Test
+  void whatBreaksWithTheProcessIsNotSentAgainByIt(@TempDir final Path folder) throws Exception {
+    try (StandInWorld world = new StandInWorld(folder, 11)) {
+      // One call each: whatever a destination's window is, that many are always allowed.
+      final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(2));
+      endpoints.forEach(endpoint -> world.platform.tell(endpoint, "Ready", 1000));
+      final CourierProcess courier =
+          CourierProcess.start(world.environment(CourierFiles.Size.usual()));
+      world.client.courier(courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      // A destination that serves well is called again at once when a call of its breaks.
+      endpoints.forEach(endpoint -> endpoint.fare(Manner.after(SERVICE_MS)));
+      world.load(10, TIMEOUT_MS, 1, 2);
+      world.await("deliveries", () -> calls(endpoints) > 10);
+      assertEquals(List.of(), world.stopLoad());
+      endpoints.forEach(endpoint -> endpoint.fare(Manner.of(Act.SILENCE)));
+      final long served = calls(endpoints);
+      world.client.handIn("safe", 1, TIMEOUT_MS);
+      world.client.handIn("keyed", 2, TIMEOUT_MS);
+      world.await("both of them out", () -> calls(endpoints) == served + 2);
+      courier.kill();
+      // Connections are taken in the order in which they came: what the ending process opened came
+      // before this one.
+      for (final StandInEndpoint endpoint : endpoints) {
+        try (Socket last = new Socket("127.0.0.1", endpoint.port())) {
+          last.getOutputStream()
+              .write(
+                  "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+                      .getBytes(StandardCharsets.US_ASCII));
+          Rig.read(last.getInputStream());
         }
+      }
+      world.endConnections();
+      assertEquals(served + 2, calls(endpoints));
+      final Collection<Held> owed =
+          Layout.open(folder.resolve("state"), 1_000_000, 1).get(0).live();
+      assertEquals(List.of(1, 1), owed.stream().map(Held::attempts).toList());
     }
+  }
 
-    private static long calls(final List<StandInEndpoint> endpoints) {
-        return endpoints.stream().mapToLong(StandInEndpoint::calls).sum();
-    }
+  private static long calls(final List<StandInEndpoint> endpoints) {
+    return endpoints.stream().mapToLong(StandInEndpoint::calls).sum();
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/OperatorTest.java
+++ b/courier/src/test/java/thistleturn/courier/OperatorTest.java
@@ -20,111 +20,119 @@
 @Tag("operators")
 @Timeout(120)
 final class OperatorTest {
-    @TempDir
-    private Path folder;
-    private Rig rig;
+  @TempDir private Path folder;
+  private Rig rig;
 
-    @BeforeEach
-    void build() throws IOException {
-        rig = new Rig(folder);
-        rig.operator = true;
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
-    }
+  @BeforeEach
+  void build() throws IOException {
+    rig = new Rig(folder);
+    rig.operator = true;
+    rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+  }
 
-    @AfterEach
-    void end() throws IOException {
-        rig.close();
-    }
+  @AfterEach
+  void end() throws IOException {
+    rig.close();
+  }
 
-    private static int sent(final FakeServer endpoint) {
-        return endpoint.requests.size();
-    }
+  private static int sent(final FakeServer endpoint) {
+    return endpoint.requests.size();
+  }
 
-    private void deliver(final String prefix, final int messages) throws IOException {
-        for (int number = 0; number < messages; number++) {
-            // One by one: what waits together travels in one call.
-            final int calls = sent(rig.first) + sent(rig.second) + 1;
-            assertEquals(202, rig.handIn(prefix + number, "safe").status());
-            rig.await("the call", () -> sent(rig.first) + sent(rig.second) == calls);
-            // Its answer must be known too: what a kill overtakes is sent again by the next process.
-            rig.await("its end", () -> rig.ask("GET", "/-/metrics").contains("svc_in_flight 0\n"));
-        }
+  private void deliver(final String prefix, final int messages) throws IOException {
+    for (int number = 0; number < messages; number++) {
+      // One by one: what waits together travels in one call.
+      final int calls = sent(rig.first) + sent(rig.second) + 1;
+      assertEquals(202, rig.handIn(prefix + number, "safe").status());
+      rig.await("the call", () -> sent(rig.first) + sent(rig.second) == calls);
+      // Its answer must be known too: what a kill overtakes is sent again by the next process.
+      rig.await("its end", () -> rig.ask("GET", "/-/metrics").contains("svc_in_flight 0\n"));
     }
+  }
 
-    @Test
-    void figuresTellWhatThePeersSaw() throws IOException {
-        rig.start();
-        assertTrue(rig.ask("GET", "/-/ready").startsWith("HTTP/1.1 200"));
-        deliver("m", 5);
-        rig.first.script((request, connection) -> connection.reset());
-        rig.second.script((request, connection) -> connection.reset());
-        assertEquals(202, rig.handIn("lost", "once").status());
-        rig.await("the notice", () -> rig.noticed("lost", "undeliverable"));
-        rig.await("the figures", () -> {
-            final String figures = rig.ask("GET", "/-/metrics");
-            return figures.contains("svc_requests_total{class=\"safe\",outcome=\"served\"} 5\n")
-                    && figures.contains("svc_requests_total{class=\"once\",outcome=\"failed\"} 1\n")
-                    && figures.contains("svc_attempts_total 6\n") && figures.contains("svc_in_flight 0\n")
-                    && figures.contains("svc_endpoints_known 2\n");
+  @Test
+  void figuresTellWhatThePeersSaw() throws IOException {
+    rig.start();
+    assertTrue(rig.ask("GET", "/-/ready").startsWith("HTTP/1.1 200"));
+    deliver("m", 5);
+    rig.first.script((request, connection) -> connection.reset());
+    rig.second.script((request, connection) -> connection.reset());
+    assertEquals(202, rig.handIn("lost", "once").status());
+    rig.await("the notice", () -> rig.noticed("lost", "undeliverable"));
+    rig.await(
+        "the figures",
+        () -> {
+          final String figures = rig.ask("GET", "/-/metrics");
+          return figures.contains("svc_requests_total{class=\"safe\",outcome=\"served\"} 5\n")
+              && figures.contains("svc_requests_total{class=\"once\",outcome=\"failed\"} 1\n")
+              && figures.contains("svc_attempts_total 6\n")
+              && figures.contains("svc_in_flight 0\n")
+              && figures.contains("svc_endpoints_known 2\n");
         });
-    }
+  }
 
-    @Test
-    void anEndpointLeftOutGetsNothingWhateverTheListSaysAndThroughARestart() throws IOException, InterruptedException {
-        rig.start();
-        rig.await("the watch", () -> rig.watches.size() == 1);
-        assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
-        assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"), "it may be said again");
-        assertTrue(rig.ask("POST", "/-/endpoints/e9/disable").startsWith("HTTP/1.1 404"), "it was never listed");
-        rig.change(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.change(43, Rig.host("e1", rig.first, "Ready"));
-        deliver("a", 8);
-        rig.killAndRestart();
-        deliver("b", 8);
-        assertEquals(0, sent(rig.first));
-        assertTrue(rig.ask("GET", "/-/metrics").contains("svc_endpoints_excluded 1\n"));
-        assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
-        rig.second.script((request, connection) -> { });
-        assertEquals(202, rig.handIn("c1", "safe").status());
-        assertEquals(202, rig.handIn("c2", "safe").status());
-        rig.await("a call to it", () -> sent(rig.first) > 0);
-    }
+  @Test
+  void anEndpointLeftOutGetsNothingWhateverTheListSaysAndThroughARestart()
+      throws IOException, InterruptedException {
+    rig.start();
+    rig.await("the watch", () -> rig.watches.size() == 1);
+    assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
+    assertTrue(
+        rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"),
+        "it may be said again");
+    assertTrue(
+        rig.ask("POST", "/-/endpoints/e9/disable").startsWith("HTTP/1.1 404"),
+        "it was never listed");
+    rig.change(42, Rig.host("e1", rig.first, "Terminating"));
+    rig.change(43, Rig.host("e1", rig.first, "Ready"));
+    deliver("a", 8);
+    rig.killAndRestart();
+    deliver("b", 8);
+    assertEquals(0, sent(rig.first));
+    assertTrue(rig.ask("GET", "/-/metrics").contains("svc_endpoints_excluded 1\n"));
+    assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
+    rig.second.script((request, connection) -> {});
+    assertEquals(202, rig.handIn("c1", "safe").status());
+    assertEquals(202, rig.handIn("c2", "safe").status());
+    rig.await("a call to it", () -> sent(rig.first) > 0);
+  }
 
-    @Test
-    void theOnlyEndpointOfADestinationComesBackInPaces() throws IOException {
-        rig.hosts = Rig.host("e1", rig.first, "Ready").replace("100.0", "2.0");
-        rig.start();
-        assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
-        for (int number = 0; number < 4; number++) {
-            assertEquals(202, rig.handIn("m" + number, "safe").status());
-        }
-        assertTrue(rig.ask("GET", "/-/metrics").contains("svc_in_flight 4\n"), "they wait");
-        assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
-        rig.await("all calls", () -> sent(rig.first) == 4);
-        final long spreadMs = (rig.first.requests.get(3).atNs() - rig.first.requests.get(0).atNs()) / 1_000_000;
-        assertTrue(spreadMs > 300, "four calls to a cold endpoint within " + spreadMs + " ms");
+  @Test
+  void theOnlyEndpointOfADestinationComesBackInPaces() throws IOException {
+    rig.hosts = Rig.host("e1", rig.first, "Ready").replace("100.0", "2.0");
+    rig.start();
+    assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
+    for (int number = 0; number < 4; number++) {
+      assertEquals(202, rig.handIn("m" + number, "safe").status());
     }
+    assertTrue(rig.ask("GET", "/-/metrics").contains("svc_in_flight 4\n"), "they wait");
+    assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
+    rig.await("all calls", () -> sent(rig.first) == 4);
+    final long spreadMs =
+        (rig.first.requests.get(3).atNs() - rig.first.requests.get(0).atNs()) / 1_000_000;
+    assertTrue(spreadMs > 300, "four calls to a cold endpoint within " + spreadMs + " ms");
+  }
 
-    @Test
-    void callersWhoSayNothingOrHalfOfItHoldNobodyUp() throws IOException {
-        rig.start();
-        final List<Socket> silent = new ArrayList<>();
-        try {
-            for (int number = 0; number < 60; number++) {
-                final Socket socket = new Socket("127.0.0.1", rig.operatorPort);
-                silent.add(socket);
-                if (number % 2 == 0) {
-                    socket.getOutputStream().write("GET /-/metr".getBytes(StandardCharsets.US_ASCII));
-                }
-            }
-            assertTrue(rig.ask("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
-        } finally {
-            for (final Socket socket : silent) {
-                socket.close();
-            }
+  @Test
+  void callersWhoSayNothingOrHalfOfItHoldNobodyUp() throws IOException {
+    rig.start();
+    final List<Socket> silent = new ArrayList<>();
+    try {
+      for (int number = 0; number < 60; number++) {
+        final Socket socket = new Socket("127.0.0.1", rig.operatorPort);
+        silent.add(socket);
+        if (number % 2 == 0) {
+          socket.getOutputStream().write("GET /-/metr".getBytes(StandardCharsets.US_ASCII));
         }
-        assertTrue(rig.ask("GET", "/-/nothing").startsWith("HTTP/1.1 404"));
-        assertTrue(rig.ask("DELETE", "/-/ready").startsWith("HTTP/1.1 405"));
-        assertTrue(rig.ask("\u0001", "/-/ready").startsWith("HTTP/1.1 400"));
+      }
+      assertTrue(rig.ask("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
+    } finally {
+      for (final Socket socket : silent) {
+        socket.close();
+      }
     }
+    assertTrue(rig.ask("GET", "/-/nothing").startsWith("HTTP/1.1 404"));
+    assertTrue(rig.ask("DELETE", "/-/ready").startsWith("HTTP/1.1 405"));
+    assertTrue(rig.ask("\u0001", "/-/ready").startsWith("HTTP/1.1 400"));
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/PromisesTest.java
+++ b/courier/src/test/java/thistleturn/courier/PromisesTest.java
@@ -16,142 +16,145 @@
 /** What may be told, and when, by what the journal says of its last flush. */
 @Tag("faults")
 final class PromisesTest {
-    private static final long NOW_US = 1_000_000;
-
-    private final List<String> done = new ArrayList<>();
-    private final Promises promises = new Promises(new Keeper(), new Told());
-
-    private final class Keeper implements Promises.Keeper {
-        @Override
-        public void accept(final OpenMessage message) {
-            done.add("accept " + message.held.id());
-            if (message.held.id().equals("bad")) {
-                throw new IllegalStateException("its answer fails");
-            }
-        }
-
-        @Override
-        public void refuseUnwritten(final OpenMessage message) {
-            done.add("refuse " + message.held.id());
-        }
-
-        @Override
-        public void start(final Carrier.Call call) {
-            done.add("start");
-        }
-
-        @Override
-        public void drop(final Carrier.Call call) {
-            done.add("drop");
-        }
+  private static final long NOW_US = 1_000_000;
+
+  private final List<String> done = new ArrayList<>();
+  private final Promises promises = new Promises(new Keeper(), new Told());
+
+  private final class Keeper implements Promises.Keeper {
+    @Override
+    public void accept(final OpenMessage message) {
+      done.add("accept " + message.held.id());
+      if (message.held.id().equals("bad")) {
+        throw new IllegalStateException("its answer fails");
+      }
     }
 
-    private final class Told implements Ends {
-        @Override
-        public void add(final Held held) {
-            done.add("end " + held.id());
-        }
-
-        @Override
-        public void flush() {
-            // Nobody listens.
-        }
-
-        @Override
-        public boolean isEmpty() {
-            return true;
-        }
-
-        @Override
-        public void reload(final Config fresh) {
-            // It goes nowhere.
-        }
+    @Override
+    public void refuseUnwritten(final OpenMessage message) {
+      done.add("refuse " + message.held.id());
     }
 
-    private static final class NoReply implements Front.Reply {
-        @Override
-        public void accepted() {
-            // Nobody listens.
-        }
-
-        @Override
-        public void refused(final Front.Refusal why, final long retryAfterUs) {
-            // Nobody listens.
-        }
-
-        @Override
-        public void failed() {
-            // Nobody listens.
-        }
-
-        @Override
-        public void unusable(final Front.Fault fault) {
-            // Nobody listens.
-        }
+    @Override
+    public void start(final Carrier.Call call) {
+      done.add("start");
     }
 
-    private static Held held(final String id, final long validUntilUs) {
-        return new Held(id, "safe", null, 1, validUntilUs, new byte[0]);
+    @Override
+    public void drop(final Carrier.Call call) {
+      done.add("drop");
     }
+  }
 
-    private static OpenMessage message(final String id) {
-        return new OpenMessage(held(id, 2 * NOW_US), null, 2 * NOW_US, new NoReply());
+  private final class Told implements Ends {
+    @Override
+    public void add(final Held held) {
+      done.add("end " + held.id());
     }
 
-    private void promiseAll() {
-        promises.accept(message("m"), NOW_US);
-        promises.refuse(() -> done.add("refusal"), NOW_US);
-        promises.call(new Carrier.Call() {
-            @Override
-            public long endpoint() {
-                return 1;
-            }
-
-            @Override
-            public long sentUs() {
-                return NOW_US;
-            }
-        });
-        promises.end(held("later", 2 * NOW_US));
-        promises.end(held("due", NOW_US));
+    @Override
+    public void flush() {
+      // Nobody listens.
+    }
+
+    @Override
+    public boolean isEmpty() {
+      return true;
     }
 
-    @Test
-    void whatIsWrittenIsKept() {
-        promiseAll();
-        promises.keep(Flush.SAFE, NOW_US);
-        assertEquals(List.of("refusal", "accept m", "start", "end later", "end due"), done);
+    @Override
+    public void reload(final Config fresh) {
+      // It goes nowhere.
     }
+  }
 
-    @Test
-    void whatIsNotWrittenIsTurnedAwayAndOnlyEndsThatNoRestartUndoesAreTold() {
-        promiseAll();
-        promises.keep(Flush.FAILED, NOW_US);
-        assertEquals(List.of("refusal", "refuse m", "drop", "end due"), done);
-        done.clear();
-        promises.keep(Flush.FAILED, 2 * NOW_US);
-        assertEquals(List.of("end later"), done, "its time is up now");
+  private static final class NoReply implements Front.Reply {
+    @Override
+    public void accepted() {
+      // Nobody listens.
     }
 
-    @Test
-    void whatIsNotCertainWaitsAndThenIsTurnedAway() {
-        promiseAll();
-        promises.keep(Flush.UNKNOWN, NOW_US);
-        assertEquals(List.of("drop", "end due"), done);
-        done.clear();
-        promises.keep(Flush.UNKNOWN, NOW_US + 250_000);
-        assertEquals(List.of("refusal", "refuse m"), done, "its client waits no longer than 400 ms");
+    @Override
+    public void refused(final Front.Refusal why, final long retryAfterUs) {
+      // Nobody listens.
     }
 
-    @Test
-    void oneThatFailsKeepsNoOtherFromBeingKept() {
-        promises.refuse(() -> {
-            throw new IllegalStateException("its connection fails");
-        }, NOW_US);
-        promises.accept(message("bad"), NOW_US);
-        promises.accept(message("good"), NOW_US);
-        promises.end(held("ended", NOW_US));
-        promises.keep(Flush.SAFE, NOW_US);
-        assertEquals(List.of("accept bad", "accept good", "end ended"), done);
+    @Override
+    public void failed() {
+      // Nobody listens.
     }
+
+    @Override
+    public void unusable(final Front.Fault fault) {
+      // Nobody listens.
+    }
+  }
+
+  private static Held held(final String id, final long validUntilUs) {
+    return new Held(id, "safe", null, 1, validUntilUs, new byte[0]);
+  }
+
+  private static OpenMessage message(final String id) {
+    return new OpenMessage(held(id, 2 * NOW_US), null, 2 * NOW_US, new NoReply());
+  }
+
+  private void promiseAll() {
+    promises.accept(message("m"), NOW_US);
+    promises.refuse(() -> done.add("refusal"), NOW_US);
+    promises.call(
+        new Carrier.Call() {
+          @Override
+          public long endpoint() {
+            return 1;
+          }
+
+          @Override
+          public long sentUs() {
+            return NOW_US;
+          }
+        });
+    promises.end(held("later", 2 * NOW_US));
+    promises.end(held("due", NOW_US));
+  }
+
+  @Test
+  void whatIsWrittenIsKept() {
+    promiseAll();
+    promises.keep(Flush.SAFE, NOW_US);
+    assertEquals(List.of("refusal", "accept m", "start", "end later", "end due"), done);
+  }
+
+  @Test
+  void whatIsNotWrittenIsTurnedAwayAndOnlyEndsThatNoRestartUndoesAreTold() {
+    promiseAll();
+    promises.keep(Flush.FAILED, NOW_US);
+    assertEquals(List.of("refusal", "refuse m", "drop", "end due"), done);
+    done.clear();
+    promises.keep(Flush.FAILED, 2 * NOW_US);
+    assertEquals(List.of("end later"), done, "its time is up now");
+  }
+
+  @Test
+  void whatIsNotCertainWaitsAndThenIsTurnedAway() {
+    promiseAll();
+    promises.keep(Flush.UNKNOWN, NOW_US);
+    assertEquals(List.of("drop", "end due"), done);
+    done.clear();
+    promises.keep(Flush.UNKNOWN, NOW_US + 250_000);
+    assertEquals(List.of("refusal", "refuse m"), done, "its client waits no longer than 400 ms");
+  }
+
+  @Test
+  void oneThatFailsKeepsNoOtherFromBeingKept() {
+    promises.refuse(
+        () -> {
+          throw new IllegalStateException("its connection fails");
+        },
+        NOW_US);
+    promises.accept(message("bad"), NOW_US);
+    promises.accept(message("good"), NOW_US);
+    promises.end(held("ended", NOW_US));
+    promises.keep(Flush.SAFE, NOW_US);
+    assertEquals(List.of("accept bad", "accept good", "end ended"), done);
+  }
 }
