--- a/courier/src/test/java/thistleturn/courier/Rig.java
+++ b/courier/src/test/java/thistleturn/courier/Rig.java
@@ -19,157 +19,205 @@
 
 /** A real courier as a process of its own, between fakes of the platform and of its endpoints. */
 final class Rig implements AutoCloseable {
-    static final long PATIENCE_S = 20;
-    private static final String CLASSES = """
+  static final long PATIENCE_S = 20;
+  private static final String CLASSES =
+      """
             [{"name":"safe","effect":"pure","target":5000000,"deadline":20000000,"points":1.0},
              {"name":"keyed","effect":"token","group":"all","dedup_window":10000000,"target":5000000,"deadline":20000000},
              {"name":"brief","effect":"token","group":"all","dedup_window":300000,"target":5000000,"deadline":20000000},
              {"name":"once","effect":"side_effect","target":5000000,"deadline":20000000}]""";
 
-    /** What a client was answered. */
-    record Answer(int status, String head) { }
-
-    /** The platform's notices, a line each. */
-    final List<String> notices = new CopyOnWriteArrayList<>();
-    final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
-    final FakeServer platform;
-    /** Where the platform is after a move. */
-    final FakeServer moved;
-    final FakeServer first = new FakeServer((request, connection) -> connection.answer(200, ""));
-    final FakeServer second = new FakeServer((request, connection) -> connection.answer(200, ""));
-    final List<String> log = new CopyOnWriteArrayList<>();
-    volatile int noticeStatus = 204;
-    int maxOpen = 50;
-    /** Calls that may be out at once. */
-    int slots = 12;
-    /** How the list comes, by the settings: {@code on_request} or {@code pushed}. */
-    String discovery = "on_request";
-    int diskMb = 3;
-    int sockets = 1024;
-    String extraSetting = "\"unheard_of\":[{\"x\":1}]";
-    /** Endpoints that the courier knows at its start. */
-    String hosts;
-    /** The whole list, where it is asked for. */
-    volatile String movedHosts = "";
-    private final Path folder;
-    /** The rig whose platform counts, where this is a further process of its courier. */
-    private Rig shared;
-    private Process process;
-    private int port;
-    /** Whether operators have an address, and its port. */
-    boolean operator;
-    int operatorPort;
-    /** Where clients connect; 0: wherever the system says. */
-    int listenPort;
-
-    Rig(final Path folder) throws IOException {
-        this.folder = folder;
-        this.platform = new FakeServer(this::platform);
-        this.moved = new FakeServer(this::platform);
-        this.hosts = host("e1", first, "Ready");
+  /** What a client was answered. */
+  record Answer(int status, String head) {}
+
+  /** The platform's notices, a line each. */
+  final List<String> notices = new CopyOnWriteArrayList<>();
+
+  final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
+  final FakeServer platform;
+
+  /** Where the platform is after a move. */
+  final FakeServer moved;
+
+  final FakeServer first = new FakeServer((request, connection) -> connection.answer(200, ""));
+  final FakeServer second = new FakeServer((request, connection) -> connection.answer(200, ""));
+  final List<String> log = new CopyOnWriteArrayList<>();
+  volatile int noticeStatus = 204;
+  int maxOpen = 50;
+
+  /** Calls that may be out at once. */
+  int slots = 12;
+
+  /** How the list comes, by the settings: {@code on_request} or {@code pushed}. */
+  String discovery = "on_request";
+
+  int diskMb = 3;
+  int sockets = 1024;
+  String extraSetting = "\"unheard_of\":[{\"x\":1}]";
+
+  /** Endpoints that the courier knows at its start. */
+  String hosts;
+
+  /** The whole list, where it is asked for. */
+  volatile String movedHosts = "";
+
+  private final Path folder;
+
+  /** The rig whose platform counts, where this is a further process of its courier. */
+  private Rig shared;
+
+  private Process process;
+  private int port;
+
+  /** Whether operators have an address, and its port. */
+  boolean operator;
+
+  int operatorPort;
+
+  /** Where clients connect; 0: wherever the system says. */
+  int listenPort;
+
+  Rig(final Path folder) throws IOException {
+    this.folder = folder;
+    this.platform = new FakeServer(this::platform);
+    this.moved = new FakeServer(this::platform);
+    this.hosts = host("e1", first, "Ready");
+  }
+
+  /**
+   * A further process of the same courier: same addresses and folder, but another one for
+   * operators.
+   */
+  Rig successor() throws IOException {
+    final Rig next = new Rig(folder);
+    next.shared = shared == null ? this : shared;
+    next.hosts = hosts;
+    next.operator = operator;
+    next.listenPort = listenPort;
+    return next;
+  }
+
+  private void platform(final FakeServer.Request request, final FakeServer.Connection connection) {
+    if (request.line().startsWith("POST")) {
+      notices.addAll(request.text().lines().toList());
+      connection.answer(noticeStatus, "");
+    } else if (!request.line().contains("watch=1")) {
+      connection.answer(200, "{\"seq\":3,\"whole\":true,\"hosts\":[" + movedHosts + "]}\n");
+    } else {
+      connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      connection.chunk("\n");
+      watches.add(connection);
     }
-
-    /** A further process of the same courier: same addresses and folder, but another one for operators. */
-    Rig successor() throws IOException {
-        final Rig next = new Rig(folder);
-        next.shared = shared == null ? this : shared;
-        next.hosts = hosts;
-        next.operator = operator;
-        next.listenPort = listenPort;
-        return next;
-    }
-
-    private void platform(final FakeServer.Request request, final FakeServer.Connection connection) {
-        if (request.line().startsWith("POST")) {
-            notices.addAll(request.text().lines().toList());
-            connection.answer(noticeStatus, "");
-        } else if (!request.line().contains("watch=1")) {
-            connection.answer(200, "{\"seq\":3,\"whole\":true,\"hosts\":[" + movedHosts + "]}\n");
-        } else {
-            connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            connection.chunk("\n");
-            watches.add(connection);
-        }
-    }
-
-    static String host(final String name, final FakeServer at, final String health) {
-        return host(name, at.address(), health);
-    }
-
-    static String host(final String name, final String address, final String health) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"a\",\"class\":\"std\",\"block\":7,"
-                + "\"health\":\"" + health + "\",\"share\":100.0,\"born_ms\":0}";
-    }
-
-    /** Tells a change of the list over the newest watch. */
-    void change(final long seq, final String host) {
-        watches.get(watches.size() - 1).chunk("{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n");
-    }
-
-    /** Starts the program and waits until it is ready. */
-    Rig start() throws IOException {
-        launch();
-        final List<String> before = List.copyOf(log);
-        await("ready", () -> readyLine(before.size()) != null);
-        final String ready = readyLine(before.size());
-        port = Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1));
-        if (operator) {
-            final String hears = log.stream().skip(before.size()).filter(line -> line.contains("hears operators at"))
-                    .findFirst().orElseThrow();
-            operatorPort = Integer.parseInt(hears.substring(hears.lastIndexOf(':') + 1));
-        }
-        return this;
+  }
+
+  static String host(final String name, final FakeServer at, final String health) {
+    return host(name, at.address(), health);
+  }
+
+  static String host(final String name, final String address, final String health) {
+    return "{\"host\":\""
+        + name
+        + "\",\"dial\":\""
+        + address
+        + "\",\"site\":\"a\",\"class\":\"std\",\"block\":7,"
+        + "\"health\":\""
+        + health
+        + "\",\"share\":100.0,\"born_ms\":0}";
+  }
+
+  /** Tells a change of the list over the newest watch. */
+  void change(final long seq, final String host) {
+    watches
+        .get(watches.size() - 1)
+        .chunk("{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n");
+  }
+
+  /** Starts the program and waits until it is ready. */
+  Rig start() throws IOException {
+    launch();
+    final List<String> before = List.copyOf(log);
+    await("ready", () -> readyLine(before.size()) != null);
+    final String ready = readyLine(before.size());
+    port = Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1));
+    if (operator) {
+      final String hears =
+          log.stream()
+              .skip(before.size())
+              .filter(line -> line.contains("hears operators at"))
+              .findFirst()
+              .orElseThrow();
+      operatorPort = Integer.parseInt(hears.substring(hears.lastIndexOf(':') + 1));
     }
-
-    /** One call of an operator, and all that is answered. */
-    String ask(final String method, final String path) {
-        try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-            socket.getOutputStream().write((method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        } catch (final IOException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    private String readyLine(final int from) {
-        return log.stream().skip(from).filter(line -> line.contains("is ready at")).findFirst().orElse(null);
+    return this;
+  }
+
+  /** One call of an operator, and all that is answered. */
+  String ask(final String method, final String path) {
+    try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
+      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+      socket
+          .getOutputStream()
+          .write(
+              (method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
+                  .getBytes(StandardCharsets.US_ASCII));
+      return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    } catch (final IOException e) {
+      throw new IllegalStateException(e);
     }
-
-    /** Starts the program without waiting for anything. */
-    Process launch() throws IOException {
-        return launch(configure(discoveryAddress()));
-    }
-
-    /** The same, with a configuration that stands ready. */
-    Process launch(final Path config) throws IOException {
-        final ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xmx64m",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "thistleturn.courier.Main");
-        builder.environment().put("PROXY_CONFIG", config.toString());
-        if (operator) {
-            builder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
-        }
-        builder.environment().put("PROXY_DISCOVERY", discoveryAddress());
-        builder.environment().put("PROXY_STATE", folder.resolve("state").toString());
-        process = builder.redirectErrorStream(true).start();
-        final BufferedReader out = new BufferedReader(
-                new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        final Thread reader = new Thread(() -> out.lines().forEach(log::add));
-        reader.setDaemon(true);
-        reader.start();
-        return process;
+  }
+
+  private String readyLine(final int from) {
+    return log.stream()
+        .skip(from)
+        .filter(line -> line.contains("is ready at"))
+        .findFirst()
+        .orElse(null);
+  }
+
+  /** Starts the program without waiting for anything. */
+  Process launch() throws IOException {
+    return launch(configure(discoveryAddress()));
+  }
+
+  /** The same, with a configuration that stands ready. */
+  Process launch(final Path config) throws IOException {
+    final ProcessBuilder builder =
+        new ProcessBuilder(
+            System.getProperty("java.home") + "/bin/java",
+            "-Xmx64m",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-cp",
+            System.getProperty("java.class.path"),
+            "thistleturn.courier.Main");
+    builder.environment().put("PROXY_CONFIG", config.toString());
+    if (operator) {
+      builder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
     }
-
-    private String discoveryAddress() {
-        return (shared == null ? this : shared).platform.address();
-    }
-
-    /** Writes the configuration in full, with the platform at that address, in the place of the one before. */
-    Path configure(final String discovery) throws IOException {
-        final Path config = folder.resolve("config.json");
-        Files.writeString(config, """
+    builder.environment().put("PROXY_DISCOVERY", discoveryAddress());
+    builder.environment().put("PROXY_STATE", folder.resolve("state").toString());
+    process = builder.redirectErrorStream(true).start();
+    final BufferedReader out =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    final Thread reader = new Thread(() -> out.lines().forEach(log::add));
+    reader.setDaemon(true);
+    reader.start();
+    return process;
+  }
+
+  private String discoveryAddress() {
+    return (shared == null ? this : shared).platform.address();
+  }
+
+  /**
+   * Writes the configuration in full, with the platform at that address, in the place of the one
+   * before.
+   */
+  Path configure(final String discovery) throws IOException {
+    final Path config = folder.resolve("config.json");
+    Files.writeString(
+        config,
+        """
                 {"name":"n0","listen":"127.0.0.1:%d","discovery":"%s","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":%d,"disk_mb":%d},
                  "known":{"seq":41,"whole":true,"hosts":[%s]},
@@ -178,98 +226,120 @@
                   "guarantees":{"must_ask_in":10000000,"cold_from":0.5,"cold":1000000,"tip_multiple":2.0},
                   "limits":{"max_open":%d,"most_tries":8,"cancel":true,"idle_close":10000000,"retry_after":true,
                    "connect_timeout":1000000,"max_retry_after":2000000},%s}}"""
-                .formatted(listenPort, discovery, sockets, diskMb, hosts, this.discovery, CLASSES, slots, maxOpen, extraSetting));
-        return config;
+            .formatted(
+                listenPort,
+                discovery,
+                sockets,
+                diskMb,
+                hosts,
+                this.discovery,
+                CLASSES,
+                slots,
+                maxOpen,
+                extraSetting));
+    return config;
+  }
+
+  /** Ends the process as a power cut would, and starts the next one on the same folder. */
+  void killAndRestart() throws IOException, InterruptedException {
+    kill();
+    start();
+  }
+
+  void kill() throws InterruptedException {
+    process.destroyForcibly();
+    assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+  }
+
+  /** Sends SIGHUP to the program. */
+  void hangUp() throws IOException, InterruptedException {
+    assertTrue(
+        new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor() == 0);
+  }
+
+  boolean isRunning() {
+    return process.isAlive();
+  }
+
+  /** Sends SIGTERM; the result tells when it has ended. */
+  Process terminate() {
+    process.destroy();
+    return process;
+  }
+
+  static String message(final String id, final String kind) {
+    return message(id, kind, "hello");
+  }
+
+  static String message(final String id, final String kind, final String body) {
+    return "POST /"
+        + kind
+        + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: "
+        + id
+        + "\r\nX-Priority-Class: "
+        + kind
+        + "\r\nX-Timeout-Ms: 20000\r\nIdempotency-Key: key-"
+        + id
+        + "\r\nX-Consignee: dest=7\r\n"
+        + "Content-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
+  Answer handIn(final String id, final String kind) throws IOException {
+    return send(message(id, kind));
+  }
+
+  Socket connect() throws IOException {
+    final Socket socket = new Socket("127.0.0.1", port);
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+    return socket;
+  }
+
+  /** Sends some bytes on a connection of their own, and reads the answer. */
+  Answer send(final String raw) throws IOException {
+    try (Socket socket = connect()) {
+      return send(socket, raw);
     }
+  }
 
-    /** Ends the process as a power cut would, and starts the next one on the same folder. */
-    void killAndRestart() throws IOException, InterruptedException {
-        kill();
-        start();
-    }
+  static Answer send(final Socket socket, final String raw) throws IOException {
+    socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+    return read(socket.getInputStream());
+  }
 
-    void kill() throws InterruptedException {
-        process.destroyForcibly();
-        assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+  static Answer read(final InputStream in) throws IOException {
+    final List<String> lines = new ArrayList<>();
+    for (String line = FakeServer.line(in); !line.isEmpty(); line = FakeServer.line(in)) {
+      lines.add(line);
     }
-
-    /** Sends SIGHUP to the program. */
-    void hangUp() throws IOException, InterruptedException {
-        assertTrue(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor() == 0);
+    final int status = lines.isEmpty() ? 0 : Integer.parseInt(lines.get(0).split(" ")[1]);
+    return new Answer(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
+  }
+
+  /** Waits for something that must come, under a bound that only a failure reaches. */
+  void await(final String what, final BooleanSupplier condition) {
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + log);
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
     }
+  }
 
-    boolean isRunning() {
-        return process.isAlive();
-    }
-
-    /** Sends SIGTERM; the result tells when it has ended. */
-    Process terminate() {
-        process.destroy();
-        return process;
-    }
-
-    static String message(final String id, final String kind) {
-        return message(id, kind, "hello");
-    }
-
-    static String message(final String id, final String kind, final String body) {
-        return "POST /" + kind + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: "
-                + kind + "\r\nX-Timeout-Ms: 20000\r\nIdempotency-Key: key-" + id + "\r\nX-Consignee: dest=7\r\n"
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-    }
-
-    Answer handIn(final String id, final String kind) throws IOException {
-        return send(message(id, kind));
-    }
-
-    Socket connect() throws IOException {
-        final Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-        return socket;
-    }
-
-    /** Sends some bytes on a connection of their own, and reads the answer. */
-    Answer send(final String raw) throws IOException {
-        try (Socket socket = connect()) {
-            return send(socket, raw);
-        }
-    }
-
-    static Answer send(final Socket socket, final String raw) throws IOException {
-        socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-        return read(socket.getInputStream());
-    }
-
-    static Answer read(final InputStream in) throws IOException {
-        final List<String> lines = new ArrayList<>();
-        for (String line = FakeServer.line(in); !line.isEmpty(); line = FakeServer.line(in)) {
-            lines.add(line);
-        }
-        final int status = lines.isEmpty() ? 0 : Integer.parseInt(lines.get(0).split(" ")[1]);
-        return new Answer(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
-    }
-
-    /** Waits for something that must come, under a bound that only a failure reaches. */
-    void await(final String what, final BooleanSupplier condition) {
-        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + log);
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
-        }
-    }
-
-    boolean noticed(final String id, final String status) {
-        return (shared == null ? this : shared).notices.stream().anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
-    }
+  boolean noticed(final String id, final String status) {
+    return (shared == null ? this : shared)
+        .notices.stream().anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
+  }
 
-    @Override
-    public void close() throws IOException {
-        if (process != null) {
-            process.destroyForcibly();
-        }
-        platform.close();
-        moved.close();
-        first.close();
-        second.close();
+  @Override
+  public void close() throws IOException {
+    if (process != null) {
+      process.destroyForcibly();
     }
+    platform.close();
+    moved.close();
+    first.close();
+    second.close();
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/ShardsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardsTest.java
@@ -25,145 +25,165 @@
 import thistleturn.testkit.StandInEndpoint.Manner;
 import thistleturn.testkit.StandInWorld;
 
-/** A courier of several event loops keeps the six rules as one of one does, also when their number changes. */
+/**
+ * A courier of several event loops keeps the six rules as one of one does, also when their number
+ * changes.
+ */
 @Tag("scale")
 final class ShardsTest {
-    private static final long[] DESTINATIONS = LongStream.rangeClosed(1, 12).toArray();
-    private static final long TIMEOUT_MS = 6000;
+  private static final long[] DESTINATIONS = LongStream.rangeClosed(1, 12).toArray();
+  private static final long TIMEOUT_MS = 6000;
 
-    @TempDir
-    private Path folder;
-    private StandInWorld world;
-    private final List<StandInEndpoint> endpoints = new ArrayList<>();
-    private CourierProcess courier;
+  @TempDir private Path folder;
+  private StandInWorld world;
+  private final List<StandInEndpoint> endpoints = new ArrayList<>();
+  private CourierProcess courier;
 
-    @BeforeEach
-    void begin() {
-        world = new StandInWorld(folder, 7);
-        for (final long destination : DESTINATIONS) {
-            final StandInEndpoint endpoint = world.endpoint(destination);
-            endpoint.fare(Manner.after(3));
-            endpoints.add(endpoint);
-            world.platform.tell(endpoint, "Ready", 500);
-        }
+  @BeforeEach
+  void begin() {
+    world = new StandInWorld(folder, 7);
+    for (final long destination : DESTINATIONS) {
+      final StandInEndpoint endpoint = world.endpoint(destination);
+      endpoint.fare(Manner.after(3));
+      endpoints.add(endpoint);
+      world.platform.tell(endpoint, "Ready", 500);
     }
+  }
 
-    @AfterEach
-    void end() {
-        courier.kill();
-        world.close();
-    }
+  @AfterEach
+  void end() {
+    courier.kill();
+    world.close();
+  }
 
-    private void start(final int shards) throws IOException, Config.BadConfigException {
-        final Tuning platform = Tuning.platform();
-        courier = CourierProcess.start(world.environment(CourierFiles.Size.usual()), null, new Tuning(
-                platform.clientIdleUs(), platform.clientShare(), platform.endpointShare(), shards, true));
-        world.client.courier(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
-    }
+  private void start(final int shards) throws IOException, Config.BadConfigException {
+    final Tuning platform = Tuning.platform();
+    courier =
+        CourierProcess.start(
+            world.environment(CourierFiles.Size.usual()),
+            null,
+            new Tuning(
+                platform.clientIdleUs(),
+                platform.clientShare(),
+                platform.endpointShare(),
+                shards,
+                true));
+    world.client.courier(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
+  }
 
-    private void restart(final int shards) throws IOException, Config.BadConfigException {
-        world.auditor.restarted(world.ticks.nowUs(), false);
-        courier.kill();
-        world.endConnections();
-        world.auditor.restarted(world.ticks.nowUs(), false);
-        start(shards);
-        world.auditor.restarted(world.ticks.nowUs(), true);
-    }
+  private void restart(final int shards) throws IOException, Config.BadConfigException {
+    world.auditor.restarted(world.ticks.nowUs(), false);
+    courier.kill();
+    world.endConnections();
+    world.auditor.restarted(world.ticks.nowUs(), false);
+    start(shards);
+    world.auditor.restarted(world.ticks.nowUs(), true);
+  }
 
-    private void awaitCalls(final long more) {
-        final long from = calls();
-        world.await("calls", () -> calls() >= from + more);
-    }
+  private void awaitCalls(final long more) {
+    final long from = calls();
+    world.await("calls", () -> calls() >= from + more);
+  }
 
-    private long calls() {
-        return endpoints.stream().mapToLong(StandInEndpoint::calls).sum();
-    }
+  private long calls() {
+    return endpoints.stream().mapToLong(StandInEndpoint::calls).sum();
+  }
 
-    @Test
-    void theRulesHoldThroughKillsAndChangesOfTheNumber() throws Exception {
-        start(1);
-        world.load(250, TIMEOUT_MS, DESTINATIONS);
-        for (final int shards : new int[] {8, 3, 8, 1, 4}) {
-            awaitCalls(120);
-            restart(shards);
-        }
-        awaitCalls(200);
-        assertEquals(List.of(), world.stopLoad());
-        assertTrue(world.auditor.ends().getOrDefault("delivered", 0) > 500, world.auditor.ends().toString());
+  @Test
+  void theRulesHoldThroughKillsAndChangesOfTheNumber() throws Exception {
+    start(1);
+    world.load(250, TIMEOUT_MS, DESTINATIONS);
+    for (final int shards : new int[] {8, 3, 8, 1, 4}) {
+      awaitCalls(120);
+      restart(shards);
     }
+    awaitCalls(200);
+    assertEquals(List.of(), world.stopLoad());
+    assertTrue(
+        world.auditor.ends().getOrDefault("delivered", 0) > 500, world.auditor.ends().toString());
+  }
 
-    /** One loop stands still: the destinations of the others are served all the same, and nothing is lost. */
-    @Test
-    void aShardThatStallsHoldsUpItsOwnDestinationsOnly() throws Exception {
-        start(3);
-        world.load(150, TIMEOUT_MS, DESTINATIONS);
-        awaitCalls(100);
-        // The stand-in's connections are spread over all loops: the one that stalls is not the front of them all.
-        final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(250);
-        courier.loop().execute(() -> {
-            while (System.nanoTime() < untilNs) {
+  /**
+   * One loop stands still: the destinations of the others are served all the same, and nothing is
+   * lost.
+   */
+  @Test
+  void aShardThatStallsHoldsUpItsOwnDestinationsOnly() throws Exception {
+    start(3);
+    world.load(150, TIMEOUT_MS, DESTINATIONS);
+    awaitCalls(100);
+    // The stand-in's connections are spread over all loops: the one that stalls is not the front of
+    // them all.
+    final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(250);
+    courier
+        .loop()
+        .execute(
+            () -> {
+              while (System.nanoTime() < untilNs) {
                 Thread.onSpinWait();
-            }
-        });
-        awaitCalls(100);
-        assertEquals(List.of(), world.stopLoad());
-    }
+              }
+            });
+    awaitCalls(100);
+    assertEquals(List.of(), world.stopLoad());
+  }
 
-    @Test
-    void drainsAreKeptOnEveryShard() throws Exception {
-        start(4);
-        final List<StandInEndpoint> others = new ArrayList<>();
-        for (final long destination : DESTINATIONS) {
-            final StandInEndpoint other = world.endpoint(destination);
-            other.fare(Manner.after(3));
-            others.add(other);
-            world.platform.tell(other, "Ready", 500);
-        }
-        world.load(200, TIMEOUT_MS, DESTINATIONS);
-        awaitCalls(150);
-        for (final StandInEndpoint endpoint : endpoints) {
-            world.platform.tell(endpoint, "Terminating", 500);
-            world.auditor.closed(world.ticks.nowUs(), endpoint.name());
-        }
-        final long from = others.stream().mapToLong(StandInEndpoint::calls).sum();
-        world.await("calls elsewhere", () -> others.stream().mapToLong(StandInEndpoint::calls).sum() > from + 500);
-        assertEquals(List.of(), world.stopLoad());
+  @Test
+  void drainsAreKeptOnEveryShard() throws Exception {
+    start(4);
+    final List<StandInEndpoint> others = new ArrayList<>();
+    for (final long destination : DESTINATIONS) {
+      final StandInEndpoint other = world.endpoint(destination);
+      other.fare(Manner.after(3));
+      others.add(other);
+      world.platform.tell(other, "Ready", 500);
     }
-
-    /** Silent destinations on some shards: their messages end in time, the others' are delivered. */
-    @Test
-    void silenceOnOneShardDoesNotTouchTheOthers() throws Exception {
-        start(4);
-        for (int index = 0; index < endpoints.size(); index++) {
-            if (Placement.shardOf(DESTINATIONS[index], 4) == 0) {
-                endpoints.get(index).fare(Manner.of(Act.SILENCE));
-            }
-        }
-        world.load(200, 2000, DESTINATIONS);
-        awaitCalls(300);
-        assertEquals(List.of(), world.stopLoad());
+    world.load(200, TIMEOUT_MS, DESTINATIONS);
+    awaitCalls(150);
+    for (final StandInEndpoint endpoint : endpoints) {
+      world.platform.tell(endpoint, "Terminating", 500);
+      world.auditor.closed(world.ticks.nowUs(), endpoint.name());
     }
+    final long from = others.stream().mapToLong(StandInEndpoint::calls).sum();
+    world.await(
+        "calls elsewhere",
+        () -> others.stream().mapToLong(StandInEndpoint::calls).sum() > from + 500);
+    assertEquals(List.of(), world.stopLoad());
+  }
 
-    /** A kill in the middle of moving journals: whichever layout the marker names counts, whole. */
-    @Test
-    void whatIsLeftOfAMoveIsDeletedAndNothingOfItCounts() throws Exception {
-        start(3);
-        courier.kill();
-        final Path state = folder.resolve("state");
-        assertTrue(Files.exists(state.resolve("shards-3")));
-        assertFalse(Files.exists(state.resolve("journal")));
-        // Half a move to 8, and the marker's next content, as a kill before the commit leaves them.
-        Files.createDirectories(state.resolve("shards-8/0"));
-        Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
-        Files.writeString(state.resolve("shards.next"), "8\n");
-        Layout.open(state, 1_000_000, 3).forEach(journal -> assertTrue(journal.live().isEmpty()));
-        assertFalse(Files.exists(state.resolve("shards-8")));
-        // A kill after the commit, before the old ones were deleted.
-        Files.createDirectories(state.resolve("shards-8/0"));
-        Files.writeString(state.resolve("shards"), "8\n");
-        Layout.open(state, 1_000_000, 8);
-        assertFalse(Files.exists(state.resolve("shards-3")));
-        start(1);
-        assertTrue(Files.exists(state.resolve("journal")));
+  /** Silent destinations on some shards: their messages end in time, the others' are delivered. */
+  @Test
+  void silenceOnOneShardDoesNotTouchTheOthers() throws Exception {
+    start(4);
+    for (int index = 0; index < endpoints.size(); index++) {
+      if (Placement.shardOf(DESTINATIONS[index], 4) == 0) {
+        endpoints.get(index).fare(Manner.of(Act.SILENCE));
+      }
     }
+    world.load(200, 2000, DESTINATIONS);
+    awaitCalls(300);
+    assertEquals(List.of(), world.stopLoad());
+  }
+
+  /** A kill in the middle of moving journals: whichever layout the marker names counts, whole. */
+  @Test
+  void whatIsLeftOfAMoveIsDeletedAndNothingOfItCounts() throws Exception {
+    start(3);
+    courier.kill();
+    final Path state = folder.resolve("state");
+    assertTrue(Files.exists(state.resolve("shards-3")));
+    assertFalse(Files.exists(state.resolve("journal")));
+    // Half a move to 8, and the marker's next content, as a kill before the commit leaves them.
+    Files.createDirectories(state.resolve("shards-8/0"));
+    Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
+    Files.writeString(state.resolve("shards.next"), "8\n");
+    Layout.open(state, 1_000_000, 3).forEach(journal -> assertTrue(journal.live().isEmpty()));
+    assertFalse(Files.exists(state.resolve("shards-8")));
+    // A kill after the commit, before the old ones were deleted.
+    Files.createDirectories(state.resolve("shards-8/0"));
+    Files.writeString(state.resolve("shards"), "8\n");
+    Layout.open(state, 1_000_000, 8);
+    assertFalse(Files.exists(state.resolve("shards-3")));
+    start(1);
+    assertTrue(Files.exists(state.resolve("journal")));
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
+++ b/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
@@ -17,101 +17,123 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A loop that stands still (a garbage collection, a machine that gives its core to others) while a message comes in, and
- * again while its end is due: its end is told in time all the same, since how long it lay unread is reckoned with.
+ * A loop that stands still (a garbage collection, a machine that gives its core to others) while a
+ * message comes in, and again while its end is due: its end is told in time all the same, since how
+ * long it lay unread is reckoned with.
  */
 final class StalledLoopTest {
-    private static final long TIMEOUT_MS = 1500;
-    /** Nearly as long as a client waits for its answer. */
-    private static final long STALL_MS = 370;
-    /** The second standstill begins this long after the sending: after the time that an end has without a reckoning. */
-    private static final long SECOND_AT_MS = 1640;
-    /** A message whose end is not told so long after its time is lost. */
-    private static final long GRACE_MS = 300;
+  private static final long TIMEOUT_MS = 1500;
 
-    /** Where the message is when the loop stops. */
-    enum Point { ACCEPT, READ, DECODE }
+  /** Nearly as long as a client waits for its answer. */
+  private static final long STALL_MS = 370;
 
-    private FakeServer platform;
-    private CourierProcess courier;
-    private String address;
-    private volatile long noticedNs;
+  /**
+   * The second standstill begins this long after the sending: after the time that an end has
+   * without a reckoning.
+   */
+  private static final long SECOND_AT_MS = 1640;
 
-    @BeforeEach
-    void start(@TempDir final Path folder) throws Exception {
-        platform = new FakeServer((request, connection) -> {
-            if (request.line().startsWith("POST")) {
+  /** A message whose end is not told so long after its time is lost. */
+  private static final long GRACE_MS = 300;
+
+  /** Where the message is when the loop stops. */
+  enum Point {
+    ACCEPT,
+    READ,
+    DECODE
+  }
+
+  private FakeServer platform;
+  private CourierProcess courier;
+  private String address;
+  private volatile long noticedNs;
+
+  @BeforeEach
+  void start(@TempDir final Path folder) throws Exception {
+    platform =
+        new FakeServer(
+            (request, connection) -> {
+              if (request.line().startsWith("POST")) {
                 noticedNs = request.text().contains("\"late\"") ? request.atNs() : noticedNs;
                 connection.answer(204, "");
-            } else {
+              } else {
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 connection.chunk("\n");
-            }
-        });
-        final Rig rig = new Rig(folder);
-        // Nothing may be sent to it, so that the message waits until its time is up, with no attempt.
-        rig.hosts = Rig.host("e1", rig.first, "Terminating");
-        courier = CourierProcess.start(Map.of("PROXY_CONFIG", rig.configure(platform.address()).toString(),
-                "PROXY_STATE", folder.resolve("state").toString()));
-        rig.close();
-        address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
-    }
+              }
+            });
+    final Rig rig = new Rig(folder);
+    // Nothing may be sent to it, so that the message waits until its time is up, with no attempt.
+    rig.hosts = Rig.host("e1", rig.first, "Terminating");
+    courier =
+        CourierProcess.start(
+            Map.of(
+                "PROXY_CONFIG",
+                rig.configure(platform.address()).toString(),
+                "PROXY_STATE",
+                folder.resolve("state").toString()));
+    rig.close();
+    address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    @AfterEach
-    void end() throws IOException {
-        courier.kill();
-        platform.close();
-    }
+  @AfterEach
+  void end() throws IOException {
+    courier.kill();
+    platform.close();
+  }
 
-    /** Stops the loop; returns once it stands. */
-    private void stall(final long ms) throws InterruptedException {
-        final CountDownLatch standing = new CountDownLatch(1);
-        courier.loop().execute(() -> {
-            standing.countDown();
-            final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-            while (System.nanoTime() < untilNs) {
+  /** Stops the loop; returns once it stands. */
+  private void stall(final long ms) throws InterruptedException {
+    final CountDownLatch standing = new CountDownLatch(1);
+    courier
+        .loop()
+        .execute(
+            () -> {
+              standing.countDown();
+              final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+              while (System.nanoTime() < untilNs) {
                 Thread.onSpinWait();
-            }
-        });
-        assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
-    }
+              }
+            });
+    assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
+  }
 
-    private Socket connect() throws IOException {
-        final Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-        return socket;
-    }
+  private Socket connect() throws IOException {
+    final Socket socket =
+        new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    return socket;
+  }
 
-    @ParameterizedTest
-    @EnumSource(Point.class)
-    void theEndOfAMessageThatLayUnreadIsToldInTime(final Point point) throws Exception {
-        final String text = Rig.message("late", "safe").replace("20000", Long.toString(TIMEOUT_MS));
-        final byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        final int early = point == Point.DECODE ? bytes.length / 2 : 0;
-        Socket socket = null;
-        if (point != Point.ACCEPT) {
-            socket = connect();
-            assertEquals(200, Rig.send(socket, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            socket.getOutputStream().write(bytes, 0, early);
-        }
-        stall(STALL_MS);
-        socket = socket == null ? connect() : socket;
-        final long sentNs = System.nanoTime();
-        socket.getOutputStream().write(bytes, early, bytes.length - early);
-        assertEquals(202, Rig.read(socket.getInputStream()).status());
-        socket.close();
-        final long secondNs = sentNs + TimeUnit.MILLISECONDS.toNanos(SECOND_AT_MS);
-        while (System.nanoTime() < secondNs && noticedNs == 0) {
-            Thread.onSpinWait();
-        }
-        if (noticedNs == 0) {
-            stall(STALL_MS);
-        }
-        final long giveUpNs = sentNs + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
-        while (noticedNs == 0 && System.nanoTime() < giveUpNs) {
-            Thread.onSpinWait();
-        }
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(noticedNs - sentNs);
-        assertTrue(noticedNs != 0 && tookMs <= TIMEOUT_MS + GRACE_MS, "told after " + tookMs + " ms");
+  @ParameterizedTest
+  @EnumSource(Point.class)
+  void theEndOfAMessageThatLayUnreadIsToldInTime(final Point point) throws Exception {
+    final String text = Rig.message("late", "safe").replace("20000", Long.toString(TIMEOUT_MS));
+    final byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
+    final int early = point == Point.DECODE ? bytes.length / 2 : 0;
+    Socket socket = null;
+    if (point != Point.ACCEPT) {
+      socket = connect();
+      assertEquals(200, Rig.send(socket, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+      socket.getOutputStream().write(bytes, 0, early);
+    }
+    stall(STALL_MS);
+    socket = socket == null ? connect() : socket;
+    final long sentNs = System.nanoTime();
+    socket.getOutputStream().write(bytes, early, bytes.length - early);
+    assertEquals(202, Rig.read(socket.getInputStream()).status());
+    socket.close();
+    final long secondNs = sentNs + TimeUnit.MILLISECONDS.toNanos(SECOND_AT_MS);
+    while (System.nanoTime() < secondNs && noticedNs == 0) {
+      Thread.onSpinWait();
+    }
+    if (noticedNs == 0) {
+      stall(STALL_MS);
+    }
+    final long giveUpNs = sentNs + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
+    while (noticedNs == 0 && System.nanoTime() < giveUpNs) {
+      Thread.onSpinWait();
     }
+    final long tookMs = TimeUnit.NANOSECONDS.toMillis(noticedNs - sentNs);
+    assertTrue(noticedNs != 0 && tookMs <= TIMEOUT_MS + GRACE_MS, "told after " + tookMs + " ms");
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/StartTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartTest.java
@@ -26,127 +26,129 @@
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInWorld;
 
-/** A start that fails at any of its steps says why in a line, and leaves nothing of those before it. */
+/**
+ * A start that fails at any of its steps says why in a line, and leaves nothing of those before it.
+ */
 @Tag("decisions")
 final class StartTest {
-    private static final long PATIENCE_S = 20;
-
-    @TempDir
-    private Path folder;
-    private StandInWorld world;
-    private Map<String, String> environment;
-
-    @BeforeEach
-    void world() throws IOException {
-        world = new StandInWorld(folder, 3);
-        world.platform.tell(world.endpoint(1), "Ready", 1000);
-        environment = new HashMap<>(world.environment(CourierFiles.Size.usual()));
+  private static final long PATIENCE_S = 20;
+
+  @TempDir private Path folder;
+  private StandInWorld world;
+  private Map<String, String> environment;
+
+  @BeforeEach
+  void world() throws IOException {
+    world = new StandInWorld(folder, 3);
+    world.platform.tell(world.endpoint(1), "Ready", 1000);
+    environment = new HashMap<>(world.environment(CourierFiles.Size.usual()));
+  }
+
+  @AfterEach
+  void end() {
+    world.close();
+  }
+
+  private String fails(final Extension extension) {
+    try {
+      final CourierProcess process = CourierProcess.start(environment, extension);
+      final ExecutionException failure =
+          assertThrows(
+              ExecutionException.class, () -> process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
+      assertTrue(process.loop().isTerminated(), "its loop has ended");
+      return String.valueOf(failure.getCause().getMessage());
+    } catch (final IOException | Config.BadConfigException e) {
+      return e.getMessage();
     }
-
-    @AfterEach
-    void end() {
-        world.close();
-    }
-
-    private String fails(final Extension extension) {
-        try {
-            final CourierProcess process = CourierProcess.start(environment, extension);
-            final ExecutionException failure = assertThrows(ExecutionException.class,
-                    () -> process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
-            assertTrue(process.loop().isTerminated(), "its loop has ended");
-            return String.valueOf(failure.getCause().getMessage());
-        } catch (final IOException | Config.BadConfigException e) {
-            return e.getMessage();
-        }
+  }
+
+  /** What was in the way is gone: a start on the same folder serves. */
+  private void startsNow() throws Exception {
+    final CourierProcess process = CourierProcess.start(environment);
+    world.client.courier(process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
+    process.kill();
+    try (StateLock free = StateLock.tryLock(folder.resolve("state"))) {
+      assertTrue(free != null, "the folder is free");
     }
+  }
 
-    /** What was in the way is gone: a start on the same folder serves. */
-    private void startsNow() throws Exception {
-        final CourierProcess process = CourierProcess.start(environment);
-        world.client.courier(process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
-        process.kill();
-        try (StateLock free = StateLock.tryLock(folder.resolve("state"))) {
-            assertTrue(free != null, "the folder is free");
-        }
+  @Test
+  void theFolderIsInUse() throws Exception {
+    try (StateLock other = StateLock.tryLock(folder.resolve("state"))) {
+      assertTrue(other != null);
+      assertTrue(fails(null).contains("another courier"));
     }
-
-    @Test
-    void theFolderIsInUse() throws Exception {
-        try (StateLock other = StateLock.tryLock(folder.resolve("state"))) {
-            assertTrue(other != null);
-            assertTrue(fails(null).contains("another courier"));
-        }
-        startsNow();
+    startsNow();
+  }
+
+  @Test
+  void theJournalCannotBeOpened() throws Exception {
+    Files.createDirectories(folder.resolve("state").resolve("journal"));
+    fails(null);
+    Files.delete(folder.resolve("state").resolve("journal"));
+    startsNow();
+  }
+
+  @Test
+  void whoIsLeftOutCannotBeRead() throws Exception {
+    Files.createDirectories(folder.resolve("state").resolve("maintenance"));
+    environment.put("PROXY_OPERATOR", "127.0.0.1:0");
+    fails(null);
+    Files.delete(folder.resolve("state").resolve("maintenance"));
+    startsNow();
+  }
+
+  @Test
+  void theOperatorsAddressIsTaken() throws Exception {
+    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      environment.put("PROXY_OPERATOR", "127.0.0.1:" + taken.getLocalPort());
+      assertTrue(fails(null).contains("cannot listen on operator"));
     }
-
-    @Test
-    void theJournalCannotBeOpened() throws Exception {
-        Files.createDirectories(folder.resolve("state").resolve("journal"));
-        fails(null);
-        Files.delete(folder.resolve("state").resolve("journal"));
-        startsNow();
+    environment.remove("PROXY_OPERATOR");
+    startsNow();
+  }
+
+  @Test
+  void aSubsystemDoesNotStart() throws Exception {
+    assertEquals("no registry", fails(new Broken()));
+    startsNow();
+  }
+
+  @Test
+  void theClientsAddressIsTaken() throws Exception {
+    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      environment.put("PROXY_LISTEN", "127.0.0.1:" + taken.getLocalPort());
+      assertTrue(fails(null).contains("cannot listen on"));
     }
-
-    @Test
-    void whoIsLeftOutCannotBeRead() throws Exception {
-        Files.createDirectories(folder.resolve("state").resolve("maintenance"));
-        environment.put("PROXY_OPERATOR", "127.0.0.1:0");
-        fails(null);
-        Files.delete(folder.resolve("state").resolve("maintenance"));
-        startsNow();
+    environment.remove("PROXY_LISTEN");
+    startsNow();
+  }
+
+  /** A subsystem that throws when it is asked for its directory. */
+  private static final class Broken implements Extension {
+    @Override
+    public Directory directory(final Directory own, final Surroundings surroundings) {
+      throw new IllegalStateException("no registry");
     }
 
-    @Test
-    void theOperatorsAddressIsTaken() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            environment.put("PROXY_OPERATOR", "127.0.0.1:" + taken.getLocalPort());
-            assertTrue(fails(null).contains("cannot listen on operator"));
-        }
-        environment.remove("PROXY_OPERATOR");
-        startsNow();
+    @Override
+    public void ready(final String address) {
+      throw new AssertionError("it is not ready");
     }
 
-    @Test
-    void aSubsystemDoesNotStart() throws Exception {
-        assertEquals("no registry", fails(new Broken()));
-        startsNow();
+    @Override
+    public void stopping() {
+      throw new AssertionError("it never began");
     }
 
-    @Test
-    void theClientsAddressIsTaken() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            environment.put("PROXY_LISTEN", "127.0.0.1:" + taken.getLocalPort());
-            assertTrue(fails(null).contains("cannot listen on"));
-        }
-        environment.remove("PROXY_LISTEN");
-        startsNow();
+    @Override
+    public boolean leave() {
+      return true;
     }
 
-    /** A subsystem that throws when it is asked for its directory. */
-    private static final class Broken implements Extension {
-        @Override
-        public Directory directory(final Directory own, final Surroundings surroundings) {
-            throw new IllegalStateException("no registry");
-        }
-
-        @Override
-        public void ready(final String address) {
-            throw new AssertionError("it is not ready");
-        }
-
-        @Override
-        public void stopping() {
-            throw new AssertionError("it never began");
-        }
-
-        @Override
-        public boolean leave() {
-            return true;
-        }
-
-        @Override
-        public void reload() {
-            throw new AssertionError("nobody asked for it");
-        }
+    @Override
+    public void reload() {
+      throw new AssertionError("nobody asked for it");
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
+++ b/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
@@ -15,188 +15,231 @@
 import thistleturn.testkit.StandInEndpoint.Manner;
 import thistleturn.testkit.rig.FaultShim;
 
-/** System calls and clocks of a courier's process fail for a while, or now and then, and all rules hold. */
+/**
+ * System calls and clocks of a courier's process fail for a while, or now and then, and all rules
+ * hold.
+ */
 @Tag("faults")
 final class SystemCallFaultsTest {
-    /** ENFILE, ECONNABORTED, ENOBUFS, ENOSPC, EIO, EADDRNOTAVAIL, ENETUNREACH, as Linux numbers them. */
-    private static final String FILES_USED_UP = "errno=23/105";
-    private static final String DISK_FAILS = "errno=28/5";
-    private static final String NO_ROUTE = "errno=99/101";
-    private static final double RATE = 250;
-    private static final int ENOUGH = 1200;
-
-    @TempDir
-    private Path folder;
-
-    private FaultScenario scenario;
-
-    private void play(final FaultShim faults) throws IOException {
-        scenario.start(faults);
-        scenario.warmUp();
-        scenario.load(RATE);
-        scenario.world.await("messages", () -> scenario.ended() >= ENOUGH);
+  /**
+   * ENFILE, ECONNABORTED, ENOBUFS, ENOSPC, EIO, EADDRNOTAVAIL, ENETUNREACH, as Linux numbers them.
+   */
+  private static final String FILES_USED_UP = "errno=23/105";
+
+  private static final String DISK_FAILS = "errno=28/5";
+  private static final String NO_ROUTE = "errno=99/101";
+  private static final double RATE = 250;
+  private static final int ENOUGH = 1200;
+
+  @TempDir private Path folder;
+
+  private FaultScenario scenario;
+
+  private void play(final FaultShim faults) throws IOException {
+    scenario.start(faults);
+    scenario.warmUp();
+    scenario.load(RATE);
+    scenario.world.await("messages", () -> scenario.ended() >= ENOUGH);
+  }
+
+  private void allHolds() {
+    assertEquals(List.of(), scenario.verdict(), scenario::story);
+    assertEquals(List.of(), scenario.withoutAnswer(), scenario::story);
+  }
+
+  private FaultScenario begin(final long seed) {
+    scenario = new FaultScenario(folder, seed);
+    return scenario;
+  }
+
+  /** A connection that could not be accepted waits, with its request; the next try takes it. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "accept,errno=23/105,share=0.02",
+        "accept,errno=103/24,share=0.02",
+        "accept,errno=23/105,from=1500,period=3000,for=20"
+      })
+  void acceptThatFailsLeavesNoRequestWithoutAnAnswer(final String rule) throws IOException {
+    try (FaultScenario own = begin(1)) {
+      own.world.client.keepConnections(false);
+      play(own.faults().rule(rule));
+      allHolds();
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
-
-    private void allHolds() {
-        assertEquals(List.of(), scenario.verdict(), scenario::story);
-        assertEquals(List.of(), scenario.withoutAnswer(), scenario::story);
+  }
+
+  /**
+   * The selector never tells of a connection that the system refuses to watch, and Java does not
+   * say so.
+   */
+  @Test
+  void connectionThatIsNotWatchedIsReadAllTheSame() throws IOException {
+    try (FaultScenario own = begin(9)) {
+      own.world.client.keepConnections(false);
+      play(own.faults().rule("epoll_ctl,errno=12/28,share=0.02,from=1500"));
+      allHolds();
     }
-
-    private FaultScenario begin(final long seed) {
-        scenario = new FaultScenario(folder, seed);
-        return scenario;
+  }
+
+  /**
+   * A call for which no socket can be had is told to its owner on the owner's thread, and tried
+   * again or given up.
+   */
+  @Test
+  void socketThatFailsLeavesNoMessageWithoutAnEnd() throws IOException {
+    try (FaultScenario own = begin(2)) {
+      own.world.loadClasses("safe");
+      own.start(own.faults().rule("socket," + FILES_USED_UP + ",share=0.1,from=1500"));
+      own.warmUp();
+      own.load(RATE);
+      for (int time = 0; time < 20; time++) {
+        own.pass(300);
+        own.endpoints.forEach(endpoint -> endpoint.server().resetAll());
+      }
+      allHolds();
+      assertTrue(own.delivered() >= 0.95 * own.ended(), own::story);
     }
-
-    /** A connection that could not be accepted waits, with its request; the next try takes it. */
-    @ParameterizedTest
-    @ValueSource(strings = {"accept,errno=23/105,share=0.02", "accept,errno=103/24,share=0.02",
-        "accept,errno=23/105,from=1500,period=3000,for=20"})
-    void acceptThatFailsLeavesNoRequestWithoutAnAnswer(final String rule) throws IOException {
-        try (FaultScenario own = begin(1)) {
-            own.world.client.keepConnections(false);
-            play(own.faults().rule(rule));
-            allHolds();
-            assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
-        }
+  }
+
+  /**
+   * ENOBUFS, ENOMEM: the connection stands, and what it could not read or write now it can in a
+   * moment.
+   */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {"send,errno=105/12,share=0.1,from=1500", "recv,errno=105/12,share=0.1,from=1500"})
+  void connectionThatIsShortOfMemoryIsKept(final String rule) throws IOException {
+    try (FaultScenario own = begin(11)) {
+      play(own.faults().rule(rule));
+      allHolds();
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
+  }
 
-    /** The selector never tells of a connection that the system refuses to watch, and Java does not say so. */
-    @Test
-    void connectionThatIsNotWatchedIsReadAllTheSame() throws IOException {
-        try (FaultScenario own = begin(9)) {
-            own.world.client.keepConnections(false);
-            play(own.faults().rule("epoll_ctl,errno=12/28,share=0.02,from=1500"));
-            allHolds();
-        }
+  @Test
+  void connectThatFailsAtOnceLeavesNoMessageWithoutAnEnd() throws IOException {
+    try (FaultScenario own = begin(3)) {
+      play(own.faults().rule("connect," + NO_ROUTE + ",share=0.2,from=1500"));
+      allHolds();
     }
-
-    /** A call for which no socket can be had is told to its owner on the owner's thread, and tried again or given up. */
-    @Test
-    void socketThatFailsLeavesNoMessageWithoutAnEnd() throws IOException {
-        try (FaultScenario own = begin(2)) {
-            own.world.loadClasses("safe");
-            own.start(own.faults().rule("socket," + FILES_USED_UP + ",share=0.1,from=1500"));
-            own.warmUp();
-            own.load(RATE);
-            for (int time = 0; time < 20; time++) {
-                own.pass(300);
-                own.endpoints.forEach(endpoint -> endpoint.server().resetAll());
-            }
-            allHolds();
-            assertTrue(own.delivered() >= 0.95 * own.ended(), own::story);
-        }
+  }
+
+  /**
+   * While nothing can be written nothing is taken on or sent; ends that no restart could undo are
+   * told in time.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"none", "half", "whole", "short"})
+  void folderThatCannotBeWrittenHoldsUpNoEndThatIsDue(final String how) throws IOException {
+    try (FaultScenario own = begin(4)) {
+      own.start(
+          own.faults()
+              .rule("write," + DISK_FAILS + ",how=" + how + ",from=3000,period=5000,for=3500"));
+      own.warmUp();
+      // What is silent is held until its time is up, within the failure.
+      own.endpoints.get(0).fare(Manner.of(Act.SILENCE));
+      own.endpoints.get(3).fare(Manner.of(Act.SILENCE));
+      own.load(RATE);
+      own.pass(7500);
+      allHolds();
     }
-
-    /** ENOBUFS, ENOMEM: the connection stands, and what it could not read or write now it can in a moment. */
-    @ParameterizedTest
-    @ValueSource(strings = {"send,errno=105/12,share=0.1,from=1500", "recv,errno=105/12,share=0.1,from=1500"})
-    void connectionThatIsShortOfMemoryIsKept(final String rule) throws IOException {
-        try (FaultScenario own = begin(11)) {
-            play(own.faults().rule(rule));
-            allHolds();
-            assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
-        }
+  }
+
+  /** The journal grows to its bound every few seconds, and cannot be replaced for a while. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "rename,errno=5/28,period=3000,for=1500",
+        "rename,errno=5,how=whole,period=3000,for=1500",
+        "open,errno=23/5,from=1500,period=3000,for=1500"
+      })
+  void journalThatCannotBeReplacedForAWhileLosesNothing(final String rule) throws IOException {
+    try (FaultScenario own = begin(10)) {
+      own.start(own.faults().rule(rule));
+      own.load(RATE);
+      own.pass(5000);
+      own.restart(own.faults());
+      own.pass(500);
+      assertEquals(List.of(), own.verdict(), own::story);
     }
-
-    @Test
-    void connectThatFailsAtOnceLeavesNoMessageWithoutAnEnd() throws IOException {
-        try (FaultScenario own = begin(3)) {
-            play(own.faults().rule("connect," + NO_ROUTE + ",share=0.2,from=1500"));
-            allHolds();
-        }
+  }
+
+  /**
+   * What was written in part before a kill is whole or nothing: who was turned away is never sent
+   * on.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"half", "whole"})
+  void folderThatFailsAmidKillsBringsBackNothingThatWasTurnedAway(final String how)
+      throws IOException {
+    try (FaultScenario own = begin(5)) {
+      final FaultShim faults =
+          own.faults().rule("write," + DISK_FAILS + ",how=" + how + ",period=90,for=60");
+      own.start(faults);
+      own.load(RATE);
+      for (int kill = 1; kill <= 6; kill++) {
+        own.pass(400);
+        own.restart(faults.seed(kill));
+      }
+      assertEquals(List.of(), own.verdict(), own::story);
     }
-
-    /** While nothing can be written nothing is taken on or sent; ends that no restart could undo are told in time. */
-    @ParameterizedTest
-    @ValueSource(strings = {"none", "half", "whole", "short"})
-    void folderThatCannotBeWrittenHoldsUpNoEndThatIsDue(final String how) throws IOException {
-        try (FaultScenario own = begin(4)) {
-            own.start(own.faults().rule("write," + DISK_FAILS + ",how=" + how + ",from=3000,period=5000,for=3500"));
-            own.warmUp();
-            // What is silent is held until its time is up, within the failure.
-            own.endpoints.get(0).fare(Manner.of(Act.SILENCE));
-            own.endpoints.get(3).fare(Manner.of(Act.SILENCE));
-            own.load(RATE);
-            own.pass(7500);
-            allHolds();
-        }
+  }
+
+  /** What cannot be opened, locked, read or written in the first second can be in the next one. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "write,errno=28,for=1500",
+        "open,errno=5,for=1500",
+        "open,errno=23,for=1500",
+        "read,errno=5,for=1500",
+        "rename,errno=5,for=1500",
+        "socket,errno=23,for=1500"
+      })
+  void startWaitsForWhatPasses(final String rule) throws IOException {
+    try (FaultScenario own = begin(6)) {
+      own.start(own.faults().rule(rule));
+      own.load(RATE);
+      own.pass(1000);
+      own.restart(own.faults().rule(rule));
+      own.pass(1000);
+      assertEquals(List.of(), own.verdict(), own::story);
     }
-
-    /** The journal grows to its bound every few seconds, and cannot be replaced for a while. */
-    @ParameterizedTest
-    @ValueSource(strings = {"rename,errno=5/28,period=3000,for=1500", "rename,errno=5,how=whole,period=3000,for=1500",
-        "open,errno=23/5,from=1500,period=3000,for=1500"})
-    void journalThatCannotBeReplacedForAWhileLosesNothing(final String rule) throws IOException {
-        try (FaultScenario own = begin(10)) {
-            own.start(own.faults().rule(rule));
-            own.load(RATE);
-            own.pass(5000);
-            own.restart(own.faults());
-            own.pass(500);
-            assertEquals(List.of(), own.verdict(), own::story);
-        }
+  }
+
+  /**
+   * Deadlines and windows are spans of real time: another process may find the wall clock anywhere.
+   */
+  @Test
+  void wallClockThatIsAnotherAtEachStartChangesNothing() throws IOException {
+    try (FaultScenario own = begin(7)) {
+      own.world.loadClasses("safe", "keyed", "brief", "once");
+      own.start(own.faults());
+      own.load(RATE);
+      for (final long shiftMs :
+          new long[] {5_000, 0, -5_000, 3_600_000, 0, -3_600_000, 0, -4_000}) {
+        own.pass(600);
+        own.restart(own.faults().wallClock(0, shiftMs));
+      }
+      assertEquals(List.of(), own.verdict(), own::story);
     }
-
-    /** What was written in part before a kill is whole or nothing: who was turned away is never sent on. */
-    @ParameterizedTest
-    @ValueSource(strings = {"half", "whole"})
-    void folderThatFailsAmidKillsBringsBackNothingThatWasTurnedAway(final String how) throws IOException {
-        try (FaultScenario own = begin(5)) {
-            final FaultShim faults = own.faults().rule("write," + DISK_FAILS + ",how=" + how + ",period=90,for=60");
-            own.start(faults);
-            own.load(RATE);
-            for (int kill = 1; kill <= 6; kill++) {
-                own.pass(400);
-                own.restart(faults.seed(kill));
-            }
-            assertEquals(List.of(), own.verdict(), own::story);
-        }
-    }
-
-    /** What cannot be opened, locked, read or written in the first second can be in the next one. */
-    @ParameterizedTest
-    @ValueSource(strings = {"write,errno=28,for=1500", "open,errno=5,for=1500", "open,errno=23,for=1500", "read,errno=5,for=1500",
-        "rename,errno=5,for=1500", "socket,errno=23,for=1500"})
-    void startWaitsForWhatPasses(final String rule) throws IOException {
-        try (FaultScenario own = begin(6)) {
-            own.start(own.faults().rule(rule));
-            own.load(RATE);
-            own.pass(1000);
-            own.restart(own.faults().rule(rule));
-            own.pass(1000);
-            assertEquals(List.of(), own.verdict(), own::story);
-        }
-    }
-
-    /** Deadlines and windows are spans of real time: another process may find the wall clock anywhere. */
-    @Test
-    void wallClockThatIsAnotherAtEachStartChangesNothing() throws IOException {
-        try (FaultScenario own = begin(7)) {
-            own.world.loadClasses("safe", "keyed", "brief", "once");
-            own.start(own.faults());
-            own.load(RATE);
-            for (final long shiftMs : new long[] {5_000, 0, -5_000, 3_600_000, 0, -3_600_000, 0, -4_000}) {
-                own.pass(600);
-                own.restart(own.faults().wallClock(0, shiftMs));
-            }
-            assertEquals(List.of(), own.verdict(), own::story);
-        }
-    }
-
-    @Test
-    void wallClockThatStepsChangesNothing() throws IOException {
-        try (FaultScenario own = begin(8)) {
-            // What may have run goes again elsewhere, while its key is kept there.
-            own.world.loadClasses("safe", "keyed");
-            own.endpoints.get(0).fare(Manner.of(Act.RESET));
-            final FaultShim faults = own.faults();
-            for (int step = 0; step < 16; step++) {
-                faults.wallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
-            }
-            play(faults);
-            own.pass(2000);
-            allHolds();
-            assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
-        }
+  }
+
+  @Test
+  void wallClockThatStepsChangesNothing() throws IOException {
+    try (FaultScenario own = begin(8)) {
+      // What may have run goes again elsewhere, while its key is kept there.
+      own.world.loadClasses("safe", "keyed");
+      own.endpoints.get(0).fare(Manner.of(Act.RESET));
+      final FaultShim faults = own.faults();
+      for (int step = 0; step < 16; step++) {
+        faults.wallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
+      }
+      play(faults);
+      own.pass(2000);
+      allHolds();
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
@@ -20,56 +20,75 @@
 /** Whoever hands on what a process had learnt, living or dead, does so by the same contract. */
 @Tag("decisions")
 final class ContinuityContractTest {
-    private static final Clock CLOCK = new Clock();
-    private static final int WINDOW = 0;
-    private static final int WAIT = 1;
-    private static final int FIGURES = 21;
-    private static final int MOMENTS = 7;
+  private static final Clock CLOCK = new Clock();
+  private static final int WINDOW = 0;
+  private static final int WAIT = 1;
+  private static final int FIGURES = 21;
+  private static final int MOMENTS = 7;
 
-    private static Inheritance.Named named(final long number, final int port) {
-        return new Inheritance.Named(number, new Directory.Listing("e" + number, Courier.Condition.LISTED,
-                new InetSocketAddress("127.0.0.1", port), "a", 2.5, "std", 57));
-    }
+  private static Inheritance.Named named(final long number, final int port) {
+    return new Inheritance.Named(
+        number,
+        new Directory.Listing(
+            "e" + number,
+            Courier.Condition.LISTED,
+            new InetSocketAddress("127.0.0.1", port),
+            "a",
+            2.5,
+            "std",
+            57));
+  }
 
-    private static Memory memory(final long waitUs) {
-        final double[] figures = new double[FIGURES];
-        figures[WINDOW] = 9;
-        final long[] moments = new long[MOMENTS];
-        moments[0] = Long.MAX_VALUE;
-        moments[WAIT] = waitUs;
-        moments[MOMENTS - 1] = waitUs;
-        return new Memory(new double[] {1000}, new int[] {7}, 1e7, List.of(new Memory.OfLane(4, figures, moments),
-                new Memory.OfLane(5, figures, moments)), List.of(new Memory.OfNode(4, new double[3], new long[] {0, 0, waitUs})));
-    }
+  private static Memory memory(final long waitUs) {
+    final double[] figures = new double[FIGURES];
+    figures[WINDOW] = 9;
+    final long[] moments = new long[MOMENTS];
+    moments[0] = Long.MAX_VALUE;
+    moments[WAIT] = waitUs;
+    moments[MOMENTS - 1] = waitUs;
+    return new Memory(
+        new double[] {1000},
+        new int[] {7},
+        1e7,
+        List.of(new Memory.OfLane(4, figures, moments), new Memory.OfLane(5, figures, moments)),
+        List.of(new Memory.OfNode(4, new double[3], new long[] {0, 0, waitUs})));
+  }
 
-    static Stream<Continuity> both() {
-        final long nowUs = CLOCK.nowUs();
-        final Inheritance inheritance = new Inheritance(List.of(named(4, 9001), named(5, 9002)), memory(nowUs), List.of());
-        return Stream.of(inheritance, new LearntFile.Found(inheritance, nowUs));
-    }
+  static Stream<Continuity> both() {
+    final long nowUs = CLOCK.nowUs();
+    final Inheritance inheritance =
+        new Inheritance(List.of(named(4, 9001), named(5, 9002)), memory(nowUs), List.of());
+    return Stream.of(inheritance, new LearntFile.Found(inheritance, nowUs));
+  }
 
-    @ParameterizedTest
-    @MethodSource("both")
-    void endpointsThatAreStillThereGoOnUnderTheirNewNumbers(final Continuity from) {
-        assertEquals(List.of(4L, 5L), from.endpoints().stream().map(Inheritance.Named::number).toList());
-        final Memory here = from.memory(Map.of(4L, 17L), CLOCK);
-        assertEquals(List.of(17L), here.lanes().stream().map(Memory.OfLane::endpoint).toList(), "of one that is gone nothing is told");
-        assertEquals(List.of(17L), here.nodes().stream().map(Memory.OfNode::endpoint).toList());
-        assertArrayEquals(new int[] {7}, here.classSamples());
-    }
+  @ParameterizedTest
+  @MethodSource("both")
+  void endpointsThatAreStillThereGoOnUnderTheirNewNumbers(final Continuity from) {
+    assertEquals(
+        List.of(4L, 5L), from.endpoints().stream().map(Inheritance.Named::number).toList());
+    final Memory here = from.memory(Map.of(4L, 17L), CLOCK);
+    assertEquals(
+        List.of(17L),
+        here.lanes().stream().map(Memory.OfLane::endpoint).toList(),
+        "of one that is gone nothing is told");
+    assertEquals(List.of(17L), here.nodes().stream().map(Memory.OfNode::endpoint).toList());
+    assertArrayEquals(new int[] {7}, here.classSamples());
+  }
 
-    @ParameterizedTest
-    @MethodSource("both")
-    void momentsAreOnThisProcessesClockAndWaitsThatWereToldStand(final Continuity from) {
-        final long[] moments = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).moments();
-        assertTrue(Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000, "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
-        assertEquals(Long.MAX_VALUE, moments[0], "never stays never");
-    }
+  @ParameterizedTest
+  @MethodSource("both")
+  void momentsAreOnThisProcessesClockAndWaitsThatWereToldStand(final Continuity from) {
+    final long[] moments = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).moments();
+    assertTrue(
+        Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000,
+        "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
+    assertEquals(Long.MAX_VALUE, moments[0], "never stays never");
+  }
 
-    @ParameterizedTest
-    @MethodSource("both")
-    void knowingSomethingIsNoReasonToBeginWithLess(final Continuity from) {
-        final double window = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).figures()[WINDOW];
-        assertTrue(window >= 2 && window <= 9, "window " + window);
-    }
+  @ParameterizedTest
+  @MethodSource("both")
+  void knowingSomethingIsNoReasonToBeginWithLess(final Continuity from) {
+    final double window = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).figures()[WINDOW];
+    assertTrue(window >= 2 && window <= 9, "window " + window);
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -18,115 +18,137 @@
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
-/** A courier as a process that is stopped and woken (SIGSTOP, SIGCONT) with calls out, among partners that are well. */
+/**
+ * A courier as a process that is stopped and woken (SIGSTOP, SIGCONT) with calls out, among
+ * partners that are well.
+ */
 @Tag("health")
 final class PausedCourierTest {
-    private static final long TIMEOUT_MS = 4000;
-    private static final int RATE = 150;
-    private static final long HELD_MS = 15_000;
-    private static final int HELD_A_SECOND = 500;
-    private static final int SLICES = 60;
+  private static final long TIMEOUT_MS = 4000;
+  private static final int RATE = 150;
+  private static final long HELD_MS = 15_000;
+  private static final int HELD_A_SECOND = 500;
+  private static final int SLICES = 60;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /**
-     * Answers that came while it was stopped lie unread when it wakes to its timers. Judged first, they were time-outs, and
-     * what had been delivered was sent again; with every destination sent out for its silence.
-     */
-    @ParameterizedTest
-    @ValueSource(longs = {300, 1000, 2500})
-    void whatCameWhileItWasStoppedIsReadBeforeAnythingIsJudged(final long pauseMs) throws Exception {
-        try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
-            for (int index = 0; index < 4; index++) {
-                final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-                endpoint.fare(Manner.after(40));
-                world.platform.tell(endpoint, "Ready", 2000);
-            }
-            try (ChildProcess courier = ChildProcess.java(world.environment(CourierFiles.Size.usual()), "",
-                    "thistleturn.courier.Main")) {
-                final String ready = courier.await(line -> line.contains("is ready at "));
-                world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-                world.load(RATE, TIMEOUT_MS, 1, 2);
-                for (int stop = 1; stop <= 3; stop++) {
-                    // Time-outs are learnt after some calls; they are what is judged too soon.
-                    final int before = delivered(world);
-                    world.await("calls between the stops", () -> delivered(world) > before + 2 * RATE);
-                    final long fromUs = world.ticks.nowUs();
-                    courier.pause();
-                    final long untilUs = world.ticks.nowUs() + pauseMs * 1000;
-                    world.await("the end of the stop", () -> world.ticks.nowUs() >= untilUs);
-                    courier.resume();
-                    // On a slow machine a line may wait when it is stopped, whose time runs out within the stop.
-                    world.auditor.courierStopped(fromUs, world.ticks.nowUs());
-                }
-                final int before = delivered(world);
-                world.await("calls after the last stop", () -> delivered(world) > before + RATE);
-                assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
-                final Map<String, Integer> ends = world.auditor.ends();
-                final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
-                assertTrue(ends.getOrDefault("delivered", 0) >= 0.98 * handed, () -> "ends " + ends + events(courier));
-            }
+  /**
+   * Answers that came while it was stopped lie unread when it wakes to its timers. Judged first,
+   * they were time-outs, and what had been delivered was sent again; with every destination sent
+   * out for its silence.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {300, 1000, 2500})
+  void whatCameWhileItWasStoppedIsReadBeforeAnythingIsJudged(final long pauseMs) throws Exception {
+    try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
+      for (int index = 0; index < 4; index++) {
+        final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
+        endpoint.fare(Manner.after(40));
+        world.platform.tell(endpoint, "Ready", 2000);
+      }
+      try (ChildProcess courier =
+          ChildProcess.java(
+              world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
+        final String ready = courier.await(line -> line.contains("is ready at "));
+        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.load(RATE, TIMEOUT_MS, 1, 2);
+        for (int stop = 1; stop <= 3; stop++) {
+          // Time-outs are learnt after some calls; they are what is judged too soon.
+          final int before = delivered(world);
+          world.await("calls between the stops", () -> delivered(world) > before + 2 * RATE);
+          final long fromUs = world.ticks.nowUs();
+          courier.pause();
+          final long untilUs = world.ticks.nowUs() + pauseMs * 1000;
+          world.await("the end of the stop", () -> world.ticks.nowUs() >= untilUs);
+          courier.resume();
+          // On a slow machine a line may wait when it is stopped, whose time runs out within the
+          // stop.
+          world.auditor.courierStopped(fromUs, world.ticks.nowUs());
         }
+        final int before = delivered(world);
+        world.await("calls after the last stop", () -> delivered(world) > before + RATE);
+        assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
+        final Map<String, Integer> ends = world.auditor.ends();
+        final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
+        assertTrue(
+            ends.getOrDefault("delivered", 0) >= 0.98 * handed,
+            () -> "ends " + ends + events(courier));
+      }
     }
+  }
 
-    /** How often the courier told of each event, and its first lines of each. */
-    private static String events(final ChildProcess courier) {
-        final Map<String, List<String>> told = courier.lines().stream().filter(line -> line.contains("event="))
-                .collect(Collectors.groupingBy(line -> line.replaceFirst(".*event=(\\S+).*", "$1")));
-        final StringBuilder text = new StringBuilder();
-        told.forEach((event, lines) -> text.append('\n').append(event).append(' ').append(lines.size()).append(": ")
+  /** How often the courier told of each event, and its first lines of each. */
+  private static String events(final ChildProcess courier) {
+    final Map<String, List<String>> told =
+        courier.lines().stream()
+            .filter(line -> line.contains("event="))
+            .collect(Collectors.groupingBy(line -> line.replaceFirst(".*event=(\\S+).*", "$1")));
+    final StringBuilder text = new StringBuilder();
+    told.forEach(
+        (event, lines) ->
+            text.append('\n')
+                .append(event)
+                .append(' ')
+                .append(lines.size())
+                .append(": ")
                 .append(lines.subList(0, Math.min(3, lines.size()))));
-        return text.toString();
-    }
+    return text.toString();
+  }
 
-    /** Stopped at any moment of its start, it starts; and so it does on a starved core with 2,000 messages that it holds. */
-    @Test
-    void aStartThatIsStoppedOrStarvedEndsInTimeAllTheSame() throws Exception {
-        final int held = 2000;
-        try (StandInWorld world = new StandInWorld(folder, 7)) {
-            final StandInEndpoint endpoint = world.endpoint(1);
-            endpoint.fare(Manner.of(StandInEndpoint.Act.SILENCE));
-            world.platform.tell(endpoint, "Ready", 2000);
-            final Map<String, String> environment = world.environment(new CourierFiles.Size(2 * held, 64, 1024));
-            try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
-                final String ready = first.await(line -> line.contains("is ready at "));
-                world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-                world.load(HELD_A_SECOND, HELD_MS, 1);
-                world.await("messages that are held", () -> world.auditor.ends().getOrDefault("open", 0) >= held);
-                world.stopHandingIn();
-                first.kill();
-                world.auditor.restarted(world.ticks.nowUs(), false);
-            }
-            world.endConnections();
-            endpoint.fare(Manner.after(1));
-            try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
-                // A fifth of a core until it is ready and a while longer.
-                boolean up = false;
-                for (int slice = 0; slice < SLICES; slice++) {
-                    second.pause();
-                    final long thenUs = world.ticks.nowUs() + 80_000;
-                    world.await("a slice", () -> world.ticks.nowUs() >= thenUs);
-                    second.resume();
-                    final long nextUs = world.ticks.nowUs() + 20_000;
-                    world.await("a slice", () -> world.ticks.nowUs() >= nextUs);
-                    if (!up && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
-                        up = true;
-                        world.auditor.restarted(world.ticks.nowUs(), true);
-                    }
-                }
-                second.await(line -> line.contains("is ready at "));
-                if (!up) {
-                    world.auditor.restarted(world.ticks.nowUs(), true);
-                }
-                assertTrue(second.lines().stream().anyMatch(line -> line.contains("resumed ")), second.lines().toString());
-                assertEquals(List.of(), world.stopLoad());
-                assertTrue(delivered(world) >= 0.95 * held, "ends " + world.auditor.ends());
-            }
+  /**
+   * Stopped at any moment of its start, it starts; and so it does on a starved core with 2,000
+   * messages that it holds.
+   */
+  @Test
+  void aStartThatIsStoppedOrStarvedEndsInTimeAllTheSame() throws Exception {
+    final int held = 2000;
+    try (StandInWorld world = new StandInWorld(folder, 7)) {
+      final StandInEndpoint endpoint = world.endpoint(1);
+      endpoint.fare(Manner.of(StandInEndpoint.Act.SILENCE));
+      world.platform.tell(endpoint, "Ready", 2000);
+      final Map<String, String> environment =
+          world.environment(new CourierFiles.Size(2 * held, 64, 1024));
+      try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
+        final String ready = first.await(line -> line.contains("is ready at "));
+        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.load(HELD_A_SECOND, HELD_MS, 1);
+        world.await(
+            "messages that are held", () -> world.auditor.ends().getOrDefault("open", 0) >= held);
+        world.stopHandingIn();
+        first.kill();
+        world.auditor.restarted(world.ticks.nowUs(), false);
+      }
+      world.endConnections();
+      endpoint.fare(Manner.after(1));
+      try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
+        // A fifth of a core until it is ready and a while longer.
+        boolean up = false;
+        for (int slice = 0; slice < SLICES; slice++) {
+          second.pause();
+          final long thenUs = world.ticks.nowUs() + 80_000;
+          world.await("a slice", () -> world.ticks.nowUs() >= thenUs);
+          second.resume();
+          final long nextUs = world.ticks.nowUs() + 20_000;
+          world.await("a slice", () -> world.ticks.nowUs() >= nextUs);
+          if (!up && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
+            up = true;
+            world.auditor.restarted(world.ticks.nowUs(), true);
+          }
+        }
+        second.await(line -> line.contains("is ready at "));
+        if (!up) {
+          world.auditor.restarted(world.ticks.nowUs(), true);
         }
+        assertTrue(
+            second.lines().stream().anyMatch(line -> line.contains("resumed ")),
+            second.lines().toString());
+        assertEquals(List.of(), world.stopLoad());
+        assertTrue(delivered(world) >= 0.95 * held, "ends " + world.auditor.ends());
+      }
     }
+  }
 
-    private static int delivered(final StandInWorld world) {
-        return world.auditor.ends().getOrDefault("delivered", 0);
-    }
+  private static int delivered(final StandInWorld world) {
+    return world.auditor.ends().getOrDefault("delivered", 0);
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/health/PulseTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PulseTest.java
@@ -13,21 +13,25 @@
 /** The beat of a courier that waits for an answer and has nothing else to do. */
 @Tag("health")
 final class PulseTest {
-    private static final int BEATS = 15;
+  private static final int BEATS = 15;
 
-    /** Each beat promised itself at its own moment, so that the next one, a beat later, found an absence of that length. */
-    @Test
-    void aBeatThatComesWhenItIsDueIsNoAbsence() throws Exception {
-        final DefaultEventLoop loop = new DefaultEventLoop();
-        try {
-            final Clock clock = new Clock();
-            final AtomicInteger aways = new AtomicInteger();
-            final Pulse pulse = new Pulse(loop, clock, new OwnHealth(clock.nowUs()), us -> aways.incrementAndGet());
-            loop.submit(() -> pulse.keep(true)).get();
-            loop.schedule(() -> { }, BEATS * OwnHealth.BEAT_US, TimeUnit.MICROSECONDS).get();
-            assertTrue(aways.get() < BEATS / 3, aways + " absences in " + BEATS + " beats");
-        } finally {
-            loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-        }
+  /**
+   * Each beat promised itself at its own moment, so that the next one, a beat later, found an
+   * absence of that length.
+   */
+  @Test
+  void aBeatThatComesWhenItIsDueIsNoAbsence() throws Exception {
+    final DefaultEventLoop loop = new DefaultEventLoop();
+    try {
+      final Clock clock = new Clock();
+      final AtomicInteger aways = new AtomicInteger();
+      final Pulse pulse =
+          new Pulse(loop, clock, new OwnHealth(clock.nowUs()), us -> aways.incrementAndGet());
+      loop.submit(() -> pulse.keep(true)).get();
+      loop.schedule(() -> {}, BEATS * OwnHealth.BEAT_US, TimeUnit.MICROSECONDS).get();
+      assertTrue(aways.get() < BEATS / 3, aways + " absences in " + BEATS + " beats");
+    } finally {
+      loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/health/TroubledFleetTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/TroubledFleetTest.java
@@ -27,97 +27,105 @@
 /** Processes that lose their way out, or are stopped while one takes over from the other. */
 @Tag("health")
 final class TroubledFleetTest {
-    private static final long TIMEOUT_MS = 8000;
+  private static final long TIMEOUT_MS = 8000;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static String address(final ChildProcess courier) {
-        final String ready = courier.await(line -> line.contains("is ready at "));
-        return ready.substring(ready.lastIndexOf(' ') + 1);
-    }
+  private static String address(final ChildProcess courier) {
+    final String ready = courier.await(line -> line.contains("is ready at "));
+    return ready.substring(ready.lastIndexOf(' ') + 1);
+  }
 
-    private static List<StandInEndpoint> partners(final StandInWorld world, final int destinations) {
-        final List<StandInEndpoint> partners = new ArrayList<>();
-        for (int index = 0; index < 2 * destinations; index++) {
-            final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-            endpoint.fare(Manner.after(10));
-            world.platform.tell(endpoint, "Ready", 2000);
-            partners.add(endpoint);
-        }
-        return partners;
+  private static List<StandInEndpoint> partners(final StandInWorld world, final int destinations) {
+    final List<StandInEndpoint> partners = new ArrayList<>();
+    for (int index = 0; index < 2 * destinations; index++) {
+      final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
+      endpoint.fare(Manner.after(10));
+      world.platform.tell(endpoint, "Ready", 2000);
+      partners.add(endpoint);
     }
+    return partners;
+  }
 
-    private static int delivered(final StandInWorld world) {
-        return world.auditor.ends().getOrDefault("delivered", 0);
-    }
+  private static int delivered(final StandInWorld world) {
+    return world.auditor.ends().getOrDefault("delivered", 0);
+  }
 
-    /** Clients reach it, and it reaches nobody, the platform neither: nobody's outage, and all are back with the first answer. */
-    @Test
-    void whenItsWayOutIsGoneItSaysSoAndComesBackAsOne() throws Exception {
-        try (StandInWorld world = new StandInWorld(folder, 3)) {
-            final List<StandInEndpoint> partners = partners(world, 3);
-            try (ChildProcess courier = ChildProcess.java(world.environment(CourierFiles.Size.usual()), "",
-                    "thistleturn.courier.Main")) {
-                world.client.courier(address(courier));
-                world.load(30, TIMEOUT_MS, 1, 2, 3);
-                world.await("calls", () -> delivered(world) > 200);
-                world.platform.silent(true);
-                partners.forEach(partner -> partner.fare(Manner.of(Act.SILENCE)));
-                courier.await(line -> line.contains("own health: cut_off"));
-                final int before = delivered(world);
-                final long backUs = world.ticks.nowUs();
-                world.platform.silent(false);
-                partners.forEach(partner -> partner.fare(Manner.after(10)));
-                courier.await(line -> line.contains("had no way out for "));
-                world.await("calls as before", () -> delivered(world) > before + 60);
-                final long tookMs = (world.ticks.nowUs() - backUs) / 1000;
-                assertTrue(tookMs < 6000, "as before after " + tookMs + " ms");
-                final long others = world.stopLoad(TIMEOUT_MS).stream()
-                        .filter(one -> !one.toString().contains("sent after it was delivered")).count();
-                assertEquals(0, others, () -> world.auditor.finish(world.ticks.nowUs()).toString());
-            }
-        }
+  /**
+   * Clients reach it, and it reaches nobody, the platform neither: nobody's outage, and all are
+   * back with the first answer.
+   */
+  @Test
+  void whenItsWayOutIsGoneItSaysSoAndComesBackAsOne() throws Exception {
+    try (StandInWorld world = new StandInWorld(folder, 3)) {
+      final List<StandInEndpoint> partners = partners(world, 3);
+      try (ChildProcess courier =
+          ChildProcess.java(
+              world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
+        world.client.courier(address(courier));
+        world.load(30, TIMEOUT_MS, 1, 2, 3);
+        world.await("calls", () -> delivered(world) > 200);
+        world.platform.silent(true);
+        partners.forEach(partner -> partner.fare(Manner.of(Act.SILENCE)));
+        courier.await(line -> line.contains("own health: cut_off"));
+        final int before = delivered(world);
+        final long backUs = world.ticks.nowUs();
+        world.platform.silent(false);
+        partners.forEach(partner -> partner.fare(Manner.after(10)));
+        courier.await(line -> line.contains("had no way out for "));
+        world.await("calls as before", () -> delivered(world) > before + 60);
+        final long tookMs = (world.ticks.nowUs() - backUs) / 1000;
+        assertTrue(tookMs < 6000, "as before after " + tookMs + " ms");
+        final long others =
+            world.stopLoad(TIMEOUT_MS).stream()
+                .filter(one -> !one.toString().contains("sent after it was delivered"))
+                .count();
+        assertEquals(0, others, () -> world.auditor.finish(world.ticks.nowUs()).toString());
+      }
     }
+  }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
-        }
+  private static int freePort() throws IOException {
+    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return free.getLocalPort();
     }
+  }
 
-    /** A newer process takes over while it, or the older one, is stopped for longer than any step takes, at a random moment. */
-    @ParameterizedTest
-    @ValueSource(ints = {1, 2, 3, 4})
-    void aTakeoverInWhichOneIsStoppedLosesNothing(final int seed) throws Exception {
-        final Random random = new Random(seed);
-        try (StandInWorld world = new StandInWorld(folder, seed)) {
-            partners(world, 2);
-            final Map<String, String> older = new HashMap<>(world.environment(CourierFiles.Size.usual()));
-            older.put("PROXY_LISTEN", "127.0.0.1:" + freePort());
-            older.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
-            final Map<String, String> newer = new HashMap<>(older);
-            newer.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
-            try (ChildProcess first = ChildProcess.java(older, "", "thistleturn.courier.Main")) {
-                world.client.courier(address(first));
-                world.load(60, TIMEOUT_MS, 1, 2);
-                world.await("calls", () -> delivered(world) > 100);
-                try (ChildProcess second = ChildProcess.java(newer, "", "thistleturn.courier.Main")) {
-                    second.await(line -> line.contains("takes over"));
-                    final ChildProcess victim = seed % 2 == 0 ? first : second;
-                    final long pauseUs = world.ticks.nowUs() + random.nextInt(400_000);
-                    world.await("the moment of the stop", () -> world.ticks.nowUs() >= pauseUs);
-                    victim.pause();
-                    final long resumeUs = world.ticks.nowUs() + 500_000 + random.nextInt(1_000_000);
-                    world.await("the end of the stop", () -> world.ticks.nowUs() >= resumeUs);
-                    victim.resume();
-                    address(second);
-                    first.terminate();
-                    final int before = delivered(world);
-                    world.await("calls by the newer one", () -> delivered(world) > before + 100);
-                    assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
-                }
-            }
+  /**
+   * A newer process takes over while it, or the older one, is stopped for longer than any step
+   * takes, at a random moment.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2, 3, 4})
+  void aTakeoverInWhichOneIsStoppedLosesNothing(final int seed) throws Exception {
+    final Random random = new Random(seed);
+    try (StandInWorld world = new StandInWorld(folder, seed)) {
+      partners(world, 2);
+      final Map<String, String> older = new HashMap<>(world.environment(CourierFiles.Size.usual()));
+      older.put("PROXY_LISTEN", "127.0.0.1:" + freePort());
+      older.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
+      final Map<String, String> newer = new HashMap<>(older);
+      newer.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
+      try (ChildProcess first = ChildProcess.java(older, "", "thistleturn.courier.Main")) {
+        world.client.courier(address(first));
+        world.load(60, TIMEOUT_MS, 1, 2);
+        world.await("calls", () -> delivered(world) > 100);
+        try (ChildProcess second = ChildProcess.java(newer, "", "thistleturn.courier.Main")) {
+          second.await(line -> line.contains("takes over"));
+          final ChildProcess victim = seed % 2 == 0 ? first : second;
+          final long pauseUs = world.ticks.nowUs() + random.nextInt(400_000);
+          world.await("the moment of the stop", () -> world.ticks.nowUs() >= pauseUs);
+          victim.pause();
+          final long resumeUs = world.ticks.nowUs() + 500_000 + random.nextInt(1_000_000);
+          world.await("the end of the stop", () -> world.ticks.nowUs() >= resumeUs);
+          victim.resume();
+          address(second);
+          first.terminate();
+          final int before = delivered(world);
+          world.await("calls by the newer one", () -> delivered(world) > before + 100);
+          assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
         }
+      }
     }
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
@@ -42,204 +42,304 @@
 /** Time-outs of calls are judged once, after a look, and cost the loop no more than that. */
 @Tag("health")
 final class CarrierTimersTest {
-    private static final long PATIENCE_S = 10;
-    private static final long SECOND_US = 1_000_000;
-
-    private final Clock clock = new Clock();
-    private final LoopTurns turns = new LoopTurns(clock);
-    private final AtomicLong turned = new AtomicLong();
-    private final EventLoopGroup servers = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory(SelectorProvider.provider(), counting(turns)));
-    private final EventLoop loop = group.next();
-    private final BlockingQueue<Courier.Result> told = new LinkedBlockingQueue<>();
-    private final Semaphore arrived = new Semaphore(0);
-    private final Semaphore standing = new Semaphore(0);
-    private final Semaphore trailed = new Semaphore(0);
-    private HttpStandIn server;
-    private HttpCarrier carrier;
-
-    private record Waiting(Held held, long timeoutUs, long goesUntilUs, long validUntilUs) implements Carrier.Parcel { }
-
-    private SelectStrategyFactory counting(final LoopTurns its) {
-        return () -> {
-            final SelectStrategy strategy = its.newSelectStrategy();
-            return (supplier, hasTasks) -> {
-                turned.incrementAndGet();
-                return strategy.calculateStrategy(supplier, hasTasks);
-            };
-        };
-    }
+  private static final long PATIENCE_S = 10;
+  private static final long SECOND_US = 1_000_000;
+
+  private final Clock clock = new Clock();
+  private final LoopTurns turns = new LoopTurns(clock);
+  private final AtomicLong turned = new AtomicLong();
+  private final EventLoopGroup servers =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), counting(turns)));
+  private final EventLoop loop = group.next();
+  private final BlockingQueue<Courier.Result> told = new LinkedBlockingQueue<>();
+  private final Semaphore arrived = new Semaphore(0);
+  private final Semaphore standing = new Semaphore(0);
+  private final Semaphore trailed = new Semaphore(0);
+  private HttpStandIn server;
+  private HttpCarrier carrier;
+
+  private record Waiting(Held held, long timeoutUs, long goesUntilUs, long validUntilUs)
+      implements Carrier.Parcel {}
 
-    @BeforeEach
-    void begin(@TempDir final Path folder) throws Exception {
-        server = new HttpStandIn(servers, new InetSocketAddress("127.0.0.1", 0), exchange -> {
-            final String body = new String(exchange.body(), StandardCharsets.UTF_8);
-            if (body.startsWith("well")) {
+  private SelectStrategyFactory counting(final LoopTurns its) {
+    return () -> {
+      final SelectStrategy strategy = its.newSelectStrategy();
+      return (supplier, hasTasks) -> {
+        turned.incrementAndGet();
+        return strategy.calculateStrategy(supplier, hasTasks);
+      };
+    };
+  }
+
+  @BeforeEach
+  void begin(@TempDir final Path folder) throws Exception {
+    server =
+        new HttpStandIn(
+            servers,
+            new InetSocketAddress("127.0.0.1", 0),
+            exchange -> {
+              final String body = new String(exchange.body(), StandardCharsets.UTF_8);
+              if (body.startsWith("well")) {
                 exchange.answer(200, "");
-            } else if (body.startsWith("held")) {
+              } else if (body.startsWith("held")) {
                 arrived.release();
                 standing.acquireUninterruptibly();
                 exchange.answer(200, "");
-            } else if (body.startsWith("trail")) {
+              } else if (body.startsWith("trail")) {
                 exchange.answer(200, "");
                 arrived.release();
                 standing.acquireUninterruptibly();
-                exchange.channel().pipeline().firstContext().writeAndFlush(Unpooled.copiedBuffer(
-                        "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", StandardCharsets.US_ASCII));
+                exchange
+                    .channel()
+                    .pipeline()
+                    .firstContext()
+                    .writeAndFlush(
+                        Unpooled.copiedBuffer(
+                            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+                            StandardCharsets.US_ASCII));
                 trailed.release();
-            } else if (body.startsWith("[")) {
+              } else if (body.startsWith("[")) {
                 arrived.release();
                 standing.acquireUninterruptibly();
-                exchange.answer(200, "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"patient\",\"state\":\"accepted\"}]");
-            }
-        });
-        final Config config = Config.read(CourierFiles.write(folder, "n0", "127.0.0.1:1",
-                "{\"seq\":1,\"whole\":true,\"hosts\":[]}", CourierFiles.Size.usual()));
-        final Carrier.Listener listener = new Carrier.Listener() {
-            @Override
-            public void outcome(final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
-                told.add(answer.result());
-            }
-
-            @Override
-            public void toldToWait(final long endpoint, final long waitUs) {
-                // Nobody here tells one.
-            }
-
-            @Override
-            public void written(final int messages) {
-                // Told by the outcome.
-            }
+                exchange.answer(
+                    200,
+                    "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"patient\",\"state\":\"accepted\"}]");
+              }
+            });
+    final Config config =
+        Config.read(
+            CourierFiles.write(
+                folder,
+                "n0",
+                "127.0.0.1:1",
+                "{\"seq\":1,\"whole\":true,\"hosts\":[]}",
+                CourierFiles.Size.usual()));
+    final Carrier.Listener listener =
+        new Carrier.Listener() {
+          @Override
+          public void outcome(
+              final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
+            told.add(answer.result());
+          }
+
+          @Override
+          public void toldToWait(final long endpoint, final long waitUs) {
+            // Nobody here tells one.
+          }
+
+          @Override
+          public void written(final int messages) {
+            // Told by the outcome.
+          }
         };
-        CompletableFuture.runAsync(() -> {
-            carrier = new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-            carrier.listed(new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 0, 0, 1), false,
-                    new InetSocketAddress("127.0.0.1", server.port()));
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+    CompletableFuture.runAsync(
+            () -> {
+              carrier =
+                  new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
+              carrier.listed(
+                  new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 0, 0, 1),
+                  false,
+                  new InetSocketAddress("127.0.0.1", server.port()));
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    @AfterEach
-    void end() {
-        // Whoever still holds a call lets it go: else the loop never ends.
-        standing.release(100);
-        server.close();
-        servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-    }
+  @AfterEach
+  void end() {
+    // Whoever still holds a call lets it go: else the loop never ends.
+    standing.release(100);
+    server.close();
+    servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+  }
 
-    private void call(final String id, final long timeoutUs) throws Exception {
-        final Carrier.Parcel parcel = new Waiting(new Held(id, "safe", id, 1, clock.nowUs() + 9 * SECOND_US,
-                id.getBytes(StandardCharsets.UTF_8)), timeoutUs, Long.MAX_VALUE, clock.nowUs() + 9 * SECOND_US);
-        CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, List.of(parcel))), loop)
-                .get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+  private void call(final String id, final long timeoutUs) throws Exception {
+    final Carrier.Parcel parcel =
+        new Waiting(
+            new Held(
+                id,
+                "safe",
+                id,
+                1,
+                clock.nowUs() + 9 * SECOND_US,
+                id.getBytes(StandardCharsets.UTF_8)),
+            timeoutUs,
+            Long.MAX_VALUE,
+            clock.nowUs() + 9 * SECOND_US);
+    CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, List.of(parcel))), loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    /** The timer of a call that is over finds a later one's time still to come: it waited for that without a rest. */
-    @Test
-    void aTimerOfACallThatIsOverDoesNotKeepTheLoopBusy() throws Exception {
-        call("well", SECOND_US);
-        assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-        call("silent", 5 * SECOND_US / 2);
-        final long before = turned.get();
-        assertEquals(Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-        assertTrue(turned.get() - before < 200, turned.get() - before + " turns of the loop for one time-out");
-    }
+  /**
+   * The timer of a call that is over finds a later one's time still to come: it waited for that
+   * without a rest.
+   */
+  @Test
+  void aTimerOfACallThatIsOverDoesNotKeepTheLoopBusy() throws Exception {
+    call("well", SECOND_US);
+    assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    call("silent", 5 * SECOND_US / 2);
+    final long before = turned.get();
+    assertEquals(Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(
+        turned.get() - before < 200, turned.get() - before + " turns of the loop for one time-out");
+  }
 
-    /** A loop that stood still while the answer came reads it before it judges. */
-    @Test
-    void anAnswerThatLiesUnreadCountsBeforeItsTimeOut() throws Exception {
-        call("well-0", 2 * SECOND_US);
-        assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-        for (int round = 1; round <= 10; round++) {
-            call("held-" + round, 80_000);
-            assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
-            CompletableFuture.runAsync(() -> {
+  /** A loop that stood still while the answer came reads it before it judges. */
+  @Test
+  void anAnswerThatLiesUnreadCountsBeforeItsTimeOut() throws Exception {
+    call("well-0", 2 * SECOND_US);
+    assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    for (int round = 1; round <= 10; round++) {
+      call("held-" + round, 80_000);
+      assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+      CompletableFuture.runAsync(
+              () -> {
                 standing.release();
                 final long untilUs = clock.nowUs() + 120_000;
                 while (clock.nowUs() < untilUs) {
-                    Thread.onSpinWait();
+                  Thread.onSpinWait();
                 }
-            }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-            assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
-        }
+              },
+              loop)
+          .get(PATIENCE_S, TimeUnit.SECONDS);
+      assertEquals(
+          Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
     }
+  }
 
-    /** A pass that takes longer than a connection rests has not looked at it: what trails an answer is not the next call's. */
-    @Test
-    void whatTrailsAnAnswerIsNoOtherCallsAnswer() throws Exception {
-        for (int round = 0; round < 5; round++) {
-            call("trail", 2 * SECOND_US);
-            assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-            assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
-            final Carrier.Parcel next = new Waiting(new Held("silent", "safe", "silent", 1, clock.nowUs() + 9 * SECOND_US,
-                    "silent".getBytes(StandardCharsets.UTF_8)), SECOND_US / 5, Long.MAX_VALUE, clock.nowUs() + 9 * SECOND_US);
-            CompletableFuture.runAsync(() -> {
+  /**
+   * A pass that takes longer than a connection rests has not looked at it: what trails an answer is
+   * not the next call's.
+   */
+  @Test
+  void whatTrailsAnAnswerIsNoOtherCallsAnswer() throws Exception {
+    for (int round = 0; round < 5; round++) {
+      call("trail", 2 * SECOND_US);
+      assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+      assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+      final Carrier.Parcel next =
+          new Waiting(
+              new Held(
+                  "silent",
+                  "safe",
+                  "silent",
+                  1,
+                  clock.nowUs() + 9 * SECOND_US,
+                  "silent".getBytes(StandardCharsets.UTF_8)),
+              SECOND_US / 5,
+              Long.MAX_VALUE,
+              clock.nowUs() + 9 * SECOND_US);
+      CompletableFuture.runAsync(
+              () -> {
                 standing.release();
                 trailed.acquireUninterruptibly();
                 final long untilUs = clock.nowUs() + 20_000;
                 while (clock.nowUs() < untilUs) {
-                    Thread.onSpinWait();
+                  Thread.onSpinWait();
                 }
                 carrier.start(carrier.prepare(1, List.of(next)));
-            }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-            assertEquals(Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
-        }
+              },
+              loop)
+          .get(PATIENCE_S, TimeUnit.SECONDS);
+      assertEquals(
+          Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
     }
+  }
 
-    /** A loop that stood still between a decision and its first byte, until its time was up: sent now, the call would run unheard. */
-    @Test
-    void aCallWhoseTimeIsUpBeforeItsFirstByteIsNotSent() throws Exception {
-        for (int round = 0; round < 5; round++) {
-            final Carrier.Parcel late = new Waiting(new Held("held", "safe", "held", 1, clock.nowUs() + 9 * SECOND_US,
-                    "held".getBytes(StandardCharsets.UTF_8)), 50_000, Long.MAX_VALUE, clock.nowUs() + 9 * SECOND_US);
-            CompletableFuture.runAsync(() -> {
+  /**
+   * A loop that stood still between a decision and its first byte, until its time was up: sent now,
+   * the call would run unheard.
+   */
+  @Test
+  void aCallWhoseTimeIsUpBeforeItsFirstByteIsNotSent() throws Exception {
+    for (int round = 0; round < 5; round++) {
+      final Carrier.Parcel late =
+          new Waiting(
+              new Held(
+                  "held",
+                  "safe",
+                  "held",
+                  1,
+                  clock.nowUs() + 9 * SECOND_US,
+                  "held".getBytes(StandardCharsets.UTF_8)),
+              50_000,
+              Long.MAX_VALUE,
+              clock.nowUs() + 9 * SECOND_US);
+      CompletableFuture.runAsync(
+              () -> {
                 carrier.start(carrier.prepare(1, List.of(late)));
                 final long untilUs = clock.nowUs() + 100_000;
                 while (clock.nowUs() < untilUs) {
-                    Thread.onSpinWait();
+                  Thread.onSpinWait();
                 }
-            }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-            assertEquals(Courier.Result.NOT_SENT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
-            // One loop serves there: what came before this one would have been seen.
-            call("well", 2 * SECOND_US);
-            assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals(0, arrived.availablePermits(), "it came all the same");
-            carrierIdle();
-        }
+              },
+              loop)
+          .get(PATIENCE_S, TimeUnit.SECONDS);
+      assertEquals(
+          Courier.Result.NOT_SENT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+      // One loop serves there: what came before this one would have been seen.
+      call("well", 2 * SECOND_US);
+      assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+      assertEquals(0, arrived.availablePermits(), "it came all the same");
+      carrierIdle();
     }
+  }
 
-    /**
-     * A loop that stood still beyond the time of a message, or of one of several in a call: the answer that it finds may be from
-     * after that, and counts for nothing then.
-     */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void anAnswerThatIsReadAfterAMessagesTimeIsNoDelivery(final boolean several) throws Exception {
-        final long nowUs = clock.nowUs();
-        final long briefUs = nowUs + SECOND_US / 2;
-        final List<Carrier.Parcel> parcels = new ArrayList<>();
-        parcels.add(new Waiting(new Held("held", "safe", "held", 1, briefUs,
-                "held".getBytes(StandardCharsets.UTF_8)), 5 * SECOND_US, Long.MAX_VALUE, briefUs));
-        if (several) {
-            parcels.add(new Waiting(new Held("patient", "safe", "patient", 1, clock.nowUs() + 9 * SECOND_US,
-                    "patient".getBytes(StandardCharsets.UTF_8)), 5 * SECOND_US, Long.MAX_VALUE, nowUs + 9 * SECOND_US));
-        }
-        CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, parcels)), loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
-        CompletableFuture.runAsync(() -> {
-            standing.release();
-            while (clock.nowUs() <= briefUs + 100_000) {
+  /**
+   * A loop that stood still beyond the time of a message, or of one of several in a call: the
+   * answer that it finds may be from after that, and counts for nothing then.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void anAnswerThatIsReadAfterAMessagesTimeIsNoDelivery(final boolean several) throws Exception {
+    final long nowUs = clock.nowUs();
+    final long briefUs = nowUs + SECOND_US / 2;
+    final List<Carrier.Parcel> parcels = new ArrayList<>();
+    parcels.add(
+        new Waiting(
+            new Held("held", "safe", "held", 1, briefUs, "held".getBytes(StandardCharsets.UTF_8)),
+            5 * SECOND_US,
+            Long.MAX_VALUE,
+            briefUs));
+    if (several) {
+      parcels.add(
+          new Waiting(
+              new Held(
+                  "patient",
+                  "safe",
+                  "patient",
+                  1,
+                  clock.nowUs() + 9 * SECOND_US,
+                  "patient".getBytes(StandardCharsets.UTF_8)),
+              5 * SECOND_US,
+              Long.MAX_VALUE,
+              nowUs + 9 * SECOND_US));
+    }
+    CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, parcels)), loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+    assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+    CompletableFuture.runAsync(
+            () -> {
+              standing.release();
+              while (clock.nowUs() <= briefUs + 100_000) {
                 Thread.onSpinWait();
-            }
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        for (final Carrier.Parcel parcel : parcels) {
-            assertEquals(Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.held().id());
-        }
+              }
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+    for (final Carrier.Parcel parcel : parcels) {
+      assertEquals(
+          Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.held().id());
     }
+  }
 
-    /** Closes what is kept, so that the next call needs a connection of its own. */
-    private void carrierIdle() throws Exception {
-        CompletableFuture.runAsync(() -> carrier.closeIdle(1), loop).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+  /** Closes what is kept, so that the next call needs a connection of its own. */
+  private void carrierIdle() throws Exception {
+    CompletableFuture.runAsync(() -> carrier.closeIdle(1), loop).get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/http/DeadConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/DeadConnectionTest.java
@@ -14,42 +14,50 @@
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInWorld;
 
-/** An endpoint behind a middlebox that drops idle connections: told by a reset at the next request only. */
+/**
+ * An endpoint behind a middlebox that drops idle connections: told by a reset at the next request
+ * only.
+ */
 @Tag("connections")
 final class DeadConnectionTest {
-    private static final long TIMEOUT_MS = 4000;
+  private static final long TIMEOUT_MS = 4000;
 
-    /** Both endpoints of the destination drop all kept connections for two seconds: nobody waits for long. */
-    @Test
-    void deadConnectionsHoldUpNothing(@TempDir final Path folder) throws Exception {
-        try (StandInWorld world = new StandInWorld(folder, 5)) {
-            final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(1));
-            for (final StandInEndpoint endpoint : endpoints) {
-                endpoint.fare(StandInEndpoint.Manner.after(100));
-                world.platform.tell(endpoint, "Ready", 1000);
-            }
-            final CourierProcess courier = CourierProcess.start(world.environment(CourierFiles.Size.usual()));
-            try {
-                world.client.courier(courier.ready().get(10, TimeUnit.SECONDS));
-                world.load(200, TIMEOUT_MS, 1);
-                world.await("deliveries", () -> delivered(world) > 50);
-                endpoints.forEach(endpoint -> endpoint.server().resetsKept(true));
-                final int before = delivered(world);
-                final long fromUs = world.ticks.nowUs();
-                world.await("two seconds' deliveries", () -> delivered(world) > before + 400);
-                final long tookMs = (world.ticks.nowUs() - fromUs) / 1000;
-                endpoints.forEach(endpoint -> endpoint.server().resetsKept(false));
-                assertEquals(List.of(), world.stopLoad());
-                // Unsafe messages over a dead connection are lost to it, the rest is served nearly as it comes: 1.2 to 1.5 s. Where
-                // a dead connection counts against its endpoint it is 7 s and more.
-                assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
-            } finally {
-                courier.kill();
-            }
-        }
+  /**
+   * Both endpoints of the destination drop all kept connections for two seconds: nobody waits for
+   * long.
+   */
+  @Test
+  void deadConnectionsHoldUpNothing(@TempDir final Path folder) throws Exception {
+    try (StandInWorld world = new StandInWorld(folder, 5)) {
+      final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(1));
+      for (final StandInEndpoint endpoint : endpoints) {
+        endpoint.fare(StandInEndpoint.Manner.after(100));
+        world.platform.tell(endpoint, "Ready", 1000);
+      }
+      final CourierProcess courier =
+          CourierProcess.start(world.environment(CourierFiles.Size.usual()));
+      try {
+        world.client.courier(courier.ready().get(10, TimeUnit.SECONDS));
+        world.load(200, TIMEOUT_MS, 1);
+        world.await("deliveries", () -> delivered(world) > 50);
+        endpoints.forEach(endpoint -> endpoint.server().resetsKept(true));
+        final int before = delivered(world);
+        final long fromUs = world.ticks.nowUs();
+        world.await("two seconds' deliveries", () -> delivered(world) > before + 400);
+        final long tookMs = (world.ticks.nowUs() - fromUs) / 1000;
+        endpoints.forEach(endpoint -> endpoint.server().resetsKept(false));
+        assertEquals(List.of(), world.stopLoad());
+        // Unsafe messages over a dead connection are lost to it, the rest is served nearly as it
+        // comes: 1.2 to 1.5 s. Where
+        // a dead connection counts against its endpoint it is 7 s and more.
+        assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
+      } finally {
+        courier.kill();
+      }
     }
+  }
 
-    private static int delivered(final StandInWorld world) {
-        return world.auditor.ends().getOrDefault("delivered", 0);
-    }
+  private static int delivered(final StandInWorld world) {
+    return world.auditor.ends().getOrDefault("delivered", 0);
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/http/HandInTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/HandInTest.java
@@ -6,11 +6,13 @@
 
 /** How long a message that is handed in may still be delivered. */
 final class HandInTest {
-    @Test
-    void aMessageIsReckonedToHaveBeenOnItsWay() {
-        assertEquals(4_800_000, HandIn.lifeUs(5000, 12_000_000));
-        assertEquals(11_800_000, HandIn.lifeUs(99_000, 12_000_000), "no longer than its class may take");
-        assertEquals(300_000, HandIn.lifeUs(400, 12_000_000), "a short time is not used up by the margin");
-        assertEquals(0, HandIn.lifeUs(0, 12_000_000));
-    }
+  @Test
+  void aMessageIsReckonedToHaveBeenOnItsWay() {
+    assertEquals(4_800_000, HandIn.lifeUs(5000, 12_000_000));
+    assertEquals(
+        11_800_000, HandIn.lifeUs(99_000, 12_000_000), "no longer than its class may take");
+    assertEquals(
+        300_000, HandIn.lifeUs(400, 12_000_000), "a short time is not used up by the margin");
+    assertEquals(0, HandIn.lifeUs(0, 12_000_000));
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -35,208 +35,272 @@
 import thistleturn.testkit.Exchange;
 import thistleturn.testkit.HttpStandIn;
 
-/** A decision that is carried out too late: what must not go any more by then does not, and the rest does. */
+/**
+ * A decision that is carried out too late: what must not go any more by then does not, and the rest
+ * does.
+ */
 final class LateCallTest {
-    private static final long PATIENCE_S = 10;
-    private static final long SECOND_US = 1_000_000;
-    private static final long TIMEOUT_US = 60 * SECOND_US;
-    private static final long DEST = 7;
-
-    private record Told(String id, Courier.Result result) { }
-
-    private final Clock clock = new Clock();
-    private final LoopTurns turns = new LoopTurns(clock);
-    private final EventLoopGroup servers = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory(SelectorProvider.provider(), turns));
-    private final EventLoop loop = group.next();
-    private final List<String> came = new CopyOnWriteArrayList<>();
-    /** The courier has closed the connection of a call that is not answered. */
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Long> waits = new LinkedBlockingQueue<>();
-    /** A call that is answered by the test. */
-    private final BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
-    private HttpStandIn server;
-    private HttpCarrier carrier;
-
-    private record Late(Held held, long goesUntilUs, long validUntilUs) implements Carrier.Parcel {
-        @Override
-        public long timeoutUs() {
-            return TIMEOUT_US;
-        }
+  private static final long PATIENCE_S = 10;
+  private static final long SECOND_US = 1_000_000;
+  private static final long TIMEOUT_US = 60 * SECOND_US;
+  private static final long DEST = 7;
+
+  private record Told(String id, Courier.Result result) {}
+
+  private final Clock clock = new Clock();
+  private final LoopTurns turns = new LoopTurns(clock);
+  private final EventLoopGroup servers =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+  private final EventLoop loop = group.next();
+  private final List<String> came = new CopyOnWriteArrayList<>();
+
+  /** The courier has closed the connection of a call that is not answered. */
+  private final CountDownLatch ended = new CountDownLatch(1);
+
+  private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Long> waits = new LinkedBlockingQueue<>();
+
+  /** A call that is answered by the test. */
+  private final BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
+
+  private HttpStandIn server;
+  private HttpCarrier carrier;
+
+  private record Late(Held held, long goesUntilUs, long validUntilUs) implements Carrier.Parcel {
+    @Override
+    public long timeoutUs() {
+      return TIMEOUT_US;
     }
+  }
 
-    @BeforeEach
-    void begin(@TempDir final Path folder) throws Exception {
-        server = new HttpStandIn(servers, new InetSocketAddress("127.0.0.1", 0), exchange -> {
-            came.add(new String(exchange.body(), StandardCharsets.UTF_8));
-            if (came.contains("open")) {
+  @BeforeEach
+  void begin(@TempDir final Path folder) throws Exception {
+    server =
+        new HttpStandIn(
+            servers,
+            new InetSocketAddress("127.0.0.1", 0),
+            exchange -> {
+              came.add(new String(exchange.body(), StandardCharsets.UTF_8));
+              if (came.contains("open")) {
                 open.add(exchange);
-            } else if (exchange.path().equals("/inbox/bulk")) {
+              } else if (exchange.path().equals("/inbox/bulk")) {
                 exchange.channel().closeFuture().addListener(closed -> ended.countDown());
-            } else {
+              } else {
                 exchange.answer(200, "");
+              }
+            });
+    final Config config =
+        Config.read(
+            CourierFiles.write(
+                folder,
+                "n0",
+                "127.0.0.1:1",
+                "{\"seq\":1,\"whole\":true,\"hosts\":[]}",
+                CourierFiles.Size.usual()));
+    final Carrier.Listener listener =
+        new Carrier.Listener() {
+          @Override
+          public void outcome(
+              final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
+            told.add(new Told(parcel.held().id(), answer.result()));
+            if (answer.waitUs() > 0) {
+              waits.add(answer.waitUs());
             }
-        });
-        final Config config = Config.read(CourierFiles.write(folder, "n0", "127.0.0.1:1",
-                "{\"seq\":1,\"whole\":true,\"hosts\":[]}", CourierFiles.Size.usual()));
-        final Carrier.Listener listener = new Carrier.Listener() {
-            @Override
-            public void outcome(final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
-                told.add(new Told(parcel.held().id(), answer.result()));
-                if (answer.waitUs() > 0) {
-                    waits.add(answer.waitUs());
-                }
-            }
+          }
 
-            @Override
-            public void toldToWait(final long endpoint, final long waitUs) {
-                waits.add(waitUs);
-            }
+          @Override
+          public void toldToWait(final long endpoint, final long waitUs) {
+            waits.add(waitUs);
+          }
 
-            @Override
-            public void written(final int messages) {
-                // Told by the outcome.
-            }
+          @Override
+          public void written(final int messages) {
+            // Told by the outcome.
+          }
         };
-        CompletableFuture.runAsync(() -> {
-            carrier = new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-            list(Courier.Condition.LISTED);
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+    CompletableFuture.runAsync(
+            () -> {
+              carrier =
+                  new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
+              list(Courier.Condition.LISTED);
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    @AfterEach
-    void end() {
-        server.close();
-        servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-    }
+  @AfterEach
+  void end() {
+    server.close();
+    servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+  }
 
-    private void list(final Courier.Condition condition) {
-        carrier.listed(new Courier.Endpoint(1, condition, "a", 0, 0, DEST), false,
-                new InetSocketAddress("127.0.0.1", server.port()));
-    }
+  private void list(final Courier.Condition condition) {
+    carrier.listed(
+        new Courier.Endpoint(1, condition, "a", 0, 0, DEST),
+        false,
+        new InetSocketAddress("127.0.0.1", server.port()));
+  }
 
-    private Carrier.Parcel parcel(final String id, final long goesUntilUs) {
-        return parcel(id, goesUntilUs, clock.nowUs() + 9 * SECOND_US);
-    }
+  private Carrier.Parcel parcel(final String id, final long goesUntilUs) {
+    return parcel(id, goesUntilUs, clock.nowUs() + 9 * SECOND_US);
+  }
 
-    private Carrier.Parcel parcel(final String id, final long goesUntilUs, final long validUntilUs) {
-        return new Late(new Held(id, "keyed", id, DEST, validUntilUs, id.getBytes(
-                StandardCharsets.UTF_8)), goesUntilUs, validUntilUs);
-    }
+  private Carrier.Parcel parcel(final String id, final long goesUntilUs, final long validUntilUs) {
+    return new Late(
+        new Held(id, "keyed", id, DEST, validUntilUs, id.getBytes(StandardCharsets.UTF_8)),
+        goesUntilUs,
+        validUntilUs);
+  }
 
-    /** Makes a call, and holds the loop up after that until the given moment: the connection is used after it. */
-    private void call(final long heldUpUntilUs, final Carrier.Parcel... parcels) throws Exception {
-        CompletableFuture.runAsync(() -> {
-            carrier.start(carrier.prepare(1, List.of(parcels)));
-            while (clock.nowUs() <= heldUpUntilUs) {
+  /**
+   * Makes a call, and holds the loop up after that until the given moment: the connection is used
+   * after it.
+   */
+  private void call(final long heldUpUntilUs, final Carrier.Parcel... parcels) throws Exception {
+    CompletableFuture.runAsync(
+            () -> {
+              carrier.start(carrier.prepare(1, List.of(parcels)));
+              while (clock.nowUs() <= heldUpUntilUs) {
                 Thread.onSpinWait();
-            }
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+              }
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    private Told told() throws InterruptedException {
-        return told.poll(PATIENCE_S, TimeUnit.SECONDS);
-    }
+  private Told told() throws InterruptedException {
+    return told.poll(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    @Test
-    void aKeyThatIsForgottenWhileTheConnectionIsMadeDoesNotGo() throws Exception {
-        final long untilUs = clock.nowUs() + 20_000;
-        call(untilUs, parcel("late", untilUs));
-        assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-        // The connection that was made for it is closed, or serves what comes next; nothing of the late one is in it.
-        call(0, parcel("next", Long.MAX_VALUE));
-        assertEquals(new Told("next", Courier.Result.DELIVERED), told());
-        assertEquals(List.of("next"), came);
-    }
+  @Test
+  void aKeyThatIsForgottenWhileTheConnectionIsMadeDoesNotGo() throws Exception {
+    final long untilUs = clock.nowUs() + 20_000;
+    call(untilUs, parcel("late", untilUs));
+    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    // The connection that was made for it is closed, or serves what comes next; nothing of the late
+    // one is in it.
+    call(0, parcel("next", Long.MAX_VALUE));
+    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(List.of("next"), came);
+  }
 
-    @Test
-    void whatIsLateAlreadyDoesNotGoOverAKeptConnectionEither() throws Exception {
-        call(0, parcel("first", Long.MAX_VALUE));
-        assertEquals(new Told("first", Courier.Result.DELIVERED), told());
-        call(0, parcel("late", clock.nowUs() - 1));
-        assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-        assertEquals(List.of("first"), came);
-    }
+  @Test
+  void whatIsLateAlreadyDoesNotGoOverAKeptConnectionEither() throws Exception {
+    call(0, parcel("first", Long.MAX_VALUE));
+    assertEquals(new Told("first", Courier.Result.DELIVERED), told());
+    call(0, parcel("late", clock.nowUs() - 1));
+    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    assertEquals(List.of("first"), came);
+  }
 
-    @Test
-    void aLateOneDoesNotKeepOthersOfItsCall() throws Exception {
-        final long untilUs = clock.nowUs() + 20_000;
-        call(untilUs, parcel("late", untilUs), parcel("free", Long.MAX_VALUE));
-        assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-        assertEquals(new Told("free", Courier.Result.DELIVERED), told());
-        assertEquals(List.of("free"), came);
-    }
+  @Test
+  void aLateOneDoesNotKeepOthersOfItsCall() throws Exception {
+    final long untilUs = clock.nowUs() + 20_000;
+    call(untilUs, parcel("late", untilUs), parcel("free", Long.MAX_VALUE));
+    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    assertEquals(new Told("free", Courier.Result.DELIVERED), told());
+    assertEquals(List.of("free"), came);
+  }
 
-    /** The time of one is up while the connection is made: the call would run for nobody's answer, and the other may go at once. */
-    @Test
-    void aCallDoesNotGoOnceTheTimeOfOneOfItsMessagesIsUp() throws Exception {
-        final long untilUs = clock.nowUs() + 20_000;
-        call(untilUs, parcel("late", Long.MAX_VALUE, untilUs), parcel("free", Long.MAX_VALUE));
-        assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-        assertEquals(new Told("free", Courier.Result.NOT_SENT), told());
-        call(0, parcel("next", Long.MAX_VALUE));
-        assertEquals(new Told("next", Courier.Result.DELIVERED), told());
-        assertEquals(List.of("next"), came);
-    }
+  /**
+   * The time of one is up while the connection is made: the call would run for nobody's answer, and
+   * the other may go at once.
+   */
+  @Test
+  void aCallDoesNotGoOnceTheTimeOfOneOfItsMessagesIsUp() throws Exception {
+    final long untilUs = clock.nowUs() + 20_000;
+    call(untilUs, parcel("late", Long.MAX_VALUE, untilUs), parcel("free", Long.MAX_VALUE));
+    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    assertEquals(new Told("free", Courier.Result.NOT_SENT), told());
+    call(0, parcel("next", Long.MAX_VALUE));
+    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(List.of("next"), came);
+  }
 
-    /** Several in a call share its fate, and it is over with the time of the first, however long others would wait. */
-    @Test
-    void aCallEndsWithTheTimeOfTheFirstOfItsMessages() throws Exception {
-        call(0, parcel("brief", Long.MAX_VALUE, clock.nowUs() + SECOND_US / 2),
-                parcel("patient", Long.MAX_VALUE, clock.nowUs() + TIMEOUT_US));
-        assertEquals(new Told("brief", Courier.Result.TIMED_OUT), told());
-        assertEquals(new Told("patient", Courier.Result.TIMED_OUT), told());
-        assertTrue(ended.await(PATIENCE_S, TimeUnit.SECONDS), "its connection is closed");
-    }
+  /**
+   * Several in a call share its fate, and it is over with the time of the first, however long
+   * others would wait.
+   */
+  @Test
+  void aCallEndsWithTheTimeOfTheFirstOfItsMessages() throws Exception {
+    call(
+        0,
+        parcel("brief", Long.MAX_VALUE, clock.nowUs() + SECOND_US / 2),
+        parcel("patient", Long.MAX_VALUE, clock.nowUs() + TIMEOUT_US));
+    assertEquals(new Told("brief", Courier.Result.TIMED_OUT), told());
+    assertEquals(new Told("patient", Courier.Result.TIMED_OUT), told());
+    assertTrue(ended.await(PATIENCE_S, TimeUnit.SECONDS), "its connection is closed");
+  }
 
-    /** The list says that an endpoint drains, or names it no more, while a connection to it is made: nothing new goes there. */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void whatWasDecidedBeforeADrainDoesNotGoAfterIt(final boolean gone) throws Exception {
-        CompletableFuture.runAsync(() -> {
-            carrier.start(carrier.prepare(1, List.of(parcel("late", Long.MAX_VALUE))));
-            if (gone) {
+  /**
+   * The list says that an endpoint drains, or names it no more, while a connection to it is made:
+   * nothing new goes there.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void whatWasDecidedBeforeADrainDoesNotGoAfterIt(final boolean gone) throws Exception {
+    CompletableFuture.runAsync(
+            () -> {
+              carrier.start(carrier.prepare(1, List.of(parcel("late", Long.MAX_VALUE))));
+              if (gone) {
                 carrier.removed(1);
-            } else {
+              } else {
                 list(Courier.Condition.DRAINING);
-            }
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-        CompletableFuture.runAsync(() -> list(Courier.Condition.LISTED), loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        call(0, parcel("next", Long.MAX_VALUE));
-        assertEquals(new Told("next", Courier.Result.DELIVERED), told());
-        assertEquals(List.of("next"), came);
-    }
+              }
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    CompletableFuture.runAsync(() -> list(Courier.Condition.LISTED), loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+    call(0, parcel("next", Long.MAX_VALUE));
+    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(List.of("next"), came);
+  }
 
-    /** The answer lies unread, or comes, in the moment in which its call is given up: the wait that it tells binds. */
-    @Test
-    void aWaitThatIsToldToACallThatIsGivenUpIsHeeded() throws Exception {
-        final Carrier.Parcel parcel = parcel("open", Long.MAX_VALUE);
-        final Carrier.Call call = CompletableFuture.supplyAsync(() -> {
-            final Carrier.Call made = carrier.prepare(1, List.of(parcel));
-            carrier.start(made);
-            return made;
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
-        CompletableFuture.runAsync(() -> {
-            exchange.answer(429, "", "Retry-After", "1.5").syncUninterruptibly();
-            carrier.abandon(call, Courier.Result.TIMED_OUT);
-        }, loop).get(PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals(new Told("open", Courier.Result.TIMED_OUT), told());
-        assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
-    }
+  /**
+   * The answer lies unread, or comes, in the moment in which its call is given up: the wait that it
+   * tells binds.
+   */
+  @Test
+  void aWaitThatIsToldToACallThatIsGivenUpIsHeeded() throws Exception {
+    final Carrier.Parcel parcel = parcel("open", Long.MAX_VALUE);
+    final Carrier.Call call =
+        CompletableFuture.supplyAsync(
+                () -> {
+                  final Carrier.Call made = carrier.prepare(1, List.of(parcel));
+                  carrier.start(made);
+                  return made;
+                },
+                loop)
+            .get(PATIENCE_S, TimeUnit.SECONDS);
+    final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+    CompletableFuture.runAsync(
+            () -> {
+              exchange.answer(429, "", "Retry-After", "1.5").syncUninterruptibly();
+              carrier.abandon(call, Courier.Result.TIMED_OUT);
+            },
+            loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+    assertEquals(new Told("open", Courier.Result.TIMED_OUT), told());
+    assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
+  }
 
-    /** The same of an answer whose head is whole and whose rest never comes. */
-    @Test
-    void aWaitInAnAnswerThatStopsShortIsHeeded() throws Exception {
-        call(0, parcel("open", Long.MAX_VALUE));
-        final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
-        exchange.raw("HTTP/1.1 429 X\r\nRetry-After: 1.5\r\nContent-Length: 10\r\n\r\nab".getBytes(
-                StandardCharsets.US_ASCII)).addListener(written -> exchange.channel().close());
-        assertEquals(new Told("open", Courier.Result.RESET), told());
-        assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
-    }
+  /** The same of an answer whose head is whole and whose rest never comes. */
+  @Test
+  void aWaitInAnAnswerThatStopsShortIsHeeded() throws Exception {
+    call(0, parcel("open", Long.MAX_VALUE));
+    final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+    exchange
+        .raw(
+            "HTTP/1.1 429 X\r\nRetry-After: 1.5\r\nContent-Length: 10\r\n\r\nab"
+                .getBytes(StandardCharsets.US_ASCII))
+        .addListener(written -> exchange.channel().close());
+    assertEquals(new Told("open", Courier.Result.RESET), told());
+    assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
@@ -14,33 +14,42 @@
 
 /** The library's own object mapper is the judge of what is read and written without it. */
 final class JsonTest {
-    private static final ObjectMapper JUDGE = new ObjectMapper();
+  private static final ObjectMapper JUDGE = new ObjectMapper();
 
-    @ParameterizedTest
-    @ValueSource(strings = {"{\"a\":[1,-2,9007199254740993,18446744073709551616],\"b\":{\"c\":null,\"d\":true}}", "[]", "{}",
-        "\"\\u00e9\\n\\\"x\"", "1.5e300", "[[[],{}],false,0.1]"})
-    void readsAndWritesAsTheMapperDoes(final String text) throws IOException {
-        final JsonNode tree = Json.read(text);
-        assertEquals(JUDGE.readTree(text).toString(), tree.toString());
-        assertEquals(JUDGE.readTree(text).toString(), Json.text(tree));
-        assertEquals(Json.text(tree), Json.text(Json.read(text.getBytes(java.nio.charset.StandardCharsets.UTF_8))));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "{\"a\":[1,-2,9007199254740993,18446744073709551616],\"b\":{\"c\":null,\"d\":true}}",
+        "[]",
+        "{}",
+        "\"\\u00e9\\n\\\"x\"",
+        "1.5e300",
+        "[[[],{}],false,0.1]"
+      })
+  void readsAndWritesAsTheMapperDoes(final String text) throws IOException {
+    final JsonNode tree = Json.read(text);
+    assertEquals(JUDGE.readTree(text).toString(), tree.toString());
+    assertEquals(JUDGE.readTree(text).toString(), Json.text(tree));
+    assertEquals(
+        Json.text(tree),
+        Json.text(Json.read(text.getBytes(java.nio.charset.StandardCharsets.UTF_8))));
+  }
 
-    @Test
-    void bytesGoAsBase64() throws IOException {
-        final JsonNode node = JsonNodeFactory.instance.objectNode().put("body", new byte[] {0, -1, 7});
-        assertEquals(node.toString(), Json.text(node));
-    }
+  @Test
+  void bytesGoAsBase64() throws IOException {
+    final JsonNode node = JsonNodeFactory.instance.objectNode().put("body", new byte[] {0, -1, 7});
+    assertEquals(node.toString(), Json.text(node));
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"{", "[1,", "{\"a\"}", "nul", "\u0001"})
-    void whatIsNoJsonIsRefused(final String text) {
-        assertThrows(IOException.class, () -> Json.read(text));
-    }
+  @ParameterizedTest
+  @ValueSource(strings = {"{", "[1,", "{\"a\"}", "nul", "\u0001"})
+  void whatIsNoJsonIsRefused(final String text) {
+    assertThrows(IOException.class, () -> Json.read(text));
+  }
 
-    @Test
-    void nothingIsMissingAndDepthIsBounded() throws IOException {
-        assertTrue(Json.read("").isMissingNode());
-        assertThrows(IOException.class, () -> Json.read("[".repeat(100_000)));
-    }
+  @Test
+  void nothingIsMissingAndDepthIsBounded() throws IOException {
+    assertTrue(Json.read("").isMissingNode());
+    assertThrows(IOException.class, () -> Json.read("[".repeat(100_000)));
+  }
 }
--- a/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
@@ -20,88 +20,109 @@
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.Memory;
 
-/** A file that is torn, old, foreign or from before a clock was set is not used; nothing else hangs on it. */
+/**
+ * A file that is torn, old, foreign or from before a clock was set is not used; nothing else hangs
+ * on it.
+ */
 @Tag("noise")
 final class LearntFileTest {
-    private static final long TAKEN_US = 5_000_000_000L;
-    private static final long SECOND = 1_000_000;
-    private static final long DISK_BYTES = 3 << 20;
-    private static final List<String> CLASSES = List.of("safe", "once");
+  private static final long TAKEN_US = 5_000_000_000L;
+  private static final long SECOND = 1_000_000;
+  private static final long DISK_BYTES = 3 << 20;
+  private static final List<String> CLASSES = List.of("safe", "once");
 
-    @TempDir
-    private Path folder;
-    private LearntFile file;
+  @TempDir private Path folder;
+  private LearntFile file;
 
-    private static Inheritance learnt() {
-        return new Inheritance(List.of(new Inheritance.Named(4, new Directory.Listing("s-1", Courier.Condition.LISTED,
-                new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57))),
-                new Memory(new double[] {1000, 2000}, new int[] {7, 8}, 1e7,
-                        List.of(new Memory.OfLane(4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {1, 2})),
-                        List.of(new Memory.OfNode(4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))), List.of());
-    }
+  private static Inheritance learnt() {
+    return new Inheritance(
+        List.of(
+            new Inheritance.Named(
+                4,
+                new Directory.Listing(
+                    "s-1",
+                    Courier.Condition.LISTED,
+                    new InetSocketAddress("127.0.0.1", 9001),
+                    "a",
+                    2.5,
+                    "std",
+                    57))),
+        new Memory(
+            new double[] {1000, 2000},
+            new int[] {7, 8},
+            1e7,
+            List.of(
+                new Memory.OfLane(
+                    4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {1, 2})),
+            List.of(new Memory.OfNode(4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
+        List.of());
+  }
 
-    @BeforeEach
-    void write() throws IOException {
-        file = new LearntFile(folder, 0, CLASSES, DISK_BYTES);
-        file.write(file.bytes(learnt(), TAKEN_US));
-    }
+  @BeforeEach
+  void write() throws IOException {
+    file = new LearntFile(folder, 0, CLASSES, DISK_BYTES);
+    file.write(file.bytes(learnt(), TAKEN_US));
+  }
 
-    private LearntFile.Found after(final long us) {
-        return file.read(TAKEN_US + us);
-    }
+  private LearntFile.Found after(final long us) {
+    return file.read(TAKEN_US + us);
+  }
 
-    @Test
-    void whatWasLearntIsFoundAgain() {
-        final LearntFile.Found found = after(SECOND);
-        assertEquals(TAKEN_US, found.takenUs());
-        assertEquals(learnt().endpoints(), found.learnt().endpoints());
-        final Memory.OfLane lane = found.learnt().memory().lanes().get(0);
-        assertEquals("[3.0, Infinity] [1, 2]", Arrays.toString(lane.figures()) + " " + Arrays.toString(lane.moments()));
-    }
+  @Test
+  void whatWasLearntIsFoundAgain() {
+    final LearntFile.Found found = after(SECOND);
+    assertEquals(TAKEN_US, found.takenUs());
+    assertEquals(learnt().endpoints(), found.learnt().endpoints());
+    final Memory.OfLane lane = found.learnt().memory().lanes().get(0);
+    assertEquals(
+        "[3.0, Infinity] [1, 2]",
+        Arrays.toString(lane.figures()) + " " + Arrays.toString(lane.moments()));
+  }
 
-    @Test
-    void aTornOrChangedOneIsNotUsed() throws IOException {
-        final Path path = folder.resolve("learnt");
-        final byte[] whole = Files.readAllBytes(path);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(path, Arrays.copyOf(whole, length));
-            assertNull(after(SECOND), "cut to " + length);
-        }
-        for (int at = 0; at < whole.length; at++) {
-            final byte[] flipped = whole.clone();
-            flipped[at] ^= 4;
-            Files.write(path, flipped);
-            assertNull(after(SECOND), "flipped at " + at);
-        }
-        Files.write(path, whole);
-        assertNotNull(after(SECOND));
+  @Test
+  void aTornOrChangedOneIsNotUsed() throws IOException {
+    final Path path = folder.resolve("learnt");
+    final byte[] whole = Files.readAllBytes(path);
+    for (int length = 0; length < whole.length; length++) {
+      Files.write(path, Arrays.copyOf(whole, length));
+      assertNull(after(SECOND), "cut to " + length);
     }
-
-    @Test
-    void anOldOneIsNotUsed() {
-        assertNotNull(after(Memory.MOST_AGE_US));
-        assertNull(after(Memory.MOST_AGE_US + 1));
-        assertNull(after(3600 * SECOND));
+    for (int at = 0; at < whole.length; at++) {
+      final byte[] flipped = whole.clone();
+      flipped[at] ^= 4;
+      Files.write(path, flipped);
+      assertNull(after(SECOND), "flipped at " + at);
     }
+    Files.write(path, whole);
+    assertNotNull(after(SECOND));
+  }
 
-    @Test
-    void oneFromBeforeTheMachineBeganAnewIsNotUsed() {
-        assertNull(file.read(TAKEN_US - 1));
-        assertNull(file.read(SECOND));
-    }
+  @Test
+  void anOldOneIsNotUsed() {
+    assertNotNull(after(Memory.MOST_AGE_US));
+    assertNull(after(Memory.MOST_AGE_US + 1));
+    assertNull(after(3600 * SECOND));
+  }
 
-    @Test
-    void oneForOtherClassesIsNotUsed() {
-        assertNull(new LearntFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(TAKEN_US));
-        assertNull(new LearntFile(folder, 1, CLASSES, DISK_BYTES).read(TAKEN_US), "another shard's");
-    }
+  @Test
+  void oneFromBeforeTheMachineBeganAnewIsNotUsed() {
+    assertNull(file.read(TAKEN_US - 1));
+    assertNull(file.read(SECOND));
+  }
 
-    @Test
-    void whatIsTooLargeIsNeitherWrittenNorRead() throws IOException {
-        final Memory.OfNode node = new Memory.OfNode(4, new double[100], new long[100]);
-        final Memory large = new Memory(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
-        assertNull(file.bytes(new Inheritance(List.of(), large, List.of()), TAKEN_US));
-        Files.write(folder.resolve("learnt"), new byte[4 << 20]);
-        assertNull(after(SECOND));
-    }
+  @Test
+  void oneForOtherClassesIsNotUsed() {
+    assertNull(new LearntFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(TAKEN_US));
+    assertNull(new LearntFile(folder, 1, CLASSES, DISK_BYTES).read(TAKEN_US), "another shard's");
+  }
+
+  @Test
+  void whatIsTooLargeIsNeitherWrittenNorRead() throws IOException {
+    final Memory.OfNode node = new Memory.OfNode(4, new double[100], new long[100]);
+    final Memory large =
+        new Memory(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
+    assertNull(file.bytes(new Inheritance(List.of(), large, List.of()), TAKEN_US));
+    Files.write(folder.resolve("learnt"), new byte[4 << 20]);
+    assertNull(after(SECOND));
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Deadline.java
+++ b/decisions/src/main/java/thistleturn/decisions/Deadline.java
@@ -4,9 +4,9 @@
 
 /** When a message's wait ends. */
 final class Deadline extends TimeHeap.Entry {
-    final Job job;
+  final Job job;
 
-    Deadline(final Job job) {
-        this.job = job;
-    }
+  Deadline(final Job job) {
+    this.job = job;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Phase.java
+++ b/decisions/src/main/java/thistleturn/decisions/Phase.java
@@ -1,4 +1,11 @@
 package thistleturn.decisions;
 
-/** How a lane is: well, out (single trials only), or on its way back (paced until it is surely warm). */
-enum Phase { WELL, OUT, RAMP }
+/**
+ * How a lane is: well, out (single trials only), or on its way back (paced until it is surely
+ * warm).
+ */
+enum Phase {
+  WELL,
+  OUT,
+  RAMP
+}
--- a/decisions/src/main/java/thistleturn/decisions/TableOne.java
+++ b/decisions/src/main/java/thistleturn/decisions/TableOne.java
@@ -1,33 +1,41 @@
 package thistleturn.decisions;
 
-/** The paper's Table I (section V): a Mamdani controller with triangles, min for AND, max for an output's rules. */
+/**
+ * The paper's Table I (section V): a Mamdani controller with triangles, min for AND, max for an
+ * output's rules.
+ */
 final class TableOne {
-    /** Rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
-    private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
-    private static final int[][] RULES = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
+  /** Rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
+  private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
 
-    private TableOne() { }
+  private static final int[][] RULES = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
 
-    /** The change of a window, as a share of it, from latency between 0 and 1 and refusals, cut to that; defuzzified by central average. */
-    static double change(final double latency, final double refusal) {
-        final double[] union = new double[OUTPUTS.length];
-        for (int row = 0; row < RULES.length; row++) {
-            for (int column = 0; column < RULES.length; column++) {
-                final double both = Math.min(member(row, latency), member(column, Worth.clamp(refusal, 0, 1)));
-                union[RULES[row][column]] = Math.max(union[RULES[row][column]], both);
-            }
-        }
-        double sum = 0;
-        double weights = 0;
-        for (int output = 0; output < OUTPUTS.length; output++) {
-            sum += OUTPUTS[output] * union[output];
-            weights += union[output];
-        }
-        return sum / weights;
-    }
+  private TableOne() {}
 
-    /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
-    private static double member(final int set, final double input) {
-        return Math.max(0, 1 - Math.abs(2 * input - set));
+  /**
+   * The change of a window, as a share of it, from latency between 0 and 1 and refusals, cut to
+   * that; defuzzified by central average.
+   */
+  static double change(final double latency, final double refusal) {
+    final double[] union = new double[OUTPUTS.length];
+    for (int row = 0; row < RULES.length; row++) {
+      for (int column = 0; column < RULES.length; column++) {
+        final double both =
+            Math.min(member(row, latency), member(column, Worth.clamp(refusal, 0, 1)));
+        union[RULES[row][column]] = Math.max(union[RULES[row][column]], both);
+      }
+    }
+    double sum = 0;
+    double weights = 0;
+    for (int output = 0; output < OUTPUTS.length; output++) {
+      sum += OUTPUTS[output] * union[output];
+      weights += union[output];
     }
+    return sum / weights;
+  }
+
+  /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
+  private static double member(final int set, final double input) {
+    return Math.max(0, 1 - Math.abs(2 * input - set));
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/health/Reach.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/Reach.java
@@ -4,67 +4,77 @@
 import java.util.Set;
 
 /**
- * Whether a courier's own way out is gone. One partner that does not answer is that partner's trouble; where all who were
- * tried since the last answer of anybody do not answer, and the platform does not either, it is this courier's. Times are
- * microseconds.
+ * Whether a courier's own way out is gone. One partner that does not answer is that partner's
+ * trouble; where all who were tried since the last answer of anybody do not answer, and the
+ * platform does not either, it is this courier's. Times are microseconds.
  */
 final class Reach {
-    /** So many destinations at least must have been tried, where there are so many; alone, a destination proves nothing. */
-    private static final int LEAST_DESTINATIONS = 2;
-    /** For so long nobody may have answered: the longest that a collector, a list or a quiet second explains. */
-    private static final long SILENCE_US = 1_000_000;
-    /** Destinations that are remembered as unreached: enough for any verdict. */
-    private static final int MOST = 64;
+  /**
+   * So many destinations at least must have been tried, where there are so many; alone, a
+   * destination proves nothing.
+   */
+  private static final int LEAST_DESTINATIONS = 2;
 
-    private final Set<Long> unreached = new HashSet<>();
-    private long answeredUs;
-    private long platformFailedUs = Long.MIN_VALUE;
-    private boolean cut;
-    private long cutSinceUs;
+  /**
+   * For so long nobody may have answered: the longest that a collector, a list or a quiet second
+   * explains.
+   */
+  private static final long SILENCE_US = 1_000_000;
 
-    /** Somebody beyond this machine answered, whatever the answer. */
-    void answered(final long nowUs) {
-        answeredUs = nowUs;
-        unreached.clear();
-        platformFailedUs = Long.MIN_VALUE;
-        cut = false;
-    }
+  /** Destinations that are remembered as unreached: enough for any verdict. */
+  private static final int MOST = 64;
 
-    /** A call to a destination had no answer, or none to connect to, and was begun at that moment. */
-    void unanswered(final long destination, final long sentUs, final long nowUs) {
-        if (sentUs < answeredUs) {
-            return;
-        }
-        if (unreached.size() < MOST) {
-            unreached.add(destination);
-        }
-        judge(nowUs);
-    }
+  private final Set<Long> unreached = new HashSet<>();
+  private long answeredUs;
+  private long platformFailedUs = Long.MIN_VALUE;
+  private boolean cut;
+  private long cutSinceUs;
 
-    /** The platform's list or its taking of ends could not be had. */
-    void platformFailed(final long nowUs) {
-        platformFailedUs = nowUs;
-        judge(nowUs);
-    }
+  /** Somebody beyond this machine answered, whatever the answer. */
+  void answered(final long nowUs) {
+    answeredUs = nowUs;
+    unreached.clear();
+    platformFailedUs = Long.MIN_VALUE;
+    cut = false;
+  }
 
-    private void judge(final long nowUs) {
-        if (!cut && unreached.size() >= LEAST_DESTINATIONS && platformFailedUs > answeredUs
-                && nowUs - answeredUs >= SILENCE_US) {
-            cut = true;
-            cutSinceUs = answeredUs;
-        }
+  /** A call to a destination had no answer, or none to connect to, and was begun at that moment. */
+  void unanswered(final long destination, final long sentUs, final long nowUs) {
+    if (sentUs < answeredUs) {
+      return;
     }
-
-    boolean isCut() {
-        return cut;
+    if (unreached.size() < MOST) {
+      unreached.add(destination);
     }
+    judge(nowUs);
+  }
 
-    /** Since when nobody has answered, us; of use while it is cut off. */
-    long cutSinceUs() {
-        return cutSinceUs;
-    }
+  /** The platform's list or its taking of ends could not be had. */
+  void platformFailed(final long nowUs) {
+    platformFailedUs = nowUs;
+    judge(nowUs);
+  }
 
-    int unreached() {
-        return unreached.size();
+  private void judge(final long nowUs) {
+    if (!cut
+        && unreached.size() >= LEAST_DESTINATIONS
+        && platformFailedUs > answeredUs
+        && nowUs - answeredUs >= SILENCE_US) {
+      cut = true;
+      cutSinceUs = answeredUs;
     }
+  }
+
+  boolean isCut() {
+    return cut;
+  }
+
+  /** Since when nobody has answered, us; of use while it is cut off. */
+  long cutSinceUs() {
+    return cutSinceUs;
+  }
+
+  int unreached() {
+    return unreached.size();
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
@@ -8,167 +8,169 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Finds the entry of greatest value where values change with time by themselves, and by events. What events change is
- * told ({@link #touch}) and looked at before the next answer. What time changes is looked at again in turn, each entry
- * after so long for each entry there is: so the cost of looking is the same share of the time however many there are,
- * and the order is as old as that at most. Among equal values the entry that comes first in the order given wins.
+ * Finds the entry of greatest value where values change with time by themselves, and by events.
+ * What events change is told ({@link #touch}) and looked at before the next answer. What time
+ * changes is looked at again in turn, each entry after so long for each entry there is: so the cost
+ * of looking is the same share of the time however many there are, and the order is as old as that
+ * at most. Among equal values the entry that comes first in the order given wins.
  *
  * @param <E> the entries; an entry is in one ranking
  */
 public final class Ranking<E extends Ranking.Entry> {
-    private static final int FIRST_SIZE = 16;
-
-    private final ToDoubleFunction<E> value;
-    private final Comparator<E> order;
-    private final long lookUs;
-    private final List<E> touched = new ArrayList<>();
-    private final TimeHeap<Entry> looks = new TimeHeap<>();
-    private Entry[] entries = new Entry[FIRST_SIZE];
-    private int size;
-
-    /** Something with a value; due as a {@link TimeHeap.Entry} when it was looked at. */
-    public abstract static class Entry extends TimeHeap.Entry {
-        private double value;
-        private int place;
-        private boolean touched;
+  private static final int FIRST_SIZE = 16;
+
+  private final ToDoubleFunction<E> value;
+  private final Comparator<E> order;
+  private final long lookUs;
+  private final List<E> touched = new ArrayList<>();
+  private final TimeHeap<Entry> looks = new TimeHeap<>();
+  private Entry[] entries = new Entry[FIRST_SIZE];
+  private int size;
+
+  /** Something with a value; due as a {@link TimeHeap.Entry} when it was looked at. */
+  public abstract static class Entry extends TimeHeap.Entry {
+    private double value;
+    private int place;
+    private boolean touched;
+  }
+
+  /**
+   * A ranking without entries. {@code value}: the value now, or {@link Double#NEGATIVE_INFINITY} if
+   * the entry has none until it is touched again. {@code lookUs}: how much time is given to a look
+   * at one entry, us; 0: all are looked at whenever time has passed.
+   */
+  public Ranking(final ToDoubleFunction<E> value, final Comparator<E> order, final long lookUs) {
+    this.value = value;
+    this.order = order;
+    this.lookUs = lookUs;
+  }
+
+  /** The entry's value may have changed, or it has one now. */
+  public void touch(final E entry) {
+    final Entry given = entry;
+    if (!given.touched) {
+      given.touched = true;
+      touched.add(entry);
     }
+  }
 
-    /**
-     * A ranking without entries. {@code value}: the value now, or {@link Double#NEGATIVE_INFINITY} if the entry has none
-     * until it is touched again. {@code lookUs}: how much time is given to a look at one entry, us; 0: all are looked at
-     * whenever time has passed.
-     */
-    public Ranking(final ToDoubleFunction<E> value, final Comparator<E> order, final long lookUs) {
-        this.value = value;
-        this.order = order;
-        this.lookUs = lookUs;
+  /** All values may have changed. */
+  @SuppressWarnings("unchecked")
+  public void touchAll() {
+    for (int at = 0; at < size; at++) {
+      touch((E) entries[at]);
     }
-
-    /** The entry's value may have changed, or it has one now. */
-    public void touch(final E entry) {
-        final Entry given = entry;
-        if (!given.touched) {
-            given.touched = true;
-            touched.add(entry);
-        }
+  }
+
+  /** How many entries had a value when last looked at. */
+  public int size() {
+    return size;
+  }
+
+  /** The entry of greatest value, or null if none has one. */
+  @SuppressWarnings("unchecked")
+  public E best(final long nowUs) {
+    settle(nowUs);
+    return size == 0 ? null : (E) entries[0];
+  }
+
+  /** True if an entry has a value and passes the test. */
+  @SuppressWarnings("unchecked")
+  public boolean anyOf(final Predicate<E> test, final long nowUs) {
+    settle(nowUs);
+    for (int at = 0; at < size; at++) {
+      if (test.test((E) entries[at])) {
+        return true;
+      }
     }
-
-    /** All values may have changed. */
-    @SuppressWarnings("unchecked")
-    public void touchAll() {
-        for (int at = 0; at < size; at++) {
-            touch((E) entries[at]);
-        }
+    return false;
+  }
+
+  @SuppressWarnings("unchecked")
+  private void settle(final long nowUs) {
+    for (final E entry : touched) {
+      final Entry given = entry;
+      given.touched = false;
+      look(entry, nowUs);
     }
-
-    /** How many entries had a value when last looked at. */
-    public int size() {
-        return size;
+    touched.clear();
+    final long beforeUs = nowUs - Math.max(1, lookUs * size);
+    for (Entry old = looks.poll(beforeUs); old != null; old = looks.poll(beforeUs)) {
+      look((E) old, nowUs);
     }
-
-    /** The entry of greatest value, or null if none has one. */
-    @SuppressWarnings("unchecked")
-    public E best(final long nowUs) {
-        settle(nowUs);
-        return size == 0 ? null : (E) entries[0];
+  }
+
+  private void look(final E entry, final long nowUs) {
+    final Entry given = entry;
+    final double now = value.applyAsDouble(entry);
+    if (now == Double.NEGATIVE_INFINITY) {
+      remove(given);
+      return;
     }
-
-    /** True if an entry has a value and passes the test. */
-    @SuppressWarnings("unchecked")
-    public boolean anyOf(final Predicate<E> test, final long nowUs) {
-        settle(nowUs);
-        for (int at = 0; at < size; at++) {
-            if (test.test((E) entries[at])) {
-                return true;
-            }
-        }
-        return false;
+    looks.set(given, nowUs);
+    given.value = now;
+    if (given.place == 0) {
+      if (size == entries.length) {
+        entries = Arrays.copyOf(entries, 2 * size);
+      }
+      up(size++, given);
+    } else {
+      up(given.place - 1, given);
+      down(given.place - 1, given);
     }
+  }
 
-    @SuppressWarnings("unchecked")
-    private void settle(final long nowUs) {
-        for (final E entry : touched) {
-            final Entry given = entry;
-            given.touched = false;
-            look(entry, nowUs);
-        }
-        touched.clear();
-        final long beforeUs = nowUs - Math.max(1, lookUs * size);
-        for (Entry old = looks.poll(beforeUs); old != null; old = looks.poll(beforeUs)) {
-            look((E) old, nowUs);
-        }
+  private void remove(final Entry given) {
+    looks.remove(given);
+    if (given.place == 0) {
+      return;
     }
-
-    private void look(final E entry, final long nowUs) {
-        final Entry given = entry;
-        final double now = value.applyAsDouble(entry);
-        if (now == Double.NEGATIVE_INFINITY) {
-            remove(given);
-            return;
-        }
-        looks.set(given, nowUs);
-        given.value = now;
-        if (given.place == 0) {
-            if (size == entries.length) {
-                entries = Arrays.copyOf(entries, 2 * size);
-            }
-            up(size++, given);
-        } else {
-            up(given.place - 1, given);
-            down(given.place - 1, given);
-        }
+    final int hole = given.place - 1;
+    given.place = 0;
+    final Entry last = entries[--size];
+    entries[size] = null;
+    if (last != given) {
+      up(hole, last);
+      down(last.place - 1, last);
     }
-
-    private void remove(final Entry given) {
-        looks.remove(given);
-        if (given.place == 0) {
-            return;
-        }
-        final int hole = given.place - 1;
-        given.place = 0;
-        final Entry last = entries[--size];
-        entries[size] = null;
-        if (last != given) {
-            up(hole, last);
-            down(last.place - 1, last);
-        }
+  }
+
+  @SuppressWarnings("unchecked")
+  private boolean isAbove(final Entry one, final Entry other) {
+    return one.value > other.value
+        || one.value == other.value && order.compare((E) one, (E) other) < 0;
+  }
+
+  private void up(final int from, final Entry entry) {
+    int at = from;
+    while (at > 0 && isAbove(entry, entries[(at - 1) >>> 1])) {
+      put(at, entries[(at - 1) >>> 1]);
+      at = (at - 1) >>> 1;
     }
-
-    @SuppressWarnings("unchecked")
-    private boolean isAbove(final Entry one, final Entry other) {
-        return one.value > other.value || one.value == other.value && order.compare((E) one, (E) other) < 0;
-    }
-
-    private void up(final int from, final Entry entry) {
-        int at = from;
-        while (at > 0 && isAbove(entry, entries[(at - 1) >>> 1])) {
-            put(at, entries[(at - 1) >>> 1]);
-            at = (at - 1) >>> 1;
-        }
-        put(at, entry);
+    put(at, entry);
+  }
+
+  private void down(final int from, final Entry entry) {
+    int at = from;
+    while (true) {
+      int below = 2 * at + 1;
+      if (below >= size) {
+        break;
+      }
+      if (below + 1 < size && isAbove(entries[below + 1], entries[below])) {
+        below++;
+      }
+      if (!isAbove(entries[below], entry)) {
+        break;
+      }
+      put(at, entries[below]);
+      at = below;
     }
+    put(at, entry);
+  }
 
-    private void down(final int from, final Entry entry) {
-        int at = from;
-        while (true) {
-            int below = 2 * at + 1;
-            if (below >= size) {
-                break;
-            }
-            if (below + 1 < size && isAbove(entries[below + 1], entries[below])) {
-                below++;
-            }
-            if (!isAbove(entries[below], entry)) {
-                break;
-            }
-            put(at, entries[below]);
-            at = below;
-        }
-        put(at, entry);
-    }
-
-    private void put(final int at, final Entry entry) {
-        entries[at] = entry;
-        entry.place = at + 1;
-    }
+  private void put(final int at, final Entry entry) {
+    entries[at] = entry;
+    entry.place = at + 1;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/Lease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Lease.java
@@ -1,118 +1,134 @@
 package thistleturn.decisions.membership;
 
 /**
- * This courier's own entry in a registry: when to register, renew, warn and cancel. One call is out at a time; a lease
- * that is never cancelled (a process that is killed) expires at the registry by itself. No clock of its own.
+ * This courier's own entry in a registry: when to register, renew, warn and cancel. One call is out
+ * at a time; a lease that is never cancelled (a process that is killed) expires at the registry by
+ * itself. No clock of its own.
  */
 public final class Lease {
-    private static final int OK = 200;
-    private static final int NO_CONTENT = 204;
-    private static final int NOT_FOUND = 404;
+  private static final int OK = 200;
+  private static final int NO_CONTENT = 204;
+  private static final int NOT_FOUND = 404;
 
-    private final int addresses;
-    private final long renewUs;
-    private int address;
-    private int failedInRow;
-    private Act due = Act.REGISTER;
-    private long atUs;
-    private boolean leaving;
-    private boolean cancelling;
-    private boolean known;
+  private final int addresses;
+  private final long renewUs;
+  private int address;
+  private int failedInRow;
+  private Act due = Act.REGISTER;
+  private long atUs;
+  private boolean leaving;
+  private boolean cancelling;
+  private boolean known;
 
-    /** What is to be done at the registry. */
-    public enum Act { REGISTER, RENEW, WARN, CANCEL, NOTHING }
+  /** What is to be done at the registry. */
+  public enum Act {
+    REGISTER,
+    RENEW,
+    WARN,
+    CANCEL,
+    NOTHING
+  }
 
-    /** The next call; {@link Act#NOTHING} has no time. */
-    public record Step(Act act, long atUs, int address) { }
+  /** The next call; {@link Act#NOTHING} has no time. */
+  public record Step(Act act, long atUs, int address) {}
 
-    /** The first call registers at once; renewals follow at that interval, us. */
-    public Lease(final long nowUs, final int addresses, final long renewUs) {
-        if (addresses < 1 || renewUs < 1) {
-            throw new IllegalArgumentException("a registry has an address, and a lease an interval");
-        }
-        this.addresses = addresses;
-        this.renewUs = renewUs;
-        this.atUs = nowUs;
+  /** The first call registers at once; renewals follow at that interval, us. */
+  public Lease(final long nowUs, final int addresses, final long renewUs) {
+    if (addresses < 1 || renewUs < 1) {
+      throw new IllegalArgumentException("a registry has an address, and a lease an interval");
     }
+    this.addresses = addresses;
+    this.renewUs = renewUs;
+    this.atUs = nowUs;
+  }
 
-    /** What is due next. */
-    public Step next() {
-        return new Step(due, due == Act.NOTHING ? Long.MAX_VALUE : atUs, address);
-    }
+  /** What is due next. */
+  public Step next() {
+    return new Step(due, due == Act.NOTHING ? Long.MAX_VALUE : atUs, address);
+  }
 
-    /**
-     * A call has ended.
-     *
-     * @param status the answer's status; 0 if none came, and then the registry may have done it or not
-     */
-    public void done(final long nowUs, final Act act, final int status) {
-        final boolean went = status == OK || status == NO_CONTENT;
-        if (act == Act.REGISTER || act == Act.RENEW) {
-            // A call without an answer may have registered us all the same; a refused renewal takes nothing away.
-            known = went || status != NOT_FOUND && (known || act == Act.REGISTER && status == 0);
-        }
-        if (went) {
-            failedInRow = 0;
-        } else if (status != NOT_FOUND) {
-            failedInRow++;
-            address = (address + 1) % addresses;
-        }
-        if (act == Act.CANCEL) {
-            due = Act.NOTHING;
-            known = false;
-            return;
-        }
-        if (cancelling) {
-            due = known ? Act.CANCEL : Act.NOTHING;
-            atUs = nowUs;
-        } else if (leaving) {
-            // Once warned, or in vain: the registry hears no more of us until the end.
-            final boolean warn = known && act != Act.WARN;
-            due = warn ? Act.WARN : Act.NOTHING;
-            atUs = nowUs;
-        } else if (went) {
-            due = Act.RENEW;
-            atUs = nowUs + renewUs;
-        } else if (act == Act.RENEW && status == NOT_FOUND) {
-            due = Act.REGISTER;
-            atUs = nowUs;
-        } else {
-            due = known && act == Act.RENEW ? Act.RENEW : Act.REGISTER;
-            final int rounds = Math.min(failedInRow / addresses, 10);
-            atUs = nowUs + (failedInRow % addresses != 0 ? 0 : Math.min(renewUs, Math.max(1, renewUs / 30) << rounds));
-        }
+  /**
+   * A call has ended.
+   *
+   * @param status the answer's status; 0 if none came, and then the registry may have done it or
+   *     not
+   */
+  public void done(final long nowUs, final Act act, final int status) {
+    final boolean went = status == OK || status == NO_CONTENT;
+    if (act == Act.REGISTER || act == Act.RENEW) {
+      // A call without an answer may have registered us all the same; a refused renewal takes
+      // nothing away.
+      known = went || status != NOT_FOUND && (known || act == Act.REGISTER && status == 0);
     }
-
-    /** The process ends soon: the registry is told that nothing new shall come here. {@code busy}: a call is out. */
-    public void leave(final long nowUs, final boolean busy) {
-        if (!leaving) {
-            leaving = true;
-            if (!busy) {
-                due = known ? Act.WARN : Act.NOTHING;
-                atUs = nowUs;
-            }
-        }
+    if (went) {
+      failedInRow = 0;
+    } else if (status != NOT_FOUND) {
+      failedInRow++;
+      address = (address + 1) % addresses;
     }
-
-    /** The process ends now: the entry goes. {@code busy}: a call is out, and its end decides. */
-    public void cancel(final long nowUs, final boolean busy) {
-        leaving = true;
-        if (!cancelling) {
-            cancelling = true;
-            if (!busy) {
-                due = known ? Act.CANCEL : Act.NOTHING;
-                atUs = nowUs;
-            }
-        }
+    if (act == Act.CANCEL) {
+      due = Act.NOTHING;
+      known = false;
+      return;
     }
+    if (cancelling) {
+      due = known ? Act.CANCEL : Act.NOTHING;
+      atUs = nowUs;
+    } else if (leaving) {
+      // Once warned, or in vain: the registry hears no more of us until the end.
+      final boolean warn = known && act != Act.WARN;
+      due = warn ? Act.WARN : Act.NOTHING;
+      atUs = nowUs;
+    } else if (went) {
+      due = Act.RENEW;
+      atUs = nowUs + renewUs;
+    } else if (act == Act.RENEW && status == NOT_FOUND) {
+      due = Act.REGISTER;
+      atUs = nowUs;
+    } else {
+      due = known && act == Act.RENEW ? Act.RENEW : Act.REGISTER;
+      final int rounds = Math.min(failedInRow / addresses, 10);
+      atUs =
+          nowUs
+              + (failedInRow % addresses != 0
+                  ? 0
+                  : Math.min(renewUs, Math.max(1, renewUs / 30) << rounds));
+    }
+  }
 
-    /** True if nothing more is to be done for the end. */
-    public boolean isOver() {
-        return cancelling && due == Act.NOTHING;
+  /**
+   * The process ends soon: the registry is told that nothing new shall come here. {@code busy}: a
+   * call is out.
+   */
+  public void leave(final long nowUs, final boolean busy) {
+    if (!leaving) {
+      leaving = true;
+      if (!busy) {
+        due = known ? Act.WARN : Act.NOTHING;
+        atUs = nowUs;
+      }
     }
+  }
 
-    /** True while the registry has, or may have, our entry. */
-    public boolean isKnown() {
-        return known;
+  /** The process ends now: the entry goes. {@code busy}: a call is out, and its end decides. */
+  public void cancel(final long nowUs, final boolean busy) {
+    leaving = true;
+    if (!cancelling) {
+      cancelling = true;
+      if (!busy) {
+        due = known ? Act.CANCEL : Act.NOTHING;
+        atUs = nowUs;
+      }
     }
+  }
+
+  /** True if nothing more is to be done for the end. */
+  public boolean isOver() {
+    return cancelling && due == Act.NOTHING;
+  }
+
+  /** True while the registry has, or may have, our entry. */
+  public boolean isKnown() {
+    return known;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/Member.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Member.java
@@ -1,16 +1,30 @@
 package thistleturn.decisions.membership;
 
 /**
- * An endpoint as all sources together have it. {@code decidedBy} is the source whose word counted, empty if none; {@code heardUs} when that source was last heard.
+ * An endpoint as all sources together have it. {@code decidedBy} is the source whose word counted,
+ * empty if none; {@code heardUs} when that source was last heard.
  */
-public record Member(String address, long destination, String zone, String kind, double ratePerSecond,
-                     State state, Because because, String decidedBy, long heardUs, long sinceUs) {
+public record Member(
+    String address,
+    long destination,
+    String zone,
+    String kind,
+    double ratePerSecond,
+    State state,
+    Because because,
+    String decidedBy,
+    long heardUs,
+    long sinceUs) {
 
-    /** What it means for sending. */
-    public enum State { UP, DRAINING, GONE }
+  /** What it means for sending. */
+  public enum State {
+    UP,
+    DRAINING,
+    GONE
+  }
 
-    /** Its name, the same for as long as it is in the view. */
-    public String name() {
-        return destination + "@" + address;
-    }
+  /** Its name, the same for as long as it is in the view. */
+  public String name() {
+    return destination + "@" + address;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Change.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Change.java
@@ -4,14 +4,14 @@
 
 /** From one view to the next: who goes and who comes, each in order. */
 public record Change(List<PeerId> removed, List<Member> added) {
-    /** Lists that nobody changes any more. */
-    public Change {
-        removed = List.copyOf(removed);
-        added = List.copyOf(added);
-    }
+  /** Lists that nobody changes any more. */
+  public Change {
+    removed = List.copyOf(removed);
+    added = List.copyOf(added);
+  }
 
-    /** True if nobody goes or comes. */
-    public boolean isEmpty() {
-        return removed.isEmpty() && added.isEmpty();
-    }
+  /** True if nobody goes or comes. */
+  public boolean isEmpty() {
+    return removed.isEmpty() && added.isEmpty();
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Item.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Item.java
@@ -1,97 +1,111 @@
 package thistleturn.decisions.peers;
 
-/** One thing that a datagram tells. Each names what wins where two of a kind disagree, so that order and doubling do not matter. */
+/**
+ * One thing that a datagram tells. Each names what wins where two of a kind disagree, so that order
+ * and doubling do not matter.
+ */
 public sealed interface Item {
-    /** Bytes that it takes at most beside its names. */
-    int FIXED_BYTES = 48;
+  /** Bytes that it takes at most beside its names. */
+  int FIXED_BYTES = 48;
 
-    /** How many bytes it takes at most once it is written down. */
-    int bytes();
+  /** How many bytes it takes at most once it is written down. */
+  int bytes();
 
-    /** How a life stands. */
-    enum Life { ALIVE, LEFT, DEAD }
+  /** How a life stands. */
+  enum Life {
+    ALIVE,
+    LEFT,
+    DEAD
+  }
 
-    /** A life and where it listens: the higher incarnation wins, then DEAD over LEFT over ALIVE. */
-    record Fact(PeerId id, String address, Life life) implements Item {
-        @Override
-        public int bytes() {
-            return FIXED_BYTES + id.name().length() + address.length();
-        }
+  /** A life and where it listens: the higher incarnation wins, then DEAD over LEFT over ALIVE. */
+  record Fact(PeerId id, String address, Life life) implements Item {
+    @Override
+    public int bytes() {
+      return FIXED_BYTES + id.name().length() + address.length();
     }
+  }
 
-    /** What an observer says of its hearing of a subject, for {@code ageUs} by now: the observer's later life, then later row, wins. */
-    record Report(PeerId observer, PeerId subject, long row, Sight sight, long ageUs) implements Item {
-        @Override
-        public int bytes() {
-            return FIXED_BYTES + observer.name().length() + subject.name().length();
-        }
+  /**
+   * What an observer says of its hearing of a subject, for {@code ageUs} by now: the observer's
+   * later life, then later row, wins.
+   */
+  record Report(PeerId observer, PeerId subject, long row, Sight sight, long ageUs)
+      implements Item {
+    @Override
+    public int bytes() {
+      return FIXED_BYTES + observer.name().length() + subject.name().length();
     }
+  }
 
-    /** A sign of life, counted by the life itself: the higher count wins. */
-    record Beat(PeerId id, long beat) implements Item {
-        @Override
-        public int bytes() {
-            return FIXED_BYTES - 16 + id.name().length();
-        }
+  /** A sign of life, counted by the life itself: the higher count wins. */
+  record Beat(PeerId id, long beat) implements Item {
+    @Override
+    public int bytes() {
+      return FIXED_BYTES - 16 + id.name().length();
     }
+  }
 
-    /** What a life said of itself, with its own count of such words: the higher count wins. */
-    record Said(PeerId id, long count, PeerWord word) implements Item {
-        @Override
-        public int bytes() {
-            return FIXED_BYTES + id.name().length();
-        }
+  /** What a life said of itself, with its own count of such words: the higher count wins. */
+  record Said(PeerId id, long count, PeerWord word) implements Item {
+    @Override
+    public int bytes() {
+      return FIXED_BYTES + id.name().length();
     }
+  }
 
-    /** Asks for the full state: of a view of which nothing is known here. */
-    record Ask() implements Item {
-        @Override
-        public int bytes() {
-            return 4;
-        }
+  /** Asks for the full state: of a view of which nothing is known here. */
+  record Ask() implements Item {
+    @Override
+    public int bytes() {
+      return 4;
     }
+  }
 
-    /** The change by which a view became the next one. Idempotent. */
-    record Decided(ViewMark of, Change change) implements Item {
-        @Override
-        public int bytes() {
-            return FIXED_BYTES + bytesOf(change);
-        }
+  /** The change by which a view became the next one. Idempotent. */
+  record Decided(ViewMark of, Change change) implements Item {
+    @Override
+    public int bytes() {
+      return FIXED_BYTES + bytesOf(change);
     }
+  }
 
-    /** A message of the agreement on the view after {@code of}; what is not used is 0 or null. */
-    record Vote(ViewMark of, Kind kind, long ballot, long accepted, Change change) implements Item {
-        /** What it says. */
-        public enum Kind {
-            /** Asks for a promise to heed no lower ballot. */
-            PREPARE,
-            /** Promises it, and says what was accepted under which ballot. */
-            PROMISE,
-            /** Asks to accept a change. */
-            ACCEPT,
-            /** The same, with a change that an earlier ballot may have chosen: nobody may turn it down for its content. */
-            ACCEPT_BOUND,
-            /** Accepts it. */
-            ACCEPTED,
-            /** Names the higher ballot that was promised. */
-            REFUSE
-        }
+  /** A message of the agreement on the view after {@code of}; what is not used is 0 or null. */
+  record Vote(ViewMark of, Kind kind, long ballot, long accepted, Change change) implements Item {
+    /** What it says. */
+    public enum Kind {
+      /** Asks for a promise to heed no lower ballot. */
+      PREPARE,
+      /** Promises it, and says what was accepted under which ballot. */
+      PROMISE,
+      /** Asks to accept a change. */
+      ACCEPT,
+      /**
+       * The same, with a change that an earlier ballot may have chosen: nobody may turn it down for
+       * its content.
+       */
+      ACCEPT_BOUND,
+      /** Accepts it. */
+      ACCEPTED,
+      /** Names the higher ballot that was promised. */
+      REFUSE
+    }
 
-        @Override
-        public int bytes() {
-            return FIXED_BYTES + (change == null ? 0 : bytesOf(change));
-        }
+    @Override
+    public int bytes() {
+      return FIXED_BYTES + (change == null ? 0 : bytesOf(change));
     }
+  }
 
-    /** How many bytes a change takes at most. */
-    static int bytesOf(final Change change) {
-        int sum = 4;
-        for (final PeerId id : change.removed()) {
-            sum += 12 + id.name().length();
-        }
-        for (final Member member : change.added()) {
-            sum += 16 + member.id().name().length() + member.address().length();
-        }
-        return sum;
+  /** How many bytes a change takes at most. */
+  static int bytesOf(final Change change) {
+    int sum = 4;
+    for (final PeerId id : change.removed()) {
+      sum += 12 + id.name().length();
+    }
+    for (final Member member : change.added()) {
+      sum += 16 + member.id().name().length() + member.address().length();
     }
+    return sum;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
@@ -16,11 +16,27 @@
  * @param echo of a PONG: the PING's seq; else 0
  * @param items what it tells
  */
-public record Packet(PeerId sender, String address, long seq, long beat, ViewMark view, long said, PeerWord word, Kind kind,
-                     long echo, List<Item> items) {
-    /** Bytes of all items together that a datagram carries at most; the rest of 1,200 is for its head and its seal. */
-    public static final int MOST_ITEM_BYTES = 900;
+public record Packet(
+    PeerId sender,
+    String address,
+    long seq,
+    long beat,
+    ViewMark view,
+    long said,
+    PeerWord word,
+    Kind kind,
+    long echo,
+    List<Item> items) {
+  /**
+   * Bytes of all items together that a datagram carries at most; the rest of 1,200 is for its head
+   * and its seal.
+   */
+  public static final int MOST_ITEM_BYTES = 900;
 
-    /** What a datagram is for. */
-    public enum Kind { PING, PONG, NEWS }
+  /** What a datagram is for. */
+  public enum Kind {
+    PING,
+    PONG,
+    NEWS
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
@@ -8,6 +8,12 @@
  * @param text in words
  */
 public record PeerEvent(Kind kind, String who, String text) {
-    /** What happened. */
-    public enum Kind { STATE, VIEW, STANDING, AWAY, CONFLICT }
+  /** What happened. */
+  public enum Kind {
+    STATE,
+    VIEW,
+    STANDING,
+    AWAY,
+    CONFLICT
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerWord.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerWord.java
@@ -8,11 +8,13 @@
  * @param health how it is
  * @param awayMs how long its last absence took, ms; 0: none of late
  * @param holds messages that it holds
- * @param stuck true: it holds messages and has ended none for {@link #STUCK_US}, whatever it answers here
+ * @param stuck true: it holds messages and has ended none for {@link #STUCK_US}, whatever it
+ *     answers here
  */
 public record PeerWord(OwnHealth.State health, int awayMs, int holds, boolean stuck) {
-    /** So long, us, without any end while messages are held is no delivery. */
-    public static final long STUCK_US = 5_000_000;
-    /** Nothing known. */
-    public static final PeerWord WELL = new PeerWord(OwnHealth.State.WELL, 0, 0, false);
+  /** So long, us, without any end while messages are held is no delivery. */
+  public static final long STUCK_US = 5_000_000;
+
+  /** Nothing known. */
+  public static final PeerWord WELL = new PeerWord(OwnHealth.State.WELL, 0, 0, false);
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewMark.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewMark.java
@@ -9,24 +9,27 @@
  * @param size how many members it has
  */
 public record ViewMark(long generation, long founder, long number, int size) {
-    /** No view. */
-    public static final ViewMark NONE = new ViewMark(0, 0, 0, 0);
+  /** No view. */
+  public static final ViewMark NONE = new ViewMark(0, 0, 0, 0);
 
-    /** True for a view at all. */
-    public boolean exists() {
-        return generation > 0;
-    }
+  /** True for a view at all. */
+  public boolean exists() {
+    return generation > 0;
+  }
 
-    /** True if both are views of one line, in which a number has one content. */
-    public boolean isSameLine(final ViewMark other) {
-        return generation == other.generation && founder == other.founder;
-    }
+  /** True if both are views of one line, in which a number has one content. */
+  public boolean isSameLine(final ViewMark other) {
+    return generation == other.generation && founder == other.founder;
+  }
 
-    /** True if a member of the other line moves to this one: the larger one, then the later one, then by lot. */
-    public boolean isBetterThan(final ViewMark other) {
-        if (size != other.size) {
-            return size > other.size;
-        }
-        return generation != other.generation ? generation > other.generation : founder > other.founder;
+  /**
+   * True if a member of the other line moves to this one: the larger one, then the later one, then
+   * by lot.
+   */
+  public boolean isBetterThan(final ViewMark other) {
+    if (size != other.size) {
+      return size > other.size;
     }
+    return generation != other.generation ? generation > other.generation : founder > other.founder;
+  }
 }
