--- a/decisions/src/main/java/thistleturn/decisions/pools/Break.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/Break.java
@@ -3,7 +3,8 @@
 import thistleturn.decisions.Courier.Result;
 
 /**
- * What it says of a call, and of whom it went to, that its connection broke. Moments and times in us.
+ * What it says of a call, and of whom it went to, that its connection broke. Moments and times in
+ * us.
  *
  * @param written true if the call's last byte was written
  * @param kept true if the connection had carried a call before
@@ -11,21 +12,26 @@
  * @param afterUs from the writing to the break
  * @param handshakeUs what a handshake takes with that endpoint, smoothed; 0: not known
  */
-public record Break(boolean written, boolean kept, boolean answered, long afterUs, double handshakeUs) {
-    /** A connection that is dead already says so within a round trip; loops and machines take a while, too. */
-    static final double ROUND_TRIPS = 4;
-    static final long LEAST_US = 20_000;
+public record Break(
+    boolean written, boolean kept, boolean answered, long afterUs, double handshakeUs) {
+  /**
+   * A connection that is dead already says so within a round trip; loops and machines take a while,
+   * too.
+   */
+  static final double ROUND_TRIPS = 4;
 
-    /**
-     * The outcome of a call that was cut off like this. {@link Result#STALE} is told only where the connection was dead
-     * before the call: it was kept, and its end came as fast as a round trip lets it. Any later, and an endpoint may
-     * have failed in the midst of its work.
-     */
-    public Result result() {
-        if (!written) {
-            return Result.NO_CONNECTION;
-        }
-        final boolean atOnce = afterUs <= Math.max(LEAST_US, ROUND_TRIPS * handshakeUs);
-        return kept && !answered && atOnce ? Result.STALE : Result.RESET;
+  static final long LEAST_US = 20_000;
+
+  /**
+   * The outcome of a call that was cut off like this. {@link Result#STALE} is told only where the
+   * connection was dead before the call: it was kept, and its end came as fast as a round trip lets
+   * it. Any later, and an endpoint may have failed in the midst of its work.
+   */
+  public Result result() {
+    if (!written) {
+      return Result.NO_CONNECTION;
     }
+    final boolean atOnce = afterUs <= Math.max(LEAST_US, ROUND_TRIPS * handshakeUs);
+    return kept && !answered && atOnce ? Result.STALE : Result.RESET;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What carriers decide about connections: what their breaks say. Pure: moments are told, nothing is drawn or done.
+ * What carriers decide about connections: what their breaks say. Pure: moments are told, nothing is
+ * drawn or done.
  */
 package thistleturn.decisions.pools;
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Verdict.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Verdict.java
@@ -7,8 +7,8 @@
  *
  * @param kind its kind
  * @param subject an endpoint's name, or a destination's number
- * @param state in words: {@code left out}, {@code may serve}, {@code waits}, {@code out}, {@code returned}, {@code limit},
- *        {@code learnt}, {@code list}; or {@code nothing}
+ * @param state in words: {@code left out}, {@code may serve}, {@code waits}, {@code out}, {@code
+ *     returned}, {@code limit}, {@code learnt}, {@code list}; or {@code nothing}
  * @param value calls a second, a version, or 0
  * @param sinceUs when what counts was made, us
  * @param untilUs until when it counts, us; {@link Long#MAX_VALUE}: until another word
@@ -16,15 +16,23 @@
  * @param conflict several words stand that contradict each other, and did not know of each other
  * @param rule by which rule, in a sentence
  */
-public record Verdict(Kind kind, String subject, String state, double value, long sinceUs, long untilUs, List<Writer> by,
-                      boolean conflict, String rule) {
-    /** Nothing is said. */
-    static Verdict nothing(final Kind kind, final String subject) {
-        return new Verdict(kind, subject, "nothing", 0, 0, 0, List.of(), false, "nobody says anything");
-    }
+public record Verdict(
+    Kind kind,
+    String subject,
+    String state,
+    double value,
+    long sinceUs,
+    long untilUs,
+    List<Writer> by,
+    boolean conflict,
+    String rule) {
+  /** Nothing is said. */
+  static Verdict nothing(final Kind kind, final String subject) {
+    return new Verdict(kind, subject, "nothing", 0, 0, 0, List.of(), false, "nobody says anything");
+  }
 
-    /** True if something is said. */
-    public boolean isSomething() {
-        return !by.isEmpty();
-    }
+  /** True if something is said. */
+  public boolean isSomething() {
+    return !by.isEmpty();
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/shards/Placement.java
+++ b/decisions/src/main/java/thistleturn/decisions/shards/Placement.java
@@ -1,14 +1,20 @@
 package thistleturn.decisions.shards;
 
-/** Which shard a destination belongs to: the same one for as long as the number of shards is the same. */
+/**
+ * Which shard a destination belongs to: the same one for as long as the number of shards is the
+ * same.
+ */
 public final class Placement {
-    private Placement() { }
+  private Placement() {}
 
-    /** The shard, from 0 on, of a destination among so many; numbers in a row are spread like any others. */
-    public static int shardOf(final long destination, final int shards) {
-        // The finalizer of SplitMix64 (Steele, Lea, Flood 2014).
-        long bits = (destination ^ destination >>> 30) * 0xBF58476D1CE4E5B9L;
-        bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
-        return (int) Math.floorMod(bits ^ bits >>> 31, (long) shards);
-    }
+  /**
+   * The shard, from 0 on, of a destination among so many; numbers in a row are spread like any
+   * others.
+   */
+  public static int shardOf(final long destination, final int shards) {
+    // The finalizer of SplitMix64 (Steele, Lea, Flood 2014).
+    long bits = (destination ^ destination >>> 30) * 0xBF58476D1CE4E5B9L;
+    bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
+    return (int) Math.floorMod(bits ^ bits >>> 31, (long) shards);
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/LimitsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LimitsTest.java
@@ -11,15 +11,16 @@
 
 /** The operators read the whole module at night: its size is part of what is promised. */
 final class LimitsTest {
-    private static final int MOST_LINES = 900;
-    private static final int MOST_CHARACTERS = 110;
+  private static final int MOST_LINES = 900;
+  private static final int MOST_CHARACTERS = 110;
 
-    @Test
-    void theModuleStaysShortAndItsLinesToo() throws IOException {
-        final List<String> lines = Files.readAllLines(Path.of("src/main/java/thistleturn/decisions/Control.java"));
-        assertFalse(lines.isEmpty());
-        final long filled = lines.stream().filter(line -> !line.isBlank()).count();
-        assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
-        lines.forEach(line -> assertTrue(line.length() <= MOST_CHARACTERS, line));
-    }
+  @Test
+  void theModuleStaysShortAndItsLinesToo() throws IOException {
+    final List<String> lines =
+        Files.readAllLines(Path.of("src/main/java/thistleturn/decisions/Control.java"));
+    assertFalse(lines.isEmpty());
+    final long filled = lines.stream().filter(line -> !line.isBlank()).count();
+    assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
+    lines.forEach(line -> assertTrue(line.length() <= MOST_CHARACTERS, line));
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/health/PlantedFaultsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/PlantedFaultsTest.java
@@ -11,144 +11,161 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import thistleturn.decisions.health.OwnHealth.State;
 
-/** The promises of own health as one judge over a scripted life; each of ten faults planted in the module is caught by it. */
+/**
+ * The promises of own health as one judge over a scripted life; each of ten faults planted in the
+ * module is caught by it.
+ */
 @Tag("health")
 final class PlantedFaultsTest {
-    private static final long MS = 1000;
-    private static final long SECOND = 1_000_000;
-    private static final int MOST = 1000;
-
-    /** What goes wrong. */
-    enum Fault {
-        ABSENCE_TOO_LONG, ABSENCE_UNSEEN, IDLENESS_IS_ABSENCE, AWAY_FOR_EVER, STARVED_FOR_EVER, STARVED_BY_ONE_STOP,
-        HOLDS_ALL_WHILE_STARVED, MEASURES_OVER_ABSENCES, CUT_OFF_BY_ONE_DESTINATION, CUT_OFF_FOR_EVER
+  private static final long MS = 1000;
+  private static final long SECOND = 1_000_000;
+  private static final int MOST = 1000;
+
+  /** What goes wrong. */
+  enum Fault {
+    ABSENCE_TOO_LONG,
+    ABSENCE_UNSEEN,
+    IDLENESS_IS_ABSENCE,
+    AWAY_FOR_EVER,
+    STARVED_FOR_EVER,
+    STARVED_BY_ONE_STOP,
+    HOLDS_ALL_WHILE_STARVED,
+    MEASURES_OVER_ABSENCES,
+    CUT_OFF_BY_ONE_DESTINATION,
+    CUT_OFF_FOR_EVER
+  }
+
+  /** The module with one fault, or (null) none. */
+  private static final class Planted {
+    private final Fault fault;
+    private final OwnHealth health;
+    private boolean wasStarved;
+    private boolean wasAway;
+    private boolean wasCut;
+    private long lastRanUs;
+
+    Planted(final Fault fault, final long nowUs) {
+      this.fault = fault;
+      this.health = new OwnHealth(nowUs);
+      this.lastRanUs = nowUs;
     }
 
-    /** The module with one fault, or (null) none. */
-    private static final class Planted {
-        private final Fault fault;
-        private final OwnHealth health;
-        private boolean wasStarved;
-        private boolean wasAway;
-        private boolean wasCut;
-        private long lastRanUs;
-
-        Planted(final Fault fault, final long nowUs) {
-            this.fault = fault;
-            this.health = new OwnHealth(nowUs);
-            this.lastRanUs = nowUs;
-        }
-
-        long ran(final long nowUs) {
-            final long gapUs = nowUs - lastRanUs;
-            lastRanUs = nowUs;
-            final long foundUs = health.ran(nowUs);
-            return switch (fault == null ? Fault.CUT_OFF_FOR_EVER : fault) {
-                case ABSENCE_TOO_LONG -> foundUs > 0 ? foundUs + 2 * OwnHealth.BEAT_US : 0;
-                case ABSENCE_UNSEEN -> foundUs > SECOND ? 0 : foundUs;
-                case IDLENESS_IS_ABSENCE -> gapUs > 10 * SECOND ? gapUs : foundUs;
-                default -> foundUs;
-            };
-        }
-
-        State state(final long nowUs) {
-            final State its = health.state(nowUs);
-            wasAway |= its == State.AWAY;
-            wasStarved |= its == State.STARVED;
-            if (fault == Fault.AWAY_FOR_EVER && wasAway && its == State.WELL) {
-                return State.AWAY;
-            }
-            return fault == Fault.STARVED_FOR_EVER && wasStarved || fault == Fault.STARVED_BY_ONE_STOP && its == State.AWAY
-                    ? State.STARVED : its;
-        }
-
-        int mayHold(final long nowUs) {
-            return fault == Fault.HOLDS_ALL_WHILE_STARVED ? MOST
-                    : fault == Fault.STARVED_BY_ONE_STOP && state(nowUs) == State.STARVED ? 8 : health.mayHold(MOST);
-        }
-
-        boolean hasMeasured(final long fromUs, final long toUs) {
-            return fault == Fault.MEASURES_OVER_ABSENCES || health.hasMeasured(fromUs, toUs);
-        }
-
-        boolean isCutOff(final int destinations) {
-            wasCut |= health.isCutOff();
-            return health.isCutOff() || fault == Fault.CUT_OFF_BY_ONE_DESTINATION && destinations == 1
-                    || fault == Fault.CUT_OFF_FOR_EVER && wasCut;
-        }
+    long ran(final long nowUs) {
+      final long gapUs = nowUs - lastRanUs;
+      lastRanUs = nowUs;
+      final long foundUs = health.ran(nowUs);
+      return switch (fault == null ? Fault.CUT_OFF_FOR_EVER : fault) {
+        case ABSENCE_TOO_LONG -> foundUs > 0 ? foundUs + 2 * OwnHealth.BEAT_US : 0;
+        case ABSENCE_UNSEEN -> foundUs > SECOND ? 0 : foundUs;
+        case IDLENESS_IS_ABSENCE -> gapUs > 10 * SECOND ? gapUs : foundUs;
+        default -> foundUs;
+      };
     }
 
-    private long nowUs;
-    private Planted planted;
-    private final List<String> broken = new ArrayList<>();
-
-    private void must(final boolean kept, final String what) {
-        if (!kept) {
-            broken.add(what + " at " + nowUs / MS + " ms");
-        }
+    State state(final long nowUs) {
+      final State its = health.state(nowUs);
+      wasAway |= its == State.AWAY;
+      wasStarved |= its == State.STARVED;
+      if (fault == Fault.AWAY_FOR_EVER && wasAway && its == State.WELL) {
+        return State.AWAY;
+      }
+      return fault == Fault.STARVED_FOR_EVER && wasStarved
+              || fault == Fault.STARVED_BY_ONE_STOP && its == State.AWAY
+          ? State.STARVED
+          : its;
     }
 
-    private long run(final long us) {
-        final long untilUs = nowUs + us;
-        long foundUs = 0;
-        while (nowUs < untilUs) {
-            foundUs += planted.ran(nowUs);
-            planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
-            nowUs += Math.min(OwnHealth.BEAT_US, untilUs - nowUs);
-        }
-        return foundUs;
+    int mayHold(final long nowUs) {
+      return fault == Fault.HOLDS_ALL_WHILE_STARVED
+          ? MOST
+          : fault == Fault.STARVED_BY_ONE_STOP && state(nowUs) == State.STARVED
+              ? 8
+              : health.mayHold(MOST);
     }
 
-    private void stop(final long us) {
-        final long beforeUs = nowUs;
-        nowUs += us;
-        final long foundUs = planted.ran(nowUs);
-        planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
-        must(foundUs <= us, "found " + foundUs + " of " + us);
-        must(foundUs >= us - OwnHealth.BEAT_US - Absences.LEAST_US, "found " + foundUs + " of " + us);
-        must(!planted.hasMeasured(beforeUs, nowUs), "a time measured while away");
+    boolean hasMeasured(final long fromUs, final long toUs) {
+      return fault == Fault.MEASURES_OVER_ABSENCES || health.hasMeasured(fromUs, toUs);
     }
 
-    private List<String> judge(final Fault fault) {
-        nowUs = 50 * SECOND;
-        planted = new Planted(fault, nowUs);
-        must(run(5 * SECOND) == 0 && planted.state(nowUs) == State.WELL, "well");
-        planted.health.ran(nowUs);
-        nowUs += 30 * SECOND;
-        must(planted.ran(nowUs) == 0, "idle for 30 s");
-        run(SECOND);
-        stop(3 * SECOND);
-        must(planted.state(nowUs) == State.AWAY, "away");
-        must(planted.mayHold(nowUs) == MOST, "one stop is no starvation");
-        run(2 * SECOND);
-        must(planted.state(nowUs) == State.WELL, "well after a stop");
-        for (int slice = 0; slice < 20; slice++) {
-            stop(350 * MS);
-            run(50 * MS);
-        }
-        must(planted.state(nowUs) == State.STARVED && planted.mayHold(nowUs) < MOST / 10, "starved");
-        run(6 * SECOND);
-        must(planted.state(nowUs) == State.WELL && planted.mayHold(nowUs) == MOST, "fed");
-        planted.health.answered(nowUs);
-        run(2 * SECOND);
-        planted.health.platformFailed(nowUs);
-        planted.health.unanswered(1, nowUs - SECOND, nowUs);
-        must(!planted.isCutOff(1), "one destination proves nothing");
-        planted.health.unanswered(2, nowUs - SECOND, nowUs);
-        must(planted.isCutOff(2), "cut off");
-        planted.health.answered(nowUs);
-        must(!planted.isCutOff(0), "back");
-        return broken;
+    boolean isCutOff(final int destinations) {
+      wasCut |= health.isCutOff();
+      return health.isCutOff()
+          || fault == Fault.CUT_OFF_BY_ONE_DESTINATION && destinations == 1
+          || fault == Fault.CUT_OFF_FOR_EVER && wasCut;
     }
+  }
 
-    @Test
-    void theModuleKeepsWhatItPromises() {
-        assertEquals(List.of(), judge(null));
-    }
+  private long nowUs;
+  private Planted planted;
+  private final List<String> broken = new ArrayList<>();
 
-    @ParameterizedTest
-    @EnumSource(Fault.class)
-    void eachPlantedFaultIsCaught(final Fault fault) {
-        assertFalse(judge(fault).isEmpty(), fault + " was not caught");
+  private void must(final boolean kept, final String what) {
+    if (!kept) {
+      broken.add(what + " at " + nowUs / MS + " ms");
+    }
+  }
+
+  private long run(final long us) {
+    final long untilUs = nowUs + us;
+    long foundUs = 0;
+    while (nowUs < untilUs) {
+      foundUs += planted.ran(nowUs);
+      planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
+      nowUs += Math.min(OwnHealth.BEAT_US, untilUs - nowUs);
+    }
+    return foundUs;
+  }
+
+  private void stop(final long us) {
+    final long beforeUs = nowUs;
+    nowUs += us;
+    final long foundUs = planted.ran(nowUs);
+    planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
+    must(foundUs <= us, "found " + foundUs + " of " + us);
+    must(foundUs >= us - OwnHealth.BEAT_US - Absences.LEAST_US, "found " + foundUs + " of " + us);
+    must(!planted.hasMeasured(beforeUs, nowUs), "a time measured while away");
+  }
+
+  private List<String> judge(final Fault fault) {
+    nowUs = 50 * SECOND;
+    planted = new Planted(fault, nowUs);
+    must(run(5 * SECOND) == 0 && planted.state(nowUs) == State.WELL, "well");
+    planted.health.ran(nowUs);
+    nowUs += 30 * SECOND;
+    must(planted.ran(nowUs) == 0, "idle for 30 s");
+    run(SECOND);
+    stop(3 * SECOND);
+    must(planted.state(nowUs) == State.AWAY, "away");
+    must(planted.mayHold(nowUs) == MOST, "one stop is no starvation");
+    run(2 * SECOND);
+    must(planted.state(nowUs) == State.WELL, "well after a stop");
+    for (int slice = 0; slice < 20; slice++) {
+      stop(350 * MS);
+      run(50 * MS);
     }
+    must(planted.state(nowUs) == State.STARVED && planted.mayHold(nowUs) < MOST / 10, "starved");
+    run(6 * SECOND);
+    must(planted.state(nowUs) == State.WELL && planted.mayHold(nowUs) == MOST, "fed");
+    planted.health.answered(nowUs);
+    run(2 * SECOND);
+    planted.health.platformFailed(nowUs);
+    planted.health.unanswered(1, nowUs - SECOND, nowUs);
+    must(!planted.isCutOff(1), "one destination proves nothing");
+    planted.health.unanswered(2, nowUs - SECOND, nowUs);
+    must(planted.isCutOff(2), "cut off");
+    planted.health.answered(nowUs);
+    must(!planted.isCutOff(0), "back");
+    return broken;
+  }
+
+  @Test
+  void theModuleKeepsWhatItPromises() {
+    assertEquals(List.of(), judge(null));
+  }
+
+  @ParameterizedTest
+  @EnumSource(Fault.class)
+  void eachPlantedFaultIsCaught(final Fault fault) {
+    assertFalse(judge(fault).isEmpty(), fault + " was not caught");
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
@@ -16,183 +16,224 @@
 import net.jqwik.api.Tag;
 
 /**
- * Random sequences of reports, losses, restarts and time by three sources on a few addresses; what the merge promises
- * is checked after each step against what the sources have said, kept apart from the module. jqwik prints the seed of
- * a failure and shrinks the sequence.
+ * Random sequences of reports, losses, restarts and time by three sources on a few addresses; what
+ * the merge promises is checked after each step against what the sources have said, kept apart from
+ * the module. jqwik prints the seed of a failure and shrinks the sequence.
  */
 @Tag("membership")
 final class MembershipPropertyTest {
-    private static final int SEQUENCES = 100_000;
-    private static final long SECOND = 1_000_000;
-    private static final String[] SOURCES = {"list", "east", "west"};
-    private static final int ADDRESSES = 4;
-    private static final int DESTINATIONS = 2;
-    private static final Rules RULES = new Rules(10 * SECOND, 30 * SECOND, 20 * SECOND, 0.15, 10 * SECOND, 2 * SECOND,
-            8 * SECOND, 50);
-
-    enum Kind { UP, DRAIN, PENDING, DELETE, WHOLE, EMPTY, LOSE, HEARD, WAIT, SHORT }
-
-    /** One thing that happens. {@code number} picks the instance, or how long to wait. */
-    record Step(Kind kind, int source, int number, int place) { }
-
-    @Provide
-    Arbitrary<List<Step>> days() {
-        final Arbitrary<Step> step = net.jqwik.api.Combinators.combine(Arbitraries.of(Kind.values()),
-                Arbitraries.integers().between(0, SOURCES.length - 1), Arbitraries.integers().between(0, 3),
-                Arbitraries.integers().between(0, ADDRESSES * DESTINATIONS - 1)).as(Step::new);
-        return step.list().ofMaxSize(40);
+  private static final int SEQUENCES = 100_000;
+  private static final long SECOND = 1_000_000;
+  private static final String[] SOURCES = {"list", "east", "west"};
+  private static final int ADDRESSES = 4;
+  private static final int DESTINATIONS = 2;
+  private static final Rules RULES =
+      new Rules(
+          10 * SECOND, 30 * SECOND, 20 * SECOND, 0.15, 10 * SECOND, 2 * SECOND, 8 * SECOND, 50);
+
+  enum Kind {
+    UP,
+    DRAIN,
+    PENDING,
+    DELETE,
+    WHOLE,
+    EMPTY,
+    LOSE,
+    HEARD,
+    WAIT,
+    SHORT
+  }
+
+  /** One thing that happens. {@code number} picks the instance, or how long to wait. */
+  record Step(Kind kind, int source, int number, int place) {}
+
+  @Provide
+  Arbitrary<List<Step>> days() {
+    final Arbitrary<Step> step =
+        net.jqwik.api.Combinators.combine(
+                Arbitraries.of(Kind.values()),
+                Arbitraries.integers().between(0, SOURCES.length - 1),
+                Arbitraries.integers().between(0, 3),
+                Arbitraries.integers().between(0, ADDRESSES * DESTINATIONS - 1))
+            .as(Step::new);
+    return step.list().ofMaxSize(40);
+  }
+
+  @Property(tries = SEQUENCES, shrinking = ShrinkingMode.BOUNDED)
+  void theMergeKeepsItsPromises(@ForAll("days") final List<Step> steps) {
+    final World world = new World();
+    steps.forEach(world::play);
+  }
+
+  /** The sources as they are in truth, the view as the courier has it, and the promises. */
+  private static final class World {
+    private final Membership membership = new Membership(RULES);
+    private final List<Map<String, Report>> said = new ArrayList<>();
+    private final boolean[] lost = {true, true, true};
+    private final Map<String, Member> view = new TreeMap<>();
+
+    /** Instances that their source's last whole answer lacked though it has them. */
+    private final Set<String> unmentioned = new HashSet<>();
+
+    private long nowUs = SECOND;
+
+    private World() {
+      for (int index = 0; index < SOURCES.length; index++) {
+        membership.addSource(nowUs, SOURCES[index], index, index == 0);
+        said.add(new HashMap<>());
+      }
     }
 
-    @Property(tries = SEQUENCES, shrinking = ShrinkingMode.BOUNDED)
-    void theMergeKeepsItsPromises(@ForAll("days") final List<Step> steps) {
-        final World world = new World();
-        steps.forEach(world::play);
-    }
-
-    /** The sources as they are in truth, the view as the courier has it, and the promises. */
-    private static final class World {
-        private final Membership membership = new Membership(RULES);
-        private final List<Map<String, Report>> said = new ArrayList<>();
-        private final boolean[] lost = {true, true, true};
-        private final Map<String, Member> view = new TreeMap<>();
-        /** Instances that their source's last whole answer lacked though it has them. */
-        private final Set<String> unmentioned = new HashSet<>();
-        private long nowUs = SECOND;
-
-        private World() {
-            for (int index = 0; index < SOURCES.length; index++) {
-                membership.addSource(nowUs, SOURCES[index], index, index == 0);
-                said.add(new HashMap<>());
-            }
+    private void play(final Step step) {
+      final String source = SOURCES[step.source()];
+      final Map<String, Report> its = said.get(step.source());
+      final Set<Long> upBefore = destinationsUp();
+      final String instance = source + step.number();
+      boolean outage = false;
+      switch (step.kind()) {
+        case UP, DRAIN, PENDING -> {
+          final Report report =
+              new Report(
+                  instance,
+                  "a" + step.place() / DESTINATIONS,
+                  step.place() % DESTINATIONS,
+                  "z",
+                  "k",
+                  1,
+                  Word.valueOf(step.kind().name()),
+                  0);
+          its.put(instance, report);
+          unmentioned.remove(instance);
+          membership.changes(nowUs, source, List.of(report), List.of());
+          lost[step.source()] = false;
         }
-
-        private void play(final Step step) {
-            final String source = SOURCES[step.source()];
-            final Map<String, Report> its = said.get(step.source());
-            final Set<Long> upBefore = destinationsUp();
-            final String instance = source + step.number();
-            boolean outage = false;
-            switch (step.kind()) {
-                case UP, DRAIN, PENDING -> {
-                    final Report report = new Report(instance, "a" + step.place() / DESTINATIONS,
-                            step.place() % DESTINATIONS, "z", "k", 1, Word.valueOf(step.kind().name()), 0);
-                    its.put(instance, report);
-                    unmentioned.remove(instance);
-                    membership.changes(nowUs, source, List.of(report), List.of());
-                    lost[step.source()] = false;
-                }
-                case DELETE -> {
-                    its.remove(instance);
-                    membership.changes(nowUs, source, List.of(), List.of(instance));
-                    lost[step.source()] = false;
-                }
-                case WHOLE -> {
-                    unmentioned.removeAll(its.keySet());
-                    membership.whole(nowUs, source, List.copyOf(its.values()));
-                    lost[step.source()] = false;
-                }
-                case EMPTY -> {
-                    // A registry after its restart; the platform's own list is believed.
-                    outage = step.source() != 0;
-                    if (step.source() == 0) {
-                        its.clear();
-                    }
-                    unmentioned.addAll(its.keySet());
-                    membership.whole(nowUs, source, List.of());
-                    lost[step.source()] = false;
-                }
-                case SHORT -> {
-                    final List<Report> some = its.values().stream().limit(its.size() / 2).toList();
-                    outage = step.source() != 0 && its.size() >= 4;
-                    if (outage) {
-                        unmentioned.addAll(its.keySet());
-                        some.forEach(report -> unmentioned.remove(report.instance()));
-                        // A warning that it does mention is a word, and no outage.
-                        some.stream().filter(report -> report.word().isCautious())
-                                .forEach(report -> upBefore.remove(report.destination()));
-                        membership.whole(nowUs, source, some);
-                        lost[step.source()] = false;
-                    }
-                }
-                case LOSE -> {
-                    outage = true;
-                    membership.lost(nowUs, source);
-                    lost[step.source()] = true;
-                }
-                case HEARD -> {
-                    membership.heard(nowUs, source);
-                    lost[step.source()] = false;
-                }
-                case WAIT -> {
-                    outage = true;
-                    nowUs += (long) (SECOND * Math.pow(3, step.number()));
-                }
-            }
-            final List<Member> changed = membership.decide(nowUs);
-            changed.forEach(member -> view.put(member.name(), member));
-            check(step, upBefore, outage);
+        case DELETE -> {
+          its.remove(instance);
+          membership.changes(nowUs, source, List.of(), List.of(instance));
+          lost[step.source()] = false;
         }
-
-        private Set<Long> destinationsUp() {
-            final Set<Long> up = new HashSet<>();
-            view.values().stream().filter(World::isUp).forEach(member -> up.add(member.destination()));
-            return up;
+        case WHOLE -> {
+          unmentioned.removeAll(its.keySet());
+          membership.whole(nowUs, source, List.copyOf(its.values()));
+          lost[step.source()] = false;
         }
-
-        private static boolean isUp(final Member member) {
-            return member.state() == Member.State.UP;
+        case EMPTY -> {
+          // A registry after its restart; the platform's own list is believed.
+          outage = step.source() != 0;
+          if (step.source() == 0) {
+            its.clear();
+          }
+          unmentioned.addAll(its.keySet());
+          membership.whole(nowUs, source, List.of());
+          lost[step.source()] = false;
         }
-
-        private static void require(final boolean kept, final String promise) {
-            if (!kept) {
-                throw new AssertionError(promise);
-            }
+        case SHORT -> {
+          final List<Report> some = its.values().stream().limit(its.size() / 2).toList();
+          outage = step.source() != 0 && its.size() >= 4;
+          if (outage) {
+            unmentioned.addAll(its.keySet());
+            some.forEach(report -> unmentioned.remove(report.instance()));
+            // A warning that it does mention is a word, and no outage.
+            some.stream()
+                .filter(report -> report.word().isCautious())
+                .forEach(report -> upBefore.remove(report.destination()));
+            membership.whole(nowUs, source, some);
+            lost[step.source()] = false;
+          }
         }
-
-        private void check(final Step step, final Set<Long> upBefore, final boolean outage) {
-            final Set<String> addresses = new HashSet<>();
-            for (final Member member : view.values()) {
-                if (isUp(member)) {
-                    require(addresses.add(member.address()), member.address() + " serves two destinations: " + view);
-                    require(isBacked(member), "nobody says that it is up: " + member);
-                    require(!isWarned(member), "a source that is heard warns of it: " + member);
-                }
-            }
-            if (outage) {
-                require(destinationsUp().containsAll(upBefore), step + " emptied a destination: " + view);
-            }
-            final Map<String, Member> now = new TreeMap<>();
-            membership.members().forEach(member -> now.put(member.name(), member));
-            view.values().removeIf(member -> member.state() == Member.State.GONE && !now.containsKey(member.name()));
-            now.values().removeIf(member -> member.state() == Member.State.GONE && !view.containsKey(member.name()));
-            require(now.keySet().equals(view.keySet()), "told " + view + " but has " + now);
-            now.forEach((name, member) -> require(member.state() == view.get(name).state(), "told otherwise: " + name));
-            require(membership.decide(nowUs).isEmpty(), "it tells something twice");
-            require(membership.nextUs() > nowUs, "it wants to be called again at once");
+        case LOSE -> {
+          outage = true;
+          membership.lost(nowUs, source);
+          lost[step.source()] = true;
         }
-
-        /** True if some source said of this place, and did not take it back by a word of its own, that it is up. */
-        private boolean isBacked(final Member member) {
-            return said.stream().flatMap(its -> its.values().stream())
-                    .anyMatch(report -> at(report, member) && report.word() == Word.UP);
+        case HEARD -> {
+          membership.heard(nowUs, source);
+          lost[step.source()] = false;
+        }
+        case WAIT -> {
+          outage = true;
+          nowUs += (long) (SECOND * Math.pow(3, step.number()));
         }
+      }
+      final List<Member> changed = membership.decide(nowUs);
+      changed.forEach(member -> view.put(member.name(), member));
+      check(step, upBefore, outage);
+    }
 
-        /** True if a source that is heard says only cautious things of this place. */
-        private boolean isWarned(final Member member) {
-            for (int index = 0; index < SOURCES.length; index++) {
-                final List<Report> its = said.get(index).values().stream().filter(report -> at(report, member))
-                        .toList();
-                // An instance that succeeded one that drains outweighs it, also while an answer lacks it.
-                if (!lost[index] && its.stream().allMatch(report -> report.word().isCautious())
-                        && its.stream().anyMatch(report -> !unmentioned.contains(report.instance()))) {
-                    return true;
-                }
-            }
-            return false;
+    private Set<Long> destinationsUp() {
+      final Set<Long> up = new HashSet<>();
+      view.values().stream().filter(World::isUp).forEach(member -> up.add(member.destination()));
+      return up;
+    }
+
+    private static boolean isUp(final Member member) {
+      return member.state() == Member.State.UP;
+    }
+
+    private static void require(final boolean kept, final String promise) {
+      if (!kept) {
+        throw new AssertionError(promise);
+      }
+    }
+
+    private void check(final Step step, final Set<Long> upBefore, final boolean outage) {
+      final Set<String> addresses = new HashSet<>();
+      for (final Member member : view.values()) {
+        if (isUp(member)) {
+          require(
+              addresses.add(member.address()),
+              member.address() + " serves two destinations: " + view);
+          require(isBacked(member), "nobody says that it is up: " + member);
+          require(!isWarned(member), "a source that is heard warns of it: " + member);
         }
+      }
+      if (outage) {
+        require(destinationsUp().containsAll(upBefore), step + " emptied a destination: " + view);
+      }
+      final Map<String, Member> now = new TreeMap<>();
+      membership.members().forEach(member -> now.put(member.name(), member));
+      view.values()
+          .removeIf(
+              member -> member.state() == Member.State.GONE && !now.containsKey(member.name()));
+      now.values()
+          .removeIf(
+              member -> member.state() == Member.State.GONE && !view.containsKey(member.name()));
+      require(now.keySet().equals(view.keySet()), "told " + view + " but has " + now);
+      now.forEach(
+          (name, member) ->
+              require(member.state() == view.get(name).state(), "told otherwise: " + name));
+      require(membership.decide(nowUs).isEmpty(), "it tells something twice");
+      require(membership.nextUs() > nowUs, "it wants to be called again at once");
+    }
+
+    /**
+     * True if some source said of this place, and did not take it back by a word of its own, that
+     * it is up.
+     */
+    private boolean isBacked(final Member member) {
+      return said.stream()
+          .flatMap(its -> its.values().stream())
+          .anyMatch(report -> at(report, member) && report.word() == Word.UP);
+    }
 
-        private static boolean at(final Report report, final Member member) {
-            return report.address().equals(member.address()) && report.destination() == member.destination();
+    /** True if a source that is heard says only cautious things of this place. */
+    private boolean isWarned(final Member member) {
+      for (int index = 0; index < SOURCES.length; index++) {
+        final List<Report> its =
+            said.get(index).values().stream().filter(report -> at(report, member)).toList();
+        // An instance that succeeded one that drains outweighs it, also while an answer lacks it.
+        if (!lost[index]
+            && its.stream().allMatch(report -> report.word().isCautious())
+            && its.stream().anyMatch(report -> !unmentioned.contains(report.instance()))) {
+          return true;
         }
+      }
+      return false;
+    }
+
+    private static boolean at(final Report report, final Member member) {
+      return report.address().equals(member.address())
+          && report.destination() == member.destination();
     }
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/noise/RefusalReadingTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/noise/RefusalReadingTest.java
@@ -16,187 +16,188 @@
 @Tag("noise")
 @net.jqwik.api.Tag("noise")
 final class RefusalReadingTest {
-    private static final long MS = 1000;
-    private static final long SECOND = 1_000_000;
-
-    /** Refusals that strike one call in ten, at 50 calls a second. */
-    private static RefusalReading noisy(final long seed, final double share, final int calls) {
-        final Random random = new Random(seed);
-        final RefusalReading reading = new RefusalReading();
-        for (int call = 0; call < calls; call++) {
-            final long sentUs = SECOND + call * 20 * MS;
-            if (random.nextDouble() < share) {
-                reading.refused(sentUs, sentUs + MS);
-            } else {
-                reading.served(sentUs, sentUs + 5 * MS);
-            }
-        }
-        return reading;
+  private static final long MS = 1000;
+  private static final long SECOND = 1_000_000;
+
+  /** Refusals that strike one call in ten, at 50 calls a second. */
+  private static RefusalReading noisy(final long seed, final double share, final int calls) {
+    final Random random = new Random(seed);
+    final RefusalReading reading = new RefusalReading();
+    for (int call = 0; call < calls; call++) {
+      final long sentUs = SECOND + call * 20 * MS;
+      if (random.nextDouble() < share) {
+        reading.refused(sentUs, sentUs + MS);
+      } else {
+        reading.served(sentUs, sentUs + 5 * MS);
+      }
     }
-
-    @Test
-    void randomRefusalsAreNoise() {
-        int noise = 0;
-        for (long seed = 1; seed <= 50; seed++) {
-            noise += noisy(seed, 0.1, 200).cause(5 * SECOND) == Cause.NOISE ? 1 : 0;
-        }
-        assertTrue(noise >= 45, noise + " of 50 read as noise");
+    return reading;
+  }
+
+  @Test
+  void randomRefusalsAreNoise() {
+    int noise = 0;
+    for (long seed = 1; seed <= 50; seed++) {
+      noise += noisy(seed, 0.1, 200).cause(5 * SECOND) == Cause.NOISE ? 1 : 0;
     }
-
-    @Test
-    void refusalsToTheEndOfASpanAreLoad() {
-        final RefusalReading reading = new RefusalReading();
-        for (int call = 0; call < 500; call++) {
-            final long sentUs = SECOND + call * 20 * MS;
-            // 40 calls a span are taken, 50 come.
-            if (call % 50 < 40) {
-                reading.served(sentUs, sentUs + 5 * MS);
-            } else {
-                reading.refused(sentUs, sentUs + MS);
-            }
-            assertFalse(reading.cause(sentUs + 5 * MS) == Cause.NOISE, "call " + call);
-        }
-        assertEquals(Cause.LOAD, reading.cause(11 * SECOND));
+    assertTrue(noise >= 45, noise + " of 50 read as noise");
+  }
+
+  @Test
+  void refusalsToTheEndOfASpanAreLoad() {
+    final RefusalReading reading = new RefusalReading();
+    for (int call = 0; call < 500; call++) {
+      final long sentUs = SECOND + call * 20 * MS;
+      // 40 calls a span are taken, 50 come.
+      if (call % 50 < 40) {
+        reading.served(sentUs, sentUs + 5 * MS);
+      } else {
+        reading.refused(sentUs, sentUs + MS);
+      }
+      assertFalse(reading.cause(sentUs + 5 * MS) == Cause.NOISE, "call " + call);
     }
-
-    @Test
-    void aShareTooLargeIsNeverNoise() {
-        assertEquals(Cause.LOAD, noisy(3, 0.6, 400).cause(9 * SECOND));
+    assertEquals(Cause.LOAD, reading.cause(11 * SECOND));
+  }
+
+  @Test
+  void aShareTooLargeIsNeverNoise() {
+    assertEquals(Cause.LOAD, noisy(3, 0.6, 400).cause(9 * SECOND));
+  }
+
+  @Test
+  void noiseThatTurnsIntoALimitIsReadAnew() {
+    final RefusalReading reading = noisy(4, 0.1, 300);
+    assertEquals(Cause.NOISE, reading.cause(7 * SECOND));
+    for (int call = 0; call < 20; call++) {
+      final long sentUs = 8 * SECOND + call * 20 * MS;
+      reading.refused(sentUs, sentUs + MS);
     }
-
-    @Test
-    void noiseThatTurnsIntoALimitIsReadAnew() {
-        final RefusalReading reading = noisy(4, 0.1, 300);
-        assertEquals(Cause.NOISE, reading.cause(7 * SECOND));
-        for (int call = 0; call < 20; call++) {
-            final long sentUs = 8 * SECOND + call * 20 * MS;
-            reading.refused(sentUs, sentUs + MS);
-        }
-        assertEquals(Cause.LOAD, reading.cause(9 * SECOND));
+    assertEquals(Cause.LOAD, reading.cause(9 * SECOND));
+  }
+
+  /** One refusal is asked once: all that is served after room has come back says nothing more. */
+  @Test
+  void manyServedAfterOneRefusalAreOneSign() {
+    final RefusalReading reading = new RefusalReading();
+    reading.refused(SECOND, SECOND + MS);
+    reading.served(SECOND + 20 * MS, SECOND + 30 * MS);
+    final double once = reading.evidence(SECOND + 30 * MS);
+    for (int call = 2; call < 10; call++) {
+      reading.served(SECOND + call * 20 * MS, SECOND + call * 20 * MS + MS);
     }
-
-    /** One refusal is asked once: all that is served after room has come back says nothing more. */
-    @Test
-    void manyServedAfterOneRefusalAreOneSign() {
-        final RefusalReading reading = new RefusalReading();
-        reading.refused(SECOND, SECOND + MS);
-        reading.served(SECOND + 20 * MS, SECOND + 30 * MS);
-        final double once = reading.evidence(SECOND + 30 * MS);
-        for (int call = 2; call < 10; call++) {
-            reading.served(SECOND + call * 20 * MS, SECOND + call * 20 * MS + MS);
-        }
-        assertEquals(once, reading.evidence(SECOND + 30 * MS), 0.02);
-        assertEquals(Cause.UNSURE, reading.cause(SECOND + 200 * MS));
-    }
-
-    @Test
-    void callsFarApartSayNothing() {
-        final RefusalReading reading = new RefusalReading();
-        for (int call = 0; call < 50; call++) {
-            final long sentUs = SECOND + call * 10 * SECOND;
-            if (call % 3 == 0) {
-                reading.refused(sentUs, sentUs + MS);
-            } else {
-                reading.served(sentUs, sentUs + MS);
-            }
-            assertEquals(0, reading.evidence(sentUs + MS), 1e-9);
-        }
+    assertEquals(once, reading.evidence(SECOND + 30 * MS), 0.02);
+    assertEquals(Cause.UNSURE, reading.cause(SECOND + 200 * MS));
+  }
+
+  @Test
+  void callsFarApartSayNothing() {
+    final RefusalReading reading = new RefusalReading();
+    for (int call = 0; call < 50; call++) {
+      final long sentUs = SECOND + call * 10 * SECOND;
+      if (call % 3 == 0) {
+        reading.refused(sentUs, sentUs + MS);
+      } else {
+        reading.served(sentUs, sentUs + MS);
+      }
+      assertEquals(0, reading.evidence(sentUs + MS), 1e-9);
     }
-
-    @Test
-    void noiseThatOutranItsBudgetIsNotBelievedForALongerTimeEachTime() {
-        final RefusalReading reading = noisy(1, 0.1, 300);
-        assertEquals(Cause.NOISE, reading.cause(7 * SECOND));
-        reading.outran(7 * SECOND);
-        assertEquals(Cause.LOAD, reading.cause(11 * SECOND));
-        assertEquals(Cause.UNSURE, reading.cause(12 * SECOND));
-        reading.outran(12 * SECOND);
-        assertEquals(Cause.LOAD, reading.cause(21 * SECOND));
+  }
+
+  @Test
+  void noiseThatOutranItsBudgetIsNotBelievedForALongerTimeEachTime() {
+    final RefusalReading reading = noisy(1, 0.1, 300);
+    assertEquals(Cause.NOISE, reading.cause(7 * SECOND));
+    reading.outran(7 * SECOND);
+    assertEquals(Cause.LOAD, reading.cause(11 * SECOND));
+    assertEquals(Cause.UNSURE, reading.cause(12 * SECOND));
+    reading.outran(12 * SECOND);
+    assertEquals(Cause.LOAD, reading.cause(21 * SECOND));
+  }
+
+  @Test
+  void probesThatFailComeEverMoreRarely() {
+    final RefusalReading reading = new RefusalReading();
+    long atUs = SECOND;
+    long gapUs = 0;
+    for (int probe = 0; probe < 5; probe++) {
+      reading.probed(false, atUs);
+      assertTrue(reading.probeAtUs() - atUs > gapUs);
+      gapUs = reading.probeAtUs() - atUs;
+      atUs = reading.probeAtUs();
     }
-
-    @Test
-    void probesThatFailComeEverMoreRarely() {
-        final RefusalReading reading = new RefusalReading();
-        long atUs = SECOND;
-        long gapUs = 0;
-        for (int probe = 0; probe < 5; probe++) {
-            reading.probed(false, atUs);
-            assertTrue(reading.probeAtUs() - atUs > gapUs);
-            gapUs = reading.probeAtUs() - atUs;
-            atUs = reading.probeAtUs();
-        }
-        reading.probed(true, atUs);
-        assertEquals(100 * MS, reading.probeAtUs() - atUs);
+    reading.probed(true, atUs);
+    assertEquals(100 * MS, reading.probeAtUs() - atUs);
+  }
+
+  /** Whatever comes: no more than the share of what was served, and the burst. */
+  @Property(tries = 500)
+  void theBudgetIsNeverOutrun(
+      @ForAll final long seed, @ForAll @IntRange(min = 1, max = 500) final int events) {
+    final Random random = new Random(seed);
+    final RetryBudget budget = new RetryBudget();
+    int served = 0;
+    int taken = 0;
+    for (int event = 0; event < events; event++) {
+      if (random.nextBoolean()) {
+        served++;
+        budget.served();
+      } else if (budget.take()) {
+        taken++;
+      }
+      assertTrue(taken <= RetryBudget.BURST + RetryBudget.SHARE * served + 1e-9);
     }
-
-    /** Whatever comes: no more than the share of what was served, and the burst. */
-    @Property(tries = 500)
-    void theBudgetIsNeverOutrun(@ForAll final long seed, @ForAll @IntRange(min = 1, max = 500) final int events) {
-        final Random random = new Random(seed);
-        final RetryBudget budget = new RetryBudget();
-        int served = 0;
-        int taken = 0;
-        for (int event = 0; event < events; event++) {
-            if (random.nextBoolean()) {
-                served++;
-                budget.served();
-            } else if (budget.take()) {
-                taken++;
-            }
-            assertTrue(taken <= RetryBudget.BURST + RetryBudget.SHARE * served + 1e-9);
-        }
+  }
+
+  @Test
+  void growthOutlivesOneRefusalAndEndsAtMore() {
+    final Growth growth = new Growth();
+    assertTrue(growth.served(1));
+    assertFalse(growth.refused());
+    assertTrue(growth.isGrowing());
+    assertTrue(growth.refused());
+    assertFalse(growth.served(1));
+    growth.again();
+    assertTrue(growth.served(1));
+  }
+
+  @Test
+  void growthEndsWhereTimesGrowToTwice() {
+    final Growth growth = new Growth();
+    for (int call = 0; call < 50; call++) {
+      assertTrue(growth.served(1));
     }
-
-    @Test
-    void growthOutlivesOneRefusalAndEndsAtMore() {
-        final Growth growth = new Growth();
-        assertTrue(growth.served(1));
-        assertFalse(growth.refused());
-        assertTrue(growth.isGrowing());
-        assertTrue(growth.refused());
-        assertFalse(growth.served(1));
-        growth.again();
-        assertTrue(growth.served(1));
+    int more = 0;
+    while (growth.served(6) && more < 50) {
+      more++;
     }
-
-    @Test
-    void growthEndsWhereTimesGrowToTwice() {
-        final Growth growth = new Growth();
-        for (int call = 0; call < 50; call++) {
-            assertTrue(growth.served(1));
-        }
-        int more = 0;
-        while (growth.served(6) && more < 50) {
-            more++;
-        }
-        assertTrue(more < 20, "a queue was seen after " + more + " calls");
+    assertTrue(more < 20, "a queue was seen after " + more + " calls");
+  }
+
+  @Test
+  void aTimeOutIsLearntFromTheTail() {
+    final Cell cell = new Cell();
+    assertEquals(2 * SECOND, cell.timeoutUs(2 * SECOND, 1));
+    for (int call = 0; call < 100; call++) {
+      cell.served(call % 10 == 0 ? 250 * MS : 10 * MS);
     }
-
-    @Test
-    void aTimeOutIsLearntFromTheTail() {
-        final Cell cell = new Cell();
-        assertEquals(2 * SECOND, cell.timeoutUs(2 * SECOND, 1));
-        for (int call = 0; call < 100; call++) {
-            cell.served(call % 10 == 0 ? 250 * MS : 10 * MS);
-        }
-        final long learnt = cell.timeoutUs(2 * SECOND, 1);
-        assertTrue(learnt >= 650 * MS && learnt <= 750 * MS, "learnt " + learnt);
-        assertEquals(2 * SECOND, cell.timeoutUs(2 * SECOND, 3));
+    final long learnt = cell.timeoutUs(2 * SECOND, 1);
+    assertTrue(learnt >= 650 * MS && learnt <= 750 * MS, "learnt " + learnt);
+    assertEquals(2 * SECOND, cell.timeoutUs(2 * SECOND, 3));
+  }
+
+  @Test
+  void aCellThatAloneRefusesIsLeftAloneAndOneAmongOthersIsNot() {
+    final Cell alone = new Cell();
+    long served = 100;
+    long restUs = 0;
+    for (int call = 1; call <= 4; call++) {
+      served += 5;
+      restUs = alone.refused(served, call);
     }
-
-    @Test
-    void aCellThatAloneRefusesIsLeftAloneAndOneAmongOthersIsNot() {
-        final Cell alone = new Cell();
-        long served = 100;
-        long restUs = 0;
-        for (int call = 1; call <= 4; call++) {
-            served += 5;
-            restUs = alone.refused(served, call);
-        }
-        assertTrue(restUs > 0);
-        final Cell among = new Cell();
-        for (int call = 1; call <= 10; call++) {
-            assertEquals(0, among.refused(100 + call, 5L * call));
-        }
+    assertTrue(restUs > 0);
+    final Cell among = new Cell();
+    for (int call = 1; call <= 10; call++) {
+      assertEquals(0, among.refused(100 + call, 5L * call));
     }
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
@@ -25,129 +25,156 @@
 import thistleturn.decisions.Courier;
 
 /**
- * What a message costs the decisions, the frozen module beside the present one in one run: so many messages are held,
- * and for each that is delivered another comes. Played on demand, with {@code -DargLine=-Dbench=true}.
+ * What a message costs the decisions, the frozen module beside the present one in one run: so many
+ * messages are held, and for each that is delivered another comes. Played on demand, with {@code
+ * -DargLine=-Dbench=true}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class DecideBench {
-    private static final long SECOND = 1_000_000;
-    private static final int TOGETHER = 4;
-    private static final long PASS_US = 50;
-
-    @Param({"frozen", "present"})
-    public String module;
-    /** Destinations, and messages held. */
-    @Param({"10x100", "10x10000", "10x100000", "1000x10000", "10000x10000", "100000x100000"})
-    public String size;
-
-    private ArrayDeque<String> out;
-    private ArrayDeque<Long> endpoints;
-    private Random random;
-    private int destinations;
-    private Courier courier;
-    private long nowUs;
-    private int messages;
-
-    /** Lists the destinations and takes what is held. */
-    @Setup(Level.Trial)
-    public void begin() {
-        out = new ArrayDeque<>();
-        endpoints = new ArrayDeque<>();
-        random = new Random(1);
-        nowUs = 1000 * SECOND;
-        messages = 0;
-        destinations = Integer.parseInt(size.substring(0, size.indexOf('x')));
-        final RandomDay.Maker maker = module.equals("frozen") ? FrozenControl::new : Control::new;
-        courier = maker.make(settings(), 1, new Answering());
-        final List<Courier.Endpoint> list = new ArrayList<>();
-        for (int id = 1; id <= destinations; id++) {
-            list.add(new Courier.Endpoint(id, Courier.Condition.LISTED, "a", 0, 0, id));
-        }
-        courier.onList(nowUs, Courier.Update.WHOLE, list);
-        final int held = Integer.parseInt(size.substring(size.indexOf('x') + 1));
-        for (int index = 0; index < held; index++) {
-            take();
-        }
-        courier.decide(nowUs);
+  private static final long SECOND = 1_000_000;
+  private static final int TOGETHER = 4;
+  private static final long PASS_US = 50;
+
+  @Param({"frozen", "present"})
+  public String module;
+
+  /** Destinations, and messages held. */
+  @Param({"10x100", "10x10000", "10x100000", "1000x10000", "10000x10000", "100000x100000"})
+  public String size;
+
+  private ArrayDeque<String> out;
+  private ArrayDeque<Long> endpoints;
+  private Random random;
+  private int destinations;
+  private Courier courier;
+  private long nowUs;
+  private int messages;
+
+  /** Lists the destinations and takes what is held. */
+  @Setup(Level.Trial)
+  public void begin() {
+    out = new ArrayDeque<>();
+    endpoints = new ArrayDeque<>();
+    random = new Random(1);
+    nowUs = 1000 * SECOND;
+    messages = 0;
+    destinations = Integer.parseInt(size.substring(0, size.indexOf('x')));
+    final RandomDay.Maker maker = module.equals("frozen") ? FrozenControl::new : Control::new;
+    courier = maker.make(settings(), 1, new Answering());
+    final List<Courier.Endpoint> list = new ArrayList<>();
+    for (int id = 1; id <= destinations; id++) {
+      list.add(new Courier.Endpoint(id, Courier.Condition.LISTED, "a", 0, 0, id));
+    }
+    courier.onList(nowUs, Courier.Update.WHOLE, list);
+    final int held = Integer.parseInt(size.substring(size.indexOf('x') + 1));
+    for (int index = 0; index < held; index++) {
+      take();
+    }
+    courier.decide(nowUs);
+  }
+
+  /** Four messages are delivered, four others come, and one pass decides. */
+  @Benchmark
+  @OperationsPerInvocation(TOGETHER)
+  public int pass() {
+    int delivered = 0;
+    // Where windows or spacing leave nothing out, time alone brings the next.
+    while (delivered == 0) {
+      nowUs += PASS_US;
+      for (int index = 0; index < TOGETHER && !out.isEmpty(); index++) {
+        courier.onOutcome(
+            nowUs,
+            new Courier.Outcome(
+                out.poll(), Courier.Result.DELIVERED, true, endpoints.poll(), 1000, 0, null));
+        take();
+        delivered++;
+      }
+      courier.decide(nowUs);
+    }
+    return delivered;
+  }
+
+  @Test
+  @EnabledIfSystemProperty(named = "bench", matches = "true")
+  void table() throws RunnerException {
+    new Runner(
+            new OptionsBuilder()
+                .include(DecideBench.class.getSimpleName())
+                .forks(1)
+                .warmupIterations(2)
+                .warmupTime(TimeValue.seconds(1))
+                .measurementIterations(3)
+                .measurementTime(TimeValue.seconds(1))
+                .jvmArgs("-XX:+UseSerialGC", "-Xmx3g")
+                .build())
+        .run();
+  }
+
+  private static Courier.Settings settings() {
+    return new Courier.Settings(
+        1,
+        "a",
+        false,
+        Courier.Weights.NONE,
+        Courier.Fade.LINEAR,
+        List.of(
+            new Courier.MessageClass(
+                "safe", Courier.Effect.SAFE, false, false, 1, 0, 5 * SECOND, 2000 * SECOND, 0)),
+        List.of(),
+        List.of(new Courier.Kind("x", false, 1)),
+        new Courier.Guarantees(10 * SECOND, 0.5, SECOND, 2, 0),
+        new Courier.Limits(64, 1_000_000, 8, true, 10 * SECOND, 1, 0));
+  }
+
+  private final class Answering implements Courier.Actions {
+    @Override
+    public void send(final String messageId, final long endpoint, final long timeoutUs) {
+      out.add(messageId);
+      endpoints.add(endpoint);
+    }
+
+    @Override
+    public void refuse(final String messageId, final long retryAfterUs) {
+      throw new IllegalStateException("nothing is refused here");
     }
 
-    /** Four messages are delivered, four others come, and one pass decides. */
-    @Benchmark
-    @OperationsPerInvocation(TOGETHER)
-    public int pass() {
-        int delivered = 0;
-        // Where windows or spacing leave nothing out, time alone brings the next.
-        while (delivered == 0) {
-            nowUs += PASS_US;
-            for (int index = 0; index < TOGETHER && !out.isEmpty(); index++) {
-                courier.onOutcome(nowUs, new Courier.Outcome(out.poll(), Courier.Result.DELIVERED, true,
-                        endpoints.poll(), 1000, 0, null));
-                take();
-                delivered++;
-            }
-            courier.decide(nowUs);
-        }
-        return delivered;
+    @Override
+    public void fail(final String messageId) {
+      throw new IllegalStateException("nothing fails here");
     }
 
-    @Test
-    @EnabledIfSystemProperty(named = "bench", matches = "true")
-    void table() throws RunnerException {
-        new Runner(new OptionsBuilder().include(DecideBench.class.getSimpleName()).forks(1).warmupIterations(2)
-                .warmupTime(TimeValue.seconds(1)).measurementIterations(3).measurementTime(TimeValue.seconds(1))
-                .jvmArgs("-XX:+UseSerialGC", "-Xmx3g").build()).run();
+    @Override
+    public void cancel(final String messageId, final int attempt) {
+      // Nothing is overdue here.
     }
 
-    private static Courier.Settings settings() {
-        return new Courier.Settings(1, "a", false, Courier.Weights.NONE, Courier.Fade.LINEAR, List.of(
-                new Courier.MessageClass("safe", Courier.Effect.SAFE, false, false, 1, 0, 5 * SECOND, 2000 * SECOND, 0)),
-                List.of(), List.of(new Courier.Kind("x", false, 1)),
-                new Courier.Guarantees(10 * SECOND, 0.5, SECOND, 2, 0),
-                new Courier.Limits(64, 1_000_000, 8, true, 10 * SECOND, 1, 0));
+    @Override
+    public void closeIdle(final long endpoint) {
+      // There are no connections.
     }
 
-    private final class Answering implements Courier.Actions {
-        @Override
-        public void send(final String messageId, final long endpoint, final long timeoutUs) {
-            out.add(messageId);
-            endpoints.add(endpoint);
-        }
-
-        @Override
-        public void refuse(final String messageId, final long retryAfterUs) {
-            throw new IllegalStateException("nothing is refused here");
-        }
-
-        @Override
-        public void fail(final String messageId) {
-            throw new IllegalStateException("nothing fails here");
-        }
-
-        @Override
-        public void cancel(final String messageId, final int attempt) {
-            // Nothing is overdue here.
-        }
-
-        @Override
-        public void closeIdle(final long endpoint) {
-            // There are no connections.
-        }
-
-        @Override
-        public void follow() {
-            // The list stays as it is.
-        }
-
-        @Override
-        public void wake(final long delayUs) {
-            // The next pass comes anyway.
-        }
+    @Override
+    public void follow() {
+      // The list stays as it is.
     }
 
-    private void take() {
-        courier.onMessage(nowUs, new Courier.Message("m" + messages++, 0, -1, null, nowUs + 2000 * SECOND,
-                1 + random.nextInt(destinations)));
+    @Override
+    public void wake(final long delayUs) {
+      // The next pass comes anyway.
     }
+  }
+
+  private void take() {
+    courier.onMessage(
+        nowUs,
+        new Courier.Message(
+            "m" + messages++,
+            0,
+            -1,
+            null,
+            nowUs + 2000 * SECOND,
+            1 + random.nextInt(destinations)));
+  }
 }
--- a/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
@@ -1,6 +1,5 @@
 package thistleturn.decisions.oracle;
 
-import thistleturn.decisions.Courier;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -11,1165 +10,1427 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import thistleturn.decisions.Courier;
 import thistleturn.decisions.noise.Cell;
 import thistleturn.decisions.noise.Growth;
 import thistleturn.decisions.noise.RefusalReading;
 import thistleturn.decisions.noise.RetryBudget;
 
 /**
- * The decisions as they were on 2026-12-01, but for changes made on purpose: three that {@code docs/design/scale.md} names
- * (class means are noted once a second where messages are compared; a route's pick keeps its own urgency; rates are
- * added up plainly), and what {@code docs/design/noise.md} names, where it {@code learns}: the oracle for every later {@link thistleturn.decisions.Control}
- * that is to decide the same with less work. It is not changed; when decisions are changed on purpose, that change is
- * made here too and named in the commit.
+ * The decisions as they were on 2026-12-01, but for changes made on purpose: three that {@code
+ * docs/design/scale.md} names (class means are noted once a second where messages are compared; a
+ * route's pick keeps its own urgency; rates are added up plainly), and what {@code
+ * docs/design/noise.md} names, where it {@code learns}: the oracle for every later {@link
+ * thistleturn.decisions.Control} that is to decide the same with less work. It is not changed; when
+ * decisions are changed on purpose, that change is made here too and named in the commit.
  */
 final class FrozenControl implements Courier {
 
-    private static final long SECOND_US = 1_000_000;
-
-    // The window (DESIGN; the paper's section V).
-    /** Floor of a window, calls: a lane must always be able to learn. */
-    private static final double WINDOW_FLOOR = 1;
-    /** A new lane's window, calls: one slow answer may not block it; in a large fleet clumps come first. */
-    private static final double WINDOW_START = 2;
-    private static final double WINDOW_RARE = 4;
-    /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
-    private static final double HEALTHY_SHARE = 0.75;
-    private static final double SICK_SHARE = 0.5;
-    /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
-    private static final double SLOW_INPUT = 0.75;
-    /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
-    private static final double LATENCY_PRIOR = 2;
-    /** Share of a window that must be used for it to grow: unused room has proved nothing. */
-    private static final double USED_SHARE = 0.5;
-
-    // Service times.
-    /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
-    private static final double SAMPLE_WEIGHT = 0.1;
-    /** Service time of a class before any was seen, as a share of its aim: the aim was set to be met. */
-    private static final double UNSEEN_SHARE = 0.25;
-    /** Least pace of a lane, times the usual: no answer is so quick that the next must be quicker still. */
-    private static final double PACE_LEAST = 0.1;
-    /** A call is overdue after so many times what is expected (one in 150, by chance), and so long, us. */
-    private static final double OVERDUE_TIMES = 5;
-    private static final long OVERDUE_LEAST_US = SECOND_US;
-    /** A call begun before a stop has so many times what is expected left (chance cuts off one in seven). */
-    private static final double STOP_TIMES = 2;
-    /** A time-out, in times what is expected, and at least so long, us: wide enough for a long tail. */
-    private static final double TIMEOUT_TIMES = 8;
-    private static final long TIMEOUT_LEAST_US = 2 * SECOND_US;
-    /** After a time-out, the next ones are so many times as wide: it may have been slowness, not silence. */
-    private static final double STRETCH = 3;
-
-    // Refusals and outages.
-    /** Least pause of a lane after a refusal, us: limits are counted over spans of about a second. */
-    private static final long PAUSE_US = SECOND_US / 2;
-    /** After refusals, sends go at so many times the rate served and so many a second more: room may come. */
-    private static final double SPACING = 1.2;
-    private static final double SPACING_LEAST = 0.5;
-    /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
-    private static final long LIMIT_WAIT_US = 5 * SECOND_US / 2;
-    /** Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix. */
-    private static final double REFUSED_WEIGHT = 0.5;
-    private static final double ERROR_WEIGHT = 0.4;
-    /** A run of this weight without success is an outage; so is this share of failures: most, and chance. */
-    private static final double OUT_WEIGHT = 3;
-    private static final double OUT_SHARE = 0.6;
-    /** Weight of a call in that share: about eight calls of memory. */
-    private static final double FAIL_WEIGHT = 0.12;
-    /** Messages a second: a limit where none is told (a default); least rate at which a line is reckoned. */
-    private static final double UNTOLD_LIMIT = 1;
-    private static final double LEAST_RATE = 0.25;
-    /** What each further message in a call weighs on a cold destination, in calls. A default. */
-    private static final double FURTHER_WEIGHT = 0.2;
-    /** An endpoint that failed is left alone so long, us; after that its failures in a row count as calls. */
-    private static final long AVOID_US = SECOND_US;
-    /** Share by which gaps are drawn longer or shorter, so that couriers do not keep step. */
-    private static final double JITTER = 0.2;
-
-    // Choice.
-    /** What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in flight. */
-    private static final double HANDSHAKE_LOAD = 0.8;
-    private static final double CROSS_LOAD = 0.6;
-    private static final double REFUSED_LOAD = 2;
-    private static final double SINGLE_SHARE = 0.3;
-    private static final double FEW_REFUSED = 0.05;
-    private static final int LEAST_LINE = 3;
-    private static final int LONG_LINE = 10;
-    private static final double REGAIN = 2;
-    /** Chance that a message put off is served after all, in a short line; half of it in a long one. */
-    private static final double KEPT = 0.9;
-    /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
-    private static final long HORIZON_LEAST_US = SECOND_US;
-    private static final long HORIZON_MOST_US = 10 * SECOND_US;
-    /** Share of worth beyond a quota, of which we see a part; messages in a burst that chance may bring. */
-    private static final double OVER_QUOTA = 0.25;
-    private static final double QUOTA_BURST = 10;
-    /** Share of the store that is kept free by refusing what has least to gain: the door refuses blindly. */
-    private static final double STORE_RESERVE = 0.05;
-    /** A message ends so long before its time, us: two rounds; share of a key's window not used: clocks. */
-    private static final long END_MARGIN_US = 12_000;
-    private static final double KEY_MARGIN = 0.05;
-    /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
-    private static final double TRUST_GROWTH = 1.02;
-    /** Idle for less, us, a connection dies of something else than its idleness. */
-    private static final long TRUST_LEAST_US = SECOND_US;
-    /** Couriers that each meet all destinations often, and may all keep idle connections. A default. */
-    private static final int FEW_COURIERS = 6;
-    /** Calls' time within which a connection waits for its next use: a few for each call in flight. */
-    private static final double REUSE_CALLS = 2;
-    /** First and longest back-off of asking for the list again, us: soon, but without burdening it. */
-    private static final long ASK_LEAST_US = SECOND_US / 2;
-    private static final long ASK_MOST_US = 3 * SECOND_US;
-    /** How soon a message that an endpoint or a key holds back is looked at again, us. */
-    private static final long POLL_US = 20_000;
-    /** A destination or route without an endpoint is forgotten so long after its last use, us. A default. */
-    private static final long FORGET_US = 60 * SECOND_US;
-    private static final long NEVER = Long.MAX_VALUE;
-
-    private final Settings settings;
-    private final Actions actions;
-    private final Random random;
-    private final boolean learns;
-    private final Map<Long, Destination> destinations = new LinkedHashMap<>();
-    /** Destinations with messages: all that a decision looks at, however long the list is. */
-    private final Map<Long, Destination> busy = new TreeMap<>();
-    private final Map<Long, Node> nodes = new LinkedHashMap<>();
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, KeyLine> keys = new LinkedHashMap<>();
-    private final double[] classMeanUs;
-    private final double[] notedMeanUs;
-    private Lane bestLane;
-    private final int[] classSamples;
-    private final long[] quotaUs;
-    private final TreeSet<Long> wakes = new TreeSet<>();
-    private int callsOut, open;
-    private double trustUs;
-    private long nowUs, nextStepUs, stopUs = NEVER;
-    private boolean subscribed;
-    private long askAgainUs = NEVER, askBackOffUs = ASK_LEAST_US;
-
-    /** A courier that knows nothing yet but its settings; {@code seed} is its only source of chance. */
-    FrozenControl(final Settings settings, final long seed, final Actions actions) {
-        this(settings, seed, actions, true);
-    }
+  private static final long SECOND_US = 1_000_000;
 
-    FrozenControl(final Settings settings, final long seed, final Actions actions, final boolean learns) {
-        this.learns = learns;
-        this.settings = settings;
-        this.actions = actions;
-        this.random = new Random(seed);
-        this.classMeanUs = settings.classes().stream().mapToDouble(k -> UNSEEN_SHARE * k.aimUs()).toArray();
-        this.notedMeanUs = classMeanUs.clone();
-        this.classSamples = new int[classMeanUs.length];
-        this.trustUs = settings.limits().idleCloseUs();
-        this.quotaUs = new long[settings.tenants().size()];
-    }
+  // The window (DESIGN; the paper's section V).
+  /** Floor of a window, calls: a lane must always be able to learn. */
+  private static final double WINDOW_FLOOR = 1;
 
-    // ---------------------------------------------------------------- events
-
-    @Override
-    public void onMessage(final long now, final Message message) {
-        nowUs = now;
-        final Job job = new Job(message, settings.classes().get(message.messageClass()));
-        jobs.put(message.id(), job);
-        open++;
-        job.overQuota = overQuota(message.tenant());
-        job.destination = destination(message.destination());
-        job.destination.waiting.add(job);
-        job.destination.jobs++;
-        busy.put(message.destination(), job.destination);
-        if (job.kind.inTurn() && message.key() != null) {
-            job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
-            job.line.jobs.add(job);
-        }
-    }
+  /**
+   * A new lane's window, calls: one slow answer may not block it; in a large fleet clumps come
+   * first.
+   */
+  private static final double WINDOW_START = 2;
 
-    @Override
-    public void onResumed(final long now, final Message message, final Past past) {
-        onMessage(now, message);
-        final Job job = jobs.get(message.id());
-        job.attempts = past.attempts();
-        job.mayHaveRun = past.mayHaveRun();
-        if (job.mayHaveRun) {
-            job.firstRunUs = past.firstRunUs();
-            job.runZone = past.runZone();
-            if (job.line != null) {
-                job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
-            }
-        }
-    }
+  private static final double WINDOW_RARE = 4;
 
-    @Override
-    public void onStopping(final long now, final long atUs) {
-        nowUs = now;
-        stopUs = atUs;
-        System.arraycopy(classMeanUs, 0, notedMeanUs, 0, classMeanUs.length);
-    }
+  /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
+  private static final double HEALTHY_SHARE = 0.75;
 
-    @Override
-    public void onRoom(final long now, final int slotsNow, final int maxOpenNow) {
-        throw new UnsupportedOperationException("it was decided before couriers were divided");
-    }
+  private static final double SICK_SHARE = 0.5;
 
-    @Override
-    public void onOutcome(final long now, final Outcome outcome) {
-        nowUs = now;
-        final Job job = jobs.get(outcome.messageId());
-        if (job == null || job.call == null) {
-            return;
-        }
-        final Call call = job.call;
-        final Node node = call.node;
-        job.call = null;
-        if (!outcome.result().neverRan()) {
-            job.mayHaveRun = true;
-            job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
-            job.runZone = node.entry.zone();
-            if (job.line != null && !outcome.result().ended()) {
-                job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
-            }
-        }
-        if (--call.messages == 0) {
-            callsOut--;
-            node.inFlight--;
-            node.lane.calls.remove(call);
-            node.lastUseUs = nowUs;
-            shareConnections(node, call);
-        }
-        judge(node, call, job, outcome);
-        if (outcome.over() || job.over) {
-            end(job);
-        } else {
-            job.destination.waiting.add(job);
-        }
-    }
+  /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
+  private static final double SLOW_INPUT = 0.75;
 
-    @Override
-    public void onExpired(final long now, final String messageId) {
-        nowUs = now;
-        Optional.ofNullable(jobs.get(messageId)).ifPresent(this::end);
-    }
+  /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
+  private static final double LATENCY_PRIOR = 2;
 
-    @Override
-    public void decide(final long now) {
-        nowUs = now;
-        nextStepUs = nextStepUs == 0 ? nowUs + SECOND_US : nextStepUs;
-        if (nowUs >= nextStepUs) {
-            destinations.values().forEach(d -> d.lanes.forEach(this::step));
-            for (int kind = 0; kind < notedMeanUs.length; kind++) {
-                if (Math.abs(classMeanUs[kind] - notedMeanUs[kind]) > 0.25 * notedMeanUs[kind]) {
-                    notedMeanUs[kind] = classMeanUs[kind];
-                }
-            }
-            trustUs = Math.min(settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
-            forget();
-            keys.values().removeIf(line -> line.jobs.isEmpty() && line.restUntilUs <= nowUs);
-            nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
-        }
-        keepList();
-        watch();
-        dispatch();
-        reclaimSlot();
-        makeRoom();
-        sleep();
-    }
+  /** Share of a window that must be used for it to grow: unused room has proved nothing. */
+  private static final double USED_SHARE = 0.5;
 
-    // ---------------------------------------------------------------- dispatch
+  // Service times.
+  /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
+  private static final double SAMPLE_WEIGHT = 0.1;
 
-    /** Sends, best first, until no slot is free or no message may go. */
-    private void dispatch() {
-        while (callsOut < settings.limits().slots()) {
-            final Job best = best(true);
-            if (best == null) {
-                return;
-            }
-            send(best, bestLane);
-        }
-    }
+  /**
+   * Service time of a class before any was seen, as a share of its aim: the aim was set to be met.
+   */
+  private static final double UNSEEN_SHARE = 0.25;
 
-    /** Of the messages that windows and guards let go (with trials or without), the most urgent, or null. */
-    private Job best(final boolean trials) {
-        Job best = null;
-        double bestUrgency = 0;
-        for (final Destination destination : busy.values()) {
-            for (final Lane lane : destination.lanes) {
-                final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.WELL);
-                final Job job = open ? pick(destination, lane, null) : null;
-                if (job != null && (best == null || job.urgency > bestUrgency)) {
-                    best = job;
-                    bestUrgency = job.urgency;
-                    bestLane = lane;
-                }
-            }
-        }
-        return best;
-    }
+  /**
+   * Least pace of a lane, times the usual: no answer is so quick that the next must be quicker
+   * still.
+   */
+  private static final double PACE_LEAST = 0.1;
 
-    /** When a lane's waits and guards let a call go; never, while its window is full. */
-    private long openAtUs(final Lane lane) {
-        final long stray = learns ? lane.calls.stream().filter(call -> nowUs >= call.overdueUs()
-                && call.node.lastServedUs >= call.sentUs).count() : 0;
-        if (lane.calls.size() - stray >= cap(lane) || lane.calls.size() >= most(lane)) {
-            return NEVER;
-        }
-        final boolean exact = settings.weights() == Weights.NOMINAL && lane.told > 0;
-        final double rate = exact ? Math.min(lane.told, lane.spacing) : lane.spacing;
-        final long guardUs = switch (lane.phase) {
-            case WELL -> lane.lastSendUs + (long) (SECOND_US / rate);
-            case OUT -> lane.calls.isEmpty() ? lane.nextTrialUs : NEVER;
-            case RAMP -> lane.lastSendUs + (long) (lane.rampSpanUs * lane.lastWeight
-                    / tippingShare(nowUs - lane.rampFromUs));
-        };
-        final long pausedUntilUs = lane.mayProbe && destinations.get(lane.destination).waiting.size() >= LEAST_LINE
-                ? Math.min(lane.pauseUntilUs, lane.reading.probeAtUs()) : lane.pauseUntilUs;
-        return Math.max(guardUs, Math.max(lane.waitUntilUs, pausedUntilUs));
-    }
+  /**
+   * A call is overdue after so many times what is expected (one in 150, by chance), and so long,
+   * us.
+   */
+  private static final double OVERDUE_TIMES = 5;
 
-    /** Calls that a lane may have in flight now: its window, within its share of the slots. */
-    private int cap(final Lane lane) {
-        return (int) Math.max(1, Math.min(Math.floor(lane.window), most(lane)));
-    }
+  private static final long OVERDUE_LEAST_US = SECOND_US;
 
-    private int most(final Lane lane) {
-        final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
-        return (int) Math.max(1, Math.floor(share * settings.limits().slots()));
-    }
+  /**
+   * A call begun before a stop has so many times what is expected left (chance cuts off one in
+   * seven).
+   */
+  private static final double STOP_TIMES = 2;
 
-    /** The most urgent message for a lane (a node, if given); trials risk first what is lost anyway. */
-    private Job pick(final Destination destination, final Lane lane, final Node node) {
-        Job best = null;
-        int bestRisk = 0;
-        double bestUrgency = 0;
-        final long lineUs = destination.lineUs();
-        for (final Job job : destination.waiting) {
-            if (!inTurn(job) || !endsInTime(lane, job) || node == null && choose(lane, job, null) == null
-                    || node != null && (!zoneAllows(job, node) || job.kind.effect() == Effect.UNSAFE)) {
-                continue;
-            }
-            final double urgency = urgency(lane, job, lineUs);
-            final int risk = lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.effect().ordinal();
-            if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
-                best = job;
-                bestRisk = risk;
-                bestUrgency = urgency;
-                // With the store over half full some will not be served: slots go where they serve most.
-                job.urgency = urgency / (2 * open > settings.limits().maxOpen() ? notedUs(lane, job) : 1);
-            }
-        }
-        return best;
-    }
+  /**
+   * A time-out, in times what is expected, and at least so long, us: wide enough for a long tail.
+   */
+  private static final double TIMEOUT_TIMES = 8;
 
-    /** What a message loses by waiting for as long as its destination's line takes. */
-    private double urgency(final Lane lane, final Job job, final long lineUs) {
-        final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
-        final long doneUs = nowUs + (long) notedUs(lane, job);
-        final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
-        return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
-    }
+  private static final long TIMEOUT_LEAST_US = 2 * SECOND_US;
 
-    /** The worth of a message delivered at a given time; a key's window ends it like the deadline does. */
-    private double worth(final Job job, final long atUs) {
-        final MessageClass kind = job.kind;
-        if (atUs >= job.keyEndUs()) {
-            return 0;
-        }
-        final double full = kind.worth() * (job.overQuota ? OVER_QUOTA : 1);
-        final long lateUs = Math.max(0, atUs - job.aimUs);
-        return full * (settings.fade() == Fade.HALVING
-                ? Math.max(kind.lateWorth(), Math.pow(0.5, (double) lateUs / Math.max(1, kind.aimUs())))
-                : 1 - (1 - kind.lateWorth()) * lateUs / Math.max(1, kind.deadlineUs() - kind.aimUs()));
-    }
+  /**
+   * After a time-out, the next ones are so many times as wide: it may have been slowness, not
+   * silence.
+   */
+  private static final double STRETCH = 3;
 
-    /** The best endpoint of a lane for a message now, or null. */
-    private Node choose(final Lane lane, final Job job, final Node refusedBy) {
-        Node best = null;
-        double bestLoad = 0;
-        final int kind = job.message.messageClass();
-        for (final Node node : lane.nodes) {
-            if (node.condition != Condition.LISTED || !zoneAllows(job, node)
-                    || lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind]) {
-                continue;
-            }
-            final boolean handshake = node.inFlight >= node.connections * settings.limits().multiplex()
-                    || node.inFlight == 0 && nowUs - node.lastUseUs >= settings.limits().idleCloseUs();
-            final boolean cross = !node.entry.zone().equals(settings.zone());
-            final double load = lane.phase == Phase.OUT ? node.lastSendUs : node.inFlight + node.badRun[kind]
-                    + (handshake ? HANDSHAKE_LOAD : 0) + (cross ? CROSS_LOAD : 0)
-                    + (node == refusedBy ? REFUSED_LOAD : 0) + (learns ? node.cells[kind].refusedInARow() : 0);
-            if (best == null || load < bestLoad) {
-                best = node;
-                bestLoad = load;
-            }
-        }
-        return best;
-    }
+  // Refusals and outages.
+  /** Least pause of a lane after a refusal, us: limits are counted over spans of about a second. */
+  private static final long PAUSE_US = SECOND_US / 2;
 
-    /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
-    private static boolean zoneAllows(final Job job, final Node node) {
-        return !job.mayHaveRun || !job.kind.zoneKeyed() || node.entry.zone().equals(job.runZone);
-    }
+  /**
+   * After refusals, sends go at so many times the rate served and so many a second more: room may
+   * come.
+   */
+  private static final double SPACING = 1.2;
 
-    /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
-    private boolean inTurn(final Job job) {
-        return job.line == null || job.line.jobs.get(0) == job
-                && (job.mayHaveRun || job.line.restUntilUs <= nowUs);
-    }
+  private static final double SPACING_LEAST = 0.5;
 
-    /** False for a call that the end of this process would likely cut off: the next one may send it. */
-    private boolean endsInTime(final Lane lane, final Job job) {
-        return stopUs == NEVER || nowUs + (job.kind.effect() == Effect.UNSAFE
-                ? OVERDUE_TIMES : STOP_TIMES) * notedUs(lane, job) < stopUs;
-    }
+  /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
+  private static final long LIMIT_WAIT_US = 5 * SECOND_US / 2;
 
-    /** Sends a message and, where calls are shared, those that wait with it. */
-    private void send(final Job first, final Lane lane) {
-        final Node node = choose(lane, first, first.refusedBy);
-        final Call call = new Call();
-        call.node = node;
-        call.sentUs = nowUs;
-        call.probe = lane.pauseUntilUs > nowUs;
-        lane.mayProbe &= !call.probe;
-        callsOut++;
-        lane.calls.add(call);
-        lane.peak = Math.max(lane.peak, lane.calls.size());
-        if (node.inFlight++ == 0) {
-            checkIdle(call, node, first);
-        }
-        final int streams = settings.limits().multiplex();
-        call.reused = node.connections * streams >= node.inFlight;
-        node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
-        node.lastSendUs = lane.lastSendUs = nowUs;
-        if (lane.phase == Phase.OUT) {
-            lane.nextTrialUs = trialUs(lane);
-        }
-        Job job = first;
-        final boolean alone = lane.phase == Phase.OUT || first.kind.effect() == Effect.UNSAFE;
-        while (job != null) {
-            call.messages++;
-            call.expectedUs = Math.max(call.expectedUs, (long) expectedUs(lane, job));
-            job.call = call;
-            job.attempts++;
-            job.destination.waiting.remove(job);
-            actions.send(job.message.id(), node.entry.id(), timeoutUs(lane, node, job));
-            final boolean full = alone || call.messages >= lane.kind.messagesPerCall();
-            job = full ? null : pick(job.destination, lane, node);
-        }
-        call.size = call.messages;
-        lane.lastWeight = 1 + FURTHER_WEIGHT * (call.size - 1);
-    }
+  /**
+   * Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix.
+   */
+  private static final double REFUSED_WEIGHT = 0.5;
 
-    /**
-     * An idle connection may be dead without a sign, wherever it died: when a call over one fails where all
-     * was well, none idle half as long is used for a while (a quarter, for unsafe ones). Costs handshakes.
-     */
-    private void checkIdle(final Call call, final Node node, final Job job) {
-        final long idleUs = nowUs - node.lastUseUs;
-        if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
-            node.connections = 0;
-            actions.closeIdle(node.entry.id());
-        } else if (node.connections > 0) {
-            call.idleUs = idleUs;
-        }
-    }
+  private static final double ERROR_WEIGHT = 0.4;
 
-    /**
-     * An idle connection takes the place of another courier's: where they are many, it is closed unless its
-     * next use is near. Guards against refused connections at well endpoints; costs a handshake a call.
-     */
-    private void shareConnections(final Node node, final Call call) {
-        final double usesInReach = node.lane.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
-        if (settings.couriers() > FEW_COURIERS && usesInReach < node.lane.nodes.size()) {
-            node.connections = 0;
-            actions.closeIdle(node.entry.id());
-        }
-    }
+  /**
+   * A run of this weight without success is an outage; so is this share of failures: most, and
+   * chance.
+   */
+  private static final double OUT_WEIGHT = 3;
 
-    // ---------------------------------------------------------------- the fuzzy step
+  private static final double OUT_SHARE = 0.6;
 
-    /** Moves a lane's window by Table I. */
-    private void step(final Lane lane) {
-        final double bad = lane.bad + overdue(lane);
-        final double read = lane.served + lane.errors + bad;
-        if (lane.phase == Phase.WELL) {
-            final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps);
-            lane.rate += weight * (lane.delivered - lane.rate);
-            lane.callRate += weight * (lane.served - lane.callRate);
-        }
-        if (read > 0) {
-            double latency = 0;
-            if (lane.delivered > 0) {
-                final double mean = lane.ratioSum / lane.delivered;
-                final double trust = lane.delivered / (lane.delivered + LATENCY_PRIOR);
-                latency = clamp(trust * (mean / lane.slowRatio - 1), 0, 1);
-                lane.slowRatio += SAMPLE_WEIGHT * trust * (mean - lane.slowRatio);
-            }
-            double refusal = bad / read;
-            if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
-                refusal = Math.max(refusal, 1 - lane.allowance.shareLeft());
-            }
-            final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
-            if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
-                lane.window = clamp(lane.window * (1 + change), WINDOW_FLOOR,
-                        Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
-            }
-            lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
-        }
-        final double refusing = SPACING_LEAST + SPACING * Math.max(lane.served, lane.callRate);
-        final boolean heeded = lane.refused > (learns ? FEW_REFUSED * read : 0)
-                && lane.reading.cause(nowUs) != RefusalReading.Cause.NOISE;
-        final boolean regains = learns && lane.refused == 0
-                && nowUs >= lane.freeFromUs
-                && destinations.get(lane.destination).waiting.size() >= LONG_LINE;
-        lane.spacing = heeded ? refusing : (regains ? REGAIN : SPACING) * lane.spacing;
-        lane.peak = lane.calls.size();
-        lane.ratioSum = lane.refused = lane.delivered = 0;
-        lane.served = lane.bad = lane.errors = 0;
-        lane.allowance = null;
-    }
+  /** Weight of a call in that share: about eight calls of memory. */
+  private static final double FAIL_WEIGHT = 0.12;
+
+  /**
+   * Messages a second: a limit where none is told (a default); least rate at which a line is
+   * reckoned.
+   */
+  private static final double UNTOLD_LIMIT = 1;
+
+  private static final double LEAST_RATE = 0.25;
 
-    /** Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
-    private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
-    private static final int[][] TABLE_ONE = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
-
-    /** The paper's Mamdani controller: triangles, min for AND, max for an output's rules, central average. */
-    static double tableOne(final double latency, final double refusal) {
-        final double[] union = new double[OUTPUTS.length];
-        for (int row = 0; row < TABLE_ONE.length; row++) {
-            for (int column = 0; column < TABLE_ONE.length; column++) {
-                final double both = Math.min(member(row, latency), member(column, refusal));
-                union[TABLE_ONE[row][column]] = Math.max(union[TABLE_ONE[row][column]], both);
-            }
-        }
-        double sum = 0;
-        double weights = 0;
-        for (int output = 0; output < OUTPUTS.length; output++) {
-            sum += OUTPUTS[output] * union[output];
-            weights += union[output];
-        }
-        return sum / weights;
-    }
+  /** What each further message in a call weighs on a cold destination, in calls. A default. */
+  private static final double FURTHER_WEIGHT = 0.2;
 
-    /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
-    private static double member(final int set, final double input) {
-        return Math.max(0, 1 - Math.abs(2 * input - set));
-    }
-
-    // ---------------------------------------------------------------- health and return from outage
-
-    /**
-     * Reads one outcome: service times, the step's inputs, waits, health of endpoint and lane. What is
-     * counted in calls gets a message's part of its call: five messages turned away together are one refusal.
-     */
-    private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
-        final Lane lane = node.lane;
-        if (outcome.allowance() != null) {
-            lane.allowance = outcome.allowance();
-            lane.told = lane.allowance.callsPerSecond();
+  /**
+   * An endpoint that failed is left alone so long, us; after that its failures in a row count as
+   * calls.
+   */
+  private static final long AVOID_US = SECOND_US;
+
+  /** Share by which gaps are drawn longer or shorter, so that couriers do not keep step. */
+  private static final double JITTER = 0.2;
+
+  // Choice.
+  /**
+   * What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in
+   * flight.
+   */
+  private static final double HANDSHAKE_LOAD = 0.8;
+
+  private static final double CROSS_LOAD = 0.6;
+  private static final double REFUSED_LOAD = 2;
+  private static final double SINGLE_SHARE = 0.3;
+  private static final double FEW_REFUSED = 0.05;
+  private static final int LEAST_LINE = 3;
+  private static final int LONG_LINE = 10;
+  private static final double REGAIN = 2;
+
+  /**
+   * Chance that a message put off is served after all, in a short line; half of it in a long one.
+   */
+  private static final double KEPT = 0.9;
+
+  /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
+  private static final long HORIZON_LEAST_US = SECOND_US;
+
+  private static final long HORIZON_MOST_US = 10 * SECOND_US;
+
+  /**
+   * Share of worth beyond a quota, of which we see a part; messages in a burst that chance may
+   * bring.
+   */
+  private static final double OVER_QUOTA = 0.25;
+
+  private static final double QUOTA_BURST = 10;
+
+  /**
+   * Share of the store that is kept free by refusing what has least to gain: the door refuses
+   * blindly.
+   */
+  private static final double STORE_RESERVE = 0.05;
+
+  /**
+   * A message ends so long before its time, us: two rounds; share of a key's window not used:
+   * clocks.
+   */
+  private static final long END_MARGIN_US = 12_000;
+
+  private static final double KEY_MARGIN = 0.05;
+
+  /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
+  private static final double TRUST_GROWTH = 1.02;
+
+  /** Idle for less, us, a connection dies of something else than its idleness. */
+  private static final long TRUST_LEAST_US = SECOND_US;
+
+  /**
+   * Couriers that each meet all destinations often, and may all keep idle connections. A default.
+   */
+  private static final int FEW_COURIERS = 6;
+
+  /**
+   * Calls' time within which a connection waits for its next use: a few for each call in flight.
+   */
+  private static final double REUSE_CALLS = 2;
+
+  /**
+   * First and longest back-off of asking for the list again, us: soon, but without burdening it.
+   */
+  private static final long ASK_LEAST_US = SECOND_US / 2;
+
+  private static final long ASK_MOST_US = 3 * SECOND_US;
+
+  /** How soon a message that an endpoint or a key holds back is looked at again, us. */
+  private static final long POLL_US = 20_000;
+
+  /**
+   * A destination or route without an endpoint is forgotten so long after its last use, us. A
+   * default.
+   */
+  private static final long FORGET_US = 60 * SECOND_US;
+
+  private static final long NEVER = Long.MAX_VALUE;
+
+  private final Settings settings;
+  private final Actions actions;
+  private final Random random;
+  private final boolean learns;
+  private final Map<Long, Destination> destinations = new LinkedHashMap<>();
+
+  /** Destinations with messages: all that a decision looks at, however long the list is. */
+  private final Map<Long, Destination> busy = new TreeMap<>();
+
+  private final Map<Long, Node> nodes = new LinkedHashMap<>();
+  private final Map<String, Job> jobs = new LinkedHashMap<>();
+  private final Map<String, KeyLine> keys = new LinkedHashMap<>();
+  private final double[] classMeanUs;
+  private final double[] notedMeanUs;
+  private Lane bestLane;
+  private final int[] classSamples;
+  private final long[] quotaUs;
+  private final TreeSet<Long> wakes = new TreeSet<>();
+  private int callsOut, open;
+  private double trustUs;
+  private long nowUs, nextStepUs, stopUs = NEVER;
+  private boolean subscribed;
+  private long askAgainUs = NEVER, askBackOffUs = ASK_LEAST_US;
+
+  /**
+   * A courier that knows nothing yet but its settings; {@code seed} is its only source of chance.
+   */
+  FrozenControl(final Settings settings, final long seed, final Actions actions) {
+    this(settings, seed, actions, true);
+  }
+
+  FrozenControl(
+      final Settings settings, final long seed, final Actions actions, final boolean learns) {
+    this.learns = learns;
+    this.settings = settings;
+    this.actions = actions;
+    this.random = new Random(seed);
+    this.classMeanUs =
+        settings.classes().stream().mapToDouble(k -> UNSEEN_SHARE * k.aimUs()).toArray();
+    this.notedMeanUs = classMeanUs.clone();
+    this.classSamples = new int[classMeanUs.length];
+    this.trustUs = settings.limits().idleCloseUs();
+    this.quotaUs = new long[settings.tenants().size()];
+  }
+
+  // ---------------------------------------------------------------- events
+
+  @Override
+  public void onMessage(final long now, final Message message) {
+    nowUs = now;
+    final Job job = new Job(message, settings.classes().get(message.messageClass()));
+    jobs.put(message.id(), job);
+    open++;
+    job.overQuota = overQuota(message.tenant());
+    job.destination = destination(message.destination());
+    job.destination.waiting.add(job);
+    job.destination.jobs++;
+    busy.put(message.destination(), job.destination);
+    if (job.kind.inTurn() && message.key() != null) {
+      job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
+      job.line.jobs.add(job);
+    }
+  }
+
+  @Override
+  public void onResumed(final long now, final Message message, final Past past) {
+    onMessage(now, message);
+    final Job job = jobs.get(message.id());
+    job.attempts = past.attempts();
+    job.mayHaveRun = past.mayHaveRun();
+    if (job.mayHaveRun) {
+      job.firstRunUs = past.firstRunUs();
+      job.runZone = past.runZone();
+      if (job.line != null) {
+        job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
+      }
+    }
+  }
+
+  @Override
+  public void onStopping(final long now, final long atUs) {
+    nowUs = now;
+    stopUs = atUs;
+    System.arraycopy(classMeanUs, 0, notedMeanUs, 0, classMeanUs.length);
+  }
+
+  @Override
+  public void onRoom(final long now, final int slotsNow, final int maxOpenNow) {
+    throw new UnsupportedOperationException("it was decided before couriers were divided");
+  }
+
+  @Override
+  public void onOutcome(final long now, final Outcome outcome) {
+    nowUs = now;
+    final Job job = jobs.get(outcome.messageId());
+    if (job == null || job.call == null) {
+      return;
+    }
+    final Call call = job.call;
+    final Node node = call.node;
+    job.call = null;
+    if (!outcome.result().neverRan()) {
+      job.mayHaveRun = true;
+      job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
+      job.runZone = node.entry.zone();
+      if (job.line != null && !outcome.result().ended()) {
+        job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
+      }
+    }
+    if (--call.messages == 0) {
+      callsOut--;
+      node.inFlight--;
+      node.lane.calls.remove(call);
+      node.lastUseUs = nowUs;
+      shareConnections(node, call);
+    }
+    judge(node, call, job, outcome);
+    if (outcome.over() || job.over) {
+      end(job);
+    } else {
+      job.destination.waiting.add(job);
+    }
+  }
+
+  @Override
+  public void onExpired(final long now, final String messageId) {
+    nowUs = now;
+    Optional.ofNullable(jobs.get(messageId)).ifPresent(this::end);
+  }
+
+  @Override
+  public void decide(final long now) {
+    nowUs = now;
+    nextStepUs = nextStepUs == 0 ? nowUs + SECOND_US : nextStepUs;
+    if (nowUs >= nextStepUs) {
+      destinations.values().forEach(d -> d.lanes.forEach(this::step));
+      for (int kind = 0; kind < notedMeanUs.length; kind++) {
+        if (Math.abs(classMeanUs[kind] - notedMeanUs[kind]) > 0.25 * notedMeanUs[kind]) {
+          notedMeanUs[kind] = classMeanUs[kind];
         }
-        final int kind = job.message.messageClass();
-        final double part = 1.0 / call.size;
-        final boolean first = lane.troubleFromUs == NEVER;
-        lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-        // A wait may stand in any answer, also one that delivers some of a call's messages.
-        lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.waitUs());
-        switch (outcome.result()) {
-            case DELIVERED -> {
-                final double ratio = learn(lane, job, outcome.durationUs());
-                lane.delivered++;
-                lane.served += part;
-                node.lastServedUs = nowUs;
-                node.badRun[kind] = 0;
-                node.avoidUntilUs[kind] = 0;
-                node.cells[kind].served(outcome.durationUs());
-                if (learns) {
-                    readServed(lane, call, part, ratio);
-                }
-                lane.badRun = 0;
-                lane.stretch = Math.max(1, lane.stretch - STRETCH * SAMPLE_WEIGHT);
-                lane.failShare -= part * FAIL_WEIGHT * lane.failShare;
-                if (lane.phase == Phase.OUT) {
-                    lane.phase = Phase.RAMP;
-                    lane.rampFromUs = nowUs;
-                    lane.rampSpanUs = patienceUs(lane, nowUs);
-                    lane.failShare = 0;
-                }
-                lane.troubleFromUs = NEVER;
-            }
-            case REFUSED -> {
-                if (learns && outcome.waitUs() == 0 && isStray(lane, node, job, call)) {
-                    lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
-                    return;
-                }
-                lane.bad += part;
-                lane.refused++;
-                final long fromUs = Math.max(nowUs, lane.waitUntilUs);
-                final long gapUs = patienceUs(lane, fromUs);
-                final boolean told = outcome.waitUs() > 0;
-                lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
-                final boolean same = learns && call.sentUs < lane.refusedUs;
-                lane.refusedUs = same ? lane.refusedUs : nowUs;
-                suspect(lane, outcome.waitUs() > LIMIT_WAIT_US ? OUT_WEIGHT : same ? 0 : part * REFUSED_WEIGHT);
-            }
-            case ERROR -> {
-                lane.errors += part;
-                lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-                suspect(lane, part * ERROR_WEIGHT);
-            }
-            case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE -> {
-                final boolean told = outcome.result() == Result.STALE;
-                call.stale |= told || outcome.result() == Result.RESET && call.reused && node.badRun[kind] == 0;
-                if (call.stale) {
-                    // A kept connection was dead: that says nothing of its endpoint, but of others like it.
-                    lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
-                    node.badRun[kind] += told ? 0 : part;
-                    node.connections = 0;
-                    actions.closeIdle(node.entry.id());
-                    return;
-                }
-                final boolean among = node.lastServedUs >= call.sentUs
-                        || outcome.result() != Result.TIMED_OUT && lane.badRun == 0 && node.lastServedUs > 0;
-                if (learns && among && lane.phase == Phase.WELL && node.badRun[kind] == 0
-                        && lane.failShare < SINGLE_SHARE) {
-                    lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
-                    node.badRun[kind] += part;
-                    node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
-                    lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-                    suspect(lane, part);
-                    return;
-                }
-                lane.bad += part;
-                if (outcome.result() == Result.TIMED_OUT || outcome.result() == Result.CANCELLED) {
-                    lane.stretch = STRETCH;
-                }
-                if (first && call.idleUs >= TRUST_LEAST_US && !call.calledOff
-                        && outcome.result() != Result.NO_CONNECTION) {
-                    trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, call.idleUs / 2));
-                }
-                node.badRun[kind] += part;
-                if (node.lastServedUs < call.sentUs) {
-                    Arrays.fill(node.avoidUntilUs, nowUs + jitter(AVOID_US));
-                }
-                node.avoidUntilUs[kind] = nowUs + jitter(AVOID_US);
-                node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
-                if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
-                    lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-                    if (lane.failShare > SINGLE_SHARE) {
-                        lane.growth.crowded();
-                    }
-                    suspect(lane, part);
-                }
-            }
-            case NOT_SENT -> lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+      }
+      trustUs = Math.min(settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
+      forget();
+      keys.values().removeIf(line -> line.jobs.isEmpty() && line.restUntilUs <= nowUs);
+      nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
+    }
+    keepList();
+    watch();
+    dispatch();
+    reclaimSlot();
+    makeRoom();
+    sleep();
+  }
+
+  // ---------------------------------------------------------------- dispatch
+
+  /** Sends, best first, until no slot is free or no message may go. */
+  private void dispatch() {
+    while (callsOut < settings.limits().slots()) {
+      final Job best = best(true);
+      if (best == null) {
+        return;
+      }
+      send(best, bestLane);
+    }
+  }
+
+  /**
+   * Of the messages that windows and guards let go (with trials or without), the most urgent, or
+   * null.
+   */
+  private Job best(final boolean trials) {
+    Job best = null;
+    double bestUrgency = 0;
+    for (final Destination destination : busy.values()) {
+      for (final Lane lane : destination.lanes) {
+        final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.WELL);
+        final Job job = open ? pick(destination, lane, null) : null;
+        if (job != null && (best == null || job.urgency > bestUrgency)) {
+          best = job;
+          bestUrgency = job.urgency;
+          bestLane = lane;
         }
-    }
-
-    private void readServed(final Lane lane, final Call call, final double part, final double ratio) {
-        if (lane.growth.served(ratio) && lane.phase == Phase.WELL
-                && !destinations.get(lane.destination).waiting.isEmpty()
-                && lane.calls.size() + 1 >= Math.floor(lane.window)) {
-            lane.window = Math.min(lane.window + part,
-                    Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
+      }
+    }
+    return best;
+  }
+
+  /** When a lane's waits and guards let a call go; never, while its window is full. */
+  private long openAtUs(final Lane lane) {
+    final long stray =
+        learns
+            ? lane.calls.stream()
+                .filter(call -> nowUs >= call.overdueUs() && call.node.lastServedUs >= call.sentUs)
+                .count()
+            : 0;
+    if (lane.calls.size() - stray >= cap(lane) || lane.calls.size() >= most(lane)) {
+      return NEVER;
+    }
+    final boolean exact = settings.weights() == Weights.NOMINAL && lane.told > 0;
+    final double rate = exact ? Math.min(lane.told, lane.spacing) : lane.spacing;
+    final long guardUs =
+        switch (lane.phase) {
+          case WELL -> lane.lastSendUs + (long) (SECOND_US / rate);
+          case OUT -> lane.calls.isEmpty() ? lane.nextTrialUs : NEVER;
+          case RAMP ->
+              lane.lastSendUs
+                  + (long)
+                      (lane.rampSpanUs * lane.lastWeight / tippingShare(nowUs - lane.rampFromUs));
+        };
+    final long pausedUntilUs =
+        lane.mayProbe && destinations.get(lane.destination).waiting.size() >= LEAST_LINE
+            ? Math.min(lane.pauseUntilUs, lane.reading.probeAtUs())
+            : lane.pauseUntilUs;
+    return Math.max(guardUs, Math.max(lane.waitUntilUs, pausedUntilUs));
+  }
+
+  /** Calls that a lane may have in flight now: its window, within its share of the slots. */
+  private int cap(final Lane lane) {
+    return (int) Math.max(1, Math.min(Math.floor(lane.window), most(lane)));
+  }
+
+  private int most(final Lane lane) {
+    final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
+    return (int) Math.max(1, Math.floor(share * settings.limits().slots()));
+  }
+
+  /**
+   * The most urgent message for a lane (a node, if given); trials risk first what is lost anyway.
+   */
+  private Job pick(final Destination destination, final Lane lane, final Node node) {
+    Job best = null;
+    int bestRisk = 0;
+    double bestUrgency = 0;
+    final long lineUs = destination.lineUs();
+    for (final Job job : destination.waiting) {
+      if (!inTurn(job)
+          || !endsInTime(lane, job)
+          || node == null && choose(lane, job, null) == null
+          || node != null && (!zoneAllows(job, node) || job.kind.effect() == Effect.UNSAFE)) {
+        continue;
+      }
+      final double urgency = urgency(lane, job, lineUs);
+      final int risk =
+          lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.effect().ordinal();
+      if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
+        best = job;
+        bestRisk = risk;
+        bestUrgency = urgency;
+        // With the store over half full some will not be served: slots go where they serve most.
+        job.urgency = urgency / (2 * open > settings.limits().maxOpen() ? notedUs(lane, job) : 1);
+      }
+    }
+    return best;
+  }
+
+  /** What a message loses by waiting for as long as its destination's line takes. */
+  private double urgency(final Lane lane, final Job job, final long lineUs) {
+    final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
+    final long doneUs = nowUs + (long) notedUs(lane, job);
+    final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
+    return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
+  }
+
+  /**
+   * The worth of a message delivered at a given time; a key's window ends it like the deadline
+   * does.
+   */
+  private double worth(final Job job, final long atUs) {
+    final MessageClass kind = job.kind;
+    if (atUs >= job.keyEndUs()) {
+      return 0;
+    }
+    final double full = kind.worth() * (job.overQuota ? OVER_QUOTA : 1);
+    final long lateUs = Math.max(0, atUs - job.aimUs);
+    return full
+        * (settings.fade() == Fade.HALVING
+            ? Math.max(kind.lateWorth(), Math.pow(0.5, (double) lateUs / Math.max(1, kind.aimUs())))
+            : 1 - (1 - kind.lateWorth()) * lateUs / Math.max(1, kind.deadlineUs() - kind.aimUs()));
+  }
+
+  /** The best endpoint of a lane for a message now, or null. */
+  private Node choose(final Lane lane, final Job job, final Node refusedBy) {
+    Node best = null;
+    double bestLoad = 0;
+    final int kind = job.message.messageClass();
+    for (final Node node : lane.nodes) {
+      if (node.condition != Condition.LISTED
+          || !zoneAllows(job, node)
+          || lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind]) {
+        continue;
+      }
+      final boolean handshake =
+          node.inFlight >= node.connections * settings.limits().multiplex()
+              || node.inFlight == 0 && nowUs - node.lastUseUs >= settings.limits().idleCloseUs();
+      final boolean cross = !node.entry.zone().equals(settings.zone());
+      final double load =
+          lane.phase == Phase.OUT
+              ? node.lastSendUs
+              : node.inFlight
+                  + node.badRun[kind]
+                  + (handshake ? HANDSHAKE_LOAD : 0)
+                  + (cross ? CROSS_LOAD : 0)
+                  + (node == refusedBy ? REFUSED_LOAD : 0)
+                  + (learns ? node.cells[kind].refusedInARow() : 0);
+      if (best == null || load < bestLoad) {
+        best = node;
+        bestLoad = load;
+      }
+    }
+    return best;
+  }
+
+  /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
+  private static boolean zoneAllows(final Job job, final Node node) {
+    return !job.mayHaveRun || !job.kind.zoneKeyed() || node.entry.zone().equals(job.runZone);
+  }
+
+  /**
+   * Rule on order: the first of its key goes, and only after the rest that an open attempt asks
+   * for.
+   */
+  private boolean inTurn(final Job job) {
+    return job.line == null
+        || job.line.jobs.get(0) == job && (job.mayHaveRun || job.line.restUntilUs <= nowUs);
+  }
+
+  /**
+   * False for a call that the end of this process would likely cut off: the next one may send it.
+   */
+  private boolean endsInTime(final Lane lane, final Job job) {
+    return stopUs == NEVER
+        || nowUs
+                + (job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES)
+                    * notedUs(lane, job)
+            < stopUs;
+  }
+
+  /** Sends a message and, where calls are shared, those that wait with it. */
+  private void send(final Job first, final Lane lane) {
+    final Node node = choose(lane, first, first.refusedBy);
+    final Call call = new Call();
+    call.node = node;
+    call.sentUs = nowUs;
+    call.probe = lane.pauseUntilUs > nowUs;
+    lane.mayProbe &= !call.probe;
+    callsOut++;
+    lane.calls.add(call);
+    lane.peak = Math.max(lane.peak, lane.calls.size());
+    if (node.inFlight++ == 0) {
+      checkIdle(call, node, first);
+    }
+    final int streams = settings.limits().multiplex();
+    call.reused = node.connections * streams >= node.inFlight;
+    node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
+    node.lastSendUs = lane.lastSendUs = nowUs;
+    if (lane.phase == Phase.OUT) {
+      lane.nextTrialUs = trialUs(lane);
+    }
+    Job job = first;
+    final boolean alone = lane.phase == Phase.OUT || first.kind.effect() == Effect.UNSAFE;
+    while (job != null) {
+      call.messages++;
+      call.expectedUs = Math.max(call.expectedUs, (long) expectedUs(lane, job));
+      job.call = call;
+      job.attempts++;
+      job.destination.waiting.remove(job);
+      actions.send(job.message.id(), node.entry.id(), timeoutUs(lane, node, job));
+      final boolean full = alone || call.messages >= lane.kind.messagesPerCall();
+      job = full ? null : pick(job.destination, lane, node);
+    }
+    call.size = call.messages;
+    lane.lastWeight = 1 + FURTHER_WEIGHT * (call.size - 1);
+  }
+
+  /**
+   * An idle connection may be dead without a sign, wherever it died: when a call over one fails
+   * where all was well, none idle half as long is used for a while (a quarter, for unsafe ones).
+   * Costs handshakes.
+   */
+  private void checkIdle(final Call call, final Node node, final Job job) {
+    final long idleUs = nowUs - node.lastUseUs;
+    if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
+      node.connections = 0;
+      actions.closeIdle(node.entry.id());
+    } else if (node.connections > 0) {
+      call.idleUs = idleUs;
+    }
+  }
+
+  /**
+   * An idle connection takes the place of another courier's: where they are many, it is closed
+   * unless its next use is near. Guards against refused connections at well endpoints; costs a
+   * handshake a call.
+   */
+  private void shareConnections(final Node node, final Call call) {
+    final double usesInReach = node.lane.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
+    if (settings.couriers() > FEW_COURIERS && usesInReach < node.lane.nodes.size()) {
+      node.connections = 0;
+      actions.closeIdle(node.entry.id());
+    }
+  }
+
+  // ---------------------------------------------------------------- the fuzzy step
+
+  /** Moves a lane's window by Table I. */
+  private void step(final Lane lane) {
+    final double bad = lane.bad + overdue(lane);
+    final double read = lane.served + lane.errors + bad;
+    if (lane.phase == Phase.WELL) {
+      final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps);
+      lane.rate += weight * (lane.delivered - lane.rate);
+      lane.callRate += weight * (lane.served - lane.callRate);
+    }
+    if (read > 0) {
+      double latency = 0;
+      if (lane.delivered > 0) {
+        final double mean = lane.ratioSum / lane.delivered;
+        final double trust = lane.delivered / (lane.delivered + LATENCY_PRIOR);
+        latency = clamp(trust * (mean / lane.slowRatio - 1), 0, 1);
+        lane.slowRatio += SAMPLE_WEIGHT * trust * (mean - lane.slowRatio);
+      }
+      double refusal = bad / read;
+      if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
+        refusal = Math.max(refusal, 1 - lane.allowance.shareLeft());
+      }
+      final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
+      if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
+        lane.window =
+            clamp(
+                lane.window * (1 + change),
+                WINDOW_FLOOR,
+                Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
+      }
+      lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
+    }
+    final double refusing = SPACING_LEAST + SPACING * Math.max(lane.served, lane.callRate);
+    final boolean heeded =
+        lane.refused > (learns ? FEW_REFUSED * read : 0)
+            && lane.reading.cause(nowUs) != RefusalReading.Cause.NOISE;
+    final boolean regains =
+        learns
+            && lane.refused == 0
+            && nowUs >= lane.freeFromUs
+            && destinations.get(lane.destination).waiting.size() >= LONG_LINE;
+    lane.spacing = heeded ? refusing : (regains ? REGAIN : SPACING) * lane.spacing;
+    lane.peak = lane.calls.size();
+    lane.ratioSum = lane.refused = lane.delivered = 0;
+    lane.served = lane.bad = lane.errors = 0;
+    lane.allowance = null;
+  }
+
+  /**
+   * Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs.
+   */
+  private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
+
+  private static final int[][] TABLE_ONE = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
+
+  /**
+   * The paper's Mamdani controller: triangles, min for AND, max for an output's rules, central
+   * average.
+   */
+  static double tableOne(final double latency, final double refusal) {
+    final double[] union = new double[OUTPUTS.length];
+    for (int row = 0; row < TABLE_ONE.length; row++) {
+      for (int column = 0; column < TABLE_ONE.length; column++) {
+        final double both = Math.min(member(row, latency), member(column, refusal));
+        union[TABLE_ONE[row][column]] = Math.max(union[TABLE_ONE[row][column]], both);
+      }
+    }
+    double sum = 0;
+    double weights = 0;
+    for (int output = 0; output < OUTPUTS.length; output++) {
+      sum += OUTPUTS[output] * union[output];
+      weights += union[output];
+    }
+    return sum / weights;
+  }
+
+  /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
+  private static double member(final int set, final double input) {
+    return Math.max(0, 1 - Math.abs(2 * input - set));
+  }
+
+  // ---------------------------------------------------------------- health and return from outage
+
+  /**
+   * Reads one outcome: service times, the step's inputs, waits, health of endpoint and lane. What
+   * is counted in calls gets a message's part of its call: five messages turned away together are
+   * one refusal.
+   */
+  private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
+    final Lane lane = node.lane;
+    if (outcome.allowance() != null) {
+      lane.allowance = outcome.allowance();
+      lane.told = lane.allowance.callsPerSecond();
+    }
+    final int kind = job.message.messageClass();
+    final double part = 1.0 / call.size;
+    final boolean first = lane.troubleFromUs == NEVER;
+    lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
+    // A wait may stand in any answer, also one that delivers some of a call's messages.
+    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.waitUs());
+    switch (outcome.result()) {
+      case DELIVERED -> {
+        final double ratio = learn(lane, job, outcome.durationUs());
+        lane.delivered++;
+        lane.served += part;
+        node.lastServedUs = nowUs;
+        node.badRun[kind] = 0;
+        node.avoidUntilUs[kind] = 0;
+        node.cells[kind].served(outcome.durationUs());
+        if (learns) {
+          readServed(lane, call, part, ratio);
         }
-        if (call.messages > 0) {
-            return;
+        lane.badRun = 0;
+        lane.stretch = Math.max(1, lane.stretch - STRETCH * SAMPLE_WEIGHT);
+        lane.failShare -= part * FAIL_WEIGHT * lane.failShare;
+        if (lane.phase == Phase.OUT) {
+          lane.phase = Phase.RAMP;
+          lane.rampFromUs = nowUs;
+          lane.rampSpanUs = patienceUs(lane, nowUs);
+          lane.failShare = 0;
         }
-        lane.servedCalls++;
-        lane.firstCalls += lane.steps == 0 && lane.phase == Phase.WELL ? 1 : 0;
-        lane.reading.served(call.sentUs, nowUs);
-        lane.budget.served();
-        if (call.probe) {
-            lane.reading.probed(true, nowUs);
-            lane.pauseUntilUs = nowUs;
+        lane.troubleFromUs = NEVER;
+      }
+      case REFUSED -> {
+        if (learns && outcome.waitUs() == 0 && isStray(lane, node, job, call)) {
+          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+          return;
         }
-        if (lane.reading.hasJustSettled()) {
-            lane.windowBefore = lane.window;
-            lane.spacingBefore = lane.spacing;
-            lane.pauseUntilUs = nowUs;
-            lane.spacing = nowUs < lane.freeFromUs ? lane.spacing : Double.POSITIVE_INFINITY;
-            lane.growth.again();
+        lane.bad += part;
+        lane.refused++;
+        final long fromUs = Math.max(nowUs, lane.waitUntilUs);
+        final long gapUs = patienceUs(lane, fromUs);
+        final boolean told = outcome.waitUs() > 0;
+        lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
+        final boolean same = learns && call.sentUs < lane.refusedUs;
+        lane.refusedUs = same ? lane.refusedUs : nowUs;
+        suspect(
+            lane, outcome.waitUs() > LIMIT_WAIT_US ? OUT_WEIGHT : same ? 0 : part * REFUSED_WEIGHT);
+      }
+      case ERROR -> {
+        lane.errors += part;
+        lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
+        suspect(lane, part * ERROR_WEIGHT);
+      }
+      case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE -> {
+        final boolean told = outcome.result() == Result.STALE;
+        call.stale |=
+            told || outcome.result() == Result.RESET && call.reused && node.badRun[kind] == 0;
+        if (call.stale) {
+          // A kept connection was dead: that says nothing of its endpoint, but of others like it.
+          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+          node.badRun[kind] += told ? 0 : part;
+          node.connections = 0;
+          actions.closeIdle(node.entry.id());
+          return;
         }
-    }
-
-    private boolean isStray(final Lane lane, final Node node, final Job job, final Call call) {
-        job.refusedBy = node;
-        if (!call.refused && lane.phase == Phase.WELL) {
-            call.refused = true;
-            call.stray = reads(lane, node, job.message.messageClass(), call);
+        final boolean among =
+            node.lastServedUs >= call.sentUs
+                || outcome.result() != Result.TIMED_OUT
+                    && lane.badRun == 0
+                    && node.lastServedUs > 0;
+        if (learns
+            && among
+            && lane.phase == Phase.WELL
+            && node.badRun[kind] == 0
+            && lane.failShare < SINGLE_SHARE) {
+          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+          node.badRun[kind] += part;
+          node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
+          lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
+          suspect(lane, part);
+          return;
         }
-        return call.stray;
-    }
-
-    private boolean reads(final Lane lane, final Node node, final int kind, final Call call) {
-        final long restUs = node.cells[kind].refused(lane.servedCalls, ++lane.refusedCalls);
-        if (restUs > 0) {
-            node.avoidUntilUs[kind] = nowUs + jitter(restUs);
-            return true;
+        lane.bad += part;
+        if (outcome.result() == Result.TIMED_OUT || outcome.result() == Result.CANCELLED) {
+          lane.stretch = STRETCH;
         }
-        lane.reading.refused(call.sentUs, nowUs);
-        if (lane.reading.cause(nowUs) == RefusalReading.Cause.NOISE) {
-            if (lane.budget.take()) {
-                return true;
-            }
-            lane.reading.outran(nowUs);
-            lane.window = Math.min(lane.window, lane.windowBefore);
-            lane.spacing = Math.min(lane.spacing, lane.spacingBefore);
+        if (first
+            && call.idleUs >= TRUST_LEAST_US
+            && !call.calledOff
+            && outcome.result() != Result.NO_CONNECTION) {
+          trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, call.idleUs / 2));
         }
-        if (lane.growth.refused()) {
-            lane.window = Math.max(Math.min(lane.window, WINDOW_START), lane.window / 2);
+        node.badRun[kind] += part;
+        if (node.lastServedUs < call.sentUs) {
+          Arrays.fill(node.avoidUntilUs, nowUs + jitter(AVOID_US));
         }
-        if (call.probe) {
-            lane.reading.probed(false, nowUs);
+        node.avoidUntilUs[kind] = nowUs + jitter(AVOID_US);
+        node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
+        if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
+          lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
+          if (lane.failShare > SINGLE_SHARE) {
+            lane.growth.crowded();
+          }
+          suspect(lane, part);
         }
-        lane.mayProbe = true;
-        return false;
-    }
-
-    /** Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage. */
-    private void suspect(final Lane lane, final double weight) {
-        lane.badRun += weight;
-        final boolean out = lane.badRun + overdue(lane) >= OUT_WEIGHT || lane.failShare > OUT_SHARE;
-        if (out && lane.phase != Phase.OUT) {
-            lane.phase = Phase.OUT;
-            lane.window = WINDOW_FLOOR;
-            lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-            lane.nextTrialUs = trialUs(lane);
+      }
+      case NOT_SENT -> lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+    }
+  }
+
+  private void readServed(final Lane lane, final Call call, final double part, final double ratio) {
+    if (lane.growth.served(ratio)
+        && lane.phase == Phase.WELL
+        && !destinations.get(lane.destination).waiting.isEmpty()
+        && lane.calls.size() + 1 >= Math.floor(lane.window)) {
+      lane.window =
+          Math.min(
+              lane.window + part,
+              Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
+    }
+    if (call.messages > 0) {
+      return;
+    }
+    lane.servedCalls++;
+    lane.firstCalls += lane.steps == 0 && lane.phase == Phase.WELL ? 1 : 0;
+    lane.reading.served(call.sentUs, nowUs);
+    lane.budget.served();
+    if (call.probe) {
+      lane.reading.probed(true, nowUs);
+      lane.pauseUntilUs = nowUs;
+    }
+    if (lane.reading.hasJustSettled()) {
+      lane.windowBefore = lane.window;
+      lane.spacingBefore = lane.spacing;
+      lane.pauseUntilUs = nowUs;
+      lane.spacing = nowUs < lane.freeFromUs ? lane.spacing : Double.POSITIVE_INFINITY;
+      lane.growth.again();
+    }
+  }
+
+  private boolean isStray(final Lane lane, final Node node, final Job job, final Call call) {
+    job.refusedBy = node;
+    if (!call.refused && lane.phase == Phase.WELL) {
+      call.refused = true;
+      call.stray = reads(lane, node, job.message.messageClass(), call);
+    }
+    return call.stray;
+  }
+
+  private boolean reads(final Lane lane, final Node node, final int kind, final Call call) {
+    final long restUs = node.cells[kind].refused(lane.servedCalls, ++lane.refusedCalls);
+    if (restUs > 0) {
+      node.avoidUntilUs[kind] = nowUs + jitter(restUs);
+      return true;
+    }
+    lane.reading.refused(call.sentUs, nowUs);
+    if (lane.reading.cause(nowUs) == RefusalReading.Cause.NOISE) {
+      if (lane.budget.take()) {
+        return true;
+      }
+      lane.reading.outran(nowUs);
+      lane.window = Math.min(lane.window, lane.windowBefore);
+      lane.spacing = Math.min(lane.spacing, lane.spacingBefore);
+    }
+    if (lane.growth.refused()) {
+      lane.window = Math.max(Math.min(lane.window, WINDOW_START), lane.window / 2);
+    }
+    if (call.probe) {
+      lane.reading.probed(false, nowUs);
+    }
+    lane.mayProbe = true;
+    return false;
+  }
+
+  /**
+   * Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage.
+   */
+  private void suspect(final Lane lane, final double weight) {
+    lane.badRun += weight;
+    final boolean out = lane.badRun + overdue(lane) >= OUT_WEIGHT || lane.failShare > OUT_SHARE;
+    if (out && lane.phase != Phase.OUT) {
+      lane.phase = Phase.OUT;
+      lane.window = WINDOW_FLOOR;
+      lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
+      lane.nextTrialUs = trialUs(lane);
+    }
+  }
+
+  /** Attempts out far longer than expected with no success on their endpoint since: silence. */
+  private int overdue(final Lane lane) {
+    int count = 0;
+    for (final Call call : lane.calls) {
+      if (nowUs >= call.overdueUs() && call.node.lastServedUs < call.sentUs) {
+        Arrays.fill(call.node.avoidUntilUs, nowUs + AVOID_US);
+        count++;
+      }
+    }
+    return count;
+  }
+
+  /**
+   * Silence may not eat the slots: while all are taken and a message could go elsewhere, the call
+   * longest overdue is called off. Covers hung, stalled and very slow ones; hurts where one would
+   * have answered.
+   */
+  private void reclaimSlot() {
+    if (callsOut < settings.limits().slots() || !settings.limits().mayCancel()) {
+      return;
+    }
+    final Job worst =
+        jobs.values().stream()
+            .filter(job -> job.call != null && !job.call.calledOff && nowUs >= job.call.overdueUs())
+            .min(Comparator.comparingLong(job -> job.call.sentUs))
+            .orElse(null);
+    if (worst != null && best(false) != null) {
+      worst.call.calledOff = true;
+      jobs.values().stream()
+          .filter(job -> job.call == worst.call)
+          .forEach(job -> actions.cancel(job.message.id(), job.attempts - 1));
+    }
+  }
+
+  /**
+   * A lane in trouble looks again after as long as its trouble has lasted, but no longer than its
+   * messages (or this courier's even part of the limit) are apart. So all couriers, however many,
+   * come no more often than messages do; it hurts a message whose wait outlasts the trouble.
+   */
+  private long patienceUs(final Lane lane, final long atUs) {
+    return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
+  }
+
+  /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
+  private double apartUs(final Lane lane) {
+    final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
+    return SECOND_US / Math.max(lane.callRate, limit / settings.couriers());
+  }
+
+  /**
+   * When a lane that is out is tried again: at any moment as likely as the share that tips a cold
+   * one, over the outage's age. So the trials of all couriers stay near that share of the messages,
+   * however many.
+   */
+  private long trialUs(final Lane lane) {
+    final long fromUs = Math.max(nowUs, lane.waitUntilUs);
+    final double ageUs = Math.max(PAUSE_US, fromUs - lane.troubleFromUs);
+    final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / tippingShare(0)) - 1);
+    return fromUs
+        + (long)
+            Math.min(
+                gapUs,
+                jitter(
+                    (long) Math.max(learns ? SECOND_US / 10 : 0, apartUs(lane) / tippingShare(0))));
+  }
+
+  /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
+  private double tippingShare(final long warmingUs) {
+    final double coldFrom = settings.guarantees().coldFrom();
+    final double warm = (double) warmingUs / Math.max(1, settings.guarantees().coldUs());
+    return settings.guarantees().tipMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
+  }
+
+  private double learn(final Lane lane, final Job job, final long durationUs) {
+    final int kind = job.message.messageClass();
+    final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
+    lane.ratioSum += ratio;
+    final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
+    classMeanUs[kind] +=
+        weight * (durationUs / Math.max(PACE_LEAST, lane.pace) - classMeanUs[kind]);
+    lane.pace += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.paceSamples)) * (ratio - lane.pace);
+    return ratio;
+  }
+
+  private double notedUs(final Lane lane, final Job job) {
+    return notedMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
+  }
+
+  private double expectedUs(final Lane lane, final Job job) {
+    return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
+  }
+
+  private long jitter(final long us) {
+    return (long) (us * (1 - JITTER + 2 * JITTER * random.nextDouble()));
+  }
+
+  private static double clamp(final double value, final double least, final double most) {
+    return Math.max(least, Math.min(most, value));
+  }
+
+  // ---------------------------------------------------------------- deadlines and further attempts
+
+  /** How long an attempt may take. */
+  private long timeoutUs(final Lane lane, final Node node, final Job job) {
+    final double expectedUs = expectedUs(lane, job);
+    final long leftUs = job.message.validUntilUs() - nowUs;
+    long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * lane.stretch * expectedUs);
+    if (job.kind.effect() == Effect.UNSAFE) {
+      return leftUs;
+    }
+    timeoutUs =
+        learns
+            ? node.cells[job.message.messageClass()].timeoutUs(timeoutUs, lane.stretch)
+            : timeoutUs;
+    if (job.kind.effect() == Effect.KEYED && !job.mayHaveRun) {
+      final long againUs =
+          (long) ((1 - KEY_MARGIN) * job.kind.keyWindowUs()) - OVERDUE_LEAST_US / 2;
+      timeoutUs = Math.min(timeoutUs, Math.max(OVERDUE_LEAST_US, againUs));
+    }
+    return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
+  }
+
+  /**
+   * Looks for silence and ramps that are over; ends what may not be sent again, or has no time
+   * left.
+   */
+  private void watch() {
+    for (final Destination destination : List.copyOf(busy.values())) {
+      for (final Lane lane : destination.lanes) {
+        suspect(lane, 0);
+        if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > settings.guarantees().coldUs()) {
+          lane.phase = Phase.WELL;
+          if (learns) {
+            lane.freeFromUs = nowUs + settings.guarantees().coldUs();
+            lane.reading.forget();
+            lane.spacing =
+                SPACING
+                    * Math.max(
+                        Math.max(1, lane.served),
+                        Math.max(lane.callRate, lane.steps == 0 ? lane.firstCalls : 0));
+            lane.growth.again();
+          }
         }
-    }
-
-    /** Attempts out far longer than expected with no success on their endpoint since: silence. */
-    private int overdue(final Lane lane) {
-        int count = 0;
-        for (final Call call : lane.calls) {
-            if (nowUs >= call.overdueUs() && call.node.lastServedUs < call.sentUs) {
-                Arrays.fill(call.node.avoidUntilUs, nowUs + AVOID_US);
-                count++;
-            }
+      }
+      for (final Job job : List.copyOf(destination.waiting)) {
+        if (nowUs >= endUs(job) || !maySend(job)) {
+          // Given up: come again when the line that stands there now has gone, and no sooner.
+          finish(job, Math.max(PAUSE_US, destination.lineUs()));
         }
-        return count;
-    }
-
-    /**
-     * Silence may not eat the slots: while all are taken and a message could go elsewhere, the call longest
-     * overdue is called off. Covers hung, stalled and very slow ones; hurts where one would have answered.
-     */
-    private void reclaimSlot() {
-        if (callsOut < settings.limits().slots() || !settings.limits().mayCancel()) {
-            return;
+      }
+    }
+  }
+
+  /** When a message that waits is ended: its time or its key's window is up. */
+  private long endUs(final Job job) {
+    return Math.min(job.message.validUntilUs() - END_MARGIN_US, job.keyEndUs());
+  }
+
+  /** Rule on effects, and the most attempts. */
+  private boolean maySend(final Job job) {
+    final Effect effect = job.kind.effect();
+    return job.attempts < settings.limits().mostAttempts()
+        && (!job.mayHaveRun
+            || effect == Effect.SAFE
+            || effect == Effect.KEYED && nowUs < job.keyEndUs());
+  }
+
+  private static boolean mayRefuse(final Job job) {
+    return !job.mayHaveRun
+        || job.kind.effect() == Effect.SAFE
+        || job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed();
+  }
+
+  /** Gives the final answer: a refusal where that is harmless, or a failure. */
+  private void finish(final Job job, final long retryAfterUs) {
+    if (mayRefuse(job)) {
+      actions.refuse(job.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
+    } else {
+      actions.fail(job.message.id());
+    }
+    end(job);
+  }
+
+  private void end(final Job job) {
+    open -= job.over ? 0 : 1;
+    job.over = true;
+    job.destination.waiting.remove(job);
+    if (job.call == null) {
+      if (job.line != null) {
+        job.line.jobs.remove(job);
+      }
+      jobs.remove(job.message.id());
+      if (--job.destination.jobs == 0) {
+        busy.remove(job.message.destination());
+      }
+    }
+  }
+
+  /**
+   * Refuses what has least to gain before the store is full: nothing is turned away at the door.
+   */
+  private void makeRoom() {
+    final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxOpen());
+    while (open > settings.limits().maxOpen() - reserve) {
+      final Job least =
+          busy.values().stream()
+              .flatMap(destination -> destination.waiting.stream())
+              .filter(FrozenControl::mayRefuse)
+              .min(
+                  Comparator.comparingDouble(
+                      job ->
+                          worth(
+                              job, Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1))))
+              .orElse(null);
+      if (least == null) {
+        return;
+      }
+      finish(least, SECOND_US);
+    }
+  }
+
+  /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
+  private boolean overQuota(final int tenant) {
+    final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
+    final double quota = whole / settings.couriers();
+    if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
+      return quota > 0;
+    }
+    quotaUs[tenant] = Math.max(quotaUs[tenant], nowUs) + (long) (SECOND_US / quota);
+    return false;
+  }
+
+  /**
+   * Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a
+   * step.
+   */
+  private void sleep() {
+    long next = Math.min(nextStepUs, askAgainUs);
+    for (final Destination destination : busy.values()) {
+      for (final Lane lane : destination.lanes) {
+        for (final Call call : lane.calls) {
+          next = Math.min(next, call.overdueUs() > nowUs ? call.overdueUs() : NEVER);
         }
-        final Job worst = jobs.values().stream()
-                .filter(job -> job.call != null && !job.call.calledOff && nowUs >= job.call.overdueUs())
-                .min(Comparator.comparingLong(job -> job.call.sentUs)).orElse(null);
-        if (worst != null && best(false) != null) {
-            worst.call.calledOff = true;
-            jobs.values().stream().filter(job -> job.call == worst.call)
-                    .forEach(job -> actions.cancel(job.message.id(), job.attempts - 1));
+        if (!destination.waiting.isEmpty()) {
+          next = Math.min(next, Math.max(openAtUs(lane), nowUs + POLL_US));
         }
-    }
+      }
+      for (final Job job : destination.waiting) {
+        next = Math.min(next, endUs(job));
+      }
+    }
+    wakes.headSet(nowUs + 1).clear();
+    if (wakes.isEmpty() || wakes.first() > next) {
+      wakes.add(Math.max(nowUs + 1, next));
+      actions.wake(wakes.first() - nowUs);
+    }
+  }
+
+  // ---------------------------------------------------------------- membership
+
+  @Override
+  public void onList(final long now, final Update update, final List<Endpoint> entries) {
+    nowUs = now;
+    if (update == Update.LOST) {
+      subscribed = false;
+      askAgainUs = nowUs + jitter(askBackOffUs);
+      askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
+      return;
+    }
+    if (update != Update.ASIDE) {
+      askAgainUs = NEVER;
+      askBackOffUs = ASK_LEAST_US;
+    }
+    if (update == Update.WHOLE || update == Update.RESTORED) {
+      nodes.values().forEach(node -> node.condition = Condition.GONE);
+    }
+    for (final Endpoint entry : entries) {
+      Node node = nodes.get(entry.id());
+      if (node == null) {
+        node = new Node(entry, lane(entry), classMeanUs.length);
+        node.lane.nodes.add(node);
+        // A new endpoint has no part in an outage of those before it: it may be tried at once.
+        node.lane.nextTrialUs = Math.min(node.lane.nextTrialUs, nowUs);
+        nodes.put(entry.id(), node);
+      }
+      node.condition = entry.condition();
+      node.lane.told = settings.weights() == Weights.NONE ? node.lane.told : entry.weight();
+    }
+    // A route apart is not forgotten soon: listed again, it still has its wait and its outage.
+    nodes
+        .values()
+        .removeIf(
+            node ->
+                node.condition == Condition.GONE
+                    && node.inFlight == 0
+                    && !node.lane.kind.routesApart()
+                    && node.lane.nodes.remove(node));
+  }
+
+  /** Endpoints and destinations come and go for good: what has long been of no use is not kept. */
+  private void forget() {
+    final long beforeUs = nowUs - FORGET_US;
+    nodes
+        .values()
+        .removeIf(
+            node ->
+                node.condition == Condition.GONE
+                    && node.inFlight == 0
+                    && node.lane.lastSendUs < beforeUs
+                    && node.lane.nodes.remove(node));
+    destinations
+        .values()
+        .removeIf(
+            destination -> {
+              if (destination.jobs == 0) {
+                destination.lanes.removeIf(
+                    lane -> lane.nodes.isEmpty() && lane.lastSendUs < beforeUs);
+              }
+              return destination.jobs == 0 && destination.lanes.isEmpty();
+            });
+  }
+
+  private Lane lane(final Endpoint entry) {
+    final Destination destination = destination(entry.destination());
+    final Kind kind =
+        entry.kind() < 0 ? new Kind("", false, 1) : settings.kinds().get(entry.kind());
+    if (kind.routesApart() || destination.lanes.isEmpty()) {
+      final boolean few = settings.couriers() <= FEW_COURIERS;
+      destination.lanes.add(new Lane(kind, entry.destination(), few ? WINDOW_START : WINDOW_RARE));
+    }
+    return destination.lanes.get(destination.lanes.size() - 1);
+  }
+
+  /** How many destinations are kept in mind. */
+  int destinationsKnown() {
+    return destinations.size();
+  }
+
+  private Destination destination(final long id) {
+    return destinations.computeIfAbsent(id, unused -> new Destination());
+  }
+
+  /** Where the list must be asked for: once at the start, and again after a loss. */
+  private void keepList() {
+    if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
+      subscribed = true;
+      askAgainUs = nowUs + Math.min(ASK_MOST_US, settings.guarantees().mustAskUs() / 2);
+      actions.follow();
+    }
+  }
+
+  // ---------------------------------------------------------------- state
+
+  private enum Phase {
+    WELL,
+    OUT,
+    RAMP
+  }
+
+  /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
+  private static final class Destination {
+    private final List<Job> waiting = new ArrayList<>();
+    private final List<Lane> lanes = new ArrayList<>();
+
+    /** Its messages, waiting or out. */
+    private int jobs;
+
+    /** How long its line takes at the rate that it was served, us. */
+    private long lineUs() {
+      double sum = 0;
+      for (final Lane lane : lanes) {
+        sum += lane.rate;
+      }
+      final double rate = Math.max(LEAST_RATE, sum);
+      return (long) (waiting.size() / rate * SECOND_US);
+    }
+  }
+
+  /** The unit of the window: a destination, or a route of it. */
+  private static final class Lane {
+    private final Kind kind;
+    private final long destination;
+    private final RefusalReading reading = new RefusalReading();
+    private final RetryBudget budget = new RetryBudget();
+    private final Growth growth = new Growth();
+    private long servedCalls, refusedCalls;
+    private int firstCalls;
+    private boolean mayProbe;
+    private double windowBefore, spacingBefore;
+    private long refusedUs, freeFromUs;
+    private final List<Node> nodes = new ArrayList<>();
+    private final List<Call> calls = new ArrayList<>();
+    private double window;
+
+    /** This step's counts and sum of latency ratios. */
+    private int peak, refused, delivered;
+
+    /** Of these, in calls. */
+    private double served, bad, errors;
+
+    private double ratioSum;
+    private Allowance allowance;
 
     /**
-     * A lane in trouble looks again after as long as its trouble has lasted, but no longer than its messages
-     * (or this courier's even part of the limit) are apart. So all couriers, however many, come no more often
-     * than messages do; it hurts a message whose wait outlasts the trouble.
+     * Slow averages: steps seen, messages and calls served a second, step means, pace by other
+     * lanes.
      */
-    private long patienceUs(final Lane lane, final long atUs) {
-        return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
-    }
+    private int steps, paceSamples;
 
-    /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
-    private double apartUs(final Lane lane) {
-        final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
-        return SECOND_US / Math.max(lane.callRate, limit / settings.couriers());
-    }
-
-    /**
-     * When a lane that is out is tried again: at any moment as likely as the share that tips a cold one, over
-     * the outage's age. So the trials of all couriers stay near that share of the messages, however many.
-     */
-    private long trialUs(final Lane lane) {
-        final long fromUs = Math.max(nowUs, lane.waitUntilUs);
-        final double ageUs = Math.max(PAUSE_US, fromUs - lane.troubleFromUs);
-        final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / tippingShare(0)) - 1);
-        return fromUs + (long) Math.min(gapUs,
-                jitter((long) Math.max(learns ? SECOND_US / 10 : 0, apartUs(lane) / tippingShare(0))));
-    }
-
-    /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
-    private double tippingShare(final long warmingUs) {
-        final double coldFrom = settings.guarantees().coldFrom();
-        final double warm = (double) warmingUs / Math.max(1, settings.guarantees().coldUs());
-        return settings.guarantees().tipMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
-    }
-
-    private double learn(final Lane lane, final Job job, final long durationUs) {
-        final int kind = job.message.messageClass();
-        final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
-        lane.ratioSum += ratio;
-        final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
-        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.pace) - classMeanUs[kind]);
-        lane.pace += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.paceSamples)) * (ratio - lane.pace);
-        return ratio;
-    }
-
-    private double notedUs(final Lane lane, final Job job) {
-        return notedMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
-    }
-
-    private double expectedUs(final Lane lane, final Job job) {
-        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
-    }
-
-    private long jitter(final long us) {
-        return (long) (us * (1 - JITTER + 2 * JITTER * random.nextDouble()));
-    }
-
-    private static double clamp(final double value, final double least, final double most) {
-        return Math.max(least, Math.min(most, value));
-    }
-
-    // ---------------------------------------------------------------- deadlines and further attempts
-
-    /** How long an attempt may take. */
-    private long timeoutUs(final Lane lane, final Node node, final Job job) {
-        final double expectedUs = expectedUs(lane, job);
-        final long leftUs = job.message.validUntilUs() - nowUs;
-        long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * lane.stretch * expectedUs);
-        if (job.kind.effect() == Effect.UNSAFE) {
-            return leftUs;
-        }
-        timeoutUs = learns ? node.cells[job.message.messageClass()].timeoutUs(timeoutUs, lane.stretch) : timeoutUs;
-        if (job.kind.effect() == Effect.KEYED && !job.mayHaveRun) {
-            final long againUs = (long) ((1 - KEY_MARGIN) * job.kind.keyWindowUs()) - OVERDUE_LEAST_US / 2;
-            timeoutUs = Math.min(timeoutUs, Math.max(OVERDUE_LEAST_US, againUs));
-        }
-        return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
-    }
-
-    /** Looks for silence and ramps that are over; ends what may not be sent again, or has no time left. */
-    private void watch() {
-        for (final Destination destination : List.copyOf(busy.values())) {
-            for (final Lane lane : destination.lanes) {
-                suspect(lane, 0);
-                if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > settings.guarantees().coldUs()) {
-                    lane.phase = Phase.WELL;
-                    if (learns) {
-                        lane.freeFromUs = nowUs + settings.guarantees().coldUs();
-                        lane.reading.forget();
-                        lane.spacing = SPACING * Math.max(Math.max(1, lane.served),
-                                Math.max(lane.callRate, lane.steps == 0 ? lane.firstCalls : 0));
-                        lane.growth.again();
-                    }
-                }
-            }
-            for (final Job job : List.copyOf(destination.waiting)) {
-                if (nowUs >= endUs(job) || !maySend(job)) {
-                    // Given up: come again when the line that stands there now has gone, and no sooner.
-                    finish(job, Math.max(PAUSE_US, destination.lineUs()));
-                }
-            }
-        }
-    }
-
-    /** When a message that waits is ended: its time or its key's window is up. */
-    private long endUs(final Job job) {
-        return Math.min(job.message.validUntilUs() - END_MARGIN_US, job.keyEndUs());
-    }
+    private double rate, callRate, slowRatio = 1, pace = 1, stretch = 1;
 
-    /** Rule on effects, and the most attempts. */
-    private boolean maySend(final Job job) {
-        final Effect effect = job.kind.effect();
-        return job.attempts < settings.limits().mostAttempts() && (!job.mayHaveRun || effect == Effect.SAFE
-                || effect == Effect.KEYED && nowUs < job.keyEndUs());
-    }
+    /** What the last call weighs on a cold destination. */
+    private double lastWeight = 1;
 
-    private static boolean mayRefuse(final Job job) {
-        return !job.mayHaveRun || job.kind.effect() == Effect.SAFE
-                || job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed();
-    }
+    /** The limit told (0: none), and the sends allowed now, a second. */
+    private double told, spacing = Double.POSITIVE_INFINITY;
 
-    /** Gives the final answer: a refusal where that is harmless, or a failure. */
-    private void finish(final Job job, final long retryAfterUs) {
-        if (mayRefuse(job)) {
-            actions.refuse(job.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
-        } else {
-            actions.fail(job.message.id());
-        }
-        end(job);
-    }
+    private boolean slow;
+    private Phase phase = Phase.WELL;
+    private double badRun, failShare, rampSpanUs;
 
-    private void end(final Job job) {
-        open -= job.over ? 0 : 1;
-        job.over = true;
-        job.destination.waiting.remove(job);
-        if (job.call == null) {
-            if (job.line != null) {
-                job.line.jobs.remove(job);
-            }
-            jobs.remove(job.message.id());
-            if (--job.destination.jobs == 0) {
-                busy.remove(job.message.destination());
-            }
-        }
-    }
+    /** Since when nothing was served there; never, while all is well. */
+    private long troubleFromUs = NEVER;
 
-    /** Refuses what has least to gain before the store is full: nothing is turned away at the door. */
-    private void makeRoom() {
-        final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxOpen());
-        while (open > settings.limits().maxOpen() - reserve) {
-            final Job least = busy.values().stream().flatMap(destination -> destination.waiting.stream())
-                    .filter(FrozenControl::mayRefuse).min(Comparator.comparingDouble(job -> worth(job,
-                    Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1)))).orElse(null);
-            if (least == null) {
-                return;
-            }
-            finish(least, SECOND_US);
-        }
-    }
+    private long waitUntilUs, pauseUntilUs, nextTrialUs, rampFromUs, lastSendUs;
 
-    /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
-    private boolean overQuota(final int tenant) {
-        final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
-        final double quota = whole / settings.couriers();
-        if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
-            return quota > 0;
-        }
-        quotaUs[tenant] = Math.max(quotaUs[tenant], nowUs) + (long) (SECOND_US / quota);
-        return false;
+    private Lane(final Kind kind, final long destination, final double window) {
+      this.kind = kind;
+      this.destination = destination;
+      this.window = window;
     }
+  }
 
-    /** Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a step. */
-    private void sleep() {
-        long next = Math.min(nextStepUs, askAgainUs);
-        for (final Destination destination : busy.values()) {
-            for (final Lane lane : destination.lanes) {
-                for (final Call call : lane.calls) {
-                    next = Math.min(next, call.overdueUs() > nowUs ? call.overdueUs() : NEVER);
-                }
-                if (!destination.waiting.isEmpty()) {
-                    next = Math.min(next, Math.max(openAtUs(lane), nowUs + POLL_US));
-                }
-            }
-            for (final Job job : destination.waiting) {
-                next = Math.min(next, endUs(job));
-            }
-        }
-        wakes.headSet(nowUs + 1).clear();
-        if (wakes.isEmpty() || wakes.first() > next) {
-            wakes.add(Math.max(nowUs + 1, next));
-            actions.wake(wakes.first() - nowUs);
-        }
-    }
+  /** An endpoint. */
+  private static final class Node {
+    private final Endpoint entry;
+    private final Lane lane;
+    private Condition condition;
+    private int inFlight, connections;
 
-    // ---------------------------------------------------------------- membership
+    /** Failures in a row of each class, and until when that class goes elsewhere. */
+    private final double[] badRun;
 
-    @Override
-    public void onList(final long now, final Update update, final List<Endpoint> entries) {
-        nowUs = now;
-        if (update == Update.LOST) {
-            subscribed = false;
-            askAgainUs = nowUs + jitter(askBackOffUs);
-            askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
-            return;
-        }
-        if (update != Update.ASIDE) {
-            askAgainUs = NEVER;
-            askBackOffUs = ASK_LEAST_US;
-        }
-        if (update == Update.WHOLE || update == Update.RESTORED) {
-            nodes.values().forEach(node -> node.condition = Condition.GONE);
-        }
-        for (final Endpoint entry : entries) {
-            Node node = nodes.get(entry.id());
-            if (node == null) {
-                node = new Node(entry, lane(entry), classMeanUs.length);
-                node.lane.nodes.add(node);
-                // A new endpoint has no part in an outage of those before it: it may be tried at once.
-                node.lane.nextTrialUs = Math.min(node.lane.nextTrialUs, nowUs);
-                nodes.put(entry.id(), node);
-            }
-            node.condition = entry.condition();
-            node.lane.told = settings.weights() == Weights.NONE ? node.lane.told : entry.weight();
-        }
-        // A route apart is not forgotten soon: listed again, it still has its wait and its outage.
-        nodes.values().removeIf(node -> node.condition == Condition.GONE && node.inFlight == 0
-                && !node.lane.kind.routesApart() && node.lane.nodes.remove(node));
-    }
+    private final long[] avoidUntilUs;
+    private final Cell[] cells;
+    private long lastUseUs, lastSendUs, lastServedUs;
 
-    /** Endpoints and destinations come and go for good: what has long been of no use is not kept. */
-    private void forget() {
-        final long beforeUs = nowUs - FORGET_US;
-        nodes.values().removeIf(node -> node.condition == Condition.GONE && node.inFlight == 0
-                && node.lane.lastSendUs < beforeUs && node.lane.nodes.remove(node));
-        destinations.values().removeIf(destination -> {
-            if (destination.jobs == 0) {
-                destination.lanes.removeIf(lane -> lane.nodes.isEmpty() && lane.lastSendUs < beforeUs);
-            }
-            return destination.jobs == 0 && destination.lanes.isEmpty();
-        });
+    private Node(final Endpoint entry, final Lane lane, final int classes) {
+      this.badRun = new double[classes];
+      this.avoidUntilUs = new long[classes];
+      this.cells = new Cell[classes];
+      Arrays.setAll(cells, kind -> new Cell());
+      this.entry = entry;
+      this.lane = lane;
     }
+  }
 
-    private Lane lane(final Endpoint entry) {
-        final Destination destination = destination(entry.destination());
-        final Kind kind = entry.kind() < 0 ? new Kind("", false, 1) : settings.kinds().get(entry.kind());
-        if (kind.routesApart() || destination.lanes.isEmpty()) {
-            final boolean few = settings.couriers() <= FEW_COURIERS;
-            destination.lanes.add(new Lane(kind, entry.destination(), few ? WINDOW_START : WINDOW_RARE));
-        }
-        return destination.lanes.get(destination.lanes.size() - 1);
-    }
+  /** A call in flight, with one or more messages. */
+  private static final class Call {
+    private Node node;
 
-    /** How many destinations are kept in mind. */
-    int destinationsKnown() {
-        return destinations.size();
-    }
+    /** Messages sent with it, and those without an outcome yet. */
+    private int size, messages;
 
-    private Destination destination(final long id) {
-        return destinations.computeIfAbsent(id, unused -> new Destination());
-    }
+    private long sentUs, expectedUs, idleUs;
 
-    /** Where the list must be asked for: once at the start, and again after a loss. */
-    private void keepList() {
-        if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
-            subscribed = true;
-            askAgainUs = nowUs + Math.min(ASK_MOST_US, settings.guarantees().mustAskUs() / 2);
-            actions.follow();
-        }
-    }
+    /**
+     * It went over a connection that was kept, as far as is known here; and that alone made it
+     * fail.
+     */
+    private boolean reused, stale;
 
-    // ---------------------------------------------------------------- state
-
-    private enum Phase { WELL, OUT, RAMP }
-
-    /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
-    private static final class Destination {
-        private final List<Job> waiting = new ArrayList<>();
-        private final List<Lane> lanes = new ArrayList<>();
-        /** Its messages, waiting or out. */
-        private int jobs;
-
-        /** How long its line takes at the rate that it was served, us. */
-        private long lineUs() {
-            double sum = 0;
-            for (final Lane lane : lanes) {
-                sum += lane.rate;
-            }
-            final double rate = Math.max(LEAST_RATE, sum);
-            return (long) (waiting.size() / rate * SECOND_US);
-        }
-    }
+    private boolean calledOff, probe, refused, stray;
 
-    /** The unit of the window: a destination, or a route of it. */
-    private static final class Lane {
-        private final Kind kind;
-        private final long destination;
-        private final RefusalReading reading = new RefusalReading();
-        private final RetryBudget budget = new RetryBudget();
-        private final Growth growth = new Growth();
-        private long servedCalls, refusedCalls;
-        private int firstCalls;
-        private boolean mayProbe;
-        private double windowBefore, spacingBefore;
-        private long refusedUs, freeFromUs;
-        private final List<Node> nodes = new ArrayList<>();
-        private final List<Call> calls = new ArrayList<>();
-        private double window;
-        /** This step's counts and sum of latency ratios. */
-        private int peak, refused, delivered;
-        /** Of these, in calls. */
-        private double served, bad, errors;
-        private double ratioSum;
-        private Allowance allowance;
-        /** Slow averages: steps seen, messages and calls served a second, step means, pace by other lanes. */
-        private int steps, paceSamples;
-        private double rate, callRate, slowRatio = 1, pace = 1, stretch = 1;
-        /** What the last call weighs on a cold destination. */
-        private double lastWeight = 1;
-        /** The limit told (0: none), and the sends allowed now, a second. */
-        private double told, spacing = Double.POSITIVE_INFINITY;
-        private boolean slow;
-        private Phase phase = Phase.WELL;
-        private double badRun, failShare, rampSpanUs;
-        /** Since when nothing was served there; never, while all is well. */
-        private long troubleFromUs = NEVER;
-        private long waitUntilUs, pauseUntilUs, nextTrialUs, rampFromUs, lastSendUs;
-
-        private Lane(final Kind kind, final long destination, final double window) {
-            this.kind = kind;
-            this.destination = destination;
-            this.window = window;
-        }
+    private long overdueUs() {
+      return sentUs + Math.max(OVERDUE_LEAST_US, (long) (OVERDUE_TIMES * expectedUs));
     }
+  }
 
-    /** An endpoint. */
-    private static final class Node {
-        private final Endpoint entry;
-        private final Lane lane;
-        private Condition condition;
-        private int inFlight, connections;
-        /** Failures in a row of each class, and until when that class goes elsewhere. */
-        private final double[] badRun;
-        private final long[] avoidUntilUs;
-        private final Cell[] cells;
-        private long lastUseUs, lastSendUs, lastServedUs;
-
-        private Node(final Endpoint entry, final Lane lane, final int classes) {
-            this.badRun = new double[classes];
-            this.avoidUntilUs = new long[classes];
-            this.cells = new Cell[classes];
-            Arrays.setAll(cells, kind -> new Cell());
-            this.entry = entry;
-            this.lane = lane;
-        }
-    }
+  /** A message that is owed an answer, or still has an attempt out. */
+  private static final class Job {
+    private final Message message;
+    private final MessageClass kind;
+    private final long aimUs;
+    private Destination destination;
+    private KeyLine line;
+    private Call call;
+    private Node refusedBy;
 
-    /** A call in flight, with one or more messages. */
-    private static final class Call {
-        private Node node;
-        /** Messages sent with it, and those without an outcome yet. */
-        private int size, messages;
-        private long sentUs, expectedUs, idleUs;
-        /** It went over a connection that was kept, as far as is known here; and that alone made it fail. */
-        private boolean reused, stale;
-        private boolean calledOff, probe, refused, stray;
-
-        private long overdueUs() {
-            return sentUs + Math.max(OVERDUE_LEAST_US, (long) (OVERDUE_TIMES * expectedUs));
-        }
-    }
+    /** How urgently it may go, when last looked at. */
+    private double urgency;
 
-    /** A message that is owed an answer, or still has an attempt out. */
-    private static final class Job {
-        private final Message message;
-        private final MessageClass kind;
-        private final long aimUs;
-        private Destination destination;
-        private KeyLine line;
-        private Call call;
-        private Node refusedBy;
-        /** How urgently it may go, when last looked at. */
-        private double urgency;
-        private int attempts;
-        private boolean overQuota, mayHaveRun, over;
-        private long firstRunUs = NEVER;
-        private String runZone = "";
-
-        private Job(final Message message, final MessageClass kind) {
-            this.message = message;
-            this.kind = kind;
-            this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.aimUs();
-        }
+    private int attempts;
+    private boolean overQuota, mayHaveRun, over;
+    private long firstRunUs = NEVER;
+    private String runZone = "";
 
-        /** Until when it may be sent: a key that may be in use ends a message like its own deadline does. */
-        private long keyEndUs() {
-            final long windowUs = (long) ((1 - KEY_MARGIN) * kind.keyWindowUs());
-            return !mayHaveRun || kind.effect() != Effect.KEYED ? message.validUntilUs()
-                    : Math.min(message.validUntilUs(), firstRunUs + windowUs);
-        }
+    private Job(final Message message, final MessageClass kind) {
+      this.message = message;
+      this.kind = kind;
+      this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.aimUs();
     }
 
-    /** The messages of one key, in the order taken. */
-    private static final class KeyLine {
-        private final List<Job> jobs = new ArrayList<>();
-        private long restUntilUs;
-    }
+    /**
+     * Until when it may be sent: a key that may be in use ends a message like its own deadline
+     * does.
+     */
+    private long keyEndUs() {
+      final long windowUs = (long) ((1 - KEY_MARGIN) * kind.keyWindowUs());
+      return !mayHaveRun || kind.effect() != Effect.KEYED
+          ? message.validUntilUs()
+          : Math.min(message.validUntilUs(), firstRunUs + windowUs);
+    }
+  }
+
+  /** The messages of one key, in the order taken. */
+  private static final class KeyLine {
+    private final List<Job> jobs = new ArrayList<>();
+    private long restUntilUs;
+  }
 }
--- a/eureka/src/main/java/thistleturn/eureka/RegistrationSettings.java
+++ b/eureka/src/main/java/thistleturn/eureka/RegistrationSettings.java
@@ -11,10 +11,10 @@
  * @param renewUs between renewals
  * @param leaseUs after which the registry may drop an entry that is not renewed
  */
-public record RegistrationSettings(List<RegistrySettings.Address> addresses, String app, String vip, long renewUs,
-                                   long leaseUs) {
-    /** Copies what could change. */
-    public RegistrationSettings {
-        addresses = List.copyOf(addresses);
-    }
+public record RegistrationSettings(
+    List<RegistrySettings.Address> addresses, String app, String vip, long renewUs, long leaseUs) {
+  /** Copies what could change. */
+  public RegistrationSettings {
+    addresses = List.copyOf(addresses);
+  }
 }
--- a/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
+++ b/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
@@ -15,16 +15,23 @@
  * @param mostBytes how long it may be
  * @param deltas whether changes are asked for between whole answers (for all only)
  */
-public record RegistrySettings(String name, List<Address> addresses, List<String> scope, long periodUs,
-                               long mostBackOffUs, long answerUs, long mostBytes, boolean deltas,
-                               MetadataNames metadata) {
+public record RegistrySettings(
+    String name,
+    List<Address> addresses,
+    List<String> scope,
+    long periodUs,
+    long mostBackOffUs,
+    long answerUs,
+    long mostBytes,
+    boolean deltas,
+    MetadataNames metadata) {
 
-    /** Where a registry is: {@code http://HOST:PORT/PATH}, with a host in figures. */
-    public record Address(InetSocketAddress at, String path) { }
+  /** Where a registry is: {@code http://HOST:PORT/PATH}, with a host in figures. */
+  public record Address(InetSocketAddress at, String path) {}
 
-    /** Copies what could change. */
-    public RegistrySettings {
-        addresses = List.copyOf(addresses);
-        scope = List.copyOf(scope);
-    }
+  /** Copies what could change. */
+  public RegistrySettings {
+    addresses = List.copyOf(addresses);
+    scope = List.copyOf(scope);
+  }
 }
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -12,78 +12,89 @@
 
 /** Membership as a subsystem of a courier: the merged directory, and this courier's own entry. */
 public final class MembershipExtension implements Extension {
-    private final Reader reader;
-    private MembershipSettings settings;
-    private Surroundings surroundings;
-    private MergedDirectory directory;
-    private EurekaRegistration registration;
+  private final Reader reader;
+  private MembershipSettings settings;
+  private Surroundings surroundings;
+  private MergedDirectory directory;
+  private EurekaRegistration registration;
 
-    /** Reads the settings again; the reason of an {@link IllegalArgumentException} is one line. */
-    @FunctionalInterface
-    public interface Reader {
-        /** The settings as they are now. */
-        MembershipSettings read();
-    }
+  /** Reads the settings again; the reason of an {@link IllegalArgumentException} is one line. */
+  @FunctionalInterface
+  public interface Reader {
+    /** The settings as they are now. */
+    MembershipSettings read();
+  }
 
-    /** Begins with what the reader reads; fails as it does. */
-    public MembershipExtension(final Reader reader) {
-        this.reader = reader;
-        this.settings = reader.read();
-    }
+  /** Begins with what the reader reads; fails as it does. */
+  public MembershipExtension(final Reader reader) {
+    this.reader = reader;
+    this.settings = reader.read();
+  }
 
-    @Override
-    public Directory directory(final Directory own, final Surroundings given) {
-        surroundings = given;
-        directory = new MergedDirectory(own, given, settings);
-        return directory;
-    }
+  @Override
+  public Directory directory(final Directory own, final Surroundings given) {
+    surroundings = given;
+    directory = new MergedDirectory(own, given, settings);
+    return directory;
+  }
 
-    @Override
-    public void ready(final String address) {
-        if (settings.registration() != null) {
-            registration = new EurekaRegistration(settings.registration(), surroundings.loop(),
-                    surroundings.clock(), surroundings.config().name(), address);
-        }
+  @Override
+  public void ready(final String address) {
+    if (settings.registration() != null) {
+      registration =
+          new EurekaRegistration(
+              settings.registration(),
+              surroundings.loop(),
+              surroundings.clock(),
+              surroundings.config().name(),
+              address);
     }
+  }
 
-    @Override
-    public void stopping() {
-        if (registration != null) {
-            registration.leave();
-        }
+  @Override
+  public void stopping() {
+    if (registration != null) {
+      registration.leave();
     }
+  }
 
-    @Override
-    public boolean leave() {
-        return registration == null || registration.cancel();
-    }
+  @Override
+  public boolean leave() {
+    return registration == null || registration.cancel();
+  }
 
-    @Override
-    public void reload() {
-        final MembershipSettings fresh;
-        try {
-            fresh = reader.read();
-        } catch (final IllegalArgumentException e) {
-            Log.info("SIGHUP: the registries stay as they were: " + e.getMessage());
-            return;
-        }
-        surroundings.loop().execute(() -> {
-            if (!fresh.rules().equals(settings.rules())
-                    || !Objects.equals(fresh.registration(), settings.registration())) {
-                Log.info("SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
-            }
-            settings = new MembershipSettings(settings.rules(), fresh.registries(), settings.registration());
-            directory.registries(fresh.registries());
-        });
+  @Override
+  public void reload() {
+    final MembershipSettings fresh;
+    try {
+      fresh = reader.read();
+    } catch (final IllegalArgumentException e) {
+      Log.info("SIGHUP: the registries stay as they were: " + e.getMessage());
+      return;
     }
+    surroundings
+        .loop()
+        .execute(
+            () -> {
+              if (!fresh.rules().equals(settings.rules())
+                  || !Objects.equals(fresh.registration(), settings.registration())) {
+                Log.info(
+                    "SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
+              }
+              settings =
+                  new MembershipSettings(
+                      settings.rules(), fresh.registries(), settings.registration());
+              directory.registries(fresh.registries());
+            });
+  }
 
-    /** Who is in the pool, told by whom and why. Called on the event loop. */
-    public JsonNode status() {
-        final ObjectNode root = JsonNodeFactory.instance.objectNode();
-        root.setAll((ObjectNode) directory.status());
-        if (registration != null) {
-            root.set("registration", MergedDirectory.JSON.valueToTree(registration.status()));
-        }
-        return root;
+  /** Who is in the pool, told by whom and why. Called on the event loop. */
+  public JsonNode status() {
+    final ObjectNode root = JsonNodeFactory.instance.objectNode();
+    root.setAll((ObjectNode) directory.status());
+    if (registration != null) {
+      root.set("registration", MergedDirectory.JSON.valueToTree(registration.status()));
     }
+    return root;
+  }
 }
--- a/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
@@ -5,10 +5,14 @@
 import thistleturn.eureka.RegistrationSettings;
 import thistleturn.eureka.RegistrySettings;
 
-/** The subsystem's settings: the rules of the merge, the registries, and this courier's own entry (null for none). */
-public record MembershipSettings(Rules rules, List<RegistrySettings> registries, RegistrationSettings registration) {
-    /** Copies what could change. */
-    public MembershipSettings {
-        registries = List.copyOf(registries);
-    }
+/**
+ * The subsystem's settings: the rules of the merge, the registries, and this courier's own entry
+ * (null for none).
+ */
+public record MembershipSettings(
+    Rules rules, List<RegistrySettings> registries, RegistrationSettings registration) {
+  /** Copies what could change. */
+  public MembershipSettings {
+    registries = List.copyOf(registries);
+  }
 }
