--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -31,252 +31,294 @@
 import thistleturn.eureka.RegistrySettings;
 
 /**
- * The platform's list and any number of registries as one directory. It carries reports to {@link Membership} and what
- * that decides to the courier; it decides nothing itself. Runs on the event loop.
+ * The platform's list and any number of registries as one directory. It carries reports to {@link
+ * Membership} and what that decides to the courier; it decides nothing itself. Runs on the event
+ * loop.
  */
 final class MergedDirectory implements Directory {
-    /** The platform's own list among the sources. */
-    static final String OWN = "discovery";
-    static final ObjectMapper JSON = new ObjectMapper();
-    private static final long HEARD_MS = 1000;
-    private static final long US_PER_MS = 1000;
+  /** The platform's own list among the sources. */
+  static final String OWN = "discovery";
 
-    private final Directory own;
-    private final EventLoop loop;
-    private final Clock clock;
-    private final Membership membership;
-    private final Random random;
-    private final Map<String, EurekaSource> registries = new LinkedHashMap<>();
-    private Listener listener;
-    private Future<?> due;
-    private boolean ownLost = true;
-    private int nextRank = 1;
+  static final ObjectMapper JSON = new ObjectMapper();
+  private static final long HEARD_MS = 1000;
+  private static final long US_PER_MS = 1000;
 
-    MergedDirectory(final Directory own, final Surroundings surroundings, final MembershipSettings settings) {
-        this.own = own;
-        this.loop = surroundings.loop();
-        this.clock = surroundings.clock();
-        this.membership = new Membership(settings.rules());
-        this.random = new Random(surroundings.config().seed());
-        membership.addSource(clock.nowUs(), OWN, 0, true);
-        registries(settings.registries());
-    }
+  private final Directory own;
+  private final EventLoop loop;
+  private final Clock clock;
+  private final Membership membership;
+  private final Random random;
+  private final Map<String, EurekaSource> registries = new LinkedHashMap<>();
+  private Listener listener;
+  private Future<?> due;
+  private boolean ownLost = true;
+  private int nextRank = 1;
+
+  MergedDirectory(
+      final Directory own, final Surroundings surroundings, final MembershipSettings settings) {
+    this.own = own;
+    this.loop = surroundings.loop();
+    this.clock = surroundings.clock();
+    this.membership = new Membership(settings.rules());
+    this.random = new Random(surroundings.config().seed());
+    membership.addSource(clock.nowUs(), OWN, 0, true);
+    registries(settings.registries());
+  }
 
-    /** From now on these registries are asked, and no others. */
-    void registries(final List<RegistrySettings> wanted) {
-        final Map<String, RegistrySettings> byName = new LinkedHashMap<>();
-        wanted.forEach(registry -> byName.put(registry.name(), registry));
-        for (final EurekaSource source : List.copyOf(registries.values())) {
-            final String name = source.settings().name();
-            if (!source.settings().equals(byName.get(name))) {
-                source.close();
-                registries.remove(name);
-                if (!byName.containsKey(name)) {
-                    Log.info("registry " + name + " is asked no more");
-                    membership.removeSource(name);
-                }
-            }
+  /** From now on these registries are asked, and no others. */
+  void registries(final List<RegistrySettings> wanted) {
+    final Map<String, RegistrySettings> byName = new LinkedHashMap<>();
+    wanted.forEach(registry -> byName.put(registry.name(), registry));
+    for (final EurekaSource source : List.copyOf(registries.values())) {
+      final String name = source.settings().name();
+      if (!source.settings().equals(byName.get(name))) {
+        source.close();
+        registries.remove(name);
+        if (!byName.containsKey(name)) {
+          Log.info("registry " + name + " is asked no more");
+          membership.removeSource(name);
         }
-        for (final RegistrySettings registry : wanted) {
-            if (!registries.containsKey(registry.name())) {
-                if (membership.sources().stream().noneMatch(source -> source.name().equals(registry.name()))) {
-                    membership.addSource(clock.nowUs(), registry.name(), nextRank++, false);
-                }
-                final EurekaSource source = new EurekaSource(registry, loop, clock, random::nextDouble,
-                        new Registry(registry.name()));
-                registries.put(registry.name(), source);
-                if (listener != null) {
-                    Log.info("registry " + registry.name() + " is asked from now on");
-                    source.start();
-                }
-            }
+      }
+    }
+    for (final RegistrySettings registry : wanted) {
+      if (!registries.containsKey(registry.name())) {
+        if (membership.sources().stream()
+            .noneMatch(source -> source.name().equals(registry.name()))) {
+          membership.addSource(clock.nowUs(), registry.name(), nextRank++, false);
         }
+        final EurekaSource source =
+            new EurekaSource(
+                registry, loop, clock, random::nextDouble, new Registry(registry.name()));
+        registries.put(registry.name(), source);
         if (listener != null) {
-            tellAside();
+          Log.info("registry " + registry.name() + " is asked from now on");
+          source.start();
         }
+      }
     }
-
-    @Override
-    public void start(final Listener told) {
-        listener = told;
-        own.start(this::ownTold);
-        registries.values().forEach(EurekaSource::start);
-        loop.scheduleWithFixedDelay(LoopTasks.guarded("registries", this::hear), HEARD_MS, HEARD_MS, TimeUnit.MILLISECONDS);
+    if (listener != null) {
+      tellAside();
     }
+  }
 
-    @Override
-    public void follow() {
-        own.follow();
-    }
+  @Override
+  public void start(final Listener told) {
+    listener = told;
+    own.start(this::ownTold);
+    registries.values().forEach(EurekaSource::start);
+    loop.scheduleWithFixedDelay(
+        LoopTasks.guarded("registries", this::hear), HEARD_MS, HEARD_MS, TimeUnit.MILLISECONDS);
+  }
 
-    @Override
-    public boolean isFresh() {
-        // A registry may have what the list lacks: what no source names does not exist only if all are heard.
-        return own.isFresh() && membership.sources().stream().allMatch(source -> source.lostSinceUs() < 0);
-    }
+  @Override
+  public void follow() {
+    own.follow();
+  }
 
-    @Override
-    public void reload(final Config fresh) {
-        own.reload(fresh);
-    }
+  @Override
+  public boolean isFresh() {
+    // A registry may have what the list lacks: what no source names does not exist only if all are
+    // heard.
+    return own.isFresh()
+        && membership.sources().stream().allMatch(source -> source.lostSinceUs() < 0);
+  }
 
-    /** The watch tells nothing while nothing changes, but it is heard all the same. */
-    private void hear() {
-        if (!ownLost && own.isFresh()) {
-            membership.heard(clock.nowUs(), OWN);
-            tellAside();
-        }
+  @Override
+  public void reload(final Config fresh) {
+    own.reload(fresh);
+  }
+
+  /** The watch tells nothing while nothing changes, but it is heard all the same. */
+  private void hear() {
+    if (!ownLost && own.isFresh()) {
+      membership.heard(clock.nowUs(), OWN);
+      tellAside();
     }
+  }
 
-    // ---------------------------------------------------------------- the platform's own list
+  // ---------------------------------------------------------------- the platform's own list
 
-    private void ownTold(final Courier.Update update, final List<Listing> listings) {
-        final long nowUs = clock.nowUs();
-        final List<Report> reports = new ArrayList<>();
-        final List<String> deleted = new ArrayList<>();
-        for (final Listing listing : listings) {
-            if (listing.condition() == Courier.Condition.GONE) {
-                deleted.add(listing.name());
-            } else {
-                reports.add(report(listing));
-            }
-        }
-        ownLost = update == Courier.Update.LOST || update == Courier.Update.RESTORED;
-        switch (update) {
-            case WHOLE -> membership.whole(nowUs, OWN, reports);
-            case RESTORED -> membership.restored(nowUs, OWN, reports);
-            case LOST -> membership.lost(nowUs, OWN);
-            default -> membership.changes(nowUs, OWN, reports, deleted);
-        }
-        final List<Listing> changed = decide();
-        if (update == Courier.Update.LOST) {
-            listener.told(Courier.Update.LOST, List.of());
-            if (!changed.isEmpty()) {
-                listener.told(Courier.Update.ASIDE, changed);
-            }
-        } else {
-            // The merged view tells what changed in it, whatever the list told: all, or the last known, or changes.
-            listener.told(Courier.Update.CHANGES, changed);
-        }
+  private void ownTold(final Courier.Update update, final List<Listing> listings) {
+    final long nowUs = clock.nowUs();
+    final List<Report> reports = new ArrayList<>();
+    final List<String> deleted = new ArrayList<>();
+    for (final Listing listing : listings) {
+      if (listing.condition() == Courier.Condition.GONE) {
+        deleted.add(listing.name());
+      } else {
+        reports.add(report(listing));
+      }
     }
-
-    private static Report report(final Listing listing) {
-        return new Report(listing.name(), listing.address().getHostString() + ":" + listing.address().getPort(),
-                listing.destination(), listing.zone(), listing.kind(), listing.weight(),
-                listing.condition() == Courier.Condition.LISTED ? Word.UP : Word.DRAIN, 0);
+    ownLost = update == Courier.Update.LOST || update == Courier.Update.RESTORED;
+    switch (update) {
+      case WHOLE -> membership.whole(nowUs, OWN, reports);
+      case RESTORED -> membership.restored(nowUs, OWN, reports);
+      case LOST -> membership.lost(nowUs, OWN);
+      default -> membership.changes(nowUs, OWN, reports, deleted);
+    }
+    final List<Listing> changed = decide();
+    if (update == Courier.Update.LOST) {
+      listener.told(Courier.Update.LOST, List.of());
+      if (!changed.isEmpty()) {
+        listener.told(Courier.Update.ASIDE, changed);
+      }
+    } else {
+      // The merged view tells what changed in it, whatever the list told: all, or the last known,
+      // or changes.
+      listener.told(Courier.Update.CHANGES, changed);
     }
+  }
 
-    // ---------------------------------------------------------------- registries
+  private static Report report(final Listing listing) {
+    return new Report(
+        listing.name(),
+        listing.address().getHostString() + ":" + listing.address().getPort(),
+        listing.destination(),
+        listing.zone(),
+        listing.kind(),
+        listing.weight(),
+        listing.condition() == Courier.Condition.LISTED ? Word.UP : Word.DRAIN,
+        0);
+  }
 
-    private final class Registry implements EurekaSource.Listener {
-        private final String name;
-        private boolean lost;
+  // ---------------------------------------------------------------- registries
 
-        Registry(final String name) {
-            this.name = name;
-        }
+  private final class Registry implements EurekaSource.Listener {
+    private final String name;
+    private boolean lost;
 
-        private void heard() {
-            if (lost) {
-                lost = false;
-                Log.info("registry " + name + " is heard again");
-            }
-        }
+    Registry(final String name) {
+      this.name = name;
+    }
 
-        @Override
-        public void whole(final Collection<Report> reports, final Collection<String> deleted) {
-            heard();
-            if (!deleted.isEmpty()) {
-                membership.changes(clock.nowUs(), name, List.of(), deleted);
-            }
-            membership.whole(clock.nowUs(), name, reports);
-            tellAside();
-        }
+    private void heard() {
+      if (lost) {
+        lost = false;
+        Log.info("registry " + name + " is heard again");
+      }
+    }
 
-        @Override
-        public void changes(final Collection<Report> reports, final Collection<String> deleted) {
-            heard();
-            membership.changes(clock.nowUs(), name, reports, deleted);
-            tellAside();
-        }
+    @Override
+    public void whole(final Collection<Report> reports, final Collection<String> deleted) {
+      heard();
+      if (!deleted.isEmpty()) {
+        membership.changes(clock.nowUs(), name, List.of(), deleted);
+      }
+      membership.whole(clock.nowUs(), name, reports);
+      tellAside();
+    }
 
-        @Override
-        public void lost(final String reason) {
-            if (!lost) {
-                lost = true;
-                Log.info("registry " + name + " cannot be heard: " + reason);
-            }
-            membership.lost(clock.nowUs(), name);
-            tellAside();
-        }
+    @Override
+    public void changes(final Collection<Report> reports, final Collection<String> deleted) {
+      heard();
+      membership.changes(clock.nowUs(), name, reports, deleted);
+      tellAside();
+    }
+
+    @Override
+    public void lost(final String reason) {
+      if (!lost) {
+        lost = true;
+        Log.info("registry " + name + " cannot be heard: " + reason);
+      }
+      membership.lost(clock.nowUs(), name);
+      tellAside();
     }
+  }
 
-    // ---------------------------------------------------------------- what was decided
+  // ---------------------------------------------------------------- what was decided
 
-    private void tellAside() {
-        final List<Listing> changed = decide();
-        if (!changed.isEmpty()) {
-            listener.told(Courier.Update.ASIDE, changed);
-        }
+  private void tellAside() {
+    final List<Listing> changed = decide();
+    if (!changed.isEmpty()) {
+      listener.told(Courier.Update.ASIDE, changed);
     }
+  }
 
-    private List<Listing> decide() {
-        final List<Listing> changed = membership.decide(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
-        if (due != null) {
-            due.cancel(false);
-            due = null;
-        }
-        if (membership.nextUs() != Long.MAX_VALUE) {
-            due = loop.schedule(this::tellAside, Math.max(1, membership.nextUs() - clock.nowUs()),
-                    TimeUnit.MICROSECONDS);
-        }
-        return changed;
+  private List<Listing> decide() {
+    final List<Listing> changed =
+        membership.decide(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
+    if (due != null) {
+      due.cancel(false);
+      due = null;
+    }
+    if (membership.nextUs() != Long.MAX_VALUE) {
+      due =
+          loop.schedule(
+              this::tellAside,
+              Math.max(1, membership.nextUs() - clock.nowUs()),
+              TimeUnit.MICROSECONDS);
     }
+    return changed;
+  }
 
-    private static Listing listing(final Member member) {
-        final Courier.Condition condition = switch (member.state()) {
-            case UP -> Courier.Condition.LISTED;
-            case DRAINING -> Courier.Condition.DRAINING;
-            case GONE -> Courier.Condition.GONE;
+  private static Listing listing(final Member member) {
+    final Courier.Condition condition =
+        switch (member.state()) {
+          case UP -> Courier.Condition.LISTED;
+          case DRAINING -> Courier.Condition.DRAINING;
+          case GONE -> Courier.Condition.GONE;
         };
-        return new Listing(member.name(), condition, Config.address("address", member.address()), member.zone(),
-                member.ratePerSecond(), member.kind(), member.destination());
-    }
+    return new Listing(
+        member.name(),
+        condition,
+        Config.address("address", member.address()),
+        member.zone(),
+        member.ratePerSecond(),
+        member.kind(),
+        member.destination());
+  }
 
-    // ---------------------------------------------------------------- what operators see
+  // ---------------------------------------------------------------- what operators see
 
-    /** All members and sources, as JSON; ages in milliseconds, -1 for never. */
-    JsonNode status() {
-        final long nowUs = clock.nowUs();
-        final ObjectNode root = JsonNodeFactory.instance.objectNode();
-        final Map<String, SourceStatus> byName = new LinkedHashMap<>();
-        final ArrayNode sources = root.putArray("sources");
-        for (final SourceStatus source : membership.sources()) {
-            byName.put(source.name(), source);
-            final ObjectNode node = sources.addObject().put("name", source.name()).put("rank", source.rank())
-                    .put("state", source.lostSinceUs() >= 0 ? "lost" : source.doubtSinceUs() >= 0 ? "doubted" : "heard")
-                    .put("heard_ms_ago", ageMs(nowUs, source.heardUs())).put("entries", source.entries())
-                    .put("doubted", source.doubted()).put("dropped", source.dropped())
-                    .put("implausible", source.implausibleAnswers());
-            final EurekaSource registry = registries.get(source.name());
-            if (registry != null) {
-                node.set("registry", JSON.valueToTree(registry.status()));
-            }
-        }
-        final ArrayNode members = root.putArray("members");
-        for (final Member member : membership.members()) {
-            final SourceStatus by = byName.get(member.decidedBy());
-            members.addObject().put("destination", member.destination()).put("address", member.address())
-                    .put("zone", member.zone()).put("kind", member.kind()).put("rate", member.ratePerSecond())
-                    .put("state", member.state().name().toLowerCase(Locale.ROOT))
-                    .put("because", member.because().name().toLowerCase(Locale.ROOT)).put("by", member.decidedBy())
-                    .put("since_ms_ago", ageMs(nowUs, member.sinceUs()))
-                    .put("heard_ms_ago", by == null ? -1 : ageMs(nowUs, by.heardUs()));
-        }
-        return root;
+  /** All members and sources, as JSON; ages in milliseconds, -1 for never. */
+  JsonNode status() {
+    final long nowUs = clock.nowUs();
+    final ObjectNode root = JsonNodeFactory.instance.objectNode();
+    final Map<String, SourceStatus> byName = new LinkedHashMap<>();
+    final ArrayNode sources = root.putArray("sources");
+    for (final SourceStatus source : membership.sources()) {
+      byName.put(source.name(), source);
+      final ObjectNode node =
+          sources
+              .addObject()
+              .put("name", source.name())
+              .put("rank", source.rank())
+              .put(
+                  "state",
+                  source.lostSinceUs() >= 0
+                      ? "lost"
+                      : source.doubtSinceUs() >= 0 ? "doubted" : "heard")
+              .put("heard_ms_ago", ageMs(nowUs, source.heardUs()))
+              .put("entries", source.entries())
+              .put("doubted", source.doubted())
+              .put("dropped", source.dropped())
+              .put("implausible", source.implausibleAnswers());
+      final EurekaSource registry = registries.get(source.name());
+      if (registry != null) {
+        node.set("registry", JSON.valueToTree(registry.status()));
+      }
     }
-
-    private static long ageMs(final long nowUs, final long us) {
-        return us == 0 ? -1 : (nowUs - us) / US_PER_MS;
+    final ArrayNode members = root.putArray("members");
+    for (final Member member : membership.members()) {
+      final SourceStatus by = byName.get(member.decidedBy());
+      members
+          .addObject()
+          .put("destination", member.destination())
+          .put("address", member.address())
+          .put("zone", member.zone())
+          .put("kind", member.kind())
+          .put("rate", member.ratePerSecond())
+          .put("state", member.state().name().toLowerCase(Locale.ROOT))
+          .put("because", member.because().name().toLowerCase(Locale.ROOT))
+          .put("by", member.decidedBy())
+          .put("since_ms_ago", ageMs(nowUs, member.sinceUs()))
+          .put("heard_ms_ago", by == null ? -1 : ageMs(nowUs, by.heardUs()));
     }
+    return root;
+  }
+
+  private static long ageMs(final long nowUs, final long us) {
+    return us == 0 ? -1 : (nowUs - us) / US_PER_MS;
+  }
 }
--- a/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
@@ -26,153 +26,210 @@
 /** A registry's answers, cut anywhere, changed, known again and spoilt. */
 @Tag("membership")
 final class EurekaAnswerTest {
-    private static final ObjectMapper JSON = new ObjectMapper();
-
-    private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
-
-    private static ObjectNode instance(final int number, final String status) {
-        return StandInRegistry.endpoint("app" + number / 3, "i-\"{}[]\\-" + number, 1000 + number, number % 5, status);
-    }
-
-    private static String whole(final String hash, final List<ObjectNode> instances) {
-        final ObjectNode root = JSON.createObjectNode();
-        final ArrayNode apps = root.putObject("applications").put("versions__delta", 1).put("apps__hashcode", hash)
-                .putArray("application");
-        instances.forEach(one -> apps.addObject().put("name", one.path("app").asText()).putArray("instance").add(one));
-        return root.toString();
-    }
-
-    private static List<ObjectNode> instances(final int count) {
-        final List<ObjectNode> all = new ArrayList<>();
-        for (int number = 0; number < count; number++) {
-            all.add(instance(number, number % 4 == 0 ? "DOWN" : "UP"));
-        }
-        return all;
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
+
+  private static ObjectNode instance(final int number, final String status) {
+    return StandInRegistry.endpoint(
+        "app" + number / 3, "i-\"{}[]\\-" + number, 1000 + number, number % 5, status);
+  }
+
+  private static String whole(final String hash, final List<ObjectNode> instances) {
+    final ObjectNode root = JSON.createObjectNode();
+    final ArrayNode apps =
+        root.putObject("applications")
+            .put("versions__delta", 1)
+            .put("apps__hashcode", hash)
+            .putArray("application");
+    instances.forEach(
+        one ->
+            apps.addObject().put("name", one.path("app").asText()).putArray("instance").add(one));
+    return root.toString();
+  }
+
+  private static List<ObjectNode> instances(final int count) {
+    final List<ObjectNode> all = new ArrayList<>();
+    for (int number = 0; number < count; number++) {
+      all.add(instance(number, number % 4 == 0 ? "DOWN" : "UP"));
     }
-
-    /** Reads an answer in pieces of at most so many bytes. */
-    private EurekaAnswer read(final String text, final boolean delta, final int piece) throws IOException {
-        final EurekaAnswer answer = new EurekaAnswer(MetadataNames.standard(), new EurekaMapping(), memory, delta);
-        final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int at = 0; at < bytes.length; at += piece) {
-            answer.feed(Unpooled.wrappedBuffer(bytes, at, Math.min(piece, bytes.length - at)));
-        }
-        answer.end();
-        return answer;
-    }
-
-    private static List<String> lines(final EurekaAnswer answer) {
-        return answer.reports().stream().map(Report::toString).sorted().toList();
+    return all;
+  }
+
+  /** Reads an answer in pieces of at most so many bytes. */
+  private EurekaAnswer read(final String text, final boolean delta, final int piece)
+      throws IOException {
+    final EurekaAnswer answer =
+        new EurekaAnswer(MetadataNames.standard(), new EurekaMapping(), memory, delta);
+    final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    for (int at = 0; at < bytes.length; at += piece) {
+      answer.feed(Unpooled.wrappedBuffer(bytes, at, Math.min(piece, bytes.length - at)));
     }
-
-    @ParameterizedTest
-    @ValueSource(ints = {1, 2, 7, 64, 1000, 100_000})
-    void whereverItIsCutItSaysTheSame(final int piece) throws IOException {
-        final String text = whole("DOWN_10_UP_30_", instances(40));
-        final EurekaAnswer first = read(text, false, 100_000);
-        assertTrue(first.remember(memory));
-        assertEquals(40, first.reports().size());
-        assertEquals(40, first.readAnew());
-        final EurekaAnswer again = read(text, false, piece);
-        assertTrue(again.remember(memory));
-        assertEquals(lines(first), lines(again));
-        assertEquals(0, piece >= 1000 ? again.readAnew() : 0, "known by their digests");
-    }
-
-    @Test
-    void aRandomWalkOfWholeAnswersSaysWhatAFreshReaderReads() throws IOException {
-        final long seed = 11;
-        final Random random = new Random(seed);
-        List<ObjectNode> now = instances(60);
-        for (int round = 0; round < 200; round++) {
-            now = new ArrayList<>(now);
-            switch (random.nextInt(5)) {
-                case 0 -> Collections.shuffle(now, random);
-                case 1 -> now.remove(random.nextInt(now.size()));
-                case 2 -> now.add(random.nextInt(now.size()), instance(100 + round, "UP"));
-                case 3 -> now.set(random.nextInt(now.size()), instance(300 + round, "STARTING"));
-                default -> { }
-            }
-            final String text = whole("", now);
-            final EurekaAnswer answer = read(text, false, 1 + random.nextInt(5000));
-            answer.remember(memory);
-            final EurekaAnswer fresh = new EurekaAnswer(MetadataNames.standard(), new EurekaMapping(),
-                    new EurekaAnswer.Memory(), false);
-            fresh.feed(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            fresh.end();
-            assertEquals(lines(fresh), lines(answer), "seed " + seed + ", round " + round);
-            assertEquals(now.size(), memory.count());
-        }
+    answer.end();
+    return answer;
+  }
+
+  private static List<String> lines(final EurekaAnswer answer) {
+    return answer.reports().stream().map(Report::toString).sorted().toList();
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2, 7, 64, 1000, 100_000})
+  void whereverItIsCutItSaysTheSame(final int piece) throws IOException {
+    final String text = whole("DOWN_10_UP_30_", instances(40));
+    final EurekaAnswer first = read(text, false, 100_000);
+    assertTrue(first.remember(memory));
+    assertEquals(40, first.reports().size());
+    assertEquals(40, first.readAnew());
+    final EurekaAnswer again = read(text, false, piece);
+    assertTrue(again.remember(memory));
+    assertEquals(lines(first), lines(again));
+    assertEquals(0, piece >= 1000 ? again.readAnew() : 0, "known by their digests");
+  }
+
+  @Test
+  void aRandomWalkOfWholeAnswersSaysWhatAFreshReaderReads() throws IOException {
+    final long seed = 11;
+    final Random random = new Random(seed);
+    List<ObjectNode> now = instances(60);
+    for (int round = 0; round < 200; round++) {
+      now = new ArrayList<>(now);
+      switch (random.nextInt(5)) {
+        case 0 -> Collections.shuffle(now, random);
+        case 1 -> now.remove(random.nextInt(now.size()));
+        case 2 -> now.add(random.nextInt(now.size()), instance(100 + round, "UP"));
+        case 3 -> now.set(random.nextInt(now.size()), instance(300 + round, "STARTING"));
+        default -> {}
+      }
+      final String text = whole("", now);
+      final EurekaAnswer answer = read(text, false, 1 + random.nextInt(5000));
+      answer.remember(memory);
+      final EurekaAnswer fresh =
+          new EurekaAnswer(
+              MetadataNames.standard(), new EurekaMapping(), new EurekaAnswer.Memory(), false);
+      fresh.feed(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+      fresh.end();
+      assertEquals(lines(fresh), lines(answer), "seed " + seed + ", round " + round);
+      assertEquals(now.size(), memory.count());
     }
-
-    @Test
-    void aDeltaChangesWhatIsRememberedAndItsHashIsChecked() throws IOException {
-        assertTrue(read(whole("DOWN_10_UP_30_", instances(40)), false, 4096).remember(memory));
-        final ObjectNode down = instance(1, "DOWN").put("actionType", "MODIFIED");
-        final ObjectNode gone = instance(2, "UP").put("actionType", "DELETED");
-        final ObjectNode added = instance(77, "UP").put("actionType", "ADDED");
-        final EurekaAnswer delta = read(whole("DOWN_11_UP_29_", List.of(down, gone, added)), true, 50);
-        assertTrue(delta.remember(memory));
-        assertEquals(List.of(Word.DRAIN, Word.UP), delta.reports().stream().map(Report::word).toList());
-        assertEquals(1, delta.deleted().size());
-        assertEquals(40, memory.count());
-        assertFalse(read(whole("DOWN_11_UP_28_", List.of()), true, 50).remember(memory));
-        final EurekaAnswer all = read(whole("DOWN_10_UP_30_", instances(40)), false, 4096);
-        assertTrue(all.remember(memory));
-        assertEquals(40, all.reports().size());
-        assertTrue(all.readAnew() >= 2 && all.readAnew() < 10, "only what the delta touched: " + all.readAnew());
-    }
-
-    @Test
-    void aRegistryThatEmptiesAndFillsAgainByDeltasIsRemembered() throws IOException {
-        assertTrue(read(whole("UP_1_", List.of(instance(1, "UP"))), false, 4096).remember(memory));
-        assertTrue(read(whole("", List.of(instance(1, "UP").put("actionType", "DELETED"))), true, 50).remember(memory));
-        assertEquals(0, memory.count());
-        final StringBuilder hash = new StringBuilder();
-        for (int number = 1; number <= 100; number++) {
-            hash.setLength(0);
-            hash.append("UP_").append(number).append('_');
-            assertTrue(read(whole(hash.toString(), List.of(instance(number, "UP").put("actionType", "ADDED"))), true, 500)
-                    .remember(memory), "instance " + number);
-        }
-        assertEquals(100, memory.count());
-    }
-
-    @Test
-    void olderRegistriesWriteSingleElementsBare() throws IOException {
-        final String one = instance(1, "UP").toString();
-        final EurekaAnswer answer = read("{\"applications\":{\"application\":{\"name\":\"A\",\"instance\":" + one + "}}}",
-                false, 10);
-        assertEquals(1, answer.reports().size());
-        assertEquals(1, read("{\"application\":{\"name\":\"A\",\"instance\":[" + one + "]}}", false, 10).reports().size());
-        assertEquals(1, read("{\"instance\":" + one + "}", false, 10).reports().size());
-    }
-
-    @Test
-    void anOverrideThatIsMoreCautiousThanTheStatusCounts() throws IOException {
-        final ObjectNode one = instance(1, "UP").put("overriddenstatus", "OUT_OF_SERVICE");
-        final ObjectNode two = instance(2, "DOWN").put("overriddenstatus", "UP");
-        final ObjectNode three = instance(3, "UNKNOWN");
-        final List<Report> reports = read(whole("", List.of(one, two, three)), false, 100).reports();
-        assertEquals(List.of(Word.DRAIN, Word.DRAIN, Word.PENDING), reports.stream().map(Report::word).toList());
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {" ", "{", "{}", "[]", "hello", "<html></html>", "{\"applications\":{\"application\":[",
-        "{\"applications\":{}}}", "{\"other\":{}}", "{\"applications\":{\"application\":[{\"instance\":[{\"app\":1 2}]}]}}",
-        "{\"applications\":{\"application\":[{\"instance\":[{]}]}}", "{\"applications\" {}}",
-        "{\"applications\":{\"application\":[{\"instance\":[{\"app\":\"a\"}, {\"app\":\"", "\"instance\":{}"})
-    void whatIsNoAnswerOfARegistryIsAnError(final String text) {
-        assertThrows(IOException.class, () -> read(text, false, 5));
-    }
-
-    @Test
-    void nestingAndLengthsAreBounded() {
-        assertThrows(IOException.class, () -> read("{\"applications\":" + "[".repeat(100), false, 1000));
-        assertThrows(IOException.class, () -> read("{\"applications\":{\"application\":[{\"instance\":[{\"app\":\""
-                + "x".repeat(1 << 20), false, 1000));
-        assertThrows(IOException.class, () -> read("{\"applications\":{\"x\":\"" + "x".repeat(1 << 20), false, 1000));
-        assertThrows(IOException.class, () -> read("{\"applications\":{\"application\":[{\"instance\":[{\"app\":"
-                + "[".repeat(50) + "]".repeat(50) + "}]}]}}", false, 1000));
+  }
+
+  @Test
+  void aDeltaChangesWhatIsRememberedAndItsHashIsChecked() throws IOException {
+    assertTrue(read(whole("DOWN_10_UP_30_", instances(40)), false, 4096).remember(memory));
+    final ObjectNode down = instance(1, "DOWN").put("actionType", "MODIFIED");
+    final ObjectNode gone = instance(2, "UP").put("actionType", "DELETED");
+    final ObjectNode added = instance(77, "UP").put("actionType", "ADDED");
+    final EurekaAnswer delta = read(whole("DOWN_11_UP_29_", List.of(down, gone, added)), true, 50);
+    assertTrue(delta.remember(memory));
+    assertEquals(List.of(Word.DRAIN, Word.UP), delta.reports().stream().map(Report::word).toList());
+    assertEquals(1, delta.deleted().size());
+    assertEquals(40, memory.count());
+    assertFalse(read(whole("DOWN_11_UP_28_", List.of()), true, 50).remember(memory));
+    final EurekaAnswer all = read(whole("DOWN_10_UP_30_", instances(40)), false, 4096);
+    assertTrue(all.remember(memory));
+    assertEquals(40, all.reports().size());
+    assertTrue(
+        all.readAnew() >= 2 && all.readAnew() < 10,
+        "only what the delta touched: " + all.readAnew());
+  }
+
+  @Test
+  void aRegistryThatEmptiesAndFillsAgainByDeltasIsRemembered() throws IOException {
+    assertTrue(read(whole("UP_1_", List.of(instance(1, "UP"))), false, 4096).remember(memory));
+    assertTrue(
+        read(whole("", List.of(instance(1, "UP").put("actionType", "DELETED"))), true, 50)
+            .remember(memory));
+    assertEquals(0, memory.count());
+    final StringBuilder hash = new StringBuilder();
+    for (int number = 1; number <= 100; number++) {
+      hash.setLength(0);
+      hash.append("UP_").append(number).append('_');
+      assertTrue(
+          read(
+                  whole(
+                      hash.toString(), List.of(instance(number, "UP").put("actionType", "ADDED"))),
+                  true,
+                  500)
+              .remember(memory),
+          "instance " + number);
     }
+    assertEquals(100, memory.count());
+  }
+
+  @Test
+  void olderRegistriesWriteSingleElementsBare() throws IOException {
+    final String one = instance(1, "UP").toString();
+    final EurekaAnswer answer =
+        read(
+            "{\"applications\":{\"application\":{\"name\":\"A\",\"instance\":" + one + "}}}",
+            false,
+            10);
+    assertEquals(1, answer.reports().size());
+    assertEquals(
+        1,
+        read("{\"application\":{\"name\":\"A\",\"instance\":[" + one + "]}}", false, 10)
+            .reports()
+            .size());
+    assertEquals(1, read("{\"instance\":" + one + "}", false, 10).reports().size());
+  }
+
+  @Test
+  void anOverrideThatIsMoreCautiousThanTheStatusCounts() throws IOException {
+    final ObjectNode one = instance(1, "UP").put("overriddenstatus", "OUT_OF_SERVICE");
+    final ObjectNode two = instance(2, "DOWN").put("overriddenstatus", "UP");
+    final ObjectNode three = instance(3, "UNKNOWN");
+    final List<Report> reports = read(whole("", List.of(one, two, three)), false, 100).reports();
+    assertEquals(
+        List.of(Word.DRAIN, Word.DRAIN, Word.PENDING), reports.stream().map(Report::word).toList());
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        " ",
+        "{",
+        "{}",
+        "[]",
+        "hello",
+        "<html></html>",
+        "{\"applications\":{\"application\":[",
+        "{\"applications\":{}}}",
+        "{\"other\":{}}",
+        "{\"applications\":{\"application\":[{\"instance\":[{\"app\":1 2}]}]}}",
+        "{\"applications\":{\"application\":[{\"instance\":[{]}]}}",
+        "{\"applications\" {}}",
+        "{\"applications\":{\"application\":[{\"instance\":[{\"app\":\"a\"}, {\"app\":\"",
+        "\"instance\":{}"
+      })
+  void whatIsNoAnswerOfARegistryIsAnError(final String text) {
+    assertThrows(IOException.class, () -> read(text, false, 5));
+  }
+
+  @Test
+  void nestingAndLengthsAreBounded() {
+    assertThrows(
+        IOException.class, () -> read("{\"applications\":" + "[".repeat(100), false, 1000));
+    assertThrows(
+        IOException.class,
+        () ->
+            read(
+                "{\"applications\":{\"application\":[{\"instance\":[{\"app\":\""
+                    + "x".repeat(1 << 20),
+                false,
+                1000));
+    assertThrows(
+        IOException.class,
+        () -> read("{\"applications\":{\"x\":\"" + "x".repeat(1 << 20), false, 1000));
+    assertThrows(
+        IOException.class,
+        () ->
+            read(
+                "{\"applications\":{\"application\":[{\"instance\":[{\"app\":"
+                    + "[".repeat(50)
+                    + "]".repeat(50)
+                    + "}]}]}}",
+                false,
+                1000));
+  }
 }
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -1,5 +1,6 @@
 package thistleturn.membership;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -8,7 +9,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import com.fasterxml.jackson.databind.JsonNode;
 import thistleturn.courier.CourierProcess;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.Rules;
@@ -21,101 +21,114 @@
 
 /** A courier with membership on, in the midst of stand-ins. */
 final class CourierUnderTest implements AutoCloseable {
-    static final long MS = 1000;
-    private static final long AWAIT_S = 30;
-
-    final StandInWorld world;
-    Rules rules = Rules.standard();
-    List<RegistrySettings> registries = new ArrayList<>();
-    RegistrationSettings registration;
-    private CourierProcess process;
-    private MembershipExtension extension;
-
-    CourierUnderTest(final Path folder, final long seed) {
-        world = new StandInWorld(folder, seed);
-        registries.add(registry("eureka", 50, world.registry));
-    }
-
-    static RegistrySettings registry(final String name, final long periodMs, final StandInRegistry... peers) {
-        final List<RegistrySettings.Address> addresses = new ArrayList<>();
-        for (final StandInRegistry peer : peers) {
-            addresses.add(address(peer));
-        }
-        return new RegistrySettings(name, addresses, List.of(), periodMs * MS, 4 * periodMs * MS, 400 * MS, 1 << 22,
-                true, MetadataNames.standard());
+  static final long MS = 1000;
+  private static final long AWAIT_S = 30;
+
+  final StandInWorld world;
+  Rules rules = Rules.standard();
+  List<RegistrySettings> registries = new ArrayList<>();
+  RegistrationSettings registration;
+  private CourierProcess process;
+  private MembershipExtension extension;
+
+  CourierUnderTest(final Path folder, final long seed) {
+    world = new StandInWorld(folder, seed);
+    registries.add(registry("eureka", 50, world.registry));
+  }
+
+  static RegistrySettings registry(
+      final String name, final long periodMs, final StandInRegistry... peers) {
+    final List<RegistrySettings.Address> addresses = new ArrayList<>();
+    for (final StandInRegistry peer : peers) {
+      addresses.add(address(peer));
     }
-
-    static RegistrySettings.Address address(final StandInRegistry peer) {
-        return new RegistrySettings.Address(new InetSocketAddress("127.0.0.1", peer.server().port()), "/eureka");
+    return new RegistrySettings(
+        name,
+        addresses,
+        List.of(),
+        periodMs * MS,
+        4 * periodMs * MS,
+        400 * MS,
+        1 << 22,
+        true,
+        MetadataNames.standard());
+  }
+
+  static RegistrySettings.Address address(final StandInRegistry peer) {
+    return new RegistrySettings.Address(
+        new InetSocketAddress("127.0.0.1", peer.server().port()), "/eureka");
+  }
+
+  CourierUnderTest start() throws IOException, Config.BadConfigException {
+    extension =
+        new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
+    process = CourierProcess.start(world.environment(CourierFiles.Size.usual()), extension);
+    world.client.courier(process.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
+    return this;
+  }
+
+  void reload() {
+    process.reload();
+  }
+
+  /** Ends it as a power cut would, and starts the next one on the same folder. */
+  void killAndRestart() throws IOException, Config.BadConfigException {
+    world.auditor.restarted(world.ticks.nowUs(), false);
+    process.kill();
+    world.endConnections();
+    // Its end takes a while here, and endpoints go on answering until then.
+    world.auditor.restarted(world.ticks.nowUs(), false);
+    start();
+    world.auditor.restarted(world.ticks.nowUs(), true);
+  }
+
+  /** SIGTERM: returns when the process would end. */
+  void stop() {
+    process.stop();
+  }
+
+  JsonNode status() {
+    final CompletableFuture<JsonNode> status = new CompletableFuture<>();
+    process.loop().execute(() -> status.complete(extension.status()));
+    return status.orTimeout(AWAIT_S, TimeUnit.SECONDS).join();
+  }
+
+  JsonNode member(final String address) {
+    for (final JsonNode member : status().path("members")) {
+      if (member.path("address").asText().equals(address)) {
+        return member;
+      }
     }
-
-    CourierUnderTest start() throws IOException, Config.BadConfigException {
-        extension = new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
-        process = CourierProcess.start(world.environment(CourierFiles.Size.usual()), extension);
-        world.client.courier(process.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
-        return this;
+    return null;
+  }
+
+  JsonNode source(final String name) {
+    for (final JsonNode source : status().path("sources")) {
+      if (source.path("name").asText().equals(name)) {
+        return source;
+      }
     }
-
-    void reload() {
-        process.reload();
-    }
-
-    /** Ends it as a power cut would, and starts the next one on the same folder. */
-    void killAndRestart() throws IOException, Config.BadConfigException {
-        world.auditor.restarted(world.ticks.nowUs(), false);
-        process.kill();
-        world.endConnections();
-        // Its end takes a while here, and endpoints go on answering until then.
-        world.auditor.restarted(world.ticks.nowUs(), false);
-        start();
-        world.auditor.restarted(world.ticks.nowUs(), true);
-    }
-
-    /** SIGTERM: returns when the process would end. */
-    void stop() {
-        process.stop();
-    }
-
-    JsonNode status() {
-        final CompletableFuture<JsonNode> status = new CompletableFuture<>();
-        process.loop().execute(() -> status.complete(extension.status()));
-        return status.orTimeout(AWAIT_S, TimeUnit.SECONDS).join();
-    }
-
-    JsonNode member(final String address) {
-        for (final JsonNode member : status().path("members")) {
-            if (member.path("address").asText().equals(address)) {
-                return member;
-            }
-        }
-        return null;
-    }
-
-    JsonNode source(final String name) {
-        for (final JsonNode source : status().path("sources")) {
-            if (source.path("name").asText().equals(name)) {
-                return source;
-            }
-        }
-        return null;
-    }
-
-    void awaitMember(final String address, final Predicate<JsonNode> state) {
-        world.await(address + " as wanted", () -> {
-            final JsonNode member = member(address);
-            return member != null && state.test(member);
+    return null;
+  }
+
+  void awaitMember(final String address, final Predicate<JsonNode> state) {
+    world.await(
+        address + " as wanted",
+        () -> {
+          final JsonNode member = member(address);
+          return member != null && state.test(member);
         });
-    }
+  }
 
-    void awaitState(final String address, final String state) {
-        awaitMember(address, member -> member.path("state").asText().equals(state));
-    }
+  void awaitState(final String address, final String state) {
+    awaitMember(address, member -> member.path("state").asText().equals(state));
+  }
 
-    @Override
-    public void close() {
-        if (process != null) {
-            process.kill();
-        }
-        world.close();
+  @Override
+  public void close() {
+    if (process != null) {
+      process.kill();
     }
+    world.close();
+  }
 }
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -38,129 +38,143 @@
 /** What every directory does, whoever stands behind it. */
 @Tag("membership")
 final class DirectoryContractTest {
-    private static final long PATIENCE_S = 30;
+  private static final long PATIENCE_S = 30;
 
-    /** The implementations. */
-    enum Kind { DISCOVERY, MERGED }
+  /** The implementations. */
+  enum Kind {
+    DISCOVERY,
+    MERGED
+  }
 
-    @TempDir
-    private Path folder;
-    private final Clock clock = new Clock();
-    private final LoopTurns turns = new LoopTurns(clock);
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory(SelectorProvider.provider(), turns));
-    private final EventLoop loop = group.next();
-    private final Map<String, Courier.Condition> view = new ConcurrentHashMap<>();
-    private final List<Courier.Update> updates = new CopyOnWriteArrayList<>();
-    private StandInWorld world;
-    private StandInEndpoint first;
-    private StandInEndpoint second;
-    private Directory directory;
+  @TempDir private Path folder;
+  private final Clock clock = new Clock();
+  private final LoopTurns turns = new LoopTurns(clock);
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+  private final EventLoop loop = group.next();
+  private final Map<String, Courier.Condition> view = new ConcurrentHashMap<>();
+  private final List<Courier.Update> updates = new CopyOnWriteArrayList<>();
+  private StandInWorld world;
+  private StandInEndpoint first;
+  private StandInEndpoint second;
+  private Directory directory;
 
-    @BeforeEach
-    void world() {
-        world = new StandInWorld(folder, 1);
-        first = world.endpoint(1);
-        second = world.endpoint(2);
-        world.platform.tell(first, "Ready", 10);
-    }
+  @BeforeEach
+  void world() {
+    world = new StandInWorld(folder, 1);
+    first = world.endpoint(1);
+    second = world.endpoint(2);
+    world.platform.tell(first, "Ready", 10);
+  }
 
-    @AfterEach
-    void end() {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-        world.close();
-    }
+  @AfterEach
+  void end() {
+    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+    world.close();
+  }
 
-    private void start(final Kind kind) throws Exception {
-        final Config config = Config.read(world.environment(CourierFiles.Size.usual()));
-        loop.submit(() -> {
-            directory = new Discovery(config, loop, clock, turns);
-            if (kind == Kind.MERGED) {
-                directory = new MergedDirectory(directory, new Surroundings(config, loop, clock, () -> null, () -> null, null),
+  private void start(final Kind kind) throws Exception {
+    final Config config = Config.read(world.environment(CourierFiles.Size.usual()));
+    loop.submit(
+            () -> {
+              directory = new Discovery(config, loop, clock, turns);
+              if (kind == Kind.MERGED) {
+                directory =
+                    new MergedDirectory(
+                        directory,
+                        new Surroundings(config, loop, clock, () -> null, () -> null, null),
                         new MembershipSettings(Rules.standard(), List.of(), null));
-            }
-            directory.start((update, listings) -> {
-                updates.add(update);
-                if (update == Courier.Update.WHOLE) {
-                    view.replaceAll((address, condition) -> Courier.Condition.GONE);
-                }
-                listings.forEach(one -> view.put(one.address().getHostString() + ":" + one.address().getPort(),
-                        one.condition()));
-            });
-        }).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+              }
+              directory.start(
+                  (update, listings) -> {
+                    updates.add(update);
+                    if (update == Courier.Update.WHOLE) {
+                      view.replaceAll((address, condition) -> Courier.Condition.GONE);
+                    }
+                    listings.forEach(
+                        one ->
+                            view.put(
+                                one.address().getHostString() + ":" + one.address().getPort(),
+                                one.condition()));
+                  });
+            })
+        .get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    private void follow() throws Exception {
-        loop.submit(() -> directory.follow()).get(PATIENCE_S, TimeUnit.SECONDS);
-    }
+  private void follow() throws Exception {
+    loop.submit(() -> directory.follow()).get(PATIENCE_S, TimeUnit.SECONDS);
+  }
 
-    private boolean isFresh() {
-        return loop.submit(() -> directory.isFresh()).awaitUninterruptibly().getNow();
-    }
+  private boolean isFresh() {
+    return loop.submit(() -> directory.isFresh()).awaitUninterruptibly().getNow();
+  }
 
-    private void awaitState(final StandInEndpoint endpoint, final Courier.Condition condition) {
-        world.await(endpoint.name() + " " + condition, () -> view.get(endpoint.address()) == condition);
-    }
+  private void awaitState(final StandInEndpoint endpoint, final Courier.Condition condition) {
+    world.await(endpoint.name() + " " + condition, () -> view.get(endpoint.address()) == condition);
+  }
 
-    @ParameterizedTest
-    @EnumSource(Kind.class)
-    void itBeginsWithWhatWasKnownAndIsNotFreshBeforeItHeard(final Kind kind) throws Exception {
-        start(kind);
-        assertEquals(Map.of(first.address(), Courier.Condition.LISTED), view);
-        assertFalse(isFresh());
-        follow();
-        world.await("fresh", this::isFresh);
-    }
+  @ParameterizedTest
+  @EnumSource(Kind.class)
+  void itBeginsWithWhatWasKnownAndIsNotFreshBeforeItHeard(final Kind kind) throws Exception {
+    start(kind);
+    assertEquals(Map.of(first.address(), Courier.Condition.LISTED), view);
+    assertFalse(isFresh());
+    follow();
+    world.await("fresh", this::isFresh);
+  }
 
-    @ParameterizedTest
-    @EnumSource(Kind.class)
-    void itTellsWhatChangesOnceItIsFollowed(final Kind kind) throws Exception {
-        start(kind);
-        follow();
-        world.await("fresh", this::isFresh);
-        world.platform.tell(second, "Ready", 10);
-        awaitState(second, Courier.Condition.LISTED);
-        world.platform.tell(first, "Terminating", 10);
-        awaitState(first, Courier.Condition.DRAINING);
-        world.platform.tell(first, "Gone", 10);
-        awaitState(first, Courier.Condition.GONE);
-        world.platform.tell(first, "Ready", 10);
-        awaitState(first, Courier.Condition.LISTED);
-    }
+  @ParameterizedTest
+  @EnumSource(Kind.class)
+  void itTellsWhatChangesOnceItIsFollowed(final Kind kind) throws Exception {
+    start(kind);
+    follow();
+    world.await("fresh", this::isFresh);
+    world.platform.tell(second, "Ready", 10);
+    awaitState(second, Courier.Condition.LISTED);
+    world.platform.tell(first, "Terminating", 10);
+    awaitState(first, Courier.Condition.DRAINING);
+    world.platform.tell(first, "Gone", 10);
+    awaitState(first, Courier.Condition.GONE);
+    world.platform.tell(first, "Ready", 10);
+    awaitState(first, Courier.Condition.LISTED);
+  }
 
-    @ParameterizedTest
-    @EnumSource(Kind.class)
-    void itTellsThatNoNewsCanBeHadAndCatchesUpWhenFollowedAgain(final Kind kind) throws Exception {
-        start(kind);
-        follow();
-        world.await("fresh", this::isFresh);
-        // The list may have been told before the watch on it has begun.
-        world.await("the watch", world.platform::isWatched);
-        world.platform.breakWatches();
-        world.await("the loss", () -> updates.contains(Courier.Update.LOST));
-        assertEquals(Courier.Condition.LISTED, view.get(first.address()), "a loss takes nothing");
-        world.platform.tell(first, "Terminating", 10);
-        world.platform.tell(second, "Ready", 10);
-        follow();
-        awaitState(first, Courier.Condition.DRAINING);
-        awaitState(second, Courier.Condition.LISTED);
-    }
+  @ParameterizedTest
+  @EnumSource(Kind.class)
+  void itTellsThatNoNewsCanBeHadAndCatchesUpWhenFollowedAgain(final Kind kind) throws Exception {
+    start(kind);
+    follow();
+    world.await("fresh", this::isFresh);
+    // The list may have been told before the watch on it has begun.
+    world.await("the watch", world.platform::isWatched);
+    world.platform.breakWatches();
+    world.await("the loss", () -> updates.contains(Courier.Update.LOST));
+    assertEquals(Courier.Condition.LISTED, view.get(first.address()), "a loss takes nothing");
+    world.platform.tell(first, "Terminating", 10);
+    world.platform.tell(second, "Ready", 10);
+    follow();
+    awaitState(first, Courier.Condition.DRAINING);
+    awaitState(second, Courier.Condition.LISTED);
+  }
 
-    @ParameterizedTest
-    @EnumSource(Kind.class)
-    void itMovesToWhereANewConfigurationSays(final Kind kind) throws Exception {
-        start(kind);
-        follow();
-        world.await("fresh", this::isFresh);
-        try (StandInPlatform moved = new StandInPlatform(group, world.auditor, world.ticks)) {
-            moved.tell(second, "Ready", 10);
-            final Path config = folder.resolve("config.json");
-            Files.writeString(config, Files.readString(config).replace(world.platform.address(), moved.address()));
-            final Config fresh = Config.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
-            loop.submit(() -> directory.reload(fresh)).get(PATIENCE_S, TimeUnit.SECONDS);
-            awaitState(second, Courier.Condition.LISTED);
-            awaitState(first, Courier.Condition.GONE);
-        }
-        assertTrue(updates.size() > 1);
+  @ParameterizedTest
+  @EnumSource(Kind.class)
+  void itMovesToWhereANewConfigurationSays(final Kind kind) throws Exception {
+    start(kind);
+    follow();
+    world.await("fresh", this::isFresh);
+    try (StandInPlatform moved = new StandInPlatform(group, world.auditor, world.ticks)) {
+      moved.tell(second, "Ready", 10);
+      final Path config = folder.resolve("config.json");
+      Files.writeString(
+          config, Files.readString(config).replace(world.platform.address(), moved.address()));
+      final Config fresh =
+          Config.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
+      loop.submit(() -> directory.reload(fresh)).get(PATIENCE_S, TimeUnit.SECONDS);
+      awaitState(second, Courier.Condition.LISTED);
+      awaitState(first, Courier.Condition.GONE);
     }
+    assertTrue(updates.size() > 1);
+  }
 }
--- a/eureka/src/test/java/thistleturn/membership/DrainTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DrainTest.java
@@ -15,193 +15,219 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.Violation;
 
-/** Endpoints that come and go, by one source's word or another's, with calls out and messages waiting. */
+/**
+ * Endpoints that come and go, by one source's word or another's, with calls out and messages
+ * waiting.
+ */
 @Tag("membership")
 final class DrainTest {
-    private static final long TIMEOUT_MS = 3000;
+  private static final long TIMEOUT_MS = 3000;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static void register(final CourierUnderTest courier, final String id, final StandInEndpoint endpoint,
-            final String status) {
-        courier.world.registry.register(StandInRegistry.endpoint("heat", id, endpoint.port(), endpoint.destination(),
-                status));
-    }
+  private static void register(
+      final CourierUnderTest courier,
+      final String id,
+      final StandInEndpoint endpoint,
+      final String status) {
+    courier.world.registry.register(
+        StandInRegistry.endpoint("heat", id, endpoint.port(), endpoint.destination(), status));
+  }
 
-    /** Tells the Auditor that an endpoint drains, as soon as the registry has told it to anyone. */
-    private static void drains(final CourierUnderTest courier, final String id, final StandInEndpoint endpoint) {
-        courier.world.registry.status("heat", id, "DOWN",
-                () -> courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name()));
-    }
+  /** Tells the Auditor that an endpoint drains, as soon as the registry has told it to anyone. */
+  private static void drains(
+      final CourierUnderTest courier, final String id, final StandInEndpoint endpoint) {
+    courier.world.registry.status(
+        "heat",
+        id,
+        "DOWN",
+        () -> courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name()));
+  }
 
-    @Test
-    void anEndpointThatGoesDownWithCallsOutAndMessagesWaitingGetsNothingNew() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
-            final StandInEndpoint slow = courier.world.endpoint(1);
-            final StandInEndpoint other = courier.world.endpoint(1);
-            slow.fare(Manner.after(150));
-            register(courier, "slow", slow, "UP");
-            register(courier, "other", other, "UP");
-            courier.start();
-            courier.awaitState(slow.address(), "up");
-            courier.world.load(150, TIMEOUT_MS, 1);
-            courier.world.await("calls out", () -> slow.calls() > 10);
-            drains(courier, "slow", slow);
-            courier.awaitState(slow.address(), "draining");
-            final long before = other.calls();
-            courier.world.await("calls at the other", () -> other.calls() > before + 300);
-            assertEquals(List.of(), courier.world.stopLoad());
-        }
+  @Test
+  void anEndpointThatGoesDownWithCallsOutAndMessagesWaitingGetsNothingNew() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
+      final StandInEndpoint slow = courier.world.endpoint(1);
+      final StandInEndpoint other = courier.world.endpoint(1);
+      slow.fare(Manner.after(150));
+      register(courier, "slow", slow, "UP");
+      register(courier, "other", other, "UP");
+      courier.start();
+      courier.awaitState(slow.address(), "up");
+      courier.world.load(150, TIMEOUT_MS, 1);
+      courier.world.await("calls out", () -> slow.calls() > 10);
+      drains(courier, "slow", slow);
+      courier.awaitState(slow.address(), "draining");
+      final long before = other.calls();
+      courier.world.await("calls at the other", () -> other.calls() > before + 300);
+      assertEquals(List.of(), courier.world.stopLoad());
     }
+  }
 
-    @Test
-    void theAuditorSeesADrainThatIsNotKept() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 2)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            register(courier, "i", endpoint, "UP");
-            courier.start();
-            courier.awaitState(endpoint.address(), "up");
-            // The courier is told nothing: what it goes on sending is a breach, and must be seen as one.
-            courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name());
-            courier.world.load(50, TIMEOUT_MS, 1);
-            courier.world.await("a breach", () -> courier.world.auditor.finish(courier.world.ticks.nowUs()).stream()
-                    .anyMatch(violation -> violation.rule() == Violation.Rule.DRAIN));
-        }
+  @Test
+  void theAuditorSeesADrainThatIsNotKept() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 2)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      register(courier, "i", endpoint, "UP");
+      courier.start();
+      courier.awaitState(endpoint.address(), "up");
+      // The courier is told nothing: what it goes on sending is a breach, and must be seen as one.
+      courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name());
+      courier.world.load(50, TIMEOUT_MS, 1);
+      courier.world.await(
+          "a breach",
+          () ->
+              courier.world.auditor.finish(courier.world.ticks.nowUs()).stream()
+                  .anyMatch(violation -> violation.rule() == Violation.Rule.DRAIN));
     }
+  }
 
-    @Test
-    void theMoreCautiousOfTwoSourcesCountsEitherWay() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 3)) {
-            final StandInEndpoint first = courier.world.endpoint(1);
-            final StandInEndpoint second = courier.world.endpoint(1);
-            final StandInEndpoint steady = courier.world.endpoint(1);
-            courier.world.platform.tell(first, "Ready", 1000);
-            courier.world.platform.tell(second, "Ready", 1000);
-            courier.world.platform.tell(steady, "Ready", 1000);
-            register(courier, "i1", first, "UP");
-            register(courier, "i2", second, "UP");
-            courier.start();
-            courier.awaitState(second.address(), "up");
-            courier.world.load(100, TIMEOUT_MS, 1);
-            drains(courier, "i1", first);
-            courier.awaitMember(first.address(), member -> member.path("because").asText().equals("caution")
-                    && member.path("by").asText().equals("eureka"));
-            courier.world.platform.tell(second, "Terminating", 1000);
-            courier.awaitMember(second.address(), member -> member.path("because").asText().equals("caution")
-                    && member.path("by").asText().equals("discovery"));
-            final long before = steady.calls();
-            courier.world.await("calls at the steady one", () -> steady.calls() > before + 250);
-            assertEquals(List.of(), courier.world.stopLoad());
-        }
+  @Test
+  void theMoreCautiousOfTwoSourcesCountsEitherWay() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 3)) {
+      final StandInEndpoint first = courier.world.endpoint(1);
+      final StandInEndpoint second = courier.world.endpoint(1);
+      final StandInEndpoint steady = courier.world.endpoint(1);
+      courier.world.platform.tell(first, "Ready", 1000);
+      courier.world.platform.tell(second, "Ready", 1000);
+      courier.world.platform.tell(steady, "Ready", 1000);
+      register(courier, "i1", first, "UP");
+      register(courier, "i2", second, "UP");
+      courier.start();
+      courier.awaitState(second.address(), "up");
+      courier.world.load(100, TIMEOUT_MS, 1);
+      drains(courier, "i1", first);
+      courier.awaitMember(
+          first.address(),
+          member ->
+              member.path("because").asText().equals("caution")
+                  && member.path("by").asText().equals("eureka"));
+      courier.world.platform.tell(second, "Terminating", 1000);
+      courier.awaitMember(
+          second.address(),
+          member ->
+              member.path("because").asText().equals("caution")
+                  && member.path("by").asText().equals("discovery"));
+      final long before = steady.calls();
+      courier.world.await("calls at the steady one", () -> steady.calls() > before + 250);
+      assertEquals(List.of(), courier.world.stopLoad());
     }
+  }
 
-    @Test
-    void oneThatIsTakenOutAndBackWithinASecondServesAgain() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 4)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            register(courier, "i", endpoint, "UP");
-            courier.start();
-            courier.awaitState(endpoint.address(), "up");
-            courier.world.load(100, TIMEOUT_MS, 1);
-            courier.world.registry.cancel("heat", "i");
-            courier.awaitState(endpoint.address(), "gone");
-            register(courier, "i", endpoint, "UP");
-            courier.awaitState(endpoint.address(), "up");
-            final long before = endpoint.calls();
-            courier.world.await("calls again", () -> endpoint.calls() > before + 50);
-            assertEquals(List.of(), courier.world.stopLoad());
-        }
+  @Test
+  void oneThatIsTakenOutAndBackWithinASecondServesAgain() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 4)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      register(courier, "i", endpoint, "UP");
+      courier.start();
+      courier.awaitState(endpoint.address(), "up");
+      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.registry.cancel("heat", "i");
+      courier.awaitState(endpoint.address(), "gone");
+      register(courier, "i", endpoint, "UP");
+      courier.awaitState(endpoint.address(), "up");
+      final long before = endpoint.calls();
+      courier.world.await("calls again", () -> endpoint.calls() > before + 50);
+      assertEquals(List.of(), courier.world.stopLoad());
     }
+  }
 
-    @Test
-    void aThousandThatFlapCostNeitherServiceNorMemory() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 5)) {
-            final StandInEndpoint steady = courier.world.endpoint(1);
-            register(courier, "steady", steady, "UP");
-            // Addresses at which nobody listens: being tried costs a refused connection at most.
-            for (int index = 0; index < 1000; index++) {
-                courier.world.registry.register(StandInRegistry.endpoint("flap", "f" + index, 1, 100 + index, "UP"));
-            }
-            courier.start();
-            courier.awaitState(steady.address(), "up");
-            courier.world.load(100, TIMEOUT_MS, 1);
-            for (int round = 0; round < 10; round++) {
-                for (int index = 0; index < 1000; index++) {
-                    courier.world.registry.status("flap", "f" + index, round % 2 == 0 ? "DOWN" : "UP");
-                }
-                final int told = courier.world.registry.requests().getOrDefault("GET apps/delta", 0);
-                courier.world.await("the next delta",
-                        () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > told + 1);
-            }
-            assertEquals(1001, courier.source("eureka").path("entries").asInt());
-            final long before = steady.calls();
-            courier.world.await("calls after it", () -> steady.calls() > before + 50);
-            assertEquals(List.of(), courier.world.stopLoad());
-            assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
+  @Test
+  void aThousandThatFlapCostNeitherServiceNorMemory() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 5)) {
+      final StandInEndpoint steady = courier.world.endpoint(1);
+      register(courier, "steady", steady, "UP");
+      // Addresses at which nobody listens: being tried costs a refused connection at most.
+      for (int index = 0; index < 1000; index++) {
+        courier.world.registry.register(
+            StandInRegistry.endpoint("flap", "f" + index, 1, 100 + index, "UP"));
+      }
+      courier.start();
+      courier.awaitState(steady.address(), "up");
+      courier.world.load(100, TIMEOUT_MS, 1);
+      for (int round = 0; round < 10; round++) {
+        for (int index = 0; index < 1000; index++) {
+          courier.world.registry.status("flap", "f" + index, round % 2 == 0 ? "DOWN" : "UP");
         }
+        final int told = courier.world.registry.requests().getOrDefault("GET apps/delta", 0);
+        courier.world.await(
+            "the next delta",
+            () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > told + 1);
+      }
+      assertEquals(1001, courier.source("eureka").path("entries").asInt());
+      final long before = steady.calls();
+      courier.world.await("calls after it", () -> steady.calls() > before + 50);
+      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
     }
+  }
 
-    @Test
-    void aRegistryThatIsAddedOrTakenOutCountsAtOnce() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 6)) {
-            final StandInEndpoint first = courier.world.endpoint(1);
-            final StandInEndpoint second = courier.world.endpoint(1);
-            final StandInRegistry east = courier.world.registry();
-            register(courier, "i1", first, "UP");
-            east.register(StandInRegistry.endpoint("heat", "i2", second.port(), 1, "UP"));
-            courier.start();
-            courier.awaitState(first.address(), "up");
-            assertNull(courier.member(second.address()));
-            courier.world.load(100, TIMEOUT_MS, 1);
-            final var eureka = courier.registries.get(0);
-            courier.registries = new ArrayList<>(List.of(eureka, CourierUnderTest.registry("east", 50, east)));
-            courier.reload();
-            courier.awaitState(second.address(), "up");
-            courier.registries = List.of(courier.registries.get(1));
-            courier.reload();
-            courier.awaitState(first.address(), "gone");
-            courier.world.auditor.closed(courier.world.ticks.nowUs(), first.name());
-            final long before = second.calls();
-            courier.world.await("calls at the other", () -> second.calls() > before + 250);
-            assertEquals(List.of(), courier.world.stopLoad());
-            assertNull(courier.source("eureka"));
-        }
+  @Test
+  void aRegistryThatIsAddedOrTakenOutCountsAtOnce() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 6)) {
+      final StandInEndpoint first = courier.world.endpoint(1);
+      final StandInEndpoint second = courier.world.endpoint(1);
+      final StandInRegistry east = courier.world.registry();
+      register(courier, "i1", first, "UP");
+      east.register(StandInRegistry.endpoint("heat", "i2", second.port(), 1, "UP"));
+      courier.start();
+      courier.awaitState(first.address(), "up");
+      assertNull(courier.member(second.address()));
+      courier.world.load(100, TIMEOUT_MS, 1);
+      final var eureka = courier.registries.get(0);
+      courier.registries =
+          new ArrayList<>(List.of(eureka, CourierUnderTest.registry("east", 50, east)));
+      courier.reload();
+      courier.awaitState(second.address(), "up");
+      courier.registries = List.of(courier.registries.get(1));
+      courier.reload();
+      courier.awaitState(first.address(), "gone");
+      courier.world.auditor.closed(courier.world.ticks.nowUs(), first.name());
+      final long before = second.calls();
+      courier.world.await("calls at the other", () -> second.calls() > before + 250);
+      assertEquals(List.of(), courier.world.stopLoad());
+      assertNull(courier.source("eureka"));
     }
+  }
 
-    @Test
-    void twoRegistriesThatDisagreeLeaveTheMoreCautiousWord() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 7)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            final StandInRegistry east = courier.world.registry();
-            register(courier, "i", endpoint, "UP");
-            east.register(StandInRegistry.endpoint("heat", "i", endpoint.port(), 1, "OUT_OF_SERVICE"));
-            courier.registries.add(CourierUnderTest.registry("east", 50, east));
-            courier.start();
-            courier.awaitMember(endpoint.address(), member -> member.path("because").asText().equals("caution")
-                    && member.path("state").asText().equals("draining"));
-            east.override("heat", "i", null);
-            courier.awaitState(endpoint.address(), "up");
-        }
+  @Test
+  void twoRegistriesThatDisagreeLeaveTheMoreCautiousWord() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 7)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      final StandInRegistry east = courier.world.registry();
+      register(courier, "i", endpoint, "UP");
+      east.register(StandInRegistry.endpoint("heat", "i", endpoint.port(), 1, "OUT_OF_SERVICE"));
+      courier.registries.add(CourierUnderTest.registry("east", 50, east));
+      courier.start();
+      courier.awaitMember(
+          endpoint.address(),
+          member ->
+              member.path("because").asText().equals("caution")
+                  && member.path("state").asText().equals("draining"));
+      east.override("heat", "i", null);
+      courier.awaitState(endpoint.address(), "up");
     }
+  }
 
-    @Test
-    void aKilledCourierKeepsTheRulesWithItsRegistryGone() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 8)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            register(courier, "i", endpoint, "UP");
-            courier.world.platform.tell(endpoint, "Ready", 1000);
-            endpoint.fare(Manner.after(30));
-            courier.start();
-            courier.awaitState(endpoint.address(), "up");
-            courier.world.load(100, TIMEOUT_MS, 1);
-            courier.world.await("deliveries", () -> endpoint.calls() > 50);
-            courier.world.registry.server().down();
-            courier.killAndRestart();
-            final long before = endpoint.calls();
-            courier.world.await("deliveries again", () -> endpoint.calls() > before + 50);
-            assertEquals(List.of(), courier.world.stopLoad(TIMEOUT_MS));
-            assertTrue(courier.world.auditor.ends().get("delivered") > 80, courier.world.auditor.ends().toString());
-        }
+  @Test
+  void aKilledCourierKeepsTheRulesWithItsRegistryGone() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 8)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      register(courier, "i", endpoint, "UP");
+      courier.world.platform.tell(endpoint, "Ready", 1000);
+      endpoint.fare(Manner.after(30));
+      courier.start();
+      courier.awaitState(endpoint.address(), "up");
+      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.await("deliveries", () -> endpoint.calls() > 50);
+      courier.world.registry.server().down();
+      courier.killAndRestart();
+      final long before = endpoint.calls();
+      courier.world.await("deliveries again", () -> endpoint.calls() > before + 50);
+      assertEquals(List.of(), courier.world.stopLoad(TIMEOUT_MS));
+      assertTrue(
+          courier.world.auditor.ends().get("delivered") > 80,
+          courier.world.auditor.ends().toString());
     }
+  }
 }
--- a/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
@@ -17,159 +17,198 @@
 /** Registries that fail in each way: the pool stays, service goes on, and the six rules hold. */
 @Tag("membership")
 final class RegistryFaultTest {
-    private static final long TIMEOUT_MS = 3000;
+  private static final long TIMEOUT_MS = 3000;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /** Two destinations, one known only to the registry, the other to the list as well. */
-    private StandInEndpoint[] twoDestinations(final CourierUnderTest courier) {
-        final StandInEndpoint registered = courier.world.endpoint(1);
-        final StandInEndpoint both = courier.world.endpoint(2);
-        courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", registered.port(), 1, "UP"));
-        courier.world.registry.register(StandInRegistry.endpoint("heat", "i2", both.port(), 2, "UP"));
-        courier.world.platform.tell(both, "Ready", 1000);
-        return new StandInEndpoint[] {registered, both};
-    }
+  /** Two destinations, one known only to the registry, the other to the list as well. */
+  private StandInEndpoint[] twoDestinations(final CourierUnderTest courier) {
+    final StandInEndpoint registered = courier.world.endpoint(1);
+    final StandInEndpoint both = courier.world.endpoint(2);
+    courier.world.registry.register(
+        StandInRegistry.endpoint("heat", "i1", registered.port(), 1, "UP"));
+    courier.world.registry.register(StandInRegistry.endpoint("heat", "i2", both.port(), 2, "UP"));
+    courier.world.platform.tell(both, "Ready", 1000);
+    return new StandInEndpoint[] {registered, both};
+  }
 
-    @ParameterizedTest
-    @EnumSource(Fault.class)
-    void anOutageOfAnyKindEmptiesNoPool(final Fault fault) throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, fault.ordinal())) {
-            final StandInEndpoint[] endpoints = twoDestinations(courier);
-            courier.start();
-            courier.awaitState(endpoints[0].address(), "up");
-            courier.awaitState(endpoints[1].address(), "up");
-            courier.world.registry.fault(fault);
-            final int asked = courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum();
-            courier.world.load(200, TIMEOUT_MS, 1, 2);
-            // Several rounds of questions fall into the fault.
-            courier.world.await("questions during the fault", () -> courier.world.registry.requests().values().stream()
-                    .mapToInt(Integer::intValue).sum() >= asked + 4);
-            courier.world.await("deliveries", () -> courier.world.auditor.ends().getOrDefault("delivered", 0) >= 100);
-            assertEquals("up", courier.member(endpoints[0].address()).path("state").asText());
-            assertEquals("up", courier.member(endpoints[1].address()).path("state").asText());
-            assertEquals(List.of(), courier.world.stopLoad());
-            assertTrue(endpoints[0].calls() > 0 && endpoints[1].calls() > 0);
-            assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
-            courier.world.registry.fault(Fault.NONE);
-            courier.world.registry.status("heat", "i1", "DOWN");
-            courier.awaitState(endpoints[0].address(), "draining");
-        }
+  @ParameterizedTest
+  @EnumSource(Fault.class)
+  void anOutageOfAnyKindEmptiesNoPool(final Fault fault) throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, fault.ordinal())) {
+      final StandInEndpoint[] endpoints = twoDestinations(courier);
+      courier.start();
+      courier.awaitState(endpoints[0].address(), "up");
+      courier.awaitState(endpoints[1].address(), "up");
+      courier.world.registry.fault(fault);
+      final int asked =
+          courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum();
+      courier.world.load(200, TIMEOUT_MS, 1, 2);
+      // Several rounds of questions fall into the fault.
+      courier.world.await(
+          "questions during the fault",
+          () ->
+              courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum()
+                  >= asked + 4);
+      courier.world.await(
+          "deliveries", () -> courier.world.auditor.ends().getOrDefault("delivered", 0) >= 100);
+      assertEquals("up", courier.member(endpoints[0].address()).path("state").asText());
+      assertEquals("up", courier.member(endpoints[1].address()).path("state").asText());
+      assertEquals(List.of(), courier.world.stopLoad());
+      assertTrue(endpoints[0].calls() > 0 && endpoints[1].calls() > 0);
+      assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
+      courier.world.registry.fault(Fault.NONE);
+      courier.world.registry.status("heat", "i1", "DOWN");
+      courier.awaitState(endpoints[0].address(), "draining");
     }
+  }
 
-    @Test
-    void anUnreachableRegistryAndItsEmptyRestartTakeNothing() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 20)) {
-            final StandInEndpoint[] endpoints = twoDestinations(courier);
-            courier.start();
-            courier.awaitState(endpoints[0].address(), "up");
-            courier.world.load(200, TIMEOUT_MS, 1, 2);
-            courier.world.registry.server().down();
-            courier.awaitMember(endpoints[0].address(), member -> member.path("because").asText().equals("stale"));
-            courier.world.registry.restart();
-            courier.world.registry.server().up();
-            courier.awaitMember(endpoints[0].address(), member -> member.path("because").asText().equals("doubted"));
-            final long calls = endpoints[0].calls();
-            courier.world.await("calls while the registry is empty", () -> endpoints[0].calls() > calls + 20);
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", endpoints[0].port(), 1, "UP"));
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i2", endpoints[1].port(), 2, "UP"));
-            courier.awaitMember(endpoints[0].address(), member -> member.path("because").asText().equals("said"));
-            assertEquals(List.of(), courier.world.stopLoad());
-        }
+  @Test
+  void anUnreachableRegistryAndItsEmptyRestartTakeNothing() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 20)) {
+      final StandInEndpoint[] endpoints = twoDestinations(courier);
+      courier.start();
+      courier.awaitState(endpoints[0].address(), "up");
+      courier.world.load(200, TIMEOUT_MS, 1, 2);
+      courier.world.registry.server().down();
+      courier.awaitMember(
+          endpoints[0].address(), member -> member.path("because").asText().equals("stale"));
+      courier.world.registry.restart();
+      courier.world.registry.server().up();
+      courier.awaitMember(
+          endpoints[0].address(), member -> member.path("because").asText().equals("doubted"));
+      final long calls = endpoints[0].calls();
+      courier.world.await(
+          "calls while the registry is empty", () -> endpoints[0].calls() > calls + 20);
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "i1", endpoints[0].port(), 1, "UP"));
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "i2", endpoints[1].port(), 2, "UP"));
+      courier.awaitMember(
+          endpoints[0].address(), member -> member.path("because").asText().equals("said"));
+      assertEquals(List.of(), courier.world.stopLoad());
     }
+  }
 
-    @Test
-    void anotherAddressOfTheRegistryIsAskedWhenOneFails() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 21)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            final StandInRegistry second = courier.world.registry();
-            courier.world.registry.server().down();
-            second.register(StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
-            courier.registries = List.of(CourierUnderTest.registry("eureka", 50, courier.world.registry, second));
-            courier.start();
-            courier.awaitState(endpoint.address(), "up");
-            second.server().down();
-            courier.world.registry.server().up();
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "DOWN"));
-            courier.awaitState(endpoint.address(), "draining");
-        }
+  @Test
+  void anotherAddressOfTheRegistryIsAskedWhenOneFails() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 21)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      final StandInRegistry second = courier.world.registry();
+      courier.world.registry.server().down();
+      second.register(StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
+      courier.registries =
+          List.of(CourierUnderTest.registry("eureka", 50, courier.world.registry, second));
+      courier.start();
+      courier.awaitState(endpoint.address(), "up");
+      second.server().down();
+      courier.world.registry.server().up();
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "DOWN"));
+      courier.awaitState(endpoint.address(), "draining");
     }
+  }
 
-    @Test
-    void aDeltaThatDoesNotFitBringsAWholeAnswer() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 22)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            courier.start();
-            courier.world.await("deltas",
-                    () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > 1);
-            final int whole = courier.world.registry.requests().get("GET apps");
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
-            // So much later that the change is told no more: only the hash gives it away.
-            courier.world.registry.pass(1000);
-            courier.awaitState(endpoint.address(), "up");
-            assertTrue(courier.world.registry.requests().get("GET apps") > whole);
-            assertTrue(courier.source("eureka").path("registry").path("mismatches").asInt() > 0);
-        }
+  @Test
+  void aDeltaThatDoesNotFitBringsAWholeAnswer() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 22)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      courier.start();
+      courier.world.await(
+          "deltas", () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > 1);
+      final int whole = courier.world.registry.requests().get("GET apps");
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
+      // So much later that the change is told no more: only the hash gives it away.
+      courier.world.registry.pass(1000);
+      courier.awaitState(endpoint.address(), "up");
+      assertTrue(courier.world.registry.requests().get("GET apps") > whole);
+      assertTrue(courier.source("eureka").path("registry").path("mismatches").asInt() > 0);
     }
+  }
 
-    @Test
-    void aRegistryWithoutDeltasIsAskedForAll() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 23)) {
-            final StandInEndpoint endpoint = courier.world.endpoint(1);
-            courier.world.registry.refuseDeltas(true);
-            courier.start();
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
-            courier.awaitState(endpoint.address(), "up");
-            courier.world.registry.status("heat", "i1", "OUT_OF_SERVICE");
-            courier.awaitState(endpoint.address(), "draining");
-        }
+  @Test
+  void aRegistryWithoutDeltasIsAskedForAll() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 23)) {
+      final StandInEndpoint endpoint = courier.world.endpoint(1);
+      courier.world.registry.refuseDeltas(true);
+      courier.start();
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
+      courier.awaitState(endpoint.address(), "up");
+      courier.world.registry.status("heat", "i1", "OUT_OF_SERVICE");
+      courier.awaitState(endpoint.address(), "draining");
     }
+  }
 
-    @Test
-    void onlySomeApplicationsOrVipsCanBeAskedFor() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 24)) {
-            final StandInEndpoint heat = courier.world.endpoint(1);
-            final StandInEndpoint pump = courier.world.endpoint(2);
-            final StandInEndpoint other = courier.world.endpoint(3);
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", heat.port(), 1, "UP"));
-            courier.world.registry.register(StandInRegistry.endpoint("pump", "i2", pump.port(), 2, "UP"));
-            courier.world.registry.register(StandInRegistry.endpoint("other", "i3", other.port(), 3, "UP"));
-            final var all = courier.registries.get(0);
-            courier.registries = List.of(new thistleturn.eureka.RegistrySettings("eureka", all.addresses(),
-                    List.of("apps/HEAT", "apps/ABSENT", "vips/pump"), all.periodUs(), all.mostBackOffUs(),
-                    all.answerUs(), all.mostBytes(), true, all.metadata()));
-            courier.start();
-            courier.awaitState(heat.address(), "up");
-            courier.awaitState(pump.address(), "up");
-            assertEquals(2, courier.status().path("members").size());
-            courier.world.registry.status("pump", "i2", "DOWN");
-            courier.awaitState(pump.address(), "draining");
-        }
+  @Test
+  void onlySomeApplicationsOrVipsCanBeAskedFor() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 24)) {
+      final StandInEndpoint heat = courier.world.endpoint(1);
+      final StandInEndpoint pump = courier.world.endpoint(2);
+      final StandInEndpoint other = courier.world.endpoint(3);
+      courier.world.registry.register(StandInRegistry.endpoint("heat", "i1", heat.port(), 1, "UP"));
+      courier.world.registry.register(StandInRegistry.endpoint("pump", "i2", pump.port(), 2, "UP"));
+      courier.world.registry.register(
+          StandInRegistry.endpoint("other", "i3", other.port(), 3, "UP"));
+      final var all = courier.registries.get(0);
+      courier.registries =
+          List.of(
+              new thistleturn.eureka.RegistrySettings(
+                  "eureka",
+                  all.addresses(),
+                  List.of("apps/HEAT", "apps/ABSENT", "vips/pump"),
+                  all.periodUs(),
+                  all.mostBackOffUs(),
+                  all.answerUs(),
+                  all.mostBytes(),
+                  true,
+                  all.metadata()));
+      courier.start();
+      courier.awaitState(heat.address(), "up");
+      courier.awaitState(pump.address(), "up");
+      assertEquals(2, courier.status().path("members").size());
+      courier.world.registry.status("pump", "i2", "DOWN");
+      courier.awaitState(pump.address(), "draining");
     }
+  }
 
-    @Test
-    void instancesWithoutUsableMetadataAreLeftOutAndCounted() throws Exception {
-        try (CourierUnderTest courier = new CourierUnderTest(folder, 25)) {
-            final StandInEndpoint good = courier.world.endpoint(1);
-            courier.world.registry.register(StandInRegistry.endpoint("heat", "good", good.port(), 1, "UP"));
-            courier.world.registry.register(StandInRegistry.instance("heat", "none", "127.0.0.1", 80, "UP"));
-            courier.world.registry.register(StandInRegistry.instance("heat", "word", "127.0.0.1", 80, "UP",
-                    "thistleturn.destination", "seven"));
-            courier.world.registry.register(StandInRegistry.instance("heat", "name", "heat.example", 80, "UP",
-                    "thistleturn.destination", "7"));
-            courier.world.registry.register(StandInRegistry.instance("heat", "port", "127.0.0.1", 70_000, "UP",
-                    "thistleturn.destination", "7"));
-            courier.world.registry.register(StandInRegistry.instance("heat", "rate", "127.0.0.1", 80, "UP",
-                    "thistleturn.destination", "7", "thistleturn.rate", "many"));
-            courier.start();
-            courier.awaitState(good.address(), "up");
-            assertEquals(1, courier.status().path("members").size());
-            final String counts = courier.source("eureka").path("registry").toString();
-            for (final String why : List.of("\"NO_DESTINATION\":2", "\"NO_ADDRESS\":1", "\"NO_PORT\":1",
-                    "\"BAD_RATE\":1")) {
-                assertTrue(counts.contains(why), counts);
-            }
-        }
+  @Test
+  void instancesWithoutUsableMetadataAreLeftOutAndCounted() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 25)) {
+      final StandInEndpoint good = courier.world.endpoint(1);
+      courier.world.registry.register(
+          StandInRegistry.endpoint("heat", "good", good.port(), 1, "UP"));
+      courier.world.registry.register(
+          StandInRegistry.instance("heat", "none", "127.0.0.1", 80, "UP"));
+      courier.world.registry.register(
+          StandInRegistry.instance(
+              "heat", "word", "127.0.0.1", 80, "UP", "thistleturn.destination", "seven"));
+      courier.world.registry.register(
+          StandInRegistry.instance(
+              "heat", "name", "heat.example", 80, "UP", "thistleturn.destination", "7"));
+      courier.world.registry.register(
+          StandInRegistry.instance(
+              "heat", "port", "127.0.0.1", 70_000, "UP", "thistleturn.destination", "7"));
+      courier.world.registry.register(
+          StandInRegistry.instance(
+              "heat",
+              "rate",
+              "127.0.0.1",
+              80,
+              "UP",
+              "thistleturn.destination",
+              "7",
+              "thistleturn.rate",
+              "many"));
+      courier.start();
+      courier.awaitState(good.address(), "up");
+      assertEquals(1, courier.status().path("members").size());
+      final String counts = courier.source("eureka").path("registry").toString();
+      for (final String why :
+          List.of("\"NO_DESTINATION\":2", "\"NO_ADDRESS\":1", "\"NO_PORT\":1", "\"BAD_RATE\":1")) {
+        assertTrue(counts.contains(why), counts);
+      }
     }
+  }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/Sharing.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/Sharing.java
@@ -12,16 +12,16 @@
  * @param loss share of datagrams that are lost on it
  */
 public record Sharing(Set<Kind> kinds, boolean perfect, double loss) {
-    /** Nothing is shared. */
-    public static final Sharing NOTHING = new Sharing(Set.of(), true, 0);
+  /** Nothing is shared. */
+  public static final Sharing NOTHING = new Sharing(Set.of(), true, 0);
 
-    /** One memory for all. */
-    public static Sharing perfectly(final Set<Kind> kinds) {
-        return new Sharing(EnumSet.copyOf(kinds), true, 0);
-    }
+  /** One memory for all. */
+  public static Sharing perfectly(final Set<Kind> kinds) {
+    return new Sharing(EnumSet.copyOf(kinds), true, 0);
+  }
 
-    /** Copies over a network that loses some. */
-    public static Sharing byCopies(final Set<Kind> kinds, final double loss) {
-        return new Sharing(EnumSet.copyOf(kinds), false, loss);
-    }
+  /** Copies over a network that loses some. */
+  public static Sharing byCopies(final Set<Kind> kinds, final double loss) {
+    return new Sharing(EnumSet.copyOf(kinds), false, loss);
+  }
 }
--- a/lab/src/main/java/thistleturn/lab/model/Fault.java
+++ b/lab/src/main/java/thistleturn/lab/model/Fault.java
@@ -5,36 +5,45 @@
 /** Trouble that does not answer to load. */
 @FunctionalInterface
 public interface Fault {
-    /** Nothing is wrong. */
-    Fault NONE = (nowUs, endpoint, kind, random) -> Fate.SERVE;
+  /** Nothing is wrong. */
+  Fault NONE = (nowUs, endpoint, kind, random) -> Fate.SERVE;
 
-    /** What becomes of a call of a class that comes to an endpoint of its partner (0, 1, ...) at a moment. */
-    Fate of(long nowUs, int endpoint, int kind, RandomGenerator random);
+  /**
+   * What becomes of a call of a class that comes to an endpoint of its partner (0, 1, ...) at a
+   * moment.
+   */
+  Fate of(long nowUs, int endpoint, int kind, RandomGenerator random);
 
-    /** Each call by itself, with these shares. */
-    static Fault shares(final double refused, final double reset, final double error, final double silent) {
-        return (nowUs, endpoint, kind, random) -> {
-            final double draw = random.nextDouble();
-            return draw < refused ? Fate.REFUSE
-                    : draw < refused + reset ? Fate.RESET
-                    : draw < refused + reset + error ? Fate.ERROR
-                    : draw < refused + reset + error + silent ? Fate.SILENT : Fate.SERVE;
-        };
-    }
+  /** Each call by itself, with these shares. */
+  static Fault shares(
+      final double refused, final double reset, final double error, final double silent) {
+    return (nowUs, endpoint, kind, random) -> {
+      final double draw = random.nextDouble();
+      return draw < refused
+          ? Fate.REFUSE
+          : draw < refused + reset
+              ? Fate.RESET
+              : draw < refused + reset + error
+                  ? Fate.ERROR
+                  : draw < refused + reset + error + silent ? Fate.SILENT : Fate.SERVE;
+    };
+  }
 
-    /** This one between two moments, and another before and after. */
-    default Fault between(final long fromUs, final long toUs, final Fault otherwise) {
-        return (nowUs, endpoint, kind, random) -> (nowUs >= fromUs && nowUs < toUs ? this : otherwise)
-                .of(nowUs, endpoint, kind, random);
-    }
+  /** This one between two moments, and another before and after. */
+  default Fault between(final long fromUs, final long toUs, final Fault otherwise) {
+    return (nowUs, endpoint, kind, random) ->
+        (nowUs >= fromUs && nowUs < toUs ? this : otherwise).of(nowUs, endpoint, kind, random);
+  }
 
-    /** This one at one endpoint alone. */
-    default Fault atEndpoint(final int only) {
-        return (nowUs, endpoint, kind, random) -> endpoint == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
-    }
+  /** This one at one endpoint alone. */
+  default Fault atEndpoint(final int only) {
+    return (nowUs, endpoint, kind, random) ->
+        endpoint == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
+  }
 
-    /** This one for one class alone. */
-    default Fault forClass(final int only) {
-        return (nowUs, endpoint, kind, random) -> kind == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
-    }
+  /** This one for one class alone. */
+  default Fault forClass(final int only) {
+    return (nowUs, endpoint, kind, random) ->
+        kind == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
+  }
 }
--- a/lab/src/main/java/thistleturn/lab/model/Partner.java
+++ b/lab/src/main/java/thistleturn/lab/model/Partner.java
@@ -13,57 +13,67 @@
  * @param outage null: none
  * @param share its part of the messages, relative to others'
  */
-public record Partner(long id, int endpoints, Service service, Limit limit, Fault fault, ColdReturn outage,
-                      double share) {
+public record Partner(
+    long id,
+    int endpoints,
+    Service service,
+    Limit limit,
+    Fault fault,
+    ColdReturn outage,
+    double share) {
 
-    /** How long a call takes that is served at once. */
-    @FunctionalInterface
-    public interface Service {
-        /** In us. */
-        long drawUs(int kind, RandomGenerator random);
+  /** How long a call takes that is served at once. */
+  @FunctionalInterface
+  public interface Service {
+    /** In us. */
+    long drawUs(int kind, RandomGenerator random);
 
-        /** Half in 2 ms, half evenly up to 250 ms: replicas behind one address, warm and cold caches. */
-        Service MIXED = (kind, random) -> random.nextBoolean() ? 2_000 : (long) (250_000 * random.nextDouble());
+    /**
+     * Half in 2 ms, half evenly up to 250 ms: replicas behind one address, warm and cold caches.
+     */
+    Service MIXED =
+        (kind, random) -> random.nextBoolean() ? 2_000 : (long) (250_000 * random.nextDouble());
 
-        /** Always the same. */
-        static Service fixed(final long us) {
-            return (kind, random) -> us;
-        }
-
-        /** Exponential about a mean. */
-        static Service exponential(final long meanUs) {
-            return (kind, random) -> (long) (random.nextExponential() * meanUs);
-        }
+    /** Always the same. */
+    static Service fixed(final long us) {
+      return (kind, random) -> us;
     }
 
-    /** One with two endpoints that serves any number at once, and of which nothing is wrong. */
-    public static Partner plain(final long id) {
-        return new Partner(id, 2, Service.MIXED, Limit.none(), Fault.NONE, null, 1);
+    /** Exponential about a mean. */
+    static Service exponential(final long meanUs) {
+      return (kind, random) -> (long) (random.nextExponential() * meanUs);
     }
+  }
 
-    /** The same with another limit. */
-    public Partner limited(final Limit other) {
-        return new Partner(id, endpoints, service, other, fault, outage, share);
-    }
+  /** One with two endpoints that serves any number at once, and of which nothing is wrong. */
+  public static Partner plain(final long id) {
+    return new Partner(id, 2, Service.MIXED, Limit.none(), Fault.NONE, null, 1);
+  }
 
-    /** The same with trouble. */
-    public Partner faulty(final Fault other) {
-        return new Partner(id, endpoints, service, limit, other, outage, share);
-    }
+  /** The same with another limit. */
+  public Partner limited(final Limit other) {
+    return new Partner(id, endpoints, service, other, fault, outage, share);
+  }
 
-    /** The same with another time of service. */
-    public Partner serving(final Service other) {
-        return new Partner(id, endpoints, other, limit, fault, outage, share);
-    }
+  /** The same with trouble. */
+  public Partner faulty(final Fault other) {
+    return new Partner(id, endpoints, service, limit, other, outage, share);
+  }
 
-    /** The same with an outage. */
-    public Partner returning(final ColdReturn other) {
-        return new Partner(id, endpoints, service, limit, fault, other, share);
-    }
+  /** The same with another time of service. */
+  public Partner serving(final Service other) {
+    return new Partner(id, endpoints, other, limit, fault, outage, share);
+  }
 
-    /** What becomes of a call that comes now, before its limit is asked. */
-    public Fate fate(final long nowUs, final int endpoint, final int kind, final RandomGenerator random) {
-        final Fate cold = outage == null ? Fate.SERVE : outage.arrives(nowUs);
-        return cold == Fate.SERVE ? fault.of(nowUs, endpoint, kind, random) : cold;
-    }
+  /** The same with an outage. */
+  public Partner returning(final ColdReturn other) {
+    return new Partner(id, endpoints, service, limit, fault, other, share);
+  }
+
+  /** What becomes of a call that comes now, before its limit is asked. */
+  public Fate fate(
+      final long nowUs, final int endpoint, final int kind, final RandomGenerator random) {
+    final Fate cold = outage == null ? Fate.SERVE : outage.arrives(nowUs);
+    return cold == Fate.SERVE ? fault.of(nowUs, endpoint, kind, random) : cold;
+  }
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/Kills.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/Kills.java
@@ -1,8 +1,8 @@
 package thistleturn.lab.virtual;
 
 /**
- * A courier's process that is killed again and again: calls that are out break, open messages are taken up from the
- * journal by the next process, and nobody is answered meanwhile.
+ * A courier's process that is killed again and again: calls that are out break, open messages are
+ * taken up from the journal by the next process, and nobody is answered meanwhile.
  *
  * @param lives processes that are killed; one more lives on
  * @param leastLifeUs shortest life of one, us; lives are drawn evenly
@@ -11,6 +11,6 @@
  * @param remembers true if the next process takes up what was learnt; else it begins anew
  */
 public record Kills(int lives, long leastLifeUs, long mostLifeUs, long startUs, boolean remembers) {
-    /** No process is killed. */
-    public static final Kills NONE = new Kills(0, 0, 0, 0, false);
+  /** No process is killed. */
+  public static final Kills NONE = new Kills(0, 0, 0, 0, false);
 }
--- a/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
+++ b/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
@@ -20,187 +20,242 @@
 import thistleturn.lab.virtual.Tally;
 import thistleturn.lab.virtual.VirtualCourier;
 
-/** The hard cases of reading refusals, each an evening in virtual time; the rules are watched in all of them. */
+/**
+ * The hard cases of reading refusals, each an evening in virtual time; the rules are watched in all
+ * of them.
+ */
 @Tag("noise")
 final class HardWeatherTest {
-    private static final long SECOND = 1_000_000;
-    private static final long LENGTH = 20 * SECOND;
-    private static final int SEEDS = 3;
+  private static final long SECOND = 1_000_000;
+  private static final long LENGTH = 20 * SECOND;
+  private static final int SEEDS = 3;
 
-    private static Tally play(final LongFunction<Partner> partner, final double perSecond, final long seed) {
-        return play(partner, perSecond, LENGTH, seed, Control::new);
-    }
+  private static Tally play(
+      final LongFunction<Partner> partner, final double perSecond, final long seed) {
+    return play(partner, perSecond, LENGTH, seed, Control::new);
+  }
 
-    private static Tally play(final LongFunction<Partner> partner, final double perSecond, final long lengthUs,
-            final long seed, final VirtualCourier.Maker maker) {
-        return play(partner, perSecond, lengthUs, seed, maker, SECOND);
-    }
+  private static Tally play(
+      final LongFunction<Partner> partner,
+      final double perSecond,
+      final long lengthUs,
+      final long seed,
+      final VirtualCourier.Maker maker) {
+    return play(partner, perSecond, lengthUs, seed, maker, SECOND);
+  }
 
-    private static Tally play(final LongFunction<Partner> partner, final double perSecond, final long lengthUs,
-            final long seed, final VirtualCourier.Maker maker, final long coldUs) {
-        final List<Partner> partners = new ArrayList<>();
-        for (long id = 1; id <= 3; id++) {
-            partners.add(partner.apply(id));
-        }
-        final Tally tally = VirtualCourier.play(new Evening(partners, perSecond, lengthUs,
-                Evening.settings(Courier.Weights.NONE, coldUs), 0), seed, maker);
-        assertEquals(List.of(), tally.broken(), "seed " + seed);
-        return tally;
+  private static Tally play(
+      final LongFunction<Partner> partner,
+      final double perSecond,
+      final long lengthUs,
+      final long seed,
+      final VirtualCourier.Maker maker,
+      final long coldUs) {
+    final List<Partner> partners = new ArrayList<>();
+    for (long id = 1; id <= 3; id++) {
+      partners.add(partner.apply(id));
     }
+    final Tally tally =
+        VirtualCourier.play(
+            new Evening(
+                partners, perSecond, lengthUs, Evening.settings(Courier.Weights.NONE, coldUs), 0),
+            seed,
+            maker);
+    assertEquals(List.of(), tally.broken(), "seed " + seed);
+    return tally;
+  }
 
-    private static double goodput(final LongFunction<Partner> partner, final double perSecond) {
-        double least = 1;
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            least = Math.min(least, play(partner, perSecond, seed).goodput());
-        }
-        return least;
+  private static double goodput(final LongFunction<Partner> partner, final double perSecond) {
+    double least = 1;
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      least = Math.min(least, play(partner, perSecond, seed).goodput());
     }
+    return least;
+  }
 
-    private static double withoutReading(final LongFunction<Partner> partner, final double perSecond) {
-        double most = 0;
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            most = Math.max(most, play(partner, perSecond, LENGTH, seed, Control::withoutReading).goodput());
-        }
-        return most;
+  private static double withoutReading(
+      final LongFunction<Partner> partner, final double perSecond) {
+    double most = 0;
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      most =
+          Math.max(most, play(partner, perSecond, LENGTH, seed, Control::withoutReading).goodput());
     }
+    return most;
+  }
 
-    private static Fault refusing(final double share) {
-        return Fault.shares(share, 0, 0, 0);
-    }
+  private static Fault refusing(final double share) {
+    return Fault.shares(share, 0, 0, 0);
+  }
 
-    @Test
-    void theSameSeedPlaysTheSameEvening() {
-        final Tally one = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
-        final Tally other = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
-        assertEquals(one.calls(), other.calls());
-        assertEquals(one.delivered(), other.delivered());
-        assertTrue(one.handed() > 3500);
-    }
+  @Test
+  void theSameSeedPlaysTheSameEvening() {
+    final Tally one = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
+    final Tally other = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
+    assertEquals(one.calls(), other.calls());
+    assertEquals(one.delivered(), other.delivered());
+    assertTrue(one.handed() > 3500);
+  }
 
-    @Test
-    void withoutTroubleAllIsDeliveredFromTheFirstSecondOn() {
-        assertTrue(goodput(Partner::plain, 200) >= 0.995);
-    }
+  @Test
+  void withoutTroubleAllIsDeliveredFromTheFirstSecondOn() {
+    assertTrue(goodput(Partner::plain, 200) >= 0.995);
+  }
 
-    @Test
-    void aTenthRefusedAtRandomIsDeliveredAlmostAtOnce() {
-        double goodput = 0;
-        double calls = 0;
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, seed);
-            goodput += tally.goodput() / SEEDS;
-            calls += tally.callsAMessage() / SEEDS;
-        }
-        assertTrue(goodput >= 0.97, "delivered " + goodput);
-        // One call in ten is refused: 1.11 a message is the least.
-        assertTrue(calls <= 1.15 * 1.112, "calls a message " + calls);
+  @Test
+  void aTenthRefusedAtRandomIsDeliveredAlmostAtOnce() {
+    double goodput = 0;
+    double calls = 0;
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, seed);
+      goodput += tally.goodput() / SEEDS;
+      calls += tally.callsAMessage() / SEEDS;
     }
+    assertTrue(goodput >= 0.97, "delivered " + goodput);
+    // One call in ten is refused: 1.11 a message is the least.
+    assertTrue(calls <= 1.15 * 1.112, "calls a message " + calls);
+  }
 
-    @Test
-    void singleSilenceIsNoOutage() {
-        assertTrue(goodput(id -> Partner.plain(id).faulty(Fault.shares(0, 0, 0, 0.03)), 200) >= 0.97);
-    }
+  @Test
+  void singleSilenceIsNoOutage() {
+    assertTrue(goodput(id -> Partner.plain(id).faulty(Fault.shares(0, 0, 0, 0.03)), 200) >= 0.97);
+  }
 
-    @Test
-    void stallsOfAllForAThirdOfASecondAreNoOutage() {
-        final Fault stall = (nowUs, endpoint, kind, random) -> nowUs % (5 * SECOND) < 300_000
-                ? Fate.REFUSE : Fate.SERVE;
-        final LongFunction<Partner> stalling = id -> Partner.plain(id).faulty(stall);
-        // It begins within a stall: of nothing but refusals nobody can tell what they answer to.
-        assertTrue(goodput(stalling, 200) > withoutReading(stalling, 200));
-        assertTrue(share(play(stalling, 200, 30 * SECOND, 1, Control::new), 16, 28) >= 0.97);
-    }
+  @Test
+  void stallsOfAllForAThirdOfASecondAreNoOutage() {
+    final Fault stall =
+        (nowUs, endpoint, kind, random) ->
+            nowUs % (5 * SECOND) < 300_000 ? Fate.REFUSE : Fate.SERVE;
+    final LongFunction<Partner> stalling = id -> Partner.plain(id).faulty(stall);
+    // It begins within a stall: of nothing but refusals nobody can tell what they answer to.
+    assertTrue(goodput(stalling, 200) > withoutReading(stalling, 200));
+    assertTrue(share(play(stalling, 200, 30 * SECOND, 1, Control::new), 16, 28) >= 0.97);
+  }
 
-    @Test
-    void noiseThatTurnsIntoALimitAndBack() {
-        final Limit none = Limit.none();
-        final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.1)).limited(
-                none.until(10 * SECOND, Limit.spans(20, SECOND, false).until(16 * SECOND, none))), 150, 30 * SECOND, 1,
-                Control::new);
-        assertTrue(share(tally, 0, 4) >= 0.95, "noise before: " + share(tally, 0, 4));
-        // 20 of 50 a second are what the limit lets through, less a tenth.
-        assertTrue(share(tally, 6, 10) >= 0.25, "limit: " + share(tally, 6, 10));
-        assertTrue(share(tally, 24, 29) >= 0.95, "noise after: " + share(tally, 24, 29));
-    }
+  @Test
+  void noiseThatTurnsIntoALimitAndBack() {
+    final Limit none = Limit.none();
+    final Tally tally =
+        play(
+            id ->
+                Partner.plain(id)
+                    .faulty(refusing(0.1))
+                    .limited(
+                        none.until(
+                            10 * SECOND, Limit.spans(20, SECOND, false).until(16 * SECOND, none))),
+            150,
+            30 * SECOND,
+            1,
+            Control::new);
+    assertTrue(share(tally, 0, 4) >= 0.95, "noise before: " + share(tally, 0, 4));
+    // 20 of 50 a second are what the limit lets through, less a tenth.
+    assertTrue(share(tally, 6, 10) >= 0.25, "limit: " + share(tally, 6, 10));
+    assertTrue(share(tally, 24, 29) >= 0.95, "noise after: " + share(tally, 24, 29));
+  }
 
-    private static double share(final Tally tally, final int from, final int to) {
-        final List<Tally.Second> seconds = tally.seconds().subList(from, to);
-        return seconds.stream().mapToInt(Tally.Second::delivered).sum()
-                / (double) seconds.stream().mapToInt(Tally.Second::handed).sum();
-    }
+  private static double share(final Tally tally, final int from, final int to) {
+    final List<Tally.Second> seconds = tally.seconds().subList(from, to);
+    return seconds.stream().mapToInt(Tally.Second::delivered).sum()
+        / (double) seconds.stream().mapToInt(Tally.Second::handed).sum();
+  }
 
-    @Test
-    void aLimitThatFallsToAFifthIsHeeded() {
-        final Tally tally = play(id -> Partner.plain(id).limited(Limit.spans(100, SECOND, false)
-                .until(15 * SECOND, Limit.spans(10, SECOND, false))), 150, 1);
-        assertTrue(share(tally, 0, 9) >= 0.98, "before " + share(tally, 0, 9));
-        final double refusedASecond = tally.seconds().subList(13, 19).stream().mapToInt(Tally.Second::refusedCalls)
-                .average().orElse(0);
-        // Without backing off, each message would be refused twelve times: 1,500 a second.
-        assertTrue(refusedASecond <= 60, "refused calls a second " + refusedASecond);
-    }
+  @Test
+  void aLimitThatFallsToAFifthIsHeeded() {
+    final Tally tally =
+        play(
+            id ->
+                Partner.plain(id)
+                    .limited(
+                        Limit.spans(100, SECOND, false)
+                            .until(15 * SECOND, Limit.spans(10, SECOND, false))),
+            150,
+            1);
+    assertTrue(share(tally, 0, 9) >= 0.98, "before " + share(tally, 0, 9));
+    final double refusedASecond =
+        tally.seconds().subList(13, 19).stream()
+            .mapToInt(Tally.Second::refusedCalls)
+            .average()
+            .orElse(0);
+    // Without backing off, each message would be refused twelve times: 1,500 a second.
+    assertTrue(refusedASecond <= 60, "refused calls a second " + refusedASecond);
+  }
 
-    @Test
-    void oneOfTwoEndpointsThatRefusesAllHalfOrLittle() {
-        for (final double share : new double[] {1, 0.5, 0.03}) {
-            final double goodput = goodput(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200);
-            final double least = share == 1 ? 0.65 : share == 0.5 ? 0.8 : 0.995;
-            assertTrue(goodput >= least, "refusing " + share + ": " + goodput);
-            assertTrue(share(play(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200, 1), 12, 19) >= 0.95);
-        }
+  @Test
+  void oneOfTwoEndpointsThatRefusesAllHalfOrLittle() {
+    for (final double share : new double[] {1, 0.5, 0.03}) {
+      final double goodput =
+          goodput(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200);
+      final double least = share == 1 ? 0.65 : share == 0.5 ? 0.8 : 0.995;
+      assertTrue(goodput >= least, "refusing " + share + ": " + goodput);
+      assertTrue(
+          share(play(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200, 1), 12, 19)
+              >= 0.95);
     }
+  }
 
-    @Test
-    void refusalsForOneClassAloneLeaveTheOthers() {
-        final Tally tally = play(id -> Partner.plain(id).faulty(refusing(1).forClass(0)), 150, 1);
-        // A third of the messages cannot be delivered at all, and the first seconds are lost to finding that out.
-        assertTrue(tally.goodput() >= 0.5, "delivered " + tally.goodput());
-        assertTrue(share(tally, 10, 19) >= 0.62, "later " + share(tally, 10, 19));
-    }
+  @Test
+  void refusalsForOneClassAloneLeaveTheOthers() {
+    final Tally tally = play(id -> Partner.plain(id).faulty(refusing(1).forClass(0)), 150, 1);
+    // A third of the messages cannot be delivered at all, and the first seconds are lost to finding
+    // that out.
+    assertTrue(tally.goodput() >= 0.5, "delivered " + tally.goodput());
+    assertTrue(share(tally, 10, 19) >= 0.62, "later " + share(tally, 10, 19));
+  }
 
-    @Test
-    void aSharedLimitThatIsUnknownIsHeededByBoth() {
-        final Limit shared = Limit.spans(40, SECOND, false);
-        final Tally tally = play(id -> Partner.plain(id).limited(shared), 150, 1);
-        assertTrue(tally.delivered() >= 0.7 * 40 * 20, "delivered " + tally.delivered());
-        assertTrue(tally.refusedAMessage() <= 0.3, "refused calls a message " + tally.refusedAMessage());
-    }
+  @Test
+  void aSharedLimitThatIsUnknownIsHeededByBoth() {
+    final Limit shared = Limit.spans(40, SECOND, false);
+    final Tally tally = play(id -> Partner.plain(id).limited(shared), 150, 1);
+    assertTrue(tally.delivered() >= 0.7 * 40 * 20, "delivered " + tally.delivered());
+    assertTrue(
+        tally.refusedAMessage() <= 0.3, "refused calls a message " + tally.refusedAMessage());
+  }
 
-    @Test
-    void mostRefusedForLoadIsBackedOffFrom() {
-        final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.6)), 200, 1);
-        assertTrue(tally.callsAMessage() <= 4, "calls a message " + tally.callsAMessage());
-        assertTrue(tally.seconds().stream().skip(3).limit(15).allMatch(second -> second.calls() <= 150));
-    }
+  @Test
+  void mostRefusedForLoadIsBackedOffFrom() {
+    final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.6)), 200, 1);
+    assertTrue(tally.callsAMessage() <= 4, "calls a message " + tally.callsAMessage());
+    assertTrue(
+        tally.seconds().stream().skip(3).limit(15).allMatch(second -> second.calls() <= 150));
+  }
 
-    @Test
-    void noiseAtOneCallInTenSeconds() {
-        final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.1)), 0.3, 300 * SECOND, 1, Control::new);
-        assertTrue(tally.goodput() >= 0.98, "delivered " + tally.goodput());
-    }
+  @Test
+  void noiseAtOneCallInTenSeconds() {
+    final Tally tally =
+        play(id -> Partner.plain(id).faulty(refusing(0.1)), 0.3, 300 * SECOND, 1, Control::new);
+    assertTrue(tally.goodput() >= 0.98, "delivered " + tally.goodput());
+  }
 
-    /** All refuse everything at ten times the load: what goes on is single trials. */
-    @Test
-    void aStormIsNotMadeAndServiceIsBackSoon() {
-        final Fault all = refusing(1).between(10 * SECOND, 40 * SECOND, Fault.NONE);
-        final Tally tally = play(id -> Partner.plain(id).faulty(all), 400, 60 * SECOND, 1, Control::new);
-        final int most = tally.seconds().subList(8, 34).stream().mapToInt(Tally.Second::calls).max().orElse(0);
-        // Trials 100 ms apart, a fifth less by chance, for each of the three; no further attempts.
-        assertTrue(most <= 3 * 13, "calls in a second " + most);
-        assertTrue(share(tally, 40, 55) >= 0.99, "after it " + share(tally, 40, 55));
-    }
+  /** All refuse everything at ten times the load: what goes on is single trials. */
+  @Test
+  void aStormIsNotMadeAndServiceIsBackSoon() {
+    final Fault all = refusing(1).between(10 * SECOND, 40 * SECOND, Fault.NONE);
+    final Tally tally =
+        play(id -> Partner.plain(id).faulty(all), 400, 60 * SECOND, 1, Control::new);
+    final int most =
+        tally.seconds().subList(8, 34).stream().mapToInt(Tally.Second::calls).max().orElse(0);
+    // Trials 100 ms apart, a fifth less by chance, for each of the three; no further attempts.
+    assertTrue(most <= 3 * 13, "calls in a second " + most);
+    assertTrue(share(tally, 40, 55) >= 0.99, "after it " + share(tally, 40, 55));
+  }
 
-    @Test
-    void noReturningDestinationIsPushedOverAmidNoise() {
-        for (long seed = 1; seed <= 20; seed++) {
-            final List<ColdReturn> returns = new ArrayList<>();
-            play(id -> {
-                final long from = (6 + id) * SECOND;
-                final ColdReturn cold = new ColdReturn(from, from + 6 * SECOND, 60, 0.3, 8 * SECOND, 2, 3 * SECOND);
-                returns.add(cold);
-                return Partner.plain(id).faulty(refusing(0.05)).returning(cold);
-            }, 120, 30 * SECOND, seed, Control::new, 8 * SECOND);
-            returns.forEach(cold -> assertFalse(cold.isFallen()));
-        }
+  @Test
+  void noReturningDestinationIsPushedOverAmidNoise() {
+    for (long seed = 1; seed <= 20; seed++) {
+      final List<ColdReturn> returns = new ArrayList<>();
+      play(
+          id -> {
+            final long from = (6 + id) * SECOND;
+            final ColdReturn cold =
+                new ColdReturn(from, from + 6 * SECOND, 60, 0.3, 8 * SECOND, 2, 3 * SECOND);
+            returns.add(cold);
+            return Partner.plain(id).faulty(refusing(0.05)).returning(cold);
+          },
+          120,
+          30 * SECOND,
+          seed,
+          Control::new,
+          8 * SECOND);
+      returns.forEach(cold -> assertFalse(cold.isFallen()));
     }
+  }
 }
--- a/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
@@ -22,11 +22,16 @@
 import thistleturn.testkit.rig.FleetJudge;
 import thistleturn.testkit.rig.Schedule;
 
-/** One judge over one schedule of faults; each of the faults planted in what a courier does is caught by it. */
+/**
+ * One judge over one schedule of faults; each of the faults planted in what a courier does is
+ * caught by it.
+ */
 @Tag("peers")
 final class PlantedPeersFaultsTest {
-    private static final long MS = 1000;
-    private static final Schedule SCHEDULE = Schedule.parse("""
+  private static final long MS = 1000;
+  private static final Schedule SCHEDULE =
+      Schedule.parse(
+          """
             members 7
             seed 21
             end 50s
@@ -38,198 +43,313 @@
             at 33s kill 0
             """);
 
-    /** What goes wrong. */
-    enum Fault {
-        SUSPICION_NEVER_CLEARED, ROW_NOT_COUNTED, INCARNATION_NOT_RAISED, VIEW_NUMBER_REUSED, VIEW_TOLD_SHORT, WAKES_AND_ACCUSES,
-        SIGNS_FOR_THE_DEAD, ENDS_BY_FORGED_VOICES, DATAGRAMS_NOT_COUNTED, DECISIONS_LOST, OTHERS_VIEWS_UNSEEN
-    }
+  /** What goes wrong. */
+  enum Fault {
+    SUSPICION_NEVER_CLEARED,
+    ROW_NOT_COUNTED,
+    INCARNATION_NOT_RAISED,
+    VIEW_NUMBER_REUSED,
+    VIEW_TOLD_SHORT,
+    WAKES_AND_ACCUSES,
+    SIGNS_FOR_THE_DEAD,
+    ENDS_BY_FORGED_VOICES,
+    DATAGRAMS_NOT_COUNTED,
+    DECISIONS_LOST,
+    OTHERS_VIEWS_UNSEEN
+  }
+
+  /**
+   * A courier with that fault, or (null) without one; the fault is in the third of the names where
+   * one is enough.
+   */
+  private static final class Planted implements Contestant {
+    private final Fault fault;
+    private final boolean here;
+    private final Contestant inner;
+    private final PeerId first;
+    private long ranUs;
+
+    Planted(
+        final Fault fault,
+        final int number,
+        final int life,
+        final List<String> names,
+        final long seed,
+        final long nowUs,
+        final Wire wire) {
+      this.fault = fault;
+      this.here = number == 2;
+      this.first = new PeerId(names.get(number), nowUs + life);
+      this.ranUs = nowUs;
+      this.inner =
+          PeersContestant.maker(PeerRules.usual(), true, event -> {})
+              .make(
+                  number,
+                  life,
+                  names,
+                  seed,
+                  nowUs,
+                  new Wire() {
+                    @Override
+                    public void send(final String to, final Object message, final int bytes) {
+                      wire.send(to, spoilt((Packet) message), bytes);
+                    }
+
+                    @Override
+                    public void connect(final String to) {
+                      wire.connect(to);
+                    }
 
-    /** A courier with that fault, or (null) without one; the fault is in the third of the names where one is enough. */
-    private static final class Planted implements Contestant {
-        private final Fault fault;
-        private final boolean here;
-        private final Contestant inner;
-        private final PeerId first;
-        private long ranUs;
-
-        Planted(final Fault fault, final int number, final int life, final List<String> names, final long seed, final long nowUs,
-                final Wire wire) {
-            this.fault = fault;
-            this.here = number == 2;
-            this.first = new PeerId(names.get(number), nowUs + life);
-            this.ranUs = nowUs;
-            this.inner = PeersContestant.maker(PeerRules.usual(), true, event -> { }).make(number, life, names, seed, nowUs, new Wire() {
-                @Override
-                public void send(final String to, final Object message, final int bytes) {
-                    wire.send(to, spoilt((Packet) message), bytes);
-                }
-
-                @Override
-                public void connect(final String to) {
-                    wire.connect(to);
-                }
-
-                @Override
-                public void disconnect(final String to) {
-                    wire.disconnect(to);
-                }
-
-                @Override
-                public void pass(final String to, final Object message, final int bytes) {
-                    if (fault != Fault.DECISIONS_LOST || number != 5) {
+                    @Override
+                    public void disconnect(final String to) {
+                      wire.disconnect(to);
+                    }
+
+                    @Override
+                    public void pass(final String to, final Object message, final int bytes) {
+                      if (fault != Fault.DECISIONS_LOST || number != 5) {
                         wire.pass(to, spoilt((Full) message), bytes);
+                      }
                     }
-                }
-            });
-        }
+                  });
+    }
 
-        private Packet spoilt(final Packet packet) {
-            final List<Item> items = new ArrayList<>();
-            for (final Item item : packet.items()) {
-                if (fault == Fault.ROW_NOT_COUNTED && item instanceof Item.Report report) {
-                    items.add(new Item.Report(report.observer(), report.subject(), 1, report.sight(), report.ageUs()));
-                } else if (!(fault == Fault.SUSPICION_NEVER_CLEARED && item instanceof Item.Report report && report.sight() == Sight.HEARD)) {
-                    items.add(item);
-                }
-            }
-            if (fault == Fault.SIGNS_FOR_THE_DEAD && here) {
-                for (final String name : List.of("n000", "n003")) {
-                    inner.members().stream().filter(life -> life.startsWith(name)).forEach(life -> items.add(new Item.Beat(
-                            new PeerId(name, Long.parseLong(life.substring(5))), packet.beat() + 1_000_000)));
-                }
-            }
-            if (fault == Fault.ENDS_BY_FORGED_VOICES && here) {
-                inner.members().stream().filter(life -> life.startsWith("n004")).forEach(life -> {
-                    final PeerId subject = new PeerId("n004", Long.parseLong(life.substring(5)));
-                    inner.members().stream().filter(other -> !other.equals(life)).forEach(other -> items.add(new Item.Report(
-                            new PeerId(other.substring(0, 4), Long.parseLong(other.substring(5))), subject, 1_000_000, Sight.ENDED, 0)));
-                });
-            }
-            final PeerId sender = fault == Fault.INCARNATION_NOT_RAISED ? first : packet.sender();
-            return new Packet(sender, packet.address(), fault == Fault.DATAGRAMS_NOT_COUNTED ? 1 : packet.seq(), packet.beat(),
-                    fault == Fault.OTHERS_VIEWS_UNSEEN ? ViewMark.NONE : packet.view(), packet.said(), packet.word(), packet.kind(),
-                    packet.echo(), items);
+    private Packet spoilt(final Packet packet) {
+      final List<Item> items = new ArrayList<>();
+      for (final Item item : packet.items()) {
+        if (fault == Fault.ROW_NOT_COUNTED && item instanceof Item.Report report) {
+          items.add(
+              new Item.Report(
+                  report.observer(), report.subject(), 1, report.sight(), report.ageUs()));
+        } else if (!(fault == Fault.SUSPICION_NEVER_CLEARED
+            && item instanceof Item.Report report
+            && report.sight() == Sight.HEARD)) {
+          items.add(item);
         }
-
-        private Full spoilt(final Full full) {
-            final View view = full.view();
-            if (fault == Fault.VIEW_TOLD_SHORT && view != null && view.members().size() > 2) {
-                return new Full(full.sender(), full.address(), new View(view.generation(), view.founder(), view.number(),
-                        view.members().subList(0, view.members().size() - 1), view.committee()), full.items());
-            }
-            return fault == Fault.SUSPICION_NEVER_CLEARED || fault == Fault.ROW_NOT_COUNTED
-                    ? new Full(full.sender(), full.address(), view, List.of()) : full;
+      }
+      if (fault == Fault.SIGNS_FOR_THE_DEAD && here) {
+        for (final String name : List.of("n000", "n003")) {
+          inner.members().stream()
+              .filter(life -> life.startsWith(name))
+              .forEach(
+                  life ->
+                      items.add(
+                          new Item.Beat(
+                              new PeerId(name, Long.parseLong(life.substring(5))),
+                              packet.beat() + 1_000_000)));
         }
+      }
+      if (fault == Fault.ENDS_BY_FORGED_VOICES && here) {
+        inner.members().stream()
+            .filter(life -> life.startsWith("n004"))
+            .forEach(
+                life -> {
+                  final PeerId subject = new PeerId("n004", Long.parseLong(life.substring(5)));
+                  inner.members().stream()
+                      .filter(other -> !other.equals(life))
+                      .forEach(
+                          other ->
+                              items.add(
+                                  new Item.Report(
+                                      new PeerId(
+                                          other.substring(0, 4),
+                                          Long.parseLong(other.substring(5))),
+                                      subject,
+                                      1_000_000,
+                                      Sight.ENDED,
+                                      0)));
+                });
+      }
+      final PeerId sender = fault == Fault.INCARNATION_NOT_RAISED ? first : packet.sender();
+      return new Packet(
+          sender,
+          packet.address(),
+          fault == Fault.DATAGRAMS_NOT_COUNTED ? 1 : packet.seq(),
+          packet.beat(),
+          fault == Fault.OTHERS_VIEWS_UNSEEN ? ViewMark.NONE : packet.view(),
+          packet.said(),
+          packet.word(),
+          packet.kind(),
+          packet.echo(),
+          items);
+    }
 
-        @Override
-        public void tick(final long nowUs) {
-            if (fault == Fault.WAKES_AND_ACCUSES && here) {
-                // As if it had run all the time.
-                while (nowUs - ranUs > 200 * MS) {
-                    ranUs += 100 * MS;
-                    inner.tick(ranUs);
-                }
-            }
-            ranUs = nowUs;
-            inner.tick(nowUs);
-        }
+    private Full spoilt(final Full full) {
+      final View view = full.view();
+      if (fault == Fault.VIEW_TOLD_SHORT && view != null && view.members().size() > 2) {
+        return new Full(
+            full.sender(),
+            full.address(),
+            new View(
+                view.generation(),
+                view.founder(),
+                view.number(),
+                view.members().subList(0, view.members().size() - 1),
+                view.committee()),
+            full.items());
+      }
+      return fault == Fault.SUSPICION_NEVER_CLEARED || fault == Fault.ROW_NOT_COUNTED
+          ? new Full(full.sender(), full.address(), view, List.of())
+          : full;
+    }
 
-        @Override
-        public void receive(final Object message, final long nowUs) {
-            if (message instanceof Packet packet && fault == Fault.VIEW_NUMBER_REUSED && here) {
-                inner.receive(new Packet(packet.sender(), packet.address(), packet.seq(), packet.beat(), packet.view(), packet.said(),
-                        packet.word(), packet.kind(), packet.echo(), packet.items().stream().map(item -> item instanceof Item.Decided decided
-                                ? new Item.Decided(decided.of(), new Change(List.of(), decided.change().added())) : item).toList()), nowUs);
-            } else if (message instanceof Packet packet && fault == Fault.DECISIONS_LOST && here) {
-                inner.receive(new Packet(packet.sender(), packet.address(), packet.seq(), packet.beat(), packet.view(), packet.said(),
-                        packet.word(), packet.kind(), packet.echo(), packet.items().stream()
-                                .filter(item -> !(item instanceof Item.Decided) && !(item instanceof Item.Vote)).toList()), nowUs);
-            } else if (!(message instanceof Full) || fault != Fault.DECISIONS_LOST || !here || inner.line().isEmpty()) {
-                inner.receive(message, nowUs);
-            }
+    @Override
+    public void tick(final long nowUs) {
+      if (fault == Fault.WAKES_AND_ACCUSES && here) {
+        // As if it had run all the time.
+        while (nowUs - ranUs > 200 * MS) {
+          ranUs += 100 * MS;
+          inner.tick(ranUs);
         }
+      }
+      ranUs = nowUs;
+      inner.tick(nowUs);
+    }
 
-        @Override
-        public void greeted(final String to, final String life, final long nowUs) {
-            inner.greeted(to, life, nowUs);
-        }
+    @Override
+    public void receive(final Object message, final long nowUs) {
+      if (message instanceof Packet packet && fault == Fault.VIEW_NUMBER_REUSED && here) {
+        inner.receive(
+            new Packet(
+                packet.sender(),
+                packet.address(),
+                packet.seq(),
+                packet.beat(),
+                packet.view(),
+                packet.said(),
+                packet.word(),
+                packet.kind(),
+                packet.echo(),
+                packet.items().stream()
+                    .map(
+                        item ->
+                            item instanceof Item.Decided decided
+                                ? new Item.Decided(
+                                    decided.of(), new Change(List.of(), decided.change().added()))
+                                : item)
+                    .toList()),
+            nowUs);
+      } else if (message instanceof Packet packet && fault == Fault.DECISIONS_LOST && here) {
+        inner.receive(
+            new Packet(
+                packet.sender(),
+                packet.address(),
+                packet.seq(),
+                packet.beat(),
+                packet.view(),
+                packet.said(),
+                packet.word(),
+                packet.kind(),
+                packet.echo(),
+                packet.items().stream()
+                    .filter(item -> !(item instanceof Item.Decided) && !(item instanceof Item.Vote))
+                    .toList()),
+            nowUs);
+      } else if (!(message instanceof Full)
+          || fault != Fault.DECISIONS_LOST
+          || !here
+          || inner.line().isEmpty()) {
+        inner.receive(message, nowUs);
+      }
+    }
 
-        @Override
-        public void closed(final String to, final long nowUs) {
-            inner.closed(to, nowUs);
-        }
+    @Override
+    public void greeted(final String to, final String life, final long nowUs) {
+      inner.greeted(to, life, nowUs);
+    }
 
-        @Override
-        public void unanswered(final String to, final long nowUs) {
-            inner.unanswered(to, nowUs);
-        }
+    @Override
+    public void closed(final String to, final long nowUs) {
+      inner.closed(to, nowUs);
+    }
 
-        @Override
-        public String life() {
-            return inner.life();
-        }
+    @Override
+    public void unanswered(final String to, final long nowUs) {
+      inner.unanswered(to, nowUs);
+    }
 
-        @Override
-        public String line() {
-            return inner.line();
-        }
+    @Override
+    public String life() {
+      return inner.life();
+    }
 
-        @Override
-        public long number() {
-            return inner.number();
-        }
+    @Override
+    public String line() {
+      return inner.line();
+    }
 
-        @Override
-        public Set<String> members() {
-            return inner.members();
-        }
+    @Override
+    public long number() {
+      return inner.number();
     }
 
-    /** Everything that is promised, over the whole schedule. */
-    private static List<String> judge(final Fault fault) {
-        final List<String> broken = new ArrayList<>();
-        final List<Long> looked = new ArrayList<>();
-        final VirtualPeers world = new VirtualPeers(SCHEDULE, (number, life, names, seed, nowUs, wire) ->
-                new Planted(fault, number, life, names, seed, nowUs, wire), 5000);
-        world.looking(at -> {
-            final boolean calm = at.nowMs() > 13_500 && looked.isEmpty();
-            final boolean waking = at.nowMs() > 10_050 && at.nowMs() < 10_300;
-            if (calm || waking) {
-                if (calm) {
-                    looked.add(at.nowMs());
-                }
-                for (final Contestant one : at.living()) {
-                    ((PeersContestant) ((Planted) one).inner).peers().known(1_000_000_000L + at.nowMs() * MS).forEach(known -> {
+    @Override
+    public Set<String> members() {
+      return inner.members();
+    }
+  }
+
+  /** Everything that is promised, over the whole schedule. */
+  private static List<String> judge(final Fault fault) {
+    final List<String> broken = new ArrayList<>();
+    final List<Long> looked = new ArrayList<>();
+    final VirtualPeers world =
+        new VirtualPeers(
+            SCHEDULE,
+            (number, life, names, seed, nowUs, wire) ->
+                new Planted(fault, number, life, names, seed, nowUs, wire),
+            5000);
+    world.looking(
+        at -> {
+          final boolean calm = at.nowMs() > 13_500 && looked.isEmpty();
+          final boolean waking = at.nowMs() > 10_050 && at.nowMs() < 10_300;
+          if (calm || waking) {
+            if (calm) {
+              looked.add(at.nowMs());
+            }
+            for (final Contestant one : at.living()) {
+              ((PeersContestant) ((Planted) one).inner)
+                  .peers()
+                  .known(1_000_000_000L + at.nowMs() * MS)
+                  .forEach(
+                      known -> {
                         if (calm && !known.doubts().isEmpty()) {
-                            broken.add("in doubt with no trouble: " + known.id().name() + " at " + one.life());
+                          broken.add(
+                              "in doubt with no trouble: "
+                                  + known.id().name()
+                                  + " at "
+                                  + one.life());
                         }
-                        if (waking && !known.id().name().equals("n002")
-                                && known.doubts().stream().anyMatch(cell -> cell.observer().equals("n002"))) {
-                            broken.add("accused on waking: " + known.id().name());
+                        if (waking
+                            && !known.id().name().equals("n002")
+                            && known.doubts().stream()
+                                .anyMatch(cell -> cell.observer().equals("n002"))) {
+                          broken.add("accused on waking: " + known.id().name());
                         }
-                    });
-                }
+                      });
             }
+          }
         });
-        final FleetJudge judge = world.play();
-        broken.addAll(judge.broken());
-        if (!judge.isAgreed()) {
-            broken.add("views differ at the end");
-        }
-        if (judge.timesToKnow().size() < judge.ended() || judge.timesToKnow().stream().anyMatch(ms -> ms > 3000)) {
-            broken.add("ends are known after " + judge.timesToKnow());
-        }
-        return broken;
+    final FleetJudge judge = world.play();
+    broken.addAll(judge.broken());
+    if (!judge.isAgreed()) {
+      broken.add("views differ at the end");
     }
-
-    @Test
-    void withoutAFaultAllIsAsPromised() {
-        assertEquals(List.of(), judge(null));
+    if (judge.timesToKnow().size() < judge.ended()
+        || judge.timesToKnow().stream().anyMatch(ms -> ms > 3000)) {
+      broken.add("ends are known after " + judge.timesToKnow());
     }
+    return broken;
+  }
 
-    @ParameterizedTest
-    @EnumSource(Fault.class)
-    void eachFaultIsCaught(final Fault fault) {
-        assertNotEquals(List.of(), judge(fault));
-    }
+  @Test
+  void withoutAFaultAllIsAsPromised() {
+    assertEquals(List.of(), judge(null));
+  }
+
+  @ParameterizedTest
+  @EnumSource(Fault.class)
+  void eachFaultIsCaught(final Fault fault) {
+    assertNotEquals(List.of(), judge(fault));
+  }
 }
--- a/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
@@ -16,102 +16,186 @@
 import thistleturn.decisions.replicas.Message;
 import thistleturn.decisions.replicas.Writer;
 
-/** Faults that are planted in what copies say and keep: the judge of random days finds each of them. */
+/**
+ * Faults that are planted in what copies say and keep: the judge of random days finds each of them.
+ */
 @Tag("replicas")
 final class PlantedReplicasFaultsTest {
-    private static final int DAYS = 40;
+  private static final int DAYS = 40;
 
-    /** What is done wrongly. */
-    enum Planted {
-        /** Words do not say which words they take the place of. */
-        NOTHING_SEEN,
-        /** They claim to take the place of everything of everybody. */
-        ALL_SEEN,
-        /** A gap is passed over as if nothing were lacking. */
-        GAP_CLAIMED,
-        /** Pieces are told without their last entry, as if they were whole. */
-        LAST_ENTRY_LOST,
-        /** Nothing is ever compared. */
-        NEVER_COMPARED,
-        /** Pieces are never told. */
-        NEVER_SERVED,
-        /** A life that starts again writes on under versions that were used. */
-        BIRTH_KEPT,
-        /** Versions are told one too high. */
-        VERSION_SHIFTED,
-        /** What leaves out is told as what lets serve. */
-        FLAG_TURNED,
-        /** Words of one writer are told as those of another. */
-        WRITER_MIXED_UP
-    }
+  /** What is done wrongly. */
+  enum Planted {
+    /** Words do not say which words they take the place of. */
+    NOTHING_SEEN,
+    /** They claim to take the place of everything of everybody. */
+    ALL_SEEN,
+    /** A gap is passed over as if nothing were lacking. */
+    GAP_CLAIMED,
+    /** Pieces are told without their last entry, as if they were whole. */
+    LAST_ENTRY_LOST,
+    /** Nothing is ever compared. */
+    NEVER_COMPARED,
+    /** Pieces are never told. */
+    NEVER_SERVED,
+    /** A life that starts again writes on under versions that were used. */
+    BIRTH_KEPT,
+    /** Versions are told one too high. */
+    VERSION_SHIFTED,
+    /** What leaves out is told as what lets serve. */
+    FLAG_TURNED,
+    /** Words of one writer are told as those of another. */
+    WRITER_MIXED_UP
+  }
 
-    private static Message changed(final Message message, final UnaryOperator<Delta> how) {
-        if (message instanceof Message.News news) {
-            return new Message.News(news.deltas().stream().map(how).toList());
-        }
-        return message instanceof Message.Piece piece ? new Message.Piece(piece.part(), piece.parts(),
-                piece.deltas().stream().map(how).toList(), piece.more()) : message;
+  private static Message changed(final Message message, final UnaryOperator<Delta> how) {
+    if (message instanceof Message.News news) {
+      return new Message.News(news.deltas().stream().map(how).toList());
     }
+    return message instanceof Message.Piece piece
+        ? new Message.Piece(
+            piece.part(), piece.parts(), piece.deltas().stream().map(how).toList(), piece.more())
+        : message;
+  }
 
-    private static Delta entries(final Delta delta, final UnaryOperator<Entry> how) {
-        return new Delta(delta.writer(), delta.from(), delta.to(), delta.entries().stream().map(how).toList());
-    }
+  private static Delta entries(final Delta delta, final UnaryOperator<Entry> how) {
+    return new Delta(
+        delta.writer(), delta.from(), delta.to(), delta.entries().stream().map(how).toList());
+  }
 
-    private static Entry fields(final Entry entry, final UnaryOperator<List<Object>> how) {
-        return entry.kind() != Kind.MAINTENANCE.code() ? entry : new Entry(entry.kind(), entry.subject(), entry.writer(), entry.version(),
-                entry.lifeUs(), entry.madeUs(), how.apply(entry.fields()));
-    }
+  private static Entry fields(final Entry entry, final UnaryOperator<List<Object>> how) {
+    return entry.kind() != Kind.MAINTENANCE.code()
+        ? entry
+        : new Entry(
+            entry.kind(),
+            entry.subject(),
+            entry.writer(),
+            entry.version(),
+            entry.lifeUs(),
+            entry.madeUs(),
+            how.apply(entry.fields()));
+  }
 
-    private static Message plant(final Planted planted, final Message message) {
-        return switch (planted) {
-            case NOTHING_SEEN -> changed(message, delta -> entries(delta, entry -> fields(entry, all -> List.copyOf(all.subList(0, 2)))));
-            case ALL_SEEN -> changed(message, delta -> entries(delta, entry -> fields(entry, all -> {
-                final List<Object> more = new ArrayList<>(all);
-                for (int place = 4; place < more.size(); place += 3) {
-                    more.set(place, Long.MAX_VALUE / 4);
-                }
-                return List.copyOf(more);
-            })));
-            case GAP_CLAIMED -> changed(message, delta -> new Delta(delta.writer(), 0, delta.to(), delta.entries()));
-            case LAST_ENTRY_LOST -> message instanceof Message.Piece ? changed(message, delta -> new Delta(delta.writer(), delta.from(), delta.to(),
-                    delta.entries().isEmpty() ? delta.entries() : delta.entries().subList(0, delta.entries().size() - 1))) : message;
-            case NEVER_COMPARED -> message instanceof Message.Mark ? new Message.News(List.of()) : message;
-            case NEVER_SERVED -> message instanceof Message.Piece ? new Message.News(List.of()) : message;
-            case BIRTH_KEPT -> message;
-            case VERSION_SHIFTED -> message instanceof Message.News ? changed(message, delta -> entries(delta, entry -> new Entry(entry.kind(),
-                    entry.subject(), entry.writer(), entry.version() + 1, entry.lifeUs(), entry.madeUs(), entry.fields()))) : message;
-            case FLAG_TURNED -> message instanceof Message.News ? changed(message, delta -> entries(delta, entry -> fields(entry, all -> {
-                final List<Object> turned = new ArrayList<>(all);
-                turned.set(0, !(Boolean) all.get(0));
-                return List.copyOf(turned);
-            }))) : message;
-            case WRITER_MIXED_UP -> message instanceof Message.News ? changed(message, delta -> {
-                final Writer other = new Writer(delta.writer().name(), 1);
-                return new Delta(other, delta.from(), delta.to(), delta.entries().stream().map(entry -> new Entry(entry.kind(), entry.subject(),
-                        other, entry.version(), entry.lifeUs(), entry.madeUs(), entry.fields())).toList());
-            }) : message;
-        };
-    }
+  private static Message plant(final Planted planted, final Message message) {
+    return switch (planted) {
+      case NOTHING_SEEN ->
+          changed(
+              message,
+              delta ->
+                  entries(delta, entry -> fields(entry, all -> List.copyOf(all.subList(0, 2)))));
+      case ALL_SEEN ->
+          changed(
+              message,
+              delta ->
+                  entries(
+                      delta,
+                      entry ->
+                          fields(
+                              entry,
+                              all -> {
+                                final List<Object> more = new ArrayList<>(all);
+                                for (int place = 4; place < more.size(); place += 3) {
+                                  more.set(place, Long.MAX_VALUE / 4);
+                                }
+                                return List.copyOf(more);
+                              })));
+      case GAP_CLAIMED ->
+          changed(message, delta -> new Delta(delta.writer(), 0, delta.to(), delta.entries()));
+      case LAST_ENTRY_LOST ->
+          message instanceof Message.Piece
+              ? changed(
+                  message,
+                  delta ->
+                      new Delta(
+                          delta.writer(),
+                          delta.from(),
+                          delta.to(),
+                          delta.entries().isEmpty()
+                              ? delta.entries()
+                              : delta.entries().subList(0, delta.entries().size() - 1)))
+              : message;
+      case NEVER_COMPARED ->
+          message instanceof Message.Mark ? new Message.News(List.of()) : message;
+      case NEVER_SERVED -> message instanceof Message.Piece ? new Message.News(List.of()) : message;
+      case BIRTH_KEPT -> message;
+      case VERSION_SHIFTED ->
+          message instanceof Message.News
+              ? changed(
+                  message,
+                  delta ->
+                      entries(
+                          delta,
+                          entry ->
+                              new Entry(
+                                  entry.kind(),
+                                  entry.subject(),
+                                  entry.writer(),
+                                  entry.version() + 1,
+                                  entry.lifeUs(),
+                                  entry.madeUs(),
+                                  entry.fields())))
+              : message;
+      case FLAG_TURNED ->
+          message instanceof Message.News
+              ? changed(
+                  message,
+                  delta ->
+                      entries(
+                          delta,
+                          entry ->
+                              fields(
+                                  entry,
+                                  all -> {
+                                    final List<Object> turned = new ArrayList<>(all);
+                                    turned.set(0, !(Boolean) all.get(0));
+                                    return List.copyOf(turned);
+                                  })))
+              : message;
+      case WRITER_MIXED_UP ->
+          message instanceof Message.News
+              ? changed(
+                  message,
+                  delta -> {
+                    final Writer other = new Writer(delta.writer().name(), 1);
+                    return new Delta(
+                        other,
+                        delta.from(),
+                        delta.to(),
+                        delta.entries().stream()
+                            .map(
+                                entry ->
+                                    new Entry(
+                                        entry.kind(),
+                                        entry.subject(),
+                                        other,
+                                        entry.version(),
+                                        entry.lifeUs(),
+                                        entry.madeUs(),
+                                        entry.fields()))
+                            .toList());
+                  })
+              : message;
+    };
+  }
 
-    @ParameterizedTest
-    @EnumSource(Planted.class)
-    void eachIsFound(final Planted planted) {
-        int found = 0;
-        for (long seed = 1; seed <= DAYS && found == 0; seed++) {
-            final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1);
-            day.world().saying(message -> plant(planted, message));
-            if (planted == Planted.BIRTH_KEPT) {
-                day.world().keepingBirths();
-            }
-            found += day.play().isEmpty() ? 0 : 1;
-        }
-        assertTrue(found > 0, "not found on " + DAYS + " days: " + planted);
+  @ParameterizedTest
+  @EnumSource(Planted.class)
+  void eachIsFound(final Planted planted) {
+    int found = 0;
+    for (long seed = 1; seed <= DAYS && found == 0; seed++) {
+      final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1);
+      day.world().saying(message -> plant(planted, message));
+      if (planted == Planted.BIRTH_KEPT) {
+        day.world().keepingBirths();
+      }
+      found += day.play().isEmpty() ? 0 : 1;
     }
+    assertTrue(found > 0, "not found on " + DAYS + " days: " + planted);
+  }
 
-    @Test
-    void withoutAnyNothingIsFound() {
-        for (long seed = 1; seed <= DAYS; seed++) {
-            assertEquals("", ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1).play(), "seed " + seed);
-        }
+  @Test
+  void withoutAnyNothingIsFound() {
+    for (long seed = 1; seed <= DAYS; seed++) {
+      assertEquals("", ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1).play(), "seed " + seed);
     }
+  }
 }
--- a/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
@@ -16,80 +16,100 @@
 /** The hard cases of holding one state, each as a schedule of faults in virtual time. */
 @Tag("replicas")
 final class VirtualReplicasTest {
-    private static final long SECOND = 1_000_000;
-    private static final long SETTLE_MS = 10_000;
+  private static final long SECOND = 1_000_000;
+  private static final long SETTLE_MS = 10_000;
 
-    private static VirtualReplicas world(final String schedule) {
-        return new VirtualReplicas(Schedule.parse(schedule), ReplicaRules.usual());
-    }
+  private static VirtualReplicas world(final String schedule) {
+    return new VirtualReplicas(Schedule.parse(schedule), ReplicaRules.usual());
+  }
 
-    private static void maintain(final VirtualReplicas world, final int number, final String endpoint, final boolean out) {
-        final VirtualReplicas.Courier courier = world.courier(number);
-        courier.replicas().maintain(endpoint, out, "o" + number, courier.nowUs());
-    }
+  private static void maintain(
+      final VirtualReplicas world, final int number, final String endpoint, final boolean out) {
+    final VirtualReplicas.Courier courier = world.courier(number);
+    courier.replicas().maintain(endpoint, out, "o" + number, courier.nowUs());
+  }
 
-    private static String state(final VirtualReplicas world, final int number, final String endpoint) {
-        return world.courier(number).replicas().verdict(Kind.MAINTENANCE, endpoint).state();
-    }
+  private static String state(
+      final VirtualReplicas world, final int number, final String endpoint) {
+    return world.courier(number).replicas().verdict(Kind.MAINTENANCE, endpoint).state();
+  }
 
-    private static void settles(final VirtualReplicas world) {
-        assertTrue(world.settle(SETTLE_MS) >= 0, () -> "copies differ: " + world.sums());
-    }
+  private static void settles(final VirtualReplicas world) {
+    assertTrue(world.settle(SETTLE_MS) >= 0, () -> "copies differ: " + world.sums());
+  }
 
-    @Test
-    void aWordReachesAllWithinASecondAtOneInTwentyLost() {
-        final VirtualReplicas world = world("""
+  @Test
+  void aWordReachesAllWithinASecondAtOneInTwentyLost() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 8
                 seed 3
                 end 40s
                 at 0s loss 0.05
                 """);
-        for (int number = 0; number < 100; number++) {
-            final int one = number;
-            world.at(2000 + number * 200L, () -> maintain(world, one % 8, "e" + one, true));
-        }
-        world.play();
-        final List<Long> times = new ArrayList<>();
-        for (int number = 0; number < 100; number++) {
-            for (final VirtualReplicas.Courier courier : world.running()) {
-                times.add(courier.leftOutMs("e" + number) - 2000 - number * 200L);
-            }
-        }
-        times.sort(null);
-        assertTrue(times.get(0) >= 0);
-        assertTrue(times.get(times.size() * 99 / 100) < 1000, "p99 " + times.get(times.size() * 99 / 100) + " ms");
-        settles(world);
+    for (int number = 0; number < 100; number++) {
+      final int one = number;
+      world.at(2000 + number * 200L, () -> maintain(world, one % 8, "e" + one, true));
+    }
+    world.play();
+    final List<Long> times = new ArrayList<>();
+    for (int number = 0; number < 100; number++) {
+      for (final VirtualReplicas.Courier courier : world.running()) {
+        times.add(courier.leftOutMs("e" + number) - 2000 - number * 200L);
+      }
     }
+    times.sort(null);
+    assertTrue(times.get(0) >= 0);
+    assertTrue(
+        times.get(times.size() * 99 / 100) < 1000,
+        "p99 " + times.get(times.size() * 99 / 100) + " ms");
+    settles(world);
+  }
 
-    @Test
-    void bothSidesOfASplitSayTheOppositeOfOneEndpoint() {
-        final VirtualReplicas world = world("""
+  @Test
+  void bothSidesOfASplitSayTheOppositeOfOneEndpoint() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 9
                 seed 4
                 end 30s
                 at 2s cut 0,1,2 <-> 3,4,5,6,7,8 for 8s
                 at 2s cut 3,4,5 <-> 6,7,8 for 14s
                 """);
-        world.at(1000, () -> maintain(world, 0, "e", true));
-        world.at(4000, () -> maintain(world, 1, "e", false));
-        world.at(4100, () -> maintain(world, 4, "e", true));
-        world.at(5000, () -> {
-            assertEquals("may serve", state(world, 2, "e"));
-            assertEquals("left out", state(world, 5, "e"));
+    world.at(1000, () -> maintain(world, 0, "e", true));
+    world.at(4000, () -> maintain(world, 1, "e", false));
+    world.at(4100, () -> maintain(world, 4, "e", true));
+    world.at(
+        5000,
+        () -> {
+          assertEquals("may serve", state(world, 2, "e"));
+          assertEquals("left out", state(world, 5, "e"));
         });
-        world.at(25_000, () -> {
-            // Nobody knew of the other: both operators are told, and the careful word holds until one of them knows of both.
-            assertTrue(world.running().stream().allMatch(courier -> courier.replicas().verdict(Kind.MAINTENANCE, "e").conflict()));
-            maintain(world, 7, "e", false);
+    world.at(
+        25_000,
+        () -> {
+          // Nobody knew of the other: both operators are told, and the careful word holds until one
+          // of them knows of both.
+          assertTrue(
+              world.running().stream()
+                  .allMatch(
+                      courier -> courier.replicas().verdict(Kind.MAINTENANCE, "e").conflict()));
+          maintain(world, 7, "e", false);
         });
-        world.play();
-        settles(world);
-        assertTrue(world.running().stream().allMatch(courier -> state(world, courier.number(), "e").equals("may serve")));
-    }
+    world.play();
+    settles(world);
+    assertTrue(
+        world.running().stream()
+            .allMatch(courier -> state(world, courier.number(), "e").equals("may serve")));
+  }
 
-    @Test
-    void oneInFiveLostAndTwoSecondsLate() {
-        final VirtualReplicas world = world("""
+  @Test
+  void oneInFiveLostAndTwoSecondsLate() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 6
                 seed 5
                 end 40s
@@ -97,134 +117,160 @@
                 at 0s delay 2000
                 at 0s double 0.2
                 """);
-        for (int number = 0; number < 30; number++) {
-            final int one = number;
-            world.at(1000 + number * 300L, () -> maintain(world, one % 6, "e" + one % 7, one % 3 > 0));
-        }
-        world.play();
-        settles(world);
+    for (int number = 0; number < 30; number++) {
+      final int one = number;
+      world.at(1000 + number * 300L, () -> maintain(world, one % 6, "e" + one % 7, one % 3 > 0));
     }
+    world.play();
+    settles(world);
+  }
 
-    @Test
-    void aOneSidedCutIsGoneRound() {
-        final VirtualReplicas world = world("""
+  @Test
+  void aOneSidedCutIsGoneRound() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 4
                 seed 6
                 end 6s
                 at 0s cut 0 -> 3 for 60s
                 """);
-        world.at(2000, () -> maintain(world, 0, "e", true));
-        world.play();
-        assertEquals("left out", state(world, 3, "e"));
-        assertTrue(world.courier(3).leftOutMs("e") < 4000, "heard of it at " + world.courier(3).leftOutMs("e"));
-    }
+    world.at(2000, () -> maintain(world, 0, "e", true));
+    world.play();
+    assertEquals("left out", state(world, 3, "e"));
+    assertTrue(
+        world.courier(3).leftOutMs("e") < 4000,
+        "heard of it at " + world.courier(3).leftOutMs("e"));
+  }
 
-    /** Paused for a minute in the midst of it; what ended meanwhile is not held to be in force. */
-    @Test
-    void aMinutesPause() {
-        final VirtualReplicas world = world("""
+  /** Paused for a minute in the midst of it; what ended meanwhile is not held to be in force. */
+  @Test
+  void aMinutesPause() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 5
                 seed 7
                 end 80s
                 at 3s pause 2 for 60s
                 """);
-        world.at(2990, () -> {
-            maintain(world, 0, "e", true);
-            final VirtualReplicas.Courier courier = world.courier(0);
-            courier.replicas().waits("7", courier.nowUs() + 5 * SECOND, courier.nowUs());
+    world.at(
+        2990,
+        () -> {
+          maintain(world, 0, "e", true);
+          final VirtualReplicas.Courier courier = world.courier(0);
+          courier.replicas().waits("7", courier.nowUs() + 5 * SECOND, courier.nowUs());
         });
-        world.at(30_000, () -> maintain(world, 1, "e", false));
-        world.at(63_500, () -> {
-            assertEquals("may serve", state(world, 2, "e"));
+    world.at(30_000, () -> maintain(world, 1, "e", false));
+    world.at(
+        63_500,
+        () -> {
+          assertEquals("may serve", state(world, 2, "e"));
         });
-        world.play();
-        settles(world);
-        assertEquals("nothing", world.courier(2).replicas().verdict(Kind.WAIT, "7").state());
-    }
+    world.play();
+    settles(world);
+    assertEquals("nothing", world.courier(2).replicas().verdict(Kind.WAIT, "7").state());
+  }
 
-    @Test
-    void aCourierComesBackWithAnOlderFolderOrWithNone() {
-        final VirtualReplicas world = world("""
+  @Test
+  void aCourierComesBackWithAnOlderFolderOrWithNone() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 5
                 seed 8
                 end 60s
                 at 5s kill 1,2
                 at 20s start 1,2
                 """);
-        world.at(1000, () -> maintain(world, 1, "old", true));
-        world.at(4900, () -> maintain(world, 1, "fresh", true));
-        world.at(8000, () -> maintain(world, 0, "old", false));
-        world.at(10_000, () -> world.wipe(2));
-        world.at(21_000, () -> maintain(world, 1, "again", true));
-        world.play();
-        settles(world);
-        for (final VirtualReplicas.Courier courier : world.running()) {
-            assertEquals("may serve", state(world, courier.number(), "old"), "nothing deleted comes back");
-            assertEquals("left out", state(world, courier.number(), "fresh"), "said just before the end, and heard");
-            assertEquals("left out", state(world, courier.number(), "again"));
-        }
-        assertEquals(List.of(), world.happened());
+    world.at(1000, () -> maintain(world, 1, "old", true));
+    world.at(4900, () -> maintain(world, 1, "fresh", true));
+    world.at(8000, () -> maintain(world, 0, "old", false));
+    world.at(10_000, () -> world.wipe(2));
+    world.at(21_000, () -> maintain(world, 1, "again", true));
+    world.play();
+    settles(world);
+    for (final VirtualReplicas.Courier courier : world.running()) {
+      assertEquals(
+          "may serve", state(world, courier.number(), "old"), "nothing deleted comes back");
+      assertEquals(
+          "left out",
+          state(world, courier.number(), "fresh"),
+          "said just before the end, and heard");
+      assertEquals("left out", state(world, courier.number(), "again"));
     }
+    assertEquals(List.of(), world.happened());
+  }
 
-    /** A hundred thousand entries are caught up with while the others go on speaking. */
-    @Test
-    void aWipedCourierCatchesUpWithAHundredThousandEntries() {
-        final VirtualReplicas world = world("""
+  /** A hundred thousand entries are caught up with while the others go on speaking. */
+  @Test
+  void aWipedCourierCatchesUpWithAHundredThousandEntries() {
+    final VirtualReplicas world =
+        world(
+            """
                 members 5
                 seed 9
                 end 60s
                 at 8s kill 4
                 at 10s start 4
                 """);
-        world.at(1000, () -> {
-            for (int number = 0; number < 100_000; number++) {
-                final VirtualReplicas.Courier courier = world.courier(number % 4);
-                courier.replicas().listed("s" + number, number, courier.nowUs());
-            }
+    world.at(
+        1000,
+        () -> {
+          for (int number = 0; number < 100_000; number++) {
+            final VirtualReplicas.Courier courier = world.courier(number % 4);
+            courier.replicas().listed("s" + number, number, courier.nowUs());
+          }
         });
-        world.at(9000, () -> world.wipe(4));
-        final long[] equalMs = {-1};
-        for (long ms = 10_100; ms < 59_000; ms += 100) {
-            final long at = ms;
-            world.at(ms, () -> {
-                if (equalMs[0] < 0 && world.courier(4).replicas().size() >= 100_000) {
-                    equalMs[0] = at - 10_000;
-                }
-            });
-        }
-        for (int number = 0; number < 10; number++) {
-            final int one = number;
-            world.at(11_000 + number * 1000L, () -> maintain(world, 0, "e" + one, true));
-        }
-        world.play();
-        settles(world);
-        assertTrue(equalMs[0] > 0 && equalMs[0] < 40_000, "caught up after " + equalMs[0] + " ms");
-        for (int number = 0; number < 10; number++) {
-            final long tookMs = world.courier(4).leftOutMs("e" + number) - 11_000 - number * 1000L;
-            assertTrue(tookMs >= 0 && tookMs < 1000, "fresh words are heard meanwhile: after " + tookMs + " ms");
-        }
+    world.at(9000, () -> world.wipe(4));
+    final long[] equalMs = {-1};
+    for (long ms = 10_100; ms < 59_000; ms += 100) {
+      final long at = ms;
+      world.at(
+          ms,
+          () -> {
+            if (equalMs[0] < 0 && world.courier(4).replicas().size() >= 100_000) {
+              equalMs[0] = at - 10_000;
+            }
+          });
     }
+    for (int number = 0; number < 10; number++) {
+      final int one = number;
+      world.at(11_000 + number * 1000L, () -> maintain(world, 0, "e" + one, true));
+    }
+    world.play();
+    settles(world);
+    assertTrue(equalMs[0] > 0 && equalMs[0] < 40_000, "caught up after " + equalMs[0] + " ms");
+    for (int number = 0; number < 10; number++) {
+      final long tookMs = world.courier(4).leftOutMs("e" + number) - 11_000 - number * 1000L;
+      assertTrue(
+          tookMs >= 0 && tookMs < 1000, "fresh words are heard meanwhile: after " + tookMs + " ms");
+    }
+  }
 
-    /** Random schedules of everything: copies are equal some seconds after the last fault, and hold what was said last. */
-    @Test
-    void randomSchedulesEndInEqualCopiesAndNothingComesBack() {
-        for (long seed = 1; seed <= 150; seed++) {
-            final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 8), 0.05 * (seed % 5));
-            final String broken = day.play();
-            assertEquals("", broken, "seed " + seed + "\n" + day.schedule().text());
-        }
+  /**
+   * Random schedules of everything: copies are equal some seconds after the last fault, and hold
+   * what was said last.
+   */
+  @Test
+  void randomSchedulesEndInEqualCopiesAndNothingComesBack() {
+    for (long seed = 1; seed <= 150; seed++) {
+      final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 8), 0.05 * (seed % 5));
+      final String broken = day.play();
+      assertEquals("", broken, "seed " + seed + "\n" + day.schedule().text());
     }
+  }
 
-    @Test
-    void theSameSeedPlaysTheSameDay() {
-        final Map<Long, Long> bytes = new HashMap<>();
-        for (int turn = 0; turn < 2; turn++) {
-            for (long seed = 1; seed <= 3; seed++) {
-                final ReplicasDay day = ReplicasDay.random(seed, 5, 0.1);
-                day.play();
-                final Long before = bytes.put(seed, day.world().bytes());
-                assertTrue(before == null || before.equals(day.world().bytes()));
-            }
-        }
+  @Test
+  void theSameSeedPlaysTheSameDay() {
+    final Map<Long, Long> bytes = new HashMap<>();
+    for (int turn = 0; turn < 2; turn++) {
+      for (long seed = 1; seed <= 3; seed++) {
+        final ReplicasDay day = ReplicasDay.random(seed, 5, 0.1);
+        day.play();
+        final Long before = bytes.put(seed, day.world().bytes());
+        assertTrue(before == null || before.equals(day.world().bytes()));
+      }
     }
+  }
 }
