--- a/peers/src/main/java/thistleturn/peers/Codec.java
+++ b/peers/src/main/java/thistleturn/peers/Codec.java
@@ -22,512 +22,557 @@
 import thistleturn.decisions.peers.ViewMark;
 
 /**
- * Datagrams and frames as CBOR (RFC 8949): arrays by place, each under a version. A reader takes what it knows from the front
- * of an array and passes over what a later version put behind it, and over items of kinds that it does not know. For one
- * thread.
+ * Datagrams and frames as CBOR (RFC 8949): arrays by place, each under a version. A reader takes
+ * what it knows from the front of an array and passes over what a later version put behind it, and
+ * over items of kinds that it does not know. For one thread.
  */
 final class Codec {
-    /** Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone. */
-    static final int VERSION = 1;
-    private static final int LEAST_VERSION = 1;
-    private static final int MOST_ITEMS = 10_000;
-    private static final int MOST_ADDRESS = 64;
-    private static final Pattern ADDRESS = Pattern.compile("(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}:"
-            + "(6553[0-5]|655[0-2]\\d|65[0-4]\\d\\d|6[0-4]\\d{3}|[1-5]\\d{4}|[1-9]\\d{0,3})");
-    private static final int FIRST_BYTES = 512;
-    /** What no array begins with: a stop code (RFC 8949, table 5). A reader of version 1 takes it for malformed, and for nothing else. */
-    private static final byte CARGO_MARK = (byte) 0xFF;
-
-    private final CBORFactory factory = new CBORFactory();
-
-    /** What came cannot be read; one line. */
-    static final class MalformedException extends IOException {
-        private static final long serialVersionUID = 1L;
-
-        MalformedException(final String message) {
-            super(message);
-        }
+  /**
+   * Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone.
+   */
+  static final int VERSION = 1;
+
+  private static final int LEAST_VERSION = 1;
+  private static final int MOST_ITEMS = 10_000;
+  private static final int MOST_ADDRESS = 64;
+  private static final Pattern ADDRESS =
+      Pattern.compile(
+          "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}:"
+              + "(6553[0-5]|655[0-2]\\d|65[0-4]\\d\\d|6[0-4]\\d{3}|[1-5]\\d{4}|[1-9]\\d{0,3})");
+  private static final int FIRST_BYTES = 512;
+
+  /**
+   * What no array begins with: a stop code (RFC 8949, table 5). A reader of version 1 takes it for
+   * malformed, and for nothing else.
+   */
+  private static final byte CARGO_MARK = (byte) 0xFF;
+
+  private final CBORFactory factory = new CBORFactory();
+
+  /** What came cannot be read; one line. */
+  static final class MalformedException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    MalformedException(final String message) {
+      super(message);
     }
-
-    /** Something that can be written. */
-    private interface Writing {
-        void write(CBORGenerator out) throws IOException;
+  }
+
+  /** Something that can be written. */
+  private interface Writing {
+    void write(CBORGenerator out) throws IOException;
+  }
+
+  private byte[] bytes(final Writing writing) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
+    try (CBORGenerator out = factory.createGenerator(bytes)) {
+      writing.write(out);
+    } catch (final IOException e) {
+      throw new IllegalStateException("an array in memory takes all", e);
     }
-
-    private byte[] bytes(final Writing writing) {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
-        try (CBORGenerator out = factory.createGenerator(bytes)) {
-            writing.write(out);
-        } catch (final IOException e) {
-            throw new IllegalStateException("an array in memory takes all", e);
-        }
-        return bytes.toByteArray();
-    }
-
-    /** A datagram's text. */
-    byte[] write(final Packet packet) {
-        return bytes(out -> {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            id(out, packet.sender());
-            out.writeString(packet.address());
-            out.writeNumber(packet.seq());
-            out.writeNumber(packet.beat());
-            mark(out, packet.view());
-            out.writeNumber(packet.said());
-            word(out, packet.word());
-            out.writeNumber(packet.kind().ordinal());
-            out.writeNumber(packet.echo());
-            items(out, packet.items());
-            out.writeEndArray();
+    return bytes.toByteArray();
+  }
+
+  /** A datagram's text. */
+  byte[] write(final Packet packet) {
+    return bytes(
+        out -> {
+          out.writeStartArray();
+          out.writeNumber(VERSION);
+          id(out, packet.sender());
+          out.writeString(packet.address());
+          out.writeNumber(packet.seq());
+          out.writeNumber(packet.beat());
+          mark(out, packet.view());
+          out.writeNumber(packet.said());
+          word(out, packet.word());
+          out.writeNumber(packet.kind().ordinal());
+          out.writeNumber(packet.echo());
+          items(out, packet.items());
+          out.writeEndArray();
         });
-    }
-
-    /** A frame's text: all that one knows. */
-    byte[] write(final Full full) {
-        return bytes(out -> {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            id(out, full.sender());
-            out.writeString(full.address());
-            if (full.view() == null) {
-                out.writeNull();
-            } else {
-                view(out, full.view());
-            }
-            items(out, full.items());
-            out.writeEndArray();
+  }
+
+  /** A frame's text: all that one knows. */
+  byte[] write(final Full full) {
+    return bytes(
+        out -> {
+          out.writeStartArray();
+          out.writeNumber(VERSION);
+          id(out, full.sender());
+          out.writeString(full.address());
+          if (full.view() == null) {
+            out.writeNull();
+          } else {
+            view(out, full.view());
+          }
+          items(out, full.items());
+          out.writeEndArray();
         });
+  }
+
+  /**
+   * What a passenger sends: in a datagram behind {@link #CARGO_MARK}, which begins no packet; in a
+   * frame of its own kind.
+   */
+  byte[] write(final Cargo cargo) {
+    final byte[] array =
+        bytes(
+            out -> {
+              out.writeStartArray();
+              out.writeNumber(VERSION);
+              id(out, cargo.sender());
+              out.writeString(cargo.address());
+              out.writeNumber(cargo.seq());
+              out.writeBinary(cargo.text());
+              out.writeEndArray();
+            });
+    final byte[] marked = new byte[array.length + 1];
+    marked[0] = CARGO_MARK;
+    System.arraycopy(array, 0, marked, 1, array.length);
+    return marked;
+  }
+
+  /** True for what {@link #write(Cargo)} wrote. */
+  static boolean isCargo(final byte[] text) {
+    return text.length > 0 && text[0] == CARGO_MARK;
+  }
+
+  /** Reads what a passenger sent. */
+  Cargo cargo(final byte[] text) throws IOException {
+    try (Reading in = new Reading(factory.createParser(text, 1, text.length - 1))) {
+      in.begin();
+      in.version();
+      final Cargo cargo = new Cargo(in.id(), in.address(), in.number(), in.binary());
+      in.end();
+      return cargo;
     }
-
-    /** What a passenger sends: in a datagram behind {@link #CARGO_MARK}, which begins no packet; in a frame of its own kind. */
-    byte[] write(final Cargo cargo) {
-        final byte[] array = bytes(out -> {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            id(out, cargo.sender());
-            out.writeString(cargo.address());
-            out.writeNumber(cargo.seq());
-            out.writeBinary(cargo.text());
-            out.writeEndArray();
+  }
+
+  /** A frame's text: a greeting. */
+  byte[] write(final PeerId greeting) {
+    return bytes(
+        out -> {
+          out.writeStartArray();
+          out.writeNumber(VERSION);
+          id(out, greeting);
+          out.writeEndArray();
         });
-        final byte[] marked = new byte[array.length + 1];
-        marked[0] = CARGO_MARK;
-        System.arraycopy(array, 0, marked, 1, array.length);
-        return marked;
-    }
+  }
 
-    /** True for what {@link #write(Cargo)} wrote. */
-    static boolean isCargo(final byte[] text) {
-        return text.length > 0 && text[0] == CARGO_MARK;
+  private static void id(final CBORGenerator out, final PeerId id) throws IOException {
+    if (id == null) {
+      out.writeNull();
+      return;
     }
-
-    /** Reads what a passenger sent. */
-    Cargo cargo(final byte[] text) throws IOException {
-        try (Reading in = new Reading(factory.createParser(text, 1, text.length - 1))) {
-            in.begin();
-            in.version();
-            final Cargo cargo = new Cargo(in.id(), in.address(), in.number(), in.binary());
-            in.end();
-            return cargo;
-        }
+    out.writeStartArray();
+    out.writeString(id.name());
+    out.writeNumber(id.incarnation());
+    out.writeEndArray();
+  }
+
+  private static void mark(final CBORGenerator out, final ViewMark mark) throws IOException {
+    out.writeStartArray();
+    out.writeNumber(mark.generation());
+    out.writeNumber(mark.founder());
+    out.writeNumber(mark.number());
+    out.writeNumber(mark.size());
+    out.writeEndArray();
+  }
+
+  private static void word(final CBORGenerator out, final PeerWord word) throws IOException {
+    out.writeStartArray();
+    out.writeNumber(word.health().ordinal());
+    out.writeNumber(word.awayMs());
+    out.writeNumber(word.holds());
+    out.writeBoolean(word.stuck());
+    out.writeEndArray();
+  }
+
+  private static void member(final CBORGenerator out, final Member member) throws IOException {
+    out.writeStartArray();
+    id(out, member.id());
+    out.writeString(member.address());
+    out.writeEndArray();
+  }
+
+  private static void change(final CBORGenerator out, final Change change) throws IOException {
+    if (change == null) {
+      out.writeNull();
+      return;
     }
-
-    /** A frame's text: a greeting. */
-    byte[] write(final PeerId greeting) {
-        return bytes(out -> {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            id(out, greeting);
-            out.writeEndArray();
-        });
+    out.writeStartArray();
+    out.writeStartArray();
+    for (final PeerId id : change.removed()) {
+      id(out, id);
     }
-
-    private static void id(final CBORGenerator out, final PeerId id) throws IOException {
-        if (id == null) {
-            out.writeNull();
-            return;
-        }
-        out.writeStartArray();
-        out.writeString(id.name());
-        out.writeNumber(id.incarnation());
-        out.writeEndArray();
+    out.writeEndArray();
+    out.writeStartArray();
+    for (final Member member : change.added()) {
+      member(out, member);
     }
-
-    private static void mark(final CBORGenerator out, final ViewMark mark) throws IOException {
-        out.writeStartArray();
-        out.writeNumber(mark.generation());
-        out.writeNumber(mark.founder());
-        out.writeNumber(mark.number());
-        out.writeNumber(mark.size());
-        out.writeEndArray();
+    out.writeEndArray();
+    out.writeEndArray();
+  }
+
+  private static void view(final CBORGenerator out, final View view) throws IOException {
+    out.writeStartArray();
+    out.writeNumber(view.generation());
+    out.writeNumber(view.founder());
+    out.writeNumber(view.number());
+    out.writeStartArray();
+    for (final Member member : view.members()) {
+      member(out, member);
     }
-
-    private static void word(final CBORGenerator out, final PeerWord word) throws IOException {
-        out.writeStartArray();
-        out.writeNumber(word.health().ordinal());
-        out.writeNumber(word.awayMs());
-        out.writeNumber(word.holds());
-        out.writeBoolean(word.stuck());
-        out.writeEndArray();
+    out.writeEndArray();
+    out.writeStartArray();
+    for (final PeerId id : view.committee()) {
+      id(out, id);
     }
-
-    private static void member(final CBORGenerator out, final Member member) throws IOException {
-        out.writeStartArray();
-        id(out, member.id());
-        out.writeString(member.address());
-        out.writeEndArray();
+    out.writeEndArray();
+    out.writeEndArray();
+  }
+
+  private static void items(final CBORGenerator out, final List<Item> items) throws IOException {
+    out.writeStartArray();
+    for (final Item item : items) {
+      out.writeStartArray();
+      item(out, item);
+      out.writeEndArray();
     }
-
-    private static void change(final CBORGenerator out, final Change change) throws IOException {
-        if (change == null) {
-            out.writeNull();
-            return;
-        }
-        out.writeStartArray();
-        out.writeStartArray();
-        for (final PeerId id : change.removed()) {
-            id(out, id);
-        }
-        out.writeEndArray();
-        out.writeStartArray();
-        for (final Member member : change.added()) {
-            member(out, member);
-        }
-        out.writeEndArray();
-        out.writeEndArray();
-    }
-
-    private static void view(final CBORGenerator out, final View view) throws IOException {
-        out.writeStartArray();
-        out.writeNumber(view.generation());
-        out.writeNumber(view.founder());
-        out.writeNumber(view.number());
-        out.writeStartArray();
-        for (final Member member : view.members()) {
-            member(out, member);
-        }
-        out.writeEndArray();
-        out.writeStartArray();
-        for (final PeerId id : view.committee()) {
-            id(out, id);
-        }
-        out.writeEndArray();
-        out.writeEndArray();
+    out.writeEndArray();
+  }
+
+  private static void item(final CBORGenerator out, final Item item) throws IOException {
+    if (item instanceof Item.Fact fact) {
+      out.writeNumber(Tag.FACT.ordinal());
+      id(out, fact.id());
+      out.writeString(fact.address());
+      out.writeNumber(fact.life().ordinal());
+    } else if (item instanceof Item.Report report) {
+      out.writeNumber(Tag.REPORT.ordinal());
+      id(out, report.observer());
+      id(out, report.subject());
+      out.writeNumber(report.row());
+      out.writeNumber(report.sight().ordinal());
+      out.writeNumber(report.ageUs());
+    } else if (item instanceof Item.Beat beat) {
+      out.writeNumber(Tag.BEAT.ordinal());
+      id(out, beat.id());
+      out.writeNumber(beat.beat());
+    } else if (item instanceof Item.Said said) {
+      out.writeNumber(Tag.SAID.ordinal());
+      id(out, said.id());
+      out.writeNumber(said.count());
+      word(out, said.word());
+    } else if (item instanceof Item.Ask) {
+      out.writeNumber(Tag.ASK.ordinal());
+    } else if (item instanceof Item.Decided decided) {
+      out.writeNumber(Tag.DECIDED.ordinal());
+      mark(out, decided.of());
+      change(out, decided.change());
+    } else if (item instanceof Item.Vote vote) {
+      out.writeNumber(Tag.VOTE.ordinal());
+      mark(out, vote.of());
+      out.writeNumber(vote.kind().ordinal());
+      out.writeNumber(vote.ballot());
+      out.writeNumber(vote.accepted());
+      change(out, vote.change());
     }
-
-    private static void items(final CBORGenerator out, final List<Item> items) throws IOException {
-        out.writeStartArray();
-        for (final Item item : items) {
-            out.writeStartArray();
-            item(out, item);
-            out.writeEndArray();
-        }
-        out.writeEndArray();
-    }
-
-    private static void item(final CBORGenerator out, final Item item) throws IOException {
-        if (item instanceof Item.Fact fact) {
-            out.writeNumber(Tag.FACT.ordinal());
-            id(out, fact.id());
-            out.writeString(fact.address());
-            out.writeNumber(fact.life().ordinal());
-        } else if (item instanceof Item.Report report) {
-            out.writeNumber(Tag.REPORT.ordinal());
-            id(out, report.observer());
-            id(out, report.subject());
-            out.writeNumber(report.row());
-            out.writeNumber(report.sight().ordinal());
-            out.writeNumber(report.ageUs());
-        } else if (item instanceof Item.Beat beat) {
-            out.writeNumber(Tag.BEAT.ordinal());
-            id(out, beat.id());
-            out.writeNumber(beat.beat());
-        } else if (item instanceof Item.Said said) {
-            out.writeNumber(Tag.SAID.ordinal());
-            id(out, said.id());
-            out.writeNumber(said.count());
-            word(out, said.word());
-        } else if (item instanceof Item.Ask) {
-            out.writeNumber(Tag.ASK.ordinal());
-        } else if (item instanceof Item.Decided decided) {
-            out.writeNumber(Tag.DECIDED.ordinal());
-            mark(out, decided.of());
-            change(out, decided.change());
-        } else if (item instanceof Item.Vote vote) {
-            out.writeNumber(Tag.VOTE.ordinal());
-            mark(out, vote.of());
-            out.writeNumber(vote.kind().ordinal());
-            out.writeNumber(vote.ballot());
-            out.writeNumber(vote.accepted());
-            change(out, vote.change());
-        }
+  }
+
+  /** Kinds of items by their number; new ones come last. */
+  private enum Tag {
+    FACT,
+    REPORT,
+    BEAT,
+    SAID,
+    ASK,
+    DECIDED,
+    VOTE
+  }
+
+  /** A datagram. */
+  Packet packet(final byte[] text) throws IOException {
+    try (Reading in = new Reading(factory.createParser(text))) {
+      in.begin();
+      in.version();
+      final Packet packet =
+          new Packet(
+              in.idOrNull(),
+              in.address(),
+              in.number(),
+              in.number(),
+              in.mark(),
+              in.number(),
+              in.word(),
+              in.one(Packet.Kind.values()),
+              in.number(),
+              in.items());
+      in.end();
+      return packet;
+    }
+  }
+
+  /** A frame with all that one knows. */
+  Full full(final byte[] text) throws IOException {
+    try (Reading in = new Reading(factory.createParser(text))) {
+      in.begin();
+      in.version();
+      final Full full = new Full(in.id(), in.address(), in.viewOrNull(), in.items());
+      in.end();
+      return full;
+    }
+  }
+
+  /** A greeting. */
+  PeerId greeting(final byte[] text) throws IOException {
+    try (Reading in = new Reading(factory.createParser(text))) {
+      in.begin();
+      in.version();
+      final PeerId id = in.id();
+      in.end();
+      return id;
     }
+  }
 
-    /** Kinds of items by their number; new ones come last. */
-    private enum Tag { FACT, REPORT, BEAT, SAID, ASK, DECIDED, VOTE }
+  /** Reads by place; each of its verbs takes the next value. */
+  private static final class Reading implements AutoCloseable {
+    private final CBORParser in;
 
-    /** A datagram. */
-    Packet packet(final byte[] text) throws IOException {
-        try (Reading in = new Reading(factory.createParser(text))) {
-            in.begin();
-            in.version();
-            final Packet packet = new Packet(in.idOrNull(), in.address(), in.number(), in.number(), in.mark(), in.number(), in.word(),
-                    in.one(Packet.Kind.values()), in.number(), in.items());
-            in.end();
-            return packet;
-        }
+    Reading(final CBORParser in) {
+      this.in = in;
     }
 
-    /** A frame with all that one knows. */
-    Full full(final byte[] text) throws IOException {
-        try (Reading in = new Reading(factory.createParser(text))) {
-            in.begin();
-            in.version();
-            final Full full = new Full(in.id(), in.address(), in.viewOrNull(), in.items());
-            in.end();
-            return full;
-        }
+    private JsonToken next() throws IOException {
+      final JsonToken token = in.nextToken();
+      if (token == null) {
+        throw new MalformedException("it ends too early");
+      }
+      return token;
     }
 
-    /** A greeting. */
-    PeerId greeting(final byte[] text) throws IOException {
-        try (Reading in = new Reading(factory.createParser(text))) {
-            in.begin();
-            in.version();
-            final PeerId id = in.id();
-            in.end();
-            return id;
-        }
+    void begin() throws IOException {
+      if (next() != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected an array, not " + in.currentToken());
+      }
     }
 
-    /** Reads by place; each of its verbs takes the next value. */
-    private static final class Reading implements AutoCloseable {
-        private final CBORParser in;
-
-        Reading(final CBORParser in) {
-            this.in = in;
-        }
-
-        private JsonToken next() throws IOException {
-            final JsonToken token = in.nextToken();
-            if (token == null) {
-                throw new MalformedException("it ends too early");
-            }
-            return token;
-        }
-
-        void begin() throws IOException {
-            if (next() != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected an array, not " + in.currentToken());
-            }
-        }
-
-        /** Passes over what a later version has put behind. */
-        void end() throws IOException {
-            while (next() != JsonToken.END_ARRAY) {
-                in.skipChildren();
-            }
-        }
+    /** Passes over what a later version has put behind. */
+    void end() throws IOException {
+      while (next() != JsonToken.END_ARRAY) {
+        in.skipChildren();
+      }
+    }
 
-        /** True if another element of a list begins; its end is taken. */
-        private boolean more() throws IOException {
-            return next() != JsonToken.END_ARRAY;
-        }
+    /** True if another element of a list begins; its end is taken. */
+    private boolean more() throws IOException {
+      return next() != JsonToken.END_ARRAY;
+    }
 
-        void version() throws IOException {
-            final long version = number();
-            if (version < LEAST_VERSION) {
-                throw new MalformedException("version " + version + " is not spoken here");
-            }
-        }
+    void version() throws IOException {
+      final long version = number();
+      if (version < LEAST_VERSION) {
+        throw new MalformedException("version " + version + " is not spoken here");
+      }
+    }
 
-        long number() throws IOException {
-            if (next() != JsonToken.VALUE_NUMBER_INT) {
-                throw new MalformedException("expected a number, not " + in.currentToken());
-            }
-            // Beyond 63 bits there is nothing that could be meant; the library says so by an exception of its own.
-            return in.getLongValue();
-        }
+    long number() throws IOException {
+      if (next() != JsonToken.VALUE_NUMBER_INT) {
+        throw new MalformedException("expected a number, not " + in.currentToken());
+      }
+      // Beyond 63 bits there is nothing that could be meant; the library says so by an exception of
+      // its own.
+      return in.getLongValue();
+    }
 
-        <T> T one(final T[] values) throws IOException {
-            final long index = number();
-            if (index < 0 || index >= values.length) {
-                throw new MalformedException("expected a number below " + values.length + ", not " + index);
-            }
-            return values[(int) index];
-        }
+    <T> T one(final T[] values) throws IOException {
+      final long index = number();
+      if (index < 0 || index >= values.length) {
+        throw new MalformedException("expected a number below " + values.length + ", not " + index);
+      }
+      return values[(int) index];
+    }
 
-        private String text(final int most) throws IOException {
-            if (next() != JsonToken.VALUE_STRING || in.getTextLength() > most) {
-                throw new MalformedException("expected a text of at most " + most + " letters");
-            }
-            return in.getText();
-        }
+    private String text(final int most) throws IOException {
+      if (next() != JsonToken.VALUE_STRING || in.getTextLength() > most) {
+        throw new MalformedException("expected a text of at most " + most + " letters");
+      }
+      return in.getText();
+    }
 
-        /** An address in figures: a name would be looked up, and by anybody's word. */
-        String address() throws IOException {
-            final String text = text(MOST_ADDRESS);
-            if (!ADDRESS.matcher(text).matches()) {
-                throw new MalformedException("expected an address in figures, not '" + text + "'");
-            }
-            return text;
-        }
+    /** An address in figures: a name would be looked up, and by anybody's word. */
+    String address() throws IOException {
+      final String text = text(MOST_ADDRESS);
+      if (!ADDRESS.matcher(text).matches()) {
+        throw new MalformedException("expected an address in figures, not '" + text + "'");
+      }
+      return text;
+    }
 
-        PeerId id() throws IOException {
-            final PeerId id = idOrNull();
-            if (id == null) {
-                throw new MalformedException("expected a life");
-            }
-            return id;
-        }
+    PeerId id() throws IOException {
+      final PeerId id = idOrNull();
+      if (id == null) {
+        throw new MalformedException("expected a life");
+      }
+      return id;
+    }
 
-        PeerId idOrNull() throws IOException {
-            final JsonToken token = next();
-            return token == JsonToken.VALUE_NULL ? null : idAfter(token);
-        }
+    PeerId idOrNull() throws IOException {
+      final JsonToken token = next();
+      return token == JsonToken.VALUE_NULL ? null : idAfter(token);
+    }
 
-        private PeerId idAfter(final JsonToken token) throws IOException {
-            if (token != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected a life, not " + token);
-            }
-            final PeerId id = new PeerId(text(PeerId.MOST_NAME), number());
-            if (id.name().isEmpty() || id.incarnation() <= 0) {
-                throw new MalformedException("no life: " + id);
-            }
-            end();
-            return id;
-        }
+    private PeerId idAfter(final JsonToken token) throws IOException {
+      if (token != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected a life, not " + token);
+      }
+      final PeerId id = new PeerId(text(PeerId.MOST_NAME), number());
+      if (id.name().isEmpty() || id.incarnation() <= 0) {
+        throw new MalformedException("no life: " + id);
+      }
+      end();
+      return id;
+    }
 
-        ViewMark mark() throws IOException {
-            begin();
-            final ViewMark mark = new ViewMark(number(), number(), number(), (int) Math.min(Integer.MAX_VALUE, number()));
-            end();
-            return mark;
-        }
+    ViewMark mark() throws IOException {
+      begin();
+      final ViewMark mark =
+          new ViewMark(number(), number(), number(), (int) Math.min(Integer.MAX_VALUE, number()));
+      end();
+      return mark;
+    }
 
-        PeerWord word() throws IOException {
-            begin();
-            final PeerWord word = new PeerWord(one(OwnHealth.State.values()), (int) Math.min(Integer.MAX_VALUE, number()),
-                    (int) Math.min(Integer.MAX_VALUE, number()), flag());
-            end();
-            return word;
-        }
+    PeerWord word() throws IOException {
+      begin();
+      final PeerWord word =
+          new PeerWord(
+              one(OwnHealth.State.values()),
+              (int) Math.min(Integer.MAX_VALUE, number()),
+              (int) Math.min(Integer.MAX_VALUE, number()),
+              flag());
+      end();
+      return word;
+    }
 
-        private boolean flag() throws IOException {
-            final JsonToken token = next();
-            if (!token.isBoolean()) {
-                throw new MalformedException("expected true or false, not " + token);
-            }
-            return token == JsonToken.VALUE_TRUE;
-        }
+    private boolean flag() throws IOException {
+      final JsonToken token = next();
+      if (!token.isBoolean()) {
+        throw new MalformedException("expected true or false, not " + token);
+      }
+      return token == JsonToken.VALUE_TRUE;
+    }
 
-        byte[] binary() throws IOException {
-            if (next() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-                throw new MalformedException("expected bytes, not " + in.currentToken());
-            }
-            return in.getBinaryValue();
-        }
+    byte[] binary() throws IOException {
+      if (next() != JsonToken.VALUE_EMBEDDED_OBJECT) {
+        throw new MalformedException("expected bytes, not " + in.currentToken());
+      }
+      return in.getBinaryValue();
+    }
 
-        private Member memberAfter(final JsonToken token) throws IOException {
-            if (token != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected a member, not " + token);
-            }
-            final Member member = new Member(id(), address());
-            end();
-            return member;
-        }
+    private Member memberAfter(final JsonToken token) throws IOException {
+      if (token != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected a member, not " + token);
+      }
+      final Member member = new Member(id(), address());
+      end();
+      return member;
+    }
 
-        private List<PeerId> ids() throws IOException {
-            final List<PeerId> ids = new ArrayList<>();
-            begin();
-            while (more()) {
-                ids.add(idAfter(in.currentToken()));
-                bound(ids.size());
-            }
-            return ids;
-        }
+    private List<PeerId> ids() throws IOException {
+      final List<PeerId> ids = new ArrayList<>();
+      begin();
+      while (more()) {
+        ids.add(idAfter(in.currentToken()));
+        bound(ids.size());
+      }
+      return ids;
+    }
 
-        private List<Member> members() throws IOException {
-            final List<Member> members = new ArrayList<>();
-            begin();
-            while (more()) {
-                members.add(memberAfter(in.currentToken()));
-                bound(members.size());
-            }
-            return members;
-        }
+    private List<Member> members() throws IOException {
+      final List<Member> members = new ArrayList<>();
+      begin();
+      while (more()) {
+        members.add(memberAfter(in.currentToken()));
+        bound(members.size());
+      }
+      return members;
+    }
 
-        private static void bound(final int size) throws IOException {
-            if (size > MOST_ITEMS) {
-                throw new MalformedException("more than " + MOST_ITEMS + " of a kind");
-            }
-        }
+    private static void bound(final int size) throws IOException {
+      if (size > MOST_ITEMS) {
+        throw new MalformedException("more than " + MOST_ITEMS + " of a kind");
+      }
+    }
 
-        private Change changeOrNull() throws IOException {
-            if (next() == JsonToken.VALUE_NULL) {
-                return null;
-            }
-            if (in.currentToken() != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected a change");
-            }
-            final Change change = new Change(ids(), members());
-            end();
-            return change;
-        }
+    private Change changeOrNull() throws IOException {
+      if (next() == JsonToken.VALUE_NULL) {
+        return null;
+      }
+      if (in.currentToken() != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected a change");
+      }
+      final Change change = new Change(ids(), members());
+      end();
+      return change;
+    }
 
-        View viewOrNull() throws IOException {
-            if (next() == JsonToken.VALUE_NULL) {
-                return null;
-            }
-            if (in.currentToken() != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected a view");
-            }
-            final View view = new View(number(), number(), number(), members(), ids());
-            end();
-            if (view.generation() < 1 || view.number() < 1 || view.members().isEmpty() || view.committee().isEmpty()) {
-                throw new MalformedException("no view: " + view.mark());
-            }
-            return view;
-        }
+    View viewOrNull() throws IOException {
+      if (next() == JsonToken.VALUE_NULL) {
+        return null;
+      }
+      if (in.currentToken() != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected a view");
+      }
+      final View view = new View(number(), number(), number(), members(), ids());
+      end();
+      if (view.generation() < 1
+          || view.number() < 1
+          || view.members().isEmpty()
+          || view.committee().isEmpty()) {
+        throw new MalformedException("no view: " + view.mark());
+      }
+      return view;
+    }
 
-        List<Item> items() throws IOException {
-            final List<Item> items = new ArrayList<>();
-            begin();
-            while (more()) {
-                if (in.currentToken() != JsonToken.START_ARRAY) {
-                    throw new MalformedException("expected an item, not " + in.currentToken());
-                }
-                final long tag = number();
-                if (tag >= 0 && tag < Tag.values().length) {
-                    items.add(item(Tag.values()[(int) tag]));
-                }
-                end();
-                bound(items.size());
-            }
-            return items;
-        }
+    List<Item> items() throws IOException {
+      final List<Item> items = new ArrayList<>();
+      begin();
+      while (more()) {
+        if (in.currentToken() != JsonToken.START_ARRAY) {
+          throw new MalformedException("expected an item, not " + in.currentToken());
+        }
+        final long tag = number();
+        if (tag >= 0 && tag < Tag.values().length) {
+          items.add(item(Tag.values()[(int) tag]));
+        }
+        end();
+        bound(items.size());
+      }
+      return items;
+    }
 
-        private Item item(final Tag tag) throws IOException {
-            return switch (tag) {
-                case FACT -> new Item.Fact(id(), address(), one(Item.Life.values()));
-                case REPORT -> new Item.Report(id(), id(), number(), one(Sight.values()), number());
-                case BEAT -> new Item.Beat(id(), number());
-                case SAID -> new Item.Said(id(), number(), word());
-                case ASK -> new Item.Ask();
-                case DECIDED -> new Item.Decided(mark(), changeOrEmpty());
-                case VOTE -> new Item.Vote(mark(), one(Item.Vote.Kind.values()), number(), number(), changeOrNull());
-            };
-        }
+    private Item item(final Tag tag) throws IOException {
+      return switch (tag) {
+        case FACT -> new Item.Fact(id(), address(), one(Item.Life.values()));
+        case REPORT -> new Item.Report(id(), id(), number(), one(Sight.values()), number());
+        case BEAT -> new Item.Beat(id(), number());
+        case SAID -> new Item.Said(id(), number(), word());
+        case ASK -> new Item.Ask();
+        case DECIDED -> new Item.Decided(mark(), changeOrEmpty());
+        case VOTE ->
+            new Item.Vote(mark(), one(Item.Vote.Kind.values()), number(), number(), changeOrNull());
+      };
+    }
 
-        private Change changeOrEmpty() throws IOException {
-            final Change change = changeOrNull();
-            return change == null ? new Change(List.of(), List.of()) : change;
-        }
+    private Change changeOrEmpty() throws IOException {
+      final Change change = changeOrNull();
+      return change == null ? new Change(List.of(), List.of()) : change;
+    }
 
-        @Override
-        public void close() throws IOException {
-            in.close();
-        }
+    @Override
+    public void close() throws IOException {
+      in.close();
     }
+  }
 }
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -23,279 +23,348 @@
 import thistleturn.decisions.peers.View;
 
 /**
- * Peers as a subsystem of a courier. It lives on the courier's first event loop, and is on no message's path. A newer process
- * that takes over waits here until the older one has let go of the address.
+ * Peers as a subsystem of a courier. It lives on the courier's first event loop, and is on no
+ * message's path. A newer process that takes over waits here until the older one has let go of the
+ * address.
  */
 public final class PeersExtension {
-    private static final long MS = 1000;
-    private static final long AGAIN_MS = 500;
-    private static final long SAY_US = 1_000_000;
+  private static final long MS = 1000;
+  private static final long AGAIN_MS = 500;
+  private static final long SAY_US = 1_000_000;
 
-    private final PeersSettings settings;
-    private Surroundings surroundings;
-    private IncarnationFile incarnations;
-    private Peers peers;
-    private Datagrams datagrams;
-    private Connections connections;
-    private PeerId kept;
-    private long sayUs;
-    private long endedBefore;
-    private long endedUs;
-    private boolean complained;
-    private final Arrivals arrivals = new Arrivals();
-    private Passenger passenger;
-    private long cargoes;
-    private boolean left;
+  private final PeersSettings settings;
+  private Surroundings surroundings;
+  private IncarnationFile incarnations;
+  private Peers peers;
+  private Datagrams datagrams;
+  private Connections connections;
+  private PeerId kept;
+  private long sayUs;
+  private long endedBefore;
+  private long endedUs;
+  private boolean complained;
+  private final Arrivals arrivals = new Arrivals();
+  private Passenger passenger;
+  private long cargoes;
+  private boolean left;
 
-    /** With settings that hold until the next start. */
-    public PeersExtension(final PeersSettings settings) {
-        this.settings = settings;
-    }
+  /** With settings that hold until the next start. */
+  public PeersExtension(final PeersSettings settings) {
+    this.settings = settings;
+  }
 
-    /** Begins to take part; a courier that takes up again after its successor takes part already. Called on the event loop. */
-    public void begin(final Surroundings given) {
-        if (surroundings != null) {
-            return;
-        }
-        surroundings = given;
-        if (given.config().name().length() > PeerId.MOST_NAME) {
-            Log.info("peers: off: the name " + given.config().name() + " has more than " + PeerId.MOST_NAME + " letters");
-            left = true;
-            return;
-        }
-        incarnations = new IncarnationFile(given.config().state());
-        bind();
+  /**
+   * Begins to take part; a courier that takes up again after its successor takes part already.
+   * Called on the event loop.
+   */
+  public void begin(final Surroundings given) {
+    if (surroundings != null) {
+      return;
+    }
+    surroundings = given;
+    if (given.config().name().length() > PeerId.MOST_NAME) {
+      Log.info(
+          "peers: off: the name "
+              + given.config().name()
+              + " has more than "
+              + PeerId.MOST_NAME
+              + " letters");
+      left = true;
+      return;
     }
+    incarnations = new IncarnationFile(given.config().state());
+    bind();
+  }
 
-    private void bind() {
-        if (left) {
-            return;
-        }
-        final Codec codec = new Codec();
-        final Seal seal = new Seal(settings.fleetKey());
-        final Datagrams nextDatagrams = new Datagrams(codec, seal, surroundings.clock(), this::onPacket, this::onCargo);
-        final Connections nextConnections = new Connections(surroundings.loop(), codec, seal, () -> peers.self(), this::way, new Told(),
-                this::onFull, this::onCargo);
-        nextDatagrams.bind(surroundings.loop(), settings.listen()).addListener(first -> {
-            if (!first.isSuccess()) {
+  private void bind() {
+    if (left) {
+      return;
+    }
+    final Codec codec = new Codec();
+    final Seal seal = new Seal(settings.fleetKey());
+    final Datagrams nextDatagrams =
+        new Datagrams(codec, seal, surroundings.clock(), this::onPacket, this::onCargo);
+    final Connections nextConnections =
+        new Connections(
+            surroundings.loop(),
+            codec,
+            seal,
+            () -> peers.self(),
+            this::way,
+            new Told(),
+            this::onFull,
+            this::onCargo);
+    nextDatagrams
+        .bind(surroundings.loop(), settings.listen())
+        .addListener(
+            first -> {
+              if (!first.isSuccess()) {
                 again(first, nextDatagrams, nextConnections);
                 return;
-            }
-            nextConnections.bind(settings.listen()).addListener(second -> {
-                if (!second.isSuccess() || left) {
-                    again(second, nextDatagrams, nextConnections);
-                    return;
-                }
-                datagrams = nextDatagrams;
-                connections = nextConnections;
-                start();
+              }
+              nextConnections
+                  .bind(settings.listen())
+                  .addListener(
+                      second -> {
+                        if (!second.isSuccess() || left) {
+                          again(second, nextDatagrams, nextConnections);
+                          return;
+                        }
+                        datagrams = nextDatagrams;
+                        connections = nextConnections;
+                        start();
+                      });
             });
-        });
-    }
+  }
 
-    /** An older process of this courier may still listen there. */
-    private void again(final Future<?> failed, final Datagrams madeDatagrams, final Connections madeConnections) {
-        madeDatagrams.close();
-        madeConnections.close();
-        if (!complained && !left) {
-            complained = true;
-            Log.info("peers: cannot listen at " + address() + " yet: " + failed.cause().getMessage());
-        }
-        surroundings.loop().schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
+  /** An older process of this courier may still listen there. */
+  private void again(
+      final Future<?> failed, final Datagrams madeDatagrams, final Connections madeConnections) {
+    madeDatagrams.close();
+    madeConnections.close();
+    if (!complained && !left) {
+      complained = true;
+      Log.info("peers: cannot listen at " + address() + " yet: " + failed.cause().getMessage());
     }
+    surroundings.loop().schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
+  }
 
-    private String address() {
-        return settings.listen().getAddress().getHostAddress() + ':' + settings.listen().getPort();
-    }
+  private String address() {
+    return settings.listen().getAddress().getHostAddress() + ':' + settings.listen().getPort();
+  }
 
-    private InetSocketAddress way(final String address) {
-        return Config.address("peers", settings.via().getOrDefault(address, address));
-    }
+  private InetSocketAddress way(final String address) {
+    return Config.address("peers", settings.via().getOrDefault(address, address));
+  }
 
-    private void start() {
-        final long nowUs = surroundings.clock().nowUs();
-        final String name = surroundings.config().name();
-        kept = new PeerId(name, incarnations.next(surroundings.clock().wallUs()));
-        peers = new Peers(settings.rules(), kept, address(), settings.seeds(), name.hashCode() * 31L + kept.incarnation(), nowUs,
-                new Out());
-        endedUs = nowUs;
-        Log.info("peers: " + kept + " listens at " + address());
-        tick();
-        if (passenger != null) {
-            passenger.begin();
-        }
+  private void start() {
+    final long nowUs = surroundings.clock().nowUs();
+    final String name = surroundings.config().name();
+    kept = new PeerId(name, incarnations.next(surroundings.clock().wallUs()));
+    peers =
+        new Peers(
+            settings.rules(),
+            kept,
+            address(),
+            settings.seeds(),
+            name.hashCode() * 31L + kept.incarnation(),
+            nowUs,
+            new Out());
+    endedUs = nowUs;
+    Log.info("peers: " + kept + " listens at " + address());
+    tick();
+    if (passenger != null) {
+      passenger.begin();
     }
+  }
 
-    private final class Out implements Peers.Out {
-        @Override
-        public void send(final String to, final Packet packet) {
-            datagrams.send(way(to), packet);
-        }
-
-        @Override
-        public void connect(final String to) {
-            connections.connect(to);
-        }
-
-        @Override
-        public void disconnect(final String to) {
-            connections.disconnect(to);
-        }
-
-        @Override
-        public void full(final String to, final Full full) {
-            connections.full(to, full);
-        }
+  private final class Out implements Peers.Out {
+    @Override
+    public void send(final String to, final Packet packet) {
+      datagrams.send(way(to), packet);
+    }
 
-        @Override
-        public void happened(final PeerEvent event) {
-            Log.info("peers: " + (event.who().isEmpty() ? "" : event.who() + " ") + event.text());
-        }
+    @Override
+    public void connect(final String to) {
+      connections.connect(to);
     }
 
-    private final class Told implements Connections.Told {
-        @Override
-        public void greeted(final String to, final PeerId by) {
-            peers.onGreeted(to, by, surroundings.clock().nowUs());
-        }
+    @Override
+    public void disconnect(final String to) {
+      connections.disconnect(to);
+    }
 
-        @Override
-        public void closed(final String to) {
-            peers.onClosed(to, surroundings.clock().nowUs());
-        }
+    @Override
+    public void full(final String to, final Full full) {
+      connections.full(to, full);
+    }
 
-        @Override
-        public void unanswered(final String to) {
-            peers.onUnanswered(to, surroundings.clock().nowUs());
-        }
+    @Override
+    public void happened(final PeerEvent event) {
+      Log.info("peers: " + (event.who().isEmpty() ? "" : event.who() + " ") + event.text());
     }
+  }
 
-    private void onPacket(final Packet packet) {
-        if (peers != null && !left) {
-            peers.onPacket(packet, surroundings.clock().nowUs());
-        }
+  private final class Told implements Connections.Told {
+    @Override
+    public void greeted(final String to, final PeerId by) {
+      peers.onGreeted(to, by, surroundings.clock().nowUs());
     }
 
-    private void onFull(final Full full) {
-        if (peers != null && !left) {
-            peers.onFull(full, surroundings.clock().nowUs());
-        }
+    @Override
+    public void closed(final String to) {
+      peers.onClosed(to, surroundings.clock().nowUs());
     }
 
-    /** What travels with the exchange from now on; one at most. To be told before {@link #begin}. */
-    public void carry(final Passenger with) {
-        passenger = with;
+    @Override
+    public void unanswered(final String to) {
+      peers.onUnanswered(to, surroundings.clock().nowUs());
     }
+  }
 
-    private void onCargo(final Cargo cargo) {
-        if (peers != null && !left && passenger != null && peers.isLiving(cargo.sender()) && arrivals.isNew(cargo.sender(), cargo.seq())) {
-            passenger.received(cargo.address(), cargo.text());
-        }
+  private void onPacket(final Packet packet) {
+    if (peers != null && !left) {
+      peers.onPacket(packet, surroundings.clock().nowUs());
     }
+  }
 
-    /** Sends a datagram of a passenger's, which may be lost. */
-    public void send(final String to, final byte[] text) {
-        if (peers != null && !left) {
-            datagrams.send(way(to), cargo(text));
-        }
+  private void onFull(final Full full) {
+    if (peers != null && !left) {
+      peers.onFull(full, surroundings.clock().nowUs());
     }
+  }
+
+  /** What travels with the exchange from now on; one at most. To be told before {@link #begin}. */
+  public void carry(final Passenger with) {
+    passenger = with;
+  }
 
-    /** Sends it over a connection; it is lost if that ends before. */
-    public void sendSurely(final String to, final byte[] text) {
-        if (peers != null && !left) {
-            connections.cargo(to, cargo(text));
-        }
+  private void onCargo(final Cargo cargo) {
+    if (peers != null
+        && !left
+        && passenger != null
+        && peers.isLiving(cargo.sender())
+        && arrivals.isNew(cargo.sender(), cargo.seq())) {
+      passenger.received(cargo.address(), cargo.text());
     }
+  }
 
-    private Cargo cargo(final byte[] text) {
-        return new Cargo(peers.self(), address(), ++cargoes, text);
+  /** Sends a datagram of a passenger's, which may be lost. */
+  public void send(final String to, final byte[] text) {
+    if (peers != null && !left) {
+      datagrams.send(way(to), cargo(text));
     }
+  }
 
-    /** Where the others are who live, as far as is known, by name. */
-    public Map<String, String> others() {
-        return peers == null ? Map.of() : peers.addresses();
+  /** Sends it over a connection; it is lost if that ends before. */
+  public void sendSurely(final String to, final byte[] text) {
+    if (peers != null && !left) {
+      connections.cargo(to, cargo(text));
     }
+  }
+
+  private Cargo cargo(final byte[] text) {
+    return new Cargo(peers.self(), address(), ++cargoes, text);
+  }
+
+  /** Where the others are who live, as far as is known, by name. */
+  public Map<String, String> others() {
+    return peers == null ? Map.of() : peers.addresses();
+  }
 
-    private void tick() {
-        if (left) {
-            return;
-        }
-        final long nowUs = surroundings.clock().nowUs();
-        surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
-        if (nowUs >= sayUs) {
-            sayUs = nowUs + SAY_US;
-            peers.say(word(nowUs), nowUs);
-        }
-        peers.tick(nowUs);
-        if (!kept.equals(peers.self())) {
-            kept = peers.self();
-            incarnations.keep(kept.incarnation());
-        }
+  private void tick() {
+    if (left) {
+      return;
     }
+    final long nowUs = surroundings.clock().nowUs();
+    surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
+    if (nowUs >= sayUs) {
+      sayUs = nowUs + SAY_US;
+      peers.say(word(nowUs), nowUs);
+    }
+    peers.tick(nowUs);
+    if (!kept.equals(peers.self())) {
+      kept = peers.self();
+      incarnations.keep(kept.incarnation());
+    }
+  }
 
-    /** How this courier itself is, and whether it ends any of what it holds. */
-    private PeerWord word(final long nowUs) {
-        final JsonNode health = surroundings.health().get();
-        final long ended = health.path("ended").asLong();
-        final int holds = health.path("holds").asInt();
-        if (ended != endedBefore || holds == 0) {
-            endedBefore = ended;
-            endedUs = nowUs;
-        }
-        final double lastAwayS = health.path("last_away_s").asDouble();
-        return new PeerWord(OwnHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
-                (int) (lastAwayS * MS), holds, nowUs - endedUs >= PeerWord.STUCK_US);
+  /** How this courier itself is, and whether it ends any of what it holds. */
+  private PeerWord word(final long nowUs) {
+    final JsonNode health = surroundings.health().get();
+    final long ended = health.path("ended").asLong();
+    final int holds = health.path("holds").asInt();
+    if (ended != endedBefore || holds == 0) {
+      endedBefore = ended;
+      endedUs = nowUs;
     }
+    final double lastAwayS = health.path("last_away_s").asDouble();
+    return new PeerWord(
+        OwnHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
+        (int) (lastAwayS * MS),
+        holds,
+        nowUs - endedUs >= PeerWord.STUCK_US);
+  }
 
-    /** Says farewell, and lets go of the address. Called on the event loop. */
-    public void leave() {
-        if (left) {
-            return;
-        }
-        left = true;
-        if (peers != null) {
-            peers.leave(surroundings.clock().nowUs());
-            connections.close();
-            // Behind what was just written there.
-            surroundings.loop().execute(datagrams::close);
-        }
+  /** Says farewell, and lets go of the address. Called on the event loop. */
+  public void leave() {
+    if (left) {
+      return;
+    }
+    left = true;
+    if (peers != null) {
+      peers.leave(surroundings.clock().nowUs());
+      connections.close();
+      // Behind what was just written there.
+      surroundings.loop().execute(datagrams::close);
     }
+  }
 
-    /** Who is here, as operators are told. Called on the event loop. */
-    public JsonNode status() {
-        final ObjectNode root = JsonNodeFactory.instance.objectNode();
-        if (peers == null) {
-            return root.put("standing", "waits").put("address", address());
-        }
-        final long nowUs = surroundings.clock().nowUs();
-        root.put("name", peers.self().name()).put("incarnation", peers.self().incarnation()).put("address", address())
-                .put("standing", peers.standing().name().toLowerCase(Locale.ROOT)).put("reached", peers.reached())
-                .put("sent", datagrams.sent()).put("sent_bytes", datagrams.sentBytes()).put("read", datagrams.read())
-                .put("malformed", datagrams.malformed() + connections.malformed()).put("too_large", datagrams.tooLarge())
-                .put("turned_down", peers.turnedDown()).put("connections", connections.open());
-        final View view = peers.view();
-        if (view != null) {
-            final ObjectNode told = root.putObject("view").put("generation", view.generation()).put("founder", view.founder())
-                    .put("number", view.number());
-            final ArrayNode members = told.putArray("members");
-            view.members().forEach(member -> members.addObject().put("name", member.id().name())
-                    .put("incarnation", member.id().incarnation()).put("address", member.address()));
-            final ArrayNode committee = told.putArray("committee");
-            view.committee().forEach(id -> committee.add(id.name()));
-        }
-        final ArrayNode others = root.putArray("peers");
-        for (final Known known : peers.known(nowUs)) {
-            final ObjectNode other = others.addObject().put("name", known.id().name()).put("incarnation", known.id().incarnation())
-                    .put("address", known.address()).put("state", known.state().name().toLowerCase(Locale.ROOT))
-                    .put("for_ms", known.forUs() / MS)
-                    .put("here", known.here() == null ? "" : known.here().name().toLowerCase(Locale.ROOT))
-                    .put("round_trip_ms", known.rttUs() / (double) MS)
-                    .put("health", known.word().health().name().toLowerCase(Locale.ROOT)).put("away_ms", known.word().awayMs())
-                    .put("holds", known.word().holds()).put("stuck", known.word().stuck());
-            final ArrayNode doubts = other.putArray("doubts");
-            known.doubts().forEach(cell -> doubts.addObject().put("by", cell.observer())
-                    .put("sight", cell.sight().name().toLowerCase(Locale.ROOT)).put("for_ms", cell.forUs() / MS));
-        }
-        return root;
+  /** Who is here, as operators are told. Called on the event loop. */
+  public JsonNode status() {
+    final ObjectNode root = JsonNodeFactory.instance.objectNode();
+    if (peers == null) {
+      return root.put("standing", "waits").put("address", address());
+    }
+    final long nowUs = surroundings.clock().nowUs();
+    root.put("name", peers.self().name())
+        .put("incarnation", peers.self().incarnation())
+        .put("address", address())
+        .put("standing", peers.standing().name().toLowerCase(Locale.ROOT))
+        .put("reached", peers.reached())
+        .put("sent", datagrams.sent())
+        .put("sent_bytes", datagrams.sentBytes())
+        .put("read", datagrams.read())
+        .put("malformed", datagrams.malformed() + connections.malformed())
+        .put("too_large", datagrams.tooLarge())
+        .put("turned_down", peers.turnedDown())
+        .put("connections", connections.open());
+    final View view = peers.view();
+    if (view != null) {
+      final ObjectNode told =
+          root.putObject("view")
+              .put("generation", view.generation())
+              .put("founder", view.founder())
+              .put("number", view.number());
+      final ArrayNode members = told.putArray("members");
+      view.members()
+          .forEach(
+              member ->
+                  members
+                      .addObject()
+                      .put("name", member.id().name())
+                      .put("incarnation", member.id().incarnation())
+                      .put("address", member.address()));
+      final ArrayNode committee = told.putArray("committee");
+      view.committee().forEach(id -> committee.add(id.name()));
+    }
+    final ArrayNode others = root.putArray("peers");
+    for (final Known known : peers.known(nowUs)) {
+      final ObjectNode other =
+          others
+              .addObject()
+              .put("name", known.id().name())
+              .put("incarnation", known.id().incarnation())
+              .put("address", known.address())
+              .put("state", known.state().name().toLowerCase(Locale.ROOT))
+              .put("for_ms", known.forUs() / MS)
+              .put("here", known.here() == null ? "" : known.here().name().toLowerCase(Locale.ROOT))
+              .put("round_trip_ms", known.rttUs() / (double) MS)
+              .put("health", known.word().health().name().toLowerCase(Locale.ROOT))
+              .put("away_ms", known.word().awayMs())
+              .put("holds", known.word().holds())
+              .put("stuck", known.word().stuck());
+      final ArrayNode doubts = other.putArray("doubts");
+      known
+          .doubts()
+          .forEach(
+              cell ->
+                  doubts
+                      .addObject()
+                      .put("by", cell.observer())
+                      .put("sight", cell.sight().name().toLowerCase(Locale.ROOT))
+                      .put("for_ms", cell.forUs() / MS));
     }
+    return root;
+  }
 }
--- a/peers/src/main/java/thistleturn/peers/PeersSettings.java
+++ b/peers/src/main/java/thistleturn/peers/PeersSettings.java
@@ -14,14 +14,18 @@
  * @param rules times and counts
  * @param via where an address of another is to be reached instead, if it is not reached at itself
  */
-public record PeersSettings(InetSocketAddress listen, List<String> seeds, String fleetKey, PeerRules rules,
-                            Map<String, String> via) {
-    /** Letters that a key has at least. */
-    public static final int LEAST_KEY = 8;
+public record PeersSettings(
+    InetSocketAddress listen,
+    List<String> seeds,
+    String fleetKey,
+    PeerRules rules,
+    Map<String, String> via) {
+  /** Letters that a key has at least. */
+  public static final int LEAST_KEY = 8;
 
-    /** Collections that nobody changes any more. */
-    public PeersSettings {
-        seeds = List.copyOf(seeds);
-        via = Map.copyOf(via);
-    }
+  /** Collections that nobody changes any more. */
+  public PeersSettings {
+    seeds = List.copyOf(seeds);
+    via = Map.copyOf(via);
+  }
 }
--- a/peers/src/test/java/thistleturn/peers/ArrivalsTest.java
+++ b/peers/src/test/java/thistleturn/peers/ArrivalsTest.java
@@ -14,36 +14,36 @@
 /** Each datagram is let through once; what is far behind, or of an earlier life, not at all. */
 @Tag("replicas")
 final class ArrivalsTest {
-    private static final PeerId FIRST = new PeerId("n1", 10);
-    private final Arrivals arrivals = new Arrivals();
+  private static final PeerId FIRST = new PeerId("n1", 10);
+  private final Arrivals arrivals = new Arrivals();
 
-    @Test
-    void eachIsLetThroughOnceInAnyOrderWithinTheWindow() {
-        final List<Long> order = new ArrayList<>();
-        for (long number = 1; number <= 900; number++) {
-            order.add(number);
-        }
-        Collections.shuffle(order, new Random(5));
-        order.forEach(number -> assertTrue(arrivals.isNew(FIRST, number), "first " + number));
-        order.forEach(number -> assertFalse(arrivals.isNew(FIRST, number), "again " + number));
+  @Test
+  void eachIsLetThroughOnceInAnyOrderWithinTheWindow() {
+    final List<Long> order = new ArrayList<>();
+    for (long number = 1; number <= 900; number++) {
+      order.add(number);
     }
+    Collections.shuffle(order, new Random(5));
+    order.forEach(number -> assertTrue(arrivals.isNew(FIRST, number), "first " + number));
+    order.forEach(number -> assertFalse(arrivals.isNew(FIRST, number), "again " + number));
+  }
 
-    @Test
-    void whatIsADayOldIsNotLetThrough() {
-        assertTrue(arrivals.isNew(FIRST, 1_000_000));
-        assertFalse(arrivals.isNew(FIRST, 5));
-        assertTrue(arrivals.isNew(FIRST, 999_990), "a little late");
-        assertTrue(arrivals.isNew(FIRST, 5_000_000_000L));
-        assertFalse(arrivals.isNew(FIRST, 999_991));
-        assertFalse(arrivals.isNew(FIRST, 0));
-        assertFalse(arrivals.isNew(FIRST, Long.MIN_VALUE));
-    }
+  @Test
+  void whatIsADayOldIsNotLetThrough() {
+    assertTrue(arrivals.isNew(FIRST, 1_000_000));
+    assertFalse(arrivals.isNew(FIRST, 5));
+    assertTrue(arrivals.isNew(FIRST, 999_990), "a little late");
+    assertTrue(arrivals.isNew(FIRST, 5_000_000_000L));
+    assertFalse(arrivals.isNew(FIRST, 999_991));
+    assertFalse(arrivals.isNew(FIRST, 0));
+    assertFalse(arrivals.isNew(FIRST, Long.MIN_VALUE));
+  }
 
-    @Test
-    void aLaterLifeCountsAnewAndAnEarlierOneIsOver() {
-        assertTrue(arrivals.isNew(FIRST, 50));
-        assertTrue(arrivals.isNew(new PeerId("n1", 11), 1));
-        assertFalse(arrivals.isNew(FIRST, 51));
-        assertTrue(arrivals.isNew(new PeerId("n2", 1), 1));
-    }
+  @Test
+  void aLaterLifeCountsAnewAndAnEarlierOneIsOver() {
+    assertTrue(arrivals.isNew(FIRST, 50));
+    assertTrue(arrivals.isNew(new PeerId("n1", 11), 1));
+    assertFalse(arrivals.isNew(FIRST, 51));
+    assertTrue(arrivals.isNew(new PeerId("n2", 1), 1));
+  }
 }
--- a/peers/src/test/java/thistleturn/peers/CodecTest.java
+++ b/peers/src/test/java/thistleturn/peers/CodecTest.java
@@ -30,141 +30,190 @@
 import thistleturn.decisions.peers.View;
 import thistleturn.decisions.peers.ViewMark;
 
-/** What is written is read as it was; what is damaged, strange or later is an error or passed over, never anything else. */
+/**
+ * What is written is read as it was; what is damaged, strange or later is an error or passed over,
+ * never anything else.
+ */
 @Tag("peers")
 final class CodecTest {
-    private static final String NAME = "n".repeat(PeerId.MOST_NAME);
-    private static final PeerId ID = new PeerId(NAME, Long.MAX_VALUE);
-    private static final PeerId OTHER = new PeerId("b", 2);
-    private static final String ADDRESS = "127.100.100.100:65535";
-    private static final ViewMark MARK = new ViewMark(3, Long.MAX_VALUE, 9, 4);
-    private static final PeerWord WORD = new PeerWord(OwnHealth.State.STARVED, 7, 8, true);
-    private static final Change CHANGE = new Change(List.of(ID, OTHER), List.of(new Member(ID, ADDRESS), new Member(OTHER, ADDRESS)));
+  private static final String NAME = "n".repeat(PeerId.MOST_NAME);
+  private static final PeerId ID = new PeerId(NAME, Long.MAX_VALUE);
+  private static final PeerId OTHER = new PeerId("b", 2);
+  private static final String ADDRESS = "127.100.100.100:65535";
+  private static final ViewMark MARK = new ViewMark(3, Long.MAX_VALUE, 9, 4);
+  private static final PeerWord WORD = new PeerWord(OwnHealth.State.STARVED, 7, 8, true);
+  private static final Change CHANGE =
+      new Change(List.of(ID, OTHER), List.of(new Member(ID, ADDRESS), new Member(OTHER, ADDRESS)));
 
-    private final Codec codec = new Codec();
+  private final Codec codec = new Codec();
 
-    private static List<Item> everyItem() {
-        return List.of(new Item.Fact(ID, ADDRESS, Item.Life.LEFT), new Item.Report(ID, OTHER, Long.MAX_VALUE, Sight.ENDED, 123_456_789),
-                new Item.Beat(ID, Long.MAX_VALUE), new Item.Said(ID, Long.MAX_VALUE, WORD), new Item.Ask(), new Item.Decided(MARK, CHANGE),
-                new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
-                new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 17, -1, null));
-    }
+  private static List<Item> everyItem() {
+    return List.of(
+        new Item.Fact(ID, ADDRESS, Item.Life.LEFT),
+        new Item.Report(ID, OTHER, Long.MAX_VALUE, Sight.ENDED, 123_456_789),
+        new Item.Beat(ID, Long.MAX_VALUE),
+        new Item.Said(ID, Long.MAX_VALUE, WORD),
+        new Item.Ask(),
+        new Item.Decided(MARK, CHANGE),
+        new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
+        new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 17, -1, null));
+  }
 
-    private static Packet packet(final List<Item> items) {
-        return new Packet(ID, ADDRESS, 5, 6, MARK, 7, WORD, Packet.Kind.PONG, 8, items);
-    }
+  private static Packet packet(final List<Item> items) {
+    return new Packet(ID, ADDRESS, 5, 6, MARK, 7, WORD, Packet.Kind.PONG, 8, items);
+  }
 
-    @Test
-    void whatIsWrittenIsReadAsItWas() throws IOException {
-        assertEquals(packet(everyItem()), codec.packet(codec.write(packet(everyItem()))));
-        final Packet look = new Packet(null, ADDRESS, 1, 0, ViewMark.NONE, 0, PeerWord.WELL, Packet.Kind.PING, 0, List.of());
-        assertEquals(look, codec.packet(codec.write(look)));
-        final View view = new View(3, 4, 5, List.of(new Member(OTHER, ADDRESS), new Member(ID, ADDRESS)), List.of(ID, OTHER));
-        final Full full = new Full(ID, ADDRESS, view, everyItem());
-        assertEquals(full, codec.full(codec.write(full)));
-        assertNull(codec.full(codec.write(new Full(ID, ADDRESS, null, List.of()))).view());
-        assertEquals(ID, codec.greeting(codec.write(ID)));
-    }
+  @Test
+  void whatIsWrittenIsReadAsItWas() throws IOException {
+    assertEquals(packet(everyItem()), codec.packet(codec.write(packet(everyItem()))));
+    final Packet look =
+        new Packet(
+            null, ADDRESS, 1, 0, ViewMark.NONE, 0, PeerWord.WELL, Packet.Kind.PING, 0, List.of());
+    assertEquals(look, codec.packet(codec.write(look)));
+    final View view =
+        new View(
+            3,
+            4,
+            5,
+            List.of(new Member(OTHER, ADDRESS), new Member(ID, ADDRESS)),
+            List.of(ID, OTHER));
+    final Full full = new Full(ID, ADDRESS, view, everyItem());
+    assertEquals(full, codec.full(codec.write(full)));
+    assertNull(codec.full(codec.write(new Full(ID, ADDRESS, null, List.of()))).view());
+    assertEquals(ID, codec.greeting(codec.write(ID)));
+  }
 
-    /** What the decisions reckon with is more than what it takes, so that a datagram that they fill stays within its bound. */
-    @Test
-    void noItemTakesMoreBytesThanItIsReckonedWith() {
-        final int empty = codec.write(packet(List.of())).length;
-        for (final Item item : everyItem()) {
-            final int taken = codec.write(packet(List.of(item))).length - empty;
-            assertTrue(taken <= item.bytes(), () -> item + " takes " + taken + " bytes, not " + item.bytes());
-        }
-        assertTrue(empty + Packet.MOST_ITEM_BYTES + Seal.BYTES <= Datagrams.MOST_BYTES, () -> "a head of " + empty + " bytes");
+  /**
+   * What the decisions reckon with is more than what it takes, so that a datagram that they fill
+   * stays within its bound.
+   */
+  @Test
+  void noItemTakesMoreBytesThanItIsReckonedWith() {
+    final int empty = codec.write(packet(List.of())).length;
+    for (final Item item : everyItem()) {
+      final int taken = codec.write(packet(List.of(item))).length - empty;
+      assertTrue(
+          taken <= item.bytes(), () -> item + " takes " + taken + " bytes, not " + item.bytes());
     }
+    assertTrue(
+        empty + Packet.MOST_ITEM_BYTES + Seal.BYTES <= Datagrams.MOST_BYTES,
+        () -> "a head of " + empty + " bytes");
+  }
 
-    @Test
-    void nothingThatIsCutOrDamagedIsReadAsAnythingElseThanAnError() throws IOException {
-        final byte[] whole = codec.write(packet(everyItem()));
-        for (int length = 0; length < whole.length; length++) {
-            final byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> codec.packet(cut), () -> "cut to " + cut.length);
-        }
-        final Random random = new Random(7);
-        int read = 0;
-        for (int turn = 0; turn < 20_000; turn++) {
-            final byte[] damaged = whole.clone();
-            damaged[random.nextInt(whole.length)] = (byte) random.nextInt();
-            try {
-                assertNotNull(codec.packet(damaged));
-                read++;
-            } catch (final IOException e) {
-                assertNotNull(e.getMessage());
-            }
-        }
-        // Most of a datagram are letters and numbers, any of which can be another one: the seal is what tells.
-        assertTrue(read > 0);
+  @Test
+  void nothingThatIsCutOrDamagedIsReadAsAnythingElseThanAnError() throws IOException {
+    final byte[] whole = codec.write(packet(everyItem()));
+    for (int length = 0; length < whole.length; length++) {
+      final byte[] cut = Arrays.copyOf(whole, length);
+      assertThrows(IOException.class, () -> codec.packet(cut), () -> "cut to " + cut.length);
     }
-
-    private static byte[] cbor(final Object... values) throws IOException {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
-            write(out, List.of(values));
-        }
-        return bytes.toByteArray();
+    final Random random = new Random(7);
+    int read = 0;
+    for (int turn = 0; turn < 20_000; turn++) {
+      final byte[] damaged = whole.clone();
+      damaged[random.nextInt(whole.length)] = (byte) random.nextInt();
+      try {
+        assertNotNull(codec.packet(damaged));
+        read++;
+      } catch (final IOException e) {
+        assertNotNull(e.getMessage());
+      }
     }
+    // Most of a datagram are letters and numbers, any of which can be another one: the seal is what
+    // tells.
+    assertTrue(read > 0);
+  }
 
-    private static void write(final CBORGenerator out, final Object value) throws IOException {
-        if (value instanceof List<?> list) {
-            out.writeStartArray();
-            for (final Object one : list) {
-                write(out, one);
-            }
-            out.writeEndArray();
-        } else if (value instanceof BigInteger number) {
-            out.writeNumber(number);
-        } else if (value instanceof Number number) {
-            out.writeNumber(number.longValue());
-        } else if (value instanceof Boolean flag) {
-            out.writeBoolean(flag);
-        } else {
-            out.writeString(value.toString());
-        }
+  private static byte[] cbor(final Object... values) throws IOException {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
+      write(out, List.of(values));
     }
+    return bytes.toByteArray();
+  }
 
-    private static byte[] ofVersion(final long version, final Object incarnation, final String address, final Object... more)
-            throws IOException {
-        final List<Object> all = new ArrayList<>(List.of(version, List.of("a", incarnation), address, 5L, 6L, List.of(1L, 2L, 3L, 4L),
-                7L, List.of(0L, 0L, 0L, false), 1L, 8L, List.of(List.of(99L, "of a kind to come", List.of()), List.of(4L, "more to come"))));
-        all.addAll(List.of(more));
-        return cbor(all.toArray());
+  private static void write(final CBORGenerator out, final Object value) throws IOException {
+    if (value instanceof List<?> list) {
+      out.writeStartArray();
+      for (final Object one : list) {
+        write(out, one);
+      }
+      out.writeEndArray();
+    } else if (value instanceof BigInteger number) {
+      out.writeNumber(number);
+    } else if (value instanceof Number number) {
+      out.writeNumber(number.longValue());
+    } else if (value instanceof Boolean flag) {
+      out.writeBoolean(flag);
+    } else {
+      out.writeString(value.toString());
     }
+  }
 
-    @Test
-    void aLaterVersionIsReadAsFarAsItIsKnown() throws IOException {
-        final Packet packet = codec.packet(ofVersion(2, 5L, "127.0.0.1:7081", "added later", List.of(1L)));
-        assertEquals(new PeerId("a", 5), packet.sender());
-        assertEquals(List.of(new Item.Ask()), packet.items());
-    }
+  private static byte[] ofVersion(
+      final long version, final Object incarnation, final String address, final Object... more)
+      throws IOException {
+    final List<Object> all =
+        new ArrayList<>(
+            List.of(
+                version,
+                List.of("a", incarnation),
+                address,
+                5L,
+                6L,
+                List.of(1L, 2L, 3L, 4L),
+                7L,
+                List.of(0L, 0L, 0L, false),
+                1L,
+                8L,
+                List.of(
+                    List.of(99L, "of a kind to come", List.of()), List.of(4L, "more to come"))));
+    all.addAll(List.of(more));
+    return cbor(all.toArray());
+  }
+
+  @Test
+  void aLaterVersionIsReadAsFarAsItIsKnown() throws IOException {
+    final Packet packet =
+        codec.packet(ofVersion(2, 5L, "127.0.0.1:7081", "added later", List.of(1L)));
+    assertEquals(new PeerId("a", 5), packet.sender());
+    assertEquals(List.of(new Item.Ask()), packet.items());
+  }
 
-    @Test
-    void strangeValuesAreTurnedDown() throws IOException {
-        for (final byte[] strange : List.of(ofVersion(0, 5L, "127.0.0.1:1"), ofVersion(1, BigInteger.ONE.shiftLeft(63), "127.0.0.1:1"),
-                ofVersion(1, 0L, "127.0.0.1:1"), ofVersion(1, -3L, "127.0.0.1:1"), ofVersion(1, "5", "127.0.0.1:1"),
-                ofVersion(1, 5L, "somewhere.example:1"), ofVersion(1, 5L, "127.0.0.1:65536"), ofVersion(1, 5L, "127.0.0.256:1"),
-                cbor("no datagram"), new byte[0])) {
-            assertThrows(IOException.class, () -> codec.packet(strange));
-        }
-        assertThrows(IOException.class, () -> codec.greeting(cbor(1L, List.of("n".repeat(PeerId.MOST_NAME + 1), 5L))));
+  @Test
+  void strangeValuesAreTurnedDown() throws IOException {
+    for (final byte[] strange :
+        List.of(
+            ofVersion(0, 5L, "127.0.0.1:1"),
+            ofVersion(1, BigInteger.ONE.shiftLeft(63), "127.0.0.1:1"),
+            ofVersion(1, 0L, "127.0.0.1:1"),
+            ofVersion(1, -3L, "127.0.0.1:1"),
+            ofVersion(1, "5", "127.0.0.1:1"),
+            ofVersion(1, 5L, "somewhere.example:1"),
+            ofVersion(1, 5L, "127.0.0.1:65536"),
+            ofVersion(1, 5L, "127.0.0.256:1"),
+            cbor("no datagram"),
+            new byte[0])) {
+      assertThrows(IOException.class, () -> codec.packet(strange));
     }
+    assertThrows(
+        IOException.class,
+        () -> codec.greeting(cbor(1L, List.of("n".repeat(PeerId.MOST_NAME + 1), 5L))));
+  }
 
-    @Test
-    void aSealIsOfOneKeyAndOneText() {
-        final Seal seal = new Seal("one fleet's key");
-        final byte[] text = {1, 2, 3};
-        final byte[] sealed = seal.close(text);
-        assertArrayEquals(text, seal.open(sealed));
-        assertNull(new Seal("another fleet's").open(sealed));
-        for (int at = 0; at < sealed.length; at++) {
-            final byte[] damaged = sealed.clone();
-            damaged[at] ^= 1;
-            assertNull(seal.open(damaged));
-        }
-        assertNull(seal.open(Arrays.copyOf(sealed, Seal.BYTES)));
-        assertNull(seal.open(new byte[0]));
+  @Test
+  void aSealIsOfOneKeyAndOneText() {
+    final Seal seal = new Seal("one fleet's key");
+    final byte[] text = {1, 2, 3};
+    final byte[] sealed = seal.close(text);
+    assertArrayEquals(text, seal.open(sealed));
+    assertNull(new Seal("another fleet's").open(sealed));
+    for (int at = 0; at < sealed.length; at++) {
+      final byte[] damaged = sealed.clone();
+      damaged[at] ^= 1;
+      assertNull(seal.open(damaged));
     }
+    assertNull(seal.open(Arrays.copyOf(sealed, Seal.BYTES)));
+    assertNull(seal.open(new byte[0]));
+  }
 }
--- a/replicas/src/main/java/thistleturn/replicas/Codec.java
+++ b/replicas/src/main/java/thistleturn/replicas/Codec.java
@@ -16,296 +16,305 @@
 import thistleturn.decisions.replicas.Writer;
 
 /**
- * Messages and entries as CBOR (RFC 8949): arrays by place, each message under a version. Entries travel with their age, so that
- * no two clocks need agree. Fields of an entry are kept as they came, known or not; what a later version puts behind the
- * known places of a message is passed over. For one thread.
+ * Messages and entries as CBOR (RFC 8949): arrays by place, each message under a version. Entries
+ * travel with their age, so that no two clocks need agree. Fields of an entry are kept as they
+ * came, known or not; what a later version puts behind the known places of a message is passed
+ * over. For one thread.
  */
 final class Codec {
-    /** Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone. */
-    static final int VERSION = 1;
-    private static final int LEAST_VERSION = 1;
-    private static final int MOST_DELTAS = 10_000;
-    private static final int MOST_ENTRIES = 200_000;
-    private static final int MOST_FIELDS = 64;
-    private static final int MOST_TEXT = 1000;
-    private static final int NEWS = 1;
-    private static final int MARK = 2;
-    private static final int PAGE = 3;
-    private static final int PIECE = 4;
-    private static final int FIRST_BYTES = 1024;
+  /**
+   * Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone.
+   */
+  static final int VERSION = 1;
 
-    private final CBORFactory factory = new CBORFactory();
+  private static final int LEAST_VERSION = 1;
+  private static final int MOST_DELTAS = 10_000;
+  private static final int MOST_ENTRIES = 200_000;
+  private static final int MOST_FIELDS = 64;
+  private static final int MOST_TEXT = 1000;
+  private static final int NEWS = 1;
+  private static final int MARK = 2;
+  private static final int PAGE = 3;
+  private static final int PIECE = 4;
+  private static final int FIRST_BYTES = 1024;
 
-    /** What came cannot be read; one line. */
-    static final class MalformedException extends IOException {
-        private static final long serialVersionUID = 1L;
+  private final CBORFactory factory = new CBORFactory();
 
-        MalformedException(final String message) {
-            super(message);
-        }
-    }
+  /** What came cannot be read; one line. */
+  static final class MalformedException extends IOException {
+    private static final long serialVersionUID = 1L;
 
-    /** A message's text, at that moment. */
-    byte[] write(final Message message, final long nowUs) {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
-        try (CBORGenerator out = factory.createGenerator(bytes)) {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            if (message instanceof Message.News news) {
-                out.writeNumber(NEWS);
-                deltas(out, news.deltas(), nowUs);
-            } else if (message instanceof Message.Mark mark) {
-                out.writeNumber(MARK);
-                out.writeNumber(mark.sum());
-                out.writeNumber(mark.entries());
-            } else if (message instanceof Message.Page page) {
-                out.writeNumber(PAGE);
-                out.writeNumber(page.part());
-                out.writeNumber(page.parts());
-                out.writeBoolean(page.wantsBack());
-                known(out, page.known());
-            } else if (message instanceof Message.Piece piece) {
-                out.writeNumber(PIECE);
-                out.writeNumber(piece.part());
-                out.writeNumber(piece.parts());
-                out.writeBoolean(piece.more());
-                deltas(out, piece.deltas(), nowUs);
-            }
-            out.writeEndArray();
-        } catch (final IOException e) {
-            throw new IllegalStateException("an array in memory takes all", e);
-        }
-        return bytes.toByteArray();
+    MalformedException(final String message) {
+      super(message);
     }
+  }
 
-    static void known(final CBORGenerator out, final Map<Writer, Long> known) throws IOException {
-        out.writeStartArray();
-        for (final Map.Entry<Writer, Long> one : known.entrySet()) {
-            writer(out, one.getKey());
-            out.writeNumber(one.getValue());
-        }
-        out.writeEndArray();
+  /** A message's text, at that moment. */
+  byte[] write(final Message message, final long nowUs) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
+    try (CBORGenerator out = factory.createGenerator(bytes)) {
+      out.writeStartArray();
+      out.writeNumber(VERSION);
+      if (message instanceof Message.News news) {
+        out.writeNumber(NEWS);
+        deltas(out, news.deltas(), nowUs);
+      } else if (message instanceof Message.Mark mark) {
+        out.writeNumber(MARK);
+        out.writeNumber(mark.sum());
+        out.writeNumber(mark.entries());
+      } else if (message instanceof Message.Page page) {
+        out.writeNumber(PAGE);
+        out.writeNumber(page.part());
+        out.writeNumber(page.parts());
+        out.writeBoolean(page.wantsBack());
+        known(out, page.known());
+      } else if (message instanceof Message.Piece piece) {
+        out.writeNumber(PIECE);
+        out.writeNumber(piece.part());
+        out.writeNumber(piece.parts());
+        out.writeBoolean(piece.more());
+        deltas(out, piece.deltas(), nowUs);
+      }
+      out.writeEndArray();
+    } catch (final IOException e) {
+      throw new IllegalStateException("an array in memory takes all", e);
     }
+    return bytes.toByteArray();
+  }
 
-    private static void writer(final CBORGenerator out, final Writer writer) throws IOException {
-        out.writeString(writer.name());
-        out.writeNumber(writer.birth());
+  static void known(final CBORGenerator out, final Map<Writer, Long> known) throws IOException {
+    out.writeStartArray();
+    for (final Map.Entry<Writer, Long> one : known.entrySet()) {
+      writer(out, one.getKey());
+      out.writeNumber(one.getValue());
     }
+    out.writeEndArray();
+  }
 
-    private static void deltas(final CBORGenerator out, final List<Delta> deltas, final long nowUs) throws IOException {
-        out.writeStartArray();
-        for (final Delta delta : deltas) {
-            out.writeStartArray();
-            writer(out, delta.writer());
-            out.writeNumber(delta.from());
-            out.writeNumber(delta.to());
-            out.writeStartArray();
-            for (final Entry entry : delta.entries()) {
-                entry(out, entry, nowUs);
-            }
-            out.writeEndArray();
-            out.writeEndArray();
-        }
-        out.writeEndArray();
+  private static void writer(final CBORGenerator out, final Writer writer) throws IOException {
+    out.writeString(writer.name());
+    out.writeNumber(writer.birth());
+  }
+
+  private static void deltas(final CBORGenerator out, final List<Delta> deltas, final long nowUs)
+      throws IOException {
+    out.writeStartArray();
+    for (final Delta delta : deltas) {
+      out.writeStartArray();
+      writer(out, delta.writer());
+      out.writeNumber(delta.from());
+      out.writeNumber(delta.to());
+      out.writeStartArray();
+      for (final Entry entry : delta.entries()) {
+        entry(out, entry, nowUs);
+      }
+      out.writeEndArray();
+      out.writeEndArray();
     }
+    out.writeEndArray();
+  }
 
-    /** An entry without its writer. */
-    static void entry(final CBORGenerator out, final Entry entry, final long nowUs) throws IOException {
-        out.writeStartArray();
-        out.writeNumber(entry.kind());
-        out.writeString(entry.subject());
-        out.writeNumber(entry.version());
-        out.writeNumber(entry.lifeUs());
-        out.writeNumber(Math.max(0, nowUs - entry.madeUs()));
-        for (final Object field : entry.fields()) {
-            if (field instanceof Long number) {
-                out.writeNumber(number);
-            } else if (field instanceof Double number) {
-                out.writeNumber(number);
-            } else if (field instanceof Boolean flag) {
-                out.writeBoolean(flag);
-            } else {
-                out.writeString((String) field);
-            }
-        }
-        out.writeEndArray();
+  /** An entry without its writer. */
+  static void entry(final CBORGenerator out, final Entry entry, final long nowUs)
+      throws IOException {
+    out.writeStartArray();
+    out.writeNumber(entry.kind());
+    out.writeString(entry.subject());
+    out.writeNumber(entry.version());
+    out.writeNumber(entry.lifeUs());
+    out.writeNumber(Math.max(0, nowUs - entry.madeUs()));
+    for (final Object field : entry.fields()) {
+      if (field instanceof Long number) {
+        out.writeNumber(number);
+      } else if (field instanceof Double number) {
+        out.writeNumber(number);
+      } else if (field instanceof Boolean flag) {
+        out.writeBoolean(flag);
+      } else {
+        out.writeString((String) field);
+      }
     }
+    out.writeEndArray();
+  }
 
-    /** Reads a message that came at that moment; null: of a kind that is not known here. */
-    Message read(final byte[] text, final long nowUs) throws IOException {
-        try (Reading in = new Reading(factory.createParser(text), nowUs)) {
-            in.begin();
-            if (in.number() < LEAST_VERSION) {
-                throw new MalformedException("a version that is not spoken here");
-            }
-            final long kind = in.number();
-            final Message message;
-            if (kind == NEWS) {
-                message = new Message.News(in.deltas());
-            } else if (kind == MARK) {
-                message = new Message.Mark(in.number(), in.number());
-            } else if (kind == PAGE) {
-                final int part = in.small();
-                final int parts = in.small();
-                final boolean wantsBack = in.flag();
-                message = new Message.Page(part, parts, in.known(), wantsBack);
-            } else if (kind == PIECE) {
-                final int part = in.small();
-                final int parts = in.small();
-                final boolean more = in.flag();
-                message = new Message.Piece(part, parts, in.deltas(), more);
-            } else {
-                message = null;
-            }
-            in.end();
-            return message;
-        }
+  /** Reads a message that came at that moment; null: of a kind that is not known here. */
+  Message read(final byte[] text, final long nowUs) throws IOException {
+    try (Reading in = new Reading(factory.createParser(text), nowUs)) {
+      in.begin();
+      if (in.number() < LEAST_VERSION) {
+        throw new MalformedException("a version that is not spoken here");
+      }
+      final long kind = in.number();
+      final Message message;
+      if (kind == NEWS) {
+        message = new Message.News(in.deltas());
+      } else if (kind == MARK) {
+        message = new Message.Mark(in.number(), in.number());
+      } else if (kind == PAGE) {
+        final int part = in.small();
+        final int parts = in.small();
+        final boolean wantsBack = in.flag();
+        message = new Message.Page(part, parts, in.known(), wantsBack);
+      } else if (kind == PIECE) {
+        final int part = in.small();
+        final int parts = in.small();
+        final boolean more = in.flag();
+        message = new Message.Piece(part, parts, in.deltas(), more);
+      } else {
+        message = null;
+      }
+      in.end();
+      return message;
     }
+  }
 
-    /** Reads by place; each of its verbs takes the next value. */
-    static final class Reading implements AutoCloseable {
-        private final CBORParser in;
-        private final long nowUs;
+  /** Reads by place; each of its verbs takes the next value. */
+  static final class Reading implements AutoCloseable {
+    private final CBORParser in;
+    private final long nowUs;
 
-        Reading(final CBORParser in, final long nowUs) {
-            this.in = in;
-            this.nowUs = nowUs;
-        }
+    Reading(final CBORParser in, final long nowUs) {
+      this.in = in;
+      this.nowUs = nowUs;
+    }
 
-        private JsonToken next() throws IOException {
-            final JsonToken token = in.nextToken();
-            if (token == null) {
-                throw new MalformedException("it ends too early");
-            }
-            return token;
-        }
+    private JsonToken next() throws IOException {
+      final JsonToken token = in.nextToken();
+      if (token == null) {
+        throw new MalformedException("it ends too early");
+      }
+      return token;
+    }
 
-        void begin() throws IOException {
-            if (next() != JsonToken.START_ARRAY) {
-                throw new MalformedException("expected an array, not " + in.currentToken());
-            }
-        }
+    void begin() throws IOException {
+      if (next() != JsonToken.START_ARRAY) {
+        throw new MalformedException("expected an array, not " + in.currentToken());
+      }
+    }
 
-        void end() throws IOException {
-            while (next() != JsonToken.END_ARRAY) {
-                in.skipChildren();
-            }
-        }
+    void end() throws IOException {
+      while (next() != JsonToken.END_ARRAY) {
+        in.skipChildren();
+      }
+    }
 
-        long number() throws IOException {
-            if (next() != JsonToken.VALUE_NUMBER_INT) {
-                throw new MalformedException("expected a number, not " + in.currentToken());
-            }
-            return in.getLongValue();
-        }
+    long number() throws IOException {
+      if (next() != JsonToken.VALUE_NUMBER_INT) {
+        throw new MalformedException("expected a number, not " + in.currentToken());
+      }
+      return in.getLongValue();
+    }
 
-        int small() throws IOException {
-            final long number = number();
-            if (number < 0 || number > Integer.MAX_VALUE) {
-                throw new MalformedException("expected a small number, not " + number);
-            }
-            return (int) number;
-        }
+    int small() throws IOException {
+      final long number = number();
+      if (number < 0 || number > Integer.MAX_VALUE) {
+        throw new MalformedException("expected a small number, not " + number);
+      }
+      return (int) number;
+    }
 
-        boolean flag() throws IOException {
-            if (!next().isBoolean()) {
-                throw new MalformedException("expected true or false, not " + in.currentToken());
-            }
-            return in.currentToken() == JsonToken.VALUE_TRUE;
-        }
+    boolean flag() throws IOException {
+      if (!next().isBoolean()) {
+        throw new MalformedException("expected true or false, not " + in.currentToken());
+      }
+      return in.currentToken() == JsonToken.VALUE_TRUE;
+    }
 
-        private String text() throws IOException {
-            if (next() != JsonToken.VALUE_STRING || in.getTextLength() > MOST_TEXT) {
-                throw new MalformedException("expected a text of at most " + MOST_TEXT + " letters");
-            }
-            return in.getText();
-        }
+    private String text() throws IOException {
+      if (next() != JsonToken.VALUE_STRING || in.getTextLength() > MOST_TEXT) {
+        throw new MalformedException("expected a text of at most " + MOST_TEXT + " letters");
+      }
+      return in.getText();
+    }
 
-        Map<Writer, Long> known() throws IOException {
-            final Map<Writer, Long> known = new TreeMap<>();
-            begin();
-            while (next() != JsonToken.END_ARRAY) {
-                if (in.currentToken() != JsonToken.VALUE_STRING || known.size() >= MOST_DELTAS) {
-                    throw new MalformedException("expected at most " + MOST_DELTAS + " writers");
-                }
-                final Writer writer = new Writer(in.getText(), number());
-                known.put(writer, number());
-            }
-            return known;
+    Map<Writer, Long> known() throws IOException {
+      final Map<Writer, Long> known = new TreeMap<>();
+      begin();
+      while (next() != JsonToken.END_ARRAY) {
+        if (in.currentToken() != JsonToken.VALUE_STRING || known.size() >= MOST_DELTAS) {
+          throw new MalformedException("expected at most " + MOST_DELTAS + " writers");
         }
+        final Writer writer = new Writer(in.getText(), number());
+        known.put(writer, number());
+      }
+      return known;
+    }
 
-        List<Delta> deltas() throws IOException {
-            final List<Delta> deltas = new ArrayList<>();
-            begin();
-            while (next() != JsonToken.END_ARRAY) {
-                if (in.currentToken() != JsonToken.START_ARRAY || deltas.size() >= MOST_DELTAS) {
-                    throw new MalformedException("expected at most " + MOST_DELTAS + " writers' entries");
-                }
-                final Writer writer = new Writer(text(), number());
-                final long from = number();
-                final long to = number();
-                final List<Entry> entries = entries(writer);
-                end();
-                deltas.add(new Delta(writer, from, to, entries));
-            }
-            return deltas;
+    List<Delta> deltas() throws IOException {
+      final List<Delta> deltas = new ArrayList<>();
+      begin();
+      while (next() != JsonToken.END_ARRAY) {
+        if (in.currentToken() != JsonToken.START_ARRAY || deltas.size() >= MOST_DELTAS) {
+          throw new MalformedException("expected at most " + MOST_DELTAS + " writers' entries");
         }
+        final Writer writer = new Writer(text(), number());
+        final long from = number();
+        final long to = number();
+        final List<Entry> entries = entries(writer);
+        end();
+        deltas.add(new Delta(writer, from, to, entries));
+      }
+      return deltas;
+    }
 
-        List<Entry> entries(final Writer writer) throws IOException {
-            final List<Entry> entries = new ArrayList<>();
-            begin();
-            while (next() != JsonToken.END_ARRAY) {
-                if (in.currentToken() != JsonToken.START_ARRAY || entries.size() >= MOST_ENTRIES) {
-                    throw new MalformedException("expected at most " + MOST_ENTRIES + " entries");
-                }
-                entries.add(entryAfterBegin(writer));
-            }
-            return entries;
+    List<Entry> entries(final Writer writer) throws IOException {
+      final List<Entry> entries = new ArrayList<>();
+      begin();
+      while (next() != JsonToken.END_ARRAY) {
+        if (in.currentToken() != JsonToken.START_ARRAY || entries.size() >= MOST_ENTRIES) {
+          throw new MalformedException("expected at most " + MOST_ENTRIES + " entries");
         }
+        entries.add(entryAfterBegin(writer));
+      }
+      return entries;
+    }
 
-        /** Writers with their entries, to the end of the list. */
-        Map<Writer, List<Entry>> shelves() throws IOException {
-            final Map<Writer, List<Entry>> shelves = new TreeMap<>();
-            begin();
-            while (next() != JsonToken.END_ARRAY) {
-                if (in.currentToken() != JsonToken.VALUE_STRING) {
-                    throw new MalformedException("expected a writer, not " + in.currentToken());
-                }
-                final Writer writer = new Writer(in.getText(), number());
-                shelves.put(writer, entries(writer));
-            }
-            return shelves;
+    /** Writers with their entries, to the end of the list. */
+    Map<Writer, List<Entry>> shelves() throws IOException {
+      final Map<Writer, List<Entry>> shelves = new TreeMap<>();
+      begin();
+      while (next() != JsonToken.END_ARRAY) {
+        if (in.currentToken() != JsonToken.VALUE_STRING) {
+          throw new MalformedException("expected a writer, not " + in.currentToken());
         }
+        final Writer writer = new Writer(in.getText(), number());
+        shelves.put(writer, entries(writer));
+      }
+      return shelves;
+    }
 
-        private Entry entryAfterBegin(final Writer writer) throws IOException {
-            final int kind = small();
-            final String subject = text();
-            final long version = number();
-            final long lifeUs = number();
-            final long ageUs = number();
-            final List<Object> fields = new ArrayList<>();
-            while (next() != JsonToken.END_ARRAY) {
-                if (fields.size() >= MOST_FIELDS) {
-                    throw new MalformedException("an entry with more than " + MOST_FIELDS + " fields");
-                }
-                fields.add(switch (in.currentToken()) {
-                    case VALUE_NUMBER_INT -> in.getLongValue();
-                    case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-                    case VALUE_TRUE -> Boolean.TRUE;
-                    case VALUE_FALSE -> Boolean.FALSE;
-                    case VALUE_STRING -> in.getText();
-                    default -> throw new MalformedException("a field that is neither number, text, true nor false");
-                });
-            }
-            if (ageUs < 0) {
-                throw new MalformedException("an entry of the future");
-            }
-            return new Entry(kind, subject, writer, version, lifeUs, nowUs - ageUs, List.copyOf(fields));
+    private Entry entryAfterBegin(final Writer writer) throws IOException {
+      final int kind = small();
+      final String subject = text();
+      final long version = number();
+      final long lifeUs = number();
+      final long ageUs = number();
+      final List<Object> fields = new ArrayList<>();
+      while (next() != JsonToken.END_ARRAY) {
+        if (fields.size() >= MOST_FIELDS) {
+          throw new MalformedException("an entry with more than " + MOST_FIELDS + " fields");
         }
+        fields.add(
+            switch (in.currentToken()) {
+              case VALUE_NUMBER_INT -> in.getLongValue();
+              case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
+              case VALUE_TRUE -> Boolean.TRUE;
+              case VALUE_FALSE -> Boolean.FALSE;
+              case VALUE_STRING -> in.getText();
+              default ->
+                  throw new MalformedException(
+                      "a field that is neither number, text, true nor false");
+            });
+      }
+      if (ageUs < 0) {
+        throw new MalformedException("an entry of the future");
+      }
+      return new Entry(kind, subject, writer, version, lifeUs, nowUs - ageUs, List.copyOf(fields));
+    }
 
-        @Override
-        public void close() throws IOException {
-            in.close();
-        }
+    @Override
+    public void close() throws IOException {
+      in.close();
     }
+  }
 }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -25,296 +25,338 @@
 import thistleturn.peers.PeersExtension;
 
 /**
- * Replicas as a subsystem of a courier: it tells the others what this courier is told and finds out, and says to its decisions
- * what counts of what others tell. It lives on the courier's first event loop, travels with {@code peers}, and is on no message's
- * path.
+ * Replicas as a subsystem of a courier: it tells the others what this courier is told and finds
+ * out, and says to its decisions what counts of what others tell. It lives on the courier's first
+ * event loop, travels with {@code peers}, and is on no message's path.
  */
 public final class ReplicasExtension implements Passenger, Witness, Replicas.Out {
-    private static final double US_PER_S = 1_000_000;
-    /** Ticks after which it is looked who the others are. */
-    private static final int LOOK_TICKS = 4;
-    /** Words that operators are shown at most. */
-    private static final int MOST_SHOWN = 5000;
-    /** How a word of the fleet's is signed. */
-    private static final String BY = "fleet: ";
-
-    /** A subject on which something is to be read anew, or stands. */
-    private record Subject(Kind kind, String name) { }
-
-    private final ReplicasSettings settings;
-    private final PeersExtension peers;
-    private final Codec codec = new Codec();
-    private final Set<Subject> dirty = new LinkedHashSet<>();
-    /** What was said to the decisions, and is said again whenever the list names something new. */
-    private final Set<Subject> standing = new LinkedHashSet<>();
-    private final Set<String> conflicts = new LinkedHashSet<>();
-    private Surroundings surroundings;
-    private Folder folder;
-    private Replicas replicas;
-    private boolean applying;
-    private boolean left;
-    private boolean wordsDue;
-    private long malformed;
-    private int ticks;
-
-    /** One that travels with these peers. */
-    public ReplicasExtension(final ReplicasSettings settings, final PeersExtension peers) {
-        this.settings = settings;
-        this.peers = peers;
-        peers.carry(this);
+  private static final double US_PER_S = 1_000_000;
+
+  /** Ticks after which it is looked who the others are. */
+  private static final int LOOK_TICKS = 4;
+
+  /** Words that operators are shown at most. */
+  private static final int MOST_SHOWN = 5000;
+
+  /** How a word of the fleet's is signed. */
+  private static final String BY = "fleet: ";
+
+  /** A subject on which something is to be read anew, or stands. */
+  private record Subject(Kind kind, String name) {}
+
+  private final ReplicasSettings settings;
+  private final PeersExtension peers;
+  private final Codec codec = new Codec();
+  private final Set<Subject> dirty = new LinkedHashSet<>();
+
+  /** What was said to the decisions, and is said again whenever the list names something new. */
+  private final Set<Subject> standing = new LinkedHashSet<>();
+
+  private final Set<String> conflicts = new LinkedHashSet<>();
+  private Surroundings surroundings;
+  private Folder folder;
+  private Replicas replicas;
+  private boolean applying;
+  private boolean left;
+  private boolean wordsDue;
+  private long malformed;
+  private int ticks;
+
+  /** One that travels with these peers. */
+  public ReplicasExtension(final ReplicasSettings settings, final PeersExtension peers) {
+    this.settings = settings;
+    this.peers = peers;
+    peers.carry(this);
+  }
+
+  /** What the courier is; to be told before the peers begin. */
+  public void surroundings(final Surroundings given) {
+    surroundings = given;
+    folder = new Folder(given.config().state(), given.clock());
+  }
+
+  @Override
+  public void begin() {
+    final SnapshotFile.Found found;
+    try {
+      found = folder.begin();
+    } catch (final IOException e) {
+      Log.info("replicas: off: the folder cannot be written: " + e.getMessage());
+      return;
     }
-
-    /** What the courier is; to be told before the peers begin. */
-    public void surroundings(final Surroundings given) {
-        surroundings = given;
-        folder = new Folder(given.config().state(), given.clock());
+    final String name = surroundings.config().name();
+    replicas =
+        new Replicas(
+            settings.rules(),
+            new Writer(name, found.birth()),
+            name.hashCode() * 31L + found.birth(),
+            nowUs(),
+            this);
+    replicas.restore(found.deltas(), found.togetherUs(), nowUs());
+    Log.info("replicas: " + replicas.self() + " begins with " + replicas.size() + " entries");
+    surroundings.steering().witness(this);
+    for (final String endpoint : surroundings.steering().leftOut()) {
+      if (settings.maintenance() && replicas.words(Kind.MAINTENANCE, endpoint).isEmpty()) {
+        replicas.maintain(endpoint, true, operator(), nowUs());
+      }
     }
+    tick();
+  }
 
-    @Override
-    public void begin() {
-        final SnapshotFile.Found found;
-        try {
-            found = folder.begin();
-        } catch (final IOException e) {
-            Log.info("replicas: off: the folder cannot be written: " + e.getMessage());
-            return;
-        }
-        final String name = surroundings.config().name();
-        replicas = new Replicas(settings.rules(), new Writer(name, found.birth()), name.hashCode() * 31L + found.birth(), nowUs(), this);
-        replicas.restore(found.deltas(), found.togetherUs(), nowUs());
-        Log.info("replicas: " + replicas.self() + " begins with " + replicas.size() + " entries");
-        surroundings.steering().witness(this);
-        for (final String endpoint : surroundings.steering().leftOut()) {
-            if (settings.maintenance() && replicas.words(Kind.MAINTENANCE, endpoint).isEmpty()) {
-                replicas.maintain(endpoint, true, operator(), nowUs());
-            }
-        }
-        tick();
-    }
+  private long nowUs() {
+    return surroundings.clock().nowUs();
+  }
 
-    private long nowUs() {
-        return surroundings.clock().nowUs();
-    }
+  private String operator() {
+    return "operator at " + surroundings.config().name();
+  }
 
-    private String operator() {
-        return "operator at " + surroundings.config().name();
+  private void tick() {
+    if (left) {
+      return;
     }
-
-    private void tick() {
-        if (left) {
-            return;
-        }
-        surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
-        if (ticks++ % LOOK_TICKS == 0) {
-            replicas.others(peers.others().values());
-        }
-        replicas.tick(nowUs());
-        if (wordsDue) {
-            keepWords();
-        }
-        folder.tick(replicas);
+    surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
+    if (ticks++ % LOOK_TICKS == 0) {
+      replicas.others(peers.others().values());
     }
-
-    private void keepWords() {
-        try {
-            folder.keepWords(replicas);
-            wordsDue = false;
-        } catch (final IOException e) {
-            Log.info("replicas: words by hand are not put down: " + e.getMessage());
-        }
+    replicas.tick(nowUs());
+    if (wordsDue) {
+      keepWords();
     }
-
-    /** The process ends soon. */
-    public void leave() {
-        left = true;
+    folder.tick(replicas);
+  }
+
+  private void keepWords() {
+    try {
+      folder.keepWords(replicas);
+      wordsDue = false;
+    } catch (final IOException e) {
+      Log.info("replicas: words by hand are not put down: " + e.getMessage());
     }
+  }
 
-    // ---------------------------------------------------------------- the wire
+  /** The process ends soon. */
+  public void leave() {
+    left = true;
+  }
 
-    @Override
-    public void received(final String from, final byte[] text) {
-        if (replicas == null || left) {
-            return;
-        }
-        try {
-            final Message message = codec.read(text, nowUs());
-            if (message != null) {
-                replicas.onMessage(from, message, nowUs());
-            }
-        } catch (final IOException | IllegalArgumentException e) {
-            malformed++;
-        }
-    }
+  // ---------------------------------------------------------------- the wire
 
-    @Override
-    public void send(final String to, final Message message) {
-        peers.send(to, codec.write(message, nowUs()));
+  @Override
+  public void received(final String from, final byte[] text) {
+    if (replicas == null || left) {
+      return;
     }
-
-    @Override
-    public void piece(final String to, final Message message) {
-        peers.sendSurely(to, codec.write(message, nowUs()));
+    try {
+      final Message message = codec.read(text, nowUs());
+      if (message != null) {
+        replicas.onMessage(from, message, nowUs());
+      }
+    } catch (final IOException | IllegalArgumentException e) {
+      malformed++;
     }
-
-    @Override
-    public void happened(final String text) {
-        Log.info("replicas: " + text);
+  }
+
+  @Override
+  public void send(final String to, final Message message) {
+    peers.send(to, codec.write(message, nowUs()));
+  }
+
+  @Override
+  public void piece(final String to, final Message message) {
+    peers.sendSurely(to, codec.write(message, nowUs()));
+  }
+
+  @Override
+  public void happened(final String text) {
+    Log.info("replicas: " + text);
+  }
+
+  // ---------------------------------------------------------------- what this courier is told and
+  // finds out
+
+  @Override
+  public void listed() {
+    standing.forEach(this::changed);
+  }
+
+  @Override
+  public void waits(final long destination, final long untilUs) {
+    if (settings.waits() && !left) {
+      replicas.waits(Long.toString(destination), untilUs, nowUs());
     }
+  }
 
-    // ---------------------------------------------------------------- what this courier is told and finds out
-
-    @Override
-    public void listed() {
-        standing.forEach(this::changed);
+  @Override
+  public void limited(final long destination, final double perSecond) {
+    if (settings.limits() && !left) {
+      replicas.limited(Long.toString(destination), perSecond, nowUs());
     }
+  }
 
-    @Override
-    public void waits(final long destination, final long untilUs) {
-        if (settings.waits() && !left) {
-            replicas.waits(Long.toString(destination), untilUs, nowUs());
-        }
+  @Override
+  public void turned(final long destination, final boolean isOut) {
+    if (settings.outages() && !left) {
+      replicas.turned(Long.toString(destination), isOut, nowUs());
     }
+  }
 
-    @Override
-    public void limited(final long destination, final double perSecond) {
-        if (settings.limits() && !left) {
-            replicas.limited(Long.toString(destination), perSecond, nowUs());
-        }
+  @Override
+  public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
+    if (settings.maintenance() && !left) {
+      replicas.maintain(endpoint, leaveOut, operator(), nowUs());
+      folder.keepWords(replicas);
     }
+  }
 
-    @Override
-    public void turned(final long destination, final boolean isOut) {
-        if (settings.outages() && !left) {
-            replicas.turned(Long.toString(destination), isOut, nowUs());
-        }
-    }
+  // ---------------------------------------------------------------- what counts
 
-    @Override
-    public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
-        if (settings.maintenance() && !left) {
-            replicas.maintain(endpoint, leaveOut, operator(), nowUs());
-            folder.keepWords(replicas);
-        }
-    }
-
-    // ---------------------------------------------------------------- what counts
+  @Override
+  public void changed(final Kind kind, final String subject) {
+    changed(new Subject(kind, subject));
+  }
 
-    @Override
-    public void changed(final Kind kind, final String subject) {
-        changed(new Subject(kind, subject));
+  private void changed(final Subject subject) {
+    dirty.add(subject);
+    if (!applying) {
+      applying = true;
+      surroundings.loop().execute(this::apply);
     }
-
-    private void changed(final Subject subject) {
-        dirty.add(subject);
-        if (!applying) {
-            applying = true;
-            surroundings.loop().execute(this::apply);
-        }
+  }
+
+  /** Says to the decisions what counts now, once for all that a turn of the loop has brought. */
+  private void apply() {
+    applying = false;
+    final List<Subject> due = List.copyOf(dirty);
+    dirty.clear();
+    for (final Subject subject : due) {
+      final Verdict verdict = replicas.verdict(subject.kind, subject.name);
+      if (verdict.isSomething() && subject.kind != Kind.MAINTENANCE) {
+        standing.add(subject);
+      } else {
+        standing.remove(subject);
+      }
+      apply(verdict);
     }
-
-    /** Says to the decisions what counts now, once for all that a turn of the loop has brought. */
-    private void apply() {
-        applying = false;
-        final List<Subject> due = List.copyOf(dirty);
-        dirty.clear();
-        for (final Subject subject : due) {
-            final Verdict verdict = replicas.verdict(subject.kind, subject.name);
-            if (verdict.isSomething() && subject.kind != Kind.MAINTENANCE) {
-                standing.add(subject);
-            } else {
-                standing.remove(subject);
-            }
-            apply(verdict);
-        }
+  }
+
+  private void apply(final Verdict verdict) {
+    switch (verdict.kind()) {
+      case MAINTENANCE -> applyMaintenance(verdict);
+      case WAIT -> say(settings.waits(), verdict, Word.Kind.WAIT, 0);
+      case OUTAGE ->
+          say(
+              settings.outages(),
+              verdict,
+              verdict.state().equals("out") ? Word.Kind.OUTAGE : Word.Kind.RETURN,
+              Math.max(0, verdict.sinceUs()));
+      case LIMIT -> say(settings.limits(), verdict, Word.Kind.LIMIT, verdict.value());
+      // Of these nothing is said: they are there to be looked at.
+      case LEARNT, LIST -> {}
     }
-
-    private void apply(final Verdict verdict) {
-        switch (verdict.kind()) {
-            case MAINTENANCE -> applyMaintenance(verdict);
-            case WAIT -> say(settings.waits(), verdict, Word.Kind.WAIT, 0);
-            case OUTAGE -> say(settings.outages(), verdict, verdict.state().equals("out") ? Word.Kind.OUTAGE : Word.Kind.RETURN,
-                    Math.max(0, verdict.sinceUs()));
-            case LIMIT -> say(settings.limits(), verdict, Word.Kind.LIMIT, verdict.value());
-            // Of these nothing is said: they are there to be looked at.
-            case LEARNT, LIST -> { }
-        }
+  }
+
+  /** What this courier said itself its decisions know already. */
+  private void say(
+      final boolean wanted, final Verdict verdict, final Word.Kind kind, final double value) {
+    if (wanted && verdict.isSomething() && !verdict.by().contains(replicas.self())) {
+      surroundings
+          .steering()
+          .say(
+              Long.parseLong(verdict.subject()),
+              new Word(kind, value, BY + verdict.by().get(0).name(), verdict.untilUs()));
     }
+  }
 
-    /** What this courier said itself its decisions know already. */
-    private void say(final boolean wanted, final Verdict verdict, final Word.Kind kind, final double value) {
-        if (wanted && verdict.isSomething() && !verdict.by().contains(replicas.self())) {
-            surroundings.steering().say(Long.parseLong(verdict.subject()),
-                    new Word(kind, value, BY + verdict.by().get(0).name(), verdict.untilUs()));
-        }
+  private void applyMaintenance(final Verdict verdict) {
+    wordsDue = true;
+    if (!settings.maintenance() || !verdict.isSomething()) {
+      return;
     }
-
-    private void applyMaintenance(final Verdict verdict) {
-        wordsDue = true;
-        if (!settings.maintenance() || !verdict.isSomething()) {
-            return;
-        }
-        final boolean out = verdict.state().equals("left out");
-        if (out != surroundings.steering().leftOut().contains(verdict.subject())) {
-            Log.info("replicas: " + verdict.subject() + (out ? " is left out" : " may serve again") + " by the word of "
-                    + verdict.by().get(0).name());
-            surroundings.steering().maintain(verdict.subject(), out);
-        }
-        if (!verdict.conflict()) {
-            conflicts.remove(verdict.subject());
-        } else if (conflicts.add(verdict.subject())) {
-            Log.info("replicas: " + verdict.subject() + " was left out by " + verdict.by().get(0).name()
-                    + " and let serve elsewhere, neither knowing of the other: it stays left out; say again what is meant");
-        }
+    final boolean out = verdict.state().equals("left out");
+    if (out != surroundings.steering().leftOut().contains(verdict.subject())) {
+      Log.info(
+          "replicas: "
+              + verdict.subject()
+              + (out ? " is left out" : " may serve again")
+              + " by the word of "
+              + verdict.by().get(0).name());
+      surroundings.steering().maintain(verdict.subject(), out);
+    }
+    if (!verdict.conflict()) {
+      conflicts.remove(verdict.subject());
+    } else if (conflicts.add(verdict.subject())) {
+      Log.info(
+          "replicas: "
+              + verdict.subject()
+              + " was left out by "
+              + verdict.by().get(0).name()
+              + " and let serve elsewhere, neither knowing of the other: it stays left out; say again what is meant");
     }
+  }
 
-    // ---------------------------------------------------------------- operators
+  // ---------------------------------------------------------------- operators
 
-    /** What is held, from whom, how old, and what counts of it. Called on the event loop. */
-    public JsonNode status() {
-        final ObjectNode root = JsonNodeFactory.instance.objectNode();
-        if (replicas == null) {
-            return root.put("writer", "waits");
-        }
-        final long nowUs = nowUs();
-        root.put("writer", replicas.self().toString()).put("entries", replicas.size()).put("sum", Long.toHexString(replicas.sum()))
-                .put("caught_up", replicas.isCaughtUp()).put("together_s", replicas.togetherUs() == 0 ? -1
-                        : (nowUs - replicas.togetherUs()) / US_PER_S)
-                .put("turned_down", replicas.turnedDown()).put("malformed", malformed).put("sent_bytes", replicas.sentBytes());
-        final ObjectNode known = root.putObject("known");
-        for (final Map.Entry<Writer, Long> one : replicas.known().entrySet()) {
-            known.put(one.getKey().toString(), one.getValue());
-        }
-        final ArrayNode subjects = root.putArray("subjects");
-        int shown = 0;
-        for (final Kind kind : Kind.values()) {
-            for (final String name : replicas.subjects(kind)) {
-                if (shown > MOST_SHOWN) {
-                    root.put("cut_off", true);
-                    return root;
-                }
-                shown += subject(subjects.addObject(), kind, name, nowUs);
-            }
-        }
-        return root;
+  /** What is held, from whom, how old, and what counts of it. Called on the event loop. */
+  public JsonNode status() {
+    final ObjectNode root = JsonNodeFactory.instance.objectNode();
+    if (replicas == null) {
+      return root.put("writer", "waits");
     }
-
-    private int subject(final ObjectNode to, final Kind kind, final String name, final long nowUs) {
-        final Verdict verdict = replicas.verdict(kind, name);
-        to.put("kind", kind.name().toLowerCase(Locale.ROOT)).put("subject", name).put("state", verdict.state())
-                .put("value", verdict.value()).put("for_s", (nowUs - verdict.sinceUs()) / US_PER_S).put("conflict", verdict.conflict())
-                .put("rule", verdict.rule());
-        if (verdict.untilUs() != Long.MAX_VALUE) {
-            to.put("left_s", (verdict.untilUs() - nowUs) / US_PER_S);
-        }
-        final ArrayNode by = to.putArray("by");
-        verdict.by().forEach(writer -> by.add(writer.toString()));
-        final ArrayNode words = to.putArray("words");
-        for (final Entry word : replicas.words(kind, name)) {
-            final ObjectNode one = words.addObject().put("writer", word.writer().toString()).put("version", word.version())
-                    .put("age_s", (nowUs - word.madeUs()) / US_PER_S);
-            final ArrayNode fields = one.putArray("fields");
-            word.fields().forEach(field -> fields.addPOJO(field));
+    final long nowUs = nowUs();
+    root.put("writer", replicas.self().toString())
+        .put("entries", replicas.size())
+        .put("sum", Long.toHexString(replicas.sum()))
+        .put("caught_up", replicas.isCaughtUp())
+        .put(
+            "together_s",
+            replicas.togetherUs() == 0 ? -1 : (nowUs - replicas.togetherUs()) / US_PER_S)
+        .put("turned_down", replicas.turnedDown())
+        .put("malformed", malformed)
+        .put("sent_bytes", replicas.sentBytes());
+    final ObjectNode known = root.putObject("known");
+    for (final Map.Entry<Writer, Long> one : replicas.known().entrySet()) {
+      known.put(one.getKey().toString(), one.getValue());
+    }
+    final ArrayNode subjects = root.putArray("subjects");
+    int shown = 0;
+    for (final Kind kind : Kind.values()) {
+      for (final String name : replicas.subjects(kind)) {
+        if (shown > MOST_SHOWN) {
+          root.put("cut_off", true);
+          return root;
         }
-        return words.size();
+        shown += subject(subjects.addObject(), kind, name, nowUs);
+      }
+    }
+    return root;
+  }
+
+  private int subject(final ObjectNode to, final Kind kind, final String name, final long nowUs) {
+    final Verdict verdict = replicas.verdict(kind, name);
+    to.put("kind", kind.name().toLowerCase(Locale.ROOT))
+        .put("subject", name)
+        .put("state", verdict.state())
+        .put("value", verdict.value())
+        .put("for_s", (nowUs - verdict.sinceUs()) / US_PER_S)
+        .put("conflict", verdict.conflict())
+        .put("rule", verdict.rule());
+    if (verdict.untilUs() != Long.MAX_VALUE) {
+      to.put("left_s", (verdict.untilUs() - nowUs) / US_PER_S);
+    }
+    final ArrayNode by = to.putArray("by");
+    verdict.by().forEach(writer -> by.add(writer.toString()));
+    final ArrayNode words = to.putArray("words");
+    for (final Entry word : replicas.words(kind, name)) {
+      final ObjectNode one =
+          words
+              .addObject()
+              .put("writer", word.writer().toString())
+              .put("version", word.version())
+              .put("age_s", (nowUs - word.madeUs()) / US_PER_S);
+      final ArrayNode fields = one.putArray("fields");
+      word.fields().forEach(field -> fields.addPOJO(field));
     }
+    return words.size();
+  }
 }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
@@ -11,4 +11,5 @@
  * @param outages destinations found out by one are out for all, and return once for all
  * @param limits rates that were told to one count for all
  */
-public record ReplicasSettings(ReplicaRules rules, boolean maintenance, boolean waits, boolean outages, boolean limits) { }
+public record ReplicasSettings(
+    ReplicaRules rules, boolean maintenance, boolean waits, boolean outages, boolean limits) {}
--- a/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
+++ b/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
@@ -21,139 +21,168 @@
 import thistleturn.decisions.replicas.Writer;
 
 /**
- * Entries in the folder that lasts: a mark, a checksum of all behind it, and a text in CBOR. It is put in place by a rename, so
- * that it is whole or the one before; one that is torn, of another kind or of a later version is not used, and a line in the
- * log says so. Entries are put down with their age. What was between two processes is told by the wall clock, if the
- * system's other clock agrees; else entries that hold for a while only are left out: nobody knows whether they still do.
+ * Entries in the folder that lasts: a mark, a checksum of all behind it, and a text in CBOR. It is
+ * put in place by a rename, so that it is whole or the one before; one that is torn, of another
+ * kind or of a later version is not used, and a line in the log says so. Entries are put down with
+ * their age. What was between two processes is told by the wall clock, if the system's other clock
+ * agrees; else entries that hold for a while only are left out: nobody knows whether they still do.
  */
 final class SnapshotFile {
-    private static final int MAGIC = 0x54545231;
-    private static final int HEAD_BYTES = Integer.BYTES + Long.BYTES;
-    private static final int VERSION = 1;
-    /** Bytes at most: the entries that a copy may hold. */
-    private static final long MOST_BYTES = 64L << 20;
-    /** How far the two clocks may have gone apart, us: else one of them was set, or began anew with the machine. */
-    private static final long CLOCKS_APART_US = 1_000_000;
+  private static final int MAGIC = 0x54545231;
+  private static final int HEAD_BYTES = Integer.BYTES + Long.BYTES;
+  private static final int VERSION = 1;
 
-    private final Path file;
-    private final CBORFactory factory = new CBORFactory();
+  /** Bytes at most: the entries that a copy may hold. */
+  private static final long MOST_BYTES = 64L << 20;
 
-    SnapshotFile(final Path folder, final String name) {
-        this.file = folder.resolve(name);
-    }
+  /**
+   * How far the two clocks may have gone apart, us: else one of them was set, or began anew with
+   * the machine.
+   */
+  private static final long CLOCKS_APART_US = 1_000_000;
 
-    /**
-     * What is put down.
-     *
-     * @param birth the writer's latest
-     * @param known up to where each writer's entries are known
-     * @param entries as they were held at {@code nowUs}
-     * @param togetherUs when the copy was last found equal with another; 0: never
-     */
-    record Taken(long birth, Map<Writer, Long> known, List<Entry> entries, long togetherUs, long nowUs, long wallUs, long upUs) { }
+  private final Path file;
+  private final CBORFactory factory = new CBORFactory();
 
-    /**
-     * What was found.
-     *
-     * @param deltas entries on the present process's clock
-     * @param togetherUs on that clock, perhaps before the process's start; 0: never
-     */
-    record Found(long birth, List<Delta> deltas, long togetherUs) { }
+  SnapshotFile(final Path folder, final String name) {
+    this.file = folder.resolve(name);
+  }
 
-    /** The file's bytes. */
-    byte[] bytes(final Taken taken) throws IOException {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[HEAD_BYTES]);
-        try (CBORGenerator out = factory.createGenerator(bytes)) {
-            out.writeStartArray();
-            out.writeNumber(VERSION);
-            out.writeNumber(taken.birth);
-            out.writeNumber(taken.wallUs);
-            out.writeNumber(taken.upUs);
-            out.writeNumber(taken.togetherUs == 0 ? -1 : taken.nowUs - taken.togetherUs);
-            Codec.known(out, taken.known);
-            final Map<Writer, List<Entry>> byWriter = new TreeMap<>();
-            taken.entries.forEach(entry -> byWriter.computeIfAbsent(entry.writer(), unused -> new ArrayList<>()).add(entry));
-            out.writeStartArray();
-            for (final Map.Entry<Writer, List<Entry>> one : byWriter.entrySet()) {
-                out.writeString(one.getKey().name());
-                out.writeNumber(one.getKey().birth());
-                out.writeStartArray();
-                for (final Entry entry : one.getValue()) {
-                    Codec.entry(out, entry, taken.nowUs);
-                }
-                out.writeEndArray();
-            }
-            out.writeEndArray();
-            out.writeEndArray();
+  /**
+   * What is put down.
+   *
+   * @param birth the writer's latest
+   * @param known up to where each writer's entries are known
+   * @param entries as they were held at {@code nowUs}
+   * @param togetherUs when the copy was last found equal with another; 0: never
+   */
+  record Taken(
+      long birth,
+      Map<Writer, Long> known,
+      List<Entry> entries,
+      long togetherUs,
+      long nowUs,
+      long wallUs,
+      long upUs) {}
+
+  /**
+   * What was found.
+   *
+   * @param deltas entries on the present process's clock
+   * @param togetherUs on that clock, perhaps before the process's start; 0: never
+   */
+  record Found(long birth, List<Delta> deltas, long togetherUs) {}
+
+  /** The file's bytes. */
+  byte[] bytes(final Taken taken) throws IOException {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    bytes.write(new byte[HEAD_BYTES]);
+    try (CBORGenerator out = factory.createGenerator(bytes)) {
+      out.writeStartArray();
+      out.writeNumber(VERSION);
+      out.writeNumber(taken.birth);
+      out.writeNumber(taken.wallUs);
+      out.writeNumber(taken.upUs);
+      out.writeNumber(taken.togetherUs == 0 ? -1 : taken.nowUs - taken.togetherUs);
+      Codec.known(out, taken.known);
+      final Map<Writer, List<Entry>> byWriter = new TreeMap<>();
+      taken.entries.forEach(
+          entry ->
+              byWriter.computeIfAbsent(entry.writer(), unused -> new ArrayList<>()).add(entry));
+      out.writeStartArray();
+      for (final Map.Entry<Writer, List<Entry>> one : byWriter.entrySet()) {
+        out.writeString(one.getKey().name());
+        out.writeNumber(one.getKey().birth());
+        out.writeStartArray();
+        for (final Entry entry : one.getValue()) {
+          Codec.entry(out, entry, taken.nowUs);
         }
-        final byte[] all = bytes.toByteArray();
-        ByteBuffer.wrap(all).putInt(MAGIC).putLong(crc(all));
-        return all;
+        out.writeEndArray();
+      }
+      out.writeEndArray();
+      out.writeEndArray();
     }
+    final byte[] all = bytes.toByteArray();
+    ByteBuffer.wrap(all).putInt(MAGIC).putLong(crc(all));
+    return all;
+  }
 
-    private static long crc(final byte[] all) {
-        final CRC32C crc = new CRC32C();
-        crc.update(all, HEAD_BYTES, all.length - HEAD_BYTES);
-        return crc.getValue();
-    }
+  private static long crc(final byte[] all) {
+    final CRC32C crc = new CRC32C();
+    crc.update(all, HEAD_BYTES, all.length - HEAD_BYTES);
+    return crc.getValue();
+  }
 
-    /** Puts a file in the place of the one before. */
-    void write(final byte[] bytes) throws IOException {
-        final Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        Files.write(fresh, bytes);
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    }
+  /** Puts a file in the place of the one before. */
+  void write(final byte[] bytes) throws IOException {
+    final Path fresh = file.resolveSibling(file.getFileName() + ".new");
+    Files.write(fresh, bytes);
+    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+  }
 
-    /** What an earlier process had put down; null if there is nothing that can be used. */
-    Found read(final long nowUs, final long wallUs, final long upUs) {
-        try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException("more than " + MOST_BYTES + " bytes");
-            }
-            final byte[] all = Files.readAllBytes(file);
-            final ByteBuffer head = ByteBuffer.wrap(all);
-            if (all.length < HEAD_BYTES || head.getInt() != MAGIC || head.getLong() != crc(all)) {
-                throw new IOException("torn, or something else");
-            }
-            return parse(Arrays.copyOfRange(all, HEAD_BYTES, all.length), nowUs, wallUs, upUs);
-        } catch (final NoSuchFileException e) {
-            return null;
-        } catch (final IOException | RuntimeException e) {
-            Log.info("replicas: " + file + " is not used: " + e.getMessage());
-            return null;
-        }
+  /** What an earlier process had put down; null if there is nothing that can be used. */
+  Found read(final long nowUs, final long wallUs, final long upUs) {
+    try {
+      if (Files.size(file) > MOST_BYTES) {
+        throw new IOException("more than " + MOST_BYTES + " bytes");
+      }
+      final byte[] all = Files.readAllBytes(file);
+      final ByteBuffer head = ByteBuffer.wrap(all);
+      if (all.length < HEAD_BYTES || head.getInt() != MAGIC || head.getLong() != crc(all)) {
+        throw new IOException("torn, or something else");
+      }
+      return parse(Arrays.copyOfRange(all, HEAD_BYTES, all.length), nowUs, wallUs, upUs);
+    } catch (final NoSuchFileException e) {
+      return null;
+    } catch (final IOException | RuntimeException e) {
+      Log.info("replicas: " + file + " is not used: " + e.getMessage());
+      return null;
     }
+  }
 
-    private Found parse(final byte[] text, final long nowUs, final long wallUs, final long upUs) throws IOException {
-        // Ages are taken as of now first, and moved by what passed since.
-        try (Codec.Reading in = new Codec.Reading(factory.createParser(text), nowUs)) {
-            in.begin();
-            final long version = in.number();
-            if (version != VERSION) {
-                throw new IOException("of version " + version + ", not " + VERSION);
+  private Found parse(final byte[] text, final long nowUs, final long wallUs, final long upUs)
+      throws IOException {
+    // Ages are taken as of now first, and moved by what passed since.
+    try (Codec.Reading in = new Codec.Reading(factory.createParser(text), nowUs)) {
+      in.begin();
+      final long version = in.number();
+      if (version != VERSION) {
+        throw new IOException("of version " + version + ", not " + VERSION);
+      }
+      final long birth = in.number();
+      final long passedUs = wallUs - in.number();
+      final long upPassedUs = upUs - in.number();
+      final long togetherAgoUs = in.number();
+      final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= CLOCKS_APART_US;
+      final long movedUs = Math.max(0, passedUs);
+      final Map<Writer, Long> known = in.known();
+      final Map<Writer, List<Entry>> entries = in.shelves();
+      final List<Delta> deltas = new ArrayList<>();
+      entries.forEach(
+          (writer, all) -> {
+            final List<Entry> kept =
+                all.stream()
+                    .filter(entry -> sure || entry.lifeUs() == 0)
+                    .map(
+                        entry ->
+                            new Entry(
+                                entry.kind(),
+                                entry.subject(),
+                                entry.writer(),
+                                entry.version(),
+                                entry.lifeUs(),
+                                entry.madeUs() - movedUs,
+                                entry.fields()))
+                    .toList();
+            deltas.add(new Delta(writer, 0, known.getOrDefault(writer, 0L), kept));
+          });
+      known.forEach(
+          (writer, upTo) -> {
+            if (!entries.containsKey(writer)) {
+              deltas.add(new Delta(writer, 0, upTo, List.of()));
             }
-            final long birth = in.number();
-            final long passedUs = wallUs - in.number();
-            final long upPassedUs = upUs - in.number();
-            final long togetherAgoUs = in.number();
-            final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= CLOCKS_APART_US;
-            final long movedUs = Math.max(0, passedUs);
-            final Map<Writer, Long> known = in.known();
-            final Map<Writer, List<Entry>> entries = in.shelves();
-            final List<Delta> deltas = new ArrayList<>();
-            entries.forEach((writer, all) -> {
-                final List<Entry> kept = all.stream().filter(entry -> sure || entry.lifeUs() == 0)
-                        .map(entry -> new Entry(entry.kind(), entry.subject(), entry.writer(), entry.version(), entry.lifeUs(),
-                                entry.madeUs() - movedUs, entry.fields())).toList();
-                deltas.add(new Delta(writer, 0, known.getOrDefault(writer, 0L), kept));
-            });
-            known.forEach((writer, upTo) -> {
-                if (!entries.containsKey(writer)) {
-                    deltas.add(new Delta(writer, 0, upTo, List.of()));
-                }
-            });
-            return new Found(birth, deltas, togetherAgoUs < 0 ? 0 : nowUs - togetherAgoUs - movedUs);
-        }
+          });
+      return new Found(birth, deltas, togetherAgoUs < 0 ? 0 : nowUs - togetherAgoUs - movedUs);
     }
+  }
 }
--- a/replicas/src/test/java/thistleturn/replicas/CodecTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/CodecTest.java
@@ -23,99 +23,128 @@
 import thistleturn.decisions.replicas.Replicas;
 import thistleturn.decisions.replicas.Writer;
 
-/** What is written is read as it was, by its age; what is damaged or strange is an error, what is later is passed over or kept. */
+/**
+ * What is written is read as it was, by its age; what is damaged or strange is an error, what is
+ * later is passed over or kept.
+ */
 @Tag("replicas")
 final class CodecTest {
-    private static final long NOW = 5_000_000;
-    private static final Writer WRITER = new Writer("n".repeat(Writer.MOST_NAME), Long.MAX_VALUE);
-    private static final Writer OTHER = new Writer("b", 2);
+  private static final long NOW = 5_000_000;
+  private static final Writer WRITER = new Writer("n".repeat(Writer.MOST_NAME), Long.MAX_VALUE);
+  private static final Writer OTHER = new Writer("b", 2);
 
-    private final Codec codec = new Codec();
+  private final Codec codec = new Codec();
 
-    private static Entry entry(final int kind, final Object... fields) {
-        return new Entry(kind, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
-    }
+  private static Entry entry(final int kind, final Object... fields) {
+    return new Entry(kind, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
+  }
 
-    private static List<Message> everyMessage() {
-        final List<Delta> deltas = List.of(new Delta(WRITER, 3, 9, List.of(entry(Kind.OUTAGE.code(), true),
-                entry(Kind.MAINTENANCE.code(), false, "operator at n1", "b", 2L, 8L), entry(Kind.LIMIT.code(), 4.25),
-                entry(99, "of a later version", -3L, 1.5, false))), new Delta(OTHER, 0, 0, List.of()));
-        return List.of(new Message.News(deltas), new Message.Mark(Long.MIN_VALUE, 12), new Message.Piece(1, 3, deltas, true),
-                new Message.Page(2, 5, Map.of(WRITER, 4L, OTHER, Long.MAX_VALUE), true));
-    }
+  private static List<Message> everyMessage() {
+    final List<Delta> deltas =
+        List.of(
+            new Delta(
+                WRITER,
+                3,
+                9,
+                List.of(
+                    entry(Kind.OUTAGE.code(), true),
+                    entry(Kind.MAINTENANCE.code(), false, "operator at n1", "b", 2L, 8L),
+                    entry(Kind.LIMIT.code(), 4.25),
+                    entry(99, "of a later version", -3L, 1.5, false))),
+            new Delta(OTHER, 0, 0, List.of()));
+    return List.of(
+        new Message.News(deltas),
+        new Message.Mark(Long.MIN_VALUE, 12),
+        new Message.Piece(1, 3, deltas, true),
+        new Message.Page(2, 5, Map.of(WRITER, 4L, OTHER, Long.MAX_VALUE), true));
+  }
 
-    @Test
-    void whatIsWrittenIsReadAsItWas() throws IOException {
-        for (final Message message : everyMessage()) {
-            assertEquals(message, codec.read(codec.write(message, NOW), NOW));
-        }
+  @Test
+  void whatIsWrittenIsReadAsItWas() throws IOException {
+    for (final Message message : everyMessage()) {
+      assertEquals(message, codec.read(codec.write(message, NOW), NOW));
     }
+  }
 
-    @Test
-    void entriesTravelWithTheirAge() throws IOException {
-        final Message.News read = (Message.News) codec.read(codec.write(everyMessage().get(0), NOW), 77_000_000);
-        assertEquals(77_000_000 - 250_000, read.deltas().get(0).entries().get(0).madeUs());
-    }
+  @Test
+  void entriesTravelWithTheirAge() throws IOException {
+    final Message.News read =
+        (Message.News) codec.read(codec.write(everyMessage().get(0), NOW), 77_000_000);
+    assertEquals(77_000_000 - 250_000, read.deltas().get(0).entries().get(0).madeUs());
+  }
 
-    @Test
-    void aFullDatagramOfNewsFitsOne() {
-        final List<Delta> deltas = new ArrayList<>();
-        int bytes = 0;
-        for (long version = 1; bytes < Replicas.MOST_DATAGRAM_BYTES - 200; version++) {
-            final Delta delta = new Delta(WRITER, version - 1, version, List.of(new Entry(Kind.WAIT.code(), "123456789012345678", WRITER,
-                    version, Kind.WAIT.mostUs(), 0, List.of())));
-            deltas.add(delta);
-            bytes += delta.bytes();
-        }
-        final int written = codec.write(new Message.News(deltas), Long.MAX_VALUE / 2).length;
-        assertTrue(written <= bytes + 40, written + " bytes, reckoned with " + bytes);
+  @Test
+  void aFullDatagramOfNewsFitsOne() {
+    final List<Delta> deltas = new ArrayList<>();
+    int bytes = 0;
+    for (long version = 1; bytes < Replicas.MOST_DATAGRAM_BYTES - 200; version++) {
+      final Delta delta =
+          new Delta(
+              WRITER,
+              version - 1,
+              version,
+              List.of(
+                  new Entry(
+                      Kind.WAIT.code(),
+                      "123456789012345678",
+                      WRITER,
+                      version,
+                      Kind.WAIT.mostUs(),
+                      0,
+                      List.of())));
+      deltas.add(delta);
+      bytes += delta.bytes();
     }
+    final int written = codec.write(new Message.News(deltas), Long.MAX_VALUE / 2).length;
+    assertTrue(written <= bytes + 40, written + " bytes, reckoned with " + bytes);
+  }
 
-    @Test
-    void whatIsDamagedIsAnErrorOrSomethingElseThatCanBeMeant() {
-        final Random random = new Random(7);
-        int errors = 0;
-        for (int turn = 0; turn < 20_000; turn++) {
-            final byte[] text = codec.write(everyMessage().get(turn % 4), NOW);
-            final int kind = random.nextInt(3);
-            byte[] damaged = text.clone();
-            if (kind == 0) {
-                damaged = Arrays.copyOf(text, random.nextInt(text.length));
-            } else if (kind == 1) {
-                damaged[random.nextInt(text.length)] = (byte) random.nextInt(256);
-            } else {
-                damaged = new byte[random.nextInt(200)];
-                random.nextBytes(damaged);
-            }
-            try {
-                codec.read(damaged, NOW);
-            } catch (final IOException | IllegalArgumentException e) {
-                errors++;
-            }
-        }
-        assertTrue(errors > 10_000, "errors: " + errors);
+  @Test
+  void whatIsDamagedIsAnErrorOrSomethingElseThatCanBeMeant() {
+    final Random random = new Random(7);
+    int errors = 0;
+    for (int turn = 0; turn < 20_000; turn++) {
+      final byte[] text = codec.write(everyMessage().get(turn % 4), NOW);
+      final int kind = random.nextInt(3);
+      byte[] damaged = text.clone();
+      if (kind == 0) {
+        damaged = Arrays.copyOf(text, random.nextInt(text.length));
+      } else if (kind == 1) {
+        damaged[random.nextInt(text.length)] = (byte) random.nextInt(256);
+      } else {
+        damaged = new byte[random.nextInt(200)];
+        random.nextBytes(damaged);
+      }
+      try {
+        codec.read(damaged, NOW);
+      } catch (final IOException | IllegalArgumentException e) {
+        errors++;
+      }
     }
+    assertTrue(errors > 10_000, "errors: " + errors);
+  }
 
-    @Test
-    void aKindOfMessageOfALaterVersionIsPassedOverAndFieldsBehindThoseKnownToo() throws IOException {
-        assertNull(codec.read(array(9, 77, "whatever"), NOW));
-        assertEquals(new Message.Mark(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
-        assertThrows(IOException.class, () -> codec.read(array(0, 2, 5, 6), NOW), "a version before the first");
-    }
+  @Test
+  void aKindOfMessageOfALaterVersionIsPassedOverAndFieldsBehindThoseKnownToo() throws IOException {
+    assertNull(codec.read(array(9, 77, "whatever"), NOW));
+    assertEquals(new Message.Mark(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
+    assertThrows(
+        IOException.class, () -> codec.read(array(0, 2, 5, 6), NOW), "a version before the first");
+  }
 
-    private static byte[] array(final Object... values) throws IOException {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
-            out.writeStartArray();
-            for (final Object value : values) {
-                if (value instanceof Integer number) {
-                    out.writeNumber(number);
-                } else {
-                    out.writeString((String) value);
-                }
-            }
-            out.writeEndArray();
+  private static byte[] array(final Object... values) throws IOException {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
+      out.writeStartArray();
+      for (final Object value : values) {
+        if (value instanceof Integer number) {
+          out.writeNumber(number);
+        } else {
+          out.writeString((String) value);
         }
-        return bytes.toByteArray();
+      }
+      out.writeEndArray();
     }
+    return bytes.toByteArray();
+  }
 }
--- a/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
@@ -19,87 +19,121 @@
 import thistleturn.decisions.replicas.Kind;
 import thistleturn.decisions.replicas.Writer;
 
-/** What was put down is found again, older by what passed; torn, old and foreign files are read as what they are. */
+/**
+ * What was put down is found again, older by what passed; torn, old and foreign files are read as
+ * what they are.
+ */
 @Tag("replicas")
 final class SnapshotFileTest {
-    private static final long SECOND = 1_000_000;
-    private static final long WALL = 1_700_000_000L * SECOND;
-    private static final long UP = 900 * SECOND;
-    private static final Writer A = new Writer("a", 3);
-    private static final Writer B = new Writer("b", 4);
+  private static final long SECOND = 1_000_000;
+  private static final long WALL = 1_700_000_000L * SECOND;
+  private static final long UP = 900 * SECOND;
+  private static final Writer A = new Writer("a", 3);
+  private static final Writer B = new Writer("b", 4);
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static SnapshotFile.Taken taken() {
-        final long now = 50 * SECOND;
-        final Entry ban = new Entry(Kind.MAINTENANCE.code(), "e1", A, 2, 0, now - 7 * SECOND, List.of(true, "operator at a"));
-        final Entry wait = new Entry(Kind.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
-        return new SnapshotFile.Taken(9, Map.of(A, 5L, B, 11L), List.of(ban, wait), now - 2 * SECOND, now, WALL, UP);
-    }
+  private static SnapshotFile.Taken taken() {
+    final long now = 50 * SECOND;
+    final Entry ban =
+        new Entry(
+            Kind.MAINTENANCE.code(),
+            "e1",
+            A,
+            2,
+            0,
+            now - 7 * SECOND,
+            List.of(true, "operator at a"));
+    final Entry wait = new Entry(Kind.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
+    return new SnapshotFile.Taken(
+        9, Map.of(A, 5L, B, 11L), List.of(ban, wait), now - 2 * SECOND, now, WALL, UP);
+  }
 
-    private SnapshotFile.Found read(final long passedUs, final long upPassedUs) {
-        return new SnapshotFile(folder, "s").read(SECOND, WALL + passedUs, UP + upPassedUs);
-    }
+  private SnapshotFile.Found read(final long passedUs, final long upPassedUs) {
+    return new SnapshotFile(folder, "s").read(SECOND, WALL + passedUs, UP + upPassedUs);
+  }
 
-    @Test
-    void whatWasPutDownIsOlderByWhatPassed() throws IOException {
-        final SnapshotFile file = new SnapshotFile(folder, "s");
-        file.write(file.bytes(taken()));
-        final SnapshotFile.Found found = read(10 * SECOND, 10 * SECOND);
-        assertEquals(9, found.birth());
-        assertEquals(SECOND - 12 * SECOND, found.togetherUs());
-        final Delta first = found.deltas().get(0);
-        assertEquals(new Delta(A, 0, 5, List.of(
-                new Entry(Kind.MAINTENANCE.code(), "e1", A, 2, 0, SECOND - 17 * SECOND, List.of(true, "operator at a")),
-                new Entry(Kind.WAIT.code(), "7", A, 5, 60 * SECOND, SECOND - 11 * SECOND, List.of()))), first);
-        assertEquals(new Delta(B, 0, 11, List.of()), found.deltas().get(1));
-    }
+  @Test
+  void whatWasPutDownIsOlderByWhatPassed() throws IOException {
+    final SnapshotFile file = new SnapshotFile(folder, "s");
+    file.write(file.bytes(taken()));
+    final SnapshotFile.Found found = read(10 * SECOND, 10 * SECOND);
+    assertEquals(9, found.birth());
+    assertEquals(SECOND - 12 * SECOND, found.togetherUs());
+    final Delta first = found.deltas().get(0);
+    assertEquals(
+        new Delta(
+            A,
+            0,
+            5,
+            List.of(
+                new Entry(
+                    Kind.MAINTENANCE.code(),
+                    "e1",
+                    A,
+                    2,
+                    0,
+                    SECOND - 17 * SECOND,
+                    List.of(true, "operator at a")),
+                new Entry(
+                    Kind.WAIT.code(), "7", A, 5, 60 * SECOND, SECOND - 11 * SECOND, List.of()))),
+        first);
+    assertEquals(new Delta(B, 0, 11, List.of()), found.deltas().get(1));
+  }
 
-    /** A clock an hour ahead, one that steps back, a machine that began anew: nobody knows what passed, and waits are left out. */
-    @Test
-    void whereTheClocksDisagreeOnlyWhatHoldsForGoodIsKept() throws IOException {
-        final SnapshotFile file = new SnapshotFile(folder, "s");
-        file.write(file.bytes(taken()));
-        for (final long[] passed : new long[][] {{3600 * SECOND, 10 * SECOND}, {-3600 * SECOND, 10 * SECOND}, {10 * SECOND, -UP + SECOND}}) {
-            final Delta first = read(passed[0], passed[1]).deltas().get(0);
-            assertEquals(1, first.entries().size(), Arrays.toString(passed));
-            assertEquals("e1", first.entries().get(0).subject());
-        }
+  /**
+   * A clock an hour ahead, one that steps back, a machine that began anew: nobody knows what
+   * passed, and waits are left out.
+   */
+  @Test
+  void whereTheClocksDisagreeOnlyWhatHoldsForGoodIsKept() throws IOException {
+    final SnapshotFile file = new SnapshotFile(folder, "s");
+    file.write(file.bytes(taken()));
+    for (final long[] passed :
+        new long[][] {
+          {3600 * SECOND, 10 * SECOND}, {-3600 * SECOND, 10 * SECOND}, {10 * SECOND, -UP + SECOND}
+        }) {
+      final Delta first = read(passed[0], passed[1]).deltas().get(0);
+      assertEquals(1, first.entries().size(), Arrays.toString(passed));
+      assertEquals("e1", first.entries().get(0).subject());
     }
+  }
 
-    @Test
-    void nothingThatWasTornOrChangedIsUsed() throws IOException {
-        final SnapshotFile file = new SnapshotFile(folder, "s");
-        assertNull(read(0, 0), "there is none");
-        final byte[] bytes = file.bytes(taken());
-        final Path path = folder.resolve("s");
-        for (int length = 0; length < bytes.length; length += 3) {
-            Files.write(path, Arrays.copyOf(bytes, length));
-            assertNull(read(0, 0), "torn at " + length);
-        }
-        final Random random = new Random(3);
-        for (int turn = 0; turn < 100; turn++) {
-            final byte[] changed = bytes.clone();
-            changed[random.nextInt(changed.length)] ^= (byte) (1 + random.nextInt(255));
-            Files.write(path, changed);
-            assertNull(read(0, 0));
-        }
-        Files.write(path, bytes);
-        assertNotNull(read(0, 0));
+  @Test
+  void nothingThatWasTornOrChangedIsUsed() throws IOException {
+    final SnapshotFile file = new SnapshotFile(folder, "s");
+    assertNull(read(0, 0), "there is none");
+    final byte[] bytes = file.bytes(taken());
+    final Path path = folder.resolve("s");
+    for (int length = 0; length < bytes.length; length += 3) {
+      Files.write(path, Arrays.copyOf(bytes, length));
+      assertNull(read(0, 0), "torn at " + length);
+    }
+    final Random random = new Random(3);
+    for (int turn = 0; turn < 100; turn++) {
+      final byte[] changed = bytes.clone();
+      changed[random.nextInt(changed.length)] ^= (byte) (1 + random.nextInt(255));
+      Files.write(path, changed);
+      assertNull(read(0, 0));
     }
+    Files.write(path, bytes);
+    assertNotNull(read(0, 0));
+  }
 
-    /** A kill before the rename leaves the file before, and a half-written one beside it that nobody reads. */
-    @Test
-    void aKillInTheMidstOfWritingLeavesTheOneBefore() throws IOException {
-        final SnapshotFile file = new SnapshotFile(folder, "s");
-        final byte[] bytes = file.bytes(taken());
-        file.write(bytes);
-        for (int length = 0; length <= bytes.length; length += 13) {
-            Files.write(folder.resolve("s.new"), Arrays.copyOf(bytes, length));
-            assertEquals(9, read(0, 0).birth());
-        }
-        file.write(bytes);
-        assertEquals(9, read(0, 0).birth());
+  /**
+   * A kill before the rename leaves the file before, and a half-written one beside it that nobody
+   * reads.
+   */
+  @Test
+  void aKillInTheMidstOfWritingLeavesTheOneBefore() throws IOException {
+    final SnapshotFile file = new SnapshotFile(folder, "s");
+    final byte[] bytes = file.bytes(taken());
+    file.write(bytes);
+    for (int length = 0; length <= bytes.length; length += 13) {
+      Files.write(folder.resolve("s.new"), Arrays.copyOf(bytes, length));
+      assertEquals(9, read(0, 0).birth());
     }
+    file.write(bytes);
+    assertEquals(9, read(0, 0).birth());
+  }
 }
