--- a/testkit/src/main/java/thistleturn/testkit/Auditor.java
+++ b/testkit/src/main/java/thistleturn/testkit/Auditor.java
@@ -12,465 +12,590 @@
 import thistleturn.testkit.Violation.Rule;
 
 /**
- * Checks the six rules from what the stand-ins saw, with code of its own: it knows nothing of the courier's. Times are
- * microseconds on one clock; events may be told by any thread, those of one message in their order. After the last one
- * {@link #finish} says what was never ended.
+ * Checks the six rules from what the stand-ins saw, with code of its own: it knows nothing of the
+ * courier's. Times are microseconds on one clock; events may be told by any thread, those of one
+ * message in their order. After the last one {@link #finish} says what was never ended.
  */
 public final class Auditor {
-    /** An end and a beginning on two connections that come in one batch of the selector are read in any order, us. */
-    private static final long SAME_BATCH_US = 5_000;
-    private static final long MS = 1000;
-    private static final long SECOND = 1_000_000;
-    /** How long before its end a process may have been answered without having read it. */
-    private static final long UNREAD_US = SECOND;
-
-    private final Figures figures;
-    private final Map<String, Courier.MessageClass> classes = new HashMap<>();
-    private final Map<String, Message> messages = new LinkedHashMap<>();
-    private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, Destination> destinations = new HashMap<>();
-    private final Map<String, Deque<Message>> lines = new HashMap<>();
-    private final List<Violation> violations = new ArrayList<>();
-    private final List<Long> drainLagsUs = new ArrayList<>();
-    /** Ends that were seen late, and when this judge itself did not look: how much of it is the courier's is found at the end. */
-    private final List<LateEnd> lateEnds = new ArrayList<>();
-    private final List<long[]> awayUs = new ArrayList<>();
-    private long killedUs = Long.MIN_VALUE;
-    private long backUs = Long.MIN_VALUE;
-
-    /**
-     * The figures of the rules.
-     *
-     * @param graceUs how long after its time a message's end may be told
-     * @param drainUs how long after the telling something new may still go to an endpoint that drains
-     * @param waitSlackUs how long after a wait was told calls that crossed it are let through
-     * @param settleUs how long a key rests after an attempt whose outcome is unknown
-     * @param tipMultiple of its present capacity that a returning destination bears
-     * @param fallUs for how long it bears more
-     * @param restartUs after a restart's end, until when ends may be late
-     */
-    public record Figures(long graceUs, long drainUs, long waitSlackUs, long settleUs, double tipMultiple,
-                          long fallUs, long restartUs) {
-        /** The platform's: 300 ms, 2.05 s, 100 ms, 1 s, 2 times for 3 s, 1.5 s. */
-        public static Figures standard() {
-            return new Figures(300 * MS, 2050 * MS, 100 * MS, SECOND, 2, 3 * SECOND, 1500 * MS);
-        }
-    }
-
-    /** How a call ended, as its endpoint knows it. */
-    public enum End {
-        /** Answered that it is delivered. */
-        DELIVERED(true),
-        /** Answered that it failed; it may have run. */
-        ERROR(true),
-        /** Turned away; it never ran. */
-        REFUSED(false),
-        /** Its connection ended after its last byte had come, without an answer. */
-        CUT(true),
-        /** Its connection ended before its last byte had come. */
-        NEVER_WHOLE(false);
-
-        private final boolean mayHaveRun;
-
-        End(final boolean mayHaveRun) {
-            this.mayHaveRun = mayHaveRun;
-        }
-    }
-
-    /** An end that was seen at that moment, after its message's time. */
-    private record LateEnd(Message message, long seenUs) { }
-
-    private static final class Message {
-        /** That two copies were out, until it is known that the first had been ended; else null. */
-        private Violation copies;
-        private final String id;
-        private final Courier.MessageClass kind;
-        private final long destination;
-        private final String key;
-        private final long timeUpUs;
-        private boolean taken;
-        private boolean over;
-        private String end = "";
-        private boolean delivered;
-        private long deliveredUs;
-        /** When the call began that delivered it. */
-        private long deliveredCallUs;
-        private int out;
-        private long firstRunUs = Long.MAX_VALUE;
-        private long restUntilUs;
-
-        private Message(final String id, final Courier.MessageClass kind, final long destination, final String key,
-                final long timeUpUs) {
-            this.id = id;
-            this.kind = kind;
-            this.destination = destination;
-            this.key = key;
-            this.timeUpUs = timeUpUs;
-        }
-
-        @Override
-        public String toString() {
-            return id + " (" + kind.name() + ")";
-        }
-    }
-
-    private static final class Endpoint {
-        private final long destination;
-        private long closedUs = Long.MAX_VALUE;
-
-        private Endpoint(final long destination) {
-            this.destination = destination;
-        }
-    }
-
-    private static final class Destination {
-        private long waitToldUs = Long.MIN_VALUE;
-        private long waitUntilUs = Long.MIN_VALUE;
-        private long returnedUs = Long.MAX_VALUE;
-        private double callsPerSecond;
-        private double coldFrom;
-        private long coldUs;
-        private final Deque<Long> calls = new ArrayDeque<>();
-    }
-
-    /** An Auditor that has seen nothing yet. */
-    public Auditor(final Figures figures, final List<Courier.MessageClass> kinds) {
-        this.figures = figures;
-        kinds.forEach(kind -> classes.put(kind.name(), kind));
-    }
-
-    private void broken(final Rule rule, final long nowUs, final String what) {
-        violations.add(new Violation(rule, nowUs, what));
-    }
-
-    // ---------------------------------------------------------------- clients and the platform
-
-    /** A client sends a message; {@code key} orders it in a class in turn, and may be null. */
-    public synchronized void handedIn(final long nowUs, final String id, final String className,
-            final long destination, final String key, final long timeoutUs) {
-        messages.put(id, new Message(id, classes.get(className), destination, key, nowUs + timeoutUs));
-    }
-
-    /** A client was answered that its message is taken on. */
-    public synchronized void taken(final long nowUs, final String id) {
-        final Message message = messages.get(id);
-        message.taken = true;
-        if (message.kind.inTurn() && message.key != null && !message.over) {
-            lines.computeIfAbsent(message.key, unused -> new ArrayDeque<>()).add(message);
-        }
-    }
-
-    /** A client was refused. */
-    public synchronized void refused(final long nowUs, final String id) {
-        end(nowUs, messages.get(id), "refused at the door", true);
-    }
-
-    /** A client was answered that its message failed, or had no answer in its time: nothing is promised. */
-    public synchronized void failed(final long nowUs, final String id) {
-        end(nowUs, messages.get(id), "failed at the door", false);
-    }
-
-    /** The platform was told an end. */
-    public synchronized void noticed(final long nowUs, final String id, final boolean deferred) {
-        final Message message = messages.get(id);
-        if (message == null) {
-            broken(Rule.LOST, nowUs, "a notice for " + id + ", which nobody handed in");
-        } else {
-            end(nowUs, message, deferred ? "deferred" : "undeliverable", deferred);
-        }
-    }
-
-    private void end(final long nowUs, final Message message, final String end, final boolean deferred) {
-        if (message.over) {
-            if (!message.delivered && !message.end.equals(end)) {
-                broken(Rule.LOST, nowUs, message + " ended twice: " + message.end + ", then " + end);
-            }
-            return;
-        }
-        if (deferred && message.firstRunUs != Long.MAX_VALUE && message.kind.effect() == Courier.Effect.UNSAFE) {
-            broken(Rule.DOUBLE, nowUs, message + " may have run and was " + end);
-        }
-        close(nowUs, message, end);
-    }
-
-    private void close(final long nowUs, final Message message, final String end) {
-        message.over = true;
-        message.end = end;
-        // From the end of a process until a while after the next one is ready no end is late, also ahead of its being ready.
-        final boolean restarted = message.timeUpUs >= killedUs - figures.graceUs()
-                && (backUs < killedUs || nowUs <= backUs + figures.restartUs());
-        if (message.taken && nowUs > message.timeUpUs + figures.graceUs() && !restarted) {
-            lateEnds.add(new LateEnd(message, nowUs));
-        }
-        if (message.key != null) {
-            final Deque<Message> line = lines.get(message.key);
-            if (line != null) {
-                line.remove(message);
-            }
-        }
-    }
-
-    /**
-     * The stand-ins did not run between two moments though they meant to: what came to them meanwhile was seen late by
-     * their own fault. It counts by as much, and no more.
-     */
-    public synchronized void judgeAway(final long fromUs, final long toUs) {
-        awayUs.add(new long[] {fromUs, toUs});
-    }
-
-    /**
-     * The courier was stopped between two moments by whoever plays it: what ran out meanwhile could be ended by nobody before
-     * it was over. It counts by as much, and no more.
-     */
-    public void courierStopped(final long fromUs, final long toUs) {
-        judgeAway(fromUs, toUs);
-    }
-
-    /** How late an end was at least, us, with what the judge itself was away for between its time and its being seen. */
-    private long lateUs(final Message message, final long seenUs) {
-        long lateUs = seenUs - message.timeUpUs - figures.graceUs();
-        long untilUs = message.timeUpUs;
-        // Two of its loops may have stood still at once.
-        for (final long[] away : awayUs.stream().sorted(Comparator.comparingLong(one -> one[0])).toList()) {
-            lateUs -= Math.max(0, Math.min(seenUs, away[1]) - Math.max(untilUs, away[0]));
-            untilUs = Math.max(untilUs, away[1]);
-        }
-        return lateUs;
-    }
-
-    /** The courier's process was ended, or is ready again. */
-    public synchronized void restarted(final long nowUs, final boolean ready) {
-        if (ready) {
-            backUs = nowUs;
-        } else {
-            killedUs = nowUs;
-        }
-    }
-
-    // ---------------------------------------------------------------- endpoints
-
-    /** An endpoint exists. */
-    public synchronized void endpoint(final String name, final long destination) {
-        endpoints.putIfAbsent(name, new Endpoint(destination));
-    }
-
-    /** The courier was told that an endpoint drains or is gone. A second telling changes nothing. */
-    public synchronized void closed(final long nowUs, final String name) {
-        final Endpoint endpoint = endpoints.get(name);
-        endpoint.closedUs = Math.min(endpoint.closedUs, nowUs);
-    }
-
-    /** The courier was told that an endpoint takes messages again. */
-    public synchronized void opened(final String name) {
-        endpoints.get(name).closedUs = Long.MAX_VALUE;
-    }
-
-    /** A call began to come in: its first byte and, for each message in it, its id. */
-    public synchronized void called(final long firstByteUs, final String name, final List<String> ids) {
-        final Endpoint endpoint = endpoints.get(name);
-        final Destination destination = destination(endpoint.destination);
-        if (firstByteUs > endpoint.closedUs) {
-            drainLagsUs.add(firstByteUs - endpoint.closedUs);
-            if (firstByteUs > endpoint.closedUs + figures.drainUs()) {
-                broken(Rule.DRAIN, firstByteUs, name + " was called " + (firstByteUs - endpoint.closedUs) / MS
-                        + " ms after it was told to drain or gone");
-            }
-        }
-        if (firstByteUs < destination.waitUntilUs && firstByteUs > destination.waitToldUs + figures.waitSlackUs()) {
-            broken(Rule.WAIT, firstByteUs, "destination " + endpoint.destination + " was called "
-                    + (destination.waitUntilUs - firstByteUs) / MS + " ms before its wait was over");
-        }
-        push(firstByteUs, endpoint.destination, destination);
-        ids.forEach(id -> begun(firstByteUs, endpoint, id));
-    }
-
-    private void begun(final long firstByteUs, final Endpoint endpoint, final String id) {
-        final Message message = messages.get(id);
-        if (message == null) {
-            broken(Rule.DESTINATION, firstByteUs, id + " was sent, and nobody handed it in");
-            return;
-        }
-        if (message.destination != endpoint.destination) {
-            broken(Rule.DESTINATION, firstByteUs, message + " for " + message.destination + " went to "
-                    + endpoint.destination);
-        }
-        if (message.out > 0) {
-            broken(Rule.DOUBLE, firstByteUs, message + ": two copies are out");
-            message.copies = violations.get(violations.size() - 1);
-        }
-        if (message.over && mayRepeat(firstByteUs, message)) {
-            return;
-        }
-        if (message.over) {
-            broken(message.delivered && message.kind.effect() == Courier.Effect.SAFE ? Rule.LOST : Rule.DOUBLE,
-                    firstByteUs, message + " was sent after it was " + message.end + (message.delivered
-                            ? ", " + (firstByteUs - message.deliveredUs) + " us after its answer" : ""));
-        } else if (message.firstRunUs != Long.MAX_VALUE) {
-            if (message.kind.effect() == Courier.Effect.UNSAFE) {
-                broken(Rule.DOUBLE, firstByteUs, message + " may have run and was sent again");
-            } else if (message.kind.effect() == Courier.Effect.KEYED
-                    && firstByteUs > message.firstRunUs + message.kind.keyWindowUs()) {
-                broken(Rule.DOUBLE, firstByteUs, message + " was sent again " + (firstByteUs - message.firstRunUs) / MS
-                        + " ms after it may have run; its key is kept for " + message.kind.keyWindowUs() / MS);
-            }
-        }
-        if (message.key != null && message.kind.inTurn()) {
-            final Deque<Message> line = lines.get(message.key);
-            final Message first = line == null ? null : line.peekFirst();
-            if (first != null && first != message) {
-                broken(Rule.ORDER, firstByteUs, message + " went before " + first);
-            } else if (firstByteUs < message.restUntilUs) {
-                broken(Rule.ORDER, firstByteUs, message + " went while its key rested");
-            }
-        }
-        message.out++;
-    }
-
-    /**
-     * A process that was killed may not have read that a message is delivered: the answer was written shortly before its
-     * end, or even after it, to a call that it had made. One that may be repeated then goes once more, and is answered as
-     * delivered once more; nothing is owed for it.
-     */
-    private boolean mayRepeat(final long firstByteUs, final Message message) {
-        final boolean unread = message.delivered && killedUs >= message.deliveredCallUs
-                && killedUs - message.deliveredUs <= UNREAD_US && firstByteUs > killedUs;
-        final boolean repeatable = message.kind.effect() == Courier.Effect.SAFE
-                || message.kind.effect() == Courier.Effect.KEYED
+  /**
+   * An end and a beginning on two connections that come in one batch of the selector are read in
+   * any order, us.
+   */
+  private static final long SAME_BATCH_US = 5_000;
+
+  private static final long MS = 1000;
+  private static final long SECOND = 1_000_000;
+
+  /** How long before its end a process may have been answered without having read it. */
+  private static final long UNREAD_US = SECOND;
+
+  private final Figures figures;
+  private final Map<String, Courier.MessageClass> classes = new HashMap<>();
+  private final Map<String, Message> messages = new LinkedHashMap<>();
+  private final Map<String, Endpoint> endpoints = new HashMap<>();
+  private final Map<Long, Destination> destinations = new HashMap<>();
+  private final Map<String, Deque<Message>> lines = new HashMap<>();
+  private final List<Violation> violations = new ArrayList<>();
+  private final List<Long> drainLagsUs = new ArrayList<>();
+
+  /**
+   * Ends that were seen late, and when this judge itself did not look: how much of it is the
+   * courier's is found at the end.
+   */
+  private final List<LateEnd> lateEnds = new ArrayList<>();
+
+  private final List<long[]> awayUs = new ArrayList<>();
+  private long killedUs = Long.MIN_VALUE;
+  private long backUs = Long.MIN_VALUE;
+
+  /**
+   * The figures of the rules.
+   *
+   * @param graceUs how long after its time a message's end may be told
+   * @param drainUs how long after the telling something new may still go to an endpoint that drains
+   * @param waitSlackUs how long after a wait was told calls that crossed it are let through
+   * @param settleUs how long a key rests after an attempt whose outcome is unknown
+   * @param tipMultiple of its present capacity that a returning destination bears
+   * @param fallUs for how long it bears more
+   * @param restartUs after a restart's end, until when ends may be late
+   */
+  public record Figures(
+      long graceUs,
+      long drainUs,
+      long waitSlackUs,
+      long settleUs,
+      double tipMultiple,
+      long fallUs,
+      long restartUs) {
+    /** The platform's: 300 ms, 2.05 s, 100 ms, 1 s, 2 times for 3 s, 1.5 s. */
+    public static Figures standard() {
+      return new Figures(300 * MS, 2050 * MS, 100 * MS, SECOND, 2, 3 * SECOND, 1500 * MS);
+    }
+  }
+
+  /** How a call ended, as its endpoint knows it. */
+  public enum End {
+    /** Answered that it is delivered. */
+    DELIVERED(true),
+    /** Answered that it failed; it may have run. */
+    ERROR(true),
+    /** Turned away; it never ran. */
+    REFUSED(false),
+    /** Its connection ended after its last byte had come, without an answer. */
+    CUT(true),
+    /** Its connection ended before its last byte had come. */
+    NEVER_WHOLE(false);
+
+    private final boolean mayHaveRun;
+
+    End(final boolean mayHaveRun) {
+      this.mayHaveRun = mayHaveRun;
+    }
+  }
+
+  /** An end that was seen at that moment, after its message's time. */
+  private record LateEnd(Message message, long seenUs) {}
+
+  private static final class Message {
+    /** That two copies were out, until it is known that the first had been ended; else null. */
+    private Violation copies;
+
+    private final String id;
+    private final Courier.MessageClass kind;
+    private final long destination;
+    private final String key;
+    private final long timeUpUs;
+    private boolean taken;
+    private boolean over;
+    private String end = "";
+    private boolean delivered;
+    private long deliveredUs;
+
+    /** When the call began that delivered it. */
+    private long deliveredCallUs;
+
+    private int out;
+    private long firstRunUs = Long.MAX_VALUE;
+    private long restUntilUs;
+
+    private Message(
+        final String id,
+        final Courier.MessageClass kind,
+        final long destination,
+        final String key,
+        final long timeUpUs) {
+      this.id = id;
+      this.kind = kind;
+      this.destination = destination;
+      this.key = key;
+      this.timeUpUs = timeUpUs;
+    }
+
+    @Override
+    public String toString() {
+      return id + " (" + kind.name() + ")";
+    }
+  }
+
+  private static final class Endpoint {
+    private final long destination;
+    private long closedUs = Long.MAX_VALUE;
+
+    private Endpoint(final long destination) {
+      this.destination = destination;
+    }
+  }
+
+  private static final class Destination {
+    private long waitToldUs = Long.MIN_VALUE;
+    private long waitUntilUs = Long.MIN_VALUE;
+    private long returnedUs = Long.MAX_VALUE;
+    private double callsPerSecond;
+    private double coldFrom;
+    private long coldUs;
+    private final Deque<Long> calls = new ArrayDeque<>();
+  }
+
+  /** An Auditor that has seen nothing yet. */
+  public Auditor(final Figures figures, final List<Courier.MessageClass> kinds) {
+    this.figures = figures;
+    kinds.forEach(kind -> classes.put(kind.name(), kind));
+  }
+
+  private void broken(final Rule rule, final long nowUs, final String what) {
+    violations.add(new Violation(rule, nowUs, what));
+  }
+
+  // ---------------------------------------------------------------- clients and the platform
+
+  /** A client sends a message; {@code key} orders it in a class in turn, and may be null. */
+  public synchronized void handedIn(
+      final long nowUs,
+      final String id,
+      final String className,
+      final long destination,
+      final String key,
+      final long timeoutUs) {
+    messages.put(id, new Message(id, classes.get(className), destination, key, nowUs + timeoutUs));
+  }
+
+  /** A client was answered that its message is taken on. */
+  public synchronized void taken(final long nowUs, final String id) {
+    final Message message = messages.get(id);
+    message.taken = true;
+    if (message.kind.inTurn() && message.key != null && !message.over) {
+      lines.computeIfAbsent(message.key, unused -> new ArrayDeque<>()).add(message);
+    }
+  }
+
+  /** A client was refused. */
+  public synchronized void refused(final long nowUs, final String id) {
+    end(nowUs, messages.get(id), "refused at the door", true);
+  }
+
+  /**
+   * A client was answered that its message failed, or had no answer in its time: nothing is
+   * promised.
+   */
+  public synchronized void failed(final long nowUs, final String id) {
+    end(nowUs, messages.get(id), "failed at the door", false);
+  }
+
+  /** The platform was told an end. */
+  public synchronized void noticed(final long nowUs, final String id, final boolean deferred) {
+    final Message message = messages.get(id);
+    if (message == null) {
+      broken(Rule.LOST, nowUs, "a notice for " + id + ", which nobody handed in");
+    } else {
+      end(nowUs, message, deferred ? "deferred" : "undeliverable", deferred);
+    }
+  }
+
+  private void end(
+      final long nowUs, final Message message, final String end, final boolean deferred) {
+    if (message.over) {
+      if (!message.delivered && !message.end.equals(end)) {
+        broken(Rule.LOST, nowUs, message + " ended twice: " + message.end + ", then " + end);
+      }
+      return;
+    }
+    if (deferred
+        && message.firstRunUs != Long.MAX_VALUE
+        && message.kind.effect() == Courier.Effect.UNSAFE) {
+      broken(Rule.DOUBLE, nowUs, message + " may have run and was " + end);
+    }
+    close(nowUs, message, end);
+  }
+
+  private void close(final long nowUs, final Message message, final String end) {
+    message.over = true;
+    message.end = end;
+    // From the end of a process until a while after the next one is ready no end is late, also
+    // ahead of its being ready.
+    final boolean restarted =
+        message.timeUpUs >= killedUs - figures.graceUs()
+            && (backUs < killedUs || nowUs <= backUs + figures.restartUs());
+    if (message.taken && nowUs > message.timeUpUs + figures.graceUs() && !restarted) {
+      lateEnds.add(new LateEnd(message, nowUs));
+    }
+    if (message.key != null) {
+      final Deque<Message> line = lines.get(message.key);
+      if (line != null) {
+        line.remove(message);
+      }
+    }
+  }
+
+  /**
+   * The stand-ins did not run between two moments though they meant to: what came to them meanwhile
+   * was seen late by their own fault. It counts by as much, and no more.
+   */
+  public synchronized void judgeAway(final long fromUs, final long toUs) {
+    awayUs.add(new long[] {fromUs, toUs});
+  }
+
+  /**
+   * The courier was stopped between two moments by whoever plays it: what ran out meanwhile could
+   * be ended by nobody before it was over. It counts by as much, and no more.
+   */
+  public void courierStopped(final long fromUs, final long toUs) {
+    judgeAway(fromUs, toUs);
+  }
+
+  /**
+   * How late an end was at least, us, with what the judge itself was away for between its time and
+   * its being seen.
+   */
+  private long lateUs(final Message message, final long seenUs) {
+    long lateUs = seenUs - message.timeUpUs - figures.graceUs();
+    long untilUs = message.timeUpUs;
+    // Two of its loops may have stood still at once.
+    for (final long[] away :
+        awayUs.stream().sorted(Comparator.comparingLong(one -> one[0])).toList()) {
+      lateUs -= Math.max(0, Math.min(seenUs, away[1]) - Math.max(untilUs, away[0]));
+      untilUs = Math.max(untilUs, away[1]);
+    }
+    return lateUs;
+  }
+
+  /** The courier's process was ended, or is ready again. */
+  public synchronized void restarted(final long nowUs, final boolean ready) {
+    if (ready) {
+      backUs = nowUs;
+    } else {
+      killedUs = nowUs;
+    }
+  }
+
+  // ---------------------------------------------------------------- endpoints
+
+  /** An endpoint exists. */
+  public synchronized void endpoint(final String name, final long destination) {
+    endpoints.putIfAbsent(name, new Endpoint(destination));
+  }
+
+  /** The courier was told that an endpoint drains or is gone. A second telling changes nothing. */
+  public synchronized void closed(final long nowUs, final String name) {
+    final Endpoint endpoint = endpoints.get(name);
+    endpoint.closedUs = Math.min(endpoint.closedUs, nowUs);
+  }
+
+  /** The courier was told that an endpoint takes messages again. */
+  public synchronized void opened(final String name) {
+    endpoints.get(name).closedUs = Long.MAX_VALUE;
+  }
+
+  /** A call began to come in: its first byte and, for each message in it, its id. */
+  public synchronized void called(
+      final long firstByteUs, final String name, final List<String> ids) {
+    final Endpoint endpoint = endpoints.get(name);
+    final Destination destination = destination(endpoint.destination);
+    if (firstByteUs > endpoint.closedUs) {
+      drainLagsUs.add(firstByteUs - endpoint.closedUs);
+      if (firstByteUs > endpoint.closedUs + figures.drainUs()) {
+        broken(
+            Rule.DRAIN,
+            firstByteUs,
+            name
+                + " was called "
+                + (firstByteUs - endpoint.closedUs) / MS
+                + " ms after it was told to drain or gone");
+      }
+    }
+    if (firstByteUs < destination.waitUntilUs
+        && firstByteUs > destination.waitToldUs + figures.waitSlackUs()) {
+      broken(
+          Rule.WAIT,
+          firstByteUs,
+          "destination "
+              + endpoint.destination
+              + " was called "
+              + (destination.waitUntilUs - firstByteUs) / MS
+              + " ms before its wait was over");
+    }
+    push(firstByteUs, endpoint.destination, destination);
+    ids.forEach(id -> begun(firstByteUs, endpoint, id));
+  }
+
+  private void begun(final long firstByteUs, final Endpoint endpoint, final String id) {
+    final Message message = messages.get(id);
+    if (message == null) {
+      broken(Rule.DESTINATION, firstByteUs, id + " was sent, and nobody handed it in");
+      return;
+    }
+    if (message.destination != endpoint.destination) {
+      broken(
+          Rule.DESTINATION,
+          firstByteUs,
+          message + " for " + message.destination + " went to " + endpoint.destination);
+    }
+    if (message.out > 0) {
+      broken(Rule.DOUBLE, firstByteUs, message + ": two copies are out");
+      message.copies = violations.get(violations.size() - 1);
+    }
+    if (message.over && mayRepeat(firstByteUs, message)) {
+      return;
+    }
+    if (message.over) {
+      broken(
+          message.delivered && message.kind.effect() == Courier.Effect.SAFE
+              ? Rule.LOST
+              : Rule.DOUBLE,
+          firstByteUs,
+          message
+              + " was sent after it was "
+              + message.end
+              + (message.delivered
+                  ? ", " + (firstByteUs - message.deliveredUs) + " us after its answer"
+                  : ""));
+    } else if (message.firstRunUs != Long.MAX_VALUE) {
+      if (message.kind.effect() == Courier.Effect.UNSAFE) {
+        broken(Rule.DOUBLE, firstByteUs, message + " may have run and was sent again");
+      } else if (message.kind.effect() == Courier.Effect.KEYED
+          && firstByteUs > message.firstRunUs + message.kind.keyWindowUs()) {
+        broken(
+            Rule.DOUBLE,
+            firstByteUs,
+            message
+                + " was sent again "
+                + (firstByteUs - message.firstRunUs) / MS
+                + " ms after it may have run; its key is kept for "
+                + message.kind.keyWindowUs() / MS);
+      }
+    }
+    if (message.key != null && message.kind.inTurn()) {
+      final Deque<Message> line = lines.get(message.key);
+      final Message first = line == null ? null : line.peekFirst();
+      if (first != null && first != message) {
+        broken(Rule.ORDER, firstByteUs, message + " went before " + first);
+      } else if (firstByteUs < message.restUntilUs) {
+        broken(Rule.ORDER, firstByteUs, message + " went while its key rested");
+      }
+    }
+    message.out++;
+  }
+
+  /**
+   * A process that was killed may not have read that a message is delivered: the answer was written
+   * shortly before its end, or even after it, to a call that it had made. One that may be repeated
+   * then goes once more, and is answered as delivered once more; nothing is owed for it.
+   */
+  private boolean mayRepeat(final long firstByteUs, final Message message) {
+    final boolean unread =
+        message.delivered
+            && killedUs >= message.deliveredCallUs
+            && killedUs - message.deliveredUs <= UNREAD_US
+            && firstByteUs > killedUs;
+    final boolean repeatable =
+        message.kind.effect() == Courier.Effect.SAFE
+            || message.kind.effect() == Courier.Effect.KEYED
                 && firstByteUs <= message.firstRunUs + message.kind.keyWindowUs();
-        if (unread && repeatable) {
-            message.out++;
-            return true;
-        }
-        return false;
-    }
-
-    /** A call's part for one message ended at its endpoint; {@code firstByteUs} is when that call began. */
-    public synchronized void ended(final long nowUs, final long firstByteUs, final String id, final End end) {
-        final Message message = messages.get(id);
-        if (message == null) {
-            return;
-        }
-        message.out--;
-        if (message.copies != null && (end == End.CUT || end == End.NEVER_WHOLE)
-                && message.kind.effect() != Courier.Effect.UNSAFE && firstByteUs < message.copies.atUs()
-                && nowUs - message.copies.atUs() <= SAME_BATCH_US) {
-            // The courier had ended the first copy before it sent the second: both were read in one batch, in any order.
-            violations.remove(message.copies);
-            message.copies = null;
-        } else if (message.copies != null && firstByteUs < message.copies.atUs()) {
-            // How and when the first one ended tells what crossed what.
-            violations.set(violations.indexOf(message.copies), new Violation(message.copies.rule(), message.copies.atUs(),
-                    message.copies.what() + ", the first one of " + (message.copies.atUs() - firstByteUs) + " us ended "
-                    + (nowUs - message.copies.atUs()) + " us later: " + end));
-            message.copies = null;
-        }
-        if (end.mayHaveRun) {
-            message.firstRunUs = Math.min(message.firstRunUs, firstByteUs);
-        }
-        if (end == End.DELIVERED) {
-            message.deliveredUs = message.delivered ? message.deliveredUs : nowUs;
-            message.deliveredCallUs = message.delivered ? message.deliveredCallUs : firstByteUs;
-            message.delivered = true;
-            if (!message.over) {
-                close(nowUs, message, "delivered");
-            }
-        } else if (end == End.CUT && message.key != null) {
-            final long restUntilUs = nowUs + figures.settleUs();
-            lines.getOrDefault(message.key, new ArrayDeque<>()).stream().filter(other -> other != message)
-                    .forEach(other -> other.restUntilUs = Math.max(other.restUntilUs, restUntilUs));
-        }
-    }
-
-    /** An answer told to wait before the destination is called again. */
-    public synchronized void waitTold(final long nowUs, final long destination, final long waitUs) {
-        final Destination told = destination(destination);
-        if (nowUs + waitUs > told.waitUntilUs) {
-            told.waitToldUs = nowUs >= told.waitUntilUs ? nowUs : told.waitToldUs;
-            told.waitUntilUs = nowUs + waitUs;
-        }
-    }
-
-    // ---------------------------------------------------------------- destinations that return
-
-    /** A destination is back from an outage, cold: it takes a share of its calls a second, and all of them later. */
-    public synchronized void returned(final long nowUs, final long destination, final double callsPerSecond,
-            final double coldFrom, final long coldUs) {
-        final Destination back = destination(destination);
-        back.returnedUs = nowUs;
-        back.callsPerSecond = callsPerSecond;
-        back.coldFrom = coldFrom;
-        back.coldUs = coldUs;
-        back.calls.clear();
-    }
-
-    private void push(final long atUs, final long id, final Destination destination) {
-        if (atUs < destination.returnedUs || atUs > destination.returnedUs + destination.coldUs + figures.fallUs()) {
-            return;
-        }
-        destination.calls.add(atUs);
-        while (destination.calls.peekFirst() < atUs - figures.fallUs()) {
-            destination.calls.pollFirst();
-        }
-        final long fromUs = Math.max(destination.returnedUs, atUs - figures.fallUs());
-        final double capacity = destination.callsPerSecond * warmth(destination, fromUs, atUs) * figures.fallUs()
-                / SECOND;
-        final double budget = figures.tipMultiple() * capacity;
-        if (destination.calls.size() > budget + 2 * Math.sqrt(budget) + 1) {
-            broken(Rule.TIPPED, atUs, "destination " + id + " was sent " + destination.calls.size() + " calls in "
-                    + figures.fallUs() / MS + " ms after its return; it bears " + Math.round(budget));
-            destination.returnedUs = Long.MAX_VALUE;
-        }
-    }
-
-    /** The mean share of its capacity that it has between two moments. */
-    private static double warmth(final Destination destination, final long fromUs, final long toUs) {
-        return (warmthAt(destination, fromUs) + warmthAt(destination, toUs)) / 2;
-    }
-
-    private static double warmthAt(final Destination destination, final long atUs) {
-        final double grown = destination.coldUs == 0 ? 1
-                : Math.min(1, (double) (atUs - destination.returnedUs) / destination.coldUs);
-        return destination.coldFrom + (1 - destination.coldFrom) * grown;
-    }
-
-    private Destination destination(final long id) {
-        return destinations.computeIfAbsent(id, unused -> new Destination());
-    }
-
-    // ---------------------------------------------------------------- the verdict
-
-    /** All that was broken, with what was taken on and never ended although its time is up by now. */
-    public synchronized List<Violation> finish(final long nowUs) {
-        for (final LateEnd late : lateEnds) {
-            if (lateUs(late.message(), late.seenUs()) > 0) {
-                broken(Rule.LOST, late.seenUs(), late.message() + " ended " + (late.seenUs() - late.message().timeUpUs) / MS
-                        + " ms after its time, " + lateUs(late.message(), late.seenUs()) / MS + " ms of it too late by the courier");
-            }
-        }
-        lateEnds.clear();
-        for (final Message message : messages.values()) {
-            if (message.taken && !message.over && nowUs > message.timeUpUs + figures.graceUs()) {
-                broken(Rule.LOST, nowUs, message + " was taken on and never ended");
-            }
-        }
-        return List.copyOf(violations);
-    }
-
-    /** True once every message that was taken on has its end. */
-    public synchronized boolean allEnded() {
-        return messages.values().stream().noneMatch(message -> message.taken && !message.over);
-    }
-
-    /** For each call to an endpoint after it was told to drain or gone, how long after, us. */
-    public synchronized List<Long> drainLagsUs() {
-        return List.copyOf(drainLagsUs);
-    }
-
-    /** How messages ended so far, by how: delivered, deferred, undeliverable, refused or failed at the door, open. */
-    public synchronized Map<String, Integer> ends() {
-        final Map<String, Integer> ends = new LinkedHashMap<>();
-        messages.values().forEach(message ->
-                ends.merge(message.over ? message.end : message.taken ? "open" : "unanswered", 1, Integer::sum));
-        return ends;
-    }
+    if (unread && repeatable) {
+      message.out++;
+      return true;
+    }
+    return false;
+  }
+
+  /**
+   * A call's part for one message ended at its endpoint; {@code firstByteUs} is when that call
+   * began.
+   */
+  public synchronized void ended(
+      final long nowUs, final long firstByteUs, final String id, final End end) {
+    final Message message = messages.get(id);
+    if (message == null) {
+      return;
+    }
+    message.out--;
+    if (message.copies != null
+        && (end == End.CUT || end == End.NEVER_WHOLE)
+        && message.kind.effect() != Courier.Effect.UNSAFE
+        && firstByteUs < message.copies.atUs()
+        && nowUs - message.copies.atUs() <= SAME_BATCH_US) {
+      // The courier had ended the first copy before it sent the second: both were read in one
+      // batch, in any order.
+      violations.remove(message.copies);
+      message.copies = null;
+    } else if (message.copies != null && firstByteUs < message.copies.atUs()) {
+      // How and when the first one ended tells what crossed what.
+      violations.set(
+          violations.indexOf(message.copies),
+          new Violation(
+              message.copies.rule(),
+              message.copies.atUs(),
+              message.copies.what()
+                  + ", the first one of "
+                  + (message.copies.atUs() - firstByteUs)
+                  + " us ended "
+                  + (nowUs - message.copies.atUs())
+                  + " us later: "
+                  + end));
+      message.copies = null;
+    }
+    if (end.mayHaveRun) {
+      message.firstRunUs = Math.min(message.firstRunUs, firstByteUs);
+    }
+    if (end == End.DELIVERED) {
+      message.deliveredUs = message.delivered ? message.deliveredUs : nowUs;
+      message.deliveredCallUs = message.delivered ? message.deliveredCallUs : firstByteUs;
+      message.delivered = true;
+      if (!message.over) {
+        close(nowUs, message, "delivered");
+      }
+    } else if (end == End.CUT && message.key != null) {
+      final long restUntilUs = nowUs + figures.settleUs();
+      lines.getOrDefault(message.key, new ArrayDeque<>()).stream()
+          .filter(other -> other != message)
+          .forEach(other -> other.restUntilUs = Math.max(other.restUntilUs, restUntilUs));
+    }
+  }
+
+  /** An answer told to wait before the destination is called again. */
+  public synchronized void waitTold(final long nowUs, final long destination, final long waitUs) {
+    final Destination told = destination(destination);
+    if (nowUs + waitUs > told.waitUntilUs) {
+      told.waitToldUs = nowUs >= told.waitUntilUs ? nowUs : told.waitToldUs;
+      told.waitUntilUs = nowUs + waitUs;
+    }
+  }
+
+  // ---------------------------------------------------------------- destinations that return
+
+  /**
+   * A destination is back from an outage, cold: it takes a share of its calls a second, and all of
+   * them later.
+   */
+  public synchronized void returned(
+      final long nowUs,
+      final long destination,
+      final double callsPerSecond,
+      final double coldFrom,
+      final long coldUs) {
+    final Destination back = destination(destination);
+    back.returnedUs = nowUs;
+    back.callsPerSecond = callsPerSecond;
+    back.coldFrom = coldFrom;
+    back.coldUs = coldUs;
+    back.calls.clear();
+  }
+
+  private void push(final long atUs, final long id, final Destination destination) {
+    if (atUs < destination.returnedUs
+        || atUs > destination.returnedUs + destination.coldUs + figures.fallUs()) {
+      return;
+    }
+    destination.calls.add(atUs);
+    while (destination.calls.peekFirst() < atUs - figures.fallUs()) {
+      destination.calls.pollFirst();
+    }
+    final long fromUs = Math.max(destination.returnedUs, atUs - figures.fallUs());
+    final double capacity =
+        destination.callsPerSecond * warmth(destination, fromUs, atUs) * figures.fallUs() / SECOND;
+    final double budget = figures.tipMultiple() * capacity;
+    if (destination.calls.size() > budget + 2 * Math.sqrt(budget) + 1) {
+      broken(
+          Rule.TIPPED,
+          atUs,
+          "destination "
+              + id
+              + " was sent "
+              + destination.calls.size()
+              + " calls in "
+              + figures.fallUs() / MS
+              + " ms after its return; it bears "
+              + Math.round(budget));
+      destination.returnedUs = Long.MAX_VALUE;
+    }
+  }
+
+  /** The mean share of its capacity that it has between two moments. */
+  private static double warmth(final Destination destination, final long fromUs, final long toUs) {
+    return (warmthAt(destination, fromUs) + warmthAt(destination, toUs)) / 2;
+  }
+
+  private static double warmthAt(final Destination destination, final long atUs) {
+    final double grown =
+        destination.coldUs == 0
+            ? 1
+            : Math.min(1, (double) (atUs - destination.returnedUs) / destination.coldUs);
+    return destination.coldFrom + (1 - destination.coldFrom) * grown;
+  }
+
+  private Destination destination(final long id) {
+    return destinations.computeIfAbsent(id, unused -> new Destination());
+  }
+
+  // ---------------------------------------------------------------- the verdict
+
+  /** All that was broken, with what was taken on and never ended although its time is up by now. */
+  public synchronized List<Violation> finish(final long nowUs) {
+    for (final LateEnd late : lateEnds) {
+      if (lateUs(late.message(), late.seenUs()) > 0) {
+        broken(
+            Rule.LOST,
+            late.seenUs(),
+            late.message()
+                + " ended "
+                + (late.seenUs() - late.message().timeUpUs) / MS
+                + " ms after its time, "
+                + lateUs(late.message(), late.seenUs()) / MS
+                + " ms of it too late by the courier");
+      }
+    }
+    lateEnds.clear();
+    for (final Message message : messages.values()) {
+      if (message.taken && !message.over && nowUs > message.timeUpUs + figures.graceUs()) {
+        broken(Rule.LOST, nowUs, message + " was taken on and never ended");
+      }
+    }
+    return List.copyOf(violations);
+  }
+
+  /** True once every message that was taken on has its end. */
+  public synchronized boolean allEnded() {
+    return messages.values().stream().noneMatch(message -> message.taken && !message.over);
+  }
+
+  /** For each call to an endpoint after it was told to drain or gone, how long after, us. */
+  public synchronized List<Long> drainLagsUs() {
+    return List.copyOf(drainLagsUs);
+  }
+
+  /**
+   * How messages ended so far, by how: delivered, deferred, undeliverable, refused or failed at the
+   * door, open.
+   */
+  public synchronized Map<String, Integer> ends() {
+    final Map<String, Integer> ends = new LinkedHashMap<>();
+    messages
+        .values()
+        .forEach(
+            message ->
+                ends.merge(
+                    message.over ? message.end : message.taken ? "open" : "unanswered",
+                    1,
+                    Integer::sum));
+    return ends;
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
+++ b/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
@@ -7,45 +7,69 @@
 import java.util.Map;
 import thistleturn.decisions.Courier;
 
-/** What the platform hands a courier at its start, for tests and demonstrations: the file and the environment. */
+/**
+ * What the platform hands a courier at its start, for tests and demonstrations: the file and the
+ * environment.
+ */
 public final class CourierFiles {
-    /** Classes of message of each kind of effect; {@code brief} is keyed with a window of 300 ms. */
-    public static final List<Courier.MessageClass> CLASSES = List.of(
-            kind("safe", Courier.Effect.SAFE, 0), kind("keyed", Courier.Effect.KEYED, 10_000_000),
-            kind("brief", Courier.Effect.KEYED, 300_000), kind("once", Courier.Effect.UNSAFE, 0));
-    private static final long AIM_US = 4_000_000;
-    private static final long DEADLINE_US = 16_000_000;
+  /** Classes of message of each kind of effect; {@code brief} is keyed with a window of 300 ms. */
+  public static final List<Courier.MessageClass> CLASSES =
+      List.of(
+          kind("safe", Courier.Effect.SAFE, 0), kind("keyed", Courier.Effect.KEYED, 10_000_000),
+          kind("brief", Courier.Effect.KEYED, 300_000), kind("once", Courier.Effect.UNSAFE, 0));
 
-    private CourierFiles() { }
+  private static final long AIM_US = 4_000_000;
+  private static final long DEADLINE_US = 16_000_000;
 
-    private static Courier.MessageClass kind(final String name, final Courier.Effect effect, final long windowUs) {
-        return new Courier.MessageClass(name, effect, false, false, 1, 0, 4_000_000, 16_000_000, windowUs);
-    }
+  private CourierFiles() {}
+
+  private static Courier.MessageClass kind(
+      final String name, final Courier.Effect effect, final long windowUs) {
+    return new Courier.MessageClass(
+        name, effect, false, false, 1, 0, 4_000_000, 16_000_000, windowUs);
+  }
 
-    /** How much a courier may hold: messages, slots for calls, descriptors. */
-    public record Size(int maxOpen, int slots, int sockets) {
-        /** 2,000 messages, 64 slots and 1,024 descriptors. */
-        public static Size usual() {
-            return new Size(2000, 64, 1024);
-        }
+  /** How much a courier may hold: messages, slots for calls, descriptors. */
+  public record Size(int maxOpen, int slots, int sockets) {
+    /** 2,000 messages, 64 slots and 1,024 descriptors. */
+    public static Size usual() {
+      return new Size(2000, 64, 1024);
     }
+  }
 
-    /** Writes the configuration into the folder, and gives the environment that names it. */
-    public static Map<String, String> write(final Path folder, final String name, final String discovery,
-            final String known, final Size size) throws IOException {
-        final StringBuilder classes = new StringBuilder();
-        for (final Courier.MessageClass one : CLASSES) {
-            final String effect = switch (one.effect()) {
-                case SAFE -> "\"pure\"";
-                case KEYED -> "\"token\",\"group\":\"all\",\"dedup_window\":" + one.keyWindowUs();
-                case UNSAFE -> "\"side_effect\"";
-            };
-            classes.append(classes.isEmpty() ? "" : ",").append("{\"name\":\"").append(one.name())
-                    .append("\",\"effect\":").append(effect).append(",\"target\":").append(AIM_US)
-                    .append(",\"deadline\":").append(DEADLINE_US).append(",\"points\":1.0}");
-        }
-        Files.createDirectories(folder.resolve("state"));
-        final Path config = Files.writeString(folder.resolve("config.json"), """
+  /** Writes the configuration into the folder, and gives the environment that names it. */
+  public static Map<String, String> write(
+      final Path folder,
+      final String name,
+      final String discovery,
+      final String known,
+      final Size size)
+      throws IOException {
+    final StringBuilder classes = new StringBuilder();
+    for (final Courier.MessageClass one : CLASSES) {
+      final String effect =
+          switch (one.effect()) {
+            case SAFE -> "\"pure\"";
+            case KEYED -> "\"token\",\"group\":\"all\",\"dedup_window\":" + one.keyWindowUs();
+            case UNSAFE -> "\"side_effect\"";
+          };
+      classes
+          .append(classes.isEmpty() ? "" : ",")
+          .append("{\"name\":\"")
+          .append(one.name())
+          .append("\",\"effect\":")
+          .append(effect)
+          .append(",\"target\":")
+          .append(AIM_US)
+          .append(",\"deadline\":")
+          .append(DEADLINE_US)
+          .append(",\"points\":1.0}");
+    }
+    Files.createDirectories(folder.resolve("state"));
+    final Path config =
+        Files.writeString(
+            folder.resolve("config.json"),
+            """
                 {"name":"%s","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":%d,"disk_mb":64},
                  "known":%s,
@@ -54,7 +78,9 @@
                   "guarantees":{"must_ask_in":10000000,"cold_from":0.3,"cold":3000000,"tip_multiple":2.0},
                   "limits":{"max_open":%d,"most_tries":12,"cancel":true,"idle_close":10000000,"retry_after":true,
                    "connect_timeout":1000000,"max_retry_after":2000000}}}"""
-                .formatted(name, discovery, size.sockets(), known, classes, size.slots(), size.maxOpen()));
-        return Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", folder.resolve("state").toString());
-    }
+                .formatted(
+                    name, discovery, size.sockets(), known, classes, size.slots(), size.maxOpen()));
+    return Map.of(
+        "PROXY_CONFIG", config.toString(), "PROXY_STATE", folder.resolve("state").toString());
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/Exchange.java
+++ b/testkit/src/main/java/thistleturn/testkit/Exchange.java
@@ -18,75 +18,88 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One request at a stand-in, with the ways of answering it. Times are of {@link System#nanoTime}. */
-public record Exchange(Channel channel, String method, String uri, HttpHeaders headers, byte[] body, long firstByteNs,
-                       long lastByteNs) {
+/**
+ * One request at a stand-in, with the ways of answering it. Times are of {@link System#nanoTime}.
+ */
+public record Exchange(
+    Channel channel,
+    String method,
+    String uri,
+    HttpHeaders headers,
+    byte[] body,
+    long firstByteNs,
+    long lastByteNs) {
 
-    /** The path without its query. */
-    public String path() {
-        return new QueryStringDecoder(uri).path();
-    }
+  /** The path without its query. */
+  public String path() {
+    return new QueryStringDecoder(uri).path();
+  }
 
-    /** A value of the query; null if there is none. */
-    public String query(final String name) {
-        final List<String> values = new QueryStringDecoder(uri).parameters().get(name);
-        return values == null ? null : values.get(0);
-    }
+  /** A value of the query; null if there is none. */
+  public String query(final String name) {
+    final List<String> values = new QueryStringDecoder(uri).parameters().get(name);
+    return values == null ? null : values.get(0);
+  }
 
-    /** A header's value; null if there is none. */
-    public String header(final String name) {
-        return headers.get(name);
-    }
+  /** A header's value; null if there is none. */
+  public String header(final String name) {
+    return headers.get(name);
+  }
 
-    /** Answers whole; headers come as name, value, name, value. */
-    public ChannelFuture answer(final int status, final String text, final String... namesAndValues) {
-        return answer(status, text.getBytes(StandardCharsets.UTF_8), namesAndValues);
-    }
+  /** Answers whole; headers come as name, value, name, value. */
+  public ChannelFuture answer(final int status, final String text, final String... namesAndValues) {
+    return answer(status, text.getBytes(StandardCharsets.UTF_8), namesAndValues);
+  }
 
-    /** Answers whole; headers come as name, value, name, value. */
-    public ChannelFuture answer(final int status, final byte[] bytes, final String... namesAndValues) {
-        final var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                Unpooled.wrappedBuffer(bytes));
-        for (int index = 0; index < namesAndValues.length; index += 2) {
-            response.headers().set(namesAndValues[index], namesAndValues[index + 1]);
-        }
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
-        return channel.writeAndFlush(response);
+  /** Answers whole; headers come as name, value, name, value. */
+  public ChannelFuture answer(
+      final int status, final byte[] bytes, final String... namesAndValues) {
+    final var response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1,
+            HttpResponseStatus.valueOf(status),
+            Unpooled.wrappedBuffer(bytes));
+    for (int index = 0; index < namesAndValues.length; index += 2) {
+      response.headers().set(namesAndValues[index], namesAndValues[index + 1]);
     }
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
+    return channel.writeAndFlush(response);
+  }
 
-    /** Begins an answer that goes on until {@link #end}. */
-    public void begin(final int status) {
-        final var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
-        HttpUtil.setTransferEncodingChunked(response, true);
-        channel.writeAndFlush(response);
-    }
+  /** Begins an answer that goes on until {@link #end}. */
+  public void begin(final int status) {
+    final var response =
+        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
+    HttpUtil.setTransferEncodingChunked(response, true);
+    channel.writeAndFlush(response);
+  }
 
-    /** Goes on with an answer that was begun. */
-    public ChannelFuture chunk(final String text) {
-        return channel.writeAndFlush(
-                new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
-    }
+  /** Goes on with an answer that was begun. */
+  public ChannelFuture chunk(final String text) {
+    return channel.writeAndFlush(
+        new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
+  }
 
-    /** Ends an answer that was begun. */
-    public void end() {
-        channel.writeAndFlush(new DefaultLastHttpContent());
-    }
+  /** Ends an answer that was begun. */
+  public void end() {
+    channel.writeAndFlush(new DefaultLastHttpContent());
+  }
 
-    /** Writes bytes as they are, whatever they mean. */
-    public ChannelFuture raw(final byte[] bytes) {
-        if (channel.pipeline().get(HttpServerCodec.class) != null) {
-            channel.pipeline().remove(HttpServerCodec.class);
-        }
-        return channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
+  /** Writes bytes as they are, whatever they mean. */
+  public ChannelFuture raw(final byte[] bytes) {
+    if (channel.pipeline().get(HttpServerCodec.class) != null) {
+      channel.pipeline().remove(HttpServerCodec.class);
     }
+    return channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
+  }
 
-    /** Breaks the connection without a word. */
-    public void reset() {
-        HttpStandIn.reset(channel);
-    }
+  /** Breaks the connection without a word. */
+  public void reset() {
+    HttpStandIn.reset(channel);
+  }
 
-    /** Does something later, on the connection's event loop. */
-    public void after(final long delayMs, final Runnable action) {
-        channel.eventLoop().schedule(action, delayMs, TimeUnit.MILLISECONDS);
-    }
+  /** Does something later, on the connection's event loop. */
+  public void after(final long delayMs, final Runnable action) {
+    channel.eventLoop().schedule(action, delayMs, TimeUnit.MILLISECONDS);
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/StandInClient.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInClient.java
@@ -30,181 +30,216 @@
 import java.util.function.LongConsumer;
 
 /**
- * A client as the protocol has it: one request at a time on a connection, connections kept, 400 ms of patience for an
- * answer, and no second try. It tells the Auditor what it handed in and what it was answered.
+ * A client as the protocol has it: one request at a time on a connection, connections kept, 400 ms
+ * of patience for an answer, and no second try. It tells the Auditor what it handed in and what it
+ * was answered.
  */
 public final class StandInClient implements AutoCloseable {
-    private static final long PATIENCE_MS = 400;
-    private static final int TAKEN_LEAST = 200;
-    private static final int TAKEN_MOST = 202;
-    private static final int BUSY = 429;
-    private static final int UNAVAILABLE = 503;
-
-    private final EventLoop loop;
-    private final Auditor auditor;
-    private final Ticks ticks;
-    private final Deque<Channel> idle = new ArrayDeque<>();
-    private final AtomicLong out = new AtomicLong();
-    private final AtomicLong numbers = new AtomicLong();
-    private final String prefix;
-    private volatile InetSocketAddress courier;
-    private volatile LongConsumer latencyUs = unused -> { };
-    private volatile boolean keepsConnections = true;
-    /** Ids of requests that were written and never had a whole answer. */
-    private final Queue<String> withoutAnswer = new ConcurrentLinkedQueue<>();
-
-    /** A client of the courier at that address; ids begin with the prefix. */
-    public StandInClient(final EventLoopGroup group, final String prefix, final Auditor auditor, final Ticks ticks) {
-        this.loop = group.next();
-        this.prefix = prefix;
-        this.auditor = auditor;
-        this.ticks = ticks;
-    }
-
-    /** Where the courier is from now on; older connections are not used again. */
-    public void courier(final String address) {
-        final int colon = address.lastIndexOf(':');
-        courier = new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        loop.execute(() -> {
-            idle.forEach(Channel::close);
-            idle.clear();
+  private static final long PATIENCE_MS = 400;
+  private static final int TAKEN_LEAST = 200;
+  private static final int TAKEN_MOST = 202;
+  private static final int BUSY = 429;
+  private static final int UNAVAILABLE = 503;
+
+  private final EventLoop loop;
+  private final Auditor auditor;
+  private final Ticks ticks;
+  private final Deque<Channel> idle = new ArrayDeque<>();
+  private final AtomicLong out = new AtomicLong();
+  private final AtomicLong numbers = new AtomicLong();
+  private final String prefix;
+  private volatile InetSocketAddress courier;
+  private volatile LongConsumer latencyUs = unused -> {};
+  private volatile boolean keepsConnections = true;
+
+  /** Ids of requests that were written and never had a whole answer. */
+  private final Queue<String> withoutAnswer = new ConcurrentLinkedQueue<>();
+
+  /** A client of the courier at that address; ids begin with the prefix. */
+  public StandInClient(
+      final EventLoopGroup group, final String prefix, final Auditor auditor, final Ticks ticks) {
+    this.loop = group.next();
+    this.prefix = prefix;
+    this.auditor = auditor;
+    this.ticks = ticks;
+  }
+
+  /** Where the courier is from now on; older connections are not used again. */
+  public void courier(final String address) {
+    final int colon = address.lastIndexOf(':');
+    courier =
+        new InetSocketAddress(
+            address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+    loop.execute(
+        () -> {
+          idle.forEach(Channel::close);
+          idle.clear();
         });
+  }
+
+  /** Is told how long each answer took, us. */
+  public void onAnswer(final LongConsumer listener) {
+    latencyUs = listener;
+  }
+
+  /** From now on each message goes over a connection of its own, or not. */
+  public void keepConnections(final boolean keep) {
+    keepsConnections = keep;
+  }
+
+  /**
+   * The requests that were written, and then had no answer in the client's patience, or whose
+   * connection ended without one.
+   */
+  public List<String> withoutAnswer() {
+    return List.copyOf(withoutAnswer);
+  }
+
+  /** Requests without an answer as yet. */
+  public long unanswered() {
+    return out.get();
+  }
+
+  /** Hands in one message; returns its id. */
+  public String handIn(final String className, final long destination, final long timeoutMs) {
+    final String id = prefix + numbers.incrementAndGet();
+    final InetSocketAddress to = courier;
+    out.incrementAndGet();
+    loop.execute(
+        () -> {
+          final Channel kept = idle.pollLast();
+          final Request request = new Request(id, className, destination, timeoutMs);
+          if (kept != null && kept.isActive()) {
+            request.write(kept);
+            return;
+          }
+          new Bootstrap()
+              .group(loop)
+              .channel(NioSocketChannel.class)
+              .option(ChannelOption.TCP_NODELAY, true)
+              .handler(
+                  new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(final Channel channel) {
+                      channel
+                          .pipeline()
+                          .addLast(
+                              new HttpClientCodec(),
+                              new HttpObjectAggregator(1 << 16),
+                              new Answers());
+                    }
+                  })
+              .connect(to)
+              .addListener(
+                  (io.netty.channel.ChannelFuture connected) -> {
+                    if (connected.isSuccess()) {
+                      request.write(connected.channel());
+                    } else {
+                      out.decrementAndGet();
+                    }
+                  });
+        });
+    return id;
+  }
+
+  @Override
+  public void close() {
+    loop.execute(() -> idle.forEach(Channel::close));
+  }
+
+  /** One request under way. */
+  private final class Request {
+    private final String id;
+    private final String className;
+    private final long destination;
+    private final long timeoutMs;
+    private long sentUs;
+    private Future<?> patience;
+
+    Request(final String id, final String className, final long destination, final long timeoutMs) {
+      this.id = id;
+      this.className = className;
+      this.destination = destination;
+      this.timeoutMs = timeoutMs;
     }
 
-    /** Is told how long each answer took, us. */
-    public void onAnswer(final LongConsumer listener) {
-        latencyUs = listener;
-    }
-
-    /** From now on each message goes over a connection of its own, or not. */
-    public void keepConnections(final boolean keep) {
-        keepsConnections = keep;
-    }
-
-    /** The requests that were written, and then had no answer in the client's patience, or whose connection ended without one. */
-    public List<String> withoutAnswer() {
-        return List.copyOf(withoutAnswer);
+    private void write(final Channel channel) {
+      final var request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              HttpMethod.POST,
+              "/" + className,
+              Unpooled.copiedBuffer("body of " + id, StandardCharsets.UTF_8));
+      request
+          .headers()
+          .set("Host", "backend.local")
+          .set("X-Request-ID", id)
+          .set("X-Priority-Class", className)
+          .set("X-Timeout-Ms", timeoutMs)
+          .set("Idempotency-Key", "key-" + id)
+          .set("X-Consignee", "dest=" + destination)
+          .set("Content-Length", request.content().readableBytes());
+      channel.pipeline().get(Answers.class).request = this;
+      sentUs = ticks.nowUs();
+      auditor.handedIn(sentUs, id, className, destination, null, timeoutMs * 1000);
+      patience =
+          loop.schedule(
+              () -> {
+                channel.close();
+              },
+              PATIENCE_MS,
+              TimeUnit.MILLISECONDS);
+      channel.writeAndFlush(request);
     }
 
-    /** Requests without an answer as yet. */
-    public long unanswered() {
-        return out.get();
+    private void answered(final int status) {
+      out.decrementAndGet();
+      patience.cancel(false);
+      final long nowUs = ticks.nowUs();
+      if (status >= TAKEN_LEAST && status <= TAKEN_MOST) {
+        auditor.taken(nowUs, id);
+      } else if (status == BUSY || status == UNAVAILABLE) {
+        auditor.refused(nowUs, id);
+      } else {
+        auditor.failed(nowUs, id);
+      }
+      latencyUs.accept(nowUs - sentUs);
     }
+  }
 
-    /** Hands in one message; returns its id. */
-    public String handIn(final String className, final long destination, final long timeoutMs) {
-        final String id = prefix + numbers.incrementAndGet();
-        final InetSocketAddress to = courier;
-        out.incrementAndGet();
-        loop.execute(() -> {
-            final Channel kept = idle.pollLast();
-            final Request request = new Request(id, className, destination, timeoutMs);
-            if (kept != null && kept.isActive()) {
-                request.write(kept);
-                return;
-            }
-            new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(final Channel channel) {
-                            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 16),
-                                    new Answers());
-                        }
-                    }).connect(to).addListener((io.netty.channel.ChannelFuture connected) -> {
-                        if (connected.isSuccess()) {
-                            request.write(connected.channel());
-                        } else {
-                            out.decrementAndGet();
-                        }
-                    });
-        });
-        return id;
-    }
+  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private Request request;
 
     @Override
-    public void close() {
-        loop.execute(() -> idle.forEach(Channel::close));
+    protected void channelRead0(
+        final ChannelHandlerContext context, final FullHttpResponse answer) {
+      final Request done = request;
+      request = null;
+      if (done != null) {
+        done.answered(answer.status().code());
+      }
+      if (keepsConnections && HttpUtil.isKeepAlive(answer) && context.channel().isActive()) {
+        idle.addLast(context.channel());
+      } else {
+        context.close();
+      }
     }
 
-    /** One request under way. */
-    private final class Request {
-        private final String id;
-        private final String className;
-        private final long destination;
-        private final long timeoutMs;
-        private long sentUs;
-        private Future<?> patience;
-
-        Request(final String id, final String className, final long destination, final long timeoutMs) {
-            this.id = id;
-            this.className = className;
-            this.destination = destination;
-            this.timeoutMs = timeoutMs;
-        }
-
-        private void write(final Channel channel) {
-            final var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + className,
-                    Unpooled.copiedBuffer("body of " + id, StandardCharsets.UTF_8));
-            request.headers().set("Host", "backend.local").set("X-Request-ID", id)
-                    .set("X-Priority-Class", className).set("X-Timeout-Ms", timeoutMs)
-                    .set("Idempotency-Key", "key-" + id).set("X-Consignee", "dest=" + destination)
-                    .set("Content-Length", request.content().readableBytes());
-            channel.pipeline().get(Answers.class).request = this;
-            sentUs = ticks.nowUs();
-            auditor.handedIn(sentUs, id, className, destination, null, timeoutMs * 1000);
-            patience = loop.schedule(() -> {
-                channel.close();
-            }, PATIENCE_MS, TimeUnit.MILLISECONDS);
-            channel.writeAndFlush(request);
-        }
-
-        private void answered(final int status) {
-            out.decrementAndGet();
-            patience.cancel(false);
-            final long nowUs = ticks.nowUs();
-            if (status >= TAKEN_LEAST && status <= TAKEN_MOST) {
-                auditor.taken(nowUs, id);
-            } else if (status == BUSY || status == UNAVAILABLE) {
-                auditor.refused(nowUs, id);
-            } else {
-                auditor.failed(nowUs, id);
-            }
-            latencyUs.accept(nowUs - sentUs);
-        }
+    @Override
+    public void channelInactive(final ChannelHandlerContext context) {
+      idle.remove(context.channel());
+      final Request cut = request;
+      request = null;
+      if (cut != null) {
+        cut.patience.cancel(false);
+        out.decrementAndGet();
+        withoutAnswer.add(cut.id);
+      }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Request request;
-
-        @Override
-        protected void channelRead0(final ChannelHandlerContext context, final FullHttpResponse answer) {
-            final Request done = request;
-            request = null;
-            if (done != null) {
-                done.answered(answer.status().code());
-            }
-            if (keepsConnections && HttpUtil.isKeepAlive(answer) && context.channel().isActive()) {
-                idle.addLast(context.channel());
-            } else {
-                context.close();
-            }
-        }
-
-        @Override
-        public void channelInactive(final ChannelHandlerContext context) {
-            idle.remove(context.channel());
-            final Request cut = request;
-            request = null;
-            if (cut != null) {
-                cut.patience.cancel(false);
-                out.decrementAndGet();
-                withoutAnswer.add(cut.id);
-            }
-        }
-
-        @Override
-        public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-            context.close();
-        }
+    @Override
+    public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
+      context.close();
     }
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
@@ -11,194 +11,201 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** A partner's endpoint: it takes calls as the protocol says, fares with them by its script, and tells the Auditor. */
+/**
+ * A partner's endpoint: it takes calls as the protocol says, fares with them by its script, and
+ * tells the Auditor.
+ */
 public final class StandInEndpoint implements AutoCloseable {
-    private static final int OK = 200;
-    private static final int ERROR = 500;
-    private static final int BUSY = 429;
-    private static final int UNAVAILABLE = 503;
-    private static final ObjectMapper JSON = new ObjectMapper();
-
-    private final String name;
-    private final long destination;
-    private final Auditor auditor;
-    private final Ticks ticks;
-    private final AtomicReference<Manner> manner = new AtomicReference<>(Manner.after(0));
-    private final AtomicLong calls = new AtomicLong();
-    private final HttpStandIn server;
-
-    /** What it does with a call. */
-    public enum Act {
-        /** 200 after the delay. */
-        DELIVER,
-        /** 500 after the delay. */
-        FAIL,
-        /** 429 after the delay, with the wait. */
-        REFUSE,
-        /** 503 after the delay, without a wait. */
-        SHUT,
-        /** No answer, ever. */
-        SILENCE,
-        /** The connection is reset after the delay. */
-        RESET
+  private static final int OK = 200;
+  private static final int ERROR = 500;
+  private static final int BUSY = 429;
+  private static final int UNAVAILABLE = 503;
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  private final String name;
+  private final long destination;
+  private final Auditor auditor;
+  private final Ticks ticks;
+  private final AtomicReference<Manner> manner = new AtomicReference<>(Manner.after(0));
+  private final AtomicLong calls = new AtomicLong();
+  private final HttpStandIn server;
+
+  /** What it does with a call. */
+  public enum Act {
+    /** 200 after the delay. */
+    DELIVER,
+    /** 500 after the delay. */
+    FAIL,
+    /** 429 after the delay, with the wait. */
+    REFUSE,
+    /** 503 after the delay, without a wait. */
+    SHUT,
+    /** No answer, ever. */
+    SILENCE,
+    /** The connection is reset after the delay. */
+    RESET
+  }
+
+  /** How it fares with calls: what it does, after which delay, and the wait that it tells. */
+  public record Manner(Act act, long delayMs, long waitMs) {
+    /** Delivers after a delay. */
+    public static Manner after(final long delayMs) {
+      return new Manner(Act.DELIVER, delayMs, 0);
     }
 
-    /** How it fares with calls: what it does, after which delay, and the wait that it tells. */
-    public record Manner(Act act, long delayMs, long waitMs) {
-        /** Delivers after a delay. */
-        public static Manner after(final long delayMs) {
-            return new Manner(Act.DELIVER, delayMs, 0);
-        }
-
-        /** Does something else at once. */
-        public static Manner of(final Act act) {
-            return new Manner(act, 0, 0);
-        }
+    /** Does something else at once. */
+    public static Manner of(final Act act) {
+      return new Manner(act, 0, 0);
     }
-
-    /** Listens on 127.0.0.1, on a port of the system's choice. */
-    public StandInEndpoint(final EventLoopGroup group, final String name, final long destination,
-            final Auditor auditor, final Ticks ticks) {
-        this.name = name;
-        this.destination = destination;
-        this.auditor = auditor;
-        this.ticks = ticks;
-        auditor.endpoint(name, destination);
-        this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
-    }
-
-    /** The name by which the Auditor knows it. */
-    public String name() {
-        return name;
-    }
-
-    /** Its destination's number. */
-    public long destination() {
-        return destination;
-    }
-
-    /** Where it listens. */
-    public String address() {
-        return server.address();
+  }
+
+  /** Listens on 127.0.0.1, on a port of the system's choice. */
+  public StandInEndpoint(
+      final EventLoopGroup group,
+      final String name,
+      final long destination,
+      final Auditor auditor,
+      final Ticks ticks) {
+    this.name = name;
+    this.destination = destination;
+    this.auditor = auditor;
+    this.ticks = ticks;
+    auditor.endpoint(name, destination);
+    this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
+  }
+
+  /** The name by which the Auditor knows it. */
+  public String name() {
+    return name;
+  }
+
+  /** Its destination's number. */
+  public long destination() {
+    return destination;
+  }
+
+  /** Where it listens. */
+  public String address() {
+    return server.address();
+  }
+
+  /** Its port. */
+  public int port() {
+    return server.port();
+  }
+
+  /** Calls that have come so far. */
+  public long calls() {
+    return calls.get();
+  }
+
+  /** The server, to bring it down or make it reset or read slowly. */
+  public HttpStandIn server() {
+    return server;
+  }
+
+  /** From the next call on it fares like this. */
+  public void fare(final Manner next) {
+    manner.set(next);
+  }
+
+  @Override
+  public void close() {
+    server.close();
+  }
+
+  private void serve(final Exchange exchange) {
+    final boolean bulk = exchange.path().equals("/inbox/bulk");
+    final List<String> ids = new ArrayList<>();
+    try {
+      if (bulk) {
+        for (final JsonNode item : JSON.readTree(exchange.body())) {
+          ids.add(item.path("id").asText());
+        }
+      } else if (exchange.path().equals("/inbox")) {
+        ids.add(exchange.header("X-Request-ID"));
+      }
+    } catch (final IOException e) {
+      ids.clear();
     }
-
-    /** Its port. */
-    public int port() {
-        return server.port();
+    if (ids.isEmpty()) {
+      exchange.answer(400, "");
+      return;
     }
-
-    /** Calls that have come so far. */
-    public long calls() {
-        return calls.get();
+    calls.incrementAndGet();
+    final long beganUs = ticks.ofNs(exchange.firstByteNs());
+    auditor.called(beganUs, name, ids);
+    final Call call = new Call(exchange, ids, bulk, beganUs);
+    // Whatever else becomes of it: the end of its connection ends it.
+    exchange.channel().closeFuture().addListener(closed -> call.end(Auditor.End.CUT));
+    final Manner now = manner.get();
+    if (now.act() == Act.SILENCE) {
+      return;
     }
-
-    /** The server, to bring it down or make it reset or read slowly. */
-    public HttpStandIn server() {
-        return server;
+    if (now.delayMs() == 0) {
+      call.fare(now);
+    } else {
+      exchange.after(now.delayMs(), () -> call.fare(now));
     }
-
-    /** From the next call on it fares like this. */
-    public void fare(final Manner next) {
-        manner.set(next);
+  }
+
+  /** One call, which ends once. */
+  private final class Call {
+    private final Exchange exchange;
+    private final List<String> ids;
+    private final boolean bulk;
+    private final long beganUs;
+    private boolean over;
+
+    Call(final Exchange exchange, final List<String> ids, final boolean bulk, final long beganUs) {
+      this.exchange = exchange;
+      this.ids = ids;
+      this.bulk = bulk;
+      this.beganUs = beganUs;
     }
 
-    @Override
-    public void close() {
-        server.close();
+    void end(final Auditor.End how) {
+      if (!over) {
+        over = true;
+        ids.forEach(id -> auditor.ended(ticks.nowUs(), beganUs, id, how));
+      }
     }
 
-    private void serve(final Exchange exchange) {
-        final boolean bulk = exchange.path().equals("/inbox/bulk");
-        final List<String> ids = new ArrayList<>();
-        try {
-            if (bulk) {
-                for (final JsonNode item : JSON.readTree(exchange.body())) {
-                    ids.add(item.path("id").asText());
-                }
-            } else if (exchange.path().equals("/inbox")) {
-                ids.add(exchange.header("X-Request-ID"));
-            }
-        } catch (final IOException e) {
-            ids.clear();
+    void fare(final Manner now) {
+      if (over) {
+        return;
+      }
+      switch (now.act()) {
+        case DELIVER -> {
+          end(Auditor.End.DELIVERED);
+          exchange.answer(OK, bulk ? accepted() : "");
         }
-        if (ids.isEmpty()) {
-            exchange.answer(400, "");
-            return;
+        case FAIL -> {
+          end(Auditor.End.ERROR);
+          exchange.answer(ERROR, "");
         }
-        calls.incrementAndGet();
-        final long beganUs = ticks.ofNs(exchange.firstByteNs());
-        auditor.called(beganUs, name, ids);
-        final Call call = new Call(exchange, ids, bulk, beganUs);
-        // Whatever else becomes of it: the end of its connection ends it.
-        exchange.channel().closeFuture().addListener(closed -> call.end(Auditor.End.CUT));
-        final Manner now = manner.get();
-        if (now.act() == Act.SILENCE) {
-            return;
+        case REFUSE -> {
+          end(Auditor.End.REFUSED);
+          if (now.waitMs() > 0) {
+            auditor.waitTold(ticks.nowUs(), destination, now.waitMs() * 1000);
+            exchange.answer(BUSY, "", "Retry-After", Double.toString(now.waitMs() / 1000.0));
+          } else {
+            exchange.answer(BUSY, "");
+          }
         }
-        if (now.delayMs() == 0) {
-            call.fare(now);
-        } else {
-            exchange.after(now.delayMs(), () -> call.fare(now));
+        case SHUT -> {
+          end(Auditor.End.REFUSED);
+          exchange.answer(UNAVAILABLE, "");
         }
+        case RESET -> exchange.reset();
+        default -> throw new IllegalStateException("silence does nothing");
+      }
     }
 
-    /** One call, which ends once. */
-    private final class Call {
-        private final Exchange exchange;
-        private final List<String> ids;
-        private final boolean bulk;
-        private final long beganUs;
-        private boolean over;
-
-        Call(final Exchange exchange, final List<String> ids, final boolean bulk, final long beganUs) {
-            this.exchange = exchange;
-            this.ids = ids;
-            this.bulk = bulk;
-            this.beganUs = beganUs;
-        }
-
-        void end(final Auditor.End how) {
-            if (!over) {
-                over = true;
-                ids.forEach(id -> auditor.ended(ticks.nowUs(), beganUs, id, how));
-            }
-        }
-
-        void fare(final Manner now) {
-            if (over) {
-                return;
-            }
-            switch (now.act()) {
-                case DELIVER -> {
-                    end(Auditor.End.DELIVERED);
-                    exchange.answer(OK, bulk ? accepted() : "");
-                }
-                case FAIL -> {
-                    end(Auditor.End.ERROR);
-                    exchange.answer(ERROR, "");
-                }
-                case REFUSE -> {
-                    end(Auditor.End.REFUSED);
-                    if (now.waitMs() > 0) {
-                        auditor.waitTold(ticks.nowUs(), destination, now.waitMs() * 1000);
-                        exchange.answer(BUSY, "", "Retry-After", Double.toString(now.waitMs() / 1000.0));
-                    } else {
-                        exchange.answer(BUSY, "");
-                    }
-                }
-                case SHUT -> {
-                    end(Auditor.End.REFUSED);
-                    exchange.answer(UNAVAILABLE, "");
-                }
-                case RESET -> exchange.reset();
-                default -> throw new IllegalStateException("silence does nothing");
-            }
-        }
-
-        private String accepted() {
-            final ArrayNode items = JSON.createArrayNode();
-            ids.forEach(id -> items.addObject().put("id", id).put("state", "accepted"));
-            return items.toString();
-        }
+    private String accepted() {
+      final ArrayNode items = JSON.createArrayNode();
+      ids.forEach(id -> items.addObject().put("id", id).put("state", "accepted"));
+      return items.toString();
     }
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
@@ -16,121 +16,146 @@
 
 /** The platform: the list of endpoints, the watch on it, and where ends are told. */
 public final class StandInPlatform implements AutoCloseable {
-    private static final long HEARTBEAT_MS = 2000;
-    private static final ObjectMapper JSON = new ObjectMapper();
+  private static final long HEARTBEAT_MS = 2000;
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Auditor auditor;
-    private final Ticks ticks;
-    private final HttpStandIn server;
-    private final Map<String, ObjectNode> hosts = new LinkedHashMap<>();
-    private final List<Exchange> watches = new CopyOnWriteArrayList<>();
-    private long seq = 1;
-    private volatile boolean silent;
+  private final Auditor auditor;
+  private final Ticks ticks;
+  private final HttpStandIn server;
+  private final Map<String, ObjectNode> hosts = new LinkedHashMap<>();
+  private final List<Exchange> watches = new CopyOnWriteArrayList<>();
+  private long seq = 1;
+  private volatile boolean silent;
 
-    /** Listens on 127.0.0.1, on a port of the system's choice; its list is empty. */
-    public StandInPlatform(final EventLoopGroup group, final Auditor auditor, final Ticks ticks) {
-        this.auditor = auditor;
-        this.ticks = ticks;
-        this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
-    }
+  /** Listens on 127.0.0.1, on a port of the system's choice; its list is empty. */
+  public StandInPlatform(final EventLoopGroup group, final Auditor auditor, final Ticks ticks) {
+    this.auditor = auditor;
+    this.ticks = ticks;
+    this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
+  }
 
-    /** Where it listens. */
-    public String address() {
-        return server.address();
-    }
+  /** Where it listens. */
+  public String address() {
+    return server.address();
+  }
 
-    /** While true it answers no question about the list, and says nothing on watches; ends are taken all the same. */
-    public void silent(final boolean on) {
-        silent = on;
-    }
+  /**
+   * While true it answers no question about the list, and says nothing on watches; ends are taken
+   * all the same.
+   */
+  public void silent(final boolean on) {
+    silent = on;
+  }
 
-    /** True while somebody follows the list. */
-    public boolean isWatched() {
-        return !watches.isEmpty();
-    }
+  /** True while somebody follows the list. */
+  public boolean isWatched() {
+    return !watches.isEmpty();
+  }
 
-    /** Breaks all watches. */
-    public void breakWatches() {
-        watches.forEach(Exchange::reset);
-        watches.clear();
-    }
+  /** Breaks all watches. */
+  public void breakWatches() {
+    watches.forEach(Exchange::reset);
+    watches.clear();
+  }
 
-    /** The list as a courier finds it in its configuration. */
-    public synchronized String known() {
-        return whole().toString();
-    }
+  /** The list as a courier finds it in its configuration. */
+  public synchronized String known() {
+    return whole().toString();
+  }
 
-    /** Names an endpoint, or changes its state: {@code Ready}, {@code Terminating} or {@code Gone}. */
-    public synchronized void tell(final StandInEndpoint endpoint, final String health, final double share) {
-        final ObjectNode host = JSON.createObjectNode().put("host", endpoint.name()).put("dial", endpoint.address())
-                .put("site", "a").put("class", "std").put("block", endpoint.destination()).put("health", health)
-                .put("share", share).put("born_ms", 0);
-        if (health.equals("Gone")) {
-            hosts.remove(endpoint.name());
-        } else {
-            hosts.put(endpoint.name(), host);
-        }
-        seq++;
-        final ObjectNode change = JSON.createObjectNode().put("seq", seq).put("whole", false);
-        change.putArray("hosts").add(host);
-        if (health.equals("Ready")) {
-            auditor.opened(endpoint.name());
-        }
-        for (final Exchange watch : watches) {
-            watch.chunk(change + "\n").addListener(written -> {
+  /**
+   * Names an endpoint, or changes its state: {@code Ready}, {@code Terminating} or {@code Gone}.
+   */
+  public synchronized void tell(
+      final StandInEndpoint endpoint, final String health, final double share) {
+    final ObjectNode host =
+        JSON.createObjectNode()
+            .put("host", endpoint.name())
+            .put("dial", endpoint.address())
+            .put("site", "a")
+            .put("class", "std")
+            .put("block", endpoint.destination())
+            .put("health", health)
+            .put("share", share)
+            .put("born_ms", 0);
+    if (health.equals("Gone")) {
+      hosts.remove(endpoint.name());
+    } else {
+      hosts.put(endpoint.name(), host);
+    }
+    seq++;
+    final ObjectNode change = JSON.createObjectNode().put("seq", seq).put("whole", false);
+    change.putArray("hosts").add(host);
+    if (health.equals("Ready")) {
+      auditor.opened(endpoint.name());
+    }
+    for (final Exchange watch : watches) {
+      watch
+          .chunk(change + "\n")
+          .addListener(
+              written -> {
                 if (written.isSuccess() && !health.equals("Ready")) {
-                    auditor.closed(ticks.nowUs(), endpoint.name());
+                  auditor.closed(ticks.nowUs(), endpoint.name());
                 }
-            });
-        }
+              });
     }
+  }
 
-    private ObjectNode whole() {
-        final ObjectNode list = JSON.createObjectNode().put("seq", seq).put("whole", true);
-        final ArrayNode all = list.putArray("hosts");
-        hosts.values().forEach(all::add);
-        return list;
-    }
+  private ObjectNode whole() {
+    final ObjectNode list = JSON.createObjectNode().put("seq", seq).put("whole", true);
+    final ArrayNode all = list.putArray("hosts");
+    hosts.values().forEach(all::add);
+    return list;
+  }
 
-    private void serve(final Exchange exchange) {
-        if (exchange.path().equals("/v1/outcomes")) {
-            outcomes(exchange);
-        } else if (silent) {
-            return;
-        } else if (exchange.query("watch") != null) {
-            watch(exchange);
-        } else {
-            exchange.answer(200, known() + "\n");
-        }
+  private void serve(final Exchange exchange) {
+    if (exchange.path().equals("/v1/outcomes")) {
+      outcomes(exchange);
+    } else if (silent) {
+      return;
+    } else if (exchange.query("watch") != null) {
+      watch(exchange);
+    } else {
+      exchange.answer(200, known() + "\n");
     }
+  }
 
-    private synchronized void watch(final Exchange exchange) {
-        exchange.begin(200);
-        exchange.chunk(whole() + "\n");
-        watches.add(exchange);
-        exchange.channel().closeFuture().addListener(closed -> watches.remove(exchange));
-        exchange.channel().eventLoop().scheduleWithFixedDelay(() -> {
-            if (!silent && exchange.channel().isActive()) {
+  private synchronized void watch(final Exchange exchange) {
+    exchange.begin(200);
+    exchange.chunk(whole() + "\n");
+    watches.add(exchange);
+    exchange.channel().closeFuture().addListener(closed -> watches.remove(exchange));
+    exchange
+        .channel()
+        .eventLoop()
+        .scheduleWithFixedDelay(
+            () -> {
+              if (!silent && exchange.channel().isActive()) {
                 exchange.chunk("\n");
-            }
-        }, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
-    }
+              }
+            },
+            HEARTBEAT_MS,
+            HEARTBEAT_MS,
+            TimeUnit.MILLISECONDS);
+  }
 
-    private void outcomes(final Exchange exchange) {
-        try {
-            for (final String line : new String(exchange.body(), StandardCharsets.UTF_8).split("\n")) {
-                final JsonNode notice = JSON.readTree(line);
-                auditor.noticed(ticks.nowUs(), notice.path("id").asText(),
-                        notice.path("status").asText().equals("deferred"));
-            }
-            exchange.answer(204, "");
-        } catch (final IOException e) {
-            exchange.answer(400, "");
-        }
+  private void outcomes(final Exchange exchange) {
+    try {
+      for (final String line : new String(exchange.body(), StandardCharsets.UTF_8).split("\n")) {
+        final JsonNode notice = JSON.readTree(line);
+        auditor.noticed(
+            ticks.nowUs(),
+            notice.path("id").asText(),
+            notice.path("status").asText().equals("deferred"));
+      }
+      exchange.answer(204, "");
+    } catch (final IOException e) {
+      exchange.answer(400, "");
     }
+  }
 
-    @Override
-    public void close() {
-        server.close();
-    }
+  @Override
+  public void close() {
+    server.close();
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
@@ -12,39 +12,42 @@
  * @param other of a cut or a break, to whom
  * @param value of LOSS and DOUBLE a share, of DELAY ms, of STARVE the share of a core
  */
-public record Fault(long atMs, long forMs, Kind kind, List<Integer> one, List<Integer> other, double value) {
-    /** Kinds of faults. */
-    public enum Kind {
-        /** SIGKILL. */
-        KILL,
-        /** A further life of one that was killed or left. */
-        START,
-        /** SIGTERM. */
-        LEAVE,
-        /** SIGSTOP, and SIGCONT when it is over. */
-        PAUSE,
-        /** It gets that share of a core. */
-        STARVE,
-        /** Nothing passes from one to the other. */
-        CUT,
-        /** Open connections between them are reset, both ways. */
-        BREAK,
-        /** That share of datagrams is lost between all; connections stall as if they were sent again. */
-        LOSS,
-        /** That share of datagrams comes twice. */
-        DOUBLE,
-        /** Datagrams take up to so much longer, each by lot, so that they overtake each other. */
-        DELAY
-    }
+public record Fault(
+    long atMs, long forMs, Kind kind, List<Integer> one, List<Integer> other, double value) {
+  /** Kinds of faults. */
+  public enum Kind {
+    /** SIGKILL. */
+    KILL,
+    /** A further life of one that was killed or left. */
+    START,
+    /** SIGTERM. */
+    LEAVE,
+    /** SIGSTOP, and SIGCONT when it is over. */
+    PAUSE,
+    /** It gets that share of a core. */
+    STARVE,
+    /** Nothing passes from one to the other. */
+    CUT,
+    /** Open connections between them are reset, both ways. */
+    BREAK,
+    /**
+     * That share of datagrams is lost between all; connections stall as if they were sent again.
+     */
+    LOSS,
+    /** That share of datagrams comes twice. */
+    DOUBLE,
+    /** Datagrams take up to so much longer, each by lot, so that they overtake each other. */
+    DELAY
+  }
 
-    /** Lists that nobody changes any more. */
-    public Fault {
-        one = List.copyOf(one);
-        other = List.copyOf(other);
-    }
+  /** Lists that nobody changes any more. */
+  public Fault {
+    one = List.copyOf(one);
+    other = List.copyOf(other);
+  }
 
-    /** When it is over, ms; for good: never. */
-    public long untilMs() {
-        return forMs == 0 ? Long.MAX_VALUE : atMs + forMs;
-    }
+  /** When it is over, ms; for good: never. */
+  public long untilMs() {
+    return forMs == 0 ? Long.MAX_VALUE : atMs + forMs;
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
@@ -8,74 +8,84 @@
 import java.util.Map;
 
 /**
- * Makes system calls of one child process fail: a library for {@code LD_PRELOAD}, built once for each Java machine from the
- * source beside this class, which names the rules that it takes.
+ * Makes system calls of one child process fail: a library for {@code LD_PRELOAD}, built once for
+ * each Java machine from the source beside this class, which names the rules that it takes.
  */
 public final class FaultShim {
-    private static final String SOURCE = "faults.c";
-    private static Path library;
+  private static final String SOURCE = "faults.c";
+  private static Path library;
 
-    private final Map<String, String> environment = new HashMap<>();
+  private final Map<String, String> environment = new HashMap<>();
 
-    private FaultShim(final Path folder) {
-        environment.put("FAULTS_FOLDER", folder.toString());
-    }
+  private FaultShim(final Path folder) {
+    environment.put("FAULTS_FOLDER", folder.toString());
+  }
 
-    /** No fault yet; rules on files count below that folder. */
-    public static FaultShim below(final Path folder) {
-        return new FaultShim(folder.toAbsolutePath());
-    }
+  /** No fault yet; rules on files count below that folder. */
+  public static FaultShim below(final Path folder) {
+    return new FaultShim(folder.toAbsolutePath());
+  }
 
-    /** A further rule, as {@code faults.c} reads it. */
-    public FaultShim rule(final String rule) {
-        environment.merge("FAULTS", rule, (before, more) -> before + ";" + more);
-        return this;
-    }
+  /** A further rule, as {@code faults.c} reads it. */
+  public FaultShim rule(final String rule) {
+    environment.merge("FAULTS", rule, (before, more) -> before + ";" + more);
+    return this;
+  }
 
-    /** What chance a rule leaves comes from this. */
-    public FaultShim seed(final long seed) {
-        environment.put("FAULTS_SEED", Long.toString(seed & Integer.MAX_VALUE));
-        return this;
-    }
+  /** What chance a rule leaves comes from this. */
+  public FaultShim seed(final long seed) {
+    environment.put("FAULTS_SEED", Long.toString(seed & Integer.MAX_VALUE));
+    return this;
+  }
 
-    /** From so long after the start of the process its wall clock is off by so much. */
-    public FaultShim wallClock(final long fromMs, final long shiftMs) {
-        environment.merge("WALL_STEPS", fromMs + ":" + shiftMs, (before, more) -> before + "," + more);
-        return this;
-    }
+  /** From so long after the start of the process its wall clock is off by so much. */
+  public FaultShim wallClock(final long fromMs, final long shiftMs) {
+    environment.merge("WALL_STEPS", fromMs + ":" + shiftMs, (before, more) -> before + "," + more);
+    return this;
+  }
 
-    /** What the child finds in its environment, beside what it is given anyway. */
-    public Map<String, String> environment(final Map<String, String> given) throws IOException {
-        final Map<String, String> all = new HashMap<>(given);
-        all.putAll(environment);
-        all.put("LD_PRELOAD", library().toString());
-        return all;
-    }
+  /** What the child finds in its environment, beside what it is given anyway. */
+  public Map<String, String> environment(final Map<String, String> given) throws IOException {
+    final Map<String, String> all = new HashMap<>(given);
+    all.putAll(environment);
+    all.put("LD_PRELOAD", library().toString());
+    return all;
+  }
 
-    private static synchronized Path library() throws IOException {
-        if (library == null) {
-            final Path folder = Files.createTempDirectory("faults");
-            final Path source = folder.resolve(SOURCE);
-            try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
-                Files.copy(in, source);
-            }
-            final Path built = folder.resolve("faults.so");
-            final Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", built.toString(), source.toString(),
-                    "-ldl").redirectErrorStream(true).start();
-            final String said = new String(compiler.getInputStream().readAllBytes());
-            try {
-                if (compiler.waitFor() != 0) {
-                    throw new IOException("cc: " + said);
-                }
-            } catch (final InterruptedException e) {
-                Thread.currentThread().interrupt();
-                throw new IOException("interrupted while cc ran", e);
-            }
-            for (final Path file : new Path[] {built, source, folder}) {
-                file.toFile().deleteOnExit();
-            }
-            library = built;
+  private static synchronized Path library() throws IOException {
+    if (library == null) {
+      final Path folder = Files.createTempDirectory("faults");
+      final Path source = folder.resolve(SOURCE);
+      try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
+        Files.copy(in, source);
+      }
+      final Path built = folder.resolve("faults.so");
+      final Process compiler =
+          new ProcessBuilder(
+                  "cc",
+                  "-shared",
+                  "-fPIC",
+                  "-O1",
+                  "-o",
+                  built.toString(),
+                  source.toString(),
+                  "-ldl")
+              .redirectErrorStream(true)
+              .start();
+      final String said = new String(compiler.getInputStream().readAllBytes());
+      try {
+        if (compiler.waitFor() != 0) {
+          throw new IOException("cc: " + said);
         }
-        return library;
+      } catch (final InterruptedException e) {
+        Thread.currentThread().interrupt();
+        throw new IOException("interrupted while cc ran", e);
+      }
+      for (final Path file : new Path[] {built, source, folder}) {
+        file.toFile().deleteOnExit();
+      }
+      library = built;
     }
+    return library;
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
@@ -31,187 +31,253 @@
  * @param faults in the order of their times
  */
 public record Schedule(int members, long seed, long endMs, List<Fault> faults) {
-    private static final Pattern HEAD = Pattern.compile("(members|seed|end) (\\d+)(ms|s)?");
-    private static final Pattern LINE = Pattern.compile(
-            "at (\\d+)(ms|s) ([a-z]+) ([0-9.,]+)(?: (->|<->) ([0-9,]+))?(?: for (\\d+)(ms|s))?");
+  private static final Pattern HEAD = Pattern.compile("(members|seed|end) (\\d+)(ms|s)?");
+  private static final Pattern LINE =
+      Pattern.compile(
+          "at (\\d+)(ms|s) ([a-z]+) ([0-9.,]+)(?: (->|<->) ([0-9,]+))?(?: for (\\d+)(ms|s))?");
 
-    /** In order. */
-    public Schedule {
-        faults = faults.stream().sorted(Comparator.comparingLong(Fault::atMs)).toList();
-    }
+  /** In order. */
+  public Schedule {
+    faults = faults.stream().sorted(Comparator.comparingLong(Fault::atMs)).toList();
+  }
 
-    /**
-     * Reads one.
-     *
-     * @throws IllegalArgumentException one line that names the line and what was expected
-     */
-    public static Schedule parse(final String text) {
-        int members = 0;
-        long seed = 0;
-        long endMs = 0;
-        final List<Fault> faults = new ArrayList<>();
-        for (final String raw : text.lines().toList()) {
-            final String line = raw.replaceAll("#.*", "").strip().replaceAll("\\s+", " ");
-            if (line.isEmpty()) {
-                continue;
-            }
-            final Matcher head = HEAD.matcher(line);
-            if (head.matches()) {
-                final long value = Long.parseLong(head.group(2));
-                switch (head.group(1)) {
-                    case "members" -> members = Math.toIntExact(value);
-                    case "seed" -> seed = value;
-                    default -> endMs = ms(head.group(2), head.group(3));
-                }
-                continue;
-            }
-            final Matcher matcher = LINE.matcher(line);
-            if (!matcher.matches()) {
-                throw new IllegalArgumentException("schedule: \"" + line + "\": expected members N, seed N, end T, or "
-                        + "at T KIND WHO [->|<-> WHO] [for T]");
-            }
-            read(line, matcher, faults);
-        }
-        if (members < 1 || endMs < 1) {
-            throw new IllegalArgumentException("schedule: members and end are missing");
+  /**
+   * Reads one.
+   *
+   * @throws IllegalArgumentException one line that names the line and what was expected
+   */
+  public static Schedule parse(final String text) {
+    int members = 0;
+    long seed = 0;
+    long endMs = 0;
+    final List<Fault> faults = new ArrayList<>();
+    for (final String raw : text.lines().toList()) {
+      final String line = raw.replaceAll("#.*", "").strip().replaceAll("\\s+", " ");
+      if (line.isEmpty()) {
+        continue;
+      }
+      final Matcher head = HEAD.matcher(line);
+      if (head.matches()) {
+        final long value = Long.parseLong(head.group(2));
+        switch (head.group(1)) {
+          case "members" -> members = Math.toIntExact(value);
+          case "seed" -> seed = value;
+          default -> endMs = ms(head.group(2), head.group(3));
         }
-        return new Schedule(members, seed, endMs, faults);
+        continue;
+      }
+      final Matcher matcher = LINE.matcher(line);
+      if (!matcher.matches()) {
+        throw new IllegalArgumentException(
+            "schedule: \""
+                + line
+                + "\": expected members N, seed N, end T, or "
+                + "at T KIND WHO [->|<-> WHO] [for T]");
+      }
+      read(line, matcher, faults);
     }
-
-    private static void read(final String line, final Matcher matcher, final List<Fault> faults) {
-        final Fault.Kind kind;
-        try {
-            kind = Fault.Kind.valueOf(matcher.group(3).toUpperCase(Locale.ROOT));
-        } catch (final IllegalArgumentException e) {
-            throw new IllegalArgumentException("schedule: \"" + line + "\": expected a kind of fault, such as kill", e);
-        }
-        final long atMs = ms(matcher.group(1), matcher.group(2));
-        final long forMs = matcher.group(7) == null ? 0 : ms(matcher.group(7), matcher.group(8));
-        final boolean share = kind == Fault.Kind.LOSS || kind == Fault.Kind.DOUBLE || kind == Fault.Kind.DELAY;
-        final List<Integer> one = share ? List.of() : numbers(matcher.group(4));
-        final List<Integer> other = matcher.group(6) == null ? List.of() : numbers(matcher.group(6));
-        final double value = share ? Double.parseDouble(matcher.group(4)) : kind == Fault.Kind.STARVE ? 0.05 : 0;
-        if ((kind == Fault.Kind.CUT || kind == Fault.Kind.BREAK) == other.isEmpty()) {
-            throw new IllegalArgumentException("schedule: \"" + line + "\": expected WHO -> WHO for cut and break, and for them alone");
-        }
-        faults.add(new Fault(atMs, forMs, kind, one, other, value));
-        if ("<->".equals(matcher.group(5)) && kind == Fault.Kind.CUT) {
-            faults.add(new Fault(atMs, forMs, kind, other, one, value));
-        }
+    if (members < 1 || endMs < 1) {
+      throw new IllegalArgumentException("schedule: members and end are missing");
     }
+    return new Schedule(members, seed, endMs, faults);
+  }
 
-    private static long ms(final String number, final String unit) {
-        return Long.parseLong(number) * ("s".equals(unit) ? 1000 : 1);
+  private static void read(final String line, final Matcher matcher, final List<Fault> faults) {
+    final Fault.Kind kind;
+    try {
+      kind = Fault.Kind.valueOf(matcher.group(3).toUpperCase(Locale.ROOT));
+    } catch (final IllegalArgumentException e) {
+      throw new IllegalArgumentException(
+          "schedule: \"" + line + "\": expected a kind of fault, such as kill", e);
     }
-
-    private static List<Integer> numbers(final String text) {
-        return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
+    final long atMs = ms(matcher.group(1), matcher.group(2));
+    final long forMs = matcher.group(7) == null ? 0 : ms(matcher.group(7), matcher.group(8));
+    final boolean share =
+        kind == Fault.Kind.LOSS || kind == Fault.Kind.DOUBLE || kind == Fault.Kind.DELAY;
+    final List<Integer> one = share ? List.of() : numbers(matcher.group(4));
+    final List<Integer> other = matcher.group(6) == null ? List.of() : numbers(matcher.group(6));
+    final double value =
+        share ? Double.parseDouble(matcher.group(4)) : kind == Fault.Kind.STARVE ? 0.05 : 0;
+    if ((kind == Fault.Kind.CUT || kind == Fault.Kind.BREAK) == other.isEmpty()) {
+      throw new IllegalArgumentException(
+          "schedule: \"" + line + "\": expected WHO -> WHO for cut and break, and for them alone");
     }
-
-    /** As text, from which the same is read. */
-    public String text() {
-        final StringBuilder text = new StringBuilder("members " + members + "\nseed " + seed + "\nend " + endMs + "ms\n");
-        for (final Fault fault : faults) {
-            final boolean share = fault.one().isEmpty();
-            text.append("at ").append(fault.atMs()).append("ms ").append(fault.kind().name().toLowerCase(Locale.ROOT)).append(' ')
-                    .append(share ? Double.toString(fault.value()) : names(fault.one()));
-            if (!fault.other().isEmpty()) {
-                text.append(" -> ").append(names(fault.other()));
-            }
-            text.append(fault.forMs() == 0 ? "\n" : " for " + fault.forMs() + "ms\n");
-        }
-        return text.toString();
+    faults.add(new Fault(atMs, forMs, kind, one, other, value));
+    if ("<->".equals(matcher.group(5)) && kind == Fault.Kind.CUT) {
+      faults.add(new Fault(atMs, forMs, kind, other, one, value));
     }
+  }
+
+  private static long ms(final String number, final String unit) {
+    return Long.parseLong(number) * ("s".equals(unit) ? 1000 : 1);
+  }
 
-    private static String names(final List<Integer> numbers) {
-        return String.join(",", numbers.stream().map(String::valueOf).toList());
+  private static List<Integer> numbers(final String text) {
+    return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
+  }
+
+  /** As text, from which the same is read. */
+  public String text() {
+    final StringBuilder text =
+        new StringBuilder("members " + members + "\nseed " + seed + "\nend " + endMs + "ms\n");
+    for (final Fault fault : faults) {
+      final boolean share = fault.one().isEmpty();
+      text.append("at ")
+          .append(fault.atMs())
+          .append("ms ")
+          .append(fault.kind().name().toLowerCase(Locale.ROOT))
+          .append(' ')
+          .append(share ? Double.toString(fault.value()) : names(fault.one()));
+      if (!fault.other().isEmpty()) {
+        text.append(" -> ").append(names(fault.other()));
+      }
+      text.append(fault.forMs() == 0 ? "\n" : " for " + fault.forMs() + "ms\n");
     }
+    return text.toString();
+  }
 
-    /** What the faults of a random schedule may be. */
-    public record Weather(double loss, boolean kills, boolean restarts, long mostPauseMs, boolean oneWay, boolean splits,
-                          boolean starves, boolean breaks) {
-        /** Kills and restarts alone, at that loss. */
-        public static Weather kills(final double loss) {
-            return new Weather(loss, true, true, 0, false, false, false, false);
-        }
+  private static String names(final List<Integer> numbers) {
+    return String.join(",", numbers.stream().map(String::valueOf).toList());
+  }
 
-        /** Everything at once. */
-        public static Weather all(final double loss, final long mostPauseMs) {
-            return new Weather(loss, true, true, mostPauseMs, true, true, true, true);
-        }
+  /** What the faults of a random schedule may be. */
+  public record Weather(
+      double loss,
+      boolean kills,
+      boolean restarts,
+      long mostPauseMs,
+      boolean oneWay,
+      boolean splits,
+      boolean starves,
+      boolean breaks) {
+    /** Kills and restarts alone, at that loss. */
+    public static Weather kills(final double loss) {
+      return new Weather(loss, true, true, 0, false, false, false, false);
     }
 
-    /** A schedule by lot: a fault every few seconds, one after the other or at once; calm at its end. */
-    public static Schedule random(final long seed, final int members, final long endMs, final Weather weather) {
-        final Random random = new Random(seed);
-        final List<Fault> faults = new ArrayList<>();
-        if (weather.loss() > 0) {
-            faults.add(new Fault(0, 0, Fault.Kind.LOSS, List.of(), List.of(), weather.loss()));
-        }
-        final List<Fault.Kind> kinds = new ArrayList<>();
-        if (weather.kills()) {
-            kinds.add(Fault.Kind.KILL);
-        }
-        if (weather.mostPauseMs() > 0) {
-            kinds.add(Fault.Kind.PAUSE);
-        }
-        if (weather.oneWay() || weather.splits()) {
-            kinds.add(Fault.Kind.CUT);
-        }
-        if (weather.starves()) {
-            kinds.add(Fault.Kind.STARVE);
-        }
-        if (weather.breaks()) {
-            kinds.add(Fault.Kind.BREAK);
-        }
-        final List<Integer> standing = new ArrayList<>(IntStream.range(0, members).boxed().toList());
-        final long calmMs = 12_000;
-        long atMs = 5000;
-        while (atMs < endMs - calmMs && !kinds.isEmpty()) {
-            add(faults, kinds.get(random.nextInt(kinds.size())), atMs, endMs - calmMs, standing, members, weather, random);
-            atMs += 1500 + random.nextInt(5000);
-        }
-        return new Schedule(members, seed, endMs, faults);
+    /** Everything at once. */
+    public static Weather all(final double loss, final long mostPauseMs) {
+      return new Weather(loss, true, true, mostPauseMs, true, true, true, true);
     }
+  }
 
-    private static void add(final List<Fault> faults, final Fault.Kind kind, final long atMs, final long calmFromMs,
-            final List<Integer> standing, final int members, final Weather weather, final Random random) {
-        final int who = standing.get(random.nextInt(standing.size()));
-        int peer = random.nextInt(members);
-        peer = peer == who ? (peer + 1) % members : peer;
-        final long mostMs = Math.max(1, calmFromMs - atMs);
-        switch (kind) {
-            case KILL -> {
-                // Most stand at any time, so that what is killed can be known by a majority.
-                if (standing.size() > members / 2 + 1) {
-                    faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(), 0));
-                    if (weather.restarts() && random.nextBoolean()) {
-                        faults.add(new Fault(atMs + 200 + random.nextInt(6000), 0, Fault.Kind.START, List.of(who), List.of(), 0));
-                    }
-                    standing.remove(Integer.valueOf(who));
-                }
-            }
-            case PAUSE -> faults.add(new Fault(atMs, Math.min(mostMs, 200 + (long) (random.nextDouble() * (weather.mostPauseMs() - 200))),
-                    kind, some(standing, random, random.nextInt(3) == 0 ? members / 3 : 1), List.of(), 0));
-            case STARVE -> faults.add(new Fault(atMs, Math.min(mostMs, 2000 + random.nextInt(4000)), kind, List.of(who), List.of(), 0.05));
-            case BREAK -> faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(peer), 0));
-            default -> {
-                final long forMs = Math.min(mostMs, 2000 + random.nextInt(10_000));
-                if (weather.splits() && random.nextInt(3) == 0 && members > 2) {
-                    final List<Integer> side = some(IntStream.range(0, members).boxed().toList(), random, 1 + random.nextInt(members / 2));
-                    final List<Integer> rest = IntStream.range(0, members).boxed().filter(one -> !side.contains(one)).toList();
-                    faults.add(new Fault(atMs, forMs, kind, side, rest, 0));
-                    faults.add(new Fault(atMs, forMs, kind, rest, side, 0));
-                } else {
-                    faults.add(new Fault(atMs, forMs, kind, List.of(who), List.of(peer), 0));
-                }
-            }
-        }
+  /**
+   * A schedule by lot: a fault every few seconds, one after the other or at once; calm at its end.
+   */
+  public static Schedule random(
+      final long seed, final int members, final long endMs, final Weather weather) {
+    final Random random = new Random(seed);
+    final List<Fault> faults = new ArrayList<>();
+    if (weather.loss() > 0) {
+      faults.add(new Fault(0, 0, Fault.Kind.LOSS, List.of(), List.of(), weather.loss()));
+    }
+    final List<Fault.Kind> kinds = new ArrayList<>();
+    if (weather.kills()) {
+      kinds.add(Fault.Kind.KILL);
+    }
+    if (weather.mostPauseMs() > 0) {
+      kinds.add(Fault.Kind.PAUSE);
     }
+    if (weather.oneWay() || weather.splits()) {
+      kinds.add(Fault.Kind.CUT);
+    }
+    if (weather.starves()) {
+      kinds.add(Fault.Kind.STARVE);
+    }
+    if (weather.breaks()) {
+      kinds.add(Fault.Kind.BREAK);
+    }
+    final List<Integer> standing = new ArrayList<>(IntStream.range(0, members).boxed().toList());
+    final long calmMs = 12_000;
+    long atMs = 5000;
+    while (atMs < endMs - calmMs && !kinds.isEmpty()) {
+      add(
+          faults,
+          kinds.get(random.nextInt(kinds.size())),
+          atMs,
+          endMs - calmMs,
+          standing,
+          members,
+          weather,
+          random);
+      atMs += 1500 + random.nextInt(5000);
+    }
+    return new Schedule(members, seed, endMs, faults);
+  }
 
-    private static List<Integer> some(final List<Integer> of, final Random random, final int count) {
-        final List<Integer> left = new ArrayList<>(of);
-        Collections.shuffle(left, random);
-        return left.subList(0, Math.max(1, Math.min(count, left.size()))).stream().sorted().toList();
+  private static void add(
+      final List<Fault> faults,
+      final Fault.Kind kind,
+      final long atMs,
+      final long calmFromMs,
+      final List<Integer> standing,
+      final int members,
+      final Weather weather,
+      final Random random) {
+    final int who = standing.get(random.nextInt(standing.size()));
+    int peer = random.nextInt(members);
+    peer = peer == who ? (peer + 1) % members : peer;
+    final long mostMs = Math.max(1, calmFromMs - atMs);
+    switch (kind) {
+      case KILL -> {
+        // Most stand at any time, so that what is killed can be known by a majority.
+        if (standing.size() > members / 2 + 1) {
+          faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(), 0));
+          if (weather.restarts() && random.nextBoolean()) {
+            faults.add(
+                new Fault(
+                    atMs + 200 + random.nextInt(6000),
+                    0,
+                    Fault.Kind.START,
+                    List.of(who),
+                    List.of(),
+                    0));
+          }
+          standing.remove(Integer.valueOf(who));
+        }
+      }
+      case PAUSE ->
+          faults.add(
+              new Fault(
+                  atMs,
+                  Math.min(
+                      mostMs, 200 + (long) (random.nextDouble() * (weather.mostPauseMs() - 200))),
+                  kind,
+                  some(standing, random, random.nextInt(3) == 0 ? members / 3 : 1),
+                  List.of(),
+                  0));
+      case STARVE ->
+          faults.add(
+              new Fault(
+                  atMs,
+                  Math.min(mostMs, 2000 + random.nextInt(4000)),
+                  kind,
+                  List.of(who),
+                  List.of(),
+                  0.05));
+      case BREAK -> faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(peer), 0));
+      default -> {
+        final long forMs = Math.min(mostMs, 2000 + random.nextInt(10_000));
+        if (weather.splits() && random.nextInt(3) == 0 && members > 2) {
+          final List<Integer> side =
+              some(
+                  IntStream.range(0, members).boxed().toList(),
+                  random,
+                  1 + random.nextInt(members / 2));
+          final List<Integer> rest =
+              IntStream.range(0, members).boxed().filter(one -> !side.contains(one)).toList();
+          faults.add(new Fault(atMs, forMs, kind, side, rest, 0));
+          faults.add(new Fault(atMs, forMs, kind, rest, side, 0));
+        } else {
+          faults.add(new Fault(atMs, forMs, kind, List.of(who), List.of(peer), 0));
+        }
+      }
     }
+  }
+
+  private static List<Integer> some(final List<Integer> of, final Random random, final int count) {
+    final List<Integer> left = new ArrayList<>(of);
+    Collections.shuffle(left, random);
+    return left.subList(0, Math.max(1, Math.min(count, left.size()))).stream().sorted().toList();
+  }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/package-info.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/package-info.java
@@ -1,2 +1,5 @@
-/** Several real processes of the program, and what is done to them: pauses, kills, faults between them. */
+/**
+ * Several real processes of the program, and what is done to them: pauses, kills, faults between
+ * them.
+ */
 package thistleturn.testkit.rig;
--- a/testkit/src/test/java/thistleturn/testkit/AuditorTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/AuditorTest.java
@@ -12,293 +12,322 @@
 import thistleturn.testkit.Auditor.End;
 import thistleturn.testkit.Violation.Rule;
 
-/** Scripted traces of good and broken couriers: each rule is caught, and nothing is that is none. */
+/**
+ * Scripted traces of good and broken couriers: each rule is caught, and nothing is that is none.
+ */
 @Tag("membership")
 final class AuditorTest {
-    private static final long MS = 1000;
-    private static final long SECOND = 1_000_000;
-    private static final long TIMEOUT = 2 * SECOND;
-    private static final List<Courier.MessageClass> CLASSES = List.of(
-            new Courier.MessageClass("safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
-            new Courier.MessageClass("keyed", Courier.Effect.KEYED, false, false, 1, 0, SECOND, 9 * SECOND, SECOND),
-            new Courier.MessageClass("once", Courier.Effect.UNSAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
-            new Courier.MessageClass("line", Courier.Effect.SAFE, false, true, 1, 0, SECOND, 9 * SECOND, 0));
+  private static final long MS = 1000;
+  private static final long SECOND = 1_000_000;
+  private static final long TIMEOUT = 2 * SECOND;
+  private static final List<Courier.MessageClass> CLASSES =
+      List.of(
+          new Courier.MessageClass(
+              "safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
+          new Courier.MessageClass(
+              "keyed", Courier.Effect.KEYED, false, false, 1, 0, SECOND, 9 * SECOND, SECOND),
+          new Courier.MessageClass(
+              "once", Courier.Effect.UNSAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
+          new Courier.MessageClass(
+              "line", Courier.Effect.SAFE, false, true, 1, 0, SECOND, 9 * SECOND, 0));
 
-    private final Auditor auditor = new Auditor(Auditor.Figures.standard(), CLASSES);
+  private final Auditor auditor = new Auditor(Auditor.Figures.standard(), CLASSES);
 
-    @BeforeEach
-    void endpoints() {
-        auditor.endpoint("e1", 1);
-        auditor.endpoint("e2", 2);
-    }
+  @BeforeEach
+  void endpoints() {
+    auditor.endpoint("e1", 1);
+    auditor.endpoint("e2", 2);
+  }
 
-    private void take(final long atUs, final String id, final String kind) {
-        take(atUs, id, kind, null);
-    }
+  private void take(final long atUs, final String id, final String kind) {
+    take(atUs, id, kind, null);
+  }
 
-    private void take(final long atUs, final String id, final String kind, final String key) {
-        auditor.handedIn(atUs, id, kind, 1, key, TIMEOUT);
-        auditor.taken(atUs + MS, id);
-    }
+  private void take(final long atUs, final String id, final String kind, final String key) {
+    auditor.handedIn(atUs, id, kind, 1, key, TIMEOUT);
+    auditor.taken(atUs + MS, id);
+  }
 
-    private void call(final long fromUs, final long toUs, final String id, final End end) {
-        auditor.called(fromUs, "e1", List.of(id));
-        auditor.ended(toUs, fromUs, id, end);
-    }
+  private void call(final long fromUs, final long toUs, final String id, final End end) {
+    auditor.called(fromUs, "e1", List.of(id));
+    auditor.ended(toUs, fromUs, id, end);
+  }
 
-    private void assertBroken(final Rule... rules) {
-        assertEquals(List.of(rules), auditor.finish(100 * SECOND).stream().map(Violation::rule)
-                .collect(Collectors.toList()), auditor.finish(100 * SECOND).toString());
-    }
+  private void assertBroken(final Rule... rules) {
+    assertEquals(
+        List.of(rules),
+        auditor.finish(100 * SECOND).stream().map(Violation::rule).collect(Collectors.toList()),
+        auditor.finish(100 * SECOND).toString());
+  }
 
-    @Test
-    void aGoodCourierBreaksNothing() {
-        take(0, "a", "safe");
-        call(10 * MS, 500 * MS, "a", End.CUT);
-        call(600 * MS, 700 * MS, "a", End.DELIVERED);
-        take(0, "b", "keyed");
-        call(10 * MS, 20 * MS, "b", End.ERROR);
-        call(900 * MS, 950 * MS, "b", End.DELIVERED);
-        take(0, "c", "once");
-        call(10 * MS, 20 * MS, "c", End.REFUSED);
-        call(30 * MS, 40 * MS, "c", End.CUT);
-        auditor.noticed(TIMEOUT, "c", false);
-        take(0, "d", "once");
-        auditor.noticed(TIMEOUT + 299 * MS, "d", true);
-        auditor.handedIn(0, "e", "once", 1, null, TIMEOUT);
-        auditor.refused(MS, "e");
-        assertBroken();
-    }
+  @Test
+  void aGoodCourierBreaksNothing() {
+    take(0, "a", "safe");
+    call(10 * MS, 500 * MS, "a", End.CUT);
+    call(600 * MS, 700 * MS, "a", End.DELIVERED);
+    take(0, "b", "keyed");
+    call(10 * MS, 20 * MS, "b", End.ERROR);
+    call(900 * MS, 950 * MS, "b", End.DELIVERED);
+    take(0, "c", "once");
+    call(10 * MS, 20 * MS, "c", End.REFUSED);
+    call(30 * MS, 40 * MS, "c", End.CUT);
+    auditor.noticed(TIMEOUT, "c", false);
+    take(0, "d", "once");
+    auditor.noticed(TIMEOUT + 299 * MS, "d", true);
+    auditor.handedIn(0, "e", "once", 1, null, TIMEOUT);
+    auditor.refused(MS, "e");
+    assertBroken();
+  }
 
-    @Test
-    void aMessageThatNeverEndsIsLost() {
-        take(0, "a", "safe");
-        assertBroken(Rule.LOST);
-    }
+  @Test
+  void aMessageThatNeverEndsIsLost() {
+    take(0, "a", "safe");
+    assertBroken(Rule.LOST);
+  }
 
-    @Test
-    void anEndThatIsTooLateIsALoss() {
-        take(0, "a", "safe");
-        auditor.noticed(TIMEOUT + 301 * MS, "a", true);
-        assertBroken(Rule.LOST);
-    }
+  @Test
+  void anEndThatIsTooLateIsALoss() {
+    take(0, "a", "safe");
+    auditor.noticed(TIMEOUT + 301 * MS, "a", true);
+    assertBroken(Rule.LOST);
+  }
 
-    /** A judge that stood still saw an end late by that much, and by no more: two of its loops at once count once. */
-    @Test
-    void whatTheJudgeSawLateByItsOwnFaultIsNotTheCouriers() {
-        take(0, "a", "safe");
-        take(0, "b", "safe");
-        take(0, "c", "safe");
-        auditor.noticed(TIMEOUT + 900 * MS, "a", true);
-        auditor.judgeAway(TIMEOUT + 200 * MS, TIMEOUT + 850 * MS);
-        auditor.judgeAway(TIMEOUT + 250 * MS, TIMEOUT + 840 * MS);
-        auditor.noticed(TIMEOUT + 1000 * MS, "b", true);
-        // What it was away for before the message's time, or after it saw the end, excuses nothing.
-        auditor.judgeAway(TIMEOUT - SECOND, TIMEOUT);
-        auditor.judgeAway(TIMEOUT + 1200 * MS, TIMEOUT + 3 * SECOND);
-        auditor.noticed(TIMEOUT + 1100 * MS, "c", true);
-        final List<Violation> broken = auditor.finish(10 * SECOND);
-        assertEquals(List.of(Rule.LOST, Rule.LOST), broken.stream().map(Violation::rule).toList(), broken.toString());
-        assertTrue(broken.get(0).toString().contains("b (safe)") && broken.get(0).toString().contains("50 ms of it"),
-                broken.toString());
-    }
+  /**
+   * A judge that stood still saw an end late by that much, and by no more: two of its loops at once
+   * count once.
+   */
+  @Test
+  void whatTheJudgeSawLateByItsOwnFaultIsNotTheCouriers() {
+    take(0, "a", "safe");
+    take(0, "b", "safe");
+    take(0, "c", "safe");
+    auditor.noticed(TIMEOUT + 900 * MS, "a", true);
+    auditor.judgeAway(TIMEOUT + 200 * MS, TIMEOUT + 850 * MS);
+    auditor.judgeAway(TIMEOUT + 250 * MS, TIMEOUT + 840 * MS);
+    auditor.noticed(TIMEOUT + 1000 * MS, "b", true);
+    // What it was away for before the message's time, or after it saw the end, excuses nothing.
+    auditor.judgeAway(TIMEOUT - SECOND, TIMEOUT);
+    auditor.judgeAway(TIMEOUT + 1200 * MS, TIMEOUT + 3 * SECOND);
+    auditor.noticed(TIMEOUT + 1100 * MS, "c", true);
+    final List<Violation> broken = auditor.finish(10 * SECOND);
+    assertEquals(
+        List.of(Rule.LOST, Rule.LOST),
+        broken.stream().map(Violation::rule).toList(),
+        broken.toString());
+    assertTrue(
+        broken.get(0).toString().contains("b (safe)")
+            && broken.get(0).toString().contains("50 ms of it"),
+        broken.toString());
+  }
 
-    @Test
-    void aRestartExcusesLateEndsForAWhileOnly() {
-        take(0, "a", "safe");
-        take(0, "b", "safe");
-        auditor.restarted(SECOND, false);
-        auditor.restarted(3 * SECOND, true);
-        auditor.noticed(4 * SECOND, "a", true);
-        auditor.noticed(5 * SECOND, "b", true);
-        assertBroken(Rule.LOST);
-    }
+  @Test
+  void aRestartExcusesLateEndsForAWhileOnly() {
+    take(0, "a", "safe");
+    take(0, "b", "safe");
+    auditor.restarted(SECOND, false);
+    auditor.restarted(3 * SECOND, true);
+    auditor.noticed(4 * SECOND, "a", true);
+    auditor.noticed(5 * SECOND, "b", true);
+    assertBroken(Rule.LOST);
+  }
 
-    /** The next process tells ends before it is ready: from the end of the one before no notice is overdue. */
-    @Test
-    void aRestartExcusesLateEndsBeforeItIsReadyToo() {
-        take(0, "a", "safe");
-        auditor.restarted(SECOND, false);
-        auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
-        auditor.restarted(TIMEOUT + 3 * SECOND, true);
-        assertBroken();
-    }
+  /**
+   * The next process tells ends before it is ready: from the end of the one before no notice is
+   * overdue.
+   */
+  @Test
+  void aRestartExcusesLateEndsBeforeItIsReadyToo() {
+    take(0, "a", "safe");
+    auditor.restarted(SECOND, false);
+    auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
+    auditor.restarted(TIMEOUT + 3 * SECOND, true);
+    assertBroken();
+  }
 
-    @Test
-    void aRestartExcusesNothingThatWasOverdueBefore() {
-        take(0, "a", "safe");
-        auditor.restarted(TIMEOUT + SECOND, false);
-        auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
-        auditor.restarted(TIMEOUT + 3 * SECOND, true);
-        assertBroken(Rule.LOST);
-    }
+  @Test
+  void aRestartExcusesNothingThatWasOverdueBefore() {
+    take(0, "a", "safe");
+    auditor.restarted(TIMEOUT + SECOND, false);
+    auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
+    auditor.restarted(TIMEOUT + 3 * SECOND, true);
+    assertBroken(Rule.LOST);
+  }
 
-    @Test
-    void afterAKillWhatMayBeRepeatedGoesOnceMoreAndNothingElse() {
-        for (final String kind : List.of("safe", "keyed", "once")) {
-            take(0, kind, kind);
-            call(10 * MS, 90 * MS, kind, End.DELIVERED);
-        }
-        take(0, "late", "keyed");
-        call(10 * MS, 90 * MS, "late", End.DELIVERED);
-        auditor.restarted(100 * MS, false);
-        auditor.restarted(500 * MS, true);
-        for (final String kind : List.of("safe", "keyed", "once")) {
-            call(600 * MS, 610 * MS, kind, End.DELIVERED);
-        }
-        call(1020 * MS, 1030 * MS, "late", End.DELIVERED);
-        assertBroken(Rule.DOUBLE, Rule.DOUBLE);
+  @Test
+  void afterAKillWhatMayBeRepeatedGoesOnceMoreAndNothingElse() {
+    for (final String kind : List.of("safe", "keyed", "once")) {
+      take(0, kind, kind);
+      call(10 * MS, 90 * MS, kind, End.DELIVERED);
     }
-
-    /** The call was out when the process ended, and its answer was written to nobody a moment later. */
-    @Test
-    void anAnswerWrittenAfterAKillToACallOfBeforeIsNotRead() {
-        take(0, "a", "safe");
-        take(0, "b", "safe");
-        auditor.restarted(50 * MS, false);
-        call(10 * MS, 52 * MS, "a", End.DELIVERED);
-        auditor.restarted(200 * MS, true);
-        call(300 * MS, 310 * MS, "a", End.DELIVERED);
-        // But what the next process was told, it knows.
-        call(300 * MS, 310 * MS, "b", End.DELIVERED);
-        call(400 * MS, 410 * MS, "b", End.DELIVERED);
-        assertBroken(Rule.LOST);
+    take(0, "late", "keyed");
+    call(10 * MS, 90 * MS, "late", End.DELIVERED);
+    auditor.restarted(100 * MS, false);
+    auditor.restarted(500 * MS, true);
+    for (final String kind : List.of("safe", "keyed", "once")) {
+      call(600 * MS, 610 * MS, kind, End.DELIVERED);
     }
+    call(1020 * MS, 1030 * MS, "late", End.DELIVERED);
+    assertBroken(Rule.DOUBLE, Rule.DOUBLE);
+  }
 
-    @Test
-    void twoDifferentEndsAreCaught() {
-        take(0, "a", "safe");
-        auditor.noticed(SECOND, "a", true);
-        auditor.noticed(SECOND, "a", true);
-        auditor.noticed(SECOND, "a", false);
-        assertBroken(Rule.LOST);
-    }
+  /**
+   * The call was out when the process ended, and its answer was written to nobody a moment later.
+   */
+  @Test
+  void anAnswerWrittenAfterAKillToACallOfBeforeIsNotRead() {
+    take(0, "a", "safe");
+    take(0, "b", "safe");
+    auditor.restarted(50 * MS, false);
+    call(10 * MS, 52 * MS, "a", End.DELIVERED);
+    auditor.restarted(200 * MS, true);
+    call(300 * MS, 310 * MS, "a", End.DELIVERED);
+    // But what the next process was told, it knows.
+    call(300 * MS, 310 * MS, "b", End.DELIVERED);
+    call(400 * MS, 410 * MS, "b", End.DELIVERED);
+    assertBroken(Rule.LOST);
+  }
 
-    @Test
-    void anUnsafeMessageThatMayHaveRunGoesNeverAgainAndIsNotRefused() {
-        take(0, "a", "once");
-        call(10 * MS, 20 * MS, "a", End.CUT);
-        call(30 * MS, 40 * MS, "a", End.DELIVERED);
-        take(0, "b", "once");
-        call(10 * MS, 20 * MS, "b", End.ERROR);
-        auditor.noticed(SECOND, "b", true);
-        assertBroken(Rule.DOUBLE, Rule.DOUBLE);
-    }
+  @Test
+  void twoDifferentEndsAreCaught() {
+    take(0, "a", "safe");
+    auditor.noticed(SECOND, "a", true);
+    auditor.noticed(SECOND, "a", true);
+    auditor.noticed(SECOND, "a", false);
+    assertBroken(Rule.LOST);
+  }
 
-    @Test
-    void aKeyedMessageGoesAgainOnlyWhileItsKeyIsKept() {
-        take(0, "a", "keyed");
-        call(10 * MS, 20 * MS, "a", End.CUT);
-        call(1011 * MS, 1020 * MS, "a", End.DELIVERED);
-        assertBroken(Rule.DOUBLE);
-    }
+  @Test
+  void anUnsafeMessageThatMayHaveRunGoesNeverAgainAndIsNotRefused() {
+    take(0, "a", "once");
+    call(10 * MS, 20 * MS, "a", End.CUT);
+    call(30 * MS, 40 * MS, "a", End.DELIVERED);
+    take(0, "b", "once");
+    call(10 * MS, 20 * MS, "b", End.ERROR);
+    auditor.noticed(SECOND, "b", true);
+    assertBroken(Rule.DOUBLE, Rule.DOUBLE);
+  }
 
-    @Test
-    void twoCopiesOutAreCaught() {
-        take(0, "a", "safe");
-        auditor.called(10 * MS, "e1", List.of("a"));
-        auditor.called(20 * MS, "e1", List.of("a"));
-        auditor.ended(30 * MS, 10 * MS, "a", End.DELIVERED);
-        auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
-        assertBroken(Rule.DOUBLE);
-    }
+  @Test
+  void aKeyedMessageGoesAgainOnlyWhileItsKeyIsKept() {
+    take(0, "a", "keyed");
+    call(10 * MS, 20 * MS, "a", End.CUT);
+    call(1011 * MS, 1020 * MS, "a", End.DELIVERED);
+    assertBroken(Rule.DOUBLE);
+  }
 
-    /** The courier ends a call and then makes the next one; the two are read in one batch, the next one first. */
-    @Test
-    void anEndThatIsReadRightAfterTheNextBeginningIsNoDouble() {
-        take(0, "a", "safe");
-        auditor.called(10 * MS, "e1", List.of("a"));
-        auditor.called(20 * MS, "e1", List.of("a"));
-        auditor.ended(21 * MS, 10 * MS, "a", End.CUT);
-        auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
-        assertBroken();
-    }
+  @Test
+  void twoCopiesOutAreCaught() {
+    take(0, "a", "safe");
+    auditor.called(10 * MS, "e1", List.of("a"));
+    auditor.called(20 * MS, "e1", List.of("a"));
+    auditor.ended(30 * MS, 10 * MS, "a", End.DELIVERED);
+    auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
+    assertBroken(Rule.DOUBLE);
+  }
 
-    @Test
-    void anEndThatComesLaterOrOfTheSecondCopyOrOfAnUnsafeOneIsADouble() {
-        for (final String id : List.of("late", "second", "unsafe")) {
-            take(0, id, id.equals("unsafe") ? "once" : "safe");
-            auditor.called(10 * MS, "e1", List.of(id));
-            auditor.called(20 * MS, "e1", List.of(id));
-            auditor.ended(id.equals("late") ? 26 * MS : 21 * MS, id.equals("second") ? 20 * MS : 10 * MS, id, End.CUT);
-            auditor.ended(30 * MS, id.equals("second") ? 10 * MS : 20 * MS, id, End.DELIVERED);
-        }
-        assertBroken(Rule.DOUBLE, Rule.DOUBLE, Rule.DOUBLE);
-    }
+  /**
+   * The courier ends a call and then makes the next one; the two are read in one batch, the next
+   * one first.
+   */
+  @Test
+  void anEndThatIsReadRightAfterTheNextBeginningIsNoDouble() {
+    take(0, "a", "safe");
+    auditor.called(10 * MS, "e1", List.of("a"));
+    auditor.called(20 * MS, "e1", List.of("a"));
+    auditor.ended(21 * MS, 10 * MS, "a", End.CUT);
+    auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
+    assertBroken();
+  }
 
-    @Test
-    void aSendAfterTheEndIsCaught() {
-        take(0, "a", "once");
-        auditor.noticed(SECOND, "a", true);
-        call(SECOND + MS, SECOND + 2 * MS, "a", End.DELIVERED);
-        assertBroken(Rule.DOUBLE);
+  @Test
+  void anEndThatComesLaterOrOfTheSecondCopyOrOfAnUnsafeOneIsADouble() {
+    for (final String id : List.of("late", "second", "unsafe")) {
+      take(0, id, id.equals("unsafe") ? "once" : "safe");
+      auditor.called(10 * MS, "e1", List.of(id));
+      auditor.called(20 * MS, "e1", List.of(id));
+      auditor.ended(
+          id.equals("late") ? 26 * MS : 21 * MS,
+          id.equals("second") ? 20 * MS : 10 * MS,
+          id,
+          End.CUT);
+      auditor.ended(30 * MS, id.equals("second") ? 10 * MS : 20 * MS, id, End.DELIVERED);
     }
+    assertBroken(Rule.DOUBLE, Rule.DOUBLE, Rule.DOUBLE);
+  }
 
-    @Test
-    void drainsAreKeptAfterTwoSecondsNotBefore() {
-        take(0, "a", "safe");
-        take(0, "b", "safe");
-        take(0, "c", "safe");
-        auditor.closed(0, "e1");
-        call(1900 * MS, 1910 * MS, "a", End.DELIVERED);
-        call(2100 * MS, 2110 * MS, "b", End.DELIVERED);
-        auditor.opened("e1");
-        call(2200 * MS, 2210 * MS, "c", End.DELIVERED);
-        assertBroken(Rule.DRAIN);
-        assertEquals(List.of(1900 * MS, 2100 * MS), auditor.drainLagsUs());
-    }
+  @Test
+  void aSendAfterTheEndIsCaught() {
+    take(0, "a", "once");
+    auditor.noticed(SECOND, "a", true);
+    call(SECOND + MS, SECOND + 2 * MS, "a", End.DELIVERED);
+    assertBroken(Rule.DOUBLE);
+  }
 
-    @Test
-    void waitsBindTheDestinationOnceTheyAreRead() {
-        take(0, "a", "safe");
-        take(0, "b", "safe");
-        take(0, "c", "safe");
-        auditor.waitTold(10 * MS, 1, SECOND);
-        call(50 * MS, 60 * MS, "a", End.DELIVERED);
-        call(500 * MS, 510 * MS, "b", End.DELIVERED);
-        call(1011 * MS, 1020 * MS, "c", End.DELIVERED);
-        assertBroken(Rule.WAIT);
-    }
+  @Test
+  void drainsAreKeptAfterTwoSecondsNotBefore() {
+    take(0, "a", "safe");
+    take(0, "b", "safe");
+    take(0, "c", "safe");
+    auditor.closed(0, "e1");
+    call(1900 * MS, 1910 * MS, "a", End.DELIVERED);
+    call(2100 * MS, 2110 * MS, "b", End.DELIVERED);
+    auditor.opened("e1");
+    call(2200 * MS, 2210 * MS, "c", End.DELIVERED);
+    assertBroken(Rule.DRAIN);
+    assertEquals(List.of(1900 * MS, 2100 * MS), auditor.drainLagsUs());
+  }
 
-    @Test
-    void aReturningDestinationThatIsFloodedIsCaughtOnce() {
-        auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
-        for (int index = 0; index < 60; index++) {
-            take(0, "m" + index, "safe");
-            call(index * 20 * MS, index * 20 * MS + MS, "m" + index, End.DELIVERED);
-        }
-        assertBroken(Rule.TIPPED);
-    }
+  @Test
+  void waitsBindTheDestinationOnceTheyAreRead() {
+    take(0, "a", "safe");
+    take(0, "b", "safe");
+    take(0, "c", "safe");
+    auditor.waitTold(10 * MS, 1, SECOND);
+    call(50 * MS, 60 * MS, "a", End.DELIVERED);
+    call(500 * MS, 510 * MS, "b", End.DELIVERED);
+    call(1011 * MS, 1020 * MS, "c", End.DELIVERED);
+    assertBroken(Rule.WAIT);
+  }
 
-    @Test
-    void oneThatIsWarmedUpGentlyIsNot() {
-        auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
-        for (int index = 0; index < 40; index++) {
-            take(index * 200 * MS, "m" + index, "safe");
-            call(index * 200 * MS, index * 200 * MS + MS, "m" + index, End.DELIVERED);
-        }
-        assertBroken();
+  @Test
+  void aReturningDestinationThatIsFloodedIsCaughtOnce() {
+    auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
+    for (int index = 0; index < 60; index++) {
+      take(0, "m" + index, "safe");
+      call(index * 20 * MS, index * 20 * MS + MS, "m" + index, End.DELIVERED);
     }
+    assertBroken(Rule.TIPPED);
+  }
 
-    @Test
-    void orderIsKeptWithinAKeyAndTheKeyRests() {
-        take(0, "a", "line", "k");
-        take(MS, "b", "line", "k");
-        take(MS, "other", "line", "l");
-        call(10 * MS, 20 * MS, "other", End.DELIVERED);
-        call(30 * MS, 40 * MS, "b", End.REFUSED);
-        call(50 * MS, 60 * MS, "a", End.CUT);
-        auditor.noticed(100 * MS, "a", false);
-        call(200 * MS, 210 * MS, "b", End.DELIVERED);
-        assertBroken(Rule.ORDER, Rule.ORDER);
+  @Test
+  void oneThatIsWarmedUpGentlyIsNot() {
+    auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
+    for (int index = 0; index < 40; index++) {
+      take(index * 200 * MS, "m" + index, "safe");
+      call(index * 200 * MS, index * 200 * MS + MS, "m" + index, End.DELIVERED);
     }
+    assertBroken();
+  }
 
-    @Test
-    void aMessageForAnotherDestinationAndOneThatNobodyHandedInAreCaught() {
-        take(0, "a", "safe");
-        auditor.called(10 * MS, "e2", List.of("a", "unknown"));
-        auditor.ended(20 * MS, 10 * MS, "a", End.DELIVERED);
-        auditor.noticed(SECOND, "never", true);
-        assertBroken(Rule.DESTINATION, Rule.DESTINATION, Rule.LOST);
-    }
+  @Test
+  void orderIsKeptWithinAKeyAndTheKeyRests() {
+    take(0, "a", "line", "k");
+    take(MS, "b", "line", "k");
+    take(MS, "other", "line", "l");
+    call(10 * MS, 20 * MS, "other", End.DELIVERED);
+    call(30 * MS, 40 * MS, "b", End.REFUSED);
+    call(50 * MS, 60 * MS, "a", End.CUT);
+    auditor.noticed(100 * MS, "a", false);
+    call(200 * MS, 210 * MS, "b", End.DELIVERED);
+    assertBroken(Rule.ORDER, Rule.ORDER);
+  }
+
+  @Test
+  void aMessageForAnotherDestinationAndOneThatNobodyHandedInAreCaught() {
+    take(0, "a", "safe");
+    auditor.called(10 * MS, "e2", List.of("a", "unknown"));
+    auditor.ended(20 * MS, 10 * MS, "a", End.DELIVERED);
+    auditor.noticed(SECOND, "never", true);
+    assertBroken(Rule.DESTINATION, Rule.DESTINATION, Rule.LOST);
+  }
 }
