--- /dev/null
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -0,0 +1,268 @@
+package thistleturn.peers;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import io.netty.buffer.ByteBufUtil;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.peers.Change;
+import thistleturn.decisions.peers.Full;
+import thistleturn.decisions.peers.Item;
+import thistleturn.decisions.peers.Member;
+import thistleturn.decisions.peers.Packet;
+import thistleturn.decisions.peers.PeerId;
+import thistleturn.decisions.peers.PeerState;
+import thistleturn.decisions.peers.PeerWord;
+import thistleturn.decisions.peers.Sight;
+import thistleturn.decisions.peers.Standing;
+import thistleturn.decisions.peers.View;
+import thistleturn.decisions.peers.ViewMark;
+
+/**
+ * The exact bytes that couriers of one fleet send each other, and of the incarnation file. Couriers
+ * of different versions talk to each other during an upgrade, so a change that alters any of these
+ * bytes must not pass unnoticed.
+ */
+@Tag("peers")
+final class PeerCborBytesTest {
+  private static final PeerId ALPHA = new PeerId("alpha", 1_700_000_000_000_001L);
+  private static final PeerId BETA = new PeerId("beta", 2);
+  private static final String ADDRESS = "127.0.0.1:7081";
+  private static final ViewMark MARK = new ViewMark(3, 4, 5, 6);
+  private static final PeerWord SELF_REPORT = new PeerWord(OwnHealth.State.STARVED, 700, 8, true);
+  private static final Change CHANGE =
+      new Change(List.of(BETA), List.of(new Member(ALPHA, ADDRESS)));
+
+  private final Codec codec = new Codec();
+
+  private static String hex(final byte[] bytes) {
+    return HexFormat.of().formatHex(bytes);
+  }
+
+  private static String joined(final String hexLines) {
+    return hexLines.replaceAll("\\s", "");
+  }
+
+  private static byte[] bytes(final String hexLines) {
+    return HexFormat.of().parseHex(joined(hexLines));
+  }
+
+  private static Packet packet(final PeerId sender, final Packet.Kind kind, final Item... items) {
+    return new Packet(sender, ADDRESS, 9, 10, MARK, 11, SELF_REPORT, kind, 12, List.of(items));
+  }
+
+  private void assertPacketBytes(final String hexLines, final Packet packet) throws IOException {
+    assertEquals(joined(hexLines), hex(codec.write(packet)));
+    assertEquals(packet, codec.packet(bytes(hexLines)));
+  }
+
+  private static Packet of(final Item item) {
+    return new Packet(
+        null, ADDRESS, 0, 0, ViewMark.NONE, 0, PeerWord.WELL, Packet.Kind.NEWS, 0, List.of(item));
+  }
+
+  @Test
+  void datagramWithoutItemsHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831090a9f030405
+        06ff0b9f031902bc08f5ff010c9fffff
+        """, packet(ALPHA, Packet.Kind.PONG));
+  }
+
+  @Test
+  void factItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f009f65
+        616c7068611b00060a24181e4001ff6e3132372e302e302e313a3730383102ffffff
+        """, of(new Item.Fact(ALPHA, ADDRESS, Item.Life.DEAD)));
+  }
+
+  @Test
+  void reportItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f019f65
+        616c7068611b00060a24181e4001ff9f646265746102ff15021a0016e360ffffff
+        """, of(new Item.Report(ALPHA, BETA, 21, Sight.ENDED, 1_500_000)));
+  }
+
+  @Test
+  void beatItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f029f64
+        6265746102ff16ffffff
+        """, of(new Item.Beat(BETA, 22)));
+  }
+
+  @Test
+  void saidItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f039f64
+        6265746102ff179f031902bc08f5ffffffff
+        """, of(new Item.Said(BETA, 23, SELF_REPORT)));
+  }
+
+  @Test
+  void askItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f04ffff
+        ff
+        """, of(new Item.Ask()));
+  }
+
+  @Test
+  void decidedItemHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f059f03
+        040506ff9f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e3132372e30
+        2e302e313a37303831ffffffffffff
+        """, of(new Item.Decided(MARK, CHANGE)));
+  }
+
+  @Test
+  void voteItemWithChangeHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
+        040506ff03181f18209f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e
+        3132372e302e302e313a37303831ffffffffffff
+        """, of(new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, 31, 32, CHANGE)));
+  }
+
+  @Test
+  void voteItemWithoutChangeHasTheseBytes() throws IOException {
+    assertPacketBytes("""
+        9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
+        040506ff00182120f6ffffff
+        """, of(new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 33, -1, null)));
+  }
+
+  @Test
+  void fullStateFrameHasTheseBytes() throws IOException {
+    final View view =
+        new View(
+            3, 4, 5, List.of(new Member(ALPHA, ADDRESS), new Member(BETA, ADDRESS)), List.of(BETA));
+    final Full full = new Full(ALPHA, ADDRESS, view, List.of(new Item.Beat(BETA, 22)));
+    final String hexLines = """
+        9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038319f0304059f9f
+        9f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831ff9f9f6462657461
+        02ff6e3132372e302e302e313a37303831ffff9f9f646265746102ffffff9f9f029f646265746102
+        ff16ffffff
+        """;
+    assertEquals(joined(hexLines), hex(codec.write(full)));
+    assertEquals(full, codec.full(bytes(hexLines)));
+  }
+
+  @Test
+  void fullStateFrameWithoutViewHasTheseBytes() throws IOException {
+    final String hexLines = """
+        9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831f69fffff
+        """;
+    assertEquals(
+        joined(hexLines), hex(codec.write(new Full(ALPHA, ADDRESS, null, List.of()))));
+    assertNull(codec.full(bytes(hexLines)).view());
+  }
+
+  @Test
+  void greetingFrameHasTheseBytes() throws IOException {
+    final String hexLines = """
+        9f019f65616c7068611b00060a24181e4001ffff
+        """;
+    assertEquals(joined(hexLines), hex(codec.write(ALPHA)));
+    assertEquals(ALPHA, codec.greeting(bytes(hexLines)));
+  }
+
+  @Test
+  void passengerDatagramHasTheseBytes() throws IOException {
+    final String hexLines = """
+        ff9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038310d430102ff
+        ff
+        """;
+    final byte[] text = {1, 2, (byte) 0xFF};
+    assertEquals(joined(hexLines), hex(codec.write(new Cargo(ALPHA, ADDRESS, 13, text))));
+    final Cargo read = codec.cargo(bytes(hexLines));
+    assertEquals(ALPHA, read.sender());
+    assertEquals(ADDRESS, read.address());
+    assertEquals(13, read.seq());
+    assertArrayEquals(text, read.text());
+  }
+
+  /** Length, checksum keyed by the fleet's key, kind of frame and text. */
+  @Test
+  void sealedFrameHasTheseBytes() {
+    final String hexLines = """
+        00000015ada65b8c9c863c15077016be8ed5f1fd0274657874
+        """;
+    final byte[] text = "text".getBytes(StandardCharsets.US_ASCII);
+    assertEquals(
+        joined(hexLines),
+        ByteBufUtil.hexDump(Frames.frame(new Seal("fleet key"), Frames.FULL, text)));
+    assertEquals(
+        "0274657874", hex(new Seal("fleet key").open(bytes(joined(hexLines).substring(8)))));
+  }
+
+  @Test
+  void kindsOfFramesHaveTheseNumbers() {
+    assertEquals(
+        List.of((byte) 1, (byte) 2, (byte) 3), List.of(Frames.GREETING, Frames.FULL, Frames.CARGO));
+  }
+
+  /** These are written as numbers, so their order is fixed, and new ones come last. */
+  @Test
+  void enumsWrittenAsNumbersKeepTheirOrder() {
+    assertEquals(
+        List.of(Packet.Kind.PING, Packet.Kind.PONG, Packet.Kind.NEWS),
+        List.of(Packet.Kind.values()));
+    assertEquals(
+        List.of(Item.Life.ALIVE, Item.Life.LEFT, Item.Life.DEAD), List.of(Item.Life.values()));
+    assertEquals(List.of(Sight.HEARD, Sight.SILENT, Sight.ENDED), List.of(Sight.values()));
+    assertEquals(
+        List.of(
+            Item.Vote.Kind.PREPARE,
+            Item.Vote.Kind.PROMISE,
+            Item.Vote.Kind.ACCEPT,
+            Item.Vote.Kind.ACCEPT_BOUND,
+            Item.Vote.Kind.ACCEPTED,
+            Item.Vote.Kind.REFUSE),
+        List.of(Item.Vote.Kind.values()));
+    assertEquals(
+        List.of(
+            OwnHealth.State.WELL,
+            OwnHealth.State.LATE,
+            OwnHealth.State.AWAY,
+            OwnHealth.State.STARVED,
+            OwnHealth.State.CUT_OFF),
+        List.of(OwnHealth.State.values()));
+  }
+
+  /** The operators' JSON holds these in lower case. */
+  @Test
+  void enumsWrittenByNameHaveTheseNames() {
+    assertEquals(
+        "[FORMING, MAJORITY, MINORITY, ALONE, CONFLICT]", List.of(Standing.values()).toString());
+    assertEquals(
+        "[JOINING, ALIVE, PARTLY, SUSPECT, DEAD, LEFT]", List.of(PeerState.values()).toString());
+    assertEquals("[HEARD, SILENT, ENDED]", List.of(Sight.values()).toString());
+    assertEquals(
+        "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(OwnHealth.State.values()).toString());
+  }
+
+  @Test
+  void incarnationFileHoldsTheNumberAsText(@TempDir final Path folder) throws IOException {
+    final Path path = folder.resolve("peers.incarnation");
+    final IncarnationFile file = new IncarnationFile(folder);
+    assertEquals(1_700_000_000_000_001L, file.next(1_700_000_000_000_001L));
+    assertEquals("1700000000000001", Files.readString(path));
+    Files.writeString(path, "1700000000000005");
+    assertEquals(1_700_000_000_000_006L, file.next(7));
+    assertEquals("1700000000000006", Files.readString(path));
+  }
+}
