--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -0,0 +1,196 @@
+package thistleturn.courier.handover;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.Front;
+import thistleturn.courier.port.Held;
+import thistleturn.courier.runtime.Json;
+import thistleturn.decisions.Courier;
+import thistleturn.decisions.Memory;
+
+/**
+ * The exact text of the lines by which a courier hands over to the process that replaces it. The
+ * two processes may be of different versions, so a change that alters any of these lines must not
+ * pass unnoticed.
+ */
+final class HandoverLineFormatTest {
+  private static final List<String> LINES =
+      List.of(
+          "{\"t\":\"endpoint\",\"number\":4,\"name\":\"e-1\",\"condition\":\"LISTED\","
+              + "\"host\":\"127.0.0.1\",\"port\":9001,\"zone\":\"a\",\"weight\":2.5,"
+              + "\"kind\":\"std\",\"dest\":57}",
+          "{\"t\":\"classes\",\"trust\":1.0E7,\"mean\":[\"1000.0\",\"0.5\"],\"samples\":[7,8]}",
+          "{\"t\":\"lane\",\"endpoint\":4,\"figures\":[\"3.0\",\"Infinity\"],"
+              + "\"moments\":[0,9223372036854775807]}",
+          "{\"t\":\"node\",\"endpoint\":4,\"figures\":[\"0.25\"],\"moments\":[5]}",
+          "{\"t\":\"call\",\"number\":11,\"endpoint\":4,\"dest\":57,\"sent\":123456,"
+              + "\"ids\":[\"m1\",\"m2\"]}",
+          "{\"t\":\"yours\"}");
+
+  private static Directory.Listing listing(final Courier.Condition condition) {
+    return new Directory.Listing(
+        "e-1", condition, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
+  }
+
+  private static Inheritance inheritance() {
+    return new Inheritance(
+        List.of(new Inheritance.Named(4, listing(Courier.Condition.LISTED))),
+        new Memory(
+            new double[] {1000, 0.5},
+            new int[] {7, 8},
+            1e7,
+            List.of(
+                new Memory.OfLane(
+                    4,
+                    new double[] {3, Double.POSITIVE_INFINITY},
+                    new long[] {0, Long.MAX_VALUE})),
+            List.of(new Memory.OfNode(4, new double[] {0.25}, new long[] {5}))),
+        List.of(new Inheritance.CallOut(11, 4, 57, 123_456, List.of("m1", "m2"))));
+  }
+
+  @Test
+  void inheritanceIsWrittenAsTheseLines() {
+    assertEquals(LINES, Wire.lines(inheritance()));
+  }
+
+  @Test
+  void theseLinesAreReadAsTheInheritance() throws IOException {
+    final Inheritance read = Wire.read(LINES);
+    assertEquals(inheritance().endpoints(), read.endpoints());
+    assertEquals(inheritance().calls(), read.calls());
+    assertArrayEquals(new double[] {1000, 0.5}, read.memory().classMeanUs());
+    assertArrayEquals(new int[] {7, 8}, read.memory().classSamples());
+    assertEquals(1e7, read.memory().trustUs());
+    assertEquals(4, read.memory().lanes().get(0).endpoint());
+    assertArrayEquals(
+        new double[] {3, Double.POSITIVE_INFINITY}, read.memory().lanes().get(0).figures());
+    assertArrayEquals(new long[] {0, Long.MAX_VALUE}, read.memory().lanes().get(0).moments());
+    assertEquals(4, read.memory().nodes().get(0).endpoint());
+    assertArrayEquals(new double[] {0.25}, read.memory().nodes().get(0).figures());
+    assertArrayEquals(new long[] {5}, read.memory().nodes().get(0).moments());
+  }
+
+  @Test
+  void versionOfTheLinesIsFour() {
+    assertEquals(4, Wire.VERSION);
+    assertEquals(3, Memory.VERSION);
+  }
+
+  @Test
+  void addressIsTheSocketNamedHandover() {
+    assertEquals(Path.of("state", "handover"), Wire.address(Path.of("state")).getPath());
+  }
+
+  @Test
+  void offerOfMessageWithKeyIsThisLine() throws IOException {
+    final String line =
+        "{\"t\":\"offer\",\"number\":3,\"id\":\"m1\",\"class\":\"keyed\",\"key\":\"key-1\","
+            + "\"dest\":57,\"valid\":5000000,\"body\":\"AQL/\"}";
+    final byte[] body = {1, 2, (byte) 0xFF};
+    final Held held = new Held("m1", "keyed", "key-1", 57, 4_000_000, body);
+    assertEquals(line, Json.text(Wire.offer(3, held, 5_000_000)));
+
+    final Held read = Wire.held(Json.read(line));
+    assertEquals("m1", read.id());
+    assertEquals("keyed", read.className());
+    assertEquals("key-1", read.idempotencyKey());
+    assertEquals(57, read.destination());
+    assertEquals(5_000_000, read.validUntilUs());
+    assertArrayEquals(body, read.body());
+  }
+
+  @Test
+  void offerOfMessageWithoutKeyIsThisLine() throws IOException {
+    final String line =
+        "{\"t\":\"offer\",\"number\":4,\"id\":\"m2\",\"class\":\"safe\",\"key\":null,"
+            + "\"dest\":57,\"valid\":5000000,\"body\":\"\"}";
+    final Held held = new Held("m2", "safe", null, 57, 4_000_000, new byte[0]);
+    assertEquals(line, Json.text(Wire.offer(4, held, 5_000_000)));
+    assertNull(Wire.held(Json.read(line)).idempotencyKey());
+  }
+
+  @Test
+  void outcomeWithAllowanceIsThisLine() throws IOException {
+    final String line =
+        "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"REFUSED\",\"over\":false,"
+            + "\"wait\":2000000,\"left\":0.5,\"limit\":40.0}";
+    final Carrier.Answer answer =
+        new Carrier.Answer(
+            Courier.Result.REFUSED, false, 2_000_000, new Courier.Allowance(0.5, 40));
+    assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
+    assertEquals(answer, Wire.answer(Json.read(line)));
+  }
+
+  @Test
+  void outcomeWithoutAllowanceIsThisLine() throws IOException {
+    final String line =
+        "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"DELIVERED\",\"over\":true,"
+            + "\"wait\":0}";
+    final Carrier.Answer answer = new Carrier.Answer(Courier.Result.DELIVERED, true, 0, null);
+    assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
+    assertEquals(answer, Wire.answer(Json.read(line)));
+  }
+
+  @Test
+  void resultsAreWrittenByTheseNames() throws IOException {
+    final List<String> names =
+        List.of(
+            "DELIVERED",
+            "ERROR",
+            "REFUSED",
+            "TIMED_OUT",
+            "NO_CONNECTION",
+            "RESET",
+            "CANCELLED",
+            "NOT_SENT",
+            "STALE");
+    final List<String> written = new ArrayList<>();
+    for (final Courier.Result result : Courier.Result.values()) {
+      final Carrier.Answer answer = new Carrier.Answer(result, true, 0, null);
+      written.add(Wire.outcome(1, "m1", answer).path("result").asText());
+    }
+    assertEquals(names, written);
+    for (int index = 0; index < names.size(); index++) {
+      final String line =
+          "{\"t\":\"outcome\",\"id\":\"m1\",\"result\":\"" + names.get(index) + "\"}";
+      assertEquals(Courier.Result.values()[index], Wire.answer(Json.read(line)).result());
+    }
+  }
+
+  @Test
+  void conditionsOfEndpointsAreWrittenByTheseNames() throws IOException {
+    final List<String> written = new ArrayList<>();
+    for (final Courier.Condition condition : Courier.Condition.values()) {
+      final Inheritance one =
+          new Inheritance(
+              List.of(new Inheritance.Named(4, listing(condition))),
+              inheritance().memory(),
+              List.of());
+      final List<String> lines = Wire.lines(one);
+      written.add(Json.read(lines.get(0)).path("condition").asText());
+      assertEquals(condition, Wire.read(lines).endpoints().get(0).listing().condition());
+    }
+    assertEquals(List.of("LISTED", "DRAINING", "GONE"), written);
+  }
+
+  @Test
+  void reasonsOfRefusalsAreWrittenByTheseNames() {
+    assertEquals(
+        List.of("NO_ROOM", "DECIDED"),
+        Arrays.stream(Front.Refusal.values()).map(Enum::name).toList());
+    assertEquals(
+        List.of("NO_DESTINATION", "HELD_ALREADY"),
+        Arrays.stream(Front.Fault.values()).map(Enum::name).toList());
+  }
+}
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -0,0 +1,71 @@
+package thistleturn.courier.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Held;
+import thistleturn.decisions.Courier;
+
+/** The exact requests by which endpoints are called. */
+final class EndpointCallBytesTest {
+  private static final Held KEYED =
+      new Held("m1", "keyed", "key-1", 57, 9_000_000, new byte[] {'h', 'i', (byte) 0xFF});
+  private static final Held NOT_KEYED = new Held("m2", "safe", null, 57, 9_000_000, new byte[0]);
+
+  /** One message's part in a call that gives up after two and a half seconds. */
+  private record Part(Held held) implements Carrier.Parcel {
+    @Override
+    public long validUntilUs() {
+      return held.validUntilUs();
+    }
+
+    @Override
+    public long goesUntilUs() {
+      return Long.MAX_VALUE;
+    }
+
+    @Override
+    public long timeoutUs() {
+      return 2_500_000;
+    }
+  }
+
+  private static String request(final Held... messages) {
+    final Courier.Endpoint endpoint =
+        new Courier.Endpoint(4, Courier.Condition.LISTED, "a", 2.5, 0, 57);
+    final HttpPool pool =
+        new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
+    final HttpCall call =
+        new HttpCall(pool, 4, List.of(messages).stream().map(Part::new).toList(), 1_000_000);
+    return HttpRequests.request(call, 1_500_000).toString(StandardCharsets.ISO_8859_1);
+  }
+
+  @Test
+  void callWithOneKeyedMessageIsThisRequest() {
+    assertEquals(
+        "POST /inbox HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\nX-Request-ID: m1\r\n"
+            + "Idempotency-Key: key-1\r\nContent-Length: 3\r\n\r\nhi\u00ff",
+        request(KEYED));
+  }
+
+  @Test
+  void callWithOneMessageWithoutKeyIsThisRequest() {
+    assertEquals(
+        "POST /inbox HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\nX-Request-ID: m2\r\n"
+            + "Content-Length: 0\r\n\r\n",
+        request(NOT_KEYED));
+  }
+
+  @Test
+  void callWithSeveralMessagesIsThisRequest() {
+    assertEquals(
+        "POST /inbox/bulk HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\n"
+            + "Content-Type: application/json\r\nContent-Length: 63\r\n\r\n"
+            + "[{\"id\":\"m1\",\"key\":\"key-1\",\"body\":\"aGn/\"},{\"id\":\"m2\",\"body\":\"\"}]",
+        request(KEYED, NOT_KEYED));
+  }
+}
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/operator/MaintenanceFileFormatTest.java
@@ -0,0 +1,34 @@
+package thistleturn.courier.operator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The exact text of the file that names the endpoints which operators have excluded. */
+final class MaintenanceFileFormatTest {
+  @TempDir private Path folder;
+
+  @Test
+  void excludedEndpointsAreWrittenOneALine() throws IOException {
+    new MaintenanceFile(folder, 7).write(List.of("e1", "zone-a/\u00e9 2"));
+    assertEquals("e1\nzone-a/\u00e9 2\n", Files.readString(folder.resolve("maintenance")));
+  }
+
+  @Test
+  void fileWithoutEndpointsIsEmpty() throws IOException {
+    new MaintenanceFile(folder, 7).write(List.of());
+    assertEquals("", Files.readString(folder.resolve("maintenance")));
+  }
+
+  @Test
+  void fileWithTheseLinesIsReadBack() throws IOException {
+    Files.writeString(folder.resolve("maintenance"), "e1\n\nzone-a/\u00e9 2\n");
+    assertEquals(Set.of("e1", "zone-a/\u00e9 2"), new MaintenanceFile(folder, 7).read());
+  }
+}
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
@@ -0,0 +1,83 @@
+package thistleturn.courier.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.channels.spi.SelectorProvider;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import thistleturn.courier.port.Held;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.LoopTurns;
+
+/** The exact request by which the platform is notified how messages ended. */
+@Timeout(60)
+final class OutcomeNoticeFormatTest {
+  private final Clock clock = new Clock();
+  private final LoopTurns turns = new LoopTurns(clock);
+  private final EventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+
+  @AfterEach
+  void stopLoops() throws InterruptedException {
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+  }
+
+  private static Held ended(final String id, final Held.Notice notice) {
+    final Held held = new Held(id, "safe", null, 7, 5_000_000, new byte[] {1});
+    held.owe(notice);
+    return held;
+  }
+
+  @Test
+  void noticesOfThreeMessagesAreThisRequest() throws Exception {
+    final String expected =
+        "POST /v1/outcomes HTTP/1.1\r\nhost: 127.0.0.1\r\ncontent-length: 116\r\n\r\n"
+            + "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n"
+            + "{\"id\":\"m2\",\"status\":\"deferred\",\"again_ms\":700}\n"
+            + "{\"id\":\"m3\",\"status\":\"deferred\"}\n";
+    final CompletableFuture<List<Held>> confirmed = new CompletableFuture<>();
+    try (ServerSocket platform = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+      final Notices notices =
+          new Notices(
+              new InetSocketAddress("127.0.0.1", platform.getLocalPort()),
+              loops.next(),
+              clock,
+              turns,
+              confirmed::complete);
+      notices.add(ended("m1", new Held.Notice(true, 0)));
+      notices.add(ended("m2", new Held.Notice(false, 700)));
+      notices.add(ended("m3", new Held.Notice(false, 0)));
+      loops.next().execute(notices::flush);
+      try (Socket connection = platform.accept()) {
+        assertEquals(expected, read(connection, expected.length()));
+        connection
+            .getOutputStream()
+            .write("HTTP/1.1 204 X\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        assertEquals(
+            List.of("m1", "m2", "m3"),
+            confirmed.get(20, TimeUnit.SECONDS).stream().map(Held::id).toList());
+      }
+    }
+  }
+
+  private static String read(final Socket connection, final int length) throws IOException {
+    connection.setSoTimeout(20_000);
+    final InputStream in = connection.getInputStream();
+    return new String(in.readNBytes(length), StandardCharsets.UTF_8);
+  }
+}
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
@@ -0,0 +1,97 @@
+package thistleturn.courier.warm;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import thistleturn.courier.handover.Inheritance;
+import thistleturn.courier.port.Directory;
+import thistleturn.decisions.Courier;
+import thistleturn.decisions.Memory;
+
+/**
+ * The exact text of the file in which a courier keeps what it has learned. The next version reads
+ * it, so a change that alters this text must not pass unnoticed.
+ */
+final class LearnedStateFormatTest {
+  private static final long TAKEN_US = 5_000_000_000L;
+  private static final long DISK_BYTES = 3 << 20;
+  private static final List<String> CLASSES = List.of("safe", "once");
+  private static final String TEXT = """
+      {"t":"learnt","version":3,"classes":"safe once","taken":5000000000}
+      {"t":"endpoint","number":4,"name":"e-1","condition":"LISTED","host":"127.0.0.1",\
+      "port":9001,"zone":"a","weight":2.5,"kind":"std","dest":57}
+      {"t":"classes","trust":1.0E7,"mean":["1000.0","2000.0"],"samples":[7,8]}
+      {"t":"lane","endpoint":4,"figures":["3.0","Infinity"],"moments":[1,2]}
+      {"t":"node","endpoint":4,"figures":["0.5"],"moments":[9223372036854775807]}
+      {"t":"yours"}
+      {"t":"end","crc":2335449110}
+      """;
+
+  @TempDir private Path folder;
+
+  private LearntFile file(final int shard) {
+    return new LearntFile(folder, shard, CLASSES, DISK_BYTES);
+  }
+
+  private static Inheritance learned() {
+    final Directory.Listing listing =
+        new Directory.Listing(
+            "e-1",
+            Courier.Condition.LISTED,
+            new InetSocketAddress("127.0.0.1", 9001),
+            "a",
+            2.5,
+            "std",
+            57);
+    return new Inheritance(
+        List.of(new Inheritance.Named(4, listing)),
+        new Memory(
+            new double[] {1000, 2000},
+            new int[] {7, 8},
+            1e7,
+            List.of(
+                new Memory.OfLane(
+                    4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {1, 2})),
+            List.of(new Memory.OfNode(4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
+        List.of());
+  }
+
+  @Test
+  void learnedStateIsWrittenAsThisText() {
+    assertEquals(
+        TEXT, new String(file(0).bytes(learned(), TAKEN_US), StandardCharsets.UTF_8));
+  }
+
+  @Test
+  void fileWithThisTextIsReadBack() throws IOException {
+    Files.writeString(folder.resolve("learnt"), TEXT);
+    final LearntFile.Found found = file(0).read(TAKEN_US + 1);
+    assertNotNull(found);
+    assertEquals(TAKEN_US, found.takenUs());
+    assertEquals(learned().endpoints(), found.learnt().endpoints());
+    final Memory memory = found.learnt().memory();
+    assertArrayEquals(new double[] {1000, 2000}, memory.classMeanUs());
+    assertArrayEquals(new int[] {7, 8}, memory.classSamples());
+    assertArrayEquals(
+        new double[] {3, Double.POSITIVE_INFINITY}, memory.lanes().get(0).figures());
+    assertArrayEquals(new long[] {Long.MAX_VALUE}, memory.nodes().get(0).moments());
+  }
+
+  @Test
+  void filesOfShardsHaveTheseNames() throws IOException {
+    file(0).write(new byte[] {1});
+    file(2).write(new byte[] {1});
+    assertTrue(Files.exists(folder.resolve("learnt")));
+    assertTrue(Files.exists(folder.resolve("learnt-2")));
+  }
+}
