--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -0,0 +1,311 @@
+package thistleturn.courier.handover;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.net.StandardProtocolFamily;
+import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.Channels;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Front;
+import thistleturn.courier.port.Held;
+import thistleturn.decisions.Courier;
+import thistleturn.decisions.Memory;
+
+/**
+ * The exact lines that the old and the new process of a courier say to each other during a
+ * handover, over the real socket, with the test in the place of the other process.
+ */
+@Timeout(60)
+final class HandoverConversationFormatTest {
+  private static final long PATIENCE_S = 20;
+  private static final List<String> EMPTY_INHERITANCE =
+      List.of(
+          "{\"t\":\"classes\",\"trust\":1.0,\"mean\":[],\"samples\":[]}", "{\"t\":\"yours\"}");
+  private static final String OFFER_TEXT =
+      "\"id\":\"m1\",\"class\":\"safe\",\"key\":null,\"dest\":57,\"valid\":5000000,"
+          + "\"body\":\"AQ==\"}";
+
+  private final EventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoop loop = loops.next();
+
+  @TempDir private Path folder;
+
+  @AfterEach
+  void stopLoop() throws InterruptedException {
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+  }
+
+  private static Inheritance emptyInheritance() {
+    return new Inheritance(
+        List.of(), new Memory(new double[0], new int[0], 1, List.of(), List.of()), List.of());
+  }
+
+  private static void write(final SocketChannel to, final String... lines) throws IOException {
+    final ByteBuffer bytes =
+        ByteBuffer.wrap((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
+    while (bytes.hasRemaining()) {
+      to.write(bytes);
+    }
+  }
+
+  private static List<String> read(final BufferedReader from, final int count)
+      throws IOException {
+    final List<String> lines = new ArrayList<>();
+    while (lines.size() < count) {
+      lines.add(from.readLine());
+    }
+    return lines;
+  }
+
+  private static BufferedReader reader(final SocketChannel channel) {
+    return new BufferedReader(
+        Channels.newReader(channel, StandardCharsets.UTF_8));
+  }
+
+  private static String next(final BlockingQueue<String> events) throws InterruptedException {
+    return String.valueOf(events.poll(PATIENCE_S, TimeUnit.SECONDS));
+  }
+
+  // ---------------------------------------------------------------- the new process
+
+  /** Answers offers in turn in each possible way, and notes what it is told. */
+  private static final class DecidingProcess implements Predecessor.Listener {
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private int offers;
+
+    @Override
+    public void offer(final Held held, final Front.Reply reply) {
+      assertArrayEquals(new byte[] {1}, held.body());
+      switch (offers++) {
+        case 0 -> reply.accepted();
+        case 1 -> reply.refused(Front.Refusal.NO_ROOM, 1_000_000);
+        case 2 -> reply.refused(Front.Refusal.DECIDED, 0);
+        case 3 -> reply.unusable(Front.Fault.NO_DESTINATION);
+        case 4 -> reply.unusable(Front.Fault.HELD_ALREADY);
+        default -> reply.failed();
+      }
+    }
+
+    @Override
+    public void withdraw(final String id, final long destination) {
+      events.add("withdraw " + id + " " + destination);
+    }
+
+    @Override
+    public void remoteOutcome(final String messageId, final Carrier.Answer answer) {
+      events.add("outcome " + messageId + " " + answer.result().neverRan());
+    }
+
+    @Override
+    public void predecessorGone() {
+      events.add("gone");
+    }
+  }
+
+  @Test
+  void newProcessSaysTheseLines() throws Exception {
+    try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+      server.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
+      final CompletableFuture<Inheritance> taken = new CompletableFuture<>();
+      final CompletableFuture<Predecessor> asked = new CompletableFuture<>();
+      final Runnable failed = () -> taken.completeExceptionally(new IOException("refused"));
+      loop.execute(
+          () -> asked.complete(Predecessor.ask(loop, folder, taken::complete, failed)));
+      try (SocketChannel connection = server.accept();
+          BufferedReader in = reader(connection)) {
+        assertEquals("{\"t\":\"hello\",\"version\":4}", in.readLine());
+        write(connection, EMPTY_INHERITANCE.toArray(new String[0]));
+        assertEquals(List.of(), taken.get(PATIENCE_S, TimeUnit.SECONDS).endpoints());
+
+        final DecidingProcess deciding = new DecidingProcess();
+        final Predecessor predecessor = asked.get(PATIENCE_S, TimeUnit.SECONDS);
+        loop.execute(
+            () -> {
+              predecessor.serve(deciding);
+              predecessor.listening();
+              predecessor.abandon(11, Courier.Result.TIMED_OUT);
+            });
+        assertEquals(
+            List.of(
+                "{\"t\":\"listening\"}",
+                "{\"t\":\"abandon\",\"call\":11,\"result\":\"TIMED_OUT\"}"),
+            read(in, 2));
+
+        for (int number = 1; number <= 6; number++) {
+          write(connection, "{\"t\":\"offer\",\"number\":" + number + "," + OFFER_TEXT);
+        }
+        assertEquals(
+            List.of(
+                "{\"t\":\"reply\",\"number\":1,\"kind\":\"accepted\",\"retry\":0}",
+                "{\"t\":\"reply\",\"number\":2,\"kind\":\"refused\",\"retry\":1000000,"
+                    + "\"why\":\"NO_ROOM\"}",
+                "{\"t\":\"reply\",\"number\":3,\"kind\":\"refused\",\"retry\":0,"
+                    + "\"why\":\"DECIDED\"}",
+                "{\"t\":\"reply\",\"number\":4,\"kind\":\"unusable\",\"retry\":0,"
+                    + "\"why\":\"NO_DESTINATION\"}",
+                "{\"t\":\"reply\",\"number\":5,\"kind\":\"unusable\",\"retry\":0,"
+                    + "\"why\":\"HELD_ALREADY\"}",
+                "{\"t\":\"reply\",\"number\":6,\"kind\":\"failed\",\"retry\":0}"),
+            read(in, 6));
+
+        write(
+            connection,
+            "{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}",
+            "{\"t\":\"outcome\",\"call\":11,\"id\":\"m2\",\"result\":\"NOT_SENT\","
+                + "\"over\":false,\"wait\":0}");
+        assertEquals("withdraw m1 57", next(deciding.events));
+        assertEquals("outcome m2 true", next(deciding.events));
+      }
+    }
+  }
+
+  // ---------------------------------------------------------------- the old process
+
+  /** Hands over at once, and notes what it is told. */
+  private static final class ServingProcess implements Giver {
+    private final CompletableFuture<Heir> heir = new CompletableFuture<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+
+    @Override
+    public Inheritance yield(final Heir to) {
+      heir.complete(to);
+      return emptyInheritance();
+    }
+
+    @Override
+    public void abandon(final long call, final Courier.Result result) {
+      events.add("abandon " + call + " " + result.name());
+    }
+
+    @Override
+    public void heirListens() {
+      events.add("listening");
+    }
+
+    @Override
+    public void heirGone() {
+      events.add("gone");
+    }
+  }
+
+  /** Notes how a client's message was answered. */
+  private record NotedReply(BlockingQueue<String> events) implements Front.Reply {
+    @Override
+    public void accepted() {
+      events.add("accepted");
+    }
+
+    @Override
+    public void refused(final Front.Refusal why, final long retryAfterUs) {
+      events.add("refused " + why.name() + " " + retryAfterUs);
+    }
+
+    @Override
+    public void failed() {
+      events.add("failed");
+    }
+
+    @Override
+    public void unusable(final Front.Fault fault) {
+      events.add("unusable " + fault.name());
+    }
+  }
+
+  private SocketChannel connectToOldProcess() throws IOException {
+    final UnixDomainSocketAddress address =
+        UnixDomainSocketAddress.of(folder.resolve("handover"));
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    while (true) {
+      try {
+        return SocketChannel.open(address);
+      } catch (final IOException e) {
+        assertTrue(System.nanoTime() < untilNs, "nobody listens: " + e);
+        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
+      }
+    }
+  }
+
+  @Test
+  void oldProcessSaysTheseLines() throws Exception {
+    final ServingProcess serving = new ServingProcess();
+    loop.execute(() -> new Elder(serving).listen(loop, folder));
+    try (SocketChannel connection = connectToOldProcess();
+        BufferedReader in = reader(connection)) {
+      write(connection, "{\"t\":\"hello\",\"version\":4}");
+      assertEquals(EMPTY_INHERITANCE, read(in, 2));
+
+      final Heir heir = serving.heir.get(PATIENCE_S, TimeUnit.SECONDS);
+      final BlockingQueue<String> replies = new LinkedBlockingQueue<>();
+      final Held held = new Held("m1", "safe", null, 57, 4_000_000, new byte[] {1});
+      loop.execute(
+          () -> {
+            for (int offer = 1; offer <= 6; offer++) {
+              heir.offer(held, 5_000_000, new NotedReply(replies));
+            }
+            heir.withdraw("m1", 57);
+            heir.outcome(
+                11, "m2", new Carrier.Answer(Courier.Result.NOT_SENT, false, 0, null));
+          });
+      final List<String> expected = new ArrayList<>();
+      for (int number = 1; number <= 6; number++) {
+        expected.add("{\"t\":\"offer\",\"number\":" + number + "," + OFFER_TEXT);
+      }
+      expected.add("{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}");
+      expected.add(
+          "{\"t\":\"outcome\",\"call\":11,\"id\":\"m2\",\"result\":\"NOT_SENT\","
+              + "\"over\":false,\"wait\":0}");
+      assertEquals(expected, read(in, 8));
+
+      write(
+          connection,
+          "{\"t\":\"reply\",\"number\":1,\"kind\":\"accepted\",\"retry\":0}",
+          "{\"t\":\"reply\",\"number\":2,\"kind\":\"refused\",\"retry\":7,\"why\":\"NO_ROOM\"}",
+          "{\"t\":\"reply\",\"number\":3,\"kind\":\"refused\",\"retry\":0,\"why\":\"DECIDED\"}",
+          "{\"t\":\"reply\",\"number\":4,\"kind\":\"unusable\",\"why\":\"NO_DESTINATION\"}",
+          "{\"t\":\"reply\",\"number\":5,\"kind\":\"unusable\",\"why\":\"HELD_ALREADY\"}",
+          "{\"t\":\"reply\",\"number\":6,\"kind\":\"failed\",\"retry\":0}");
+      for (final String reply :
+          List.of(
+              "accepted",
+              "refused NO_ROOM 7",
+              "refused DECIDED 0",
+              "unusable NO_DESTINATION",
+              "unusable HELD_ALREADY",
+              "failed")) {
+        assertEquals(reply, next(replies));
+      }
+
+      write(
+          connection,
+          "{\"t\":\"listening\"}",
+          "{\"t\":\"abandon\",\"call\":11,\"result\":\"CANCELLED\"}");
+      assertEquals("listening", next(serving.events));
+      assertEquals("abandon 11 CANCELLED", next(serving.events));
+    }
+  }
+}
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/runtime/EventLineFormatTest.java
@@ -0,0 +1,82 @@
+package thistleturn.courier.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import org.junit.jupiter.api.Test;
+import thistleturn.decisions.Courier;
+
+/** The exact text of the log's event lines, which operators' tools parse. */
+final class EventLineFormatTest {
+
+  /** The line with a text that the action logs; other threads of the process may log as well. */
+  private static String logged(final String text, final Runnable action) {
+    final PrintStream before = System.err;
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+    try {
+      action.run();
+    } finally {
+      System.setErr(before);
+    }
+    return bytes
+        .toString(StandardCharsets.UTF_8)
+        .lines()
+        .filter(line -> line.contains(text))
+        .findFirst()
+        .orElseThrow();
+  }
+
+  @Test
+  void eventIsOneLineWithItsFields() {
+    final String line =
+        logged(
+            "id=m1-of-this-test",
+            () ->
+                Log.event(
+                    Event.ATTEMPT_FAILED,
+                    "id",
+                    "m1-of-this-test",
+                    "result",
+                    Courier.Result.TIMED_OUT,
+                    "cause",
+                    "a \"b\"\\\n",
+                    "none",
+                    null,
+                    "empty",
+                    "",
+                    "after_us",
+                    12L));
+    assertTrue(line.startsWith("INFO ts="), line);
+    assertEquals(
+        "event=attempt_failed id=m1-of-this-test result=TIMED_OUT"
+            + " cause=\"a \\\"b\\\"\\\\\\n\" none=null empty=\"\" after_us=12",
+        line.replaceFirst("INFO ts=\\d{4}-\\d\\d-\\d\\dT[0-9:.]+Z ", ""));
+  }
+
+  @Test
+  void resultsOfAttemptsAreLoggedByTheseNames() {
+    assertEquals(
+        "[DELIVERED, ERROR, REFUSED, TIMED_OUT, NO_CONNECTION, RESET, CANCELLED, NOT_SENT,"
+            + " STALE]",
+        Arrays.toString(Courier.Result.values()));
+  }
+
+  @Test
+  void eventsAreLoggedByTheseNames() {
+    assertEquals(
+        "request_refused request_unusable request_unanswered connection_closed"
+            + " connection_unwatched attempt_failed attempt_not_sent message_ended"
+            + " message_ended_late end_told_unwritten accept_failed accept_recovered"
+            + " accept_given_up socket_failed connect_failed transfer_retried"
+            + " journal_unwritable journal_write_failed journal_writable"
+            + " journal_write_done_all_the_same journal_tail_dropped journal_record_unknown"
+            + " journal_clock_began_anew journal_closed_unwritten journal_not_trimmed"
+            + " file_close_failed start_retried step_failed failure",
+        String.join(" ", Arrays.stream(Event.values()).map(Event::label).toList()));
+  }
+}
