--- /dev/null
+++ b/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
@@ -0,0 +1,80 @@
+package thistleturn.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import thistleturn.eureka.RegistrationSettings;
+
+/**
+ * The keys, in their order, of the JSON that shows operators the members and the registries.
+ * Scripts read this page by its keys, so a change of one must not pass unnoticed.
+ */
+@Tag("membership")
+@Timeout(120)
+final class MembersJsonFormatTest {
+  @TempDir private Path folder;
+
+  /** Keys in their order; of a list its last item; for a value its type. */
+  private static String shape(final JsonNode node) {
+    if (node.isObject()) {
+      final List<String> fields = new ArrayList<>();
+      node.properties()
+          .forEach(field -> fields.add(field.getKey() + ":" + shape(field.getValue())));
+      return "{" + String.join(" ", fields) + "}";
+    }
+    if (node.isArray()) {
+      return node.isEmpty() ? "[]" : "[" + shape(node.get(node.size() - 1)) + "]";
+    }
+    return node.isTextual() ? "text" : node.isBoolean() ? "flag" : "number";
+  }
+
+  private static JsonNode registry(final JsonNode status) {
+    return status.path("sources").path(1).path("registry");
+  }
+
+  @Test
+  void pageOfMembersHasTheseKeys() throws Exception {
+    try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
+      courier.registration =
+          new RegistrationSettings(
+              List.of(CourierUnderTest.address(courier.world.registry)),
+              "THISTLETURN",
+              "thistleturn",
+              100 * CourierUnderTest.MS,
+              300 * CourierUnderTest.MS);
+      courier.world.platform.tell(courier.world.endpoint(1), "Ready", 1000);
+      courier.start();
+      courier.world.await(
+          "a member, an answer of the registry with the courier's own entry, and a renewal",
+          () -> {
+            final JsonNode status = courier.status();
+            return !status.path("members").isEmpty()
+                && registry(status).path("whole").asLong() > 0
+                && registry(status).path("unusable").path("NO_DESTINATION").asLong() > 0
+                && status.path("registration").path("renew").asLong() > 0;
+          });
+      final JsonNode status = courier.status();
+      assertEquals(
+          "{sources:[{name:text rank:number state:text heard_ms_ago:number entries:number"
+              + " doubted:number dropped:number implausible:number registry:{address:text"
+              + " bytes:number deltas:number failures:number instances:number last_failure:text"
+              + " mismatches:number read_anew:number unusable:{NO_DESTINATION:number}"
+              + " whole:number}}] members:[{destination:number address:text zone:text kind:text"
+              + " rate:number state:text because:text by:text since_ms_ago:number"
+              + " heard_ms_ago:number}] registration:{id:text register:number registered:flag"
+              + " renew:number}}",
+          shape(status));
+      assertEquals("discovery", status.path("sources").get(0).path("name").asText());
+      assertEquals("heard", status.path("sources").get(0).path("state").asText());
+      assertEquals("up", status.path("members").get(0).path("state").asText());
+      assertEquals("said", status.path("members").get(0).path("because").asText());
+    }
+  }
+}
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -255,6 +255,12 @@
         "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(OwnHealth.State.values()).toString());
   }
 
+  /** The log and operators' JSON hold it in this form. */
+  @Test
+  void identityOfPeerIsWrittenAsNameAndIncarnation() {
+    assertEquals("alpha#1700000000000001", ALPHA.toString());
+  }
+
   @Test
   void incarnationFileHoldsTheNumberAsText(@TempDir final Path folder) throws IOException {
     final Path path = folder.resolve("peers.incarnation");
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
@@ -111,6 +111,12 @@
         Arrays.stream(Kind.values()).map(kind -> kind + "=" + kind.code()).toList().toString());
   }
 
+  /** The log and operators' JSON hold it in this form. */
+  @Test
+  void identityOfWriterIsWrittenAsNameAndBirth() {
+    assertEquals("alpha#1700000000000001", ALPHA.toString());
+  }
+
   private static SnapshotFile.Taken snapshot() {
     final Map<Writer, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 9L);
