--- a/adapter/src/test/java/thistleturn/adapter/AdapterTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/AdapterTest.java
@@ -25,9 +25,6 @@
           + "flavors=some_kind\tlimits.max_open=20\tlimits.most_tries=8\tlimits.cancel=true\tlimits.multiplex=1\t"
           + "guarantees.cold=9000000\tguarantees.cold_from=0.2\tguarantees.fall=3000000\t"
           + "guarantees.tip_multiple=2.0\tsome.later.key=1,2,3\n";
-  private static final String SHEET =
-      "sheet\tbank=0\trows=1\n"
-          + "m\tcondition=U\tlocality=here\tendpoint=%d\tpower_hint=1\tkind=some_kind\tcell=57\n";
 
   private static String run(final String input) throws IOException {
     final StringWriter out = new StringWriter();
@@ -44,7 +41,10 @@
   }
 
   private static String sheet(final long endpoint) {
-    return String.format(SHEET, endpoint);
+    return String.format(
+        "sheet\tbank=0\trows=1\n"
+            + "m\tcondition=U\tlocality=here\tendpoint=%d\tpower_hint=1\tkind=some_kind\tcell=57\n",
+        endpoint);
   }
 
   private static String warm(final int instance) {
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
@@ -91,7 +91,7 @@
       standIns.registry.register(StandInRegistry.endpoint("heat", "b", other.port(), 1, "UP"));
       world.start(100 * US_PER_MS);
       standIns.load(80 + standIns.random(120), TIMEOUT_MS, 1);
-      final long from = 20 + standIns.random(60);
+      final long from = 20L + standIns.random(60);
       standIns.await("calls", () -> draining.calls() > from);
       final long[] toldUs = new long[1];
       standIns.registry.status(
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
@@ -207,10 +207,10 @@
       final StandInWorld world, final ChildProcess courier, final int pauseMs, final int every)
       throws IOException {
     final long beganUs = world.ticks.nowUs();
-    final long endUs = beganUs + seconds * 1000 * US_PER_MS;
+    final long endUs = beganUs + seconds * 1000L * US_PER_MS;
     double undeliverable = 0;
     long nextUs = beganUs + FIRST_MS * US_PER_MS;
-    while (pauseMs > 0 && nextUs + 2 * pauseMs * US_PER_MS < endUs) {
+    while (pauseMs > 0 && nextUs + 2L * pauseMs * US_PER_MS < endUs) {
       world.until(nextUs);
       courier.pause();
       world.until(nextUs + pauseMs * US_PER_MS);
@@ -242,7 +242,7 @@
             loop.destroyForcibly();
           });
     }
-    world.until(beganUs + seconds * 1000 * US_PER_MS);
+    world.until(beganUs + seconds * 1000L * US_PER_MS);
     return 0;
   }
 
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -116,6 +116,8 @@
     }
   }
 
+  /** The heading holds a plain per cent sign, no format. */
+  @SuppressWarnings("OrphanedFormatString")
   private void storm() {
     System.out.println(
         "| messages a second | sender | calls a second before | in the storm, most | seconds after it "
@@ -177,12 +179,13 @@
               (name, maker) -> {
                 final List<ColdReturn> all = new ArrayList<>();
                 final int before = broken;
+                final long plays = returns / 2;
                 double goodput = 0;
-                for (long seed = 1; seed <= returns / 2; seed++) {
+                for (long seed = 1; seed <= plays; seed++) {
                   final Tally tally =
                       VirtualCourier.play(Worlds.returns(seed, all, noise), seed, maker);
                   broken += tally.broken().size();
-                  goodput += tally.goodput() / (returns / 2);
+                  goodput += tally.goodput() / plays;
                   if (seed % 1000 == 0) {
                     System.err.println(name + ": " + 2 * seed + " of " + returns + " returns");
                   }
@@ -220,7 +223,9 @@
   private static String spread(final List<Tally> tallies, final ToDoubleFunction<Tally> figure) {
     final double least = tallies.stream().mapToDouble(figure).min().orElse(0);
     final double most = tallies.stream().mapToDouble(figure).max().orElse(0);
-    return String.format(Locale.ROOT, most - least < 0.0005 ? "%.3f" : "%.3f to %.3f", least, most);
+    return most - least < 0.0005
+        ? String.format(Locale.ROOT, "%.3f", least)
+        : String.format(Locale.ROOT, "%.3f to %.3f", least, most);
   }
 
   private void troubles() {
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
@@ -82,7 +82,7 @@
     System.out.println();
     System.out.println("| peers | handed in | delivered | refused | failed | rules broken |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    return delivery(false) & delivery(true) ? 0 : 1;
+    return delivery(false) && delivery(true) ? 0 : 1;
   }
 
   private void idle(final int size) throws IOException {
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -258,6 +258,6 @@
                           + ", agreed "
                           + played.agreed()));
     }
-    return !ours || wrong == 0 && two == 0 && apart == 0;
+    return !ours || (wrong == 0 && two == 0 && apart == 0);
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
@@ -311,7 +311,9 @@
       for (int number = 0; number < members; number++) {
         if (fleet.process(number) != null) {
           final JsonNode state = fleet.ask(number, "state");
-          if (state == null || !state.has("sum") || sum != null && !sum.equals(state.path("sum"))) {
+          if (state == null
+              || !state.has("sum")
+              || (sum != null && !sum.equals(state.path("sum")))) {
             return false;
           }
           sum = state.path("sum");
--- a/cli/src/main/java/thistleturn/cli/config/StrictTable.java
+++ b/cli/src/main/java/thistleturn/cli/config/StrictTable.java
@@ -105,7 +105,7 @@
         texts.add(item.textValue());
       }
     }
-    if (!value.isArray() || texts.size() != value.size() || needed && texts.isEmpty()) {
+    if (!value.isArray() || texts.size() != value.size() || (needed && texts.isEmpty())) {
       throw wrong(
           key,
           value.isMissingNode() ? "(absent)" : value,
--- a/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
+++ b/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
@@ -75,12 +75,7 @@
       world.platform.tell(endpoint, "Ready", 1000);
       try (RealFleet fleet =
           new RealFleet(
-              folder,
-              schedule,
-              world.platform.address(),
-              world.platform.known(),
-              REPLICAS,
-              5000)) {
+              folder, schedule, world.platform.address(), world.platform.known(), REPLICAS, 5000)) {
         fleet.at(
             500,
             () -> {
--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierProcess.java
@@ -287,8 +287,8 @@
     private final Shard only = shards.get(0);
 
     @Override
-    public Inheritance yield(final Heir heir) throws IOException {
-      final Inheritance inheritance = only.host.yield(heir);
+    public Inheritance handOver(final Heir heir) throws IOException {
+      final Inheritance inheritance = only.host.handOver(heir);
       // From here on the heir decides: what fails now must not keep it from that.
       only.journal.closeTrimmed();
       close("unlocking the folder", lock);
@@ -1050,7 +1050,7 @@
             "end beside a newer process",
             () -> {
               final boolean due = only.host.idle() && only.front.isEmpty();
-              if (due && extension.leave() || clock.nowUs() >= stopUs) {
+              if ((due && extension.leave()) || clock.nowUs() >= stopUs) {
                 stopped.countDown();
               }
             }),
@@ -1087,7 +1087,7 @@
               final boolean due =
                   shards.stream().allMatch(shard -> shard.idle)
                       || clock.nowUs() >= stopUs - LEAVE_MS * US_PER_MS;
-              if (due && extension.leave() || clock.nowUs() >= stopUs) {
+              if ((due && extension.leave()) || clock.nowUs() >= stopUs) {
                 stopped.countDown();
               }
             }),
--- a/courier/src/main/java/thistleturn/courier/Host.java
+++ b/courier/src/main/java/thistleturn/courier/Host.java
@@ -155,7 +155,7 @@
   /** Calls that were out when it took over, by their numbers. */
   private final Map<Long, Carrier.Call> given = new HashMap<>();
 
-  private final Map<Carrier.Call, Long> givenNumbers = new IdentityHashMap<>();
+  private final IdentityHashMap<Carrier.Call, Long> givenNumbers = new IdentityHashMap<>();
 
   /**
    * The older process that this one took over from, or null; what it has out, by the messages' ids.
@@ -715,7 +715,7 @@
    *
    * @throws IOException if the journal cannot be brought up to date; then all goes on as it was
    */
-  Inheritance yield(final Heir to) throws IOException {
+  Inheritance handOver(final Heir to) throws IOException {
     // What this turn brought is decided and answered here.
     pass();
     final Store.Flush flush = store.flush();
@@ -802,7 +802,7 @@
   }
 
   private Inheritance inheritance() {
-    final Map<Carrier.Call, List<String>> out = new IdentityHashMap<>();
+    final IdentityHashMap<Carrier.Call, List<String>> out = new IdentityHashMap<>();
     for (final OpenMessage open : messages.values()) {
       out.computeIfAbsent(open.call, unused -> new ArrayList<>()).add(open.held.id());
     }
@@ -1210,6 +1210,6 @@
 
   /** True when nothing is under way that the end of the process would cut off. */
   boolean idle() {
-    return messages.isEmpty() && (heir != null || ends.isEmpty() && !promises.hasUntoldEnds());
+    return messages.isEmpty() && (heir != null || (ends.isEmpty() && !promises.hasUntoldEnds()));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/Practice.java
+++ b/courier/src/main/java/thistleturn/courier/Practice.java
@@ -88,7 +88,7 @@
     loop.schedule(
         () -> {
           try {
-            final Inheritance inheritance = Wire.copy(elder.yield(new Nobody()));
+            final Inheritance inheritance = Wire.copy(elder.handOver(new Nobody()));
             final Host heir = new Host(config, loop, clock, pages, new Nowhere());
             heir.start(inheritance, Predecessor.none());
             inheritance
@@ -106,7 +106,7 @@
                 () -> {
                   // It may not go on deciding beside the real one.
                   try {
-                    heir.yield(new Nobody());
+                    heir.handOver(new Nobody());
                   } catch (final IOException e) {
                     Log.failure("practice", e);
                   }
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Elder.java
@@ -116,7 +116,7 @@
 
     private void handOver() {
       try {
-        final Inheritance inheritance = giver.yield(this);
+        final Inheritance inheritance = giver.handOver(this);
         heir = this;
         // The newer one listens there in its turn.
         listener.close();
--- a/courier/src/main/java/thistleturn/courier/handover/Giver.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Giver.java
@@ -10,7 +10,7 @@
    *
    * @throws IOException if that cannot be done now; then it goes on as it was
    */
-  Inheritance yield(Heir heir) throws IOException;
+  Inheritance handOver(Heir heir) throws IOException;
 
   /** Gives up a call that is still out; its outcome is told. */
   void abandon(long call, Courier.Result result);
--- a/courier/src/main/java/thistleturn/courier/http/HandIn.java
+++ b/courier/src/main/java/thistleturn/courier/http/HandIn.java
@@ -29,13 +29,13 @@
     final String key = headers.get("Idempotency-Key");
     final boolean keyed = kind.effect() == Courier.Effect.KEYED;
     if (!isPlain(id)
-        || key != null && !isPlain(key)
+        || (key != null && !isPlain(key))
         || id.isEmpty()
         || id.length() > MOST_ID_CHARS
         || timeoutMs < 0
         || destination < 0
         || !kind.name().equals(headers.get("X-Priority-Class"))
-        || keyed && (key == null || key.isEmpty())) {
+        || (keyed && (key == null || key.isEmpty()))) {
       return null;
     }
     return new HandIn(id, timeoutMs, destination, key);
--- a/courier/src/main/java/thistleturn/courier/http/HttpFront.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpFront.java
@@ -425,7 +425,7 @@
       }
       final int rank = session.rank(crowd, nowUs);
       if (rank < leastRank
-          || rank == leastRank && rank < Crowd.KEEP && session.sinceUs() < least.sinceUs()) {
+          || (rank == leastRank && rank < Crowd.KEEP && session.sinceUs() < least.sinceUs())) {
         least = session;
         leastRank = rank;
       }
--- a/courier/src/main/java/thistleturn/courier/http/HttpSession.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpSession.java
@@ -219,7 +219,7 @@
    */
   boolean mayBeUnwatched() {
     return unwatched
-        || !readDirectly && !hasAsked && askedSinceUs == Long.MAX_VALUE && !isClosing();
+        || (!readDirectly && !hasAsked && askedSinceUs == Long.MAX_VALUE && !isClosing());
   }
 
   /** Reads what it has without the selector's word; what is found that way is watched by nobody. */
@@ -354,7 +354,7 @@
       last = HttpResponseStatus.SERVICE_UNAVAILABLE;
       desk.withdraw(currentId, currentDestination);
       answer(HttpResponseStatus.SERVICE_UNAVAILABLE, GONE_RETRY_US);
-    } else if (isClosing() || current == null && queue.isEmpty()) {
+    } else if (isClosing() || (current == null && queue.isEmpty())) {
       drop();
     } else {
       last = HttpResponseStatus.BAD_REQUEST;
@@ -627,7 +627,7 @@
               HttpHeaderNames.RETRY_AFTER,
               String.format(Locale.ROOT, "%.3f", retryAfterUs / US_PER_SECOND));
     }
-    if (!keep && queue.isEmpty() || !good) {
+    if ((!keep && queue.isEmpty()) || !good) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
       return end(response);
     }
--- a/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
@@ -54,8 +54,8 @@
   static boolean isFramedPlainly(final HttpMessage message) {
     final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     return codings.isEmpty()
-        || codings.size() == 1
+        || (codings.size() == 1
             && codings.get(0).trim().equalsIgnoreCase("chunked")
-            && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
+            && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -188,7 +188,7 @@
   @Override
   public Flush flush() {
     try {
-      if (replacesFile || !pending.isEmpty() && file.size() + pending.size() > fileBytes) {
+      if (replacesFile || (!pending.isEmpty() && file.size() + pending.size() > fileBytes)) {
         replace();
       } else if (!pending.isEmpty()) {
         file.append(pending.batch(stamp()));
--- a/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
@@ -75,9 +75,8 @@
         FileChannel.open(path(folder), StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
       final ByteBuffer all = ByteBuffer.allocate((int) channel.size());
-      while (all.hasRemaining() && channel.read(all, all.position()) >= 0) {
-        continue;
-      }
+      while (all.hasRemaining() && channel.read(all, all.position()) >= 0) {}
+
       all.flip();
       if (all.remaining() < FILE_HEAD_BYTES || all.getLong(0) != MAGIC) {
         channel.close();
@@ -203,9 +202,8 @@
   private boolean isThere(final ByteBuffer batch) throws UnknownOutcomeException {
     try {
       final ByteBuffer found = ByteBuffer.allocate(batch.remaining());
-      while (found.hasRemaining() && channel.read(found, size + found.position()) >= 0) {
-        continue;
-      }
+      while (found.hasRemaining() && channel.read(found, size + found.position()) >= 0) {}
+
       return found.flip().equals(batch);
     } catch (final IOException e) {
       throw new UnknownOutcomeException(e);
--- a/courier/src/main/java/thistleturn/courier/platform/Discovery.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Discovery.java
@@ -245,7 +245,7 @@
     protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
       if (watch != this
           || part.decoderResult().isFailure()
-          || part instanceof HttpResponse response && response.status().code() != OK) {
+          || (part instanceof HttpResponse response && response.status().code() != OK)) {
         ctx.close();
         return;
       }
--- a/courier/src/main/java/thistleturn/courier/runtime/Json.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Json.java
@@ -55,38 +55,42 @@
       throw new JsonParseException(parser, "nested over " + MOST_DEPTH + " deep");
     }
     switch (parser.currentToken()) {
-      case START_OBJECT:
-        {
-          final ObjectNode object = NODES.objectNode();
-          while (parser.nextToken() == JsonToken.FIELD_NAME) {
-            final String name = parser.currentName();
-            parser.nextToken();
-            object.set(name, value(parser, depth + 1));
-          }
-          return object;
+      case START_OBJECT -> {
+        final ObjectNode object = NODES.objectNode();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+          final String name = parser.currentName();
+          parser.nextToken();
+          object.set(name, value(parser, depth + 1));
         }
-      case START_ARRAY:
-        {
-          final ArrayNode array = NODES.arrayNode();
-          while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(value(parser, depth + 1));
-          }
-          return array;
+        return object;
+      }
+      case START_ARRAY -> {
+        final ArrayNode array = NODES.arrayNode();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+          array.add(value(parser, depth + 1));
         }
-      case VALUE_STRING:
+        return array;
+      }
+      case VALUE_STRING -> {
         return NODES.textNode(parser.getText());
-      case VALUE_NUMBER_INT:
+      }
+      case VALUE_NUMBER_INT -> {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
             ? NODES.numberNode(parser.getBigIntegerValue())
             : NODES.numberNode(parser.getLongValue());
-      case VALUE_NUMBER_FLOAT:
+      }
+      case VALUE_NUMBER_FLOAT -> {
         return NODES.numberNode(parser.getDoubleValue());
-      case VALUE_TRUE:
+      }
+      case VALUE_TRUE -> {
         return NODES.booleanNode(true);
-      case VALUE_FALSE:
+      }
+      case VALUE_FALSE -> {
         return NODES.booleanNode(false);
-      default:
+      }
+      default -> {
         return NODES.nullNode();
+      }
     }
   }
 
--- a/courier/src/main/java/thistleturn/courier/runtime/Passing.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Passing.java
@@ -35,8 +35,8 @@
       }
       system |=
           cause instanceof IOException
-              || cause instanceof OutOfMemoryError
-                  && String.valueOf(cause.getMessage()).contains(NO_THREAD);
+              || (cause instanceof OutOfMemoryError
+                  && String.valueOf(cause.getMessage()).contains(NO_THREAD));
     }
     return system;
   }
@@ -44,7 +44,7 @@
   /** True if somebody else has the address. */
   public static boolean isAddressTaken(final Throwable failure) {
     return failure instanceof BindException
-        || failure != null && isAddressTaken(failure.getCause());
+        || (failure != null && isAddressTaken(failure.getCause()));
   }
 
   /** Something of the system's that does not pass by itself. */
--- a/courier/src/main/java/thistleturn/courier/shard/Layout.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Layout.java
@@ -126,7 +126,7 @@
   }
 
   private static boolean isOther(final String name, final int shards) {
-    return name.startsWith(FOLDERS) && !name.equals(FOLDERS + shards)
-        || shards > 1 && (name.equals(JOURNAL) || name.equals(JOURNAL + ".next"));
+    return (name.startsWith(FOLDERS) && !name.equals(FOLDERS + shards))
+        || (shards > 1 && (name.equals(JOURNAL) || name.equals(JOURNAL + ".next")));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -78,7 +78,7 @@
     for (int shard = 0; shard < views.size(); shard++) {
       final View view = views.get(shard);
       final List<Directory.Listing> part = parts.get(shard);
-      if (update != Courier.Update.CHANGES && update != Courier.Update.ASIDE || !part.isEmpty()) {
+      if ((update != Courier.Update.CHANGES && update != Courier.Update.ASIDE) || !part.isEmpty()) {
         view.loop.execute(() -> view.listener.told(update, part));
       }
     }
--- a/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
@@ -57,8 +57,7 @@
       assertEquals(
           expected,
           new String(
-              socket.getInputStream().readNBytes(expected.length()),
-              StandardCharsets.ISO_8859_1));
+              socket.getInputStream().readNBytes(expected.length()), StandardCharsets.ISO_8859_1));
     }
     assertEquals(empty("202 Accepted"), answer(closing(Rig.message("m2", "safe"))));
   }
@@ -69,14 +68,12 @@
     rig.await("the watch", () -> rig.watches.size() == 1);
     assertEquals(empty("200 OK"), answer(closing("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")));
     assertEquals(empty("404 Not Found"), answer("GET /unknown HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertEquals(
-        empty("405 Method Not Allowed"), answer("GET /safe HTTP/1.1\r\nHost: x\r\n\r\n"));
+    assertEquals(empty("405 Method Not Allowed"), answer("GET /safe HTTP/1.1\r\nHost: x\r\n\r\n"));
     assertEquals(
         empty("400 Bad Request"),
         answer("POST /safe HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
     assertEquals(
-        empty("404 Not Found"),
-        answer(Rig.message("m1", "safe").replace("dest=7", "dest=8")));
+        empty("404 Not Found"), answer(Rig.message("m1", "safe").replace("dest=7", "dest=8")));
   }
 
   @Test
@@ -107,15 +104,12 @@
     assertEquals(operatorAnswer("200 OK", "ready"), rig.ask("GET", "/-/ready"));
     assertEquals(operatorAnswer("404 Not Found", "no such call"), rig.ask("GET", "/-/nothing"));
     assertEquals(
-        operatorAnswer("405 Method Not Allowed", "asked by GET"),
-        rig.ask("POST", "/-/metrics"));
+        operatorAnswer("405 Method Not Allowed", "asked by GET"), rig.ask("POST", "/-/metrics"));
     assertEquals(
         operatorAnswer("405 Method Not Allowed", "asked by POST"),
         rig.ask("GET", "/-/endpoints/e1/disable"));
-    assertEquals(
-        operatorAnswer("200 OK", "left out"), rig.ask("POST", "/-/endpoints/e1/disable"));
-    assertEquals(
-        operatorAnswer("200 OK", "may serve"), rig.ask("POST", "/-/endpoints/e1/enable"));
+    assertEquals(operatorAnswer("200 OK", "left out"), rig.ask("POST", "/-/endpoints/e1/disable"));
+    assertEquals(operatorAnswer("200 OK", "may serve"), rig.ask("POST", "/-/endpoints/e1/enable"));
     assertEquals(
         operatorAnswer("404 Not Found", "no endpoint of that name was ever listed"),
         rig.ask("POST", "/-/endpoints/e9/disable"));
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -43,8 +43,7 @@
 final class HandoverConversationFormatTest {
   private static final long PATIENCE_S = 20;
   private static final List<String> EMPTY_INHERITANCE =
-      List.of(
-          "{\"t\":\"classes\",\"trust\":1.0,\"mean\":[],\"samples\":[]}", "{\"t\":\"yours\"}");
+      List.of("{\"t\":\"classes\",\"trust\":1.0,\"mean\":[],\"samples\":[]}", "{\"t\":\"yours\"}");
   private static final String OFFER_TEXT =
       "\"id\":\"m1\",\"class\":\"safe\",\"key\":null,\"dest\":57,\"valid\":5000000,"
           + "\"body\":\"AQ==\"}";
@@ -73,8 +72,7 @@
     }
   }
 
-  private static List<String> read(final BufferedReader from, final int count)
-      throws IOException {
+  private static List<String> read(final BufferedReader from, final int count) throws IOException {
     final List<String> lines = new ArrayList<>();
     while (lines.size() < count) {
       lines.add(from.readLine());
@@ -83,8 +81,7 @@
   }
 
   private static BufferedReader reader(final SocketChannel channel) {
-    return new BufferedReader(
-        Channels.newReader(channel, StandardCharsets.UTF_8));
+    return new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
   }
 
   private static String next(final BlockingQueue<String> events) throws InterruptedException {
@@ -134,8 +131,7 @@
       final CompletableFuture<Inheritance> taken = new CompletableFuture<>();
       final CompletableFuture<Predecessor> asked = new CompletableFuture<>();
       final Runnable failed = () -> taken.completeExceptionally(new IOException("refused"));
-      loop.execute(
-          () -> asked.complete(Predecessor.ask(loop, folder, taken::complete, failed)));
+      loop.execute(() -> asked.complete(Predecessor.ask(loop, folder, taken::complete, failed)));
       try (SocketChannel connection = server.accept();
           BufferedReader in = reader(connection)) {
         assertEquals("{\"t\":\"hello\",\"version\":4}", in.readLine());
@@ -192,7 +188,7 @@
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @Override
-    public Inheritance yield(final Heir to) {
+    public Inheritance handOver(final Heir to) {
       heir.complete(to);
       return emptyInheritance();
     }
@@ -237,8 +233,7 @@
   }
 
   private SocketChannel connectToOldProcess() throws IOException {
-    final UnixDomainSocketAddress address =
-        UnixDomainSocketAddress.of(folder.resolve("handover"));
+    final UnixDomainSocketAddress address = UnixDomainSocketAddress.of(folder.resolve("handover"));
     final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
     while (true) {
       try {
@@ -268,8 +263,7 @@
               heir.offer(held, 5_000_000, new NotedReply(replies));
             }
             heir.withdraw("m1", 57);
-            heir.outcome(
-                11, "m2", new Carrier.Answer(Courier.Result.NOT_SENT, false, 0, null));
+            heir.outcome(11, "m2", new Carrier.Answer(Courier.Result.NOT_SENT, false, 0, null));
           });
       final List<String> expected = new ArrayList<>();
       for (int number = 1; number <= 6; number++) {
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -52,9 +52,7 @@
             1e7,
             List.of(
                 new Memory.OfLane(
-                    4,
-                    new double[] {3, Double.POSITIVE_INFINITY},
-                    new long[] {0, Long.MAX_VALUE})),
+                    4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {0, Long.MAX_VALUE})),
             List.of(new Memory.OfNode(4, new double[] {0.25}, new long[] {5}))),
         List.of(new Inheritance.CallOut(11, 4, 57, 123_456, List.of("m1", "m2"))));
   }
--- a/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -37,8 +37,7 @@
   private static String request(final Held... messages) {
     final Courier.Endpoint endpoint =
         new Courier.Endpoint(4, Courier.Condition.LISTED, "a", 2.5, 0, 57);
-    final HttpPool pool =
-        new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
+    final HttpPool pool = new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
     final HttpCall call =
         new HttpCall(pool, 4, List.of(messages).stream().map(Part::new).toList(), 1_000_000);
     return HttpRequests.request(call, 1_500_000).toString(StandardCharsets.ISO_8859_1);
--- a/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
@@ -28,7 +28,8 @@
 final class JournalBytesTest {
   private static final Records.Stamp STAMP = new Records.Stamp(1_000_000, 1_700_000_000_000_000L);
   private static final String GENERATION_7_HEADER_HEX = "54544a4f55524e32" + "0000000000000007";
-  private static final String FILE_HEX = """
+  private static final String FILE_HEX =
+      """
       54544a4f55524e3200000000000000070000004a9584ae6200000000000f424000060a24181e4000
       0100026d3100056b657965640100066b65792dc3a9000000000000000700000000004c4b40000000
       030102ff000000007fffffffffffffff00000000002599e47e2600000000000f424000060a24181e
@@ -74,7 +75,8 @@
 
   @Test
   void takenRecordOfMessageWithKeyHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000100026d3100056b657965640100066b
         65792dc3a9000000000000000700000000004c4b40000000030102ff0000000200000000003d0900
         00067a6f6e652d62
@@ -100,7 +102,8 @@
 
   @Test
   void takenRecordOfMessageWithoutKeyHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000100026d320004736166650000000000
         00000000000800000000004c4b4000000000000000007fffffffffffffff0000
         """;
@@ -116,7 +119,8 @@
 
   @Test
   void begunRecordHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000200026d3100000000002dc6c000067a
         6f6e652d61
         """;
@@ -133,7 +137,8 @@
 
   @Test
   void settledRecordHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000300026d3101
         """;
     final Records records = new Records();
@@ -149,7 +154,8 @@
 
   @Test
   void owedRecordHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000400026d310000000000000002bc
         """;
     final Records records = new Records();
@@ -163,7 +169,8 @@
 
   @Test
   void overRecordHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000500026d31
         """;
     final Records records = new Records();
@@ -178,7 +185,8 @@
   /** A message with an attempt in flight and a notice to deliver is three records. */
   @Test
   void compactedMessageHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         000000000000000000000000000f424000060a24181e40000100026d3100056b657965640100066b
         65792dc3a9000000000000000700000000004c4b4000000000000000007fffffffffffffff000002
         00026d3100000000002dc6c000067a6f6e652d610400026d31010000000000000000
@@ -213,8 +221,7 @@
     file.close();
     assertEquals(List.of(), found);
     assertEquals(
-        joined(FILE_HEX),
-        HexFormat.of().formatHex(Files.readAllBytes(folder.resolve("journal"))));
+        joined(FILE_HEX), HexFormat.of().formatHex(Files.readAllBytes(folder.resolve("journal"))));
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -221,7 +221,10 @@
       assertEquals("old", held.id());
       assertEquals(2, held.attempts());
       assertEquals(Held.NEVER, held.firstRunUs());
-      assertEquals(clock.nowUs() + validWallUs - clock.wallUs(), held.validUntilUs(), 1_000_000);
+      assertEquals(
+          (double) (clock.nowUs() + validWallUs - clock.wallUs()),
+          (double) held.validUntilUs(),
+          1_000_000);
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
@@ -13,8 +13,7 @@
   void figuresOfTheCourierAreThisText() {
     final Figures figures =
         new Figures(
-            List.of(
-                new Figures.Ends("safe", 1, 2, 3), new Figures.Ends("a\\b\"c\nd", 4, 5, 6)),
+            List.of(new Figures.Ends("safe", 1, 2, 3), new Figures.Ends("a\\b\"c\nd", 4, 5, 6)),
             7,
             8,
             9,
--- a/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
@@ -26,7 +26,8 @@
   private static final long TAKEN_US = 5_000_000_000L;
   private static final long DISK_BYTES = 3 << 20;
   private static final List<String> CLASSES = List.of("safe", "once");
-  private static final String TEXT = """
+  private static final String TEXT =
+      """
       {"t":"learnt","version":3,"classes":"safe once","taken":5000000000}
       {"t":"endpoint","number":4,"name":"e-1","condition":"LISTED","host":"127.0.0.1",\
       "port":9001,"zone":"a","weight":2.5,"kind":"std","dest":57}
@@ -68,8 +69,7 @@
 
   @Test
   void learnedStateIsWrittenAsThisText() {
-    assertEquals(
-        TEXT, new String(file(0).bytes(learned(), TAKEN_US), StandardCharsets.UTF_8));
+    assertEquals(TEXT, new String(file(0).bytes(learned(), TAKEN_US), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -82,8 +82,7 @@
     final Memory memory = found.learnt().memory();
     assertArrayEquals(new double[] {1000, 2000}, memory.classMeanUs());
     assertArrayEquals(new int[] {7, 8}, memory.classSamples());
-    assertArrayEquals(
-        new double[] {3, Double.POSITIVE_INFINITY}, memory.lanes().get(0).figures());
+    assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, memory.lanes().get(0).figures());
     assertArrayEquals(new long[] {Long.MAX_VALUE}, memory.nodes().get(0).moments());
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/Attempts.java
+++ b/decisions/src/main/java/thistleturn/decisions/Attempts.java
@@ -73,6 +73,6 @@
     return job.attempts < state.settings.limits().mostAttempts()
         && (!job.mayHaveRun
             || effect == Effect.SAFE
-            || effect == Effect.KEYED && state.nowUs < job.keyEndUs());
+            || (effect == Effect.KEYED && state.nowUs < job.keyEndUs()));
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Call.java
+++ b/decisions/src/main/java/thistleturn/decisions/Call.java
@@ -52,7 +52,7 @@
    * far.
    */
   boolean wasDead(final Courier.Result how, final double badRun) {
-    return how == Courier.Result.STALE || how == Courier.Result.RESET && reused && badRun == 0;
+    return how == Courier.Result.STALE || (how == Courier.Result.RESET && reused && badRun == 0);
   }
 
   /** True if it alone was lost while others came through: that says little of its endpoint. */
@@ -61,7 +61,7 @@
     // A reset comes at once, before another call can have been served.
     final boolean among =
         node.lastServedUs >= sentUs
-            || result != Courier.Result.TIMED_OUT && lane.badRun == 0 && node.lastServedUs > 0;
+            || (result != Courier.Result.TIMED_OUT && lane.badRun == 0 && node.lastServedUs > 0);
     return among
         && lane.phase == Phase.WELL
         && node.badRun[kind] == 0
--- a/decisions/src/main/java/thistleturn/decisions/Choice.java
+++ b/decisions/src/main/java/thistleturn/decisions/Choice.java
@@ -27,14 +27,14 @@
     for (final Node node : lane.nodes) {
       if (!node.isOpen(state.nowUs)
           || !group.zoneAllows(node)
-          || lane.phase == Phase.WELL
-              && (node.silent > 0 || state.nowUs < node.avoidUntilUs[kind])) {
+          || (lane.phase == Phase.WELL
+              && (node.silent > 0 || state.nowUs < node.avoidUntilUs[kind]))) {
         continue;
       }
       final boolean handshake =
           node.inFlight >= node.connections * state.settings.limits().multiplex()
-              || node.inFlight == 0
-                  && state.nowUs - node.lastUseUs >= state.settings.limits().idleCloseUs();
+              || (node.inFlight == 0
+                  && state.nowUs - node.lastUseUs >= state.settings.limits().idleCloseUs());
       final double load =
           lane.phase == Phase.OUT
               ? node.lastSendUs
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -51,7 +51,7 @@
   }
 
   long horizonUs() {
-    return (long) Worth.clamp(lineUs(), HORIZON_LEAST_US, HORIZON_MOST_US);
+    return (long) Worth.clamp((double) lineUs(), HORIZON_LEAST_US, HORIZON_MOST_US);
   }
 
   /**
--- a/decisions/src/main/java/thistleturn/decisions/Group.java
+++ b/decisions/src/main/java/thistleturn/decisions/Group.java
@@ -55,7 +55,7 @@
     double most = 0;
     for (final Job job : odd) {
       final double one = value.applyAsDouble(job);
-      if (best == null || one > most || one == most && job.place < best.place) {
+      if (best == null || one > most || (one == most && job.place < best.place)) {
         best = job;
         most = one;
       }
--- a/decisions/src/main/java/thistleturn/decisions/Idle.java
+++ b/decisions/src/main/java/thistleturn/decisions/Idle.java
@@ -32,13 +32,14 @@
 
   /** A second has passed. */
   void step() {
-    trustUs = Math.min(state.settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
+    trustUs = Math.min((double) state.settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
   }
 
   /** A call over a connection that had been idle failed where all was well. */
   void died(final Call call) {
     if (call.idleUs >= TRUST_LEAST_US) {
-      trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, call.idleUs / 2));
+      final long halfUs = call.idleUs / 2;
+      trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, (double) halfUs));
     }
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/Job.java
+++ b/decisions/src/main/java/thistleturn/decisions/Job.java
@@ -40,7 +40,7 @@
   static boolean mayRefuse(final Courier.MessageClass kind, final boolean mayHaveRun) {
     return !mayHaveRun
         || kind.effect() == Courier.Effect.SAFE
-        || kind.effect() == Courier.Effect.KEYED && !kind.zoneKeyed();
+        || (kind.effect() == Courier.Effect.KEYED && !kind.zoneKeyed());
   }
 
   /** The zone in which a repeat would be known, where only that one is left; else null. */
--- a/decisions/src/main/java/thistleturn/decisions/Lane.java
+++ b/decisions/src/main/java/thistleturn/decisions/Lane.java
@@ -313,7 +313,7 @@
 
   private void stepIdle(final long count) {
     if (phase == Phase.WELL) {
-      steps += count;
+      steps = (int) (steps + count);
       final double weight = Math.max(Window.SAMPLE_WEIGHT, 1.0 / steps);
       rate = count == 1 ? rate + weight * (0 - rate) : 0;
       callRate = count == 1 ? callRate + weight * (0 - callRate) : 0;
--- a/decisions/src/main/java/thistleturn/decisions/Pace.java
+++ b/decisions/src/main/java/thistleturn/decisions/Pace.java
@@ -35,7 +35,7 @@
    * come no more often than messages do; it hurts a message whose wait outlasts the trouble.
    */
   long patienceUs(final Lane lane, final long atUs) {
-    return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
+    return (long) Math.min((double) Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
   }
 
   /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
@@ -57,7 +57,11 @@
     return fromUs
         + (long)
             Math.min(
-                gapUs, jitter((long) Math.max(learns ? TRIAL_LEAST_US : 0, apartUs(lane) / tips)));
+                gapUs,
+                (double)
+                    jitter(
+                        (long)
+                            Math.max(learns ? (double) TRIAL_LEAST_US : 0, apartUs(lane) / tips)));
   }
 
   /** A gap, a little longer or shorter by chance. */
--- a/decisions/src/main/java/thistleturn/decisions/Picks.java
+++ b/decisions/src/main/java/thistleturn/decisions/Picks.java
@@ -67,10 +67,10 @@
       final int risk =
           lane.phase != Phase.OUT || group.mayHaveRun ? 0 : 1 + group.effect().ordinal();
       if (group.blocked
-          || best != null && risk > bestRisk
+          || (best != null && risk > bestRisk)
           || !attempts.endsInTime(lane, group)
-          || node == null && choice.choose(lane, group, null) == null
-          || node != null && (!group.zoneAllows(node) || group.effect() == Effect.UNSAFE)) {
+          || (node == null && choice.choose(lane, group, null) == null)
+          || (node != null && (!group.zoneAllows(node) || group.effect() == Effect.UNSAFE))) {
         continue;
       }
       final long doneUs = doneUs(lane, group.kind);
@@ -81,7 +81,7 @@
       if (best == null
           || risk < bestRisk
           || urgency > bestUrgency
-          || urgency == bestUrgency && job.place < best.place) {
+          || (urgency == bestUrgency && job.place < best.place)) {
         best = job;
         bestRisk = risk;
         bestUrgency = urgency;
@@ -118,7 +118,7 @@
               worth.turnsAt(group, atUs),
               one -> -worth.at(one, Math.min(atUs, one.keyEndUs() - 1)));
       final double its = worth.at(job, Math.min(atUs, job.keyEndUs() - 1));
-      if (its < least || its == least && job.place < destination.least.place) {
+      if (its < least || (its == least && job.place < destination.least.place)) {
         least = its;
         destination.least = job;
       }
--- a/decisions/src/main/java/thistleturn/decisions/Turns.java
+++ b/decisions/src/main/java/thistleturn/decisions/Turns.java
@@ -64,7 +64,8 @@
   void forget() {
     emptyLines.removeIf(
         line ->
-            !line.jobs.isEmpty() || line.restUntilUs <= state.nowUs && keys.remove(line.key, line));
+            !line.jobs.isEmpty()
+                || (line.restUntilUs <= state.nowUs && keys.remove(line.key, line)));
   }
 
   /**
@@ -73,7 +74,7 @@
    */
   boolean inTurn(final Job job) {
     return job.line == null
-        || job.line.first() == job && (job.mayHaveRun || job.line.restUntilUs <= state.nowUs);
+        || (job.line.first() == job && (job.mayHaveRun || job.line.restUntilUs <= state.nowUs));
   }
 
   /** The first of a key may go now, or must wait again, or is another one. */
--- a/decisions/src/main/java/thistleturn/decisions/index/OrderedLine.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/OrderedLine.java
@@ -130,7 +130,7 @@
         final E one =
             which == 0 ? first : which == 1 ? last(belowKey) : earliest(first.key(), belowKey);
         final double its = one == best ? most : value.applyAsDouble(one);
-        if (its > most || its == most && one.place() < best.place()) {
+        if (its > most || (its == most && one.place() < best.place())) {
           best = one;
           most = its;
         }
@@ -175,7 +175,7 @@
   }
 
   private static boolean isBefore(final Entry one, final Entry other) {
-    return one.key < other.key || one.key == other.key && one.place < other.place;
+    return one.key < other.key || (one.key == other.key && one.place < other.place);
   }
 
   private static Entry insert(final Entry at, final Entry entry) {
--- a/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
@@ -138,7 +138,7 @@
   @SuppressWarnings("unchecked")
   private boolean isAbove(final Entry one, final Entry other) {
     return one.value > other.value
-        || one.value == other.value && order.compare((E) one, (E) other) < 0;
+        || (one.value == other.value && order.compare((E) one, (E) other) < 0);
   }
 
   private void up(final int from, final Entry entry) {
--- a/decisions/src/main/java/thistleturn/decisions/membership/Lease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Lease.java
@@ -58,7 +58,7 @@
     if (act == Act.REGISTER || act == Act.RENEW) {
       // A call without an answer may have registered us all the same; a refused renewal takes
       // nothing away.
-      known = went || status != NOT_FOUND && (known || act == Act.REGISTER && status == 0);
+      known = went || (status != NOT_FOUND && (known || (act == Act.REGISTER && status == 0)));
     }
     if (went) {
       failedInRow = 0;
--- a/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
@@ -352,7 +352,7 @@
     final boolean crowded = addresses.size() > GHOSTS + 2 * entries;
     points.removeIf(
         point ->
-            (point.forgetUs(rules) <= nowUs || crowded && point.isUnlisted()) && forget(point));
+            (point.forgetUs(rules) <= nowUs || (crowded && point.isUnlisted())) && forget(point));
     for (final Point point : points) {
       againUs = Math.min(againUs, point.forgetUs(rules));
     }
@@ -388,7 +388,7 @@
   private boolean isContested(final Point point) {
     final Point claim = addresses.get(point.address);
     final Source.Entry own = point.owner();
-    if (own == null || claim == point && point.nextClaim == null) {
+    if (own == null || (claim == point && point.nextClaim == null)) {
       return false;
     }
     for (Point other = claim; other != null; other = other.nextClaim) {
@@ -407,7 +407,7 @@
     // One source that claims an address twice: the later word counts, and of two alike the one by
     // its name.
     final int newer = Long.compare(one.report.version(), two.report.version());
-    return newer > 0 || newer == 0 && one.report.instance().compareTo(two.report.instance()) < 0;
+    return newer > 0 || (newer == 0 && one.report.instance().compareTo(two.report.instance()) < 0);
   }
 
   private boolean forget(final Point point) {
--- a/decisions/src/main/java/thistleturn/decisions/membership/Point.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Point.java
@@ -172,7 +172,7 @@
         continue;
       }
       final long endsUs = warnsUntilUs(entry.source, rules);
-      if (endsUs > nowUs || !heardUp && endsUs != Source.NOT) {
+      if (endsUs > nowUs || (!heardUp && endsUs != Source.NOT)) {
         return new Verdict(
             Member.State.DRAINING,
             best == null ? Because.SAID : Because.CAUTION,
@@ -240,8 +240,9 @@
       return Grade.FRESH;
     }
     final boolean poor =
-        entry.source.isLost() && nowUs >= entry.source.lostSinceUs() + rules.staleUseUs()
-            || entry.absentSinceUs != Source.NOT && nowUs >= entry.absentSinceUs + rules.doubtUs();
+        (entry.source.isLost() && nowUs >= entry.source.lostSinceUs() + rules.staleUseUs())
+            || (entry.absentSinceUs != Source.NOT
+                && nowUs >= entry.absentSinceUs + rules.doubtUs());
     return poor ? Grade.POOR : Grade.USABLE;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistryPoll.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistryPoll.java
@@ -89,7 +89,7 @@
       return false;
     }
     final int rounds = Math.min(failedInRow / addresses, 30);
-    final long pauseUs = Math.min(mostBackOffUs, Math.max(1, periodUs / 10) << rounds - 1);
+    final long pauseUs = Math.min(mostBackOffUs, Math.max(1, periodUs / 10) << (rounds - 1));
     atUs = nowUs + jittered(pauseUs, random);
     return true;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/Source.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Source.java
@@ -107,7 +107,7 @@
     }
     final int known = Math.max(peak, entries.size());
     final boolean plausible =
-        absenceIsWord || known == 0 || count > 0 && known - count <= rules.mayLack(known);
+        absenceIsWord || known == 0 || (count > 0 && known - count <= rules.mayLack(known));
     if (plausible) {
       doubtSinceUs = NOT;
       if (count >= peak) {
--- a/decisions/src/main/java/thistleturn/decisions/noise/Cell.java
+++ b/decisions/src/main/java/thistleturn/decisions/noise/Cell.java
@@ -33,7 +33,7 @@
   public void served(final long durationUs) {
     run = 0;
     samples++;
-    tailUs = Math.max(durationUs, tailUs - TAIL_FADE * tailUs);
+    tailUs = Math.max((double) durationUs, tailUs - TAIL_FADE * tailUs);
   }
 
   /**
--- a/decisions/src/main/java/thistleturn/decisions/noise/RefusalReading.java
+++ b/decisions/src/main/java/thistleturn/decisions/noise/RefusalReading.java
@@ -131,7 +131,7 @@
     evidence = Math.max(-MOST, Math.min(MOST, evidence(nowUs) + nats));
     evidenceUs = nowUs;
     final boolean before = noise;
-    noise = nowUs >= holdUntilUs && (evidence >= SETTLED || noise && evidence > 0);
+    noise = nowUs >= holdUntilUs && (evidence >= SETTLED || (noise && evidence > 0));
     settledNow = noise && !before;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/peers/Assembly.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Assembly.java
@@ -215,10 +215,10 @@
   /** A whole view: taken over if it is the same line's later one, or a better line's. */
   void onFull(final View other, final long nowUs) {
     if (other == null
-        || !wants(other.mark(), nowUs)
+        || (!wants(other.mark(), nowUs)
             && !(view != null
                 && other.mark().isSameLine(view.mark())
-                && other.number() > view.number())) {
+                && other.number() > view.number()))) {
       return;
     }
     final boolean moves = view != null && !other.mark().isSameLine(view.mark()) && view.has(self);
@@ -315,9 +315,9 @@
           peer != null && (!peer.id.equals(id) || !peer.isAlive() || roll.isOver(peer, nowUs));
       final boolean heard =
           id.equals(self)
-              || peer != null
+              || (peer != null
                   && peer.ends == 0
-                  && nowUs - Math.max(peer.heardUs, peer.beatUs) < rules.deadUs() - ABOUT_US;
+                  && nowUs - Math.max(peer.heardUs, peer.beatUs) < rules.deadUs() - ABOUT_US);
       if (!knownToGo && heard) {
         return false;
       }
@@ -481,10 +481,10 @@
     }
     final int size = view.members().size();
     final boolean few =
-        2 * heard <= size || size > rules.watched() + 1 && lost > LOST_SHARE * asked;
+        2 * heard <= size || (size > rules.watched() + 1 && lost > LOST_SHARE * asked);
     if (!has(self)) {
       stand(Standing.FORMING, heard);
-    } else if (size > 1 && (heard <= 1 || asked > 0 && lost == asked)) {
+    } else if (size > 1 && (heard <= 1 || (asked > 0 && lost == asked))) {
       stand(Standing.ALONE, heard);
     } else {
       stand(few ? Standing.MINORITY : Standing.MAJORITY, heard);
--- a/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
@@ -102,7 +102,7 @@
     final Row known = rows.get(observer.name());
     return known == null
         || observer.incarnation() > known.incarnation()
-        || observer.incarnation() == known.incarnation() && row > known.row();
+        || (observer.incarnation() == known.incarnation() && row > known.row());
   }
 
   /** Another life of the name: nothing of what was known of the earlier one holds for it. */
--- a/decisions/src/main/java/thistleturn/decisions/peers/Roll.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Roll.java
@@ -107,7 +107,7 @@
     }
     final long known = peer.id.incarnation();
     if (fact.id().incarnation() < known
-        || fact.id().incarnation() == known && fact.life().compareTo(peer.life) <= 0) {
+        || (fact.id().incarnation() == known && fact.life().compareTo(peer.life) <= 0)) {
       return false;
     }
     if (fact.id().incarnation() > known) {
@@ -150,7 +150,7 @@
     if (subject == null
         || !subject.id.equals(report.subject())
         || !subject.isAlive()
-        || observer != null && observer.id.incarnation() > report.observer().incarnation()
+        || (observer != null && observer.id.incarnation() > report.observer().incarnation())
         || report.observer().name().equals(report.subject().name())
         || !subject.isNews(report.observer(), report.row())) {
       return false;
@@ -227,7 +227,7 @@
     for (final Peer.Doubt doubt : peer.doubts.values()) {
       final Peer observer = byName.get(doubt.observer().name());
       final boolean counts =
-          doubt.observer().name().equals(self) || observer != null && !isSuspect(observer, nowUs);
+          doubt.observer().name().equals(self) || (observer != null && !isSuspect(observer, nowUs));
       voices += counts && nowUs - doubt.sinceUs() >= rules.deadUs() ? 1 : 0;
     }
     return voices > 0 && voices >= Math.min(SILENT_VOICES, witnesses(peer, nowUs));
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Copies.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Copies.java
@@ -331,7 +331,7 @@
       final Writer writer = one.getKey();
       final Shelf shelf = one.getValue();
       final long from = theirs.getOrDefault(writer, 0L);
-      if (shelf.known <= from && shelf.last() <= from || partOf(writer, parts) != part) {
+      if ((shelf.known <= from && shelf.last() <= from) || partOf(writer, parts) != part) {
         continue;
       }
       final List<Entry> entries = new ArrayList<>();
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Rule.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Rule.java
@@ -100,7 +100,7 @@
   private static Verdict outage(final String subject, final List<Entry> words) {
     final Entry lastOut = words.stream().filter(word -> word.flag(0)).max(BY_MADE).orElse(null);
     final Entry lastServed = words.stream().filter(word -> !word.flag(0)).max(BY_MADE).orElse(null);
-    if (lastServed == null || lastOut != null && lastOut.madeUs() > lastServed.madeUs()) {
+    if (lastServed == null || (lastOut != null && lastOut.madeUs() > lastServed.madeUs())) {
       return new Verdict(
           Kind.OUTAGE,
           subject,
--- a/decisions/src/test/java/thistleturn/decisions/ControlTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/ControlTest.java
@@ -538,14 +538,16 @@
         one.pass(100 * MS);
       }
       final long firstUs = one.sent.get(0).atUs();
-      trials +=
-          one.sent.stream()
-              .filter(
-                  send ->
-                      send.atUs() >= fromUs
-                          && send.atUs() < untilUs
-                          && send.atUs() > firstUs + 2 * SECOND)
-              .count();
+      trials =
+          (int)
+              (trials
+                  + one.sent.stream()
+                      .filter(
+                          send ->
+                              send.atUs() >= fromUs
+                                  && send.atUs() < untilUs
+                                  && send.atUs() > firstUs + 2 * SECOND)
+                      .count());
     }
     // The rule's own bound: two thirds of the push from those who saw the outage, where first calls
     // of the others
--- a/decisions/src/test/java/thistleturn/decisions/ForgettingTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/ForgettingTest.java
@@ -22,7 +22,7 @@
 
   private static Courier.Endpoint endpoint(
       final int round, final int index, final Condition condition) {
-    final long number = 1L + round * AT_ONCE + index;
+    final long number = 1L + round * ((long) AT_ONCE) + index;
     return new Courier.Endpoint(number, condition, "a", 20, 0, OTHER + number);
   }
 
@@ -46,7 +46,7 @@
       one.list(Courier.Update.CHANGES, come.toArray(Courier.Endpoint[]::new));
       for (int index = 0; index < AT_ONCE; index++) {
         final String id = "m" + messages++;
-        one.takeFor(id, SAFE, OTHER + 1L + round * AT_ONCE + index);
+        one.takeFor(id, SAFE, OTHER + 1L + round * ((long) AT_ONCE) + index);
         one.control.decide(one.nowUs);
         assertEquals(1, one.count(id), "goes at once");
         one.pass(10 * MS);
--- a/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
@@ -134,8 +134,7 @@
   void phasesKeepTheirOrderAndNames() {
     assertEquals("[WELL, OUT, RAMP]", Arrays.toString(Phase.values()));
     assertEquals(
-        List.of(0, 1, 2),
-        List.of(Phase.WELL.ordinal(), Phase.OUT.ordinal(), Phase.RAMP.ordinal()));
+        List.of(0, 1, 2), List.of(Phase.WELL.ordinal(), Phase.OUT.ordinal(), Phase.RAMP.ordinal()));
   }
 
   /** The operators' JSON of lanes holds these names, the latter in lower case. */
--- a/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -46,7 +45,6 @@
     private int refused;
     private int late;
     private int passes;
-    private int wakes;
 
     private World(final int slots, final int maxOpen) {
       final List<Courier.MessageClass> classes =
@@ -179,7 +177,6 @@
 
     @Override
     public void wake(final long delayUs) {
-      wakes++;
       due.add(new Due(nowUs + delayUs, numbers++, null, 0, 0));
     }
   }
@@ -243,10 +240,9 @@
   @Test
   void tenThousandDestinationsComeDrainAndGoWithinASecond() {
     final World world = new World(500, 100_000);
-    final List<String> ids = new ArrayList<>();
     for (long destination = 1; destination <= 10_000; destination++) {
       world.endpoint(destination, 2 * MS);
-      ids.add(world.take(0, destination, 18 * SECOND));
+      world.take(0, destination, 18 * SECOND);
       if (destination % 100 == 0) {
         world.until(world.nowUs + MS);
       }
--- a/decisions/src/test/java/thistleturn/decisions/health/OwnHealthTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/OwnHealthTest.java
@@ -71,7 +71,7 @@
       assertTrue(foundUs <= pauseMs * MS, foundUs + " us found of " + pauseMs + " ms");
       assertTrue(
           foundUs >= pauseMs * MS - OwnHealth.BEAT_US - Absences.LEAST_US
-              || foundUs == 0 && pauseMs <= 200,
+              || (foundUs == 0 && pauseMs <= 200),
           foundUs + " us found of " + pauseMs + " ms");
     }
   }
--- a/decisions/src/test/java/thistleturn/decisions/health/PlantedFaultsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/PlantedFaultsTest.java
@@ -69,8 +69,8 @@
       if (fault == Fault.AWAY_FOR_EVER && wasAway && its == State.WELL) {
         return State.AWAY;
       }
-      return fault == Fault.STARVED_FOR_EVER && wasStarved
-              || fault == Fault.STARVED_BY_ONE_STOP && its == State.AWAY
+      return (fault == Fault.STARVED_FOR_EVER && wasStarved)
+              || (fault == Fault.STARVED_BY_ONE_STOP && its == State.AWAY)
           ? State.STARVED
           : its;
     }
@@ -90,8 +90,8 @@
     boolean isCutOff(final int destinations) {
       wasCut |= health.isCutOff();
       return health.isCutOff()
-          || fault == Fault.CUT_OFF_BY_ONE_DESTINATION && destinations == 1
-          || fault == Fault.CUT_OFF_FOR_EVER && wasCut;
+          || (fault == Fault.CUT_OFF_BY_ONE_DESTINATION && destinations == 1)
+          || (fault == Fault.CUT_OFF_FOR_EVER && wasCut);
     }
   }
 
--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -62,7 +62,7 @@
         assertEquals(leastUs, heap.firstUs());
         final Due polled = heap.poll(nowUs);
         assertEquals(leastUs <= nowUs, polled != null);
-        assertTrue(polled == null || polled.dueUs() == leastUs && !polled.isDueSometime());
+        assertTrue(polled == null || (polled.dueUs() == leastUs && !polled.isDueSometime()));
         in.remove(polled);
       }
       assertEquals(in.size(), heap.size());
@@ -83,7 +83,7 @@
       } else {
         line.remove(in.remove(random.nextInt(in.size())));
       }
-      final long from = random.nextInt(32) - 1;
+      final long from = random.nextInt(32) - 1L;
       final long below = from + random.nextInt(10);
       final Comparator<Member> byKey = Comparator.comparingLong(OrderedLine.Entry::key);
       final Comparator<Member> byPlace = Comparator.comparingLong(OrderedLine.Entry::place);
--- a/decisions/src/test/java/thistleturn/decisions/noise/RefusalReadingTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/noise/RefusalReadingTest.java
@@ -24,7 +24,7 @@
     final Random random = new Random(seed);
     final RefusalReading reading = new RefusalReading();
     for (int call = 0; call < calls; call++) {
-      final long sentUs = SECOND + call * 20 * MS;
+      final long sentUs = SECOND + call * 20L * MS;
       if (random.nextDouble() < share) {
         reading.refused(sentUs, sentUs + MS);
       } else {
@@ -47,7 +47,7 @@
   void refusalsToTheEndOfASpanAreLoad() {
     final RefusalReading reading = new RefusalReading();
     for (int call = 0; call < 500; call++) {
-      final long sentUs = SECOND + call * 20 * MS;
+      final long sentUs = SECOND + call * 20L * MS;
       // 40 calls a span are taken, 50 come.
       if (call % 50 < 40) {
         reading.served(sentUs, sentUs + 5 * MS);
@@ -69,7 +69,7 @@
     final RefusalReading reading = noisy(4, 0.1, 300);
     assertEquals(Cause.NOISE, reading.cause(7 * SECOND));
     for (int call = 0; call < 20; call++) {
-      final long sentUs = 8 * SECOND + call * 20 * MS;
+      final long sentUs = 8 * SECOND + call * 20L * MS;
       reading.refused(sentUs, sentUs + MS);
     }
     assertEquals(Cause.LOAD, reading.cause(9 * SECOND));
@@ -83,7 +83,7 @@
     reading.served(SECOND + 20 * MS, SECOND + 30 * MS);
     final double once = reading.evidence(SECOND + 30 * MS);
     for (int call = 2; call < 10; call++) {
-      reading.served(SECOND + call * 20 * MS, SECOND + call * 20 * MS + MS);
+      reading.served(SECOND + call * 20L * MS, SECOND + call * 20L * MS + MS);
     }
     assertEquals(once, reading.evidence(SECOND + 30 * MS), 0.02);
     assertEquals(Cause.UNSURE, reading.cause(SECOND + 200 * MS));
@@ -93,7 +93,7 @@
   void callsFarApartSayNothing() {
     final RefusalReading reading = new RefusalReading();
     for (int call = 0; call < 50; call++) {
-      final long sentUs = SECOND + call * 10 * SECOND;
+      final long sentUs = SECOND + call * 10L * SECOND;
       if (call % 3 == 0) {
         reading.refused(sentUs, sentUs + MS);
       } else {
--- a/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
@@ -371,7 +371,7 @@
           notedMeanUs[kind] = classMeanUs[kind];
         }
       }
-      trustUs = Math.min(settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
+      trustUs = Math.min((double) settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
       forget();
       keys.values().removeIf(line -> line.jobs.isEmpty() && line.restUntilUs <= nowUs);
       nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
@@ -468,14 +468,14 @@
     for (final Job job : destination.waiting) {
       if (!inTurn(job)
           || !endsInTime(lane, job)
-          || node == null && choose(lane, job, null) == null
-          || node != null && (!zoneAllows(job, node) || job.kind.effect() == Effect.UNSAFE)) {
+          || (node == null && choose(lane, job, null) == null)
+          || (node != null && (!zoneAllows(job, node) || job.kind.effect() == Effect.UNSAFE))) {
         continue;
       }
       final double urgency = urgency(lane, job, lineUs);
       final int risk =
           lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.effect().ordinal();
-      if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
+      if (best == null || risk < bestRisk || (risk == bestRisk && urgency > bestUrgency)) {
         best = job;
         bestRisk = risk;
         bestUrgency = urgency;
@@ -488,7 +488,7 @@
 
   /** What a message loses by waiting for as long as its destination's line takes. */
   private double urgency(final Lane lane, final Job job, final long lineUs) {
-    final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
+    final long horizonUs = (long) clamp((double) lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
     final long doneUs = nowUs + (long) notedUs(lane, job);
     final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
     return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
@@ -519,12 +519,12 @@
     for (final Node node : lane.nodes) {
       if (node.condition != Condition.LISTED
           || !zoneAllows(job, node)
-          || lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind]) {
+          || (lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind])) {
         continue;
       }
       final boolean handshake =
           node.inFlight >= node.connections * settings.limits().multiplex()
-              || node.inFlight == 0 && nowUs - node.lastUseUs >= settings.limits().idleCloseUs();
+              || (node.inFlight == 0 && nowUs - node.lastUseUs >= settings.limits().idleCloseUs());
       final boolean cross = !node.entry.zone().equals(settings.zone());
       final double load =
           lane.phase == Phase.OUT
@@ -554,7 +554,7 @@
    */
   private boolean inTurn(final Job job) {
     return job.line == null
-        || job.line.jobs.get(0) == job && (job.mayHaveRun || job.line.restUntilUs <= nowUs);
+        || (job.line.jobs.get(0) == job && (job.mayHaveRun || job.line.restUntilUs <= nowUs));
   }
 
   /**
@@ -781,7 +781,7 @@
       case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE -> {
         final boolean told = outcome.result() == Result.STALE;
         call.stale |=
-            told || outcome.result() == Result.RESET && call.reused && node.badRun[kind] == 0;
+            told || (outcome.result() == Result.RESET && call.reused && node.badRun[kind] == 0);
         if (call.stale) {
           // A kept connection was dead: that says nothing of its endpoint, but of others like it.
           lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
@@ -792,9 +792,9 @@
         }
         final boolean among =
             node.lastServedUs >= call.sentUs
-                || outcome.result() != Result.TIMED_OUT
+                || (outcome.result() != Result.TIMED_OUT
                     && lane.badRun == 0
-                    && node.lastServedUs > 0;
+                    && node.lastServedUs > 0);
         if (learns
             && among
             && lane.phase == Phase.WELL
@@ -815,7 +815,8 @@
             && call.idleUs >= TRUST_LEAST_US
             && !call.calledOff
             && outcome.result() != Result.NO_CONNECTION) {
-          trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, call.idleUs / 2));
+          final long halfUs = call.idleUs / 2;
+          trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, (double) halfUs));
         }
         node.badRun[kind] += part;
         if (node.lastServedUs < call.sentUs) {
@@ -953,7 +954,7 @@
    * come no more often than messages do; it hurts a message whose wait outlasts the trouble.
    */
   private long patienceUs(final Lane lane, final long atUs) {
-    return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
+    return (long) Math.min((double) Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
   }
 
   /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
@@ -975,8 +976,11 @@
         + (long)
             Math.min(
                 gapUs,
-                jitter(
-                    (long) Math.max(learns ? SECOND_US / 10 : 0, apartUs(lane) / tippingShare(0))));
+                (double)
+                    jitter(
+                        (long)
+                            Math.max(
+                                learns ? SECOND_US / 10.0 : 0, apartUs(lane) / tippingShare(0))));
   }
 
   /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
@@ -1077,13 +1081,13 @@
     return job.attempts < settings.limits().mostAttempts()
         && (!job.mayHaveRun
             || effect == Effect.SAFE
-            || effect == Effect.KEYED && nowUs < job.keyEndUs());
+            || (effect == Effect.KEYED && nowUs < job.keyEndUs()));
   }
 
   private static boolean mayRefuse(final Job job) {
     return !job.mayHaveRun
         || job.kind.effect() == Effect.SAFE
-        || job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed();
+        || (job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed());
   }
 
   /** Gives the final answer: a refusal where that is harmless, or a failure. */
--- a/decisions/src/test/java/thistleturn/decisions/oracle/RandomDay.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/RandomDay.java
@@ -155,7 +155,7 @@
             chance(0.8),
             (1 + random.nextInt(20)) * SECOND,
             1 + random.nextInt(2),
-            random.nextInt(2) * 2 * SECOND));
+            random.nextInt(2) * 2L * SECOND));
   }
 
   /** Plays so many events; the result is how many actions were asked for and were the same. */
@@ -183,7 +183,7 @@
   }
 
   private void advance() {
-    final long nextUs = nowUs + (long) (Math.pow(10, 2 + 4 * random.nextDouble()));
+    final long nextUs = nowUs + (long) Math.pow(10, 2 + 4 * random.nextDouble());
     final long oursUs = ourWakes.isEmpty() ? Long.MAX_VALUE : ourWakes.first();
     final long wakeUs =
         Math.min(oursUs, oraclesWakes.isEmpty() ? Long.MAX_VALUE : oraclesWakes.first());
--- a/decisions/src/test/java/thistleturn/decisions/shards/AllotmentPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/shards/AllotmentPropertyTest.java
@@ -53,7 +53,7 @@
     for (int step = 0; step < STEPS; step++) {
       final int index = random.nextInt(shards);
       final Shard one = all[index];
-      one.stalled = random.nextInt(50) == 0 || one.stalled && random.nextInt(10) > 0;
+      one.stalled = random.nextInt(50) == 0 || (one.stalled && random.nextInt(10) > 0);
       if (!one.stalled) {
         one.work(random);
         if (random.nextBoolean()) {
--- a/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
@@ -85,7 +85,7 @@
     }
     memory.instances = after;
     // An answer without a hash cannot be checked; a whole one is as good as its word.
-    return frame.hash().equals(after.hash()) || frame.hash().isEmpty() && !delta;
+    return frame.hash().equals(after.hash()) || (frame.hash().isEmpty() && !delta);
   }
 
   /** Instances that are of use, with their state. */
--- a/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
@@ -51,15 +51,13 @@
     void failed(String reason);
   }
 
-  private final EventLoop loop;
   private final Listener listener;
   private final long mostBytes;
   private Channel channel;
   private Future<?> limit;
   private boolean over;
 
-  private EurekaCall(final EventLoop loop, final long mostBytes, final Listener listener) {
-    this.loop = loop;
+  private EurekaCall(final long mostBytes, final Listener listener) {
     this.mostBytes = mostBytes;
     this.listener = listener;
   }
@@ -74,7 +72,7 @@
       final long timeUs,
       final long mostBytes,
       final Listener listener) {
-    final EurekaCall call = new EurekaCall(loop, mostBytes, listener);
+    final EurekaCall call = new EurekaCall(mostBytes, listener);
     final var request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
--- a/eureka/src/main/java/thistleturn/eureka/Instances.java
+++ b/eureka/src/main/java/thistleturn/eureka/Instances.java
@@ -127,7 +127,7 @@
   }
 
   private int slot(final String key) {
-    return (key.hashCode() * SPREAD >>> 7) & index.length - 1;
+    return ((key.hashCode() * SPREAD) >>> 7) & index.length - 1;
   }
 
   private void enter(final int at) {
--- a/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
@@ -81,9 +81,7 @@
       }
       connection
           .getOutputStream()
-          .write(
-              "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n"
-                  .getBytes(StandardCharsets.US_ASCII));
+          .write("HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       return text.toString().replaceAll("(Timestamp=|Timestamp\":\")\\d{13}", "$1DIRTY");
     }
   }
@@ -151,8 +149,7 @@
 
   @Test
   void reasonsForUnusableInstancesAreWrittenByTheseNames() {
-    final Map<EurekaMapping.Unusable, Long> counts =
-        new EnumMap<>(EurekaMapping.Unusable.class);
+    final Map<EurekaMapping.Unusable, Long> counts = new EnumMap<>(EurekaMapping.Unusable.class);
     for (final EurekaMapping.Unusable reason : EurekaMapping.Unusable.values()) {
       counts.put(reason, 1L);
     }
@@ -175,7 +172,6 @@
   /** The operators' JSON counts these in lower case. */
   @Test
   void actsAtTheRegistryHaveTheseNames() {
-    assertEquals(
-        "[REGISTER, RENEW, WARN, CANCEL, NOTHING]", Arrays.toString(Lease.Act.values()));
+    assertEquals("[REGISTER, RENEW, WARN, CANCEL, NOTHING]", Arrays.toString(Lease.Act.values()));
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/FleetDay.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/FleetDay.java
@@ -131,7 +131,7 @@
           Math.max(
               4, Math.ceil(perSecond * share / (THIN_LOAD + 0.2 * random.nextDouble()) * headroom));
       final int endpoints = index < 2 ? 3 : 1 + random.nextInt(3);
-      final long serviceUs = 100_000 + random.nextInt(120_000);
+      final long serviceUs = 100_000L + random.nextInt(120_000);
       final int connections =
           several
               ? Integer.MAX_VALUE
--- a/lab/src/main/java/thistleturn/lab/model/ColdReturn.java
+++ b/lab/src/main/java/thistleturn/lab/model/ColdReturn.java
@@ -47,7 +47,7 @@
 
   /** What becomes of a call that comes now: nothing to connect to, no room, or it may be served. */
   public Fate arrives(final long nowUs) {
-    if (fallen || nowUs >= fromUs && nowUs < toUs) {
+    if (fallen || (nowUs >= fromUs && nowUs < toUs)) {
       return Fate.UNREACHABLE;
     }
     arrivals.add(nowUs);
--- a/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
+++ b/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
@@ -44,7 +44,7 @@
   private final SplittableRandom random;
   private final List<String> names;
   private final Map<String, Integer> numbers = new HashMap<>();
-  private final Process[] processes;
+  private final SimulatedProcess[] processes;
   private final int[] lives;
   private final int[][] cuts;
   private final FleetJudge judge;
@@ -57,7 +57,7 @@
   private long lost;
 
   /** One process. */
-  private final class Process implements Contestant.Wire {
+  private final class SimulatedProcess implements Contestant.Wire {
     private final int number;
     private final String name;
     private final Contestant contestant;
@@ -70,7 +70,7 @@
     private long view = -1;
     private String line = "";
 
-    Process(final int number) {
+    SimulatedProcess(final int number) {
       this.number = number;
       this.name = names.get(number);
       this.contestant =
@@ -139,7 +139,7 @@
     private void end() {
       over = true;
       judge.ends(name, nowMs());
-      for (final Process other : processes) {
+      for (final SimulatedProcess other : processes) {
         if (other != null && !other.over && other.lifelines.containsKey(number)) {
           final int connection = other.lifelines.get(number);
           whenOpen(number, other.number, () -> other.run(() -> other.ended(number, connection)));
@@ -167,7 +167,7 @@
         agenda.in(
             delayUs(),
             () -> {
-              final Process there = processes[target];
+              final SimulatedProcess there = processes[target];
               if (there != null && cuts[number][target] == 0) {
                 there.run(() -> there.contestant.receive(message, agenda.nowUs()));
               }
@@ -196,7 +196,7 @@
 
     private void arrive(
         final int target, final String to, final int connection, final long begunUs) {
-      final Process there = processes[target];
+      final SimulatedProcess there = processes[target];
       if (there == null || there.over) {
         whenOpen(target, number, () -> run(() -> ended(target, connection)));
       } else {
@@ -237,7 +237,7 @@
             number,
             target,
             () -> {
-              final Process there = processes[target];
+              final SimulatedProcess there = processes[target];
               if (there != null) {
                 there.run(() -> there.contestant.receive(message, agenda.nowUs()));
               }
@@ -256,7 +256,7 @@
         IntStream.range(0, schedule.members())
             .mapToObj(number -> String.format("n%03d", number))
             .toList();
-    this.processes = new Process[schedule.members()];
+    this.processes = new SimulatedProcess[schedule.members()];
     this.lives = new int[schedule.members()];
     this.cuts = new int[schedule.members()][schedule.members()];
     this.judge = new FleetJudge(pauseLimitMs);
@@ -307,7 +307,8 @@
     }
     for (int number = 0; number < processes.length; number++) {
       final int one = number;
-      agenda.at(beganUs + random.nextLong(200 * MS), () -> processes[one] = new Process(one));
+      agenda.at(
+          beganUs + random.nextLong(200 * MS), () -> processes[one] = new SimulatedProcess(one));
     }
     final long endUs = beganUs + schedule.endMs() * MS;
     while (agenda.step(endUs)) {
@@ -320,7 +321,7 @@
   private void begin(final Fault fault) {
     final long untilUs = fault.forMs() == 0 ? Long.MAX_VALUE : agenda.nowUs() + fault.forMs() * MS;
     switch (fault.kind()) {
-      case KILL -> each(fault, Process::end);
+      case KILL -> each(fault, SimulatedProcess::end);
       case LEAVE ->
           each(
               fault,
@@ -334,7 +335,7 @@
               .forEach(
                   number -> {
                     if (processes[number] == null || processes[number].over) {
-                      processes[number] = new Process(number);
+                      processes[number] = new SimulatedProcess(number);
                     }
                   });
       case PAUSE ->
@@ -363,7 +364,7 @@
     }
   }
 
-  private void each(final Fault fault, final Consumer<Process> what) {
+  private void each(final Fault fault, final Consumer<SimulatedProcess> what) {
     for (final int number : fault.one()) {
       if (processes[number] != null && !processes[number].over) {
         what.accept(processes[number]);
@@ -371,7 +372,7 @@
     }
   }
 
-  private void starve(final Process process, final double share, final long untilUs) {
+  private void starve(final SimulatedProcess process, final double share, final long untilUs) {
     if (process.over || agenda.nowUs() >= untilUs) {
       return;
     }
@@ -393,7 +394,7 @@
 
   private void reset(final List<Integer> from, final List<Integer> to) {
     for (final int one : from) {
-      final Process process = processes[one];
+      final SimulatedProcess process = processes[one];
       for (final int other : to) {
         if (process != null && process.lifelines.containsKey(other)) {
           final int connection = process.lifelines.get(other);
@@ -411,7 +412,7 @@
   /** Those that run or stand still now. */
   public List<Contestant> living() {
     final List<Contestant> living = new ArrayList<>();
-    for (final Process process : processes) {
+    for (final SimulatedProcess process : processes) {
       if (process != null && !process.over) {
         living.add(process.contestant);
       }
--- a/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
+++ b/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
@@ -159,8 +159,8 @@
             && nowUs < item.message.validUntilUs() - END_MARGIN_US
             && (!ran
                 || item.kind.effect() == Effect.SAFE
-                || item.kind.effect() == Effect.KEYED
-                    && nowUs < item.firstRunUs + 0.95 * item.kind.keyWindowUs());
+                || (item.kind.effect() == Effect.KEYED
+                    && nowUs < item.firstRunUs + 0.95 * item.kind.keyWindowUs()));
     if (may) {
       return false;
     }
--- a/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
@@ -207,7 +207,7 @@
               .noneMatch(
                   other ->
                       other.before.contains(one)
-                          || other.writer.equals(one.writer) && other.version > one.version)) {
+                          || (other.writer.equals(one.writer) && other.version > one.version))) {
         broken.add(
             endpoint
                 + ": lost at "
--- a/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
@@ -334,9 +334,7 @@
       agenda.at(beganUs + fault.atMs() * MS, () -> begin(fault));
     }
     final long endUs = beganUs + schedule.endMs() * MS;
-    while (agenda.step(endUs)) {
-      continue;
-    }
+    while (agenda.step(endUs)) {}
   }
 
   /** Goes on until all that run hold the same, at most so long; the time that took, ms, or -1. */
--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -378,10 +378,6 @@
 
   @Test
   void manyJoinAtOnce() {
-    final List<Integer> all = new ArrayList<>();
-    for (int number = 0; number < 200; number++) {
-      all.add(number);
-    }
     final FleetJudge judge = new Play(new Schedule(200, 18, 20_000, List.of())).good();
     assertTrue(judge.agreedMs() < 12_000, () -> "agreed at " + judge.agreedMs());
   }
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -73,76 +73,94 @@
 
   @Test
   void datagramWithoutItemsHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831090a9f030405
         06ff0b9f031902bc08f5ff010c9fffff
-        """, packet(ALPHA, Packet.Kind.PONG));
+        """,
+        packet(ALPHA, Packet.Kind.PONG));
   }
 
   @Test
   void factItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f009f65
         616c7068611b00060a24181e4001ff6e3132372e302e302e313a3730383102ffffff
-        """, of(new Item.Fact(ALPHA, ADDRESS, Item.Life.DEAD)));
+        """,
+        of(new Item.Fact(ALPHA, ADDRESS, Item.Life.DEAD)));
   }
 
   @Test
   void reportItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f019f65
         616c7068611b00060a24181e4001ff9f646265746102ff15021a0016e360ffffff
-        """, of(new Item.Report(ALPHA, BETA, 21, Sight.ENDED, 1_500_000)));
+        """,
+        of(new Item.Report(ALPHA, BETA, 21, Sight.ENDED, 1_500_000)));
   }
 
   @Test
   void beatItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f029f64
         6265746102ff16ffffff
-        """, of(new Item.Beat(BETA, 22)));
+        """,
+        of(new Item.Beat(BETA, 22)));
   }
 
   @Test
   void saidItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f039f64
         6265746102ff179f031902bc08f5ffffffff
-        """, of(new Item.Said(BETA, 23, SELF_REPORT)));
+        """,
+        of(new Item.Said(BETA, 23, SELF_REPORT)));
   }
 
   @Test
   void askItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f04ffff
         ff
-        """, of(new Item.Ask()));
+        """,
+        of(new Item.Ask()));
   }
 
   @Test
   void decidedItemHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f059f03
         040506ff9f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e3132372e30
         2e302e313a37303831ffffffffffff
-        """, of(new Item.Decided(MARK, CHANGE)));
+        """,
+        of(new Item.Decided(MARK, CHANGE)));
   }
 
   @Test
   void voteItemWithChangeHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
         040506ff03181f18209f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e
         3132372e302e302e313a37303831ffffffffffff
-        """, of(new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, 31, 32, CHANGE)));
+        """,
+        of(new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, 31, 32, CHANGE)));
   }
 
   @Test
   void voteItemWithoutChangeHasTheseBytes() throws IOException {
-    assertPacketBytes("""
+    assertPacketBytes(
+        """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
         040506ff00182120f6ffffff
-        """, of(new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 33, -1, null)));
+        """,
+        of(new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 33, -1, null)));
   }
 
   @Test
@@ -151,7 +169,8 @@
         new View(
             3, 4, 5, List.of(new Member(ALPHA, ADDRESS), new Member(BETA, ADDRESS)), List.of(BETA));
     final Full full = new Full(ALPHA, ADDRESS, view, List.of(new Item.Beat(BETA, 22)));
-    final String hexLines = """
+    final String hexLines =
+        """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038319f0304059f9f
         9f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831ff9f9f6462657461
         02ff6e3132372e302e302e313a37303831ffff9f9f646265746102ffffff9f9f029f646265746102
@@ -163,17 +182,18 @@
 
   @Test
   void fullStateFrameWithoutViewHasTheseBytes() throws IOException {
-    final String hexLines = """
+    final String hexLines =
+        """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831f69fffff
         """;
-    assertEquals(
-        joined(hexLines), hex(codec.write(new Full(ALPHA, ADDRESS, null, List.of()))));
+    assertEquals(joined(hexLines), hex(codec.write(new Full(ALPHA, ADDRESS, null, List.of()))));
     assertNull(codec.full(bytes(hexLines)).view());
   }
 
   @Test
   void greetingFrameHasTheseBytes() throws IOException {
-    final String hexLines = """
+    final String hexLines =
+        """
         9f019f65616c7068611b00060a24181e4001ffff
         """;
     assertEquals(joined(hexLines), hex(codec.write(ALPHA)));
@@ -182,7 +202,8 @@
 
   @Test
   void passengerDatagramHasTheseBytes() throws IOException {
-    final String hexLines = """
+    final String hexLines =
+        """
         ff9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038310d430102ff
         ff
         """;
@@ -198,7 +219,8 @@
   /** Length, checksum keyed by the fleet's key, kind of frame and text. */
   @Test
   void sealedFrameHasTheseBytes() {
-    final String hexLines = """
+    final String hexLines =
+        """
         00000015ada65b8c9c863c15077016be8ed5f1fd0274657874
         """;
     final byte[] text = "text".getBytes(StandardCharsets.US_ASCII);
--- a/replicas/src/main/java/thistleturn/replicas/Codec.java
+++ b/replicas/src/main/java/thistleturn/replicas/Codec.java
@@ -298,8 +298,8 @@
             switch (in.currentToken()) {
               case VALUE_NUMBER_INT -> in.getLongValue();
               case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-              case VALUE_TRUE -> Boolean.TRUE;
-              case VALUE_FALSE -> Boolean.FALSE;
+              case VALUE_TRUE -> true;
+              case VALUE_FALSE -> false;
               case VALUE_STRING -> in.getText();
               default ->
                   throw new MalformedException(
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -249,7 +249,7 @@
               settings.outages(),
               verdict,
               verdict.state().equals("out") ? Word.Kind.OUTAGE : Word.Kind.RETURN,
-              Math.max(0, verdict.sinceUs()));
+              (double) Math.max(0, verdict.sinceUs()));
       case LIMIT -> say(settings.limits(), verdict, Word.Kind.LIMIT, verdict.value());
       // Of these nothing is said: they are there to be looked at.
       case LEARNT, LIST -> {}
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
@@ -39,7 +39,8 @@
                   entry(Kind.MAINTENANCE, 0, true, "operator at alpha", "beta", 2L, 8L),
                   entry(Kind.LIMIT, 60_000_000, 4.25))),
           new Delta(BETA, 0, 1, List.of()));
-  private static final String SNAPSHOT_HEX = """
+  private static final String SNAPSHOT_HEX =
+      """
       5454523100000000a9b2e2829f011b00060a24181e40021b00060a241e1421001a35a4e9001a001e
       84809f65616c7068611b00060a24181e40010964626574610201ff9f65616c7068611b00060a2418
       1e40019f9f01613708001a0003d090f5716f70657261746f7220617420616c706861646265746102
@@ -49,8 +50,7 @@
   private final Codec codec = new Codec();
 
   private static Entry entry(final Kind kind, final long lifeUs, final Object... fields) {
-    return new Entry(
-        kind.code(), "7", ALPHA, 8, lifeUs, NOW_US - 250_000, List.of(fields));
+    return new Entry(kind.code(), "7", ALPHA, 8, lifeUs, NOW_US - 250_000, List.of(fields));
   }
 
   private static String joined(final String hexLines) {
@@ -61,27 +61,29 @@
     return HexFormat.of().parseHex(joined(hexLines));
   }
 
-  private void assertMessageBytes(final String hexLines, final Message message)
-      throws IOException {
-    assertEquals(
-        joined(hexLines), HexFormat.of().formatHex(codec.write(message, NOW_US)));
+  private void assertMessageBytes(final String hexLines, final Message message) throws IOException {
+    assertEquals(joined(hexLines), HexFormat.of().formatHex(codec.write(message, NOW_US)));
     assertEquals(message, codec.read(bytes(hexLines), NOW_US));
   }
 
   @Test
   void newsMessageHasTheseBytes() throws IOException {
-    assertMessageBytes("""
+    assertMessageBytes(
+        """
         9f01019f9f65616c7068611b00060a24181e400103099f9f01613708001a0003d090f5716f706572
         61746f7220617420616c70686164626574610208ff9f046137081a039387001a0003d090fb401100
         0000000000ffffff9f64626574610200019fffffffff
-        """, new Message.News(DELTAS));
+        """,
+        new Message.News(DELTAS));
   }
 
   @Test
   void markMessageHasTheseBytes() throws IOException {
-    assertMessageBytes("""
+    assertMessageBytes(
+        """
         9f0102384c0cff
-        """, new Message.Mark(-77, 12));
+        """,
+        new Message.Mark(-77, 12));
   }
 
   @Test
@@ -89,18 +91,22 @@
     final Map<Writer, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 4L);
     known.put(BETA, 300L);
-    assertMessageBytes("""
+    assertMessageBytes(
+        """
         9f01030205f59f65616c7068611b00060a24181e40010464626574610219012cffff
-        """, new Message.Page(2, 5, known, true));
+        """,
+        new Message.Page(2, 5, known, true));
   }
 
   @Test
   void pieceMessageHasTheseBytes() throws IOException {
-    assertMessageBytes("""
+    assertMessageBytes(
+        """
         9f01040103f49f9f65616c7068611b00060a24181e400103099f9f01613708001a0003d090f5716f
         70657261746f7220617420616c70686164626574610208ff9f046137081a039387001a0003d090fb
         4011000000000000ffffff9f64626574610200019fffffffff
-        """, new Message.Piece(1, 3, DELTAS, false));
+        """,
+        new Message.Piece(1, 3, DELTAS, false));
   }
 
   /** Kinds of entries are numbers on the wire; operators' JSON holds their names in lower case. */
@@ -142,13 +148,11 @@
   void snapshotFileWithTheseBytesIsReadBack(@TempDir final Path folder) throws IOException {
     Files.write(folder.resolve("replicas.all"), bytes(SNAPSHOT_HEX));
     final SnapshotFile.Found found =
-        new SnapshotFile(folder, "replicas.all")
-            .read(NOW_US, 1_700_000_100_000_000L, 900_000_000);
+        new SnapshotFile(folder, "replicas.all").read(NOW_US, 1_700_000_100_000_000L, 900_000_000);
     assertEquals(1_700_000_000_000_002L, found.birth());
     assertEquals(NOW_US - 2_000_000, found.togetherUs());
     assertEquals(
-        List.of(
-            new Delta(ALPHA, 0, 9, DELTAS.get(0).entries()), new Delta(BETA, 0, 1, List.of())),
+        List.of(new Delta(ALPHA, 0, 9, DELTAS.get(0).entries()), new Delta(BETA, 0, 1, List.of())),
         found.deltas());
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/Auditor.java
+++ b/testkit/src/main/java/thistleturn/testkit/Auditor.java
@@ -408,8 +408,8 @@
             && firstByteUs > killedUs;
     final boolean repeatable =
         message.kind.effect() == Courier.Effect.SAFE
-            || message.kind.effect() == Courier.Effect.KEYED
-                && firstByteUs <= message.firstRunUs + message.kind.keyWindowUs();
+            || (message.kind.effect() == Courier.Effect.KEYED
+                && firstByteUs <= message.firstRunUs + message.kind.keyWindowUs());
     if (unread && repeatable) {
       message.out++;
       return true;
--- a/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
@@ -170,7 +170,7 @@
         kept = true;
         atNs = System.nanoTime();
       }
-      if (resetsAtFirstByte || resetsKept && next) {
+      if (resetsAtFirstByte || (resetsKept && next)) {
         ((ByteBuf) part).release();
         reset(context.channel());
         return;
--- a/testkit/src/main/java/thistleturn/testkit/rig/ChildProcess.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/ChildProcess.java
@@ -101,7 +101,7 @@
           return line;
         }
       }
-      if (System.nanoTime() > untilNs || !process.isAlive() && lines.stream().noneMatch(wanted)) {
+      if (System.nanoTime() > untilNs || (!process.isAlive() && lines.stream().noneMatch(wanted))) {
         throw new AssertionError("process " + process.pid() + " never said it: " + lines);
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
--- a/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
@@ -72,7 +72,9 @@
                   "-ldl")
               .redirectErrorStream(true)
               .start();
-      final String said = new String(compiler.getInputStream().readAllBytes());
+      final String said =
+          new String(
+              compiler.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
       try {
         if (compiler.waitFor() != 0) {
           throw new IOException("cc: " + said);
--- a/testkit/src/main/java/thistleturn/testkit/rig/FleetJudge.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FleetJudge.java
@@ -123,7 +123,7 @@
     final Long since = pausedMs.get(name);
     return excused.contains(name)
         || longestPauseMs.getOrDefault(name, 0L) > pauseLimitMs
-        || since != null && atMs - since > pauseLimitMs;
+        || (since != null && atMs - since > pauseLimitMs);
   }
 
   private void note(final String observer, final long atMs) {
--- a/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
@@ -152,7 +152,7 @@
         return same.getLocalPort();
       } catch (final BindException e) {
         // Taken: the next one.
-        continue;
+
       }
     }
     throw new IOException("no free port from " + FIRST_PORT + " to " + LAST_PORT);
--- a/testkit/src/test/java/thistleturn/testkit/AuditorTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/AuditorTest.java
@@ -294,7 +294,7 @@
     auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
     for (int index = 0; index < 60; index++) {
       take(0, "m" + index, "safe");
-      call(index * 20 * MS, index * 20 * MS + MS, "m" + index, End.DELIVERED);
+      call(index * 20L * MS, index * 20L * MS + MS, "m" + index, End.DELIVERED);
     }
     assertBroken(Rule.TIPPED);
   }
@@ -303,8 +303,8 @@
   void oneThatIsWarmedUpGentlyIsNot() {
     auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
     for (int index = 0; index < 40; index++) {
-      take(index * 200 * MS, "m" + index, "safe");
-      call(index * 200 * MS, index * 200 * MS + MS, "m" + index, End.DELIVERED);
+      take(index * 200L * MS, "m" + index, "safe");
+      call(index * 200L * MS, index * 200L * MS + MS, "m" + index, End.DELIVERED);
     }
     assertBroken();
   }
