--- a/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
@@ -128,8 +128,7 @@
       seen.add(line.split("\t")[0]);
     }
     assertEquals(
-        "[decline, drop_request, follow, free_links, pass_on, remind, yield]",
-        seen.toString());
+        "[decline, drop_request, follow, free_links, pass_on, remind, yield]", seen.toString());
   }
 
   @ParameterizedTest
