--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.decisions.Control;
-import thistleturn.lab.model.ColdReturn;
-import thistleturn.lab.virtual.Evening;
-import thistleturn.lab.virtual.Kills;
-import thistleturn.lab.virtual.Tally;
+import thistleturn.lab.model.SlowStartModel;
+import thistleturn.lab.virtual.CrashSchedule;
+import thistleturn.lab.virtual.Scenario;
+import thistleturn.lab.virtual.ScenarioStatistics;
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
@@ -85,9 +85,10 @@
     for (final Map.Entry<String, double[]> trouble : Worlds.killed().entrySet()) {
       for (final Map.Entry<String, long[]> lives : Worlds.lives().entrySet()) {
         for (final boolean remembers : new boolean[] {false, true}) {
-          final Kills kills =
-              new Kills(40, lives.getValue()[0], lives.getValue()[1], Worlds.START_US, remembers);
-          final List<Tally> tallies =
+          final CrashSchedule kills =
+              new CrashSchedule(
+                  40, lives.getValue()[0], lives.getValue()[1], Worlds.START_US, remembers);
+          final List<ScenarioStatistics> tallies =
               play(
                   () -> Worlds.troubled(trouble.getValue(), 62 * Worlds.SECOND_US, false),
                   kills,
@@ -105,7 +106,7 @@
                   + " | "
                   + (remembers ? "taken up" : "begun anew")
                   + " | "
-                  + spread(tallies, Tally::goodput)
+                  + spread(tallies, ScenarioStatistics::goodput)
                   + " | "
                   + times.get(times.size() / 2) / 1000
                   + " | "
@@ -127,7 +128,7 @@
       Senders.all()
           .forEach(
               (name, maker) -> {
-                final List<Tally> tallies = play(() -> Worlds.storm(perSecond), maker);
+                final List<ScenarioStatistics> tallies = play(() -> Worlds.storm(perSecond), maker);
                 System.out.println(
                     "| "
                         + (int) perSecond
@@ -138,7 +139,7 @@
                             tallies,
                             tally ->
                                 tally.seconds().subList(5, Worlds.STORM_FROM_S).stream()
-                                    .mapToInt(Tally.Second::calls)
+                                    .mapToInt(ScenarioStatistics.Second::calls)
                                     .average()
                                     .orElse(0))
                         + " | "
@@ -149,7 +150,7 @@
                                     .seconds()
                                     .subList(Worlds.STORM_FROM_S + 2, Worlds.STORM_TO_S - 1)
                                     .stream()
-                                    .mapToInt(Tally.Second::calls)
+                                    .mapToInt(ScenarioStatistics.Second::calls)
                                     .max()
                                     .orElse(0))
                         + " | "
@@ -159,7 +160,7 @@
     }
   }
 
-  private static double secondsUntilServed(final Tally tally) {
+  private static double secondsUntilServed(final ScenarioStatistics tally) {
     int second = tally.seconds().size() - 1;
     while (second > Worlds.STORM_TO_S
         && (second >= Worlds.STORM_EVENING_S
@@ -177,12 +178,12 @@
       Senders.all()
           .forEach(
               (name, maker) -> {
-                final List<ColdReturn> all = new ArrayList<>();
+                final List<SlowStartModel> all = new ArrayList<>();
                 final int before = broken;
                 final long plays = returns / 2;
                 double goodput = 0;
                 for (long seed = 1; seed <= plays; seed++) {
-                  final Tally tally =
+                  final ScenarioStatistics tally =
                       VirtualCourier.play(Worlds.returns(seed, all, noise), seed, maker);
                   broken += tally.broken().size();
                   goodput += tally.goodput() / plays;
@@ -197,22 +198,25 @@
                         name,
                         100 * noise,
                         all.size(),
-                        all.stream().filter(ColdReturn::isFallen).count(),
+                        all.stream().filter(SlowStartModel::isFallen).count(),
                         broken - before,
                         goodput));
               });
     }
   }
 
-  private List<Tally> play(final Supplier<Evening> evening, final VirtualCourier.Maker maker) {
-    return play(evening, Kills.NONE, maker);
+  private List<ScenarioStatistics> play(
+      final Supplier<Scenario> evening, final VirtualCourier.Maker maker) {
+    return play(evening, CrashSchedule.NONE, maker);
   }
 
-  private List<Tally> play(
-      final Supplier<Evening> evening, final Kills kills, final VirtualCourier.Maker maker) {
-    final List<Tally> tallies = new ArrayList<>();
+  private List<ScenarioStatistics> play(
+      final Supplier<Scenario> evening,
+      final CrashSchedule kills,
+      final VirtualCourier.Maker maker) {
+    final List<ScenarioStatistics> tallies = new ArrayList<>();
     for (long seed = 1; seed <= seeds; seed++) {
-      final Tally tally = VirtualCourier.play(evening.get(), kills, seed, maker);
+      final ScenarioStatistics tally = VirtualCourier.play(evening.get(), kills, seed, maker);
       broken += tally.broken().size();
       tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
       tallies.add(tally);
@@ -220,7 +224,8 @@
     return tallies;
   }
 
-  private static String spread(final List<Tally> tallies, final ToDoubleFunction<Tally> figure) {
+  private static String spread(
+      final List<ScenarioStatistics> tallies, final ToDoubleFunction<ScenarioStatistics> figure) {
     final double least = tallies.stream().mapToDouble(figure).min().orElse(0);
     final double most = tallies.stream().mapToDouble(figure).max().orElse(0);
     return most - least < 0.0005
@@ -237,7 +242,7 @@
         Senders.all()
             .forEach(
                 (name, maker) -> {
-                  final List<Tally> tallies =
+                  final List<ScenarioStatistics> tallies =
                       play(
                           () ->
                               Worlds.troubled(trouble.getValue(), seconds * Worlds.SECOND_US, told),
@@ -250,11 +255,11 @@
                           + " | "
                           + name
                           + " | "
-                          + spread(tallies, Tally::goodput)
+                          + spread(tallies, ScenarioStatistics::goodput)
                           + " | "
-                          + spread(tallies, Tally::callsAMessage)
+                          + spread(tallies, ScenarioStatistics::callsAMessage)
                           + " | "
-                          + spread(tallies, Tally::refusedAMessage)
+                          + spread(tallies, ScenarioStatistics::refusedAMessage)
                           + " |");
                 });
       }
@@ -270,7 +275,7 @@
                 Senders.all()
                     .forEach(
                         (name, maker) -> {
-                          final List<Tally> tallies = play(evening, maker);
+                          final List<ScenarioStatistics> tallies = play(evening, maker);
                           System.out.println(
                               "| "
                                   + world
@@ -281,7 +286,7 @@
                                       tallies,
                                       tally -> tally.delivered() / (3 * Worlds.CAPACITY * seconds))
                                   + " | "
-                                  + spread(tallies, Tally::refusedAMessage)
+                                  + spread(tallies, ScenarioStatistics::refusedAMessage)
                                   + " |");
                         }));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
@@ -10,11 +10,11 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import thistleturn.decisions.Courier;
-import thistleturn.lab.model.ColdReturn;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
-import thistleturn.lab.model.Partner;
-import thistleturn.lab.virtual.Evening;
+import thistleturn.lab.model.SimulatedDestination;
+import thistleturn.lab.model.SlowStartModel;
+import thistleturn.lab.virtual.Scenario;
 
 /** Evenings that are played: trouble that answers to nothing of ours, and limits that do. */
 final class Worlds {
@@ -31,20 +31,20 @@
   private Worlds() {}
 
   /** Three partners alike, as the table of the issue has them. */
-  static Evening evening(
-      final LongFunction<Partner> partner,
+  static Scenario evening(
+      final LongFunction<SimulatedDestination> partner,
       final double perSecond,
       final long lengthUs,
       final boolean told) {
-    final List<Partner> partners = new ArrayList<>();
+    final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= PARTNERS; id++) {
       partners.add(partner.apply(id));
     }
-    return new Evening(
+    return new Scenario(
         partners,
         perSecond,
         lengthUs,
-        Evening.settings(told ? Courier.Weights.NOMINAL : Courier.Weights.NONE),
+        Scenario.settings(told ? Courier.Weights.NOMINAL : Courier.Weights.NONE),
         told ? TOLD : 0);
   }
 
@@ -79,17 +79,17 @@
     return lives;
   }
 
-  static Evening troubled(final double[] shares, final long lengthUs, final boolean told) {
+  static Scenario troubled(final double[] shares, final long lengthUs, final boolean told) {
     final Fault fault = Fault.shares(shares[0], shares[1], shares[2], shares[3]);
-    return evening(id -> Partner.plain(id).faulty(fault), PER_SECOND, lengthUs, told);
+    return evening(id -> SimulatedDestination.plain(id).faulty(fault), PER_SECOND, lengthUs, told);
   }
 
   /**
    * True limits, each with what it can do a second for one partner, with and without 5% noise, at
    * several loads.
    */
-  static Map<String, Supplier<Evening>> limits(final long lengthUs) {
-    final Map<String, Supplier<Evening>> worlds = new LinkedHashMap<>();
+  static Map<String, Supplier<Scenario>> limits(final long lengthUs) {
+    final Map<String, Supplier<Scenario>> worlds = new LinkedHashMap<>();
     final Fault noise = Fault.shares(0.05, 0, 0, 0);
     for (final double load : new double[] {0.7, 1.3, 3}) {
       for (final boolean noisy : new boolean[] {false, true}) {
@@ -119,10 +119,13 @@
    * All partners refuse everything for a minute, ten seconds after the start, at a given rate of
    * messages.
    */
-  static Evening storm(final double perSecond) {
+  static Scenario storm(final double perSecond) {
     final Fault all = Fault.shares(1, 0, 0, 0).between(STORM_FROM_US, STORM_TO_US, Fault.NONE);
     return evening(
-        id -> Partner.plain(id).faulty(all), perSecond, STORM_EVENING_S * SECOND_US, false);
+        id -> SimulatedDestination.plain(id).faulty(all),
+        perSecond,
+        STORM_EVENING_S * SECOND_US,
+        false);
   }
 
   /**
@@ -142,23 +145,24 @@
    * Two partners that go down and come back cold, one after the other, amid 5% noise; sizes and
    * moments by the seed.
    */
-  static Evening returns(final long seed, final List<ColdReturn> returns, final double noise) {
+  static Scenario returns(final long seed, final List<SlowStartModel> returns, final double noise) {
     final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    final List<Partner> partners = new ArrayList<>();
+    final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= 2; id++) {
       final double capacity = 20 + 60 * random.nextDouble();
       final long fromUs = (long) ((7 + 3 * random.nextDouble()) * SECOND_US);
       final long toUs = fromUs + (long) ((1 + 8 * random.nextDouble()) * SECOND_US);
-      final ColdReturn cold =
-          new ColdReturn(fromUs, toUs, capacity, COLD_FROM, COLD_US, 2, 3 * SECOND_US);
+      final SlowStartModel cold =
+          new SlowStartModel(fromUs, toUs, capacity, COLD_FROM, COLD_US, 2, 3 * SECOND_US);
       returns.add(cold);
-      partners.add(Partner.plain(id).faulty(Fault.shares(noise, 0, 0, 0)).returning(cold));
+      partners.add(
+          SimulatedDestination.plain(id).faulty(Fault.shares(noise, 0, 0, 0)).returning(cold));
     }
-    return new Evening(
+    return new Scenario(
         partners,
         20 + 80 * random.nextDouble(),
         24 * SECOND_US,
-        Evening.settings(Courier.Weights.NONE, COLD_US),
+        Scenario.settings(Courier.Weights.NONE, COLD_US),
         0);
   }
 
@@ -168,12 +172,12 @@
   /** Each can do 30 a second for each partner. */
   static final double CAPACITY = 30;
 
-  private static Evening limited(
+  private static Scenario limited(
       final Supplier<Limit> limit, final Fault fault, final double load, final long lengthUs) {
     return evening(
         id ->
-            Partner.plain(id)
-                .serving(Partner.Service.exponential(100_000))
+            SimulatedDestination.plain(id)
+                .serving(SimulatedDestination.Service.exponential(100_000))
                 .limited(limit.get())
                 .faulty(fault),
         PARTNERS * CAPACITY * load,
--- a/cli/src/main/java/thistleturn/cli/Main.java
+++ b/cli/src/main/java/thistleturn/cli/Main.java
@@ -13,7 +13,7 @@
       ServeCommand.class,
       CheckCommand.class,
       MembersCommand.class,
-      LanesCommand.class,
+      RoutesCommand.class,
       HealthCommand.class,
       PeersCommand.class,
       StateCommand.class,
--- a/cli/src/main/java/thistleturn/cli/LanesCommand.java
+++ b/cli/src/main/java/thistleturn/cli/RoutesCommand.java
@@ -19,7 +19,7 @@
     description =
         "How each destination is: its window, what its "
             + "refusals answer to, and what keeps the next message.")
-final class LanesCommand implements Callable<Integer> {
+final class RoutesCommand implements Callable<Integer> {
   @Mixin private AdminOptions asked;
 
   @Option(
--- a/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
@@ -32,7 +32,7 @@
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.decisions.Courier;
 import thistleturn.testkit.CourierFiles;
-import thistleturn.testkit.Exchange;
+import thistleturn.testkit.HttpExchange;
 import thistleturn.testkit.HttpStandIn;
 
 /**
@@ -64,7 +64,7 @@
   private final BlockingQueue<Long> waits = new LinkedBlockingQueue<>();
 
   /** A call that is answered by the test. */
-  private final BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
+  private final BlockingQueue<HttpExchange> open = new LinkedBlockingQueue<>();
 
   private HttpStandIn server;
   private HttpCarrier carrier;
@@ -278,7 +278,7 @@
                 },
                 loop)
             .get(PATIENCE_S, TimeUnit.SECONDS);
-    final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+    final HttpExchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
     CompletableFuture.runAsync(
             () -> {
               exchange.answer(429, "", "Retry-After", "1.5").syncUninterruptibly();
@@ -294,7 +294,7 @@
   @Test
   void aWaitInAnAnswerThatStopsShortIsHeeded() throws Exception {
     call(0, parcel("open", Long.MAX_VALUE));
-    final Exchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+    final HttpExchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
     exchange
         .raw(
             "HTTP/1.1 429 X\r\nRetry-After: 1.5\r\nContent-Length: 10\r\n\r\nab"
--- a/lab/src/main/java/thistleturn/lab/fleet/Commons.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
@@ -19,7 +19,7 @@
  * What the couriers of a virtual fleet tell each other of their partners: by copies over a network,
  * or by one memory that all share.
  */
-final class Commons {
+final class SharedStateModel {
   private static final long MS = 1000;
   private static final long LEAST_DELAY_US = 200;
   private static final long MORE_DELAY_US = 2 * MS;
@@ -35,7 +35,8 @@
   private final SplittableRandom random;
   private final List<Copy> copies = new ArrayList<>();
 
-  Commons(final VirtualFleet fleet, final Sharing sharing, final int couriers, final long seed) {
+  SharedStateModel(
+      final VirtualFleet fleet, final Sharing sharing, final int couriers, final long seed) {
     this.fleet = fleet;
     this.sharing = sharing;
     this.random = new SplittableRandom(seed);
--- a/lab/src/main/java/thistleturn/lab/fleet/Member.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
@@ -15,14 +15,14 @@
 import thistleturn.decisions.health.OwnHealth;
 import thistleturn.decisions.words.Word;
 import thistleturn.lab.fleet.FleetTally.Count;
-import thistleturn.lab.model.Fate;
+import thistleturn.lab.model.CallFault;
 
 /**
  * One courier of the fleet: its decisions, and what a host does for them. It can be killed at any
  * moment; what its journal holds is taken up by the next process. Its connections are its
  * process's.
  */
-final class Member implements Courier.Actions {
+final class SimulatedCourier implements Courier.Actions {
   /** Round trips that a handshake takes. */
   private static final int HANDSHAKE_TRIPS = 2;
 
@@ -84,7 +84,7 @@
   private final Map<Long, List<Open>> outbox = new LinkedHashMap<>();
   private final Map<String, Long> timeouts = new HashMap<>();
 
-  Member(final VirtualFleet fleet, final int index) {
+  SimulatedCourier(final VirtualFleet fleet, final int index) {
     this.fleet = fleet;
     this.index = index;
   }
@@ -290,7 +290,7 @@
   // ---------------------------------------------------------------- calls
 
   private void call(final long endpoint, final List<Open> messages) {
-    final Service service = fleet.services.get(VirtualFleet.destination(endpoint));
+    final SimulatedService service = fleet.services.get(VirtualFleet.destination(endpoint));
     for (int from = 0; from < messages.size(); from += service.shape.messagesPerCall()) {
       final CallOut call = new CallOut(endpoint, now());
       call.messages.addAll(
@@ -333,7 +333,7 @@
     }
   }
 
-  private void connect(final CallOut call, final Service service) {
+  private void connect(final CallOut call, final SimulatedService service) {
     if (call.over) {
       return;
     }
@@ -356,7 +356,7 @@
   }
 
   /** Its last byte comes to the endpoint. */
-  private void reach(final CallOut call, final Service service) {
+  private void reach(final CallOut call, final SimulatedService service) {
     if (call.over) {
       return;
     }
@@ -364,11 +364,11 @@
     if (service.isSilent(VirtualFleet.place(call.endpoint), now())) {
       return;
     }
-    final Fate fate = service.takes(now());
-    if (fate == Fate.UNREACHABLE) {
+    final CallFault fate = service.takes(now());
+    if (fate == CallFault.UNREACHABLE) {
       hangUp(call);
       back(call, Result.NO_CONNECTION, 0);
-    } else if (fate == Fate.REFUSE) {
+    } else if (fate == CallFault.REFUSE) {
       count(Count.REFUSED_CALLS);
       back(call, Result.REFUSED, service.shape.waitUs());
     } else {
--- a/lab/src/main/java/thistleturn/lab/fleet/Service.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedService.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import thistleturn.decisions.Courier;
-import thistleturn.lab.model.ColdReturn;
-import thistleturn.lab.model.Fate;
+import thistleturn.lab.model.CallFault;
 import thistleturn.lab.model.Limit;
+import thistleturn.lab.model.SlowStartModel;
 
 /** One destination as all couriers meet it: its rate, its endpoints' connections, its trouble. */
-final class Service {
+final class SimulatedService {
   private static final double CAPACITY = 1.3;
   private static final long DOWN_US = 5 * FleetDay.SECOND_US;
 
@@ -32,10 +32,10 @@
   private final Limit limit;
   private final Limit lowered;
   private final long loweredFromUs;
-  private final ColdReturn outage;
+  private final SlowStartModel outage;
 
   /** Its trouble begins at that moment of the clock, if there is one. */
-  Service(
+  SimulatedService(
       final int index,
       final FleetDay.Destination shape,
       final FleetDay.Trouble trouble,
@@ -52,7 +52,7 @@
     this.outage =
         trouble != FleetDay.Trouble.ZONE && trouble != FleetDay.Trouble.PAUSED_ZONE
             ? null
-            : new ColdReturn(
+            : new SlowStartModel(
                 fromUs,
                 fromUs + DOWN_US,
                 CAPACITY * shape.ratePerSecond(),
@@ -83,13 +83,13 @@
   }
 
   /** What becomes of a call that comes now. */
-  Fate takes(final long nowUs) {
-    final Fate fate = outage == null ? Fate.SERVE : outage.arrives(nowUs);
-    if (fate != Fate.SERVE) {
+  CallFault takes(final long nowUs) {
+    final CallFault fate = outage == null ? CallFault.SERVE : outage.arrives(nowUs);
+    if (fate != CallFault.SERVE) {
       return fate;
     }
     final boolean isLowered = nowUs >= loweredFromUs && nowUs < loweredFromUs + LOWERED_US;
-    return (isLowered ? lowered : limit).takes(nowUs) ? Fate.SERVE : Fate.REFUSE;
+    return (isLowered ? lowered : limit).takes(nowUs) ? CallFault.SERVE : CallFault.REFUSE;
   }
 
   /** True if nothing is wrong with it on this day. */
--- a/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGeneratorFactory;
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.words.Word;
-import thistleturn.lab.virtual.Agenda;
+import thistleturn.lab.virtual.EventQueue;
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
@@ -67,12 +67,12 @@
   private static final int MOST_PLACES = 1000;
 
   final FleetDay day;
-  final Agenda agenda = new Agenda(0);
+  final EventQueue agenda = new EventQueue(0);
   final RandomGenerator random;
   final FleetTally tally;
-  final List<Service> services = new ArrayList<>();
-  final Service.Listing listing;
-  private final List<Member> members = new ArrayList<>();
+  final List<SimulatedService> services = new ArrayList<>();
+  final SimulatedService.Listing listing;
+  private final List<SimulatedCourier> members = new ArrayList<>();
   private final VirtualCourier.Maker maker;
 
   /** Whether couriers know of their own health; without, they judge by the clock alone. */
@@ -81,7 +81,7 @@
   private int messages;
 
   /** What couriers tell each other; null: nothing. */
-  final Commons commons;
+  final SharedStateModel commons;
 
   private VirtualFleet(
       final FleetDay day,
@@ -94,10 +94,10 @@
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     this.tally = new FleetTally(day.couriers());
     this.maker = maker;
-    this.listing = new Service.Listing(isHerd() ? 3 * LIST_CALL_US : LIST_CALL_US);
+    this.listing = new SimulatedService.Listing(isHerd() ? 3 * LIST_CALL_US : LIST_CALL_US);
     for (int index = 0; index < day.destinations().size(); index++) {
       services.add(
-          new Service(
+          new SimulatedService(
               index,
               day.destinations().get(index),
               day.isStruck(index) ? day.trouble() : FleetDay.Trouble.NONE,
@@ -105,10 +105,12 @@
               day.settings().guarantees()));
     }
     for (int index = 0; index < day.couriers(); index++) {
-      members.add(new Member(this, index));
+      members.add(new SimulatedCourier(this, index));
     }
     this.commons =
-        sharing.kinds().isEmpty() ? null : new Commons(this, sharing, day.couriers(), seed);
+        sharing.kinds().isEmpty()
+            ? null
+            : new SharedStateModel(this, sharing, day.couriers(), seed);
   }
 
   /** Plays a day to its end. */
@@ -146,7 +148,7 @@
   }
 
   private void run() {
-    members.forEach(Member::start);
+    members.forEach(SimulatedCourier::start);
     agenda.at(START_US, this::arrive);
     if (isHerd()) {
       agenda.at(
@@ -165,12 +167,12 @@
     boolean goesOn = true;
     while (goesOn) {
       goesOn = agenda.step(endUs);
-      members.forEach(Member::pass);
+      members.forEach(SimulatedCourier::pass);
     }
-    members.forEach(Member::close);
+    members.forEach(SimulatedCourier::close);
     services.forEach(service -> tally.coldBudget(service.mostOfColdBudget()));
     services.stream()
-        .filter(Service::isFallen)
+        .filter(SimulatedService::isFallen)
         .forEach(fallen -> tally.broke("a returning destination was pushed over"));
   }
 
@@ -254,8 +256,9 @@
     if (agenda.nowUs() >= untilUs) {
       return;
     }
-    final List<Member> seen = members.stream().filter(Member::isBelievedUp).toList();
-    final Member member = seen.isEmpty() ? null : drawn(seen);
+    final List<SimulatedCourier> seen =
+        members.stream().filter(SimulatedCourier::isBelievedUp).toList();
+    final SimulatedCourier member = seen.isEmpty() ? null : drawn(seen);
     if (member != null && member.isUp()) {
       member.take(new Open("m" + messages++, kind, its, destination, handedUs, untilUs));
     } else {
@@ -264,7 +267,7 @@
   }
 
   /** One of these, as the day loads them. */
-  private Member drawn(final List<Member> seen) {
+  private SimulatedCourier drawn(final List<SimulatedCourier> seen) {
     if (day.loads().isEmpty()) {
       return seen.get(random.nextInt(seen.size()));
     }
@@ -296,7 +299,7 @@
   }
 
   /** It stands still, as the day has it. */
-  private void planPause(final Member member) {
+  private void planPause(final SimulatedCourier member) {
     final long fromUs = START_US + day.fromUs();
     switch (day.trouble()) {
       case PAUSED_TENTH -> pause(member, 10, fromUs, PAUSE_US);
@@ -312,7 +315,8 @@
     }
   }
 
-  private void pause(final Member member, final int oneIn, final long fromUs, final long forUs) {
+  private void pause(
+      final SimulatedCourier member, final int oneIn, final long fromUs, final long forUs) {
     if (member.index % oneIn == 0) {
       agenda.at(fromUs, () -> member.freeze(fromUs + forUs));
       agenda.at(fromUs + forUs, member::thaw);
@@ -320,7 +324,7 @@
   }
 
   /** It is restarted with its tenth; every second one is told before. */
-  private void planRestart(final Member member) {
+  private void planRestart(final SimulatedCourier member) {
     final long stepUs =
         START_US + day.fromUs() + ROLL_US * (member.index * ROLL_STEPS / day.couriers());
     final boolean told = member.index % 2 == 0;
@@ -338,14 +342,14 @@
   }
 
   private void kill(final int again) {
-    for (final Member member : members) {
+    for (final SimulatedCourier member : members) {
       if (member.index % 3 < KILLED_OF_THREE && day.couriers() > 1) {
         kill(member, again);
       }
     }
   }
 
-  private void kill(final Member member, final int again) {
+  private void kill(final SimulatedCourier member, final int again) {
     member.kill();
     agenda.in(NOTICED_US, member::noticed);
     agenda.in(DEAD_US, member::start);
--- a/lab/src/main/java/thistleturn/lab/model/Fate.java
+++ b/lab/src/main/java/thistleturn/lab/model/CallFault.java
@@ -1,7 +1,7 @@
 package thistleturn.lab.model;
 
 /** What happens to a call on its way or at its endpoint, whatever the load is. */
-public enum Fate {
+public enum CallFault {
   /** It is served, if there is room. */
   SERVE,
   /** It is answered that there is no room. */
--- a/lab/src/main/java/thistleturn/lab/model/Fault.java
+++ b/lab/src/main/java/thistleturn/lab/model/Fault.java
@@ -6,13 +6,13 @@
 @FunctionalInterface
 public interface Fault {
   /** Nothing is wrong. */
-  Fault NONE = (nowUs, endpoint, kind, random) -> Fate.SERVE;
+  Fault NONE = (nowUs, endpoint, kind, random) -> CallFault.SERVE;
 
   /**
    * What becomes of a call of a class that comes to an endpoint of its partner (0, 1, ...) at a
    * moment.
    */
-  Fate of(long nowUs, int endpoint, int kind, RandomGenerator random);
+  CallFault of(long nowUs, int endpoint, int kind, RandomGenerator random);
 
   /** Each call by itself, with these shares. */
   static Fault shares(
@@ -20,12 +20,12 @@
     return (nowUs, endpoint, kind, random) -> {
       final double draw = random.nextDouble();
       return draw < refused
-          ? Fate.REFUSE
+          ? CallFault.REFUSE
           : draw < refused + reset
-              ? Fate.RESET
+              ? CallFault.RESET
               : draw < refused + reset + error
-                  ? Fate.ERROR
-                  : draw < refused + reset + error + silent ? Fate.SILENT : Fate.SERVE;
+                  ? CallFault.ERROR
+                  : draw < refused + reset + error + silent ? CallFault.SILENT : CallFault.SERVE;
     };
   }
 
@@ -38,12 +38,12 @@
   /** This one at one endpoint alone. */
   default Fault atEndpoint(final int only) {
     return (nowUs, endpoint, kind, random) ->
-        endpoint == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
+        endpoint == only ? of(nowUs, endpoint, kind, random) : CallFault.SERVE;
   }
 
   /** This one for one class alone. */
   default Fault forClass(final int only) {
     return (nowUs, endpoint, kind, random) ->
-        kind == only ? of(nowUs, endpoint, kind, random) : Fate.SERVE;
+        kind == only ? of(nowUs, endpoint, kind, random) : CallFault.SERVE;
   }
 }
--- a/lab/src/main/java/thistleturn/lab/model/Partner.java
+++ b/lab/src/main/java/thistleturn/lab/model/SimulatedDestination.java
@@ -13,13 +13,13 @@
  * @param outage null: none
  * @param share its part of the messages, relative to others'
  */
-public record Partner(
+public record SimulatedDestination(
     long id,
     int endpoints,
     Service service,
     Limit limit,
     Fault fault,
-    ColdReturn outage,
+    SlowStartModel outage,
     double share) {
 
   /** How long a call takes that is served at once. */
@@ -46,34 +46,34 @@
   }
 
   /** One with two endpoints that serves any number at once, and of which nothing is wrong. */
-  public static Partner plain(final long id) {
-    return new Partner(id, 2, Service.MIXED, Limit.none(), Fault.NONE, null, 1);
+  public static SimulatedDestination plain(final long id) {
+    return new SimulatedDestination(id, 2, Service.MIXED, Limit.none(), Fault.NONE, null, 1);
   }
 
   /** The same with another limit. */
-  public Partner limited(final Limit other) {
-    return new Partner(id, endpoints, service, other, fault, outage, share);
+  public SimulatedDestination limited(final Limit other) {
+    return new SimulatedDestination(id, endpoints, service, other, fault, outage, share);
   }
 
   /** The same with trouble. */
-  public Partner faulty(final Fault other) {
-    return new Partner(id, endpoints, service, limit, other, outage, share);
+  public SimulatedDestination faulty(final Fault other) {
+    return new SimulatedDestination(id, endpoints, service, limit, other, outage, share);
   }
 
   /** The same with another time of service. */
-  public Partner serving(final Service other) {
-    return new Partner(id, endpoints, other, limit, fault, outage, share);
+  public SimulatedDestination serving(final Service other) {
+    return new SimulatedDestination(id, endpoints, other, limit, fault, outage, share);
   }
 
   /** The same with an outage. */
-  public Partner returning(final ColdReturn other) {
-    return new Partner(id, endpoints, service, limit, fault, other, share);
+  public SimulatedDestination returning(final SlowStartModel other) {
+    return new SimulatedDestination(id, endpoints, service, limit, fault, other, share);
   }
 
   /** What becomes of a call that comes now, before its limit is asked. */
-  public Fate fate(
+  public CallFault fate(
       final long nowUs, final int endpoint, final int kind, final RandomGenerator random) {
-    final Fate cold = outage == null ? Fate.SERVE : outage.arrives(nowUs);
-    return cold == Fate.SERVE ? fault.of(nowUs, endpoint, kind, random) : cold;
+    final CallFault cold = outage == null ? CallFault.SERVE : outage.arrives(nowUs);
+    return cold == CallFault.SERVE ? fault.of(nowUs, endpoint, kind, random) : cold;
   }
 }
--- a/lab/src/main/java/thistleturn/lab/model/ColdReturn.java
+++ b/lab/src/main/java/thistleturn/lab/model/SlowStartModel.java
@@ -10,7 +10,7 @@
  * of its present capacity, and 2 x root of N + 2 for chance. The figures are those of the rule on
  * returning destinations.
  */
-public final class ColdReturn {
+public final class SlowStartModel {
   private final long fromUs;
   private final long toUs;
   private final double perSecond;
@@ -28,7 +28,7 @@
    * Out between two moments; then warm within {@code coldUs}. {@code perSecond}: its whole
    * capacity, calls.
    */
-  public ColdReturn(
+  public SlowStartModel(
       final long fromUs,
       final long toUs,
       final double perSecond,
@@ -46,9 +46,9 @@
   }
 
   /** What becomes of a call that comes now: nothing to connect to, no room, or it may be served. */
-  public Fate arrives(final long nowUs) {
+  public CallFault arrives(final long nowUs) {
     if (fallen || (nowUs >= fromUs && nowUs < toUs)) {
-      return Fate.UNREACHABLE;
+      return CallFault.UNREACHABLE;
     }
     arrivals.add(nowUs);
     while (arrivals.peekFirst() <= nowUs - fallUs) {
@@ -61,7 +61,7 @@
       mostOfBudget = Math.max(mostOfBudget, arrivals.size() / budget);
       if (arrivals.size() > budget) {
         fallen = true;
-        return Fate.UNREACHABLE;
+        return CallFault.UNREACHABLE;
       }
     }
     // A small queue: what is over the present capacity is refused.
@@ -71,10 +71,10 @@
             room + capacity(Math.max(nowUs < fromUs ? 0 : toUs, roomUs), nowUs));
     roomUs = nowUs;
     if (room < 1) {
-      return Fate.REFUSE;
+      return CallFault.REFUSE;
     }
     room--;
-    return Fate.SERVE;
+    return CallFault.SERVE;
   }
 
   /** Calls that it can do between two moments after its return. */
--- a/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
+++ b/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import thistleturn.lab.virtual.Agenda;
+import thistleturn.lab.virtual.EventQueue;
 import thistleturn.testkit.rig.Fault;
 import thistleturn.testkit.rig.FleetJudge;
 import thistleturn.testkit.rig.Schedule;
@@ -37,7 +37,7 @@
   private static final long PATIENCE_US = 1000 * MS;
   private static final long SLICE_US = 10 * MS;
 
-  private final Agenda agenda = new Agenda(1_000_000_000L);
+  private final EventQueue agenda = new EventQueue(1_000_000_000L);
   private final long beganUs = agenda.nowUs();
   private final Schedule schedule;
   private final Contestant.Maker maker;
--- a/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
@@ -19,7 +19,7 @@
 import thistleturn.decisions.replicas.ReplicaRules;
 import thistleturn.decisions.replicas.Replicas;
 import thistleturn.decisions.replicas.Writer;
-import thistleturn.lab.virtual.Agenda;
+import thistleturn.lab.virtual.EventQueue;
 import thistleturn.testkit.rig.Fault;
 import thistleturn.testkit.rig.Schedule;
 
@@ -44,7 +44,7 @@
   /** Clocks differ by up to so long. */
   private static final long SKEW_US = 3600 * SECOND_US;
 
-  private final Agenda agenda = new Agenda(10 * SKEW_US);
+  private final EventQueue agenda = new EventQueue(10 * SKEW_US);
   private final long beganUs = agenda.nowUs();
   private final Schedule schedule;
   private final ReplicaRules rules;
--- a/lab/src/main/java/thistleturn/lab/virtual/Kills.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/CrashSchedule.java
@@ -10,7 +10,8 @@
  * @param startUs time from a kill until the next process serves, us
  * @param remembers true if the next process takes up what was learnt; else it begins anew
  */
-public record Kills(int lives, long leastLifeUs, long mostLifeUs, long startUs, boolean remembers) {
+public record CrashSchedule(
+    int lives, long leastLifeUs, long mostLifeUs, long startUs, boolean remembers) {
   /** No process is killed. */
-  public static final Kills NONE = new Kills(0, 0, 0, 0, false);
+  public static final CrashSchedule NONE = new CrashSchedule(0, 0, 0, 0, false);
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/Agenda.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/EventQueue.java
@@ -5,7 +5,7 @@
 /**
  * Virtual time: what is to happen, in the order of its moments, and of its planning among equals.
  */
-public final class Agenda {
+public final class EventQueue {
   private record Entry(long atUs, long number, Runnable what) {}
 
   private final PriorityQueue<Entry> entries =
@@ -18,7 +18,7 @@
   private long planned;
 
   /** Begins at a moment, us. */
-  public Agenda(final long startUs) {
+  public EventQueue(final long startUs) {
     this.nowUs = startUs;
   }
 
--- a/lab/src/main/java/thistleturn/lab/virtual/Evening.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/Scenario.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import thistleturn.decisions.Courier;
-import thistleturn.lab.model.Partner;
+import thistleturn.lab.model.SimulatedDestination;
 
 /**
  * What is played: partners, traffic in open loop, and one courier's settings.
@@ -13,8 +13,8 @@
  * @param settings the courier's
  * @param weight the rate told in the list for each endpoint; 0: none
  */
-public record Evening(
-    List<Partner> partners,
+public record Scenario(
+    List<SimulatedDestination> partners,
     double perSecond,
     long lengthUs,
     Courier.Settings settings,
--- a/lab/src/main/java/thistleturn/lab/virtual/Tally.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/ScenarioStatistics.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What was seen of one evening, from outside the courier. */
-public final class Tally {
+public final class ScenarioStatistics {
   /** One second of it. */
   public static final class Second {
     private int handed;
--- a/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
@@ -13,8 +13,8 @@
 import thistleturn.decisions.Courier.Effect;
 import thistleturn.decisions.Courier.Result;
 import thistleturn.decisions.Memory;
-import thistleturn.lab.model.Fate;
-import thistleturn.lab.model.Partner;
+import thistleturn.lab.model.CallFault;
+import thistleturn.lab.model.SimulatedDestination;
 
 /**
  * Plays an evening in virtual time: clients, one courier's decisions, partners. It does what a host
@@ -76,7 +76,7 @@
     }
   }
 
-  private record Place(Partner partner, int index) {}
+  private record Place(SimulatedDestination partner, int index) {}
 
   private static final class Attempt {
     private final Sent sent;
@@ -91,15 +91,15 @@
     }
   }
 
-  private final Evening evening;
-  private final Agenda agenda = new Agenda(START_US);
+  private final Scenario evening;
+  private final EventQueue agenda = new EventQueue(START_US);
   private final RandomGenerator random;
-  private final Tally tally = new Tally();
+  private final ScenarioStatistics tally = new ScenarioStatistics();
   private final Map<String, Sent> open = new LinkedHashMap<>();
   private final Map<Long, Place> places = new HashMap<>();
   private final Map<Long, Long> waitUntilUs = new HashMap<>();
   private final List<Courier.Endpoint> entries = new ArrayList<>();
-  private final Kills kills;
+  private final CrashSchedule kills;
   private final LongFunction<Courier> next;
 
   /**
@@ -121,7 +121,7 @@
   private int messages;
 
   private VirtualCourier(
-      final Evening evening, final Kills kills, final long seed, final Maker maker) {
+      final Scenario evening, final CrashSchedule kills, final long seed, final Maker maker) {
     this.evening = evening;
     this.kills = kills;
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -131,13 +131,14 @@
   }
 
   /** Plays an evening to its end. */
-  public static Tally play(final Evening evening, final long seed, final Maker maker) {
-    return play(evening, Kills.NONE, seed, maker);
+  public static ScenarioStatistics play(
+      final Scenario evening, final long seed, final Maker maker) {
+    return play(evening, CrashSchedule.NONE, seed, maker);
   }
 
   /** Plays an evening to its end, in which the courier is killed now and then. */
-  public static Tally play(
-      final Evening evening, final Kills kills, final long seed, final Maker maker) {
+  public static ScenarioStatistics play(
+      final Scenario evening, final CrashSchedule kills, final long seed, final Maker maker) {
     final VirtualCourier world = new VirtualCourier(evening, kills, seed, maker);
     world.list();
     world.arrive();
@@ -158,7 +159,7 @@
 
   private void list() {
     long number = 1;
-    for (final Partner partner : evening.partners()) {
+    for (final SimulatedDestination partner : evening.partners()) {
       shares += partner.share();
       for (int index = 0; index < partner.endpoints(); index++) {
         places.put(number, new Place(partner, index));
@@ -322,16 +323,16 @@
   private void reach(final Attempt attempt, final Place place) {
     final long nowUs = agenda.nowUs();
     final Sent sent = attempt.sent;
-    final Partner partner = place.partner();
-    final Fate fate = partner.fate(nowUs, place.index(), sent.message.messageClass(), random);
+    final SimulatedDestination partner = place.partner();
+    final CallFault fate = partner.fate(nowUs, place.index(), sent.message.messageClass(), random);
     tally.called(nowUs - START_US);
-    if (fate == Fate.UNREACHABLE) {
+    if (fate == CallFault.UNREACHABLE) {
       back(attempt, Result.NO_CONNECTION, 0);
       return;
     }
-    if (fate == Fate.REFUSE || !partner.limit().takes(nowUs)) {
+    if (fate == CallFault.REFUSE || !partner.limit().takes(nowUs)) {
       tally.callRefused(nowUs - START_US);
-      back(attempt, Result.REFUSED, fate == Fate.REFUSE ? 0 : partner.limit().waitUs(nowUs));
+      back(attempt, Result.REFUSED, fate == CallFault.REFUSE ? 0 : partner.limit().waitUs(nowUs));
       return;
     }
     if (sent.ranUs >= 0 && sent.kind.effect() == Effect.UNSAFE) {
--- a/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
+++ b/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.Control;
 import thistleturn.decisions.Courier;
-import thistleturn.lab.model.ColdReturn;
-import thistleturn.lab.model.Fate;
+import thistleturn.lab.model.CallFault;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
-import thistleturn.lab.model.Partner;
-import thistleturn.lab.virtual.Evening;
-import thistleturn.lab.virtual.Tally;
+import thistleturn.lab.model.SimulatedDestination;
+import thistleturn.lab.model.SlowStartModel;
+import thistleturn.lab.virtual.Scenario;
+import thistleturn.lab.virtual.ScenarioStatistics;
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
@@ -30,13 +30,13 @@
   private static final long LENGTH = 20 * SECOND;
   private static final int SEEDS = 3;
 
-  private static Tally play(
-      final LongFunction<Partner> partner, final double perSecond, final long seed) {
+  private static ScenarioStatistics play(
+      final LongFunction<SimulatedDestination> partner, final double perSecond, final long seed) {
     return play(partner, perSecond, LENGTH, seed, Control::new);
   }
 
-  private static Tally play(
-      final LongFunction<Partner> partner,
+  private static ScenarioStatistics play(
+      final LongFunction<SimulatedDestination> partner,
       final double perSecond,
       final long lengthUs,
       final long seed,
@@ -44,28 +44,29 @@
     return play(partner, perSecond, lengthUs, seed, maker, SECOND);
   }
 
-  private static Tally play(
-      final LongFunction<Partner> partner,
+  private static ScenarioStatistics play(
+      final LongFunction<SimulatedDestination> partner,
       final double perSecond,
       final long lengthUs,
       final long seed,
       final VirtualCourier.Maker maker,
       final long coldUs) {
-    final List<Partner> partners = new ArrayList<>();
+    final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= 3; id++) {
       partners.add(partner.apply(id));
     }
-    final Tally tally =
+    final ScenarioStatistics tally =
         VirtualCourier.play(
-            new Evening(
-                partners, perSecond, lengthUs, Evening.settings(Courier.Weights.NONE, coldUs), 0),
+            new Scenario(
+                partners, perSecond, lengthUs, Scenario.settings(Courier.Weights.NONE, coldUs), 0),
             seed,
             maker);
     assertEquals(List.of(), tally.broken(), "seed " + seed);
     return tally;
   }
 
-  private static double goodput(final LongFunction<Partner> partner, final double perSecond) {
+  private static double goodput(
+      final LongFunction<SimulatedDestination> partner, final double perSecond) {
     double least = 1;
     for (long seed = 1; seed <= SEEDS; seed++) {
       least = Math.min(least, play(partner, perSecond, seed).goodput());
@@ -74,7 +75,7 @@
   }
 
   private static double withoutReading(
-      final LongFunction<Partner> partner, final double perSecond) {
+      final LongFunction<SimulatedDestination> partner, final double perSecond) {
     double most = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       most =
@@ -89,8 +90,10 @@
 
   @Test
   void theSameSeedPlaysTheSameEvening() {
-    final Tally one = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
-    final Tally other = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, 7);
+    final ScenarioStatistics one =
+        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, 7);
+    final ScenarioStatistics other =
+        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, 7);
     assertEquals(one.calls(), other.calls());
     assertEquals(one.delivered(), other.delivered());
     assertTrue(one.handed() > 3500);
@@ -98,7 +101,7 @@
 
   @Test
   void withoutTroubleAllIsDeliveredFromTheFirstSecondOn() {
-    assertTrue(goodput(Partner::plain, 200) >= 0.995);
+    assertTrue(goodput(SimulatedDestination::plain, 200) >= 0.995);
   }
 
   @Test
@@ -106,7 +109,8 @@
     double goodput = 0;
     double calls = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.1)), 200, seed);
+      final ScenarioStatistics tally =
+          play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, seed);
       goodput += tally.goodput() / SEEDS;
       calls += tally.callsAMessage() / SEEDS;
     }
@@ -117,15 +121,18 @@
 
   @Test
   void singleSilenceIsNoOutage() {
-    assertTrue(goodput(id -> Partner.plain(id).faulty(Fault.shares(0, 0, 0, 0.03)), 200) >= 0.97);
+    assertTrue(
+        goodput(id -> SimulatedDestination.plain(id).faulty(Fault.shares(0, 0, 0, 0.03)), 200)
+            >= 0.97);
   }
 
   @Test
   void stallsOfAllForAThirdOfASecondAreNoOutage() {
     final Fault stall =
         (nowUs, endpoint, kind, random) ->
-            nowUs % (5 * SECOND) < 300_000 ? Fate.REFUSE : Fate.SERVE;
-    final LongFunction<Partner> stalling = id -> Partner.plain(id).faulty(stall);
+            nowUs % (5 * SECOND) < 300_000 ? CallFault.REFUSE : CallFault.SERVE;
+    final LongFunction<SimulatedDestination> stalling =
+        id -> SimulatedDestination.plain(id).faulty(stall);
     // It begins within a stall: of nothing but refusals nobody can tell what they answer to.
     assertTrue(goodput(stalling, 200) > withoutReading(stalling, 200));
     assertTrue(share(play(stalling, 200, 30 * SECOND, 1, Control::new), 16, 28) >= 0.97);
@@ -134,10 +141,10 @@
   @Test
   void noiseThatTurnsIntoALimitAndBack() {
     final Limit none = Limit.none();
-    final Tally tally =
+    final ScenarioStatistics tally =
         play(
             id ->
-                Partner.plain(id)
+                SimulatedDestination.plain(id)
                     .faulty(refusing(0.1))
                     .limited(
                         none.until(
@@ -152,18 +159,18 @@
     assertTrue(share(tally, 24, 29) >= 0.95, "noise after: " + share(tally, 24, 29));
   }
 
-  private static double share(final Tally tally, final int from, final int to) {
-    final List<Tally.Second> seconds = tally.seconds().subList(from, to);
-    return seconds.stream().mapToInt(Tally.Second::delivered).sum()
-        / (double) seconds.stream().mapToInt(Tally.Second::handed).sum();
+  private static double share(final ScenarioStatistics tally, final int from, final int to) {
+    final List<ScenarioStatistics.Second> seconds = tally.seconds().subList(from, to);
+    return seconds.stream().mapToInt(ScenarioStatistics.Second::delivered).sum()
+        / (double) seconds.stream().mapToInt(ScenarioStatistics.Second::handed).sum();
   }
 
   @Test
   void aLimitThatFallsToAFifthIsHeeded() {
-    final Tally tally =
+    final ScenarioStatistics tally =
         play(
             id ->
-                Partner.plain(id)
+                SimulatedDestination.plain(id)
                     .limited(
                         Limit.spans(100, SECOND, false)
                             .until(15 * SECOND, Limit.spans(10, SECOND, false))),
@@ -172,7 +179,7 @@
     assertTrue(share(tally, 0, 9) >= 0.98, "before " + share(tally, 0, 9));
     final double refusedASecond =
         tally.seconds().subList(13, 19).stream()
-            .mapToInt(Tally.Second::refusedCalls)
+            .mapToInt(ScenarioStatistics.Second::refusedCalls)
             .average()
             .orElse(0);
     // Without backing off, each message would be refused twelve times: 1,500 a second.
@@ -183,18 +190,25 @@
   void oneOfTwoEndpointsThatRefusesAllHalfOrLittle() {
     for (final double share : new double[] {1, 0.5, 0.03}) {
       final double goodput =
-          goodput(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200);
+          goodput(id -> SimulatedDestination.plain(id).faulty(refusing(share).atEndpoint(0)), 200);
       final double least = share == 1 ? 0.65 : share == 0.5 ? 0.8 : 0.995;
       assertTrue(goodput >= least, "refusing " + share + ": " + goodput);
       assertTrue(
-          share(play(id -> Partner.plain(id).faulty(refusing(share).atEndpoint(0)), 200, 1), 12, 19)
+          share(
+                  play(
+                      id -> SimulatedDestination.plain(id).faulty(refusing(share).atEndpoint(0)),
+                      200,
+                      1),
+                  12,
+                  19)
               >= 0.95);
     }
   }
 
   @Test
   void refusalsForOneClassAloneLeaveTheOthers() {
-    final Tally tally = play(id -> Partner.plain(id).faulty(refusing(1).forClass(0)), 150, 1);
+    final ScenarioStatistics tally =
+        play(id -> SimulatedDestination.plain(id).faulty(refusing(1).forClass(0)), 150, 1);
     // A third of the messages cannot be delivered at all, and the first seconds are lost to finding
     // that out.
     assertTrue(tally.goodput() >= 0.5, "delivered " + tally.goodput());
@@ -204,7 +218,8 @@
   @Test
   void aSharedLimitThatIsUnknownIsHeededByBoth() {
     final Limit shared = Limit.spans(40, SECOND, false);
-    final Tally tally = play(id -> Partner.plain(id).limited(shared), 150, 1);
+    final ScenarioStatistics tally =
+        play(id -> SimulatedDestination.plain(id).limited(shared), 150, 1);
     assertTrue(tally.delivered() >= 0.7 * 40 * 20, "delivered " + tally.delivered());
     assertTrue(
         tally.refusedAMessage() <= 0.3, "refused calls a message " + tally.refusedAMessage());
@@ -212,7 +227,8 @@
 
   @Test
   void mostRefusedForLoadIsBackedOffFrom() {
-    final Tally tally = play(id -> Partner.plain(id).faulty(refusing(0.6)), 200, 1);
+    final ScenarioStatistics tally =
+        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.6)), 200, 1);
     assertTrue(tally.callsAMessage() <= 4, "calls a message " + tally.callsAMessage());
     assertTrue(
         tally.seconds().stream().skip(3).limit(15).allMatch(second -> second.calls() <= 150));
@@ -220,8 +236,13 @@
 
   @Test
   void noiseAtOneCallInTenSeconds() {
-    final Tally tally =
-        play(id -> Partner.plain(id).faulty(refusing(0.1)), 0.3, 300 * SECOND, 1, Control::new);
+    final ScenarioStatistics tally =
+        play(
+            id -> SimulatedDestination.plain(id).faulty(refusing(0.1)),
+            0.3,
+            300 * SECOND,
+            1,
+            Control::new);
     assertTrue(tally.goodput() >= 0.98, "delivered " + tally.goodput());
   }
 
@@ -229,10 +250,13 @@
   @Test
   void aStormIsNotMadeAndServiceIsBackSoon() {
     final Fault all = refusing(1).between(10 * SECOND, 40 * SECOND, Fault.NONE);
-    final Tally tally =
-        play(id -> Partner.plain(id).faulty(all), 400, 60 * SECOND, 1, Control::new);
+    final ScenarioStatistics tally =
+        play(id -> SimulatedDestination.plain(id).faulty(all), 400, 60 * SECOND, 1, Control::new);
     final int most =
-        tally.seconds().subList(8, 34).stream().mapToInt(Tally.Second::calls).max().orElse(0);
+        tally.seconds().subList(8, 34).stream()
+            .mapToInt(ScenarioStatistics.Second::calls)
+            .max()
+            .orElse(0);
     // Trials 100 ms apart, a fifth less by chance, for each of the three; no further attempts.
     assertTrue(most <= 3 * 13, "calls in a second " + most);
     assertTrue(share(tally, 40, 55) >= 0.99, "after it " + share(tally, 40, 55));
@@ -241,14 +265,14 @@
   @Test
   void noReturningDestinationIsPushedOverAmidNoise() {
     for (long seed = 1; seed <= 20; seed++) {
-      final List<ColdReturn> returns = new ArrayList<>();
+      final List<SlowStartModel> returns = new ArrayList<>();
       play(
           id -> {
             final long from = (6 + id) * SECOND;
-            final ColdReturn cold =
-                new ColdReturn(from, from + 6 * SECOND, 60, 0.3, 8 * SECOND, 2, 3 * SECOND);
+            final SlowStartModel cold =
+                new SlowStartModel(from, from + 6 * SECOND, 60, 0.3, 8 * SECOND, 2, 3 * SECOND);
             returns.add(cold);
-            return Partner.plain(id).faulty(refusing(0.05)).returning(cold);
+            return SimulatedDestination.plain(id).faulty(refusing(0.05)).returning(cold);
           },
           120,
           30 * SECOND,
--- a/lab/src/test/java/thistleturn/lab/KillsTest.java
+++ b/lab/src/test/java/thistleturn/lab/KillsTest.java
@@ -11,10 +11,10 @@
 import thistleturn.decisions.Courier;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
-import thistleturn.lab.model.Partner;
-import thistleturn.lab.virtual.Evening;
-import thistleturn.lab.virtual.Kills;
-import thistleturn.lab.virtual.Tally;
+import thistleturn.lab.model.SimulatedDestination;
+import thistleturn.lab.virtual.CrashSchedule;
+import thistleturn.lab.virtual.Scenario;
+import thistleturn.lab.virtual.ScenarioStatistics;
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
@@ -30,21 +30,21 @@
 
   private static final long START = 300_000;
 
-  private static Tally play(
+  private static ScenarioStatistics play(
       final Fault fault,
       final Limit limit,
       final double perSecond,
       final long seed,
       final boolean remembers) {
-    final List<Partner> partners = new ArrayList<>();
+    final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= 3; id++) {
-      partners.add(Partner.plain(id).faulty(fault).limited(limit));
+      partners.add(SimulatedDestination.plain(id).faulty(fault).limited(limit));
     }
-    final Evening evening =
-        new Evening(partners, perSecond, 31 * SECOND, Evening.settings(Courier.Weights.NONE), 0);
-    final Tally tally =
+    final Scenario evening =
+        new Scenario(partners, perSecond, 31 * SECOND, Scenario.settings(Courier.Weights.NONE), 0);
+    final ScenarioStatistics tally =
         VirtualCourier.play(
-            evening, new Kills(20, LIFE, LIFE, START, remembers), seed, Control::new);
+            evening, new CrashSchedule(20, LIFE, LIFE, START, remembers), seed, Control::new);
     assertEquals(List.of(), tally.broken(), "seed " + seed);
     assertEquals(20, tally.kills());
     return tally;
--- a/testkit/src/main/java/thistleturn/testkit/Exchange.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpExchange.java
@@ -21,7 +21,7 @@
 /**
  * One request at a stand-in, with the ways of answering it. Times are of {@link System#nanoTime}.
  */
-public record Exchange(
+public record HttpExchange(
     Channel channel,
     String method,
     String uri,
--- a/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
@@ -39,7 +39,7 @@
   @FunctionalInterface
   public interface Script {
     /** Answers, now or later, or does not. */
-    void serve(Exchange exchange);
+    void serve(HttpExchange exchange);
   }
 
   /** Listens at once; port 0 lets the system choose. */
@@ -197,7 +197,7 @@
       request.content().readBytes(body);
       firstByte.inRequest = false;
       script.serve(
-          new Exchange(
+          new HttpExchange(
               context.channel(),
               request.method().name(),
               request.uri(),
--- a/testkit/src/main/java/thistleturn/testkit/Ticks.java
+++ b/testkit/src/main/java/thistleturn/testkit/MonotonicClock.java
@@ -1,7 +1,7 @@
 package thistleturn.testkit;
 
 /** The one clock of the stand-ins: microseconds since it was made. */
-public final class Ticks {
+public final class MonotonicClock {
   private static final long NS_PER_US = 1000;
   private final long originNs = System.nanoTime();
 
--- a/testkit/src/main/java/thistleturn/testkit/Auditor.java
+++ b/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
@@ -16,7 +16,7 @@
  * courier's. Times are microseconds on one clock; events may be told by any thread, those of one
  * message in their order. After the last one {@link #finish} says what was never ended.
  */
-public final class Auditor {
+public final class RuleChecker {
   /**
    * An end and a beginning on two connections that come in one batch of the selector are read in
    * any order, us.
@@ -157,7 +157,7 @@
   }
 
   /** An Auditor that has seen nothing yet. */
-  public Auditor(final Figures figures, final List<Courier.MessageClass> kinds) {
+  public RuleChecker(final Figures figures, final List<Courier.MessageClass> kinds) {
     this.figures = figures;
     kinds.forEach(kind -> classes.put(kind.name(), kind));
   }
--- a/testkit/src/main/java/thistleturn/testkit/StandInClient.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInClient.java
@@ -42,8 +42,8 @@
   private static final int UNAVAILABLE = 503;
 
   private final EventLoop loop;
-  private final Auditor auditor;
-  private final Ticks ticks;
+  private final RuleChecker auditor;
+  private final MonotonicClock ticks;
   private final Deque<Channel> idle = new ArrayDeque<>();
   private final AtomicLong out = new AtomicLong();
   private final AtomicLong numbers = new AtomicLong();
@@ -57,7 +57,10 @@
 
   /** A client of the courier at that address; ids begin with the prefix. */
   public StandInClient(
-      final EventLoopGroup group, final String prefix, final Auditor auditor, final Ticks ticks) {
+      final EventLoopGroup group,
+      final String prefix,
+      final RuleChecker auditor,
+      final MonotonicClock ticks) {
     this.loop = group.next();
     this.prefix = prefix;
     this.auditor = auditor;
--- a/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
@@ -24,8 +24,8 @@
 
   private final String name;
   private final long destination;
-  private final Auditor auditor;
-  private final Ticks ticks;
+  private final RuleChecker auditor;
+  private final MonotonicClock ticks;
   private final AtomicReference<Manner> manner = new AtomicReference<>(Manner.after(0));
   private final AtomicLong calls = new AtomicLong();
   private final HttpStandIn server;
@@ -64,8 +64,8 @@
       final EventLoopGroup group,
       final String name,
       final long destination,
-      final Auditor auditor,
-      final Ticks ticks) {
+      final RuleChecker auditor,
+      final MonotonicClock ticks) {
     this.name = name;
     this.destination = destination;
     this.auditor = auditor;
@@ -114,7 +114,7 @@
     server.close();
   }
 
-  private void serve(final Exchange exchange) {
+  private void serve(final HttpExchange exchange) {
     final boolean bulk = exchange.path().equals("/inbox/bulk");
     final List<String> ids = new ArrayList<>();
     try {
@@ -137,7 +137,7 @@
     auditor.called(beganUs, name, ids);
     final Call call = new Call(exchange, ids, bulk, beganUs);
     // Whatever else becomes of it: the end of its connection ends it.
-    exchange.channel().closeFuture().addListener(closed -> call.end(Auditor.End.CUT));
+    exchange.channel().closeFuture().addListener(closed -> call.end(RuleChecker.End.CUT));
     final Manner now = manner.get();
     if (now.act() == Act.SILENCE) {
       return;
@@ -151,20 +151,24 @@
 
   /** One call, which ends once. */
   private final class Call {
-    private final Exchange exchange;
+    private final HttpExchange exchange;
     private final List<String> ids;
     private final boolean bulk;
     private final long beganUs;
     private boolean over;
 
-    Call(final Exchange exchange, final List<String> ids, final boolean bulk, final long beganUs) {
+    Call(
+        final HttpExchange exchange,
+        final List<String> ids,
+        final boolean bulk,
+        final long beganUs) {
       this.exchange = exchange;
       this.ids = ids;
       this.bulk = bulk;
       this.beganUs = beganUs;
     }
 
-    void end(final Auditor.End how) {
+    void end(final RuleChecker.End how) {
       if (!over) {
         over = true;
         ids.forEach(id -> auditor.ended(ticks.nowUs(), beganUs, id, how));
@@ -177,15 +181,15 @@
       }
       switch (now.act()) {
         case DELIVER -> {
-          end(Auditor.End.DELIVERED);
+          end(RuleChecker.End.DELIVERED);
           exchange.answer(OK, bulk ? accepted() : "");
         }
         case FAIL -> {
-          end(Auditor.End.ERROR);
+          end(RuleChecker.End.ERROR);
           exchange.answer(ERROR, "");
         }
         case REFUSE -> {
-          end(Auditor.End.REFUSED);
+          end(RuleChecker.End.REFUSED);
           if (now.waitMs() > 0) {
             auditor.waitTold(ticks.nowUs(), destination, now.waitMs() * 1000);
             exchange.answer(BUSY, "", "Retry-After", Double.toString(now.waitMs() / 1000.0));
@@ -194,7 +198,7 @@
           }
         }
         case SHUT -> {
-          end(Auditor.End.REFUSED);
+          end(RuleChecker.End.REFUSED);
           exchange.answer(UNAVAILABLE, "");
         }
         case RESET -> exchange.reset();
--- a/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
@@ -19,16 +19,17 @@
   private static final long HEARTBEAT_MS = 2000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Auditor auditor;
-  private final Ticks ticks;
+  private final RuleChecker auditor;
+  private final MonotonicClock ticks;
   private final HttpStandIn server;
   private final Map<String, ObjectNode> hosts = new LinkedHashMap<>();
-  private final List<Exchange> watches = new CopyOnWriteArrayList<>();
+  private final List<HttpExchange> watches = new CopyOnWriteArrayList<>();
   private long seq = 1;
   private volatile boolean silent;
 
   /** Listens on 127.0.0.1, on a port of the system's choice; its list is empty. */
-  public StandInPlatform(final EventLoopGroup group, final Auditor auditor, final Ticks ticks) {
+  public StandInPlatform(
+      final EventLoopGroup group, final RuleChecker auditor, final MonotonicClock ticks) {
     this.auditor = auditor;
     this.ticks = ticks;
     this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
@@ -54,7 +55,7 @@
 
   /** Breaks all watches. */
   public void breakWatches() {
-    watches.forEach(Exchange::reset);
+    watches.forEach(HttpExchange::reset);
     watches.clear();
   }
 
@@ -89,7 +90,7 @@
     if (health.equals("Ready")) {
       auditor.opened(endpoint.name());
     }
-    for (final Exchange watch : watches) {
+    for (final HttpExchange watch : watches) {
       watch
           .chunk(change + "\n")
           .addListener(
@@ -108,7 +109,7 @@
     return list;
   }
 
-  private void serve(final Exchange exchange) {
+  private void serve(final HttpExchange exchange) {
     if (exchange.path().equals("/v1/outcomes")) {
       outcomes(exchange);
     } else if (silent) {
@@ -120,7 +121,7 @@
     }
   }
 
-  private synchronized void watch(final Exchange exchange) {
+  private synchronized void watch(final HttpExchange exchange) {
     exchange.begin(200);
     exchange.chunk(whole() + "\n");
     watches.add(exchange);
@@ -139,7 +140,7 @@
             TimeUnit.MILLISECONDS);
   }
 
-  private void outcomes(final Exchange exchange) {
+  private void outcomes(final HttpExchange exchange) {
     try {
       for (final String line : new String(exchange.body(), StandardCharsets.UTF_8).split("\n")) {
         final JsonNode notice = JSON.readTree(line);
--- a/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
@@ -348,7 +348,7 @@
     return hash.toString();
   }
 
-  private synchronized void serve(final Exchange exchange) {
+  private synchronized void serve(final HttpExchange exchange) {
     final String path = exchange.path();
     if (!path.startsWith(BASE + "/")) {
       exchange.answer(404, "");
@@ -375,7 +375,7 @@
                     : parts.length > 3 ? "/{app}/{id}/" + parts[3] : "");
   }
 
-  private void ask(final Exchange exchange, final String[] parts) {
+  private void ask(final HttpExchange exchange, final String[] parts) {
     switch (fault) {
       case HUNG -> {}
       case UNAVAILABLE -> exchange.answer(503, "");
@@ -401,7 +401,7 @@
     }
   }
 
-  private void tell(final Exchange exchange, final String json) {
+  private void tell(final HttpExchange exchange, final String json) {
     final Runnable listener = onTold;
     exchange
         .answer(200, json, "Content-Type", "application/json")
@@ -419,7 +419,7 @@
     return bytes;
   }
 
-  private static void cut(final Exchange exchange, final String json) {
+  private static void cut(final HttpExchange exchange, final String json) {
     exchange.begin(200);
     exchange
         .chunk(json.substring(0, json.length() / 2))
@@ -427,7 +427,7 @@
   }
 
   /** A gigabyte of well-formed instances without end, at the pace at which it is read. */
-  private static void huge(final Exchange exchange) {
+  private static void huge(final HttpExchange exchange) {
     exchange.begin(200);
     exchange.chunk(
         "{\"applications\":{\"application\":[{\"name\":\"X\",\"instance\":[{\"app\":\"X\"}");
@@ -435,7 +435,7 @@
     more(exchange, filler, HUGE_BYTES);
   }
 
-  private static void more(final Exchange exchange, final String filler, final long left) {
+  private static void more(final HttpExchange exchange, final String filler, final long left) {
     final ChannelFuture written = exchange.chunk(filler);
     written.addListener(
         done -> {
@@ -491,7 +491,7 @@
     return null;
   }
 
-  private void change(final Exchange exchange, final String[] parts) {
+  private void change(final HttpExchange exchange, final String[] parts) {
     if (fault == Fault.HUNG) {
       return;
     }
@@ -516,7 +516,7 @@
     }
   }
 
-  private void post(final Exchange exchange) {
+  private void post(final HttpExchange exchange) {
     if (refusesRenewals) {
       exchange.answer(503, "");
       return;
@@ -538,7 +538,7 @@
     }
   }
 
-  private void renew(final Exchange exchange, final String[] parts) {
+  private void renew(final HttpExchange exchange, final String[] parts) {
     final Lease lease = find(parts[1], parts[2]);
     if (refusesRenewals) {
       exchange.answer(500, "");
@@ -550,7 +550,7 @@
     }
   }
 
-  private void metadata(final Exchange exchange, final String[] parts) {
+  private void metadata(final HttpExchange exchange, final String[] parts) {
     final Lease lease = find(parts[1], parts[2]);
     if (lease == null) {
       exchange.answer(404, "");
--- a/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
@@ -35,10 +35,11 @@
   private static final List<String> CLASSES = List.of("safe", "keyed", "once");
 
   /** What the rules have to say. */
-  public final Auditor auditor = new Auditor(Auditor.Figures.standard(), CourierFiles.CLASSES);
+  public final RuleChecker auditor =
+      new RuleChecker(RuleChecker.Figures.standard(), CourierFiles.CLASSES);
 
   /** The clock of all that is told to the Auditor. */
-  public final Ticks ticks = new Ticks();
+  public final MonotonicClock ticks = new MonotonicClock();
 
   /** The list, the watch and the ends. */
   public final StandInPlatform platform;
--- a/testkit/src/test/java/thistleturn/testkit/AuditorTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/RuleCheckerTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.Courier;
-import thistleturn.testkit.Auditor.End;
+import thistleturn.testkit.RuleChecker.End;
 import thistleturn.testkit.Violation.Rule;
 
 /**
  * Scripted traces of good and broken couriers: each rule is caught, and nothing is that is none.
  */
 @Tag("membership")
-final class AuditorTest {
+final class RuleCheckerTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
   private static final long TIMEOUT = 2 * SECOND;
@@ -31,7 +31,7 @@
           new Courier.MessageClass(
               "line", Courier.Effect.SAFE, false, true, 1, 0, SECOND, 9 * SECOND, 0));
 
-  private final Auditor auditor = new Auditor(Auditor.Figures.standard(), CLASSES);
+  private final RuleChecker auditor = new RuleChecker(RuleChecker.Figures.standard(), CLASSES);
 
   @BeforeEach
   void endpoints() {
