--- a/adapter/src/main/java/thistleturn/adapter/Main.java
+++ b/adapter/src/main/java/thistleturn/adapter/Main.java
@@ -25,7 +25,7 @@
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_CHARS);
     final Writer out = new OutputStreamWriter(System.out, StandardCharsets.UTF_8);
     try {
-      new Adapter(in, out).run();
+      new SimulatorAdapter(in, out).run();
     } catch (final MalformedLineException e) {
       System.err.println(e.getMessage());
       System.exit(1);
--- a/adapter/src/main/java/thistleturn/adapter/Adapter.java
+++ b/adapter/src/main/java/thistleturn/adapter/SimulatorAdapter.java
@@ -17,19 +17,19 @@
  * Translates between the bench's wire and {@link Courier}. It decides nothing. One {@link Control}
  * per instance; they share nothing. Unknown events, settings and fields are ignored.
  */
-final class Adapter {
+final class SimulatorAdapter {
   private static final long US_PER_MS = 1000;
 
   private final BufferedReader in;
   private final Writer out;
   private final StringBuilder reply = new StringBuilder();
-  private final Map<Integer, Host> hosts = new HashMap<>();
-  private final Map<Integer, Host> touched = new TreeMap<>();
+  private final Map<Integer, Instance> instances = new HashMap<>();
+  private final Map<Integer, Instance> changedInstances = new TreeMap<>();
   private final Map<Integer, List<Fields>> sheets = new HashMap<>();
   private long nowUs;
   private long line;
 
-  Adapter(final BufferedReader in, final Writer out) {
+  SimulatorAdapter(final BufferedReader in, final Writer out) {
     this.in = in;
     this.out = out;
   }
@@ -49,33 +49,33 @@
   private void handle(final String text) throws IOException {
     final Fields fields = Fields.parse(text, line);
     switch (fields.tag()) {
-      case "batch" -> nowUs = fields.whole("clock");
-      case "flush" -> finishBatch();
+      case "batch" -> nowUs = fields.integer("clock");
+      case "flush" -> flushBatch();
       case "sheet" -> readSheet(fields);
-      case "enlist" -> enlist(fields);
+      case "enlist" -> startInstance(fields);
       case "stop" -> {
-        hosts.remove(instance(fields));
-        touched.remove(instance(fields));
+        instances.remove(instanceNumber(fields));
+        changedInstances.remove(instanceNumber(fields));
       }
-      default -> deliver(fields);
+      default -> dispatch(fields);
     }
   }
 
-  private void finishBatch() throws IOException {
-    touched.values().forEach(host -> host.guard(() -> host.control.decide(nowUs)));
-    touched.clear();
+  private void flushBatch() throws IOException {
+    changedInstances.values().forEach(host -> host.guard(() -> host.controller.decide(nowUs)));
+    changedInstances.clear();
     reply.append("yield\n");
     out.append(reply);
     out.flush();
     reply.setLength(0);
   }
 
-  private static int instance(final Fields fields) {
-    return (int) fields.whole("i");
+  private static int instanceNumber(final Fields fields) {
+    return (int) fields.integer("i");
   }
 
   private void readSheet(final Fields fields) throws IOException {
-    final long rows = fields.whole("rows");
+    final long rows = fields.integer("rows");
     final List<Fields> entries = new ArrayList<>();
     for (long row = 0; row < rows; row++) {
       final String text = in.readLine();
@@ -86,45 +86,45 @@
       }
       entries.add(entry);
     }
-    sheets.put((int) fields.whole("bank"), entries);
+    sheets.put((int) fields.integer("bank"), entries);
   }
 
-  private void enlist(final Fields fields) {
-    final int instance = instance(fields);
-    final Host host = new Host(instance);
-    hosts.put(instance, host);
-    touched.put(instance, host);
+  private void startInstance(final Fields fields) {
+    final int instance = instanceNumber(fields);
+    final Instance host = new Instance(instance);
+    instances.put(instance, host);
+    changedInstances.put(instance, host);
     final Courier.Settings settings = SettingsReader.read(fields);
     host.settings = settings;
     final List<String> reported = List.of(fields.list("feedback.fields"));
     host.shareField = reported.indexOf("x0");
     host.limitField = reported.indexOf("x1");
-    host.guard(() -> host.control = new Control(settings, fields.whole("nonce64", 0), host));
+    host.guard(() -> host.controller = new Control(settings, fields.integer("nonce64", 0), host));
   }
 
-  private void deliver(final Fields fields) {
-    final Host host = hosts.get(instance(fields));
+  private void dispatch(final Fields fields) {
+    final Instance host = instances.get(instanceNumber(fields));
     if (host == null) {
       throw fields.malformed("'" + fields.tag() + "' for an instance that was never enlisted");
     }
     final Runnable event =
         switch (fields.tag()) {
-          case "endpoints" -> list(host, fields);
-          case "incoming" -> message(host, fields);
-          case "returned" -> outcome(host, fields);
+          case "endpoints" -> parseEndpointUpdate(host, fields);
+          case "incoming" -> parseMessage(host, fields);
+          case "returned" -> parseOutcome(host, fields);
           case "expired" -> {
             final String ref = fields.text("ref");
-            yield () -> host.control.onExpired(nowUs, ref);
+            yield () -> host.controller.onExpired(nowUs, ref);
           }
           default -> null;
         };
-    touched.put(host.instance, host);
+    changedInstances.put(host.instance, host);
     if (event != null) {
       host.guard(event);
     }
   }
 
-  private Runnable list(final Host host, final Fields fields) {
+  private Runnable parseEndpointUpdate(final Instance host, final Fields fields) {
     final Courier.Update update =
         switch (fields.text("scope")) {
           case "incr" -> Courier.Update.CHANGES;
@@ -135,16 +135,16 @@
         };
     final List<Courier.Endpoint> entries = new ArrayList<>();
     if (update != Courier.Update.LOST) {
-      final List<Fields> rows = sheets.get((int) fields.whole("bank"));
+      final List<Fields> rows = sheets.get((int) fields.integer("bank"));
       if (rows == null) {
         throw fields.malformed("no sheet " + fields.text("bank"));
       }
-      rows.forEach(row -> entries.add(endpoint(host, row)));
+      rows.forEach(row -> entries.add(parseEndpoint(host, row)));
     }
-    return () -> host.control.onList(nowUs, update, entries);
+    return () -> host.controller.onList(nowUs, update, entries);
   }
 
-  private static Courier.Endpoint endpoint(final Host host, final Fields row) {
+  private static Courier.Endpoint parseEndpoint(final Instance host, final Fields row) {
     final Courier.Condition condition =
         switch (row.text("condition", "U")) {
           case "U" -> Courier.Condition.LISTED;
@@ -160,15 +160,15 @@
       }
     }
     return new Courier.Endpoint(
-        row.whole("endpoint"),
+        row.integer("endpoint"),
         condition,
         row.text("locality", ""),
-        row.number("power_hint", 0),
+        row.decimal("power_hint", 0),
         kind,
-        row.whole("cell", 0));
+        row.integer("cell", 0));
   }
 
-  private Runnable message(final Host host, final Fields fields) {
+  private Runnable parseMessage(final Instance host, final Fields fields) {
     final String className = fields.text("qos", "");
     int classIndex = -1;
     for (int index = 0; index < host.settings.classes().size(); index++) {
@@ -192,12 +192,12 @@
             classIndex,
             tenant,
             fields.text("object", null),
-            fields.whole("valid_until"),
-            fields.whole("destination", 0));
-    return () -> host.control.onMessage(nowUs, message);
+            fields.integer("valid_until"),
+            fields.integer("destination", 0));
+    return () -> host.controller.onMessage(nowUs, message);
   }
 
-  private static Courier.Result result(final Fields fields) {
+  private static Courier.Result parseResult(final Fields fields) {
     return switch (fields.text("reason")) {
       case "served" -> Courier.Result.DELIVERED;
       case "server_error" -> Courier.Result.ERROR;
@@ -211,7 +211,7 @@
     };
   }
 
-  private static Courier.Allowance allowance(final Host host, final Fields fields) {
+  private static Courier.Allowance parseLoadReport(final Instance host, final Fields fields) {
     final String[] values = fields.list("load");
     if (values.length == 0
         || host.shareField < 0
@@ -220,34 +220,34 @@
       return null;
     }
     return new Courier.Allowance(
-        fields.number(values[host.shareField]), fields.number(values[host.limitField]));
+        fields.decimal(values[host.shareField]), fields.decimal(values[host.limitField]));
   }
 
-  private Runnable outcome(final Host host, final Fields fields) {
-    final Courier.Result result = result(fields);
+  private Runnable parseOutcome(final Instance host, final Fields fields) {
+    final Courier.Result result = parseResult(fields);
     final long waitUs =
-        result == Courier.Result.REFUSED ? fields.whole("remark_ms", 0) * US_PER_MS : 0;
+        result == Courier.Result.REFUSED ? fields.integer("remark_ms", 0) * US_PER_MS : 0;
     final var outcome =
         new Courier.Outcome(
             fields.text("ref"),
             result,
             fields.flag("complete"),
-            fields.whole("endpoint", 0),
-            fields.whole("duration", 0),
+            fields.integer("endpoint", 0),
+            fields.integer("duration", 0),
             waitUs,
-            allowance(host, fields));
-    return () -> host.control.onOutcome(nowUs, outcome);
+            parseLoadReport(host, fields));
+    return () -> host.controller.onOutcome(nowUs, outcome);
   }
 
   /** One instance: its decisions, and the writer of its actions. */
-  private final class Host implements Courier.Actions {
+  private final class Instance implements Courier.Actions {
     private final int instance;
     private Courier.Settings settings;
-    private Courier control;
+    private Courier controller;
     private int shareField = -1;
     private int limitField = -1;
 
-    Host(final int instance) {
+    Instance(final int instance) {
       this.instance = instance;
     }
 
--- a/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
@@ -45,7 +45,7 @@
 
   private static String run(final String input) throws IOException {
     final StringWriter out = new StringWriter();
-    new Adapter(new BufferedReader(new StringReader(input)), out).run();
+    new SimulatorAdapter(new BufferedReader(new StringReader(input)), out).run();
     return out.toString();
   }
 
--- a/adapter/src/test/java/thistleturn/adapter/AdapterTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
@@ -17,7 +17,7 @@
 import thistleturn.settings.SettingsReader;
 
 /** Whole batches through the adapter. */
-final class AdapterTest {
+final class SimulatorAdapterTest {
   private static final String CONFIG =
       "\tnonce64=7\tbalancers=2\tclasses.count=1\tclasses.0.name=7\t"
           + "classes.0.effect=pure\tclasses.0.target=1000000\tclasses.0.deadline=8000000\tclasses.0.points=1.0\t"
@@ -28,7 +28,7 @@
 
   private static String run(final String input) throws IOException {
     final StringWriter out = new StringWriter();
-    new Adapter(new BufferedReader(new StringReader(input)), out).run();
+    new SimulatorAdapter(new BufferedReader(new StringReader(input)), out).run();
     return out.toString();
   }
 
@@ -64,12 +64,12 @@
   }
 
   @Test
-  void anEmptyBatchIsAnsweredByAnEmptyReply() throws IOException {
+  void emptyBatch_yieldsAnEmptyReply() throws IOException {
     assertEquals("yield\n", run("batch\tclock=1\nflush\n"));
   }
 
   @Test
-  void twoInstancesInOneBatchActEachOnTheirOwn() throws IOException {
+  void twoInstancesInOneBatch_areIndependent() throws IOException {
     final String reply =
         run(
             batch(1_000_000, enlist(3), sheet(11), warm(3), enlist(5), warm(5))
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void aRestartUnderTheSameNumberInOneBatchForgetsEverything() throws IOException {
+  void restartUnderTheSameNumber_forgetsEverything() throws IOException {
     final String reply =
         run(
             batch(1_000_000, enlist(1), sheet(11), warm(1))
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void aSheetNumberUsedAgainInOneBatchMeansTheNewerList() throws IOException {
+  void reusedSheetNumber_meansTheNewerSheet() throws IOException {
     final String reply =
         run(
             batch(
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void anExpiredAfterTheEndIsIgnored() throws IOException {
+  void expiryAfterTheOutcome_isIgnored() throws IOException {
     final String reply =
         run(
             batch(1_000_000, enlist(1), sheet(11), warm(1), incoming(1, "0a"))
@@ -126,13 +126,13 @@
   }
 
   @Test
-  void unknownEventsAreIgnored() throws IOException {
+  void unknownEvents_areIgnored() throws IOException {
     final String reply = run(batch(1_000_000, enlist(1), "inbox\ti=1\torigin_peer=2\toctets=-\n"));
     assertFalse(reply.contains("die"), reply);
   }
 
   @Test
-  void aMalformedLineNamesItsNumberAndReason() {
+  void malformedLine_isReportedWithItsNumberAndReason() {
     assertEquals(
         "line 1: no '=' in 'nonsense'",
         assertThrows(MalformedLineException.class, () -> run("batch\tnonsense\n")).getMessage());
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void settingsWithListsAndAbsentValuesAreRead() {
+  void settings_areReadWithListsAndDefaults() {
     final var settings =
         SettingsReader.read(
             Fields.parse(
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureMembership.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureMembership.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import thistleturn.decisions.membership.Membership;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.EurekaAnswer;
 import thistleturn.eureka.EurekaMapping;
 import thistleturn.eureka.MetadataNames;
@@ -44,7 +44,7 @@
 
   /** What the courier holds of a registry. */
   private static final class Held {
-    private final Membership membership = new Membership(Rules.standard());
+    private final Membership membership = new Membership(MergeSettings.defaults());
     private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
     private long nowUs = SECOND;
 
@@ -60,11 +60,11 @@
       answer.remember(memory);
       nowUs += SECOND;
       if (whole) {
-        membership.whole(nowUs, "r", answer.reports());
+        membership.applySnapshot(nowUs, "r", answer.reports());
       } else {
-        membership.changes(nowUs, "r", answer.reports(), answer.deleted());
+        membership.applyChanges(nowUs, "r", answer.reports(), answer.deleted());
       }
-      return membership.decide(nowUs).size();
+      return membership.collectChanges(nowUs).size();
     }
   }
 
@@ -96,7 +96,7 @@
     final Applications applications =
         codec.decode(new ByteArrayInputStream(whole), Applications.class);
     final long after = Cost.heapBytes();
-    if (fresh.membership.members().size() != size || applications.size() != size) {
+    if (fresh.membership.endpoints().size() != size || applications.size() != size) {
       throw new IllegalStateException("the answer was not read whole");
     }
     final double ourHeap = (double) (between - before) / size;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/World.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import thistleturn.courier.CourierProcess;
 import thistleturn.courier.runtime.Config;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrySettings;
 import thistleturn.membership.MembershipExtension;
@@ -54,7 +54,7 @@
         CourierProcess.start(
             standIns.environment(CourierFiles.Size.usual()),
             new MembershipExtension(
-                () -> new MembershipSettings(Rules.standard(), List.of(registry), null)));
+                () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
     standIns.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
   }
 
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
 import thistleturn.decisions.Control;
-import thistleturn.decisions.fleet.Fleet;
+import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
 import thistleturn.lab.fleet.FleetTally.Count;
@@ -100,7 +100,7 @@
         .mapToObj(
             seed ->
                 VirtualFleet.play(
-                    Fleet.isVast(size)
+                    FleetSize.isVast(size)
                         ? FleetDay.thin(size, trouble, new Random(seed))
                         : FleetDay.drawn(size, trouble, new Random(seed)),
                     seed,
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Spec;
 import thistleturn.courier.CourierProcess;
 import thistleturn.courier.runtime.Config;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrySettings;
 import thistleturn.membership.MembershipExtension;
@@ -113,7 +113,7 @@
         CourierProcess.start(
             world.environment(CourierFiles.Size.usual()),
             new MembershipExtension(
-                () -> new MembershipSettings(Rules.standard(), List.of(registry), null)));
+                () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
     try {
       world.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
       final ConcurrentHistogram answers = new ConcurrentHistogram(60_000_000L, 3);
--- a/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
+++ b/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
@@ -17,7 +17,7 @@
 import java.util.regex.Pattern;
 import thistleturn.courier.Tuning;
 import thistleturn.courier.runtime.Config;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.decisions.peers.PeerRules;
 import thistleturn.decisions.replicas.ReplicaRules;
 import thistleturn.eureka.MetadataNames;
@@ -235,7 +235,7 @@
     }
     return enabled
         ? new MembershipSettings(
-            new Rules(
+            new MergeSettings(
                 disagreementUs,
                 staleUseUs,
                 doubtUs,
--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierProcess.java
@@ -59,7 +59,7 @@
 import thistleturn.courier.warm.LearntFile;
 import thistleturn.courier.warm.LearntKeeper;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
 
 /**
  * A courier with its ports wired: one event loop that owns all state, a journal, a front, a
@@ -520,7 +520,7 @@
     }
 
     @Override
-    public void say(final long destination, final Word word) {
+    public void say(final long destination, final Directive word) {
       each(
           shard -> {
             shard.host.say(destination, word);
--- a/courier/src/main/java/thistleturn/courier/Host.java
+++ b/courier/src/main/java/thistleturn/courier/Host.java
@@ -39,8 +39,8 @@
 import thistleturn.decisions.Control;
 import thistleturn.decisions.Courier;
 import thistleturn.decisions.LaneView;
-import thistleturn.decisions.health.OwnHealth;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.health.LocalHealth;
 
 /**
  * The one that calls {@link Control}: it tells it what the sockets brought in a pass of the event
@@ -102,7 +102,8 @@
   private record RemoteCall(long number, long endpoint, long sentUs) implements Carrier.Call {}
 
   /** What is said of an endpoint that an operator has left out. */
-  private static final Word LEFT_OUT = Word.of(Word.Kind.EXCLUSION, "operator", Long.MAX_VALUE);
+  private static final Directive LEFT_OUT =
+      Directive.of(Directive.Kind.EXCLUSION, "operator", Long.MAX_VALUE);
 
   /**
    * Endpoints of which what was learnt is put down: more would hold up the loop for over some
@@ -120,7 +121,7 @@
   private final Ends ends;
   private final Roster roster;
   private final Wiring wiring;
-  private final OwnHealth health;
+  private final LocalHealth health;
   private final Pulse pulse;
   private final Map<String, OpenMessage> messages = new LinkedHashMap<>();
   private final Map<String, Integer> classes = new HashMap<>();
@@ -202,7 +203,7 @@
     this.clock = clock;
     this.store = store;
     this.wiring = wiring;
-    this.health = new OwnHealth(clock.nowUs());
+    this.health = new LocalHealth(clock.nowUs());
     this.pulse = new Pulse(loop, clock, health, this::away);
     this.control = new Control(config.settings(), config.seed(), this);
     this.maxOpen = config.settings().limits().maxOpen();
@@ -373,22 +374,22 @@
               + " ms: nobody's outage");
       control.onReached(nowUs, sinceUs);
     }
-    health.answered(nowUs);
+    health.recordResponse(nowUs);
   }
 
   /** How this courier itself is, and why that is said; as JSON for operators. */
   ObjectNode health() {
-    final OwnHealth.Report report = health.report(clock.nowUs());
+    final LocalHealth.Report report = health.report(clock.nowUs());
     return JsonNodeFactory.instance
         .objectNode()
         .put("state", report.state().name().toLowerCase(Locale.ROOT))
         .put("for_s", (clock.nowUs() - report.sinceUs()) / US_PER_S)
         .put("evidence", report.evidence())
-        .put("away_share", report.awayShare())
-        .put("last_away_s", report.lastAwayUs() / US_PER_S)
+        .put("away_share", report.pausedShare())
+        .put("last_away_s", report.lastPauseUs() / US_PER_S)
         .put("holds", messages.size())
-        .put("may_hold", health.mayHold(maxOpen))
-        .put("ended", health.ended());
+        .put("may_hold", health.maxPendingMessages(maxOpen))
+        .put("ended", health.completedMessages());
   }
 
   // ---------------------------------------------------------------- what the sockets bring
@@ -420,7 +421,7 @@
       return;
     }
     openPressed |= messages.size() >= PRESSED_SHARE * maxOpen;
-    if (messages.size() >= health.mayHold(maxOpen) || !store.take(held)) {
+    if (messages.size() >= health.maxPendingMessages(maxOpen) || !store.take(held)) {
       refused[classes.get(held.className())]++;
       Log.event(
           Event.REQUEST_REFUSED,
@@ -463,7 +464,7 @@
   private void listed(final Courier.Update update, final List<Directory.Listing> listings) {
     final long nowUs = pulse.feel();
     if (update == Courier.Update.LOST) {
-      health.platformFailed(nowUs);
+      health.recordPlatformFailure(nowUs);
     } else if (update != Courier.Update.RESTORED) {
       answered(nowUs);
     }
@@ -551,7 +552,7 @@
             answer.result(),
             open.over,
             call.endpoint(),
-            health.hasMeasured(call.sentUs(), nowUs) ? nowUs - call.sentUs() : -1,
+            health.wasRunningBetween(call.sentUs(), nowUs) ? nowUs - call.sentUs() : -1,
             answer.waitUs(),
             answer.allowance()));
     if (witness != null) {
@@ -577,7 +578,7 @@
       final long nowUs) {
     switch (result) {
       case DELIVERED, ERROR, REFUSED -> answered(nowUs);
-      case NO_CONNECTION, TIMED_OUT -> health.unanswered(destination, call.sentUs(), nowUs);
+      case NO_CONNECTION, TIMED_OUT -> health.recordNoResponse(destination, call.sentUs(), nowUs);
       // One that was given up by this courier's own will, or met a connection that was dead, says
       // nothing.
       default -> {}
@@ -643,7 +644,7 @@
         (endpoint, out) -> {
           // What is kept open to them dies with their restart.
           carrier.closeIdle(endpoint);
-          control.onEndpointWord(clock.nowUs(), endpoint, out ? LEFT_OUT : LEFT_OUT.over());
+          control.onEndpointWord(clock.nowUs(), endpoint, out ? LEFT_OUT : LEFT_OUT.withdrawn());
           if (!out) {
             control.onReturned(clock.nowUs(), endpoint);
           }
@@ -660,7 +661,7 @@
   }
 
   /** A subsystem says something of a destination. */
-  void say(final long destination, final Word word) {
+  void say(final long destination, final Directive word) {
     if (decides() && control.onWord(clock.nowUs(), destination, word)) {
       turned(false);
       touch();
@@ -681,7 +682,7 @@
     now.forEach(
         (destination, isOut) -> {
           final boolean changed = isOut ? out.add(destination) : out.remove(destination);
-          if (changed && tells && health.report(clock.nowUs()).state() == OwnHealth.State.WELL) {
+          if (changed && tells && health.report(clock.nowUs()).state() == LocalHealth.State.WELL) {
             witness.turned(destination, isOut);
           }
         });
@@ -1096,7 +1097,7 @@
       open.held.way().ended(clock.nowUs());
     }
     messages.remove(open.held.id());
-    health.messageEnded();
+    health.recordMessageCompleted();
     Log.event(
         Event.MESSAGE_ENDED,
         "id",
@@ -1119,7 +1120,7 @@
     open.over = true;
     open.reply = null;
     messages.remove(open.held.id());
-    health.messageEnded();
+    health.recordMessageCompleted();
     store.over(open.held);
   }
 
--- a/courier/src/main/java/thistleturn/courier/Roster.java
+++ b/courier/src/main/java/thistleturn/courier/Roster.java
@@ -15,7 +15,7 @@
 import thistleturn.courier.port.Carrier;
 import thistleturn.courier.port.Directory;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.maintenance.Maintenance;
+import thistleturn.decisions.maintenance.DisabledEndpoints;
 
 /**
  * The endpoints that the directory named, under the numbers by which the decisions and the carrier
@@ -45,7 +45,7 @@
   private final Map<Long, Long> vacant = new LinkedHashMap<>();
 
   /** Who is left out by hand. */
-  private final Maintenance maintenance = new Maintenance(MOST_NAMES);
+  private final DisabledEndpoints maintenance = new DisabledEndpoints(MOST_NAMES);
 
   private long nextId = 1;
 
@@ -67,7 +67,7 @@
     }
     for (final Directory.Listing listing : listings) {
       final Courier.Endpoint entry = entry(listing);
-      maintenance.listed(listing.name());
+      maintenance.recordListed(listing.name());
       changed.add(entry);
       gone.remove(entry.id());
       if (entry.condition() == Courier.Condition.GONE) {
@@ -88,10 +88,10 @@
    */
   Map<Long, Boolean> leaveOut(final Set<String> leftOut) {
     final Map<Long, Boolean> news = new LinkedHashMap<>();
-    for (final String name : maintenance.set(leftOut)) {
+    for (final String name : maintenance.replaceAll(leftOut)) {
       final Long number = ids.get(name);
       if (number != null && entries.containsKey(number)) {
-        news.put(number, maintenance.isOut(name));
+        news.put(number, maintenance.isDisabled(name));
       }
     }
     return news;
@@ -100,12 +100,12 @@
   /** True for an endpoint that is left out by hand. */
   boolean isLeftOut(final long endpoint) {
     final String name = names.get(endpoint);
-    return name != null && maintenance.isOut(name);
+    return name != null && maintenance.isDisabled(name);
   }
 
   /** True if an endpoint of that name was ever listed, as far as that is remembered. */
   boolean knows(final String name) {
-    return maintenance.knows(name);
+    return maintenance.isKnown(name);
   }
 
   /** The list as it was last told, with the numbers that stand for its entries. */
@@ -149,7 +149,10 @@
   /** How many of the listed endpoints are left out by hand, or are among those given. */
   long excluded(final List<Long> avoided) {
     final Set<Long> excluded = new HashSet<>(avoided);
-    maintenance.out().stream().map(ids::get).filter(entries::containsKey).forEach(excluded::add);
+    maintenance.disabledNames().stream()
+        .map(ids::get)
+        .filter(entries::containsKey)
+        .forEach(excluded::add);
     return excluded.size();
   }
 
--- a/courier/src/main/java/thistleturn/courier/health/Pulse.java
+++ b/courier/src/main/java/thistleturn/courier/health/Pulse.java
@@ -6,7 +6,7 @@
 import java.util.function.LongConsumer;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 
 /**
  * Keeps a beat while the courier has something to do, so that a stretch in which the process did
@@ -23,9 +23,9 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  private final OwnHealth health;
+  private final LocalHealth health;
   private final LongConsumer away;
-  private OwnHealth.State said = OwnHealth.State.WELL;
+  private LocalHealth.State said = LocalHealth.State.WELL;
   private long dueUs = NEVER;
   private boolean wanted;
 
@@ -34,7 +34,7 @@
    * meanwhile.
    */
   public Pulse(
-      final EventLoop loop, final Clock clock, final OwnHealth health, final LongConsumer away) {
+      final EventLoop loop, final Clock clock, final LocalHealth health, final LongConsumer away) {
     this.loop = loop;
     this.clock = clock;
     this.health = health;
@@ -47,10 +47,10 @@
    */
   public long feel() {
     final long nowUs = clock.nowUs();
-    final long awayUs = health.ran(nowUs);
+    final long awayUs = health.recordRun(nowUs);
     if (dueUs != NEVER) {
       // A beat that is late was late for this; the next promise is one from now.
-      health.willRunBy(Math.max(dueUs, nowUs));
+      health.expectRunBy(Math.max(dueUs, nowUs));
     }
     if (awayUs > 0) {
       away.accept(awayUs);
@@ -73,9 +73,9 @@
   }
 
   private void arm(final long nowUs) {
-    dueUs = nowUs + OwnHealth.BEAT_US;
-    health.willRunBy(dueUs);
-    loop.schedule(this::beat, OwnHealth.BEAT_US, TimeUnit.MICROSECONDS);
+    dueUs = nowUs + LocalHealth.TICK_INTERVAL_US;
+    health.expectRunBy(dueUs);
+    loop.schedule(this::beat, LocalHealth.TICK_INTERVAL_US, TimeUnit.MICROSECONDS);
   }
 
   private void beat() {
@@ -90,9 +90,10 @@
 
   /** Lasting trouble of its own is worth a line when it begins and when it is over. */
   private void say(final long nowUs) {
-    final OwnHealth.State state = health.state(nowUs);
-    final boolean lasting = state == OwnHealth.State.STARVED || state == OwnHealth.State.CUT_OFF;
-    final boolean lasted = said == OwnHealth.State.STARVED || said == OwnHealth.State.CUT_OFF;
+    final LocalHealth.State state = health.state(nowUs);
+    final boolean lasting =
+        state == LocalHealth.State.STARVED || state == LocalHealth.State.CUT_OFF;
+    final boolean lasted = said == LocalHealth.State.STARVED || said == LocalHealth.State.CUT_OFF;
     if (state != said && (lasting || lasted)) {
       Log.info(
           "own health: "
--- a/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
@@ -175,7 +175,7 @@
       return;
     }
     calls.add(call);
-    deadlines.set(call, call.deadlineUs);
+    deadlines.schedule(call, call.deadlineUs);
     arm();
     call.started = true;
     unwritten.add(call);
@@ -193,7 +193,7 @@
    * One timer for all calls, at the first deadline; a call that ends takes its deadline with it.
    */
   private void arm() {
-    final long firstUs = deadlines.firstUs();
+    final long firstUs = deadlines.earliestDueUs();
     if (firstUs < armedUs) {
       armedUs = firstUs;
       loop.schedule(this::giveUp, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
--- a/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
@@ -22,7 +22,7 @@
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.Courier.Result;
-import thistleturn.decisions.pools.Break;
+import thistleturn.decisions.pools.ConnectionLoss;
 
 /** Reads the answers of one connection. */
 final class HttpConnection extends SimpleChannelInboundHandler<HttpObject>
@@ -304,8 +304,8 @@
       }
       carrier.tell(cut, answer);
     } else {
-      final Break how =
-          new Break(
+      final ConnectionLoss how =
+          new ConnectionLoss(
               cut.written, pool != null, answered, clock.nowUs() - wroteUs, cut.pool.handshakeUs());
       final Result read = cut.written && spoilt != Result.RESET ? spoilt : how.result();
       // What stopped short may have told a wait before that.
--- a/courier/src/main/java/thistleturn/courier/http/HttpFront.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpFront.java
@@ -39,7 +39,7 @@
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.PatientServerSocketChannel;
 import thistleturn.courier.transport.PatientSocketChannel;
-import thistleturn.decisions.admission.Crowd;
+import thistleturn.decisions.admission.ConnectionEvictionRanking;
 import thistleturn.decisions.index.TimeHeap;
 
 /**
@@ -107,7 +107,7 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Descriptors descriptors;
-  private final Crowd crowd = new Crowd(CROWDED_IDLE_US);
+  private final ConnectionEvictionRanking crowd = new ConnectionEvictionRanking(CROWDED_IDLE_US);
   private final long idleUs;
 
   /** The newest at the end. */
@@ -309,7 +309,7 @@
     final boolean many = sessions.size() > CROWDED_SHARE * descriptors.mostClients();
     if (many && !crowded) {
       // Less time is left to each of them than when they were last looked at.
-      sessions.forEach(session -> looks.set(session.look(), dueUs(session)));
+      sessions.forEach(session -> looks.schedule(session.look(), dueUs(session)));
     }
     crowded = many;
     lookAtDue();
@@ -346,7 +346,7 @@
     if (session.isIdle() && session.sinceUs() <= nowUs - REST_US) {
       session.rest();
     }
-    looks.set(session.look(), Math.max(dueUs(session), nowUs + US_PER_MS));
+    looks.schedule(session.look(), Math.max(dueUs(session), nowUs + US_PER_MS));
   }
 
   private boolean isTooLate(final HttpSession session, final long nowUs) {
@@ -373,7 +373,7 @@
       session.shutIfIdle();
       return;
     }
-    looks.set(session.look(), Math.max(dueUs(session), clock.nowUs() + US_PER_MS));
+    looks.schedule(session.look(), Math.max(dueUs(session), clock.nowUs() + US_PER_MS));
   }
 
   private long patienceUs(final HttpSession session) {
@@ -416,7 +416,7 @@
   private HttpSession leastLost() {
     final long nowUs = clock.nowUs();
     HttpSession least = null;
-    int leastRank = Crowd.KEEP;
+    int leastRank = ConnectionEvictionRanking.NEVER_EVICT;
     HttpSession newest = null;
     for (final HttpSession session : sessions) {
       if (!session.hasAsked() && session.sinceUs() >= turns.lookUs()) {
@@ -425,7 +425,9 @@
       }
       final int rank = session.rank(crowd, nowUs);
       if (rank < leastRank
-          || (rank == leastRank && rank < Crowd.KEEP && session.sinceUs() < least.sinceUs())) {
+          || (rank == leastRank
+              && rank < ConnectionEvictionRanking.NEVER_EVICT
+              && session.sinceUs() < least.sinceUs())) {
         least = session;
         leastRank = rank;
       }
@@ -469,7 +471,7 @@
 
   void opened(final HttpSession session) {
     sessions.add(session);
-    looks.set(session.look(), dueUs(session));
+    looks.schedule(session.look(), dueUs(session));
     descriptors.clients(sessions.size() + leaving.size());
     if (!makesRoom && sessions.size() + leaving.size() > descriptors.mostClients()) {
       makesRoom = true;
@@ -479,7 +481,7 @@
 
   /** A connection that was answered has asked again, or has ended without. */
   void learn(final boolean askedAgain) {
-    crowd.learn(askedAgain);
+    crowd.recordReuse(askedAgain);
   }
 
   /**
--- a/courier/src/main/java/thistleturn/courier/http/HttpSession.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpSession.java
@@ -38,7 +38,7 @@
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.admission.Crowd;
+import thistleturn.decisions.admission.ConnectionEvictionRanking;
 import thistleturn.decisions.index.TimeHeap;
 
 /**
@@ -253,15 +253,17 @@
   }
 
   /** How little is lost if it makes room for another. */
-  int rank(final Crowd crowd, final long nowUs) {
+  int rank(final ConnectionEvictionRanking crowd, final long nowUs) {
     return crowd.rank(
         rejected
-            ? Crowd.State.REJECTED
+            ? ConnectionEvictionRanking.ConnectionState.REJECTED
             : current != null || !queue.isEmpty()
-                ? Crowd.State.SERVED
+                ? ConnectionEvictionRanking.ConnectionState.PROCESSING_REQUEST
                 : !isIdle()
-                    ? Crowd.State.COMING_IN
-                    : hasAsked ? Crowd.State.ANSWERED : Crowd.State.SILENT,
+                    ? ConnectionEvictionRanking.ConnectionState.RECEIVING_REQUEST
+                    : hasAsked
+                        ? ConnectionEvictionRanking.ConnectionState.IDLE_AFTER_RESPONSE
+                        : ConnectionEvictionRanking.ConnectionState.NO_REQUEST_YET,
         sinceUs,
         lastByteUs,
         nowUs);
--- a/courier/src/main/java/thistleturn/courier/port/Steering.java
+++ b/courier/src/main/java/thistleturn/courier/port/Steering.java
@@ -1,7 +1,7 @@
 package thistleturn.courier.port;
 
 import java.util.Set;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
 
 /**
  * What a subsystem may say to the decisions of all shards. To be called on the courier's first
@@ -15,7 +15,7 @@
    * Says something of a destination; where it is not known, nothing comes of it until it is said
    * again.
    */
-  void say(long destination, Word word);
+  void say(long destination, Directive word);
 
   /**
    * Leaves an endpoint out, or lets it serve again, as an operator here would; a {@link Witness} is
--- a/courier/src/main/java/thistleturn/courier/runtime/Config.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Config.java
@@ -154,7 +154,7 @@
   }
 
   private static long atLeastOne(final Fields fields, final String name, final long absent) {
-    final long value = fields.whole(name, absent);
+    final long value = fields.integer(name, absent);
     if (value < 1) {
       throw fields.malformed("'" + name + "' is at least 1, not " + value);
     }
--- a/courier/src/main/java/thistleturn/courier/shard/Layout.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Layout.java
@@ -14,7 +14,7 @@
 import thistleturn.courier.journal.Journal;
 import thistleturn.courier.port.Held;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.shards.Placement;
+import thistleturn.decisions.shards.ShardPlacement;
 
 /**
  * The journals of a state folder, one for each shard. One shard has its journal in the folder
@@ -100,7 +100,7 @@
           folder(shards, shard),
           diskBytes / shards,
           held.values().stream()
-              .filter(one -> Placement.shardOf(one.destination(), shards) == to)
+              .filter(one -> ShardPlacement.shardOf(one.destination(), shards) == to)
               .toList());
     }
     Files.writeString(state.resolve(NEXT_MARKER), shards + "\n", StandardCharsets.US_ASCII);
--- a/courier/src/main/java/thistleturn/courier/shard/Room.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Room.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.shards.Allotment;
+import thistleturn.decisions.shards.CapacityAllocator;
 
 /**
- * Moves room for calls and messages between shards; the decisions are {@link Allotment}'s. It lives
- * on one loop.
+ * Moves room for calls and messages between shards; the decisions are {@link CapacityAllocator}'s.
+ * It lives on one loop.
  */
 public final class Room {
   private static final long PERIOD_MS = 50;
@@ -17,8 +17,8 @@
   private final EventLoop owner;
   private final List<EventLoop> loops;
   private final List<? extends Tenant> tenants;
-  private final Allotment slots;
-  private final Allotment open;
+  private final CapacityAllocator slots;
+  private final CapacityAllocator open;
 
   /** What a shard uses, and whether its limits have held it back since it was last asked. */
   public record Use(int slots, boolean slotsPressed, int open, boolean openPressed) {}
@@ -41,8 +41,8 @@
     this.owner = owner;
     this.loops = loops;
     this.tenants = tenants;
-    this.slots = new Allotment(loops.size(), whole.slots());
-    this.open = new Allotment(loops.size(), whole.maxOpen());
+    this.slots = new CapacityAllocator(loops.size(), whole.slots());
+    this.open = new CapacityAllocator(loops.size(), whole.maxOpen());
   }
 
   /** Begins to ask and to tell. Called on the owner's loop. */
@@ -58,8 +58,8 @@
   }
 
   private void plan() {
-    slots.plan();
-    open.plan();
+    slots.rebalance();
+    open.rebalance();
     for (int shard = 0; shard < loops.size(); shard++) {
       tell(shard);
     }
@@ -77,8 +77,8 @@
               final Use use = tenants.get(shard).use();
               owner.execute(
                   () -> {
-                    slots.onReport(shard, slotsNow, use.slots(), use.slotsPressed());
-                    open.onReport(shard, openNow, use.open(), use.openPressed());
+                    slots.reportUsage(shard, slotsNow, use.slots(), use.slotsPressed());
+                    open.reportUsage(shard, openNow, use.open(), use.openPressed());
                   });
             });
   }
--- a/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
@@ -5,7 +5,7 @@
 import thistleturn.courier.port.Front;
 import thistleturn.courier.port.Held;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.shards.Placement;
+import thistleturn.decisions.shards.ShardPlacement;
 
 /**
  * The desk of a front on one loop: a message goes to the loop that owns its destination, and its
@@ -34,12 +34,12 @@
 
   @Override
   public boolean isOwn(final long destination) {
-    return Placement.shardOf(destination, desks.size()) == own;
+    return ShardPlacement.shardOf(destination, desks.size()) == own;
   }
 
   @Override
   public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-    final int shard = Placement.shardOf(held.destination(), desks.size());
+    final int shard = ShardPlacement.shardOf(held.destination(), desks.size());
     if (shard == own) {
       desks.get(own).offer(held, validUntilUs, reply);
     } else {
@@ -51,7 +51,7 @@
 
   @Override
   public void withdraw(final String id, final long destination) {
-    final int shard = Placement.shardOf(destination, desks.size());
+    final int shard = ShardPlacement.shardOf(destination, desks.size());
     if (shard == own) {
       desks.get(own).withdraw(id, destination);
     } else {
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -10,7 +10,7 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.shards.Placement;
+import thistleturn.decisions.shards.ShardPlacement;
 
 /** One directory for several shards: each is told of its own destinations, on its own loop. */
 public final class SharedDirectory {
@@ -55,7 +55,7 @@
     final List<List<Directory.Listing>> parts = new ArrayList<>();
     views.forEach(view -> parts.add(new ArrayList<>()));
     for (final Directory.Listing listing : listings) {
-      final int shard = Placement.shardOf(listing.destination(), views.size());
+      final int shard = ShardPlacement.shardOf(listing.destination(), views.size());
       final boolean gone = listing.condition() == Courier.Condition.GONE;
       final Integer before =
           gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
--- a/courier/src/test/java/thistleturn/courier/ShardsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.shard.Layout;
-import thistleturn.decisions.shards.Placement;
+import thistleturn.decisions.shards.ShardPlacement;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInEndpoint.Act;
@@ -155,7 +155,7 @@
   void silenceOnOneShardDoesNotTouchTheOthers() throws Exception {
     start(4);
     for (int index = 0; index < endpoints.size(); index++) {
-      if (Placement.shardOf(DESTINATIONS[index], 4) == 0) {
+      if (ShardPlacement.shardOf(DESTINATIONS[index], 4) == 0) {
         endpoints.get(index).fare(Manner.of(Act.SILENCE));
       }
     }
--- a/courier/src/test/java/thistleturn/courier/health/PulseTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PulseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 
 /** The beat of a courier that waits for an answer and has nothing else to do. */
 @Tag("health")
@@ -26,9 +26,9 @@
       final Clock clock = new Clock();
       final AtomicInteger aways = new AtomicInteger();
       final Pulse pulse =
-          new Pulse(loop, clock, new OwnHealth(clock.nowUs()), us -> aways.incrementAndGet());
+          new Pulse(loop, clock, new LocalHealth(clock.nowUs()), us -> aways.incrementAndGet());
       loop.submit(() -> pulse.keep(true)).get();
-      loop.schedule(() -> {}, BEATS * OwnHealth.BEAT_US, TimeUnit.MICROSECONDS).get();
+      loop.schedule(() -> {}, BEATS * LocalHealth.TICK_INTERVAL_US, TimeUnit.MICROSECONDS).get();
       assertTrue(aways.get() < BEATS / 3, aways + " absences in " + BEATS + " beats");
     } finally {
       loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
--- a/decisions/src/main/java/thistleturn/decisions/Attempts.java
+++ b/decisions/src/main/java/thistleturn/decisions/Attempts.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions;
 
 import thistleturn.decisions.Courier.Effect;
-import thistleturn.decisions.noise.Cell;
+import thistleturn.decisions.rejections.EndpointClassStatistics;
 
 /**
  * What a further attempt is allowed: how long it may take, until when, and whether there may be one
@@ -47,7 +47,7 @@
   }
 
   /** How long an attempt may take. */
-  long timeoutUs(final Lane lane, final Cell cell, final Job job) {
+  long timeoutUs(final Lane lane, final EndpointClassStatistics cell, final Job job) {
     final double expectedUs = expectedUs(lane, job);
     final long leftUs = job.message.validUntilUs() - state.nowUs;
     long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * lane.stretch * expectedUs);
--- a/decisions/src/main/java/thistleturn/decisions/Control.java
+++ b/decisions/src/main/java/thistleturn/decisions/Control.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeSet;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.index.Ranking;
 import thistleturn.decisions.index.TimeHeap;
-import thistleturn.decisions.words.Word;
 
 /**
  * Every decision of one courier; its interface is {@code Courier.java}. A pass is read here from
@@ -25,7 +25,7 @@
  *       ({@link Choice}).
  *   <li>What keeps a lane from sending is its {@link Gate}: a told wait is heeded by the whole
  *       lane; after a refusal without one it pauses, unless that is read as noise ({@code
- *       decisions.noise}). What other subsystems say of it ({@link Word}) binds here too.
+ *       decisions.noise}). What other subsystems say of it ({@link Directive}) binds here too.
  *   <li>A lane that returns nothing but trouble is OUT: single trials, as many as a cold one bears;
  *       after the first success it is on a RAMP, paced under the tipping rate until it is surely
  *       warm ({@link Judgement}).
@@ -230,7 +230,7 @@
     state.nodes.values().stream()
         .map(node -> node.lane)
         .filter(lane -> lane.phase == Phase.RAMP)
-        .forEach(lane -> state.looks.set(lane.rampEnd, lane.rampFromUs + coldUs + 1));
+        .forEach(lane -> state.looks.schedule(lane.rampEnd, lane.rampFromUs + coldUs + 1));
   }
 
   @Override
@@ -360,7 +360,7 @@
   }
 
   /** A subsystem's word on an endpoint; false if none of that number is known. */
-  public boolean onEndpointWord(final long now, final long endpoint, final Word word) {
+  public boolean onEndpointWord(final long now, final long endpoint, final Directive word) {
     state.nowUs = now;
     final Node node = state.nodes.get(endpoint);
     if (node != null) {
@@ -371,14 +371,14 @@
   }
 
   /** A subsystem's word on a destination; false if none of that number is known. */
-  public boolean onWord(final long now, final long number, final Word word) {
+  public boolean onWord(final long now, final long number, final Directive word) {
     state.nowUs = now;
     final Destination destination = state.destinations.get(number);
     if (destination == null || destination.lanes.isEmpty()) {
       return false;
     }
     destination.words = destination.words.with(word, now);
-    if (word.isInForce(now)) {
+    if (word.isActive(now)) {
       destination.lanes.forEach(lane -> judgement.told(lane, word));
     }
     state.touch(destination);
@@ -493,7 +493,7 @@
       if (attempts.endsInTime(best.lane, best.picked.group)) {
         send(best.picked, best.lane);
       } else {
-        ready.touch(best);
+        ready.invalidate(best);
       }
     }
   }
@@ -538,7 +538,7 @@
     call.jobs.sort(Comparator.comparingLong(sent -> sent.number));
     silence.expect(call);
     lane.lastWeight = 1 + FURTHER_WEIGHT * (call.size - 1);
-    lane.share.called(state.nowUs);
+    lane.share.recordCall(state.nowUs);
   }
 
   /**
@@ -561,8 +561,8 @@
    */
   private void sleep() {
     long next = Math.min(nextStepUs, listing.askAgainUs());
-    next = Math.min(next, Math.min(ends.firstUs(), silence.firstUs()));
-    next = Math.min(next, Math.min(state.looks.firstUs(), turns.firstUs()));
+    next = Math.min(next, Math.min(ends.earliestDueUs(), silence.firstUs()));
+    next = Math.min(next, Math.min(state.looks.earliestDueUs(), turns.firstUs()));
     // A call that was called off may be slow to end; a message may have got its turn after the last
     // look.
     next = Math.min(next, state.againUs);
@@ -581,7 +581,7 @@
     job.waiting = true;
     job.place = places++;
     job.destination.waiting++;
-    ends.set(job.end, attempts.maySend(job) ? attempts.endUs(job) : 0);
+    ends.schedule(job.end, attempts.maySend(job) ? attempts.endUs(job) : 0);
     job.destination.file(job, !turns.inTurn(job));
     turns.refile(job.line);
   }
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import thistleturn.decisions.directives.Directives;
 import thistleturn.decisions.index.Ranking;
-import thistleturn.decisions.words.Words;
 
 /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
 final class Destination extends Ranking.Entry {
@@ -27,7 +27,7 @@
   final List<Lane> lanes = new ArrayList<>();
 
   /** What other subsystems say of it; binds all of its lanes. */
-  Words words = Words.NONE;
+  Directives words = Directives.NONE;
 
   /** Its messages, waiting or out; those that wait. */
   int jobs, waiting;
--- a/decisions/src/main/java/thistleturn/decisions/Gate.java
+++ b/decisions/src/main/java/thistleturn/decisions/Gate.java
@@ -5,7 +5,7 @@
 /**
  * When a lane may send: its window, its waits and pauses, the rate it is held to, single trials
  * while it is out, and the pace of its return. What other subsystems say of it ({@link
- * thistleturn.decisions.words.Words}) enters here.
+ * thistleturn.decisions.directives.Directives}) enters here.
  */
 final class Gate {
   private final State state;
@@ -42,7 +42,7 @@
                           / state.settings.guarantees().tippingShare(atUs - lane.rampFromUs));
         };
     return Math.max(
-        lane.destination.words.openAtUs(lane.lastSendUs, atUs),
+        lane.destination.words.earliestCallUs(lane.lastSendUs, atUs),
         Math.max(guardUs, Math.max(lane.waitUntilUs, lane.pausedUntilUs())));
   }
 
@@ -61,7 +61,7 @@
     }
     long next = Control.NEVER;
     for (final Node node : lane.nodes) {
-      next = Math.min(next, node.words.changesUs(state.nowUs));
+      next = Math.min(next, node.words.nextExpiryUs(state.nowUs));
       for (int kind = 0; kind < node.avoidUntilUs.length && lane.phase == Phase.WELL; kind++) {
         next =
             node.avoidUntilUs[kind] > state.nowUs ? Math.min(next, node.avoidUntilUs[kind]) : next;
--- a/decisions/src/main/java/thistleturn/decisions/Group.java
+++ b/decisions/src/main/java/thistleturn/decisions/Group.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
-import thistleturn.decisions.index.OrderedLine;
+import thistleturn.decisions.index.OrderedQueue;
 
 /** Messages that wait for a destination and differ in their times alone. */
 final class Group {
@@ -15,7 +15,7 @@
   final String zone;
 
   /** By their aims; or, where each key's window ends by itself, as they are. */
-  final OrderedLine<Job> line;
+  final OrderedQueue<Job> line;
 
   final Set<Job> odd;
 
@@ -26,7 +26,7 @@
     this.mayHaveRun = job.mayHaveRun;
     this.blocked = blocked;
     this.zone = job.onlyZone();
-    this.line = odd ? null : new OrderedLine<>();
+    this.line = odd ? null : new OrderedQueue<>();
     this.odd = odd ? new HashSet<>() : null;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/Idle.java
+++ b/decisions/src/main/java/thistleturn/decisions/Idle.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions;
 
 import thistleturn.decisions.Courier.Effect;
-import thistleturn.decisions.fleet.Fleet;
+import thistleturn.decisions.fleet.FleetSize;
 
 /**
  * Connections that carry no call: how long they are trusted, and which are closed for others' sake.
@@ -70,7 +70,7 @@
         node.lane.vast
             && node.lane.destination.waiting > 0
             && gate.openAtUs(node.lane) <= state.nowUs + call.expectedUs;
-    if (Fleet.isLarge(state.settings.couriers())
+    if (FleetSize.isLarge(state.settings.couriers())
         && usesInReach < node.lane.nodes.size()
         && !next
         && !node.lane.keepsConnection(node)) {
--- a/decisions/src/main/java/thistleturn/decisions/Job.java
+++ b/decisions/src/main/java/thistleturn/decisions/Job.java
@@ -1,9 +1,9 @@
 package thistleturn.decisions;
 
-import thistleturn.decisions.index.OrderedLine;
+import thistleturn.decisions.index.OrderedQueue;
 
 /** A message that is owed an answer, or still has an attempt out. */
-final class Job extends OrderedLine.Entry {
+final class Job extends OrderedQueue.Entry {
   final Deadline end = new Deadline(this);
   final long number;
   final Courier.Message message;
--- a/decisions/src/main/java/thistleturn/decisions/Judgement.java
+++ b/decisions/src/main/java/thistleturn/decisions/Judgement.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import thistleturn.decisions.Courier.Outcome;
 import thistleturn.decisions.Courier.Result;
-import thistleturn.decisions.noise.RefusalReading.Cause;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.rejections.RejectionClassifier.Cause;
 
 /**
  * What an outcome says of its endpoint and its lane: trouble, outage, return, and what refusals
@@ -123,7 +123,7 @@
   private void refused(final Lane lane, final Call call, final double part, final long waitUs) {
     lane.bad += part;
     lane.refused++;
-    lane.share.refused(state.nowUs);
+    lane.share.recordRejected(state.nowUs);
     final long fromUs = Math.max(state.nowUs, lane.waitUntilUs);
     final long gapUs = state.pace.patienceUs(lane, fromUs);
     lane.pauseUntilUs =
@@ -178,7 +178,7 @@
     if (how != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
       lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
       if (lane.failShare > Call.SINGLE_SHARE) {
-        lane.growth.crowded();
+        lane.growth.stop();
       }
       suspect(lane, part);
     }
@@ -186,7 +186,7 @@
 
   /** A call served says whether there was room, and that there may be more. */
   private void readServed(final Lane lane, final Call call, final double part, final double ratio) {
-    if (lane.growth.served(ratio)) {
+    if (lane.growth.recordServed(ratio)) {
       window.prove(lane, part);
     }
     if (call.messages == 0) {
@@ -210,23 +210,23 @@
   }
 
   private boolean reads(final Lane lane, final Node node, final int kind, final Call call) {
-    final long restUs = node.cells[kind].refused(lane.servedCalls, ++lane.refusedCalls);
+    final long restUs = node.cells[kind].recordRejected(lane.servedCalls, ++lane.refusedCalls);
     if (restUs > 0) {
       node.avoidUntilUs[kind] = state.nowUs + state.pace.jitter(restUs);
       return true;
     }
-    lane.reading.refused(call.sentUs, state.nowUs);
+    lane.reading.recordRejected(call.sentUs, state.nowUs);
     if (lane.reading.cause(state.nowUs) == Cause.NOISE) {
-      if (lane.budget.take()) {
+      if (lane.budget.tryAcquire()) {
         return true;
       }
       lane.takeForLoad(state.nowUs);
     }
-    if (lane.growth.refused()) {
+    if (lane.growth.recordRejected()) {
       window.halve(lane);
     }
     if (call.probe) {
-      lane.reading.probed(false, state.nowUs);
+      lane.reading.recordProbe(false, state.nowUs);
     }
     lane.mayProbe = true;
     return false;
@@ -249,25 +249,26 @@
    * own calls since. A return is a ramp from the moment told on, so that all who are told share
    * one.
    */
-  void told(final Lane lane, final Word word) {
-    if (word.kind() == Word.Kind.LIMIT) {
-      lane.tell(word.value(), word.by(), state.nowUs);
+  void told(final Lane lane, final Directive word) {
+    if (word.kind() == Directive.Kind.LIMIT) {
+      lane.tell(word.value(), word.source(), state.nowUs);
       return;
     }
     final long sinceUs = (long) word.value();
-    if (word.kind() == Word.Kind.OUTAGE
+    if (word.kind() == Directive.Kind.OUTAGE
         && lane.phase == Phase.WELL
         && lane.nodes.stream().allMatch(node -> node.lastServedUs < sinceUs)) {
       lane.troubleFromUs = Math.min(lane.troubleFromUs, sinceUs);
       goOut(lane);
-    } else if (word.kind() == Word.Kind.RETURN
+    } else if (word.kind() == Directive.Kind.RETURN
         && lane.phase == Phase.OUT
         && lane.troubleFromUs < sinceUs) {
       ramp(lane);
       lane.rampFromUs = Math.min(state.nowUs, sinceUs);
       lane.troubleFromUs = Control.NEVER;
       lane.badRun = 0;
-      state.looks.set(lane.rampEnd, lane.rampFromUs + state.settings.guarantees().coldUs() + 1);
+      state.looks.schedule(
+          lane.rampEnd, lane.rampFromUs + state.settings.guarantees().coldUs() + 1);
     }
   }
 
@@ -276,7 +277,7 @@
     state.turns++;
     lane.phase = Phase.RAMP;
     lane.rampFromUs = state.nowUs;
-    state.looks.set(lane.rampEnd, state.nowUs + state.settings.guarantees().coldUs() + 1);
+    state.looks.schedule(lane.rampEnd, state.nowUs + state.settings.guarantees().coldUs() + 1);
     lane.rampSpanUs = state.pace.patienceUs(lane, state.nowUs);
     lane.failShare = 0;
   }
--- a/decisions/src/main/java/thistleturn/decisions/Lane.java
+++ b/decisions/src/main/java/thistleturn/decisions/Lane.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import thistleturn.decisions.fleet.FairShare;
-import thistleturn.decisions.fleet.Fleet;
-import thistleturn.decisions.noise.Growth;
-import thistleturn.decisions.noise.RefusalReading;
-import thistleturn.decisions.noise.RetryBudget;
+import thistleturn.decisions.fleet.FleetSize;
+import thistleturn.decisions.rejections.InitialWindowGrowth;
+import thistleturn.decisions.rejections.RejectionClassifier;
+import thistleturn.decisions.rejections.RetryBudget;
 
 /** The unit of the window: a destination, or a route of it. */
 final class Lane {
@@ -41,10 +41,10 @@
   double window;
 
   /** What its refusals answer to, what may be tried again at once, its first seconds. */
-  final RefusalReading reading = new RefusalReading();
+  final RejectionClassifier reading = new RejectionClassifier();
 
   final RetryBudget budget = new RetryBudget();
-  final Growth growth = new Growth();
+  final InitialWindowGrowth growth = new InitialWindowGrowth();
 
   /**
    * This courier's part of the rate told; never told of it in a fleet so small that it need not be
@@ -127,14 +127,14 @@
 
   Lane(final Destination destination, final Courier.Kind kind, final State state) {
     this.settings = state.settings;
-    final boolean large = Fleet.isLarge(settings.couriers());
+    final boolean large = FleetSize.isLarge(settings.couriers());
     final boolean sharing = large && state.shares;
     this.destination = destination;
     this.kind = kind;
     this.keepsBelow = sharing ? state.random.nextDouble() : Double.POSITIVE_INFINITY;
     this.sharers =
         sharing && settings.weights() == Courier.Weights.NOMINAL ? settings.couriers() : 0;
-    this.vast = state.thin && Fleet.isVast(settings.couriers());
+    this.vast = state.thin && FleetSize.isVast(settings.couriers());
     this.share = new FairShare(vast);
     this.window = large ? WINDOW_RARE : Window.START;
     this.stepsTaken = state.steps;
@@ -147,7 +147,7 @@
   void tell(final double ratePerSecond, final String by, final long nowUs) {
     told = ratePerSecond;
     toldBy = by;
-    share.told(sharers == 0 ? 0 : told / sharers, nowUs);
+    share.setEvenRate(sharers == 0 ? 0 : told / sharers, nowUs);
   }
 
   /**
@@ -157,7 +157,7 @@
    */
   boolean keepsConnection(final Node node) {
     return !vast
-        && keepsBelow < Fleet.keepingShare(nodes.size(), settings.couriers())
+        && keepsBelow < FleetSize.idleConnectionShare(nodes.size(), settings.couriers())
         && node.connections == 1
         && nodes.stream()
             .allMatch(
@@ -176,8 +176,8 @@
    * is told.
    */
   long spacedUntilUs(final double ratePerSecond, final long atUs) {
-    return share.isKept()
-        ? share.openAtUs(atUs)
+    return share.isLimited()
+        ? share.earliestCallUs(atUs)
         : lastSendUs + (long) (Control.SECOND_US / ratePerSecond);
   }
 
@@ -186,7 +186,7 @@
    */
   long pausedUntilUs() {
     return mayProbe && destination.waiting >= LEAST_LINE
-        ? Math.min(pauseUntilUs, reading.probeAtUs())
+        ? Math.min(pauseUntilUs, reading.nextProbeUs())
         : pauseUntilUs;
   }
 
@@ -203,13 +203,13 @@
   void served(final Call call, final long nowUs) {
     servedCalls++;
     firstCalls += steps == 0 && phase == Phase.WELL ? 1 : 0;
-    reading.served(call.sentUs, nowUs);
-    budget.served();
+    reading.recordServed(call.sentUs, nowUs);
+    budget.recordServed();
     if (call.probe) {
-      reading.probed(true, nowUs);
+      reading.recordProbe(true, nowUs);
       pauseUntilUs = nowUs;
     }
-    if (reading.hasJustSettled()) {
+    if (reading.hasJustSettledOnNoise()) {
       takeForNoise(nowUs);
     }
   }
@@ -220,7 +220,7 @@
     spacingBefore = spacing;
     pauseUntilUs = nowUs;
     spacing = nowUs < freeFromUs ? spacing : Double.POSITIVE_INFINITY;
-    growth.again();
+    growth.restart();
   }
 
   /**
@@ -239,9 +239,9 @@
    */
   void returned(final long pacedUntilUs) {
     freeFromUs = pacedUntilUs;
-    reading.forget();
+    reading.reset();
     spacing = Window.SPACING * Math.max(1, callsPerSecond());
-    growth.again();
+    growth.restart();
   }
 
   /**
@@ -275,7 +275,7 @@
 
   /** It was load after all: back to what was known before. */
   void takeForLoad(final long nowUs) {
-    reading.outran(nowUs);
+    reading.onRetryBudgetExhausted(nowUs);
     window = Math.min(window, windowBefore);
     spacing = Math.min(spacing, spacingBefore);
   }
--- a/decisions/src/main/java/thistleturn/decisions/LaneView.java
+++ b/decisions/src/main/java/thistleturn/decisions/LaneView.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
 
 /**
  * One destination (or route) as operators see it.
@@ -58,8 +58,8 @@
    * @param untilUs until when, us; {@link Long#MAX_VALUE}: until it is taken back
    */
   public record Said(long endpoint, String what, double value, String by, long untilUs) {
-    private static Said of(final long endpoint, final Word word) {
-      return new Said(endpoint, word.kind().name(), word.value(), word.by(), word.untilUs());
+    private static Said of(final long endpoint, final Directive word) {
+      return new Said(endpoint, word.kind().name(), word.value(), word.source(), word.expiresUs());
     }
   }
 
@@ -73,11 +73,11 @@
         lane.fallen,
         lane.destination.waiting,
         lane.callRate,
-        lane.share.isKept() ? lane.share.ratePerSecond() : lane.spacing,
+        lane.share.isLimited() ? lane.share.ratePerSecond() : lane.spacing,
         lane.reading.cause(nowUs).name(),
         lane.reading.evidence(nowUs),
-        lane.reading.share(),
-        lane.budget.left(),
+        lane.reading.rejectedShare(),
+        lane.budget.available(),
         lane.growth.isGrowing(),
         why(lane, nowUs, openAtUs, cap),
         said(lane, nowUs));
@@ -88,17 +88,21 @@
     if (lane.told > 0) {
       said.add(new Said(-1, LIMIT, lane.told, lane.toldBy, Control.NEVER));
     }
-    if (lane.share.isKept()) {
+    if (lane.share.isLimited()) {
       said.add(
           new Said(
-              -1, Word.Kind.RATE.name(), lane.share.ratePerSecond(), "even part", Control.NEVER));
+              -1,
+              Directive.Kind.RATE.name(),
+              lane.share.ratePerSecond(),
+              "even part",
+              Control.NEVER));
     }
     if (nowUs < lane.waitUntilUs) {
-      said.add(new Said(-1, Word.Kind.WAIT.name(), 0, Lane.PARTNER, lane.waitUntilUs));
+      said.add(new Said(-1, Directive.Kind.WAIT.name(), 0, Lane.PARTNER, lane.waitUntilUs));
     }
-    lane.destination.words.inForce(nowUs).forEach(word -> said.add(Said.of(-1, word)));
+    lane.destination.words.active(nowUs).forEach(word -> said.add(Said.of(-1, word)));
     lane.nodes.forEach(
-        node -> node.words.inForce(nowUs).forEach(word -> said.add(Said.of(node.id(), word))));
+        node -> node.words.active(nowUs).forEach(word -> said.add(Said.of(node.id(), word))));
     return said;
   }
 
@@ -112,7 +116,7 @@
     if (lane.nodes.stream().noneMatch(node -> node.isOpen(nowUs))) {
       return "its endpoints are left out: "
           + speakers(
-              lane.nodes.stream().flatMap(node -> node.words.inForce(nowUs).stream()).toList());
+              lane.nodes.stream().flatMap(node -> node.words.active(nowUs).stream()).toList());
     }
     if (nowUs < lane.waitUntilUs) {
       return "it told to wait: " + in(lane.waitUntilUs - nowUs) + " are left";
@@ -125,15 +129,15 @@
     if (lane.calls >= cap) {
       return "its window is full: " + lane.calls + " of " + cap + " calls are in flight";
     }
-    if (lane.destination.words.openAtUs(lane.lastSendUs, nowUs) > nowUs) {
-      return "it is held back by " + speakers(lane.destination.words.inForce(nowUs));
+    if (lane.destination.words.earliestCallUs(lane.lastSendUs, nowUs) > nowUs) {
+      return "it is held back by " + speakers(lane.destination.words.active(nowUs));
     }
     if (openAtUs > nowUs) {
       return lane.phase == Phase.RAMP
           ? "it returns from an outage: the next call goes in " + in(openAtUs - nowUs)
           : nowUs < lane.pausedUntilUs()
               ? "it pauses after a refusal: " + in(openAtUs - nowUs) + " are left"
-              : lane.share.isKept()
+              : lane.share.isLimited()
                   ? "this courier's part of the rate told is used up: the next one goes in "
                       + in(openAtUs - nowUs)
                   : "its sends are spaced after refusals: the next one goes in "
@@ -145,8 +149,8 @@
     return "the next message may go as soon as a slot is free, unless its class is avoided or another of its key is out";
   }
 
-  private static String speakers(final List<Word> words) {
-    return String.join(", ", words.stream().map(Word::by).distinct().toList());
+  private static String speakers(final List<Directive> words) {
+    return String.join(", ", words.stream().map(Directive::source).distinct().toList());
   }
 
   private static String in(final long us) {
--- a/decisions/src/main/java/thistleturn/decisions/Memory.java
+++ b/decisions/src/main/java/thistleturn/decisions/Memory.java
@@ -111,7 +111,7 @@
       lane.rampSpanUs,
       lane.refused
     };
-    final double[] read = lane.reading.figures();
+    final double[] read = lane.reading.learnedValues();
     final double[] all = Arrays.copyOf(own, own.length + read.length);
     System.arraycopy(read, 0, all, own.length, read.length);
     return all;
@@ -122,7 +122,7 @@
     final int classes = node.badRun.length;
     final double[] figures = Arrays.copyOf(node.badRun, 3 * classes);
     for (int kind = 0; kind < classes; kind++) {
-      final double[] tail = node.cells[kind].figures();
+      final double[] tail = node.cells[kind].learnedValues();
       figures[classes + 2 * kind] = tail[0];
       figures[classes + 2 * kind + 1] = tail[1];
     }
@@ -219,7 +219,7 @@
         final int classes = node.badRun.length;
         System.arraycopy(one.figures, 0, node.badRun, 0, classes);
         for (int kind = 0; kind < classes; kind++) {
-          node.cells[kind].recall(
+          node.cells[kind].restore(
               one.figures[classes + 2 * kind], one.figures[classes + 2 * kind + 1]);
         }
         System.arraycopy(one.moments, 0, node.avoidUntilUs, 0, node.avoidUntilUs.length);
@@ -249,7 +249,7 @@
     lane.badRun = figures[13];
     lane.failShare = figures[14];
     lane.rampSpanUs = figures[15];
-    lane.reading.recall(Arrays.copyOfRange(figures, OF_READING, figures.length), nowUs);
+    lane.reading.restore(Arrays.copyOfRange(figures, OF_READING, figures.length), nowUs);
     lane.troubleFromUs = moments[0];
     lane.waitUntilUs = moments[1];
     lane.pauseUntilUs = moments[2];
--- a/decisions/src/main/java/thistleturn/decisions/Node.java
+++ b/decisions/src/main/java/thistleturn/decisions/Node.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions;
 
 import java.util.Arrays;
-import thistleturn.decisions.noise.Cell;
-import thistleturn.decisions.words.Words;
+import thistleturn.decisions.directives.Directives;
+import thistleturn.decisions.rejections.EndpointClassStatistics;
 
 /** An endpoint. */
 final class Node {
@@ -12,7 +12,7 @@
   Courier.Condition condition;
 
   /** What other subsystems say of it. */
-  Words words = Words.NONE;
+  Directives words = Directives.NONE;
 
   int inFlight, connections, silent;
 
@@ -25,15 +25,15 @@
   final long[] avoidUntilUs;
 
   /** By class: its tail and its own refusals. */
-  final Cell[] cells;
+  final EndpointClassStatistics[] cells;
 
   long lastUseUs, lastSendUs, lastServedUs;
 
   Node(final Courier.Endpoint entry, final Lane lane, final int classes) {
     this.badRun = new double[classes];
     this.avoidUntilUs = new long[classes];
-    this.cells = new Cell[classes];
-    Arrays.setAll(cells, kind -> new Cell());
+    this.cells = new EndpointClassStatistics[classes];
+    Arrays.setAll(cells, kind -> new EndpointClassStatistics());
     this.entry = entry;
     this.lane = lane;
   }
@@ -44,7 +44,8 @@
 
   /** True if new calls may go there, as far as the list and other subsystems say. */
   boolean isOpen(final long nowUs) {
-    return condition == Courier.Condition.LISTED && words.openAtUs(lastSendUs, nowUs) <= nowUs;
+    return condition == Courier.Condition.LISTED
+        && words.earliestCallUs(lastSendUs, nowUs) <= nowUs;
   }
 
   /**
@@ -52,7 +53,7 @@
    * this one.
    */
   double refusalLoad(final int kind, final Node refusedBy) {
-    return cells[kind].refusedInARow() + (this == refusedBy ? REFUSED_LOAD : 0);
+    return cells[kind].consecutiveRejections() + (this == refusedBy ? REFUSED_LOAD : 0);
   }
 
   /** A message was served there: it is neither silent nor in trouble for its class. */
@@ -62,7 +63,7 @@
     silent = 0;
     badRun[kind] = 0;
     avoidUntilUs[kind] = 0;
-    cells[kind].served(Math.max(0, durationUs));
+    cells[kind].recordServed(Math.max(0, durationUs));
   }
 
   /**
--- a/decisions/src/main/java/thistleturn/decisions/Picks.java
+++ b/decisions/src/main/java/thistleturn/decisions/Picks.java
@@ -44,7 +44,7 @@
       return Double.NEGATIVE_INFINITY;
     }
     lane.destination.catchUp(state.steps);
-    state.looks.set(lane.look, gate.lookUs(lane));
+    state.looks.schedule(lane.look, gate.lookUs(lane));
     entry.picked = gate.openAtUs(lane) <= state.nowUs ? pick(lane.destination, lane, null) : null;
     if (entry.picked == null) {
       return Double.NEGATIVE_INFINITY;
--- a/decisions/src/main/java/thistleturn/decisions/Silence.java
+++ b/decisions/src/main/java/thistleturn/decisions/Silence.java
@@ -36,12 +36,12 @@
 
   /** A call is out, or what it is expected to take has changed. */
   void expect(final Call call) {
-    overdue.set(call, call.overdueUs());
+    overdue.schedule(call, call.overdueUs());
   }
 
   /** When the next call falls silent; never, if none is out. */
   long firstUs() {
-    return overdue.firstUs();
+    return overdue.earliestDueUs();
   }
 
   /** Everything is looked at now. */
--- a/decisions/src/main/java/thistleturn/decisions/State.java
+++ b/decisions/src/main/java/thistleturn/decisions/State.java
@@ -130,16 +130,16 @@
 
   /** Its lanes and its line are ranked anew before the next choice. */
   void lookAgain(final Destination destination) {
-    room.touch(destination);
+    room.invalidate(destination);
     for (final Lane lane : destination.lanes) {
       for (final Ready entry : lane.ready) {
-        ready.get(entry.mode).touch(entry);
+        ready.get(entry.mode).invalidate(entry);
       }
     }
   }
 
   /** All lanes are ranked anew before the next choice. */
   void lookAtAll() {
-    ready.forEach(Ranking::touchAll);
+    ready.forEach(Ranking::invalidateAll);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Turns.java
+++ b/decisions/src/main/java/thistleturn/decisions/Turns.java
@@ -48,7 +48,7 @@
 
   /** When the first key has rested; never, if none rests. */
   long firstUs() {
-    return rests.firstUs();
+    return rests.earliestDueUs();
   }
 
   /** Takes up what has rested. */
@@ -87,7 +87,7 @@
         first.destination.file(first, !inTurn(first));
         state.againUs = state.nowUs;
       }
-      rests.set(line, first.group.blocked ? line.restUntilUs : Control.NEVER);
+      rests.schedule(line, first.group.blocked ? line.restUntilUs : Control.NEVER);
     }
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Window.java
+++ b/decisions/src/main/java/thistleturn/decisions/Window.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions;
 
-import thistleturn.decisions.noise.RefusalReading.Cause;
+import thistleturn.decisions.rejections.RejectionClassifier.Cause;
 
 /**
  * The paper's window on a lane's calls in flight (section V): once a second Table I moves it from
@@ -59,7 +59,8 @@
    * others say.
    */
   int cap(final Lane lane) {
-    final double window = Math.min(lane.window, lane.destination.words.ceiling(state.nowUs));
+    final double window =
+        Math.min(lane.window, lane.destination.words.concurrencyLimit(state.nowUs));
     return (int) Math.max(1, Math.min(Math.floor(window), most(lane)));
   }
 
@@ -90,7 +91,7 @@
 
   /** Moves a lane's window by Table I. */
   void step(final Lane lane) {
-    lane.share.step(lane.destination.waiting, state.nowUs);
+    lane.share.advance(lane.destination.waiting, state.nowUs);
     final double bad = lane.bad + lane.silent;
     final double read = lane.served + lane.errors + bad;
     if (lane.phase == Phase.WELL) {
--- a/decisions/src/main/java/thistleturn/decisions/admission/Crowd.java
+++ b/decisions/src/main/java/thistleturn/decisions/admission/ConnectionEvictionRanking.java
@@ -5,15 +5,15 @@
  * whether clients here ask again on connections that they keep. Times are microseconds on a clock
  * that only advances.
  */
-public final class Crowd {
+public final class ConnectionEvictionRanking {
   /** Who writes a request in pieces writes again within this; who stopped half way does not. */
-  public static final long STALL_US = 700_000;
+  public static final long STALLED_AFTER_US = 700_000;
 
   /** A client that means to ask does so sooner than this after it connected. */
-  public static final long SILENT_US = 200_000;
+  public static final long FIRST_REQUEST_GRACE_US = 200_000;
 
   /** Rank of what is never closed to make room. */
-  public static final int KEEP = 6;
+  public static final int NEVER_EVICT = 6;
 
   /** Weight of one connection's fate in the share that is asked on again. */
   private static final double WEIGHT = 0.05;
@@ -22,43 +22,45 @@
   private static final double RARE = 0.1;
 
   private final long idleUs;
-  private double reused = 1;
+  private double reuseShare = 1;
 
   /** What a connection is doing. */
-  public enum State {
+  public enum ConnectionState {
     /** It has its last answer. */
     REJECTED,
     /** It has never said anything. */
-    SILENT,
+    NO_REQUEST_YET,
     /** A request is coming in. */
-    COMING_IN,
+    RECEIVING_REQUEST,
     /** It was answered, and is kept. */
-    ANSWERED,
+    IDLE_AFTER_RESPONSE,
     /** A request is being served. */
-    SERVED
+    PROCESSING_REQUEST
   }
 
   /**
    * {@code idleUs}: a connection that was answered so long ago may be closed even where clients ask
    * again.
    */
-  public Crowd(final long idleUs) {
+  public ConnectionEvictionRanking(final long idleUs) {
     this.idleUs = idleUs;
   }
 
   /** A connection that was answered has asked again, or has ended without. */
-  public void learn(final boolean askedAgain) {
-    reused += WEIGHT * ((askedAgain ? 1 : 0) - reused);
+  public void recordReuse(final boolean askedAgain) {
+    reuseShare += WEIGHT * ((askedAgain ? 1 : 0) - reuseShare);
   }
 
-  /** The order in which connections make room: lower goes first, {@link #KEEP} never. */
-  public int rank(final State state, final long sinceUs, final long lastByteUs, final long nowUs) {
+  /** The order in which connections make room: lower goes first, {@link #NEVER_EVICT} never. */
+  public int rank(
+      final ConnectionState state, final long sinceUs, final long lastByteUs, final long nowUs) {
     return switch (state) {
       case REJECTED -> 0;
-      case SILENT -> nowUs - sinceUs >= SILENT_US ? 1 : KEEP - 1;
-      case COMING_IN -> nowUs - lastByteUs >= STALL_US ? 2 : KEEP;
-      case ANSWERED -> reused < RARE ? 3 : nowUs - sinceUs >= idleUs ? 4 : KEEP;
-      case SERVED -> KEEP;
+      case NO_REQUEST_YET -> nowUs - sinceUs >= FIRST_REQUEST_GRACE_US ? 1 : NEVER_EVICT - 1;
+      case RECEIVING_REQUEST -> nowUs - lastByteUs >= STALLED_AFTER_US ? 2 : NEVER_EVICT;
+      case IDLE_AFTER_RESPONSE ->
+          reuseShare < RARE ? 3 : nowUs - sinceUs >= idleUs ? 4 : NEVER_EVICT;
+      case PROCESSING_REQUEST -> NEVER_EVICT;
     };
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/words/Word.java
+++ b/decisions/src/main/java/thistleturn/decisions/directives/Directive.java
@@ -1,4 +1,4 @@
-package thistleturn.decisions.words;
+package thistleturn.decisions.directives;
 
 import java.util.Objects;
 
@@ -8,13 +8,13 @@
  *
  * @param kind what is said
  * @param value how much, in the kind's unit; of no meaning for an exclusion and a wait
- * @param by who says it: a subsystem's name, and whose word it passes on
- * @param untilUs until when it holds, us on the clock of the events; {@link Long#MAX_VALUE}: until
- *     it is taken back
+ * @param source who says it: a subsystem's name, and whose word it passes on
+ * @param expiresUs until when it holds, us on the clock of the events; {@link Long#MAX_VALUE}:
+ *     until it is taken back
  */
-public record Word(Kind kind, double value, String by, long untilUs) {
+public record Directive(Kind kind, double value, String source, long expiresUs) {
   /** The longest name of a speaker. */
-  public static final int MOST_NAME = 80;
+  public static final int MAX_SOURCE_LENGTH = 80;
 
   /** What can be said, and which of several speakers' words wins. */
   public enum Kind {
@@ -49,11 +49,11 @@
   }
 
   /** Turns down what cannot be meant. */
-  public Word {
+  public Directive {
     Objects.requireNonNull(kind, "kind");
-    if (by.isBlank() || by.length() > MOST_NAME) {
+    if (source.isBlank() || source.length() > MAX_SOURCE_LENGTH) {
       throw new IllegalArgumentException(
-          "a word has a speaker of 1 to " + MOST_NAME + " letters, not '" + by + "'");
+          "a word has a speaker of 1 to " + MAX_SOURCE_LENGTH + " letters, not '" + source + "'");
     }
     final boolean usable =
         switch (kind) {
@@ -64,22 +64,22 @@
           case EXCLUSION, WAIT -> true;
         };
     if (!usable) {
-      throw new IllegalArgumentException(kind + ": " + value + " cannot be meant (" + by + ")");
+      throw new IllegalArgumentException(kind + ": " + value + " cannot be meant (" + source + ")");
     }
   }
 
   /** A word without a value of its own. */
-  public static Word of(final Kind kind, final String by, final long untilUs) {
-    return new Word(kind, 0, by, untilUs);
+  public static Directive of(final Kind kind, final String by, final long untilUs) {
+    return new Directive(kind, 0, by, untilUs);
   }
 
   /** What takes this word back. */
-  public Word over() {
-    return new Word(kind, value, by, Long.MIN_VALUE);
+  public Directive withdrawn() {
+    return new Directive(kind, value, source, Long.MIN_VALUE);
   }
 
   /** True while it holds. */
-  public boolean isInForce(final long nowUs) {
-    return nowUs < untilUs;
+  public boolean isActive(final long nowUs) {
+    return nowUs < expiresUs;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/fleet/FairShare.java
+++ b/decisions/src/main/java/thistleturn/decisions/fleet/FairShare.java
@@ -104,7 +104,7 @@
    * This courier's even part of what the destination takes, calls a second; 0: none is told, and
    * none kept to.
    */
-  public void told(final double ratePerSecond, final long nowUs) {
+  public void setEvenRate(final double ratePerSecond, final long nowUs) {
     final double next = USED * ratePerSecond;
     if (next != even) {
       fill(nowUs);
@@ -116,24 +116,24 @@
   }
 
   /** True where there is a part to keep to. */
-  public boolean isKept() {
+  public boolean isLimited() {
     return even > 0;
   }
 
   /** When the next call may go: that moment, or one to come. */
-  public long openAtUs(final long atUs) {
+  public long earliestCallUs(final long atUs) {
     final double there = Math.min(depth(rate), calls + rate * (atUs - filledUs) / SECOND_US);
     return there >= 1 ? atUs : atUs + (long) Math.ceil((1 - there) / rate * SECOND_US);
   }
 
   /** A call goes, whatever allowed it. */
-  public void called(final long nowUs) {
+  public void recordCall(final long nowUs) {
     fill(nowUs);
     calls -= 1;
   }
 
   /** A call was refused. */
-  public void refused(final long nowUs) {
+  public void recordRejected(final long nowUs) {
     if (nowUs - refusedUs >= ONCE_US) {
       fill(nowUs);
       ceiling = rate;
@@ -146,7 +146,7 @@
   /**
    * Some time has passed since the last step, a second or more, with so many messages waiting now.
    */
-  public void step(final int waiting, final long nowUs) {
+  public void advance(final int waiting, final long nowUs) {
     final long seconds = Math.min(MOST_STEPS, Math.round((nowUs - steppedUs) / SECOND_US));
     fill(nowUs);
     steppedUs = nowUs;
--- a/decisions/src/main/java/thistleturn/decisions/fleet/Fleet.java
+++ b/decisions/src/main/java/thistleturn/decisions/fleet/FleetSize.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.fleet;
 
 /** What the size of a fleet alone decides. */
-public final class Fleet {
+public final class FleetSize {
   /**
    * Couriers that each meet all destinations often, and may all keep idle connections. A default.
    */
@@ -16,7 +16,7 @@
    */
   private static final double KEPT = 4;
 
-  private Fleet() {}
+  private FleetSize() {}
 
   /** True where what each courier may do alone is too much if all do it. */
   public static boolean isLarge(final int couriers) {
@@ -35,7 +35,7 @@
    * The share of the couriers that may each keep one connection to a destination of so many
    * endpoints.
    */
-  public static double keepingShare(final int endpoints, final int couriers) {
+  public static double idleConnectionShare(final int endpoints, final int couriers) {
     return KEPT * endpoints / couriers;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/health/Reach.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/ConnectivityMonitor.java
@@ -8,7 +8,7 @@
  * trouble; where all who were tried since the last answer of anybody do not answer, and the
  * platform does not either, it is this courier's. Times are microseconds.
  */
-final class Reach {
+final class ConnectivityMonitor {
   /**
    * So many destinations at least must have been tried, where there are so many; alone, a
    * destination proves nothing.
@@ -31,7 +31,7 @@
   private long cutSinceUs;
 
   /** Somebody beyond this machine answered, whatever the answer. */
-  void answered(final long nowUs) {
+  void recordResponse(final long nowUs) {
     answeredUs = nowUs;
     unreached.clear();
     platformFailedUs = Long.MIN_VALUE;
@@ -39,7 +39,7 @@
   }
 
   /** A call to a destination had no answer, or none to connect to, and was begun at that moment. */
-  void unanswered(final long destination, final long sentUs, final long nowUs) {
+  void recordNoResponse(final long destination, final long sentUs, final long nowUs) {
     if (sentUs < answeredUs) {
       return;
     }
@@ -50,7 +50,7 @@
   }
 
   /** The platform's list or its taking of ends could not be had. */
-  void platformFailed(final long nowUs) {
+  void recordPlatformFailure(final long nowUs) {
     platformFailedUs = nowUs;
     judge(nowUs);
   }
@@ -65,16 +65,16 @@
     }
   }
 
-  boolean isCut() {
+  boolean isCutOff() {
     return cut;
   }
 
   /** Since when nobody has answered, us; of use while it is cut off. */
-  long cutSinceUs() {
+  long cutOffSinceUs() {
     return cutSinceUs;
   }
 
-  int unreached() {
+  int unreachedDestinations() {
     return unreached.size();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/health/OwnHealth.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/LocalHealth.java
@@ -19,9 +19,9 @@
  * <p>It is driven by moments in which the courier runs; times are microseconds on one clock that
  * only advances.
  */
-public final class OwnHealth {
+public final class LocalHealth {
   /** How often a courier with something to do means to run, us: the beat that its host keeps. */
-  public static final long BEAT_US = 100_000;
+  public static final long TICK_INTERVAL_US = 100_000;
 
   private static final long SECOND_US = 1_000_000;
   private static final long AWAY_LEAST_US = 500_000;
@@ -60,14 +60,14 @@
    * @param state the worst that holds
    * @param sinceUs since when it is the state
    * @param evidence in words, with figures
-   * @param awayShare of the last 4 s
-   * @param lastAwayUs how long the last absence took, 0: none of late
+   * @param pausedShare of the last 4 s
+   * @param lastPauseUs how long the last absence took, 0: none of late
    */
   public record Report(
-      State state, long sinceUs, String evidence, double awayShare, long lastAwayUs) {}
+      State state, long sinceUs, String evidence, double pausedShare, long lastPauseUs) {}
 
-  private final Absences absences = new Absences();
-  private final Reach reach = new Reach();
+  private final PauseDetector pauses = new PauseDetector();
+  private final ConnectivityMonitor connectivity = new ConnectivityMonitor();
   private State state = State.WELL;
   private long sinceUs;
   private boolean starved;
@@ -77,15 +77,15 @@
   private double endsPerSecond;
 
   /** From that moment on; its start counts as a time in which it ran. */
-  public OwnHealth(final long nowUs) {
+  public LocalHealth(final long nowUs) {
     sinceUs = nowUs;
     countedUs = nowUs;
-    reach.answered(nowUs);
+    connectivity.recordResponse(nowUs);
   }
 
   /** It will run by that moment, whatever comes. */
-  public void willRunBy(final long us) {
-    absences.willRunBy(us);
+  public void expectRunBy(final long us) {
+    pauses.expectRunBy(us);
   }
 
   /**
@@ -93,66 +93,66 @@
    *
    * @return for how long before now it did not, though it meant to, us; 0: all was well
    */
-  public long ran(final long nowUs) {
-    final long awayUs = absences.ran(nowUs);
+  public long recordRun(final long nowUs) {
+    final long awayUs = pauses.recordRun(nowUs);
     if (nowUs - countedUs >= SECOND_US) {
       endsPerSecond = (ended - endedBefore) * (double) SECOND_US / (nowUs - countedUs);
       endedBefore = ended;
       countedUs = nowUs;
     }
     if (awayUs > 0 || starved || state != State.WELL) {
-      settle(nowUs);
+      updateState(nowUs);
     }
     return awayUs;
   }
 
   /** A message came to its end here, whatever the end. */
-  public void messageEnded() {
+  public void recordMessageCompleted() {
     ended++;
   }
 
   /** How many messages came to their end here so far. */
-  public long ended() {
+  public long completedMessages() {
     return ended;
   }
 
   /** A partner or the platform answered, whatever it said. */
-  public void answered(final long nowUs) {
-    reach.answered(nowUs);
+  public void recordResponse(final long nowUs) {
+    connectivity.recordResponse(nowUs);
   }
 
   /** A call that was begun then was not answered, and not for want of this courier's own time. */
-  public void unanswered(final long destination, final long sentUs, final long nowUs) {
-    reach.unanswered(destination, sentUs, nowUs);
-    settle(nowUs);
+  public void recordNoResponse(final long destination, final long sentUs, final long nowUs) {
+    connectivity.recordNoResponse(destination, sentUs, nowUs);
+    updateState(nowUs);
   }
 
   /** The platform's list, or its taking of ends, could not be had. */
-  public void platformFailed(final long nowUs) {
-    reach.platformFailed(nowUs);
-    settle(nowUs);
+  public void recordPlatformFailure(final long nowUs) {
+    connectivity.recordPlatformFailure(nowUs);
+    updateState(nowUs);
   }
 
   /**
    * True if a time from one moment to another was measured while this courier ran, but for a small
    * share of it.
    */
-  public boolean hasMeasured(final long fromUs, final long toUs) {
-    return absences.within(fromUs, toUs) <= MEASURED_SHARE * (toUs - fromUs);
+  public boolean wasRunningBetween(final long fromUs, final long toUs) {
+    return pauses.pausedUs(fromUs, toUs) <= MEASURED_SHARE * (toUs - fromUs);
   }
 
   /** True while its own way out is gone; what fails then is no sign of anybody's illness. */
   public boolean isCutOff() {
-    return reach.isCut();
+    return connectivity.isCutOff();
   }
 
   /** Since when nobody answers, us, while it is cut off. */
   public long cutOffSinceUs() {
-    return reach.cutSinceUs();
+    return connectivity.cutOffSinceUs();
   }
 
   /** How many messages it may hold of so many: starved, no more than it ends in time. */
-  public int mayHold(final int most) {
+  public int maxPendingMessages(final int most) {
     return starved
         ? (int) Math.min(most, Math.max(HOLDS_LEAST, endsPerSecond * HOLDS_US / SECOND_US))
         : most;
@@ -160,15 +160,15 @@
 
   /** How it is now. */
   public State state(final long nowUs) {
-    settle(nowUs);
+    updateState(nowUs);
     return state;
   }
 
   /** How it is now, and why that is said. */
   public Report report(final long nowUs) {
-    settle(nowUs);
+    updateState(nowUs);
     final double share = awayShare(nowUs);
-    final Absences.Absence last = absences.last();
+    final PauseDetector.Pause last = pauses.lastPause();
     final long lastUs = last == null ? 0 : last.toUs() - last.fromUs();
     final String evidence =
         switch (state) {
@@ -184,19 +184,19 @@
                   Locale.ROOT,
                   "did not run for %.0f%% of the last 4 s, in %d stretches",
                   100 * share,
-                  absences.since(nowUs - SPAN_US));
+                  pauses.pausesSince(nowUs - SPAN_US));
           case CUT_OFF ->
               String.format(
                   Locale.ROOT,
                   "nobody has answered for %.1f s, of %d destinations and the platform",
-                  (nowUs - reach.cutSinceUs()) / (double) SECOND_US,
-                  reach.unreached());
+                  (nowUs - connectivity.cutOffSinceUs()) / (double) SECOND_US,
+                  connectivity.unreachedDestinations());
         };
     return new Report(state, sinceUs, evidence, share, lastUs);
   }
 
   private double awayShare(final long nowUs) {
-    return (double) absences.within(nowUs - SPAN_US, nowUs) / SPAN_US;
+    return (double) pauses.pausedUs(nowUs - SPAN_US, nowUs) / SPAN_US;
   }
 
   /**
@@ -204,21 +204,21 @@
    * starvation.
    */
   private double starvedShare(final long nowUs) {
-    final long longestUs = absences.longestWithin(nowUs - SPAN_US, nowUs);
-    return (double) (absences.within(nowUs - SPAN_US, nowUs) - longestUs)
+    final long longestUs = pauses.longestPauseUs(nowUs - SPAN_US, nowUs);
+    return (double) (pauses.pausedUs(nowUs - SPAN_US, nowUs) - longestUs)
         / Math.max(SPAN_US / 2, SPAN_US - longestUs);
   }
 
-  private void settle(final long nowUs) {
+  private void updateState(final long nowUs) {
     final double share = starvedShare(nowUs);
     starved =
         starved
             ? share >= FED_SHARE
-            : share >= STARVED_SHARE && absences.since(nowUs - SPAN_US) >= STARVED_TIMES;
-    final Absences.Absence last = absences.last();
+            : share >= STARVED_SHARE && pauses.pausesSince(nowUs - SPAN_US) >= STARVED_TIMES;
+    final PauseDetector.Pause last = pauses.lastPause();
     final boolean recent = last != null && nowUs - last.toUs() < RECENT_US;
     final State next;
-    if (reach.isCut()) {
+    if (connectivity.isCutOff()) {
       next = State.CUT_OFF;
     } else if (starved) {
       next = State.STARVED;
--- a/decisions/src/main/java/thistleturn/decisions/index/OrderedLine.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/OrderedQueue.java
@@ -11,7 +11,7 @@
  *
  * @param <E> the members; a member is in one line at a time
  */
-public final class OrderedLine<E extends OrderedLine.Entry> {
+public final class OrderedQueue<E extends OrderedQueue.Entry> {
   /** In each stretch: its first, its last, and the one that came first. */
   private static final int CANDIDATES = 3;
 
@@ -21,8 +21,8 @@
   /** A member. */
   public abstract static class Entry {
     private long key;
-    private long place;
-    private long weight;
+    private long sequence;
+    private long priority;
     private Entry left;
     private Entry right;
 
@@ -33,8 +33,8 @@
       return key;
     }
 
-    final long place() {
-      return place;
+    final long sequence() {
+      return sequence;
     }
   }
 
@@ -42,8 +42,8 @@
   public void add(final E entry, final long key, final long place) {
     final Entry given = entry;
     given.key = key;
-    given.place = place;
-    given.weight = mix(place);
+    given.sequence = place;
+    given.priority = priorityOf(place);
     given.left = null;
     given.right = null;
     given.earliest = given;
@@ -67,7 +67,7 @@
    * none.
    */
   @SuppressWarnings("unchecked")
-  public E first(final long fromKey) {
+  public E firstAtOrAbove(final long fromKey) {
     Entry best = null;
     Entry at = root;
     while (at != null) {
@@ -85,7 +85,7 @@
    * The member with the greatest key below this, the one that came first among equals; null if
    * none.
    */
-  public E last(final long belowKey) {
+  public E lastBelow(final long belowKey) {
     Entry best = null;
     Entry at = root;
     while (at != null) {
@@ -96,7 +96,7 @@
         at = at.left;
       }
     }
-    return best == null ? null : first(best.key);
+    return best == null ? null : firstAtOrAbove(best.key);
   }
 
   /**
@@ -115,7 +115,7 @@
    * there is no member.
    */
   public E greatest(final long[] turns, final ToDoubleFunction<E> value) {
-    E best = first(Long.MIN_VALUE);
+    E best = firstAtOrAbove(Long.MIN_VALUE);
     if (size <= 1) {
       return best;
     }
@@ -128,14 +128,14 @@
       }
       for (int which = 0; which < CANDIDATES; which++) {
         final E one =
-            which == 0 ? first : which == 1 ? last(belowKey) : earliest(first.key(), belowKey);
+            which == 0 ? first : which == 1 ? lastBelow(belowKey) : earliest(first.key(), belowKey);
         final double its = one == best ? most : value.applyAsDouble(one);
-        if (its > most || (its == most && one.place() < best.place())) {
+        if (its > most || (its == most && one.sequence() < best.sequence())) {
           best = one;
           most = its;
         }
       }
-      first = turn < turns.length ? first(belowKey) : null;
+      first = turn < turns.length ? firstAtOrAbove(belowKey) : null;
     }
     return best;
   }
@@ -171,18 +171,18 @@
   }
 
   private static Entry earlier(final Entry one, final Entry other) {
-    return other == null || one.place <= other.place ? one : other;
+    return other == null || one.sequence <= other.sequence ? one : other;
   }
 
   private static boolean isBefore(final Entry one, final Entry other) {
-    return one.key < other.key || (one.key == other.key && one.place < other.place);
+    return one.key < other.key || (one.key == other.key && one.sequence < other.sequence);
   }
 
   private static Entry insert(final Entry at, final Entry entry) {
     if (at == null) {
       return entry;
     }
-    if (entry.weight > at.weight) {
+    if (entry.priority > at.priority) {
       split(at, entry);
       return update(entry);
     }
@@ -229,7 +229,7 @@
     if (low == null || high == null) {
       return low == null ? high : low;
     }
-    if (low.weight > high.weight) {
+    if (low.priority > high.priority) {
       low.right = merge(low.right, high);
       return update(low);
     }
@@ -248,7 +248,7 @@
    * The finalizer of SplitMix64 (Steele, Lea, Flood 2014): places in a row get weights that look
    * drawn.
    */
-  private static long mix(final long place) {
+  private static long priorityOf(final long place) {
     long bits = (place + 1) * 0x9E3779B97F4A7C15L;
     bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
     bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
--- a/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
@@ -9,7 +9,7 @@
 
 /**
  * Finds the entry of greatest value where values change with time by themselves, and by events.
- * What events change is told ({@link #touch}) and looked at before the next answer. What time
+ * What events change is told ({@link #invalidate}) and looked at before the next answer. What time
  * changes is looked at again in turn, each entry after so long for each entry there is: so the cost
  * of looking is the same share of the time however many there are, and the order is as old as that
  * at most. Among equal values the entry that comes first in the order given wins.
@@ -21,9 +21,9 @@
 
   private final ToDoubleFunction<E> value;
   private final Comparator<E> order;
-  private final long lookUs;
-  private final List<E> touched = new ArrayList<>();
-  private final TimeHeap<Entry> looks = new TimeHeap<>();
+  private final long refreshUs;
+  private final List<E> invalidated = new ArrayList<>();
+  private final TimeHeap<Entry> refreshes = new TimeHeap<>();
   private Entry[] entries = new Entry[FIRST_SIZE];
   private int size;
 
@@ -31,7 +31,7 @@
   public abstract static class Entry extends TimeHeap.Entry {
     private double value;
     private int place;
-    private boolean touched;
+    private boolean isInvalidated;
   }
 
   /**
@@ -42,23 +42,23 @@
   public Ranking(final ToDoubleFunction<E> value, final Comparator<E> order, final long lookUs) {
     this.value = value;
     this.order = order;
-    this.lookUs = lookUs;
+    this.refreshUs = lookUs;
   }
 
   /** The entry's value may have changed, or it has one now. */
-  public void touch(final E entry) {
+  public void invalidate(final E entry) {
     final Entry given = entry;
-    if (!given.touched) {
-      given.touched = true;
-      touched.add(entry);
+    if (!given.isInvalidated) {
+      given.isInvalidated = true;
+      invalidated.add(entry);
     }
   }
 
   /** All values may have changed. */
   @SuppressWarnings("unchecked")
-  public void touchAll() {
+  public void invalidateAll() {
     for (int at = 0; at < size; at++) {
-      touch((E) entries[at]);
+      invalidate((E) entries[at]);
     }
   }
 
@@ -70,14 +70,14 @@
   /** The entry of greatest value, or null if none has one. */
   @SuppressWarnings("unchecked")
   public E best(final long nowUs) {
-    settle(nowUs);
+    refreshDue(nowUs);
     return size == 0 ? null : (E) entries[0];
   }
 
   /** True if an entry has a value and passes the test. */
   @SuppressWarnings("unchecked")
   public boolean anyOf(final Predicate<E> test, final long nowUs) {
-    settle(nowUs);
+    refreshDue(nowUs);
     for (int at = 0; at < size; at++) {
       if (test.test((E) entries[at])) {
         return true;
@@ -87,41 +87,41 @@
   }
 
   @SuppressWarnings("unchecked")
-  private void settle(final long nowUs) {
-    for (final E entry : touched) {
+  private void refreshDue(final long nowUs) {
+    for (final E entry : invalidated) {
       final Entry given = entry;
-      given.touched = false;
-      look(entry, nowUs);
+      given.isInvalidated = false;
+      refresh(entry, nowUs);
     }
-    touched.clear();
-    final long beforeUs = nowUs - Math.max(1, lookUs * size);
-    for (Entry old = looks.poll(beforeUs); old != null; old = looks.poll(beforeUs)) {
-      look((E) old, nowUs);
+    invalidated.clear();
+    final long beforeUs = nowUs - Math.max(1, refreshUs * size);
+    for (Entry old = refreshes.poll(beforeUs); old != null; old = refreshes.poll(beforeUs)) {
+      refresh((E) old, nowUs);
     }
   }
 
-  private void look(final E entry, final long nowUs) {
+  private void refresh(final E entry, final long nowUs) {
     final Entry given = entry;
     final double now = value.applyAsDouble(entry);
     if (now == Double.NEGATIVE_INFINITY) {
       remove(given);
       return;
     }
-    looks.set(given, nowUs);
+    refreshes.schedule(given, nowUs);
     given.value = now;
     if (given.place == 0) {
       if (size == entries.length) {
         entries = Arrays.copyOf(entries, 2 * size);
       }
-      up(size++, given);
+      siftUp(size++, given);
     } else {
-      up(given.place - 1, given);
-      down(given.place - 1, given);
+      siftUp(given.place - 1, given);
+      siftDown(given.place - 1, given);
     }
   }
 
   private void remove(final Entry given) {
-    looks.remove(given);
+    refreshes.remove(given);
     if (given.place == 0) {
       return;
     }
@@ -130,8 +130,8 @@
     final Entry last = entries[--size];
     entries[size] = null;
     if (last != given) {
-      up(hole, last);
-      down(last.place - 1, last);
+      siftUp(hole, last);
+      siftDown(last.place - 1, last);
     }
   }
 
@@ -141,7 +141,7 @@
         || (one.value == other.value && order.compare((E) one, (E) other) < 0);
   }
 
-  private void up(final int from, final Entry entry) {
+  private void siftUp(final int from, final Entry entry) {
     int at = from;
     while (at > 0 && isAbove(entry, entries[(at - 1) >>> 1])) {
       put(at, entries[(at - 1) >>> 1]);
@@ -150,7 +150,7 @@
     put(at, entry);
   }
 
-  private void down(final int from, final Entry entry) {
+  private void siftDown(final int from, final Entry entry) {
     int at = from;
     while (true) {
       int below = 2 * at + 1;
--- a/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
@@ -28,13 +28,13 @@
     }
 
     /** True while it is in a heap. */
-    public final boolean isDueSometime() {
+    public final boolean isScheduled() {
       return place > 0;
     }
   }
 
   /** Adds an entry, or moves it to another time; {@link Long#MAX_VALUE} takes it out. */
-  public void set(final E entry, final long dueUs) {
+  public void schedule(final E entry, final long dueUs) {
     final Entry given = entry;
     if (dueUs == Long.MAX_VALUE) {
       remove(entry);
@@ -43,14 +43,14 @@
         entries = Arrays.copyOf(entries, 2 * size);
       }
       given.dueUs = dueUs;
-      up(size++, given);
+      siftUp(size++, given);
     } else if (given.dueUs != dueUs) {
       final boolean earlier = dueUs < given.dueUs;
       given.dueUs = dueUs;
       if (earlier) {
-        up(given.place - 1, given);
+        siftUp(given.place - 1, given);
       } else {
-        down(given.place - 1, given);
+        siftDown(given.place - 1, given);
       }
     }
   }
@@ -66,13 +66,13 @@
     final Entry last = entries[--size];
     entries[size] = null;
     if (last != given) {
-      up(hole, last);
-      down(last.place - 1, last);
+      siftUp(hole, last);
+      siftDown(last.place - 1, last);
     }
   }
 
   /** When the first entry falls due; {@link Long#MAX_VALUE} if there is none. */
-  public long firstUs() {
+  public long earliestDueUs() {
     return size == 0 ? Long.MAX_VALUE : entries[0].dueUs;
   }
 
@@ -92,7 +92,7 @@
     return size;
   }
 
-  private void up(final int from, final Entry entry) {
+  private void siftUp(final int from, final Entry entry) {
     int at = from;
     while (at > 0) {
       final int above = (at - 1) >>> 1;
@@ -105,7 +105,7 @@
     put(at, entry);
   }
 
-  private void down(final int from, final Entry entry) {
+  private void siftDown(final int from, final Entry entry) {
     int at = from;
     while (true) {
       int below = 2 * at + 1;
--- a/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
@@ -14,7 +14,8 @@
 /**
  * Merges what several sources say of endpoints into one view. It has no clock, no threads and no
  * I/O: reports come in with their time (microseconds on one clock that only advances), {@link
- * #decide} yields what changed, and {@link #nextUs} tells when time alone will change something.
+ * #collectChanges} yields what changed, and {@link #nextChangeUs} tells when time alone will change
+ * something.
  *
  * <p>What it keeps, whatever the sources do:
  *
@@ -32,14 +33,14 @@
  */
 public final class Membership {
   /** Endpoints that are gone and still remembered, beyond twice those that are there. */
-  private static final int GHOSTS = 1024;
+  private static final int MIN_REMEMBERED_RECORDS = 1024;
 
-  private final Rules rules;
-  private final Map<String, Source> sources = new LinkedHashMap<>();
-  private final Map<Long, List<Point>> destinations = new HashMap<>();
+  private final MergeSettings rules;
+  private final Map<String, EndpointSource> sources = new LinkedHashMap<>();
+  private final Map<Long, List<EndpointRecord>> destinations = new HashMap<>();
 
   /** Points by address, chained where sources claim an address for several destinations. */
-  private final Map<String, Point> addresses = new HashMap<>();
+  private final Map<String, EndpointRecord> addresses = new HashMap<>();
 
   private final Set<Long> dirty = new LinkedHashSet<>();
 
@@ -52,12 +53,12 @@
    * Destinations with an endpoint that waits for a source to list it once more after another's
    * deletion.
    */
-  private final Set<Long> awaitingWord = new HashSet<>();
+  private final Set<Long> awaitingConfirmation = new HashSet<>();
 
   private int entries;
 
   /** A view that nothing is known of yet. */
-  public Membership(final Rules rules) {
+  public Membership(final MergeSettings rules) {
     this.rules = rules;
   }
 
@@ -77,12 +78,12 @@
       throw new IllegalArgumentException(
           "a source of the name " + name + " or the rank " + rank + " is there");
     }
-    sources.put(name, new Source(name, rank, absenceIsWord, nowUs));
+    sources.put(name, new EndpointSource(name, rank, absenceIsWord, nowUs));
   }
 
   /** A source is asked no more, by the operator's word: what only it lists is gone. */
   public void removeSource(final String name) {
-    final Source source = source(name);
+    final EndpointSource source = source(name);
     List.copyOf(source.entries.values()).forEach(this::remove);
     destinations
         .values()
@@ -90,50 +91,52 @@
             points ->
                 points.forEach(
                     point -> {
-                      point.undelete(source);
+                      point.clearDeletion(source);
                       dirty.add(point.destination);
                     }));
     sources.remove(name);
   }
 
   /** A whole answer of a source. */
-  public void whole(final long nowUs, final String name, final Collection<Report> reports) {
-    final Source source = source(name);
-    wasHeard(nowUs, source);
+  public void applySnapshot(
+      final long nowUs, final String name, final Collection<SourceReport> reports) {
+    final EndpointSource source = source(name);
+    recordResponse(nowUs, source);
     final Set<String> named = new HashSet<>(2 * reports.size());
-    reports.forEach(report -> named.add(report.instance()));
+    reports.forEach(report -> named.add(report.instanceId()));
     final boolean plausible = source.isPlausible(nowUs, named.size(), rules);
     reports.forEach(report -> put(nowUs, source, report));
-    for (final Source.Entry entry : List.copyOf(source.entries.values())) {
-      if (named.contains(entry.report.instance())) {
+    for (final EndpointSource.Entry entry : List.copyOf(source.entries.values())) {
+      if (named.contains(entry.report.instanceId())) {
         continue;
       }
       if (plausible) {
         delete(nowUs, entry);
-      } else if (entry.absentSinceUs == Source.NOT) {
+      } else if (entry.absentSinceUs == EndpointSource.UNSET) {
         entry.absentSinceUs = nowUs;
-        dirty.add(entry.point.destination);
+        dirty.add(entry.endpoint.destination);
       }
     }
   }
 
   /** What a source knew before this process began: as good as its word, but old. */
-  public void restored(final long nowUs, final String name, final Collection<Report> reports) {
-    final Source source = source(name);
+  public void applyRestored(
+      final long nowUs, final String name, final Collection<SourceReport> reports) {
+    final EndpointSource source = source(name);
     reports.forEach(report -> put(nowUs, source, report));
   }
 
   /** Changes that a source tells: instances with their state now, and ids that it deleted. */
-  public void changes(
+  public void applyChanges(
       final long nowUs,
       final String name,
-      final Collection<Report> reports,
+      final Collection<SourceReport> reports,
       final Collection<String> deleted) {
-    final Source source = source(name);
-    confirmed(nowUs, source);
+    final EndpointSource source = source(name);
+    confirmEntries(nowUs, source);
     reports.forEach(report -> put(nowUs, source, report));
     for (final String instance : deleted) {
-      final Source.Entry entry = source.entries.get(instance);
+      final EndpointSource.Entry entry = source.entries.get(instance);
       if (entry != null) {
         delete(nowUs, entry);
       }
@@ -141,104 +144,105 @@
   }
 
   /** A source was heard, and has nothing new. */
-  public void heard(final long nowUs, final String name) {
-    confirmed(nowUs, source(name));
+  public void markSourceReachable(final long nowUs, final String name) {
+    confirmEntries(nowUs, source(name));
   }
 
   /** A source cannot be heard. */
-  public void lost(final long nowUs, final String name) {
-    final Source source = source(name);
-    if (source.lose(nowUs)) {
-      source.entries.values().forEach(entry -> dirty.add(entry.point.destination));
+  public void markSourceUnreachable(final long nowUs, final String name) {
+    final EndpointSource source = source(name);
+    if (source.markUnreachable(nowUs)) {
+      source.entries.values().forEach(entry -> dirty.add(entry.endpoint.destination));
     }
   }
 
   /** It was heard, and what it did not take back stands. */
-  private void confirmed(final long nowUs, final Source source) {
-    if (source.isLost()) {
+  private void confirmEntries(final long nowUs, final EndpointSource source) {
+    if (source.isUnreachable()) {
       source
           .entries
           .values()
-          .forEach(entry -> entry.overruled &= entry.absentSinceUs != Source.NOT);
+          .forEach(entry -> entry.overruled &= entry.absentSinceUs != EndpointSource.UNSET);
     }
-    wasHeard(nowUs, source);
+    recordResponse(nowUs, source);
   }
 
-  private void wasHeard(final long nowUs, final Source source) {
-    if (source.isLost()) {
-      source.entries.values().forEach(entry -> dirty.add(entry.point.destination));
+  private void recordResponse(final long nowUs, final EndpointSource source) {
+    if (source.isUnreachable()) {
+      source.entries.values().forEach(entry -> dirty.add(entry.endpoint.destination));
     }
-    source.heard(nowUs);
-    dirty.addAll(awaitingWord);
-    awaitingWord.clear();
+    source.recordResponse(nowUs);
+    dirty.addAll(awaitingConfirmation);
+    awaitingConfirmation.clear();
   }
 
-  private Source source(final String name) {
-    final Source source = sources.get(name);
+  private EndpointSource source(final String name) {
+    final EndpointSource source = sources.get(name);
     if (source == null) {
       throw new IllegalArgumentException("no source is called " + name);
     }
     return source;
   }
 
-  private void put(final long nowUs, final Source source, final Report report) {
-    Source.Entry entry = source.entries.get(report.instance());
+  private void put(final long nowUs, final EndpointSource source, final SourceReport report) {
+    EndpointSource.Entry entry = source.entries.get(report.instanceId());
     if (entry != null && isOlder(nowUs, entry, report)) {
       return;
     }
-    if (entry != null && !isAt(entry.point, report)) {
+    if (entry != null && !isAt(entry.endpoint, report)) {
       // The same instance at a new address, or for another destination: the old place is another's
       // affair.
       delete(nowUs, entry);
       entry = null;
     }
     if (entry == null) {
-      if (source.entries.size() >= rules.mostEntries()) {
-        source.drop();
+      if (source.entries.size() >= rules.maxEntriesPerSource()) {
+        source.recordDropped();
         return;
       }
-      entry = new Source.Entry(source, point(report), report);
-      entry.point.add(entry);
-      source.entries.put(report.instance(), entry);
+      entry = new EndpointSource.Entry(source, recordFor(report), report);
+      entry.endpoint.add(entry);
+      source.entries.put(report.instanceId(), entry);
       entries++;
-      touch(entry.point);
+      markDirty(entry.endpoint);
     } else if (!entry.report.equals(report)
-        || entry.absentSinceUs != Source.NOT
+        || entry.absentSinceUs != EndpointSource.UNSET
         || entry.overruled) {
       entry.report = report;
-      entry.absentSinceUs = Source.NOT;
+      entry.absentSinceUs = EndpointSource.UNSET;
       entry.overruled = false;
-      touch(entry.point);
+      markDirty(entry.endpoint);
     }
-    if (report.word().isCautious()) {
-      entry.warnedUs = nowUs;
+    if (report.status().blocksNewCalls()) {
+      entry.lastWarningUs = nowUs;
     } else {
-      entry.point.undelete(source);
+      entry.endpoint.clearDeletion(source);
     }
   }
 
   /**
    * An older word may warn, but it does not reassure: a registry that lags may not undo a drain.
    */
-  private boolean isOlder(final long nowUs, final Source.Entry entry, final Report report) {
+  private boolean isOlder(
+      final long nowUs, final EndpointSource.Entry entry, final SourceReport report) {
     return report.version() < entry.report.version()
-        && entry.report.word().isCautious()
-        && !report.word().isCautious()
-        && nowUs < entry.warnedUs + rules.disagreementUs();
+        && entry.report.status().blocksNewCalls()
+        && !report.status().blocksNewCalls()
+        && nowUs < entry.lastWarningUs + rules.conflictWindowUs();
   }
 
-  private static boolean isAt(final Point point, final Report report) {
+  private static boolean isAt(final EndpointRecord point, final SourceReport report) {
     return point.destination == report.destination() && point.address.equals(report.address());
   }
 
-  private Point point(final Report report) {
-    final Point claim = addresses.get(report.address());
-    for (Point point = claim; point != null; point = point.nextClaim) {
+  private EndpointRecord recordFor(final SourceReport report) {
+    final EndpointRecord claim = addresses.get(report.address());
+    for (EndpointRecord point = claim; point != null; point = point.nextClaim) {
       if (point.destination == report.destination()) {
         return point;
       }
     }
-    final Point point = new Point(report.address(), report.destination());
+    final EndpointRecord point = new EndpointRecord(report.address(), report.destination());
     point.nextClaim = claim;
     addresses.put(report.address(), point);
     destinations.computeIfAbsent(report.destination(), unused -> new ArrayList<>(2)).add(point);
@@ -246,26 +250,28 @@
   }
 
   /** A source's word that an instance is gone. */
-  private void delete(final long nowUs, final Source.Entry entry) {
+  private void delete(final long nowUs, final EndpointSource.Entry entry) {
     remove(entry);
-    if (!entry.point.isListedBy(entry.source)) {
-      entry.point.deleted(entry.source, nowUs + rules.disagreementUs());
+    if (!entry.endpoint.isListedBy(entry.source)) {
+      entry.endpoint.recordDeletion(entry.source, nowUs + rules.conflictWindowUs());
     }
   }
 
-  private void remove(final Source.Entry entry) {
-    entry.source.entries.remove(entry.report.instance());
+  private void remove(final EndpointSource.Entry entry) {
+    entry.source.entries.remove(entry.report.instanceId());
     entries--;
-    entry.point.remove(entry);
-    touch(entry.point);
+    entry.endpoint.remove(entry);
+    markDirty(entry.endpoint);
   }
 
   /**
    * It is to be looked at, and whoever else claims its address: the contest may stand otherwise
    * now.
    */
-  private void touch(final Point point) {
-    for (Point claim = addresses.get(point.address); claim != null; claim = claim.nextClaim) {
+  private void markDirty(final EndpointRecord point) {
+    for (EndpointRecord claim = addresses.get(point.address);
+        claim != null;
+        claim = claim.nextClaim) {
       dirty.add(claim.destination);
     }
   }
@@ -273,14 +279,14 @@
   // ---------------------------------------------------------------- decisions
 
   /** What changed for sending since the last call, with all that was reported by now. */
-  public List<Member> decide(final long nowUs) {
+  public List<MergedEndpoint> collectChanges(final long nowUs) {
     while (!due.isEmpty() && due.firstKey() <= nowUs) {
       for (final long destination : due.pollFirstEntry().getValue()) {
         dueOf.remove(destination);
         dirty.add(destination);
       }
     }
-    final List<Member> changed = new ArrayList<>();
+    final List<MergedEndpoint> changed = new ArrayList<>();
     for (final long destination : List.copyOf(dirty)) {
       evaluate(nowUs, destination, changed);
     }
@@ -289,72 +295,84 @@
   }
 
   /**
-   * When {@link #decide} must be called again though nothing is reported, us; {@code
+   * When {@link #collectChanges} must be called again though nothing is reported, us; {@code
    * Long.MAX_VALUE} for never.
    */
-  public long nextUs() {
-    return due.isEmpty() ? Point.NEVER : due.firstKey();
+  public long nextChangeUs() {
+    return due.isEmpty() ? EndpointRecord.NEVER : due.firstKey();
   }
 
   /** A point with what its sources say of it. */
-  private record Judged(Point point, Point.Verdict verdict) {}
+  private record Judged(EndpointRecord point, EndpointRecord.Verdict verdict) {}
 
-  private void evaluate(final long nowUs, final long destination, final List<Member> changed) {
-    final List<Point> points = destinations.get(destination);
+  private void evaluate(
+      final long nowUs, final long destination, final List<MergedEndpoint> changed) {
+    final List<EndpointRecord> points = destinations.get(destination);
     if (points == null) {
       return;
     }
-    long againUs = Point.NEVER;
+    long againUs = EndpointRecord.NEVER;
     final List<Judged> all = new ArrayList<>(points.size());
-    for (final Point point : points) {
-      final Point.Verdict verdict =
+    for (final EndpointRecord point : points) {
+      final EndpointRecord.Verdict verdict =
           isContested(point)
-              ? new Point.Verdict(Member.State.GONE, Because.CONTESTED, null, null, Point.NEVER)
-              : point.judge(nowUs, rules);
-      point.noteWord(nowUs, verdict.isUp());
+              ? new EndpointRecord.Verdict(
+                  MergedEndpoint.State.GONE,
+                  StateReason.CONTESTED,
+                  null,
+                  null,
+                  EndpointRecord.NEVER)
+              : point.assess(nowUs, rules);
+      point.recordReportedUp(nowUs, verdict.isUp());
       all.add(new Judged(point, verdict));
-      againUs = Math.min(againUs, verdict.againUs());
-      if (verdict.because() == Because.DELETED && verdict.againUs() == Point.NEVER) {
-        awaitingWord.add(destination);
+      againUs = Math.min(againUs, verdict.reassessUs());
+      if (verdict.reason() == StateReason.DELETED && verdict.reassessUs() == EndpointRecord.NEVER) {
+        awaitingConfirmation.add(destination);
       }
     }
-    final Point released = released(nowUs, all);
-    Point.Grade best = null;
+    final EndpointRecord released = releasedFromHoldDown(nowUs, all);
+    EndpointRecord.Grade best = null;
     double rate = 0;
     for (final Judged judged : all) {
-      final Point.Grade grade = judged.verdict().grade();
+      final EndpointRecord.Grade grade = judged.verdict().grade();
       final boolean goes =
-          judged.verdict().isUp() && (!isHeld(nowUs, judged.point()) || judged.point() == released);
+          judged.verdict().isUp()
+              && (!isHeldDown(nowUs, judged.point()) || judged.point() == released);
       best = goes && (best == null || grade.compareTo(best) < 0) ? grade : best;
-      final Source.Entry owner = judged.point().owner();
+      final EndpointSource.Entry owner = judged.point().owner();
       rate = rate > 0 || owner == null ? rate : owner.report.ratePerSecond();
     }
     for (final Judged judged : all) {
-      final Point point = judged.point();
-      final Point.Verdict verdict = judged.verdict();
-      Member.State state = verdict.state();
-      Because because = verdict.because();
-      if (verdict.isUp() && verdict.grade() == Point.Grade.POOR) {
-        state = best == Point.Grade.POOR ? Member.State.UP : Member.State.DRAINING;
-        because = best == Point.Grade.POOR ? Because.LAST_RESORT : Because.STALE_SPARED;
+      final EndpointRecord point = judged.point();
+      final EndpointRecord.Verdict verdict = judged.verdict();
+      MergedEndpoint.State state = verdict.state();
+      StateReason because = verdict.reason();
+      if (verdict.isUp() && verdict.grade() == EndpointRecord.Grade.POOR) {
+        state =
+            best == EndpointRecord.Grade.POOR
+                ? MergedEndpoint.State.UP
+                : MergedEndpoint.State.DRAINING;
+        because =
+            best == EndpointRecord.Grade.POOR ? StateReason.LAST_RESORT : StateReason.STALE_SPARED;
       }
-      if (state == Member.State.UP && isHeld(nowUs, point) && point != released) {
-        state = Member.State.DRAINING;
-        because = Because.FLAPPING;
-        againUs = Math.min(againUs, point.heldUntilUs(rules));
+      if (state == MergedEndpoint.State.UP && isHeldDown(nowUs, point) && point != released) {
+        state = MergedEndpoint.State.DRAINING;
+        because = StateReason.FLAPPING;
+        againUs = Math.min(againUs, point.heldDownUntilUs(rules));
       }
-      if (point.tell(nowUs, state, because, verdict, rate, !verdict.isUp(), rules)) {
-        changed.add(point.told());
+      if (point.publish(nowUs, state, because, verdict, rate, !verdict.isUp(), rules)) {
+        changed.add(point.published());
       }
     }
     // What is gone is remembered for a while, lest it flap unseen; but not more of that than of
     // what there is.
-    final boolean crowded = addresses.size() > GHOSTS + 2 * entries;
+    final boolean crowded = addresses.size() > MIN_REMEMBERED_RECORDS + 2 * entries;
     points.removeIf(
         point ->
-            (point.forgetUs(rules) <= nowUs || (crowded && point.isUnlisted())) && forget(point));
-    for (final Point point : points) {
-      againUs = Math.min(againUs, point.forgetUs(rules));
+            (point.removableUs(rules) <= nowUs || (crowded && point.isUnlisted()))
+                && forget(point));
+    for (final EndpointRecord point : points) {
+      againUs = Math.min(againUs, point.removableUs(rules));
     }
     if (points.isEmpty()) {
       destinations.remove(destination);
@@ -362,37 +380,39 @@
     schedule(destination, againUs);
   }
 
-  private boolean isHeld(final long nowUs, final Point point) {
-    return !point.isToldUp() && point.heldUntilUs(rules) > nowUs;
+  private boolean isHeldDown(final long nowUs, final EndpointRecord point) {
+    return !point.isPublishedUp() && point.heldDownUntilUs(rules) > nowUs;
   }
 
   /**
    * Where all that are up would be held back for flapping, the one that goes free; otherwise null.
    */
-  private Point released(final long nowUs, final List<Judged> all) {
-    Point first = null;
+  private EndpointRecord releasedFromHoldDown(final long nowUs, final List<Judged> all) {
+    EndpointRecord first = null;
     for (final Judged judged : all) {
       if (judged.verdict().isUp()) {
-        final Point point = judged.point();
-        if (!isHeld(nowUs, point)) {
+        final EndpointRecord point = judged.point();
+        if (!isHeldDown(nowUs, point)) {
           return null;
         }
         first =
-            first == null || point.heldUntilUs(rules) < first.heldUntilUs(rules) ? point : first;
+            first == null || point.heldDownUntilUs(rules) < first.heldDownUntilUs(rules)
+                ? point
+                : first;
       }
     }
     return first;
   }
 
   /** True if a source of higher rank claims the address for another destination. */
-  private boolean isContested(final Point point) {
-    final Point claim = addresses.get(point.address);
-    final Source.Entry own = point.owner();
+  private boolean isContested(final EndpointRecord point) {
+    final EndpointRecord claim = addresses.get(point.address);
+    final EndpointSource.Entry own = point.owner();
     if (own == null || (claim == point && point.nextClaim == null)) {
       return false;
     }
-    for (Point other = claim; other != null; other = other.nextClaim) {
-      final Source.Entry its = other == point ? null : other.owner();
+    for (EndpointRecord other = claim; other != null; other = other.nextClaim) {
+      final EndpointSource.Entry its = other == point ? null : other.owner();
       if (its != null && outranks(its, own)) {
         return true;
       }
@@ -400,18 +420,19 @@
     return false;
   }
 
-  private static boolean outranks(final Source.Entry one, final Source.Entry two) {
+  private static boolean outranks(final EndpointSource.Entry one, final EndpointSource.Entry two) {
     if (one.source != two.source) {
       return one.source.rank < two.source.rank;
     }
     // One source that claims an address twice: the later word counts, and of two alike the one by
     // its name.
     final int newer = Long.compare(one.report.version(), two.report.version());
-    return newer > 0 || (newer == 0 && one.report.instance().compareTo(two.report.instance()) < 0);
+    return newer > 0
+        || (newer == 0 && one.report.instanceId().compareTo(two.report.instanceId()) < 0);
   }
 
-  private boolean forget(final Point point) {
-    Point claim = addresses.get(point.address);
+  private boolean forget(final EndpointRecord point) {
+    EndpointRecord claim = addresses.get(point.address);
     if (claim != point) {
       while (claim.nextClaim != point) {
         claim = claim.nextClaim;
@@ -434,7 +455,7 @@
         due.remove(before);
       }
     }
-    if (atUs != Point.NEVER) {
+    if (atUs != EndpointRecord.NEVER) {
       dueOf.put(destination, atUs);
       due.computeIfAbsent(atUs, unused -> new LinkedHashSet<>()).add(destination);
     }
@@ -443,18 +464,20 @@
   // ---------------------------------------------------------------- what operators see
 
   /** All endpoints in the view, those that went a short while ago too. */
-  public List<Member> members() {
-    final List<Member> members = new ArrayList<>();
+  public List<MergedEndpoint> endpoints() {
+    final List<MergedEndpoint> members = new ArrayList<>();
     destinations
         .values()
         .forEach(
             points ->
-                points.stream().filter(Point::isTold).forEach(point -> members.add(point.told())));
+                points.stream()
+                    .filter(EndpointRecord::isPublished)
+                    .forEach(point -> members.add(point.published())));
     return members;
   }
 
   /** How each source stands. */
-  public List<SourceStatus> sources() {
-    return sources.values().stream().map(Source::status).toList();
+  public List<SourceStatus> sourceStatuses() {
+    return sources.values().stream().map(EndpointSource::status).toList();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/Member.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/MergedEndpoint.java
@@ -2,19 +2,19 @@
 
 /**
  * An endpoint as all sources together have it. {@code decidedBy} is the source whose word counted,
- * empty if none; {@code heardUs} when that source was last heard.
+ * empty if none; {@code lastResponseUs} when that source was last heard.
  */
-public record Member(
+public record MergedEndpoint(
     String address,
     long destination,
     String zone,
     String kind,
     double ratePerSecond,
     State state,
-    Because because,
+    StateReason reason,
     String decidedBy,
-    long heardUs,
-    long sinceUs) {
+    long lastResponseUs,
+    long stateSinceUs) {
 
   /** What it means for sending. */
   public enum State {
--- a/decisions/src/main/java/thistleturn/decisions/membership/Lease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
@@ -5,7 +5,7 @@
  * at a time; a lease that is never cancelled (a process that is killed) expires at the registry by
  * itself. No clock of its own.
  */
-public final class Lease {
+public final class RegistrationLease {
   private static final int OK = 200;
   private static final int NO_CONTENT = 204;
   private static final int NOT_FOUND = 404;
@@ -14,14 +14,14 @@
   private final long renewUs;
   private int address;
   private int failedInRow;
-  private Act due = Act.REGISTER;
+  private Action due = Action.REGISTER;
   private long atUs;
   private boolean leaving;
   private boolean cancelling;
   private boolean known;
 
   /** What is to be done at the registry. */
-  public enum Act {
+  public enum Action {
     REGISTER,
     RENEW,
     WARN,
@@ -29,11 +29,11 @@
     NOTHING
   }
 
-  /** The next call; {@link Act#NOTHING} has no time. */
-  public record Step(Act act, long atUs, int address) {}
+  /** The next call; {@link RegistrationLease.Action#NOTHING} has no time. */
+  public record ScheduledAction(Action action, long atUs, int address) {}
 
   /** The first call registers at once; renewals follow at that interval, us. */
-  public Lease(final long nowUs, final int addresses, final long renewUs) {
+  public RegistrationLease(final long nowUs, final int addresses, final long renewUs) {
     if (addresses < 1 || renewUs < 1) {
       throw new IllegalArgumentException("a registry has an address, and a lease an interval");
     }
@@ -43,8 +43,8 @@
   }
 
   /** What is due next. */
-  public Step next() {
-    return new Step(due, due == Act.NOTHING ? Long.MAX_VALUE : atUs, address);
+  public ScheduledAction next() {
+    return new ScheduledAction(due, due == Action.NOTHING ? Long.MAX_VALUE : atUs, address);
   }
 
   /**
@@ -53,12 +53,12 @@
    * @param status the answer's status; 0 if none came, and then the registry may have done it or
    *     not
    */
-  public void done(final long nowUs, final Act act, final int status) {
+  public void onCompleted(final long nowUs, final Action act, final int status) {
     final boolean went = status == OK || status == NO_CONTENT;
-    if (act == Act.REGISTER || act == Act.RENEW) {
+    if (act == Action.REGISTER || act == Action.RENEW) {
       // A call without an answer may have registered us all the same; a refused renewal takes
       // nothing away.
-      known = went || (status != NOT_FOUND && (known || (act == Act.REGISTER && status == 0)));
+      known = went || (status != NOT_FOUND && (known || (act == Action.REGISTER && status == 0)));
     }
     if (went) {
       failedInRow = 0;
@@ -66,27 +66,27 @@
       failedInRow++;
       address = (address + 1) % addresses;
     }
-    if (act == Act.CANCEL) {
-      due = Act.NOTHING;
+    if (act == Action.CANCEL) {
+      due = Action.NOTHING;
       known = false;
       return;
     }
     if (cancelling) {
-      due = known ? Act.CANCEL : Act.NOTHING;
+      due = known ? Action.CANCEL : Action.NOTHING;
       atUs = nowUs;
     } else if (leaving) {
       // Once warned, or in vain: the registry hears no more of us until the end.
-      final boolean warn = known && act != Act.WARN;
-      due = warn ? Act.WARN : Act.NOTHING;
+      final boolean warn = known && act != Action.WARN;
+      due = warn ? Action.WARN : Action.NOTHING;
       atUs = nowUs;
     } else if (went) {
-      due = Act.RENEW;
+      due = Action.RENEW;
       atUs = nowUs + renewUs;
-    } else if (act == Act.RENEW && status == NOT_FOUND) {
-      due = Act.REGISTER;
+    } else if (act == Action.RENEW && status == NOT_FOUND) {
+      due = Action.REGISTER;
       atUs = nowUs;
     } else {
-      due = known && act == Act.RENEW ? Act.RENEW : Act.REGISTER;
+      due = known && act == Action.RENEW ? Action.RENEW : Action.REGISTER;
       final int rounds = Math.min(failedInRow / addresses, 10);
       atUs =
           nowUs
@@ -100,11 +100,11 @@
    * The process ends soon: the registry is told that nothing new shall come here. {@code busy}: a
    * call is out.
    */
-  public void leave(final long nowUs, final boolean busy) {
+  public void beginDraining(final long nowUs, final boolean busy) {
     if (!leaving) {
       leaving = true;
       if (!busy) {
-        due = known ? Act.WARN : Act.NOTHING;
+        due = known ? Action.WARN : Action.NOTHING;
         atUs = nowUs;
       }
     }
@@ -116,19 +116,19 @@
     if (!cancelling) {
       cancelling = true;
       if (!busy) {
-        due = known ? Act.CANCEL : Act.NOTHING;
+        due = known ? Action.CANCEL : Action.NOTHING;
         atUs = nowUs;
       }
     }
   }
 
   /** True if nothing more is to be done for the end. */
-  public boolean isOver() {
-    return cancelling && due == Act.NOTHING;
+  public boolean isFinished() {
+    return cancelling && due == Action.NOTHING;
   }
 
   /** True while the registry has, or may have, our entry. */
-  public boolean isKnown() {
+  public boolean mayBeRegistered() {
     return known;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistryPoll.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistryPollSchedule.java
@@ -5,7 +5,7 @@
  * time. It has no clock and no randomness of its own: times come in, and a number drawn evenly from
  * [0, 1) spreads the calls of many couriers.
  */
-public final class RegistryPoll {
+public final class RegistryPollSchedule {
   private static final double JITTER = 0.15;
 
   private final int addresses;
@@ -18,13 +18,13 @@
   private long atUs;
 
   /** What a call asks for. */
-  public enum Ask {
+  public enum Scope {
     FULL,
     DELTA
   }
 
   /** The next call. */
-  public record Next(long atUs, int address, Ask ask) {}
+  public record ScheduledPoll(long atUs, int address, Scope scope) {}
 
   /**
    * The first call is due at once.
@@ -35,7 +35,7 @@
    *     is a tenth of the period
    * @param deltas false where only whole answers are asked for
    */
-  public RegistryPoll(
+  public RegistryPollSchedule(
       final long nowUs,
       final int addresses,
       final long periodUs,
@@ -52,12 +52,12 @@
   }
 
   /** The call that is due next. */
-  public Next next() {
-    return new Next(atUs, address, wantsFull || !deltas ? Ask.FULL : Ask.DELTA);
+  public ScheduledPoll next() {
+    return new ScheduledPoll(atUs, address, wantsFull || !deltas ? Scope.FULL : Scope.DELTA);
   }
 
   /** The call was answered, and what it told is known to be whole. */
-  public void answered(final long nowUs, final double random) {
+  public void onSuccess(final long nowUs, final double random) {
     failedInRow = 0;
     wantsFull = false;
     atUs = nowUs + jittered(periodUs, random);
@@ -67,7 +67,7 @@
    * A delta was answered that does not lead to what the registry has, or none are to be had: all is
    * asked for.
    */
-  public void mismatched(final long nowUs) {
+  public void onMismatch(final long nowUs) {
     failedInRow = 0;
     wantsFull = true;
     atUs = nowUs;
@@ -79,7 +79,7 @@
    *
    * @return true if this ended a round: the registry cannot be heard
    */
-  public boolean failed(final long nowUs, final double random) {
+  public boolean onFailure(final long nowUs, final double random) {
     // What another address has may be older or newer: a delta would not fit.
     wantsFull = true;
     address = (address + 1) % addresses;
--- a/decisions/src/main/java/thistleturn/decisions/membership/Word.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/ReportedStatus.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.membership;
 
 /** What a source says of an endpoint that it lists. */
-public enum Word {
+public enum ReportedStatus {
   /** It takes new messages. */
   UP,
   /** It has not begun to take messages, or the source does not know: nothing new goes there. */
@@ -10,7 +10,7 @@
   DRAIN;
 
   /** True where nothing new may go there. */
-  public boolean isCautious() {
+  public boolean blocksNewCalls() {
     return this != UP;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/Because.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/StateReason.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.membership;
 
 /** Why an endpoint is in its state. */
-public enum Because {
+public enum StateReason {
   /** A source that is heard says so, and none says otherwise. */
   SAID,
   /** Sources disagree: the more cautious word counts. */
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerWord.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerWord.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.peers;
 
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 
 /**
  * What a courier says of itself with every datagram.
@@ -11,10 +11,10 @@
  * @param stuck true: it holds messages and has ended none for {@link #STUCK_US}, whatever it
  *     answers here
  */
-public record PeerWord(OwnHealth.State health, int awayMs, int holds, boolean stuck) {
+public record PeerWord(LocalHealth.State health, int awayMs, int holds, boolean stuck) {
   /** So long, us, without any end while messages are held is no delivery. */
   public static final long STUCK_US = 5_000_000;
 
   /** Nothing known. */
-  public static final PeerWord WELL = new PeerWord(OwnHealth.State.WELL, 0, 0, false);
+  public static final PeerWord WELL = new PeerWord(LocalHealth.State.WELL, 0, 0, false);
 }
--- a/decisions/src/main/java/thistleturn/decisions/pools/Break.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/ConnectionLoss.java
@@ -6,21 +6,25 @@
  * What it says of a call, and of whom it went to, that its connection broke. Moments and times in
  * us.
  *
- * @param written true if the call's last byte was written
- * @param kept true if the connection had carried a call before
- * @param answered true if any byte of an answer came
- * @param afterUs from the writing to the break
+ * @param requestWritten true if the call's last byte was written
+ * @param connectionReused true if the connection had carried a call before
+ * @param responseStarted true if any byte of an answer came
+ * @param sinceWriteUs from the writing to the break
  * @param handshakeUs what a handshake takes with that endpoint, smoothed; 0: not known
  */
-public record Break(
-    boolean written, boolean kept, boolean answered, long afterUs, double handshakeUs) {
+public record ConnectionLoss(
+    boolean requestWritten,
+    boolean connectionReused,
+    boolean responseStarted,
+    long sinceWriteUs,
+    double handshakeUs) {
   /**
    * A connection that is dead already says so within a round trip; loops and machines take a while,
    * too.
    */
-  static final double ROUND_TRIPS = 4;
+  static final double STALE_WINDOW_ROUND_TRIPS = 4;
 
-  static final long LEAST_US = 20_000;
+  static final long MIN_STALE_WINDOW_US = 20_000;
 
   /**
    * The outcome of a call that was cut off like this. {@link Result#STALE} is told only where the
@@ -28,10 +32,11 @@
    * it. Any later, and an endpoint may have failed in the midst of its work.
    */
   public Result result() {
-    if (!written) {
+    if (!requestWritten) {
       return Result.NO_CONNECTION;
     }
-    final boolean atOnce = afterUs <= Math.max(LEAST_US, ROUND_TRIPS * handshakeUs);
-    return kept && !answered && atOnce ? Result.STALE : Result.RESET;
+    final boolean atOnce =
+        sinceWriteUs <= Math.max(MIN_STALE_WINDOW_US, STALE_WINDOW_ROUND_TRIPS * handshakeUs);
+    return connectionReused && !responseStarted && atOnce ? Result.STALE : Result.RESET;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/noise/Cell.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/EndpointClassStatistics.java
@@ -1,10 +1,10 @@
-package thistleturn.decisions.noise;
+package thistleturn.decisions.rejections;
 
 /**
  * One class at one endpoint: how long its calls take at most, and whether refusals are its own
  * while the rest of the destination serves.
  */
-public final class Cell {
+public final class EndpointClassStatistics {
   /**
    * Calls after which the longest seen is a tail; how it fades with each call; a time-out is so
    * many times it.
@@ -25,15 +25,15 @@
 
   private static final int MOST_DOUBLINGS = 4;
 
-  private int samples, run;
-  private double tailUs;
+  private int samples, rejectionsInARow;
+  private double tailLatencyUs;
   private long besideServed, besideRefused;
 
   /** A call of this cell was served in so long, us. */
-  public void served(final long durationUs) {
-    run = 0;
+  public void recordServed(final long durationUs) {
+    rejectionsInARow = 0;
     samples++;
-    tailUs = Math.max((double) durationUs, tailUs - TAIL_FADE * tailUs);
+    tailLatencyUs = Math.max((double) durationUs, tailLatencyUs - TAIL_FADE * tailLatencyUs);
   }
 
   /**
@@ -42,41 +42,42 @@
    *
    * @return how long the cell is to be left alone, us; 0 if its refusals are not its own
    */
-  public long refused(final long served, final long refused) {
-    if (run++ == 0) {
+  public long recordRejected(final long served, final long refused) {
+    if (rejectionsInARow++ == 0) {
       besideServed = served;
       besideRefused = refused;
     }
     final long servedSince = served - besideServed;
-    final long othersRefused = refused - besideRefused - run + 1;
-    if (run < BAD_RUN
-        || servedSince < run
-        || othersRefused > RefusalReading.MOST_SHARE * servedSince) {
+    final long othersRefused = refused - besideRefused - rejectionsInARow + 1;
+    if (rejectionsInARow < BAD_RUN
+        || servedSince < rejectionsInARow
+        || othersRefused > RejectionClassifier.MAX_NOISE_SHARE * servedSince) {
       return 0;
     }
-    return REST_LEAST_US << Math.min(MOST_DOUBLINGS, run - BAD_RUN);
+    return REST_LEAST_US << Math.min(MOST_DOUBLINGS, rejectionsInARow - BAD_RUN);
   }
 
   /** Refusals in a row. */
-  public int refusedInARow() {
-    return run;
+  public int consecutiveRejections() {
+    return rejectionsInARow;
   }
 
   /** A time-out learnt from the tail, us; {@code usualUs} at most, and where little was seen. */
   public long timeoutUs(final long usualUs, final double stretch) {
     return samples < LEAST_SAMPLES
         ? usualUs
-        : Math.min(usualUs, Math.max(LEAST_TIMEOUT_US, (long) (TAIL_TIMES * stretch * tailUs)));
+        : Math.min(
+            usualUs, Math.max(LEAST_TIMEOUT_US, (long) (TAIL_TIMES * stretch * tailLatencyUs)));
   }
 
   /** The longest time of recent calls, us, and how many were seen. */
-  public double[] figures() {
-    return new double[] {tailUs, samples};
+  public double[] learnedValues() {
+    return new double[] {tailLatencyUs, samples};
   }
 
   /** Takes over what another process had learnt. */
-  public void recall(final double tail, final double seen) {
-    tailUs = tail;
+  public void restore(final double tail, final double seen) {
+    tailLatencyUs = tail;
     samples = (int) seen;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/noise/Growth.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/InitialWindowGrowth.java
@@ -1,4 +1,4 @@
-package thistleturn.decisions.noise;
+package thistleturn.decisions.rejections;
 
 /**
  * The first seconds of a window: while nothing points to crowding it grows by a call for each call
@@ -6,7 +6,7 @@
  * that answers to load, a failure, or times of service well over the usual end it; from there on
  * the paper's table moves the window.
  */
-public final class Growth {
+public final class InitialWindowGrowth {
   /** Times of service over their average, on this many calls, that point to a queue. */
   private static final double CROWDED = 2;
 
@@ -25,7 +25,7 @@
   private double fast, slow;
 
   /** A call was served in so many times the usual; true if the window may grow for it. */
-  public boolean served(final double ratio) {
+  public boolean recordServed(final double ratio) {
     calls++;
     fast += Math.max(FAST_WEIGHT, 1.0 / calls) * (ratio - fast);
     slow += Math.max(SLOW_WEIGHT, 1.0 / calls) * (ratio - slow);
@@ -37,7 +37,7 @@
    * A call was refused; true if that ends the growth: where many more are served, it points to
    * nothing.
    */
-  public boolean refused() {
+  public boolean recordRejected() {
     refusals++;
     final boolean ends = growing && refusals > Math.max(1, FEW * calls);
     growing &= !ends;
@@ -45,12 +45,12 @@
   }
 
   /** There was another sign of crowding. */
-  public void crowded() {
+  public void stop() {
     growing = false;
   }
 
   /** What was taken for crowding was none, or what is there is new. */
-  public void again() {
+  public void restart() {
     growing = true;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/noise/RefusalReading.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/RejectionClassifier.java
@@ -1,4 +1,4 @@
-package thistleturn.decisions.noise;
+package thistleturn.decisions.rejections;
 
 import java.util.Arrays;
 
@@ -9,7 +9,7 @@
  * random than where they last until a span of a second is over. Evidence fades, so that a limit
  * that turns into noise, or noise into a limit, is read anew. Pure: moments are told.
  */
-public final class RefusalReading {
+public final class RejectionClassifier {
   /** What refusals are taken to answer to. */
   public enum Cause {
     /** Too little is known: they are heeded, and now and then one call goes on to learn more. */
@@ -32,7 +32,7 @@
    * More refusals than this share are never taken for noise: as many may be load that is truly
    * shed.
    */
-  public static final double MOST_SHARE = 0.35;
+  public static final double MAX_NOISE_SHARE = 0.35;
 
   private static final double LEAST_SHARE = 0.02;
 
@@ -73,36 +73,36 @@
 
   private static final long HOLD_MOST_US = 80_000_000;
 
-  private final long[] refusedAtUs = new long[KEPT];
+  private final long[] pendingRejectionsUs = new long[KEPT];
   private int refusals;
   private double evidence;
-  private double share = FIRST_SHARE;
-  private long evidenceUs, probeAtUs, probeGapUs = PROBE_LEAST_US;
+  private double rejectedShare = FIRST_SHARE;
+  private long evidenceUs, nextProbeUs, probeGapUs = PROBE_LEAST_US;
   private long holdUs = HOLD_LEAST_US, holdUntilUs;
-  private boolean noise, settledNow;
+  private boolean classifiedNoise, settledNow;
 
   /** Of a destination of which nothing is known. */
-  public RefusalReading() {
-    Arrays.fill(refusedAtUs, Long.MAX_VALUE);
+  public RejectionClassifier() {
+    Arrays.fill(pendingRejectionsUs, Long.MAX_VALUE);
   }
 
   /** A call sent at that moment was served. */
-  public void served(final long sentUs, final long nowUs) {
-    final double room = room(sentUs);
+  public void recordServed(final long sentUs, final long nowUs) {
+    final double room = servedProbabilityUnderLimit(sentUs);
     if (room < 1) {
-      weigh(Math.log((1 - likely()) / room), nowUs);
+      addEvidence(Math.log((1 - assumedNoiseShare()) / room), nowUs);
     }
-    share -= SHARE_WEIGHT * share;
+    rejectedShare -= SHARE_WEIGHT * rejectedShare;
   }
 
   /** A call sent at that moment was refused, and no wait was told. */
-  public void refused(final long sentUs, final long nowUs) {
-    final double room = room(sentUs);
+  public void recordRejected(final long sentUs, final long nowUs) {
+    final double room = servedProbabilityUnderLimit(sentUs);
     if (room < 1) {
-      weigh(Math.log(likely() / (1 - room)), nowUs);
+      addEvidence(Math.log(assumedNoiseShare() / (1 - room)), nowUs);
     }
-    share += SHARE_WEIGHT * (1 - share);
-    refusedAtUs[refusals++ % KEPT] = sentUs;
+    rejectedShare += SHARE_WEIGHT * (1 - rejectedShare);
+    pendingRejectionsUs[refusals++ % KEPT] = sentUs;
   }
 
   /**
@@ -110,12 +110,12 @@
    * nothing is told. Each refusal is asked once, by the first call sent after it of which the
    * outcome is known: once there is room again, all that follows is served in any case.
    */
-  private double room(final long sentUs) {
+  private double servedProbabilityUnderLimit(final long sentUs) {
     long lastUs = Long.MIN_VALUE;
     for (int index = 0; index < KEPT; index++) {
-      if (refusedAtUs[index] < sentUs) {
-        lastUs = Math.max(lastUs, refusedAtUs[index]);
-        refusedAtUs[index] = Long.MAX_VALUE;
+      if (pendingRejectionsUs[index] < sentUs) {
+        lastUs = Math.max(lastUs, pendingRejectionsUs[index]);
+        pendingRejectionsUs[index] = Long.MAX_VALUE;
       }
     }
     return lastUs == Long.MIN_VALUE || lastUs < sentUs - CLOSE_US
@@ -123,23 +123,24 @@
         : ROOM_AT_ONCE + (sentUs - lastUs) / SPAN_US;
   }
 
-  private double likely() {
-    return Math.max(LEAST_SHARE, Math.min(MOST_SHARE, share));
+  private double assumedNoiseShare() {
+    return Math.max(LEAST_SHARE, Math.min(MAX_NOISE_SHARE, rejectedShare));
   }
 
-  private void weigh(final double nats, final long nowUs) {
+  private void addEvidence(final double nats, final long nowUs) {
     evidence = Math.max(-MOST, Math.min(MOST, evidence(nowUs) + nats));
     evidenceUs = nowUs;
-    final boolean before = noise;
-    noise = nowUs >= holdUntilUs && (evidence >= SETTLED || (noise && evidence > 0));
-    settledNow = noise && !before;
+    final boolean before = classifiedNoise;
+    classifiedNoise =
+        nowUs >= holdUntilUs && (evidence >= SETTLED || (classifiedNoise && evidence > 0));
+    settledNow = classifiedNoise && !before;
   }
 
   /**
    * True if the last outcome settled that refusals are noise: what was done about them may be
    * undone.
    */
-  public boolean hasJustSettled() {
+  public boolean hasJustSettledOnNoise() {
     return settledNow;
   }
 
@@ -149,16 +150,16 @@
   }
 
   /** Share of recent calls that were refused. */
-  public double share() {
-    return share;
+  public double rejectedShare() {
+    return rejectedShare;
   }
 
   /** What refusals are taken to answer to now. */
   public Cause cause(final long nowUs) {
-    if (noise && share <= MOST_SHARE) {
+    if (classifiedNoise && rejectedShare <= MAX_NOISE_SHARE) {
       return Cause.NOISE;
     }
-    return evidence(nowUs) <= -SETTLED || share > MOST_SHARE || nowUs < holdUntilUs
+    return evidence(nowUs) <= -SETTLED || rejectedShare > MAX_NOISE_SHARE || nowUs < holdUntilUs
         ? Cause.LOAD
         : Cause.UNSURE;
   }
@@ -167,47 +168,47 @@
    * What was taken for noise came more often than the budget for it: so it rises with what is sent,
    * and is load. Noise is not believed again for a while, twice as long each time.
    */
-  public void outran(final long nowUs) {
+  public void onRetryBudgetExhausted(final long nowUs) {
     holdUs = nowUs > holdUntilUs + HOLD_MOST_US ? HOLD_LEAST_US : holdUs;
     holdUntilUs = nowUs + holdUs;
     holdUs = Math.min(HOLD_MOST_US, 2 * holdUs);
-    noise = false;
+    classifiedNoise = false;
     evidence = 0;
     evidenceUs = nowUs;
   }
 
   /** When one more call is worth what it teaches. */
-  public long probeAtUs() {
-    return probeAtUs;
+  public long nextProbeUs() {
+    return nextProbeUs;
   }
 
   /**
    * How the call ended that was made to learn: those that taught load come ever more rarely, the
    * more so once it is settled.
    */
-  public void probed(final boolean served, final long nowUs) {
+  public void recordProbe(final boolean served, final long nowUs) {
     final long times = evidence(nowUs) <= -SETTLED ? 8 : 2;
     probeGapUs = served ? PROBE_LEAST_US : Math.min(PROBE_MOST_US, times * probeGapUs);
-    probeAtUs = nowUs + probeGapUs;
+    nextProbeUs = nowUs + probeGapUs;
   }
 
   /** Nothing that was read so far holds any longer. */
-  public void forget() {
+  public void reset() {
     evidence = 0;
-    share = FIRST_SHARE;
-    noise = false;
+    rejectedShare = FIRST_SHARE;
+    classifiedNoise = false;
   }
 
-  /** What is learnt, to be handed on: see {@link #recall}. */
-  public double[] figures() {
-    return new double[] {evidence, share, noise ? 1 : 0, probeGapUs};
+  /** What is learnt, to be handed on: see {@link #restore}. */
+  public double[] learnedValues() {
+    return new double[] {evidence, rejectedShare, classifiedNoise ? 1 : 0, probeGapUs};
   }
 
   /** Takes over what another reading of the same destination had learnt. */
-  public void recall(final double[] figures, final long nowUs) {
+  public void restore(final double[] figures, final long nowUs) {
     evidence = Math.max(-MOST, Math.min(MOST, figures[0]));
-    share = Math.max(0, Math.min(1, figures[1]));
-    noise = figures[2] > 0;
+    rejectedShare = Math.max(0, Math.min(1, figures[1]));
+    classifiedNoise = figures[2] > 0;
     probeGapUs = (long) Math.max(PROBE_LEAST_US, Math.min(PROBE_MOST_US, figures[3]));
     evidenceUs = nowUs;
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Copies.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Copies.java
@@ -232,7 +232,7 @@
     shelf.emptyUs = Long.MAX_VALUE;
     size++;
     sum += mark(entry);
-    due.set(slot, entry.endUs());
+    due.schedule(slot, entry.endUs());
   }
 
   private void drop(final Slot slot) {
--- a/decisions/src/main/java/thistleturn/decisions/shards/Allotment.java
+++ b/decisions/src/main/java/thistleturn/decisions/shards/CapacityAllocator.java
@@ -9,7 +9,7 @@
  * keeps to less. A shard that says nothing keeps what it may use. A pure state machine: reports
  * come in, limits go out.
  */
-public final class Allotment {
+public final class CapacityAllocator {
   /**
    * Share of its limit that a shard keeps free above what it uses: a burst comes sooner than the
    * next plan.
@@ -19,8 +19,8 @@
   /** Share of what can be moved that moves in one plan, so that room does not swing to and fro. */
   private static final double MOVED = 0.5;
 
-  private final int whole;
-  private final int least;
+  private final int capacity;
+  private final int minimumGrant;
 
   /**
    * What each shard may use for all that is known here; what it was asked to keep to; what it uses.
@@ -38,13 +38,13 @@
    * @param shards how many share, at least 1
    * @param whole what they may use together, at least {@code shards}
    */
-  public Allotment(final int shards, final int whole) {
+  public CapacityAllocator(final int shards, final int whole) {
     if (shards < 1 || whole < shards) {
       throw new IllegalArgumentException(
           "a whole of at least one for each of " + shards + " shards, not " + whole);
     }
-    this.whole = whole;
-    this.least = Math.max(1, whole / (shards * 8));
+    this.capacity = whole;
+    this.minimumGrant = Math.max(1, whole / (shards * 8));
     this.granted = new int[shards];
     this.limit = new int[shards];
     this.used = new int[shards];
@@ -63,7 +63,7 @@
    * What all shards may use together for all that is known here, and what is given to none: never
    * above the whole.
    */
-  public int sum() {
+  public int total() {
     return Arrays.stream(granted).sum() + free;
   }
 
@@ -74,7 +74,7 @@
    * @param use what it uses, at most what it was ever granted
    * @param isPressed its limit has held it back since its last report
    */
-  public void onReport(final int shard, final int kept, final int use, final boolean isPressed) {
+  public void reportUsage(final int shard, final int kept, final int use, final boolean isPressed) {
     used[shard] = use;
     pressed[shard] = isPressed;
     // It has heard of its limit and uses no more than that any longer: what it gives back is free.
@@ -86,7 +86,7 @@
   }
 
   /** Plans anew from the last reports; limits may have changed after this. */
-  public void plan() {
+  public void rebalance() {
     final int shards = granted.length;
     int pressedShards = 0;
     for (final boolean one : pressed) {
@@ -95,14 +95,14 @@
     if (pressedShards == 0) {
       return;
     }
-    final int even = whole / shards;
+    final int even = capacity / shards;
     for (int shard = 0; shard < shards; shard++) {
       // One that is pressed gives only what it has above an even part, if all are; the others what
       // they lack use for.
       final int needs =
           pressed[shard]
-              ? Math.max(even, least)
-              : Math.max(least, (int) Math.ceil(used[shard] * (1 + MARGIN)) + 1);
+              ? Math.max(even, minimumGrant)
+              : Math.max(minimumGrant, (int) Math.ceil(used[shard] * (1 + MARGIN)) + 1);
       final boolean gives = !pressed[shard] || pressedShards == shards;
       if (gives && granted[shard] > needs && limit[shard] == granted[shard]) {
         limit[shard] = granted[shard] - (int) Math.ceil((granted[shard] - needs) * MOVED);
--- a/decisions/src/main/java/thistleturn/decisions/shards/Placement.java
+++ b/decisions/src/main/java/thistleturn/decisions/shards/ShardPlacement.java
@@ -4,8 +4,8 @@
  * Which shard a destination belongs to: the same one for as long as the number of shards is the
  * same.
  */
-public final class Placement {
-  private Placement() {}
+public final class ShardPlacement {
+  private ShardPlacement() {}
 
   /**
    * The shard, from 0 on, of a destination among so many; numbers in a row are spread like any
--- a/decisions/src/main/java/thistleturn/settings/Fields.java
+++ b/decisions/src/main/java/thistleturn/settings/Fields.java
@@ -64,7 +64,7 @@
   }
 
   /** The value as a whole number, or what stands for its absence. */
-  public long whole(final String name, final long absent) {
+  public long integer(final String name, final long absent) {
     final String value = values.get(name);
     if (value == null) {
       return absent;
@@ -77,17 +77,17 @@
   }
 
   /** The value as a whole number; malformed without it. */
-  public long whole(final String name) {
+  public long integer(final String name) {
     text(name);
-    return whole(name, 0);
+    return integer(name, 0);
   }
 
-  public double number(final String name, final double absent) {
+  public double decimal(final String name, final double absent) {
     final String value = values.get(name);
-    return value == null ? absent : number(value);
+    return value == null ? absent : decimal(value);
   }
 
-  public double number(final String value) {
+  public double decimal(final String value) {
     try {
       return Double.parseDouble(value);
     } catch (final NumberFormatException e) {
--- a/decisions/src/main/java/thistleturn/settings/SettingsReader.java
+++ b/decisions/src/main/java/thistleturn/settings/SettingsReader.java
@@ -22,7 +22,7 @@
           default -> Courier.Weights.NONE;
         };
     return new Courier.Settings(
-        (int) fields.whole("balancers", 1),
+        (int) fields.integer("balancers", 1),
         fields.text("my_zone", ""),
         fields.text("discovery", "pushed").equals("on_request"),
         weights,
@@ -38,7 +38,7 @@
 
   private static List<Courier.MessageClass> classes(final Fields fields) {
     final List<Courier.MessageClass> classes = new ArrayList<>();
-    for (int index = 0; index < fields.whole("classes.count", 0); index++) {
+    for (int index = 0; index < fields.integer("classes.count", 0); index++) {
       final String path = "classes." + index + ".";
       final Courier.Effect effect =
           switch (fields.text(path + "effect", "side_effect")) {
@@ -46,28 +46,29 @@
             case "token" -> Courier.Effect.KEYED;
             default -> Courier.Effect.UNSAFE;
           };
-      final long deadlineUs = fields.whole(path + "deadline", FOREVER_US);
+      final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
       classes.add(
           new Courier.MessageClass(
               fields.text(path + "name", ""),
               effect,
               !fields.text(path + "group", "all").equals("all"),
               fields.flag(path + "in_turn"),
-              fields.number(path + "points", 1),
-              fields.number(path + "late_worth", 0),
-              fields.whole(path + "target", deadlineUs),
+              fields.decimal(path + "points", 1),
+              fields.decimal(path + "late_worth", 0),
+              fields.integer(path + "target", deadlineUs),
               deadlineUs,
-              fields.whole(path + "dedup_window", 0)));
+              fields.integer(path + "dedup_window", 0)));
     }
     return classes;
   }
 
   private static List<Courier.Tenant> tenants(final Fields fields) {
     final List<Courier.Tenant> tenants = new ArrayList<>();
-    for (int index = 0; index < fields.whole("tenants.count", 0); index++) {
+    for (int index = 0; index < fields.integer("tenants.count", 0); index++) {
       final String path = "tenants." + index + ".";
       tenants.add(
-          new Courier.Tenant(fields.text(path + "name", ""), fields.number(path + "quota_rps", 0)));
+          new Courier.Tenant(
+              fields.text(path + "name", ""), fields.decimal(path + "quota_rps", 0)));
     }
     return tenants;
   }
@@ -82,28 +83,28 @@
           new Courier.Kind(
               names[index],
               index < apart.length && apart[index].equals("true"),
-              index < perCall.length ? (int) fields.number(perCall[index]) : 1));
+              index < perCall.length ? (int) fields.decimal(perCall[index]) : 1));
     }
     return kinds;
   }
 
   private static Courier.Guarantees guarantees(final Fields fields) {
     return new Courier.Guarantees(
-        fields.whole("guarantees.must_ask_in", FOREVER_US),
-        fields.number("guarantees.cold_from", 1),
-        fields.whole("guarantees.cold", 0),
-        fields.number("guarantees.tip_multiple", 1),
-        fields.whole("guarantees.order_settle", 0));
+        fields.integer("guarantees.must_ask_in", FOREVER_US),
+        fields.decimal("guarantees.cold_from", 1),
+        fields.integer("guarantees.cold", 0),
+        fields.decimal("guarantees.tip_multiple", 1),
+        fields.integer("guarantees.order_settle", 0));
   }
 
   private static Courier.Limits limits(final Fields fields) {
     return new Courier.Limits(
-        (int) fields.whole("extra.calls_out", Integer.MAX_VALUE),
-        (int) fields.whole("limits.max_open", Integer.MAX_VALUE),
-        (int) fields.whole("limits.most_tries", Integer.MAX_VALUE),
+        (int) fields.integer("extra.calls_out", Integer.MAX_VALUE),
+        (int) fields.integer("limits.max_open", Integer.MAX_VALUE),
+        (int) fields.integer("limits.most_tries", Integer.MAX_VALUE),
         fields.flag("limits.cancel"),
-        fields.whole("limits.idle_close", FOREVER_US),
-        (int) fields.whole("limits.multiplex", 1),
-        fields.flag("limits.retry_after") ? fields.whole("limits.max_retry_after", 0) : 0);
+        fields.integer("limits.idle_close", FOREVER_US),
+        (int) fields.integer("limits.multiplex", 1),
+        fields.flag("limits.retry_after") ? fields.integer("limits.max_retry_after", 0) : 0);
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.noise.RefusalReading;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.rejections.RejectionClassifier;
 
 /**
  * The places of figures and moments in what a courier hands to its next process and writes to its
@@ -61,7 +61,7 @@
     lane.failShare = 0.24;
     lane.rampSpanUs = 25;
     lane.refused = 26;
-    lane.reading.recall(new double[] {2.5, 0.25, 1, 300_000}, 1);
+    lane.reading.restore(new double[] {2.5, 0.25, 1, 300_000}, 1);
     lane.troubleFromUs = 101;
     lane.waitUntilUs = 102;
     lane.pauseUntilUs = 103;
@@ -70,8 +70,8 @@
     lane.lastSendUs = 106;
     node.badRun[0] = 3;
     node.badRun[1] = 4;
-    node.cells[0].recall(5000, 60);
-    node.cells[1].recall(7000, 80);
+    node.cells[0].restore(5000, 60);
+    node.cells[1].restore(7000, 80);
     node.avoidUntilUs[0] = 201;
     node.avoidUntilUs[1] = 202;
     node.lastSendUs = 203;
@@ -109,7 +109,7 @@
     assertEquals(23, lane.badRun);
     assertEquals(0.24, lane.failShare);
     assertEquals(25, lane.rampSpanUs);
-    assertArrayEquals(new double[] {2.5, 0.25, 1, 300_000}, lane.reading.figures());
+    assertArrayEquals(new double[] {2.5, 0.25, 1, 300_000}, lane.reading.learnedValues());
     assertEquals(101, lane.troubleFromUs);
     assertEquals(102, lane.waitUntilUs);
     assertEquals(103, lane.pauseUntilUs);
@@ -117,8 +117,8 @@
     assertEquals(105, lane.rampFromUs);
     assertEquals(106, lane.lastSendUs);
     assertArrayEquals(new double[] {3, 4}, node.badRun);
-    assertArrayEquals(new double[] {5000, 60}, node.cells[0].figures());
-    assertArrayEquals(new double[] {7000, 80}, node.cells[1].figures());
+    assertArrayEquals(new double[] {5000, 60}, node.cells[0].learnedValues());
+    assertArrayEquals(new double[] {7000, 80}, node.cells[1].learnedValues());
     assertArrayEquals(new long[] {201, 202}, node.avoidUntilUs);
     assertEquals(203, node.lastSendUs);
     assertEquals(204, node.lastServedUs);
@@ -140,9 +140,9 @@
   /** The operators' JSON of lanes holds these names, the latter in lower case. */
   @Test
   void causesOfRefusalsAndKindsOfWordsHaveTheseNames() {
-    assertEquals("[UNSURE, LOAD, NOISE]", Arrays.toString(RefusalReading.Cause.values()));
+    assertEquals("[UNSURE, LOAD, NOISE]", Arrays.toString(RejectionClassifier.Cause.values()));
     assertEquals(
         "[LIMIT, RATE, CEILING, EXCLUSION, WAIT, OUTAGE, RETURN, WEIGHT]",
-        Arrays.toString(Word.Kind.values()));
+        Arrays.toString(Directive.Kind.values()));
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
@@ -45,7 +45,7 @@
 
   private static FairShare told(final double ratePerSecond) {
     final FairShare share = new FairShare(false);
-    share.told(ratePerSecond, 0);
+    share.setEvenRate(ratePerSecond, 0);
     return share;
   }
 
@@ -66,16 +66,16 @@
       for (int index = 0; index < parts.length; index++) {
         final FairShare share = shares.get(index);
         if (nowUs % SECOND_US == 0) {
-          share.step(waiting[index], nowUs);
+          share.advance(waiting[index], nowUs);
         }
         final double due = messagesPerSecond * parts[index] * STEP_US / SECOND_US;
         waiting[index] = Math.min(20, waiting[index] + (random.nextDouble() < due ? 1 : 0));
-        if (waiting[index] > 0 && share.openAtUs(nowUs) <= nowUs) {
-          share.called(nowUs);
+        if (waiting[index] > 0 && share.earliestCallUs(nowUs) <= nowUs) {
+          share.recordCall(nowUs);
           if (partner.call(nowUs)) {
             waiting[index]--;
           } else {
-            share.refused(nowUs);
+            share.recordRejected(nowUs);
           }
         }
       }
@@ -94,7 +94,7 @@
    * it served nobody.
    */
   @Test
-  void aCrowdedDestinationServesNearlyItsRateAndRefusesFew() {
+  void overloadedDestination_servesNearlyItsRateAndRejectsFew() {
     final int seconds = 120;
     final Partner partner = play(2 * LIMIT, even(), seconds);
     assertTrue(partner.served > 0.75 * LIMIT * seconds, "served " + partner.served);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void whatArrivesWellUnderTheRateIsServedWithoutARefusal() {
+  void arrivalsWellUnderTheRate_areServedWithoutRejections() {
     final int seconds = 120;
     final Partner partner = play(0.5 * LIMIT, even(), seconds);
     assertTrue(partner.served > 0.45 * LIMIT * seconds, "served " + partner.served);
@@ -114,7 +114,7 @@
    * it of them.
    */
   @Test
-  void aCourierWithMostOfTheTrafficTakesWhatOthersLeave() {
+  void courierWithMostOfTheTraffic_usesWhatOthersLeave() {
     final double[] parts = new double[COURIERS];
     Arrays.fill(parts, 0.2 / (COURIERS - 1));
     parts[0] = 0.8;
@@ -129,7 +129,7 @@
    * refused for a second.
    */
   @Test
-  void couriersThatBeginInTheSameMomentMakeNoBurst() {
+  void couriersThatStartTogether_makeNoBurst() {
     final Partner partner = new Partner();
     final List<FairShare> shares = new ArrayList<>();
     for (int index = 0; index < COURIERS; index++) {
@@ -137,8 +137,8 @@
     }
     for (long nowUs = 0; nowUs < SECOND_US; nowUs += STEP_US) {
       for (final FairShare share : shares) {
-        while (share.openAtUs(nowUs) <= nowUs) {
-          share.called(nowUs);
+        while (share.earliestCallUs(nowUs) <= nowUs) {
+          share.recordCall(nowUs);
           partner.call(nowUs);
         }
       }
@@ -148,73 +148,73 @@
   }
 
   @Test
-  void anUntoldRateIsNotKeptTo() {
-    assertFalse(new FairShare(false).isKept());
+  void unknownRate_limitsNothing() {
+    assertFalse(new FairShare(false).isLimited());
     final FairShare share = told(2);
-    assertTrue(share.isKept());
-    share.told(0, SECOND_US);
-    assertFalse(share.isKept());
+    assertTrue(share.isLimited());
+    share.setEvenRate(0, SECOND_US);
+    assertFalse(share.isLimited());
   }
 
   @Test
-  void aFewCallsMayGoAtOnceAndThenTheRateHolds() {
+  void shortBurst_isAllowedThenTheRateHolds() {
     final FairShare share = told(2);
     long nowUs = 10 * SECOND_US;
     int calls = 0;
     while (nowUs < 20 * SECOND_US) {
-      nowUs = share.openAtUs(nowUs);
-      share.called(nowUs);
+      nowUs = share.earliestCallUs(nowUs);
+      share.recordCall(nowUs);
       calls++;
     }
     assertEquals(20, calls, 1, "two at once, then 1.8 a second for ten seconds");
   }
 
   @Test
-  void aRefusalLowersTheRateOnceAndQuietSecondsBringItBack() {
+  void rejection_lowersTheRateOnceAndQuietSecondsRestoreIt() {
     final FairShare share = told(10);
-    share.step(0, SECOND_US);
+    share.advance(0, SECOND_US);
     final double before = share.ratePerSecond();
-    share.refused(2 * SECOND_US);
+    share.recordRejected(2 * SECOND_US);
     final double after = share.ratePerSecond();
-    share.refused(2 * SECOND_US + 1000);
+    share.recordRejected(2 * SECOND_US + 1000);
     assertEquals(after, share.ratePerSecond(), "those on their way say the same");
     assertTrue(after < 0.8 * before, after + " after " + before);
     assertTrue(
-        share.openAtUs(2 * SECOND_US + 1000) > 2 * SECOND_US + 1000,
+        share.earliestCallUs(2 * SECOND_US + 1000) > 2 * SECOND_US + 1000,
         "nothing is left to go at once");
     for (int second = 4; second < 12; second++) {
-      share.step(0, second * SECOND_US);
+      share.advance(0, second * SECOND_US);
     }
     assertEquals(before, share.ratePerSecond(), 1e-9);
   }
 
   @Test
-  void refusalsWithoutEndLeaveARateToLearnWith() {
+  void endlessRejections_leaveAProbingRate() {
     final FairShare share = told(1);
     for (int second = 1; second < 1000; second++) {
-      share.refused(second * SECOND_US);
+      share.recordRejected(second * SECOND_US);
     }
     assertTrue(share.ratePerSecond() >= 0.05, "it would never learn that there is room again");
   }
 
   @Test
-  void anotherRateToldCountsAtOnceAndKeepsWhatWasLearnt() {
+  void changedEvenRate_countsAtOnceAndKeepsWhatWasLearned() {
     final FairShare share = told(10);
-    share.refused(SECOND_US);
+    share.recordRejected(SECOND_US);
     final double learnt = share.ratePerSecond();
-    share.told(5, 2 * SECOND_US);
+    share.setEvenRate(5, 2 * SECOND_US);
     assertEquals(learnt / 2, share.ratePerSecond(), 1e-9);
   }
 
   /** It was idle for an hour: what comes then is no burst of an hour's calls. */
   @Test
-  void idleTimeIsNotSavedUp() {
+  void idleTime_isNotAccumulated() {
     final FairShare share = told(2);
     final long nowUs = 3600 * SECOND_US;
-    share.step(0, nowUs);
+    share.advance(0, nowUs);
     int calls = 0;
-    while (share.openAtUs(nowUs) <= nowUs) {
-      share.called(nowUs);
+    while (share.earliestCallUs(nowUs) <= nowUs) {
+      share.recordCall(nowUs);
       calls++;
     }
     assertEquals(2, calls);
@@ -230,11 +230,11 @@
     int most = 0;
     for (long nowUs = 0; nowUs < seconds * SECOND_US; nowUs += STEP_US) {
       if (nowUs % SECOND_US == 0) {
-        share.step(waiting, nowUs);
+        share.advance(waiting, nowUs);
       }
       waiting += random.nextDouble() < perSecond * STEP_US / SECOND_US ? 1 : 0;
-      if (waiting > 0 && share.openAtUs(nowUs) <= nowUs) {
-        share.called(nowUs);
+      if (waiting > 0 && share.earliestCallUs(nowUs) <= nowUs) {
+        share.recordCall(nowUs);
         waiting--;
       }
       most = Math.max(most, waiting);
@@ -247,11 +247,11 @@
    * nothing was refused.
    */
   @Test
-  void aThinPartIsNoReasonToWaitForTenSeconds() {
+  void thinShare_doesNotDelayMessagesForLong() {
     final double even = 0.35;
     final FairShare strict = told(even);
     final FairShare thin = new FairShare(true);
-    thin.told(even, 0);
+    thin.setEvenRate(even, 0);
     final int strictly = mostWaiting(strict, 3 * even, 60);
     final int thinly = mostWaiting(thin, 3 * even, 60);
     assertTrue(strictly > 10, "kept to strictly, " + strictly + " wait");
@@ -263,33 +263,34 @@
    * above an even part.
    */
   @Test
-  void aRefusalLeavesAShareOfWhatThereIsWhereThePartIsThin() {
+  void rejectionOfAThinShare_scalesTheCurrentRate() {
     final FairShare thin = new FairShare(true);
-    thin.told(0.5, 0);
+    thin.setEvenRate(0.5, 0);
     for (long second = 1; second <= 10; second++) {
-      thin.step(3, second * SECOND_US);
+      thin.advance(3, second * SECOND_US);
     }
     final double before = thin.ratePerSecond();
     assertTrue(before > 1.5, "grown to " + before);
-    thin.refused(10 * SECOND_US);
+    thin.recordRejected(10 * SECOND_US);
     assertEquals(0.7 * before, thin.ratePerSecond(), 1e-9);
-    thin.refused(10 * SECOND_US + 1);
+    thin.recordRejected(10 * SECOND_US + 1);
     assertEquals(0.7 * before, thin.ratePerSecond(), 1e-9, "those on their way say the same");
   }
 
   /** A part of several calls a second is kept to in a vast fleet as in any other. */
   @Test
-  void aThickPartIsKeptToWhateverTheFleet() {
+  void thickShare_isEnforcedInAnyFleet() {
     final FairShare vast = new FairShare(true);
-    vast.told(5, 0);
+    vast.setEvenRate(5, 0);
     final FairShare other = told(5);
     for (long second = 1; second <= 20; second++) {
-      vast.called(second * SECOND_US);
-      other.called(second * SECOND_US);
-      vast.step(3, second * SECOND_US);
-      other.step(3, second * SECOND_US);
+      vast.recordCall(second * SECOND_US);
+      other.recordCall(second * SECOND_US);
+      vast.advance(3, second * SECOND_US);
+      other.advance(3, second * SECOND_US);
       assertEquals(other.ratePerSecond(), vast.ratePerSecond());
-      assertEquals(other.openAtUs(second * SECOND_US), vast.openAtUs(second * SECOND_US));
+      assertEquals(
+          other.earliestCallUs(second * SECOND_US), vast.earliestCallUs(second * SECOND_US));
     }
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/health/PlantedFaultsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthMutationTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistleturn.decisions.health.OwnHealth.State;
+import thistleturn.decisions.health.LocalHealth.State;
 
 /**
  * The promises of own health as one judge over a scripted life; each of ten faults planted in the
  * module is caught by it.
  */
 @Tag("health")
-final class PlantedFaultsTest {
+final class LocalHealthMutationTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
   private static final int MOST = 1000;
@@ -38,7 +38,7 @@
   /** The module with one fault, or (null) none. */
   private static final class Planted {
     private final Fault fault;
-    private final OwnHealth health;
+    private final LocalHealth health;
     private boolean wasStarved;
     private boolean wasAway;
     private boolean wasCut;
@@ -46,16 +46,16 @@
 
     Planted(final Fault fault, final long nowUs) {
       this.fault = fault;
-      this.health = new OwnHealth(nowUs);
+      this.health = new LocalHealth(nowUs);
       this.lastRanUs = nowUs;
     }
 
     long ran(final long nowUs) {
       final long gapUs = nowUs - lastRanUs;
       lastRanUs = nowUs;
-      final long foundUs = health.ran(nowUs);
+      final long foundUs = health.recordRun(nowUs);
       return switch (fault == null ? Fault.CUT_OFF_FOR_EVER : fault) {
-        case ABSENCE_TOO_LONG -> foundUs > 0 ? foundUs + 2 * OwnHealth.BEAT_US : 0;
+        case ABSENCE_TOO_LONG -> foundUs > 0 ? foundUs + 2 * LocalHealth.TICK_INTERVAL_US : 0;
         case ABSENCE_UNSEEN -> foundUs > SECOND ? 0 : foundUs;
         case IDLENESS_IS_ABSENCE -> gapUs > 10 * SECOND ? gapUs : foundUs;
         default -> foundUs;
@@ -80,11 +80,11 @@
           ? MOST
           : fault == Fault.STARVED_BY_ONE_STOP && state(nowUs) == State.STARVED
               ? 8
-              : health.mayHold(MOST);
+              : health.maxPendingMessages(MOST);
     }
 
     boolean hasMeasured(final long fromUs, final long toUs) {
-      return fault == Fault.MEASURES_OVER_ABSENCES || health.hasMeasured(fromUs, toUs);
+      return fault == Fault.MEASURES_OVER_ABSENCES || health.wasRunningBetween(fromUs, toUs);
     }
 
     boolean isCutOff(final int destinations) {
@@ -110,8 +110,8 @@
     long foundUs = 0;
     while (nowUs < untilUs) {
       foundUs += planted.ran(nowUs);
-      planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
-      nowUs += Math.min(OwnHealth.BEAT_US, untilUs - nowUs);
+      planted.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
+      nowUs += Math.min(LocalHealth.TICK_INTERVAL_US, untilUs - nowUs);
     }
     return foundUs;
   }
@@ -120,9 +120,11 @@
     final long beforeUs = nowUs;
     nowUs += us;
     final long foundUs = planted.ran(nowUs);
-    planted.health.willRunBy(nowUs + OwnHealth.BEAT_US);
+    planted.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
     must(foundUs <= us, "found " + foundUs + " of " + us);
-    must(foundUs >= us - OwnHealth.BEAT_US - Absences.LEAST_US, "found " + foundUs + " of " + us);
+    must(
+        foundUs >= us - LocalHealth.TICK_INTERVAL_US - PauseDetector.MIN_PAUSE_US,
+        "found " + foundUs + " of " + us);
     must(!planted.hasMeasured(beforeUs, nowUs), "a time measured while away");
   }
 
@@ -130,7 +132,7 @@
     nowUs = 50 * SECOND;
     planted = new Planted(fault, nowUs);
     must(run(5 * SECOND) == 0 && planted.state(nowUs) == State.WELL, "well");
-    planted.health.ran(nowUs);
+    planted.health.recordRun(nowUs);
     nowUs += 30 * SECOND;
     must(planted.ran(nowUs) == 0, "idle for 30 s");
     run(SECOND);
@@ -146,26 +148,26 @@
     must(planted.state(nowUs) == State.STARVED && planted.mayHold(nowUs) < MOST / 10, "starved");
     run(6 * SECOND);
     must(planted.state(nowUs) == State.WELL && planted.mayHold(nowUs) == MOST, "fed");
-    planted.health.answered(nowUs);
+    planted.health.recordResponse(nowUs);
     run(2 * SECOND);
-    planted.health.platformFailed(nowUs);
-    planted.health.unanswered(1, nowUs - SECOND, nowUs);
+    planted.health.recordPlatformFailure(nowUs);
+    planted.health.recordNoResponse(1, nowUs - SECOND, nowUs);
     must(!planted.isCutOff(1), "one destination proves nothing");
-    planted.health.unanswered(2, nowUs - SECOND, nowUs);
+    planted.health.recordNoResponse(2, nowUs - SECOND, nowUs);
     must(planted.isCutOff(2), "cut off");
-    planted.health.answered(nowUs);
+    planted.health.recordResponse(nowUs);
     must(!planted.isCutOff(0), "back");
     return broken;
   }
 
   @Test
-  void theModuleKeepsWhatItPromises() {
+  void unchangedModule_keepsItsInvariants() {
     assertEquals(List.of(), judge(null));
   }
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void eachPlantedFaultIsCaught(final Fault fault) {
+  void eachMutation_isDetected(final Fault fault) {
     assertFalse(judge(fault).isEmpty(), fault + " was not caught");
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -19,7 +19,7 @@
 
   private static final class Due extends TimeHeap.Entry {}
 
-  private static final class Member extends OrderedLine.Entry {}
+  private static final class Member extends OrderedQueue.Entry {}
 
   private static final class Ranked extends Ranking.Entry {
     private final int number;
@@ -37,7 +37,7 @@
   }
 
   @Property(tries = 200)
-  void aTimeHeapGivesWhatIsDueInOrder(@ForAll final long seed) {
+  void timeHeap_pollsDueEntriesInOrder(@ForAll final long seed) {
     final Random random = new Random(seed);
     final TimeHeap<Due> heap = new TimeHeap<>();
     final List<Due> in = new ArrayList<>();
@@ -48,7 +48,7 @@
             all.isEmpty() || random.nextBoolean() ? new Due() : all.get(random.nextInt(all.size()));
         all.add(one);
         final long dueUs = random.nextInt(10) == 0 ? Long.MAX_VALUE : random.nextInt(40);
-        heap.set(one, dueUs);
+        heap.schedule(one, dueUs);
         in.remove(one);
         if (dueUs != Long.MAX_VALUE) {
           in.add(one);
@@ -59,21 +59,21 @@
       } else {
         final long nowUs = random.nextInt(40);
         final long leastUs = in.stream().mapToLong(Due::dueUs).min().orElse(Long.MAX_VALUE);
-        assertEquals(leastUs, heap.firstUs());
+        assertEquals(leastUs, heap.earliestDueUs());
         final Due polled = heap.poll(nowUs);
         assertEquals(leastUs <= nowUs, polled != null);
-        assertTrue(polled == null || (polled.dueUs() == leastUs && !polled.isDueSometime()));
+        assertTrue(polled == null || (polled.dueUs() == leastUs && !polled.isScheduled()));
         in.remove(polled);
       }
       assertEquals(in.size(), heap.size());
-      assertTrue(in.stream().allMatch(Due::isDueSometime));
+      assertTrue(in.stream().allMatch(Due::isScheduled));
     }
   }
 
   @Property(tries = 200)
-  void anOrderedLineFindsWhatASearchFinds(@ForAll final long seed) {
+  void orderedQueue_findsWhatALinearSearchFinds(@ForAll final long seed) {
     final Random random = new Random(seed);
-    final OrderedLine<Member> line = new OrderedLine<>();
+    final OrderedQueue<Member> line = new OrderedQueue<>();
     final List<Member> in = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       if (in.isEmpty() || random.nextInt(3) > 0) {
@@ -85,21 +85,21 @@
       }
       final long from = random.nextInt(32) - 1L;
       final long below = from + random.nextInt(10);
-      final Comparator<Member> byKey = Comparator.comparingLong(OrderedLine.Entry::key);
-      final Comparator<Member> byPlace = Comparator.comparingLong(OrderedLine.Entry::place);
+      final Comparator<Member> byKey = Comparator.comparingLong(OrderedQueue.Entry::key);
+      final Comparator<Member> byPlace = Comparator.comparingLong(OrderedQueue.Entry::sequence);
       assertEquals(in.size(), line.size());
       assertSame(
           in.stream()
               .filter(one -> one.key() >= from)
               .min(byKey.thenComparing(byPlace))
               .orElse(null),
-          line.first(from));
+          line.firstAtOrAbove(from));
       assertSame(
           in.stream()
               .filter(one -> one.key() < below)
               .min(byKey.reversed().thenComparing(byPlace))
               .orElse(null),
-          line.last(below));
+          line.lastBelow(below));
       assertSame(
           in.stream()
               .filter(one -> one.key() >= from && one.key() < below)
@@ -112,7 +112,7 @@
 
   /** Values that rise, fall or stay between turns drawn at random. */
   private static void greatest(
-      final Random random, final OrderedLine<Member> line, final List<Member> in) {
+      final Random random, final OrderedQueue<Member> line, final List<Member> in) {
     final long[] turns = random.longs(3, 0, 30).sorted().toArray();
     final int[] slopes = random.ints(4, -1, 2).toArray();
     final int[] heights = random.ints(4, 0, 40).toArray();
@@ -128,13 +128,13 @@
         in.stream()
             .min(
                 Comparator.comparingDouble((Member one) -> -value.applyAsDouble(one.key()))
-                    .thenComparingLong(OrderedLine.Entry::place))
+                    .thenComparingLong(OrderedQueue.Entry::sequence))
             .orElse(null),
         line.greatest(turns, one -> value.applyAsDouble(one.key())));
   }
 
   @Property(tries = 100)
-  void aRankingThatLooksAtAllFindsTheGreatest(@ForAll final long seed) {
+  void rankingThatRefreshesAll_findsTheGreatest(@ForAll final long seed) {
     play(seed, 0);
   }
 
@@ -142,7 +142,7 @@
    * One that looks in turn may be behind, but by no more than a look at each of its entries takes.
    */
   @Property(tries = 100)
-  void aRankingThatLooksInTurnIsBehindByAStatedTimeAtMost(@ForAll final long seed) {
+  void rankingThatRefreshesInTurn_isStaleByABoundedTime(@ForAll final long seed) {
     play(seed, 100);
   }
 
@@ -165,7 +165,7 @@
         one.has = random.nextInt(4) > 0;
         one.speed = random.nextInt(3) - 1;
         one.from = random.nextInt(20) * 1e3 - one.speed * nowUs[0];
-        ranking.touch(one);
+        ranking.invalidate(one);
       }
       final Ranked greatest =
           all.stream()
