--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
@@ -27,8 +27,8 @@
   private static final String[] SOURCES = {"list", "east", "west"};
   private static final int ADDRESSES = 4;
   private static final int DESTINATIONS = 2;
-  private static final Rules RULES =
-      new Rules(
+  private static final MergeSettings RULES =
+      new MergeSettings(
           10 * SECOND, 30 * SECOND, 20 * SECOND, 0.15, 10 * SECOND, 2 * SECOND, 8 * SECOND, 50);
 
   enum Kind {
@@ -60,7 +60,7 @@
   }
 
   @Property(tries = SEQUENCES, shrinking = ShrinkingMode.BOUNDED)
-  void theMergeKeepsItsPromises(@ForAll("days") final List<Step> steps) {
+  void mergedViewKeepsItsInvariants(@ForAll("days") final List<Step> steps) {
     final World world = new World();
     steps.forEach(world::play);
   }
@@ -68,9 +68,9 @@
   /** The sources as they are in truth, the view as the courier has it, and the promises. */
   private static final class World {
     private final Membership membership = new Membership(RULES);
-    private final List<Map<String, Report>> said = new ArrayList<>();
+    private final List<Map<String, SourceReport>> said = new ArrayList<>();
     private final boolean[] lost = {true, true, true};
-    private final Map<String, Member> view = new TreeMap<>();
+    private final Map<String, MergedEndpoint> view = new TreeMap<>();
 
     /** Instances that their source's last whole answer lacked though it has them. */
     private final Set<String> unmentioned = new HashSet<>();
@@ -86,35 +86,35 @@
 
     private void play(final Step step) {
       final String source = SOURCES[step.source()];
-      final Map<String, Report> its = said.get(step.source());
+      final Map<String, SourceReport> its = said.get(step.source());
       final Set<Long> upBefore = destinationsUp();
       final String instance = source + step.number();
       boolean outage = false;
       switch (step.kind()) {
         case UP, DRAIN, PENDING -> {
-          final Report report =
-              new Report(
+          final SourceReport report =
+              new SourceReport(
                   instance,
                   "a" + step.place() / DESTINATIONS,
                   step.place() % DESTINATIONS,
                   "z",
                   "k",
                   1,
-                  Word.valueOf(step.kind().name()),
+                  ReportedStatus.valueOf(step.kind().name()),
                   0);
           its.put(instance, report);
           unmentioned.remove(instance);
-          membership.changes(nowUs, source, List.of(report), List.of());
+          membership.applyChanges(nowUs, source, List.of(report), List.of());
           lost[step.source()] = false;
         }
         case DELETE -> {
           its.remove(instance);
-          membership.changes(nowUs, source, List.of(), List.of(instance));
+          membership.applyChanges(nowUs, source, List.of(), List.of(instance));
           lost[step.source()] = false;
         }
         case WHOLE -> {
           unmentioned.removeAll(its.keySet());
-          membership.whole(nowUs, source, List.copyOf(its.values()));
+          membership.applySnapshot(nowUs, source, List.copyOf(its.values()));
           lost[step.source()] = false;
         }
         case EMPTY -> {
@@ -124,30 +124,30 @@
             its.clear();
           }
           unmentioned.addAll(its.keySet());
-          membership.whole(nowUs, source, List.of());
+          membership.applySnapshot(nowUs, source, List.of());
           lost[step.source()] = false;
         }
         case SHORT -> {
-          final List<Report> some = its.values().stream().limit(its.size() / 2).toList();
+          final List<SourceReport> some = its.values().stream().limit(its.size() / 2).toList();
           outage = step.source() != 0 && its.size() >= 4;
           if (outage) {
             unmentioned.addAll(its.keySet());
-            some.forEach(report -> unmentioned.remove(report.instance()));
+            some.forEach(report -> unmentioned.remove(report.instanceId()));
             // A warning that it does mention is a word, and no outage.
             some.stream()
-                .filter(report -> report.word().isCautious())
+                .filter(report -> report.status().blocksNewCalls())
                 .forEach(report -> upBefore.remove(report.destination()));
-            membership.whole(nowUs, source, some);
+            membership.applySnapshot(nowUs, source, some);
             lost[step.source()] = false;
           }
         }
         case LOSE -> {
           outage = true;
-          membership.lost(nowUs, source);
+          membership.markSourceUnreachable(nowUs, source);
           lost[step.source()] = true;
         }
         case HEARD -> {
-          membership.heard(nowUs, source);
+          membership.markSourceReachable(nowUs, source);
           lost[step.source()] = false;
         }
         case WAIT -> {
@@ -155,7 +155,7 @@
           nowUs += (long) (SECOND * Math.pow(3, step.number()));
         }
       }
-      final List<Member> changed = membership.decide(nowUs);
+      final List<MergedEndpoint> changed = membership.collectChanges(nowUs);
       changed.forEach(member -> view.put(member.name(), member));
       check(step, upBefore, outage);
     }
@@ -166,8 +166,8 @@
       return up;
     }
 
-    private static boolean isUp(final Member member) {
-      return member.state() == Member.State.UP;
+    private static boolean isUp(final MergedEndpoint member) {
+      return member.state() == MergedEndpoint.State.UP;
     }
 
     private static void require(final boolean kept, final String promise) {
@@ -178,7 +178,7 @@
 
     private void check(final Step step, final Set<Long> upBefore, final boolean outage) {
       final Set<String> addresses = new HashSet<>();
-      for (final Member member : view.values()) {
+      for (final MergedEndpoint member : view.values()) {
         if (isUp(member)) {
           require(
               addresses.add(member.address()),
@@ -190,48 +190,50 @@
       if (outage) {
         require(destinationsUp().containsAll(upBefore), step + " emptied a destination: " + view);
       }
-      final Map<String, Member> now = new TreeMap<>();
-      membership.members().forEach(member -> now.put(member.name(), member));
+      final Map<String, MergedEndpoint> now = new TreeMap<>();
+      membership.endpoints().forEach(member -> now.put(member.name(), member));
       view.values()
           .removeIf(
-              member -> member.state() == Member.State.GONE && !now.containsKey(member.name()));
+              member ->
+                  member.state() == MergedEndpoint.State.GONE && !now.containsKey(member.name()));
       now.values()
           .removeIf(
-              member -> member.state() == Member.State.GONE && !view.containsKey(member.name()));
+              member ->
+                  member.state() == MergedEndpoint.State.GONE && !view.containsKey(member.name()));
       require(now.keySet().equals(view.keySet()), "told " + view + " but has " + now);
       now.forEach(
           (name, member) ->
               require(member.state() == view.get(name).state(), "told otherwise: " + name));
-      require(membership.decide(nowUs).isEmpty(), "it tells something twice");
-      require(membership.nextUs() > nowUs, "it wants to be called again at once");
+      require(membership.collectChanges(nowUs).isEmpty(), "it tells something twice");
+      require(membership.nextChangeUs() > nowUs, "it wants to be called again at once");
     }
 
     /**
      * True if some source said of this place, and did not take it back by a word of its own, that
      * it is up.
      */
-    private boolean isBacked(final Member member) {
+    private boolean isBacked(final MergedEndpoint member) {
       return said.stream()
           .flatMap(its -> its.values().stream())
-          .anyMatch(report -> at(report, member) && report.word() == Word.UP);
+          .anyMatch(report -> at(report, member) && report.status() == ReportedStatus.UP);
     }
 
     /** True if a source that is heard says only cautious things of this place. */
-    private boolean isWarned(final Member member) {
+    private boolean isWarned(final MergedEndpoint member) {
       for (int index = 0; index < SOURCES.length; index++) {
-        final List<Report> its =
+        final List<SourceReport> its =
             said.get(index).values().stream().filter(report -> at(report, member)).toList();
         // An instance that succeeded one that drains outweighs it, also while an answer lacks it.
         if (!lost[index]
-            && its.stream().allMatch(report -> report.word().isCautious())
-            && its.stream().anyMatch(report -> !unmentioned.contains(report.instance()))) {
+            && its.stream().allMatch(report -> report.status().blocksNewCalls())
+            && its.stream().anyMatch(report -> !unmentioned.contains(report.instanceId()))) {
           return true;
         }
       }
       return false;
     }
 
-    private static boolean at(final Report report, final Member member) {
+    private static boolean at(final SourceReport report, final MergedEndpoint member) {
       return report.address().equals(member.address())
           && report.destination() == member.destination();
     }
--- a/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.noise.Cell;
-import thistleturn.decisions.noise.Growth;
-import thistleturn.decisions.noise.RefusalReading;
-import thistleturn.decisions.noise.RetryBudget;
+import thistleturn.decisions.rejections.EndpointClassStatistics;
+import thistleturn.decisions.rejections.InitialWindowGrowth;
+import thistleturn.decisions.rejections.RejectionClassifier;
+import thistleturn.decisions.rejections.RetryBudget;
 
 /**
  * The decisions as they were on 2026-12-01, but for changes made on purpose: three that {@code
@@ -442,7 +442,7 @@
         };
     final long pausedUntilUs =
         lane.mayProbe && destinations.get(lane.destination).waiting.size() >= LEAST_LINE
-            ? Math.min(lane.pauseUntilUs, lane.reading.probeAtUs())
+            ? Math.min(lane.pauseUntilUs, lane.reading.nextProbeUs())
             : lane.pauseUntilUs;
     return Math.max(guardUs, Math.max(lane.waitUntilUs, pausedUntilUs));
   }
@@ -534,7 +534,7 @@
                   + (handshake ? HANDSHAKE_LOAD : 0)
                   + (cross ? CROSS_LOAD : 0)
                   + (node == refusedBy ? REFUSED_LOAD : 0)
-                  + (learns ? node.cells[kind].refusedInARow() : 0);
+                  + (learns ? node.cells[kind].consecutiveRejections() : 0);
       if (best == null || load < bestLoad) {
         best = node;
         bestLoad = load;
@@ -669,7 +669,7 @@
     final double refusing = SPACING_LEAST + SPACING * Math.max(lane.served, lane.callRate);
     final boolean heeded =
         lane.refused > (learns ? FEW_REFUSED * read : 0)
-            && lane.reading.cause(nowUs) != RefusalReading.Cause.NOISE;
+            && lane.reading.cause(nowUs) != RejectionClassifier.Cause.NOISE;
     final boolean regains =
         learns
             && lane.refused == 0
@@ -742,7 +742,7 @@
         node.lastServedUs = nowUs;
         node.badRun[kind] = 0;
         node.avoidUntilUs[kind] = 0;
-        node.cells[kind].served(outcome.durationUs());
+        node.cells[kind].recordServed(outcome.durationUs());
         if (learns) {
           readServed(lane, call, part, ratio);
         }
@@ -827,7 +827,7 @@
         if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
           lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
           if (lane.failShare > SINGLE_SHARE) {
-            lane.growth.crowded();
+            lane.growth.stop();
           }
           suspect(lane, part);
         }
@@ -837,7 +837,7 @@
   }
 
   private void readServed(final Lane lane, final Call call, final double part, final double ratio) {
-    if (lane.growth.served(ratio)
+    if (lane.growth.recordServed(ratio)
         && lane.phase == Phase.WELL
         && !destinations.get(lane.destination).waiting.isEmpty()
         && lane.calls.size() + 1 >= Math.floor(lane.window)) {
@@ -851,18 +851,18 @@
     }
     lane.servedCalls++;
     lane.firstCalls += lane.steps == 0 && lane.phase == Phase.WELL ? 1 : 0;
-    lane.reading.served(call.sentUs, nowUs);
-    lane.budget.served();
+    lane.reading.recordServed(call.sentUs, nowUs);
+    lane.budget.recordServed();
     if (call.probe) {
-      lane.reading.probed(true, nowUs);
+      lane.reading.recordProbe(true, nowUs);
       lane.pauseUntilUs = nowUs;
     }
-    if (lane.reading.hasJustSettled()) {
+    if (lane.reading.hasJustSettledOnNoise()) {
       lane.windowBefore = lane.window;
       lane.spacingBefore = lane.spacing;
       lane.pauseUntilUs = nowUs;
       lane.spacing = nowUs < lane.freeFromUs ? lane.spacing : Double.POSITIVE_INFINITY;
-      lane.growth.again();
+      lane.growth.restart();
     }
   }
 
@@ -876,25 +876,25 @@
   }
 
   private boolean reads(final Lane lane, final Node node, final int kind, final Call call) {
-    final long restUs = node.cells[kind].refused(lane.servedCalls, ++lane.refusedCalls);
+    final long restUs = node.cells[kind].recordRejected(lane.servedCalls, ++lane.refusedCalls);
     if (restUs > 0) {
       node.avoidUntilUs[kind] = nowUs + jitter(restUs);
       return true;
     }
-    lane.reading.refused(call.sentUs, nowUs);
-    if (lane.reading.cause(nowUs) == RefusalReading.Cause.NOISE) {
-      if (lane.budget.take()) {
+    lane.reading.recordRejected(call.sentUs, nowUs);
+    if (lane.reading.cause(nowUs) == RejectionClassifier.Cause.NOISE) {
+      if (lane.budget.tryAcquire()) {
         return true;
       }
-      lane.reading.outran(nowUs);
+      lane.reading.onRetryBudgetExhausted(nowUs);
       lane.window = Math.min(lane.window, lane.windowBefore);
       lane.spacing = Math.min(lane.spacing, lane.spacingBefore);
     }
-    if (lane.growth.refused()) {
+    if (lane.growth.recordRejected()) {
       lane.window = Math.max(Math.min(lane.window, WINDOW_START), lane.window / 2);
     }
     if (call.probe) {
-      lane.reading.probed(false, nowUs);
+      lane.reading.recordProbe(false, nowUs);
     }
     lane.mayProbe = true;
     return false;
@@ -1051,13 +1051,13 @@
           lane.phase = Phase.WELL;
           if (learns) {
             lane.freeFromUs = nowUs + settings.guarantees().coldUs();
-            lane.reading.forget();
+            lane.reading.reset();
             lane.spacing =
                 SPACING
                     * Math.max(
                         Math.max(1, lane.served),
                         Math.max(lane.callRate, lane.steps == 0 ? lane.firstCalls : 0));
-            lane.growth.again();
+            lane.growth.restart();
           }
         }
       }
@@ -1299,9 +1299,9 @@
   private static final class Lane {
     private final Kind kind;
     private final long destination;
-    private final RefusalReading reading = new RefusalReading();
+    private final RejectionClassifier reading = new RejectionClassifier();
     private final RetryBudget budget = new RetryBudget();
-    private final Growth growth = new Growth();
+    private final InitialWindowGrowth growth = new InitialWindowGrowth();
     private long servedCalls, refusedCalls;
     private int firstCalls;
     private boolean mayProbe;
@@ -1361,14 +1361,14 @@
     private final double[] badRun;
 
     private final long[] avoidUntilUs;
-    private final Cell[] cells;
+    private final EndpointClassStatistics[] cells;
     private long lastUseUs, lastSendUs, lastServedUs;
 
     private Node(final Endpoint entry, final Lane lane, final int classes) {
       this.badRun = new double[classes];
       this.avoidUntilUs = new long[classes];
-      this.cells = new Cell[classes];
-      Arrays.setAll(cells, kind -> new Cell());
+      this.cells = new EndpointClassStatistics[classes];
+      Arrays.setAll(cells, kind -> new EndpointClassStatistics());
       this.entry = entry;
       this.lane = lane;
     }
--- a/decisions/src/test/java/thistleturn/decisions/peers/PeersTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/PeersTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 
 /**
  * One courier's part, told by hand: old, doubled and strange datagrams, its own name, and what it
@@ -237,7 +237,7 @@
   /** It answers, and delivers nothing: its own word says so, and travels. */
   @Test
   void whoAnswersAndDeliversNothingSaysSo() {
-    final PeerWord stuck = new PeerWord(OwnHealth.State.WELL, 0, 40, true);
+    final PeerWord stuck = new PeerWord(LocalHealth.State.WELL, 0, 40, true);
     hear(new PeerId("d", BEGAN), "d:1", 500_000, 1);
     peers.onPacket(
         new Packet(
@@ -260,9 +260,9 @@
             .anyMatch(
                 packet ->
                     packet.items().contains(new Item.Said(new PeerId("d", BEGAN), 1, stuck))));
-    peers.say(new PeerWord(OwnHealth.State.STARVED, 5, 3, false), nowUs);
+    peers.say(new PeerWord(LocalHealth.State.STARVED, 5, 3, false), nowUs);
     run(600_000);
-    assertEquals(OwnHealth.State.STARVED, sent.get(sent.size() - 1).word().health());
+    assertEquals(LocalHealth.State.STARVED, sent.get(sent.size() - 1).word().health());
   }
 
   @Test
--- /dev/null
+++ b/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
@@ -0,0 +1,54 @@
+package thistleturn.decisions.pools;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+import thistleturn.decisions.Courier.Result;
+
+/** What the end of a connection says, case by case. */
+@Tag("connections")
+final class ConnectionLossTest {
+  private static final double HANDSHAKE = 2_000;
+
+  @Test
+  void unwrittenRequest_isNoConnection() {
+    assertEquals(
+        Result.NO_CONNECTION, new ConnectionLoss(false, true, false, 0, HANDSHAKE).result());
+    assertEquals(
+        Result.NO_CONNECTION, new ConnectionLoss(false, false, true, 0, HANDSHAKE).result());
+  }
+
+  @Test
+  void reusedConnectionLostAtOnce_isStale() {
+    assertEquals(Result.STALE, new ConnectionLoss(true, true, false, 300, HANDSHAKE).result());
+    assertEquals(
+        Result.STALE,
+        new ConnectionLoss(true, true, false, ConnectionLoss.MIN_STALE_WINDOW_US, 0).result());
+  }
+
+  @Test
+  void distantEndpoint_isGivenMoreTime() {
+    final double far = 40_000;
+    assertEquals(
+        Result.STALE,
+        new ConnectionLoss(
+                true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far), far)
+            .result());
+    assertEquals(
+        Result.RESET,
+        new ConnectionLoss(
+                true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far) + 1, far)
+            .result());
+  }
+
+  @Test
+  void laterLossStartedResponseOrNewConnection_isAReset() {
+    assertEquals(
+        Result.RESET,
+        new ConnectionLoss(true, true, false, ConnectionLoss.MIN_STALE_WINDOW_US + 1, HANDSHAKE)
+            .result());
+    assertEquals(Result.RESET, new ConnectionLoss(true, true, true, 300, HANDSHAKE).result());
+    assertEquals(Result.RESET, new ConnectionLoss(true, false, false, 300, HANDSHAKE).result());
+  }
+}
--- a/decisions/src/test/java/thistleturn/decisions/shards/AllotmentPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/shards/CapacityAllocatorPropertyTest.java
@@ -16,7 +16,7 @@
  * whole.
  */
 @Tag("scale")
-final class AllotmentPropertyTest {
+final class CapacityAllocatorPropertyTest {
   private static final int STEPS = 2_000;
 
   /** A shard as a thread of its own would be: it keeps to the last limit that has reached it. */
@@ -40,11 +40,11 @@
   }
 
   @Property(tries = 300)
-  void theWholeIsNeverPassedHoweverLateLimitsAreHeard(@ForAll final long seed) {
+  void usage_neverExceedsTheTotalHoweverLateLimitsArrive(@ForAll final long seed) {
     final Random random = new Random(seed);
     final int shards = 1 + random.nextInt(8);
     final int whole = shards + random.nextInt(200);
-    final Allotment allotment = new Allotment(shards, whole);
+    final CapacityAllocator allotment = new CapacityAllocator(shards, whole);
     final Shard[] all = new Shard[shards];
     for (int index = 0; index < shards; index++) {
       all[index] = new Shard();
@@ -57,19 +57,19 @@
       if (!one.stalled) {
         one.work(random);
         if (random.nextBoolean()) {
-          allotment.onReport(index, one.kept, one.used, one.pressed);
+          allotment.reportUsage(index, one.kept, one.used, one.pressed);
           one.pressed = false;
         } else {
           one.kept = allotment.limit(index);
         }
       }
       if (random.nextInt(3) == 0) {
-        allotment.plan();
+        allotment.rebalance();
       }
       assertTrue(
           Arrays.stream(all).mapToInt(shard -> shard.used).sum() <= whole,
           "seed " + seed + " step " + step);
-      assertEquals(whole, allotment.sum());
+      assertEquals(whole, allotment.total());
     }
   }
 
@@ -78,22 +78,22 @@
    * it.
    */
   @Example
-  void roomMovesByNeedAndBack() {
-    final Allotment allotment = new Allotment(4, 100);
+  void capacity_movesByNeedAndBack() {
+    final CapacityAllocator allotment = new CapacityAllocator(4, 100);
     for (int round = 0; round < 20; round++) {
       for (int shard = 0; shard < 4; shard++) {
         final int kept = allotment.limit(shard);
-        allotment.onReport(shard, kept, shard == 0 ? kept : 0, shard == 0);
+        allotment.reportUsage(shard, kept, shard == 0 ? kept : 0, shard == 0);
       }
-      allotment.plan();
+      allotment.rebalance();
     }
     assertTrue(allotment.limit(0) >= 80, "pressed alone: " + allotment.limit(0));
     for (int round = 0; round < 40; round++) {
       for (int shard = 0; shard < 4; shard++) {
         final int kept = allotment.limit(shard);
-        allotment.onReport(shard, kept, kept, true);
+        allotment.reportUsage(shard, kept, kept, true);
       }
-      allotment.plan();
+      allotment.rebalance();
     }
     for (int shard = 0; shard < 4; shard++) {
       assertTrue(
@@ -103,17 +103,17 @@
 
   /** One that stalls keeps what it may use, and no more is given away than the others have. */
   @Example
-  void aShardThatStallsKeepsItsPart() {
-    final Allotment allotment = new Allotment(2, 10);
+  void stalledShard_keepsItsCapacity() {
+    final CapacityAllocator allotment = new CapacityAllocator(2, 10);
     for (int round = 0; round < 20; round++) {
-      allotment.onReport(0, allotment.limit(0), allotment.limit(0), true);
-      allotment.plan();
+      allotment.reportUsage(0, allotment.limit(0), allotment.limit(0), true);
+      allotment.rebalance();
     }
     assertEquals(5, allotment.limit(0));
   }
 
   @Example
-  void aWholeThatIsTooSmallIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Allotment(4, 3));
+  void totalBelowOnePerShard_isRejected() {
+    assertThrows(IllegalArgumentException.class, () -> new CapacityAllocator(4, 3));
   }
 }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import thistleturn.decisions.membership.Report;
+import thistleturn.decisions.membership.SourceReport;
 
 /**
  * One answer of a registry, read as it comes, on the ground of what the registry told before: an
@@ -26,9 +26,9 @@
   /** Of a delta: what is put in, and what goes. */
   private final List<EurekaInstance> changes = new ArrayList<>();
 
-  private final Map<String, Report> reports = new LinkedHashMap<>();
+  private final Map<String, SourceReport> reports = new LinkedHashMap<>();
   private final Set<String> deleted = new LinkedHashSet<>();
-  private final List<Report> known = new ArrayList<>();
+  private final List<SourceReport> known = new ArrayList<>();
   private int expected;
   private long readAnew;
 
@@ -89,8 +89,8 @@
   }
 
   /** Instances that are of use, with their state. */
-  public List<Report> reports() {
-    final List<Report> all = new ArrayList<>(known.size() + reports.size());
+  public List<SourceReport> reports() {
+    final List<SourceReport> all = new ArrayList<>(known.size() + reports.size());
     all.addAll(known);
     all.addAll(reports.values());
     return all;
@@ -109,7 +109,7 @@
   private void take(final EurekaInstance instance, final long digest, final int length) {
     readAnew++;
     final String key = instance.key();
-    final Report report =
+    final SourceReport report =
         instance.action().equals("DELETED") && delta ? null : mapping.report(instance);
     if (report == null) {
       // It may have been of use before.
@@ -141,7 +141,7 @@
           || !before.isThere(expected)) {
         return false;
       }
-      final Report report = before.report(expected);
+      final SourceReport report = before.report(expected);
       after.put(
           before.key(expected), before.state(expected), report, before.digest(expected), length);
       if (report == null) {
--- a/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
@@ -4,8 +4,8 @@
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
-import thistleturn.decisions.membership.Report;
-import thistleturn.decisions.membership.Word;
+import thistleturn.decisions.membership.ReportedStatus;
+import thistleturn.decisions.membership.SourceReport;
 
 /**
  * What an instance of a registry means as an endpoint. One whose metadata cannot be used is left
@@ -43,7 +43,7 @@
   }
 
   /** The report of an instance, or null if it is left out. */
-  public Report report(final EurekaInstance instance) {
+  public SourceReport report(final EurekaInstance instance) {
     final long destination = InstanceParser.whole(instance.destination());
     final double rate = rate(instance.rate());
     final Unusable why =
@@ -62,7 +62,7 @@
       unusable.merge(why, 1L, Long::sum);
       return null;
     }
-    return new Report(
+    return new SourceReport(
         instance.key(),
         instance.address() + ":" + instance.port(),
         destination,
@@ -102,20 +102,20 @@
     }
   }
 
-  private static Word word(final EurekaInstance instance) {
-    final Word own = word(instance.status());
+  private static ReportedStatus word(final EurekaInstance instance) {
+    final ReportedStatus own = word(instance.status());
     if (instance.overridden().isEmpty() || instance.overridden().equals("UNKNOWN")) {
       return own;
     }
-    final Word override = word(instance.overridden());
+    final ReportedStatus override = word(instance.overridden());
     return override.compareTo(own) > 0 ? override : own;
   }
 
-  private static Word word(final String status) {
+  private static ReportedStatus word(final String status) {
     return switch (status) {
-      case "UP" -> Word.UP;
-      case "DOWN", "OUT_OF_SERVICE" -> Word.DRAIN;
-      default -> Word.PENDING;
+      case "UP" -> ReportedStatus.UP;
+      case "DOWN", "OUT_OF_SERVICE" -> ReportedStatus.DRAIN;
+      default -> ReportedStatus.PENDING;
     };
   }
 
--- a/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
@@ -14,13 +14,13 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.membership.Lease;
-import thistleturn.decisions.membership.Lease.Act;
+import thistleturn.decisions.membership.RegistrationLease;
+import thistleturn.decisions.membership.RegistrationLease.Action;
 
 /**
- * Keeps this courier's own entry in a registry, as {@link Lease} decides. The entry's id is made of
- * the courier's name and port, so that a restart on the same address renews or replaces what a
- * killed process left. Runs on the event loop.
+ * Keeps this courier's own entry in a registry, as {@link RegistrationLease} decides. The entry's
+ * id is made of the courier's name and port, so that a restart on the same address renews or
+ * replaces what a killed process left. Runs on the event loop.
  */
 public final class EurekaRegistration {
   private static final long CALL_US = 2_000_000;
@@ -35,8 +35,8 @@
   private final String host;
   private final int port;
   private final long dirtyMs;
-  private final Lease lease;
-  private final Map<Act, Long> acts = new TreeMap<>();
+  private final RegistrationLease lease;
+  private final Map<Action, Long> acts = new TreeMap<>();
   private Future<?> due;
   private boolean busy;
 
@@ -55,13 +55,14 @@
     this.port = at.getPort();
     this.id = name + ":" + settings.app().toLowerCase(Locale.ROOT) + ":" + port;
     this.dirtyMs = clock.wallUs() / US_PER_MS;
-    this.lease = new Lease(clock.nowUs(), settings.addresses().size(), settings.renewUs());
+    this.lease =
+        new RegistrationLease(clock.nowUs(), settings.addresses().size(), settings.renewUs());
     step();
   }
 
   /** The process ends soon. */
   public void leave() {
-    lease.leave(clock.nowUs(), busy);
+    lease.beginDraining(clock.nowUs(), busy);
     step();
   }
 
@@ -69,14 +70,14 @@
   public boolean cancel() {
     lease.cancel(clock.nowUs(), busy);
     step();
-    return lease.isOver() && !busy;
+    return lease.isFinished() && !busy;
   }
 
   /** Figures for operators. */
   public Map<String, Object> status() {
     final Map<String, Object> map = new TreeMap<>();
     map.put("id", id);
-    map.put("registered", lease.isKnown());
+    map.put("registered", lease.mayBeRegistered());
     acts.forEach((act, count) -> map.put(act.name().toLowerCase(Locale.ROOT), count));
     return map;
   }
@@ -89,8 +90,8 @@
       due.cancel(false);
       due = null;
     }
-    final Lease.Step next = lease.next();
-    if (next.act() == Act.NOTHING) {
+    final RegistrationLease.ScheduledAction next = lease.next();
+    if (next.action() == Action.NOTHING) {
       return;
     }
     final long delayUs = next.atUs() - clock.nowUs();
@@ -101,18 +102,18 @@
     }
   }
 
-  private void call(final Lease.Step next) {
+  private void call(final RegistrationLease.ScheduledAction next) {
     busy = true;
-    acts.merge(next.act(), 1L, Long::sum);
+    acts.merge(next.action(), 1L, Long::sum);
     final String entry = "/apps/" + settings.app() + "/" + id;
     final HttpMethod method =
-        switch (next.act()) {
+        switch (next.action()) {
           case REGISTER -> HttpMethod.POST;
           case CANCEL -> HttpMethod.DELETE;
           default -> HttpMethod.PUT;
         };
     final String path =
-        switch (next.act()) {
+        switch (next.action()) {
           case REGISTER -> "/apps/" + settings.app();
           case RENEW -> entry + "?status=UP&lastDirtyTimestamp=" + dirtyMs;
           case WARN -> entry + "/status?value=OUT_OF_SERVICE&lastDirtyTimestamp=" + dirtyMs;
@@ -123,7 +124,7 @@
         method,
         settings.addresses().get(next.address()),
         path,
-        next.act() == Act.REGISTER ? instance() : null,
+        next.action() == Action.REGISTER ? instance() : null,
         CALL_US,
         MOST_BYTES,
         new EurekaCall.Listener() {
@@ -134,25 +135,25 @@
 
           @Override
           public void answered(final int status) {
-            done(next.act(), status);
+            done(next.action(), status);
           }
 
           @Override
           public void failed(final String reason) {
-            done(next.act(), 0);
+            done(next.action(), 0);
           }
         });
   }
 
-  private void done(final Act act, final int status) {
+  private void done(final Action act, final int status) {
     busy = false;
-    final boolean before = lease.isKnown();
-    lease.done(clock.nowUs(), act, status);
-    if (before != lease.isKnown()) {
+    final boolean before = lease.mayBeRegistered();
+    lease.onCompleted(clock.nowUs(), act, status);
+    if (before != lease.mayBeRegistered()) {
       Log.info(
           "registry: this courier's entry "
               + id
-              + (lease.isKnown() ? " is there" : " is not there")
+              + (lease.mayBeRegistered() ? " is there" : " is not there")
               + " ("
               + act.name().toLowerCase(Locale.ROOT)
               + " was answered "
--- a/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.membership.RegistryPoll;
-import thistleturn.decisions.membership.RegistryPoll.Ask;
-import thistleturn.decisions.membership.Report;
+import thistleturn.decisions.membership.RegistryPollSchedule;
+import thistleturn.decisions.membership.RegistryPollSchedule.Scope;
+import thistleturn.decisions.membership.SourceReport;
 
 /**
  * Asks one registry for its instances: all of them first, then changes, and all again where the
  * changes do not lead to what the registry has (its hash tells). It decides nothing: when and where
- * to ask is {@link RegistryPoll}'s, and what to make of the answers the membership's. Runs on the
- * event loop.
+ * to ask is {@link RegistryPollSchedule}'s, and what to make of the answers the membership's. Runs
+ * on the event loop.
  */
 public final class EurekaSource {
   private static final int OK = 200;
@@ -35,7 +35,7 @@
   private final DoubleSupplier random;
   private final Listener listener;
   private final EurekaMapping mapping = new EurekaMapping();
-  private final RegistryPoll poll;
+  private final RegistryPollSchedule poll;
   private final Counts counts = new Counts();
   private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
   private Future<?> due;
@@ -48,13 +48,13 @@
      * Everything that it has; {@code deleted} are instances that it has and that are of no use any
      * more.
      */
-    void whole(Collection<Report> reports, Collection<String> deleted);
+    void whole(Collection<SourceReport> reports, Collection<String> deleted);
 
     /**
      * Some of what it has: instances with their state, and ids that it deleted. Nothing means: all
      * as before.
      */
-    void changes(Collection<Report> reports, Collection<String> deleted);
+    void changes(Collection<SourceReport> reports, Collection<String> deleted);
 
     /** It cannot be heard. */
     void lost(String reason);
@@ -96,7 +96,7 @@
     this.random = random;
     this.listener = listener;
     this.poll =
-        new RegistryPoll(
+        new RegistryPollSchedule(
             clock.nowUs(),
             settings.addresses().size(),
             settings.periodUs(),
@@ -143,9 +143,9 @@
   }
 
   private void ask() {
-    final RegistryPoll.Next next = poll.next();
+    final RegistryPollSchedule.ScheduledPoll next = poll.next();
     final List<String> paths =
-        next.ask() == Ask.DELTA
+        next.scope() == Scope.DELTA
             ? List.of("/apps/delta")
             : settings.scope().isEmpty()
                 ? List.of("/apps")
@@ -155,16 +155,16 @@
 
   /** One question, for which several calls may be needed. */
   private final class Round implements EurekaCall.Listener {
-    private final RegistryPoll.Next next;
+    private final RegistryPollSchedule.ScheduledPoll next;
     private final List<String> paths;
     private final long endsUs = clock.nowUs() + settings.answerUs();
-    private final List<Report> reports = new ArrayList<>();
+    private final List<SourceReport> reports = new ArrayList<>();
     private final Set<String> deleted = new LinkedHashSet<>();
     private EurekaAnswer answer;
     private int asked;
     private long bytesLeft = settings.mostBytes();
 
-    Round(final RegistryPoll.Next next, final List<String> paths) {
+    Round(final RegistryPollSchedule.ScheduledPoll next, final List<String> paths) {
       this.next = next;
       this.paths = paths;
     }
@@ -178,7 +178,7 @@
                 settings.metadata(),
                 mapping,
                 settings.scope().isEmpty() ? memory : new EurekaAnswer.Memory(),
-                next.ask() == Ask.DELTA);
+                next.scope() == Scope.DELTA);
       } catch (final IOException e) {
         throw new IllegalStateException("a parser without input failed", e);
       }
@@ -210,9 +210,9 @@
         answer.end();
         reports.addAll(answer.reports());
         deleted.addAll(answer.deleted());
-      } else if (next.ask() == Ask.DELTA) {
+      } else if (next.scope() == Scope.DELTA) {
         // It tells no changes, or not now; all can still be asked for.
-        poll.mismatched(clock.nowUs());
+        poll.onMismatch(clock.nowUs());
         later();
         return;
       } else if (status != NOT_FOUND || !paths.get(asked).startsWith("/apps/")) {
@@ -230,7 +230,7 @@
     private void complete() {
       final boolean fits = !settings.scope().isEmpty() || answer.remember(memory);
       counts.readAnew += answer.readAnew();
-      final boolean delta = next.ask() == Ask.DELTA;
+      final boolean delta = next.scope() == Scope.DELTA;
       counts.mismatches += fits ? 0 : 1;
       counts.deltas += fits && delta ? 1 : 0;
       counts.whole += fits && !delta ? 1 : 0;
@@ -241,9 +241,9 @@
         listener.changes(reports, deleted);
       }
       if (delta && !fits) {
-        poll.mismatched(clock.nowUs());
+        poll.onMismatch(clock.nowUs());
       } else {
-        poll.answered(clock.nowUs(), random.getAsDouble());
+        poll.onSuccess(clock.nowUs(), random.getAsDouble());
       }
       later();
     }
@@ -253,7 +253,7 @@
       call = null;
       counts.failures++;
       counts.lastFailure = reason;
-      if (poll.failed(clock.nowUs(), random.getAsDouble())) {
+      if (poll.onFailure(clock.nowUs(), random.getAsDouble())) {
         listener.lost(reason);
       }
       later();
--- a/eureka/src/main/java/thistleturn/eureka/Instances.java
+++ b/eureka/src/main/java/thistleturn/eureka/Instances.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import thistleturn.decisions.membership.Report;
+import thistleturn.decisions.membership.SourceReport;
 
 /**
  * All that a registry has, in the order in which it tells it: for each instance its key, status and
@@ -22,7 +22,7 @@
 
   private final List<String> statuses = new ArrayList<>();
   private String[] keys = new String[LEAST_PLACES];
-  private Report[] reports = new Report[LEAST_PLACES];
+  private SourceReport[] reports = new SourceReport[LEAST_PLACES];
   private byte[] status = new byte[LEAST_PLACES];
   private long[] digests = new long[LEAST_PLACES];
   private int[] lengths = new int[LEAST_PLACES];
@@ -45,7 +45,7 @@
   void put(
       final String key,
       final String state,
-      final Report report,
+      final SourceReport report,
       final long digest,
       final int length) {
     final int at = index == null ? NONE : find(key);
@@ -71,7 +71,7 @@
       final int at,
       final String key,
       final String state,
-      final Report report,
+      final SourceReport report,
       final long digest,
       final int length) {
     keys[at] = key;
@@ -146,7 +146,7 @@
     return statuses.get(status[at]);
   }
 
-  Report report(final int at) {
+  SourceReport report(final int at) {
     return reports[at];
   }
 
--- a/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
@@ -1,7 +1,7 @@
 package thistleturn.membership;
 
 import java.util.List;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.RegistrationSettings;
 import thistleturn.eureka.RegistrySettings;
 
@@ -10,7 +10,7 @@
  * (null for none).
  */
 public record MembershipSettings(
-    Rules rules, List<RegistrySettings> registries, RegistrationSettings registration) {
+    MergeSettings rules, List<RegistrySettings> registries, RegistrationSettings registration) {
   /** Copies what could change. */
   public MembershipSettings {
     registries = List.copyOf(registries);
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -22,11 +22,11 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.membership.Member;
 import thistleturn.decisions.membership.Membership;
-import thistleturn.decisions.membership.Report;
+import thistleturn.decisions.membership.MergedEndpoint;
+import thistleturn.decisions.membership.ReportedStatus;
+import thistleturn.decisions.membership.SourceReport;
 import thistleturn.decisions.membership.SourceStatus;
-import thistleturn.decisions.membership.Word;
 import thistleturn.eureka.EurekaSource;
 import thistleturn.eureka.RegistrySettings;
 
@@ -82,7 +82,7 @@
     }
     for (final RegistrySettings registry : wanted) {
       if (!registries.containsKey(registry.name())) {
-        if (membership.sources().stream()
+        if (membership.sourceStatuses().stream()
             .noneMatch(source -> source.name().equals(registry.name()))) {
           membership.addSource(clock.nowUs(), registry.name(), nextRank++, false);
         }
@@ -120,7 +120,7 @@
     // A registry may have what the list lacks: what no source names does not exist only if all are
     // heard.
     return own.isFresh()
-        && membership.sources().stream().allMatch(source -> source.lostSinceUs() < 0);
+        && membership.sourceStatuses().stream().allMatch(source -> source.unreachableSinceUs() < 0);
   }
 
   @Override
@@ -131,7 +131,7 @@
   /** The watch tells nothing while nothing changes, but it is heard all the same. */
   private void hear() {
     if (!ownLost && own.isFresh()) {
-      membership.heard(clock.nowUs(), OWN);
+      membership.markSourceReachable(clock.nowUs(), OWN);
       tellAside();
     }
   }
@@ -140,7 +140,7 @@
 
   private void ownTold(final Courier.Update update, final List<Listing> listings) {
     final long nowUs = clock.nowUs();
-    final List<Report> reports = new ArrayList<>();
+    final List<SourceReport> reports = new ArrayList<>();
     final List<String> deleted = new ArrayList<>();
     for (final Listing listing : listings) {
       if (listing.condition() == Courier.Condition.GONE) {
@@ -151,10 +151,10 @@
     }
     ownLost = update == Courier.Update.LOST || update == Courier.Update.RESTORED;
     switch (update) {
-      case WHOLE -> membership.whole(nowUs, OWN, reports);
-      case RESTORED -> membership.restored(nowUs, OWN, reports);
-      case LOST -> membership.lost(nowUs, OWN);
-      default -> membership.changes(nowUs, OWN, reports, deleted);
+      case WHOLE -> membership.applySnapshot(nowUs, OWN, reports);
+      case RESTORED -> membership.applyRestored(nowUs, OWN, reports);
+      case LOST -> membership.markSourceUnreachable(nowUs, OWN);
+      default -> membership.applyChanges(nowUs, OWN, reports, deleted);
     }
     final List<Listing> changed = decide();
     if (update == Courier.Update.LOST) {
@@ -169,15 +169,15 @@
     }
   }
 
-  private static Report report(final Listing listing) {
-    return new Report(
+  private static SourceReport report(final Listing listing) {
+    return new SourceReport(
         listing.name(),
         listing.address().getHostString() + ":" + listing.address().getPort(),
         listing.destination(),
         listing.zone(),
         listing.kind(),
         listing.weight(),
-        listing.condition() == Courier.Condition.LISTED ? Word.UP : Word.DRAIN,
+        listing.condition() == Courier.Condition.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
         0);
   }
 
@@ -199,19 +199,19 @@
     }
 
     @Override
-    public void whole(final Collection<Report> reports, final Collection<String> deleted) {
+    public void whole(final Collection<SourceReport> reports, final Collection<String> deleted) {
       heard();
       if (!deleted.isEmpty()) {
-        membership.changes(clock.nowUs(), name, List.of(), deleted);
+        membership.applyChanges(clock.nowUs(), name, List.of(), deleted);
       }
-      membership.whole(clock.nowUs(), name, reports);
+      membership.applySnapshot(clock.nowUs(), name, reports);
       tellAside();
     }
 
     @Override
-    public void changes(final Collection<Report> reports, final Collection<String> deleted) {
+    public void changes(final Collection<SourceReport> reports, final Collection<String> deleted) {
       heard();
-      membership.changes(clock.nowUs(), name, reports, deleted);
+      membership.applyChanges(clock.nowUs(), name, reports, deleted);
       tellAside();
     }
 
@@ -221,7 +221,7 @@
         lost = true;
         Log.info("registry " + name + " cannot be heard: " + reason);
       }
-      membership.lost(clock.nowUs(), name);
+      membership.markSourceUnreachable(clock.nowUs(), name);
       tellAside();
     }
   }
@@ -237,22 +237,22 @@
 
   private List<Listing> decide() {
     final List<Listing> changed =
-        membership.decide(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
+        membership.collectChanges(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
     if (due != null) {
       due.cancel(false);
       due = null;
     }
-    if (membership.nextUs() != Long.MAX_VALUE) {
+    if (membership.nextChangeUs() != Long.MAX_VALUE) {
       due =
           loop.schedule(
               this::tellAside,
-              Math.max(1, membership.nextUs() - clock.nowUs()),
+              Math.max(1, membership.nextChangeUs() - clock.nowUs()),
               TimeUnit.MICROSECONDS);
     }
     return changed;
   }
 
-  private static Listing listing(final Member member) {
+  private static Listing listing(final MergedEndpoint member) {
     final Courier.Condition condition =
         switch (member.state()) {
           case UP -> Courier.Condition.LISTED;
@@ -277,7 +277,7 @@
     final ObjectNode root = JsonNodeFactory.instance.objectNode();
     final Map<String, SourceStatus> byName = new LinkedHashMap<>();
     final ArrayNode sources = root.putArray("sources");
-    for (final SourceStatus source : membership.sources()) {
+    for (final SourceStatus source : membership.sourceStatuses()) {
       byName.put(source.name(), source);
       final ObjectNode node =
           sources
@@ -286,21 +286,21 @@
               .put("rank", source.rank())
               .put(
                   "state",
-                  source.lostSinceUs() >= 0
+                  source.unreachableSinceUs() >= 0
                       ? "lost"
-                      : source.doubtSinceUs() >= 0 ? "doubted" : "heard")
-              .put("heard_ms_ago", ageMs(nowUs, source.heardUs()))
+                      : source.implausibleSinceUs() >= 0 ? "doubted" : "heard")
+              .put("heard_ms_ago", ageMs(nowUs, source.lastResponseUs()))
               .put("entries", source.entries())
-              .put("doubted", source.doubted())
-              .put("dropped", source.dropped())
-              .put("implausible", source.implausibleAnswers());
+              .put("doubted", source.missingEntries())
+              .put("dropped", source.droppedEntries())
+              .put("implausible", source.implausibleSnapshots());
       final EurekaSource registry = registries.get(source.name());
       if (registry != null) {
         node.set("registry", JSON.valueToTree(registry.status()));
       }
     }
     final ArrayNode members = root.putArray("members");
-    for (final Member member : membership.members()) {
+    for (final MergedEndpoint member : membership.endpoints()) {
       final SourceStatus by = byName.get(member.decidedBy());
       members
           .addObject()
@@ -310,10 +310,10 @@
           .put("kind", member.kind())
           .put("rate", member.ratePerSecond())
           .put("state", member.state().name().toLowerCase(Locale.ROOT))
-          .put("because", member.because().name().toLowerCase(Locale.ROOT))
+          .put("because", member.reason().name().toLowerCase(Locale.ROOT))
           .put("by", member.decidedBy())
-          .put("since_ms_ago", ageMs(nowUs, member.sinceUs()))
-          .put("heard_ms_ago", by == null ? -1 : ageMs(nowUs, by.heardUs()));
+          .put("since_ms_ago", ageMs(nowUs, member.stateSinceUs()))
+          .put("heard_ms_ago", by == null ? -1 : ageMs(nowUs, by.lastResponseUs()));
     }
     return root;
   }
--- a/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.decisions.membership.Report;
-import thistleturn.decisions.membership.Word;
+import thistleturn.decisions.membership.ReportedStatus;
+import thistleturn.decisions.membership.SourceReport;
 import thistleturn.testkit.StandInRegistry;
 
 /** A registry's answers, cut anywhere, changed, known again and spoilt. */
@@ -70,7 +70,7 @@
   }
 
   private static List<String> lines(final EurekaAnswer answer) {
-    return answer.reports().stream().map(Report::toString).sorted().toList();
+    return answer.reports().stream().map(SourceReport::toString).sorted().toList();
   }
 
   @ParameterizedTest
@@ -122,7 +122,9 @@
     final ObjectNode added = instance(77, "UP").put("actionType", "ADDED");
     final EurekaAnswer delta = read(whole("DOWN_11_UP_29_", List.of(down, gone, added)), true, 50);
     assertTrue(delta.remember(memory));
-    assertEquals(List.of(Word.DRAIN, Word.UP), delta.reports().stream().map(Report::word).toList());
+    assertEquals(
+        List.of(ReportedStatus.DRAIN, ReportedStatus.UP),
+        delta.reports().stream().map(SourceReport::status).toList());
     assertEquals(1, delta.deleted().size());
     assertEquals(40, memory.count());
     assertFalse(read(whole("DOWN_11_UP_28_", List.of()), true, 50).remember(memory));
@@ -179,9 +181,11 @@
     final ObjectNode one = instance(1, "UP").put("overriddenstatus", "OUT_OF_SERVICE");
     final ObjectNode two = instance(2, "DOWN").put("overriddenstatus", "UP");
     final ObjectNode three = instance(3, "UNKNOWN");
-    final List<Report> reports = read(whole("", List.of(one, two, three)), false, 100).reports();
+    final List<SourceReport> reports =
+        read(whole("", List.of(one, two, three)), false, 100).reports();
     assertEquals(
-        List.of(Word.DRAIN, Word.DRAIN, Word.PENDING), reports.stream().map(Report::word).toList());
+        List.of(ReportedStatus.DRAIN, ReportedStatus.DRAIN, ReportedStatus.PENDING),
+        reports.stream().map(SourceReport::status).toList());
   }
 
   @ParameterizedTest
--- a/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.membership.Because;
-import thistleturn.decisions.membership.Lease;
-import thistleturn.decisions.membership.Member;
+import thistleturn.decisions.membership.MergedEndpoint;
+import thistleturn.decisions.membership.RegistrationLease;
+import thistleturn.decisions.membership.StateReason;
 
 /**
  * The exact requests by which a courier registers itself, and the names in the operators' JSON of
@@ -162,16 +162,18 @@
   /** The operators' JSON and the commands hold these in lower case. */
   @Test
   void statesAndReasonsOfMembersHaveTheseNames() {
-    assertEquals("[UP, DRAINING, GONE]", Arrays.toString(Member.State.values()));
+    assertEquals("[UP, DRAINING, GONE]", Arrays.toString(MergedEndpoint.State.values()));
     assertEquals(
         "[SAID, CAUTION, WARNING_EXPIRED, DELETED, FLAPPING, STALE, STALE_SPARED, LAST_RESORT,"
             + " DOUBTED, CONTESTED, UNLISTED]",
-        Arrays.toString(Because.values()));
+        Arrays.toString(StateReason.values()));
   }
 
   /** The operators' JSON counts these in lower case. */
   @Test
   void actsAtTheRegistryHaveTheseNames() {
-    assertEquals("[REGISTER, RENEW, WARN, CANCEL, NOTHING]", Arrays.toString(Lease.Act.values()));
+    assertEquals(
+        "[REGISTER, RENEW, WARN, CANCEL, NOTHING]",
+        Arrays.toString(RegistrationLease.Action.values()));
   }
 }
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import thistleturn.courier.CourierProcess;
 import thistleturn.courier.runtime.Config;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrationSettings;
 import thistleturn.eureka.RegistrySettings;
@@ -25,7 +25,7 @@
   private static final long AWAIT_S = 30;
 
   final StandInWorld world;
-  Rules rules = Rules.standard();
+  MergeSettings rules = MergeSettings.defaults();
   List<RegistrySettings> registries = new ArrayList<>();
   RegistrationSettings registration;
   private CourierProcess process;
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -29,7 +29,7 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.membership.Rules;
+import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInPlatform;
@@ -84,7 +84,7 @@
                     new MergedDirectory(
                         directory,
                         new Surroundings(config, loop, clock, () -> null, () -> null, null),
-                        new MembershipSettings(Rules.standard(), List.of(), null));
+                        new MembershipSettings(MergeSettings.defaults(), List.of(), null));
               }
               directory.start(
                   (update, listings) -> {
--- a/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
@@ -5,6 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
 import thistleturn.decisions.replicas.Kind;
@@ -13,7 +14,6 @@
 import thistleturn.decisions.replicas.Replicas;
 import thistleturn.decisions.replicas.Verdict;
 import thistleturn.decisions.replicas.Writer;
-import thistleturn.decisions.words.Word;
 
 /**
  * What the couriers of a virtual fleet tell each other of their partners: by copies over a network,
@@ -167,13 +167,14 @@
     final String by = BY + verdict.by().get(0).name();
     final int destination = Integer.parseInt(verdict.subject());
     switch (verdict.kind()) {
-      case WAIT -> fleet.say(courier, destination, Word.of(Word.Kind.WAIT, by, verdict.untilUs()));
+      case WAIT ->
+          fleet.say(courier, destination, Directive.of(Directive.Kind.WAIT, by, verdict.untilUs()));
       case OUTAGE ->
           fleet.say(
               courier,
               destination,
-              new Word(
-                  verdict.state().equals("out") ? Word.Kind.OUTAGE : Word.Kind.RETURN,
+              new Directive(
+                  verdict.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
                   verdict.sinceUs(),
                   by,
                   verdict.untilUs()));
@@ -181,7 +182,8 @@
           fleet.say(
               courier,
               destination,
-              new Word(Word.Kind.RATE, LEARNT_SLACK * verdict.value(), "fleet", verdict.untilUs()));
+              new Directive(
+                  Directive.Kind.RATE, LEARNT_SLACK * verdict.value(), "fleet", verdict.untilUs()));
       default -> {}
     }
   }
--- a/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
@@ -12,8 +12,8 @@
 import thistleturn.decisions.Courier.Effect;
 import thistleturn.decisions.Courier.Result;
 import thistleturn.decisions.LaneView;
-import thistleturn.decisions.health.OwnHealth;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.health.LocalHealth;
 import thistleturn.lab.fleet.FleetTally.Count;
 import thistleturn.lab.model.CallFault;
 
@@ -60,7 +60,7 @@
 
   private final List<Runnable> overdue = new ArrayList<>();
   private final List<Runnable> unread = new ArrayList<>();
-  private OwnHealth health = new OwnHealth(0);
+  private LocalHealth health = new LocalHealth(0);
 
   /**
    * Until when its lanes are watched for having been sent out by its own fault, and those that
@@ -100,7 +100,7 @@
   void start() {
     courier = fleet.make(index, this);
     startedUs = now();
-    health = new OwnHealth(now());
+    health = new LocalHealth(now());
     believedUp = true;
     leaving = false;
     courier.onList(now(), Courier.Update.RESTORED, fleet.list());
@@ -139,8 +139,8 @@
   void freeze(final long untilUs) {
     if (courier != null) {
       frozen = true;
-      health.ran(now());
-      health.willRunBy(now() + (long) (fleet.random.nextDouble() * OwnHealth.BEAT_US));
+      health.recordRun(now());
+      health.expectRunBy(now() + (long) (fleet.random.nextDouble() * LocalHealth.TICK_INTERVAL_US));
       watchedUntilUs = untilUs + WATCHED_US;
     }
   }
@@ -154,7 +154,7 @@
     }
     frozen = false;
     thawedUs = now();
-    final long awayUs = health.ran(now());
+    final long awayUs = health.recordRun(now());
     final List<Runnable> late = List.copyOf(overdue);
     final List<Runnable> came = List.copyOf(unread);
     overdue.clear();
@@ -233,7 +233,7 @@
   }
 
   /** Something is said to its decisions by others. */
-  void say(final int destination, final Word word) {
+  void say(final int destination, final Directive word) {
     if (courier instanceof Control control && !frozen && control.onWord(now(), destination, word)) {
       turned(false);
       touched = true;
@@ -418,7 +418,7 @@
       if (delivered && open.remove(one.id) != null) {
         fleet.tally.delivered(fleet.worth(one));
       }
-      final boolean measured = !fleet.feels || health.hasMeasured(call.sentUs, now());
+      final boolean measured = !fleet.feels || health.wasRunningBetween(call.sentUs, now());
       courier.onOutcome(
           now(),
           new Courier.Outcome(
--- a/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import thistleturn.decisions.Courier;
-import thistleturn.decisions.words.Word;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.lab.virtual.EventQueue;
 import thistleturn.lab.virtual.VirtualCourier;
 
@@ -143,7 +143,7 @@
   }
 
   /** Says something to one courier's decisions. */
-  void say(final int courier, final int destination, final Word word) {
+  void say(final int courier, final int destination, final Directive word) {
     members.get(courier).say(destination, word);
   }
 
--- a/peers/src/main/java/thistleturn/peers/Codec.java
+++ b/peers/src/main/java/thistleturn/peers/Codec.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.peers.Change;
 import thistleturn.decisions.peers.Full;
 import thistleturn.decisions.peers.Item;
@@ -447,7 +447,7 @@
       begin();
       final PeerWord word =
           new PeerWord(
-              one(OwnHealth.State.values()),
+              one(LocalHealth.State.values()),
               (int) Math.min(Integer.MAX_VALUE, number()),
               (int) Math.min(Integer.MAX_VALUE, number()),
               flag());
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -12,7 +12,7 @@
 import thistleturn.courier.CourierProcess.Surroundings;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.peers.Full;
 import thistleturn.decisions.peers.Known;
 import thistleturn.decisions.peers.Packet;
@@ -280,7 +280,7 @@
     }
     final double lastAwayS = health.path("last_away_s").asDouble();
     return new PeerWord(
-        OwnHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
+        LocalHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
         (int) (lastAwayS * MS),
         holds,
         nowUs - endedUs >= PeerWord.STUCK_US);
--- a/peers/src/test/java/thistleturn/peers/CodecTest.java
+++ b/peers/src/test/java/thistleturn/peers/CodecTest.java
@@ -18,7 +18,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.peers.Change;
 import thistleturn.decisions.peers.Full;
 import thistleturn.decisions.peers.Item;
@@ -41,7 +41,7 @@
   private static final PeerId OTHER = new PeerId("b", 2);
   private static final String ADDRESS = "127.100.100.100:65535";
   private static final ViewMark MARK = new ViewMark(3, Long.MAX_VALUE, 9, 4);
-  private static final PeerWord WORD = new PeerWord(OwnHealth.State.STARVED, 7, 8, true);
+  private static final PeerWord WORD = new PeerWord(LocalHealth.State.STARVED, 7, 8, true);
   private static final Change CHANGE =
       new Change(List.of(ID, OTHER), List.of(new Member(ID, ADDRESS), new Member(OTHER, ADDRESS)));
 
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.decisions.health.OwnHealth;
+import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.peers.Change;
 import thistleturn.decisions.peers.Full;
 import thistleturn.decisions.peers.Item;
@@ -39,7 +39,7 @@
   private static final PeerId BETA = new PeerId("beta", 2);
   private static final String ADDRESS = "127.0.0.1:7081";
   private static final ViewMark MARK = new ViewMark(3, 4, 5, 6);
-  private static final PeerWord SELF_REPORT = new PeerWord(OwnHealth.State.STARVED, 700, 8, true);
+  private static final PeerWord SELF_REPORT = new PeerWord(LocalHealth.State.STARVED, 700, 8, true);
   private static final Change CHANGE =
       new Change(List.of(BETA), List.of(new Member(ALPHA, ADDRESS)));
 
@@ -257,12 +257,12 @@
         List.of(Item.Vote.Kind.values()));
     assertEquals(
         List.of(
-            OwnHealth.State.WELL,
-            OwnHealth.State.LATE,
-            OwnHealth.State.AWAY,
-            OwnHealth.State.STARVED,
-            OwnHealth.State.CUT_OFF),
-        List.of(OwnHealth.State.values()));
+            LocalHealth.State.WELL,
+            LocalHealth.State.LATE,
+            LocalHealth.State.AWAY,
+            LocalHealth.State.STARVED,
+            LocalHealth.State.CUT_OFF),
+        List.of(LocalHealth.State.values()));
   }
 
   /** The operators' JSON holds these in lower case. */
@@ -274,7 +274,7 @@
         "[JOINING, ALIVE, PARTLY, SUSPECT, DEAD, LEFT]", List.of(PeerState.values()).toString());
     assertEquals("[HEARD, SILENT, ENDED]", List.of(Sight.values()).toString());
     assertEquals(
-        "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(OwnHealth.State.values()).toString());
+        "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(LocalHealth.State.values()).toString());
   }
 
   /** The log and operators' JSON hold it in this form. */
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -14,13 +14,13 @@
 import thistleturn.courier.CourierProcess.Surroundings;
 import thistleturn.courier.port.Witness;
 import thistleturn.courier.runtime.Log;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.replicas.Entry;
 import thistleturn.decisions.replicas.Kind;
 import thistleturn.decisions.replicas.Message;
 import thistleturn.decisions.replicas.Replicas;
 import thistleturn.decisions.replicas.Verdict;
 import thistleturn.decisions.replicas.Writer;
-import thistleturn.decisions.words.Word;
 import thistleturn.peers.Passenger;
 import thistleturn.peers.PeersExtension;
 
@@ -243,14 +243,14 @@
   private void apply(final Verdict verdict) {
     switch (verdict.kind()) {
       case MAINTENANCE -> applyMaintenance(verdict);
-      case WAIT -> say(settings.waits(), verdict, Word.Kind.WAIT, 0);
+      case WAIT -> say(settings.waits(), verdict, Directive.Kind.WAIT, 0);
       case OUTAGE ->
           say(
               settings.outages(),
               verdict,
-              verdict.state().equals("out") ? Word.Kind.OUTAGE : Word.Kind.RETURN,
+              verdict.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
               (double) Math.max(0, verdict.sinceUs()));
-      case LIMIT -> say(settings.limits(), verdict, Word.Kind.LIMIT, verdict.value());
+      case LIMIT -> say(settings.limits(), verdict, Directive.Kind.LIMIT, verdict.value());
       // Of these nothing is said: they are there to be looked at.
       case LEARNT, LIST -> {}
     }
@@ -258,13 +258,13 @@
 
   /** What this courier said itself its decisions know already. */
   private void say(
-      final boolean wanted, final Verdict verdict, final Word.Kind kind, final double value) {
+      final boolean wanted, final Verdict verdict, final Directive.Kind kind, final double value) {
     if (wanted && verdict.isSomething() && !verdict.by().contains(replicas.self())) {
       surroundings
           .steering()
           .say(
               Long.parseLong(verdict.subject()),
-              new Word(kind, value, BY + verdict.by().get(0).name(), verdict.untilUs()));
+              new Directive(kind, value, BY + verdict.by().get(0).name(), verdict.untilUs()));
     }
   }
 
