--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
 import thistleturn.decisions.Control;
-import thistleturn.decisions.replicas.Kind;
+import thistleturn.decisions.replicas.EntryType;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
 import thistleturn.lab.fleet.FleetTally.Count;
@@ -50,7 +50,7 @@
       names = "--kinds",
       split = ",",
       description = "only these; else each alone, and all together")
-  private List<Kind> only;
+  private List<EntryType> only;
 
   private int broken;
 
@@ -64,14 +64,14 @@
     for (final FleetDay.Trouble trouble : troubles) {
       for (final int size : sizes) {
         final List<FleetTally> without = play(trouble, size, Sharing.NOTHING);
-        for (final Set<Kind> kinds :
+        for (final Set<EntryType> kinds :
             only != null
-                ? List.<Set<Kind>>of(EnumSet.copyOf(only))
-                : List.<Set<Kind>>of(
-                    EnumSet.of(Kind.WAIT),
-                    EnumSet.of(Kind.OUTAGE),
-                    EnumSet.of(Kind.LEARNT),
-                    EnumSet.of(Kind.WAIT, Kind.OUTAGE, Kind.LEARNT))) {
+                ? List.<Set<EntryType>>of(EnumSet.copyOf(only))
+                : List.<Set<EntryType>>of(
+                    EnumSet.of(EntryType.WAIT),
+                    EnumSet.of(EntryType.OUTAGE),
+                    EnumSet.of(EntryType.LEARNT),
+                    EnumSet.of(EntryType.WAIT, EntryType.OUTAGE, EntryType.LEARNT))) {
           row(trouble, size, kinds, without);
         }
       }
@@ -82,7 +82,7 @@
   private void row(
       final FleetDay.Trouble trouble,
       final int size,
-      final Set<Kind> kinds,
+      final Set<EntryType> kinds,
       final List<FleetTally> without) {
     final List<FleetTally> copies = play(trouble, size, Sharing.byCopies(kinds, 0.05));
     final List<FleetTally> perfect = play(trouble, size, Sharing.perfectly(kinds));
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Future;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.decisions.peers.PeerRules;
+import thistleturn.decisions.peers.GossipSettings;
 import thistleturn.lab.peers.Contestant;
 import thistleturn.lab.peers.Heartbeats;
 import thistleturn.lab.peers.PeersContestant;
@@ -95,9 +95,10 @@
 
   private Map<String, Contestant.Maker> ways() {
     final Map<String, Contestant.Maker> ways = new LinkedHashMap<>();
-    ways.put("peers", PeersContestant.maker(PeerRules.usual(), true, event -> {}));
+    ways.put("peers", PeersContestant.maker(GossipSettings.defaults(), true, event -> {}));
     ways.put(
-        "peers, datagrams alone", PeersContestant.maker(PeerRules.usual(), false, event -> {}));
+        "peers, datagrams alone",
+        PeersContestant.maker(GossipSettings.defaults(), false, event -> {}));
     if (!oursAlone) {
       for (final long ms : new long[] {500, 2000, 7000}) {
         ways.put("SWIM, suspicion " + ms + " ms", Swim.maker(ms * MS));
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
@@ -12,11 +12,12 @@
 import picocli.CommandLine.Option;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.ReplicaRules;
-import thistleturn.decisions.replicas.Replicas;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationActions;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.ReplicationProtocol;
+import thistleturn.decisions.replicas.ReplicationSettings;
+import thistleturn.decisions.replicas.WriterId;
 import thistleturn.lab.replicas.ReplicasDay;
 import thistleturn.lab.replicas.VirtualReplicas;
 import thistleturn.testkit.rig.Schedule;
@@ -122,14 +123,17 @@
   /** So many changes a second over the whole fleet, for ten seconds. */
   private static void load(final int members, final int changesPerS) {
     final VirtualReplicas world =
-        new VirtualReplicas(new Schedule(members, 5, LOAD_MS, List.of()), ReplicaRules.usual());
+        new VirtualReplicas(
+            new Schedule(members, 5, LOAD_MS, List.of()), ReplicationSettings.defaults());
     for (int number = 0; number < changesPerS * (LOAD_MS - SETTLED_MS) / MS_PER_S; number++) {
       final int one = number;
       world.at(
           SETTLED_MS + number * (long) MS_PER_S / changesPerS,
           () -> {
             final VirtualReplicas.Courier courier = world.courier(one % members);
-            courier.replicas().limited(String.valueOf(one % SUBJECTS), 1 + one, courier.nowUs());
+            courier
+                .replicas()
+                .recordRateLimit(String.valueOf(one % SUBJECTS), 1 + one, courier.nowUs());
           });
     }
     final long fromNs = System.nanoTime();
@@ -165,7 +169,7 @@
                 entries,
                 share,
                 two.bytes,
-                two.bytes / (double) ReplicaRules.usual().pieceBytesPerS(),
+                two.bytes / (double) ReplicationSettings.defaults().batchBytesPerSecond(),
                 two.messages,
                 two.everything));
       }
@@ -173,11 +177,13 @@
   }
 
   /** One copy that has all, and one that lacks the latest words of a share of the subjects. */
-  private static final class Two implements Replicas.Out {
-    private final Replicas full =
-        new Replicas(ReplicaRules.usual(), new Writer("full", 1), 1, NOW, this);
-    private final Replicas part =
-        new Replicas(ReplicaRules.usual(), new Writer("part", 1), 2, NOW, this);
+  private static final class Two implements ReplicationActions {
+    private final ReplicationProtocol full =
+        new ReplicationProtocol(
+            ReplicationSettings.defaults(), new WriterId("full", 1), 1, NOW, this);
+    private final ReplicationProtocol part =
+        new ReplicationProtocol(
+            ReplicationSettings.defaults(), new WriterId("part", 1), 2, NOW, this);
     private final Deque<Runnable> due = new ArrayDeque<>();
     private final int entries;
     private long bytes;
@@ -190,16 +196,16 @@
       final List<Delta> all = new ArrayList<>();
       final List<Delta> some = new ArrayList<>();
       for (int writer = 0; writer < WRITERS; writer++) {
-        final Writer by = new Writer("writer-" + writer, 5);
+        final WriterId by = new WriterId("writer-" + writer, 5);
         final List<Entry> its = new ArrayList<>();
         for (int number = 1; number <= entries / WRITERS; number++) {
           its.add(
               new Entry(
-                  Kind.LIMIT.code(),
+                  EntryType.LIMIT.code(),
                   String.valueOf(writer * 1_000_000L + number),
                   by,
                   number,
-                  Kind.LIMIT.mostUs(),
+                  EntryType.LIMIT.maxTtlUs(),
                   NOW,
                   List.of(12.5)));
         }
@@ -209,30 +215,32 @@
       }
       full.restore(all, 0, NOW);
       part.restore(some, 0, NOW);
-      full.others(List.of("part"));
-      part.others(List.of("full"));
-      everything = all.stream().mapToLong(Delta::bytes).sum();
+      full.setReachablePeers(List.of("part"));
+      part.setReachablePeers(List.of("full"));
+      everything = all.stream().mapToLong(Delta::estimatedBytes).sum();
     }
 
     /** Until both hold the same: marks, pages and pieces alone. */
     void exchange() {
-      part.onMessage("full", new Message.Mark(full.sum(), full.size()), nowUs);
-      for (int turn = 0; turn < 100_000 && part.sum() != full.sum(); turn++) {
-        nowUs += ReplicaRules.usual().tickUs();
+      part.onMessage(
+          "full", new ReplicationMessage.Checksum(full.checksum(), full.entryCount()), nowUs);
+      for (int turn = 0; turn < 100_000 && part.checksum() != full.checksum(); turn++) {
+        nowUs += ReplicationSettings.defaults().tickIntervalUs();
         full.tick(nowUs);
         part.tick(nowUs);
         while (!due.isEmpty()) {
           due.poll().run();
         }
       }
-      if (part.sum() != full.sum() || part.size() != entries / WRITERS * WRITERS) {
-        throw new IllegalStateException("copies still differ: " + part.size() + " of " + entries);
+      if (part.checksum() != full.checksum() || part.entryCount() != entries / WRITERS * WRITERS) {
+        throw new IllegalStateException(
+            "copies still differ: " + part.entryCount() + " of " + entries);
       }
     }
 
     @Override
-    public void send(final String to, final Message message) {
-      bytes += message.bytes();
+    public void send(final String to, final ReplicationMessage message) {
+      bytes += message.estimatedBytes();
       messages++;
       due.add(
           () ->
@@ -241,17 +249,17 @@
     }
 
     @Override
-    public void piece(final String to, final Message message) {
+    public void sendOverConnection(final String to, final ReplicationMessage message) {
       send(to, message);
     }
 
     @Override
-    public void changed(final Kind kind, final String subject) {
+    public void onSubjectChanged(final EntryType kind, final String subject) {
       // Nobody acts on it here.
     }
 
     @Override
-    public void happened(final String text) {
+    public void onEvent(final String text) {
       throw new IllegalStateException(text);
     }
   }
--- a/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
+++ b/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
@@ -18,8 +18,8 @@
 import thistleturn.courier.Tuning;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.MergeSettings;
-import thistleturn.decisions.peers.PeerRules;
-import thistleturn.decisions.replicas.ReplicaRules;
+import thistleturn.decisions.peers.GossipSettings;
+import thistleturn.decisions.replicas.ReplicationSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrationSettings;
 import thistleturn.eureka.RegistrySettings;
@@ -172,7 +172,8 @@
           "a text of at least " + PeersSettings.LEAST_KEY + " letters");
     }
     return enabled
-        ? new PeersSettings(address, seeds, key, PeerRules.usual().withDeadUs(deadUs), via)
+        ? new PeersSettings(
+            address, seeds, key, GossipSettings.defaults().withDeathTimeoutUs(deadUs), via)
         : null;
   }
 
@@ -190,7 +191,7 @@
           "peers.enabled = true beside it: what is held by the fleet travels with peers");
     }
     return enabled
-        ? new ReplicasSettings(ReplicaRules.usual(), maintenance, waits, outages, limits)
+        ? new ReplicasSettings(ReplicationSettings.defaults(), maintenance, waits, outages, limits)
         : null;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/peers/Standing.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipStatus.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.peers;
 
 /** Where a courier stands in its fleet. */
-public enum Standing {
+public enum MembershipStatus {
   /** It holds no view yet, or its view does not hold it. */
   FORMING,
   /** It hears more than half of the members of its view. */
--- a/decisions/src/main/java/thistleturn/decisions/peers/Rings.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MonitoringRings.java
@@ -11,10 +11,10 @@
  * same rings, and one that comes or goes moves few places (after Rapid: Suresh et al., USENIX ATC
  * 2018).
  */
-final class Rings {
+final class MonitoringRings {
   private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
-  private Rings() {}
+  private MonitoringRings() {}
 
   /** A lot for a name: FNV-1a over its letters, mixed. */
   static long hash(final String name) {
@@ -36,7 +36,7 @@
    * The names that a courier watches, of those of the others: {@code most} rings' successors, or
    * all of them if they are so few.
    */
-  static Collection<Peer> watched(final long own, final List<Peer> others, final int most) {
+  static Collection<Peer> monitoredBy(final long own, final List<Peer> others, final int most) {
     if (others.size() <= most) {
       return others;
     }
@@ -47,7 +47,7 @@
       Peer next = null;
       long least = -1;
       for (final Peer other : others) {
-        final long way = mix(other.lot ^ turn) - from;
+        final long way = mix(other.nameHash ^ turn) - from;
         if (next == null || Long.compareUnsigned(way, least) < 0) {
           next = other;
           least = way;
--- a/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
@@ -7,36 +7,36 @@
  *
  * @param sender whose it is; null: somebody who only looks (a name in conflict)
  * @param address where the sender listens
- * @param seq counted by the sender, so that a doubled or old one is known
- * @param beat the sender's sign of life
- * @param view what the sender holds
- * @param said count of the sender's words so far
- * @param word the last of them
- * @param kind what it is for
- * @param echo of a PONG: the PING's seq; else 0
+ * @param sequence counted by the sender, so that a doubled or old one is known
+ * @param heartbeat the sender's sign of life
+ * @param viewId what the sender holds
+ * @param statusVersion count of the sender's words so far
+ * @param status the last of them
+ * @param type what it is for
+ * @param echoedSequence of a PONG: the PING's seq; else 0
  * @param items what it tells
  */
 public record Packet(
     PeerId sender,
     String address,
-    long seq,
-    long beat,
-    ViewMark view,
-    long said,
-    PeerWord word,
-    Kind kind,
-    long echo,
-    List<Item> items) {
+    long sequence,
+    long heartbeat,
+    ViewId viewId,
+    long statusVersion,
+    PeerStatus status,
+    Type type,
+    long echoedSequence,
+    List<GossipItem> items) {
   /**
    * Bytes of all items together that a datagram carries at most; the rest of 1,200 is for its head
    * and its seal.
    */
-  public static final int MOST_ITEM_BYTES = 900;
+  public static final int MAX_ITEM_BYTES = 900;
 
   /** What a datagram is for. */
-  public enum Kind {
+  public enum Type {
     PING,
     PONG,
-    NEWS
+    GOSSIP
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
@@ -11,153 +11,155 @@
   static final long NEVER = Long.MIN_VALUE / 4;
 
   /** Lot of the name. */
-  final long lot;
+  final long nameHash;
 
   PeerId id;
   String address;
-  Item.Life life = Item.Life.ALIVE;
+  GossipItem.Liveness liveness = GossipItem.Liveness.ALIVE;
 
   /** When this life became known, or ended. */
-  long sinceUs;
+  long livenessSinceUs;
 
   /** The highest count of its datagrams that was read here. */
-  long seq;
+  long lastSequence;
 
-  long beat;
+  long heartbeat;
 
   /** When a higher beat was learnt, from whomever. */
-  long beatUs = NEVER;
+  long heartbeatUs = NEVER;
 
   /**
    * How many times a higher beat was learnt: two are needed to be let in, so that an old datagram
    * lets nobody in.
    */
-  int beats;
+  int heartbeatAdvances;
 
   /** When something of it was read here. */
-  long heardUs = NEVER;
+  long lastReceivedUs = NEVER;
 
-  /** Since when it has been heard without a gap of {@link PeerRules#silentUs}. */
-  long heardSinceUs = NEVER;
+  /** Since when it has been heard without a gap of {@link GossipSettings#silenceTimeoutUs}. */
+  long receivingSinceUs = NEVER;
 
-  long rttUs;
-  long said;
-  PeerWord word = PeerWord.WELL;
+  long roundTripUs;
+  long statusVersion;
+  PeerStatus status = PeerStatus.UNREPORTED;
 
   /**
    * What others and this courier say of their hearing of it, by observer's name; those who hear it
    * are not kept.
    */
-  final Map<String, Doubt> doubts = new HashMap<>(2);
+  final Map<String, UnreachableReport> unreachableReports = new HashMap<>(2);
 
   /** Since when anybody doubts it; NEVER: nobody. */
-  long doubtedUs = NEVER;
+  long unreachableSinceUs = NEVER;
 
   /** Rows of observers already read, so that an older one changes nothing. */
-  final Map<String, Row> rows = new HashMap<>(2);
+  final Map<String, ReportVersion> reportVersions = new HashMap<>(2);
 
-  boolean watched;
+  boolean monitored;
   long nextProbeUs;
-  long pingSeq;
-  long pingUs;
+  long pingSequence;
+  long pingSentUs;
 
   /** Ends of connections without a greeting in a row, and when the next try is due. */
-  int ends;
+  int failedConnections;
 
   /** When the first of them came. */
-  long endUs = NEVER;
+  long firstFailedConnectionUs = NEVER;
 
-  long connectUs = NEVER;
+  long nextConnectUs = NEVER;
 
   /** The address of the connection that is held or tried there; null: none. */
-  String lifeline;
+  String connectionAddress;
 
   boolean connected;
 
   /** Since when this courier watches this life. */
-  long watchedUs = NEVER;
+  long monitoredSinceUs = NEVER;
 
-  long fullUs = NEVER;
-  long passedUs = NEVER;
-  long decidedUs = NEVER;
-  PeerState shown = PeerState.JOINING;
-  long shownUs;
+  long fullStateSentUs = NEVER;
+  long heartbeatForwardedUs = NEVER;
+  long decisionsSentUs = NEVER;
+  PeerState publishedState = PeerState.JOINING;
+  long publishedStateSinceUs;
 
   Peer(final PeerId id, final String address, final long nowUs) {
     this.id = id;
-    this.lot = Rings.hash(id.name());
+    this.nameHash = MonitoringRings.hash(id.name());
     this.address = address;
-    this.sinceUs = nowUs;
-    this.shownUs = nowUs;
+    this.livenessSinceUs = nowUs;
+    this.publishedStateSinceUs = nowUs;
   }
 
   /** An observer's word that it does not hear it. */
-  record Doubt(PeerId observer, Sight sight, long sinceUs) {}
+  record UnreachableReport(PeerId observer, Reachability reachability, long sinceUs) {}
 
   /** How far an observer's words were read. */
-  record Row(long incarnation, long row) {}
+  record ReportVersion(long incarnation, long version) {}
 
   /** True if an observer's word is newer than what was read of him. */
-  boolean isNews(final PeerId observer, final long row) {
-    final Row known = rows.get(observer.name());
+  boolean isNewer(final PeerId observer, final long row) {
+    final ReportVersion known = reportVersions.get(observer.name());
     return known == null
         || observer.incarnation() > known.incarnation()
-        || (observer.incarnation() == known.incarnation() && row > known.row());
+        || (observer.incarnation() == known.incarnation() && row > known.version());
   }
 
   /** Another life of the name: nothing of what was known of the earlier one holds for it. */
-  void begin(final PeerId next, final String at, final long nowUs) {
+  void startIncarnation(final PeerId next, final String at, final long nowUs) {
     id = next;
     address = at;
-    life = Item.Life.ALIVE;
-    sinceUs = nowUs;
-    seq = 0;
-    beat = 0;
-    beats = 0;
-    beatUs = NEVER;
-    heardUs = NEVER;
-    heardSinceUs = NEVER;
-    rttUs = 0;
-    said = 0;
-    word = PeerWord.WELL;
-    doubts.clear();
-    rows.clear();
-    doubtedUs = NEVER;
-    pingSeq = 0;
-    ends = 0;
-    connectUs = NEVER;
-    endUs = NEVER;
+    liveness = GossipItem.Liveness.ALIVE;
+    livenessSinceUs = nowUs;
+    lastSequence = 0;
+    heartbeat = 0;
+    heartbeatAdvances = 0;
+    heartbeatUs = NEVER;
+    lastReceivedUs = NEVER;
+    receivingSinceUs = NEVER;
+    roundTripUs = 0;
+    statusVersion = 0;
+    status = PeerStatus.UNREPORTED;
+    unreachableReports.clear();
+    reportVersions.clear();
+    unreachableSinceUs = NEVER;
+    pingSequence = 0;
+    failedConnections = 0;
+    nextConnectUs = NEVER;
+    firstFailedConnectionUs = NEVER;
     connected = false;
-    watchedUs = nowUs;
-    decidedUs = NEVER;
-    fullUs = NEVER;
+    monitoredSinceUs = nowUs;
+    decisionsSentUs = NEVER;
+    fullStateSentUs = NEVER;
     nextProbeUs = nowUs;
-    shown = PeerState.JOINING;
-    shownUs = nowUs;
+    publishedState = PeerState.JOINING;
+    publishedStateSinceUs = nowUs;
   }
 
   boolean isAlive() {
-    return life == Item.Life.ALIVE;
+    return liveness == GossipItem.Liveness.ALIVE;
   }
 
   /** The local clock went on while this process did not: nobody was silent then. */
-  void shift(final long awayUs) {
-    if (heardUs != NEVER) {
-      heardUs += awayUs;
+  void shiftTimestamps(final long awayUs) {
+    if (lastReceivedUs != NEVER) {
+      lastReceivedUs += awayUs;
     }
-    if (heardSinceUs != NEVER) {
-      heardSinceUs += awayUs;
+    if (receivingSinceUs != NEVER) {
+      receivingSinceUs += awayUs;
     }
-    if (beatUs != NEVER) {
-      beatUs += awayUs;
+    if (heartbeatUs != NEVER) {
+      heartbeatUs += awayUs;
     }
-    if (doubtedUs != NEVER) {
-      doubtedUs += awayUs;
+    if (unreachableSinceUs != NEVER) {
+      unreachableSinceUs += awayUs;
     }
-    if (watchedUs != NEVER) {
-      watchedUs += awayUs;
+    if (monitoredSinceUs != NEVER) {
+      monitoredSinceUs += awayUs;
     }
-    doubts.replaceAll(
-        (name, doubt) -> new Doubt(doubt.observer(), doubt.sight(), doubt.sinceUs() + awayUs));
+    unreachableReports.replaceAll(
+        (name, doubt) ->
+            new UnreachableReport(
+                doubt.observer(), doubt.reachability(), doubt.sinceUs() + awayUs));
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
@@ -3,17 +3,17 @@
 /**
  * Something that operators want to know, one line each.
  *
- * @param kind what happened
- * @param who to whom; the empty text: to this courier or the view
- * @param text in words
+ * @param type what happened
+ * @param peerName to whom; the empty text: to this courier or the view
+ * @param message in words
  */
-public record PeerEvent(Kind kind, String who, String text) {
+public record PeerEvent(Type type, String peerName, String message) {
   /** What happened. */
-  public enum Kind {
-    STATE,
+  public enum Type {
+    PEER_STATE,
     VIEW,
-    STANDING,
-    AWAY,
-    CONFLICT
+    MEMBERSHIP_STATUS,
+    PROCESS_PAUSED,
+    NAME_CONFLICT
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerState.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerState.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.peers;
 
-/** What is known of a courier. The rules are those of {@link Peers}. */
+/** What is known of a courier. The rules are those of {@link MembershipProtocol}. */
 public enum PeerState {
   /** Known, and not yet in the agreed view. */
   JOINING,
--- a/decisions/src/main/java/thistleturn/decisions/peers/Sight.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Reachability.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.peers;
 
 /** What one courier says of its own hearing of another: the cells of the reach matrix. */
-public enum Sight {
+public enum Reachability {
   /** Heard lately. */
   HEARD,
   /** Nothing of it came for the time that the rules name. */
--- a/decisions/src/main/java/thistleturn/decisions/peers/View.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/View.java
@@ -19,7 +19,7 @@
  *     right to propose
  */
 public record View(
-    long generation, long founder, long number, List<Member> members, List<PeerId> committee) {
+    long generation, long founder, long number, List<ViewMember> members, List<PeerId> committee) {
   /** Lists that nobody changes any more. */
   public View {
     members = List.copyOf(members);
@@ -27,7 +27,7 @@
   }
 
   /** The first view of a line: its founder alone. */
-  public static View found(final long generation, final long founder, final Member first) {
+  public static View founded(final long generation, final long founder, final ViewMember first) {
     return new View(generation, founder, 1, List.of(first), List.of(first.id()));
   }
 
@@ -35,19 +35,20 @@
    * The view after a change: whoever stays in the committee keeps his place; free places go to
    * members by a lot that all draw alike.
    */
-  public View after(final Change change, final int mostCommittee) {
+  public View next(final ViewChange change, final int mostCommittee) {
     final Set<PeerId> removed = new HashSet<>(change.removed());
-    final TreeSet<Member> next = new TreeSet<>(members);
+    final TreeSet<ViewMember> next = new TreeSet<>(members);
     next.removeIf(member -> removed.contains(member.id()));
     next.addAll(change.added());
     final List<PeerId> chosen = new ArrayList<>(committee);
     chosen.removeAll(removed);
     if (chosen.size() < mostCommittee) {
       next.stream()
-          .map(Member::id)
+          .map(ViewMember::id)
           .filter(id -> !chosen.contains(id))
           .sorted(
-              Comparator.comparingLong((PeerId id) -> Rings.mix(Rings.hash(id.name()) ^ founder))
+              Comparator.comparingLong(
+                      (PeerId id) -> MonitoringRings.mix(MonitoringRings.hash(id.name()) ^ founder))
                   .thenComparing(Comparator.naturalOrder()))
           .limit(mostCommittee - chosen.size())
           .forEach(chosen::add);
@@ -56,12 +57,12 @@
   }
 
   /** Its mark. */
-  public ViewMark mark() {
-    return new ViewMark(generation, founder, number, members.size());
+  public ViewId viewId() {
+    return new ViewId(generation, founder, number, members.size());
   }
 
   /** True if that life is a member. */
-  public boolean has(final PeerId id) {
+  public boolean contains(final PeerId id) {
     int low = 0;
     int high = members.size() - 1;
     while (low <= high) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/Change.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewChange.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /** From one view to the next: who goes and who comes, each in order. */
-public record Change(List<PeerId> removed, List<Member> added) {
+public record ViewChange(List<PeerId> removed, List<ViewMember> added) {
   /** Lists that nobody changes any more. */
-  public Change {
+  public ViewChange {
     removed = List.copyOf(removed);
     added = List.copyOf(added);
   }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Member.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewMember.java
@@ -1,9 +1,9 @@
 package thistleturn.decisions.peers;
 
 /** A member of a view: which life of which courier, and where it listens ({@code address:port}). */
-public record Member(PeerId id, String address) implements Comparable<Member> {
+public record ViewMember(PeerId id, String address) implements Comparable<ViewMember> {
   @Override
-  public int compareTo(final Member other) {
+  public int compareTo(final ViewMember other) {
     return id.compareTo(other.id);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A writer's entries after a version, in their order: who knows all up to {@code from} knows all up
- * to {@code to} once these are taken over. Entries that another took the place of, or whose time is
- * up, are left out.
+ * A writer's entries after a version, in their order: who knows all up to {@code afterVersion}
+ * knows all up to {@code upToVersion} once these are taken over. Entries that another took the
+ * place of, or whose time is up, are left out.
  */
-public record Delta(Writer writer, long from, long to, List<Entry> entries) {
+public record Delta(WriterId writer, long afterVersion, long upToVersion, List<Entry> entries) {
   /** About how many bytes it takes on its way. */
-  public int bytes() {
+  public int estimatedBytes() {
     int bytes = 30 + writer.name().length();
     for (final Entry entry : entries) {
-      bytes += entry.bytes();
+      bytes += entry.estimatedBytes();
     }
     return bytes;
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Kind.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryType.java
@@ -4,7 +4,7 @@
  * What entries are about. Numbers stand for kinds on the wire; entries of kinds that are not known
  * are kept and passed on.
  */
-public enum Kind {
+public enum EntryType {
   /**
    * An endpoint is left out by hand, or may serve again: {@code out, operator, seen...}. Kept for
    * good.
@@ -22,11 +22,11 @@
   LIST(6, 300_000_000L);
 
   private final int code;
-  private final long mostUs;
+  private final long maxTtlUs;
 
-  Kind(final int code, final long mostUs) {
+  EntryType(final int code, final long mostUs) {
     this.code = code;
-    this.mostUs = mostUs;
+    this.maxTtlUs = mostUs;
   }
 
   /** The number that stands for it. */
@@ -35,13 +35,13 @@
   }
 
   /** The longest life of an entry, us; 0: it is kept until another takes its place. */
-  public long mostUs() {
-    return mostUs;
+  public long maxTtlUs() {
+    return maxTtlUs;
   }
 
   /** The kind of that number; null: one of a later version. */
-  public static Kind of(final int code) {
-    for (final Kind kind : values()) {
+  public static EntryType fromCode(final int code) {
+    for (final EntryType kind : values()) {
       if (kind.code == code) {
         return kind;
       }
--- /dev/null
+++ b/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
@@ -0,0 +1,395 @@
+package thistleturn.decisions.peers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+import thistleturn.decisions.health.LocalHealth;
+
+/**
+ * One courier's part, told by hand: old, doubled and strange datagrams, its own name, and what it
+ * says of itself.
+ */
+@Tag("peers")
+final class MembershipProtocolTest {
+  private static final long START_INCARNATION = 1_000_000_000_000L;
+  private static final long TICK_US = GossipSettings.defaults().tickIntervalUs();
+
+  private long nowUs = 50_000_000;
+  private final List<Packet> sent = new ArrayList<>();
+  private final List<String> sentTo = new ArrayList<>();
+  private final List<PeerEvent> events = new ArrayList<>();
+  private final MembershipProtocol peers =
+      new MembershipProtocol(
+          GossipSettings.defaults(),
+          new PeerId("b", START_INCARNATION),
+          "b:1",
+          List.of("b:1", "a:1"),
+          7,
+          nowUs,
+          new PeerActions() {
+            @Override
+            public void send(final String to, final Packet packet) {
+              sent.add(packet);
+              sentTo.add(to);
+            }
+
+            @Override
+            public void connect(final String to) {}
+
+            @Override
+            public void disconnect(final String to) {}
+
+            @Override
+            public void sendFullState(final String to, final FullStateMessage full) {}
+
+            @Override
+            public void onEvent(final PeerEvent event) {
+              events.add(event);
+            }
+          });
+
+  private void runFor(final long us) {
+    for (final long untilUs = nowUs + us; nowUs < untilUs; nowUs += TICK_US) {
+      peers.tick(nowUs);
+    }
+  }
+
+  private static Packet packetFrom(
+      final PeerId id, final String address, final long seq, final GossipItem... items) {
+    return new Packet(
+        id,
+        address,
+        seq,
+        seq,
+        ViewId.NONE,
+        0,
+        PeerStatus.UNREPORTED,
+        Packet.Type.GOSSIP,
+        0,
+        List.of(items));
+  }
+
+  private PeerSnapshot snapshotOf(final String name) {
+    return peers.snapshots(nowUs).stream()
+        .filter(known -> known.id().name().equals(name))
+        .findFirst()
+        .orElse(null);
+  }
+
+  /** Hears that life for so long. */
+  private void receiveFrom(
+      final PeerId id, final String address, final long us, final long firstSeq) {
+    long seq = firstSeq;
+    for (final long untilUs = nowUs + us; nowUs < untilUs; nowUs += TICK_US) {
+      peers.onPacket(packetFrom(id, address, seq++), nowUs);
+      peers.tick(nowUs);
+    }
+  }
+
+  @Test
+  void unansweredSeeds_areProbedAndThenViewIsFounded() {
+    runFor(1_000_000);
+    assertTrue(sentTo.stream().allMatch("a:1"::equals) && sent.size() >= 2);
+    assertNull(peers.view());
+    assertEquals(MembershipStatus.FORMING, peers.status());
+    runFor(2_000_000);
+    assertEquals(
+        List.of(new ViewMember(new PeerId("b", START_INCARNATION), "b:1")), peers.view().members());
+    assertEquals(MembershipStatus.MAJORITY, peers.status());
+  }
+
+  @Test
+  void peerHeardDirectly_joinsViewButPeerKnownByGossipDoesNot() {
+    peers.onPacket(
+        packetFrom(
+            new PeerId("d", START_INCARNATION),
+            "d:1",
+            1,
+            new GossipItem.MemberUpdate(
+                new PeerId("e", START_INCARNATION), "e:1", GossipItem.Liveness.ALIVE)),
+        nowUs);
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 6_000_000, 2);
+    assertTrue(peers.view().contains(new PeerId("d", START_INCARNATION)));
+    assertFalse(peers.view().contains(new PeerId("e", START_INCARNATION)));
+    assertEquals(PeerState.SUSPECT, snapshotOf("e").state());
+  }
+
+  /** An old or doubled datagram is no sign of life, and lets nobody in. */
+  @Test
+  void duplicatePackets_areNoSignOfLife() {
+    for (int times = 0; times < 50; times++) {
+      peers.onPacket(
+          packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 900), nowUs);
+      runFor(TICK_US);
+    }
+    assertFalse(peers.view().contains(new PeerId("d", START_INCARNATION - 86_400_000_000L)));
+    assertEquals(Reachability.SILENT, snapshotOf("d").localReachability());
+    assertEquals(49, peers.rejectedPackets());
+    // The life that is there now has nothing to do with it, and what the old one said is over.
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:2", 2_000_000, 1);
+    peers.onPacket(
+        packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 901), nowUs);
+    assertEquals("d:2", snapshotOf("d").address());
+    assertEquals(PeerState.ALIVE, snapshotOf("d").state());
+  }
+
+  @Test
+  void implausibleIncarnations_areIgnored() {
+    for (final long strange :
+        new long[] {
+          0, -1, Long.MIN_VALUE, Long.MAX_VALUE, START_INCARNATION + 2 * 86_400_000_000L
+        }) {
+      peers.onPacket(
+          packetFrom(
+              new PeerId("d", strange),
+              "d:1",
+              1,
+              new GossipItem.MemberUpdate(
+                  new PeerId("b", strange), "b:1", GossipItem.Liveness.DEAD)),
+          nowUs);
+      peers.onPacket(
+          packetFrom(
+              new PeerId("a", START_INCARNATION),
+              "a:1",
+              nowUs,
+              new GossipItem.MemberUpdate(
+                  new PeerId("b", strange), "b:1", GossipItem.Liveness.DEAD)),
+          nowUs);
+    }
+    assertNull(snapshotOf("d"));
+    assertEquals(new PeerId("b", START_INCARNATION), peers.self());
+  }
+
+  /**
+   * Its folder is gone and the clock went back an hour: the fleet remembers a later life of this
+   * name than this one.
+   */
+  @Test
+  void rememberedLaterIncarnation_isSuperseded() {
+    final PeerId past = new PeerId("b", START_INCARNATION + 3_600_000_000L);
+    peers.onPacket(
+        packetFrom(
+            new PeerId("a", START_INCARNATION),
+            "a:1",
+            1,
+            new GossipItem.MemberUpdate(past, "b:9", GossipItem.Liveness.ALIVE)),
+        nowUs);
+    assertEquals(past.incarnation() + 1, peers.self().incarnation());
+    assertEquals(MembershipStatus.FORMING, peers.status());
+  }
+
+  @Test
+  void declaredDead_startsNextIncarnation() {
+    runFor(3_000_000);
+    peers.onPacket(
+        packetFrom(
+            new PeerId("a", START_INCARNATION),
+            "a:1",
+            1,
+            new GossipItem.MemberUpdate(peers.self(), "b:1", GossipItem.Liveness.DEAD)),
+        nowUs);
+    assertEquals(new PeerId("b", START_INCARNATION + 1), peers.self());
+    assertEquals(
+        MembershipStatus.MAJORITY,
+        peers.status(),
+        "of its own fleet of one, until it is told of a better one");
+  }
+
+  /**
+   * Two processes of one name: the one that began first keeps out, looks now and then, and is back
+   * when the other is gone.
+   */
+  @Test
+  void laterRivalOfSameName_keepsNameUntilItEnds() {
+    runFor(3_000_000);
+    final PeerId rival = new PeerId("b", START_INCARNATION + 10_000_000);
+    peers.onPacket(packetFrom(rival, "x:1", 1), nowUs);
+    assertEquals(MembershipStatus.CONFLICT, peers.status());
+    assertTrue(
+        events.stream()
+            .anyMatch(
+                event ->
+                    event.type() == PeerEvent.Type.NAME_CONFLICT
+                        && event.message().contains("x:1")));
+    sent.clear();
+    runFor(12_000_000);
+    assertFalse(sent.isEmpty());
+    assertTrue(
+        sent.stream().allMatch(packet -> packet.sender() == null),
+        "it says nothing under the name");
+    peers.onPacket(
+        packetFrom(
+            new PeerId("a", START_INCARNATION),
+            "a:1",
+            5,
+            new GossipItem.MemberUpdate(rival, "x:1", GossipItem.Liveness.DEAD)),
+        nowUs);
+    assertEquals(rival.incarnation() + 1, peers.self().incarnation());
+    assertEquals(MembershipStatus.MAJORITY, peers.status());
+  }
+
+  @Test
+  void anonymousProbe_isAnsweredWithRequestedName() {
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
+    sent.clear();
+    peers.onPacket(
+        new Packet(
+            null,
+            "z:1",
+            1,
+            0,
+            ViewId.NONE,
+            0,
+            PeerStatus.UNREPORTED,
+            Packet.Type.PING,
+            0,
+            List.of(
+                new GossipItem.MemberUpdate(new PeerId("d", 1), "z:1", GossipItem.Liveness.ALIVE))),
+        nowUs);
+    assertEquals("z:1", sentTo.get(sentTo.size() - 1));
+    assertTrue(
+        sent.get(0)
+            .items()
+            .contains(
+                new GossipItem.MemberUpdate(
+                    new PeerId("d", START_INCARNATION), "d:1", GossipItem.Liveness.ALIVE)));
+    assertNull(snapshotOf("z"));
+  }
+
+  /** It answers, and delivers nothing: its own word says so, and travels. */
+  @Test
+  void stalledDelivery_isReportedAndForwarded() {
+    final PeerStatus stuck = new PeerStatus(LocalHealth.State.WELL, 0, 40, true);
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
+    peers.onPacket(
+        new Packet(
+            new PeerId("d", START_INCARNATION),
+            "d:1",
+            100,
+            100,
+            ViewId.NONE,
+            1,
+            stuck,
+            Packet.Type.GOSSIP,
+            0,
+            List.of()),
+        nowUs);
+    assertEquals(stuck, snapshotOf("d").status());
+    sent.clear();
+    runFor(300_000);
+    assertTrue(
+        sent.stream()
+            .anyMatch(
+                packet ->
+                    packet
+                        .items()
+                        .contains(
+                            new GossipItem.StatusUpdate(
+                                new PeerId("d", START_INCARNATION), 1, stuck))));
+    peers.updateOwnStatus(new PeerStatus(LocalHealth.State.STARVED, 5, 3, false), nowUs);
+    runFor(600_000);
+    assertEquals(LocalHealth.State.STARVED, sent.get(sent.size() - 1).status().health());
+  }
+
+  @Test
+  void processPause_reportsPauseAndAccusesNoPeer() {
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    nowUs += 7_000_000;
+    sent.clear();
+    runFor(1_500_000);
+    assertEquals(Reachability.HEARD, snapshotOf("d").localReachability());
+    assertTrue(events.stream().anyMatch(event -> event.type() == PeerEvent.Type.PROCESS_PAUSED));
+    assertTrue(
+        sent.stream()
+            .noneMatch(
+                packet ->
+                    packet.items().stream()
+                        .anyMatch(item -> item instanceof GossipItem.ReachabilityReport)));
+    peers.updateOwnStatus(PeerStatus.UNREPORTED, nowUs);
+    runFor(600_000);
+    assertTrue(sent.get(sent.size() - 1).status().pauseMs() > 6500);
+  }
+
+  @Test
+  void silentPeerInTwoMemberFleet_isNeverDeclaredDead() {
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    runFor(60_000_000);
+    assertEquals(PeerState.SUSPECT, snapshotOf("d").state());
+    assertEquals(MembershipStatus.ALONE, peers.status());
+    assertEquals(2, peers.view().members().size());
+  }
+
+  /**
+   * Another courier listens where one did: that one is over there, and is found where it says that
+   * it is now.
+   */
+  @Test
+  void addressTakenOverByAnotherPeer_endsPreviousOwner() {
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    peers.onConnectionGreeted("d:1", new PeerId("d", START_INCARNATION), nowUs);
+    peers.onConnectionClosed("d:1", nowUs);
+    for (int times = 0; times < 3; times++) {
+      runFor(1_500_000);
+      peers.onConnectionGreeted("d:1", new PeerId("e", START_INCARNATION), nowUs);
+    }
+    runFor(500_000);
+    assertEquals(Reachability.ENDED, snapshotOf("d").localReachability());
+    assertEquals(PeerState.SUSPECT, snapshotOf("d").state());
+    receiveFrom(new PeerId("d", START_INCARNATION + 1), "d:7", 2_500_000, 1);
+    assertEquals("d:7", snapshotOf("d").address());
+    assertEquals(Reachability.HEARD, snapshotOf("d").localReachability());
+    assertTrue(peers.view().contains(new PeerId("d", START_INCARNATION + 1)));
+  }
+
+  @Test
+  void afterLeave_sendsNothingMore() {
+    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    sent.clear();
+    peers.leave(nowUs);
+    assertEquals(2, sent.size());
+    assertTrue(
+        sent.get(0)
+            .items()
+            .contains(
+                new GossipItem.MemberUpdate(
+                    new PeerId("b", START_INCARNATION), "b:1", GossipItem.Liveness.LEFT)));
+    runFor(2_000_000);
+    assertEquals(2, sent.size());
+  }
+
+  /** Whatever the others say, what it keeps and sends is bounded. */
+  @Test
+  void floodOfMembers_isBoundedInMemoryAndBytes() {
+    long seq = 1;
+    for (int number = 0; number < 5000; number++) {
+      peers.onPacket(
+          packetFrom(
+              new PeerId("d", START_INCARNATION),
+              "d:1",
+              seq++,
+              new GossipItem.MemberUpdate(
+                  new PeerId("x" + number, START_INCARNATION), "d:1", GossipItem.Liveness.ALIVE)),
+          nowUs);
+    }
+    assertTrue(peers.snapshots(nowUs).size() <= MembershipTable.MAX_PEERS);
+    sent.clear();
+    runFor(10_000_000);
+    final int bytes =
+        sent.stream()
+            .mapToInt(packet -> packet.items().stream().mapToInt(GossipItem::maxBytes).sum())
+            .sum();
+    assertTrue(bytes < 200_000, () -> bytes + " bytes of items in 10 s");
+    assertTrue(
+        sent.stream()
+            .allMatch(
+                packet ->
+                    packet.items().stream().mapToInt(GossipItem::maxBytes).sum()
+                        <= Packet.MAX_ITEM_BYTES));
+  }
+}
--- /dev/null
+++ b/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
@@ -0,0 +1,265 @@
+package thistleturn.decisions.peers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.Tag;
+import org.junit.jupiter.api.Test;
+
+/**
+ * One number, one content: all orders of three members' messages, each lost, late or doubled as it
+ * may be, to a stated depth.
+ */
+@Tag("peers")
+final class PaxosInstanceTest {
+  private static final List<PeerId> IDS =
+      List.of(new PeerId("a", 1), new PeerId("b", 1), new PeerId("c", 1));
+  private static final View VIEW =
+      new View(1, 7, 1, IDS.stream().map(id -> new ViewMember(id, id.name())).toList(), IDS);
+  private static final List<ViewChange> PROPOSALS = List.of(change("x"), change("y"), change("z"));
+
+  /**
+   * So many states are enough for every depth that is said below; beyond it the search would have
+   * changed.
+   */
+  private static final int MAX_STATES = 600_000;
+
+  private static ViewChange change(final String name) {
+    return new ViewChange(List.of(), List.of(new ViewMember(new PeerId(name, 1), name)));
+  }
+
+  private record Envelope(int from, int to, GossipItem.PaxosMessage vote) {}
+
+  /** All that was ever said stays on the way: it may come now, later, again, or never. */
+  private record World(
+      List<PaxosInstance> members, Set<Envelope> inFlight, int raises, int restarts) {}
+
+  private static World applyStep(
+      final World world,
+      final int member,
+      final UnaryOperator<PaxosInstance> step,
+      final int raises,
+      final int restarts) {
+    final List<PaxosInstance> members = new ArrayList<>(world.members());
+    final PaxosInstance changed = step.apply(new PaxosInstance(members.get(member)));
+    members.set(member, changed);
+    final Set<Envelope> way = new HashSet<>(world.inFlight());
+    // What a member says to itself comes at once, as it does in the program; so it goes on until
+    // nothing is new.
+    boolean more = true;
+    while (more) {
+      more = false;
+      for (final PaxosInstance.AddressedMessage letter : changed.outstandingMessages()) {
+        final int to = IDS.indexOf(letter.to());
+        if (to != member) {
+          way.add(new Envelope(member, to, letter.message()));
+          continue;
+        }
+        final PaxosInstance before = new PaxosInstance(changed);
+        final GossipItem.PaxosMessage answer =
+            changed.onMessage(IDS.get(member), letter.message(), change -> true);
+        if (answer != null) {
+          changed.onMessage(IDS.get(member), answer, change -> true);
+        }
+        more |= !changed.equals(before);
+      }
+    }
+    return new World(members, way, raises, restarts);
+  }
+
+  private static World deliver(final World world, final Envelope envelope) {
+    final List<GossipItem.PaxosMessage> answers = new ArrayList<>();
+    final World next =
+        applyStep(
+            world,
+            envelope.to(),
+            member -> {
+              final GossipItem.PaxosMessage answer =
+                  member.onMessage(IDS.get(envelope.from()), envelope.vote(), change -> true);
+              if (answer != null) {
+                answers.add(answer);
+              }
+              return member;
+            },
+            world.raises(),
+            world.restarts());
+    answers.forEach(
+        answer -> next.inFlight().add(new Envelope(envelope.to(), envelope.from(), answer)));
+    return next;
+  }
+
+  /**
+   * What can happen next: proposals by two, ballots raised, one amnesia if that is planted, any
+   * message that is on its way.
+   */
+  private static List<World> successors(
+      final World world, final int mostRaises, final boolean forgets) {
+    final List<World> all = new ArrayList<>();
+    for (int member = 0; member < 2; member++) {
+      final int one = member;
+      if (!world.members().get(member).isProposing()
+          && world.members().get(member).decided() == null) {
+        all.add(
+            applyStep(
+                world,
+                member,
+                agreement -> {
+                  agreement.propose(PROPOSALS.get(one));
+                  return agreement;
+                },
+                world.raises(),
+                world.restarts()));
+      } else if (world.raises() < mostRaises && world.members().get(member).isProposing()) {
+        all.add(
+            applyStep(
+                world,
+                member,
+                agreement -> {
+                  agreement.startHigherBallot(PROPOSALS.get(one));
+                  return agreement;
+                },
+                world.raises() + 1,
+                world.restarts()));
+      }
+    }
+    if (forgets && world.restarts() == 0) {
+      for (int member = 0; member < IDS.size(); member++) {
+        final int one = member;
+        all.add(
+            applyStep(
+                world,
+                member,
+                agreement -> new PaxosInstance(VIEW, IDS.get(one)),
+                world.raises(),
+                1));
+      }
+    }
+    for (final Envelope envelope : world.inFlight()) {
+      all.add(deliver(world, envelope));
+    }
+    return all;
+  }
+
+  private record SearchResult(int states, int depth, int decisions, World violation) {}
+
+  private static SearchResult search(
+      final int mostRaises, final int mostDepth, final boolean forgets) {
+    Set<World> edge = new HashSet<>();
+    edge.add(
+        new World(IDS.stream().map(id -> new PaxosInstance(VIEW, id)).toList(), Set.of(), 0, 0));
+    final Set<World> seen = new HashSet<>(edge);
+    int decisions = 0;
+    int depth = 0;
+    while (depth < mostDepth && !edge.isEmpty() && seen.size() < MAX_STATES) {
+      depth++;
+      final Set<World> further = new HashSet<>();
+      for (final World world : edge) {
+        for (final World one : successors(world, mostRaises, forgets)) {
+          if (!seen.add(one)) {
+            continue;
+          }
+          further.add(one);
+          final Set<ViewChange> decided = new HashSet<>();
+          one.members()
+              .forEach(
+                  member -> {
+                    if (member.decided() != null) {
+                      decided.add(member.decided());
+                    }
+                  });
+          decisions += decided.size();
+          if (decided.size() > 1) {
+            return new SearchResult(seen.size(), depth, decisions, one);
+          }
+        }
+      }
+      edge = further;
+    }
+    return new SearchResult(seen.size(), depth, decisions, null);
+  }
+
+  @Test
+  void anyMessageOrder_decidesAtMostOneChangePerView() {
+    final SearchResult found = search(1, 10, false);
+    System.out.println(
+        "agreement: "
+            + found.states()
+            + " states to depth "
+            + found.depth()
+            + ", "
+            + found.decisions()
+            + " decided");
+    assertNull(found.violation());
+    assertTrue(found.decisions() > 0, "decisions are within reach of the search");
+  }
+
+  /**
+   * The search is sharp enough to see what the design rules out: a life that forgets what it
+   * promised.
+   */
+  @Test
+  void restartedAcceptorThatForgetsPromises_violatesAgreement() {
+    assertNotNull(search(0, 12, true).violation());
+  }
+
+  @Test
+  void laterBallot_adoptsPossiblyChosenChange() {
+    final List<PaxosInstance> members =
+        IDS.stream().map(id -> new PaxosInstance(VIEW, id)).toList();
+    members.get(0).propose(PROPOSALS.get(0));
+    final GossipItem.PaxosMessage first = members.get(0).outstandingMessages().get(0).message();
+    assertEquals(GossipItem.PaxosMessage.Type.ACCEPT, first.type());
+    members
+        .get(0)
+        .onMessage(
+            IDS.get(0),
+            members.get(0).onMessage(IDS.get(0), first, change -> true),
+            change -> true);
+    members.get(2).onMessage(IDS.get(0), first, change -> true);
+    // The first one's answer is lost; another one begins anew with a wish of its own, and meets the
+    // third.
+    members.get(1).startHigherBallot(PROPOSALS.get(1));
+    for (final PaxosInstance.AddressedMessage letter : members.get(1).outstandingMessages()) {
+      if (!letter.to().name().equals("a")) {
+        final PaxosInstance to = members.get(IDS.indexOf(letter.to()));
+        members
+            .get(1)
+            .onMessage(
+                letter.to(),
+                to.onMessage(IDS.get(1), letter.message(), change -> true),
+                change -> true);
+      }
+    }
+    final GossipItem.PaxosMessage second = members.get(1).outstandingMessages().get(0).message();
+    assertEquals(GossipItem.PaxosMessage.Type.ACCEPT_BOUND, second.type());
+    assertEquals(PROPOSALS.get(0), second.change());
+    // Nobody may turn that down for its content.
+    assertNotNull(members.get(2).onMessage(IDS.get(1), second, change -> false));
+  }
+
+  @Test
+  void nonCommitteeMember_neitherVotesNorIsAnswered() {
+    final PaxosInstance outside = new PaxosInstance(VIEW, new PeerId("a", 2));
+    assertTrue(!outside.isCommitteeMember());
+    final PaxosInstance member = new PaxosInstance(VIEW, IDS.get(1));
+    final GossipItem.PaxosMessage accept =
+        new GossipItem.PaxosMessage(
+            VIEW.viewId(), GossipItem.PaxosMessage.Type.ACCEPT, 0, -1, PROPOSALS.get(0));
+    assertNull(outside.onMessage(IDS.get(0), accept, change -> true));
+    assertNull(member.onMessage(new PeerId("a", 2), accept, change -> true));
+    assertNotNull(member.onMessage(IDS.get(0), accept, change -> true));
+    assertNull(
+        member.onMessage(
+            IDS.get(0),
+            new GossipItem.PaxosMessage(
+                new ViewId(1, 7, 2, 3), GossipItem.PaxosMessage.Type.PREPARE, 9, -1, null),
+            change -> true));
+  }
+}
--- a/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
@@ -8,12 +8,13 @@
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.ReplicaRules;
-import thistleturn.decisions.replicas.Replicas;
-import thistleturn.decisions.replicas.Verdict;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.MergedValue;
+import thistleturn.decisions.replicas.ReplicationActions;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.ReplicationProtocol;
+import thistleturn.decisions.replicas.ReplicationSettings;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * What the couriers of a virtual fleet tell each other of their partners: by copies over a network,
@@ -45,7 +46,9 @@
     }
     if (!sharing.perfect()) {
       copies.forEach(
-          copy -> fleet.agenda.in(random.nextLong(ReplicaRules.usual().tickUs()), copy::tick));
+          copy ->
+              fleet.agenda.in(
+                  random.nextLong(ReplicationSettings.defaults().tickIntervalUs()), copy::tick));
     }
   }
 
@@ -54,31 +57,31 @@
   }
 
   /** One courier's copy; it outlives the courier's processes, as its folder does. */
-  private final class Copy implements Replicas.Out {
+  private final class Copy implements ReplicationActions {
     private final int index;
-    private final Replicas replicas;
+    private final ReplicationProtocol replicas;
     private final List<String> others = new ArrayList<>();
 
     Copy(final int index) {
       this.index = index;
       this.replicas =
-          new Replicas(
-              ReplicaRules.usual(),
-              new Writer(name(index), 1),
+          new ReplicationProtocol(
+              ReplicationSettings.defaults(),
+              new WriterId(name(index), 1),
               random.nextLong(),
               fleet.agenda.nowUs(),
               this);
     }
 
     private void tick() {
-      fleet.agenda.in(ReplicaRules.usual().tickUs(), this::tick);
+      fleet.agenda.in(ReplicationSettings.defaults().tickIntervalUs(), this::tick);
       if (others.isEmpty()) {
         for (int other = 0; other < copies.size(); other++) {
           if (other != index) {
             others.add(String.valueOf(other));
           }
         }
-        replicas.others(others);
+        replicas.setReachablePeers(others);
       }
       if (fleet.isRunning(index)) {
         replicas.tick(fleet.agenda.nowUs());
@@ -86,14 +89,14 @@
     }
 
     @Override
-    public void send(final String to, final Message message) {
+    public void send(final String to, final ReplicationMessage message) {
       if (sharing.loss() == 0 || random.nextDouble() >= sharing.loss()) {
-        piece(to, message);
+        sendOverConnection(to, message);
       }
     }
 
     @Override
-    public void piece(final String to, final Message message) {
+    public void sendOverConnection(final String to, final ReplicationMessage message) {
       final long sentUs = fleet.agenda.nowUs();
       fleet.agenda.in(
           LEAST_DELAY_US + random.nextLong(MORE_DELAY_US),
@@ -112,61 +115,62 @@
     }
 
     @Override
-    public void changed(final Kind kind, final String subject) {
+    public void onSubjectChanged(final EntryType kind, final String subject) {
       if (!sharing.perfect()) {
-        tell(index, replicas.verdict(kind, subject), replicas.self());
+        tell(index, replicas.mergedValue(kind, subject), replicas.self());
       }
     }
 
     @Override
-    public void happened(final String text) {
+    public void onEvent(final String text) {
       throw new IllegalStateException(text);
     }
   }
 
   /** One clock for all here; what was on its way is thought to be as much younger. */
-  private static Message later(final Message message, final long byUs) {
-    if (message instanceof Message.News news) {
-      return new Message.News(news.deltas().stream().map(delta -> later(delta, byUs)).toList());
+  private static ReplicationMessage later(final ReplicationMessage message, final long byUs) {
+    if (message instanceof ReplicationMessage.EntryBroadcast news) {
+      return new ReplicationMessage.EntryBroadcast(
+          news.deltas().stream().map(delta -> later(delta, byUs)).toList());
     }
-    return message instanceof Message.Piece piece
-        ? new Message.Piece(
-            piece.part(),
-            piece.parts(),
+    return message instanceof ReplicationMessage.DeltaBatch piece
+        ? new ReplicationMessage.DeltaBatch(
+            piece.partition(),
+            piece.partitionCount(),
             piece.deltas().stream().map(delta -> later(delta, byUs)).toList(),
-            piece.more())
+            piece.hasMore())
         : message;
   }
 
   private static Delta later(final Delta delta, final long byUs) {
     return new Delta(
         delta.writer(),
-        delta.from(),
-        delta.to(),
+        delta.afterVersion(),
+        delta.upToVersion(),
         delta.entries().stream()
             .map(
                 entry ->
                     new Entry(
-                        entry.kind(),
+                        entry.typeCode(),
                         entry.subject(),
                         entry.writer(),
                         entry.version(),
-                        entry.lifeUs(),
-                        entry.madeUs() + byUs,
+                        entry.ttlUs(),
+                        entry.createdUs() + byUs,
                         entry.fields()))
             .toList());
   }
 
   /** Says to a courier's decisions what counts, unless it comes from itself. */
-  private void tell(final int courier, final Verdict verdict, final Writer self) {
-    if (!verdict.isSomething()
-        || verdict.by().contains(self)
-        || !sharing.kinds().contains(verdict.kind())) {
+  private void tell(final int courier, final MergedValue verdict, final WriterId self) {
+    if (!verdict.isPresent()
+        || verdict.writers().contains(self)
+        || !sharing.kinds().contains(verdict.type())) {
       return;
     }
-    final String by = BY + verdict.by().get(0).name();
+    final String by = BY + verdict.writers().get(0).name();
     final int destination = Integer.parseInt(verdict.subject());
-    switch (verdict.kind()) {
+    switch (verdict.type()) {
       case WAIT ->
           fleet.say(courier, destination, Directive.of(Directive.Kind.WAIT, by, verdict.untilUs()));
       case OUTAGE ->
@@ -190,21 +194,26 @@
 
   /** Writes something of one courier's; with one memory all read it at once. */
   private void write(
-      final int courier, final Kind kind, final int destination, final Consumer<Replicas> what) {
+      final int courier,
+      final EntryType kind,
+      final int destination,
+      final Consumer<ReplicationProtocol> what) {
     if (!sharing.kinds().contains(kind)) {
       return;
     }
-    final Replicas own = copies.get(courier).replicas;
+    final ReplicationProtocol own = copies.get(courier).replicas;
     what.accept(own);
     if (sharing.perfect()) {
-      final List<Delta> all = own.all();
-      final List<Verdict> verdicts = new ArrayList<>();
+      final List<Delta> all = own.allDeltas();
+      final List<MergedValue> verdicts = new ArrayList<>();
       for (final Copy other : copies) {
         if (other.index != courier) {
           other.replicas.onMessage(
-              String.valueOf(courier), new Message.Piece(0, 1, all, false), fleet.agenda.nowUs());
+              String.valueOf(courier),
+              new ReplicationMessage.DeltaBatch(0, 1, all, false),
+              fleet.agenda.nowUs());
         }
-        verdicts.add(other.replicas.verdict(kind, String.valueOf(destination)));
+        verdicts.add(other.replicas.mergedValue(kind, String.valueOf(destination)));
       }
       for (final Copy other : copies) {
         tell(other.index, verdicts.get(other.index), other.replicas.self());
@@ -215,37 +224,37 @@
   void waits(final int courier, final int destination, final long untilUs) {
     write(
         courier,
-        Kind.WAIT,
+        EntryType.WAIT,
         destination,
-        own -> own.waits(String.valueOf(destination), untilUs, fleet.agenda.nowUs()));
+        own -> own.recordWait(String.valueOf(destination), untilUs, fleet.agenda.nowUs()));
   }
 
   void turned(final int courier, final int destination, final boolean isOut) {
     write(
         courier,
-        Kind.OUTAGE,
+        EntryType.OUTAGE,
         destination,
-        own -> own.turned(String.valueOf(destination), isOut, fleet.agenda.nowUs()));
+        own -> own.recordOutage(String.valueOf(destination), isOut, fleet.agenda.nowUs()));
   }
 
   void learnt(final int courier, final int destination, final double perSecond) {
     write(
         courier,
-        Kind.LEARNT,
+        EntryType.LEARNT,
         destination,
-        own -> own.learnt(String.valueOf(destination), perSecond, fleet.agenda.nowUs()));
+        own -> own.recordLearnedRate(String.valueOf(destination), perSecond, fleet.agenda.nowUs()));
   }
 
   /** What counts is said again to a courier that began anew. */
   void begins(final int courier) {
-    final Replicas own = copies.get(courier).replicas;
-    final TreeMap<String, Kind> subjects = new TreeMap<>();
-    for (final Kind kind : sharing.kinds()) {
+    final ReplicationProtocol own = copies.get(courier).replicas;
+    final TreeMap<String, EntryType> subjects = new TreeMap<>();
+    for (final EntryType kind : sharing.kinds()) {
       own.subjects(kind).forEach(subject -> subjects.put(subject + ' ' + kind, kind));
     }
     subjects.forEach(
         (key, kind) ->
-            tell(courier, own.verdict(kind, key.split(" ")[0]), new Writer("nobody", 1)));
+            tell(courier, own.mergedValue(kind, key.split(" ")[0]), new WriterId("nobody", 1)));
   }
 
   /** Bytes that all copies sent. */
--- a/lab/src/main/java/thistleturn/lab/peers/PeersContestant.java
+++ b/lab/src/main/java/thistleturn/lab/peers/PeersContestant.java
@@ -4,13 +4,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Item;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.GossipItem;
+import thistleturn.decisions.peers.GossipSettings;
+import thistleturn.decisions.peers.MembershipProtocol;
 import thistleturn.decisions.peers.Packet;
+import thistleturn.decisions.peers.PeerActions;
 import thistleturn.decisions.peers.PeerEvent;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerRules;
-import thistleturn.decisions.peers.Peers;
 import thistleturn.decisions.peers.View;
 
 /** The program's own decisions. */
@@ -20,13 +21,13 @@
 
   private static final int MEMBER_BYTES = 40;
 
-  private final Peers peers;
+  private final MembershipProtocol peers;
   private View seen;
   private Set<String> members = Set.of();
 
   /** With connections that tell ends, or (false) with datagrams alone. */
   public static Maker maker(
-      final PeerRules rules, final boolean connections, final Consumer<PeerEvent> events) {
+      final GossipSettings rules, final boolean connections, final Consumer<PeerEvent> events) {
     return (number, life, names, seed, nowUs, wire) ->
         new PeersContestant(
             rules,
@@ -40,7 +41,7 @@
   }
 
   private PeersContestant(
-      final PeerRules rules,
+      final GossipSettings rules,
       final PeerId id,
       final List<String> names,
       final long seed,
@@ -49,18 +50,20 @@
       final boolean connections,
       final Consumer<PeerEvent> events) {
     this.peers =
-        new Peers(
+        new MembershipProtocol(
             rules,
             id,
             id.name(),
             names.subList(0, Math.min(3, names.size())),
             seed,
             nowUs,
-            new Peers.Out() {
+            new PeerActions() {
               @Override
               public void send(final String to, final Packet packet) {
                 wire.send(
-                    to, packet, HEAD_BYTES + packet.items().stream().mapToInt(Item::bytes).sum());
+                    to,
+                    packet,
+                    HEAD_BYTES + packet.items().stream().mapToInt(GossipItem::maxBytes).sum());
               }
 
               @Override
@@ -76,24 +79,24 @@
               }
 
               @Override
-              public void full(final String to, final Full full) {
+              public void sendFullState(final String to, final FullStateMessage full) {
                 wire.pass(
                     to,
                     full,
                     HEAD_BYTES
-                        + full.items().stream().mapToInt(Item::bytes).sum()
+                        + full.items().stream().mapToInt(GossipItem::maxBytes).sum()
                         + (full.view() == null ? 0 : MEMBER_BYTES * full.view().members().size()));
               }
 
               @Override
-              public void happened(final PeerEvent event) {
+              public void onEvent(final PeerEvent event) {
                 events.accept(event);
               }
             });
   }
 
   /** The decisions themselves. */
-  public Peers peers() {
+  public MembershipProtocol peers() {
     return peers;
   }
 
@@ -107,25 +110,25 @@
     if (message instanceof Packet packet) {
       peers.onPacket(packet, nowUs);
     } else {
-      peers.onFull((Full) message, nowUs);
+      peers.onFullState((FullStateMessage) message, nowUs);
     }
   }
 
   @Override
   public void greeted(final String to, final String life, final long nowUs) {
     final int mark = life.indexOf('#');
-    peers.onGreeted(
+    peers.onConnectionGreeted(
         to, new PeerId(life.substring(0, mark), Long.parseLong(life.substring(mark + 1))), nowUs);
   }
 
   @Override
   public void closed(final String to, final long nowUs) {
-    peers.onClosed(to, nowUs);
+    peers.onConnectionClosed(to, nowUs);
   }
 
   @Override
   public void unanswered(final String to, final long nowUs) {
-    peers.onUnanswered(to, nowUs);
+    peers.onConnectionUnanswered(to, nowUs);
   }
 
   @Override
--- a/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.ReplicaRules;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationSettings;
+import thistleturn.decisions.replicas.WriterId;
 import thistleturn.testkit.rig.Schedule;
 
 /**
@@ -35,7 +35,8 @@
   private long settledMs = -1;
 
   /** A word by hand, and what it took the place of, directly or by way of others. */
-  private record Said(String endpoint, Writer writer, long version, boolean out, Set<Said> before) {
+  private record Said(
+      String endpoint, WriterId writer, long version, boolean out, Set<Said> before) {
     @Override
     public boolean equals(final Object other) {
       return other instanceof Said one
@@ -52,7 +53,7 @@
 
   private ReplicasDay(final Schedule schedule) {
     this.schedule = schedule;
-    this.world = new VirtualReplicas(schedule, ReplicaRules.usual());
+    this.world = new VirtualReplicas(schedule, ReplicationSettings.defaults());
     this.random = new SplittableRandom(schedule.seed() * 7919);
   }
 
@@ -118,10 +119,11 @@
       case 0 ->
           courier
               .replicas()
-              .waits(
+              .recordWait(
                   destination, courier.nowUs() + random.nextLong(8 * SECOND_US), courier.nowUs());
-      case 1 -> courier.replicas().turned(destination, random.nextBoolean(), courier.nowUs());
-      case 2 -> courier.replicas().limited(destination, 1 + random.nextInt(50), courier.nowUs());
+      case 1 -> courier.replicas().recordOutage(destination, random.nextBoolean(), courier.nowUs());
+      case 2 ->
+          courier.replicas().recordRateLimit(destination, 1 + random.nextInt(50), courier.nowUs());
       default -> maintain(courier, "e" + random.nextInt(ENDPOINTS), random.nextInt(3) > 0);
     }
   }
@@ -129,7 +131,7 @@
   private void maintain(
       final VirtualReplicas.Courier courier, final String endpoint, final boolean out) {
     final Set<Said> before = new HashSet<>();
-    for (final Entry word : courier.replicas().words(Kind.MAINTENANCE, endpoint)) {
+    for (final Entry word : courier.replicas().entries(EntryType.MAINTENANCE, endpoint)) {
       said.stream()
           .filter(
               one ->
@@ -142,8 +144,8 @@
                 before.addAll(one.before);
               });
     }
-    courier.replicas().maintain(endpoint, out, "o", courier.nowUs());
-    courier.replicas().words(Kind.MAINTENANCE, endpoint).stream()
+    courier.replicas().setEndpointDisabled(endpoint, out, "o", courier.nowUs());
+    courier.replicas().entries(EntryType.MAINTENANCE, endpoint).stream()
         .filter(word -> word.writer().equals(courier.replicas().self()))
         .forEach(word -> said.add(new Said(endpoint, word.writer(), word.version(), out, before)));
   }
@@ -157,7 +159,7 @@
       for (int number = 0; number < ENDPOINTS; number++) {
         final String endpoint = "e" + number;
         final Set<Said> held = new HashSet<>();
-        for (final Entry word : courier.replicas().words(Kind.MAINTENANCE, endpoint)) {
+        for (final Entry word : courier.replicas().entries(EntryType.MAINTENANCE, endpoint)) {
           final Said found =
               said.stream()
                   .filter(
@@ -178,7 +180,8 @@
             broken.add(endpoint + ": came back: version " + one.version + " of " + one.writer);
           }
         }
-        final String state = courier.replicas().verdict(Kind.MAINTENANCE, endpoint).state();
+        final String state =
+            courier.replicas().mergedValue(EntryType.MAINTENANCE, endpoint).state();
         final String expected =
             held.isEmpty()
                 ? "nothing"
@@ -197,7 +200,7 @@
    */
   private void lost(
       final VirtualReplicas.Courier courier, final String endpoint, final Set<Said> held) {
-    final Set<Writer> alive = new TreeSet<>();
+    final Set<WriterId> alive = new TreeSet<>();
     world.running().forEach(one -> alive.add(one.replicas().self()));
     for (final Said one : said) {
       if (one.endpoint.equals(endpoint)
--- a/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
@@ -14,11 +14,12 @@
 import java.util.function.UnaryOperator;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.ReplicaRules;
-import thistleturn.decisions.replicas.Replicas;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationActions;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.ReplicationProtocol;
+import thistleturn.decisions.replicas.ReplicationSettings;
+import thistleturn.decisions.replicas.WriterId;
 import thistleturn.lab.virtual.EventQueue;
 import thistleturn.testkit.rig.Fault;
 import thistleturn.testkit.rig.Schedule;
@@ -47,7 +48,7 @@
   private final EventQueue agenda = new EventQueue(10 * SKEW_US);
   private final long beganUs = agenda.nowUs();
   private final Schedule schedule;
-  private final ReplicaRules rules;
+  private final ReplicationSettings rules;
   private final SplittableRandom random;
   private final Courier[] couriers;
   private final PutDown[] folders;
@@ -55,7 +56,7 @@
   private final long[] births;
   private final int[][] cuts;
   private final List<String> happened = new ArrayList<>();
-  private UnaryOperator<Message> says = message -> message;
+  private UnaryOperator<ReplicationMessage> says = message -> message;
   private boolean keepsBirth;
   private double loss;
   private double doubled;
@@ -69,7 +70,7 @@
   /** One courier. */
   public final class Courier {
     private final int number;
-    private final Replicas replicas;
+    private final ReplicationProtocol replicas;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private final Set<Integer> knows = new HashSet<>();
     private final Map<String, Long> firstOutUs = new HashMap<>();
@@ -81,16 +82,16 @@
       births[number] =
           keepsBirth && births[number] > 0 ? births[number] : Math.max(births[number] + 1, nowUs());
       this.replicas =
-          new Replicas(
+          new ReplicationProtocol(
               rules,
-              new Writer(name(number), births[number]),
+              new WriterId(name(number), births[number]),
               random.nextLong(),
               nowUs(),
               new Out(this));
       if (folders[number] != null) {
         replicas.restore(folders[number].deltas, folders[number].togetherUs, nowUs());
       }
-      agenda.in(random.nextLong(rules.tickUs()), this::tick);
+      agenda.in(random.nextLong(rules.tickIntervalUs()), this::tick);
       agenda.in(random.nextLong(PUT_DOWN_US), this::putDown);
       agenda.in(
           KNOWN_US,
@@ -110,7 +111,7 @@
     }
 
     /** What it holds. */
-    public Replicas replicas() {
+    public ReplicationProtocol replicas() {
       return replicas;
     }
 
@@ -129,9 +130,9 @@
       if (over) {
         return;
       }
-      agenda.in(rules.tickUs(), this::tick);
+      agenda.in(rules.tickIntervalUs(), this::tick);
       if (!stopped) {
-        replicas.others(knows.stream().sorted().map(String::valueOf).toList());
+        replicas.setReachablePeers(knows.stream().sorted().map(String::valueOf).toList());
         replicas.tick(nowUs());
       }
     }
@@ -140,7 +141,7 @@
       if (!over) {
         agenda.in(PUT_DOWN_US, this::putDown);
         if (!stopped) {
-          folders[number] = new PutDown(replicas.all(), nowUs(), replicas.togetherUs());
+          folders[number] = new PutDown(replicas.allDeltas(), nowUs(), replicas.lastSyncedUs());
         }
       }
     }
@@ -175,7 +176,7 @@
   }
 
   /** What a courier sends. */
-  private final class Out implements Replicas.Out {
+  private final class Out implements ReplicationActions {
     private final Courier from;
 
     private Out(final Courier from) {
@@ -183,7 +184,7 @@
     }
 
     @Override
-    public void send(final String to, final Message message) {
+    public void send(final String to, final ReplicationMessage message) {
       final int target = Integer.parseInt(to);
       count(message);
       if (cuts[from.number][target] > 0 || random.nextDouble() < loss) {
@@ -201,7 +202,7 @@
      * or is lost with it.
      */
     @Override
-    public void piece(final String to, final Message message) {
+    public void sendOverConnection(final String to, final ReplicationMessage message) {
       final int target = Integer.parseInt(to);
       count(message);
       long delayUs = delayUs();
@@ -214,12 +215,12 @@
       }
     }
 
-    private void count(final Message message) {
+    private void count(final ReplicationMessage message) {
       messages++;
-      bytes += message.bytes();
+      bytes += message.estimatedBytes();
     }
 
-    private void arrive(final int target, final Message message, final long sentUs) {
+    private void arrive(final int target, final ReplicationMessage message, final long sentUs) {
       final Courier there = couriers[target];
       if (there != null && cuts[from.number][target] == 0) {
         // Ages are what passes between clocks; what was on its way, or lay unread, is thought to be
@@ -234,22 +235,22 @@
     }
 
     @Override
-    public void changed(final Kind kind, final String subject) {
-      if (kind == Kind.MAINTENANCE
+    public void onSubjectChanged(final EntryType kind, final String subject) {
+      if (kind == EntryType.MAINTENANCE
           && from.replicas != null
-          && from.replicas.verdict(kind, subject).state().equals("left out")) {
+          && from.replicas.mergedValue(kind, subject).state().equals("left out")) {
         from.firstOutUs.putIfAbsent(subject, agenda.nowUs());
       }
     }
 
     @Override
-    public void happened(final String text) {
+    public void onEvent(final String text) {
       happened.add(name(from.number) + ": " + text);
     }
   }
 
   /** A schedule for couriers that begin with nothing. */
-  public VirtualReplicas(final Schedule schedule, final ReplicaRules rules) {
+  public VirtualReplicas(final Schedule schedule, final ReplicationSettings rules) {
     this.schedule = schedule;
     this.rules = rules;
     this.random = new SplittableRandom(schedule.seed());
@@ -268,7 +269,7 @@
   }
 
   /** Has that done to whatever is said: faults that are planted. */
-  public VirtualReplicas saying(final UnaryOperator<Message> how) {
+  public VirtualReplicas saying(final UnaryOperator<ReplicationMessage> how) {
     says = how;
     return this;
   }
@@ -290,13 +291,16 @@
   }
 
   /** The same entries on another's clock. */
-  private static Message moved(final Message message, final long byUs) {
-    if (message instanceof Message.News news) {
-      return new Message.News(movedAll(news.deltas(), byUs));
+  private static ReplicationMessage moved(final ReplicationMessage message, final long byUs) {
+    if (message instanceof ReplicationMessage.EntryBroadcast news) {
+      return new ReplicationMessage.EntryBroadcast(movedAll(news.deltas(), byUs));
     }
-    return message instanceof Message.Piece piece
-        ? new Message.Piece(
-            piece.part(), piece.parts(), movedAll(piece.deltas(), byUs), piece.more())
+    return message instanceof ReplicationMessage.DeltaBatch piece
+        ? new ReplicationMessage.DeltaBatch(
+            piece.partition(),
+            piece.partitionCount(),
+            movedAll(piece.deltas(), byUs),
+            piece.hasMore())
         : message;
   }
 
@@ -306,18 +310,18 @@
             delta ->
                 new Delta(
                     delta.writer(),
-                    delta.from(),
-                    delta.to(),
+                    delta.afterVersion(),
+                    delta.upToVersion(),
                     delta.entries().stream()
                         .map(
                             entry ->
                                 new Entry(
-                                    entry.kind(),
+                                    entry.typeCode(),
                                     entry.subject(),
                                     entry.writer(),
                                     entry.version(),
-                                    entry.lifeUs(),
-                                    entry.madeUs() + byUs,
+                                    entry.ttlUs(),
+                                    entry.createdUs() + byUs,
                                     entry.fields()))
                         .toList()))
         .toList();
@@ -420,13 +424,13 @@
 
   /** True if all that run hold the same. */
   public boolean isEqual() {
-    return running().stream().map(courier -> courier.replicas.sum()).distinct().count() <= 1;
+    return running().stream().map(courier -> courier.replicas.checksum()).distinct().count() <= 1;
   }
 
   /** How many hold which sum. */
   public Map<Long, Integer> sums() {
     final Map<Long, Integer> sums = new TreeMap<>();
-    running().forEach(courier -> sums.merge(courier.replicas.sum(), 1, Integer::sum));
+    running().forEach(courier -> sums.merge(courier.replicas.checksum(), 1, Integer::sum));
     return sums;
   }
 
--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.decisions.peers.Known;
+import thistleturn.decisions.peers.GossipSettings;
+import thistleturn.decisions.peers.MembershipStatus;
 import thistleturn.decisions.peers.PeerEvent;
-import thistleturn.decisions.peers.PeerRules;
+import thistleturn.decisions.peers.PeerSnapshot;
 import thistleturn.decisions.peers.PeerState;
-import thistleturn.decisions.peers.Standing;
 import thistleturn.testkit.rig.FleetJudge;
 import thistleturn.testkit.rig.Schedule;
 
@@ -45,17 +45,17 @@
               schedule,
               (number, life, names, seed, nowUs, wire) ->
                   PeersContestant.maker(
-                          PeerRules.usual(),
+                          GossipSettings.defaults(),
                           true,
                           event ->
                               said.add(
                                   names.get(number)
                                       + ": "
-                                      + event.kind()
+                                      + event.type()
                                       + ' '
-                                      + event.who()
+                                      + event.peerName()
                                       + ' '
-                                      + event.text()))
+                                      + event.message()))
                       .make(number, life, names, seed, nowUs, wire),
               PAUSE_LIMIT_MS);
       world.looking(
@@ -98,8 +98,8 @@
               .orElseThrow();
     }
 
-    Known known(final int by, final int of) {
-      return one(by).peers().known(BEGAN_US + world.nowMs() * 1000).stream()
+    PeerSnapshot known(final int by, final int of) {
+      return one(by).peers().snapshots(BEGAN_US + world.nowMs() * 1000).stream()
           .filter(one -> one.id().name().equals(String.format("n%03d", of)))
           .findFirst()
           .orElseThrow();
@@ -136,8 +136,10 @@
             assertEquals(PeerState.PARTLY, play.known(by, 0).state(), "of 0 by " + by);
             assertEquals(
                 List.of("n004"),
-                play.known(by, 0).doubts().stream().map(Known.Cell::observer).toList());
-            assertEquals(Standing.MAJORITY, play.one(by).peers().standing());
+                play.known(by, 0).unreachableReports().stream()
+                    .map(PeerSnapshot.UnreachableReport::observer)
+                    .toList());
+            assertEquals(MembershipStatus.MAJORITY, play.one(by).peers().status());
           }
           assertEquals(PeerState.ALIVE, play.known(0, 4).state(), "the other direction is open");
         });
@@ -156,7 +158,7 @@
         () -> {
           assertEquals(PeerState.PARTLY, play.known(0, 2).state());
           assertEquals(PeerState.PARTLY, play.known(1, 2).state());
-          assertEquals(Standing.MAJORITY, play.one(2).peers().standing());
+          assertEquals(MembershipStatus.MAJORITY, play.one(2).peers().status());
         });
     play.good();
     assertEquals(0, play.count("is suspect"));
@@ -255,8 +257,8 @@
         13_000,
         () -> {
           for (int one = 0; one < 10; one++) {
-            assertEquals(Standing.MINORITY, halves.one(one).peers().standing());
-            assertEquals(5, halves.one(one).peers().reached());
+            assertEquals(MembershipStatus.MINORITY, halves.one(one).peers().status());
+            assertEquals(5, halves.one(one).peers().reachableMembers());
           }
         });
     halves.good();
@@ -275,7 +277,7 @@
         13_000,
         () -> {
           for (int one = 0; one < 9; one++) {
-            assertEquals(Standing.MINORITY, pieces.one(one).peers().standing());
+            assertEquals(MembershipStatus.MINORITY, pieces.one(one).peers().status());
           }
         });
     pieces.good();
@@ -286,8 +288,8 @@
     lone.at(
         13_000,
         () -> {
-          assertEquals(Standing.ALONE, lone.one(4).peers().standing());
-          assertEquals(Standing.MAJORITY, lone.one(5).peers().standing());
+          assertEquals(MembershipStatus.ALONE, lone.one(4).peers().status());
+          assertEquals(MembershipStatus.MAJORITY, lone.one(5).peers().status());
         });
     lone.good();
     assertEquals(9, lone.count("n004 is dead by agreement"));
@@ -304,9 +306,9 @@
     play.at(
         15_500,
         () -> {
-          assertTrue(play.one(40).peers().standing() != Standing.MAJORITY);
-          assertTrue(play.one(41).peers().standing() != Standing.MAJORITY);
-          assertEquals(Standing.MAJORITY, play.one(7).peers().standing());
+          assertTrue(play.one(40).peers().status() != MembershipStatus.MAJORITY);
+          assertTrue(play.one(41).peers().status() != MembershipStatus.MAJORITY);
+          assertEquals(MembershipStatus.MAJORITY, play.one(7).peers().status());
         });
     play.good();
     assertEquals(0, play.count("is dead"));
@@ -427,10 +429,10 @@
       final Set<String> here = new HashSet<>();
       ((PeersContestant) one)
           .peers()
-          .known(BEGAN_US + 12_000_000)
+          .snapshots(BEGAN_US + 12_000_000)
           .forEach(
               known -> {
-                if (known.here() != null && here.add(known.id().name())) {
+                if (known.localReachability() != null && here.add(known.id().name())) {
                   watchedBy.merge(known.id().name(), 1, Integer::sum);
                 }
               });
@@ -444,19 +446,20 @@
     final List<PeerEvent> events = new ArrayList<>();
     new VirtualPeers(
             Schedule.parse("members 3\nseed 20\nend 15s\nat 6s kill 1"),
-            PeersContestant.maker(PeerRules.usual(), true, events::add),
+            PeersContestant.maker(GossipSettings.defaults(), true, events::add),
             PAUSE_LIMIT_MS)
         .play();
     assertTrue(
         events.stream()
             .anyMatch(
                 event ->
-                    event.kind() == PeerEvent.Kind.VIEW && event.text().endsWith("of 2: -n001")));
+                    event.type() == PeerEvent.Type.VIEW
+                        && event.message().endsWith("of 2: -n001")));
     assertTrue(
         events.stream()
             .anyMatch(
                 event ->
-                    event.who().equals("n001")
-                        && event.text().startsWith("is suspect: not heard by")));
+                    event.peerName().equals("n001")
+                        && event.message().startsWith("is suspect: not heard by")));
   }
 }
--- a/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistleturn.decisions.peers.Change;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Item;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.GossipItem;
+import thistleturn.decisions.peers.GossipSettings;
 import thistleturn.decisions.peers.Packet;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerRules;
-import thistleturn.decisions.peers.Sight;
+import thistleturn.decisions.peers.Reachability;
 import thistleturn.decisions.peers.View;
-import thistleturn.decisions.peers.ViewMark;
+import thistleturn.decisions.peers.ViewChange;
+import thistleturn.decisions.peers.ViewId;
 import thistleturn.testkit.rig.FleetJudge;
 import thistleturn.testkit.rig.Schedule;
 
@@ -82,7 +82,7 @@
       this.first = new PeerId(names.get(number), nowUs + life);
       this.ranUs = nowUs;
       this.inner =
-          PeersContestant.maker(PeerRules.usual(), true, event -> {})
+          PeersContestant.maker(GossipSettings.defaults(), true, event -> {})
               .make(
                   number,
                   life,
@@ -108,22 +108,23 @@
                     @Override
                     public void pass(final String to, final Object message, final int bytes) {
                       if (fault != Fault.DECISIONS_LOST || number != 5) {
-                        wire.pass(to, spoilt((Full) message), bytes);
+                        wire.pass(to, spoilt((FullStateMessage) message), bytes);
                       }
                     }
                   });
     }
 
     private Packet spoilt(final Packet packet) {
-      final List<Item> items = new ArrayList<>();
-      for (final Item item : packet.items()) {
-        if (fault == Fault.ROW_NOT_COUNTED && item instanceof Item.Report report) {
+      final List<GossipItem> items = new ArrayList<>();
+      for (final GossipItem item : packet.items()) {
+        if (fault == Fault.ROW_NOT_COUNTED
+            && item instanceof GossipItem.ReachabilityReport report) {
           items.add(
-              new Item.Report(
-                  report.observer(), report.subject(), 1, report.sight(), report.ageUs()));
+              new GossipItem.ReachabilityReport(
+                  report.observer(), report.subject(), 1, report.reachability(), report.ageUs()));
         } else if (!(fault == Fault.SUSPICION_NEVER_CLEARED
-            && item instanceof Item.Report report
-            && report.sight() == Sight.HEARD)) {
+            && item instanceof GossipItem.ReachabilityReport report
+            && report.reachability() == Reachability.HEARD)) {
           items.add(item);
         }
       }
@@ -134,9 +135,9 @@
               .forEach(
                   life ->
                       items.add(
-                          new Item.Beat(
+                          new GossipItem.Heartbeat(
                               new PeerId(name, Long.parseLong(life.substring(5))),
-                              packet.beat() + 1_000_000)));
+                              packet.heartbeat() + 1_000_000)));
         }
       }
       if (fault == Fault.ENDS_BY_FORGED_VOICES && here) {
@@ -150,13 +151,13 @@
                       .forEach(
                           other ->
                               items.add(
-                                  new Item.Report(
+                                  new GossipItem.ReachabilityReport(
                                       new PeerId(
                                           other.substring(0, 4),
                                           Long.parseLong(other.substring(5))),
                                       subject,
                                       1_000_000,
-                                      Sight.ENDED,
+                                      Reachability.ENDED,
                                       0)));
                 });
       }
@@ -164,20 +165,20 @@
       return new Packet(
           sender,
           packet.address(),
-          fault == Fault.DATAGRAMS_NOT_COUNTED ? 1 : packet.seq(),
-          packet.beat(),
-          fault == Fault.OTHERS_VIEWS_UNSEEN ? ViewMark.NONE : packet.view(),
-          packet.said(),
-          packet.word(),
-          packet.kind(),
-          packet.echo(),
+          fault == Fault.DATAGRAMS_NOT_COUNTED ? 1 : packet.sequence(),
+          packet.heartbeat(),
+          fault == Fault.OTHERS_VIEWS_UNSEEN ? ViewId.NONE : packet.viewId(),
+          packet.statusVersion(),
+          packet.status(),
+          packet.type(),
+          packet.echoedSequence(),
           items);
     }
 
-    private Full spoilt(final Full full) {
+    private FullStateMessage spoilt(final FullStateMessage full) {
       final View view = full.view();
       if (fault == Fault.VIEW_TOLD_SHORT && view != null && view.members().size() > 2) {
-        return new Full(
+        return new FullStateMessage(
             full.sender(),
             full.address(),
             new View(
@@ -189,7 +190,7 @@
             full.items());
       }
       return fault == Fault.SUSPICION_NEVER_CLEARED || fault == Fault.ROW_NOT_COUNTED
-          ? new Full(full.sender(), full.address(), view, List.of())
+          ? new FullStateMessage(full.sender(), full.address(), view, List.of())
           : full;
     }
 
@@ -213,19 +214,20 @@
             new Packet(
                 packet.sender(),
                 packet.address(),
-                packet.seq(),
-                packet.beat(),
-                packet.view(),
-                packet.said(),
-                packet.word(),
-                packet.kind(),
-                packet.echo(),
+                packet.sequence(),
+                packet.heartbeat(),
+                packet.viewId(),
+                packet.statusVersion(),
+                packet.status(),
+                packet.type(),
+                packet.echoedSequence(),
                 packet.items().stream()
                     .map(
                         item ->
-                            item instanceof Item.Decided decided
-                                ? new Item.Decided(
-                                    decided.of(), new Change(List.of(), decided.change().added()))
+                            item instanceof GossipItem.ViewDecision decided
+                                ? new GossipItem.ViewDecision(
+                                    decided.viewId(),
+                                    new ViewChange(List.of(), decided.change().added()))
                                 : item)
                     .toList()),
             nowUs);
@@ -234,18 +236,21 @@
             new Packet(
                 packet.sender(),
                 packet.address(),
-                packet.seq(),
-                packet.beat(),
-                packet.view(),
-                packet.said(),
-                packet.word(),
-                packet.kind(),
-                packet.echo(),
+                packet.sequence(),
+                packet.heartbeat(),
+                packet.viewId(),
+                packet.statusVersion(),
+                packet.status(),
+                packet.type(),
+                packet.echoedSequence(),
                 packet.items().stream()
-                    .filter(item -> !(item instanceof Item.Decided) && !(item instanceof Item.Vote))
+                    .filter(
+                        item ->
+                            !(item instanceof GossipItem.ViewDecision)
+                                && !(item instanceof GossipItem.PaxosMessage))
                     .toList()),
             nowUs);
-      } else if (!(message instanceof Full)
+      } else if (!(message instanceof FullStateMessage)
           || fault != Fault.DECISIONS_LOST
           || !here
           || inner.line().isEmpty()) {
@@ -310,10 +315,10 @@
             for (final Contestant one : at.living()) {
               ((PeersContestant) ((Planted) one).inner)
                   .peers()
-                  .known(1_000_000_000L + at.nowMs() * MS)
+                  .snapshots(1_000_000_000L + at.nowMs() * MS)
                   .forEach(
                       known -> {
-                        if (calm && !known.doubts().isEmpty()) {
+                        if (calm && !known.unreachableReports().isEmpty()) {
                           broken.add(
                               "in doubt with no trouble: "
                                   + known.id().name()
@@ -322,7 +327,7 @@
                         }
                         if (waking
                             && !known.id().name().equals("n002")
-                            && known.doubts().stream()
+                            && known.unreachableReports().stream()
                                 .anyMatch(cell -> cell.observer().equals("n002"))) {
                           broken.add("accused on waking: " + known.id().name());
                         }
--- a/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * Faults that are planted in what copies say and keep: the judge of random days finds each of them.
@@ -47,35 +47,42 @@
     WRITER_MIXED_UP
   }
 
-  private static Message changed(final Message message, final UnaryOperator<Delta> how) {
-    if (message instanceof Message.News news) {
-      return new Message.News(news.deltas().stream().map(how).toList());
+  private static ReplicationMessage changed(
+      final ReplicationMessage message, final UnaryOperator<Delta> how) {
+    if (message instanceof ReplicationMessage.EntryBroadcast news) {
+      return new ReplicationMessage.EntryBroadcast(news.deltas().stream().map(how).toList());
     }
-    return message instanceof Message.Piece piece
-        ? new Message.Piece(
-            piece.part(), piece.parts(), piece.deltas().stream().map(how).toList(), piece.more())
+    return message instanceof ReplicationMessage.DeltaBatch piece
+        ? new ReplicationMessage.DeltaBatch(
+            piece.partition(),
+            piece.partitionCount(),
+            piece.deltas().stream().map(how).toList(),
+            piece.hasMore())
         : message;
   }
 
   private static Delta entries(final Delta delta, final UnaryOperator<Entry> how) {
     return new Delta(
-        delta.writer(), delta.from(), delta.to(), delta.entries().stream().map(how).toList());
+        delta.writer(),
+        delta.afterVersion(),
+        delta.upToVersion(),
+        delta.entries().stream().map(how).toList());
   }
 
   private static Entry fields(final Entry entry, final UnaryOperator<List<Object>> how) {
-    return entry.kind() != Kind.MAINTENANCE.code()
+    return entry.typeCode() != EntryType.MAINTENANCE.code()
         ? entry
         : new Entry(
-            entry.kind(),
+            entry.typeCode(),
             entry.subject(),
             entry.writer(),
             entry.version(),
-            entry.lifeUs(),
-            entry.madeUs(),
+            entry.ttlUs(),
+            entry.createdUs(),
             how.apply(entry.fields()));
   }
 
-  private static Message plant(final Planted planted, final Message message) {
+  private static ReplicationMessage plant(final Planted planted, final ReplicationMessage message) {
     return switch (planted) {
       case NOTHING_SEEN ->
           changed(
@@ -99,26 +106,32 @@
                                 return List.copyOf(more);
                               })));
       case GAP_CLAIMED ->
-          changed(message, delta -> new Delta(delta.writer(), 0, delta.to(), delta.entries()));
+          changed(
+              message, delta -> new Delta(delta.writer(), 0, delta.upToVersion(), delta.entries()));
       case LAST_ENTRY_LOST ->
-          message instanceof Message.Piece
+          message instanceof ReplicationMessage.DeltaBatch
               ? changed(
                   message,
                   delta ->
                       new Delta(
                           delta.writer(),
-                          delta.from(),
-                          delta.to(),
+                          delta.afterVersion(),
+                          delta.upToVersion(),
                           delta.entries().isEmpty()
                               ? delta.entries()
                               : delta.entries().subList(0, delta.entries().size() - 1)))
               : message;
       case NEVER_COMPARED ->
-          message instanceof Message.Mark ? new Message.News(List.of()) : message;
-      case NEVER_SERVED -> message instanceof Message.Piece ? new Message.News(List.of()) : message;
+          message instanceof ReplicationMessage.Checksum
+              ? new ReplicationMessage.EntryBroadcast(List.of())
+              : message;
+      case NEVER_SERVED ->
+          message instanceof ReplicationMessage.DeltaBatch
+              ? new ReplicationMessage.EntryBroadcast(List.of())
+              : message;
       case BIRTH_KEPT -> message;
       case VERSION_SHIFTED ->
-          message instanceof Message.News
+          message instanceof ReplicationMessage.EntryBroadcast
               ? changed(
                   message,
                   delta ->
@@ -126,16 +139,16 @@
                           delta,
                           entry ->
                               new Entry(
-                                  entry.kind(),
+                                  entry.typeCode(),
                                   entry.subject(),
                                   entry.writer(),
                                   entry.version() + 1,
-                                  entry.lifeUs(),
-                                  entry.madeUs(),
+                                  entry.ttlUs(),
+                                  entry.createdUs(),
                                   entry.fields())))
               : message;
       case FLAG_TURNED ->
-          message instanceof Message.News
+          message instanceof ReplicationMessage.EntryBroadcast
               ? changed(
                   message,
                   delta ->
@@ -151,25 +164,25 @@
                                   })))
               : message;
       case WRITER_MIXED_UP ->
-          message instanceof Message.News
+          message instanceof ReplicationMessage.EntryBroadcast
               ? changed(
                   message,
                   delta -> {
-                    final Writer other = new Writer(delta.writer().name(), 1);
+                    final WriterId other = new WriterId(delta.writer().name(), 1);
                     return new Delta(
                         other,
-                        delta.from(),
-                        delta.to(),
+                        delta.afterVersion(),
+                        delta.upToVersion(),
                         delta.entries().stream()
                             .map(
                                 entry ->
                                     new Entry(
-                                        entry.kind(),
+                                        entry.typeCode(),
                                         entry.subject(),
                                         other,
                                         entry.version(),
-                                        entry.lifeUs(),
-                                        entry.madeUs(),
+                                        entry.ttlUs(),
+                                        entry.createdUs(),
                                         entry.fields()))
                             .toList());
                   })
--- a/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.ReplicaRules;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationSettings;
 import thistleturn.testkit.rig.Schedule;
 
 /** The hard cases of holding one state, each as a schedule of faults in virtual time. */
@@ -20,18 +20,18 @@
   private static final long SETTLE_MS = 10_000;
 
   private static VirtualReplicas world(final String schedule) {
-    return new VirtualReplicas(Schedule.parse(schedule), ReplicaRules.usual());
+    return new VirtualReplicas(Schedule.parse(schedule), ReplicationSettings.defaults());
   }
 
   private static void maintain(
       final VirtualReplicas world, final int number, final String endpoint, final boolean out) {
     final VirtualReplicas.Courier courier = world.courier(number);
-    courier.replicas().maintain(endpoint, out, "o" + number, courier.nowUs());
+    courier.replicas().setEndpointDisabled(endpoint, out, "o" + number, courier.nowUs());
   }
 
   private static String state(
       final VirtualReplicas world, final int number, final String endpoint) {
-    return world.courier(number).replicas().verdict(Kind.MAINTENANCE, endpoint).state();
+    return world.courier(number).replicas().mergedValue(EntryType.MAINTENANCE, endpoint).state();
   }
 
   private static void settles(final VirtualReplicas world) {
@@ -95,7 +95,8 @@
           assertTrue(
               world.running().stream()
                   .allMatch(
-                      courier -> courier.replicas().verdict(Kind.MAINTENANCE, "e").conflict()));
+                      courier ->
+                          courier.replicas().mergedValue(EntryType.MAINTENANCE, "e").conflict()));
           maintain(world, 7, "e", false);
         });
     world.play();
@@ -159,7 +160,7 @@
         () -> {
           maintain(world, 0, "e", true);
           final VirtualReplicas.Courier courier = world.courier(0);
-          courier.replicas().waits("7", courier.nowUs() + 5 * SECOND, courier.nowUs());
+          courier.replicas().recordWait("7", courier.nowUs() + 5 * SECOND, courier.nowUs());
         });
     world.at(30_000, () -> maintain(world, 1, "e", false));
     world.at(
@@ -169,7 +170,7 @@
         });
     world.play();
     settles(world);
-    assertEquals("nothing", world.courier(2).replicas().verdict(Kind.WAIT, "7").state());
+    assertEquals("nothing", world.courier(2).replicas().mergedValue(EntryType.WAIT, "7").state());
   }
 
   @Test
@@ -219,7 +220,7 @@
         () -> {
           for (int number = 0; number < 100_000; number++) {
             final VirtualReplicas.Courier courier = world.courier(number % 4);
-            courier.replicas().listed("s" + number, number, courier.nowUs());
+            courier.replicas().recordListVersion("s" + number, number, courier.nowUs());
           }
         });
     world.at(9000, () -> world.wipe(4));
@@ -229,7 +230,7 @@
       world.at(
           ms,
           () -> {
-            if (equalMs[0] < 0 && world.courier(4).replicas().size() >= 100_000) {
+            if (equalMs[0] < 0 && world.courier(4).replicas().entryCount() >= 100_000) {
               equalMs[0] = at - 10_000;
             }
           });
--- a/peers/src/main/java/thistleturn/peers/Codec.java
+++ b/peers/src/main/java/thistleturn/peers/Codec.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import thistleturn.decisions.health.LocalHealth;
-import thistleturn.decisions.peers.Change;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Item;
-import thistleturn.decisions.peers.Member;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.GossipItem;
 import thistleturn.decisions.peers.Packet;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerWord;
-import thistleturn.decisions.peers.Sight;
+import thistleturn.decisions.peers.PeerStatus;
+import thistleturn.decisions.peers.Reachability;
 import thistleturn.decisions.peers.View;
-import thistleturn.decisions.peers.ViewMark;
+import thistleturn.decisions.peers.ViewChange;
+import thistleturn.decisions.peers.ViewId;
+import thistleturn.decisions.peers.ViewMember;
 
 /**
  * Datagrams and frames as CBOR (RFC 8949): arrays by place, each under a version. A reader takes
@@ -81,20 +81,20 @@
           out.writeNumber(VERSION);
           id(out, packet.sender());
           out.writeString(packet.address());
-          out.writeNumber(packet.seq());
-          out.writeNumber(packet.beat());
-          mark(out, packet.view());
-          out.writeNumber(packet.said());
-          word(out, packet.word());
-          out.writeNumber(packet.kind().ordinal());
-          out.writeNumber(packet.echo());
+          out.writeNumber(packet.sequence());
+          out.writeNumber(packet.heartbeat());
+          mark(out, packet.viewId());
+          out.writeNumber(packet.statusVersion());
+          word(out, packet.status());
+          out.writeNumber(packet.type().ordinal());
+          out.writeNumber(packet.echoedSequence());
           items(out, packet.items());
           out.writeEndArray();
         });
   }
 
   /** A frame's text: all that one knows. */
-  byte[] write(final Full full) {
+  byte[] write(final FullStateMessage full) {
     return bytes(
         out -> {
           out.writeStartArray();
@@ -171,7 +171,7 @@
     out.writeEndArray();
   }
 
-  private static void mark(final CBORGenerator out, final ViewMark mark) throws IOException {
+  private static void mark(final CBORGenerator out, final ViewId mark) throws IOException {
     out.writeStartArray();
     out.writeNumber(mark.generation());
     out.writeNumber(mark.founder());
@@ -180,23 +180,23 @@
     out.writeEndArray();
   }
 
-  private static void word(final CBORGenerator out, final PeerWord word) throws IOException {
+  private static void word(final CBORGenerator out, final PeerStatus word) throws IOException {
     out.writeStartArray();
     out.writeNumber(word.health().ordinal());
-    out.writeNumber(word.awayMs());
-    out.writeNumber(word.holds());
-    out.writeBoolean(word.stuck());
+    out.writeNumber(word.pauseMs());
+    out.writeNumber(word.pendingMessages());
+    out.writeBoolean(word.deliveryStalled());
     out.writeEndArray();
   }
 
-  private static void member(final CBORGenerator out, final Member member) throws IOException {
+  private static void member(final CBORGenerator out, final ViewMember member) throws IOException {
     out.writeStartArray();
     id(out, member.id());
     out.writeString(member.address());
     out.writeEndArray();
   }
 
-  private static void change(final CBORGenerator out, final Change change) throws IOException {
+  private static void change(final CBORGenerator out, final ViewChange change) throws IOException {
     if (change == null) {
       out.writeNull();
       return;
@@ -208,7 +208,7 @@
     }
     out.writeEndArray();
     out.writeStartArray();
-    for (final Member member : change.added()) {
+    for (final ViewMember member : change.added()) {
       member(out, member);
     }
     out.writeEndArray();
@@ -221,7 +221,7 @@
     out.writeNumber(view.founder());
     out.writeNumber(view.number());
     out.writeStartArray();
-    for (final Member member : view.members()) {
+    for (final ViewMember member : view.members()) {
       member(out, member);
     }
     out.writeEndArray();
@@ -233,9 +233,10 @@
     out.writeEndArray();
   }
 
-  private static void items(final CBORGenerator out, final List<Item> items) throws IOException {
+  private static void items(final CBORGenerator out, final List<GossipItem> items)
+      throws IOException {
     out.writeStartArray();
-    for (final Item item : items) {
+    for (final GossipItem item : items) {
       out.writeStartArray();
       item(out, item);
       out.writeEndArray();
@@ -243,40 +244,40 @@
     out.writeEndArray();
   }
 
-  private static void item(final CBORGenerator out, final Item item) throws IOException {
-    if (item instanceof Item.Fact fact) {
+  private static void item(final CBORGenerator out, final GossipItem item) throws IOException {
+    if (item instanceof GossipItem.MemberUpdate fact) {
       out.writeNumber(Tag.FACT.ordinal());
       id(out, fact.id());
       out.writeString(fact.address());
-      out.writeNumber(fact.life().ordinal());
-    } else if (item instanceof Item.Report report) {
+      out.writeNumber(fact.liveness().ordinal());
+    } else if (item instanceof GossipItem.ReachabilityReport report) {
       out.writeNumber(Tag.REPORT.ordinal());
       id(out, report.observer());
       id(out, report.subject());
-      out.writeNumber(report.row());
-      out.writeNumber(report.sight().ordinal());
+      out.writeNumber(report.version());
+      out.writeNumber(report.reachability().ordinal());
       out.writeNumber(report.ageUs());
-    } else if (item instanceof Item.Beat beat) {
+    } else if (item instanceof GossipItem.Heartbeat beat) {
       out.writeNumber(Tag.BEAT.ordinal());
       id(out, beat.id());
-      out.writeNumber(beat.beat());
-    } else if (item instanceof Item.Said said) {
+      out.writeNumber(beat.count());
+    } else if (item instanceof GossipItem.StatusUpdate said) {
       out.writeNumber(Tag.SAID.ordinal());
       id(out, said.id());
-      out.writeNumber(said.count());
-      word(out, said.word());
-    } else if (item instanceof Item.Ask) {
+      out.writeNumber(said.version());
+      word(out, said.status());
+    } else if (item instanceof GossipItem.FullStateRequest) {
       out.writeNumber(Tag.ASK.ordinal());
-    } else if (item instanceof Item.Decided decided) {
+    } else if (item instanceof GossipItem.ViewDecision decided) {
       out.writeNumber(Tag.DECIDED.ordinal());
-      mark(out, decided.of());
+      mark(out, decided.viewId());
       change(out, decided.change());
-    } else if (item instanceof Item.Vote vote) {
+    } else if (item instanceof GossipItem.PaxosMessage vote) {
       out.writeNumber(Tag.VOTE.ordinal());
-      mark(out, vote.of());
-      out.writeNumber(vote.kind().ordinal());
+      mark(out, vote.viewId());
+      out.writeNumber(vote.type().ordinal());
       out.writeNumber(vote.ballot());
-      out.writeNumber(vote.accepted());
+      out.writeNumber(vote.acceptedBallot());
       change(out, vote.change());
     }
   }
@@ -306,7 +307,7 @@
               in.mark(),
               in.number(),
               in.word(),
-              in.one(Packet.Kind.values()),
+              in.one(Packet.Type.values()),
               in.number(),
               in.items());
       in.end();
@@ -315,11 +316,12 @@
   }
 
   /** A frame with all that one knows. */
-  Full full(final byte[] text) throws IOException {
+  FullStateMessage full(final byte[] text) throws IOException {
     try (Reading in = new Reading(factory.createParser(text))) {
       in.begin();
       in.version();
-      final Full full = new Full(in.id(), in.address(), in.viewOrNull(), in.items());
+      final FullStateMessage full =
+          new FullStateMessage(in.id(), in.address(), in.viewOrNull(), in.items());
       in.end();
       return full;
     }
@@ -427,7 +429,7 @@
       if (token != JsonToken.START_ARRAY) {
         throw new MalformedException("expected a life, not " + token);
       }
-      final PeerId id = new PeerId(text(PeerId.MOST_NAME), number());
+      final PeerId id = new PeerId(text(PeerId.MAX_NAME_LENGTH), number());
       if (id.name().isEmpty() || id.incarnation() <= 0) {
         throw new MalformedException("no life: " + id);
       }
@@ -435,18 +437,18 @@
       return id;
     }
 
-    ViewMark mark() throws IOException {
+    ViewId mark() throws IOException {
       begin();
-      final ViewMark mark =
-          new ViewMark(number(), number(), number(), (int) Math.min(Integer.MAX_VALUE, number()));
+      final ViewId mark =
+          new ViewId(number(), number(), number(), (int) Math.min(Integer.MAX_VALUE, number()));
       end();
       return mark;
     }
 
-    PeerWord word() throws IOException {
+    PeerStatus word() throws IOException {
       begin();
-      final PeerWord word =
-          new PeerWord(
+      final PeerStatus word =
+          new PeerStatus(
               one(LocalHealth.State.values()),
               (int) Math.min(Integer.MAX_VALUE, number()),
               (int) Math.min(Integer.MAX_VALUE, number()),
@@ -470,11 +472,11 @@
       return in.getBinaryValue();
     }
 
-    private Member memberAfter(final JsonToken token) throws IOException {
+    private ViewMember memberAfter(final JsonToken token) throws IOException {
       if (token != JsonToken.START_ARRAY) {
         throw new MalformedException("expected a member, not " + token);
       }
-      final Member member = new Member(id(), address());
+      final ViewMember member = new ViewMember(id(), address());
       end();
       return member;
     }
@@ -489,8 +491,8 @@
       return ids;
     }
 
-    private List<Member> members() throws IOException {
-      final List<Member> members = new ArrayList<>();
+    private List<ViewMember> members() throws IOException {
+      final List<ViewMember> members = new ArrayList<>();
       begin();
       while (more()) {
         members.add(memberAfter(in.currentToken()));
@@ -505,14 +507,14 @@
       }
     }
 
-    private Change changeOrNull() throws IOException {
+    private ViewChange changeOrNull() throws IOException {
       if (next() == JsonToken.VALUE_NULL) {
         return null;
       }
       if (in.currentToken() != JsonToken.START_ARRAY) {
         throw new MalformedException("expected a change");
       }
-      final Change change = new Change(ids(), members());
+      final ViewChange change = new ViewChange(ids(), members());
       end();
       return change;
     }
@@ -530,13 +532,13 @@
           || view.number() < 1
           || view.members().isEmpty()
           || view.committee().isEmpty()) {
-        throw new MalformedException("no view: " + view.mark());
+        throw new MalformedException("no view: " + view.viewId());
       }
       return view;
     }
 
-    List<Item> items() throws IOException {
-      final List<Item> items = new ArrayList<>();
+    List<GossipItem> items() throws IOException {
+      final List<GossipItem> items = new ArrayList<>();
       begin();
       while (more()) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
@@ -552,22 +554,30 @@
       return items;
     }
 
-    private Item item(final Tag tag) throws IOException {
+    private GossipItem item(final Tag tag) throws IOException {
       return switch (tag) {
-        case FACT -> new Item.Fact(id(), address(), one(Item.Life.values()));
-        case REPORT -> new Item.Report(id(), id(), number(), one(Sight.values()), number());
-        case BEAT -> new Item.Beat(id(), number());
-        case SAID -> new Item.Said(id(), number(), word());
-        case ASK -> new Item.Ask();
-        case DECIDED -> new Item.Decided(mark(), changeOrEmpty());
+        case FACT ->
+            new GossipItem.MemberUpdate(id(), address(), one(GossipItem.Liveness.values()));
+        case REPORT ->
+            new GossipItem.ReachabilityReport(
+                id(), id(), number(), one(Reachability.values()), number());
+        case BEAT -> new GossipItem.Heartbeat(id(), number());
+        case SAID -> new GossipItem.StatusUpdate(id(), number(), word());
+        case ASK -> new GossipItem.FullStateRequest();
+        case DECIDED -> new GossipItem.ViewDecision(mark(), changeOrEmpty());
         case VOTE ->
-            new Item.Vote(mark(), one(Item.Vote.Kind.values()), number(), number(), changeOrNull());
+            new GossipItem.PaxosMessage(
+                mark(),
+                one(GossipItem.PaxosMessage.Type.values()),
+                number(),
+                number(),
+                changeOrNull());
       };
     }
 
-    private Change changeOrEmpty() throws IOException {
-      final Change change = changeOrNull();
-      return change == null ? new Change(List.of(), List.of()) : change;
+    private ViewChange changeOrEmpty() throws IOException {
+      final ViewChange change = changeOrNull();
+      return change == null ? new ViewChange(List.of(), List.of()) : change;
     }
 
     @Override
--- a/peers/src/main/java/thistleturn/peers/Connections.java
+++ b/peers/src/main/java/thistleturn/peers/Connections.java
@@ -27,7 +27,7 @@
 import thistleturn.courier.transport.AcceptRetry;
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.NoSocketException;
-import thistleturn.decisions.peers.Full;
+import thistleturn.decisions.peers.FullStateMessage;
 import thistleturn.decisions.peers.PeerId;
 
 /**
@@ -57,7 +57,7 @@
   private final Supplier<PeerId> self;
   private final Function<String, InetSocketAddress> way;
   private final Told told;
-  private final Consumer<Full> fulls;
+  private final Consumer<FullStateMessage> fulls;
   private final Consumer<Cargo> cargoes;
   private final Map<String, Outgoing> outgoing = new HashMap<>();
   private final Set<Channel> accepted = new HashSet<>();
@@ -72,7 +72,7 @@
       final Supplier<PeerId> self,
       final Function<String, InetSocketAddress> way,
       final Told told,
-      final Consumer<Full> fulls,
+      final Consumer<FullStateMessage> fulls,
       final Consumer<Cargo> cargoes) {
     this.loop = loop;
     this.codec = codec;
@@ -297,7 +297,7 @@
   }
 
   /** Sends a full state. */
-  void full(final String to, final Full full) {
+  void full(final String to, final FullStateMessage full) {
     carry(to, Frames.FULL, codec.write(full));
   }
 
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -13,13 +13,14 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.health.LocalHealth;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Known;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.MembershipProtocol;
 import thistleturn.decisions.peers.Packet;
+import thistleturn.decisions.peers.PeerActions;
 import thistleturn.decisions.peers.PeerEvent;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerWord;
-import thistleturn.decisions.peers.Peers;
+import thistleturn.decisions.peers.PeerSnapshot;
+import thistleturn.decisions.peers.PeerStatus;
 import thistleturn.decisions.peers.View;
 
 /**
@@ -35,7 +36,7 @@
   private final PeersSettings settings;
   private Surroundings surroundings;
   private IncarnationFile incarnations;
-  private Peers peers;
+  private MembershipProtocol peers;
   private Datagrams datagrams;
   private Connections connections;
   private PeerId kept;
@@ -62,12 +63,12 @@
       return;
     }
     surroundings = given;
-    if (given.config().name().length() > PeerId.MOST_NAME) {
+    if (given.config().name().length() > PeerId.MAX_NAME_LENGTH) {
       Log.info(
           "peers: off: the name "
               + given.config().name()
               + " has more than "
-              + PeerId.MOST_NAME
+              + PeerId.MAX_NAME_LENGTH
               + " letters");
       left = true;
       return;
@@ -142,7 +143,7 @@
     final String name = surroundings.config().name();
     kept = new PeerId(name, incarnations.next(surroundings.clock().wallUs()));
     peers =
-        new Peers(
+        new MembershipProtocol(
             settings.rules(),
             kept,
             address(),
@@ -158,7 +159,7 @@
     }
   }
 
-  private final class Out implements Peers.Out {
+  private final class Out implements PeerActions {
     @Override
     public void send(final String to, final Packet packet) {
       datagrams.send(way(to), packet);
@@ -175,30 +176,31 @@
     }
 
     @Override
-    public void full(final String to, final Full full) {
+    public void sendFullState(final String to, final FullStateMessage full) {
       connections.full(to, full);
     }
 
     @Override
-    public void happened(final PeerEvent event) {
-      Log.info("peers: " + (event.who().isEmpty() ? "" : event.who() + " ") + event.text());
+    public void onEvent(final PeerEvent event) {
+      Log.info(
+          "peers: " + (event.peerName().isEmpty() ? "" : event.peerName() + " ") + event.message());
     }
   }
 
   private final class Told implements Connections.Told {
     @Override
     public void greeted(final String to, final PeerId by) {
-      peers.onGreeted(to, by, surroundings.clock().nowUs());
+      peers.onConnectionGreeted(to, by, surroundings.clock().nowUs());
     }
 
     @Override
     public void closed(final String to) {
-      peers.onClosed(to, surroundings.clock().nowUs());
+      peers.onConnectionClosed(to, surroundings.clock().nowUs());
     }
 
     @Override
     public void unanswered(final String to) {
-      peers.onUnanswered(to, surroundings.clock().nowUs());
+      peers.onConnectionUnanswered(to, surroundings.clock().nowUs());
     }
   }
 
@@ -208,9 +210,9 @@
     }
   }
 
-  private void onFull(final Full full) {
+  private void onFull(final FullStateMessage full) {
     if (peers != null && !left) {
-      peers.onFull(full, surroundings.clock().nowUs());
+      peers.onFullState(full, surroundings.clock().nowUs());
     }
   }
 
@@ -223,7 +225,7 @@
     if (peers != null
         && !left
         && passenger != null
-        && peers.isLiving(cargo.sender())
+        && peers.isAlive(cargo.sender())
         && arrivals.isNew(cargo.sender(), cargo.seq())) {
       passenger.received(cargo.address(), cargo.text());
     }
@@ -249,7 +251,7 @@
 
   /** Where the others are who live, as far as is known, by name. */
   public Map<String, String> others() {
-    return peers == null ? Map.of() : peers.addresses();
+    return peers == null ? Map.of() : peers.addressesByName();
   }
 
   private void tick() {
@@ -257,10 +259,12 @@
       return;
     }
     final long nowUs = surroundings.clock().nowUs();
-    surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
+    surroundings
+        .loop()
+        .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (nowUs >= sayUs) {
       sayUs = nowUs + SAY_US;
-      peers.say(word(nowUs), nowUs);
+      peers.updateOwnStatus(word(nowUs), nowUs);
     }
     peers.tick(nowUs);
     if (!kept.equals(peers.self())) {
@@ -270,7 +274,7 @@
   }
 
   /** How this courier itself is, and whether it ends any of what it holds. */
-  private PeerWord word(final long nowUs) {
+  private PeerStatus word(final long nowUs) {
     final JsonNode health = surroundings.health().get();
     final long ended = health.path("ended").asLong();
     final int holds = health.path("holds").asInt();
@@ -279,11 +283,11 @@
       endedUs = nowUs;
     }
     final double lastAwayS = health.path("last_away_s").asDouble();
-    return new PeerWord(
+    return new PeerStatus(
         LocalHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
         (int) (lastAwayS * MS),
         holds,
-        nowUs - endedUs >= PeerWord.STUCK_US);
+        nowUs - endedUs >= PeerStatus.DELIVERY_STALL_US);
   }
 
   /** Says farewell, and lets go of the address. Called on the event loop. */
@@ -310,14 +314,14 @@
     root.put("name", peers.self().name())
         .put("incarnation", peers.self().incarnation())
         .put("address", address())
-        .put("standing", peers.standing().name().toLowerCase(Locale.ROOT))
-        .put("reached", peers.reached())
+        .put("standing", peers.status().name().toLowerCase(Locale.ROOT))
+        .put("reached", peers.reachableMembers())
         .put("sent", datagrams.sent())
         .put("sent_bytes", datagrams.sentBytes())
         .put("read", datagrams.read())
         .put("malformed", datagrams.malformed() + connections.malformed())
         .put("too_large", datagrams.tooLarge())
-        .put("turned_down", peers.turnedDown())
+        .put("turned_down", peers.rejectedPackets())
         .put("connections", connections.open());
     final View view = peers.view();
     if (view != null) {
@@ -339,7 +343,7 @@
       view.committee().forEach(id -> committee.add(id.name()));
     }
     final ArrayNode others = root.putArray("peers");
-    for (final Known known : peers.known(nowUs)) {
+    for (final PeerSnapshot known : peers.snapshots(nowUs)) {
       final ObjectNode other =
           others
               .addObject()
@@ -347,23 +351,27 @@
               .put("incarnation", known.id().incarnation())
               .put("address", known.address())
               .put("state", known.state().name().toLowerCase(Locale.ROOT))
-              .put("for_ms", known.forUs() / MS)
-              .put("here", known.here() == null ? "" : known.here().name().toLowerCase(Locale.ROOT))
-              .put("round_trip_ms", known.rttUs() / (double) MS)
-              .put("health", known.word().health().name().toLowerCase(Locale.ROOT))
-              .put("away_ms", known.word().awayMs())
-              .put("holds", known.word().holds())
-              .put("stuck", known.word().stuck());
+              .put("for_ms", known.stateAgeUs() / MS)
+              .put(
+                  "here",
+                  known.localReachability() == null
+                      ? ""
+                      : known.localReachability().name().toLowerCase(Locale.ROOT))
+              .put("round_trip_ms", known.roundTripUs() / (double) MS)
+              .put("health", known.status().health().name().toLowerCase(Locale.ROOT))
+              .put("away_ms", known.status().pauseMs())
+              .put("holds", known.status().pendingMessages())
+              .put("stuck", known.status().deliveryStalled());
       final ArrayNode doubts = other.putArray("doubts");
       known
-          .doubts()
+          .unreachableReports()
           .forEach(
               cell ->
                   doubts
                       .addObject()
                       .put("by", cell.observer())
-                      .put("sight", cell.sight().name().toLowerCase(Locale.ROOT))
-                      .put("for_ms", cell.forUs() / MS));
+                      .put("sight", cell.reachability().name().toLowerCase(Locale.ROOT))
+                      .put("for_ms", cell.ageUs() / MS));
     }
     return root;
   }
--- a/peers/src/main/java/thistleturn/peers/PeersSettings.java
+++ b/peers/src/main/java/thistleturn/peers/PeersSettings.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import thistleturn.decisions.peers.PeerRules;
+import thistleturn.decisions.peers.GossipSettings;
 
 /**
  * How a courier takes part in its fleet.
@@ -18,7 +18,7 @@
     InetSocketAddress listen,
     List<String> seeds,
     String fleetKey,
-    PeerRules rules,
+    GossipSettings rules,
     Map<String, String> via) {
   /** Letters that a key has at least. */
   public static final int LEAST_KEY = 8;
--- a/peers/src/test/java/thistleturn/peers/CodecTest.java
+++ b/peers/src/test/java/thistleturn/peers/CodecTest.java
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.health.LocalHealth;
-import thistleturn.decisions.peers.Change;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Item;
-import thistleturn.decisions.peers.Member;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.GossipItem;
 import thistleturn.decisions.peers.Packet;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerWord;
-import thistleturn.decisions.peers.Sight;
+import thistleturn.decisions.peers.PeerStatus;
+import thistleturn.decisions.peers.Reachability;
 import thistleturn.decisions.peers.View;
-import thistleturn.decisions.peers.ViewMark;
+import thistleturn.decisions.peers.ViewChange;
+import thistleturn.decisions.peers.ViewId;
+import thistleturn.decisions.peers.ViewMember;
 
 /**
  * What is written is read as it was; what is damaged, strange or later is an error or passed over,
@@ -36,31 +36,34 @@
  */
 @Tag("peers")
 final class CodecTest {
-  private static final String NAME = "n".repeat(PeerId.MOST_NAME);
+  private static final String NAME = "n".repeat(PeerId.MAX_NAME_LENGTH);
   private static final PeerId ID = new PeerId(NAME, Long.MAX_VALUE);
   private static final PeerId OTHER = new PeerId("b", 2);
   private static final String ADDRESS = "127.100.100.100:65535";
-  private static final ViewMark MARK = new ViewMark(3, Long.MAX_VALUE, 9, 4);
-  private static final PeerWord WORD = new PeerWord(LocalHealth.State.STARVED, 7, 8, true);
-  private static final Change CHANGE =
-      new Change(List.of(ID, OTHER), List.of(new Member(ID, ADDRESS), new Member(OTHER, ADDRESS)));
+  private static final ViewId MARK = new ViewId(3, Long.MAX_VALUE, 9, 4);
+  private static final PeerStatus WORD = new PeerStatus(LocalHealth.State.STARVED, 7, 8, true);
+  private static final ViewChange CHANGE =
+      new ViewChange(
+          List.of(ID, OTHER), List.of(new ViewMember(ID, ADDRESS), new ViewMember(OTHER, ADDRESS)));
 
   private final Codec codec = new Codec();
 
-  private static List<Item> everyItem() {
+  private static List<GossipItem> everyItem() {
     return List.of(
-        new Item.Fact(ID, ADDRESS, Item.Life.LEFT),
-        new Item.Report(ID, OTHER, Long.MAX_VALUE, Sight.ENDED, 123_456_789),
-        new Item.Beat(ID, Long.MAX_VALUE),
-        new Item.Said(ID, Long.MAX_VALUE, WORD),
-        new Item.Ask(),
-        new Item.Decided(MARK, CHANGE),
-        new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
-        new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 17, -1, null));
+        new GossipItem.MemberUpdate(ID, ADDRESS, GossipItem.Liveness.LEFT),
+        new GossipItem.ReachabilityReport(
+            ID, OTHER, Long.MAX_VALUE, Reachability.ENDED, 123_456_789),
+        new GossipItem.Heartbeat(ID, Long.MAX_VALUE),
+        new GossipItem.StatusUpdate(ID, Long.MAX_VALUE, WORD),
+        new GossipItem.FullStateRequest(),
+        new GossipItem.ViewDecision(MARK, CHANGE),
+        new GossipItem.PaxosMessage(
+            MARK, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
+        new GossipItem.PaxosMessage(MARK, GossipItem.PaxosMessage.Type.PREPARE, 17, -1, null));
   }
 
-  private static Packet packet(final List<Item> items) {
-    return new Packet(ID, ADDRESS, 5, 6, MARK, 7, WORD, Packet.Kind.PONG, 8, items);
+  private static Packet packet(final List<GossipItem> items) {
+    return new Packet(ID, ADDRESS, 5, 6, MARK, 7, WORD, Packet.Type.PONG, 8, items);
   }
 
   @Test
@@ -68,18 +71,27 @@
     assertEquals(packet(everyItem()), codec.packet(codec.write(packet(everyItem()))));
     final Packet look =
         new Packet(
-            null, ADDRESS, 1, 0, ViewMark.NONE, 0, PeerWord.WELL, Packet.Kind.PING, 0, List.of());
+            null,
+            ADDRESS,
+            1,
+            0,
+            ViewId.NONE,
+            0,
+            PeerStatus.UNREPORTED,
+            Packet.Type.PING,
+            0,
+            List.of());
     assertEquals(look, codec.packet(codec.write(look)));
     final View view =
         new View(
             3,
             4,
             5,
-            List.of(new Member(OTHER, ADDRESS), new Member(ID, ADDRESS)),
+            List.of(new ViewMember(OTHER, ADDRESS), new ViewMember(ID, ADDRESS)),
             List.of(ID, OTHER));
-    final Full full = new Full(ID, ADDRESS, view, everyItem());
+    final FullStateMessage full = new FullStateMessage(ID, ADDRESS, view, everyItem());
     assertEquals(full, codec.full(codec.write(full)));
-    assertNull(codec.full(codec.write(new Full(ID, ADDRESS, null, List.of()))).view());
+    assertNull(codec.full(codec.write(new FullStateMessage(ID, ADDRESS, null, List.of()))).view());
     assertEquals(ID, codec.greeting(codec.write(ID)));
   }
 
@@ -90,13 +102,14 @@
   @Test
   void noItemTakesMoreBytesThanItIsReckonedWith() {
     final int empty = codec.write(packet(List.of())).length;
-    for (final Item item : everyItem()) {
+    for (final GossipItem item : everyItem()) {
       final int taken = codec.write(packet(List.of(item))).length - empty;
       assertTrue(
-          taken <= item.bytes(), () -> item + " takes " + taken + " bytes, not " + item.bytes());
+          taken <= item.maxBytes(),
+          () -> item + " takes " + taken + " bytes, not " + item.maxBytes());
     }
     assertTrue(
-        empty + Packet.MOST_ITEM_BYTES + Seal.BYTES <= Datagrams.MOST_BYTES,
+        empty + Packet.MAX_ITEM_BYTES + Seal.BYTES <= Datagrams.MOST_BYTES,
         () -> "a head of " + empty + " bytes");
   }
 
@@ -177,7 +190,7 @@
     final Packet packet =
         codec.packet(ofVersion(2, 5L, "127.0.0.1:7081", "added later", List.of(1L)));
     assertEquals(new PeerId("a", 5), packet.sender());
-    assertEquals(List.of(new Item.Ask()), packet.items());
+    assertEquals(List.of(new GossipItem.FullStateRequest()), packet.items());
   }
 
   @Test
@@ -198,7 +211,7 @@
     }
     assertThrows(
         IOException.class,
-        () -> codec.greeting(cbor(1L, List.of("n".repeat(PeerId.MOST_NAME + 1), 5L))));
+        () -> codec.greeting(cbor(1L, List.of("n".repeat(PeerId.MAX_NAME_LENGTH + 1), 5L))));
   }
 
   @Test
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.decisions.health.LocalHealth;
-import thistleturn.decisions.peers.Change;
-import thistleturn.decisions.peers.Full;
-import thistleturn.decisions.peers.Item;
-import thistleturn.decisions.peers.Member;
+import thistleturn.decisions.peers.FullStateMessage;
+import thistleturn.decisions.peers.GossipItem;
+import thistleturn.decisions.peers.MembershipStatus;
 import thistleturn.decisions.peers.Packet;
 import thistleturn.decisions.peers.PeerId;
 import thistleturn.decisions.peers.PeerState;
-import thistleturn.decisions.peers.PeerWord;
-import thistleturn.decisions.peers.Sight;
-import thistleturn.decisions.peers.Standing;
+import thistleturn.decisions.peers.PeerStatus;
+import thistleturn.decisions.peers.Reachability;
 import thistleturn.decisions.peers.View;
-import thistleturn.decisions.peers.ViewMark;
+import thistleturn.decisions.peers.ViewChange;
+import thistleturn.decisions.peers.ViewId;
+import thistleturn.decisions.peers.ViewMember;
 
 /**
  * The exact bytes that couriers of one fleet send each other, and of the incarnation file. Couriers
@@ -38,10 +38,11 @@
   private static final PeerId ALPHA = new PeerId("alpha", 1_700_000_000_000_001L);
   private static final PeerId BETA = new PeerId("beta", 2);
   private static final String ADDRESS = "127.0.0.1:7081";
-  private static final ViewMark MARK = new ViewMark(3, 4, 5, 6);
-  private static final PeerWord SELF_REPORT = new PeerWord(LocalHealth.State.STARVED, 700, 8, true);
-  private static final Change CHANGE =
-      new Change(List.of(BETA), List.of(new Member(ALPHA, ADDRESS)));
+  private static final ViewId MARK = new ViewId(3, 4, 5, 6);
+  private static final PeerStatus SELF_REPORT =
+      new PeerStatus(LocalHealth.State.STARVED, 700, 8, true);
+  private static final ViewChange CHANGE =
+      new ViewChange(List.of(BETA), List.of(new ViewMember(ALPHA, ADDRESS)));
 
   private final Codec codec = new Codec();
 
@@ -57,7 +58,8 @@
     return HexFormat.of().parseHex(joined(hexLines));
   }
 
-  private static Packet packet(final PeerId sender, final Packet.Kind kind, final Item... items) {
+  private static Packet packet(
+      final PeerId sender, final Packet.Type kind, final GossipItem... items) {
     return new Packet(sender, ADDRESS, 9, 10, MARK, 11, SELF_REPORT, kind, 12, List.of(items));
   }
 
@@ -66,9 +68,18 @@
     assertEquals(packet, codec.packet(bytes(hexLines)));
   }
 
-  private static Packet of(final Item item) {
+  private static Packet of(final GossipItem item) {
     return new Packet(
-        null, ADDRESS, 0, 0, ViewMark.NONE, 0, PeerWord.WELL, Packet.Kind.NEWS, 0, List.of(item));
+        null,
+        ADDRESS,
+        0,
+        0,
+        ViewId.NONE,
+        0,
+        PeerStatus.UNREPORTED,
+        Packet.Type.GOSSIP,
+        0,
+        List.of(item));
   }
 
   @Test
@@ -78,7 +89,7 @@
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831090a9f030405
         06ff0b9f031902bc08f5ff010c9fffff
         """,
-        packet(ALPHA, Packet.Kind.PONG));
+        packet(ALPHA, Packet.Type.PONG));
   }
 
   @Test
@@ -88,7 +99,7 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f009f65
         616c7068611b00060a24181e4001ff6e3132372e302e302e313a3730383102ffffff
         """,
-        of(new Item.Fact(ALPHA, ADDRESS, Item.Life.DEAD)));
+        of(new GossipItem.MemberUpdate(ALPHA, ADDRESS, GossipItem.Liveness.DEAD)));
   }
 
   @Test
@@ -98,7 +109,7 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f019f65
         616c7068611b00060a24181e4001ff9f646265746102ff15021a0016e360ffffff
         """,
-        of(new Item.Report(ALPHA, BETA, 21, Sight.ENDED, 1_500_000)));
+        of(new GossipItem.ReachabilityReport(ALPHA, BETA, 21, Reachability.ENDED, 1_500_000)));
   }
 
   @Test
@@ -108,7 +119,7 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f029f64
         6265746102ff16ffffff
         """,
-        of(new Item.Beat(BETA, 22)));
+        of(new GossipItem.Heartbeat(BETA, 22)));
   }
 
   @Test
@@ -118,7 +129,7 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f039f64
         6265746102ff179f031902bc08f5ffffffff
         """,
-        of(new Item.Said(BETA, 23, SELF_REPORT)));
+        of(new GossipItem.StatusUpdate(BETA, 23, SELF_REPORT)));
   }
 
   @Test
@@ -128,7 +139,7 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f04ffff
         ff
         """,
-        of(new Item.Ask()));
+        of(new GossipItem.FullStateRequest()));
   }
 
   @Test
@@ -139,7 +150,7 @@
         040506ff9f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e3132372e30
         2e302e313a37303831ffffffffffff
         """,
-        of(new Item.Decided(MARK, CHANGE)));
+        of(new GossipItem.ViewDecision(MARK, CHANGE)));
   }
 
   @Test
@@ -150,7 +161,9 @@
         040506ff03181f18209f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e
         3132372e302e302e313a37303831ffffffffffff
         """,
-        of(new Item.Vote(MARK, Item.Vote.Kind.ACCEPT_BOUND, 31, 32, CHANGE)));
+        of(
+            new GossipItem.PaxosMessage(
+                MARK, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, 31, 32, CHANGE)));
   }
 
   @Test
@@ -160,15 +173,20 @@
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
         040506ff00182120f6ffffff
         """,
-        of(new Item.Vote(MARK, Item.Vote.Kind.PREPARE, 33, -1, null)));
+        of(new GossipItem.PaxosMessage(MARK, GossipItem.PaxosMessage.Type.PREPARE, 33, -1, null)));
   }
 
   @Test
   void fullStateFrameHasTheseBytes() throws IOException {
     final View view =
         new View(
-            3, 4, 5, List.of(new Member(ALPHA, ADDRESS), new Member(BETA, ADDRESS)), List.of(BETA));
-    final Full full = new Full(ALPHA, ADDRESS, view, List.of(new Item.Beat(BETA, 22)));
+            3,
+            4,
+            5,
+            List.of(new ViewMember(ALPHA, ADDRESS), new ViewMember(BETA, ADDRESS)),
+            List.of(BETA));
+    final FullStateMessage full =
+        new FullStateMessage(ALPHA, ADDRESS, view, List.of(new GossipItem.Heartbeat(BETA, 22)));
     final String hexLines =
         """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038319f0304059f9f
@@ -186,7 +204,8 @@
         """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831f69fffff
         """;
-    assertEquals(joined(hexLines), hex(codec.write(new Full(ALPHA, ADDRESS, null, List.of()))));
+    assertEquals(
+        joined(hexLines), hex(codec.write(new FullStateMessage(ALPHA, ADDRESS, null, List.of()))));
     assertNull(codec.full(bytes(hexLines)).view());
   }
 
@@ -241,20 +260,23 @@
   @Test
   void enumsWrittenAsNumbersKeepTheirOrder() {
     assertEquals(
-        List.of(Packet.Kind.PING, Packet.Kind.PONG, Packet.Kind.NEWS),
-        List.of(Packet.Kind.values()));
+        List.of(Packet.Type.PING, Packet.Type.PONG, Packet.Type.GOSSIP),
+        List.of(Packet.Type.values()));
+    assertEquals(
+        List.of(GossipItem.Liveness.ALIVE, GossipItem.Liveness.LEFT, GossipItem.Liveness.DEAD),
+        List.of(GossipItem.Liveness.values()));
     assertEquals(
-        List.of(Item.Life.ALIVE, Item.Life.LEFT, Item.Life.DEAD), List.of(Item.Life.values()));
-    assertEquals(List.of(Sight.HEARD, Sight.SILENT, Sight.ENDED), List.of(Sight.values()));
+        List.of(Reachability.HEARD, Reachability.SILENT, Reachability.ENDED),
+        List.of(Reachability.values()));
     assertEquals(
         List.of(
-            Item.Vote.Kind.PREPARE,
-            Item.Vote.Kind.PROMISE,
-            Item.Vote.Kind.ACCEPT,
-            Item.Vote.Kind.ACCEPT_BOUND,
-            Item.Vote.Kind.ACCEPTED,
-            Item.Vote.Kind.REFUSE),
-        List.of(Item.Vote.Kind.values()));
+            GossipItem.PaxosMessage.Type.PREPARE,
+            GossipItem.PaxosMessage.Type.PROMISE,
+            GossipItem.PaxosMessage.Type.ACCEPT,
+            GossipItem.PaxosMessage.Type.ACCEPT_BOUND,
+            GossipItem.PaxosMessage.Type.ACCEPTED,
+            GossipItem.PaxosMessage.Type.REJECT),
+        List.of(GossipItem.PaxosMessage.Type.values()));
     assertEquals(
         List.of(
             LocalHealth.State.WELL,
@@ -269,10 +291,11 @@
   @Test
   void enumsWrittenByNameHaveTheseNames() {
     assertEquals(
-        "[FORMING, MAJORITY, MINORITY, ALONE, CONFLICT]", List.of(Standing.values()).toString());
+        "[FORMING, MAJORITY, MINORITY, ALONE, CONFLICT]",
+        List.of(MembershipStatus.values()).toString());
     assertEquals(
         "[JOINING, ALIVE, PARTLY, SUSPECT, DEAD, LEFT]", List.of(PeerState.values()).toString());
-    assertEquals("[HEARD, SILENT, ENDED]", List.of(Sight.values()).toString());
+    assertEquals("[HEARD, SILENT, ENDED]", List.of(Reachability.values()).toString());
     assertEquals(
         "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(LocalHealth.State.values()).toString());
   }
--- a/replicas/src/main/java/thistleturn/replicas/Codec.java
+++ b/replicas/src/main/java/thistleturn/replicas/Codec.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * Messages and entries as CBOR (RFC 8949): arrays by place, each message under a version. Entries
@@ -50,29 +50,29 @@
   }
 
   /** A message's text, at that moment. */
-  byte[] write(final Message message, final long nowUs) {
+  byte[] write(final ReplicationMessage message, final long nowUs) {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
     try (CBORGenerator out = factory.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(VERSION);
-      if (message instanceof Message.News news) {
+      if (message instanceof ReplicationMessage.EntryBroadcast news) {
         out.writeNumber(NEWS);
         deltas(out, news.deltas(), nowUs);
-      } else if (message instanceof Message.Mark mark) {
+      } else if (message instanceof ReplicationMessage.Checksum mark) {
         out.writeNumber(MARK);
-        out.writeNumber(mark.sum());
-        out.writeNumber(mark.entries());
-      } else if (message instanceof Message.Page page) {
+        out.writeNumber(mark.value());
+        out.writeNumber(mark.entryCount());
+      } else if (message instanceof ReplicationMessage.Digest page) {
         out.writeNumber(PAGE);
-        out.writeNumber(page.part());
-        out.writeNumber(page.parts());
-        out.writeBoolean(page.wantsBack());
-        known(out, page.known());
-      } else if (message instanceof Message.Piece piece) {
+        out.writeNumber(page.partition());
+        out.writeNumber(page.partitionCount());
+        out.writeBoolean(page.replyRequested());
+        known(out, page.knownVersions());
+      } else if (message instanceof ReplicationMessage.DeltaBatch piece) {
         out.writeNumber(PIECE);
-        out.writeNumber(piece.part());
-        out.writeNumber(piece.parts());
-        out.writeBoolean(piece.more());
+        out.writeNumber(piece.partition());
+        out.writeNumber(piece.partitionCount());
+        out.writeBoolean(piece.hasMore());
         deltas(out, piece.deltas(), nowUs);
       }
       out.writeEndArray();
@@ -82,18 +82,18 @@
     return bytes.toByteArray();
   }
 
-  static void known(final CBORGenerator out, final Map<Writer, Long> known) throws IOException {
+  static void known(final CBORGenerator out, final Map<WriterId, Long> known) throws IOException {
     out.writeStartArray();
-    for (final Map.Entry<Writer, Long> one : known.entrySet()) {
+    for (final Map.Entry<WriterId, Long> one : known.entrySet()) {
       writer(out, one.getKey());
       out.writeNumber(one.getValue());
     }
     out.writeEndArray();
   }
 
-  private static void writer(final CBORGenerator out, final Writer writer) throws IOException {
+  private static void writer(final CBORGenerator out, final WriterId writer) throws IOException {
     out.writeString(writer.name());
-    out.writeNumber(writer.birth());
+    out.writeNumber(writer.epoch());
   }
 
   private static void deltas(final CBORGenerator out, final List<Delta> deltas, final long nowUs)
@@ -102,8 +102,8 @@
     for (final Delta delta : deltas) {
       out.writeStartArray();
       writer(out, delta.writer());
-      out.writeNumber(delta.from());
-      out.writeNumber(delta.to());
+      out.writeNumber(delta.afterVersion());
+      out.writeNumber(delta.upToVersion());
       out.writeStartArray();
       for (final Entry entry : delta.entries()) {
         entry(out, entry, nowUs);
@@ -118,11 +118,11 @@
   static void entry(final CBORGenerator out, final Entry entry, final long nowUs)
       throws IOException {
     out.writeStartArray();
-    out.writeNumber(entry.kind());
+    out.writeNumber(entry.typeCode());
     out.writeString(entry.subject());
     out.writeNumber(entry.version());
-    out.writeNumber(entry.lifeUs());
-    out.writeNumber(Math.max(0, nowUs - entry.madeUs()));
+    out.writeNumber(entry.ttlUs());
+    out.writeNumber(Math.max(0, nowUs - entry.createdUs()));
     for (final Object field : entry.fields()) {
       if (field instanceof Long number) {
         out.writeNumber(number);
@@ -138,28 +138,28 @@
   }
 
   /** Reads a message that came at that moment; null: of a kind that is not known here. */
-  Message read(final byte[] text, final long nowUs) throws IOException {
+  ReplicationMessage read(final byte[] text, final long nowUs) throws IOException {
     try (Reading in = new Reading(factory.createParser(text), nowUs)) {
       in.begin();
       if (in.number() < LEAST_VERSION) {
         throw new MalformedException("a version that is not spoken here");
       }
       final long kind = in.number();
-      final Message message;
+      final ReplicationMessage message;
       if (kind == NEWS) {
-        message = new Message.News(in.deltas());
+        message = new ReplicationMessage.EntryBroadcast(in.deltas());
       } else if (kind == MARK) {
-        message = new Message.Mark(in.number(), in.number());
+        message = new ReplicationMessage.Checksum(in.number(), in.number());
       } else if (kind == PAGE) {
         final int part = in.small();
         final int parts = in.small();
         final boolean wantsBack = in.flag();
-        message = new Message.Page(part, parts, in.known(), wantsBack);
+        message = new ReplicationMessage.Digest(part, parts, in.known(), wantsBack);
       } else if (kind == PIECE) {
         final int part = in.small();
         final int parts = in.small();
         final boolean more = in.flag();
-        message = new Message.Piece(part, parts, in.deltas(), more);
+        message = new ReplicationMessage.DeltaBatch(part, parts, in.deltas(), more);
       } else {
         message = null;
       }
@@ -227,14 +227,14 @@
       return in.getText();
     }
 
-    Map<Writer, Long> known() throws IOException {
-      final Map<Writer, Long> known = new TreeMap<>();
+    Map<WriterId, Long> known() throws IOException {
+      final Map<WriterId, Long> known = new TreeMap<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
         if (in.currentToken() != JsonToken.VALUE_STRING || known.size() >= MOST_DELTAS) {
           throw new MalformedException("expected at most " + MOST_DELTAS + " writers");
         }
-        final Writer writer = new Writer(in.getText(), number());
+        final WriterId writer = new WriterId(in.getText(), number());
         known.put(writer, number());
       }
       return known;
@@ -247,7 +247,7 @@
         if (in.currentToken() != JsonToken.START_ARRAY || deltas.size() >= MOST_DELTAS) {
           throw new MalformedException("expected at most " + MOST_DELTAS + " writers' entries");
         }
-        final Writer writer = new Writer(text(), number());
+        final WriterId writer = new WriterId(text(), number());
         final long from = number();
         final long to = number();
         final List<Entry> entries = entries(writer);
@@ -257,7 +257,7 @@
       return deltas;
     }
 
-    List<Entry> entries(final Writer writer) throws IOException {
+    List<Entry> entries(final WriterId writer) throws IOException {
       final List<Entry> entries = new ArrayList<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
@@ -270,20 +270,20 @@
     }
 
     /** Writers with their entries, to the end of the list. */
-    Map<Writer, List<Entry>> shelves() throws IOException {
-      final Map<Writer, List<Entry>> shelves = new TreeMap<>();
+    Map<WriterId, List<Entry>> shelves() throws IOException {
+      final Map<WriterId, List<Entry>> shelves = new TreeMap<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
           throw new MalformedException("expected a writer, not " + in.currentToken());
         }
-        final Writer writer = new Writer(in.getText(), number());
+        final WriterId writer = new WriterId(in.getText(), number());
         shelves.put(writer, entries(writer));
       }
       return shelves;
     }
 
-    private Entry entryAfterBegin(final Writer writer) throws IOException {
+    private Entry entryAfterBegin(final WriterId writer) throws IOException {
       final int kind = small();
       final String subject = text();
       final long version = number();
--- a/replicas/src/main/java/thistleturn/replicas/Folder.java
+++ b/replicas/src/main/java/thistleturn/replicas/Folder.java
@@ -13,8 +13,8 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Replicas;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationProtocol;
 
 /**
  * Two files of a courier's copy. Words by hand are few and precious: they are put down before the
@@ -84,7 +84,7 @@
     deltas.forEach(
         delta ->
             delta.entries().stream()
-                .filter(entry -> entry.kind() == Kind.MAINTENANCE.code())
+                .filter(entry -> entry.typeCode() == EntryType.MAINTENANCE.code())
                 .forEach(held::add));
     words.write(
         words.bytes(
@@ -94,44 +94,45 @@
   }
 
   /** Puts the words by hand down now. */
-  void keepWords(final Replicas replicas) throws IOException {
+  void keepWords(final ReplicationProtocol replicas) throws IOException {
     final List<Entry> held = new ArrayList<>();
     replicas
-        .subjects(Kind.MAINTENANCE)
-        .forEach(subject -> held.addAll(replicas.words(Kind.MAINTENANCE, subject)));
+        .subjects(EntryType.MAINTENANCE)
+        .forEach(subject -> held.addAll(replicas.entries(EntryType.MAINTENANCE, subject)));
     words.write(
         words.bytes(
             new SnapshotFile.Taken(
                 birth,
                 Map.of(),
                 held,
-                replicas.togetherUs(),
+                replicas.lastSyncedUs(),
                 clock.nowUs(),
                 clock.wallUs(),
                 upUs())));
   }
 
   /** Goes on collecting, or begins to when it is time and something has changed. */
-  void tick(final Replicas replicas) {
+  void tick(final ReplicationProtocol replicas) {
     final long nowUs = clock.nowUs();
     if (collected == null) {
-      if (nowUs < dueUs || replicas.sum() == writtenSum) {
+      if (nowUs < dueUs || replicas.checksum() == writtenSum) {
         return;
       }
       dueUs = nowUs + GAP_US;
-      writtenSum = replicas.sum();
+      writtenSum = replicas.checksum();
       collected = new ArrayList<>();
     }
     final List<Entry> slice =
-        replicas.slice(collected.isEmpty() ? null : collected.get(collected.size() - 1), SLICE);
+        replicas.entriesAfter(
+            collected.isEmpty() ? null : collected.get(collected.size() - 1), SLICE);
     collected.addAll(slice);
     if (slice.size() < SLICE) {
       keep(
           new SnapshotFile.Taken(
               birth,
-              replicas.known(),
+              replicas.knownVersions(),
               collected,
-              replicas.togetherUs(),
+              replicas.lastSyncedUs(),
               nowUs,
               clock.wallUs(),
               upUs()));
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -16,11 +16,12 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.Replicas;
-import thistleturn.decisions.replicas.Verdict;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.MergedValue;
+import thistleturn.decisions.replicas.ReplicationActions;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.ReplicationProtocol;
+import thistleturn.decisions.replicas.WriterId;
 import thistleturn.peers.Passenger;
 import thistleturn.peers.PeersExtension;
 
@@ -29,7 +30,7 @@
  * out, and says to its decisions what counts of what others tell. It lives on the courier's first
  * event loop, travels with {@code peers}, and is on no message's path.
  */
-public final class ReplicasExtension implements Passenger, Witness, Replicas.Out {
+public final class ReplicasExtension implements Passenger, Witness, ReplicationActions {
   private static final double US_PER_S = 1_000_000;
 
   /** Ticks after which it is looked who the others are. */
@@ -42,7 +43,7 @@
   private static final String BY = "fleet: ";
 
   /** A subject on which something is to be read anew, or stands. */
-  private record Subject(Kind kind, String name) {}
+  private record Subject(EntryType kind, String name) {}
 
   private final ReplicasSettings settings;
   private final PeersExtension peers;
@@ -55,7 +56,7 @@
   private final Set<String> conflicts = new LinkedHashSet<>();
   private Surroundings surroundings;
   private Folder folder;
-  private Replicas replicas;
+  private ReplicationProtocol replicas;
   private boolean applying;
   private boolean left;
   private boolean wordsDue;
@@ -86,18 +87,18 @@
     }
     final String name = surroundings.config().name();
     replicas =
-        new Replicas(
+        new ReplicationProtocol(
             settings.rules(),
-            new Writer(name, found.birth()),
+            new WriterId(name, found.birth()),
             name.hashCode() * 31L + found.birth(),
             nowUs(),
             this);
     replicas.restore(found.deltas(), found.togetherUs(), nowUs());
-    Log.info("replicas: " + replicas.self() + " begins with " + replicas.size() + " entries");
+    Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
     surroundings.steering().witness(this);
     for (final String endpoint : surroundings.steering().leftOut()) {
-      if (settings.maintenance() && replicas.words(Kind.MAINTENANCE, endpoint).isEmpty()) {
-        replicas.maintain(endpoint, true, operator(), nowUs());
+      if (settings.maintenance() && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
+        replicas.setEndpointDisabled(endpoint, true, operator(), nowUs());
       }
     }
     tick();
@@ -115,9 +116,11 @@
     if (left) {
       return;
     }
-    surroundings.loop().schedule(this::tick, settings.rules().tickUs(), TimeUnit.MICROSECONDS);
+    surroundings
+        .loop()
+        .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % LOOK_TICKS == 0) {
-      replicas.others(peers.others().values());
+      replicas.setReachablePeers(peers.others().values());
     }
     replicas.tick(nowUs());
     if (wordsDue) {
@@ -148,7 +151,7 @@
       return;
     }
     try {
-      final Message message = codec.read(text, nowUs());
+      final ReplicationMessage message = codec.read(text, nowUs());
       if (message != null) {
         replicas.onMessage(from, message, nowUs());
       }
@@ -158,17 +161,17 @@
   }
 
   @Override
-  public void send(final String to, final Message message) {
+  public void send(final String to, final ReplicationMessage message) {
     peers.send(to, codec.write(message, nowUs()));
   }
 
   @Override
-  public void piece(final String to, final Message message) {
+  public void sendOverConnection(final String to, final ReplicationMessage message) {
     peers.sendSurely(to, codec.write(message, nowUs()));
   }
 
   @Override
-  public void happened(final String text) {
+  public void onEvent(final String text) {
     Log.info("replicas: " + text);
   }
 
@@ -183,28 +186,28 @@
   @Override
   public void waits(final long destination, final long untilUs) {
     if (settings.waits() && !left) {
-      replicas.waits(Long.toString(destination), untilUs, nowUs());
+      replicas.recordWait(Long.toString(destination), untilUs, nowUs());
     }
   }
 
   @Override
   public void limited(final long destination, final double perSecond) {
     if (settings.limits() && !left) {
-      replicas.limited(Long.toString(destination), perSecond, nowUs());
+      replicas.recordRateLimit(Long.toString(destination), perSecond, nowUs());
     }
   }
 
   @Override
   public void turned(final long destination, final boolean isOut) {
     if (settings.outages() && !left) {
-      replicas.turned(Long.toString(destination), isOut, nowUs());
+      replicas.recordOutage(Long.toString(destination), isOut, nowUs());
     }
   }
 
   @Override
   public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
     if (settings.maintenance() && !left) {
-      replicas.maintain(endpoint, leaveOut, operator(), nowUs());
+      replicas.setEndpointDisabled(endpoint, leaveOut, operator(), nowUs());
       folder.keepWords(replicas);
     }
   }
@@ -212,7 +215,7 @@
   // ---------------------------------------------------------------- what counts
 
   @Override
-  public void changed(final Kind kind, final String subject) {
+  public void onSubjectChanged(final EntryType kind, final String subject) {
     changed(new Subject(kind, subject));
   }
 
@@ -230,8 +233,8 @@
     final List<Subject> due = List.copyOf(dirty);
     dirty.clear();
     for (final Subject subject : due) {
-      final Verdict verdict = replicas.verdict(subject.kind, subject.name);
-      if (verdict.isSomething() && subject.kind != Kind.MAINTENANCE) {
+      final MergedValue verdict = replicas.mergedValue(subject.kind, subject.name);
+      if (verdict.isPresent() && subject.kind != EntryType.MAINTENANCE) {
         standing.add(subject);
       } else {
         standing.remove(subject);
@@ -240,8 +243,8 @@
     }
   }
 
-  private void apply(final Verdict verdict) {
-    switch (verdict.kind()) {
+  private void apply(final MergedValue verdict) {
+    switch (verdict.type()) {
       case MAINTENANCE -> applyMaintenance(verdict);
       case WAIT -> say(settings.waits(), verdict, Directive.Kind.WAIT, 0);
       case OUTAGE ->
@@ -258,19 +261,22 @@
 
   /** What this courier said itself its decisions know already. */
   private void say(
-      final boolean wanted, final Verdict verdict, final Directive.Kind kind, final double value) {
-    if (wanted && verdict.isSomething() && !verdict.by().contains(replicas.self())) {
+      final boolean wanted,
+      final MergedValue verdict,
+      final Directive.Kind kind,
+      final double value) {
+    if (wanted && verdict.isPresent() && !verdict.writers().contains(replicas.self())) {
       surroundings
           .steering()
           .say(
               Long.parseLong(verdict.subject()),
-              new Directive(kind, value, BY + verdict.by().get(0).name(), verdict.untilUs()));
+              new Directive(kind, value, BY + verdict.writers().get(0).name(), verdict.untilUs()));
     }
   }
 
-  private void applyMaintenance(final Verdict verdict) {
+  private void applyMaintenance(final MergedValue verdict) {
     wordsDue = true;
-    if (!settings.maintenance() || !verdict.isSomething()) {
+    if (!settings.maintenance() || !verdict.isPresent()) {
       return;
     }
     final boolean out = verdict.state().equals("left out");
@@ -280,7 +286,7 @@
               + verdict.subject()
               + (out ? " is left out" : " may serve again")
               + " by the word of "
-              + verdict.by().get(0).name());
+              + verdict.writers().get(0).name());
       surroundings.steering().maintain(verdict.subject(), out);
     }
     if (!verdict.conflict()) {
@@ -290,7 +296,7 @@
           "replicas: "
               + verdict.subject()
               + " was left out by "
-              + verdict.by().get(0).name()
+              + verdict.writers().get(0).name()
               + " and let serve elsewhere, neither knowing of the other: it stays left out; say again what is meant");
     }
   }
@@ -305,22 +311,22 @@
     }
     final long nowUs = nowUs();
     root.put("writer", replicas.self().toString())
-        .put("entries", replicas.size())
-        .put("sum", Long.toHexString(replicas.sum()))
+        .put("entries", replicas.entryCount())
+        .put("sum", Long.toHexString(replicas.checksum()))
         .put("caught_up", replicas.isCaughtUp())
         .put(
             "together_s",
-            replicas.togetherUs() == 0 ? -1 : (nowUs - replicas.togetherUs()) / US_PER_S)
-        .put("turned_down", replicas.turnedDown())
+            replicas.lastSyncedUs() == 0 ? -1 : (nowUs - replicas.lastSyncedUs()) / US_PER_S)
+        .put("turned_down", replicas.rejectedInputs())
         .put("malformed", malformed)
         .put("sent_bytes", replicas.sentBytes());
     final ObjectNode known = root.putObject("known");
-    for (final Map.Entry<Writer, Long> one : replicas.known().entrySet()) {
+    for (final Map.Entry<WriterId, Long> one : replicas.knownVersions().entrySet()) {
       known.put(one.getKey().toString(), one.getValue());
     }
     final ArrayNode subjects = root.putArray("subjects");
     int shown = 0;
-    for (final Kind kind : Kind.values()) {
+    for (final EntryType kind : EntryType.values()) {
       for (final String name : replicas.subjects(kind)) {
         if (shown > MOST_SHOWN) {
           root.put("cut_off", true);
@@ -332,28 +338,29 @@
     return root;
   }
 
-  private int subject(final ObjectNode to, final Kind kind, final String name, final long nowUs) {
-    final Verdict verdict = replicas.verdict(kind, name);
+  private int subject(
+      final ObjectNode to, final EntryType kind, final String name, final long nowUs) {
+    final MergedValue verdict = replicas.mergedValue(kind, name);
     to.put("kind", kind.name().toLowerCase(Locale.ROOT))
         .put("subject", name)
         .put("state", verdict.state())
         .put("value", verdict.value())
         .put("for_s", (nowUs - verdict.sinceUs()) / US_PER_S)
         .put("conflict", verdict.conflict())
-        .put("rule", verdict.rule());
+        .put("rule", verdict.reason());
     if (verdict.untilUs() != Long.MAX_VALUE) {
       to.put("left_s", (verdict.untilUs() - nowUs) / US_PER_S);
     }
     final ArrayNode by = to.putArray("by");
-    verdict.by().forEach(writer -> by.add(writer.toString()));
+    verdict.writers().forEach(writer -> by.add(writer.toString()));
     final ArrayNode words = to.putArray("words");
-    for (final Entry word : replicas.words(kind, name)) {
+    for (final Entry word : replicas.entries(kind, name)) {
       final ObjectNode one =
           words
               .addObject()
               .put("writer", word.writer().toString())
               .put("version", word.version())
-              .put("age_s", (nowUs - word.madeUs()) / US_PER_S);
+              .put("age_s", (nowUs - word.createdUs()) / US_PER_S);
       final ArrayNode fields = one.putArray("fields");
       word.fields().forEach(field -> fields.addPOJO(field));
     }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
@@ -1,6 +1,6 @@
 package thistleturn.replicas;
 
-import thistleturn.decisions.replicas.ReplicaRules;
+import thistleturn.decisions.replicas.ReplicationSettings;
 
 /**
  * How a courier takes part in holding the fleet's state.
@@ -12,4 +12,8 @@
  * @param limits rates that were told to one count for all
  */
 public record ReplicasSettings(
-    ReplicaRules rules, boolean maintenance, boolean waits, boolean outages, boolean limits) {}
+    ReplicationSettings rules,
+    boolean maintenance,
+    boolean waits,
+    boolean outages,
+    boolean limits) {}
--- a/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
+++ b/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
@@ -18,7 +18,7 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * Entries in the folder that lasts: a mark, a checksum of all behind it, and a text in CBOR. It is
@@ -58,7 +58,7 @@
    */
   record Taken(
       long birth,
-      Map<Writer, Long> known,
+      Map<WriterId, Long> known,
       List<Entry> entries,
       long togetherUs,
       long nowUs,
@@ -85,14 +85,14 @@
       out.writeNumber(taken.upUs);
       out.writeNumber(taken.togetherUs == 0 ? -1 : taken.nowUs - taken.togetherUs);
       Codec.known(out, taken.known);
-      final Map<Writer, List<Entry>> byWriter = new TreeMap<>();
+      final Map<WriterId, List<Entry>> byWriter = new TreeMap<>();
       taken.entries.forEach(
           entry ->
               byWriter.computeIfAbsent(entry.writer(), unused -> new ArrayList<>()).add(entry));
       out.writeStartArray();
-      for (final Map.Entry<Writer, List<Entry>> one : byWriter.entrySet()) {
+      for (final Map.Entry<WriterId, List<Entry>> one : byWriter.entrySet()) {
         out.writeString(one.getKey().name());
-        out.writeNumber(one.getKey().birth());
+        out.writeNumber(one.getKey().epoch());
         out.writeStartArray();
         for (final Entry entry : one.getValue()) {
           Codec.entry(out, entry, taken.nowUs);
@@ -155,23 +155,23 @@
       final long togetherAgoUs = in.number();
       final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= CLOCKS_APART_US;
       final long movedUs = Math.max(0, passedUs);
-      final Map<Writer, Long> known = in.known();
-      final Map<Writer, List<Entry>> entries = in.shelves();
+      final Map<WriterId, Long> known = in.known();
+      final Map<WriterId, List<Entry>> entries = in.shelves();
       final List<Delta> deltas = new ArrayList<>();
       entries.forEach(
           (writer, all) -> {
             final List<Entry> kept =
                 all.stream()
-                    .filter(entry -> sure || entry.lifeUs() == 0)
+                    .filter(entry -> sure || entry.ttlUs() == 0)
                     .map(
                         entry ->
                             new Entry(
-                                entry.kind(),
+                                entry.typeCode(),
                                 entry.subject(),
                                 entry.writer(),
                                 entry.version(),
-                                entry.lifeUs(),
-                                entry.madeUs() - movedUs,
+                                entry.ttlUs(),
+                                entry.createdUs() - movedUs,
                                 entry.fields()))
                     .toList();
             deltas.add(new Delta(writer, 0, known.getOrDefault(writer, 0L), kept));
--- a/replicas/src/test/java/thistleturn/replicas/CodecTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/CodecTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.Replicas;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.ReplicationProtocol;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * What is written is read as it was, by its age; what is damaged or strange is an error, what is
@@ -30,8 +30,9 @@
 @Tag("replicas")
 final class CodecTest {
   private static final long NOW = 5_000_000;
-  private static final Writer WRITER = new Writer("n".repeat(Writer.MOST_NAME), Long.MAX_VALUE);
-  private static final Writer OTHER = new Writer("b", 2);
+  private static final WriterId WRITER =
+      new WriterId("n".repeat(WriterId.MAX_NAME_LENGTH), Long.MAX_VALUE);
+  private static final WriterId OTHER = new WriterId("b", 2);
 
   private final Codec codec = new Codec();
 
@@ -39,7 +40,7 @@
     return new Entry(kind, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
   }
 
-  private static List<Message> everyMessage() {
+  private static List<ReplicationMessage> everyMessage() {
     final List<Delta> deltas =
         List.of(
             new Delta(
@@ -47,37 +48,38 @@
                 3,
                 9,
                 List.of(
-                    entry(Kind.OUTAGE.code(), true),
-                    entry(Kind.MAINTENANCE.code(), false, "operator at n1", "b", 2L, 8L),
-                    entry(Kind.LIMIT.code(), 4.25),
+                    entry(EntryType.OUTAGE.code(), true),
+                    entry(EntryType.MAINTENANCE.code(), false, "operator at n1", "b", 2L, 8L),
+                    entry(EntryType.LIMIT.code(), 4.25),
                     entry(99, "of a later version", -3L, 1.5, false))),
             new Delta(OTHER, 0, 0, List.of()));
     return List.of(
-        new Message.News(deltas),
-        new Message.Mark(Long.MIN_VALUE, 12),
-        new Message.Piece(1, 3, deltas, true),
-        new Message.Page(2, 5, Map.of(WRITER, 4L, OTHER, Long.MAX_VALUE), true));
+        new ReplicationMessage.EntryBroadcast(deltas),
+        new ReplicationMessage.Checksum(Long.MIN_VALUE, 12),
+        new ReplicationMessage.DeltaBatch(1, 3, deltas, true),
+        new ReplicationMessage.Digest(2, 5, Map.of(WRITER, 4L, OTHER, Long.MAX_VALUE), true));
   }
 
   @Test
   void whatIsWrittenIsReadAsItWas() throws IOException {
-    for (final Message message : everyMessage()) {
+    for (final ReplicationMessage message : everyMessage()) {
       assertEquals(message, codec.read(codec.write(message, NOW), NOW));
     }
   }
 
   @Test
   void entriesTravelWithTheirAge() throws IOException {
-    final Message.News read =
-        (Message.News) codec.read(codec.write(everyMessage().get(0), NOW), 77_000_000);
-    assertEquals(77_000_000 - 250_000, read.deltas().get(0).entries().get(0).madeUs());
+    final ReplicationMessage.EntryBroadcast read =
+        (ReplicationMessage.EntryBroadcast)
+            codec.read(codec.write(everyMessage().get(0), NOW), 77_000_000);
+    assertEquals(77_000_000 - 250_000, read.deltas().get(0).entries().get(0).createdUs());
   }
 
   @Test
   void aFullDatagramOfNewsFitsOne() {
     final List<Delta> deltas = new ArrayList<>();
     int bytes = 0;
-    for (long version = 1; bytes < Replicas.MOST_DATAGRAM_BYTES - 200; version++) {
+    for (long version = 1; bytes < ReplicationProtocol.MAX_DATAGRAM_BYTES - 200; version++) {
       final Delta delta =
           new Delta(
               WRITER,
@@ -85,17 +87,18 @@
               version,
               List.of(
                   new Entry(
-                      Kind.WAIT.code(),
+                      EntryType.WAIT.code(),
                       "123456789012345678",
                       WRITER,
                       version,
-                      Kind.WAIT.mostUs(),
+                      EntryType.WAIT.maxTtlUs(),
                       0,
                       List.of())));
       deltas.add(delta);
-      bytes += delta.bytes();
+      bytes += delta.estimatedBytes();
     }
-    final int written = codec.write(new Message.News(deltas), Long.MAX_VALUE / 2).length;
+    final int written =
+        codec.write(new ReplicationMessage.EntryBroadcast(deltas), Long.MAX_VALUE / 2).length;
     assertTrue(written <= bytes + 40, written + " bytes, reckoned with " + bytes);
   }
 
@@ -127,7 +130,8 @@
   @Test
   void aKindOfMessageOfALaterVersionIsPassedOverAndFieldsBehindThoseKnownToo() throws IOException {
     assertNull(codec.read(array(9, 77, "whatever"), NOW));
-    assertEquals(new Message.Mark(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
+    assertEquals(
+        new ReplicationMessage.Checksum(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
     assertThrows(
         IOException.class, () -> codec.read(array(0, 2, 5, 6), NOW), "a version before the first");
   }
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Message;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.ReplicationMessage;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * The exact bytes that replicas send each other and of the files that they keep. Couriers of
@@ -27,8 +27,8 @@
 @Tag("replicas")
 final class ReplicaCborBytesTest {
   private static final long NOW_US = 5_000_000;
-  private static final Writer ALPHA = new Writer("alpha", 1_700_000_000_000_001L);
-  private static final Writer BETA = new Writer("beta", 2);
+  private static final WriterId ALPHA = new WriterId("alpha", 1_700_000_000_000_001L);
+  private static final WriterId BETA = new WriterId("beta", 2);
   private static final List<Delta> DELTAS =
       List.of(
           new Delta(
@@ -36,8 +36,8 @@
               3,
               9,
               List.of(
-                  entry(Kind.MAINTENANCE, 0, true, "operator at alpha", "beta", 2L, 8L),
-                  entry(Kind.LIMIT, 60_000_000, 4.25))),
+                  entry(EntryType.MAINTENANCE, 0, true, "operator at alpha", "beta", 2L, 8L),
+                  entry(EntryType.LIMIT, 60_000_000, 4.25))),
           new Delta(BETA, 0, 1, List.of()));
   private static final String SNAPSHOT_HEX =
       """
@@ -49,7 +49,7 @@
 
   private final Codec codec = new Codec();
 
-  private static Entry entry(final Kind kind, final long lifeUs, final Object... fields) {
+  private static Entry entry(final EntryType kind, final long lifeUs, final Object... fields) {
     return new Entry(kind.code(), "7", ALPHA, 8, lifeUs, NOW_US - 250_000, List.of(fields));
   }
 
@@ -61,7 +61,8 @@
     return HexFormat.of().parseHex(joined(hexLines));
   }
 
-  private void assertMessageBytes(final String hexLines, final Message message) throws IOException {
+  private void assertMessageBytes(final String hexLines, final ReplicationMessage message)
+      throws IOException {
     assertEquals(joined(hexLines), HexFormat.of().formatHex(codec.write(message, NOW_US)));
     assertEquals(message, codec.read(bytes(hexLines), NOW_US));
   }
@@ -74,7 +75,7 @@
         61746f7220617420616c70686164626574610208ff9f046137081a039387001a0003d090fb401100
         0000000000ffffff9f64626574610200019fffffffff
         """,
-        new Message.News(DELTAS));
+        new ReplicationMessage.EntryBroadcast(DELTAS));
   }
 
   @Test
@@ -83,19 +84,19 @@
         """
         9f0102384c0cff
         """,
-        new Message.Mark(-77, 12));
+        new ReplicationMessage.Checksum(-77, 12));
   }
 
   @Test
   void pageMessageHasTheseBytes() throws IOException {
-    final Map<Writer, Long> known = new LinkedHashMap<>();
+    final Map<WriterId, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 4L);
     known.put(BETA, 300L);
     assertMessageBytes(
         """
         9f01030205f59f65616c7068611b00060a24181e40010464626574610219012cffff
         """,
-        new Message.Page(2, 5, known, true));
+        new ReplicationMessage.Digest(2, 5, known, true));
   }
 
   @Test
@@ -106,7 +107,7 @@
         70657261746f7220617420616c70686164626574610208ff9f046137081a039387001a0003d090fb
         4011000000000000ffffff9f64626574610200019fffffffff
         """,
-        new Message.Piece(1, 3, DELTAS, false));
+        new ReplicationMessage.DeltaBatch(1, 3, DELTAS, false));
   }
 
   /** Kinds of entries are numbers on the wire; operators' JSON holds their names in lower case. */
@@ -114,7 +115,10 @@
   void kindsOfEntriesHaveTheseNumbersAndNames() {
     assertEquals(
         "[MAINTENANCE=1, WAIT=2, OUTAGE=3, LIMIT=4, LEARNT=5, LIST=6]",
-        Arrays.stream(Kind.values()).map(kind -> kind + "=" + kind.code()).toList().toString());
+        Arrays.stream(EntryType.values())
+            .map(kind -> kind + "=" + kind.code())
+            .toList()
+            .toString());
   }
 
   /** The log and operators' JSON hold it in this form. */
@@ -124,7 +128,7 @@
   }
 
   private static SnapshotFile.Taken snapshot() {
-    final Map<Writer, Long> known = new LinkedHashMap<>();
+    final Map<WriterId, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 9L);
     known.put(BETA, 1L);
     return new SnapshotFile.Taken(
--- a/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
-import thistleturn.decisions.replicas.Kind;
-import thistleturn.decisions.replicas.Writer;
+import thistleturn.decisions.replicas.EntryType;
+import thistleturn.decisions.replicas.WriterId;
 
 /**
  * What was put down is found again, older by what passed; torn, old and foreign files are read as
@@ -28,8 +28,8 @@
   private static final long SECOND = 1_000_000;
   private static final long WALL = 1_700_000_000L * SECOND;
   private static final long UP = 900 * SECOND;
-  private static final Writer A = new Writer("a", 3);
-  private static final Writer B = new Writer("b", 4);
+  private static final WriterId A = new WriterId("a", 3);
+  private static final WriterId B = new WriterId("b", 4);
 
   @TempDir private Path folder;
 
@@ -37,14 +37,15 @@
     final long now = 50 * SECOND;
     final Entry ban =
         new Entry(
-            Kind.MAINTENANCE.code(),
+            EntryType.MAINTENANCE.code(),
             "e1",
             A,
             2,
             0,
             now - 7 * SECOND,
             List.of(true, "operator at a"));
-    final Entry wait = new Entry(Kind.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
+    final Entry wait =
+        new Entry(EntryType.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
     return new SnapshotFile.Taken(
         9, Map.of(A, 5L, B, 11L), List.of(ban, wait), now - 2 * SECOND, now, WALL, UP);
   }
@@ -68,7 +69,7 @@
             5,
             List.of(
                 new Entry(
-                    Kind.MAINTENANCE.code(),
+                    EntryType.MAINTENANCE.code(),
                     "e1",
                     A,
                     2,
@@ -76,7 +77,13 @@
                     SECOND - 17 * SECOND,
                     List.of(true, "operator at a")),
                 new Entry(
-                    Kind.WAIT.code(), "7", A, 5, 60 * SECOND, SECOND - 11 * SECOND, List.of()))),
+                    EntryType.WAIT.code(),
+                    "7",
+                    A,
+                    5,
+                    60 * SECOND,
+                    SECOND - 11 * SECOND,
+                    List.of()))),
         first);
     assertEquals(new Delta(B, 0, 11, List.of()), found.deltas().get(1));
   }
