--- a/adapter/src/main/java/thistleturn/adapter/SimulatorAdapter.java
+++ b/adapter/src/main/java/thistleturn/adapter/SimulatorAdapter.java
@@ -8,14 +8,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.LoadReport;
+import thistleturn.decisions.model.Message;
 import thistleturn.settings.Fields;
 import thistleturn.settings.SettingsReader;
 
 /**
- * Translates between the bench's wire and {@link Courier}. It decides nothing. One {@link Control}
- * per instance; they share nothing. Unknown events, settings and fields are ignored.
+ * Translates between the bench's wire and {@link DeliveryController}. It decides nothing. One
+ * {@link OverloadController} per instance; they share nothing. Unknown events, settings and fields
+ * are ignored.
  */
 final class SimulatorAdapter {
   private static final long US_PER_MS = 1000;
@@ -94,12 +104,14 @@
     final Instance host = new Instance(instance);
     instances.put(instance, host);
     changedInstances.put(instance, host);
-    final Courier.Settings settings = SettingsReader.read(fields);
+    final DeliverySettings settings = SettingsReader.read(fields);
     host.settings = settings;
     final List<String> reported = List.of(fields.list("feedback.fields"));
     host.shareField = reported.indexOf("x0");
     host.limitField = reported.indexOf("x1");
-    host.guard(() -> host.controller = new Control(settings, fields.integer("nonce64", 0), host));
+    host.guard(
+        () ->
+            host.controller = new OverloadController(settings, fields.integer("nonce64", 0), host));
   }
 
   private void dispatch(final Fields fields) {
@@ -114,7 +126,7 @@
           case "returned" -> parseOutcome(host, fields);
           case "expired" -> {
             final String ref = fields.text("ref");
-            yield () -> host.controller.onExpired(nowUs, ref);
+            yield () -> host.controller.onMessageAbandoned(nowUs, ref);
           }
           default -> null;
         };
@@ -125,31 +137,31 @@
   }
 
   private Runnable parseEndpointUpdate(final Instance host, final Fields fields) {
-    final Courier.Update update =
+    final EndpointUpdate update =
         switch (fields.text("scope")) {
-          case "incr" -> Courier.Update.CHANGES;
-          case "total" -> Courier.Update.WHOLE;
-          case "warm_copy" -> Courier.Update.RESTORED;
-          case "lost" -> Courier.Update.LOST;
+          case "incr" -> EndpointUpdate.CHANGES;
+          case "total" -> EndpointUpdate.COMPLETE_SNAPSHOT;
+          case "warm_copy" -> EndpointUpdate.RESTORED_SNAPSHOT;
+          case "lost" -> EndpointUpdate.UNAVAILABLE;
           default -> throw fields.malformed("unknown scope '" + fields.text("scope") + "'");
         };
-    final List<Courier.Endpoint> entries = new ArrayList<>();
-    if (update != Courier.Update.LOST) {
+    final List<Endpoint> entries = new ArrayList<>();
+    if (update != EndpointUpdate.UNAVAILABLE) {
       final List<Fields> rows = sheets.get((int) fields.integer("bank"));
       if (rows == null) {
         throw fields.malformed("no sheet " + fields.text("bank"));
       }
       rows.forEach(row -> entries.add(parseEndpoint(host, row)));
     }
-    return () -> host.controller.onList(nowUs, update, entries);
+    return () -> host.controller.onEndpointList(nowUs, update, entries);
   }
 
-  private static Courier.Endpoint parseEndpoint(final Instance host, final Fields row) {
-    final Courier.Condition condition =
+  private static Endpoint parseEndpoint(final Instance host, final Fields row) {
+    final EndpointState condition =
         switch (row.text("condition", "U")) {
-          case "U" -> Courier.Condition.LISTED;
-          case "L" -> Courier.Condition.DRAINING;
-          case "D" -> Courier.Condition.GONE;
+          case "U" -> EndpointState.LISTED;
+          case "L" -> EndpointState.DRAINING;
+          case "D" -> EndpointState.GONE;
           default -> throw row.malformed("unknown condition '" + row.text("condition") + "'");
         };
     final String kindName = row.text("kind", "");
@@ -159,7 +171,7 @@
         kind = index;
       }
     }
-    return new Courier.Endpoint(
+    return new Endpoint(
         row.integer("endpoint"),
         condition,
         row.text("locality", ""),
@@ -187,7 +199,7 @@
       }
     }
     final var message =
-        new Courier.Message(
+        new Message(
             fields.text("ref"),
             classIndex,
             tenant,
@@ -197,21 +209,21 @@
     return () -> host.controller.onMessage(nowUs, message);
   }
 
-  private static Courier.Result parseResult(final Fields fields) {
+  private static AttemptResult parseResult(final Fields fields) {
     return switch (fields.text("reason")) {
-      case "served" -> Courier.Result.DELIVERED;
-      case "server_error" -> Courier.Result.ERROR;
-      case "turned_away" -> Courier.Result.REFUSED;
-      case "no_answer" -> Courier.Result.TIMED_OUT;
-      case "no_connection" -> Courier.Result.NO_CONNECTION;
-      case "connection_lost" -> Courier.Result.RESET;
-      case "called_off" -> Courier.Result.CANCELLED;
-      case "not_sent" -> Courier.Result.NOT_SENT;
+      case "served" -> AttemptResult.DELIVERED;
+      case "server_error" -> AttemptResult.ERROR;
+      case "turned_away" -> AttemptResult.REFUSED;
+      case "no_answer" -> AttemptResult.TIMED_OUT;
+      case "no_connection" -> AttemptResult.NO_CONNECTION;
+      case "connection_lost" -> AttemptResult.RESET;
+      case "called_off" -> AttemptResult.CANCELLED;
+      case "not_sent" -> AttemptResult.NOT_SENT;
       default -> throw fields.malformed("unknown reason '" + fields.text("reason") + "'");
     };
   }
 
-  private static Courier.Allowance parseLoadReport(final Instance host, final Fields fields) {
+  private static LoadReport parseLoadReport(final Instance host, final Fields fields) {
     final String[] values = fields.list("load");
     if (values.length == 0
         || host.shareField < 0
@@ -219,16 +231,16 @@
         || Math.max(host.shareField, host.limitField) >= values.length) {
       return null;
     }
-    return new Courier.Allowance(
+    return new LoadReport(
         fields.decimal(values[host.shareField]), fields.decimal(values[host.limitField]));
   }
 
   private Runnable parseOutcome(final Instance host, final Fields fields) {
-    final Courier.Result result = parseResult(fields);
+    final AttemptResult result = parseResult(fields);
     final long waitUs =
-        result == Courier.Result.REFUSED ? fields.integer("remark_ms", 0) * US_PER_MS : 0;
+        result == AttemptResult.REFUSED ? fields.integer("remark_ms", 0) * US_PER_MS : 0;
     final var outcome =
-        new Courier.Outcome(
+        new AttemptOutcome(
             fields.text("ref"),
             result,
             fields.flag("complete"),
@@ -240,10 +252,10 @@
   }
 
   /** One instance: its decisions, and the writer of its actions. */
-  private final class Instance implements Courier.Actions {
+  private final class Instance implements DeliveryActions {
     private final int instance;
-    private Courier.Settings settings;
-    private Courier controller;
+    private DeliverySettings settings;
+    private DeliveryController controller;
     private int shareField = -1;
     private int limitField = -1;
 
@@ -283,7 +295,7 @@
     }
 
     @Override
-    public void refuse(final String messageId, final long retryAfterUs) {
+    public void shed(final String messageId, final long retryAfterUs) {
       act("decline").append("\tref=").append(messageId);
       if (retryAfterUs > 0) {
         reply.append("\tretry_after=").append(retryAfterUs);
@@ -307,17 +319,17 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
       act("free_links").append("\tendpoint=").append(endpoint).append('\n');
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpointList() {
       act("follow").append("\ton=1\n");
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void scheduleDecision(final long delayUs) {
       act("remind").append("\tdelay=").append(delayUs).append("\ttoken=0\n");
     }
   }
--- a/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
@@ -153,11 +153,11 @@
                     + "tenants.count=1\ttenants.0.name=12\ttenants.0.quota_rps=14.0",
                 1));
     assertEquals("a_b", settings.kinds().get(0).name());
-    assertTrue(settings.kinds().get(1).routesApart());
+    assertTrue(settings.kinds().get(1).separateRoutes());
     assertEquals(5, settings.kinds().get(1).messagesPerCall());
-    assertTrue(settings.listOnRequest());
+    assertTrue(settings.subscribesToEndpointList());
     assertEquals("12", settings.tenants().get(0).name());
-    assertEquals(Integer.MAX_VALUE, settings.limits().slots());
-    assertEquals(0, settings.guarantees().orderSettleUs());
+    assertEquals(Integer.MAX_VALUE, settings.limits().concurrencyLimit());
+    assertEquals(0, settings.guarantees().settleDelayUs());
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
 import thistleturn.lab.fleet.FleetTally.Count;
@@ -77,9 +77,14 @@
   }
 
   private void row(final FleetDay.Trouble trouble, final int size) {
-    final List<FleetTally> with = play(trouble, size, Control::new);
+    final List<FleetTally> with = play(trouble, size, OverloadController::new);
     final List<FleetTally> without =
-        play(trouble, size, strict ? Control::withStrictParts : Control::withoutSharing);
+        play(
+            trouble,
+            size,
+            strict
+                ? OverloadController::withStrictRateShares
+                : OverloadController::withoutRateSharing);
     final Paired goodput = Paired.of(with, without, FleetTally::goodput);
     System.out.println(
         String.format(
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.replicas.EntryType;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
@@ -123,7 +123,7 @@
                             ? FleetDay.thin(size, trouble, new Random(seed))
                             : FleetDay.drawn(size, trouble, new Random(seed)),
                         seed,
-                        Control::new,
+                        OverloadController::new,
                         true,
                         sharing))
             .toList();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
@@ -104,7 +104,7 @@
                         ? FleetDay.thin(size, trouble, new Random(seed))
                         : FleetDay.drawn(size, trouble, new Random(seed)),
                     seed,
-                    Control::new,
+                    OverloadController::new,
                     feels))
         .toList();
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -9,7 +9,7 @@
 import java.util.function.ToDoubleFunction;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.lab.model.SlowStartModel;
 import thistleturn.lab.virtual.CrashSchedule;
 import thistleturn.lab.virtual.Scenario;
@@ -92,7 +92,7 @@
               play(
                   () -> Worlds.troubled(trouble.getValue(), 62 * Worlds.SECOND_US, false),
                   kills,
-                  Control::new);
+                  OverloadController::new);
           final List<Long> times =
               tallies.stream()
                   .flatMap(tally -> tally.untilRateUs(0.9 * Worlds.PER_SECOND, 200_000).stream())
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.lab.policy.SimpleSender;
 import thistleturn.lab.virtual.VirtualCourier;
 
@@ -15,8 +15,8 @@
 
   static Map<String, VirtualCourier.Maker> all() {
     final Map<String, VirtualCourier.Maker> all = new LinkedHashMap<>();
-    all.put("thistleturn", Control::new);
-    all.put("without reading", Control::withoutReading);
+    all.put("thistleturn", OverloadController::new);
+    all.put("without reading", OverloadController::withoutFaultClassification);
     all.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
     all.put(
         "fixed window", (settings, seed, actions) -> SimpleSender.fixedWindow(settings, actions));
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.WeightMeaning;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
 import thistleturn.lab.model.SimulatedDestination;
@@ -44,7 +44,7 @@
         partners,
         perSecond,
         lengthUs,
-        Scenario.settings(told ? Courier.Weights.NOMINAL : Courier.Weights.NONE),
+        Scenario.settings(told ? WeightMeaning.NOMINAL : WeightMeaning.NONE),
         told ? TOLD : 0);
   }
 
@@ -162,7 +162,7 @@
         partners,
         20 + 80 * random.nextDouble(),
         24 * SECOND_US,
-        Scenario.settings(Courier.Weights.NONE, COLD_US),
+        Scenario.settings(WeightMeaning.NONE, COLD_US),
         0);
   }
 
--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierProcess.java
@@ -58,8 +58,10 @@
 import thistleturn.courier.shard.SharedDirectory;
 import thistleturn.courier.warm.LearntFile;
 import thistleturn.courier.warm.LearntKeeper;
-import thistleturn.decisions.Courier;
 import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
 
 /**
  * A courier with its ports wired: one event loop that owns all state, a journal, a front, a
@@ -218,15 +220,16 @@
     this.tuning = tuning;
     this.config = Config.read(environment);
     this.latest = config;
-    final Courier.Limits limits = config.settings().limits();
-    if (limits.slots() < tuning.shards() || limits.maxOpen() < tuning.shards()) {
+    final ResourceLimits limits = config.settings().limits();
+    if (limits.concurrencyLimit() < tuning.shards()
+        || limits.maxPendingMessages() < tuning.shards()) {
       throw new Config.BadConfigException(
           "shards: "
               + tuning.shards()
               + " of them need at least as many slots ("
-              + limits.slots()
+              + limits.concurrencyLimit()
               + ") and open messages ("
-              + limits.maxOpen()
+              + limits.maxPendingMessages()
               + ")");
     }
     for (int index = 0; index < tuning.shards(); index++) {
@@ -297,7 +300,7 @@
     }
 
     @Override
-    public void abandon(final long call, final Courier.Result result) {
+    public void abandon(final long call, final AttemptResult result) {
       only.host.abandon(call, result);
     }
 
@@ -393,7 +396,7 @@
     }
 
     @Override
-    public void abandon(final long call, final Courier.Result result) {
+    public void abandon(final long call, final AttemptResult result) {
       before.abandon(call, result);
     }
   }
@@ -401,7 +404,7 @@
   /** The desk of the host that counts: another may take its place. */
   private record Counter(Shard shard) implements Front.Desk {
     @Override
-    public Courier.MessageClass kind(final String className) {
+    public MessageClass kind(final String className) {
       return shard.host.kind(className);
     }
 
@@ -810,10 +813,10 @@
     final List<EventLoop> loops = shards.stream().map(shard -> shard.loop).toList();
     final SharedDirectory shared =
         shards.size() == 1 ? null : new SharedDirectory(own, loop, loops);
-    final Courier.Limits limits = config.settings().limits();
+    final ResourceLimits limits = config.settings().limits();
     final List<CompletableFuture<Void>> built = new ArrayList<>();
     final List<String> classes =
-        config.settings().classes().stream().map(Courier.MessageClass::name).toList();
+        config.settings().classes().stream().map(MessageClass::name).toList();
     for (int index = 0; index < shards.size(); index++) {
       final Shard shard = shards.get(index);
       shard.learnt =
@@ -829,7 +832,8 @@
                 if (shared != null) {
                   // An even part, until room is moved by need.
                   shard.host.limit(
-                      limits.slots() / shards.size(), limits.maxOpen() / shards.size());
+                      limits.concurrencyLimit() / shards.size(),
+                      limits.maxPendingMessages() / shards.size());
                 }
                 if (operators != null) {
                   shard.host.leaveOut(leftOut);
--- a/courier/src/main/java/thistleturn/courier/Host.java
+++ b/courier/src/main/java/thistleturn/courier/Host.java
@@ -36,20 +36,28 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.courier.shard.Room;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.LaneView;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.RouteStatus;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.health.LocalHealth;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * The one that calls {@link Control}: it tells it what the sockets brought in a pass of the event
- * loop, lets it decide once, and carries out what it asked for. It holds the open messages, and
- * keeps the journal ahead of every byte that promises something. All of it runs on the event loop's
- * thread.
+ * The one that calls {@link OverloadController}: it tells it what the sockets brought in a pass of
+ * the event loop, lets it decide once, and carries out what it asked for. It holds the open
+ * messages, and keeps the journal ahead of every byte that promises something. All of it runs on
+ * the event loop's thread.
  */
 final class Host
-    implements Courier.Actions,
+    implements DeliveryActions,
         Front.Desk,
         Carrier.Listener,
         Ends.Listener,
@@ -115,7 +123,7 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Store store;
-  private final Control control;
+  private final OverloadController control;
   private final Carrier carrier;
   private final Directory directory;
   private final Ends ends;
@@ -205,8 +213,8 @@
     this.wiring = wiring;
     this.health = new LocalHealth(clock.nowUs());
     this.pulse = new Pulse(loop, clock, health, this::away);
-    this.control = new Control(config.settings(), config.seed(), this);
-    this.maxOpen = config.settings().limits().maxOpen();
+    this.control = new OverloadController(config.settings(), config.seed(), this);
+    this.maxOpen = config.settings().limits().maxPendingMessages();
     this.carrier = wiring.carrier(this);
     this.directory = wiring.directory();
     this.ends = wiring.ends(this);
@@ -233,12 +241,12 @@
     predecessor = from;
     directory.start(this::listed);
     listed(
-        Courier.Update.RESTORED,
+        EndpointUpdate.RESTORED_SNAPSHOT,
         inheritance.endpoints().stream().map(Inheritance.Named::listing).toList());
     final Map<Long, Long> numbers = learn(inheritance);
     final Map<String, Held> held = new HashMap<>();
     store.live().forEach(one -> held.put(one.id(), one));
-    final List<Courier.Endpoint> unlisted = new ArrayList<>();
+    final List<Endpoint> unlisted = new ArrayList<>();
     for (final Inheritance.CallOut out : inheritance.calls()) {
       final long endpoint =
           numbers.computeIfAbsent(
@@ -246,23 +254,21 @@
               gone -> {
                 // Gone from the list, but not from the world: a call to it is still out.
                 final long number = roster.unlisted();
-                final Courier.Endpoint entry =
-                    new Courier.Endpoint(
-                        number, Courier.Condition.DRAINING, "", 0, -1, out.destination());
+                final Endpoint entry =
+                    new Endpoint(number, EndpointState.DRAINING, "", 0, -1, out.destination());
                 unlisted.add(entry);
-                control.onList(clock.nowUs(), Courier.Update.ASIDE, List.of(entry));
+                control.onEndpointList(clock.nowUs(), EndpointUpdate.SUPPLEMENT, List.of(entry));
                 return number;
               });
       adopt(out, new RemoteCall(out.number(), endpoint, out.sentUs()), held);
     }
-    control.onList(
+    control.onEndpointList(
         clock.nowUs(),
-        Courier.Update.ASIDE,
+        EndpointUpdate.SUPPLEMENT,
         unlisted.stream()
             .map(
                 entry ->
-                    new Courier.Endpoint(
-                        entry.id(), Courier.Condition.GONE, "", 0, -1, entry.destination()))
+                    new Endpoint(entry.id(), EndpointState.GONE, "", 0, -1, entry.destinationId()))
             .toList());
     from.serve(this);
     return takeUp();
@@ -283,10 +289,10 @@
       messages.put(id, open);
       remote.put(id, new Part(open, 0, 0));
       final boolean ran = held.firstRunUs() != Held.NEVER;
-      control.onAdopted(
+      control.onCallAdopted(
           clock.nowUs(),
           message(open, index),
-          new Courier.Past(held.attempts(), ran, ran ? held.firstRunUs() : 0, held.runZone()),
+          new PriorAttempts(held.attempts(), ran, ran ? held.firstRunUs() : 0, held.runZone()),
           call.endpoint(),
           call.sentUs(),
           sameCall);
@@ -312,7 +318,7 @@
         numbers.put(named.number(), roster.number(listing.name()));
       }
     }
-    control.onMemory(clock.nowUs(), from.memory(numbers, clock));
+    control.onLearnedState(clock.nowUs(), from.memory(numbers, clock));
     return numbers;
   }
 
@@ -339,17 +345,16 @@
   private void resume(final Held held, final int index) {
     final OpenMessage open =
         new OpenMessage(held, config.settings().classes().get(index), held.validUntilUs(), null);
-    final Courier.Past past = held.past();
+    final PriorAttempts past = held.past();
     if (held.isOut()) {
       store.settle(held, false);
     }
     messages.put(held.id(), open);
-    control.onResumed(clock.nowUs(), message(open, index), past);
+    control.onMessageResumed(clock.nowUs(), message(open, index), past);
   }
 
-  private static Courier.Message message(final OpenMessage open, final int index) {
-    return new Courier.Message(
-        open.held.id(), index, -1, null, open.validUntilUs, open.held.destination());
+  private static Message message(final OpenMessage open, final int index) {
+    return new Message(open.held.id(), index, -1, null, open.validUntilUs, open.held.destination());
   }
 
   // ---------------------------------------------------------------- its own health
@@ -357,7 +362,7 @@
   /** The process did not run for so long: what is out has that much more time. */
   private void away(final long awayUs) {
     if (decides()) {
-      control.onAway(clock.nowUs(), awayUs);
+      control.onHostPaused(clock.nowUs(), awayUs);
     }
   }
 
@@ -372,7 +377,7 @@
           "this courier had no way out for "
               + (nowUs - sinceUs) / US_PER_MS
               + " ms: nobody's outage");
-      control.onReached(nowUs, sinceUs);
+      control.onConnectivityRestored(nowUs, sinceUs);
     }
     health.recordResponse(nowUs);
   }
@@ -395,7 +400,7 @@
   // ---------------------------------------------------------------- what the sockets bring
 
   @Override
-  public Courier.MessageClass kind(final String className) {
+  public MessageClass kind(final String className) {
     final Integer index = classes.get(className);
     return index == null ? null : config.settings().classes().get(index);
   }
@@ -455,17 +460,17 @@
     final OpenMessage open = messages.get(id);
     if (open != null) {
       forget(open);
-      control.onExpired(clock.nowUs(), id);
+      control.onMessageAbandoned(clock.nowUs(), id);
       touch();
     }
   }
 
   /** The list has changed, or could not be had. */
-  private void listed(final Courier.Update update, final List<Directory.Listing> listings) {
+  private void listed(final EndpointUpdate update, final List<Directory.Listing> listings) {
     final long nowUs = pulse.feel();
-    if (update == Courier.Update.LOST) {
+    if (update == EndpointUpdate.UNAVAILABLE) {
       health.recordPlatformFailure(nowUs);
-    } else if (update != Courier.Update.RESTORED) {
+    } else if (update != EndpointUpdate.RESTORED_SNAPSHOT) {
       answered(nowUs);
     }
     final Roster.Applied applied = roster.apply(update, listings, carrier);
@@ -474,11 +479,11 @@
       applied.gone().forEach(roster::forget);
       return;
     }
-    control.onList(clock.nowUs(), update, applied.changed());
+    control.onEndpointList(clock.nowUs(), update, applied.changed());
     applied.changed().stream()
-        .map(Courier.Endpoint::id)
+        .map(Endpoint::id)
         .filter(roster::isLeftOut)
-        .forEach(endpoint -> control.onEndpointWord(clock.nowUs(), endpoint, LEFT_OUT));
+        .forEach(endpoint -> control.onEndpointDirective(clock.nowUs(), endpoint, LEFT_OUT));
     if (recalled != null && roster.size() > 0) {
       Log.info("recalled what was learnt of " + learn(recalled).size() + " endpoints");
       recalled = null;
@@ -487,7 +492,7 @@
       carrier.removed(endpoint);
       roster.forget(endpoint);
     }
-    if (update != Courier.Update.LOST) {
+    if (update != EndpointUpdate.UNAVAILABLE) {
       roster.forgetVacant();
       if (witness != null) {
         witness.listed();
@@ -515,20 +520,18 @@
     if (open.held.way() != null) {
       open.held.way().outcome(clock.nowUs());
     }
-    final boolean delivered = answer.result() == Courier.Result.DELIVERED;
+    final boolean delivered = answer.result() == AttemptResult.DELIVERED;
     if (!open.over) {
       if (delivered || answer.over()) {
         count(delivered ? served : failed, open);
         forget(open);
       } else {
-        store.settle(open.held, answer.result().neverRan());
+        store.settle(open.held, answer.result().neverExecuted());
       }
     }
     if (!delivered) {
       Log.event(
-          answer.result() == Courier.Result.NOT_SENT
-              ? Event.ATTEMPT_NOT_SENT
-              : Event.ATTEMPT_FAILED,
+          answer.result() == AttemptResult.NOT_SENT ? Event.ATTEMPT_NOT_SENT : Event.ATTEMPT_FAILED,
           "id",
           open.held.id(),
           "class",
@@ -547,7 +550,7 @@
     tellHealth(open.held.destination(), call, answer.result(), nowUs);
     control.onOutcome(
         nowUs,
-        new Courier.Outcome(
+        new AttemptOutcome(
             open.held.id(),
             answer.result(),
             open.over,
@@ -574,7 +577,7 @@
   private void tellHealth(
       final long destination,
       final Carrier.Call call,
-      final Courier.Result result,
+      final AttemptResult result,
       final long nowUs) {
     switch (result) {
       case DELIVERED, ERROR, REFUSED -> answered(nowUs);
@@ -588,7 +591,7 @@
   @Override
   public void toldToWait(final long endpoint, final long waitUs) {
     if (decides()) {
-      control.onWait(clock.nowUs(), endpoint, waitUs);
+      control.onRetryAfter(clock.nowUs(), endpoint, waitUs);
       touch();
     }
   }
@@ -644,9 +647,10 @@
         (endpoint, out) -> {
           // What is kept open to them dies with their restart.
           carrier.closeIdle(endpoint);
-          control.onEndpointWord(clock.nowUs(), endpoint, out ? LEFT_OUT : LEFT_OUT.withdrawn());
+          control.onEndpointDirective(
+              clock.nowUs(), endpoint, out ? LEFT_OUT : LEFT_OUT.withdrawn());
           if (!out) {
-            control.onReturned(clock.nowUs(), endpoint);
+            control.onEndpointEnabled(clock.nowUs(), endpoint);
           }
         });
     if (!news.isEmpty()) {
@@ -662,7 +666,7 @@
 
   /** A subsystem says something of a destination. */
   void say(final long destination, final Directive word) {
-    if (decides() && control.onWord(clock.nowUs(), destination, word)) {
+    if (decides() && control.onDestinationDirective(clock.nowUs(), destination, word)) {
       turned(false);
       touch();
     }
@@ -673,12 +677,14 @@
    * while this courier is well.
    */
   private void turned(final boolean tells) {
-    toldTurns = control.turns();
+    toldTurns = control.circuitTransitions();
     final Map<Long, Boolean> now = new LinkedHashMap<>();
     control
-        .lanes()
+        .routes()
         .forEach(
-            lane -> now.merge(lane.destination(), lane.phase().equals("OUT"), Boolean::logicalAnd));
+            lane ->
+                now.merge(
+                    lane.destinationId(), lane.circuitState().equals("OUT"), Boolean::logicalAnd));
     now.forEach(
         (destination, isOut) -> {
           final boolean changed = isOut ? out.add(destination) : out.remove(destination);
@@ -705,7 +711,7 @@
         attempts,
         heir == null ? messages.size() : 0,
         roster.size(),
-        roster.excluded(control.avoided()));
+        roster.excluded(control.avoidedEndpoints()));
   }
 
   // ---------------------------------------------------------------- a newer process, an older
@@ -743,7 +749,7 @@
   Inheritance learnt() {
     return heir != null || roster.size() == 0 || roster.size() > MOST_REMEMBERED
         ? null
-        : new Inheritance(roster.listed(), control.memory(), List.of());
+        : new Inheritance(roster.listed(), control.learnedState(), List.of());
   }
 
   /**
@@ -752,35 +758,35 @@
    */
   ArrayNode lanes() {
     final ArrayNode lanes = JsonNodeFactory.instance.arrayNode();
-    for (final LaneView lane : control.lanes()) {
+    for (final RouteStatus lane : control.routes()) {
       final ObjectNode one =
           lanes
               .addObject()
-              .put("destination", lane.destination())
-              .put("phase", lane.phase())
+              .put("destination", lane.destinationId())
+              .put("phase", lane.circuitState())
               .put("window", lane.window())
-              .put("in_flight", lane.inFlight())
-              .put("silent", lane.silent())
-              .put("waiting", lane.waiting())
-              .put("served_per_s", lane.servedPerSecond())
-              .put("cause", lane.cause())
-              .put("evidence", lane.evidence())
-              .put("refused_share", lane.refusedShare())
-              .put("further_calls", lane.furtherCalls())
-              .put("growing", lane.growing())
-              .put("why", lane.why());
-      if (Double.isFinite(lane.spacingPerSecond())) {
-        one.put("spacing_per_s", lane.spacingPerSecond());
+              .put("in_flight", lane.callsInFlight())
+              .put("silent", lane.overdueCalls())
+              .put("waiting", lane.waitingMessages())
+              .put("served_per_s", lane.callsPerSecond())
+              .put("cause", lane.rejectionCause())
+              .put("evidence", lane.noiseEvidence())
+              .put("refused_share", lane.rejectedShare())
+              .put("further_calls", lane.retryBudget())
+              .put("growing", lane.inInitialGrowth())
+              .put("why", lane.blockedReason());
+      if (Double.isFinite(lane.permittedPerSecond())) {
+        one.put("spacing_per_s", lane.permittedPerSecond());
       }
       final ArrayNode said = one.putArray("said");
-      for (final LaneView.Said word : lane.said()) {
+      for (final RouteStatus.Constraint word : lane.constraints()) {
         final ObjectNode entry =
             said.addObject()
-                .put("what", word.what().toLowerCase(Locale.ROOT))
+                .put("what", word.type().toLowerCase(Locale.ROOT))
                 .put("value", word.value())
-                .put("by", word.by());
-        if (word.endpoint() >= 0) {
-          entry.put("endpoint", roster.name(word.endpoint()));
+                .put("by", word.source());
+        if (word.endpointId() >= 0) {
+          entry.put("endpoint", roster.name(word.endpointId()));
         }
         if (word.untilUs() != Long.MAX_VALUE) {
           entry.put("for_s", (word.untilUs() - clock.nowUs()) / US_PER_S);
@@ -794,7 +800,7 @@
 
   /** Changes whenever what was learnt has changed so much that it is worth putting down. */
   long turns() {
-    return control.turns();
+    return control.circuitTransitions();
   }
 
   /** What the process before this one had learnt is taken up as soon as the list is told. */
@@ -821,11 +827,11 @@
                   call.sentUs(),
                   ids));
         });
-    return new Inheritance(roster.listed(), control.memory(), calls);
+    return new Inheritance(roster.listed(), control.learnedState(), calls);
   }
 
   /** Gives up a call that was out when the newer process took over. */
-  void abandon(final long number, final Courier.Result result) {
+  void abandon(final long number, final AttemptResult result) {
     final Carrier.Call call = given.get(number);
     if (call != null && messages.values().stream().anyMatch(open -> open.call == call)) {
       giveUp(call, result);
@@ -881,7 +887,7 @@
   @Override
   public void predecessorGone() {
     List.copyOf(remote.keySet())
-        .forEach(id -> remoteOutcome(id, new Carrier.Answer(Courier.Result.RESET, false, 0, null)));
+        .forEach(id -> remoteOutcome(id, new Carrier.Answer(AttemptResult.RESET, false, 0, null)));
   }
 
   // ---------------------------------------------------------------- room among shards
@@ -889,8 +895,8 @@
   @Override
   public Room.Use use() {
     final Room.Use use =
-        new Room.Use(control.callsOut(), slotsPressed, messages.size(), openPressed);
-    slotsPressed = control.wantsSlots();
+        new Room.Use(control.callsInFlight(), slotsPressed, messages.size(), openPressed);
+    slotsPressed = control.needsMoreCapacity();
     openPressed = false;
     return use;
   }
@@ -898,7 +904,7 @@
   @Override
   public void limit(final int slotsNow, final int maxOpenNow) {
     maxOpen = maxOpenNow;
-    control.onRoom(clock.nowUs(), slotsNow, maxOpenNow);
+    control.onCapacityChanged(clock.nowUs(), slotsNow, maxOpenNow);
     touch();
   }
 
@@ -940,12 +946,12 @@
    */
   private void decide(final long nowUs) {
     if (!store.isWritable() && store.flush() != Store.Flush.SAFE) {
-      control.onLate(nowUs);
+      control.onDecisionsDelayed(nowUs);
       return;
     }
     control.decide(nowUs);
-    slotsPressed |= control.wantsSlots();
-    if (witness != null && control.turns() != toldTurns) {
+    slotsPressed |= control.needsMoreCapacity();
+    if (witness != null && control.circuitTransitions() != toldTurns) {
       turned(true);
     }
   }
@@ -969,7 +975,7 @@
     final Front.Reply reply = message.reply;
     forget(message);
     count(refused, message);
-    control.onExpired(clock.nowUs(), message.held.id());
+    control.onMessageAbandoned(clock.nowUs(), message.held.id());
     Log.event(
         Event.REQUEST_REFUSED,
         "id",
@@ -1004,7 +1010,7 @@
     @Override
     public void drop(final Carrier.Call call) {
       // An attempt that the journal does not know of would be forgotten by a restart.
-      loop.execute(() -> carrier.abandon(call, Courier.Result.NOT_SENT));
+      loop.execute(() -> carrier.abandon(call, AttemptResult.NOT_SENT));
     }
   }
 
@@ -1041,12 +1047,12 @@
    * time.
    */
   private long goesUntilUs(final OpenMessage open) {
-    final Courier.Past past = open.held.past();
-    return open.kind.keyEndUs(past.mayHaveRun(), past.firstRunUs());
+    final PriorAttempts past = open.held.past();
+    return open.kind.retryDeadlineUs(past.mayHaveExecuted(), past.firstExecutionUs());
   }
 
   @Override
-  public void refuse(final String messageId, final long retryAfterUs) {
+  public void shed(final String messageId, final long retryAfterUs) {
     final OpenMessage open = messages.get(messageId);
     if (open == null) {
       return;
@@ -1130,12 +1136,12 @@
     if (open != null && open.call != null) {
       final Carrier.Call call = open.call;
       final long decidedUs = clock.nowUs();
-      loop.execute(() -> wiring.afterLook(decidedUs, () -> giveUp(call, Courier.Result.CANCELLED)));
+      loop.execute(() -> wiring.afterLook(decidedUs, () -> giveUp(call, AttemptResult.CANCELLED)));
     }
   }
 
   /** Gives up a call, here or where it is out. */
-  private void giveUp(final Carrier.Call call, final Courier.Result result) {
+  private void giveUp(final Carrier.Call call, final AttemptResult result) {
     if (call instanceof RemoteCall far) {
       predecessor.abandon(far.number(), result);
     } else {
@@ -1144,17 +1150,17 @@
   }
 
   @Override
-  public void closeIdle(final long endpoint) {
+  public void closeIdleConnections(final long endpoint) {
     carrier.closeIdle(endpoint);
   }
 
   @Override
-  public void follow() {
+  public void subscribeToEndpointList() {
     directory.follow();
   }
 
   @Override
-  public void wake(final long delayUs) {
+  public void scheduleDecision(final long delayUs) {
     final long dueUs = clock.nowUs() + delayUs;
     loop.schedule(() -> wakeUp(dueUs), delayUs, TimeUnit.MICROSECONDS);
   }
@@ -1180,7 +1186,7 @@
     if (!decides()) {
       return;
     }
-    control.onLate(clock.nowUs());
+    control.onDecisionsDelayed(clock.nowUs());
     promises.keepRefusalsAndEnds(store.flush(), clock.nowUs());
     retryJournal();
   }
--- a/courier/src/main/java/thistleturn/courier/Practice.java
+++ b/courier/src/main/java/thistleturn/courier/Practice.java
@@ -23,7 +23,11 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.MessageClass;
 
 /**
  * A takeover with made-up messages that go nowhere, before the real one: while a newer process
@@ -71,7 +75,7 @@
     final Host elder = new Host(config, loop, clock, pages, new Nowhere());
     elder.start();
     for (int message = 0; message < MESSAGES; message++) {
-      final Courier.MessageClass kind =
+      final MessageClass kind =
           config.settings().classes().get(message % config.settings().classes().size());
       final long nowUs = clock.nowUs();
       final Held held =
@@ -101,7 +105,7 @@
                                     heir.remoteOutcome(
                                         id,
                                         new Carrier.Answer(
-                                            Courier.Result.DELIVERED, true, 0, null))));
+                                            AttemptResult.DELIVERED, true, 0, null))));
             loop.schedule(
                 () -> {
                   // It may not go on deciding beside the real one.
@@ -161,14 +165,14 @@
         listings.add(
             new Listing(
                 "practice-" + number,
-                Courier.Condition.LISTED,
+                EndpointState.LISTED,
                 new InetSocketAddress("127.0.0.1", 1),
                 config.settings().zone(),
                 MESSAGES,
                 kind,
                 number % DESTINATIONS));
       }
-      told.told(Courier.Update.RESTORED, listings);
+      told.told(EndpointUpdate.RESTORED_SNAPSHOT, listings);
     }
 
     @Override
@@ -179,12 +183,12 @@
     @Override
     public void start(final Call call) {
       if (++calls % DESTINATIONS != 0) {
-        loop.execute(() -> end(call, new Answer(Courier.Result.DELIVERED, true, 0, null)));
+        loop.execute(() -> end(call, new Answer(AttemptResult.DELIVERED, true, 0, null)));
       }
     }
 
     @Override
-    public void abandon(final Call call, final Courier.Result result) {
+    public void abandon(final Call call, final AttemptResult result) {
       end(call, new Answer(result, false, 0, null));
     }
 
@@ -193,8 +197,7 @@
     }
 
     @Override
-    public void listed(
-        final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+    public void listed(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
       // Nothing is kept of it.
     }
 
--- a/courier/src/main/java/thistleturn/courier/Roster.java
+++ b/courier/src/main/java/thistleturn/courier/Roster.java
@@ -14,8 +14,11 @@
 import thistleturn.courier.handover.Inheritance;
 import thistleturn.courier.port.Carrier;
 import thistleturn.courier.port.Directory;
-import thistleturn.decisions.Courier;
 import thistleturn.decisions.maintenance.DisabledEndpoints;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 
 /**
  * The endpoints that the directory named, under the numbers by which the decisions and the carrier
@@ -31,11 +34,11 @@
    */
   private static final int MOST_NAMES = 10_000;
 
-  private final List<Courier.Kind> kinds;
+  private final List<DestinationKind> kinds;
   private final LongSupplier nowUs;
   private final Map<String, Long> ids = new HashMap<>();
   private final Map<Long, String> names = new HashMap<>();
-  private final Map<Long, Courier.Endpoint> entries = new HashMap<>();
+  private final Map<Long, Endpoint> entries = new HashMap<>();
   private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
   /** How many endpoints each destination has. Between two of them it may have none for a while. */
@@ -49,34 +52,34 @@
 
   private long nextId = 1;
 
-  Roster(final List<Courier.Kind> kinds, final LongSupplier nowUs) {
+  Roster(final List<DestinationKind> kinds, final LongSupplier nowUs) {
     this.kinds = kinds;
     this.nowUs = nowUs;
   }
 
   /** An update, as the decisions are told of it, and the endpoints that are named no more. */
-  record Applied(List<Courier.Endpoint> changed, Set<Long> gone) {}
+  record Applied(List<Endpoint> changed, Set<Long> gone) {}
 
   /** Takes an update over. Who is gone is to be told to {@link #forget} once the decisions know. */
   Applied apply(
-      final Courier.Update update, final List<Directory.Listing> listings, final Carrier carrier) {
-    final List<Courier.Endpoint> changed = new ArrayList<>();
+      final EndpointUpdate update, final List<Directory.Listing> listings, final Carrier carrier) {
+    final List<Endpoint> changed = new ArrayList<>();
     final Set<Long> gone = new LinkedHashSet<>();
-    if (update == Courier.Update.WHOLE || update == Courier.Update.RESTORED) {
+    if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
       gone.addAll(entries.keySet());
     }
     for (final Directory.Listing listing : listings) {
-      final Courier.Endpoint entry = entry(listing);
+      final Endpoint entry = entry(listing);
       maintenance.recordListed(listing.name());
       changed.add(entry);
       gone.remove(entry.id());
-      if (entry.condition() == Courier.Condition.GONE) {
+      if (entry.state() == EndpointState.GONE) {
         gone.add(entry.id());
         continue;
       }
       staff(entries.put(entry.id(), entry), entry);
       addresses.put(entry.id(), listing.address());
-      final boolean apart = entry.kind() >= 0 && kinds.get(entry.kind()).routesApart();
+      final boolean apart = entry.kindIndex() >= 0 && kinds.get(entry.kindIndex()).separateRoutes();
       carrier.listed(entry, apart, listing.address());
     }
     return new Applied(changed, gone);
@@ -117,12 +120,12 @@
                     entry.id(),
                     new Directory.Listing(
                         names.get(entry.id()),
-                        entry.condition(),
+                        entry.state(),
                         addresses.get(entry.id()),
                         entry.zone(),
                         entry.weight(),
-                        entry.kind() < 0 ? "" : kinds.get(entry.kind()).name(),
-                        entry.destination())))
+                        entry.kindIndex() < 0 ? "" : kinds.get(entry.kindIndex()).name(),
+                        entry.destinationId())))
         .toList();
   }
 
@@ -164,16 +167,16 @@
   }
 
   /** One entry takes the place of another; either may be null. */
-  private void staff(final Courier.Endpoint before, final Courier.Endpoint after) {
+  private void staff(final Endpoint before, final Endpoint after) {
     if (after != null) {
-      staffed.merge(after.destination(), 1, Integer::sum);
-      vacant.remove(after.destination());
+      staffed.merge(after.destinationId(), 1, Integer::sum);
+      vacant.remove(after.destinationId());
     }
     if (before != null
         && staffed.computeIfPresent(
-                before.destination(), (id, count) -> count == 1 ? null : count - 1)
+                before.destinationId(), (id, count) -> count == 1 ? null : count - 1)
             == null) {
-      vacant.put(before.destination(), nowUs.getAsLong());
+      vacant.put(before.destinationId(), nowUs.getAsLong());
     }
   }
 
@@ -193,17 +196,19 @@
 
   /** Messages that one call to an endpoint may carry. */
   int messagesPerCall(final long endpoint) {
-    final Courier.Endpoint entry = entries.get(endpoint);
-    return entry == null || entry.kind() < 0 ? 1 : kinds.get(entry.kind()).messagesPerCall();
+    final Endpoint entry = entries.get(endpoint);
+    return entry == null || entry.kindIndex() < 0
+        ? 1
+        : kinds.get(entry.kindIndex()).messagesPerCall();
   }
 
   /** The zone of an endpoint; empty if that is not known. */
   String zone(final long endpoint) {
-    final Courier.Endpoint entry = entries.get(endpoint);
+    final Endpoint entry = entries.get(endpoint);
     return entry == null ? "" : entry.zone();
   }
 
-  private Courier.Endpoint entry(final Directory.Listing listing) {
+  private Endpoint entry(final Directory.Listing listing) {
     int kind = -1;
     for (int index = 0; index < kinds.size(); index++) {
       kind = kinds.get(index).name().equals(listing.kind()) ? index : kind;
@@ -215,7 +220,7 @@
               names.put(nextId, name);
               return nextId++;
             });
-    return new Courier.Endpoint(
+    return new Endpoint(
         id, listing.condition(), listing.zone(), listing.weight(), kind, listing.destination());
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Continuity.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Continuity.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
 
 /**
  * What an earlier process of this courier had learnt, as the next one takes it up: handed over by
@@ -19,23 +19,27 @@
    *
    * @param numbers the numbers of endpoints there, to those here; of others nothing is told
    */
-  Memory memory(Map<Long, Long> numbers, Clock clock);
+  LearnedState memory(Map<Long, Long> numbers, Clock clock);
 
   /** The same with other numbers for its endpoints; what has none is left out. */
-  static Memory renumbered(final Memory memory, final Map<Long, Long> numbers) {
-    return new Memory(
+  static LearnedState renumbered(final LearnedState memory, final Map<Long, Long> numbers) {
+    return new LearnedState(
         memory.classMeanUs(),
         memory.classSamples(),
-        memory.trustUs(),
-        memory.lanes().stream()
-            .filter(one -> numbers.containsKey(one.endpoint()))
+        memory.trustedIdleUs(),
+        memory.routes().stream()
+            .filter(one -> numbers.containsKey(one.endpointId()))
             .map(
-                one -> new Memory.OfLane(numbers.get(one.endpoint()), one.figures(), one.moments()))
+                one ->
+                    new LearnedState.LearnedRoute(
+                        numbers.get(one.endpointId()), one.figures(), one.moments()))
             .toList(),
-        memory.nodes().stream()
-            .filter(one -> numbers.containsKey(one.endpoint()))
+        memory.endpoints().stream()
+            .filter(one -> numbers.containsKey(one.endpointId()))
             .map(
-                one -> new Memory.OfNode(numbers.get(one.endpoint()), one.figures(), one.moments()))
+                one ->
+                    new LearnedState.LearnedEndpoint(
+                        numbers.get(one.endpointId()), one.figures(), one.moments()))
             .toList());
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Elder.java
@@ -20,7 +20,7 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.Passing;
 import thistleturn.courier.transport.AcceptRetry;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
 
 /**
  * The side of the process that serves: it waits for a newer one, and hands over to the first that
@@ -108,7 +108,7 @@
         case "listening" -> giver.heirListens();
         case "abandon" ->
             giver.abandon(
-                line.path("call").asLong(), Courier.Result.valueOf(line.path("result").asText()));
+                line.path("call").asLong(), AttemptResult.valueOf(line.path("result").asText()));
         case "reply" -> reply(line);
         default -> Log.info("handover: unknown line " + what);
       }
--- a/courier/src/main/java/thistleturn/courier/handover/Giver.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Giver.java
@@ -1,7 +1,7 @@
 package thistleturn.courier.handover;
 
 import java.io.IOException;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
 
 /** A process that can hand over. Called on its event loop. */
 public interface Giver {
@@ -13,7 +13,7 @@
   Inheritance handOver(Heir heir) throws IOException;
 
   /** Gives up a call that is still out; its outcome is told. */
-  void abandon(long call, Courier.Result result);
+  void abandon(long call, AttemptResult result);
 
   /** The heir takes clients: no further connection need be accepted here. */
   void heirListens();
--- a/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import thistleturn.courier.port.Directory;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
 
 /**
  * What a process hands on beside the journal. Endpoints are known by numbers of its own; moments
@@ -14,7 +14,7 @@
  * @param memory what the decisions have learnt
  * @param calls calls that are out, and stay with the older process until they end
  */
-public record Inheritance(List<Named> endpoints, Memory memory, List<CallOut> calls)
+public record Inheritance(List<Named> endpoints, LearnedState memory, List<CallOut> calls)
     implements Continuity {
 
   /** An endpoint's number, and how the list names it. */
@@ -26,7 +26,7 @@
 
   /** It was learnt up to this moment. */
   @Override
-  public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
+  public LearnedState memory(final Map<Long, Long> numbers, final Clock clock) {
     return Continuity.renumbered(memory, numbers);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
@@ -18,7 +18,7 @@
 import thistleturn.courier.port.Held;
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.NoSocketException;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
 
 /**
  * The older process, as the newer one sees it: first it hands over, then it is a front and a
@@ -109,7 +109,7 @@
   }
 
   @Override
-  public void abandon(final long call, final Courier.Result result) {
+  public void abandon(final long call, final AttemptResult result) {
     session.say(Wire.line("abandon").put("call", call).put("result", result.name()));
     session.flush();
   }
--- a/courier/src/main/java/thistleturn/courier/handover/Remote.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Remote.java
@@ -1,6 +1,6 @@
 package thistleturn.courier.handover;
 
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
 
 /**
  * Whoever carries out calls that another one decides on: they were out at a handover. On the event
@@ -11,5 +11,5 @@
   void serve(Predecessor.Listener to);
 
   /** Gives up a call that it has out; its outcome is told. */
-  void abandon(long call, Courier.Result result);
+  void abandon(long call, AttemptResult result);
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Wire.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Wire.java
@@ -24,8 +24,10 @@
 import thistleturn.courier.port.Held;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.LoadReport;
 
 /**
  * What the two processes say to each other: JSON objects, one a line, each with what it is in
@@ -42,7 +44,7 @@
    * The newer process says this first; one of another version, of lines or of what was learnt, is
    * not handed anything.
    */
-  static final int VERSION = LINES + Memory.VERSION;
+  static final int VERSION = LINES + LearnedState.VERSION;
 
   /** A message's body has 64 KiB at most, and a third more as text. */
   private static final int MOST_LINE_BYTES = 1 << 18;
@@ -124,18 +126,18 @@
               .put("kind", one.kind())
               .put("dest", one.destination()));
     }
-    final Memory memory = inheritance.memory();
-    final ObjectNode classes = line("classes").put("trust", memory.trustUs());
+    final LearnedState memory = inheritance.memory();
+    final ObjectNode classes = line("classes").put("trust", memory.trustedIdleUs());
     classes.set("mean", texts(memory.classMeanUs()));
     final ArrayNode samples = classes.putArray("samples");
     Arrays.stream(memory.classSamples()).forEach(samples::add);
     to.accept(classes);
     memory
-        .lanes()
-        .forEach(one -> to.accept(figures("lane", one.endpoint(), one.figures(), one.moments())));
+        .routes()
+        .forEach(one -> to.accept(figures("lane", one.endpointId(), one.figures(), one.moments())));
     memory
-        .nodes()
-        .forEach(one -> to.accept(figures("node", one.endpoint(), one.figures(), one.moments())));
+        .endpoints()
+        .forEach(one -> to.accept(figures("node", one.endpointId(), one.figures(), one.moments())));
     for (final Inheritance.CallOut call : inheritance.calls()) {
       final ObjectNode line =
           line("call")
@@ -203,8 +205,8 @@
   /** Collects what is handed on, line by line. */
   static final class Collector {
     private final List<Inheritance.Named> endpoints = new ArrayList<>();
-    private final List<Memory.OfLane> lanes = new ArrayList<>();
-    private final List<Memory.OfNode> nodes = new ArrayList<>();
+    private final List<LearnedState.LearnedRoute> lanes = new ArrayList<>();
+    private final List<LearnedState.LearnedEndpoint> nodes = new ArrayList<>();
     private final List<Inheritance.CallOut> calls = new ArrayList<>();
     private double[] means = {};
     private int[] samples = {};
@@ -219,7 +221,7 @@
                     line.path("number").asLong(),
                     new Directory.Listing(
                         line.path("name").asText(),
-                        Courier.Condition.valueOf(line.path("condition").asText()),
+                        EndpointState.valueOf(line.path("condition").asText()),
                         new InetSocketAddress(
                             line.path("host").asText(), line.path("port").asInt()),
                         line.path("zone").asText(),
@@ -234,13 +236,13 @@
         }
         case "lane" ->
             lanes.add(
-                new Memory.OfLane(
+                new LearnedState.LearnedRoute(
                     line.path("endpoint").asLong(),
                     figures(line.path("figures")),
                     moments(line.path("moments"))));
         case "node" ->
             nodes.add(
-                new Memory.OfNode(
+                new LearnedState.LearnedEndpoint(
                     line.path("endpoint").asLong(),
                     figures(line.path("figures")),
                     moments(line.path("moments"))));
@@ -264,7 +266,8 @@
     }
 
     Inheritance whole() {
-      return new Inheritance(endpoints, new Memory(means, samples, trustUs, lanes, nodes), calls);
+      return new Inheritance(
+          endpoints, new LearnedState(means, samples, trustUs, lanes, nodes), calls);
     }
   }
 
@@ -300,7 +303,7 @@
             .put("over", answer.over())
             .put("wait", answer.waitUs());
     if (answer.allowance() != null) {
-      line.put("left", answer.allowance().shareLeft())
+      line.put("left", answer.allowance().remainingShare())
           .put("limit", answer.allowance().callsPerSecond());
     }
     return line;
@@ -308,11 +311,11 @@
 
   static Carrier.Answer answer(final JsonNode line) {
     return new Carrier.Answer(
-        Courier.Result.valueOf(line.path("result").asText()),
+        AttemptResult.valueOf(line.path("result").asText()),
         line.path("over").asBoolean(),
         line.path("wait").asLong(),
         !line.has("left")
             ? null
-            : new Courier.Allowance(line.path("left").asDouble(), line.path("limit").asDouble()));
+            : new LoadReport(line.path("left").asDouble(), line.path("limit").asDouble()));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HandIn.java
+++ b/courier/src/main/java/thistleturn/courier/http/HandIn.java
@@ -1,7 +1,8 @@
 package thistleturn.courier.http;
 
 import io.netty.handler.codec.http.HttpHeaders;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
 
 /**
  * What the headers of a request say that hands a message in. {@code key} is null where none was
@@ -22,12 +23,12 @@
   static final long CLIENT_PATIENCE_US = 400_000;
 
   /** Reads the headers; null if they lack something or contradict the class. */
-  static HandIn read(final HttpHeaders headers, final Courier.MessageClass kind) {
+  static HandIn read(final HttpHeaders headers, final MessageClass kind) {
     final String id = headers.get("X-Request-ID", "");
     final long timeoutMs = whole(headers.get("X-Timeout-Ms"));
     final long destination = destination(headers.get("X-Consignee"));
     final String key = headers.get("Idempotency-Key");
-    final boolean keyed = kind.effect() == Courier.Effect.KEYED;
+    final boolean keyed = kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY;
     if (!isPlain(id)
         || (key != null && !isPlain(key))
         || id.isEmpty()
--- a/courier/src/main/java/thistleturn/courier/http/HttpAnswers.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpAnswers.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.regex.Pattern;
 import thistleturn.courier.port.Carrier;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Courier.Result;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.LoadReport;
 
 /** What answers say, read strictly: outcomes, waits and reports. */
 final class HttpAnswers {
@@ -29,16 +29,17 @@
 
   /** What an answer with this head says of a message. */
   static Carrier.Answer answer(final HttpResponse head, final long waitUs) {
-    final Courier.Allowance allowance = allowance(head.headers().get("X-Server-Load"));
+    final LoadReport allowance = allowance(head.headers().get("X-Server-Load"));
     final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
     return switch (head.status().code()) {
-      case OK -> new Carrier.Answer(Result.DELIVERED, true, waitUs, allowance);
-      case BUSY -> new Carrier.Answer(Result.REFUSED, false, waitUs, allowance);
+      case OK -> new Carrier.Answer(AttemptResult.DELIVERED, true, waitUs, allowance);
+      case BUSY -> new Carrier.Answer(AttemptResult.REFUSED, false, waitUs, allowance);
       case UNAVAILABLE ->
-          new Carrier.Answer(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, allowance);
-      case NO_MORE -> new Carrier.Answer(Result.NOT_SENT, false, waitUs, allowance);
-      case GONE -> new Carrier.Answer(Result.NOT_SENT, true, waitUs, allowance);
-      default -> new Carrier.Answer(Result.ERROR, false, waitUs, allowance);
+          new Carrier.Answer(
+              lineBusy ? AttemptResult.NOT_SENT : AttemptResult.REFUSED, false, waitUs, allowance);
+      case NO_MORE -> new Carrier.Answer(AttemptResult.NOT_SENT, false, waitUs, allowance);
+      case GONE -> new Carrier.Answer(AttemptResult.NOT_SENT, true, waitUs, allowance);
+      default -> new Carrier.Answer(AttemptResult.ERROR, false, waitUs, allowance);
     };
   }
 
@@ -49,7 +50,7 @@
   }
 
   /** What a destination told of its limit; null if it told nothing, or nothing that can be read. */
-  private static Courier.Allowance allowance(final String report) {
+  private static LoadReport allowance(final String report) {
     if (report == null) {
       return null;
     }
@@ -69,7 +70,7 @@
             && shareLeft <= MOST_SHARE
             && callsPerSecond >= 0
             && callsPerSecond <= MOST_RATE;
-    return whole ? new Courier.Allowance(Math.min(1, shareLeft), callsPerSecond) : null;
+    return whole ? new LoadReport(Math.min(1, shareLeft), callsPerSecond) : null;
   }
 
   /** A number that an answer tells, or -1 if it tells none. */
--- a/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
@@ -24,9 +24,10 @@
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.NoSocketException;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Courier.Result;
 import thistleturn.decisions.index.TimeHeap;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
 
 /**
  * Calls to endpoints, with one message or several, over connections that are kept and carry one
@@ -90,7 +91,7 @@
     this.turns = turns;
     this.connectTimeoutUs = config.connectTimeoutUs();
     this.listener = listener;
-    this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleCloseUs());
+    this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
     this.descriptors = descriptors;
     this.template =
         new Bootstrap()
@@ -114,11 +115,10 @@
   // ---------------------------------------------------------------- state
 
   @Override
-  public void listed(
-      final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+  public void listed(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
     final HttpPool pool =
         pools.computeIfAbsent(entry.id(), unused -> new HttpPool(entry, apart, address));
-    pool.takesNew = entry.condition() == Courier.Condition.LISTED;
+    pool.takesNew = entry.state() == EndpointState.LISTED;
     if (!pool.address.equals(address)) {
       pool.address = address;
       closeIdle(entry.id());
@@ -171,7 +171,7 @@
   public void start(final Call prepared) {
     final HttpCall call = (HttpCall) prepared;
     if (call.pool == null) {
-      loop.execute(() -> abandon(call, Result.NOT_SENT));
+      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
       return;
     }
     calls.add(call);
@@ -210,7 +210,7 @@
     final long lookedUs = turns.lookUs();
     for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
       readUnwatched(late);
-      abandon(late, Result.TIMED_OUT);
+      abandon(late, AttemptResult.TIMED_OUT);
     }
     // What fell due since that look began is judged in the next turn, after another.
     arm();
@@ -253,13 +253,13 @@
     if (!call.pool.takesNew) {
       // The list has changed since it was decided, while a connection came up: it drains, or is
       // gone.
-      abandon(call, Result.NOT_SENT);
+      abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
     if (call.deadlineUs <= nowUs) {
       // This process stood still since it was decided: sent now, it would be given up at once, and
       // run all the same.
-      abandon(call, Result.NOT_SENT);
+      abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
     if (call.goesUntilUs >= nowUs) {
@@ -268,12 +268,13 @@
     final List<Parcel> late =
         call.parcels.stream().filter(parcel -> parcel.goesUntilUs() < nowUs).toList();
     if (late.size() == call.parcels.size()) {
-      abandon(call, Result.NOT_SENT);
+      abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
     call.parcels.removeAll(late);
     late.forEach(
-        parcel -> listener.outcome(parcel, call, new Answer(Result.NOT_SENT, false, 0, null)));
+        parcel ->
+            listener.outcome(parcel, call, new Answer(AttemptResult.NOT_SENT, false, 0, null)));
     return true;
   }
 
@@ -318,7 +319,7 @@
   private void connect(final HttpCall call) {
     makeRoom();
     if (descriptors.isFullOfEndpoints()) {
-      loop.execute(() -> abandon(call, Result.NOT_SENT));
+      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
       return;
     }
     final long fromUs = clock.nowUs();
@@ -344,7 +345,7 @@
                 fromUs + connectTimeoutUs,
                 () -> {
                   if (!connecting.isDone()) {
-                    abandon(call, Result.NO_CONNECTION);
+                    abandon(call, AttemptResult.NO_CONNECTION);
                   }
                 }));
   }
@@ -357,7 +358,7 @@
     if (nowUs - call.sentUs < connectTimeoutUs) {
       later(call, SOCKET_RETRY_US, () -> dispatch(call));
     } else {
-      loop.execute(() -> abandon(call, Result.NOT_SENT));
+      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
     }
   }
 
@@ -370,7 +371,7 @@
         call.channel = null;
         later(call, SOCKET_RETRY_US, () -> dispatch(call));
       } else {
-        abandon(call, Result.NO_CONNECTION);
+        abandon(call, AttemptResult.NO_CONNECTION);
       }
     } else if (mayGo(call)) {
       connecting.channel().pipeline().get(HttpConnection.class).write(call);
@@ -384,7 +385,7 @@
    * is told, so that no further attempt of a message can meet this one.
    */
   @Override
-  public void abandon(final Call given, final Result result) {
+  public void abandon(final Call given, final AttemptResult result) {
     final HttpCall call = (HttpCall) given;
     final boolean known = remove(call);
     if (!known && call.started) {
@@ -401,13 +402,14 @@
       tell(call, delivered);
       return;
     }
-    final Result sure = call.written || result == Result.NOT_SENT ? result : neverWritten(result);
+    final AttemptResult sure =
+        call.written || result == AttemptResult.NOT_SENT ? result : neverWritten(result);
     tell(call, new Answer(sure, false, 0, null));
   }
 
   /** What gave up a call that was never written whole cannot have run. */
-  private static Result neverWritten(final Result result) {
-    return result == Result.CANCELLED ? Result.NOT_SENT : Result.NO_CONNECTION;
+  private static AttemptResult neverWritten(final AttemptResult result) {
+    return result == AttemptResult.CANCELLED ? AttemptResult.NOT_SENT : AttemptResult.NO_CONNECTION;
   }
 
   /** Tells the outcome of all messages of a call. */
@@ -422,12 +424,12 @@
    */
   void tell(final Parcel parcel, final HttpCall call, final Answer answer) {
     final boolean tooLate =
-        answer.result() == Result.DELIVERED && clock.nowUs() > call.validUntilUs;
+        answer.result() == AttemptResult.DELIVERED && clock.nowUs() > call.validUntilUs;
     listener.outcome(
         parcel,
         call,
         tooLate
-            ? new Answer(Result.TIMED_OUT, false, answer.waitUs(), answer.allowance())
+            ? new Answer(AttemptResult.TIMED_OUT, false, answer.waitUs(), answer.allowance())
             : answer);
   }
 
@@ -437,7 +439,7 @@
       final boolean bound =
           told.apart ? call.pool == told : call.pool.destination == told.destination;
       if (bound) {
-        abandon(call, Result.NOT_SENT);
+        abandon(call, AttemptResult.NOT_SENT);
       }
     }
   }
--- a/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
@@ -21,7 +21,7 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.Courier.Result;
+import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.pools.ConnectionLoss;
 
 /** Reads the answers of one connection. */
@@ -154,13 +154,13 @@
     }
     if (call == null || part.decoderResult().isFailure()) {
       // Bytes that answer nothing, or nothing that can be read: this connection cannot be trusted.
-      broken(Result.ERROR);
+      broken(AttemptResult.ERROR);
       return;
     }
     if (part instanceof HttpResponse response) {
       final int code = response.status().code();
       if (code > MOST_STATUS || !RequestDecoder.isFramedPlainly(response)) {
-        broken(Result.ERROR);
+        broken(AttemptResult.ERROR);
         return;
       }
       head = response;
@@ -171,7 +171,7 @@
       if (more > 0) {
         body = body == null ? new ByteArrayOutputStream(more) : body;
         if (body.size() + more > MOST_BODY_BYTES) {
-          broken(Result.ERROR);
+          broken(AttemptResult.ERROR);
           return;
         }
         read(content.content());
@@ -195,7 +195,7 @@
     }
     if (call == null || !call.written) {
       // It answers no call, or comes before its call: it belongs to an earlier one.
-      broken(Result.RESET);
+      broken(AttemptResult.RESET);
     } else {
       answering = true;
     }
@@ -207,7 +207,7 @@
   @Override
   public void channelReadComplete(final ChannelHandlerContext ctx) {
     if (answering && wholeBy == null && call != null) {
-      wholeBy = loop.schedule(() -> broken(Result.ERROR), ANSWER_MS, TimeUnit.MILLISECONDS);
+      wholeBy = loop.schedule(() -> broken(AttemptResult.ERROR), ANSWER_MS, TimeUnit.MILLISECONDS);
     }
     ctx.fireChannelReadComplete();
   }
@@ -243,7 +243,7 @@
    */
   Carrier.Answer delivered() {
     return head == null
-        ? new Carrier.Answer(Result.DELIVERED, true, 0, null)
+        ? new Carrier.Answer(AttemptResult.DELIVERED, true, 0, null)
         : HttpAnswers.answer(head, HttpAnswers.waitUs(head));
   }
 
@@ -286,7 +286,7 @@
    * the same: the destination is there and its work is done, so that counts as an error and not as
    * a reset.
    */
-  private void broken(final Result spoilt) {
+  private void broken(final AttemptResult spoilt) {
     final boolean answered = answering || line != null;
     stopWaiting();
     unpool();
@@ -307,7 +307,8 @@
       final ConnectionLoss how =
           new ConnectionLoss(
               cut.written, pool != null, answered, clock.nowUs() - wroteUs, cut.pool.handshakeUs());
-      final Result read = cut.written && spoilt != Result.RESET ? spoilt : how.result();
+      final AttemptResult read =
+          cut.written && spoilt != AttemptResult.RESET ? spoilt : how.result();
       // What stopped short may have told a wait before that.
       final long waitUs = head == null ? 0 : HttpAnswers.waitUs(head);
       if (waitUs > 0) {
@@ -332,14 +333,15 @@
       final Carrier.Answer one =
           switch (states.getOrDefault(parcel.held().id(), "")) {
             case "accepted" ->
-                new Carrier.Answer(Result.DELIVERED, true, all.waitUs(), all.allowance());
+                new Carrier.Answer(AttemptResult.DELIVERED, true, all.waitUs(), all.allowance());
             case "deferred" ->
-                new Carrier.Answer(Result.REFUSED, false, all.waitUs(), all.allowance());
+                new Carrier.Answer(AttemptResult.REFUSED, false, all.waitUs(), all.allowance());
             case "expired" ->
-                new Carrier.Answer(Result.NOT_SENT, true, all.waitUs(), all.allowance());
+                new Carrier.Answer(AttemptResult.NOT_SENT, true, all.waitUs(), all.allowance());
             case "no_more" ->
-                new Carrier.Answer(Result.NOT_SENT, false, all.waitUs(), all.allowance());
-            default -> new Carrier.Answer(Result.ERROR, false, all.waitUs(), all.allowance());
+                new Carrier.Answer(AttemptResult.NOT_SENT, false, all.waitUs(), all.allowance());
+            default ->
+                new Carrier.Answer(AttemptResult.ERROR, false, all.waitUs(), all.allowance());
           };
       carrier.tell(parcel, done, one);
     }
@@ -347,7 +349,7 @@
 
   @Override
   public void channelInactive(final ChannelHandlerContext ctx) {
-    broken(Result.RESET);
+    broken(AttemptResult.RESET);
   }
 
   @Override
@@ -355,6 +357,6 @@
     if (!(cause instanceof IOException)) {
       Log.failure("connection to an endpoint", cause);
     }
-    broken(Result.RESET);
+    broken(AttemptResult.RESET);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpPool.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpPool.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Endpoint;
 
 /** The connections to one endpoint; its fields are the {@link HttpCarrier}'s to change. */
 final class HttpPool {
@@ -25,9 +25,9 @@
 
   private double handshakeUs;
 
-  HttpPool(final Courier.Endpoint entry, final boolean apart, final InetSocketAddress address) {
+  HttpPool(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
     this.endpoint = entry.id();
-    this.destination = entry.destination();
+    this.destination = entry.destinationId();
     this.apart = apart;
     this.address = address;
   }
--- a/courier/src/main/java/thistleturn/courier/http/HttpSession.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpSession.java
@@ -37,9 +37,9 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.courier.transport.DirectRead;
-import thistleturn.decisions.Courier;
 import thistleturn.decisions.admission.ConnectionEvictionRanking;
 import thistleturn.decisions.index.TimeHeap;
+import thistleturn.decisions.model.MessageClass;
 
 /**
  * One client's connection: requests are read strictly and served in turn, each with its one answer.
@@ -509,7 +509,7 @@
       return;
     }
     final String className = path.substring(Math.min(path.length(), 1)).split("/", 2)[0];
-    final Courier.MessageClass kind = desk.kind(className);
+    final MessageClass kind = desk.kind(className);
     if (kind == null) {
       answer(HttpResponseStatus.NOT_FOUND, 0);
     } else if (!request.head().method().equals(HttpMethod.POST)) {
@@ -519,7 +519,7 @@
     }
   }
 
-  private void handIn(final Request request, final Courier.MessageClass kind) {
+  private void handIn(final Request request, final MessageClass kind) {
     final HandIn handIn = HandIn.read(request.head().headers(), kind);
     if (handIn == null) {
       answer(HttpResponseStatus.BAD_REQUEST, 0);
--- a/courier/src/main/java/thistleturn/courier/platform/Discovery.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Discovery.java
@@ -24,7 +24,8 @@
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 
 /**
  * The list of endpoints: the copy from the configuration at first, then a watch on its changes.
@@ -85,7 +86,7 @@
   public void start(final Listener told) {
     listener = told;
     if (known.path("hosts").isArray()) {
-      apply(known, Courier.Update.RESTORED);
+      apply(known, EndpointUpdate.RESTORED_SNAPSHOT);
     }
   }
 
@@ -129,7 +130,7 @@
     fresh.connect();
   }
 
-  private void apply(final JsonNode list, final Courier.Update update) {
+  private void apply(final JsonNode list, final EndpointUpdate update) {
     final List<Listing> listings = new ArrayList<>();
     for (final JsonNode node : list.path("hosts")) {
       listings.add(listing(node));
@@ -143,11 +144,11 @@
     if (name.isEmpty() || !node.path("block").canConvertToLong()) {
       throw new IllegalArgumentException("an entry without a host or a block: " + node);
     }
-    final Courier.Condition condition =
+    final EndpointState condition =
         switch (node.path("health").asText()) {
-          case "Ready" -> Courier.Condition.LISTED;
-          case "Terminating" -> Courier.Condition.DRAINING;
-          case "Gone" -> Courier.Condition.GONE;
+          case "Ready" -> EndpointState.LISTED;
+          case "Terminating" -> EndpointState.DRAINING;
+          case "Gone" -> EndpointState.GONE;
           default -> throw new IllegalArgumentException("unknown health: " + node);
         };
     return new Listing(
@@ -266,7 +267,11 @@
     public void object(final String text) {
       try {
         final JsonNode list = Json.read(text);
-        apply(list, list.path("whole").asBoolean() ? Courier.Update.WHOLE : Courier.Update.CHANGES);
+        apply(
+            list,
+            list.path("whole").asBoolean()
+                ? EndpointUpdate.COMPLETE_SNAPSHOT
+                : EndpointUpdate.CHANGES);
       } catch (final IOException e) {
         throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
       }
@@ -306,7 +311,7 @@
     private void lost() {
       if (watch == this) {
         watch = null;
-        listener.told(Courier.Update.LOST, List.of());
+        listener.told(EndpointUpdate.UNAVAILABLE, List.of());
         loop.schedule(
             Discovery.this::follow,
             ThreadLocalRandom.current().nextLong(RETRY_LEAST_US, RETRY_MOST_US),
--- a/courier/src/main/java/thistleturn/courier/port/Carrier.java
+++ b/courier/src/main/java/thistleturn/courier/port/Carrier.java
@@ -2,7 +2,9 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.LoadReport;
 
 /**
  * A way by which calls reach endpoints. It makes a call when told to, never by itself and never
@@ -45,7 +47,7 @@
    * How a message fared in a call. {@code over}: it has its final answer. {@code waitUs}: what the
    * answer told to wait, or 0. {@code allowance}: null if nothing was told.
    */
-  record Answer(Courier.Result result, boolean over, long waitUs, Courier.Allowance allowance) {}
+  record Answer(AttemptResult result, boolean over, long waitUs, LoadReport allowance) {}
 
   /** Who is told of outcomes: once for each parcel of a call. */
   interface Listener {
@@ -69,7 +71,7 @@
    * route of its own. To one that drains nothing new goes from now on, calls that were prepared
    * before included.
    */
-  void listed(Courier.Endpoint entry, boolean apart, InetSocketAddress address);
+  void listed(Endpoint entry, boolean apart, InetSocketAddress address);
 
   /** The list names an endpoint no more: nothing new goes there. */
   void removed(long endpoint);
@@ -81,7 +83,7 @@
   void start(Call call);
 
   /** Ends a call from this side; its outcomes are told before this returns. */
-  void abandon(Call call, Courier.Result result);
+  void abandon(Call call, AttemptResult result);
 
   /**
    * A wait was told elsewhere: calls that are on their way there and not written yet may not go.
--- a/courier/src/main/java/thistleturn/courier/port/Directory.java
+++ b/courier/src/main/java/thistleturn/courier/port/Directory.java
@@ -3,7 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import thistleturn.courier.runtime.Config;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 
 /**
  * Who tells which endpoints there are and in which state. All methods run on the event loop's
@@ -18,7 +19,7 @@
    */
   record Listing(
       String name,
-      Courier.Condition condition,
+      EndpointState condition,
       InetSocketAddress address,
       String zone,
       double weight,
@@ -29,9 +30,9 @@
   interface Listener {
     /**
      * Changed entries, all, the last ones known, or that no news can be had ({@link
-     * Courier.Update}).
+     * EndpointUpdate}).
      */
-    void told(Courier.Update update, List<Listing> listings);
+    void told(EndpointUpdate update, List<Listing> listings);
   }
 
   /** Begins, first of all with what is known from before, if anything is. */
--- a/courier/src/main/java/thistleturn/courier/port/Front.java
+++ b/courier/src/main/java/thistleturn/courier/port/Front.java
@@ -1,7 +1,7 @@
 package thistleturn.courier.port;
 
 import java.util.concurrent.CompletionStage;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.MessageClass;
 
 /**
  * A way by which clients hand messages in. It reads requests and gives each its one answer; whether
@@ -43,7 +43,7 @@
   /** What a front asks of its host, and hands to it. */
   interface Desk {
     /** The class of that name, or null. */
-    Courier.MessageClass kind(String className);
+    MessageClass kind(String className);
 
     /**
      * True if what is offered for that destination is answered before another event of this loop.
--- a/courier/src/main/java/thistleturn/courier/port/Held.java
+++ b/courier/src/main/java/thistleturn/courier/port/Held.java
@@ -1,6 +1,6 @@
 package thistleturn.courier.port;
 
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.PriorAttempts;
 
 /**
  * A message that this courier owes an end, as the journal keeps it (times in microseconds of the
@@ -152,10 +152,10 @@
   /**
    * What a process that did not see the attempts may count on. A call that was out may have run.
    */
-  public Courier.Past past() {
+  public PriorAttempts past() {
     final long firstUs = Math.min(firstRunUs, outUs);
     final boolean ran = firstUs != NEVER;
-    return new Courier.Past(attempts, ran, ran ? firstUs : 0, isOut() ? outZone : runZone);
+    return new PriorAttempts(attempts, ran, ran ? firstUs : 0, isOut() ? outZone : runZone);
   }
 
   /** Its way through this process; null if an earlier one took it. */
--- a/courier/src/main/java/thistleturn/courier/runtime/Config.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Config.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.DeliverySettings;
 import thistleturn.settings.Fields;
 import thistleturn.settings.MalformedLineException;
 import thistleturn.settings.SettingsReader;
@@ -27,7 +27,7 @@
     int sockets,
     long diskBytes,
     JsonNode known,
-    Courier.Settings settings,
+    DeliverySettings settings,
     long connectTimeoutUs) {
 
   private static final int MOST_PORT = 65_535;
--- a/courier/src/main/java/thistleturn/courier/shard/Room.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Room.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.ResourceLimits;
 import thistleturn.decisions.shards.CapacityAllocator;
 
 /**
@@ -34,15 +34,15 @@
 
   /** An even division to begin with. */
   public Room(
-      final Courier.Limits whole,
+      final ResourceLimits whole,
       final EventLoop owner,
       final List<EventLoop> loops,
       final List<? extends Tenant> tenants) {
     this.owner = owner;
     this.loops = loops;
     this.tenants = tenants;
-    this.slots = new CapacityAllocator(loops.size(), whole.slots());
-    this.open = new CapacityAllocator(loops.size(), whole.maxOpen());
+    this.slots = new CapacityAllocator(loops.size(), whole.concurrencyLimit());
+    this.open = new CapacityAllocator(loops.size(), whole.maxPendingMessages());
   }
 
   /** Begins to ask and to tell. Called on the owner's loop. */
--- a/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import thistleturn.courier.port.Front;
 import thistleturn.courier.port.Held;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.MessageClass;
 import thistleturn.decisions.shards.ShardPlacement;
 
 /**
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public Courier.MessageClass kind(final String className) {
+  public MessageClass kind(final String className) {
     return desks.get(own).kind(className);
   }
 
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -9,7 +9,8 @@
 import thistleturn.courier.port.Directory;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.shards.ShardPlacement;
 
 /** One directory for several shards: each is told of its own destinations, on its own loop. */
@@ -50,13 +51,13 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private void told(final Courier.Update update, final List<Directory.Listing> listings) {
+  private void told(final EndpointUpdate update, final List<Directory.Listing> listings) {
     fresh = shared.isFresh();
     final List<List<Directory.Listing>> parts = new ArrayList<>();
     views.forEach(view -> parts.add(new ArrayList<>()));
     for (final Directory.Listing listing : listings) {
       final int shard = ShardPlacement.shardOf(listing.destination(), views.size());
-      final boolean gone = listing.condition() == Courier.Condition.GONE;
+      final boolean gone = listing.condition() == EndpointState.GONE;
       final Integer before =
           gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
       if (before != null && before != shard) {
@@ -66,7 +67,7 @@
             .add(
                 new Directory.Listing(
                     listing.name(),
-                    Courier.Condition.GONE,
+                    EndpointState.GONE,
                     listing.address(),
                     listing.zone(),
                     listing.weight(),
@@ -78,7 +79,8 @@
     for (int shard = 0; shard < views.size(); shard++) {
       final View view = views.get(shard);
       final List<Directory.Listing> part = parts.get(shard);
-      if ((update != Courier.Update.CHANGES && update != Courier.Update.ASIDE) || !part.isEmpty()) {
+      if ((update != EndpointUpdate.CHANGES && update != EndpointUpdate.SUPPLEMENT)
+          || !part.isEmpty()) {
         view.loop.execute(() -> view.listener.told(update, part));
       }
     }
--- a/courier/src/main/java/thistleturn/courier/warm/LearntFile.java
+++ b/courier/src/main/java/thistleturn/courier/warm/LearntFile.java
@@ -18,7 +18,7 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
 
 /**
  * What the decisions had learnt, on disk, for the process that starts after this one has died. A
@@ -66,7 +66,7 @@
 
     /** Its process has died: what it had learnt is as old as that. */
     @Override
-    public Memory memory(final Map<Long, Long> numbers, final Clock clock) {
+    public LearnedState memory(final Map<Long, Long> numbers, final Clock clock) {
       return learnt.memory(numbers, clock).aged(takenUs, clock.nowUs());
     }
   }
@@ -79,7 +79,7 @@
                     JsonNodeFactory.instance
                         .objectNode()
                         .put("t", "learnt")
-                        .put("version", Memory.VERSION)
+                        .put("version", LearnedState.VERSION)
                         .put("classes", classes)
                         .put("taken", nowUs)))
             .append('\n');
@@ -134,13 +134,13 @@
     }
     final List<String> lines = new ArrayList<>(text.substring(0, last).lines().toList());
     final JsonNode head = Json.read(lines.remove(0));
-    if (head.path("version").asInt() != Memory.VERSION
+    if (head.path("version").asInt() != LearnedState.VERSION
         || !head.path("classes").asText().equals(classes)) {
       throw new IOException("written by another version, or for other classes");
     }
     final long takenUs = head.path("taken").asLong();
     final long ageUs = nowUs - takenUs;
-    if (ageUs < 0 || ageUs > Memory.MOST_AGE_US) {
+    if (ageUs < 0 || ageUs > LearnedState.MAX_AGE_US) {
       throw new IOException(
           ageUs < 0
               ? "the machine was started anew since it was written"
--- a/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
@@ -14,8 +14,8 @@
 import thistleturn.courier.port.Directory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.warm.LearntFile;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.EndpointState;
 
 /** Whoever hands on what a process had learnt, living or dead, does so by the same contract. */
 @Tag("decisions")
@@ -31,7 +31,7 @@
         number,
         new Directory.Listing(
             "e" + number,
-            Courier.Condition.LISTED,
+            EndpointState.LISTED,
             new InetSocketAddress("127.0.0.1", port),
             "a",
             2.5,
@@ -39,19 +39,21 @@
             57));
   }
 
-  private static Memory memory(final long waitUs) {
+  private static LearnedState memory(final long waitUs) {
     final double[] figures = new double[FIGURES];
     figures[WINDOW] = 9;
     final long[] moments = new long[MOMENTS];
     moments[0] = Long.MAX_VALUE;
     moments[WAIT] = waitUs;
     moments[MOMENTS - 1] = waitUs;
-    return new Memory(
+    return new LearnedState(
         new double[] {1000},
         new int[] {7},
         1e7,
-        List.of(new Memory.OfLane(4, figures, moments), new Memory.OfLane(5, figures, moments)),
-        List.of(new Memory.OfNode(4, new double[3], new long[] {0, 0, waitUs})));
+        List.of(
+            new LearnedState.LearnedRoute(4, figures, moments),
+            new LearnedState.LearnedRoute(5, figures, moments)),
+        List.of(new LearnedState.LearnedEndpoint(4, new double[3], new long[] {0, 0, waitUs})));
   }
 
   static Stream<Continuity> both() {
@@ -66,19 +68,21 @@
   void endpointsThatAreStillThereGoOnUnderTheirNewNumbers(final Continuity from) {
     assertEquals(
         List.of(4L, 5L), from.endpoints().stream().map(Inheritance.Named::number).toList());
-    final Memory here = from.memory(Map.of(4L, 17L), CLOCK);
+    final LearnedState here = from.memory(Map.of(4L, 17L), CLOCK);
     assertEquals(
         List.of(17L),
-        here.lanes().stream().map(Memory.OfLane::endpoint).toList(),
+        here.routes().stream().map(LearnedState.LearnedRoute::endpointId).toList(),
         "of one that is gone nothing is told");
-    assertEquals(List.of(17L), here.nodes().stream().map(Memory.OfNode::endpoint).toList());
+    assertEquals(
+        List.of(17L),
+        here.endpoints().stream().map(LearnedState.LearnedEndpoint::endpointId).toList());
     assertArrayEquals(new int[] {7}, here.classSamples());
   }
 
   @ParameterizedTest
   @MethodSource("both")
   void momentsAreOnThisProcessesClockAndWaitsThatWereToldStand(final Continuity from) {
-    final long[] moments = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).moments();
+    final long[] moments = from.memory(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
     assertTrue(
         Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000,
         "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
@@ -88,7 +92,7 @@
   @ParameterizedTest
   @MethodSource("both")
   void knowingSomethingIsNoReasonToBeginWithLess(final Continuity from) {
-    final double window = from.memory(Map.of(4L, 17L), CLOCK).lanes().get(0).figures()[WINDOW];
+    final double window = from.memory(Map.of(4L, 17L), CLOCK).routes().get(0).figures()[WINDOW];
     assertTrue(window >= 2 && window <= 9, "window " + window);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -32,8 +32,8 @@
 import thistleturn.courier.port.Carrier;
 import thistleturn.courier.port.Front;
 import thistleturn.courier.port.Held;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.AttemptResult;
 
 /**
  * The exact lines that the old and the new process of a courier say to each other during a
@@ -61,7 +61,7 @@
 
   private static Inheritance emptyInheritance() {
     return new Inheritance(
-        List.of(), new Memory(new double[0], new int[0], 1, List.of(), List.of()), List.of());
+        List.of(), new LearnedState(new double[0], new int[0], 1, List.of(), List.of()), List.of());
   }
 
   private static void write(final SocketChannel to, final String... lines) throws IOException {
@@ -115,7 +115,7 @@
 
     @Override
     public void remoteOutcome(final String messageId, final Carrier.Answer answer) {
-      events.add("outcome " + messageId + " " + answer.result().neverRan());
+      events.add("outcome " + messageId + " " + answer.result().neverExecuted());
     }
 
     @Override
@@ -144,7 +144,7 @@
             () -> {
               predecessor.serve(deciding);
               predecessor.listening();
-              predecessor.abandon(11, Courier.Result.TIMED_OUT);
+              predecessor.abandon(11, AttemptResult.TIMED_OUT);
             });
         assertEquals(
             List.of(
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void abandon(final long call, final Courier.Result result) {
+    public void abandon(final long call, final AttemptResult result) {
       events.add("abandon " + call + " " + result.name());
     }
 
@@ -263,7 +263,7 @@
               heir.offer(held, 5_000_000, new NotedReply(replies));
             }
             heir.withdraw("m1", 57);
-            heir.outcome(11, "m2", new Carrier.Answer(Courier.Result.NOT_SENT, false, 0, null));
+            heir.outcome(11, "m2", new Carrier.Answer(AttemptResult.NOT_SENT, false, 0, null));
           });
       final List<String> expected = new ArrayList<>();
       for (int number = 1; number <= 6; number++) {
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -16,8 +16,10 @@
 import thistleturn.courier.port.Front;
 import thistleturn.courier.port.Held;
 import thistleturn.courier.runtime.Json;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.LoadReport;
 
 /**
  * The exact text of the lines by which a courier hands over to the process that replaces it. The
@@ -38,22 +40,22 @@
               + "\"ids\":[\"m1\",\"m2\"]}",
           "{\"t\":\"yours\"}");
 
-  private static Directory.Listing listing(final Courier.Condition condition) {
+  private static Directory.Listing listing(final EndpointState condition) {
     return new Directory.Listing(
         "e-1", condition, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
   }
 
   private static Inheritance inheritance() {
     return new Inheritance(
-        List.of(new Inheritance.Named(4, listing(Courier.Condition.LISTED))),
-        new Memory(
+        List.of(new Inheritance.Named(4, listing(EndpointState.LISTED))),
+        new LearnedState(
             new double[] {1000, 0.5},
             new int[] {7, 8},
             1e7,
             List.of(
-                new Memory.OfLane(
+                new LearnedState.LearnedRoute(
                     4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {0, Long.MAX_VALUE})),
-            List.of(new Memory.OfNode(4, new double[] {0.25}, new long[] {5}))),
+            List.of(new LearnedState.LearnedEndpoint(4, new double[] {0.25}, new long[] {5}))),
         List.of(new Inheritance.CallOut(11, 4, 57, 123_456, List.of("m1", "m2"))));
   }
 
@@ -69,20 +71,20 @@
     assertEquals(inheritance().calls(), read.calls());
     assertArrayEquals(new double[] {1000, 0.5}, read.memory().classMeanUs());
     assertArrayEquals(new int[] {7, 8}, read.memory().classSamples());
-    assertEquals(1e7, read.memory().trustUs());
-    assertEquals(4, read.memory().lanes().get(0).endpoint());
+    assertEquals(1e7, read.memory().trustedIdleUs());
+    assertEquals(4, read.memory().routes().get(0).endpointId());
     assertArrayEquals(
-        new double[] {3, Double.POSITIVE_INFINITY}, read.memory().lanes().get(0).figures());
-    assertArrayEquals(new long[] {0, Long.MAX_VALUE}, read.memory().lanes().get(0).moments());
-    assertEquals(4, read.memory().nodes().get(0).endpoint());
-    assertArrayEquals(new double[] {0.25}, read.memory().nodes().get(0).figures());
-    assertArrayEquals(new long[] {5}, read.memory().nodes().get(0).moments());
+        new double[] {3, Double.POSITIVE_INFINITY}, read.memory().routes().get(0).figures());
+    assertArrayEquals(new long[] {0, Long.MAX_VALUE}, read.memory().routes().get(0).moments());
+    assertEquals(4, read.memory().endpoints().get(0).endpointId());
+    assertArrayEquals(new double[] {0.25}, read.memory().endpoints().get(0).figures());
+    assertArrayEquals(new long[] {5}, read.memory().endpoints().get(0).moments());
   }
 
   @Test
   void versionOfTheLinesIsFour() {
     assertEquals(4, Wire.VERSION);
-    assertEquals(3, Memory.VERSION);
+    assertEquals(3, LearnedState.VERSION);
   }
 
   @Test
@@ -124,8 +126,7 @@
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"REFUSED\",\"over\":false,"
             + "\"wait\":2000000,\"left\":0.5,\"limit\":40.0}";
     final Carrier.Answer answer =
-        new Carrier.Answer(
-            Courier.Result.REFUSED, false, 2_000_000, new Courier.Allowance(0.5, 40));
+        new Carrier.Answer(AttemptResult.REFUSED, false, 2_000_000, new LoadReport(0.5, 40));
     assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
     assertEquals(answer, Wire.answer(Json.read(line)));
   }
@@ -135,7 +136,7 @@
     final String line =
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"DELIVERED\",\"over\":true,"
             + "\"wait\":0}";
-    final Carrier.Answer answer = new Carrier.Answer(Courier.Result.DELIVERED, true, 0, null);
+    final Carrier.Answer answer = new Carrier.Answer(AttemptResult.DELIVERED, true, 0, null);
     assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
     assertEquals(answer, Wire.answer(Json.read(line)));
   }
@@ -154,7 +155,7 @@
             "NOT_SENT",
             "STALE");
     final List<String> written = new ArrayList<>();
-    for (final Courier.Result result : Courier.Result.values()) {
+    for (final AttemptResult result : AttemptResult.values()) {
       final Carrier.Answer answer = new Carrier.Answer(result, true, 0, null);
       written.add(Wire.outcome(1, "m1", answer).path("result").asText());
     }
@@ -162,14 +163,14 @@
     for (int index = 0; index < names.size(); index++) {
       final String line =
           "{\"t\":\"outcome\",\"id\":\"m1\",\"result\":\"" + names.get(index) + "\"}";
-      assertEquals(Courier.Result.values()[index], Wire.answer(Json.read(line)).result());
+      assertEquals(AttemptResult.values()[index], Wire.answer(Json.read(line)).result());
     }
   }
 
   @Test
   void conditionsOfEndpointsAreWrittenByTheseNames() throws IOException {
     final List<String> written = new ArrayList<>();
-    for (final Courier.Condition condition : Courier.Condition.values()) {
+    for (final EndpointState condition : EndpointState.values()) {
       final Inheritance one =
           new Inheritance(
               List.of(new Inheritance.Named(4, listing(condition))),
--- a/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
@@ -35,7 +35,9 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
 import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.HttpStandIn;
 
@@ -54,7 +56,7 @@
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), counting(turns)));
   private final EventLoop loop = group.next();
-  private final BlockingQueue<Courier.Result> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<AttemptResult> told = new LinkedBlockingQueue<>();
   private final Semaphore arrived = new Semaphore(0);
   private final Semaphore standing = new Semaphore(0);
   private final Semaphore trailed = new Semaphore(0);
@@ -140,7 +142,7 @@
               carrier =
                   new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
               carrier.listed(
-                  new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 0, 0, 1),
+                  new Endpoint(1, EndpointState.LISTED, "a", 0, 0, 1),
                   false,
                   new InetSocketAddress("127.0.0.1", server.port()));
             },
@@ -181,10 +183,10 @@
   @Test
   void aTimerOfACallThatIsOverDoesNotKeepTheLoopBusy() throws Exception {
     call("well", SECOND_US);
-    assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
     call("silent", 5 * SECOND_US / 2);
     final long before = turned.get();
-    assertEquals(Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertTrue(
         turned.get() - before < 200, turned.get() - before + " turns of the loop for one time-out");
   }
@@ -193,7 +195,7 @@
   @Test
   void anAnswerThatLiesUnreadCountsBeforeItsTimeOut() throws Exception {
     call("well-0", 2 * SECOND_US);
-    assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
     for (int round = 1; round <= 10; round++) {
       call("held-" + round, 80_000);
       assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
@@ -208,7 +210,7 @@
               loop)
           .get(PATIENCE_S, TimeUnit.SECONDS);
       assertEquals(
-          Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
     }
   }
 
@@ -220,7 +222,7 @@
   void whatTrailsAnAnswerIsNoOtherCallsAnswer() throws Exception {
     for (int round = 0; round < 5; round++) {
       call("trail", 2 * SECOND_US);
-      assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+      assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
       assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
       final Carrier.Parcel next =
           new Waiting(
@@ -247,7 +249,7 @@
               loop)
           .get(PATIENCE_S, TimeUnit.SECONDS);
       assertEquals(
-          Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
     }
   }
 
@@ -281,10 +283,10 @@
               loop)
           .get(PATIENCE_S, TimeUnit.SECONDS);
       assertEquals(
-          Courier.Result.NOT_SENT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.NOT_SENT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
       // One loop serves there: what came before this one would have been seen.
       call("well", 2 * SECOND_US);
-      assertEquals(Courier.Result.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+      assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
       assertEquals(0, arrived.availablePermits(), "it came all the same");
       carrierIdle();
     }
@@ -334,7 +336,7 @@
         .get(PATIENCE_S, TimeUnit.SECONDS);
     for (final Carrier.Parcel parcel : parcels) {
       assertEquals(
-          Courier.Result.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.held().id());
+          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.held().id());
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.courier.port.Carrier;
 import thistleturn.courier.port.Held;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
 
 /** The exact requests by which endpoints are called. */
 final class EndpointCallBytesTest {
@@ -35,8 +36,7 @@
   }
 
   private static String request(final Held... messages) {
-    final Courier.Endpoint endpoint =
-        new Courier.Endpoint(4, Courier.Condition.LISTED, "a", 2.5, 0, 57);
+    final Endpoint endpoint = new Endpoint(4, EndpointState.LISTED, "a", 2.5, 0, 57);
     final HttpPool pool = new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
     final HttpCall call =
         new HttpCall(pool, 4, List.of(messages).stream().map(Part::new).toList(), 1_000_000);
--- a/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
@@ -30,7 +30,9 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
 import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.HttpExchange;
 import thistleturn.testkit.HttpStandIn;
@@ -45,7 +47,7 @@
   private static final long TIMEOUT_US = 60 * SECOND_US;
   private static final long DEST = 7;
 
-  private record Told(String id, Courier.Result result) {}
+  private record Told(String id, AttemptResult result) {}
 
   private final Clock clock = new Clock();
   private final LoopTurns turns = new LoopTurns(clock);
@@ -125,7 +127,7 @@
             () -> {
               carrier =
                   new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-              list(Courier.Condition.LISTED);
+              list(EndpointState.LISTED);
             },
             loop)
         .get(PATIENCE_S, TimeUnit.SECONDS);
@@ -138,9 +140,9 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
   }
 
-  private void list(final Courier.Condition condition) {
+  private void list(final EndpointState condition) {
     carrier.listed(
-        new Courier.Endpoint(1, condition, "a", 0, 0, DEST),
+        new Endpoint(1, condition, "a", 0, 0, DEST),
         false,
         new InetSocketAddress("127.0.0.1", server.port()));
   }
@@ -180,20 +182,20 @@
   void aKeyThatIsForgottenWhileTheConnectionIsMadeDoesNotGo() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", untilUs));
-    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
     // The connection that was made for it is closed, or serves what comes next; nothing of the late
     // one is in it.
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
     assertEquals(List.of("next"), came);
   }
 
   @Test
   void whatIsLateAlreadyDoesNotGoOverAKeptConnectionEither() throws Exception {
     call(0, parcel("first", Long.MAX_VALUE));
-    assertEquals(new Told("first", Courier.Result.DELIVERED), told());
+    assertEquals(new Told("first", AttemptResult.DELIVERED), told());
     call(0, parcel("late", clock.nowUs() - 1));
-    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
+    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
     assertEquals(List.of("first"), came);
   }
 
@@ -201,8 +203,8 @@
   void aLateOneDoesNotKeepOthersOfItsCall() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", untilUs), parcel("free", Long.MAX_VALUE));
-    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-    assertEquals(new Told("free", Courier.Result.DELIVERED), told());
+    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
+    assertEquals(new Told("free", AttemptResult.DELIVERED), told());
     assertEquals(List.of("free"), came);
   }
 
@@ -214,10 +216,10 @@
   void aCallDoesNotGoOnceTheTimeOfOneOfItsMessagesIsUp() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", Long.MAX_VALUE, untilUs), parcel("free", Long.MAX_VALUE));
-    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-    assertEquals(new Told("free", Courier.Result.NOT_SENT), told());
+    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
+    assertEquals(new Told("free", AttemptResult.NOT_SENT), told());
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
     assertEquals(List.of("next"), came);
   }
 
@@ -231,8 +233,8 @@
         0,
         parcel("brief", Long.MAX_VALUE, clock.nowUs() + SECOND_US / 2),
         parcel("patient", Long.MAX_VALUE, clock.nowUs() + TIMEOUT_US));
-    assertEquals(new Told("brief", Courier.Result.TIMED_OUT), told());
-    assertEquals(new Told("patient", Courier.Result.TIMED_OUT), told());
+    assertEquals(new Told("brief", AttemptResult.TIMED_OUT), told());
+    assertEquals(new Told("patient", AttemptResult.TIMED_OUT), told());
     assertTrue(ended.await(PATIENCE_S, TimeUnit.SECONDS), "its connection is closed");
   }
 
@@ -249,16 +251,16 @@
               if (gone) {
                 carrier.removed(1);
               } else {
-                list(Courier.Condition.DRAINING);
+                list(EndpointState.DRAINING);
               }
             },
             loop)
         .get(PATIENCE_S, TimeUnit.SECONDS);
-    assertEquals(new Told("late", Courier.Result.NOT_SENT), told());
-    CompletableFuture.runAsync(() -> list(Courier.Condition.LISTED), loop)
+    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
+    CompletableFuture.runAsync(() -> list(EndpointState.LISTED), loop)
         .get(PATIENCE_S, TimeUnit.SECONDS);
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", Courier.Result.DELIVERED), told());
+    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
     assertEquals(List.of("next"), came);
   }
 
@@ -282,11 +284,11 @@
     CompletableFuture.runAsync(
             () -> {
               exchange.answer(429, "", "Retry-After", "1.5").syncUninterruptibly();
-              carrier.abandon(call, Courier.Result.TIMED_OUT);
+              carrier.abandon(call, AttemptResult.TIMED_OUT);
             },
             loop)
         .get(PATIENCE_S, TimeUnit.SECONDS);
-    assertEquals(new Told("open", Courier.Result.TIMED_OUT), told());
+    assertEquals(new Told("open", AttemptResult.TIMED_OUT), told());
     assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
   }
 
@@ -300,7 +302,7 @@
             "HTTP/1.1 429 X\r\nRetry-After: 1.5\r\nContent-Length: 10\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII))
         .addListener(written -> exchange.channel().close());
-    assertEquals(new Told("open", Courier.Result.RESET), told());
+    assertEquals(new Told("open", AttemptResult.RESET), told());
     assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -21,7 +21,7 @@
 import thistleturn.courier.port.Held;
 import thistleturn.courier.port.Store;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.PriorAttempts;
 
 /** What outlasts the process, and what a kill in the middle of a write leaves of it. */
 final class JournalTest {
@@ -116,11 +116,11 @@
     final Held sent = live.get(0);
     assertArrayEquals(new byte[] {1, 2, 3}, sent.body());
     assertEquals("k", sent.idempotencyKey());
-    final Courier.Past past = sent.past();
+    final PriorAttempts past = sent.past();
     assertEquals(2, past.attempts());
-    assertTrue(past.mayHaveRun(), "the attempt that was out may have run");
-    assertEquals("b", past.runZone());
-    assertEquals(2000, past.firstRunUs(), "the refused attempt before does not count");
+    assertTrue(past.mayHaveExecuted(), "the attempt that was out may have run");
+    assertEquals("b", past.executionZone());
+    assertEquals(2000, past.firstExecutionUs(), "the refused attempt before does not count");
     assertEquals(new Held.Notice(false, 700), live.get(1).notice());
   }
 
--- a/courier/src/test/java/thistleturn/courier/runtime/EventLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/EventLineFormatTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.AttemptResult;
 
 /** The exact text of the log's event lines, which operators' tools parse. */
 final class EventLineFormatTest {
@@ -42,7 +42,7 @@
                     "id",
                     "m1-of-this-test",
                     "result",
-                    Courier.Result.TIMED_OUT,
+                    AttemptResult.TIMED_OUT,
                     "cause",
                     "a \"b\"\\\n",
                     "none",
@@ -63,7 +63,7 @@
     assertEquals(
         "[DELIVERED, ERROR, REFUSED, TIMED_OUT, NO_CONNECTION, RESET, CANCELLED, NOT_SENT,"
             + " STALE]",
-        Arrays.toString(Courier.Result.values()));
+        Arrays.toString(AttemptResult.values()));
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.handover.Inheritance;
 import thistleturn.courier.port.Directory;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.EndpointState;
 
 /**
  * The exact text of the file in which a courier keeps what it has learned. The next version reads
@@ -48,7 +48,7 @@
     final Directory.Listing listing =
         new Directory.Listing(
             "e-1",
-            Courier.Condition.LISTED,
+            EndpointState.LISTED,
             new InetSocketAddress("127.0.0.1", 9001),
             "a",
             2.5,
@@ -56,14 +56,16 @@
             57);
     return new Inheritance(
         List.of(new Inheritance.Named(4, listing)),
-        new Memory(
+        new LearnedState(
             new double[] {1000, 2000},
             new int[] {7, 8},
             1e7,
             List.of(
-                new Memory.OfLane(
+                new LearnedState.LearnedRoute(
                     4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {1, 2})),
-            List.of(new Memory.OfNode(4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
+            List.of(
+                new LearnedState.LearnedEndpoint(
+                    4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
         List.of());
   }
 
@@ -79,11 +81,11 @@
     assertNotNull(found);
     assertEquals(TAKEN_US, found.takenUs());
     assertEquals(learned().endpoints(), found.learnt().endpoints());
-    final Memory memory = found.learnt().memory();
+    final LearnedState memory = found.learnt().memory();
     assertArrayEquals(new double[] {1000, 2000}, memory.classMeanUs());
     assertArrayEquals(new int[] {7, 8}, memory.classSamples());
-    assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, memory.lanes().get(0).figures());
-    assertArrayEquals(new long[] {Long.MAX_VALUE}, memory.nodes().get(0).moments());
+    assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, memory.routes().get(0).figures());
+    assertArrayEquals(new long[] {Long.MAX_VALUE}, memory.endpoints().get(0).moments());
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.handover.Inheritance;
 import thistleturn.courier.port.Directory;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.model.EndpointState;
 
 /**
  * A file that is torn, old, foreign or from before a clock was set is not used; nothing else hangs
@@ -41,20 +41,22 @@
                 4,
                 new Directory.Listing(
                     "s-1",
-                    Courier.Condition.LISTED,
+                    EndpointState.LISTED,
                     new InetSocketAddress("127.0.0.1", 9001),
                     "a",
                     2.5,
                     "std",
                     57))),
-        new Memory(
+        new LearnedState(
             new double[] {1000, 2000},
             new int[] {7, 8},
             1e7,
             List.of(
-                new Memory.OfLane(
+                new LearnedState.LearnedRoute(
                     4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {1, 2})),
-            List.of(new Memory.OfNode(4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
+            List.of(
+                new LearnedState.LearnedEndpoint(
+                    4, new double[] {0.5}, new long[] {Long.MAX_VALUE}))),
         List.of());
   }
 
@@ -73,7 +75,7 @@
     final LearntFile.Found found = after(SECOND);
     assertEquals(TAKEN_US, found.takenUs());
     assertEquals(learnt().endpoints(), found.learnt().endpoints());
-    final Memory.OfLane lane = found.learnt().memory().lanes().get(0);
+    final LearnedState.LearnedRoute lane = found.learnt().memory().routes().get(0);
     assertEquals(
         "[3.0, Infinity] [1, 2]",
         Arrays.toString(lane.figures()) + " " + Arrays.toString(lane.moments()));
@@ -99,8 +101,8 @@
 
   @Test
   void anOldOneIsNotUsed() {
-    assertNotNull(after(Memory.MOST_AGE_US));
-    assertNull(after(Memory.MOST_AGE_US + 1));
+    assertNotNull(after(LearnedState.MAX_AGE_US));
+    assertNull(after(LearnedState.MAX_AGE_US + 1));
     assertNull(after(3600 * SECOND));
   }
 
@@ -118,9 +120,10 @@
 
   @Test
   void whatIsTooLargeIsNeitherWrittenNorRead() throws IOException {
-    final Memory.OfNode node = new Memory.OfNode(4, new double[100], new long[100]);
-    final Memory large =
-        new Memory(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
+    final LearnedState.LearnedEndpoint node =
+        new LearnedState.LearnedEndpoint(4, new double[100], new long[100]);
+    final LearnedState large =
+        new LearnedState(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
     assertNull(file.bytes(new Inheritance(List.of(), large, List.of()), TAKEN_US));
     Files.write(folder.resolve("learnt"), new byte[4 << 20]);
     assertNull(after(SECOND));
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -12,76 +12,77 @@
       Comparator.comparingLong(destination -> destination.id);
 
   /** Messages a second: least rate at which a line is reckoned. */
-  static final double LEAST_RATE = 0.25;
+  static final double MIN_RATE = 0.25;
 
   /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
-  static final long HORIZON_LEAST_US = Control.SECOND_US;
+  static final long MIN_LOOK_AHEAD_US = OverloadController.SECOND_US;
 
-  static final long HORIZON_MOST_US = 10 * Control.SECOND_US;
+  static final long MAX_LOOK_AHEAD_US = 10 * OverloadController.SECOND_US;
 
   final long id;
 
   /** What waits, like with like. */
-  final List<Group> groups = new ArrayList<>();
+  final List<DeadlineGroup> groups = new ArrayList<>();
 
-  final List<Lane> lanes = new ArrayList<>();
+  final List<Route> routes = new ArrayList<>();
 
   /** What other subsystems say of it; binds all of its lanes. */
-  Directives words = Directives.NONE;
+  Directives directives = Directives.NONE;
 
   /** Its messages, waiting or out; those that wait. */
-  int jobs, waiting;
+  int openMessages, waitingMessages;
 
-  boolean touched;
+  boolean changed;
 
   /** What is refused first to make room, when last looked at. */
-  Job least;
+  PendingMessage leastValuable;
 
   Destination(final long id) {
     this.id = id;
   }
 
   /** How long its line takes at the rate that it was served, us. */
-  long lineUs() {
+  long queueDrainUs() {
     double rate = 0;
-    for (final Lane lane : lanes) {
-      rate += lane.rate;
+    for (final Route lane : routes) {
+      rate += lane.messageRate;
     }
-    return (long) (waiting / Math.max(LEAST_RATE, rate) * Control.SECOND_US);
+    return (long) (waitingMessages / Math.max(MIN_RATE, rate) * OverloadController.SECOND_US);
   }
 
-  long horizonUs() {
-    return (long) Worth.clamp((double) lineUs(), HORIZON_LEAST_US, HORIZON_MOST_US);
+  long lookAheadUs() {
+    return (long)
+        PriorityValue.clamp((double) queueDrainUs(), MIN_LOOK_AHEAD_US, MAX_LOOK_AHEAD_US);
   }
 
   /**
    * Puts a message that waits among those like it; {@code blocked}: another of its key goes first.
    */
-  void file(final Job job, final boolean blocked) {
-    final boolean odd = job.keyEndUs() < job.message.validUntilUs();
-    Group group = null;
-    for (final Group one : groups) {
-      group = one.holds(job, blocked, odd) ? one : group;
+  void enqueue(final PendingMessage job, final boolean blocked) {
+    final boolean odd = job.retryDeadlineUs() < job.message.validUntilUs();
+    DeadlineGroup group = null;
+    for (final DeadlineGroup one : groups) {
+      group = one.matches(job, blocked, odd) ? one : group;
     }
     if (group == null) {
-      group = new Group(job, blocked, odd);
+      group = new DeadlineGroup(job, blocked, odd);
       groups.add(group);
     }
     job.group = group;
     if (odd) {
-      group.odd.add(job);
+      group.unordered.add(job);
     } else {
-      group.line.add(job, job.aimUs, job.place);
+      group.ordered.add(job, job.objectiveUs, job.queuePosition);
     }
   }
 
   /** Takes a message out from among those like it. */
-  void unfile(final Job job) {
-    final Group group = job.group;
-    if (group.odd != null) {
-      group.odd.remove(job);
+  void dequeue(final PendingMessage job) {
+    final DeadlineGroup group = job.group;
+    if (group.unordered != null) {
+      group.unordered.remove(job);
     } else {
-      group.line.remove(job);
+      group.ordered.remove(job);
     }
     if (group.isEmpty()) {
       groups.remove(group);
@@ -90,9 +91,9 @@
   }
 
   /** Makes up for the steps that its lanes were idle for. */
-  void catchUp(final long steps) {
-    for (final Lane lane : lanes) {
-      lane.catchUp(steps);
+  void catchUpIdleSteps(final long steps) {
+    for (final Route lane : routes) {
+      lane.catchUpIdleSteps(steps);
     }
   }
 }
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/model/Guarantees.java
@@ -0,0 +1,16 @@
+package thistleturn.decisions.model;
+
+/** The figures of the rules. */
+public record Guarantees(
+    long subscriptionDeadlineUs,
+    double coldCapacityShare,
+    long warmUpUs,
+    double overloadMultiple,
+    long settleDelayUs) {
+  /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
+  public double overloadShare(final long warmingUs) {
+    final double warm = (double) warmingUs / Math.max(1, warmUpUs);
+    return overloadMultiple
+        * (coldCapacityShare + (1 - coldCapacityShare) * Math.max(0, Math.min(1, warm)));
+  }
+}
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/model/Idempotence.java
@@ -0,0 +1,10 @@
+package thistleturn.decisions.model;
+
+/**
+ * What a repeat of a message does: nothing new, nothing new while the key is remembered, or harm.
+ */
+public enum Idempotence {
+  IDEMPOTENT,
+  IDEMPOTENT_BY_KEY,
+  NON_IDEMPOTENT
+}
--- a/decisions/src/main/java/thistleturn/decisions/pools/ConnectionLoss.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/ConnectionLoss.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.pools;
 
-import thistleturn.decisions.Courier.Result;
+import thistleturn.decisions.model.AttemptResult;
 
 /**
  * What it says of a call, and of whom it went to, that its connection broke. Moments and times in
@@ -27,16 +27,18 @@
   static final long MIN_STALE_WINDOW_US = 20_000;
 
   /**
-   * The outcome of a call that was cut off like this. {@link Result#STALE} is told only where the
-   * connection was dead before the call: it was kept, and its end came as fast as a round trip lets
-   * it. Any later, and an endpoint may have failed in the midst of its work.
+   * The outcome of a call that was cut off like this. {@link AttemptResult#STALE} is told only
+   * where the connection was dead before the call: it was kept, and its end came as fast as a round
+   * trip lets it. Any later, and an endpoint may have failed in the midst of its work.
    */
-  public Result result() {
+  public AttemptResult result() {
     if (!requestWritten) {
-      return Result.NO_CONNECTION;
+      return AttemptResult.NO_CONNECTION;
     }
     final boolean atOnce =
         sinceWriteUs <= Math.max(MIN_STALE_WINDOW_US, STALE_WINDOW_ROUND_TRIPS * handshakeUs);
-    return connectionReused && !responseStarted && atOnce ? Result.STALE : Result.RESET;
+    return connectionReused && !responseStarted && atOnce
+        ? AttemptResult.STALE
+        : AttemptResult.RESET;
   }
 }
--- a/decisions/src/main/java/thistleturn/settings/SettingsReader.java
+++ b/decisions/src/main/java/thistleturn/settings/SettingsReader.java
@@ -2,7 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.Tenant;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 
 /**
  * Reads the settings of an {@code enlist} line or of a courier's configuration. Absent ones
@@ -14,21 +22,21 @@
   private SettingsReader() {}
 
   /** Reads all settings that the decisions ask for. */
-  public static Courier.Settings read(final Fields fields) {
-    final Courier.Weights weights =
+  public static DeliverySettings read(final Fields fields) {
+    final WeightMeaning weights =
         switch (fields.text("weights", "none")) {
-          case "nominal" -> Courier.Weights.NOMINAL;
-          case "rough" -> Courier.Weights.ROUGH;
-          default -> Courier.Weights.NONE;
+          case "nominal" -> WeightMeaning.NOMINAL;
+          case "rough" -> WeightMeaning.APPROXIMATE;
+          default -> WeightMeaning.NONE;
         };
-    return new Courier.Settings(
+    return new DeliverySettings(
         (int) fields.integer("balancers", 1),
         fields.text("my_zone", ""),
         fields.text("discovery", "pushed").equals("on_request"),
         weights,
         fields.text("extra.fades", "linear").equals("halving")
-            ? Courier.Fade.HALVING
-            : Courier.Fade.LINEAR,
+            ? ValueDecay.HALVING
+            : ValueDecay.LINEAR,
         classes(fields),
         tenants(fields),
         kinds(fields),
@@ -36,19 +44,19 @@
         limits(fields));
   }
 
-  private static List<Courier.MessageClass> classes(final Fields fields) {
-    final List<Courier.MessageClass> classes = new ArrayList<>();
+  private static List<MessageClass> classes(final Fields fields) {
+    final List<MessageClass> classes = new ArrayList<>();
     for (int index = 0; index < fields.integer("classes.count", 0); index++) {
       final String path = "classes." + index + ".";
-      final Courier.Effect effect =
+      final Idempotence effect =
           switch (fields.text(path + "effect", "side_effect")) {
-            case "pure" -> Courier.Effect.SAFE;
-            case "token" -> Courier.Effect.KEYED;
-            default -> Courier.Effect.UNSAFE;
+            case "pure" -> Idempotence.IDEMPOTENT;
+            case "token" -> Idempotence.IDEMPOTENT_BY_KEY;
+            default -> Idempotence.NON_IDEMPOTENT;
           };
       final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
       classes.add(
-          new Courier.MessageClass(
+          new MessageClass(
               fields.text(path + "name", ""),
               effect,
               !fields.text(path + "group", "all").equals("all"),
@@ -62,25 +70,24 @@
     return classes;
   }
 
-  private static List<Courier.Tenant> tenants(final Fields fields) {
-    final List<Courier.Tenant> tenants = new ArrayList<>();
+  private static List<Tenant> tenants(final Fields fields) {
+    final List<Tenant> tenants = new ArrayList<>();
     for (int index = 0; index < fields.integer("tenants.count", 0); index++) {
       final String path = "tenants." + index + ".";
       tenants.add(
-          new Courier.Tenant(
-              fields.text(path + "name", ""), fields.decimal(path + "quota_rps", 0)));
+          new Tenant(fields.text(path + "name", ""), fields.decimal(path + "quota_rps", 0)));
     }
     return tenants;
   }
 
-  private static List<Courier.Kind> kinds(final Fields fields) {
+  private static List<DestinationKind> kinds(final Fields fields) {
     final String[] names = fields.list("flavors");
     final String[] apart = fields.list("extra.routes_apart");
     final String[] perCall = fields.list("extra.per_call");
-    final List<Courier.Kind> kinds = new ArrayList<>();
+    final List<DestinationKind> kinds = new ArrayList<>();
     for (int index = 0; index < names.length; index++) {
       kinds.add(
-          new Courier.Kind(
+          new DestinationKind(
               names[index],
               index < apart.length && apart[index].equals("true"),
               index < perCall.length ? (int) fields.decimal(perCall[index]) : 1));
@@ -88,8 +95,8 @@
     return kinds;
   }
 
-  private static Courier.Guarantees guarantees(final Fields fields) {
-    return new Courier.Guarantees(
+  private static Guarantees guarantees(final Fields fields) {
+    return new Guarantees(
         fields.integer("guarantees.must_ask_in", FOREVER_US),
         fields.decimal("guarantees.cold_from", 1),
         fields.integer("guarantees.cold", 0),
@@ -97,8 +104,8 @@
         fields.integer("guarantees.order_settle", 0));
   }
 
-  private static Courier.Limits limits(final Fields fields) {
-    return new Courier.Limits(
+  private static ResourceLimits limits(final Fields fields) {
+    return new ResourceLimits(
         (int) fields.integer("extra.calls_out", Integer.MAX_VALUE),
         (int) fields.integer("limits.max_open", Integer.MAX_VALUE),
         (int) fields.integer("limits.most_tries", Integer.MAX_VALUE),
--- a/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
@@ -10,6 +10,20 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 
 /**
  * What large sizes bring, in virtual time. The bound on real time is wide: all of this takes a few
@@ -26,7 +40,7 @@
   private record Due(long atUs, long number, String messageId, long endpoint, long sentUs) {}
 
   /** Endpoints that answer after a while, or never; what is asked for is kept by message. */
-  private static final class World implements Courier.Actions {
+  private static final class World implements DeliveryActions {
     private final Map<Long, Long> delaysUs = new HashMap<>();
     private final Map<Long, Long> waitsUs = new HashMap<>();
     private final PriorityQueue<Due> due =
@@ -38,7 +52,7 @@
     private final Map<String, Long> openUntilUs = new HashMap<>();
     private final Map<Long, Integer> calls = new HashMap<>();
     private final Map<String, Long> outAt = new HashMap<>();
-    private final Control control;
+    private final OverloadController control;
     private long nowUs = 1000 * SECOND;
     private long numbers;
     private int delivered;
@@ -47,46 +61,45 @@
     private int passes;
 
     private World(final int slots, final int maxOpen) {
-      final List<Courier.MessageClass> classes =
+      final List<MessageClass> classes =
           List.of(
-              new Courier.MessageClass(
-                  "safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND, 20 * SECOND, 0),
-              new Courier.MessageClass(
-                  "dear", Courier.Effect.SAFE, false, false, 5, 0, SECOND, 20 * SECOND, 0));
+              new MessageClass(
+                  "safe", Idempotence.IDEMPOTENT, false, false, 1, 0, SECOND, 20 * SECOND, 0),
+              new MessageClass(
+                  "dear", Idempotence.IDEMPOTENT, false, false, 5, 0, SECOND, 20 * SECOND, 0));
       control =
-          new Control(
-              new Courier.Settings(
+          new OverloadController(
+              new DeliverySettings(
                   1,
                   "a",
                   false,
-                  Courier.Weights.NONE,
-                  Courier.Fade.LINEAR,
+                  WeightMeaning.NONE,
+                  ValueDecay.LINEAR,
                   classes,
                   List.of(),
-                  List.of(new Courier.Kind("std", false, 1)),
-                  new Courier.Guarantees(10 * SECOND, 0.2, 5 * SECOND, 2, 0),
-                  new Courier.Limits(slots, maxOpen, 8, true, 10 * SECOND, 1, 2 * SECOND)),
+                  List.of(new DestinationKind("std", false, 1)),
+                  new Guarantees(10 * SECOND, 0.2, 5 * SECOND, 2, 0),
+                  new ResourceLimits(slots, maxOpen, 8, true, 10 * SECOND, 1, 2 * SECOND)),
               7,
               this);
     }
 
     private void endpoint(final long destination, final long delayUs) {
       delaysUs.put(destination, delayUs);
-      list(destination, Courier.Condition.LISTED);
+      list(destination, EndpointState.LISTED);
     }
 
-    private void list(final long destination, final Courier.Condition condition) {
-      control.onList(
+    private void list(final long destination, final EndpointState condition) {
+      control.onEndpointList(
           nowUs,
-          Courier.Update.CHANGES,
-          List.of(new Courier.Endpoint(destination, condition, "a", 0, 0, destination)));
+          EndpointUpdate.CHANGES,
+          List.of(new Endpoint(destination, condition, "a", 0, 0, destination)));
     }
 
     private String take(final int kind, final long destination, final long lifeUs) {
       final String id = "m" + numbers++;
       openUntilUs.put(id, nowUs + lifeUs);
-      control.onMessage(
-          nowUs, new Courier.Message(id, kind, -1, null, nowUs + lifeUs, destination));
+      control.onMessage(nowUs, new Message(id, kind, -1, null, nowUs + lifeUs, destination));
       return id;
     }
 
@@ -117,20 +130,20 @@
       outAt.remove(one.messageId());
       final boolean silent = delaysUs.get(one.endpoint()) == SILENT;
       final long waitUs = waitsUs.getOrDefault(one.endpoint(), 0L) - nowUs;
-      final Courier.Result result =
+      final AttemptResult result =
           silent
-              ? Courier.Result.TIMED_OUT
-              : waitUs > 0 ? Courier.Result.REFUSED : Courier.Result.DELIVERED;
-      if (result == Courier.Result.DELIVERED) {
+              ? AttemptResult.TIMED_OUT
+              : waitUs > 0 ? AttemptResult.REFUSED : AttemptResult.DELIVERED;
+      if (result == AttemptResult.DELIVERED) {
         openUntilUs.remove(one.messageId());
         delivered++;
       }
       control.onOutcome(
           nowUs,
-          new Courier.Outcome(
+          new AttemptOutcome(
               one.messageId(),
               result,
-              result == Courier.Result.DELIVERED || !openUntilUs.containsKey(one.messageId()),
+              result == AttemptResult.DELIVERED || !openUntilUs.containsKey(one.messageId()),
               one.endpoint(),
               nowUs - one.sentUs(),
               Math.max(0, waitUs),
@@ -147,7 +160,7 @@
     }
 
     @Override
-    public void refuse(final String messageId, final long retryAfterUs) {
+    public void shed(final String messageId, final long retryAfterUs) {
       refused++;
       final Long untilUs = openUntilUs.remove(messageId);
       assertTrue(untilUs != null, "ended twice: " + messageId);
@@ -166,23 +179,23 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
       // There are no connections here.
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpointList() {
       throw new AssertionError("the list comes by itself here");
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void scheduleDecision(final long delayUs) {
       due.add(new Due(nowUs + delayUs, numbers++, null, 0, 0));
     }
   }
 
   @Test
-  void aSilentDestinationWithAHundredThousandMessagesDoesNotHoldUpTheOthers() {
+  void unresponsiveDestinationWith100000Messages_doesNotDelayOthers() {
     final World world = new World(200, 300_000);
     world.endpoint(1, SILENT);
     for (long destination = 2; destination <= 21; destination++) {
@@ -206,7 +219,7 @@
   }
 
   @Test
-  void aHundredThousandDeadlinesInOneMillisecondAreKept() {
+  void deadlines100000InOneMillisecond_areMet() {
     final World world = new World(50, 300_000);
     world.endpoint(1, SILENT);
     for (int count = 0; count < 100_000; count++) {
@@ -218,7 +231,7 @@
   }
 
   @Test
-  void allWaitsEndInTheSameInstant() {
+  void allRetryAftersEndTogether_areHandled() {
     final World world = new World(2_000, 300_000);
     final long endUs = world.nowUs + 3 * SECOND;
     for (long destination = 1; destination <= 10_000; destination++) {
@@ -238,7 +251,7 @@
   }
 
   @Test
-  void tenThousandDestinationsComeDrainAndGoWithinASecond() {
+  void destinations10000_areAddedDrainedAndRemovedWithinOneSecond() {
     final World world = new World(500, 100_000);
     for (long destination = 1; destination <= 10_000; destination++) {
       world.endpoint(destination, 2 * MS);
@@ -248,12 +261,12 @@
       }
     }
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.list(destination, Courier.Condition.DRAINING);
+      world.list(destination, EndpointState.DRAINING);
     }
     world.decide();
     final Map<Long, Integer> before = Map.copyOf(world.calls);
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.list(destination, Courier.Condition.GONE);
+      world.list(destination, EndpointState.GONE);
     }
     for (long destination = 1; destination <= 10_000; destination++) {
       world.take(0, destination, 5 * SECOND);
@@ -263,14 +276,14 @@
     assertEquals(20_000, world.delivered + world.refused);
     assertEquals(0, world.late);
     world.until(world.nowUs + 62 * SECOND);
-    assertEquals(0, world.control.destinationsKnown(), "nothing is kept of them");
+    assertEquals(0, world.control.destinationCount(), "nothing is kept of them");
   }
 
   /**
    * Full for two minutes: what is worth least goes, what is worth most is served, nothing is late.
    */
   @Test
-  void aStoreThatIsFullForMinutesServesWhatIsWorthMost() {
+  void fullStore_servesHighestPriorityFirst() {
     final World world = new World(20, 20_000);
     for (long destination = 1; destination <= 10; destination++) {
       world.endpoint(destination, 20 * MS);
@@ -292,11 +305,11 @@
    * Nothing to do costs nothing: no poll, however many destinations are known and messages wait.
    */
   @Test
-  void whatStandsStillIsNotPolled() {
+  void idleDestinations_areNotPolled() {
     final World world = new World(100, 300_000);
     for (long destination = 1; destination <= 1_000; destination++) {
       world.endpoint(destination, MS);
-      world.list(destination, Courier.Condition.DRAINING);
+      world.list(destination, EndpointState.DRAINING);
       for (int count = 0; count < 20; count++) {
         world.take(0, destination, 19 * SECOND);
       }
--- a/decisions/src/test/java/thistleturn/decisions/LimitsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/SourceSizeTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The operators read the whole module at night: its size is part of what is promised. */
-final class LimitsTest {
+final class SourceSizeTest {
   private static final int MOST_LINES = 900;
   private static final int MOST_CHARACTERS = 110;
 
   @Test
-  void theModuleStaysShortAndItsLinesToo() throws IOException {
+  void controllerSource_staysWithinLineLimits() throws IOException {
     final List<String> lines =
-        Files.readAllLines(Path.of("src/main/java/thistleturn/decisions/Control.java"));
+        Files.readAllLines(Path.of("src/main/java/thistleturn/decisions/OverloadController.java"));
     assertFalse(lines.isEmpty());
     final long filled = lines.stream().filter(line -> !line.isBlank()).count();
     assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
--- a/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
@@ -21,8 +21,23 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 
 /**
  * What a message costs the decisions, the frozen module beside the present one in one run: so many
@@ -48,7 +63,7 @@
   private ArrayDeque<Long> endpoints;
   private Random random;
   private int destinations;
-  private Courier courier;
+  private DeliveryController courier;
   private long nowUs;
   private int messages;
 
@@ -61,13 +76,14 @@
     nowUs = 1000 * SECOND;
     messages = 0;
     destinations = Integer.parseInt(size.substring(0, size.indexOf('x')));
-    final RandomDay.Maker maker = module.equals("frozen") ? FrozenControl::new : Control::new;
+    final RandomScenario.ControllerFactory maker =
+        module.equals("frozen") ? ReferenceController::new : OverloadController::new;
     courier = maker.make(settings(), 1, new Answering());
-    final List<Courier.Endpoint> list = new ArrayList<>();
+    final List<Endpoint> list = new ArrayList<>();
     for (int id = 1; id <= destinations; id++) {
-      list.add(new Courier.Endpoint(id, Courier.Condition.LISTED, "a", 0, 0, id));
+      list.add(new Endpoint(id, EndpointState.LISTED, "a", 0, 0, id));
     }
-    courier.onList(nowUs, Courier.Update.WHOLE, list);
+    courier.onEndpointList(nowUs, EndpointUpdate.COMPLETE_SNAPSHOT, list);
     final int held = Integer.parseInt(size.substring(size.indexOf('x') + 1));
     for (int index = 0; index < held; index++) {
       take();
@@ -86,8 +102,8 @@
       for (int index = 0; index < TOGETHER && !out.isEmpty(); index++) {
         courier.onOutcome(
             nowUs,
-            new Courier.Outcome(
-                out.poll(), Courier.Result.DELIVERED, true, endpoints.poll(), 1000, 0, null));
+            new AttemptOutcome(
+                out.poll(), AttemptResult.DELIVERED, true, endpoints.poll(), 1000, 0, null));
         take();
         delivered++;
       }
@@ -112,23 +128,23 @@
         .run();
   }
 
-  private static Courier.Settings settings() {
-    return new Courier.Settings(
+  private static DeliverySettings settings() {
+    return new DeliverySettings(
         1,
         "a",
         false,
-        Courier.Weights.NONE,
-        Courier.Fade.LINEAR,
+        WeightMeaning.NONE,
+        ValueDecay.LINEAR,
         List.of(
-            new Courier.MessageClass(
-                "safe", Courier.Effect.SAFE, false, false, 1, 0, 5 * SECOND, 2000 * SECOND, 0)),
+            new MessageClass(
+                "safe", Idempotence.IDEMPOTENT, false, false, 1, 0, 5 * SECOND, 2000 * SECOND, 0)),
         List.of(),
-        List.of(new Courier.Kind("x", false, 1)),
-        new Courier.Guarantees(10 * SECOND, 0.5, SECOND, 2, 0),
-        new Courier.Limits(64, 1_000_000, 8, true, 10 * SECOND, 1, 0));
+        List.of(new DestinationKind("x", false, 1)),
+        new Guarantees(10 * SECOND, 0.5, SECOND, 2, 0),
+        new ResourceLimits(64, 1_000_000, 8, true, 10 * SECOND, 1, 0));
   }
 
-  private final class Answering implements Courier.Actions {
+  private final class Answering implements DeliveryActions {
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
       out.add(messageId);
@@ -136,7 +152,7 @@
     }
 
     @Override
-    public void refuse(final String messageId, final long retryAfterUs) {
+    public void shed(final String messageId, final long retryAfterUs) {
       throw new IllegalStateException("nothing is refused here");
     }
 
@@ -151,17 +167,17 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
       // There are no connections.
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpointList() {
       // The list stays as it is.
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void scheduleDecision(final long delayUs) {
       // The next pass comes anyway.
     }
   }
@@ -169,7 +185,7 @@
   private void take() {
     courier.onMessage(
         nowUs,
-        new Courier.Message(
+        new Message(
             "m" + messages++,
             0,
             -1,
--- a/decisions/src/test/java/thistleturn/decisions/oracle/RandomDay.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/RandomScenario.java
@@ -4,34 +4,47 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeSet;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Courier.Condition;
-import thistleturn.decisions.Courier.Effect;
-import thistleturn.decisions.Courier.Endpoint;
-import thistleturn.decisions.Courier.Result;
-import thistleturn.decisions.Courier.Update;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.LoadReport;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.Tenant;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 
 /**
  * A day of events drawn from a seed, played to two couriers in lock-step: whatever one asks for,
  * the other must ask for, in the same order, before the next event. Calls that are asked for are
  * answered later, in any of the ways there are.
  */
-final class RandomDay {
+final class RandomScenario {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
 
   private final Random random;
-  private final Courier.Settings settings;
+  private final DeliverySettings settings;
 
   /**
    * On half of the days refusals without a wait come at random, so that there is noise to be read.
    */
   private final boolean noisy;
 
-  private final Recorder ours = new Recorder();
-  private final Recorder oracle = new Recorder();
-  private final Courier first;
-  private final Courier second;
+  private final RecordedActions ours = new RecordedActions();
+  private final RecordedActions oracle = new RecordedActions();
+  private final DeliveryController first;
+  private final DeliveryController second;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final List<String> open = new ArrayList<>();
   private final List<Sent> out = new ArrayList<>();
@@ -45,15 +58,15 @@
   private boolean wokenByUs;
 
   /** Makes the couriers that are compared. */
-  interface Maker {
+  interface ControllerFactory {
     /** A courier that asks the actions. */
-    Courier make(Courier.Settings settings, long seed, Courier.Actions actions);
+    DeliveryController make(DeliverySettings settings, long seed, DeliveryActions actions);
   }
 
   private record Sent(String messageId, long endpoint, long atUs) {}
 
   /** What one courier asked for since the last look. */
-  private static final class Recorder implements Courier.Actions {
+  private static final class RecordedActions implements DeliveryActions {
     private final List<String> asked = new ArrayList<>();
     private final List<Sent> sent = new ArrayList<>();
     private final List<String> ended = new ArrayList<>();
@@ -66,7 +79,7 @@
     }
 
     @Override
-    public void refuse(final String messageId, final long retryAfterUs) {
+    public void shed(final String messageId, final long retryAfterUs) {
       asked.add("refuse " + messageId + " for " + retryAfterUs);
       ended.add(messageId);
     }
@@ -83,17 +96,17 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
       asked.add("close idle " + endpoint);
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpointList() {
       asked.add("follow");
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void scheduleDecision(final long delayUs) {
       // Not compared: the oracle polls what stands still, and is woken later where a ramp gets
       // steeper.
       wakes.add(delayUs);
@@ -107,7 +120,8 @@
     }
   }
 
-  RandomDay(final long seed, final Maker ourMaker, final Maker oracleMaker) {
+  RandomScenario(
+      final long seed, final ControllerFactory ourMaker, final ControllerFactory oracleMaker) {
     this.random = new Random(seed);
     this.settings = settings();
     this.noisy = chance(0.5);
@@ -119,14 +133,14 @@
     return random.nextDouble() < share;
   }
 
-  private Courier.Settings settings() {
-    final List<Courier.MessageClass> classes = new ArrayList<>();
+  private DeliverySettings settings() {
+    final List<MessageClass> classes = new ArrayList<>();
     for (int index = 0; index < 4; index++) {
       final long aimUs = (1 + random.nextInt(4)) * SECOND;
       classes.add(
-          new Courier.MessageClass(
+          new MessageClass(
               "c" + index,
-              Effect.values()[random.nextInt(3)],
+              Idempotence.values()[random.nextInt(3)],
               chance(0.2),
               chance(0.3),
               1 + random.nextInt(3),
@@ -136,19 +150,19 @@
               (1 + random.nextInt(10)) * SECOND));
     }
     // The oracle is older than what a large fleet does otherwise.
-    return new Courier.Settings(
+    return new DeliverySettings(
         1 + random.nextInt(6),
         "a",
         chance(0.7),
-        Courier.Weights.values()[random.nextInt(3)],
-        Courier.Fade.values()[random.nextInt(2)],
+        WeightMeaning.values()[random.nextInt(3)],
+        ValueDecay.values()[random.nextInt(2)],
         classes,
-        List.of(new Courier.Tenant("t", 5)),
+        List.of(new Tenant("t", 5)),
         List.of(
-            new Courier.Kind("x", chance(0.3), 1 + random.nextInt(5)),
-            new Courier.Kind("y", false, 1)),
-        new Courier.Guarantees(10 * SECOND, 0.2, 9 * SECOND, 2, random.nextInt(3) * SECOND),
-        new Courier.Limits(
+            new DestinationKind("x", chance(0.3), 1 + random.nextInt(5)),
+            new DestinationKind("y", false, 1)),
+        new Guarantees(10 * SECOND, 0.2, 9 * SECOND, 2, random.nextInt(3) * SECOND),
+        new ResourceLimits(
             2 + random.nextInt(20),
             8 + random.nextInt(60),
             1 + random.nextInt(12),
@@ -160,7 +174,7 @@
 
   /** Plays so many events; the result is how many actions were asked for and were the same. */
   int play(final int events) {
-    list(Update.WHOLE);
+    list(EndpointUpdate.COMPLETE_SNAPSHOT);
     for (int event = 0; event < events; event++) {
       advance();
       // A pass that only the oracle asked for, and to which nothing has come, finds nothing to do.
@@ -240,10 +254,12 @@
     } else if (kind < 0.97) {
       list(
           chance(0.1)
-              ? Update.WHOLE
+              ? EndpointUpdate.COMPLETE_SNAPSHOT
               : chance(0.1)
-                  ? Update.LOST
-                  : chance(0.1) ? Update.RESTORED : chance(0.3) ? Update.ASIDE : Update.CHANGES);
+                  ? EndpointUpdate.UNAVAILABLE
+                  : chance(0.1)
+                      ? EndpointUpdate.RESTORED_SNAPSHOT
+                      : chance(0.3) ? EndpointUpdate.SUPPLEMENT : EndpointUpdate.CHANGES);
     } else if (kind < 0.995) {
       expire();
     } else if (chance(0.1)) {
@@ -253,14 +269,14 @@
   }
 
   private void message() {
-    if (open.size() >= settings.limits().maxOpen() || endpoints.isEmpty()) {
+    if (open.size() >= settings.limits().maxPendingMessages() || endpoints.isEmpty()) {
       return;
     }
     final int index = random.nextInt(settings.classes().size());
-    final Courier.MessageClass kind = settings.classes().get(index);
+    final MessageClass kind = settings.classes().get(index);
     final long destination = chance(0.5) ? 1 : 1 + random.nextInt(8);
-    final Courier.Message message =
-        new Courier.Message(
+    final Message message =
+        new Message(
             "m" + messages++,
             index,
             chance(0.3) ? 0 : -1,
@@ -269,14 +285,14 @@
             destination);
     open.add(message.id());
     if (chance(0.05)) {
-      final Courier.Past past =
-          new Courier.Past(
+      final PriorAttempts past =
+          new PriorAttempts(
               random.nextInt(3),
               chance(0.5),
               nowUs - random.nextInt(5) * SECOND,
               chance(0.5) ? "a" : "b");
-      first.onResumed(nowUs, message, past);
-      second.onResumed(nowUs, message, past);
+      first.onMessageResumed(nowUs, message, past);
+      second.onMessageResumed(nowUs, message, past);
     } else {
       first.onMessage(nowUs, message);
       second.onMessage(nowUs, message);
@@ -289,26 +305,28 @@
     }
     final Sent sent = out.remove(random.nextInt(out.size()));
     final boolean well = (sent.endpoint() + nowUs / (20 * SECOND)) % 4 != 0;
-    final Result result =
+    final AttemptResult result =
         noisy && chance(0.15)
-            ? Result.REFUSED
+            ? AttemptResult.REFUSED
             : chance(well ? 0.85 : 0.1)
-                ? Result.DELIVERED
-                : Result.values()[random.nextInt(Result.values().length)];
+                ? AttemptResult.DELIVERED
+                : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
     final boolean over =
-        result == Result.DELIVERED || !open.contains(sent.messageId()) || chance(0.01);
+        result == AttemptResult.DELIVERED || !open.contains(sent.messageId()) || chance(0.01);
     if (over) {
       open.remove(sent.messageId());
     }
-    final Courier.Outcome outcome =
-        new Courier.Outcome(
+    final AttemptOutcome outcome =
+        new AttemptOutcome(
             sent.messageId(),
             result,
             over,
             sent.endpoint(),
             nowUs - sent.atUs(),
-            result == Result.REFUSED && chance(noisy ? 0.1 : 0.5) ? random.nextInt(2000) * MS : 0,
-            chance(0.05) ? new Courier.Allowance(random.nextDouble(), random.nextInt(20)) : null);
+            result == AttemptResult.REFUSED && chance(noisy ? 0.1 : 0.5)
+                ? random.nextInt(2000) * MS
+                : 0,
+            chance(0.05) ? new LoadReport(random.nextDouble(), random.nextInt(20)) : null);
     first.onOutcome(nowUs, outcome);
     second.onOutcome(nowUs, outcome);
   }
@@ -316,37 +334,37 @@
   private void expire() {
     if (!open.isEmpty()) {
       final String id = open.remove(random.nextInt(open.size()));
-      first.onExpired(nowUs, id);
-      second.onExpired(nowUs, id);
+      first.onMessageAbandoned(nowUs, id);
+      second.onMessageAbandoned(nowUs, id);
     }
   }
 
-  private void list(final Update update) {
+  private void list(final EndpointUpdate update) {
     final List<Endpoint> told = new ArrayList<>();
-    if (update == Update.WHOLE || update == Update.RESTORED) {
+    if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
       if (endpoints.isEmpty() || chance(0.5)) {
         endpoints.clear();
         final int count = 1 + random.nextInt(16);
         for (int index = 0; index < count; index++) {
-          endpoints.add(endpoint(1 + random.nextInt(30), Condition.LISTED));
+          endpoints.add(endpoint(1 + random.nextInt(30), EndpointState.LISTED));
         }
       }
       told.addAll(endpoints);
-    } else if (update != Update.LOST) {
+    } else if (update != EndpointUpdate.UNAVAILABLE) {
       final Endpoint changed =
-          endpoint(1 + random.nextInt(30), Condition.values()[random.nextInt(3)]);
+          endpoint(1 + random.nextInt(30), EndpointState.values()[random.nextInt(3)]);
       endpoints.removeIf(endpoint -> endpoint.id() == changed.id());
-      if (changed.condition() != Condition.GONE) {
+      if (changed.state() != EndpointState.GONE) {
         endpoints.add(changed);
       }
       told.add(changed);
     }
-    first.onList(nowUs, update, told);
-    second.onList(nowUs, update, told);
+    first.onEndpointList(nowUs, update, told);
+    second.onEndpointList(nowUs, update, told);
   }
 
   /** An endpoint's place, kind and destination follow from its number, as they do in service. */
-  private static Endpoint endpoint(final long id, final Condition condition) {
+  private static Endpoint endpoint(final long id, final EndpointState condition) {
     return new Endpoint(
         id,
         condition,
