--- a/decisions/src/test/java/thistleturn/decisions/oracle/FrozenControl.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/ReferenceController.java
@@ -10,7 +10,22 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.LoadReport;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 import thistleturn.decisions.rejections.EndpointClassStatistics;
 import thistleturn.decisions.rejections.InitialWindowGrowth;
 import thistleturn.decisions.rejections.RejectionClassifier;
@@ -21,10 +36,11 @@
  * docs/design/scale.md} names (class means are noted once a second where messages are compared; a
  * route's pick keeps its own urgency; rates are added up plainly), and what {@code
  * docs/design/noise.md} names, where it {@code learns}: the oracle for every later {@link
- * thistleturn.decisions.Control} that is to decide the same with less work. It is not changed; when
- * decisions are changed on purpose, that change is made here too and named in the commit.
+ * thistleturn.decisions.OverloadController} that is to decide the same with less work. It is not
+ * changed; when decisions are changed on purpose, that change is made here too and named in the
+ * commit.
  */
-final class FrozenControl implements Courier {
+final class ReferenceController implements DeliveryController {
 
   private static final long SECOND_US = 1_000_000;
 
@@ -230,8 +246,8 @@
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final Settings settings;
-  private final Actions actions;
+  private final DeliverySettings settings;
+  private final DeliveryActions actions;
   private final Random random;
   private final boolean learns;
   private final Map<Long, Destination> destinations = new LinkedHashMap<>();
@@ -257,21 +273,27 @@
   /**
    * A courier that knows nothing yet but its settings; {@code seed} is its only source of chance.
    */
-  FrozenControl(final Settings settings, final long seed, final Actions actions) {
+  ReferenceController(
+      final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     this(settings, seed, actions, true);
   }
 
-  FrozenControl(
-      final Settings settings, final long seed, final Actions actions, final boolean learns) {
+  ReferenceController(
+      final DeliverySettings settings,
+      final long seed,
+      final DeliveryActions actions,
+      final boolean learns) {
     this.learns = learns;
     this.settings = settings;
     this.actions = actions;
     this.random = new Random(seed);
     this.classMeanUs =
-        settings.classes().stream().mapToDouble(k -> UNSEEN_SHARE * k.aimUs()).toArray();
+        settings.classes().stream()
+            .mapToDouble(k -> UNSEEN_SHARE * k.latencyObjectiveUs())
+            .toArray();
     this.notedMeanUs = classMeanUs.clone();
     this.classSamples = new int[classMeanUs.length];
-    this.trustUs = settings.limits().idleCloseUs();
+    this.trustUs = settings.limits().idleTimeoutUs();
     this.quotaUs = new long[settings.tenants().size()];
   }
 
@@ -280,31 +302,31 @@
   @Override
   public void onMessage(final long now, final Message message) {
     nowUs = now;
-    final Job job = new Job(message, settings.classes().get(message.messageClass()));
+    final Job job = new Job(message, settings.classes().get(message.classIndex()));
     jobs.put(message.id(), job);
     open++;
-    job.overQuota = overQuota(message.tenant());
-    job.destination = destination(message.destination());
+    job.overQuota = overQuota(message.tenantIndex());
+    job.destination = destination(message.destinationId());
     job.destination.waiting.add(job);
     job.destination.jobs++;
-    busy.put(message.destination(), job.destination);
-    if (job.kind.inTurn() && message.key() != null) {
+    busy.put(message.destinationId(), job.destination);
+    if (job.kind.orderedByKey() && message.key() != null) {
       job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
       job.line.jobs.add(job);
     }
   }
 
   @Override
-  public void onResumed(final long now, final Message message, final Past past) {
+  public void onMessageResumed(final long now, final Message message, final PriorAttempts past) {
     onMessage(now, message);
     final Job job = jobs.get(message.id());
     job.attempts = past.attempts();
-    job.mayHaveRun = past.mayHaveRun();
+    job.mayHaveRun = past.mayHaveExecuted();
     if (job.mayHaveRun) {
-      job.firstRunUs = past.firstRunUs();
-      job.runZone = past.runZone();
+      job.firstRunUs = past.firstExecutionUs();
+      job.runZone = past.executionZone();
       if (job.line != null) {
-        job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
+        job.line.restUntilUs = nowUs + settings.guarantees().settleDelayUs();
       }
     }
   }
@@ -317,12 +339,12 @@
   }
 
   @Override
-  public void onRoom(final long now, final int slotsNow, final int maxOpenNow) {
+  public void onCapacityChanged(final long now, final int slotsNow, final int maxOpenNow) {
     throw new UnsupportedOperationException("it was decided before couriers were divided");
   }
 
   @Override
-  public void onOutcome(final long now, final Outcome outcome) {
+  public void onOutcome(final long now, final AttemptOutcome outcome) {
     nowUs = now;
     final Job job = jobs.get(outcome.messageId());
     if (job == null || job.call == null) {
@@ -331,12 +353,12 @@
     final Call call = job.call;
     final Node node = call.node;
     job.call = null;
-    if (!outcome.result().neverRan()) {
+    if (!outcome.result().neverExecuted()) {
       job.mayHaveRun = true;
       job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
       job.runZone = node.entry.zone();
-      if (job.line != null && !outcome.result().ended()) {
-        job.line.restUntilUs = nowUs + settings.guarantees().orderSettleUs();
+      if (job.line != null && !outcome.result().hasAnswer()) {
+        job.line.restUntilUs = nowUs + settings.guarantees().settleDelayUs();
       }
     }
     if (--call.messages == 0) {
@@ -347,7 +369,7 @@
       shareConnections(node, call);
     }
     judge(node, call, job, outcome);
-    if (outcome.over() || job.over) {
+    if (outcome.isFinal() || job.over) {
       end(job);
     } else {
       job.destination.waiting.add(job);
@@ -355,7 +377,7 @@
   }
 
   @Override
-  public void onExpired(final long now, final String messageId) {
+  public void onMessageAbandoned(final long now, final String messageId) {
     nowUs = now;
     Optional.ofNullable(jobs.get(messageId)).ifPresent(this::end);
   }
@@ -371,7 +393,7 @@
           notedMeanUs[kind] = classMeanUs[kind];
         }
       }
-      trustUs = Math.min((double) settings.limits().idleCloseUs(), TRUST_GROWTH * trustUs);
+      trustUs = Math.min((double) settings.limits().idleTimeoutUs(), TRUST_GROWTH * trustUs);
       forget();
       keys.values().removeIf(line -> line.jobs.isEmpty() && line.restUntilUs <= nowUs);
       nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
@@ -388,7 +410,7 @@
 
   /** Sends, best first, until no slot is free or no message may go. */
   private void dispatch() {
-    while (callsOut < settings.limits().slots()) {
+    while (callsOut < settings.limits().concurrencyLimit()) {
       final Job best = best(true);
       if (best == null) {
         return;
@@ -429,7 +451,7 @@
     if (lane.calls.size() - stray >= cap(lane) || lane.calls.size() >= most(lane)) {
       return NEVER;
     }
-    final boolean exact = settings.weights() == Weights.NOMINAL && lane.told > 0;
+    final boolean exact = settings.weightMeaning() == WeightMeaning.NOMINAL && lane.told > 0;
     final double rate = exact ? Math.min(lane.told, lane.spacing) : lane.spacing;
     final long guardUs =
         switch (lane.phase) {
@@ -454,7 +476,7 @@
 
   private int most(final Lane lane) {
     final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
-    return (int) Math.max(1, Math.floor(share * settings.limits().slots()));
+    return (int) Math.max(1, Math.floor(share * settings.limits().concurrencyLimit()));
   }
 
   /**
@@ -469,18 +491,21 @@
       if (!inTurn(job)
           || !endsInTime(lane, job)
           || (node == null && choose(lane, job, null) == null)
-          || (node != null && (!zoneAllows(job, node) || job.kind.effect() == Effect.UNSAFE))) {
+          || (node != null
+              && (!zoneAllows(job, node)
+                  || job.kind.idempotence() == Idempotence.NON_IDEMPOTENT))) {
         continue;
       }
       final double urgency = urgency(lane, job, lineUs);
       final int risk =
-          lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.effect().ordinal();
+          lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.idempotence().ordinal();
       if (best == null || risk < bestRisk || (risk == bestRisk && urgency > bestUrgency)) {
         best = job;
         bestRisk = risk;
         bestUrgency = urgency;
         // With the store over half full some will not be served: slots go where they serve most.
-        job.urgency = urgency / (2 * open > settings.limits().maxOpen() ? notedUs(lane, job) : 1);
+        job.urgency =
+            urgency / (2 * open > settings.limits().maxPendingMessages() ? notedUs(lane, job) : 1);
       }
     }
     return best;
@@ -503,28 +528,34 @@
     if (atUs >= job.keyEndUs()) {
       return 0;
     }
-    final double full = kind.worth() * (job.overQuota ? OVER_QUOTA : 1);
+    final double full = kind.priorityWeight() * (job.overQuota ? OVER_QUOTA : 1);
     final long lateUs = Math.max(0, atUs - job.aimUs);
     return full
-        * (settings.fade() == Fade.HALVING
-            ? Math.max(kind.lateWorth(), Math.pow(0.5, (double) lateUs / Math.max(1, kind.aimUs())))
-            : 1 - (1 - kind.lateWorth()) * lateUs / Math.max(1, kind.deadlineUs() - kind.aimUs()));
+        * (settings.valueDecay() == ValueDecay.HALVING
+            ? Math.max(
+                kind.lateWeight(),
+                Math.pow(0.5, (double) lateUs / Math.max(1, kind.latencyObjectiveUs())))
+            : 1
+                - (1 - kind.lateWeight())
+                    * lateUs
+                    / Math.max(1, kind.deadlineUs() - kind.latencyObjectiveUs()));
   }
 
   /** The best endpoint of a lane for a message now, or null. */
   private Node choose(final Lane lane, final Job job, final Node refusedBy) {
     Node best = null;
     double bestLoad = 0;
-    final int kind = job.message.messageClass();
+    final int kind = job.message.classIndex();
     for (final Node node : lane.nodes) {
-      if (node.condition != Condition.LISTED
+      if (node.condition != EndpointState.LISTED
           || !zoneAllows(job, node)
           || (lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind])) {
         continue;
       }
       final boolean handshake =
-          node.inFlight >= node.connections * settings.limits().multiplex()
-              || (node.inFlight == 0 && nowUs - node.lastUseUs >= settings.limits().idleCloseUs());
+          node.inFlight >= node.connections * settings.limits().streamsPerConnection()
+              || (node.inFlight == 0
+                  && nowUs - node.lastUseUs >= settings.limits().idleTimeoutUs());
       final boolean cross = !node.entry.zone().equals(settings.zone());
       final double load =
           lane.phase == Phase.OUT
@@ -545,7 +576,7 @@
 
   /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
   private static boolean zoneAllows(final Job job, final Node node) {
-    return !job.mayHaveRun || !job.kind.zoneKeyed() || node.entry.zone().equals(job.runZone);
+    return !job.mayHaveRun || !job.kind.keyScopedToZone() || node.entry.zone().equals(job.runZone);
   }
 
   /**
@@ -563,7 +594,9 @@
   private boolean endsInTime(final Lane lane, final Job job) {
     return stopUs == NEVER
         || nowUs
-                + (job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES)
+                + (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT
+                        ? OVERDUE_TIMES
+                        : STOP_TIMES)
                     * notedUs(lane, job)
             < stopUs;
   }
@@ -582,7 +615,7 @@
     if (node.inFlight++ == 0) {
       checkIdle(call, node, first);
     }
-    final int streams = settings.limits().multiplex();
+    final int streams = settings.limits().streamsPerConnection();
     call.reused = node.connections * streams >= node.inFlight;
     node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
     node.lastSendUs = lane.lastSendUs = nowUs;
@@ -590,7 +623,8 @@
       lane.nextTrialUs = trialUs(lane);
     }
     Job job = first;
-    final boolean alone = lane.phase == Phase.OUT || first.kind.effect() == Effect.UNSAFE;
+    final boolean alone =
+        lane.phase == Phase.OUT || first.kind.idempotence() == Idempotence.NON_IDEMPOTENT;
     while (job != null) {
       call.messages++;
       call.expectedUs = Math.max(call.expectedUs, (long) expectedUs(lane, job));
@@ -612,9 +646,10 @@
    */
   private void checkIdle(final Call call, final Node node, final Job job) {
     final long idleUs = nowUs - node.lastUseUs;
-    if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
+    if (node.connections > 0
+        && idleUs >= trustUs / (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT ? 2 : 1)) {
       node.connections = 0;
-      actions.closeIdle(node.entry.id());
+      actions.closeIdleConnections(node.entry.id());
     } else if (node.connections > 0) {
       call.idleUs = idleUs;
     }
@@ -627,9 +662,9 @@
    */
   private void shareConnections(final Node node, final Call call) {
     final double usesInReach = node.lane.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
-    if (settings.couriers() > FEW_COURIERS && usesInReach < node.lane.nodes.size()) {
+    if (settings.courierCount() > FEW_COURIERS && usesInReach < node.lane.nodes.size()) {
       node.connections = 0;
-      actions.closeIdle(node.entry.id());
+      actions.closeIdleConnections(node.entry.id());
     }
   }
 
@@ -654,7 +689,7 @@
       }
       double refusal = bad / read;
       if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
-        refusal = Math.max(refusal, 1 - lane.allowance.shareLeft());
+        refusal = Math.max(refusal, 1 - lane.allowance.remainingShare());
       }
       final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
       if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
@@ -662,7 +697,7 @@
             clamp(
                 lane.window * (1 + change),
                 WINDOW_FLOOR,
-                Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
+                Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().concurrencyLimit())));
       }
       lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
     }
@@ -722,18 +757,19 @@
    * is counted in calls gets a message's part of its call: five messages turned away together are
    * one refusal.
    */
-  private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
+  private void judge(
+      final Node node, final Call call, final Job job, final AttemptOutcome outcome) {
     final Lane lane = node.lane;
-    if (outcome.allowance() != null) {
-      lane.allowance = outcome.allowance();
+    if (outcome.loadReport() != null) {
+      lane.allowance = outcome.loadReport();
       lane.told = lane.allowance.callsPerSecond();
     }
-    final int kind = job.message.messageClass();
+    final int kind = job.message.classIndex();
     final double part = 1.0 / call.size;
     final boolean first = lane.troubleFromUs == NEVER;
     lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
     // A wait may stand in any answer, also one that delivers some of a call's messages.
-    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.waitUs());
+    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.retryAfterUs());
     switch (outcome.result()) {
       case DELIVERED -> {
         final double ratio = learn(lane, job, outcome.durationUs());
@@ -758,7 +794,7 @@
         lane.troubleFromUs = NEVER;
       }
       case REFUSED -> {
-        if (learns && outcome.waitUs() == 0 && isStray(lane, node, job, call)) {
+        if (learns && outcome.retryAfterUs() == 0 && isStray(lane, node, job, call)) {
           lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
           return;
         }
@@ -766,12 +802,13 @@
         lane.refused++;
         final long fromUs = Math.max(nowUs, lane.waitUntilUs);
         final long gapUs = patienceUs(lane, fromUs);
-        final boolean told = outcome.waitUs() > 0;
+        final boolean told = outcome.retryAfterUs() > 0;
         lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
         final boolean same = learns && call.sentUs < lane.refusedUs;
         lane.refusedUs = same ? lane.refusedUs : nowUs;
         suspect(
-            lane, outcome.waitUs() > LIMIT_WAIT_US ? OUT_WEIGHT : same ? 0 : part * REFUSED_WEIGHT);
+            lane,
+            outcome.retryAfterUs() > LIMIT_WAIT_US ? OUT_WEIGHT : same ? 0 : part * REFUSED_WEIGHT);
       }
       case ERROR -> {
         lane.errors += part;
@@ -779,20 +816,23 @@
         suspect(lane, part * ERROR_WEIGHT);
       }
       case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE -> {
-        final boolean told = outcome.result() == Result.STALE;
+        final boolean told = outcome.result() == AttemptResult.STALE;
         call.stale |=
-            told || (outcome.result() == Result.RESET && call.reused && node.badRun[kind] == 0);
+            told
+                || (outcome.result() == AttemptResult.RESET
+                    && call.reused
+                    && node.badRun[kind] == 0);
         if (call.stale) {
           // A kept connection was dead: that says nothing of its endpoint, but of others like it.
           lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
           node.badRun[kind] += told ? 0 : part;
           node.connections = 0;
-          actions.closeIdle(node.entry.id());
+          actions.closeIdleConnections(node.entry.id());
           return;
         }
         final boolean among =
             node.lastServedUs >= call.sentUs
-                || (outcome.result() != Result.TIMED_OUT
+                || (outcome.result() != AttemptResult.TIMED_OUT
                     && lane.badRun == 0
                     && node.lastServedUs > 0);
         if (learns
@@ -808,13 +848,14 @@
           return;
         }
         lane.bad += part;
-        if (outcome.result() == Result.TIMED_OUT || outcome.result() == Result.CANCELLED) {
+        if (outcome.result() == AttemptResult.TIMED_OUT
+            || outcome.result() == AttemptResult.CANCELLED) {
           lane.stretch = STRETCH;
         }
         if (first
             && call.idleUs >= TRUST_LEAST_US
             && !call.calledOff
-            && outcome.result() != Result.NO_CONNECTION) {
+            && outcome.result() != AttemptResult.NO_CONNECTION) {
           final long halfUs = call.idleUs / 2;
           trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, (double) halfUs));
         }
@@ -824,7 +865,7 @@
         }
         node.avoidUntilUs[kind] = nowUs + jitter(AVOID_US);
         node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
-        if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
+        if (outcome.result() != AttemptResult.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
           lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
           if (lane.failShare > SINGLE_SHARE) {
             lane.growth.stop();
@@ -844,7 +885,7 @@
       lane.window =
           Math.min(
               lane.window + part,
-              Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().slots())));
+              Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().concurrencyLimit())));
     }
     if (call.messages > 0) {
       return;
@@ -870,7 +911,7 @@
     job.refusedBy = node;
     if (!call.refused && lane.phase == Phase.WELL) {
       call.refused = true;
-      call.stray = reads(lane, node, job.message.messageClass(), call);
+      call.stray = reads(lane, node, job.message.classIndex(), call);
     }
     return call.stray;
   }
@@ -932,7 +973,8 @@
    * have answered.
    */
   private void reclaimSlot() {
-    if (callsOut < settings.limits().slots() || !settings.limits().mayCancel()) {
+    if (callsOut < settings.limits().concurrencyLimit()
+        || !settings.limits().cancellationAllowed()) {
       return;
     }
     final Job worst =
@@ -960,7 +1002,7 @@
   /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
   private double apartUs(final Lane lane) {
     final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
-    return SECOND_US / Math.max(lane.callRate, limit / settings.couriers());
+    return SECOND_US / Math.max(lane.callRate, limit / settings.courierCount());
   }
 
   /**
@@ -985,13 +1027,14 @@
 
   /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
   private double tippingShare(final long warmingUs) {
-    final double coldFrom = settings.guarantees().coldFrom();
-    final double warm = (double) warmingUs / Math.max(1, settings.guarantees().coldUs());
-    return settings.guarantees().tipMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
+    final double coldFrom = settings.guarantees().coldCapacityShare();
+    final double warm = (double) warmingUs / Math.max(1, settings.guarantees().warmUpUs());
+    return settings.guarantees().overloadMultiple()
+        * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
   }
 
   private double learn(final Lane lane, final Job job, final long durationUs) {
-    final int kind = job.message.messageClass();
+    final int kind = job.message.classIndex();
     final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
     lane.ratioSum += ratio;
     final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
@@ -1002,11 +1045,11 @@
   }
 
   private double notedUs(final Lane lane, final Job job) {
-    return notedMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
+    return notedMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, lane.pace);
   }
 
   private double expectedUs(final Lane lane, final Job job) {
-    return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
+    return classMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, lane.pace);
   }
 
   private long jitter(final long us) {
@@ -1024,16 +1067,16 @@
     final double expectedUs = expectedUs(lane, job);
     final long leftUs = job.message.validUntilUs() - nowUs;
     long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * lane.stretch * expectedUs);
-    if (job.kind.effect() == Effect.UNSAFE) {
+    if (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
       return leftUs;
     }
     timeoutUs =
         learns
-            ? node.cells[job.message.messageClass()].timeoutUs(timeoutUs, lane.stretch)
+            ? node.cells[job.message.classIndex()].timeoutUs(timeoutUs, lane.stretch)
             : timeoutUs;
-    if (job.kind.effect() == Effect.KEYED && !job.mayHaveRun) {
+    if (job.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.mayHaveRun) {
       final long againUs =
-          (long) ((1 - KEY_MARGIN) * job.kind.keyWindowUs()) - OVERDUE_LEAST_US / 2;
+          (long) ((1 - KEY_MARGIN) * job.kind.idempotencyWindowUs()) - OVERDUE_LEAST_US / 2;
       timeoutUs = Math.min(timeoutUs, Math.max(OVERDUE_LEAST_US, againUs));
     }
     return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
@@ -1047,10 +1090,11 @@
     for (final Destination destination : List.copyOf(busy.values())) {
       for (final Lane lane : destination.lanes) {
         suspect(lane, 0);
-        if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > settings.guarantees().coldUs()) {
+        if (lane.phase == Phase.RAMP
+            && nowUs - lane.rampFromUs > settings.guarantees().warmUpUs()) {
           lane.phase = Phase.WELL;
           if (learns) {
-            lane.freeFromUs = nowUs + settings.guarantees().coldUs();
+            lane.freeFromUs = nowUs + settings.guarantees().warmUpUs();
             lane.reading.reset();
             lane.spacing =
                 SPACING
@@ -1077,23 +1121,23 @@
 
   /** Rule on effects, and the most attempts. */
   private boolean maySend(final Job job) {
-    final Effect effect = job.kind.effect();
-    return job.attempts < settings.limits().mostAttempts()
+    final Idempotence effect = job.kind.idempotence();
+    return job.attempts < settings.limits().maxAttempts()
         && (!job.mayHaveRun
-            || effect == Effect.SAFE
-            || (effect == Effect.KEYED && nowUs < job.keyEndUs()));
+            || effect == Idempotence.IDEMPOTENT
+            || (effect == Idempotence.IDEMPOTENT_BY_KEY && nowUs < job.keyEndUs()));
   }
 
   private static boolean mayRefuse(final Job job) {
     return !job.mayHaveRun
-        || job.kind.effect() == Effect.SAFE
-        || (job.kind.effect() == Effect.KEYED && !job.kind.zoneKeyed());
+        || job.kind.idempotence() == Idempotence.IDEMPOTENT
+        || (job.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.kind.keyScopedToZone());
   }
 
   /** Gives the final answer: a refusal where that is harmless, or a failure. */
   private void finish(final Job job, final long retryAfterUs) {
     if (mayRefuse(job)) {
-      actions.refuse(job.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
+      actions.shed(job.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
     } else {
       actions.fail(job.message.id());
     }
@@ -1110,7 +1154,7 @@
       }
       jobs.remove(job.message.id());
       if (--job.destination.jobs == 0) {
-        busy.remove(job.message.destination());
+        busy.remove(job.message.destinationId());
       }
     }
   }
@@ -1119,12 +1163,12 @@
    * Refuses what has least to gain before the store is full: nothing is turned away at the door.
    */
   private void makeRoom() {
-    final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxOpen());
-    while (open > settings.limits().maxOpen() - reserve) {
+    final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxPendingMessages());
+    while (open > settings.limits().maxPendingMessages() - reserve) {
       final Job least =
           busy.values().stream()
               .flatMap(destination -> destination.waiting.stream())
-              .filter(FrozenControl::mayRefuse)
+              .filter(ReferenceController::mayRefuse)
               .min(
                   Comparator.comparingDouble(
                       job ->
@@ -1141,7 +1185,7 @@
   /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
   private boolean overQuota(final int tenant) {
     final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
-    final double quota = whole / settings.couriers();
+    final double quota = whole / settings.courierCount();
     if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
       return quota > 0;
     }
@@ -1171,27 +1215,28 @@
     wakes.headSet(nowUs + 1).clear();
     if (wakes.isEmpty() || wakes.first() > next) {
       wakes.add(Math.max(nowUs + 1, next));
-      actions.wake(wakes.first() - nowUs);
+      actions.scheduleDecision(wakes.first() - nowUs);
     }
   }
 
   // ---------------------------------------------------------------- membership
 
   @Override
-  public void onList(final long now, final Update update, final List<Endpoint> entries) {
+  public void onEndpointList(
+      final long now, final EndpointUpdate update, final List<Endpoint> entries) {
     nowUs = now;
-    if (update == Update.LOST) {
+    if (update == EndpointUpdate.UNAVAILABLE) {
       subscribed = false;
       askAgainUs = nowUs + jitter(askBackOffUs);
       askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
       return;
     }
-    if (update != Update.ASIDE) {
+    if (update != EndpointUpdate.SUPPLEMENT) {
       askAgainUs = NEVER;
       askBackOffUs = ASK_LEAST_US;
     }
-    if (update == Update.WHOLE || update == Update.RESTORED) {
-      nodes.values().forEach(node -> node.condition = Condition.GONE);
+    if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
+      nodes.values().forEach(node -> node.condition = EndpointState.GONE);
     }
     for (final Endpoint entry : entries) {
       Node node = nodes.get(entry.id());
@@ -1202,17 +1247,18 @@
         node.lane.nextTrialUs = Math.min(node.lane.nextTrialUs, nowUs);
         nodes.put(entry.id(), node);
       }
-      node.condition = entry.condition();
-      node.lane.told = settings.weights() == Weights.NONE ? node.lane.told : entry.weight();
+      node.condition = entry.state();
+      node.lane.told =
+          settings.weightMeaning() == WeightMeaning.NONE ? node.lane.told : entry.weight();
     }
     // A route apart is not forgotten soon: listed again, it still has its wait and its outage.
     nodes
         .values()
         .removeIf(
             node ->
-                node.condition == Condition.GONE
+                node.condition == EndpointState.GONE
                     && node.inFlight == 0
-                    && !node.lane.kind.routesApart()
+                    && !node.lane.kind.separateRoutes()
                     && node.lane.nodes.remove(node));
   }
 
@@ -1223,7 +1269,7 @@
         .values()
         .removeIf(
             node ->
-                node.condition == Condition.GONE
+                node.condition == EndpointState.GONE
                     && node.inFlight == 0
                     && node.lane.lastSendUs < beforeUs
                     && node.lane.nodes.remove(node));
@@ -1240,12 +1286,15 @@
   }
 
   private Lane lane(final Endpoint entry) {
-    final Destination destination = destination(entry.destination());
-    final Kind kind =
-        entry.kind() < 0 ? new Kind("", false, 1) : settings.kinds().get(entry.kind());
-    if (kind.routesApart() || destination.lanes.isEmpty()) {
-      final boolean few = settings.couriers() <= FEW_COURIERS;
-      destination.lanes.add(new Lane(kind, entry.destination(), few ? WINDOW_START : WINDOW_RARE));
+    final Destination destination = destination(entry.destinationId());
+    final DestinationKind kind =
+        entry.kindIndex() < 0
+            ? new DestinationKind("", false, 1)
+            : settings.kinds().get(entry.kindIndex());
+    if (kind.separateRoutes() || destination.lanes.isEmpty()) {
+      final boolean few = settings.courierCount() <= FEW_COURIERS;
+      destination.lanes.add(
+          new Lane(kind, entry.destinationId(), few ? WINDOW_START : WINDOW_RARE));
     }
     return destination.lanes.get(destination.lanes.size() - 1);
   }
@@ -1261,10 +1310,12 @@
 
   /** Where the list must be asked for: once at the start, and again after a loss. */
   private void keepList() {
-    if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
+    if (settings.subscribesToEndpointList()
+        && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
       subscribed = true;
-      askAgainUs = nowUs + Math.min(ASK_MOST_US, settings.guarantees().mustAskUs() / 2);
-      actions.follow();
+      askAgainUs =
+          nowUs + Math.min(ASK_MOST_US, settings.guarantees().subscriptionDeadlineUs() / 2);
+      actions.subscribeToEndpointList();
     }
   }
 
@@ -1297,7 +1348,7 @@
 
   /** The unit of the window: a destination, or a route of it. */
   private static final class Lane {
-    private final Kind kind;
+    private final DestinationKind kind;
     private final long destination;
     private final RejectionClassifier reading = new RejectionClassifier();
     private final RetryBudget budget = new RetryBudget();
@@ -1318,7 +1369,7 @@
     private double served, bad, errors;
 
     private double ratioSum;
-    private Allowance allowance;
+    private LoadReport allowance;
 
     /**
      * Slow averages: steps seen, messages and calls served a second, step means, pace by other
@@ -1343,7 +1394,7 @@
 
     private long waitUntilUs, pauseUntilUs, nextTrialUs, rampFromUs, lastSendUs;
 
-    private Lane(final Kind kind, final long destination, final double window) {
+    private Lane(final DestinationKind kind, final long destination, final double window) {
       this.kind = kind;
       this.destination = destination;
       this.window = window;
@@ -1354,7 +1405,7 @@
   private static final class Node {
     private final Endpoint entry;
     private final Lane lane;
-    private Condition condition;
+    private EndpointState condition;
     private int inFlight, connections;
 
     /** Failures in a row of each class, and until when that class goes elsewhere. */
@@ -1417,7 +1468,7 @@
     private Job(final Message message, final MessageClass kind) {
       this.message = message;
       this.kind = kind;
-      this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.aimUs();
+      this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.latencyObjectiveUs();
     }
 
     /**
@@ -1425,8 +1476,8 @@
      * does.
      */
     private long keyEndUs() {
-      final long windowUs = (long) ((1 - KEY_MARGIN) * kind.keyWindowUs());
-      return !mayHaveRun || kind.effect() != Effect.KEYED
+      final long windowUs = (long) ((1 - KEY_MARGIN) * kind.idempotencyWindowUs());
+      return !mayHaveRun || kind.idempotence() != Idempotence.IDEMPOTENT_BY_KEY
           ? message.validUntilUs()
           : Math.min(message.validUntilUs(), firstRunUs + windowUs);
     }
--- a/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.Courier.Result;
+import thistleturn.decisions.model.AttemptResult;
 
 /** What the end of a connection says, case by case. */
 @Tag("connections")
@@ -14,16 +14,17 @@
   @Test
   void unwrittenRequest_isNoConnection() {
     assertEquals(
-        Result.NO_CONNECTION, new ConnectionLoss(false, true, false, 0, HANDSHAKE).result());
+        AttemptResult.NO_CONNECTION, new ConnectionLoss(false, true, false, 0, HANDSHAKE).result());
     assertEquals(
-        Result.NO_CONNECTION, new ConnectionLoss(false, false, true, 0, HANDSHAKE).result());
+        AttemptResult.NO_CONNECTION, new ConnectionLoss(false, false, true, 0, HANDSHAKE).result());
   }
 
   @Test
   void reusedConnectionLostAtOnce_isStale() {
-    assertEquals(Result.STALE, new ConnectionLoss(true, true, false, 300, HANDSHAKE).result());
     assertEquals(
-        Result.STALE,
+        AttemptResult.STALE, new ConnectionLoss(true, true, false, 300, HANDSHAKE).result());
+    assertEquals(
+        AttemptResult.STALE,
         new ConnectionLoss(true, true, false, ConnectionLoss.MIN_STALE_WINDOW_US, 0).result());
   }
 
@@ -31,12 +32,12 @@
   void distantEndpoint_isGivenMoreTime() {
     final double far = 40_000;
     assertEquals(
-        Result.STALE,
+        AttemptResult.STALE,
         new ConnectionLoss(
                 true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far), far)
             .result());
     assertEquals(
-        Result.RESET,
+        AttemptResult.RESET,
         new ConnectionLoss(
                 true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far) + 1, far)
             .result());
@@ -45,10 +46,12 @@
   @Test
   void laterLossStartedResponseOrNewConnection_isAReset() {
     assertEquals(
-        Result.RESET,
+        AttemptResult.RESET,
         new ConnectionLoss(true, true, false, ConnectionLoss.MIN_STALE_WINDOW_US + 1, HANDSHAKE)
             .result());
-    assertEquals(Result.RESET, new ConnectionLoss(true, true, true, 300, HANDSHAKE).result());
-    assertEquals(Result.RESET, new ConnectionLoss(true, false, false, 300, HANDSHAKE).result());
+    assertEquals(
+        AttemptResult.RESET, new ConnectionLoss(true, true, true, 300, HANDSHAKE).result());
+    assertEquals(
+        AttemptResult.RESET, new ConnectionLoss(true, false, false, 300, HANDSHAKE).result());
   }
 }
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -21,12 +21,13 @@
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.decisions.Courier;
 import thistleturn.decisions.membership.Membership;
 import thistleturn.decisions.membership.MergedEndpoint;
 import thistleturn.decisions.membership.ReportedStatus;
 import thistleturn.decisions.membership.SourceReport;
 import thistleturn.decisions.membership.SourceStatus;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.eureka.EurekaSource;
 import thistleturn.eureka.RegistrySettings;
 
@@ -138,34 +139,34 @@
 
   // ---------------------------------------------------------------- the platform's own list
 
-  private void ownTold(final Courier.Update update, final List<Listing> listings) {
+  private void ownTold(final EndpointUpdate update, final List<Listing> listings) {
     final long nowUs = clock.nowUs();
     final List<SourceReport> reports = new ArrayList<>();
     final List<String> deleted = new ArrayList<>();
     for (final Listing listing : listings) {
-      if (listing.condition() == Courier.Condition.GONE) {
+      if (listing.condition() == EndpointState.GONE) {
         deleted.add(listing.name());
       } else {
         reports.add(report(listing));
       }
     }
-    ownLost = update == Courier.Update.LOST || update == Courier.Update.RESTORED;
+    ownLost = update == EndpointUpdate.UNAVAILABLE || update == EndpointUpdate.RESTORED_SNAPSHOT;
     switch (update) {
-      case WHOLE -> membership.applySnapshot(nowUs, OWN, reports);
-      case RESTORED -> membership.applyRestored(nowUs, OWN, reports);
-      case LOST -> membership.markSourceUnreachable(nowUs, OWN);
+      case COMPLETE_SNAPSHOT -> membership.applySnapshot(nowUs, OWN, reports);
+      case RESTORED_SNAPSHOT -> membership.applyRestored(nowUs, OWN, reports);
+      case UNAVAILABLE -> membership.markSourceUnreachable(nowUs, OWN);
       default -> membership.applyChanges(nowUs, OWN, reports, deleted);
     }
     final List<Listing> changed = decide();
-    if (update == Courier.Update.LOST) {
-      listener.told(Courier.Update.LOST, List.of());
+    if (update == EndpointUpdate.UNAVAILABLE) {
+      listener.told(EndpointUpdate.UNAVAILABLE, List.of());
       if (!changed.isEmpty()) {
-        listener.told(Courier.Update.ASIDE, changed);
+        listener.told(EndpointUpdate.SUPPLEMENT, changed);
       }
     } else {
       // The merged view tells what changed in it, whatever the list told: all, or the last known,
       // or changes.
-      listener.told(Courier.Update.CHANGES, changed);
+      listener.told(EndpointUpdate.CHANGES, changed);
     }
   }
 
@@ -177,7 +178,7 @@
         listing.zone(),
         listing.kind(),
         listing.weight(),
-        listing.condition() == Courier.Condition.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
+        listing.condition() == EndpointState.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
         0);
   }
 
@@ -231,7 +232,7 @@
   private void tellAside() {
     final List<Listing> changed = decide();
     if (!changed.isEmpty()) {
-      listener.told(Courier.Update.ASIDE, changed);
+      listener.told(EndpointUpdate.SUPPLEMENT, changed);
     }
   }
 
@@ -253,11 +254,11 @@
   }
 
   private static Listing listing(final MergedEndpoint member) {
-    final Courier.Condition condition =
+    final EndpointState condition =
         switch (member.state()) {
-          case UP -> Courier.Condition.LISTED;
-          case DRAINING -> Courier.Condition.DRAINING;
-          case GONE -> Courier.Condition.GONE;
+          case UP -> EndpointState.LISTED;
+          case DRAINING -> EndpointState.DRAINING;
+          case GONE -> EndpointState.GONE;
         };
     return new Listing(
         member.name(),
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -28,8 +28,9 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.decisions.Courier;
 import thistleturn.decisions.membership.MergeSettings;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInPlatform;
@@ -53,8 +54,8 @@
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
   private final EventLoop loop = group.next();
-  private final Map<String, Courier.Condition> view = new ConcurrentHashMap<>();
-  private final List<Courier.Update> updates = new CopyOnWriteArrayList<>();
+  private final Map<String, EndpointState> view = new ConcurrentHashMap<>();
+  private final List<EndpointUpdate> updates = new CopyOnWriteArrayList<>();
   private StandInWorld world;
   private StandInEndpoint first;
   private StandInEndpoint second;
@@ -89,8 +90,8 @@
               directory.start(
                   (update, listings) -> {
                     updates.add(update);
-                    if (update == Courier.Update.WHOLE) {
-                      view.replaceAll((address, condition) -> Courier.Condition.GONE);
+                    if (update == EndpointUpdate.COMPLETE_SNAPSHOT) {
+                      view.replaceAll((address, condition) -> EndpointState.GONE);
                     }
                     listings.forEach(
                         one ->
@@ -110,7 +111,7 @@
     return loop.submit(() -> directory.isFresh()).awaitUninterruptibly().getNow();
   }
 
-  private void awaitState(final StandInEndpoint endpoint, final Courier.Condition condition) {
+  private void awaitState(final StandInEndpoint endpoint, final EndpointState condition) {
     world.await(endpoint.name() + " " + condition, () -> view.get(endpoint.address()) == condition);
   }
 
@@ -118,7 +119,7 @@
   @EnumSource(Kind.class)
   void itBeginsWithWhatWasKnownAndIsNotFreshBeforeItHeard(final Kind kind) throws Exception {
     start(kind);
-    assertEquals(Map.of(first.address(), Courier.Condition.LISTED), view);
+    assertEquals(Map.of(first.address(), EndpointState.LISTED), view);
     assertFalse(isFresh());
     follow();
     world.await("fresh", this::isFresh);
@@ -131,13 +132,13 @@
     follow();
     world.await("fresh", this::isFresh);
     world.platform.tell(second, "Ready", 10);
-    awaitState(second, Courier.Condition.LISTED);
+    awaitState(second, EndpointState.LISTED);
     world.platform.tell(first, "Terminating", 10);
-    awaitState(first, Courier.Condition.DRAINING);
+    awaitState(first, EndpointState.DRAINING);
     world.platform.tell(first, "Gone", 10);
-    awaitState(first, Courier.Condition.GONE);
+    awaitState(first, EndpointState.GONE);
     world.platform.tell(first, "Ready", 10);
-    awaitState(first, Courier.Condition.LISTED);
+    awaitState(first, EndpointState.LISTED);
   }
 
   @ParameterizedTest
@@ -149,13 +150,13 @@
     // The list may have been told before the watch on it has begun.
     world.await("the watch", world.platform::isWatched);
     world.platform.breakWatches();
-    world.await("the loss", () -> updates.contains(Courier.Update.LOST));
-    assertEquals(Courier.Condition.LISTED, view.get(first.address()), "a loss takes nothing");
+    world.await("the loss", () -> updates.contains(EndpointUpdate.UNAVAILABLE));
+    assertEquals(EndpointState.LISTED, view.get(first.address()), "a loss takes nothing");
     world.platform.tell(first, "Terminating", 10);
     world.platform.tell(second, "Ready", 10);
     follow();
-    awaitState(first, Courier.Condition.DRAINING);
-    awaitState(second, Courier.Condition.LISTED);
+    awaitState(first, EndpointState.DRAINING);
+    awaitState(second, EndpointState.LISTED);
   }
 
   @ParameterizedTest
@@ -172,8 +173,8 @@
       final Config fresh =
           Config.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
       loop.submit(() -> directory.reload(fresh)).get(PATIENCE_S, TimeUnit.SECONDS);
-      awaitState(second, Courier.Condition.LISTED);
-      awaitState(first, Courier.Condition.GONE);
+      awaitState(second, EndpointState.LISTED);
+      awaitState(first, EndpointState.GONE);
     }
     assertTrue(updates.size() > 1);
   }
--- a/lab/src/main/java/thistleturn/lab/fleet/FleetDay.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/FleetDay.java
@@ -3,7 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 
 /**
  * What a fleet is played on.
@@ -24,7 +31,7 @@
     long lengthUs,
     Trouble trouble,
     long fromUs,
-    Courier.Settings settings,
+    DeliverySettings settings,
     List<Double> loads) {
   static final long SECOND_US = 1_000_000;
 
@@ -151,7 +158,7 @@
       loads.add(Math.pow(THIN_SPREAD, random.nextDouble()));
     }
     final FleetDay like = drawn(couriers, trouble, random);
-    final Courier.Settings its = like.settings;
+    final DeliverySettings its = like.settings;
     return new FleetDay(
         couriers,
         destinations,
@@ -159,17 +166,17 @@
         like.lengthUs,
         trouble,
         like.fromUs,
-        new Courier.Settings(
+        new DeliverySettings(
             couriers,
             its.zone(),
-            its.listOnRequest(),
-            its.weights(),
-            its.fade(),
+            its.subscribesToEndpointList(),
+            its.weightMeaning(),
+            its.valueDecay(),
             its.classes(),
             its.tenants(),
             its.kinds(),
             its.guarantees(),
-            new Courier.Limits(3, 26, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US)),
+            new ResourceLimits(3, 26, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US)),
         loads);
   }
 
@@ -198,11 +205,11 @@
               random.nextBoolean() ? 300_000 : 0,
               share));
     }
-    final List<Courier.MessageClass> classes =
+    final List<MessageClass> classes =
         List.of(
-            new Courier.MessageClass(
+            new MessageClass(
                 "order",
-                Courier.Effect.KEYED,
+                Idempotence.IDEMPOTENT_BY_KEY,
                 false,
                 false,
                 1,
@@ -210,9 +217,9 @@
                 4 * SECOND_US,
                 12 * SECOND_US,
                 7 * SECOND_US),
-            new Courier.MessageClass(
+            new MessageClass(
                 "update",
-                Courier.Effect.SAFE,
+                Idempotence.IDEMPOTENT,
                 false,
                 false,
                 2,
@@ -227,17 +234,17 @@
         30 * SECOND_US,
         trouble,
         10 * SECOND_US,
-        new Courier.Settings(
+        new DeliverySettings(
             couriers,
             "a",
             true,
-            Courier.Weights.NOMINAL,
-            Courier.Fade.LINEAR,
+            WeightMeaning.NOMINAL,
+            ValueDecay.LINEAR,
             classes,
             List.of(),
-            List.of(new Courier.Kind("one", false, 1), new Courier.Kind("several", false, 5)),
-            new Courier.Guarantees(10 * SECOND_US, 0.22, 9 * SECOND_US, 2, 0),
-            new Courier.Limits(6, 240, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US)),
+            List.of(new DestinationKind("one", false, 1), new DestinationKind("several", false, 5)),
+            new Guarantees(10 * SECOND_US, 0.22, 9 * SECOND_US, 2, 0),
+            new ResourceLimits(6, 240, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US)),
         List.of());
   }
 
@@ -250,13 +257,13 @@
   }
 
   /** The settings of one courier. */
-  Courier.Settings settingsOf(final int courier) {
-    return new Courier.Settings(
+  DeliverySettings settingsOf(final int courier) {
+    return new DeliverySettings(
         couriers,
         zone(courier),
-        settings.listOnRequest(),
-        settings.weights(),
-        settings.fade(),
+        settings.subscribesToEndpointList(),
+        settings.weightMeaning(),
+        settings.valueDecay(),
         settings.classes(),
         settings.tenants(),
         settings.kinds(),
--- a/lab/src/main/java/thistleturn/lab/fleet/Open.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/Open.java
@@ -1,12 +1,14 @@
 package thistleturn.lab.fleet;
 
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
 
 /** A message that a courier has taken on, with what its journal knows of it. */
 final class Open {
   final String id;
   final int kindIndex;
-  final Courier.MessageClass kind;
+  final MessageClass kind;
   final int destination;
   final long handedUs;
   final long untilUs;
@@ -23,7 +25,7 @@
   Open(
       final String id,
       final int kindIndex,
-      final Courier.MessageClass kind,
+      final MessageClass kind,
       final int destination,
       final long handedUs,
       final long untilUs) {
@@ -35,11 +37,11 @@
     this.untilUs = untilUs;
   }
 
-  Courier.Message message() {
-    return new Courier.Message(id, kindIndex, -1, null, untilUs, destination);
+  Message message() {
+    return new Message(id, kindIndex, -1, null, untilUs, destination);
   }
 
-  Courier.Past past() {
-    return new Courier.Past(attempts, ranUs >= 0, Math.max(0, ranUs), ranZone);
+  PriorAttempts past() {
+    return new PriorAttempts(attempts, ranUs >= 0, Math.max(0, ranUs), ranZone);
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
@@ -7,13 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Courier.Effect;
-import thistleturn.decisions.Courier.Result;
-import thistleturn.decisions.LaneView;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.RouteStatus;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.health.LocalHealth;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Idempotence;
 import thistleturn.lab.fleet.FleetTally.Count;
 import thistleturn.lab.model.CallFault;
 
@@ -22,7 +25,7 @@
  * moment; what its journal holds is taken up by the next process. Its connections are its
  * process's.
  */
-final class SimulatedCourier implements Courier.Actions {
+final class SimulatedCourier implements DeliveryActions {
   /** Round trips that a handshake takes. */
   private static final int HANDSHAKE_TRIPS = 2;
 
@@ -42,7 +45,7 @@
 
   final int index;
   private final VirtualFleet fleet;
-  private Courier courier;
+  private DeliveryController courier;
 
   /** Distinguishes processes: what was planned for one that is dead does not happen. */
   private int life;
@@ -103,8 +106,8 @@
     health = new LocalHealth(now());
     believedUp = true;
     leaving = false;
-    courier.onList(now(), Courier.Update.RESTORED, fleet.list());
-    open.values().forEach(one -> courier.onResumed(now(), one.message(), one.past()));
+    courier.onEndpointList(now(), EndpointUpdate.RESTORED_SNAPSHOT, fleet.list());
+    open.values().forEach(one -> courier.onMessageResumed(now(), one.message(), one.past()));
     toldTurns = 0;
     out.clear();
     if (fleet.commons != null) {
@@ -160,8 +163,8 @@
     overdue.clear();
     unread.clear();
     if (fleet.feels) {
-      if (courier instanceof Control control && awayUs > 0) {
-        control.onAway(now(), awayUs);
+      if (courier instanceof OverloadController control && awayUs > 0) {
+        control.onHostPaused(now(), awayUs);
       }
       came.forEach(Runnable::run);
       late.forEach(Runnable::run);
@@ -176,10 +179,10 @@
 
   /** Lanes that are out though their destination is well: this courier's own doing. */
   private void watchLanes() {
-    if (now() < watchedUntilUs && courier instanceof Control control) {
-      for (final LaneView lane : control.lanes()) {
-        final int destination = (int) lane.destination();
-        if (lane.phase().equals("OUT")
+    if (now() < watchedUntilUs && courier instanceof OverloadController control) {
+      for (final RouteStatus lane : control.routes()) {
+        final int destination = (int) lane.destinationId();
+        if (lane.circuitState().equals("OUT")
             && fleet.services.get(destination).isWell()
             && sentOut.add(destination)) {
           count(Count.WRONGLY_OUT);
@@ -210,7 +213,7 @@
       unread.add(() -> take(one));
       return;
     }
-    if (open.size() >= fleet.day.settings().limits().maxOpen()) {
+    if (open.size() >= fleet.day.settings().limits().maxPendingMessages()) {
       return;
     }
     open.put(one.id, one);
@@ -234,7 +237,9 @@
 
   /** Something is said to its decisions by others. */
   void say(final int destination, final Directive word) {
-    if (courier instanceof Control control && !frozen && control.onWord(now(), destination, word)) {
+    if (courier instanceof OverloadController control
+        && !frozen
+        && control.onDestinationDirective(now(), destination, word)) {
       turned(false);
       touched = true;
     }
@@ -243,14 +248,14 @@
   /** Looks which destinations are out; what it found out by itself it tells. */
   private void turned(final boolean tells) {
     if (fleet.commons == null
-        || !(courier instanceof Control control)
-        || control.turns() == toldTurns) {
+        || !(courier instanceof OverloadController control)
+        || control.circuitTransitions() == toldTurns) {
       return;
     }
-    toldTurns = control.turns();
-    for (final LaneView lane : control.lanes()) {
-      final int destination = (int) lane.destination();
-      final boolean isOut = lane.phase().equals("OUT");
+    toldTurns = control.circuitTransitions();
+    for (final RouteStatus lane : control.routes()) {
+      final int destination = (int) lane.destinationId();
+      final boolean isOut = lane.circuitState().equals("OUT");
       if ((isOut ? out.add(destination) : out.remove(destination)) && tells) {
         fleet.commons.turned(index, destination, isOut);
       }
@@ -259,11 +264,12 @@
 
   /** What a refusal taught it goes to the others: the rate that it keeps to since. */
   private void learnt(final int destination) {
-    if (fleet.commons != null && courier instanceof Control control) {
-      control.lanes().stream()
+    if (fleet.commons != null && courier instanceof OverloadController control) {
+      control.routes().stream()
           .filter(
-              lane -> lane.destination() == destination && Double.isFinite(lane.spacingPerSecond()))
-          .forEach(lane -> fleet.commons.learnt(index, destination, lane.spacingPerSecond()));
+              lane ->
+                  lane.destinationId() == destination && Double.isFinite(lane.permittedPerSecond()))
+          .forEach(lane -> fleet.commons.learnt(index, destination, lane.permittedPerSecond()));
     }
   }
 
@@ -299,7 +305,7 @@
       for (final Open one : call.messages) {
         watch(one, endpoint);
         one.out = call;
-        in(timeouts.remove(one.id), () -> giveUp(call, Result.TIMED_OUT));
+        in(timeouts.remove(one.id), () -> giveUp(call, AttemptResult.TIMED_OUT));
       }
       final long wayUs = fleet.wayUs(index, endpoint);
       if (idle.merge(endpoint, 0, Integer::sum) > 0) {
@@ -317,7 +323,7 @@
     if (one.out != null) {
       fleet.tally.broke("two copies out: " + one.id);
     }
-    if (++one.attempts > fleet.day.settings().limits().mostAttempts()) {
+    if (++one.attempts > fleet.day.settings().limits().maxAttempts()) {
       fleet.tally.broke("attempt " + one.attempts + ": " + one.id);
     }
     if (VirtualFleet.destination(endpoint) != one.destination) {
@@ -327,8 +333,8 @@
       fleet.tally.broke("a wait not heeded: " + one.id);
     }
     if (one.ranUs >= 0
-        && one.kind.effect() == Effect.KEYED
-        && now() > one.ranUs + one.kind.keyWindowUs()) {
+        && one.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+        && now() > one.ranUs + one.kind.idempotencyWindowUs()) {
       fleet.tally.broke("again after its key was forgotten: " + one.id);
     }
   }
@@ -339,7 +345,7 @@
     }
     count(Count.HANDSHAKES);
     if (service.isSilent(VirtualFleet.place(call.endpoint), now())) {
-      fleet.agenda.in(CONNECT_US, () -> back(call, Result.NO_CONNECTION, 0));
+      fleet.agenda.in(CONNECT_US, () -> back(call, AttemptResult.NO_CONNECTION, 0));
       return;
     }
     if (!service.connects(VirtualFleet.place(call.endpoint))) {
@@ -347,7 +353,7 @@
       count(Count.REFUSED_CONNECTIONS);
       fleet.agenda.in(
           HANDSHAKE_TRIPS * 2 * fleet.wayUs(index, call.endpoint),
-          () -> back(call, Result.REFUSED, 0));
+          () -> back(call, AttemptResult.REFUSED, 0));
       return;
     }
     call.connected = true;
@@ -367,23 +373,23 @@
     final CallFault fate = service.takes(now());
     if (fate == CallFault.UNREACHABLE) {
       hangUp(call);
-      back(call, Result.NO_CONNECTION, 0);
+      back(call, AttemptResult.NO_CONNECTION, 0);
     } else if (fate == CallFault.REFUSE) {
       count(Count.REFUSED_CALLS);
-      back(call, Result.REFUSED, service.shape.waitUs());
+      back(call, AttemptResult.REFUSED, service.shape.waitUs());
     } else {
       final double items = 1 + 0.15 * (call.messages.size() - 1);
       fleet.agenda.in(
           (long) (fleet.random.nextExponential() * service.shape.serviceUs() * items),
-          () -> back(call, Result.DELIVERED, 0));
+          () -> back(call, AttemptResult.DELIVERED, 0));
     }
   }
 
-  private void back(final CallOut call, final Result result, final long waitUs) {
+  private void back(final CallOut call, final AttemptResult result, final long waitUs) {
     fleet.agenda.in(fleet.wayUs(index, call.endpoint), () -> come(call, result, waitUs));
   }
 
-  private void come(final CallOut call, final Result result, final long waitUs) {
+  private void come(final CallOut call, final AttemptResult result, final long waitUs) {
     if (frozen) {
       unread.add(() -> come(call, result, waitUs));
     } else if (!call.over) {
@@ -392,7 +398,7 @@
   }
 
   /** Nobody waits for it any more: its connection is closed. */
-  private void giveUp(final CallOut call, final Result result) {
+  private void giveUp(final CallOut call, final AttemptResult result) {
     if (!call.over) {
       call.messages.forEach(one -> mayHaveRun(one, call));
       hangUp(call);
@@ -400,7 +406,7 @@
     }
   }
 
-  private void over(final CallOut call, final Result result, final long waitUs) {
+  private void over(final CallOut call, final AttemptResult result, final long waitUs) {
     call.over = true;
     if (call.connected) {
       call.connected = false;
@@ -414,14 +420,14 @@
     }
     for (final Open one : call.messages) {
       one.out = null;
-      final boolean delivered = result == Result.DELIVERED;
+      final boolean delivered = result == AttemptResult.DELIVERED;
       if (delivered && open.remove(one.id) != null) {
         fleet.tally.delivered(fleet.worth(one));
       }
       final boolean measured = !fleet.feels || health.wasRunningBetween(call.sentUs, now());
       courier.onOutcome(
           now(),
-          new Courier.Outcome(
+          new AttemptOutcome(
               one.id,
               result,
               delivered,
@@ -430,7 +436,7 @@
               waitUs,
               null));
     }
-    if (result == Result.REFUSED && waitUs == 0) {
+    if (result == AttemptResult.REFUSED && waitUs == 0) {
       learnt(VirtualFleet.destination(call.endpoint));
     }
     touched = true;
@@ -470,7 +476,7 @@
   }
 
   @Override
-  public void refuse(final String messageId, final long retryAfterUs) {
+  public void shed(final String messageId, final long retryAfterUs) {
     count(Count.REFUSED_MESSAGES);
     end(messageId);
   }
@@ -498,35 +504,36 @@
     final Open one = open.get(messageId);
     if (one != null && one.out != null) {
       final CallOut out = one.out;
-      in(0, () -> giveUp(out, Result.CANCELLED));
+      in(0, () -> giveUp(out, AttemptResult.CANCELLED));
     }
   }
 
   @Override
-  public void closeIdle(final long endpoint) {
+  public void closeIdleConnections(final long endpoint) {
     disconnect(endpoint, idle.getOrDefault(endpoint, 0));
     idle.remove(endpoint);
   }
 
   @Override
-  public void follow() {
+  public void subscribeToEndpointList() {
     count(Count.LIST_CALLS);
     final long answeredUs = fleet.listing.answeredUs(now());
     if (answeredUs < 0) {
       count(Count.LIST_CALLS_TURNED_AWAY);
-      in(1, () -> listed(Courier.Update.LOST));
+      in(1, () -> listed(EndpointUpdate.UNAVAILABLE));
     } else {
-      in(answeredUs - now(), () -> listed(Courier.Update.WHOLE));
+      in(answeredUs - now(), () -> listed(EndpointUpdate.COMPLETE_SNAPSHOT));
     }
   }
 
-  private void listed(final Courier.Update update) {
-    courier.onList(now(), update, update == Courier.Update.LOST ? List.of() : fleet.list());
+  private void listed(final EndpointUpdate update) {
+    courier.onEndpointList(
+        now(), update, update == EndpointUpdate.UNAVAILABLE ? List.of() : fleet.list());
     touched = true;
   }
 
   @Override
-  public void wake(final long delayUs) {
+  public void scheduleDecision(final long delayUs) {
     in(delayUs, () -> touched = true);
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/SimulatedService.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedService.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Guarantees;
 import thistleturn.lab.model.CallFault;
 import thistleturn.lab.model.Limit;
 import thistleturn.lab.model.SlowStartModel;
@@ -40,7 +40,7 @@
       final FleetDay.Destination shape,
       final FleetDay.Trouble trouble,
       final long fromUs,
-      final Courier.Guarantees rules) {
+      final Guarantees rules) {
     this.index = index;
     this.silentFromUs = trouble == FleetDay.Trouble.SPLIT ? fromUs : Long.MAX_VALUE / 2;
     this.shape = shape;
@@ -56,9 +56,9 @@
                 fromUs,
                 fromUs + DOWN_US,
                 CAPACITY * shape.ratePerSecond(),
-                rules.coldFrom(),
-                rules.coldUs(),
-                rules.tipMultiple(),
+                rules.coldCapacityShare(),
+                rules.warmUpUs(),
+                rules.overloadMultiple(),
                 FALL_US);
   }
 
--- a/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
@@ -4,8 +4,12 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
 import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.MessageClass;
 import thistleturn.lab.virtual.EventQueue;
 import thistleturn.lab.virtual.VirtualCourier;
 
@@ -160,7 +164,7 @@
       members.forEach(this::planPause);
     }
     long lifeUs = 0;
-    for (final Courier.MessageClass kind : day.settings().classes()) {
+    for (final MessageClass kind : day.settings().classes()) {
       lifeUs = Math.max(lifeUs, kind.deadlineUs());
     }
     final long endUs = START_US + day.lengthUs() + 2 * lifeUs;
@@ -176,20 +180,20 @@
         .forEach(fallen -> tally.broke("a returning destination was pushed over"));
   }
 
-  Courier make(final int courier, final Courier.Actions actions) {
+  DeliveryController make(final int courier, final DeliveryActions actions) {
     return maker.make(day.settingsOf(courier), random.nextLong(), actions);
   }
 
   /** The list as a courier is given it. */
-  List<Courier.Endpoint> list() {
-    final List<Courier.Endpoint> entries = new ArrayList<>();
+  List<Endpoint> list() {
+    final List<Endpoint> entries = new ArrayList<>();
     for (int index = 0; index < services.size(); index++) {
       final FleetDay.Destination shape = services.get(index).shape;
       for (int place = 0; place < shape.endpoints(); place++) {
         entries.add(
-            new Courier.Endpoint(
+            new Endpoint(
                 number(index, place),
-                Courier.Condition.LISTED,
+                EndpointState.LISTED,
                 FleetDay.zone(place),
                 shape.ratePerSecond(),
                 shape.messagesPerCall() > 1 ? 1 : 0,
@@ -231,7 +235,7 @@
           gapUs,
           () -> {
             final int kind = random.nextInt(day.settings().classes().size());
-            tally.handed(day.settings().classes().get(kind).worth());
+            tally.handed(day.settings().classes().get(kind).priorityWeight());
             hand(kind, destination(), agenda.nowUs());
             arrive();
           });
@@ -251,7 +255,7 @@
    * A message first handed in at that moment; its time goes on running while it finds no courier.
    */
   void hand(final int kind, final int destination, final long handedUs) {
-    final Courier.MessageClass its = day.settings().classes().get(kind);
+    final MessageClass its = day.settings().classes().get(kind);
     final long untilUs = handedUs + its.deadlineUs();
     if (agenda.nowUs() >= untilUs) {
       return;
@@ -283,13 +287,16 @@
   /** What a message is worth that is delivered now. */
   double worth(final Open open) {
     final long ageUs = agenda.nowUs() - open.handedUs;
-    final Courier.MessageClass kind = open.kind;
-    if (ageUs <= kind.aimUs()) {
-      return kind.worth();
+    final MessageClass kind = open.kind;
+    if (ageUs <= kind.latencyObjectiveUs()) {
+      return kind.priorityWeight();
     }
     final double late =
-        Math.min(1, (double) (ageUs - kind.aimUs()) / (kind.deadlineUs() - kind.aimUs()));
-    return kind.worth() * (1 - late * (1 - kind.lateWorth()));
+        Math.min(
+            1,
+            (double) (ageUs - kind.latencyObjectiveUs())
+                / (kind.deadlineUs() - kind.latencyObjectiveUs()));
+    return kind.priorityWeight() * (1 - late * (1 - kind.lateWeight()));
   }
 
   // ---------------------------------------------------------------- trouble
--- a/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
+++ b/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
@@ -6,7 +6,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
 
 /**
  * What a plain sender does, to be compared with: a window for each destination, fixed or moved by
@@ -14,13 +24,13 @@
  * first come first served, and a further attempt at once. It keeps the rules on effects, attempts
  * and waits, as any sender must here.
  */
-public final class SimpleSender implements Courier {
+public final class SimpleSender implements DeliveryController {
   private static final long END_MARGIN_US = 12_000;
   private static final long TIMEOUT_US = 1_000_000;
   private static final double LEAST = 1;
 
-  private final Settings settings;
-  private final Actions actions;
+  private final DeliverySettings settings;
+  private final DeliveryActions actions;
   private final boolean moves;
   private final double startWindow;
   private final Map<Long, Lane> lanes = new LinkedHashMap<>();
@@ -51,7 +61,10 @@
   }
 
   private SimpleSender(
-      final Settings settings, final Actions actions, final boolean moves, final double window) {
+      final DeliverySettings settings,
+      final DeliveryActions actions,
+      final boolean moves,
+      final double window) {
     this.settings = settings;
     this.actions = actions;
     this.moves = moves;
@@ -59,13 +72,15 @@
   }
 
   /** Additive increase, multiplicative decrease. */
-  public static Courier aimd(final Settings settings, final Actions actions) {
+  public static DeliveryController aimd(
+      final DeliverySettings settings, final DeliveryActions actions) {
     return new SimpleSender(settings, actions, true, 2);
   }
 
   /** Three quarters of the slots at most for a destination, always. */
-  public static Courier fixedWindow(final Settings settings, final Actions actions) {
-    return new SimpleSender(settings, actions, false, 0.75 * settings.limits().slots());
+  public static DeliveryController fixedWindow(
+      final DeliverySettings settings, final DeliveryActions actions) {
+    return new SimpleSender(settings, actions, false, 0.75 * settings.limits().concurrencyLimit());
   }
 
   private Lane lane(final long destination) {
@@ -79,20 +94,21 @@
   }
 
   @Override
-  public void onList(final long nowUs, final Update update, final List<Endpoint> entries) {
-    entries.forEach(entry -> lane(entry.destination()).endpoints.add(entry.id()));
+  public void onEndpointList(
+      final long nowUs, final EndpointUpdate update, final List<Endpoint> entries) {
+    entries.forEach(entry -> lane(entry.destinationId()).endpoints.add(entry.id()));
   }
 
   @Override
   public void onMessage(final long nowUs, final Message message) {
-    final Item item = new Item(message, settings.classes().get(message.messageClass()));
+    final Item item = new Item(message, settings.classes().get(message.classIndex()));
     items.put(message.id(), item);
-    lane(message.destination()).waiting.add(item);
-    actions.wake(message.validUntilUs() - END_MARGIN_US - nowUs);
+    lane(message.destinationId()).waiting.add(item);
+    actions.scheduleDecision(message.validUntilUs() - END_MARGIN_US - nowUs);
   }
 
   @Override
-  public void onResumed(final long nowUs, final Message message, final Past past) {
+  public void onMessageResumed(final long nowUs, final Message message, final PriorAttempts past) {
     throw new UnsupportedOperationException("a plain sender remembers nothing");
   }
 
@@ -100,24 +116,24 @@
   public void onStopping(final long nowUs, final long stopUs) {}
 
   @Override
-  public void onRoom(final long nowUs, final int slots, final int maxOpen) {}
+  public void onCapacityChanged(final long nowUs, final int slots, final int maxOpen) {}
 
   @Override
-  public void onExpired(final long nowUs, final String messageId) {}
+  public void onMessageAbandoned(final long nowUs, final String messageId) {}
 
   @Override
-  public void onOutcome(final long nowUs, final Outcome outcome) {
+  public void onOutcome(final long nowUs, final AttemptOutcome outcome) {
     final Item item = items.get(outcome.messageId());
-    final Lane lane = lane(item.message.destination());
+    final Lane lane = lane(item.message.destinationId());
     out--;
     lane.out--;
-    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.waitUs());
-    if (outcome.result() == Result.DELIVERED) {
+    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.retryAfterUs());
+    if (outcome.result() == AttemptResult.DELIVERED) {
       lane.window += moves ? 1 / lane.window : 0;
       items.remove(outcome.messageId());
       return;
     }
-    if (!outcome.result().neverRan()) {
+    if (!outcome.result().neverExecuted()) {
       item.firstRunUs = Math.min(item.firstRunUs, item.sentUs);
     }
     if (moves && item.sentUs >= lane.cutUs) {
@@ -134,7 +150,7 @@
       while (!lane.waiting.isEmpty()
           && nowUs >= lane.waitUntilUs
           && lane.out < (int) lane.window
-          && out < settings.limits().slots()) {
+          && out < settings.limits().concurrencyLimit()) {
         final Item item = lane.waiting.poll();
         item.attempts++;
         item.sentUs = nowUs;
@@ -144,10 +160,12 @@
         actions.send(
             item.message.id(),
             lane.endpoints.get(lane.next++ % lane.endpoints.size()),
-            item.kind.effect() == Effect.UNSAFE ? leftUs : Math.min(leftUs, TIMEOUT_US));
+            item.kind.idempotence() == Idempotence.NON_IDEMPOTENT
+                ? leftUs
+                : Math.min(leftUs, TIMEOUT_US));
       }
       if (!lane.waiting.isEmpty() && nowUs < lane.waitUntilUs) {
-        actions.wake(lane.waitUntilUs - nowUs);
+        actions.scheduleDecision(lane.waitUntilUs - nowUs);
       }
     }
   }
@@ -155,20 +173,20 @@
   private boolean isOver(final Item item, final long nowUs) {
     final boolean ran = item.firstRunUs != Long.MAX_VALUE;
     final boolean may =
-        item.attempts < settings.limits().mostAttempts()
+        item.attempts < settings.limits().maxAttempts()
             && nowUs < item.message.validUntilUs() - END_MARGIN_US
             && (!ran
-                || item.kind.effect() == Effect.SAFE
-                || (item.kind.effect() == Effect.KEYED
-                    && nowUs < item.firstRunUs + 0.95 * item.kind.keyWindowUs()));
+                || item.kind.idempotence() == Idempotence.IDEMPOTENT
+                || (item.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+                    && nowUs < item.firstRunUs + 0.95 * item.kind.idempotencyWindowUs()));
     if (may) {
       return false;
     }
     items.remove(item.message.id());
-    if (ran && item.kind.effect() != Effect.SAFE) {
+    if (ran && item.kind.idempotence() != Idempotence.IDEMPOTENT) {
       actions.fail(item.message.id());
     } else {
-      actions.refuse(item.message.id(), 0);
+      actions.shed(item.message.id(), 0);
     }
     return true;
   }
--- a/lab/src/main/java/thistleturn/lab/virtual/Scenario.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/Scenario.java
@@ -1,7 +1,14 @@
 package thistleturn.lab.virtual;
 
 import java.util.List;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.DestinationKind;
+import thistleturn.decisions.model.Guarantees;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.ResourceLimits;
+import thistleturn.decisions.model.ValueDecay;
+import thistleturn.decisions.model.WeightMeaning;
 import thistleturn.lab.model.SimulatedDestination;
 
 /**
@@ -17,24 +24,24 @@
     List<SimulatedDestination> partners,
     double perSecond,
     long lengthUs,
-    Courier.Settings settings,
+    DeliverySettings settings,
     double weight) {
   private static final long SECOND_US = 1_000_000;
 
   /** Three classes (safe, keyed with 1.5 s of memory, unsafe), 60 slots, 400 places. */
-  public static Courier.Settings settings(final Courier.Weights weights) {
+  public static DeliverySettings settings(final WeightMeaning weights) {
     return settings(weights, SECOND_US);
   }
 
   /** The same, where a destination that returns is warm within {@code coldUs}. */
-  public static Courier.Settings settings(final Courier.Weights weights, final long coldUs) {
-    final List<Courier.MessageClass> classes =
+  public static DeliverySettings settings(final WeightMeaning weights, final long coldUs) {
+    final List<MessageClass> classes =
         List.of(
-            new Courier.MessageClass(
-                "safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND_US, 3 * SECOND_US, 0),
-            new Courier.MessageClass(
+            new MessageClass(
+                "safe", Idempotence.IDEMPOTENT, false, false, 1, 0, SECOND_US, 3 * SECOND_US, 0),
+            new MessageClass(
                 "keyed",
-                Courier.Effect.KEYED,
+                Idempotence.IDEMPOTENT_BY_KEY,
                 false,
                 false,
                 1,
@@ -42,18 +49,26 @@
                 SECOND_US,
                 4 * SECOND_US,
                 3 * SECOND_US / 2),
-            new Courier.MessageClass(
-                "once", Courier.Effect.UNSAFE, false, false, 1, 0, SECOND_US, 3 * SECOND_US, 0));
-    return new Courier.Settings(
+            new MessageClass(
+                "once",
+                Idempotence.NON_IDEMPOTENT,
+                false,
+                false,
+                1,
+                0,
+                SECOND_US,
+                3 * SECOND_US,
+                0));
+    return new DeliverySettings(
         1,
         "a",
         false,
         weights,
-        Courier.Fade.LINEAR,
+        ValueDecay.LINEAR,
         classes,
         List.of(),
-        List.of(new Courier.Kind("std", false, 1)),
-        new Courier.Guarantees(10 * SECOND_US, 0.3, coldUs, 2, 0),
-        new Courier.Limits(60, 400, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US));
+        List.of(new DestinationKind("std", false, 1)),
+        new Guarantees(10 * SECOND_US, 0.3, coldUs, 2, 0),
+        new ResourceLimits(60, 400, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US));
   }
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
@@ -8,11 +8,20 @@
 import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
-import thistleturn.decisions.Courier.Effect;
-import thistleturn.decisions.Courier.Result;
-import thistleturn.decisions.Memory;
+import thistleturn.decisions.DeliveryActions;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.LearnedState;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.model.AttemptOutcome;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.DeliverySettings;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
 import thistleturn.lab.model.CallFault;
 import thistleturn.lab.model.SimulatedDestination;
 
@@ -23,7 +32,7 @@
  * waits heeded, no more attempts than allowed, one end for each message in time. The same seed
  * plays the same evening.
  */
-public final class VirtualCourier implements Courier.Actions {
+public final class VirtualCourier implements DeliveryActions {
   /** Traffic begins so long after the clock's zero, us. */
   private static final long START_US = 5_000_000;
 
@@ -45,13 +54,13 @@
   @FunctionalInterface
   public interface Maker {
     /** A courier that asks the actions. */
-    Courier make(Courier.Settings settings, long seed, Courier.Actions actions);
+    DeliveryController make(DeliverySettings settings, long seed, DeliveryActions actions);
   }
 
   /** A message from its client's side and from its partner's. */
   private static final class Sent {
-    private final Courier.Message message;
-    private final Courier.MessageClass kind;
+    private final Message message;
+    private final MessageClass kind;
     private final long handedUs;
     private long ranUs = -1;
     private int attempts;
@@ -64,7 +73,7 @@
 
     private Attempt out;
 
-    Sent(final Courier.Message message, final Courier.MessageClass kind, final long handedUs) {
+    Sent(final Message message, final MessageClass kind, final long handedUs) {
       this.message = message;
       this.kind = kind;
       this.handedUs = handedUs;
@@ -98,9 +107,9 @@
   private final Map<String, Sent> open = new LinkedHashMap<>();
   private final Map<Long, Place> places = new HashMap<>();
   private final Map<Long, Long> waitUntilUs = new HashMap<>();
-  private final List<Courier.Endpoint> entries = new ArrayList<>();
+  private final List<Endpoint> entries = new ArrayList<>();
   private final CrashSchedule kills;
-  private final LongFunction<Courier> next;
+  private final LongFunction<DeliveryController> next;
 
   /**
    * Kills draw on chance of their own: the traffic of an evening is the same with them and without.
@@ -108,12 +117,12 @@
   private final RandomGenerator fates;
 
   /** The process that runs; null while none does. */
-  private Courier courier;
+  private DeliveryController courier;
 
   private int lives;
 
   /** What was put down of what was learnt, when, and how often a lane had turned by then. */
-  private Memory kept;
+  private LearnedState kept;
 
   private long keptUs;
   private long keptTurns;
@@ -145,7 +154,7 @@
     world.live();
     final long untilUs = START_US + evening.lengthUs();
     long lifeUs = 0;
-    for (final Courier.MessageClass kind : evening.settings().classes()) {
+    for (final MessageClass kind : evening.settings().classes()) {
       lifeUs = Math.max(lifeUs, kind.deadlineUs());
     }
     while (world.agenda.step(untilUs + lifeUs)) {
@@ -164,16 +173,16 @@
       for (int index = 0; index < partner.endpoints(); index++) {
         places.put(number, new Place(partner, index));
         entries.add(
-            new Courier.Endpoint(
+            new Endpoint(
                 number++,
-                Courier.Condition.LISTED,
+                EndpointState.LISTED,
                 index % 2 == 0 ? "a" : "b",
                 evening.weight(),
                 0,
                 partner.id()));
       }
     }
-    courier.onList(agenda.nowUs(), Courier.Update.WHOLE, entries);
+    courier.onEndpointList(agenda.nowUs(), EndpointUpdate.COMPLETE_SNAPSHOT, entries);
   }
 
   // ---------------------------------------------------------------- processes
@@ -197,18 +206,18 @@
     agenda.in(
         LOOK_US,
         () -> {
-          if (life == lives && courier instanceof Control control) {
+          if (life == lives && courier instanceof OverloadController control) {
             keep(control);
             look();
           }
         });
   }
 
-  private void keep(final Control control) {
-    if (agenda.nowUs() - keptUs >= KEEP_US || control.turns() != keptTurns) {
-      kept = control.memory();
+  private void keep(final OverloadController control) {
+    if (agenda.nowUs() - keptUs >= KEEP_US || control.circuitTransitions() != keptTurns) {
+      kept = control.learnedState();
       keptUs = agenda.nowUs();
-      keptTurns = control.turns();
+      keptTurns = control.circuitTransitions();
     }
   }
 
@@ -232,16 +241,16 @@
   private void restart() {
     final long nowUs = agenda.nowUs();
     courier = next.apply(lives);
-    courier.onList(nowUs, Courier.Update.RESTORED, entries);
-    if (kept != null && courier instanceof Control control) {
-      control.onMemory(nowUs, kept.aged(keptUs, nowUs));
-      keptTurns = control.turns();
+    courier.onEndpointList(nowUs, EndpointUpdate.RESTORED_SNAPSHOT, entries);
+    if (kept != null && courier instanceof OverloadController control) {
+      control.onLearnedState(nowUs, kept.aged(keptUs, nowUs));
+      keptTurns = control.circuitTransitions();
     }
     for (final Sent sent : open.values()) {
-      courier.onResumed(
+      courier.onMessageResumed(
           nowUs,
           sent.message,
-          new Courier.Past(
+          new PriorAttempts(
               sent.attempts, sent.mayHaveRunUs >= 0, Math.max(0, sent.mayHaveRunUs), "a"));
     }
     tally.started(nowUs - START_US);
@@ -269,24 +278,24 @@
     }
     tally.handed(nowUs - START_US);
     final int index = random.nextInt(evening.settings().classes().size());
-    final Courier.MessageClass kind = evening.settings().classes().get(index);
+    final MessageClass kind = evening.settings().classes().get(index);
     double draw = random.nextDouble() * shares;
     int partner = 0;
     while (partner < evening.partners().size() - 1
         && draw >= evening.partners().get(partner).share()) {
       draw -= evening.partners().get(partner++).share();
     }
-    if (open.size() >= evening.settings().limits().maxOpen()) {
+    if (open.size() >= evening.settings().limits().maxPendingMessages()) {
       tally.turnedAway();
       return;
     }
     final String id = "m" + messages++;
-    final Courier.Message message =
-        new Courier.Message(
+    final Message message =
+        new Message(
             id,
             index,
             -1,
-            kind.effect() == Effect.KEYED ? id : null,
+            kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY ? id : null,
             nowUs + kind.deadlineUs(),
             evening.partners().get(partner).id());
     open.put(id, new Sent(message, kind, nowUs));
@@ -300,14 +309,14 @@
     final long nowUs = agenda.nowUs();
     final Sent sent = open.get(messageId);
     final Place place = places.get(endpoint);
-    if (sent == null || place == null || place.partner().id() != sent.message.destination()) {
+    if (sent == null || place == null || place.partner().id() != sent.message.destinationId()) {
       tally.broke("a call that no message asked for: " + messageId + " to " + endpoint);
       return;
     }
     if (sent.out != null) {
       tally.broke("two copies out: " + messageId);
     }
-    if (++sent.attempts > evening.settings().limits().mostAttempts()) {
+    if (++sent.attempts > evening.settings().limits().maxAttempts()) {
       tally.broke("attempt " + sent.attempts + ": " + messageId);
     }
     if (nowUs < waitUntilUs.getOrDefault(place.partner().id(), 0L)) {
@@ -316,7 +325,7 @@
     final Attempt attempt = new Attempt(sent, endpoint, nowUs);
     sent.out = attempt;
     agenda.in(WAY_US, () -> reach(attempt, place));
-    agenda.in(timeoutUs, () -> end(attempt, Result.TIMED_OUT, 0));
+    agenda.in(timeoutUs, () -> end(attempt, AttemptResult.TIMED_OUT, 0));
   }
 
   /** A call comes to its endpoint. */
@@ -324,43 +333,46 @@
     final long nowUs = agenda.nowUs();
     final Sent sent = attempt.sent;
     final SimulatedDestination partner = place.partner();
-    final CallFault fate = partner.fate(nowUs, place.index(), sent.message.messageClass(), random);
+    final CallFault fate = partner.fate(nowUs, place.index(), sent.message.classIndex(), random);
     tally.called(nowUs - START_US);
     if (fate == CallFault.UNREACHABLE) {
-      back(attempt, Result.NO_CONNECTION, 0);
+      back(attempt, AttemptResult.NO_CONNECTION, 0);
       return;
     }
     if (fate == CallFault.REFUSE || !partner.limit().takes(nowUs)) {
       tally.callRefused(nowUs - START_US);
-      back(attempt, Result.REFUSED, fate == CallFault.REFUSE ? 0 : partner.limit().waitUs(nowUs));
+      back(
+          attempt,
+          AttemptResult.REFUSED,
+          fate == CallFault.REFUSE ? 0 : partner.limit().waitUs(nowUs));
       return;
     }
-    if (sent.ranUs >= 0 && sent.kind.effect() == Effect.UNSAFE) {
+    if (sent.ranUs >= 0 && sent.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
       tally.broke("again after it may have run: " + sent.message.id());
     }
     if (sent.ranUs >= 0
-        && sent.kind.effect() == Effect.KEYED
-        && nowUs > sent.ranUs + sent.kind.keyWindowUs()) {
+        && sent.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+        && nowUs > sent.ranUs + sent.kind.idempotencyWindowUs()) {
       tally.broke("again after its key was forgotten: " + sent.message.id());
     }
     sent.ranUs = sent.ranUs < 0 ? nowUs : sent.ranUs;
-    final long serviceUs = partner.service().drawUs(sent.message.messageClass(), random);
+    final long serviceUs = partner.service().drawUs(sent.message.classIndex(), random);
     final long doneUs = partner.limit().queueUs(nowUs, serviceUs) + serviceUs;
     // Cancelled and timed-out calls run on.
     agenda.in(doneUs, () -> partner.limit().ended(agenda.nowUs()));
     switch (fate) {
-      case RESET -> back(attempt, Result.RESET, 0);
-      case ERROR -> back(attempt, Result.ERROR, 0);
-      case SERVE -> agenda.in(doneUs, () -> back(attempt, Result.DELIVERED, 0));
+      case RESET -> back(attempt, AttemptResult.RESET, 0);
+      case ERROR -> back(attempt, AttemptResult.ERROR, 0);
+      case SERVE -> agenda.in(doneUs, () -> back(attempt, AttemptResult.DELIVERED, 0));
       default -> {}
     }
   }
 
-  private void back(final Attempt attempt, final Result result, final long waitUs) {
+  private void back(final Attempt attempt, final AttemptResult result, final long waitUs) {
     agenda.in(WAY_US, () -> end(attempt, result, waitUs));
   }
 
-  private void end(final Attempt attempt, final Result result, final long waitUs) {
+  private void end(final Attempt attempt, final AttemptResult result, final long waitUs) {
     if (attempt.over) {
       return;
     }
@@ -369,18 +381,18 @@
     sent.out = null;
     final long nowUs = agenda.nowUs();
     if (waitUs > 0) {
-      waitUntilUs.merge(sent.message.destination(), nowUs + waitUs, Math::max);
+      waitUntilUs.merge(sent.message.destinationId(), nowUs + waitUs, Math::max);
     }
-    final boolean delivered = result == Result.DELIVERED;
+    final boolean delivered = result == AttemptResult.DELIVERED;
     if (delivered && open.remove(sent.message.id()) != null) {
       tally.delivered(sent.handedUs - START_US);
       tally.servedAt(nowUs - START_US);
-    } else if (!delivered && !result.neverRan()) {
+    } else if (!delivered && !result.neverExecuted()) {
       sent.mayHaveRun(attempt);
     }
     courier.onOutcome(
         nowUs,
-        new Courier.Outcome(
+        new AttemptOutcome(
             sent.message.id(),
             result,
             delivered,
@@ -395,14 +407,14 @@
     final Sent sent = open.get(messageId);
     if (sent != null && sent.out != null) {
       final Attempt out = sent.out;
-      agenda.in(0, () -> end(out, Result.CANCELLED, 0));
+      agenda.in(0, () -> end(out, AttemptResult.CANCELLED, 0));
     }
   }
 
   // ---------------------------------------------------------------- ends
 
   @Override
-  public void refuse(final String messageId, final long retryAfterUs) {
+  public void shed(final String messageId, final long retryAfterUs) {
     if (ended(messageId)) {
       tally.refused();
     }
@@ -427,13 +439,13 @@
   }
 
   @Override
-  public void closeIdle(final long endpoint) {}
+  public void closeIdleConnections(final long endpoint) {}
 
   @Override
-  public void follow() {}
+  public void subscribeToEndpointList() {}
 
   @Override
-  public void wake(final long delayUs) {
+  public void scheduleDecision(final long delayUs) {
     agenda.in(delayUs, () -> {});
   }
 }
--- a/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
+++ b/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
@@ -9,8 +9,8 @@
 import java.util.function.LongFunction;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.model.WeightMeaning;
 import thistleturn.lab.model.CallFault;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
@@ -32,7 +32,7 @@
 
   private static ScenarioStatistics play(
       final LongFunction<SimulatedDestination> partner, final double perSecond, final long seed) {
-    return play(partner, perSecond, LENGTH, seed, Control::new);
+    return play(partner, perSecond, LENGTH, seed, OverloadController::new);
   }
 
   private static ScenarioStatistics play(
@@ -58,7 +58,7 @@
     final ScenarioStatistics tally =
         VirtualCourier.play(
             new Scenario(
-                partners, perSecond, lengthUs, Scenario.settings(Courier.Weights.NONE, coldUs), 0),
+                partners, perSecond, lengthUs, Scenario.settings(WeightMeaning.NONE, coldUs), 0),
             seed,
             maker);
     assertEquals(List.of(), tally.broken(), "seed " + seed);
@@ -79,7 +79,10 @@
     double most = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       most =
-          Math.max(most, play(partner, perSecond, LENGTH, seed, Control::withoutReading).goodput());
+          Math.max(
+              most,
+              play(partner, perSecond, LENGTH, seed, OverloadController::withoutFaultClassification)
+                  .goodput());
     }
     return most;
   }
@@ -135,7 +138,7 @@
         id -> SimulatedDestination.plain(id).faulty(stall);
     // It begins within a stall: of nothing but refusals nobody can tell what they answer to.
     assertTrue(goodput(stalling, 200) > withoutReading(stalling, 200));
-    assertTrue(share(play(stalling, 200, 30 * SECOND, 1, Control::new), 16, 28) >= 0.97);
+    assertTrue(share(play(stalling, 200, 30 * SECOND, 1, OverloadController::new), 16, 28) >= 0.97);
   }
 
   @Test
@@ -152,7 +155,7 @@
             150,
             30 * SECOND,
             1,
-            Control::new);
+            OverloadController::new);
     assertTrue(share(tally, 0, 4) >= 0.95, "noise before: " + share(tally, 0, 4));
     // 20 of 50 a second are what the limit lets through, less a tenth.
     assertTrue(share(tally, 6, 10) >= 0.25, "limit: " + share(tally, 6, 10));
@@ -242,7 +245,7 @@
             0.3,
             300 * SECOND,
             1,
-            Control::new);
+            OverloadController::new);
     assertTrue(tally.goodput() >= 0.98, "delivered " + tally.goodput());
   }
 
@@ -251,7 +254,12 @@
   void aStormIsNotMadeAndServiceIsBackSoon() {
     final Fault all = refusing(1).between(10 * SECOND, 40 * SECOND, Fault.NONE);
     final ScenarioStatistics tally =
-        play(id -> SimulatedDestination.plain(id).faulty(all), 400, 60 * SECOND, 1, Control::new);
+        play(
+            id -> SimulatedDestination.plain(id).faulty(all),
+            400,
+            60 * SECOND,
+            1,
+            OverloadController::new);
     final int most =
         tally.seconds().subList(8, 34).stream()
             .mapToInt(ScenarioStatistics.Second::calls)
@@ -277,7 +285,7 @@
           120,
           30 * SECOND,
           seed,
-          Control::new,
+          OverloadController::new,
           8 * SECOND);
       returns.forEach(cold -> assertFalse(cold.isFallen()));
     }
--- a/lab/src/test/java/thistleturn/lab/KillsTest.java
+++ b/lab/src/test/java/thistleturn/lab/KillsTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.Control;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.OverloadController;
+import thistleturn.decisions.model.WeightMeaning;
 import thistleturn.lab.model.Fault;
 import thistleturn.lab.model.Limit;
 import thistleturn.lab.model.SimulatedDestination;
@@ -41,10 +41,13 @@
       partners.add(SimulatedDestination.plain(id).faulty(fault).limited(limit));
     }
     final Scenario evening =
-        new Scenario(partners, perSecond, 31 * SECOND, Scenario.settings(Courier.Weights.NONE), 0);
+        new Scenario(partners, perSecond, 31 * SECOND, Scenario.settings(WeightMeaning.NONE), 0);
     final ScenarioStatistics tally =
         VirtualCourier.play(
-            evening, new CrashSchedule(20, LIFE, LIFE, START, remembers), seed, Control::new);
+            evening,
+            new CrashSchedule(20, LIFE, LIFE, START, remembers),
+            seed,
+            OverloadController::new);
     assertEquals(List.of(), tally.broken(), "seed " + seed);
     assertEquals(20, tally.kills());
     return tally;
--- a/lab/src/test/java/thistleturn/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/thistleturn/lab/fleet/VirtualFleetTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.decisions.Control;
+import thistleturn.decisions.OverloadController;
 import thistleturn.lab.fleet.FleetDay.Trouble;
 import thistleturn.lab.fleet.FleetTally.Count;
 import thistleturn.lab.virtual.VirtualCourier.Maker;
@@ -21,8 +21,8 @@
  */
 @Tag("fleet")
 final class VirtualFleetTest {
-  private static final Maker SHARING = Control::new;
-  private static final Maker ALONE = Control::withoutSharing;
+  private static final Maker SHARING = OverloadController::new;
+  private static final Maker ALONE = OverloadController::withoutRateSharing;
 
   private static FleetTally play(
       final int couriers, final Trouble trouble, final long seed, final Maker maker) {
--- a/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
+++ b/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
@@ -5,7 +5,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
 
 /**
  * What the platform hands a courier at its start, for tests and demonstrations: the file and the
@@ -13,20 +14,21 @@
  */
 public final class CourierFiles {
   /** Classes of message of each kind of effect; {@code brief} is keyed with a window of 300 ms. */
-  public static final List<Courier.MessageClass> CLASSES =
+  public static final List<MessageClass> CLASSES =
       List.of(
-          kind("safe", Courier.Effect.SAFE, 0), kind("keyed", Courier.Effect.KEYED, 10_000_000),
-          kind("brief", Courier.Effect.KEYED, 300_000), kind("once", Courier.Effect.UNSAFE, 0));
+          kind("safe", Idempotence.IDEMPOTENT, 0),
+              kind("keyed", Idempotence.IDEMPOTENT_BY_KEY, 10_000_000),
+          kind("brief", Idempotence.IDEMPOTENT_BY_KEY, 300_000),
+              kind("once", Idempotence.NON_IDEMPOTENT, 0));
 
   private static final long AIM_US = 4_000_000;
   private static final long DEADLINE_US = 16_000_000;
 
   private CourierFiles() {}
 
-  private static Courier.MessageClass kind(
-      final String name, final Courier.Effect effect, final long windowUs) {
-    return new Courier.MessageClass(
-        name, effect, false, false, 1, 0, 4_000_000, 16_000_000, windowUs);
+  private static MessageClass kind(
+      final String name, final Idempotence effect, final long windowUs) {
+    return new MessageClass(name, effect, false, false, 1, 0, 4_000_000, 16_000_000, windowUs);
   }
 
   /** How much a courier may hold: messages, slots for calls, descriptors. */
@@ -46,12 +48,13 @@
       final Size size)
       throws IOException {
     final StringBuilder classes = new StringBuilder();
-    for (final Courier.MessageClass one : CLASSES) {
+    for (final MessageClass one : CLASSES) {
       final String effect =
-          switch (one.effect()) {
-            case SAFE -> "\"pure\"";
-            case KEYED -> "\"token\",\"group\":\"all\",\"dedup_window\":" + one.keyWindowUs();
-            case UNSAFE -> "\"side_effect\"";
+          switch (one.idempotence()) {
+            case IDEMPOTENT -> "\"pure\"";
+            case IDEMPOTENT_BY_KEY ->
+                "\"token\",\"group\":\"all\",\"dedup_window\":" + one.idempotencyWindowUs();
+            case NON_IDEMPOTENT -> "\"side_effect\"";
           };
       classes
           .append(classes.isEmpty() ? "" : ",")
--- a/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
+++ b/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
@@ -8,7 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
 import thistleturn.testkit.Violation.Rule;
 
 /**
@@ -30,7 +31,7 @@
   private static final long UNREAD_US = SECOND;
 
   private final Figures figures;
-  private final Map<String, Courier.MessageClass> classes = new HashMap<>();
+  private final Map<String, MessageClass> classes = new HashMap<>();
   private final Map<String, Message> messages = new LinkedHashMap<>();
   private final Map<String, Endpoint> endpoints = new HashMap<>();
   private final Map<Long, Destination> destinations = new HashMap<>();
@@ -101,7 +102,7 @@
     private Violation copies;
 
     private final String id;
-    private final Courier.MessageClass kind;
+    private final MessageClass kind;
     private final long destination;
     private final String key;
     private final long timeUpUs;
@@ -120,7 +121,7 @@
 
     private Message(
         final String id,
-        final Courier.MessageClass kind,
+        final MessageClass kind,
         final long destination,
         final String key,
         final long timeUpUs) {
@@ -157,7 +158,7 @@
   }
 
   /** An Auditor that has seen nothing yet. */
-  public RuleChecker(final Figures figures, final List<Courier.MessageClass> kinds) {
+  public RuleChecker(final Figures figures, final List<MessageClass> kinds) {
     this.figures = figures;
     kinds.forEach(kind -> classes.put(kind.name(), kind));
   }
@@ -183,7 +184,7 @@
   public synchronized void taken(final long nowUs, final String id) {
     final Message message = messages.get(id);
     message.taken = true;
-    if (message.kind.inTurn() && message.key != null && !message.over) {
+    if (message.kind.orderedByKey() && message.key != null && !message.over) {
       lines.computeIfAbsent(message.key, unused -> new ArrayDeque<>()).add(message);
     }
   }
@@ -221,7 +222,7 @@
     }
     if (deferred
         && message.firstRunUs != Long.MAX_VALUE
-        && message.kind.effect() == Courier.Effect.UNSAFE) {
+        && message.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
       broken(Rule.DOUBLE, nowUs, message + " may have run and was " + end);
     }
     close(nowUs, message, end);
@@ -358,7 +359,7 @@
     }
     if (message.over) {
       broken(
-          message.delivered && message.kind.effect() == Courier.Effect.SAFE
+          message.delivered && message.kind.idempotence() == Idempotence.IDEMPOTENT
               ? Rule.LOST
               : Rule.DOUBLE,
           firstByteUs,
@@ -369,10 +370,10 @@
                   ? ", " + (firstByteUs - message.deliveredUs) + " us after its answer"
                   : ""));
     } else if (message.firstRunUs != Long.MAX_VALUE) {
-      if (message.kind.effect() == Courier.Effect.UNSAFE) {
+      if (message.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
         broken(Rule.DOUBLE, firstByteUs, message + " may have run and was sent again");
-      } else if (message.kind.effect() == Courier.Effect.KEYED
-          && firstByteUs > message.firstRunUs + message.kind.keyWindowUs()) {
+      } else if (message.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+          && firstByteUs > message.firstRunUs + message.kind.idempotencyWindowUs()) {
         broken(
             Rule.DOUBLE,
             firstByteUs,
@@ -380,10 +381,10 @@
                 + " was sent again "
                 + (firstByteUs - message.firstRunUs) / MS
                 + " ms after it may have run; its key is kept for "
-                + message.kind.keyWindowUs() / MS);
+                + message.kind.idempotencyWindowUs() / MS);
       }
     }
-    if (message.key != null && message.kind.inTurn()) {
+    if (message.key != null && message.kind.orderedByKey()) {
       final Deque<Message> line = lines.get(message.key);
       final Message first = line == null ? null : line.peekFirst();
       if (first != null && first != message) {
@@ -407,9 +408,9 @@
             && killedUs - message.deliveredUs <= UNREAD_US
             && firstByteUs > killedUs;
     final boolean repeatable =
-        message.kind.effect() == Courier.Effect.SAFE
-            || (message.kind.effect() == Courier.Effect.KEYED
-                && firstByteUs <= message.firstRunUs + message.kind.keyWindowUs());
+        message.kind.idempotence() == Idempotence.IDEMPOTENT
+            || (message.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+                && firstByteUs <= message.firstRunUs + message.kind.idempotencyWindowUs());
     if (unread && repeatable) {
       message.out++;
       return true;
@@ -430,7 +431,7 @@
     message.out--;
     if (message.copies != null
         && (end == End.CUT || end == End.NEVER_WHOLE)
-        && message.kind.effect() != Courier.Effect.UNSAFE
+        && message.kind.idempotence() != Idempotence.NON_IDEMPOTENT
         && firstByteUs < message.copies.atUs()
         && nowUs - message.copies.atUs() <= SAME_BATCH_US) {
       // The courier had ended the first copy before it sent the second: both were read in one
--- a/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
@@ -65,7 +65,8 @@
   }
 
   /**
-   * Names an endpoint, or changes its state: {@code Ready}, {@code Terminating} or {@code Gone}.
+   * Names an endpoint, or changes its state: {@code ReadyRoute}, {@code Terminating} or {@code
+   * Gone}.
    */
   public synchronized void tell(
       final StandInEndpoint endpoint, final String health, final double share) {
--- a/testkit/src/test/java/thistleturn/testkit/RuleCheckerTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/RuleCheckerTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.decisions.Courier;
+import thistleturn.decisions.model.Idempotence;
+import thistleturn.decisions.model.MessageClass;
 import thistleturn.testkit.RuleChecker.End;
 import thistleturn.testkit.Violation.Rule;
 
@@ -20,16 +21,24 @@
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
   private static final long TIMEOUT = 2 * SECOND;
-  private static final List<Courier.MessageClass> CLASSES =
+  private static final List<MessageClass> CLASSES =
       List.of(
-          new Courier.MessageClass(
-              "safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
-          new Courier.MessageClass(
-              "keyed", Courier.Effect.KEYED, false, false, 1, 0, SECOND, 9 * SECOND, SECOND),
-          new Courier.MessageClass(
-              "once", Courier.Effect.UNSAFE, false, false, 1, 0, SECOND, 9 * SECOND, 0),
-          new Courier.MessageClass(
-              "line", Courier.Effect.SAFE, false, true, 1, 0, SECOND, 9 * SECOND, 0));
+          new MessageClass(
+              "safe", Idempotence.IDEMPOTENT, false, false, 1, 0, SECOND, 9 * SECOND, 0),
+          new MessageClass(
+              "keyed",
+              Idempotence.IDEMPOTENT_BY_KEY,
+              false,
+              false,
+              1,
+              0,
+              SECOND,
+              9 * SECOND,
+              SECOND),
+          new MessageClass(
+              "once", Idempotence.NON_IDEMPOTENT, false, false, 1, 0, SECOND, 9 * SECOND, 0),
+          new MessageClass(
+              "line", Idempotence.IDEMPOTENT, false, true, 1, 0, SECOND, 9 * SECOND, 0));
 
   private final RuleChecker auditor = new RuleChecker(RuleChecker.Figures.standard(), CLASSES);
 
