--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -9,7 +9,7 @@
 import thistleturn.cli.config.ProductConfig;
 import thistleturn.courier.CourierProcess.Extension;
 import thistleturn.courier.CourierProcess.Surroundings;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.membership.MembershipExtension;
 import thistleturn.membership.MembershipSettings;
 import thistleturn.peers.PeersExtension;
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public Directory directory(final Directory own, final Surroundings given) {
+  public EndpointDirectory directory(final EndpointDirectory own, final Surroundings given) {
     surroundings = given;
     return membership == null ? own : membership.directory(own, given);
   }
--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierProcess.java
@@ -37,13 +37,14 @@
 import thistleturn.courier.operator.OperatorServer;
 import thistleturn.courier.platform.Discovery;
 import thistleturn.courier.platform.Notices;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.port.Ends;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Steering;
-import thistleturn.courier.port.Witness;
+import thistleturn.courier.port.DirectiveSink;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.OutcomeNotifier;
+import thistleturn.courier.port.StateObserver;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
@@ -127,12 +128,12 @@
   private volatile Set<String> leftOut;
 
   /** Who hears what this courier is told and finds out; null: nobody. */
-  private Witness witness;
+  private StateObserver witness;
 
   /** What tells that this process writes in the folder; null while another one does. */
   private StateLock lock;
 
-  private Directory own;
+  private EndpointDirectory own;
   private boolean running;
 
   /**
@@ -156,7 +157,7 @@
       Clock clock,
       Supplier<JsonNode> lanes,
       Supplier<JsonNode> health,
-      Steering steering) {}
+      DirectiveSink steering) {}
 
   /** A subsystem beside the platform's own; without one nothing of it is loaded. */
   public interface Extension {
@@ -164,7 +165,7 @@
      * The directory that the courier follows: the platform's own, or one that merges it with
      * others.
      */
-    Directory directory(Directory own, Surroundings surroundings);
+    EndpointDirectory directory(EndpointDirectory own, Surroundings surroundings);
 
     /** The courier serves at that address from now on. Called on the event loop. */
     void ready(String address);
@@ -187,7 +188,8 @@
 
   private static final class None implements Extension {
     @Override
-    public Directory directory(final Directory own, final Surroundings surroundings) {
+    public EndpointDirectory directory(
+        final EndpointDirectory own, final Surroundings surroundings) {
       return own;
     }
 
@@ -293,7 +295,7 @@
     public Inheritance handOver(final Heir heir) throws IOException {
       final Inheritance inheritance = only.host.handOver(heir);
       // From here on the heir decides: what fails now must not keep it from that.
-      only.journal.closeTrimmed();
+      only.journal.compactAndClose();
       close("unlocking the folder", lock);
       Log.info("handed over with " + inheritance.calls().size() + " calls out");
       return inheritance;
@@ -301,7 +303,7 @@
 
     @Override
     public void abandon(final long call, final AttemptResult result) {
-      only.host.abandon(call, result);
+      only.host.abandonHandedOverCall(call, result);
     }
 
     @Override
@@ -356,27 +358,28 @@
    * it has out.
    */
   private final class Succession implements Heir, Remote {
-    private final Host before;
-    private final Host next;
+    private final DecisionLoop before;
+    private final DecisionLoop next;
 
-    private Succession(final Host before) {
+    private Succession(final DecisionLoop before) {
       this.before = before;
-      this.next = new Host(config, loop, clock, shards.get(0).journal, shards.get(0));
+      this.next = new DecisionLoop(config, loop, clock, shards.get(0).journal, shards.get(0));
     }
 
-    private Host next() {
-      next.countOnFrom(before);
-      next.leaveOut(leftOut);
+    private DecisionLoop next() {
+      next.continueCountersOf(before);
+      next.setDisabledEndpoints(leftOut);
       if (witness != null) {
-        next.witness(new Relayed(witness));
+        next.setObserver(new Relayed(witness));
       }
-      final int resumed = next.start(before.passOn(this), this);
+      final int resumed = next.start(before.handOverAgain(this), this);
       Log.info("resumed " + resumed + " messages");
       return next;
     }
 
     @Override
-    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+    public void offer(
+        final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
       next.offer(held, reply);
     }
 
@@ -386,7 +389,8 @@
     }
 
     @Override
-    public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
+    public void outcome(
+        final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
       next.remoteOutcome(messageId, answer);
     }
 
@@ -397,25 +401,26 @@
 
     @Override
     public void abandon(final long call, final AttemptResult result) {
-      before.abandon(call, result);
+      before.abandonHandedOverCall(call, result);
     }
   }
 
   /** The desk of the host that counts: another may take its place. */
-  private record Counter(Shard shard) implements Front.Desk {
+  private record Counter(Shard shard) implements IngressHandler {
     @Override
-    public MessageClass kind(final String className) {
-      return shard.host.kind(className);
+    public MessageClass messageClass(final String className) {
+      return shard.host.messageClass(className);
     }
 
     @Override
-    public boolean isOwn(final long destination) {
-      return shard.host.isOwn(destination);
+    public boolean isAnsweredOnThisLoop(final long destination) {
+      return shard.host.isAnsweredOnThisLoop(destination);
     }
 
     @Override
-    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-      shard.host.offer(held, validUntilUs, reply);
+    public void submit(
+        final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
+      shard.host.submit(held, validUntilUs, reply);
     }
 
     @Override
@@ -441,12 +446,12 @@
 
     @Override
     public CompletionStage<Figures> figures() {
-      return each(shard -> shard.host.figures()).thenApply(Figures::sum);
+      return each(shard -> shard.host.metrics()).thenApply(Figures::sum);
     }
 
     @Override
     public CompletionStage<Boolean> maintain(final String endpoint, final boolean leaveOut) {
-      return each(shard -> shard.host.knows(endpoint))
+      return each(shard -> shard.host.isKnownEndpoint(endpoint))
           .thenComposeAsync(
               known -> {
                 if (!known.contains(true)) {
@@ -454,7 +459,7 @@
                 }
                 try {
                   if (witness != null) {
-                    witness.maintained(endpoint, leaveOut);
+                    witness.onEndpointDisabled(endpoint, leaveOut);
                   }
                   return set(endpoint, leaveOut).thenApply(done -> true);
                 } catch (final IOException e) {
@@ -493,7 +498,7 @@
     leftOut = Set.copyOf(names);
     return each(
         shard -> {
-          shard.host.leaveOut(names);
+          shard.host.setDisabledEndpoints(names);
           return true;
         });
   }
@@ -511,28 +516,28 @@
   /**
    * What subsystems may say to the decisions, carried to all shards. Lives on the first one's loop.
    */
-  private final class Helm implements Steering {
+  private final class Helm implements DirectiveSink {
     @Override
-    public void witness(final Witness by) {
+    public void observe(final StateObserver by) {
       witness = by;
       each(
           shard -> {
-            shard.host.witness(new Relayed(by));
+            shard.host.setObserver(new Relayed(by));
             return true;
           });
     }
 
     @Override
-    public void say(final long destination, final Directive word) {
+    public void applyDirective(final long destination, final Directive word) {
       each(
           shard -> {
-            shard.host.say(destination, word);
+            shard.host.applyDirective(destination, word);
             return true;
           });
     }
 
     @Override
-    public void maintain(final String endpoint, final boolean leaveOut) {
+    public void setDisabled(final String endpoint, final boolean leaveOut) {
       try {
         if (operators != null) {
           operators.set(endpoint, leaveOut);
@@ -548,16 +553,16 @@
     }
 
     @Override
-    public Set<String> leftOut() {
+    public Set<String> disabledEndpoints() {
       return leftOut;
     }
   }
 
   /** What a shard finds out, told on the first one's loop. */
-  private final class Relayed implements Witness {
-    private final Witness to;
+  private final class Relayed implements StateObserver {
+    private final StateObserver to;
 
-    private Relayed(final Witness to) {
+    private Relayed(final StateObserver to) {
       this.to = to;
     }
 
@@ -570,33 +575,34 @@
     }
 
     @Override
-    public void listed() {
-      tell(to::listed);
+    public void onEndpointsListed() {
+      tell(to::onEndpointsListed);
     }
 
     @Override
-    public void waits(final long destination, final long untilUs) {
-      tell(() -> to.waits(destination, untilUs));
+    public void onRetryAfter(final long destination, final long untilUs) {
+      tell(() -> to.onRetryAfter(destination, untilUs));
     }
 
     @Override
-    public void limited(final long destination, final double perSecond) {
-      tell(() -> to.limited(destination, perSecond));
+    public void onRateLimit(final long destination, final double perSecond) {
+      tell(() -> to.onRateLimit(destination, perSecond));
     }
 
     @Override
-    public void turned(final long destination, final boolean isOut) {
-      tell(() -> to.turned(destination, isOut));
+    public void onOutageChanged(final long destination, final boolean isOut) {
+      tell(() -> to.onOutageChanged(destination, isOut));
     }
 
     @Override
-    public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
-      to.maintained(endpoint, leaveOut);
+    public void onEndpointDisabled(final String endpoint, final boolean leaveOut)
+        throws IOException {
+      to.onEndpointDisabled(endpoint, leaveOut);
     }
   }
 
   /** One event loop with all that it owns. */
-  private final class Shard implements Host.Wiring {
+  private final class Shard implements DecisionLoop.Ports {
     private final LoopTurns turns = new LoopTurns(clock);
     private final EventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
@@ -611,8 +617,8 @@
 
     private long keptTurns;
     private int looksSinceKept;
-    private Directory directory;
-    private Host host;
+    private EndpointDirectory directory;
+    private DecisionLoop host;
     private HttpFront front;
 
     /** Nothing is under way here; told across loops while the process ends. */
@@ -628,12 +634,12 @@
           LoopTasks.guarded(
               "what was learnt",
               () -> {
-                if (++looksSinceKept < LOOKS_A_KEEPING && host.turns() == keptTurns) {
+                if (++looksSinceKept < LOOKS_A_KEEPING && host.learnedStateVersion() == keptTurns) {
                   return;
                 }
                 looksSinceKept = 0;
-                keptTurns = host.turns();
-                final Inheritance now = host.learnt();
+                keptTurns = host.learnedStateVersion();
+                final Inheritance now = host.learnedState();
                 if (now != null) {
                   keeper.keep(now);
                 }
@@ -648,22 +654,22 @@
     }
 
     @Override
-    public Carrier carrier(final Carrier.Listener listener) {
+    public Dispatcher dispatcher(final Dispatcher.Listener listener) {
       return new HttpCarrier(config, loop, clock, turns, listener, descriptors);
     }
 
     @Override
-    public Ends ends(final Ends.Listener listener) {
+    public OutcomeNotifier outcomeNotifier(final OutcomeNotifier.Listener listener) {
       return new Notices(latest.discovery(), loop, clock, turns, listener);
     }
 
     @Override
-    public Directory directory() {
+    public EndpointDirectory endpointDirectory() {
       return directory;
     }
 
     @Override
-    public void afterLook(final long us, final Runnable action) {
+    public void afterPoll(final long us, final Runnable action) {
       turns.afterLook(loop, us, action);
     }
   }
@@ -724,7 +730,12 @@
         extension.directory(
             new Discovery(config, loop, clock, shards.get(0).turns),
             new Surroundings(
-                config, loop, clock, this::lanes, () -> shards.get(0).host.health(), new Helm()));
+                config,
+                loop,
+                clock,
+                this::lanes,
+                () -> shards.get(0).host.healthStatus(),
+                new Helm()));
     if (lock != null) {
       begin(null, null);
     } else {
@@ -828,7 +839,7 @@
           on(
               shard,
               () -> {
-                shard.host = new Host(config, shard.loop, clock, shard.journal, shard);
+                shard.host = new DecisionLoop(config, shard.loop, clock, shard.journal, shard);
                 if (shared != null) {
                   // An even part, until room is moved by need.
                   shard.host.limit(
@@ -836,10 +847,10 @@
                       limits.maxPendingMessages() / shards.size());
                 }
                 if (operators != null) {
-                  shard.host.leaveOut(leftOut);
+                  shard.host.setDisabledEndpoints(leftOut);
                 }
                 if (inheritance == null && shard.learnt != null) {
-                  shard.host.recall(shard.learnt.read(clock.nowUs()));
+                  shard.host.restoreWhenListed(shard.learnt.read(clock.nowUs()));
                 }
                 final int resumed =
                     inheritance == null ? shard.host.start() : shard.host.start(inheritance, from);
@@ -859,14 +870,14 @@
                 serving.completeExceptionally(failure);
                 return;
               }
-              final List<Host> hosts = shards.stream().map(shard -> shard.host).toList();
+              final List<DecisionLoop> hosts = shards.stream().map(shard -> shard.host).toList();
               if (shared != null) {
                 shared.start();
                 new Room(limits, loop, loops, hosts).start();
               }
               for (int index = 0; index < shards.size(); index++) {
                 final Shard shard = shards.get(index);
-                final Front.Desk desk =
+                final IngressHandler desk =
                     shared == null ? new Counter(shard) : new ShardDesk(index, loops, hosts);
                 shard.front =
                     new HttpFront(
@@ -903,7 +914,7 @@
    * How each destination is; those of other shards are left out, since only their loops may ask.
    */
   private JsonNode lanes() {
-    return shards.get(0).host.lanes();
+    return shards.get(0).host.routeStatus();
   }
 
   /** Does something on a shard's loop, at once if that is this one. */
@@ -1020,7 +1031,7 @@
           listening = false;
           stopping = true;
           extension.stopping();
-          if (shards.get(0).host.hasHeir()) {
+          if (shards.get(0).host.hasSuccessor()) {
             leaveToHeir(stopUs);
             return;
           }
@@ -1029,7 +1040,7 @@
                   shard.loop.execute(
                       () -> {
                         shard.front.drain();
-                        shard.host.stopping(stopUs);
+                        shard.host.prepareToStop(stopUs);
                       }));
           loop.schedule(() -> leave(stopUs), LISTEN_MS, TimeUnit.MILLISECONDS);
         });
@@ -1053,7 +1064,7 @@
         LoopTasks.guarded(
             "end beside a newer process",
             () -> {
-              final boolean due = only.host.idle() && only.front.isEmpty();
+              final boolean due = only.host.isIdle() && only.front.hasNoConnections();
               if ((due && extension.leave()) || clock.nowUs() >= stopUs) {
                 stopped.countDown();
               }
@@ -1071,7 +1082,7 @@
                   shard.front.stopListening();
                   // So long before the process ends that its answers are on their way by then.
                   shard.loop.schedule(
-                      shard.front::turnAway,
+                      shard.front::rejectIncompleteRequests,
                       stopUs - 2 * LEAVE_MS * US_PER_MS - clock.nowUs(),
                       TimeUnit.MICROSECONDS);
                   // A request that is coming in, or an answer on its way, would be cut off by the
@@ -1079,7 +1090,7 @@
                   shard.loop.scheduleWithFixedDelay(
                       LoopTasks.guarded(
                           "end in order",
-                          () -> shard.idle = shard.host.idle() && shard.front.isEmpty()),
+                          () -> shard.idle = shard.host.isIdle() && shard.front.hasNoConnections()),
                       0,
                       STOP_CHECK_MS,
                       TimeUnit.MILLISECONDS);
@@ -1116,7 +1127,7 @@
                 shard.loop.execute(
                     () -> {
                       if (shard.host != null) {
-                        shard.host.cut();
+                        shard.host.halt();
                       }
                     }));
     final List<? extends Future<?>> ending =
--- a/courier/src/main/java/thistleturn/courier/Host.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -22,14 +22,15 @@
 import thistleturn.courier.handover.Remote;
 import thistleturn.courier.health.Pulse;
 import thistleturn.courier.operator.Figures;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.port.Ends;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Store;
-import thistleturn.courier.port.Way;
-import thistleturn.courier.port.Witness;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.MessageStore;
+import thistleturn.courier.port.MessageTimeline;
+import thistleturn.courier.port.OutcomeNotifier;
+import thistleturn.courier.port.StateObserver;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Event;
@@ -56,11 +57,11 @@
  * messages, and keeps the journal ahead of every byte that promises something. All of it runs on
  * the event loop's thread.
  */
-final class Host
+final class DecisionLoop
     implements DeliveryActions,
-        Front.Desk,
-        Carrier.Listener,
-        Ends.Listener,
+        IngressHandler,
+        Dispatcher.Listener,
+        OutcomeNotifier.Listener,
         Room.Tenant,
         Predecessor.Listener {
   private static final long US_PER_MS = 1000;
@@ -70,160 +71,161 @@
    * An end that the platform confirms so late after its message's time is worth a line: the limit
    * is 300 ms.
    */
-  private static final long LATE_US = 100_000;
+  private static final long LATE_OUTCOME_US = 100_000;
 
   /** A store so full is pressed. */
-  private static final double PRESSED_SHARE = 0.9;
+  private static final double NEAR_LIMIT_SHARE = 0.9;
 
   /**
    * When the journal is tried again that could not be written, ms: a client waits 400 ms for its
    * answer.
    */
-  private static final long UNWRITABLE_RETRY_MS = 20;
+  private static final long JOURNAL_RETRY_MS = 20;
 
   /**
    * A wake-up so late, us, comes from a process that did not run: first it looks at what has come
    * meanwhile.
    */
-  private static final long LATE_WAKE_US = 10_000;
+  private static final long LATE_TIMER_US = 10_000;
 
   /**
    * When the store is full: a message's time in it is some seconds, so that one place is free soon.
    */
-  private static final long FULL_RETRY_US = 1_000_000;
+  private static final long STORE_FULL_RETRY_AFTER_US = 1_000_000;
 
   /** One message's part in a call. */
-  private record Part(OpenMessage open, long timeoutUs, long goesUntilUs)
-      implements Carrier.Parcel {
+  private record DeliveryAttempt(PendingDelivery delivery, long timeoutUs, long latestSendUs)
+      implements Dispatcher.Attempt {
     @Override
-    public Held held() {
-      return open.held;
+    public StoredMessage message() {
+      return delivery.message;
     }
 
     @Override
-    public long validUntilUs() {
-      return open.validUntilUs;
+    public long messageDeadlineUs() {
+      return delivery.deadlineUs;
     }
   }
 
   /** A call that an older process of this courier has out. */
-  private record RemoteCall(long number, long endpoint, long sentUs) implements Carrier.Call {}
+  private record RemoteCall(long number, long endpoint, long preparedUs)
+      implements Dispatcher.Call {}
 
   /** What is said of an endpoint that an operator has left out. */
-  private static final Directive LEFT_OUT =
+  private static final Directive DISABLED_BY_OPERATOR =
       Directive.of(Directive.Kind.EXCLUSION, "operator", Long.MAX_VALUE);
 
   /**
    * Endpoints of which what was learnt is put down: more would hold up the loop for over some
    * milliseconds a second.
    */
-  private static final int MOST_REMEMBERED = 2000;
+  private static final int MAX_REMEMBERED_ENDPOINTS = 2000;
 
   private final Config config;
   private final EventLoop loop;
   private final Clock clock;
-  private final Store store;
+  private final MessageStore store;
   private final OverloadController control;
-  private final Carrier carrier;
-  private final Directory directory;
-  private final Ends ends;
-  private final Roster roster;
-  private final Wiring wiring;
+  private final Dispatcher dispatcher;
+  private final EndpointDirectory directory;
+  private final OutcomeNotifier outcomeNotifier;
+  private final EndpointTable endpointTable;
+  private final Ports ports;
   private final LocalHealth health;
   private final Pulse pulse;
-  private final Map<String, OpenMessage> messages = new LinkedHashMap<>();
-  private final Map<String, Integer> classes = new HashMap<>();
-  private final Map<Long, List<Part>> outbox = new LinkedHashMap<>();
-  private final Promises promises;
-  private boolean passDue;
+  private final Map<String, PendingDelivery> messages = new LinkedHashMap<>();
+  private final Map<String, Integer> classIndexes = new HashMap<>();
+  private final Map<Long, List<DeliveryAttempt>> attemptsByEndpoint = new LinkedHashMap<>();
+  private final DurableEffects effects;
+  private boolean roundScheduled;
 
   /** The journal could not be written, and is tried again soon. */
-  private boolean retriesJournal;
+  private boolean journalRetryScheduled;
 
   /**
    * How many messages it may hold now, and whether that, or its slots, have held it back of late.
    */
   private int maxOpen;
 
-  private boolean openPressed;
-  private boolean slotsPressed;
+  private boolean messageLimitReached;
+  private boolean callLimitReached;
 
   /** What this process has done, by class where that says anything. */
   private final long[] served;
 
-  private final long[] refused;
+  private final long[] rejected;
   private final long[] failed;
-  private long attempts;
+  private long messagesWritten;
 
   /** The newer process that decides now; null while this one does. */
-  private Heir heir;
+  private Heir successor;
 
   /** Nothing is decided or put down any more: what breaks from now on breaks with the process. */
-  private boolean cut;
+  private boolean halted;
 
   /** Calls that were out when it took over, by their numbers. */
-  private final Map<Long, Carrier.Call> given = new HashMap<>();
+  private final Map<Long, Dispatcher.Call> handedOverCalls = new HashMap<>();
 
-  private final IdentityHashMap<Carrier.Call, Long> givenNumbers = new IdentityHashMap<>();
+  private final IdentityHashMap<Dispatcher.Call, Long> handedOverNumbers = new IdentityHashMap<>();
 
   /**
    * The older process that this one took over from, or null; what it has out, by the messages' ids.
    */
   private Remote predecessor;
 
-  private final Map<String, Part> remote = new HashMap<>();
+  private final Map<String, DeliveryAttempt> predecessorAttempts = new HashMap<>();
 
   /** What an earlier process had learnt, until it is taken up; else null. */
-  private Continuity recalled;
+  private Continuity pendingLearnedState;
 
   /**
    * Who hears what is told and found out here; null: nobody. Which destinations it was last known
    * to be out.
    */
-  private Witness witness;
+  private StateObserver observer;
 
-  private final Set<Long> out = new HashSet<>();
-  private long toldTurns;
+  private final Set<Long> destinationsOut = new HashSet<>();
+  private long observedVersion;
 
   /** The ports that a host is wired to; those that tell the host something are made for it. */
-  interface Wiring {
-    Carrier carrier(Carrier.Listener listener);
+  interface Ports {
+    Dispatcher dispatcher(Dispatcher.Listener listener);
 
-    Ends ends(Ends.Listener listener);
+    OutcomeNotifier outcomeNotifier(OutcomeNotifier.Listener listener);
 
-    Directory directory();
+    EndpointDirectory endpointDirectory();
 
     /**
      * Does something after a look at the sockets that began after that moment, us: what had come by
      * then is told first.
      */
-    void afterLook(long us, Runnable action);
+    void afterPoll(long us, Runnable action);
   }
 
-  Host(
+  DecisionLoop(
       final Config config,
       final EventLoop loop,
       final Clock clock,
-      final Store store,
-      final Wiring wiring) {
+      final MessageStore store,
+      final Ports wiring) {
     this.config = config;
     this.loop = loop;
     this.clock = clock;
     this.store = store;
-    this.wiring = wiring;
+    this.ports = wiring;
     this.health = new LocalHealth(clock.nowUs());
-    this.pulse = new Pulse(loop, clock, health, this::away);
+    this.pulse = new Pulse(loop, clock, health, this::onProcessPaused);
     this.control = new OverloadController(config.settings(), config.seed(), this);
     this.maxOpen = config.settings().limits().maxPendingMessages();
-    this.carrier = wiring.carrier(this);
-    this.directory = wiring.directory();
-    this.ends = wiring.ends(this);
-    this.promises = new Promises(new PromiseKeeper(), ends);
-    this.roster = new Roster(config.settings().kinds(), clock::nowUs);
-    config.settings().classes().forEach(kind -> classes.put(kind.name(), classes.size()));
-    this.served = new long[classes.size()];
-    this.refused = new long[classes.size()];
-    this.failed = new long[classes.size()];
+    this.dispatcher = wiring.dispatcher(this);
+    this.directory = wiring.endpointDirectory();
+    this.outcomeNotifier = wiring.outcomeNotifier(this);
+    this.effects = new DurableEffects(new EffectExecutor(), outcomeNotifier);
+    this.endpointTable = new EndpointTable(config.settings().kinds(), clock::nowUs);
+    config.settings().classes().forEach(kind -> classIndexes.put(kind.name(), classIndexes.size()));
+    this.served = new long[classIndexes.size()];
+    this.rejected = new long[classIndexes.size()];
+    this.failed = new long[classIndexes.size()];
   }
 
   /**
@@ -232,20 +234,20 @@
    * @return how many messages wait again
    */
   int start() {
-    directory.start(this::listed);
-    return takeUp();
+    directory.start(this::onEndpointUpdate);
+    return recoverPendingMessages();
   }
 
   /** The same, after an older process that goes on carrying out what it has begun. */
   int start(final Inheritance inheritance, final Remote from) {
     predecessor = from;
-    directory.start(this::listed);
-    listed(
+    directory.start(this::onEndpointUpdate);
+    onEndpointUpdate(
         EndpointUpdate.RESTORED_SNAPSHOT,
         inheritance.endpoints().stream().map(Inheritance.Named::listing).toList());
-    final Map<Long, Long> numbers = learn(inheritance);
-    final Map<String, Held> held = new HashMap<>();
-    store.live().forEach(one -> held.put(one.id(), one));
+    final Map<Long, Long> numbers = restoreLearnedState(inheritance);
+    final Map<String, StoredMessage> held = new HashMap<>();
+    store.pendingMessages().forEach(one -> held.put(one.id(), one));
     final List<Endpoint> unlisted = new ArrayList<>();
     for (final Inheritance.CallOut out : inheritance.calls()) {
       final long endpoint =
@@ -253,14 +255,14 @@
               out.endpoint(),
               gone -> {
                 // Gone from the list, but not from the world: a call to it is still out.
-                final long number = roster.unlisted();
+                final long number = endpointTable.allocateUnlistedId();
                 final Endpoint entry =
                     new Endpoint(number, EndpointState.DRAINING, "", 0, -1, out.destination());
                 unlisted.add(entry);
                 control.onEndpointList(clock.nowUs(), EndpointUpdate.SUPPLEMENT, List.of(entry));
                 return number;
               });
-      adopt(out, new RemoteCall(out.number(), endpoint, out.sentUs()), held);
+      adoptInFlightCall(out, new RemoteCall(out.number(), endpoint, out.sentUs()), held);
     }
     control.onEndpointList(
         clock.nowUs(),
@@ -271,30 +273,31 @@
                     new Endpoint(entry.id(), EndpointState.GONE, "", 0, -1, entry.destinationId()))
             .toList());
     from.serve(this);
-    return takeUp();
+    return recoverPendingMessages();
   }
 
-  private void adopt(
-      final Inheritance.CallOut out, final RemoteCall call, final Map<String, Held> live) {
+  private void adoptInFlightCall(
+      final Inheritance.CallOut out, final RemoteCall call, final Map<String, StoredMessage> live) {
     boolean sameCall = false;
     for (final String id : out.messageIds()) {
-      final Held held = live.get(id);
-      final Integer index = held == null ? null : classes.get(held.className());
-      if (index == null || held.notice() != null || !held.isOut()) {
+      final StoredMessage held = live.get(id);
+      final Integer index = held == null ? null : classIndexes.get(held.className());
+      if (index == null || held.finalOutcome() != null || !held.hasAttemptInFlight()) {
         continue;
       }
-      final OpenMessage open =
-          new OpenMessage(held, config.settings().classes().get(index), held.validUntilUs(), null);
+      final PendingDelivery open =
+          new PendingDelivery(
+              held, config.settings().classes().get(index), held.deadlineUs(), null);
       open.call = call;
       messages.put(id, open);
-      remote.put(id, new Part(open, 0, 0));
-      final boolean ran = held.firstRunUs() != Held.NEVER;
+      predecessorAttempts.put(id, new DeliveryAttempt(open, 0, 0));
+      final boolean ran = held.firstRunUs() != StoredMessage.NEVER;
       control.onCallAdopted(
           clock.nowUs(),
-          message(open, index),
+          controllerMessage(open, index),
           new PriorAttempts(held.attempts(), ran, ran ? held.firstRunUs() : 0, held.runZone()),
           call.endpoint(),
-          call.sentUs(),
+          call.preparedUs(),
           sameCall);
       sameCall = true;
     }
@@ -306,62 +309,63 @@
    *
    * @return their numbers there, and here
    */
-  private Map<Long, Long> learn(final Continuity from) {
-    final Map<String, Directory.Listing> now = new HashMap<>();
-    roster.listed().forEach(named -> now.put(named.listing().name(), named.listing()));
+  private Map<Long, Long> restoreLearnedState(final Continuity from) {
+    final Map<String, EndpointDirectory.Entry> now = new HashMap<>();
+    endpointTable.snapshot().forEach(named -> now.put(named.listing().name(), named.listing()));
     final Map<Long, Long> numbers = new HashMap<>();
     for (final Inheritance.Named named : from.endpoints()) {
-      final Directory.Listing listing = now.get(named.listing().name());
+      final EndpointDirectory.Entry listing = now.get(named.listing().name());
       if (listing != null
           && listing.address().equals(named.listing().address())
           && listing.destination() == named.listing().destination()) {
-        numbers.put(named.number(), roster.number(listing.name()));
+        numbers.put(named.number(), endpointTable.idOf(listing.name()));
       }
     }
     control.onLearnedState(clock.nowUs(), from.memory(numbers, clock));
     return numbers;
   }
 
-  private int takeUp() {
+  private int recoverPendingMessages() {
     int resumed = 0;
-    for (final Held held : store.live()) {
+    for (final StoredMessage held : store.pendingMessages()) {
       if (messages.containsKey(held.id())) {
         continue;
       }
-      final Integer index = classes.get(held.className());
-      if (held.notice() != null) {
-        ends.add(held);
+      final Integer index = classIndexes.get(held.className());
+      if (held.finalOutcome() != null) {
+        outcomeNotifier.enqueue(held);
       } else if (index == null) {
-        end(new OpenMessage(held, null, 0, null), new Held.Notice(true, 0));
+        finish(new PendingDelivery(held, null, 0, null), new StoredMessage.FinalOutcome(true, 0));
       } else {
-        resume(held, index);
+        resumeMessage(held, index);
         resumed++;
       }
     }
-    touch();
+    scheduleRound();
     return resumed;
   }
 
-  private void resume(final Held held, final int index) {
-    final OpenMessage open =
-        new OpenMessage(held, config.settings().classes().get(index), held.validUntilUs(), null);
-    final PriorAttempts past = held.past();
-    if (held.isOut()) {
-      store.settle(held, false);
+  private void resumeMessage(final StoredMessage held, final int index) {
+    final PendingDelivery open =
+        new PendingDelivery(held, config.settings().classes().get(index), held.deadlineUs(), null);
+    final PriorAttempts past = held.priorAttempts();
+    if (held.hasAttemptInFlight()) {
+      store.recordAttemptOutcome(held, false);
     }
     messages.put(held.id(), open);
-    control.onMessageResumed(clock.nowUs(), message(open, index), past);
+    control.onMessageResumed(clock.nowUs(), controllerMessage(open, index), past);
   }
 
-  private static Message message(final OpenMessage open, final int index) {
-    return new Message(open.held.id(), index, -1, null, open.validUntilUs, open.held.destination());
+  private static Message controllerMessage(final PendingDelivery open, final int index) {
+    return new Message(
+        open.message.id(), index, -1, null, open.deadlineUs, open.message.destination());
   }
 
   // ---------------------------------------------------------------- its own health
 
   /** The process did not run for so long: what is out has that much more time. */
-  private void away(final long awayUs) {
-    if (decides()) {
+  private void onProcessPaused(final long awayUs) {
+    if (isDeciding()) {
       control.onHostPaused(clock.nowUs(), awayUs);
     }
   }
@@ -370,8 +374,8 @@
    * Somebody answered: if this courier was cut off until now, whoever was sent out for that is
    * back.
    */
-  private void answered(final long nowUs) {
-    if (health.isCutOff() && decides()) {
+  private void onReachable(final long nowUs) {
+    if (health.isCutOff() && isDeciding()) {
       final long sinceUs = health.cutOffSinceUs();
       Log.info(
           "this courier had no way out for "
@@ -383,7 +387,7 @@
   }
 
   /** How this courier itself is, and why that is said; as JSON for operators. */
-  ObjectNode health() {
+  ObjectNode healthStatus() {
     final LocalHealth.Report report = health.report(clock.nowUs());
     return JsonNodeFactory.instance
         .objectNode()
@@ -400,34 +404,34 @@
   // ---------------------------------------------------------------- what the sockets bring
 
   @Override
-  public MessageClass kind(final String className) {
-    final Integer index = classes.get(className);
+  public MessageClass messageClass(final String className) {
+    final Integer index = classIndexes.get(className);
     return index == null ? null : config.settings().classes().get(index);
   }
 
   @Override
-  public boolean isOwn(final long destination) {
-    return heir == null;
+  public boolean isAnsweredOnThisLoop(final long destination) {
+    return successor == null;
   }
 
   @Override
-  public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
-    if (heir != null) {
-      heir.offer(held, held.validUntilUs(), reply);
+  public void submit(final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
+    if (successor != null) {
+      successor.offer(held, held.deadlineUs(), reply);
       return;
     }
     pulse.feel();
-    if (!roster.names(held.destination()) && directory.isFresh()) {
-      reply.unusable(Front.Fault.NO_DESTINATION);
+    if (!endpointTable.isKnownDestination(held.destination()) && directory.isCurrent()) {
+      reply.invalid(Ingress.InvalidReason.NO_DESTINATION);
       return;
     }
-    if (messages.containsKey(held.id()) || store.holds(held.id())) {
-      reply.unusable(Front.Fault.HELD_ALREADY);
+    if (messages.containsKey(held.id()) || store.contains(held.id())) {
+      reply.invalid(Ingress.InvalidReason.HELD_ALREADY);
       return;
     }
-    openPressed |= messages.size() >= PRESSED_SHARE * maxOpen;
-    if (messages.size() >= health.maxPendingMessages(maxOpen) || !store.take(held)) {
-      refused[classes.get(held.className())]++;
+    messageLimitReached |= messages.size() >= NEAR_LIMIT_SHARE * maxOpen;
+    if (messages.size() >= health.maxPendingMessages(maxOpen) || !store.recordAccepted(held)) {
+      rejected[classIndexes.get(held.className())]++;
       Log.event(
           Event.REQUEST_REFUSED,
           "id",
@@ -438,150 +442,159 @@
           store.isWritable() ? "no_room" : "journal_unwritable",
           "holds",
           messages.size());
-      reply.refused(Front.Refusal.NO_ROOM, FULL_RETRY_US);
+      reply.rejected(Ingress.RejectionReason.NO_ROOM, STORE_FULL_RETRY_AFTER_US);
       return;
     }
-    final int index = classes.get(held.className());
-    final OpenMessage open =
-        new OpenMessage(held, config.settings().classes().get(index), validUntilUs, reply);
+    final int index = classIndexes.get(held.className());
+    final PendingDelivery open =
+        new PendingDelivery(held, config.settings().classes().get(index), validUntilUs, reply);
     messages.put(held.id(), open);
-    promises.accept(open, clock.nowUs());
-    held.way().taken(clock.nowUs());
-    control.onMessage(clock.nowUs(), message(open, index));
-    touch();
+    effects.addAcceptance(open, clock.nowUs());
+    held.timeline().markAccepted(clock.nowUs());
+    control.onMessage(clock.nowUs(), controllerMessage(open, index));
+    scheduleRound();
   }
 
   @Override
   public void withdraw(final String id, final long destination) {
-    if (heir != null) {
-      heir.withdraw(id, destination);
+    if (successor != null) {
+      successor.withdraw(id, destination);
       return;
     }
-    final OpenMessage open = messages.get(id);
+    final PendingDelivery open = messages.get(id);
     if (open != null) {
-      forget(open);
+      complete(open);
       control.onMessageAbandoned(clock.nowUs(), id);
-      touch();
+      scheduleRound();
     }
   }
 
   /** The list has changed, or could not be had. */
-  private void listed(final EndpointUpdate update, final List<Directory.Listing> listings) {
+  private void onEndpointUpdate(
+      final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
     final long nowUs = pulse.feel();
     if (update == EndpointUpdate.UNAVAILABLE) {
       health.recordPlatformFailure(nowUs);
     } else if (update != EndpointUpdate.RESTORED_SNAPSHOT) {
-      answered(nowUs);
+      onReachable(nowUs);
     }
-    final Roster.Applied applied = roster.apply(update, listings, carrier);
-    if (heir != null) {
+    final EndpointTable.AppliedUpdate applied = endpointTable.apply(update, listings, dispatcher);
+    if (successor != null) {
       // It is kept up to date all the same: should the newer process end, this one takes up again.
-      applied.gone().forEach(roster::forget);
+      applied.removed().forEach(endpointTable::remove);
       return;
     }
     control.onEndpointList(clock.nowUs(), update, applied.changed());
     applied.changed().stream()
         .map(Endpoint::id)
-        .filter(roster::isLeftOut)
-        .forEach(endpoint -> control.onEndpointDirective(clock.nowUs(), endpoint, LEFT_OUT));
-    if (recalled != null && roster.size() > 0) {
-      Log.info("recalled what was learnt of " + learn(recalled).size() + " endpoints");
-      recalled = null;
+        .filter(endpointTable::isDisabled)
+        .forEach(
+            endpoint -> control.onEndpointDirective(clock.nowUs(), endpoint, DISABLED_BY_OPERATOR));
+    if (pendingLearnedState != null && endpointTable.size() > 0) {
+      Log.info(
+          "recalled what was learnt of "
+              + restoreLearnedState(pendingLearnedState).size()
+              + " endpoints");
+      pendingLearnedState = null;
     }
-    for (final long endpoint : applied.gone()) {
-      carrier.removed(endpoint);
-      roster.forget(endpoint);
+    for (final long endpoint : applied.removed()) {
+      dispatcher.removeEndpoint(endpoint);
+      endpointTable.remove(endpoint);
     }
     if (update != EndpointUpdate.UNAVAILABLE) {
-      roster.forgetVacant();
-      if (witness != null) {
-        witness.listed();
+      endpointTable.expireVacantDestinations();
+      if (observer != null) {
+        observer.onEndpointsListed();
       }
     }
-    touch();
+    scheduleRound();
   }
 
   @Override
-  public void outcome(
-      final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
-    if (cut) {
+  public void onOutcome(
+      final Dispatcher.Attempt parcel,
+      final Dispatcher.Call call,
+      final Dispatcher.DispatchOutcome answer) {
+    if (halted) {
       return;
     }
-    final OpenMessage open = ((Part) parcel).open();
+    final PendingDelivery open = ((DeliveryAttempt) parcel).delivery();
     final long nowUs = pulse.feel();
     open.call = null;
-    if (heir != null) {
+    if (successor != null) {
       // A message that was over before the handover is nobody's any more.
-      if (givenNumbers.containsKey(call) && messages.remove(open.held.id()) != null) {
-        heir.outcome(givenNumbers.get(call), open.held.id(), answer);
+      if (handedOverNumbers.containsKey(call) && messages.remove(open.message.id()) != null) {
+        successor.outcome(handedOverNumbers.get(call), open.message.id(), answer);
       }
       return;
     }
-    if (open.held.way() != null) {
-      open.held.way().outcome(clock.nowUs());
+    if (open.message.timeline() != null) {
+      open.message.timeline().markAttemptEnded(clock.nowUs());
     }
     final boolean delivered = answer.result() == AttemptResult.DELIVERED;
-    if (!open.over) {
-      if (delivered || answer.over()) {
+    if (!open.ended) {
+      if (delivered || answer.completed()) {
         count(delivered ? served : failed, open);
-        forget(open);
+        complete(open);
       } else {
-        store.settle(open.held, answer.result().neverExecuted());
+        store.recordAttemptOutcome(open.message, answer.result().neverExecuted());
       }
     }
     if (!delivered) {
       Log.event(
           answer.result() == AttemptResult.NOT_SENT ? Event.ATTEMPT_NOT_SENT : Event.ATTEMPT_FAILED,
           "id",
-          open.held.id(),
+          open.message.id(),
           "class",
-          open.held.className(),
+          open.message.className(),
           "endpoint",
-          roster.name(call.endpoint()),
+          endpointTable.nameOf(call.endpoint()),
           "result",
           answer.result(),
           "attempts",
-          open.held.attempts(),
+          open.message.attempts(),
           "after_us",
-          nowUs - call.sentUs(),
+          nowUs - call.preparedUs(),
           "wait_us",
-          answer.waitUs());
+          answer.retryAfterUs());
     }
-    tellHealth(open.held.destination(), call, answer.result(), nowUs);
+    recordReachability(open.message.destination(), call, answer.result(), nowUs);
     control.onOutcome(
         nowUs,
         new AttemptOutcome(
-            open.held.id(),
+            open.message.id(),
             answer.result(),
-            open.over,
+            open.ended,
             call.endpoint(),
-            health.wasRunningBetween(call.sentUs(), nowUs) ? nowUs - call.sentUs() : -1,
-            answer.waitUs(),
-            answer.allowance()));
-    if (witness != null) {
-      tellWitness(open.held.destination(), answer, nowUs);
+            health.wasRunningBetween(call.preparedUs(), nowUs) ? nowUs - call.preparedUs() : -1,
+            answer.retryAfterUs(),
+            answer.loadReport()));
+    if (observer != null) {
+      notifyObserver(open.message.destination(), answer, nowUs);
     }
-    touch();
+    scheduleRound();
   }
 
-  private void tellWitness(final long destination, final Carrier.Answer answer, final long nowUs) {
-    if (answer.waitUs() > 0) {
-      witness.waits(destination, nowUs + answer.waitUs());
+  private void notifyObserver(
+      final long destination, final Dispatcher.DispatchOutcome answer, final long nowUs) {
+    if (answer.retryAfterUs() > 0) {
+      observer.onRetryAfter(destination, nowUs + answer.retryAfterUs());
     }
-    if (answer.allowance() != null && answer.allowance().callsPerSecond() > 0) {
-      witness.limited(destination, answer.allowance().callsPerSecond());
+    if (answer.loadReport() != null && answer.loadReport().callsPerSecond() > 0) {
+      observer.onRateLimit(destination, answer.loadReport().callsPerSecond());
     }
   }
 
   /** What a call's outcome says of this courier's own way out. */
-  private void tellHealth(
+  private void recordReachability(
       final long destination,
-      final Carrier.Call call,
+      final Dispatcher.Call call,
       final AttemptResult result,
       final long nowUs) {
     switch (result) {
-      case DELIVERED, ERROR, REFUSED -> answered(nowUs);
-      case NO_CONNECTION, TIMED_OUT -> health.recordNoResponse(destination, call.sentUs(), nowUs);
+      case DELIVERED, ERROR, REFUSED -> onReachable(nowUs);
+      case NO_CONNECTION, TIMED_OUT ->
+          health.recordNoResponse(destination, call.preparedUs(), nowUs);
       // One that was given up by this courier's own will, or met a connection that was dead, says
       // nothing.
       default -> {}
@@ -589,27 +602,27 @@
   }
 
   @Override
-  public void toldToWait(final long endpoint, final long waitUs) {
-    if (decides()) {
+  public void onRetryAfter(final long endpoint, final long waitUs) {
+    if (isDeciding()) {
       control.onRetryAfter(clock.nowUs(), endpoint, waitUs);
-      touch();
+      scheduleRound();
     }
   }
 
   @Override
-  public void written(final int count) {
-    attempts += count;
+  public void onMessagesWritten(final int count) {
+    messagesWritten += count;
   }
 
   @Override
-  public void confirmed(final List<Held> known) {
-    if (!decides()) {
+  public void onConfirmed(final List<StoredMessage> known) {
+    if (!isDeciding()) {
       // The newer process tells them once more, which does no harm.
       return;
     }
     final long nowUs = clock.nowUs();
-    for (final Held held : known) {
-      if (held.way() != null && held.way().lateUs(nowUs) > LATE_US) {
+    for (final StoredMessage held : known) {
+      if (held.timeline() != null && held.timeline().latenessUs(nowUs) > LATE_OUTCOME_US) {
         Log.event(
             Event.MESSAGE_ENDED_LATE,
             "id",
@@ -619,56 +632,58 @@
             "attempts",
             held.attempts(),
             "way",
-            held.way().story(nowUs));
+            held.timeline().describe(nowUs));
       }
-      store.over(held);
+      store.recordCompleted(held);
     }
-    touch();
+    scheduleRound();
   }
 
-  private void count(final long[] ends, final OpenMessage open) {
-    ends[classes.get(open.held.className())]++;
+  private void count(final long[] ends, final PendingDelivery open) {
+    ends[classIndexes.get(open.message.className())]++;
   }
 
   // ---------------------------------------------------------------- operators
 
   /** True if an endpoint of that name was ever listed here. */
-  boolean knows(final String endpoint) {
-    return roster.knows(endpoint);
+  boolean isKnownEndpoint(final String endpoint) {
+    return endpointTable.isKnown(endpoint);
   }
 
   /** Exactly these endpoints are left out by hand from now on, whatever the list says. */
-  void leaveOut(final Set<String> endpoints) {
-    if (heir != null) {
+  void setDisabledEndpoints(final Set<String> endpoints) {
+    if (successor != null) {
       return;
     }
-    final Map<Long, Boolean> news = roster.leaveOut(endpoints);
+    final Map<Long, Boolean> news = endpointTable.setDisabled(endpoints);
     news.forEach(
         (endpoint, out) -> {
           // What is kept open to them dies with their restart.
-          carrier.closeIdle(endpoint);
+          dispatcher.closeIdleConnections(endpoint);
           control.onEndpointDirective(
-              clock.nowUs(), endpoint, out ? LEFT_OUT : LEFT_OUT.withdrawn());
+              clock.nowUs(),
+              endpoint,
+              out ? DISABLED_BY_OPERATOR : DISABLED_BY_OPERATOR.withdrawn());
           if (!out) {
             control.onEndpointEnabled(clock.nowUs(), endpoint);
           }
         });
     if (!news.isEmpty()) {
-      touch();
+      scheduleRound();
     }
   }
 
   /** From now on that one hears what is told and found out here. */
-  void witness(final Witness by) {
-    witness = by;
-    turned(false);
+  void setObserver(final StateObserver by) {
+    observer = by;
+    updateOutages(false);
   }
 
   /** A subsystem says something of a destination. */
-  void say(final long destination, final Directive word) {
-    if (decides() && control.onDestinationDirective(clock.nowUs(), destination, word)) {
-      turned(false);
-      touch();
+  void applyDirective(final long destination, final Directive word) {
+    if (isDeciding() && control.onDestinationDirective(clock.nowUs(), destination, word)) {
+      updateOutages(false);
+      scheduleRound();
     }
   }
 
@@ -676,8 +691,8 @@
    * Looks which destinations are out; the witness is told of what has changed by own knowledge,
    * while this courier is well.
    */
-  private void turned(final boolean tells) {
-    toldTurns = control.circuitTransitions();
+  private void updateOutages(final boolean tells) {
+    observedVersion = control.circuitTransitions();
     final Map<Long, Boolean> now = new LinkedHashMap<>();
     control
         .routes()
@@ -687,31 +702,32 @@
                     lane.destinationId(), lane.circuitState().equals("OUT"), Boolean::logicalAnd));
     now.forEach(
         (destination, isOut) -> {
-          final boolean changed = isOut ? out.add(destination) : out.remove(destination);
+          final boolean changed =
+              isOut ? destinationsOut.add(destination) : destinationsOut.remove(destination);
           if (changed && tells && health.report(clock.nowUs()).state() == LocalHealth.State.WELL) {
-            witness.turned(destination, isOut);
+            observer.onOutageChanged(destination, isOut);
           }
         });
-    out.retainAll(now.keySet());
+    destinationsOut.retainAll(now.keySet());
   }
 
   /** What this process has done, and what it has now. */
-  Figures figures() {
+  Figures metrics() {
     final List<Figures.Ends> ends =
         config.settings().classes().stream()
             .map(
                 kind -> {
-                  final int index = classes.get(kind.name());
+                  final int index = classIndexes.get(kind.name());
                   return new Figures.Ends(
-                      kind.name(), served[index], refused[index], failed[index]);
+                      kind.name(), served[index], rejected[index], failed[index]);
                 })
             .toList();
     return new Figures(
         ends,
-        attempts,
-        heir == null ? messages.size() : 0,
-        roster.size(),
-        roster.excluded(control.avoidedEndpoints()));
+        messagesWritten,
+        successor == null ? messages.size() : 0,
+        endpointTable.size(),
+        endpointTable.countExcluded(control.avoidedEndpoints()));
   }
 
   // ---------------------------------------------------------------- a newer process, an older
@@ -724,39 +740,41 @@
    */
   Inheritance handOver(final Heir to) throws IOException {
     // What this turn brought is decided and answered here.
-    pass();
-    final Store.Flush flush = store.flush();
-    promises.keep(flush, clock.nowUs());
-    if (flush != Store.Flush.SAFE) {
+    runRound();
+    final MessageStore.FlushResult flush = store.flush();
+    effects.runAfterFlush(flush, clock.nowUs());
+    if (flush != MessageStore.FlushResult.DURABLE) {
       throw new IOException("the journal cannot be written");
     }
-    heir = to;
+    successor = to;
     messages.values().removeIf(open -> open.call == null);
-    return inheritance();
+    return snapshot();
   }
 
   /**
    * Another one decides from now on, after the one that did has ended; what is out here goes on.
    */
-  Inheritance passOn(final Heir to) {
-    heir = to;
-    return inheritance();
+  Inheritance handOverAgain(final Heir to) {
+    successor = to;
+    return snapshot();
   }
 
   /**
    * What was learnt so far, null while another process decides, or nothing or too much is listed.
    */
-  Inheritance learnt() {
-    return heir != null || roster.size() == 0 || roster.size() > MOST_REMEMBERED
+  Inheritance learnedState() {
+    return successor != null
+            || endpointTable.size() == 0
+            || endpointTable.size() > MAX_REMEMBERED_ENDPOINTS
         ? null
-        : new Inheritance(roster.listed(), control.learnedState(), List.of());
+        : new Inheritance(endpointTable.snapshot(), control.learnedState(), List.of());
   }
 
   /**
    * How each destination is, with the names of its endpoints in place of their numbers; as JSON for
    * operators.
    */
-  ArrayNode lanes() {
+  ArrayNode routeStatus() {
     final ArrayNode lanes = JsonNodeFactory.instance.arrayNode();
     for (final RouteStatus lane : control.routes()) {
       final ObjectNode one =
@@ -786,108 +804,111 @@
                 .put("value", word.value())
                 .put("by", word.source());
         if (word.endpointId() >= 0) {
-          entry.put("endpoint", roster.name(word.endpointId()));
+          entry.put("endpoint", endpointTable.nameOf(word.endpointId()));
         }
         if (word.untilUs() != Long.MAX_VALUE) {
           entry.put("for_s", (word.untilUs() - clock.nowUs()) / US_PER_S);
         }
       }
       final ArrayNode endpoints = one.putArray("endpoints");
-      lane.endpoints().forEach(number -> endpoints.add(roster.name(number)));
+      lane.endpoints().forEach(number -> endpoints.add(endpointTable.nameOf(number)));
     }
     return lanes;
   }
 
   /** Changes whenever what was learnt has changed so much that it is worth putting down. */
-  long turns() {
+  long learnedStateVersion() {
     return control.circuitTransitions();
   }
 
   /** What the process before this one had learnt is taken up as soon as the list is told. */
-  void recall(final Continuity found) {
-    recalled = found;
+  void restoreWhenListed(final Continuity found) {
+    pendingLearnedState = found;
   }
 
-  private Inheritance inheritance() {
-    final IdentityHashMap<Carrier.Call, List<String>> out = new IdentityHashMap<>();
-    for (final OpenMessage open : messages.values()) {
-      out.computeIfAbsent(open.call, unused -> new ArrayList<>()).add(open.held.id());
+  private Inheritance snapshot() {
+    final IdentityHashMap<Dispatcher.Call, List<String>> out = new IdentityHashMap<>();
+    for (final PendingDelivery open : messages.values()) {
+      out.computeIfAbsent(open.call, unused -> new ArrayList<>()).add(open.message.id());
     }
     final List<Inheritance.CallOut> calls = new ArrayList<>();
     out.forEach(
         (call, ids) -> {
           final long number =
-              givenNumbers.computeIfAbsent(call, unused -> givenNumbers.size() + 1L);
-          given.put(number, call);
+              handedOverNumbers.computeIfAbsent(call, unused -> handedOverNumbers.size() + 1L);
+          handedOverCalls.put(number, call);
           calls.add(
               new Inheritance.CallOut(
                   number,
                   call.endpoint(),
-                  messages.get(ids.get(0)).held.destination(),
-                  call.sentUs(),
+                  messages.get(ids.get(0)).message.destination(),
+                  call.preparedUs(),
                   ids));
         });
-    return new Inheritance(roster.listed(), control.learnedState(), calls);
+    return new Inheritance(endpointTable.snapshot(), control.learnedState(), calls);
   }
 
   /** Gives up a call that was out when the newer process took over. */
-  void abandon(final long number, final AttemptResult result) {
-    final Carrier.Call call = given.get(number);
+  void abandonHandedOverCall(final long number, final AttemptResult result) {
+    final Dispatcher.Call call = handedOverCalls.get(number);
     if (call != null && messages.values().stream().anyMatch(open -> open.call == call)) {
-      giveUp(call, result);
+      abandonCall(call, result);
     }
   }
 
   /** Goes on with the counts of another host of this process. */
-  void countOnFrom(final Host before) {
+  void continueCountersOf(final DecisionLoop before) {
     System.arraycopy(before.served, 0, served, 0, served.length);
-    System.arraycopy(before.refused, 0, refused, 0, refused.length);
+    System.arraycopy(before.rejected, 0, rejected, 0, rejected.length);
     System.arraycopy(before.failed, 0, failed, 0, failed.length);
-    attempts = before.attempts;
+    messagesWritten = before.messagesWritten;
   }
 
   /** The power is cut: whatever is told from now on has no effect. Runs on the event loop. */
-  void cut() {
-    cut = true;
+  void halt() {
+    halted = true;
   }
 
-  private boolean decides() {
-    return heir == null && !cut;
+  private boolean isDeciding() {
+    return successor == null && !halted;
   }
 
   /** True once another process decides. */
-  boolean hasHeir() {
-    return heir != null;
+  boolean hasSuccessor() {
+    return successor != null;
   }
 
   @Override
-  public void offer(final Held held, final Front.Reply reply) {
+  public void offer(final StoredMessage held, final Ingress.Reply reply) {
     final long nowUs = clock.nowUs();
-    final long validUntilUs = held.validUntilUs();
-    held.began(new Way(nowUs, nowUs, nowUs, validUntilUs));
-    if (classes.containsKey(held.className())) {
-      offer(held, validUntilUs, reply);
+    final long validUntilUs = held.deadlineUs();
+    held.startTimeline(new MessageTimeline(nowUs, nowUs, nowUs, validUntilUs));
+    if (classIndexes.containsKey(held.className())) {
+      submit(held, validUntilUs, reply);
     } else {
       reply.failed();
     }
   }
 
   @Override
-  public void remoteOutcome(final String messageId, final Carrier.Answer answer) {
-    final Part part = remote.remove(messageId);
+  public void remoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
+    final DeliveryAttempt part = predecessorAttempts.remove(messageId);
     if (part != null) {
-      final Carrier.Call call = part.open.call;
-      if (answer.waitUs() > 0) {
-        carrier.holdBack(call.endpoint());
+      final Dispatcher.Call call = part.delivery.call;
+      if (answer.retryAfterUs() > 0) {
+        dispatcher.abandonUnwrittenCalls(call.endpoint());
       }
-      outcome(part, call, answer);
+      onOutcome(part, call, answer);
     }
   }
 
   @Override
   public void predecessorGone() {
-    List.copyOf(remote.keySet())
-        .forEach(id -> remoteOutcome(id, new Carrier.Answer(AttemptResult.RESET, false, 0, null)));
+    List.copyOf(predecessorAttempts.keySet())
+        .forEach(
+            id ->
+                remoteOutcome(
+                    id, new Dispatcher.DispatchOutcome(AttemptResult.RESET, false, 0, null)));
   }
 
   // ---------------------------------------------------------------- room among shards
@@ -895,9 +916,10 @@
   @Override
   public Room.Use use() {
     final Room.Use use =
-        new Room.Use(control.callsInFlight(), slotsPressed, messages.size(), openPressed);
-    slotsPressed = control.needsMoreCapacity();
-    openPressed = false;
+        new Room.Use(
+            control.callsInFlight(), callLimitReached, messages.size(), messageLimitReached);
+    callLimitReached = control.needsMoreCapacity();
+    messageLimitReached = false;
     return use;
   }
 
@@ -905,128 +927,130 @@
   public void limit(final int slotsNow, final int maxOpenNow) {
     maxOpen = maxOpenNow;
     control.onCapacityChanged(clock.nowUs(), slotsNow, maxOpenNow);
-    touch();
+    scheduleRound();
   }
 
   // ---------------------------------------------------------------- the pass
 
   /** Lets the decisions be made once all that this pass of the loop brought has been told. */
-  private void touch() {
-    if (!passDue && decides()) {
-      passDue = true;
-      loop.execute(this::pass);
+  private void scheduleRound() {
+    if (!roundScheduled && isDeciding()) {
+      roundScheduled = true;
+      loop.execute(this::runRound);
     }
   }
 
-  private void pass() {
-    if (!passDue || !decides()) {
+  private void runRound() {
+    if (!roundScheduled || !isDeciding()) {
       return;
     }
-    passDue = false;
+    roundScheduled = false;
     // One moment for all of it: a stop in the middle of a pass is found by the next one, before it
     // is judged by.
     final long nowUs = pulse.feel();
     pulse.keep(!messages.isEmpty());
     try {
-      decide(nowUs);
+      runController(nowUs);
     } catch (final RuntimeException | Error e) {
       Log.failure("decisions failed", e);
     }
-    outbox.forEach(
+    attemptsByEndpoint.forEach(
         (endpoint, parcels) ->
-            LoopTasks.guarded("calls to an endpoint", () -> prepareAll(endpoint, parcels)).run());
-    outbox.clear();
+            LoopTasks.guarded("calls to an endpoint", () -> prepareCalls(endpoint, parcels)).run());
+    attemptsByEndpoint.clear();
     // The journal is ahead of all that this pass promises: answers, calls, and ends that are told.
-    promises.keep(store.flush(), clock.nowUs());
-    retryJournal();
+    effects.runAfterFlush(store.flush(), clock.nowUs());
+    scheduleJournalRetry();
   }
 
   /**
    * While nothing can be written nothing can be sent or taken on; what is due ends all the same.
    */
-  private void decide(final long nowUs) {
-    if (!store.isWritable() && store.flush() != Store.Flush.SAFE) {
+  private void runController(final long nowUs) {
+    if (!store.isWritable() && store.flush() != MessageStore.FlushResult.DURABLE) {
       control.onDecisionsDelayed(nowUs);
       return;
     }
     control.decide(nowUs);
-    slotsPressed |= control.needsMoreCapacity();
-    if (witness != null && control.circuitTransitions() != toldTurns) {
-      turned(true);
+    callLimitReached |= control.needsMoreCapacity();
+    if (observer != null && control.circuitTransitions() != observedVersion) {
+      updateOutages(true);
     }
   }
 
   /** Tries a journal again that could not be written; one try is planned at a time. */
-  private void retryJournal() {
-    if (store.isWritable() || retriesJournal) {
+  private void scheduleJournalRetry() {
+    if (store.isWritable() || journalRetryScheduled) {
       return;
     }
-    retriesJournal = true;
+    journalRetryScheduled = true;
     loop.schedule(
         () -> {
-          retriesJournal = false;
-          touch();
+          journalRetryScheduled = false;
+          scheduleRound();
         },
-        UNWRITABLE_RETRY_MS,
+        JOURNAL_RETRY_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void refuseUnwritten(final OpenMessage message) {
-    final Front.Reply reply = message.reply;
-    forget(message);
-    count(refused, message);
-    control.onMessageAbandoned(clock.nowUs(), message.held.id());
+  private void rejectUnjournaled(final PendingDelivery message) {
+    final Ingress.Reply reply = message.reply;
+    complete(message);
+    count(rejected, message);
+    control.onMessageAbandoned(clock.nowUs(), message.message.id());
     Log.event(
         Event.REQUEST_REFUSED,
         "id",
-        message.held.id(),
+        message.message.id(),
         "class",
-        message.kind.name(),
+        message.messageClass.name(),
         "why",
         "journal_write_failed");
-    reply.refused(Front.Refusal.NO_ROOM, FULL_RETRY_US);
+    reply.rejected(Ingress.RejectionReason.NO_ROOM, STORE_FULL_RETRY_AFTER_US);
   }
 
   /** Carries out what the journal holds, or need not hold. */
-  private final class PromiseKeeper implements Promises.Keeper {
+  private final class EffectExecutor implements DurableEffects.Executor {
     @Override
-    public void accept(final OpenMessage message) {
-      final Front.Reply reply = message.reply;
+    public void accept(final PendingDelivery message) {
+      final Ingress.Reply reply = message.reply;
       message.reply = null;
-      message.held.way().answered(clock.nowUs());
+      message.message.timeline().markAnswered(clock.nowUs());
       reply.accepted();
     }
 
     @Override
-    public void refuseUnwritten(final OpenMessage message) {
-      Host.this.refuseUnwritten(message);
+    public void rejectUnjournaled(final PendingDelivery message) {
+      DecisionLoop.this.rejectUnjournaled(message);
     }
 
     @Override
-    public void start(final Carrier.Call call) {
-      carrier.start(call);
+    public void startCall(final Dispatcher.Call call) {
+      dispatcher.start(call);
     }
 
     @Override
-    public void drop(final Carrier.Call call) {
+    public void dropCall(final Dispatcher.Call call) {
       // An attempt that the journal does not know of would be forgotten by a restart.
-      loop.execute(() -> carrier.abandon(call, AttemptResult.NOT_SENT));
+      loop.execute(() -> dispatcher.abandon(call, AttemptResult.NOT_SENT));
     }
   }
 
-  private void prepareAll(final long endpoint, final List<Part> parcels) {
-    final int most = Math.max(1, roster.messagesPerCall(endpoint));
+  private void prepareCalls(final long endpoint, final List<DeliveryAttempt> parcels) {
+    final int most = Math.max(1, endpointTable.messagesPerCall(endpoint));
     for (int from = 0; from < parcels.size(); from += most) {
-      final List<Part> some = parcels.subList(from, Math.min(parcels.size(), from + most));
-      final Carrier.Call call = carrier.prepare(endpoint, some);
-      for (final Part parcel : some) {
-        parcel.open().call = call;
-        if (parcel.held().way() != null) {
-          parcel.held().way().attempt(clock.nowUs());
+      final List<DeliveryAttempt> some =
+          parcels.subList(from, Math.min(parcels.size(), from + most));
+      final Dispatcher.Call call = dispatcher.prepare(endpoint, some);
+      for (final DeliveryAttempt parcel : some) {
+        parcel.delivery().call = call;
+        if (parcel.message().timeline() != null) {
+          parcel.message().timeline().markAttemptStarted(clock.nowUs());
         }
-        store.begin(parcel.open().held, clock.nowUs(), roster.zone(endpoint));
+        store.recordAttemptStarted(
+            parcel.delivery().message, clock.nowUs(), endpointTable.zoneOf(endpoint));
       }
-      promises.call(call);
+      effects.addCall(call);
     }
   }
 
@@ -1034,11 +1058,11 @@
 
   @Override
   public void send(final String messageId, final long endpoint, final long timeoutUs) {
-    final OpenMessage open = messages.get(messageId);
+    final PendingDelivery open = messages.get(messageId);
     if (open != null) {
-      outbox
+      attemptsByEndpoint
           .computeIfAbsent(endpoint, unused -> new ArrayList<>())
-          .add(new Part(open, timeoutUs, goesUntilUs(open)));
+          .add(new DeliveryAttempt(open, timeoutUs, latestSendUs(open)));
     }
   }
 
@@ -1046,50 +1070,51 @@
    * A decision is carried out later than it was made: a loop stands still, a connection takes its
    * time.
    */
-  private long goesUntilUs(final OpenMessage open) {
-    final PriorAttempts past = open.held.past();
-    return open.kind.retryDeadlineUs(past.mayHaveExecuted(), past.firstExecutionUs());
+  private long latestSendUs(final PendingDelivery open) {
+    final PriorAttempts past = open.message.priorAttempts();
+    return open.messageClass.retryDeadlineUs(past.mayHaveExecuted(), past.firstExecutionUs());
   }
 
   @Override
   public void shed(final String messageId, final long retryAfterUs) {
-    final OpenMessage open = messages.get(messageId);
+    final PendingDelivery open = messages.get(messageId);
     if (open == null) {
       return;
     }
-    count(refused, open);
+    count(rejected, open);
     if (open.reply == null) {
-      end(open, new Held.Notice(false, retryAfterUs / US_PER_MS));
+      finish(open, new StoredMessage.FinalOutcome(false, retryAfterUs / US_PER_MS));
     } else {
-      final Front.Reply reply = open.reply;
-      forget(open);
+      final Ingress.Reply reply = open.reply;
+      complete(open);
       Log.event(
           Event.REQUEST_REFUSED,
           "id",
           messageId,
           "class",
-          open.kind.name(),
+          open.messageClass.name(),
           "why",
           "decided",
           "retry_after_us",
           retryAfterUs);
-      promises.refuse(() -> reply.refused(Front.Refusal.DECIDED, retryAfterUs), clock.nowUs());
+      effects.addRejection(
+          () -> reply.rejected(Ingress.RejectionReason.DECIDED, retryAfterUs), clock.nowUs());
     }
   }
 
   @Override
   public void fail(final String messageId) {
-    final OpenMessage open = messages.get(messageId);
+    final PendingDelivery open = messages.get(messageId);
     if (open == null) {
       return;
     }
     count(failed, open);
     if (open.reply == null) {
-      end(open, new Held.Notice(true, 0));
+      finish(open, new StoredMessage.FinalOutcome(true, 0));
     } else {
-      final Front.Reply reply = open.reply;
-      forget(open);
-      promises.refuse(reply::failed, clock.nowUs());
+      final Ingress.Reply reply = open.reply;
+      complete(open);
+      effects.addRejection(reply::failed, clock.nowUs());
     }
   }
 
@@ -1097,84 +1122,85 @@
    * Ends a message that was taken on by a notice; the journal holds the notice until it is
    * confirmed.
    */
-  private void end(final OpenMessage open, final Held.Notice notice) {
-    open.over = true;
-    if (open.held.way() != null) {
-      open.held.way().ended(clock.nowUs());
+  private void finish(final PendingDelivery open, final StoredMessage.FinalOutcome notice) {
+    open.ended = true;
+    if (open.message.timeline() != null) {
+      open.message.timeline().markEnded(clock.nowUs());
     }
-    messages.remove(open.held.id());
+    messages.remove(open.message.id());
     health.recordMessageCompleted();
     Log.event(
         Event.MESSAGE_ENDED,
         "id",
-        open.held.id(),
+        open.message.id(),
         "class",
-        open.held.className(),
+        open.message.className(),
         "dest",
-        open.held.destination(),
+        open.message.destination(),
         "end",
         notice.failed() ? "undeliverable" : "deferred",
         "attempts",
-        open.held.attempts(),
+        open.message.attempts(),
         "time_left_us",
-        open.validUntilUs - clock.nowUs());
-    store.owe(open.held, notice);
-    promises.end(open.held);
+        open.deadlineUs - clock.nowUs());
+    store.recordFinalOutcome(open.message, notice);
+    effects.addFinalOutcome(open.message);
   }
 
-  private void forget(final OpenMessage open) {
-    open.over = true;
+  private void complete(final PendingDelivery open) {
+    open.ended = true;
     open.reply = null;
-    messages.remove(open.held.id());
+    messages.remove(open.message.id());
     health.recordMessageCompleted();
-    store.over(open.held);
+    store.recordCompleted(open.message);
   }
 
   @Override
   public void cancel(final String messageId, final int attempt) {
-    final OpenMessage open = messages.get(messageId);
+    final PendingDelivery open = messages.get(messageId);
     if (open != null && open.call != null) {
-      final Carrier.Call call = open.call;
+      final Dispatcher.Call call = open.call;
       final long decidedUs = clock.nowUs();
-      loop.execute(() -> wiring.afterLook(decidedUs, () -> giveUp(call, AttemptResult.CANCELLED)));
+      loop.execute(
+          () -> ports.afterPoll(decidedUs, () -> abandonCall(call, AttemptResult.CANCELLED)));
     }
   }
 
   /** Gives up a call, here or where it is out. */
-  private void giveUp(final Carrier.Call call, final AttemptResult result) {
+  private void abandonCall(final Dispatcher.Call call, final AttemptResult result) {
     if (call instanceof RemoteCall far) {
       predecessor.abandon(far.number(), result);
     } else {
-      carrier.abandon(call, result);
+      dispatcher.abandon(call, result);
     }
   }
 
   @Override
   public void closeIdleConnections(final long endpoint) {
-    carrier.closeIdle(endpoint);
+    dispatcher.closeIdleConnections(endpoint);
   }
 
   @Override
   public void subscribeToEndpointList() {
-    directory.follow();
+    directory.requestUpdates();
   }
 
   @Override
   public void scheduleDecision(final long delayUs) {
     final long dueUs = clock.nowUs() + delayUs;
-    loop.schedule(() -> wakeUp(dueUs), delayUs, TimeUnit.MICROSECONDS);
+    loop.schedule(() -> onTimer(dueUs), delayUs, TimeUnit.MICROSECONDS);
   }
 
   /**
    * A process that was stopped wakes to its timers first: what has come meanwhile is read before
    * anything is judged.
    */
-  private void wakeUp(final long dueUs) {
-    if (clock.nowUs() - dueUs >= LATE_WAKE_US) {
-      endLate();
-      wiring.afterLook(dueUs, this::touch);
+  private void onTimer(final long dueUs) {
+    if (clock.nowUs() - dueUs >= LATE_TIMER_US) {
+      endOverdueMessages();
+      ports.afterPoll(dueUs, this::scheduleRound);
     } else {
-      touch();
+      scheduleRound();
     }
   }
 
@@ -1182,13 +1208,13 @@
    * On a small share of a core the next pass may be a long way off: ends that are due are told
    * ahead of it.
    */
-  private void endLate() {
-    if (!decides()) {
+  private void endOverdueMessages() {
+    if (!isDeciding()) {
       return;
     }
     control.onDecisionsDelayed(clock.nowUs());
-    promises.keepRefusalsAndEnds(store.flush(), clock.nowUs());
-    retryJournal();
+    effects.runRejectionsAndOutcomes(store.flush(), clock.nowUs());
+    scheduleJournalRetry();
   }
 
   // ---------------------------------------------------------------- a new configuration
@@ -1202,21 +1228,22 @@
             + fresh.discovery()
             + (same ? "" : "; what else is new in the configuration counts from the next start"));
     directory.reload(fresh);
-    ends.reload(fresh);
+    outcomeNotifier.reload(fresh);
   }
 
   // ---------------------------------------------------------------- the end of the process
 
   /** This process ends at that moment: nothing is begun that cannot end by then. */
-  void stopping(final long stopUs) {
-    if (heir == null) {
+  void prepareToStop(final long stopUs) {
+    if (successor == null) {
       control.onStopping(clock.nowUs(), stopUs);
-      touch();
+      scheduleRound();
     }
   }
 
   /** True when nothing is under way that the end of the process would cut off. */
-  boolean idle() {
-    return messages.isEmpty() && (heir != null || (ends.isEmpty() && !promises.hasUntoldEnds()));
+  boolean isIdle() {
+    return messages.isEmpty()
+        && (successor != null || (outcomeNotifier.isEmpty() && !effects.hasUnreportedOutcomes()));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/Practice.java
+++ b/courier/src/main/java/thistleturn/courier/Practice.java
@@ -13,13 +13,13 @@
 import thistleturn.courier.handover.Inheritance;
 import thistleturn.courier.handover.Predecessor;
 import thistleturn.courier.handover.Wire;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.port.Ends;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Store;
-import thistleturn.courier.port.Way;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.MessageStore;
+import thistleturn.courier.port.MessageTimeline;
+import thistleturn.courier.port.OutcomeNotifier;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
@@ -72,28 +72,28 @@
       return;
     }
     final Pages pages = new Pages();
-    final Host elder = new Host(config, loop, clock, pages, new Nowhere());
+    final DecisionLoop elder = new DecisionLoop(config, loop, clock, pages, new Nowhere());
     elder.start();
     for (int message = 0; message < MESSAGES; message++) {
       final MessageClass kind =
           config.settings().classes().get(message % config.settings().classes().size());
       final long nowUs = clock.nowUs();
-      final Held held =
-          new Held(
+      final StoredMessage held =
+          new StoredMessage(
               "practice-" + message,
               kind.name(),
               "key-" + message,
               message % DESTINATIONS,
               nowUs + LIFE_US,
               new byte[message]);
-      held.began(new Way(nowUs, nowUs, nowUs, nowUs + LIFE_US));
-      elder.offer(held, nowUs + LIFE_US, new Unheard());
+      held.startTimeline(new MessageTimeline(nowUs, nowUs, nowUs, nowUs + LIFE_US));
+      elder.submit(held, nowUs + LIFE_US, new Unheard());
     }
     loop.schedule(
         () -> {
           try {
             final Inheritance inheritance = Wire.copy(elder.handOver(new Nobody()));
-            final Host heir = new Host(config, loop, clock, pages, new Nowhere());
+            final DecisionLoop heir = new DecisionLoop(config, loop, clock, pages, new Nowhere());
             heir.start(inheritance, Predecessor.none());
             inheritance
                 .calls()
@@ -104,7 +104,7 @@
                                 id ->
                                     heir.remoteOutcome(
                                         id,
-                                        new Carrier.Answer(
+                                        new Dispatcher.DispatchOutcome(
                                             AttemptResult.DELIVERED, true, 0, null))));
             loop.schedule(
                 () -> {
@@ -128,42 +128,43 @@
   }
 
   /** Calls that go nowhere: four of five are answered, in the next turn. */
-  private final class Nowhere implements Host.Wiring, Carrier, Ends, Directory {
-    private Carrier.Listener listener;
+  private final class Nowhere
+      implements DecisionLoop.Ports, Dispatcher, OutcomeNotifier, EndpointDirectory {
+    private Dispatcher.Listener listener;
     private int calls;
 
-    private record Made(long endpoint, long sentUs, List<? extends Parcel> parcels)
+    private record Made(long endpoint, long preparedUs, List<? extends Attempt> parcels)
         implements Call {}
 
     @Override
-    public Carrier carrier(final Carrier.Listener told) {
+    public Dispatcher dispatcher(final Dispatcher.Listener told) {
       listener = told;
       return this;
     }
 
     @Override
-    public Ends ends(final Ends.Listener told) {
+    public OutcomeNotifier outcomeNotifier(final OutcomeNotifier.Listener told) {
       return this;
     }
 
     @Override
-    public Directory directory() {
+    public EndpointDirectory endpointDirectory() {
       return this;
     }
 
     @Override
-    public void afterLook(final long us, final Runnable action) {
+    public void afterPoll(final long us, final Runnable action) {
       action.run();
     }
 
     @Override
-    public void start(final Directory.Listener told) {
+    public void start(final EndpointDirectory.Listener told) {
       final String kind =
           config.settings().kinds().isEmpty() ? "" : config.settings().kinds().get(0).name();
-      final List<Listing> listings = new ArrayList<>();
+      final List<Entry> listings = new ArrayList<>();
       for (int number = 0; number < ENDPOINTS; number++) {
         listings.add(
-            new Listing(
+            new Entry(
                 "practice-" + number,
                 EndpointState.LISTED,
                 new InetSocketAddress("127.0.0.1", 1),
@@ -172,62 +173,63 @@
                 kind,
                 number % DESTINATIONS));
       }
-      told.told(EndpointUpdate.RESTORED_SNAPSHOT, listings);
+      told.onUpdate(EndpointUpdate.RESTORED_SNAPSHOT, listings);
     }
 
     @Override
-    public Call prepare(final long endpoint, final List<? extends Parcel> parcels) {
+    public Call prepare(final long endpoint, final List<? extends Attempt> parcels) {
       return new Made(endpoint, clock.nowUs(), List.copyOf(parcels));
     }
 
     @Override
     public void start(final Call call) {
       if (++calls % DESTINATIONS != 0) {
-        loop.execute(() -> end(call, new Answer(AttemptResult.DELIVERED, true, 0, null)));
+        loop.execute(() -> end(call, new DispatchOutcome(AttemptResult.DELIVERED, true, 0, null)));
       }
     }
 
     @Override
     public void abandon(final Call call, final AttemptResult result) {
-      end(call, new Answer(result, false, 0, null));
+      end(call, new DispatchOutcome(result, false, 0, null));
     }
 
-    private void end(final Call call, final Answer answer) {
-      ((Made) call).parcels().forEach(parcel -> listener.outcome(parcel, call, answer));
+    private void end(final Call call, final DispatchOutcome answer) {
+      ((Made) call).parcels().forEach(parcel -> listener.onOutcome(parcel, call, answer));
     }
 
     @Override
-    public void listed(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
+    public void updateEndpoint(
+        final Endpoint entry, final boolean apart, final InetSocketAddress address) {
       // Nothing is kept of it.
     }
 
     @Override
-    public void removed(final long endpoint) {
+    public void removeEndpoint(final long endpoint) {
       // Nothing was kept of it.
     }
 
     @Override
-    public void holdBack(final long endpoint) {
+    public void abandonUnwrittenCalls(final long endpoint) {
       // Nothing is on its way.
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
       // Nothing is open.
     }
 
     @Override
-    public void follow() {
+    public void requestUpdates() {
       // There is no news.
     }
 
     @Override
-    public boolean isFresh() {
+    public boolean isCurrent() {
       return true;
     }
 
     @Override
-    public void add(final Held held) {
+    public void enqueue(final StoredMessage held) {
       // Nobody is told.
     }
 
@@ -248,48 +250,50 @@
   }
 
   /** A journal in memory. */
-  private static final class Pages implements Store {
-    private final Map<String, Held> live = new LinkedHashMap<>();
+  private static final class Pages implements MessageStore {
+    private final Map<String, StoredMessage> live = new LinkedHashMap<>();
 
     @Override
-    public Collection<Held> live() {
+    public Collection<StoredMessage> pendingMessages() {
       return List.copyOf(live.values());
     }
 
     @Override
-    public boolean holds(final String id) {
+    public boolean contains(final String id) {
       return live.containsKey(id);
     }
 
     @Override
-    public boolean take(final Held held) {
+    public boolean recordAccepted(final StoredMessage held) {
       live.put(held.id(), held);
       return true;
     }
 
     @Override
-    public void begin(final Held held, final long nowUs, final String zone) {
-      held.begin(nowUs, zone);
+    public void recordAttemptStarted(
+        final StoredMessage held, final long nowUs, final String zone) {
+      held.startAttempt(nowUs, zone);
     }
 
     @Override
-    public void settle(final Held held, final boolean neverRan) {
-      held.settle(neverRan);
+    public void recordAttemptOutcome(final StoredMessage held, final boolean neverRan) {
+      held.endAttempt(neverRan);
     }
 
     @Override
-    public void owe(final Held held, final Held.Notice notice) {
+    public void recordFinalOutcome(
+        final StoredMessage held, final StoredMessage.FinalOutcome notice) {
       live.remove(held.id());
     }
 
     @Override
-    public void over(final Held held) {
+    public void recordCompleted(final StoredMessage held) {
       live.remove(held.id());
     }
 
     @Override
-    public Flush flush() {
-      return Flush.SAFE;
+    public FlushResult flush() {
+      return FlushResult.DURABLE;
     }
 
     @Override
@@ -299,14 +303,14 @@
   }
 
   /** A client that does not listen. */
-  private static final class Unheard implements Front.Reply {
+  private static final class Unheard implements Ingress.Reply {
     @Override
     public void accepted() {
       // It does not listen.
     }
 
     @Override
-    public void refused(final Front.Refusal why, final long retryAfterUs) {
+    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
       // It does not listen.
     }
 
@@ -316,7 +320,7 @@
     }
 
     @Override
-    public void unusable(final Front.Fault fault) {
+    public void invalid(final Ingress.InvalidReason fault) {
       // It does not listen.
     }
   }
@@ -324,7 +328,8 @@
   /** An heir that is told things and does nothing. */
   private static final class Nobody implements Heir {
     @Override
-    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+    public void offer(
+        final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
       reply.failed();
     }
 
@@ -334,7 +339,8 @@
     }
 
     @Override
-    public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
+    public void outcome(
+        final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
       // It is not told of by anyone.
     }
   }
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Elder.java
@@ -13,9 +13,9 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.Passing;
@@ -88,7 +88,7 @@
   }
 
   private final class Session extends Wire.End implements Heir {
-    private final Map<Long, Front.Reply> replies = new HashMap<>();
+    private final Map<Long, Ingress.Reply> replies = new HashMap<>();
     private long offers;
 
     @Override
@@ -129,24 +129,26 @@
     }
 
     private void reply(final JsonNode line) {
-      final Front.Reply reply = replies.remove(line.path("number").asLong());
+      final Ingress.Reply reply = replies.remove(line.path("number").asLong());
       if (reply == null) {
         return;
       }
       switch (line.path("kind").asText()) {
         case "accepted" -> reply.accepted();
         case "refused" ->
-            reply.refused(
-                Front.Refusal.valueOf(line.path("why").asText()), line.path("retry").asLong());
-        case "unusable" -> reply.unusable(Front.Fault.valueOf(line.path("why").asText()));
+            reply.rejected(
+                Ingress.RejectionReason.valueOf(line.path("why").asText()),
+                line.path("retry").asLong());
+        case "unusable" -> reply.invalid(Ingress.InvalidReason.valueOf(line.path("why").asText()));
         default -> reply.failed();
       }
     }
 
     @Override
-    public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+    public void offer(
+        final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
       if (heir != this) {
-        reply.refused(Front.Refusal.NO_ROOM, RETRY_US);
+        reply.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_US);
         return;
       }
       replies.put(++offers, reply);
@@ -163,7 +165,8 @@
     }
 
     @Override
-    public void outcome(final long call, final String messageId, final Carrier.Answer answer) {
+    public void outcome(
+        final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
       if (heir == this) {
         say(Wire.outcome(call, messageId, answer));
         flush();
--- a/courier/src/main/java/thistleturn/courier/handover/Heir.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Heir.java
@@ -1,8 +1,8 @@
 package thistleturn.courier.handover;
 
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
 
 /**
  * The process that decides, as one sees it that carries out for it what it has begun. On its event
@@ -10,11 +10,11 @@
  */
 public interface Heir {
   /** A client has handed a message in here; the answer comes back to it. */
-  void offer(Held held, long validUntilUs, Front.Reply reply);
+  void offer(StoredMessage held, long validUntilUs, Ingress.Reply reply);
 
   /** The client went before it was answered. */
   void withdraw(String id, long destination);
 
   /** The outcome of one message's part in a call that was out at the handover. */
-  void outcome(long call, String messageId, Carrier.Answer answer);
+  void outcome(long call, String messageId, Dispatcher.DispatchOutcome answer);
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.LearnedState;
 
@@ -18,7 +18,7 @@
     implements Continuity {
 
   /** An endpoint's number, and how the list names it. */
-  public record Named(long number, Directory.Listing listing) {}
+  public record Named(long number, EndpointDirectory.Entry listing) {}
 
   /** A call with the ids of its messages in order; {@code destination} is theirs. */
   public record CallOut(
--- a/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
@@ -13,9 +13,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.NoSocketException;
 import thistleturn.decisions.model.AttemptResult;
@@ -33,13 +33,13 @@
   /** Who decides now. Called on its event loop. */
   public interface Listener {
     /** A client has handed a message in at the older process. */
-    void offer(Held held, Front.Reply reply);
+    void offer(StoredMessage held, Ingress.Reply reply);
 
     /** That client went before it was answered. */
     void withdraw(String id, long destination);
 
     /** The outcome of one message's part in a call that the older process has out. */
-    void remoteOutcome(String messageId, Carrier.Answer answer);
+    void remoteOutcome(String messageId, Dispatcher.DispatchOutcome answer);
 
     /** The older process has ended; what it had out may have run. */
     void predecessorGone();
@@ -173,7 +173,7 @@
   }
 
   /** Takes an answer back to the process that the client is connected to. */
-  private final class Answer implements Front.Reply {
+  private final class Answer implements Ingress.Reply {
     private final long number;
 
     private Answer(final long number) {
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void refused(final Front.Refusal why, final long retryAfterUs) {
+    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
       say("refused", why, retryAfterUs);
     }
 
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public void unusable(final Front.Fault fault) {
+    public void invalid(final Ingress.InvalidReason fault) {
       say("unusable", fault, 0);
     }
   }
--- a/courier/src/main/java/thistleturn/courier/handover/Wire.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Wire.java
@@ -19,9 +19,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.LearnedState;
@@ -113,12 +113,12 @@
 
   static void tell(final Inheritance inheritance, final Consumer<ObjectNode> to) {
     for (final Inheritance.Named named : inheritance.endpoints()) {
-      final Directory.Listing one = named.listing();
+      final EndpointDirectory.Entry one = named.listing();
       to.accept(
           line("endpoint")
               .put("number", named.number())
               .put("name", one.name())
-              .put("condition", one.condition().name())
+              .put("condition", one.state().name())
               .put("host", one.address().getHostString())
               .put("port", one.address().getPort())
               .put("zone", one.zone())
@@ -219,7 +219,7 @@
             endpoints.add(
                 new Inheritance.Named(
                     line.path("number").asLong(),
-                    new Directory.Listing(
+                    new EndpointDirectory.Entry(
                         line.path("name").asText(),
                         EndpointState.valueOf(line.path("condition").asText()),
                         new InetSocketAddress(
@@ -273,7 +273,7 @@
 
   // ---------------------------------------------------------------- messages and outcomes
 
-  static ObjectNode offer(final long number, final Held held, final long validUntilUs) {
+  static ObjectNode offer(final long number, final StoredMessage held, final long validUntilUs) {
     return line("offer")
         .put("number", number)
         .put("id", held.id())
@@ -284,8 +284,8 @@
         .put("body", held.body());
   }
 
-  static Held held(final JsonNode line) throws IOException {
-    return new Held(
+  static StoredMessage held(final JsonNode line) throws IOException {
+    return new StoredMessage(
         line.path("id").asText(),
         line.path("class").asText(),
         line.path("key").isTextual() ? line.path("key").asText() : null,
@@ -294,23 +294,24 @@
         line.path("body").binaryValue());
   }
 
-  static ObjectNode outcome(final long call, final String messageId, final Carrier.Answer answer) {
+  static ObjectNode outcome(
+      final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
     final ObjectNode line =
         line("outcome")
             .put("call", call)
             .put("id", messageId)
             .put("result", answer.result().name())
-            .put("over", answer.over())
-            .put("wait", answer.waitUs());
-    if (answer.allowance() != null) {
-      line.put("left", answer.allowance().remainingShare())
-          .put("limit", answer.allowance().callsPerSecond());
+            .put("over", answer.completed())
+            .put("wait", answer.retryAfterUs());
+    if (answer.loadReport() != null) {
+      line.put("left", answer.loadReport().remainingShare())
+          .put("limit", answer.loadReport().callsPerSecond());
     }
     return line;
   }
 
-  static Carrier.Answer answer(final JsonNode line) {
-    return new Carrier.Answer(
+  static Dispatcher.DispatchOutcome answer(final JsonNode line) {
+    return new Dispatcher.DispatchOutcome(
         AttemptResult.valueOf(line.path("result").asText()),
         line.path("over").asBoolean(),
         line.path("wait").asLong(),
--- a/courier/src/main/java/thistleturn/courier/http/HttpAnswers.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpAnswers.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.regex.Pattern;
-import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Dispatcher;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.LoadReport;
 
@@ -28,18 +28,19 @@
   private HttpAnswers() {}
 
   /** What an answer with this head says of a message. */
-  static Carrier.Answer answer(final HttpResponse head, final long waitUs) {
+  static Dispatcher.DispatchOutcome answer(final HttpResponse head, final long waitUs) {
     final LoadReport allowance = allowance(head.headers().get("X-Server-Load"));
     final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
     return switch (head.status().code()) {
-      case OK -> new Carrier.Answer(AttemptResult.DELIVERED, true, waitUs, allowance);
-      case BUSY -> new Carrier.Answer(AttemptResult.REFUSED, false, waitUs, allowance);
+      case OK -> new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, waitUs, allowance);
+      case BUSY -> new Dispatcher.DispatchOutcome(AttemptResult.REFUSED, false, waitUs, allowance);
       case UNAVAILABLE ->
-          new Carrier.Answer(
+          new Dispatcher.DispatchOutcome(
               lineBusy ? AttemptResult.NOT_SENT : AttemptResult.REFUSED, false, waitUs, allowance);
-      case NO_MORE -> new Carrier.Answer(AttemptResult.NOT_SENT, false, waitUs, allowance);
-      case GONE -> new Carrier.Answer(AttemptResult.NOT_SENT, true, waitUs, allowance);
-      default -> new Carrier.Answer(AttemptResult.ERROR, false, waitUs, allowance);
+      case NO_MORE ->
+          new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, false, waitUs, allowance);
+      case GONE -> new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, true, waitUs, allowance);
+      default -> new Dispatcher.DispatchOutcome(AttemptResult.ERROR, false, waitUs, allowance);
     };
   }
 
--- a/courier/src/main/java/thistleturn/courier/http/HttpCall.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCall.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Future;
-import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Dispatcher;
 import thistleturn.decisions.index.TimeHeap;
 
 /** One call: the messages in it, and how far it has come. */
-final class HttpCall extends TimeHeap.Entry implements Carrier.Call {
+final class HttpCall extends TimeHeap.Entry implements Dispatcher.Call {
   final HttpPool pool;
   final long endpoint;
   final long sentUs;
@@ -25,7 +25,7 @@
   /** Until when all of it may go, us. */
   final long goesUntilUs;
 
-  final List<Carrier.Parcel> parcels;
+  final List<Dispatcher.Attempt> parcels;
 
   /**
    * What falls due for it beside its deadline: the end of a connection's rest, and of the wait for
@@ -45,20 +45,23 @@
   HttpCall(
       final HttpPool pool,
       final long endpoint,
-      final List<? extends Carrier.Parcel> parcels,
+      final List<? extends Dispatcher.Attempt> parcels,
       final long sentUs) {
     this.pool = pool;
     this.endpoint = endpoint;
     this.parcels = new ArrayList<>(parcels);
     this.sentUs = sentUs;
     this.validUntilUs =
-        parcels.stream().mapToLong(Carrier.Parcel::validUntilUs).min().orElse(Long.MAX_VALUE);
+        parcels.stream()
+            .mapToLong(Dispatcher.Attempt::messageDeadlineUs)
+            .min()
+            .orElse(Long.MAX_VALUE);
     this.deadlineUs =
         Math.min(
             validUntilUs,
-            sentUs + parcels.stream().mapToLong(Carrier.Parcel::timeoutUs).max().orElse(0));
+            sentUs + parcels.stream().mapToLong(Dispatcher.Attempt::timeoutUs).max().orElse(0));
     this.goesUntilUs =
-        parcels.stream().mapToLong(Carrier.Parcel::goesUntilUs).min().orElse(Long.MAX_VALUE);
+        parcels.stream().mapToLong(Dispatcher.Attempt::latestSendUs).min().orElse(Long.MAX_VALUE);
   }
 
   /** Several messages go in one call: its answer tells each one's end. */
@@ -72,7 +75,7 @@
   }
 
   @Override
-  public long sentUs() {
+  public long preparedUs() {
     return sentUs;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
@@ -34,7 +34,7 @@
  * call at a time. It tells the {@link Host} how each message fared, above all whether it can have
  * run: that turns on whether the call's last byte was written before the connection broke.
  */
-public final class HttpCarrier implements Carrier {
+public final class HttpCarrier implements Dispatcher {
   private static final long US_PER_MS = 1000;
 
   /**
@@ -115,19 +115,20 @@
   // ---------------------------------------------------------------- state
 
   @Override
-  public void listed(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
+  public void updateEndpoint(
+      final Endpoint entry, final boolean apart, final InetSocketAddress address) {
     final HttpPool pool =
         pools.computeIfAbsent(entry.id(), unused -> new HttpPool(entry, apart, address));
     pool.takesNew = entry.state() == EndpointState.LISTED;
     if (!pool.address.equals(address)) {
       pool.address = address;
-      closeIdle(entry.id());
+      closeIdleConnections(entry.id());
     }
   }
 
   @Override
-  public void removed(final long endpoint) {
-    closeIdle(endpoint);
+  public void removeEndpoint(final long endpoint) {
+    closeIdleConnections(endpoint);
     final HttpPool pool = pools.remove(endpoint);
     if (pool != null) {
       pool.removed = true;
@@ -136,7 +137,7 @@
   }
 
   @Override
-  public void closeIdle(final long endpoint) {
+  public void closeIdleConnections(final long endpoint) {
     final HttpPool pool = pools.get(endpoint);
     if (pool != null) {
       List.copyOf(pool.idle).forEach(HttpConnection::close);
@@ -163,7 +164,7 @@
   // ---------------------------------------------------------------- calls
 
   @Override
-  public Call prepare(final long endpoint, final List<? extends Parcel> parcels) {
+  public Call prepare(final long endpoint, final List<? extends Attempt> parcels) {
     return new HttpCall(pools.get(endpoint), endpoint, parcels, clock.nowUs());
   }
 
@@ -186,7 +187,7 @@
   void written(final HttpCall call) {
     call.written = true;
     unwritten.remove(call);
-    listener.written(call.parcels.size());
+    listener.onMessagesWritten(call.parcels.size());
   }
 
   /**
@@ -265,8 +266,8 @@
     if (call.goesUntilUs >= nowUs) {
       return true;
     }
-    final List<Parcel> late =
-        call.parcels.stream().filter(parcel -> parcel.goesUntilUs() < nowUs).toList();
+    final List<Attempt> late =
+        call.parcels.stream().filter(parcel -> parcel.latestSendUs() < nowUs).toList();
     if (late.size() == call.parcels.size()) {
       abandon(call, AttemptResult.NOT_SENT);
       return false;
@@ -274,7 +275,8 @@
     call.parcels.removeAll(late);
     late.forEach(
         parcel ->
-            listener.outcome(parcel, call, new Answer(AttemptResult.NOT_SENT, false, 0, null)));
+            listener.onOutcome(
+                parcel, call, new DispatchOutcome(AttemptResult.NOT_SENT, false, 0, null)));
     return true;
   }
 
@@ -391,7 +393,7 @@
     if (!known && call.started) {
       return;
     }
-    final Answer delivered =
+    final DispatchOutcome delivered =
         call.reader != null && call.reader.isDelivered(call) ? call.reader.delivered() : null;
     if (call.written && call.channel.isActive()) {
       call.reader.giveUp();
@@ -404,7 +406,7 @@
     }
     final AttemptResult sure =
         call.written || result == AttemptResult.NOT_SENT ? result : neverWritten(result);
-    tell(call, new Answer(sure, false, 0, null));
+    tell(call, new DispatchOutcome(sure, false, 0, null));
   }
 
   /** What gave up a call that was never written whole cannot have run. */
@@ -413,7 +415,7 @@
   }
 
   /** Tells the outcome of all messages of a call. */
-  void tell(final HttpCall call, final Answer answer) {
+  void tell(final HttpCall call, final DispatchOutcome answer) {
     call.parcels.forEach(parcel -> tell(parcel, call, answer));
   }
 
@@ -422,14 +424,15 @@
    * this process stood still, may have been written after it, when nobody counts it any more: such
    * a message ends by a notice, which does no harm if the answer counted after all.
    */
-  void tell(final Parcel parcel, final HttpCall call, final Answer answer) {
+  void tell(final Attempt parcel, final HttpCall call, final DispatchOutcome answer) {
     final boolean tooLate =
         answer.result() == AttemptResult.DELIVERED && clock.nowUs() > call.validUntilUs;
-    listener.outcome(
+    listener.onOutcome(
         parcel,
         call,
         tooLate
-            ? new Answer(AttemptResult.TIMED_OUT, false, answer.waitUs(), answer.allowance())
+            ? new DispatchOutcome(
+                AttemptResult.TIMED_OUT, false, answer.retryAfterUs(), answer.loadReport())
             : answer);
   }
 
@@ -447,11 +450,11 @@
   /** An answer that comes too late for its call tells a wait all the same. */
   void toldToWait(final HttpPool by, final long waitUs) {
     holdBack(by);
-    listener.toldToWait(by.endpoint, waitUs);
+    listener.onRetryAfter(by.endpoint, waitUs);
   }
 
   @Override
-  public void holdBack(final long endpoint) {
+  public void abandonUnwrittenCalls(final long endpoint) {
     final HttpPool pool = pools.get(endpoint);
     if (pool != null) {
       holdBack(pool);
--- a/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Carrier;
+import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
@@ -241,9 +241,9 @@
   /**
    * What a delivery tells whose answer was cut off: waits and reports only if its head came whole.
    */
-  Carrier.Answer delivered() {
+  Dispatcher.DispatchOutcome delivered() {
     return head == null
-        ? new Carrier.Answer(AttemptResult.DELIVERED, true, 0, null)
+        ? new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null)
         : HttpAnswers.answer(head, HttpAnswers.waitUs(head));
   }
 
@@ -273,7 +273,7 @@
     if (waitUs > 0) {
       carrier.holdBack(done.pool);
     }
-    final Carrier.Answer all = HttpAnswers.answer(head, waitUs);
+    final Dispatcher.DispatchOutcome all = HttpAnswers.answer(head, waitUs);
     if (done.isBulk() && head.status().code() == HttpAnswers.OK) {
       tellEach(done, all);
     } else {
@@ -298,8 +298,8 @@
       return;
     }
     if (delivered) {
-      final Carrier.Answer answer = delivered();
-      if (answer.waitUs() > 0) {
+      final Dispatcher.DispatchOutcome answer = delivered();
+      if (answer.retryAfterUs() > 0) {
         carrier.holdBack(cut.pool);
       }
       carrier.tell(cut, answer);
@@ -314,12 +314,12 @@
       if (waitUs > 0) {
         carrier.holdBack(cut.pool);
       }
-      carrier.tell(cut, new Carrier.Answer(read, false, waitUs, null));
+      carrier.tell(cut, new Dispatcher.DispatchOutcome(read, false, waitUs, null));
     }
   }
 
   /** Several messages' ends, each with its state; one that is not named may have run. */
-  private void tellEach(final HttpCall done, final Carrier.Answer all) {
+  private void tellEach(final HttpCall done, final Dispatcher.DispatchOutcome all) {
     final Map<String, String> states = new HashMap<>();
     try {
       for (final JsonNode item : Json.read(body == null ? new byte[0] : body.toByteArray())) {
@@ -329,19 +329,24 @@
       // Spoilt: each of them may have run.
       states.clear();
     }
-    for (final Carrier.Parcel parcel : done.parcels) {
-      final Carrier.Answer one =
-          switch (states.getOrDefault(parcel.held().id(), "")) {
+    for (final Dispatcher.Attempt parcel : done.parcels) {
+      final Dispatcher.DispatchOutcome one =
+          switch (states.getOrDefault(parcel.message().id(), "")) {
             case "accepted" ->
-                new Carrier.Answer(AttemptResult.DELIVERED, true, all.waitUs(), all.allowance());
+                new Dispatcher.DispatchOutcome(
+                    AttemptResult.DELIVERED, true, all.retryAfterUs(), all.loadReport());
             case "deferred" ->
-                new Carrier.Answer(AttemptResult.REFUSED, false, all.waitUs(), all.allowance());
+                new Dispatcher.DispatchOutcome(
+                    AttemptResult.REFUSED, false, all.retryAfterUs(), all.loadReport());
             case "expired" ->
-                new Carrier.Answer(AttemptResult.NOT_SENT, true, all.waitUs(), all.allowance());
+                new Dispatcher.DispatchOutcome(
+                    AttemptResult.NOT_SENT, true, all.retryAfterUs(), all.loadReport());
             case "no_more" ->
-                new Carrier.Answer(AttemptResult.NOT_SENT, false, all.waitUs(), all.allowance());
+                new Dispatcher.DispatchOutcome(
+                    AttemptResult.NOT_SENT, false, all.retryAfterUs(), all.loadReport());
             default ->
-                new Carrier.Answer(AttemptResult.ERROR, false, all.waitUs(), all.allowance());
+                new Dispatcher.DispatchOutcome(
+                    AttemptResult.ERROR, false, all.retryAfterUs(), all.loadReport());
           };
       carrier.tell(parcel, done, one);
     }
--- a/courier/src/main/java/thistleturn/courier/http/HttpFront.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpFront.java
@@ -27,7 +27,8 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.Tuning;
-import thistleturn.courier.port.Front;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
@@ -47,7 +48,7 @@
  * whatever cannot be read or used is answered with its 4xx, and nothing is taken. No request is
  * left without an answer.
  */
-public final class HttpFront implements Front {
+public final class HttpFront implements Ingress {
   /** Bodies that are coming in or wait their turn, on all connections together. */
   private static final int MOST_HELD_BYTES = 1 << 22;
 
@@ -102,7 +103,7 @@
 
   private final Config config;
   private final Clock clock;
-  private final Desk desk;
+  private final IngressHandler desk;
   private final LoopTurns turns;
   private final EventLoopGroup group;
   private final EventLoop loop;
@@ -151,7 +152,7 @@
       final EventLoop loop,
       final Clock clock,
       final LoopTurns turns,
-      final Desk desk,
+      final IngressHandler desk,
       final Descriptors descriptors,
       final Tuning tuning) {
     this.config = config;
@@ -253,7 +254,7 @@
    * asks nothing.
    */
   @Override
-  public void turnAway() {
+  public void rejectIncompleteRequests() {
     turns.afterLook(
         loop, clock.nowUs(), () -> List.copyOf(sessions).forEach(HttpSession::turnAway));
   }
@@ -268,7 +269,7 @@
   }
 
   @Override
-  public boolean isEmpty() {
+  public boolean hasNoConnections() {
     return sessions.isEmpty() && leaving.isEmpty() && !acceptsLast;
   }
 
--- a/courier/src/main/java/thistleturn/courier/http/HttpRequests.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpRequests.java
@@ -6,8 +6,8 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Json;
 
 /**
@@ -22,7 +22,7 @@
   /** The bytes of a call's request; id, key and body go on unchanged. */
   static ByteBuf request(final HttpCall call, final long nowUs) {
     final boolean many = call.isBulk();
-    final byte[] body = many ? bulk(call) : call.parcels.get(0).held().body();
+    final byte[] body = many ? bulk(call) : call.parcels.get(0).message().body();
     final StringBuilder head = new StringBuilder(HEAD_CHARS);
     head.append(many ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
     head.append(call.pool.address.getHostString())
@@ -31,7 +31,7 @@
     if (many) {
       head.append("\r\nContent-Type: application/json");
     } else {
-      final Held held = call.parcels.get(0).held();
+      final StoredMessage held = call.parcels.get(0).message();
       head.append("\r\nX-Request-ID: ").append(held.id());
       if (held.idempotencyKey() != null) {
         head.append("\r\nIdempotency-Key: ").append(held.idempotencyKey());
@@ -46,8 +46,8 @@
 
   private static byte[] bulk(final HttpCall call) {
     final ArrayNode items = JsonNodeFactory.instance.arrayNode();
-    for (final Carrier.Parcel parcel : call.parcels) {
-      final Held held = parcel.held();
+    for (final Dispatcher.Attempt parcel : call.parcels) {
+      final StoredMessage held = parcel.message();
       final ObjectNode item = items.addObject().put("id", held.id());
       if (held.idempotencyKey() != null) {
         item.put("key", held.idempotencyKey());
--- a/courier/src/main/java/thistleturn/courier/http/HttpSession.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpSession.java
@@ -29,9 +29,10 @@
 import java.util.Deque;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Way;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.MessageTimeline;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
@@ -73,7 +74,7 @@
   private static final double US_PER_SECOND = 1_000_000;
 
   private final HttpFront front;
-  private final Front.Desk desk;
+  private final IngressHandler desk;
   private final Clock clock;
   private final LoopTurns turns;
   private final Arrival arrival;
@@ -122,7 +123,7 @@
 
   HttpSession(
       final HttpFront front,
-      final Front.Desk desk,
+      final IngressHandler desk,
       final Clock clock,
       final LoopTurns turns,
       final long acceptableSinceUs) {
@@ -349,7 +350,7 @@
     if (event != ChannelInputShutdownEvent.INSTANCE) {
       return;
     }
-    if (currentId != null && !desk.isOwn(currentDestination)) {
+    if (currentId != null && !desk.isAnsweredOnThisLoop(currentDestination)) {
       // Its answer is on its way from another loop, where its first attempt may have begun.
       last = HttpResponseStatus.SERVICE_UNAVAILABLE;
     } else if (currentId != null) {
@@ -509,7 +510,7 @@
       return;
     }
     final String className = path.substring(Math.min(path.length(), 1)).split("/", 2)[0];
-    final MessageClass kind = desk.kind(className);
+    final MessageClass kind = desk.messageClass(className);
     if (kind == null) {
       answer(HttpResponseStatus.NOT_FOUND, 0);
     } else if (!request.head().method().equals(HttpMethod.POST)) {
@@ -529,25 +530,25 @@
         request.arrivedUs() + HandIn.lifeUs(handIn.timeoutMs(), kind.deadlineUs());
     currentId = handIn.id();
     currentDestination = handIn.destination();
-    final Held held =
-        new Held(
+    final StoredMessage held =
+        new StoredMessage(
             handIn.id(),
             kind.name(),
             handIn.key(),
             handIn.destination(),
             validUntilUs,
             request.body());
-    held.began(
-        new Way(
+    held.startTimeline(
+        new MessageTimeline(
             request.arrivedUs(),
             request.firstByteUs(),
             request.wholeUs(),
             request.arrivedUs() + handIn.timeoutMs() * US_PER_MS));
-    desk.offer(held, validUntilUs, new Answerer(request, handIn.id(), handIn.destination()));
+    desk.submit(held, validUntilUs, new Answerer(request, handIn.id(), handIn.destination()));
   }
 
   /** Answers the request that is current, once its message's fate at the door is known. */
-  private final class Answerer implements Front.Reply {
+  private final class Answerer implements Ingress.Reply {
     private final Request request;
     private final String id;
     private final long destination;
@@ -573,9 +574,9 @@
     }
 
     @Override
-    public void refused(final Front.Refusal why, final long retryAfterUs) {
+    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
       say(
-          why == Front.Refusal.NO_ROOM
+          why == Ingress.RejectionReason.NO_ROOM
               ? HttpResponseStatus.SERVICE_UNAVAILABLE
               : HttpResponseStatus.TOO_MANY_REQUESTS,
           retryAfterUs);
@@ -587,10 +588,10 @@
     }
 
     @Override
-    public void unusable(final Front.Fault fault) {
+    public void invalid(final Ingress.InvalidReason fault) {
       Log.event(Event.REQUEST_UNUSABLE, "id", id, "dest", destination, "why", fault);
       say(
-          fault == Front.Fault.NO_DESTINATION
+          fault == Ingress.InvalidReason.NO_DESTINATION
               ? HttpResponseStatus.NOT_FOUND
               : HttpResponseStatus.CONFLICT,
           0);
--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongUnaryOperator;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Store;
+import thistleturn.courier.port.MessageStore;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
@@ -22,7 +22,7 @@
  * written is kept and goes with the next one. When the file has grown to its bound, what is still
  * owed is written to a new file that takes its place in one step.
  */
-public final class Journal implements Store, AutoCloseable {
+public final class Journal implements MessageStore, AutoCloseable {
   /**
    * Share of the disk for one file: with the one that takes its place, four fifths are used at
    * most.
@@ -33,32 +33,32 @@
    * Share of a file that messages may fill: the rest is for how they fare, which must always find
    * room.
    */
-  private static final double TAKE_SHARE = 0.6;
+  private static final double ACCEPT_SHARE = 0.6;
 
   /** Room that is reckoned for how a message fares, and its notice: attempts are few and short. */
-  private static final int FATE_BYTES = 256;
+  private static final int OUTCOME_RESERVE_BYTES = 256;
 
-  private static final int RECORDS_A_MESSAGE = 3;
+  private static final int RECORDS_PER_MESSAGE = 3;
 
   /** A file is replaced by batches of about this size. */
-  private static final int BATCH_BYTES = 1 << 17;
+  private static final int COMPACTION_BATCH_BYTES = 1 << 17;
 
   /**
    * Records that wait for a disk that fails; beyond that they are given up for what is known in
    * memory.
    */
-  private static final int MOST_PENDING_BYTES = 1 << 19;
+  private static final int MAX_UNWRITTEN_BYTES = 1 << 19;
 
   private final Path folder;
   private final long fileBytes;
   private final Clock clock;
-  private final Map<String, Held> live = new LinkedHashMap<>();
-  private final Records pending = new Records();
+  private final Map<String, StoredMessage> pendingMessages = new LinkedHashMap<>();
+  private final JournalRecords unwritten = new JournalRecords();
   private JournalFile file;
-  private long liveBytes;
+  private long reservedTotalBytes;
 
   /** What is written next is not a batch more, but all that is known. */
-  private boolean replacesFile;
+  private boolean compactionDue;
 
   private boolean writable = true;
   private long unwritableSinceUs;
@@ -76,13 +76,14 @@
     final List<ByteBuffer> batches = new ArrayList<>();
     journal.file = JournalFile.open(folder, batches::add);
     if (journal.file == null) {
-      EarlierFormat.read(JournalFile.path(folder), journal.live, journal.clock);
-      journal.replace();
+      LegacyJournalFormat.read(JournalFile.path(folder), journal.pendingMessages, journal.clock);
+      journal.compact();
     } else {
-      final LongUnaryOperator moment = journal.moment(batches);
-      batches.forEach(batch -> Records.apply(batch, journal.live, moment));
+      final LongUnaryOperator moment = journal.clockCorrection(batches);
+      batches.forEach(batch -> JournalRecords.apply(batch, journal.pendingMessages, moment));
     }
-    journal.liveBytes = journal.live.values().stream().mapToLong(Journal::bytes).sum();
+    journal.reservedTotalBytes =
+        journal.pendingMessages.values().stream().mapToLong(Journal::reservedBytes).sum();
     return journal;
   }
 
@@ -91,11 +92,12 @@
    * with its folder kept, its monotonic clock has begun anew as well, and the wall clock tells how
    * long ago the last batch was written.
    */
-  private LongUnaryOperator moment(final List<ByteBuffer> batches) {
+  private LongUnaryOperator clockCorrection(final List<ByteBuffer> batches) {
     if (batches.isEmpty()) {
       return LongUnaryOperator.identity();
     }
-    final Records.Stamp last = Records.stamp(batches.get(batches.size() - 1));
+    final JournalRecords.BatchTimestamps last =
+        JournalRecords.readTimestamps(batches.get(batches.size() - 1));
     final long nowUs = clock.nowUs();
     if (nowUs >= last.monotonicUs()) {
       return LongUnaryOperator.identity();
@@ -109,23 +111,24 @@
    * Makes the journal of a folder anew, with these messages as they stand; what was there before is
    * gone.
    */
-  public static void write(final Path folder, final long diskBytes, final Collection<Held> messages)
+  public static void rewrite(
+      final Path folder, final long diskBytes, final Collection<StoredMessage> messages)
       throws IOException {
     Files.createDirectories(folder);
     final Journal journal = new Journal(folder, diskBytes, new Clock());
-    messages.forEach(held -> journal.live.put(held.id(), held));
-    journal.replace();
+    messages.forEach(held -> journal.pendingMessages.put(held.id(), held));
+    journal.compact();
     journal.file.close();
   }
 
   @Override
-  public Collection<Held> live() {
-    return List.copyOf(live.values());
+  public Collection<StoredMessage> pendingMessages() {
+    return List.copyOf(pendingMessages.values());
   }
 
   @Override
-  public boolean holds(final String id) {
-    return live.containsKey(id);
+  public boolean contains(final String id) {
+    return pendingMessages.containsKey(id);
   }
 
   @Override
@@ -134,82 +137,85 @@
   }
 
   @Override
-  public boolean take(final Held held) {
-    final long bytes = bytes(held);
-    if (!writable || live.containsKey(held.id()) || liveBytes + bytes > TAKE_SHARE * fileBytes) {
+  public boolean recordAccepted(final StoredMessage held) {
+    final long bytes = reservedBytes(held);
+    if (!writable
+        || pendingMessages.containsKey(held.id())
+        || reservedTotalBytes + bytes > ACCEPT_SHARE * fileBytes) {
       return false;
     }
-    pending.taken(held);
-    live.put(held.id(), held);
-    liveBytes += bytes;
+    unwritten.addAccepted(held);
+    pendingMessages.put(held.id(), held);
+    reservedTotalBytes += bytes;
     return true;
   }
 
   @Override
-  public void begin(final Held held, final long nowUs, final String zone) {
-    pending.begun(held.id(), nowUs, zone);
-    held.begin(nowUs, zone);
+  public void recordAttemptStarted(final StoredMessage held, final long nowUs, final String zone) {
+    unwritten.addAttemptStarted(held.id(), nowUs, zone);
+    held.startAttempt(nowUs, zone);
   }
 
   @Override
-  public void settle(final Held held, final boolean neverRan) {
-    held.settle(neverRan);
-    pending.settled(held.id(), neverRan);
+  public void recordAttemptOutcome(final StoredMessage held, final boolean neverRan) {
+    held.endAttempt(neverRan);
+    unwritten.addAttemptOutcome(held.id(), neverRan);
   }
 
   @Override
-  public void owe(final Held held, final Held.Notice notice) {
-    final boolean counted = live.containsKey(held.id());
-    final long before = bytes(held);
-    held.owe(notice);
-    liveBytes -= counted ? before - bytes(held) : 0;
-    pending.owed(held.id(), notice);
+  public void recordFinalOutcome(
+      final StoredMessage held, final StoredMessage.FinalOutcome notice) {
+    final boolean counted = pendingMessages.containsKey(held.id());
+    final long before = reservedBytes(held);
+    held.end(notice);
+    reservedTotalBytes -= counted ? before - reservedBytes(held) : 0;
+    unwritten.addFinalOutcome(held.id(), notice);
   }
 
   @Override
-  public void over(final Held held) {
-    if (live.remove(held.id()) != null) {
-      liveBytes -= bytes(held);
-      pending.over(held.id());
+  public void recordCompleted(final StoredMessage held) {
+    if (pendingMessages.remove(held.id()) != null) {
+      reservedTotalBytes -= reservedBytes(held);
+      unwritten.addCompleted(held.id());
     }
   }
 
-  private static long bytes(final Held held) {
+  private static long reservedBytes(final StoredMessage held) {
     final int keyChars = held.idempotencyKey() == null ? 0 : held.idempotencyKey().length();
     // Two bytes a character at most, for what a header may hold; each of a message's records names
     // its id.
     return held.body().length
-        + 2L * (RECORDS_A_MESSAGE * held.id().length() + keyChars + held.className().length())
-        + FATE_BYTES;
+        + 2L * (RECORDS_PER_MESSAGE * held.id().length() + keyChars + held.className().length())
+        + OUTCOME_RESERVE_BYTES;
   }
 
   // ---------------------------------------------------------------- writing
 
   @Override
-  public Flush flush() {
+  public FlushResult flush() {
     try {
-      if (replacesFile || (!pending.isEmpty() && file.size() + pending.size() > fileBytes)) {
-        replace();
-      } else if (!pending.isEmpty()) {
-        file.append(pending.batch(stamp()));
-        pending.clear();
+      if (compactionDue || (!unwritten.isEmpty() && file.size() + unwritten.size() > fileBytes)) {
+        compact();
+      } else if (!unwritten.isEmpty()) {
+        file.append(unwritten.toBatch(timestamps()));
+        unwritten.clear();
       }
-      succeeded();
-      return Flush.SAFE;
+      onFlushed();
+      return FlushResult.DURABLE;
     } catch (final JournalFile.UnknownOutcomeException e) {
-      failed(e);
-      return Flush.UNKNOWN;
+      onFlushFailed(e);
+      return FlushResult.UNKNOWN;
     } catch (final IOException e) {
-      failed(e);
-      return Flush.FAILED;
+      onFlushFailed(e);
+      return FlushResult.FAILED;
     }
   }
 
-  private Records.Stamp stamp() {
-    return new Records.Stamp(clock.nowUs(), clock.wallUs());
+  private JournalRecords.BatchTimestamps timestamps() {
+    return new JournalRecords.BatchTimestamps(clock.nowUs(), clock.wallUs());
   }
 
-  private void succeeded() {
+  private void onFlushed() {
     if (!writable) {
       writable = true;
       Log.event(
@@ -217,11 +223,11 @@
           "after_us",
           clock.nowUs() - unwritableSinceUs,
           "holds",
-          live.size());
+          pendingMessages.size());
     }
   }
 
-  private void failed(final IOException cause) {
+  private void onFlushFailed(final IOException cause) {
     Log.count(Event.JOURNAL_WRITE_FAILED);
     if (writable) {
       writable = false;
@@ -231,42 +237,42 @@
           "cause",
           cause.toString(),
           "holds",
-          live.size(),
+          pendingMessages.size(),
           "pending",
-          pending.size());
+          unwritten.size());
     }
-    if (pending.size() > MOST_PENDING_BYTES) {
+    if (unwritten.size() > MAX_UNWRITTEN_BYTES) {
       // What is known in memory says it all, with no more bytes than the file may have.
-      pending.clear();
-      replacesFile = true;
+      unwritten.clear();
+      compactionDue = true;
     }
   }
 
   /** Writes what is owed to a new file, which takes the place of the old one. */
-  private void replace() throws IOException {
+  private void compact() throws IOException {
     final List<ByteBuffer> batches = new ArrayList<>();
-    Records records = new Records();
-    for (final Held held : live.values()) {
-      records.whole(held);
-      if (records.size() > BATCH_BYTES) {
-        batches.add(records.batch(stamp()));
-        records = new Records();
+    JournalRecords records = new JournalRecords();
+    for (final StoredMessage held : pendingMessages.values()) {
+      records.addSnapshot(held);
+      if (records.size() > COMPACTION_BATCH_BYTES) {
+        batches.add(records.toBatch(timestamps()));
+        records = new JournalRecords();
       }
     }
-    batches.add(records.batch(stamp()));
+    batches.add(records.toBatch(timestamps()));
     final JournalFile fresh = JournalFile.replace(folder, batches);
     if (file != null) {
       file.close();
     }
     file = fresh;
-    pending.clear();
-    replacesFile = false;
+    unwritten.clear();
+    compactionDue = false;
   }
 
   @Override
   public void close() {
-    if (flush() != Flush.SAFE) {
-      Log.event(Event.JOURNAL_CLOSED_UNWRITTEN, "pending", pending.size());
+    if (flush() != FlushResult.DURABLE) {
+      Log.event(Event.JOURNAL_CLOSED_UNWRITTEN, "pending", unwritten.size());
     }
     file.close();
   }
@@ -275,10 +281,10 @@
    * Closes it, if it can be with nothing in its file but what is owed: who reads it next is waited
    * for.
    */
-  public void closeTrimmed() {
+  public void compactAndClose() {
     try {
-      if (flush() == Flush.SAFE) {
-        replace();
+      if (flush() == FlushResult.DURABLE) {
+        compact();
       }
     } catch (final IOException e) {
       Log.event(Event.JOURNAL_NOT_TRIMMED, "cause", e.toString());
--- a/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
@@ -27,18 +27,18 @@
  */
 final class JournalFile implements Closeable {
   private static final String NAME = "journal";
-  private static final String NEXT_NAME = "journal.next";
+  private static final String REPLACEMENT_NAME = "journal.next";
   private static final long MAGIC = 0x5454_4a4f_5552_4e32L;
-  private static final int FILE_HEAD_BYTES = 2 * Long.BYTES;
+  private static final int FILE_HEADER_BYTES = 2 * Long.BYTES;
 
   /** Length and checksum. */
-  static final int BATCH_HEAD_BYTES = 2 * Integer.BYTES;
+  static final int BATCH_HEADER_BYTES = 2 * Integer.BYTES;
 
   private final FileChannel channel;
   private final long generation;
 
   /** Where the next batch begins. */
-  private long size = FILE_HEAD_BYTES;
+  private long size = FILE_HEADER_BYTES;
 
   /** A write failed, and the folder does not tell whether it was done all the same. */
   static final class UnknownOutcomeException extends IOException {
@@ -67,7 +67,7 @@
   static JournalFile open(final Path folder, final Consumer<ByteBuffer> batches)
       throws IOException {
     // A kill in the middle of a replacement leaves this; the old file is still the whole truth.
-    Files.deleteIfExists(folder.resolve(NEXT_NAME));
+    Files.deleteIfExists(folder.resolve(REPLACEMENT_NAME));
     if (!Files.exists(path(folder)) && Files.notExists(path(folder))) {
       return null;
     }
@@ -78,12 +78,12 @@
       while (all.hasRemaining() && channel.read(all, all.position()) >= 0) {}
 
       all.flip();
-      if (all.remaining() < FILE_HEAD_BYTES || all.getLong(0) != MAGIC) {
+      if (all.remaining() < FILE_HEADER_BYTES || all.getLong(0) != MAGIC) {
         channel.close();
         return null;
       }
       final JournalFile file = new JournalFile(channel, all.getLong(Long.BYTES));
-      file.read(all, batches);
+      file.readBatches(all, batches);
       return file;
     } catch (final IOException | RuntimeException e) {
       channel.close();
@@ -91,19 +91,19 @@
     }
   }
 
-  private void read(final ByteBuffer all, final Consumer<ByteBuffer> batches) {
-    while (all.limit() - size >= BATCH_HEAD_BYTES) {
+  private void readBatches(final ByteBuffer all, final Consumer<ByteBuffer> batches) {
+    while (all.limit() - size >= BATCH_HEADER_BYTES) {
       final int at = (int) size;
       final int length = all.getInt(at);
-      if (length <= 0 || length > all.limit() - at - BATCH_HEAD_BYTES) {
+      if (length <= 0 || length > all.limit() - at - BATCH_HEADER_BYTES) {
         break;
       }
-      final ByteBuffer content = all.slice(at + BATCH_HEAD_BYTES, length);
+      final ByteBuffer content = all.slice(at + BATCH_HEADER_BYTES, length);
       if (checksum(content.duplicate(), size) != all.getInt(at + Integer.BYTES)) {
         break;
       }
       batches.accept(content);
-      size += BATCH_HEAD_BYTES + length;
+      size += BATCH_HEADER_BYTES + length;
     }
     if (size < all.limit()) {
       // A write that was cut off, by a kill or a full disk; nothing was answered or sent on its
@@ -120,7 +120,7 @@
    */
   static JournalFile replace(final Path folder, final Collection<ByteBuffer> batches)
       throws IOException {
-    final Path next = folder.resolve(NEXT_NAME);
+    final Path next = folder.resolve(REPLACEMENT_NAME);
     final FileChannel channel =
         FileChannel.open(
             next,
@@ -132,10 +132,10 @@
       final JournalFile fresh = new JournalFile(channel, ThreadLocalRandom.current().nextLong());
       writeFully(
           channel,
-          ByteBuffer.allocate(FILE_HEAD_BYTES).putLong(MAGIC).putLong(fresh.generation).flip(),
+          ByteBuffer.allocate(FILE_HEADER_BYTES).putLong(MAGIC).putLong(fresh.generation).flip(),
           0);
       for (final ByteBuffer batch : batches) {
-        fresh.seal(batch);
+        fresh.writeHeader(batch);
         final int bytes = batch.remaining();
         writeFully(channel, batch, fresh.size);
         fresh.size += bytes;
@@ -173,11 +173,11 @@
    * @throws IOException if it has certainly not been written as a whole
    */
   void append(final ByteBuffer batch) throws IOException {
-    seal(batch);
+    writeHeader(batch);
     try {
       writeFully(channel, batch.duplicate(), size);
     } catch (final IOException e) {
-      if (!isThere(batch)) {
+      if (!isWritten(batch)) {
         throw e;
       }
       Log.event(
@@ -191,15 +191,15 @@
   }
 
   /** Puts length and checksum into the head of a batch that goes behind the last one. */
-  private void seal(final ByteBuffer batch) {
-    final int length = batch.remaining() - BATCH_HEAD_BYTES;
+  private void writeHeader(final ByteBuffer batch) {
+    final int length = batch.remaining() - BATCH_HEADER_BYTES;
     batch.putInt(batch.position(), length);
     batch.putInt(
         batch.position() + Integer.BYTES,
-        checksum(batch.slice(batch.position() + BATCH_HEAD_BYTES, length), size));
+        checksum(batch.slice(batch.position() + BATCH_HEADER_BYTES, length), size));
   }
 
-  private boolean isThere(final ByteBuffer batch) throws UnknownOutcomeException {
+  private boolean isWritten(final ByteBuffer batch) throws UnknownOutcomeException {
     try {
       final ByteBuffer found = ByteBuffer.allocate(batch.remaining());
       while (found.hasRemaining() && channel.read(found, size + found.position()) >= 0) {}
--- a/courier/src/main/java/thistleturn/courier/journal/Records.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalRecords.java
@@ -9,7 +9,7 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.function.LongUnaryOperator;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
 
@@ -17,25 +17,25 @@
  * What the journal says of messages, as bytes: a batch of records behind the room for its head and
  * the two clocks at its writing. Its moments are those of the monotonic clock.
  */
-final class Records {
-  private static final byte TAKEN = 1;
-  private static final byte BEGUN = 2;
-  private static final byte SETTLED = 3;
-  private static final byte OWED = 4;
-  private static final byte OVER = 5;
+final class JournalRecords {
+  private static final byte ACCEPTED = 1;
+  private static final byte ATTEMPT_STARTED = 2;
+  private static final byte ATTEMPT_OUTCOME = 3;
+  private static final byte FINAL_OUTCOME = 4;
+  private static final byte COMPLETED = 5;
 
   /** The room for a batch's head, and the two clocks. */
-  private static final int PREFIX_BYTES = JournalFile.BATCH_HEAD_BYTES + 2 * Long.BYTES;
+  private static final int PREFIX_BYTES = JournalFile.BATCH_HEADER_BYTES + 2 * Long.BYTES;
 
   /** A buffer that has grown beyond this in a busy moment is not kept. */
-  private static final int KEPT_BYTES = 1 << 18;
+  private static final int MAX_RETAINED_BYTES = 1 << 18;
 
-  private Bytes bytes = new Bytes();
+  private ReusableBuffer bytes = new ReusableBuffer();
   private DataOutputStream out = new DataOutputStream(bytes);
 
   /** Bytes that are written again and again to the same place in memory. */
-  private static final class Bytes extends ByteArrayOutputStream {
-    private Bytes() {
+  private static final class ReusableBuffer extends ByteArrayOutputStream {
+    private ReusableBuffer() {
       super(1 << 12);
     }
 
@@ -45,15 +45,15 @@
   }
 
   /** The clocks at the writing of a batch. */
-  record Stamp(long monotonicUs, long wallUs) {}
+  record BatchTimestamps(long monotonicUs, long wallUs) {}
 
-  Records() {
+  JournalRecords() {
     clear();
   }
 
   void clear() {
-    if (bytes.size() > KEPT_BYTES) {
-      bytes = new Bytes();
+    if (bytes.size() > MAX_RETAINED_BYTES) {
+      bytes = new ReusableBuffer();
       out = new DataOutputStream(bytes);
     }
     bytes.reset();
@@ -69,21 +69,21 @@
   }
 
   /** All records as one batch, stamped with these clocks. */
-  ByteBuffer batch(final Stamp stamp) {
+  ByteBuffer toBatch(final BatchTimestamps stamp) {
     final ByteBuffer batch = ByteBuffer.wrap(bytes.array(), 0, bytes.size());
-    batch.putLong(JournalFile.BATCH_HEAD_BYTES, stamp.monotonicUs());
-    batch.putLong(JournalFile.BATCH_HEAD_BYTES + Long.BYTES, stamp.wallUs());
+    batch.putLong(JournalFile.BATCH_HEADER_BYTES, stamp.monotonicUs());
+    batch.putLong(JournalFile.BATCH_HEADER_BYTES + Long.BYTES, stamp.wallUs());
     return batch;
   }
 
   // ---------------------------------------------------------------- writing
 
   /** Writes the rest of a record. */
-  private interface Content {
+  private interface FieldWriter {
     void write(DataOutputStream out) throws IOException;
   }
 
-  private void record(final byte type, final String id, final Content content) {
+  private void writeRecord(final byte type, final String id, final FieldWriter content) {
     try {
       out.writeByte(type);
       out.writeUTF(id);
@@ -97,27 +97,27 @@
    * A message with all that became of it, so that one record is enough after a compaction; but for
    * an attempt that is out.
    */
-  void taken(final Held held) {
-    record(
-        TAKEN,
+  void addAccepted(final StoredMessage held) {
+    writeRecord(
+        ACCEPTED,
         held.id(),
         to -> {
           to.writeUTF(held.className());
           to.writeBoolean(held.idempotencyKey() != null);
           to.writeUTF(held.idempotencyKey() == null ? "" : held.idempotencyKey());
           to.writeLong(held.destination());
-          to.writeLong(held.validUntilUs());
+          to.writeLong(held.deadlineUs());
           to.writeInt(held.body().length);
           to.write(held.body());
-          to.writeInt(held.attempts() - (held.isOut() ? 1 : 0));
+          to.writeInt(held.attempts() - (held.hasAttemptInFlight() ? 1 : 0));
           to.writeLong(held.firstRunUs());
           to.writeUTF(held.runZone());
         });
   }
 
-  void begun(final String id, final long nowUs, final String zone) {
-    record(
-        BEGUN,
+  void addAttemptStarted(final String id, final long nowUs, final String zone) {
+    writeRecord(
+        ATTEMPT_STARTED,
         id,
         to -> {
           to.writeLong(nowUs);
@@ -125,40 +125,40 @@
         });
   }
 
-  void settled(final String id, final boolean neverRan) {
-    record(SETTLED, id, to -> to.writeBoolean(neverRan));
+  void addAttemptOutcome(final String id, final boolean neverRan) {
+    writeRecord(ATTEMPT_OUTCOME, id, to -> to.writeBoolean(neverRan));
   }
 
-  void owed(final String id, final Held.Notice notice) {
-    record(
-        OWED,
+  void addFinalOutcome(final String id, final StoredMessage.FinalOutcome notice) {
+    writeRecord(
+        FINAL_OUTCOME,
         id,
         to -> {
           to.writeBoolean(notice.failed());
-          to.writeLong(notice.againMs());
+          to.writeLong(notice.retryAfterMs());
         });
   }
 
-  void over(final String id) {
-    record(OVER, id, to -> {});
+  void addCompleted(final String id) {
+    writeRecord(COMPLETED, id, to -> {});
   }
 
   /** All that is known of a message, in as many records as that needs. */
-  void whole(final Held held) {
-    taken(held);
-    if (held.isOut()) {
-      begun(held.id(), held.outUs(), held.outZone());
+  void addSnapshot(final StoredMessage held) {
+    addAccepted(held);
+    if (held.hasAttemptInFlight()) {
+      addAttemptStarted(held.id(), held.attemptStartedUs(), held.attemptZone());
     }
-    if (held.notice() != null) {
-      owed(held.id(), held.notice());
+    if (held.finalOutcome() != null) {
+      addFinalOutcome(held.id(), held.finalOutcome());
     }
   }
 
   // ---------------------------------------------------------------- reading
 
   /** The clocks at a batch's writing. */
-  static Stamp stamp(final ByteBuffer batch) {
-    return new Stamp(batch.getLong(0), batch.getLong(Long.BYTES));
+  static BatchTimestamps readTimestamps(final ByteBuffer batch) {
+    return new BatchTimestamps(batch.getLong(0), batch.getLong(Long.BYTES));
   }
 
   /**
@@ -166,7 +166,9 @@
    * process's.
    */
   static void apply(
-      final ByteBuffer batch, final Map<String, Held> live, final LongUnaryOperator moment) {
+      final ByteBuffer batch,
+      final Map<String, StoredMessage> live,
+      final LongUnaryOperator moment) {
     final DataInputStream in =
         new DataInputStream(
             new ByteArrayInputStream(
@@ -184,38 +186,41 @@
 
   /** Applies one record, as this version and the one before it write them. */
   static void apply(
-      final DataInputStream in, final Map<String, Held> live, final LongUnaryOperator moment)
+      final DataInputStream in,
+      final Map<String, StoredMessage> live,
+      final LongUnaryOperator moment)
       throws IOException {
     final byte type = in.readByte();
     final String id = in.readUTF();
-    if (type == TAKEN) {
-      live.put(id, readTaken(in, id, moment));
+    if (type == ACCEPTED) {
+      live.put(id, readAccepted(in, id, moment));
       return;
     }
     // What is over is no longer known, but its records are read all the same: others stand behind
     // them.
-    final Held held = live.get(id);
+    final StoredMessage held = live.get(id);
     switch (type) {
-      case BEGUN -> {
-        final long beganUs = moment(in.readLong(), moment);
+      case ATTEMPT_STARTED -> {
+        final long beganUs = toThisClock(in.readLong(), moment);
         final String zone = in.readUTF();
         if (held != null) {
-          held.begin(beganUs, zone);
+          held.startAttempt(beganUs, zone);
         }
       }
-      case SETTLED -> {
+      case ATTEMPT_OUTCOME -> {
         final boolean neverRan = in.readBoolean();
         if (held != null) {
-          held.settle(neverRan);
+          held.endAttempt(neverRan);
         }
       }
-      case OWED -> {
-        final Held.Notice notice = new Held.Notice(in.readBoolean(), in.readLong());
+      case FINAL_OUTCOME -> {
+        final StoredMessage.FinalOutcome notice =
+            new StoredMessage.FinalOutcome(in.readBoolean(), in.readLong());
         if (held != null) {
-          held.owe(notice);
+          held.end(notice);
         }
       }
-      case OVER -> live.remove(id);
+      case COMPLETED -> live.remove(id);
       default -> {
         Log.event(Event.JOURNAL_RECORD_UNKNOWN, "type", type, "id", id);
         throw new IOException("a record of unknown type " + type);
@@ -223,21 +228,22 @@
     }
   }
 
-  private static Held readTaken(
+  private static StoredMessage readAccepted(
       final DataInputStream in, final String id, final LongUnaryOperator moment)
       throws IOException {
     final String className = in.readUTF();
     final boolean keyed = in.readBoolean();
     final String key = in.readUTF();
     final long destination = in.readLong();
-    final long validUntilUs = moment(in.readLong(), moment);
+    final long validUntilUs = toThisClock(in.readLong(), moment);
     final byte[] body = in.readNBytes(in.readInt());
-    final Held taken = new Held(id, className, keyed ? key : null, destination, validUntilUs, body);
-    taken.restore(in.readInt(), moment(in.readLong(), moment), in.readUTF());
+    final StoredMessage taken =
+        new StoredMessage(id, className, keyed ? key : null, destination, validUntilUs, body);
+    taken.restoreAttempts(in.readInt(), toThisClock(in.readLong(), moment), in.readUTF());
     return taken;
   }
 
-  private static long moment(final long us, final LongUnaryOperator moment) {
-    return us == Held.NEVER ? us : moment.applyAsLong(us);
+  private static long toThisClock(final long us, final LongUnaryOperator moment) {
+    return us == StoredMessage.NEVER ? us : moment.applyAsLong(us);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/journal/EarlierFormat.java
+++ b/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 
 /**
@@ -16,27 +16,27 @@
  * and moments of the wall clock. It is read once, by the first process of a newer version in that
  * folder.
  */
-final class EarlierFormat {
-  private static final int HEAD_BYTES = 2 * Integer.BYTES;
-  private static final int MOST_RECORD_BYTES = 1 << 17;
+final class LegacyJournalFormat {
+  private static final int RECORD_HEADER_BYTES = 2 * Integer.BYTES;
+  private static final int MAX_RECORD_BYTES = 1 << 17;
 
-  private EarlierFormat() {}
+  private LegacyJournalFormat() {}
 
   /**
    * Reads what such a file holds, up to what a kill cut off at its end; nothing if there is no
    * file.
    */
-  static void read(final Path file, final Map<String, Held> live, final Clock clock)
+  static void read(final Path file, final Map<String, StoredMessage> live, final Clock clock)
       throws IOException {
     if (Files.notExists(file)) {
       return;
     }
     final ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
     final long behindUs = clock.nowUs() - clock.wallUs();
-    while (all.remaining() >= HEAD_BYTES) {
+    while (all.remaining() >= RECORD_HEADER_BYTES) {
       final int length = all.getInt();
       final int checksum = all.getInt();
-      if (length <= 0 || length > MOST_RECORD_BYTES || length > all.remaining()) {
+      if (length <= 0 || length > MAX_RECORD_BYTES || length > all.remaining()) {
         return;
       }
       final CRC32C crc = new CRC32C();
@@ -44,7 +44,7 @@
       if ((int) crc.getValue() != checksum) {
         return;
       }
-      Records.apply(
+      JournalRecords.apply(
           new DataInputStream(new ByteArrayInputStream(all.array(), all.position(), length)),
           live,
           wallUs -> wallUs + behindUs);
--- a/courier/src/main/java/thistleturn/courier/platform/Discovery.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Discovery.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Json;
@@ -32,7 +32,7 @@
  * When the watch breaks, falls silent or says what cannot be read, the decisions are told that it
  * is lost; they say when to ask again.
  */
-public final class Discovery implements Directory {
+public final class Discovery implements EndpointDirectory {
   /**
    * What a watch misses counts as told 6 s after it fell silent: to find that out, to connect and
    * to be answered may take no longer, all three together. A line comes every 2 s; one that is not
@@ -96,12 +96,12 @@
    * has no endpoint in time is refused later.
    */
   @Override
-  public boolean isFresh() {
+  public boolean isCurrent() {
     return clock.nowUs() - freshUs <= SILENT_US;
   }
 
   @Override
-  public void follow() {
+  public void requestUpdates() {
     if (watch != null) {
       return;
     }
@@ -131,15 +131,15 @@
   }
 
   private void apply(final JsonNode list, final EndpointUpdate update) {
-    final List<Listing> listings = new ArrayList<>();
+    final List<Entry> listings = new ArrayList<>();
     for (final JsonNode node : list.path("hosts")) {
       listings.add(listing(node));
     }
     seq = list.path("seq").asLong(seq);
-    listener.told(update, listings);
+    listener.onUpdate(update, listings);
   }
 
-  private static Listing listing(final JsonNode node) {
+  private static Entry listing(final JsonNode node) {
     final String name = node.path("host").asText();
     if (name.isEmpty() || !node.path("block").canConvertToLong()) {
       throw new IllegalArgumentException("an entry without a host or a block: " + node);
@@ -151,7 +151,7 @@
           case "Gone" -> EndpointState.GONE;
           default -> throw new IllegalArgumentException("unknown health: " + node);
         };
-    return new Listing(
+    return new Entry(
         name,
         condition,
         Config.address("dial", node.path("dial").asText()),
@@ -311,9 +311,9 @@
     private void lost() {
       if (watch == this) {
         watch = null;
-        listener.told(EndpointUpdate.UNAVAILABLE, List.of());
+        listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
         loop.schedule(
-            Discovery.this::follow,
+            Discovery.this::requestUpdates,
             ThreadLocalRandom.current().nextLong(RETRY_LEAST_US, RETRY_MOST_US),
             TimeUnit.MICROSECONDS);
       }
--- a/courier/src/main/java/thistleturn/courier/platform/Notices.java
+++ b/courier/src/main/java/thistleturn/courier/platform/Notices.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Ends;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.OutcomeNotifier;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Json;
@@ -34,7 +34,7 @@
  * way at a time, and again until each is confirmed. A notice that is told twice does no harm; one
  * that is not told loses a message.
  */
-public final class Notices implements Ends {
+public final class Notices implements OutcomeNotifier {
   private static final int BATCH = 200;
 
   /**
@@ -54,9 +54,9 @@
   private final Clock clock;
   private final LoopTurns turns;
   private final Listener listener;
-  private final Map<String, Held> owed = new LinkedHashMap<>();
+  private final Map<String, StoredMessage> owed = new LinkedHashMap<>();
   private Session session;
-  private List<Held> underWay = List.of();
+  private List<StoredMessage> underWay = List.of();
   private boolean paused;
   private int backOffMs = BACK_OFF_LEAST_MS;
 
@@ -75,7 +75,7 @@
   }
 
   @Override
-  public void add(final Held held) {
+  public void enqueue(final StoredMessage held) {
     owed.put(held.id(), held);
   }
 
@@ -120,11 +120,11 @@
     flush();
   }
 
-  private static String line(final Held held) {
+  private static String line(final StoredMessage held) {
     final ObjectNode line = JsonNodeFactory.instance.objectNode().put("id", held.id());
-    line.put("status", held.notice().failed() ? "undeliverable" : "deferred");
-    if (!held.notice().failed() && held.notice().againMs() > 0) {
-      line.put("again_ms", held.notice().againMs());
+    line.put("status", held.finalOutcome().failed() ? "undeliverable" : "deferred");
+    if (!held.finalOutcome().failed() && held.finalOutcome().retryAfterMs() > 0) {
+      line.put("again_ms", held.finalOutcome().retryAfterMs());
     }
     return Json.text(line) + "\n";
   }
@@ -223,12 +223,12 @@
     }
 
     private void confirmed() {
-      final List<Held> done = underWay;
+      final List<StoredMessage> done = underWay;
       underWay = List.of();
       batch++;
       backOffMs = BACK_OFF_LEAST_MS;
       done.forEach(held -> owed.remove(held.id()));
-      listener.confirmed(done);
+      listener.onConfirmed(done);
       if (!HttpUtil.isKeepAlive(head)) {
         session = null;
         close();
--- a/courier/src/main/java/thistleturn/courier/port/Carrier.java
+++ b/courier/src/main/java/thistleturn/courier/port/Dispatcher.java
@@ -11,24 +11,24 @@
  * again, and tells how each message in it fared, above all whether it can have run. All methods run
  * on the event loop's thread.
  */
-public interface Carrier {
+public interface Dispatcher {
 
   /** One message's part in a call. */
-  interface Parcel {
+  interface Attempt {
     /** What goes out unchanged. */
-    Held held();
+    StoredMessage message();
 
     /**
      * When the message's own time is up, on the clock of the events, us: its call goes, and waits,
      * no longer than that.
      */
-    long validUntilUs();
+    long messageDeadlineUs();
 
     /**
      * Until when its first byte may go, us: then a key that must hold may be forgotten. Never later
      * than that.
      */
-    long goesUntilUs();
+    long latestSendUs();
 
     /** How long its answer is waited for, us. */
     long timeoutUs();
@@ -40,30 +40,32 @@
     long endpoint();
 
     /** When it was prepared, us. */
-    long sentUs();
+    long preparedUs();
   }
 
   /**
-   * How a message fared in a call. {@code over}: it has its final answer. {@code waitUs}: what the
-   * answer told to wait, or 0. {@code allowance}: null if nothing was told.
+   * How a message fared in a call. {@code completed}: it has its final answer. {@code
+   * retryAfterUs}: what the answer told to wait, or 0. {@code loadReport}: null if nothing was
+   * told.
    */
-  record Answer(AttemptResult result, boolean over, long waitUs, LoadReport allowance) {}
+  record DispatchOutcome(
+      AttemptResult result, boolean completed, long retryAfterUs, LoadReport loadReport) {}
 
   /** Who is told of outcomes: once for each parcel of a call. */
   interface Listener {
     /**
      * The outcome of one message's part in a call. Its connection carries nothing of it any more.
      */
-    void outcome(Parcel parcel, Call call, Answer answer);
+    void onOutcome(Attempt parcel, Call call, DispatchOutcome answer);
 
     /**
      * An endpoint tells a wait in an answer whose call was given up before: it binds as one in any
      * other.
      */
-    void toldToWait(long endpoint, long waitUs);
+    void onRetryAfter(long endpoint, long waitUs);
 
     /** A call with so many messages is written whole. */
-    void written(int messages);
+    void onMessagesWritten(int messages);
   }
 
   /**
@@ -71,13 +73,13 @@
    * route of its own. To one that drains nothing new goes from now on, calls that were prepared
    * before included.
    */
-  void listed(Endpoint entry, boolean apart, InetSocketAddress address);
+  void updateEndpoint(Endpoint entry, boolean apart, InetSocketAddress address);
 
   /** The list names an endpoint no more: nothing new goes there. */
-  void removed(long endpoint);
+  void removeEndpoint(long endpoint);
 
   /** A call that has not begun: the journal comes before its first byte. */
-  Call prepare(long endpoint, List<? extends Parcel> parcels);
+  Call prepare(long endpoint, List<? extends Attempt> parcels);
 
   /** Makes a prepared call. */
   void start(Call call);
@@ -88,8 +90,8 @@
   /**
    * A wait was told elsewhere: calls that are on their way there and not written yet may not go.
    */
-  void holdBack(long endpoint);
+  void abandonUnwrittenCalls(long endpoint);
 
   /** Closes what is kept open to an endpoint and carries no call. */
-  void closeIdle(long endpoint);
+  void closeIdleConnections(long endpoint);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Front.java
+++ b/courier/src/main/java/thistleturn/courier/port/Ingress.java
@@ -1,16 +1,15 @@
 package thistleturn.courier.port;
 
 import java.util.concurrent.CompletionStage;
-import thistleturn.decisions.model.MessageClass;
 
 /**
  * A way by which clients hand messages in. It reads requests and gives each its one answer; whether
  * a message is taken is not its to say. All methods run on the event loop's thread.
  */
-public interface Front {
+public interface Ingress {
 
   /** Why a message is turned away at the door; handing it in again is harmless in each case. */
-  enum Refusal {
+  enum RejectionReason {
     /** The store is full. */
     NO_ROOM,
     /** The decisions turned it away. */
@@ -18,7 +17,7 @@
   }
 
   /** Why a message cannot be taken at all. */
-  enum Fault {
+  enum InvalidReason {
     /** Its destination, as far as can be known now, does not exist. */
     NO_DESTINATION,
     /** A message of that id is owed its end, or its notice. */
@@ -31,36 +30,13 @@
     void accepted();
 
     /** Refused; {@code retryAfterUs} above 0 tells after how many microseconds to come again. */
-    void refused(Refusal why, long retryAfterUs);
+    void rejected(RejectionReason why, long retryAfterUs);
 
     /** Ended with nothing promised. */
     void failed();
 
     /** Not taken, and it would not be another time. */
-    void unusable(Fault fault);
-  }
-
-  /** What a front asks of its host, and hands to it. */
-  interface Desk {
-    /** The class of that name, or null. */
-    MessageClass kind(String className);
-
-    /**
-     * True if what is offered for that destination is answered before another event of this loop.
-     */
-    boolean isOwn(long destination);
-
-    /**
-     * Takes a message, if it can be taken and there is room; its reply comes at the end of the
-     * pass, or at once. Its way must have begun ({@link Held#began}): the host notes there where
-     * its time goes.
-     */
-    void offer(Held held, long validUntilUs, Reply reply);
-
-    /**
-     * The client went before it was answered: nobody knows of this message, and nobody wants it.
-     */
-    void withdraw(String id, long destination);
+    void invalid(InvalidReason fault);
   }
 
   /** Begins to listen; tells the address in fact, or why that failed. */
@@ -76,8 +52,8 @@
    * The process ends soon: what has not come in whole by now is turned away, and what asks nothing
    * is shut.
    */
-  void turnAway();
+  void rejectIncompleteRequests();
 
   /** True while no client is connected. */
-  boolean isEmpty();
+  boolean hasNoConnections();
 }
--- a/courier/src/main/java/thistleturn/courier/port/Way.java
+++ b/courier/src/main/java/thistleturn/courier/port/MessageTimeline.java
@@ -5,15 +5,15 @@
  * that tell where it lay when its end came late. It is not kept across a restart. Written on the
  * event loop's thread only.
  */
-public final class Way {
+public final class MessageTimeline {
   private final long arrivedUs;
   private final long firstByteUs;
-  private final long wholeUs;
-  private final long timeUpUs;
-  private long takenUs;
+  private final long completeUs;
+  private final long deadlineUs;
+  private long acceptedUs;
   private long answeredUs;
-  private long attemptUs;
-  private long outcomeUs;
+  private long attemptStartedUs;
+  private long attemptEndedUs;
   private long endedUs;
 
   /**
@@ -24,71 +24,71 @@
    * @param wholeUs its last byte was read
    * @param timeUpUs its client's time is up, reckoned from {@code arrivedUs}
    */
-  public Way(
+  public MessageTimeline(
       final long arrivedUs, final long firstByteUs, final long wholeUs, final long timeUpUs) {
     this.arrivedUs = arrivedUs;
     this.firstByteUs = firstByteUs;
-    this.wholeUs = wholeUs;
-    this.timeUpUs = timeUpUs;
+    this.completeUs = wholeUs;
+    this.deadlineUs = timeUpUs;
   }
 
   /** It was handed to the decisions. */
-  public void taken(final long nowUs) {
-    takenUs = nowUs;
+  public void markAccepted(final long nowUs) {
+    acceptedUs = nowUs;
   }
 
   /** Its client was answered that it is taken on. */
-  public void answered(final long nowUs) {
+  public void markAnswered(final long nowUs) {
     answeredUs = nowUs;
   }
 
   /** An attempt was begun. */
-  public void attempt(final long nowUs) {
-    attemptUs = nowUs;
+  public void markAttemptStarted(final long nowUs) {
+    attemptStartedUs = nowUs;
   }
 
   /** An attempt had its outcome. */
-  public void outcome(final long nowUs) {
-    outcomeUs = nowUs;
+  public void markAttemptEnded(final long nowUs) {
+    attemptEndedUs = nowUs;
   }
 
   /** It ended, by a notice that is still to be told. */
-  public void ended(final long nowUs) {
+  public void markEnded(final long nowUs) {
     endedUs = nowUs;
   }
 
   /** By how much an end that is known now is late; below 0 if it is in time, us. */
-  public long lateUs(final long nowUs) {
-    return nowUs - timeUpUs;
+  public long latenessUs(final long nowUs) {
+    return nowUs - deadlineUs;
   }
 
   /**
    * Where the time went, in milliseconds after the earliest moment of its arrival; "-" for what
    * never was.
    */
-  public String story(final long confirmedUs) {
+  public String describe(final long confirmedUs) {
     return "time up "
-        + ms(timeUpUs)
+        + sinceArrivalMs(deadlineUs)
         + ", first byte read "
-        + ms(firstByteUs)
+        + sinceArrivalMs(firstByteUs)
         + ", whole "
-        + ms(wholeUs)
+        + sinceArrivalMs(completeUs)
         + ", taken "
-        + ms(takenUs)
+        + sinceArrivalMs(acceptedUs)
         + ", answered "
-        + ms(answeredUs)
+        + sinceArrivalMs(answeredUs)
         + ", last attempt "
-        + ms(attemptUs)
+        + sinceArrivalMs(attemptStartedUs)
         + ", last outcome "
-        + ms(outcomeUs)
+        + sinceArrivalMs(attemptEndedUs)
         + ", ended "
-        + ms(endedUs)
+        + sinceArrivalMs(endedUs)
         + ", end confirmed "
-        + ms(confirmedUs)
+        + sinceArrivalMs(confirmedUs)
         + " ms after it can have arrived";
   }
 
-  private String ms(final long us) {
+  private String sinceArrivalMs(final long us) {
     return us == 0 ? "-" : Long.toString(Math.round((us - arrivedUs) / 1000.0));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/port/Ends.java
+++ b/courier/src/main/java/thistleturn/courier/port/OutcomeNotifier.java
@@ -7,15 +7,15 @@
  * Where it is told how messages ended that were taken on and not delivered; again until that is
  * confirmed. All methods run on the event loop's thread.
  */
-public interface Ends {
+public interface OutcomeNotifier {
   /** Who is told that ends are confirmed. */
   interface Listener {
     /** The platform knows these ends; nothing more is owed for them. */
-    void confirmed(List<Held> messages);
+    void onConfirmed(List<StoredMessage> messages);
   }
 
   /** Adds an end that the store holds; it goes out with the next {@link #flush}. */
-  void add(Held held);
+  void enqueue(StoredMessage held);
 
   /** Tells what is to be told, unless a telling is under way already. */
   void flush();
--- a/courier/src/main/java/thistleturn/courier/port/Witness.java
+++ b/courier/src/main/java/thistleturn/courier/port/StateObserver.java
@@ -6,24 +6,24 @@
  * A subsystem that hears what this courier is told and finds out. All methods are called on the
  * courier's first event loop.
  */
-public interface Witness {
+public interface StateObserver {
   /**
    * The list was told: what is said of endpoints and destinations that it names can count from now
    * on.
    */
-  void listed();
+  void onEndpointsListed();
 
   /** A destination told to wait until that moment, us. */
-  void waits(long destination, long untilUs);
+  void onRetryAfter(long destination, long untilUs);
 
   /** A destination told how many calls a second it takes from all couriers. */
-  void limited(long destination, double perSecond);
+  void onRateLimit(long destination, double perSecond);
 
   /**
    * A destination was found out here, or was found serving after it was; not by somebody else's
    * word.
    */
-  void turned(long destination, boolean isOut);
+  void onOutageChanged(long destination, boolean isOut);
 
   /**
    * An operator left an endpoint out here, or lets it serve again.
@@ -31,5 +31,5 @@
    * @throws IOException if that cannot be put down: then the operator is told so, and nothing has
    *     changed
    */
-  void maintained(String endpoint, boolean leaveOut) throws IOException;
+  void onEndpointDisabled(String endpoint, boolean leaveOut) throws IOException;
 }
--- a/courier/src/main/java/thistleturn/courier/port/Held.java
+++ b/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
@@ -7,37 +7,37 @@
  * machine's monotonic clock, which all processes of one boot share): what its client handed in, and
  * what became of it so far. Once it has ended by a notice, only the notice is still owed.
  */
-public final class Held {
+public final class StoredMessage {
   /** A moment that never comes. */
   public static final long NEVER = Long.MAX_VALUE;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private final String id;
   private final String className;
   private final String idempotencyKey;
   private final long destination;
-  private final long validUntilUs;
+  private final long deadlineUs;
   private byte[] body;
   private int attempts;
   private long firstRunUs = NEVER;
   private String runZone = "";
 
   /** When the attempt that is out was begun; never, while none is. */
-  private long outUs = NEVER;
+  private long attemptStartedUs = NEVER;
 
-  private String outZone = "";
-  private Notice notice;
-  private Way way;
+  private String attemptZone = "";
+  private FinalOutcome finalOutcome;
+  private MessageTimeline timeline;
 
   /**
    * The end that the platform is told: a failure, or a refusal with the time after which to come
    * again.
    */
-  public record Notice(boolean failed, long againMs) {}
+  public record FinalOutcome(boolean failed, long retryAfterMs) {}
 
   /** What a client handed in; {@code idempotencyKey} may be null. */
-  public Held(
+  public StoredMessage(
       final String id,
       final String className,
       final String idempotencyKey,
@@ -48,7 +48,7 @@
     this.className = className;
     this.idempotencyKey = idempotencyKey;
     this.destination = destination;
-    this.validUntilUs = validUntilUs;
+    this.deadlineUs = validUntilUs;
     this.body = body;
   }
 
@@ -73,28 +73,28 @@
   }
 
   /** When its time is up, us. */
-  public long validUntilUs() {
-    return validUntilUs;
+  public long deadlineUs() {
+    return deadlineUs;
   }
 
   /** An attempt begins; the store has recorded it. */
-  public void begin(final long nowUs, final String zone) {
+  public void startAttempt(final long nowUs, final String zone) {
     attempts++;
-    outUs = nowUs;
-    outZone = zone;
+    attemptStartedUs = nowUs;
+    attemptZone = zone;
   }
 
   /** The attempt that was out has its outcome. */
-  public void settle(final boolean neverRan) {
-    if (!neverRan && outUs != NEVER) {
-      firstRunUs = Math.min(firstRunUs, outUs);
-      runZone = outZone;
+  public void endAttempt(final boolean neverRan) {
+    if (!neverRan && attemptStartedUs != NEVER) {
+      firstRunUs = Math.min(firstRunUs, attemptStartedUs);
+      runZone = attemptZone;
     }
-    outUs = NEVER;
+    attemptStartedUs = NEVER;
   }
 
   /** What an earlier process had recorded of its attempts. */
-  public void restore(final int attemptsUsed, final long firstRun, final String zone) {
+  public void restoreAttempts(final int attemptsUsed, final long firstRun, final String zone) {
     attempts = attemptsUsed;
     firstRunUs = firstRun;
     runZone = zone;
@@ -104,9 +104,9 @@
    * Only its notice is owed from now on, and that needs no body: many may wait while the platform
    * is away.
    */
-  public void owe(final Notice owed) {
-    notice = owed;
-    body = NOTHING;
+  public void end(final FinalOutcome owed) {
+    finalOutcome = owed;
+    body = EMPTY_BODY;
   }
 
   /** What its client handed in; empty once only its notice is owed. */
@@ -115,8 +115,8 @@
   }
 
   /** The end that is still to be told, or null. */
-  public Notice notice() {
-    return notice;
+  public FinalOutcome finalOutcome() {
+    return finalOutcome;
   }
 
   /** Attempts begun so far. */
@@ -135,36 +135,37 @@
   }
 
   /** True while an attempt is out. */
-  public boolean isOut() {
-    return outUs != NEVER;
+  public boolean hasAttemptInFlight() {
+    return attemptStartedUs != NEVER;
   }
 
   /** When the attempt that is out was begun. */
-  public long outUs() {
-    return outUs;
+  public long attemptStartedUs() {
+    return attemptStartedUs;
   }
 
   /** The zone of the attempt that is out. */
-  public String outZone() {
-    return outZone;
+  public String attemptZone() {
+    return attemptZone;
   }
 
   /**
    * What a process that did not see the attempts may count on. A call that was out may have run.
    */
-  public PriorAttempts past() {
-    final long firstUs = Math.min(firstRunUs, outUs);
+  public PriorAttempts priorAttempts() {
+    final long firstUs = Math.min(firstRunUs, attemptStartedUs);
     final boolean ran = firstUs != NEVER;
-    return new PriorAttempts(attempts, ran, ran ? firstUs : 0, isOut() ? outZone : runZone);
+    return new PriorAttempts(
+        attempts, ran, ran ? firstUs : 0, hasAttemptInFlight() ? attemptZone : runZone);
   }
 
   /** Its way through this process; null if an earlier one took it. */
-  public Way way() {
-    return way;
+  public MessageTimeline timeline() {
+    return timeline;
   }
 
   /** Begins its way. */
-  public void began(final Way begun) {
-    way = begun;
+  public void startTimeline(final MessageTimeline begun) {
+    timeline = begun;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/Layout.java
+++ b/courier/src/main/java/thistleturn/courier/shard/Layout.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import thistleturn.courier.journal.Journal;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.shards.ShardPlacement;
 
@@ -89,14 +89,14 @@
   }
 
   private void move(final int before, final int shards) throws IOException {
-    final Map<String, Held> held = new LinkedHashMap<>();
+    final Map<String, StoredMessage> held = new LinkedHashMap<>();
     for (final Journal journal : journals(before)) {
-      journal.live().forEach(one -> held.put(one.id(), one));
+      journal.pendingMessages().forEach(one -> held.put(one.id(), one));
       journal.close();
     }
     for (int shard = 0; shard < shards; shard++) {
       final int to = shard;
-      Journal.write(
+      Journal.rewrite(
           folder(shards, shard),
           diskBytes / shards,
           held.values().stream()
--- a/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
@@ -2,8 +2,9 @@
 
 import io.netty.channel.EventLoop;
 import java.util.List;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.decisions.model.MessageClass;
 import thistleturn.decisions.shards.ShardPlacement;
 
@@ -11,41 +12,41 @@
  * The desk of a front on one loop: a message goes to the loop that owns its destination, and its
  * answer comes back.
  */
-public final class ShardDesk implements Front.Desk {
+public final class ShardDesk implements IngressHandler {
   private final int own;
   private final List<EventLoop> loops;
-  private final List<? extends Front.Desk> desks;
+  private final List<? extends IngressHandler> desks;
 
   /**
    * {@code desks} are the shards' own, in the order of their loops; {@code own} is the one of this
    * front's loop.
    */
   public ShardDesk(
-      final int own, final List<EventLoop> loops, final List<? extends Front.Desk> desks) {
+      final int own, final List<EventLoop> loops, final List<? extends IngressHandler> desks) {
     this.own = own;
     this.loops = List.copyOf(loops);
     this.desks = List.copyOf(desks);
   }
 
   @Override
-  public MessageClass kind(final String className) {
-    return desks.get(own).kind(className);
+  public MessageClass messageClass(final String className) {
+    return desks.get(own).messageClass(className);
   }
 
   @Override
-  public boolean isOwn(final long destination) {
+  public boolean isAnsweredOnThisLoop(final long destination) {
     return ShardPlacement.shardOf(destination, desks.size()) == own;
   }
 
   @Override
-  public void offer(final Held held, final long validUntilUs, final Front.Reply reply) {
+  public void submit(final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
     final int shard = ShardPlacement.shardOf(held.destination(), desks.size());
     if (shard == own) {
-      desks.get(own).offer(held, validUntilUs, reply);
+      desks.get(own).submit(held, validUntilUs, reply);
     } else {
       loops
           .get(shard)
-          .execute(() -> desks.get(shard).offer(held, validUntilUs, new Returned(reply)));
+          .execute(() -> desks.get(shard).submit(held, validUntilUs, new Returned(reply)));
     }
   }
 
@@ -60,10 +61,10 @@
   }
 
   /** Takes an answer back to the loop of the connection that it belongs to. */
-  private final class Returned implements Front.Reply {
-    private final Front.Reply reply;
+  private final class Returned implements Ingress.Reply {
+    private final Ingress.Reply reply;
 
-    private Returned(final Front.Reply reply) {
+    private Returned(final Ingress.Reply reply) {
       this.reply = reply;
     }
 
@@ -73,8 +74,8 @@
     }
 
     @Override
-    public void refused(final Front.Refusal why, final long retryAfterUs) {
-      loops.get(own).execute(() -> reply.refused(why, retryAfterUs));
+    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
+      loops.get(own).execute(() -> reply.rejected(why, retryAfterUs));
     }
 
     @Override
@@ -83,8 +84,8 @@
     }
 
     @Override
-    public void unusable(final Front.Fault fault) {
-      loops.get(own).execute(() -> reply.unusable(fault));
+    public void invalid(final Ingress.InvalidReason fault) {
+      loops.get(own).execute(() -> reply.invalid(fault));
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.model.EndpointState;
@@ -17,7 +17,7 @@
 public final class SharedDirectory {
   private static final long FRESH_MS = 250;
 
-  private final Directory shared;
+  private final EndpointDirectory shared;
   private final EventLoop owner;
   private final List<View> views = new ArrayList<>();
 
@@ -28,7 +28,7 @@
 
   /** {@code shared} lives on {@code owner}; each other loop is a shard's. */
   public SharedDirectory(
-      final Directory shared, final EventLoop owner, final List<EventLoop> loops) {
+      final EndpointDirectory shared, final EventLoop owner, final List<EventLoop> loops) {
     this.shared = shared;
     this.owner = owner;
     for (final EventLoop loop : loops) {
@@ -37,7 +37,7 @@
   }
 
   /** What a shard follows. */
-  public Directory view(final int shard) {
+  public EndpointDirectory view(final int shard) {
     return views.get(shard);
   }
 
@@ -45,19 +45,19 @@
   public void start() {
     shared.start(this::told);
     owner.scheduleWithFixedDelay(
-        LoopTasks.guarded("freshness of the list", () -> fresh = shared.isFresh()),
+        LoopTasks.guarded("freshness of the list", () -> fresh = shared.isCurrent()),
         0,
         FRESH_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void told(final EndpointUpdate update, final List<Directory.Listing> listings) {
-    fresh = shared.isFresh();
-    final List<List<Directory.Listing>> parts = new ArrayList<>();
+  private void told(final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
+    fresh = shared.isCurrent();
+    final List<List<EndpointDirectory.Entry>> parts = new ArrayList<>();
     views.forEach(view -> parts.add(new ArrayList<>()));
-    for (final Directory.Listing listing : listings) {
+    for (final EndpointDirectory.Entry listing : listings) {
       final int shard = ShardPlacement.shardOf(listing.destination(), views.size());
-      final boolean gone = listing.condition() == EndpointState.GONE;
+      final boolean gone = listing.state() == EndpointState.GONE;
       final Integer before =
           gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
       if (before != null && before != shard) {
@@ -65,7 +65,7 @@
         parts
             .get(before)
             .add(
-                new Directory.Listing(
+                new EndpointDirectory.Entry(
                     listing.name(),
                     EndpointState.GONE,
                     listing.address(),
@@ -78,16 +78,16 @@
     }
     for (int shard = 0; shard < views.size(); shard++) {
       final View view = views.get(shard);
-      final List<Directory.Listing> part = parts.get(shard);
+      final List<EndpointDirectory.Entry> part = parts.get(shard);
       if ((update != EndpointUpdate.CHANGES && update != EndpointUpdate.SUPPLEMENT)
           || !part.isEmpty()) {
-        view.loop.execute(() -> view.listener.told(update, part));
+        view.loop.execute(() -> view.listener.onUpdate(update, part));
       }
     }
   }
 
   /** The directory as one shard sees it. */
-  private final class View implements Directory {
+  private final class View implements EndpointDirectory {
     private final EventLoop loop;
     private Listener listener;
 
@@ -101,12 +101,12 @@
     }
 
     @Override
-    public void follow() {
-      owner.execute(shared::follow);
+    public void requestUpdates() {
+      owner.execute(shared::requestUpdates);
     }
 
     @Override
-    public boolean isFresh() {
+    public boolean isCurrent() {
       return fresh;
     }
 
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.shard.Layout;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
@@ -69,9 +69,9 @@
       }
       world.endConnections();
       assertEquals(served + 2, calls(endpoints));
-      final Collection<Held> owed =
-          Layout.open(folder.resolve("state"), 1_000_000, 1).get(0).live();
-      assertEquals(List.of(1, 1), owed.stream().map(Held::attempts).toList());
+      final Collection<StoredMessage> owed =
+          Layout.open(folder.resolve("state"), 1_000_000, 1).get(0).pendingMessages();
+      assertEquals(List.of(1, 1), owed.stream().map(StoredMessage::attempts).toList());
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/ShardsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardsTest.java
@@ -176,7 +176,8 @@
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
     Files.writeString(state.resolve("shards.next"), "8\n");
-    Layout.open(state, 1_000_000, 3).forEach(journal -> assertTrue(journal.live().isEmpty()));
+    Layout.open(state, 1_000_000, 3)
+        .forEach(journal -> assertTrue(journal.pendingMessages().isEmpty()));
     assertFalse(Files.exists(state.resolve("shards-8")));
     // A kill after the commit, before the old ones were deleted.
     Files.createDirectories(state.resolve("shards-8/0"));
--- a/courier/src/test/java/thistleturn/courier/StartTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartTest.java
@@ -21,7 +21,7 @@
 import thistleturn.courier.CourierProcess.Extension;
 import thistleturn.courier.CourierProcess.Surroundings;
 import thistleturn.courier.handover.StateLock;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Config;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInWorld;
@@ -127,7 +127,8 @@
   /** A subsystem that throws when it is asked for its directory. */
   private static final class Broken implements Extension {
     @Override
-    public Directory directory(final Directory own, final Surroundings surroundings) {
+    public EndpointDirectory directory(
+        final EndpointDirectory own, final Surroundings surroundings) {
       throw new IllegalStateException("no registry");
     }
 
--- a/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.warm.LearntFile;
 import thistleturn.decisions.LearnedState;
@@ -29,7 +29,7 @@
   private static Inheritance.Named named(final long number, final int port) {
     return new Inheritance.Named(
         number,
-        new Directory.Listing(
+        new EndpointDirectory.Entry(
             "e" + number,
             EndpointState.LISTED,
             new InetSocketAddress("127.0.0.1", port),
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.AttemptResult;
 
@@ -96,14 +96,14 @@
     private int offers;
 
     @Override
-    public void offer(final Held held, final Front.Reply reply) {
+    public void offer(final StoredMessage held, final Ingress.Reply reply) {
       assertArrayEquals(new byte[] {1}, held.body());
       switch (offers++) {
         case 0 -> reply.accepted();
-        case 1 -> reply.refused(Front.Refusal.NO_ROOM, 1_000_000);
-        case 2 -> reply.refused(Front.Refusal.DECIDED, 0);
-        case 3 -> reply.unusable(Front.Fault.NO_DESTINATION);
-        case 4 -> reply.unusable(Front.Fault.HELD_ALREADY);
+        case 1 -> reply.rejected(Ingress.RejectionReason.NO_ROOM, 1_000_000);
+        case 2 -> reply.rejected(Ingress.RejectionReason.DECIDED, 0);
+        case 3 -> reply.invalid(Ingress.InvalidReason.NO_DESTINATION);
+        case 4 -> reply.invalid(Ingress.InvalidReason.HELD_ALREADY);
         default -> reply.failed();
       }
     }
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void remoteOutcome(final String messageId, final Carrier.Answer answer) {
+    public void remoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
       events.add("outcome " + messageId + " " + answer.result().neverExecuted());
     }
 
@@ -210,14 +210,14 @@
   }
 
   /** Notes how a client's message was answered. */
-  private record NotedReply(BlockingQueue<String> events) implements Front.Reply {
+  private record NotedReply(BlockingQueue<String> events) implements Ingress.Reply {
     @Override
     public void accepted() {
       events.add("accepted");
     }
 
     @Override
-    public void refused(final Front.Refusal why, final long retryAfterUs) {
+    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
       events.add("refused " + why.name() + " " + retryAfterUs);
     }
 
@@ -227,7 +227,7 @@
     }
 
     @Override
-    public void unusable(final Front.Fault fault) {
+    public void invalid(final Ingress.InvalidReason fault) {
       events.add("unusable " + fault.name());
     }
   }
@@ -256,14 +256,16 @@
 
       final Heir heir = serving.heir.get(PATIENCE_S, TimeUnit.SECONDS);
       final BlockingQueue<String> replies = new LinkedBlockingQueue<>();
-      final Held held = new Held("m1", "safe", null, 57, 4_000_000, new byte[] {1});
+      final StoredMessage held =
+          new StoredMessage("m1", "safe", null, 57, 4_000_000, new byte[] {1});
       loop.execute(
           () -> {
             for (int offer = 1; offer <= 6; offer++) {
               heir.offer(held, 5_000_000, new NotedReply(replies));
             }
             heir.withdraw("m1", 57);
-            heir.outcome(11, "m2", new Carrier.Answer(AttemptResult.NOT_SENT, false, 0, null));
+            heir.outcome(
+                11, "m2", new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, false, 0, null));
           });
       final List<String> expected = new ArrayList<>();
       for (int number = 1; number <= 6; number++) {
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -11,10 +11,10 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Directory;
-import thistleturn.courier.port.Front;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Json;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.AttemptResult;
@@ -40,8 +40,8 @@
               + "\"ids\":[\"m1\",\"m2\"]}",
           "{\"t\":\"yours\"}");
 
-  private static Directory.Listing listing(final EndpointState condition) {
-    return new Directory.Listing(
+  private static EndpointDirectory.Entry listing(final EndpointState condition) {
+    return new EndpointDirectory.Entry(
         "e-1", condition, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
   }
 
@@ -98,15 +98,15 @@
         "{\"t\":\"offer\",\"number\":3,\"id\":\"m1\",\"class\":\"keyed\",\"key\":\"key-1\","
             + "\"dest\":57,\"valid\":5000000,\"body\":\"AQL/\"}";
     final byte[] body = {1, 2, (byte) 0xFF};
-    final Held held = new Held("m1", "keyed", "key-1", 57, 4_000_000, body);
+    final StoredMessage held = new StoredMessage("m1", "keyed", "key-1", 57, 4_000_000, body);
     assertEquals(line, Json.text(Wire.offer(3, held, 5_000_000)));
 
-    final Held read = Wire.held(Json.read(line));
+    final StoredMessage read = Wire.held(Json.read(line));
     assertEquals("m1", read.id());
     assertEquals("keyed", read.className());
     assertEquals("key-1", read.idempotencyKey());
     assertEquals(57, read.destination());
-    assertEquals(5_000_000, read.validUntilUs());
+    assertEquals(5_000_000, read.deadlineUs());
     assertArrayEquals(body, read.body());
   }
 
@@ -115,7 +115,7 @@
     final String line =
         "{\"t\":\"offer\",\"number\":4,\"id\":\"m2\",\"class\":\"safe\",\"key\":null,"
             + "\"dest\":57,\"valid\":5000000,\"body\":\"\"}";
-    final Held held = new Held("m2", "safe", null, 57, 4_000_000, new byte[0]);
+    final StoredMessage held = new StoredMessage("m2", "safe", null, 57, 4_000_000, new byte[0]);
     assertEquals(line, Json.text(Wire.offer(4, held, 5_000_000)));
     assertNull(Wire.held(Json.read(line)).idempotencyKey());
   }
@@ -125,8 +125,9 @@
     final String line =
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"REFUSED\",\"over\":false,"
             + "\"wait\":2000000,\"left\":0.5,\"limit\":40.0}";
-    final Carrier.Answer answer =
-        new Carrier.Answer(AttemptResult.REFUSED, false, 2_000_000, new LoadReport(0.5, 40));
+    final Dispatcher.DispatchOutcome answer =
+        new Dispatcher.DispatchOutcome(
+            AttemptResult.REFUSED, false, 2_000_000, new LoadReport(0.5, 40));
     assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
     assertEquals(answer, Wire.answer(Json.read(line)));
   }
@@ -136,7 +137,8 @@
     final String line =
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"DELIVERED\",\"over\":true,"
             + "\"wait\":0}";
-    final Carrier.Answer answer = new Carrier.Answer(AttemptResult.DELIVERED, true, 0, null);
+    final Dispatcher.DispatchOutcome answer =
+        new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null);
     assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
     assertEquals(answer, Wire.answer(Json.read(line)));
   }
@@ -156,7 +158,8 @@
             "STALE");
     final List<String> written = new ArrayList<>();
     for (final AttemptResult result : AttemptResult.values()) {
-      final Carrier.Answer answer = new Carrier.Answer(result, true, 0, null);
+      final Dispatcher.DispatchOutcome answer =
+          new Dispatcher.DispatchOutcome(result, true, 0, null);
       written.add(Wire.outcome(1, "m1", answer).path("result").asText());
     }
     assertEquals(names, written);
@@ -178,7 +181,7 @@
               List.of());
       final List<String> lines = Wire.lines(one);
       written.add(Json.read(lines.get(0)).path("condition").asText());
-      assertEquals(condition, Wire.read(lines).endpoints().get(0).listing().condition());
+      assertEquals(condition, Wire.read(lines).endpoints().get(0).listing().state());
     }
     assertEquals(List.of("LISTED", "DRAINING", "GONE"), written);
   }
@@ -187,9 +190,9 @@
   void reasonsOfRefusalsAreWrittenByTheseNames() {
     assertEquals(
         List.of("NO_ROOM", "DECIDED"),
-        Arrays.stream(Front.Refusal.values()).map(Enum::name).toList());
+        Arrays.stream(Ingress.RejectionReason.values()).map(Enum::name).toList());
     assertEquals(
         List.of("NO_DESTINATION", "HELD_ALREADY"),
-        Arrays.stream(Front.Fault.values()).map(Enum::name).toList());
+        Arrays.stream(Ingress.InvalidReason.values()).map(Enum::name).toList());
   }
 }
