--- a/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
@@ -63,8 +63,9 @@
   private HttpStandIn server;
   private HttpCarrier carrier;
 
-  private record Waiting(Held held, long timeoutUs, long goesUntilUs, long validUntilUs)
-      implements Carrier.Parcel {}
+  private record Waiting(
+      StoredMessage message, long timeoutUs, long latestSendUs, long messageDeadlineUs)
+      implements Dispatcher.Attempt {}
 
   private SelectStrategyFactory counting(final LoopTurns its) {
     return () -> {
@@ -119,21 +120,23 @@
                 "127.0.0.1:1",
                 "{\"seq\":1,\"whole\":true,\"hosts\":[]}",
                 CourierFiles.Size.usual()));
-    final Carrier.Listener listener =
-        new Carrier.Listener() {
+    final Dispatcher.Listener listener =
+        new Dispatcher.Listener() {
           @Override
-          public void outcome(
-              final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
+          public void onOutcome(
+              final Dispatcher.Attempt parcel,
+              final Dispatcher.Call call,
+              final Dispatcher.DispatchOutcome answer) {
             told.add(answer.result());
           }
 
           @Override
-          public void toldToWait(final long endpoint, final long waitUs) {
+          public void onRetryAfter(final long endpoint, final long waitUs) {
             // Nobody here tells one.
           }
 
           @Override
-          public void written(final int messages) {
+          public void onMessagesWritten(final int messages) {
             // Told by the outcome.
           }
         };
@@ -141,7 +144,7 @@
             () -> {
               carrier =
                   new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-              carrier.listed(
+              carrier.updateEndpoint(
                   new Endpoint(1, EndpointState.LISTED, "a", 0, 0, 1),
                   false,
                   new InetSocketAddress("127.0.0.1", server.port()));
@@ -160,9 +163,9 @@
   }
 
   private void call(final String id, final long timeoutUs) throws Exception {
-    final Carrier.Parcel parcel =
+    final Dispatcher.Attempt parcel =
         new Waiting(
-            new Held(
+            new StoredMessage(
                 id,
                 "safe",
                 id,
@@ -224,9 +227,9 @@
       call("trail", 2 * SECOND_US);
       assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
       assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
-      final Carrier.Parcel next =
+      final Dispatcher.Attempt next =
           new Waiting(
-              new Held(
+              new StoredMessage(
                   "silent",
                   "safe",
                   "silent",
@@ -260,9 +263,9 @@
   @Test
   void aCallWhoseTimeIsUpBeforeItsFirstByteIsNotSent() throws Exception {
     for (int round = 0; round < 5; round++) {
-      final Carrier.Parcel late =
+      final Dispatcher.Attempt late =
           new Waiting(
-              new Held(
+              new StoredMessage(
                   "held",
                   "safe",
                   "held",
@@ -301,17 +304,18 @@
   void anAnswerThatIsReadAfterAMessagesTimeIsNoDelivery(final boolean several) throws Exception {
     final long nowUs = clock.nowUs();
     final long briefUs = nowUs + SECOND_US / 2;
-    final List<Carrier.Parcel> parcels = new ArrayList<>();
+    final List<Dispatcher.Attempt> parcels = new ArrayList<>();
     parcels.add(
         new Waiting(
-            new Held("held", "safe", "held", 1, briefUs, "held".getBytes(StandardCharsets.UTF_8)),
+            new StoredMessage(
+                "held", "safe", "held", 1, briefUs, "held".getBytes(StandardCharsets.UTF_8)),
             5 * SECOND_US,
             Long.MAX_VALUE,
             briefUs));
     if (several) {
       parcels.add(
           new Waiting(
-              new Held(
+              new StoredMessage(
                   "patient",
                   "safe",
                   "patient",
@@ -334,14 +338,15 @@
             },
             loop)
         .get(PATIENCE_S, TimeUnit.SECONDS);
-    for (final Carrier.Parcel parcel : parcels) {
+    for (final Dispatcher.Attempt parcel : parcels) {
       assertEquals(
-          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.held().id());
+          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.message().id());
     }
   }
 
   /** Closes what is kept, so that the next call needs a connection of its own. */
   private void carrierIdle() throws Exception {
-    CompletableFuture.runAsync(() -> carrier.closeIdle(1), loop).get(PATIENCE_S, TimeUnit.SECONDS);
+    CompletableFuture.runAsync(() -> carrier.closeIdleConnections(1), loop)
+        .get(PATIENCE_S, TimeUnit.SECONDS);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -6,26 +6,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
 
 /** The exact requests by which endpoints are called. */
 final class EndpointCallBytesTest {
-  private static final Held KEYED =
-      new Held("m1", "keyed", "key-1", 57, 9_000_000, new byte[] {'h', 'i', (byte) 0xFF});
-  private static final Held NOT_KEYED = new Held("m2", "safe", null, 57, 9_000_000, new byte[0]);
+  private static final StoredMessage KEYED =
+      new StoredMessage("m1", "keyed", "key-1", 57, 9_000_000, new byte[] {'h', 'i', (byte) 0xFF});
+  private static final StoredMessage NOT_KEYED =
+      new StoredMessage("m2", "safe", null, 57, 9_000_000, new byte[0]);
 
   /** One message's part in a call that gives up after two and a half seconds. */
-  private record Part(Held held) implements Carrier.Parcel {
+  private record Part(StoredMessage message) implements Dispatcher.Attempt {
     @Override
-    public long validUntilUs() {
-      return held.validUntilUs();
+    public long messageDeadlineUs() {
+      return message.deadlineUs();
     }
 
     @Override
-    public long goesUntilUs() {
+    public long latestSendUs() {
       return Long.MAX_VALUE;
     }
 
@@ -35,7 +36,7 @@
     }
   }
 
-  private static String request(final Held... messages) {
+  private static String request(final StoredMessage... messages) {
     final Endpoint endpoint = new Endpoint(4, EndpointState.LISTED, "a", 2.5, 0, 57);
     final HttpPool pool = new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
     final HttpCall call =
--- a/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.courier.port.Carrier;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Descriptors;
@@ -71,7 +71,8 @@
   private HttpStandIn server;
   private HttpCarrier carrier;
 
-  private record Late(Held held, long goesUntilUs, long validUntilUs) implements Carrier.Parcel {
+  private record Late(StoredMessage message, long latestSendUs, long messageDeadlineUs)
+      implements Dispatcher.Attempt {
     @Override
     public long timeoutUs() {
       return TIMEOUT_US;
@@ -102,24 +103,26 @@
                 "127.0.0.1:1",
                 "{\"seq\":1,\"whole\":true,\"hosts\":[]}",
                 CourierFiles.Size.usual()));
-    final Carrier.Listener listener =
-        new Carrier.Listener() {
+    final Dispatcher.Listener listener =
+        new Dispatcher.Listener() {
           @Override
-          public void outcome(
-              final Carrier.Parcel parcel, final Carrier.Call call, final Carrier.Answer answer) {
-            told.add(new Told(parcel.held().id(), answer.result()));
-            if (answer.waitUs() > 0) {
-              waits.add(answer.waitUs());
+          public void onOutcome(
+              final Dispatcher.Attempt parcel,
+              final Dispatcher.Call call,
+              final Dispatcher.DispatchOutcome answer) {
+            told.add(new Told(parcel.message().id(), answer.result()));
+            if (answer.retryAfterUs() > 0) {
+              waits.add(answer.retryAfterUs());
             }
           }
 
           @Override
-          public void toldToWait(final long endpoint, final long waitUs) {
+          public void onRetryAfter(final long endpoint, final long waitUs) {
             waits.add(waitUs);
           }
 
           @Override
-          public void written(final int messages) {
+          public void onMessagesWritten(final int messages) {
             // Told by the outcome.
           }
         };
@@ -141,19 +144,20 @@
   }
 
   private void list(final EndpointState condition) {
-    carrier.listed(
+    carrier.updateEndpoint(
         new Endpoint(1, condition, "a", 0, 0, DEST),
         false,
         new InetSocketAddress("127.0.0.1", server.port()));
   }
 
-  private Carrier.Parcel parcel(final String id, final long goesUntilUs) {
+  private Dispatcher.Attempt parcel(final String id, final long goesUntilUs) {
     return parcel(id, goesUntilUs, clock.nowUs() + 9 * SECOND_US);
   }
 
-  private Carrier.Parcel parcel(final String id, final long goesUntilUs, final long validUntilUs) {
+  private Dispatcher.Attempt parcel(
+      final String id, final long goesUntilUs, final long validUntilUs) {
     return new Late(
-        new Held(id, "keyed", id, DEST, validUntilUs, id.getBytes(StandardCharsets.UTF_8)),
+        new StoredMessage(id, "keyed", id, DEST, validUntilUs, id.getBytes(StandardCharsets.UTF_8)),
         goesUntilUs,
         validUntilUs);
   }
@@ -162,7 +166,8 @@
    * Makes a call, and holds the loop up after that until the given moment: the connection is used
    * after it.
    */
-  private void call(final long heldUpUntilUs, final Carrier.Parcel... parcels) throws Exception {
+  private void call(final long heldUpUntilUs, final Dispatcher.Attempt... parcels)
+      throws Exception {
     CompletableFuture.runAsync(
             () -> {
               carrier.start(carrier.prepare(1, List.of(parcels)));
@@ -249,7 +254,7 @@
             () -> {
               carrier.start(carrier.prepare(1, List.of(parcel("late", Long.MAX_VALUE))));
               if (gone) {
-                carrier.removed(1);
+                carrier.removeEndpoint(1);
               } else {
                 list(EndpointState.DRAINING);
               }
@@ -270,11 +275,11 @@
    */
   @Test
   void aWaitThatIsToldToACallThatIsGivenUpIsHeeded() throws Exception {
-    final Carrier.Parcel parcel = parcel("open", Long.MAX_VALUE);
-    final Carrier.Call call =
+    final Dispatcher.Attempt parcel = parcel("open", Long.MAX_VALUE);
+    final Dispatcher.Call call =
         CompletableFuture.supplyAsync(
                 () -> {
-                  final Carrier.Call made = carrier.prepare(1, List.of(parcel));
+                  final Dispatcher.Call made = carrier.prepare(1, List.of(parcel));
                   carrier.start(made);
                   return made;
                 },
--- a/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
@@ -19,14 +19,15 @@
 import java.util.function.LongUnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 
 /**
  * The exact bytes of the journal. The next version of the courier reads what this one has written,
  * so a change that alters any of these bytes must not pass unnoticed.
  */
 final class JournalBytesTest {
-  private static final Records.Stamp STAMP = new Records.Stamp(1_000_000, 1_700_000_000_000_000L);
+  private static final JournalRecords.BatchTimestamps STAMP =
+      new JournalRecords.BatchTimestamps(1_000_000, 1_700_000_000_000_000L);
   private static final String GENERATION_7_HEADER_HEX = "54544a4f55524e32" + "0000000000000007";
   private static final String FILE_HEX =
       """
@@ -46,29 +47,30 @@
     return HexFormat.of().parseHex(joined(hexLines));
   }
 
-  private static Held keyed(final String id) {
-    return new Held(id, "keyed", "key-\u00e9", 7, 5_000_000, new byte[] {1, 2, (byte) 0xFF});
+  private static StoredMessage keyed(final String id) {
+    return new StoredMessage(
+        id, "keyed", "key-\u00e9", 7, 5_000_000, new byte[] {1, 2, (byte) 0xFF});
   }
 
-  private static String batchHex(final Records records) {
-    final ByteBuffer batch = records.batch(STAMP);
+  private static String batchHex(final JournalRecords records) {
+    final ByteBuffer batch = records.toBatch(STAMP);
     final byte[] bytes = new byte[batch.remaining()];
     batch.get(bytes);
     return HexFormat.of().formatHex(bytes);
   }
 
   /** Applies a batch, without its length and checksum, to messages. */
-  private static void apply(final String hexLines, final Map<String, Held> messages) {
+  private static void apply(final String hexLines, final Map<String, StoredMessage> messages) {
     final byte[] all = bytes(hexLines);
     final ByteBuffer content =
         ByteBuffer.wrap(all)
-            .slice(JournalFile.BATCH_HEAD_BYTES, all.length - JournalFile.BATCH_HEAD_BYTES);
-    assertEquals(STAMP, Records.stamp(content));
-    Records.apply(content, messages, LongUnaryOperator.identity());
+            .slice(JournalFile.BATCH_HEADER_BYTES, all.length - JournalFile.BATCH_HEADER_BYTES);
+    assertEquals(STAMP, JournalRecords.readTimestamps(content));
+    JournalRecords.apply(content, messages, LongUnaryOperator.identity());
   }
 
-  private static Map<String, Held> messagesWith(final Held held) {
-    final Map<String, Held> messages = new LinkedHashMap<>();
+  private static Map<String, StoredMessage> messagesWith(final StoredMessage held) {
+    final Map<String, StoredMessage> messages = new LinkedHashMap<>();
     messages.put(held.id(), held);
     return messages;
   }
@@ -81,19 +83,19 @@
         65792dc3a9000000000000000700000000004c4b40000000030102ff0000000200000000003d0900
         00067a6f6e652d62
         """;
-    final Held held = keyed("m1");
-    held.restore(2, 4_000_000, "zone-b");
-    final Records records = new Records();
-    records.taken(held);
+    final StoredMessage held = keyed("m1");
+    held.restoreAttempts(2, 4_000_000, "zone-b");
+    final JournalRecords records = new JournalRecords();
+    records.addAccepted(held);
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = new LinkedHashMap<>();
+    final Map<String, StoredMessage> messages = new LinkedHashMap<>();
     apply(hexLines, messages);
-    final Held read = messages.get("m1");
+    final StoredMessage read = messages.get("m1");
     assertEquals("keyed", read.className());
     assertEquals("key-\u00e9", read.idempotencyKey());
     assertEquals(7, read.destination());
-    assertEquals(5_000_000, read.validUntilUs());
+    assertEquals(5_000_000, read.deadlineUs());
     assertArrayEquals(new byte[] {1, 2, (byte) 0xFF}, read.body());
     assertEquals(2, read.attempts());
     assertEquals(4_000_000, read.firstRunUs());
@@ -107,14 +109,14 @@
         000000000000000000000000000f424000060a24181e40000100026d320004736166650000000000
         00000000000800000000004c4b4000000000000000007fffffffffffffff0000
         """;
-    final Records records = new Records();
-    records.taken(new Held("m2", "safe", null, 8, 5_000_000, new byte[0]));
+    final JournalRecords records = new JournalRecords();
+    records.addAccepted(new StoredMessage("m2", "safe", null, 8, 5_000_000, new byte[0]));
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = new LinkedHashMap<>();
+    final Map<String, StoredMessage> messages = new LinkedHashMap<>();
     apply(hexLines, messages);
     assertNull(messages.get("m2").idempotencyKey());
-    assertEquals(Held.NEVER, messages.get("m2").firstRunUs());
+    assertEquals(StoredMessage.NEVER, messages.get("m2").firstRunUs());
   }
 
   @Test
@@ -124,15 +126,15 @@
         000000000000000000000000000f424000060a24181e40000200026d3100000000002dc6c000067a
         6f6e652d61
         """;
-    final Records records = new Records();
-    records.begun("m1", 3_000_000, "zone-a");
+    final JournalRecords records = new JournalRecords();
+    records.addAttemptStarted("m1", 3_000_000, "zone-a");
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = messagesWith(keyed("m1"));
+    final Map<String, StoredMessage> messages = messagesWith(keyed("m1"));
     apply(hexLines, messages);
-    assertTrue(messages.get("m1").isOut());
-    assertEquals(3_000_000, messages.get("m1").outUs());
-    assertEquals("zone-a", messages.get("m1").outZone());
+    assertTrue(messages.get("m1").hasAttemptInFlight());
+    assertEquals(3_000_000, messages.get("m1").attemptStartedUs());
+    assertEquals("zone-a", messages.get("m1").attemptZone());
   }
 
   @Test
@@ -141,15 +143,15 @@
         """
         000000000000000000000000000f424000060a24181e40000300026d3101
         """;
-    final Records records = new Records();
-    records.settled("m1", true);
+    final JournalRecords records = new JournalRecords();
+    records.addAttemptOutcome("m1", true);
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Held held = keyed("m1");
-    held.begin(3_000_000, "zone-a");
+    final StoredMessage held = keyed("m1");
+    held.startAttempt(3_000_000, "zone-a");
     apply(hexLines, messagesWith(held));
-    assertFalse(held.isOut());
-    assertEquals(Held.NEVER, held.firstRunUs());
+    assertFalse(held.hasAttemptInFlight());
+    assertEquals(StoredMessage.NEVER, held.firstRunUs());
   }
 
   @Test
@@ -158,13 +160,13 @@
         """
         000000000000000000000000000f424000060a24181e40000400026d310000000000000002bc
         """;
-    final Records records = new Records();
-    records.owed("m1", new Held.Notice(false, 700));
+    final JournalRecords records = new JournalRecords();
+    records.addFinalOutcome("m1", new StoredMessage.FinalOutcome(false, 700));
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = messagesWith(keyed("m1"));
+    final Map<String, StoredMessage> messages = messagesWith(keyed("m1"));
     apply(hexLines, messages);
-    assertEquals(new Held.Notice(false, 700), messages.get("m1").notice());
+    assertEquals(new StoredMessage.FinalOutcome(false, 700), messages.get("m1").finalOutcome());
   }
 
   @Test
@@ -173,11 +175,11 @@
         """
         000000000000000000000000000f424000060a24181e40000500026d31
         """;
-    final Records records = new Records();
-    records.over("m1");
+    final JournalRecords records = new JournalRecords();
+    records.addCompleted("m1");
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = messagesWith(keyed("m1"));
+    final Map<String, StoredMessage> messages = messagesWith(keyed("m1"));
     apply(hexLines, messages);
     assertEquals(Map.of(), messages);
   }
@@ -191,18 +193,18 @@
         65792dc3a9000000000000000700000000004c4b4000000000000000007fffffffffffffff000002
         00026d3100000000002dc6c000067a6f6e652d610400026d31010000000000000000
         """;
-    final Held held = keyed("m1");
-    held.begin(3_000_000, "zone-a");
-    held.owe(new Held.Notice(true, 0));
-    final Records records = new Records();
-    records.whole(held);
+    final StoredMessage held = keyed("m1");
+    held.startAttempt(3_000_000, "zone-a");
+    held.end(new StoredMessage.FinalOutcome(true, 0));
+    final JournalRecords records = new JournalRecords();
+    records.addSnapshot(held);
     assertEquals(joined(hexLines), batchHex(records));
 
-    final Map<String, Held> messages = new LinkedHashMap<>();
+    final Map<String, StoredMessage> messages = new LinkedHashMap<>();
     apply(hexLines, messages);
     assertEquals(1, messages.get("m1").attempts());
-    assertTrue(messages.get("m1").isOut());
-    assertEquals(new Held.Notice(true, 0), messages.get("m1").notice());
+    assertTrue(messages.get("m1").hasAttemptInFlight());
+    assertEquals(new StoredMessage.FinalOutcome(true, 0), messages.get("m1").finalOutcome());
   }
 
   /** Magic number and generation; then for each batch its length, checksum, clocks and records. */
@@ -212,12 +214,12 @@
     final List<ByteBuffer> found = new ArrayList<>();
     final JournalFile file = JournalFile.open(folder, found::add);
     assertNotNull(file);
-    final Records records = new Records();
-    records.taken(keyed("m1"));
-    file.append(records.batch(STAMP));
+    final JournalRecords records = new JournalRecords();
+    records.addAccepted(keyed("m1"));
+    file.append(records.toBatch(STAMP));
     records.clear();
-    records.begun("m1", 3_000_000, "zone-a");
-    file.append(records.batch(STAMP));
+    records.addAttemptStarted("m1", 3_000_000, "zone-a");
+    file.append(records.toBatch(STAMP));
     file.close();
     assertEquals(List.of(), found);
     assertEquals(
@@ -228,11 +230,11 @@
   void fileWithTheseBytesIsReadBack() throws IOException {
     Files.write(folder.resolve("journal"), bytes(FILE_HEX));
     try (Journal journal = Journal.open(folder, 100_000)) {
-      final List<Held> live = List.copyOf(journal.live());
+      final List<StoredMessage> live = List.copyOf(journal.pendingMessages());
       assertEquals(1, live.size());
       assertEquals("m1", live.get(0).id());
       assertEquals("key-\u00e9", live.get(0).idempotencyKey());
-      assertTrue(live.get(0).isOut());
+      assertTrue(live.get(0).hasAttemptInFlight());
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -18,8 +18,8 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.port.Held;
-import thistleturn.courier.port.Store;
+import thistleturn.courier.port.MessageStore;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.model.PriorAttempts;
 
@@ -29,13 +29,13 @@
 
   @TempDir private Path folder;
 
-  private static Held held(final String id, final int bytes) {
-    return new Held(id, "keyed", "key-" + id, 7, 5_000_000, new byte[bytes]);
+  private static StoredMessage message(final String id, final int bytes) {
+    return new StoredMessage(id, "keyed", "key-" + id, 7, 5_000_000, new byte[bytes]);
   }
 
-  private List<Held> reopened() throws IOException {
+  private List<StoredMessage> reopen() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      return List.copyOf(journal.live());
+      return List.copyOf(journal.pendingMessages());
     }
   }
 
@@ -43,104 +43,107 @@
    * What is owed only a notice makes room, and the same id does not count twice while that is so.
    */
   @Test
-  void aTrimThatFailsLeavesTheJournalClosedAndWhole() throws IOException {
+  void failedCompactionOnCloseLeavesJournalComplete() throws IOException {
     final Journal journal = Journal.open(folder, DISK_BYTES);
-    assertTrue(journal.take(held("m1", 100)));
+    assertTrue(journal.recordAccepted(message("m1", 100)));
     // The trimmed file cannot be made where a folder of its name stands.
     Files.createDirectory(folder.resolve("journal.next"));
-    journal.closeTrimmed();
-    assertEquals(List.of("m1"), reopened().stream().map(Held::id).toList());
+    journal.compactAndClose();
+    assertEquals(List.of("m1"), reopen().stream().map(StoredMessage::id).toList());
   }
 
   @Test
-  void aNoticeThatIsOwedTakesNoRoomForItsBody() throws IOException {
+  void finalOutcomeReservesNoSpaceForTheBody() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       for (int count = 0; count < 30; count++) {
-        final Held held = held("m" + count, 10_000);
-        assertTrue(journal.take(held), "message " + count);
-        journal.owe(held, new Held.Notice(true, 0));
-        assertFalse(journal.take(held("m" + count, 10)), "its id is not free yet");
+        final StoredMessage held = message("m" + count, 10_000);
+        assertTrue(journal.recordAccepted(held), "message " + count);
+        journal.recordFinalOutcome(held, new StoredMessage.FinalOutcome(true, 0));
+        assertFalse(journal.recordAccepted(message("m" + count, 10)), "its id is not free yet");
       }
     }
-    assertEquals(30, reopened().size());
+    assertEquals(30, reopen().size());
     assertTrue(
-        reopened().stream().allMatch(held -> held.notice().failed() && held.body().length == 0));
+        reopen().stream()
+            .allMatch(held -> held.finalOutcome().failed() && held.body().length == 0));
   }
 
   /** A full disk for a moment: what could not be written then is written with the next record. */
   @Test
-  void whatCouldNotBeWrittenIsMadeUpFor() throws IOException {
+  void unwrittenRecordsAreWrittenByTheNextSuccessfulFlush() throws IOException {
     final Path blocked = folder.resolve("journal.next");
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      final Held first = held("first", 10_000);
-      final Held second = held("second", 10_000);
-      assertTrue(journal.take(first) && journal.take(second));
+      final StoredMessage first = message("first", 10_000);
+      final StoredMessage second = message("second", 10_000);
+      assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second));
       // The next compaction cannot make its file.
       Files.createDirectory(blocked);
       Files.createFile(blocked.resolve("in-the-way"));
       int attempts = 0;
-      while (journal.flush() == Store.Flush.SAFE) {
-        journal.begin(second, 1000, "zone".repeat(500));
-        journal.settle(second, true);
+      while (journal.flush() == MessageStore.FlushResult.DURABLE) {
+        journal.recordAttemptStarted(second, 1000, "zone".repeat(500));
+        journal.recordAttemptOutcome(second, true);
         attempts++;
       }
       assertTrue(attempts > 1);
       assertFalse(journal.isWritable());
       assertFalse(
-          journal.take(held("third", 10)), "nothing is taken on that cannot be written down");
-      journal.over(first);
+          journal.recordAccepted(message("third", 10)),
+          "nothing is taken on that cannot be written down");
+      journal.recordCompleted(first);
       Files.delete(blocked.resolve("in-the-way"));
       Files.delete(blocked);
-      journal.begin(second, 2000, "b");
-      assertEquals(Store.Flush.SAFE, journal.flush());
+      journal.recordAttemptStarted(second, 2000, "b");
+      assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
       assertTrue(journal.isWritable());
     }
-    assertEquals(List.of("second"), reopened().stream().map(held -> held.id()).toList());
+    assertEquals(List.of("second"), reopen().stream().map(held -> held.id()).toList());
   }
 
   @Test
-  void keepsWhatIsOwedAndForgetsWhatIsOver() throws IOException {
+  void reopenRestoresPendingAndDropsCompletedMessages() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      final Held sent = new Held("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
-      final Held over = held("over", 3);
-      final Held ended = held("ended", 3);
-      Stream.of(sent, over, ended).forEach(one -> assertTrue(journal.take(one)));
-      journal.begin(sent, 1000, "a");
-      journal.settle(sent, true);
-      journal.begin(sent, 2000, "b");
-      journal.over(over);
-      journal.owe(ended, new Held.Notice(false, 700));
+      final StoredMessage sent =
+          new StoredMessage("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
+      final StoredMessage over = message("over", 3);
+      final StoredMessage ended = message("ended", 3);
+      Stream.of(sent, over, ended).forEach(one -> assertTrue(journal.recordAccepted(one)));
+      journal.recordAttemptStarted(sent, 1000, "a");
+      journal.recordAttemptOutcome(sent, true);
+      journal.recordAttemptStarted(sent, 2000, "b");
+      journal.recordCompleted(over);
+      journal.recordFinalOutcome(ended, new StoredMessage.FinalOutcome(false, 700));
     }
-    final List<Held> live = reopened();
+    final List<StoredMessage> live = reopen();
     assertEquals(List.of("sent", "ended"), live.stream().map(one -> one.id()).toList());
-    final Held sent = live.get(0);
+    final StoredMessage sent = live.get(0);
     assertArrayEquals(new byte[] {1, 2, 3}, sent.body());
     assertEquals("k", sent.idempotencyKey());
-    final PriorAttempts past = sent.past();
+    final PriorAttempts past = sent.priorAttempts();
     assertEquals(2, past.attempts());
     assertTrue(past.mayHaveExecuted(), "the attempt that was out may have run");
     assertEquals("b", past.executionZone());
     assertEquals(2000, past.firstExecutionUs(), "the refused attempt before does not count");
-    assertEquals(new Held.Notice(false, 700), live.get(1).notice());
+    assertEquals(new StoredMessage.FinalOutcome(false, 700), live.get(1).finalOutcome());
   }
 
   @Test
-  void aTornTailIsCutAndWhatStandsBeforeItIsKept() throws IOException {
+  void truncatedTailIsDroppedAndEarlierBatchesSurvive() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("whole", 50)));
-      assertEquals(Store.Flush.SAFE, journal.flush());
-      assertTrue(journal.take(held("torn", 50)));
+      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
+      assertTrue(journal.recordAccepted(message("torn", 50)));
     }
     final Path file = folder.resolve("journal");
     final byte[] all = Files.readAllBytes(file);
     for (int cut = 1; cut < 60; cut++) {
       Files.write(file, Arrays.copyOf(all, all.length - cut));
-      assertEquals(List.of("whole"), reopened().stream().map(one -> one.id()).toList());
+      assertEquals(List.of("whole"), reopen().stream().map(one -> one.id()).toList());
     }
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("next", 50)));
+      assertTrue(journal.recordAccepted(message("next", 50)));
     }
-    assertEquals(List.of("whole", "next"), reopened().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("whole", "next"), reopen().stream().map(one -> one.id()).toList());
   }
 
   /**
@@ -148,23 +151,26 @@
    * state that ever was.
    */
   @Test
-  void aBatchIsReadBackWholeOrNotAtAll() throws IOException {
+  void batchIsReadCompleteOrNotAtAll() throws IOException {
     final Path file = folder.resolve("journal");
     final int before;
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("whole", 50)));
-      assertEquals(Store.Flush.SAFE, journal.flush());
+      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
       before = (int) Files.size(file);
-      assertTrue(journal.take(held("first", 50)) && journal.take(held("second", 50)));
+      assertTrue(
+          journal.recordAccepted(message("first", 50))
+              && journal.recordAccepted(message("second", 50)));
     }
     final byte[] all = Files.readAllBytes(file);
     for (int length = before; length < all.length; length++) {
       Files.write(file, Arrays.copyOf(all, length));
       assertEquals(
-          List.of("whole"), reopened().stream().map(Held::id).toList(), "cut to " + length);
+          List.of("whole"), reopen().stream().map(StoredMessage::id).toList(), "cut to " + length);
     }
     Files.write(file, all);
-    assertEquals(List.of("whole", "first", "second"), reopened().stream().map(Held::id).toList());
+    assertEquals(
+        List.of("whole", "first", "second"), reopen().stream().map(StoredMessage::id).toList());
   }
 
   /**
@@ -172,26 +178,26 @@
    * for one.
    */
   @Test
-  void bytesOfAnotherFileAreNoBatch() throws IOException {
+  void batchOfAnotherGenerationIsIgnored() throws IOException {
     final Path file = folder.resolve("journal");
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("own", 50)));
+      assertTrue(journal.recordAccepted(message("own", 50)));
     }
     final byte[] own = Files.readAllBytes(file);
     Files.delete(file);
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("foreign", 50)));
+      assertTrue(journal.recordAccepted(message("foreign", 50)));
     }
     final byte[] foreign = Files.readAllBytes(file);
     final byte[] both = Arrays.copyOf(own, own.length + foreign.length);
     System.arraycopy(foreign, 0, both, own.length, foreign.length);
     Files.write(file, both);
-    assertEquals(List.of("own"), reopened().stream().map(Held::id).toList());
+    assertEquals(List.of("own"), reopen().stream().map(StoredMessage::id).toList());
   }
 
   /** The journal of the version before this one: single records, moments of the wall clock. */
   @Test
-  void theEarlierFormatIsReadAndReplaced() throws IOException {
+  void legacyFormatIsReadAndReplaced() throws IOException {
     final Clock clock = new Clock();
     final long validWallUs = clock.wallUs() + 5_000_000;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -206,7 +212,7 @@
     record.writeInt(3);
     record.write(new byte[] {1, 2, 3});
     record.writeInt(2);
-    record.writeLong(Held.NEVER);
+    record.writeLong(StoredMessage.NEVER);
     record.writeUTF("");
     final CRC32C crc = new CRC32C();
     crc.update(bytes.toByteArray());
@@ -217,86 +223,90 @@
             .put(bytes.toByteArray());
     Files.write(folder.resolve("journal"), file.array());
     for (int time = 0; time < 2; time++) {
-      final Held held = reopened().get(0);
+      final StoredMessage held = reopen().get(0);
       assertEquals("old", held.id());
       assertEquals(2, held.attempts());
-      assertEquals(Held.NEVER, held.firstRunUs());
+      assertEquals(StoredMessage.NEVER, held.firstRunUs());
       assertEquals(
           (double) (clock.nowUs() + validWallUs - clock.wallUs()),
-          (double) held.validUntilUs(),
+          (double) held.deadlineUs(),
           1_000_000);
     }
   }
 
   @Test
-  void aRecordThatDoesNotMatchItsSumIsTheEnd() throws IOException {
+  void checksumMismatchEndsReading() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("whole", 50)));
-      assertEquals(Store.Flush.SAFE, journal.flush());
-      assertTrue(journal.take(held("spoilt", 50)));
+      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
+      assertTrue(journal.recordAccepted(message("spoilt", 50)));
     }
     final Path file = folder.resolve("journal");
     final byte[] all = Files.readAllBytes(file);
     all[all.length - 30] ^= 1;
     Files.write(file, all);
-    assertEquals(List.of("whole"), reopened().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("whole"), reopen().stream().map(one -> one.id()).toList());
   }
 
   @Test
-  void staysInsideItsDiskHoweverLongItRuns() throws IOException {
+  void diskUsageStaysBounded() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      final Held staying = held("staying", 500);
-      assertTrue(journal.take(staying));
-      journal.begin(staying, 3000, "a");
+      final StoredMessage staying = message("staying", 500);
+      assertTrue(journal.recordAccepted(staying));
+      journal.recordAttemptStarted(staying, 3000, "a");
       for (int round = 0; round < 2000; round++) {
-        final Held passing = held("m" + round, 200);
-        assertTrue(journal.take(passing));
-        journal.begin(passing, round, "a");
-        journal.settle(passing, false);
-        journal.over(passing);
-        assertEquals(Store.Flush.SAFE, journal.flush());
-        assertTrue(used() < DISK_BYTES / 2, "used: " + used());
+        final StoredMessage passing = message("m" + round, 200);
+        assertTrue(journal.recordAccepted(passing));
+        journal.recordAttemptStarted(passing, round, "a");
+        journal.recordAttemptOutcome(passing, false);
+        journal.recordCompleted(passing);
+        assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
+        assertTrue(usedBytes() < DISK_BYTES / 2, "used: " + usedBytes());
       }
     }
-    final List<Held> live = reopened();
+    final List<StoredMessage> live = reopen();
     assertEquals(List.of("staying"), live.stream().map(one -> one.id()).toList());
-    assertTrue(live.get(0).isOut(), "a compaction keeps the attempt that is out");
+    assertTrue(live.get(0).hasAttemptInFlight(), "a compaction keeps the attempt that is out");
   }
 
   @Test
-  void takesNothingOnWhenItIsFullButStillRecordsEnds() throws IOException {
+  void fullJournalRejectsMessagesButRecordsOutcomes() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       int taken = 0;
-      while (taken < 1000 && journal.take(held("m" + taken, 1000))) {
+      while (taken < 1000 && journal.recordAccepted(message("m" + taken, 1000))) {
         taken++;
       }
       assertTrue(taken > 10 && taken < 100, "taken: " + taken);
-      assertFalse(journal.take(held("late", 1000)));
-      for (final Held one : List.copyOf(journal.live())) {
+      assertFalse(journal.recordAccepted(message("late", 1000)));
+      for (final StoredMessage one : List.copyOf(journal.pendingMessages())) {
         for (int attempt = 0; attempt < 12; attempt++) {
-          journal.begin(one, attempt, "a");
-          journal.settle(one, true);
-          assertEquals(Store.Flush.SAFE, journal.flush(), "room for how messages fare is kept");
+          journal.recordAttemptStarted(one, attempt, "a");
+          journal.recordAttemptOutcome(one, true);
+          assertEquals(
+              MessageStore.FlushResult.DURABLE,
+              journal.flush(),
+              "room for how messages fare is kept");
         }
-        journal.owe(one, new Held.Notice(true, 0));
+        journal.recordFinalOutcome(one, new StoredMessage.FinalOutcome(true, 0));
       }
       assertTrue(
-          journal.take(held("later", 1000)), "a notice that is owed needs no room for a body");
-      assertTrue(used() < DISK_BYTES, "used: " + used());
+          journal.recordAccepted(message("later", 1000)),
+          "a notice that is owed needs no room for a body");
+      assertTrue(usedBytes() < DISK_BYTES, "used: " + usedBytes());
     }
   }
 
   @Test
-  void anUnfinishedCompactionIsDropped() throws IOException {
+  void unfinishedCompactionIsDropped() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.take(held("kept", 50)));
+      assertTrue(journal.recordAccepted(message("kept", 50)));
     }
     Files.write(folder.resolve("journal.next"), new byte[] {1, 2, 3}, StandardOpenOption.CREATE);
-    assertEquals(List.of("kept"), reopened().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("kept"), reopen().stream().map(one -> one.id()).toList());
     assertFalse(Files.exists(folder.resolve("journal.next")));
   }
 
-  private long used() throws IOException {
+  private long usedBytes() throws IOException {
     try (Stream<Path> files = Files.list(folder)) {
       return files.mapToLong(file -> file.toFile().length()).sum();
     }
--- a/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import thistleturn.courier.port.Held;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.LoopTurns;
 
@@ -37,9 +37,9 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private static Held ended(final String id, final Held.Notice notice) {
-    final Held held = new Held(id, "safe", null, 7, 5_000_000, new byte[] {1});
-    held.owe(notice);
+  private static StoredMessage ended(final String id, final StoredMessage.FinalOutcome notice) {
+    final StoredMessage held = new StoredMessage(id, "safe", null, 7, 5_000_000, new byte[] {1});
+    held.end(notice);
     return held;
   }
 
@@ -50,7 +50,7 @@
             + "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n"
             + "{\"id\":\"m2\",\"status\":\"deferred\",\"again_ms\":700}\n"
             + "{\"id\":\"m3\",\"status\":\"deferred\"}\n";
-    final CompletableFuture<List<Held>> confirmed = new CompletableFuture<>();
+    final CompletableFuture<List<StoredMessage>> confirmed = new CompletableFuture<>();
     try (ServerSocket platform = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
       final Notices notices =
           new Notices(
@@ -59,9 +59,9 @@
               clock,
               turns,
               confirmed::complete);
-      notices.add(ended("m1", new Held.Notice(true, 0)));
-      notices.add(ended("m2", new Held.Notice(false, 700)));
-      notices.add(ended("m3", new Held.Notice(false, 0)));
+      notices.enqueue(ended("m1", new StoredMessage.FinalOutcome(true, 0)));
+      notices.enqueue(ended("m2", new StoredMessage.FinalOutcome(false, 700)));
+      notices.enqueue(ended("m3", new StoredMessage.FinalOutcome(false, 0)));
       loops.next().execute(notices::flush);
       try (Socket connection = platform.accept()) {
         assertEquals(expected, read(connection, expected.length()));
@@ -70,7 +70,7 @@
             .write("HTTP/1.1 204 X\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals(
             List.of("m1", "m2", "m3"),
-            confirmed.get(20, TimeUnit.SECONDS).stream().map(Held::id).toList());
+            confirmed.get(20, TimeUnit.SECONDS).stream().map(StoredMessage::id).toList());
       }
     }
   }
--- a/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.handover.Inheritance;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
@@ -45,8 +45,8 @@
   }
 
   private static Inheritance learned() {
-    final Directory.Listing listing =
-        new Directory.Listing(
+    final EndpointDirectory.Entry listing =
+        new EndpointDirectory.Entry(
             "e-1",
             EndpointState.LISTED,
             new InetSocketAddress("127.0.0.1", 9001),
--- a/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
+++ b/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.handover.Inheritance;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
@@ -39,7 +39,7 @@
         List.of(
             new Inheritance.Named(
                 4,
-                new Directory.Listing(
+                new EndpointDirectory.Entry(
                     "s-1",
                     EndpointState.LISTED,
                     new InetSocketAddress("127.0.0.1", 9001),
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import thistleturn.courier.CourierProcess.Extension;
 import thistleturn.courier.CourierProcess.Surroundings;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Log;
 import thistleturn.eureka.EurekaRegistration;
 
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public Directory directory(final Directory own, final Surroundings given) {
+  public EndpointDirectory directory(final EndpointDirectory own, final Surroundings given) {
     surroundings = given;
     directory = new MergedDirectory(own, given, settings);
     return directory;
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.CourierProcess.Surroundings;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
@@ -36,7 +36,7 @@
  * Membership} and what that decides to the courier; it decides nothing itself. Runs on the event
  * loop.
  */
-final class MergedDirectory implements Directory {
+final class MergedDirectory implements EndpointDirectory {
   /** The platform's own list among the sources. */
   static final String OWN = "discovery";
 
@@ -44,7 +44,7 @@
   private static final long HEARD_MS = 1000;
   private static final long US_PER_MS = 1000;
 
-  private final Directory own;
+  private final EndpointDirectory own;
   private final EventLoop loop;
   private final Clock clock;
   private final Membership membership;
@@ -56,7 +56,9 @@
   private int nextRank = 1;
 
   MergedDirectory(
-      final Directory own, final Surroundings surroundings, final MembershipSettings settings) {
+      final EndpointDirectory own,
+      final Surroundings surroundings,
+      final MembershipSettings settings) {
     this.own = own;
     this.loop = surroundings.loop();
     this.clock = surroundings.clock();
@@ -112,15 +114,15 @@
   }
 
   @Override
-  public void follow() {
-    own.follow();
+  public void requestUpdates() {
+    own.requestUpdates();
   }
 
   @Override
-  public boolean isFresh() {
+  public boolean isCurrent() {
     // A registry may have what the list lacks: what no source names does not exist only if all are
     // heard.
-    return own.isFresh()
+    return own.isCurrent()
         && membership.sourceStatuses().stream().allMatch(source -> source.unreachableSinceUs() < 0);
   }
 
@@ -131,7 +133,7 @@
 
   /** The watch tells nothing while nothing changes, but it is heard all the same. */
   private void hear() {
-    if (!ownLost && own.isFresh()) {
+    if (!ownLost && own.isCurrent()) {
       membership.markSourceReachable(clock.nowUs(), OWN);
       tellAside();
     }
@@ -139,12 +141,12 @@
 
   // ---------------------------------------------------------------- the platform's own list
 
-  private void ownTold(final EndpointUpdate update, final List<Listing> listings) {
+  private void ownTold(final EndpointUpdate update, final List<Entry> listings) {
     final long nowUs = clock.nowUs();
     final List<SourceReport> reports = new ArrayList<>();
     final List<String> deleted = new ArrayList<>();
-    for (final Listing listing : listings) {
-      if (listing.condition() == EndpointState.GONE) {
+    for (final Entry listing : listings) {
+      if (listing.state() == EndpointState.GONE) {
         deleted.add(listing.name());
       } else {
         reports.add(report(listing));
@@ -157,20 +159,20 @@
       case UNAVAILABLE -> membership.markSourceUnreachable(nowUs, OWN);
       default -> membership.applyChanges(nowUs, OWN, reports, deleted);
     }
-    final List<Listing> changed = decide();
+    final List<Entry> changed = decide();
     if (update == EndpointUpdate.UNAVAILABLE) {
-      listener.told(EndpointUpdate.UNAVAILABLE, List.of());
+      listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
       if (!changed.isEmpty()) {
-        listener.told(EndpointUpdate.SUPPLEMENT, changed);
+        listener.onUpdate(EndpointUpdate.SUPPLEMENT, changed);
       }
     } else {
       // The merged view tells what changed in it, whatever the list told: all, or the last known,
       // or changes.
-      listener.told(EndpointUpdate.CHANGES, changed);
+      listener.onUpdate(EndpointUpdate.CHANGES, changed);
     }
   }
 
-  private static SourceReport report(final Listing listing) {
+  private static SourceReport report(final Entry listing) {
     return new SourceReport(
         listing.name(),
         listing.address().getHostString() + ":" + listing.address().getPort(),
@@ -178,7 +180,7 @@
         listing.zone(),
         listing.kind(),
         listing.weight(),
-        listing.condition() == EndpointState.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
+        listing.state() == EndpointState.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
         0);
   }
 
@@ -230,14 +232,14 @@
   // ---------------------------------------------------------------- what was decided
 
   private void tellAside() {
-    final List<Listing> changed = decide();
+    final List<Entry> changed = decide();
     if (!changed.isEmpty()) {
-      listener.told(EndpointUpdate.SUPPLEMENT, changed);
+      listener.onUpdate(EndpointUpdate.SUPPLEMENT, changed);
     }
   }
 
-  private List<Listing> decide() {
-    final List<Listing> changed =
+  private List<Entry> decide() {
+    final List<Entry> changed =
         membership.collectChanges(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
     if (due != null) {
       due.cancel(false);
@@ -253,14 +255,14 @@
     return changed;
   }
 
-  private static Listing listing(final MergedEndpoint member) {
+  private static Entry listing(final MergedEndpoint member) {
     final EndpointState condition =
         switch (member.state()) {
           case UP -> EndpointState.LISTED;
           case DRAINING -> EndpointState.DRAINING;
           case GONE -> EndpointState.GONE;
         };
-    return new Listing(
+    return new Entry(
         member.name(),
         condition,
         Config.address("address", member.address()),
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import thistleturn.courier.CourierProcess.Surroundings;
 import thistleturn.courier.platform.Discovery;
-import thistleturn.courier.port.Directory;
+import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.LoopTurns;
@@ -59,7 +59,7 @@
   private StandInWorld world;
   private StandInEndpoint first;
   private StandInEndpoint second;
-  private Directory directory;
+  private EndpointDirectory directory;
 
   @BeforeEach
   void world() {
@@ -97,18 +97,18 @@
                         one ->
                             view.put(
                                 one.address().getHostString() + ":" + one.address().getPort(),
-                                one.condition()));
+                                one.state()));
                   });
             })
         .get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
   private void follow() throws Exception {
-    loop.submit(() -> directory.follow()).get(PATIENCE_S, TimeUnit.SECONDS);
+    loop.submit(() -> directory.requestUpdates()).get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
   private boolean isFresh() {
-    return loop.submit(() -> directory.isFresh()).awaitUninterruptibly().getNow();
+    return loop.submit(() -> directory.isCurrent()).awaitUninterruptibly().getNow();
   }
 
   private void awaitState(final StandInEndpoint endpoint, final EndpointState condition) {
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.CourierProcess.Surroundings;
-import thistleturn.courier.port.Witness;
+import thistleturn.courier.port.StateObserver;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.replicas.Entry;
@@ -30,7 +30,7 @@
  * out, and says to its decisions what counts of what others tell. It lives on the courier's first
  * event loop, travels with {@code peers}, and is on no message's path.
  */
-public final class ReplicasExtension implements Passenger, Witness, ReplicationActions {
+public final class ReplicasExtension implements Passenger, StateObserver, ReplicationActions {
   private static final double US_PER_S = 1_000_000;
 
   /** Ticks after which it is looked who the others are. */
@@ -95,8 +95,8 @@
             this);
     replicas.restore(found.deltas(), found.togetherUs(), nowUs());
     Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
-    surroundings.steering().witness(this);
-    for (final String endpoint : surroundings.steering().leftOut()) {
+    surroundings.steering().observe(this);
+    for (final String endpoint : surroundings.steering().disabledEndpoints()) {
       if (settings.maintenance() && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
         replicas.setEndpointDisabled(endpoint, true, operator(), nowUs());
       }
@@ -179,33 +179,33 @@
   // finds out
 
   @Override
-  public void listed() {
+  public void onEndpointsListed() {
     standing.forEach(this::changed);
   }
 
   @Override
-  public void waits(final long destination, final long untilUs) {
+  public void onRetryAfter(final long destination, final long untilUs) {
     if (settings.waits() && !left) {
       replicas.recordWait(Long.toString(destination), untilUs, nowUs());
     }
   }
 
   @Override
-  public void limited(final long destination, final double perSecond) {
+  public void onRateLimit(final long destination, final double perSecond) {
     if (settings.limits() && !left) {
       replicas.recordRateLimit(Long.toString(destination), perSecond, nowUs());
     }
   }
 
   @Override
-  public void turned(final long destination, final boolean isOut) {
+  public void onOutageChanged(final long destination, final boolean isOut) {
     if (settings.outages() && !left) {
       replicas.recordOutage(Long.toString(destination), isOut, nowUs());
     }
   }
 
   @Override
-  public void maintained(final String endpoint, final boolean leaveOut) throws IOException {
+  public void onEndpointDisabled(final String endpoint, final boolean leaveOut) throws IOException {
     if (settings.maintenance() && !left) {
       replicas.setEndpointDisabled(endpoint, leaveOut, operator(), nowUs());
       folder.keepWords(replicas);
@@ -268,7 +268,7 @@
     if (wanted && verdict.isPresent() && !verdict.writers().contains(replicas.self())) {
       surroundings
           .steering()
-          .say(
+          .applyDirective(
               Long.parseLong(verdict.subject()),
               new Directive(kind, value, BY + verdict.writers().get(0).name(), verdict.untilUs()));
     }
@@ -280,14 +280,14 @@
       return;
     }
     final boolean out = verdict.state().equals("left out");
-    if (out != surroundings.steering().leftOut().contains(verdict.subject())) {
+    if (out != surroundings.steering().disabledEndpoints().contains(verdict.subject())) {
       Log.info(
           "replicas: "
               + verdict.subject()
               + (out ? " is left out" : " may serve again")
               + " by the word of "
               + verdict.writers().get(0).name());
-      surroundings.steering().maintain(verdict.subject(), out);
+      surroundings.steering().setDisabled(verdict.subject(), out);
     }
     if (!verdict.conflict()) {
       conflicts.remove(verdict.subject());
