--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/World.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import thistleturn.courier.CourierProcess;
+import thistleturn.courier.CourierServer;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
@@ -23,7 +23,7 @@
   private static final long STARTING_S = 60;
   private final Path folder;
   private final StandInWorld standIns;
-  private CourierProcess courier;
+  private CourierServer courier;
 
   World(final long seed) throws IOException {
     this.folder = Files.createTempDirectory("thistleturn-measure");
@@ -51,7 +51,7 @@
             true,
             MetadataNames.standard());
     courier =
-        CourierProcess.start(
+        CourierServer.start(
             standIns.environment(CourierFiles.Size.usual()),
             new MembershipExtension(
                 () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/ScaleCourier.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/ScaleCourier.java
@@ -1,7 +1,7 @@
 package thistleturn.benchmarks.scale;
 
+import thistleturn.courier.CourierOptions;
 import thistleturn.courier.Main;
-import thistleturn.courier.Tuning;
 
 /**
  * A courier as the measurements start it: shards, idle time in us and clients' share of descriptors
@@ -18,7 +18,7 @@
     Main.serve(
         System.getenv(),
         null,
-        new Tuning(
+        new CourierOptions(
             Long.parseLong(args[1]),
             clients,
             Math.min(MOST_ENDPOINTS, ALL - clients),
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import thistleturn.courier.CourierProcess;
+import thistleturn.courier.CourierServer;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
@@ -109,8 +109,8 @@
             1 << 22,
             true,
             MetadataNames.standard());
-    final CourierProcess courier =
-        CourierProcess.start(
+    final CourierServer courier =
+        CourierServer.start(
             world.environment(CourierFiles.Size.usual()),
             new MembershipExtension(
                 () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 import thistleturn.cli.admin.AdminServer;
 import thistleturn.cli.config.ProductConfig;
-import thistleturn.courier.CourierProcess.Extension;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.CourierExtension;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.membership.MembershipExtension;
 import thistleturn.membership.MembershipSettings;
@@ -16,12 +16,12 @@
 import thistleturn.replicas.ReplicasExtension;
 
 /** All subsystems that a file switches on, as one extension of a courier. */
-final class ProductExtension implements Extension {
+final class ProductExtension implements CourierExtension {
   private final ProductConfig config;
   private final MembershipExtension membership;
   private final PeersExtension peers;
   private final ReplicasExtension replicas;
-  private Surroundings surroundings;
+  private ExtensionContext surroundings;
 
   ProductExtension(final ProductConfig config, final Path file) {
     this.config = config;
@@ -45,16 +45,17 @@
   }
 
   @Override
-  public EndpointDirectory directory(final EndpointDirectory own, final Surroundings given) {
+  public EndpointDirectory createDirectory(
+      final EndpointDirectory own, final ExtensionContext given) {
     surroundings = given;
-    return membership == null ? own : membership.directory(own, given);
+    return membership == null ? own : membership.createDirectory(own, given);
   }
 
   @Override
-  public void ready(final String address) {
+  public void onServing(final String address) {
     final Map<String, Supplier<JsonNode>> pages = new LinkedHashMap<>();
     if (membership != null) {
-      membership.ready(address);
+      membership.onServing(address);
       pages.put("/members", membership::status);
     }
     if (replicas != null) {
@@ -66,16 +67,16 @@
       pages.put("/peers", peers::status);
     }
     if (config.admin() != null) {
-      pages.put("/lanes", surroundings.lanes());
-      pages.put("/health", surroundings.health());
-      new AdminServer(pages).listen(surroundings.loop(), config.admin());
+      pages.put("/lanes", surroundings.routeStatus());
+      pages.put("/health", surroundings.localHealth());
+      new AdminServer(pages).listen(surroundings.eventLoop(), config.admin());
     }
   }
 
   @Override
-  public void stopping() {
+  public void onShutdownStarted() {
     if (membership != null) {
-      membership.stopping();
+      membership.onShutdownStarted();
     }
     if (replicas != null) {
       replicas.leave();
@@ -87,14 +88,14 @@
   }
 
   @Override
-  public boolean leave() {
-    return membership == null || membership.leave();
+  public boolean tryFinishShutdown() {
+    return membership == null || membership.tryFinishShutdown();
   }
 
   @Override
-  public void reload() {
+  public void onConfigurationReload() {
     if (membership != null) {
-      membership.reload();
+      membership.onConfigurationReload();
     }
   }
 }
--- a/cli/src/main/java/thistleturn/cli/ServeCommand.java
+++ b/cli/src/main/java/thistleturn/cli/ServeCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.cli.config.ProductConfig;
-import thistleturn.courier.Tuning;
+import thistleturn.courier.CourierOptions;
 import thistleturn.courier.runtime.Config;
 
 /** Runs a courier until it is ended. */
@@ -32,7 +32,7 @@
   @Override
   public Integer call() throws IOException, Config.BadConfigException {
     if (file == null) {
-      thistleturn.courier.Main.serve(System.getenv(), null, Tuning.platform());
+      thistleturn.courier.Main.serve(System.getenv(), null, CourierOptions.platformDefaults());
       return SERVES;
     }
     final ProductConfig config = ProductConfig.read(file);
--- a/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
+++ b/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import thistleturn.courier.Tuning;
+import thistleturn.courier.CourierOptions;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.decisions.peers.GossipSettings;
@@ -42,7 +42,7 @@
     MembershipSettings membership,
     PeersSettings peers,
     ReplicasSettings replicas,
-    Tuning tuning) {
+    CourierOptions tuning) {
   private static final Pattern URL =
       Pattern.compile("http://([^/:\\s]+):(\\d{1,5})((?:/[^\\s?#]*)?)");
   private static final Pattern SCOPE = Pattern.compile("(apps|vips|svips)/[A-Za-z0-9._-]+");
@@ -52,7 +52,7 @@
 
   /** Everything off. */
   public static ProductConfig off() {
-    return new ProductConfig(null, null, null, null, Tuning.platform());
+    return new ProductConfig(null, null, null, null, CourierOptions.platformDefaults());
   }
 
   /**
@@ -78,19 +78,19 @@
     final MembershipSettings membership = membership(table.table("membership"));
     final PeersSettings peers = peers(table.table("peers"));
     final ReplicasSettings replicas = replicas(table.table("replicas"), peers);
-    final Tuning tuning =
+    final CourierOptions tuning =
         tuning(table.table("front"), table.table("shards"), table.table("memory"));
     table.finish();
     return new ProductConfig(admin, membership, peers, replicas, tuning);
   }
 
-  private static Tuning tuning(
+  private static CourierOptions tuning(
       final StrictTable front, final StrictTable shards, final StrictTable memory) {
-    final Tuning platform = Tuning.platform();
+    final CourierOptions platform = CourierOptions.platformDefaults();
     final boolean ownFront = front.flag("enabled", false);
     final long idleUs = front.durationUs("idle", "10s", "1s", "24h");
-    final double clients = front.share("clients", platform.clientShare());
-    final double endpoints = front.share("endpoints", platform.endpointShare());
+    final double clients = front.share("clients", platform.clientDescriptorShare());
+    final double endpoints = front.share("endpoints", platform.endpointDescriptorShare());
     front.finish();
     final boolean several = shards.flag("enabled", false);
     final int count = shards.whole("count", 1, 1, 64);
@@ -105,11 +105,12 @@
               + "clients and endpoints together at most "
               + MOST_SOCKET_SHARE);
     }
-    final Tuning sized = ownFront ? new Tuning(idleUs, clients, endpoints, 1, remembers) : platform;
-    return new Tuning(
-        sized.clientIdleUs(),
-        sized.clientShare(),
-        sized.endpointShare(),
+    final CourierOptions sized =
+        ownFront ? new CourierOptions(idleUs, clients, endpoints, 1, remembers) : platform;
+    return new CourierOptions(
+        sized.clientIdleTimeoutUs(),
+        sized.clientDescriptorShare(),
+        sized.endpointDescriptorShare(),
         several ? count : 1,
         remembers);
   }
--- a/courier/src/main/java/thistleturn/courier/Rehearsal.java
+++ b/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
@@ -15,12 +15,12 @@
  * loads: a courier that finds them prepared is ready, after a restart too, in a fraction of the
  * time. It serves as its own discovery and endpoint, which answer that they know of nothing.
  */
-public final class Rehearsal {
+public final class ClassArchiveTraining {
   private static final String ADDRESS = "127.0.0.1";
-  private static final int TRIES = 50;
-  private static final long PAUSE_MS = 100;
+  private static final int MAX_ATTEMPTS = 50;
+  private static final long RETRY_DELAY_MS = 100;
 
-  private Rehearsal() {}
+  private ClassArchiveTraining() {}
 
   /** Runs a courier in the folder given, hands in one message, and ends. */
   public static void main(final String[] args)
@@ -53,22 +53,22 @@
         Map.of(
             "PROXY_CONFIG", config.toString(), "PROXY_STATE", folder.resolve("state").toString()),
         null,
-        Tuning.platform());
-    ask(port, "GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    ask(
+        CourierOptions.platformDefaults());
+    exchange(port, "GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    exchange(
         port,
         "POST /once HTTP/1.1\r\nHost: a\r\nX-Request-ID: r\r\nX-Priority-Class: once\r\nX-Timeout-Ms: 900\r\n"
             + "X-Consignee: dest=1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi");
-    ask(operatorPort, "GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-    ask(
+    exchange(operatorPort, "GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+    exchange(
         operatorPort,
         "POST /-/endpoints/nobody/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     System.exit(0);
   }
 
-  private static void ask(final int port, final String request)
+  private static void exchange(final int port, final String request)
       throws IOException, InterruptedException {
-    for (int left = TRIES; left > 0; left--) {
+    for (int left = MAX_ATTEMPTS; left > 0; left--) {
       try (Socket socket = new Socket()) {
         socket.connect(new InetSocketAddress(ADDRESS, port));
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
@@ -78,7 +78,7 @@
         if (left == 1) {
           throw e;
         }
-        Thread.sleep(PAUSE_MS);
+        Thread.sleep(RETRY_DELAY_MS);
       }
     }
   }
--- a/courier/src/main/java/thistleturn/courier/CourierProcess.java
+++ b/courier/src/main/java/thistleturn/courier/CourierServer.java
@@ -20,7 +20,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
-import java.util.function.Supplier;
 import thistleturn.courier.handover.Elder;
 import thistleturn.courier.handover.Giver;
 import thistleturn.courier.handover.Heir;
@@ -31,9 +30,9 @@
 import thistleturn.courier.http.HttpCarrier;
 import thistleturn.courier.http.HttpFront;
 import thistleturn.courier.journal.Journal;
-import thistleturn.courier.operator.Figures;
-import thistleturn.courier.operator.MaintenanceFile;
-import thistleturn.courier.operator.OperatorDesk;
+import thistleturn.courier.operator.AdminOperations;
+import thistleturn.courier.operator.CourierMetrics;
+import thistleturn.courier.operator.DisabledEndpointsFile;
 import thistleturn.courier.operator.OperatorServer;
 import thistleturn.courier.platform.Discovery;
 import thistleturn.courier.platform.Notices;
@@ -53,9 +52,9 @@
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.courier.runtime.Passing;
-import thistleturn.courier.shard.Layout;
-import thistleturn.courier.shard.Room;
-import thistleturn.courier.shard.ShardDesk;
+import thistleturn.courier.shard.CapacityExchange;
+import thistleturn.courier.shard.ShardJournals;
+import thistleturn.courier.shard.ShardedIngressHandler;
 import thistleturn.courier.shard.SharedDirectory;
 import thistleturn.courier.warm.LearntFile;
 import thistleturn.courier.warm.LearntKeeper;
@@ -69,33 +68,33 @@
  * carrier, a directory and the telling of ends. It is started once and ended once; several can run
  * in one Java machine.
  */
-public final class CourierProcess {
+public final class CourierServer {
   /** After SIGTERM new connections still come for up to 0.4 s. */
-  private static final long LISTEN_MS = 550;
+  private static final long LISTENER_DRAIN_MS = 550;
 
   /** When the process ends after SIGTERM: SIGKILL comes no sooner than 3.7 s after it. */
-  private static final long STOP_MS = 3100;
+  private static final long SHUTDOWN_TIMEOUT_MS = 3100;
 
-  private static final long STOP_CHECK_MS = 20;
+  private static final long SHUTDOWN_POLL_MS = 20;
 
   /** What an extension has to take leave at least. */
-  private static final long LEAVE_MS = 300;
+  private static final long EXTENSION_SHUTDOWN_MS = 300;
 
   private static final long US_PER_MS = 1000;
 
   /** How soon it is seen what another process of this courier was told by operators. */
-  private static final long LOOK_MS = 200;
+  private static final long SHARED_STATE_POLL_MS = 200;
 
   /** Looks after which what was learnt is put down in any case: once a second. */
-  private static final int LOOKS_A_KEEPING = 5;
+  private static final int POLLS_BETWEEN_SAVES = 5;
 
   /** How soon a process that cannot hand over now is asked again. */
-  private static final long RETRY_MS = 50;
+  private static final long HANDOVER_RETRY_MS = 50;
 
-  private static final int HEIR_GONE_STATUS = 75;
+  private static final int SUCCESSOR_LOST_EXIT_STATUS = 75;
 
   /** How often a lock is tried that a process which has ended may still hold. */
-  private static final int LOCK_TRIES = 100;
+  private static final int LOCK_ATTEMPTS = 100;
 
   private final Clock clock = new Clock();
   private final long startedUs = clock.nowUs();
@@ -111,29 +110,29 @@
 
   private final CompletableFuture<String> ready = new CompletableFuture<>();
   private final Map<String, String> environment;
-  private final Extension extension;
-  private final Tuning tuning;
+  private final CourierExtension extension;
+  private final CourierOptions tuning;
   private final Config config;
 
   /**
    * What was read last, at the start or on SIGHUP: of it only the platform's address counts in this
    * process.
    */
-  private volatile Config latest;
+  private volatile Config latestConfig;
 
   /** Null where operators have no address here. */
   private final Operators operators;
 
   /** Endpoints that operators have left out, as all shards were last told. */
-  private volatile Set<String> leftOut;
+  private volatile Set<String> disabledEndpoints;
 
   /** Who hears what this courier is told and finds out; null: nobody. */
-  private StateObserver witness;
+  private StateObserver stateObserver;
 
   /** What tells that this process writes in the folder; null while another one does. */
-  private StateLock lock;
+  private StateLock stateLock;
 
-  private EndpointDirectory own;
+  private EndpointDirectory platformDirectory;
   private boolean running;
 
   /**
@@ -146,95 +145,57 @@
   private boolean listening;
   private boolean stopping;
 
-  /**
-   * What an extension is given to work with; {@code lanes} tells how each destination is, {@code
-   * health} how the courier itself is, {@code steering} takes words on them, all to be asked on the
-   * loop once the courier is ready.
-   */
-  public record Surroundings(
-      Config config,
-      EventLoop loop,
-      Clock clock,
-      Supplier<JsonNode> lanes,
-      Supplier<JsonNode> health,
-      DirectiveSink steering) {}
-
-  /** A subsystem beside the platform's own; without one nothing of it is loaded. */
-  public interface Extension {
-    /**
-     * The directory that the courier follows: the platform's own, or one that merges it with
-     * others.
-     */
-    EndpointDirectory directory(EndpointDirectory own, Surroundings surroundings);
-
-    /** The courier serves at that address from now on. Called on the event loop. */
-    void ready(String address);
-
-    /** The process ends soon; whoever knows of it may be told. Called on the event loop. */
-    void stopping();
-
-    /**
-     * Nothing is held any more, or the time is up: takes leave of whoever knows of this courier.
-     * Called on the event loop again and again until it is true that this is done.
-     */
-    boolean leave();
-
-    /**
-     * The configuration is being read again; whatever the extension keeps in files of its own is,
-     * too.
-     */
-    void reload();
-  }
-
-  private static final class None implements Extension {
+  private static final class NoExtension implements CourierExtension {
     @Override
-    public EndpointDirectory directory(
-        final EndpointDirectory own, final Surroundings surroundings) {
+    public EndpointDirectory createDirectory(
+        final EndpointDirectory own, final ExtensionContext surroundings) {
       return own;
     }
 
     @Override
-    public void ready(final String address) {
+    public void onServing(final String address) {
       // Nobody else is told.
     }
 
     @Override
-    public void stopping() {
+    public void onShutdownStarted() {
       // Nobody else is told.
     }
 
     @Override
-    public boolean leave() {
+    public boolean tryFinishShutdown() {
       return true;
     }
 
     @Override
-    public void reload() {
+    public void onConfigurationReload() {
       // It has nothing to read.
     }
   }
 
-  private CourierProcess(
-      final Map<String, String> environment, final Extension extension, final Tuning tuning)
+  private CourierServer(
+      final Map<String, String> environment,
+      final CourierExtension extension,
+      final CourierOptions tuning)
       throws Config.BadConfigException, IOException {
     this.environment = environment;
     this.extension = extension;
     this.tuning = tuning;
     this.config = Config.read(environment);
-    this.latest = config;
+    this.latestConfig = config;
     final ResourceLimits limits = config.settings().limits();
-    if (limits.concurrencyLimit() < tuning.shards()
-        || limits.maxPendingMessages() < tuning.shards()) {
+    if (limits.concurrencyLimit() < tuning.shardCount()
+        || limits.maxPendingMessages() < tuning.shardCount()) {
       throw new Config.BadConfigException(
           "shards: "
-              + tuning.shards()
+              + tuning.shardCount()
               + " of them need at least as many slots ("
               + limits.concurrencyLimit()
               + ") and open messages ("
               + limits.maxPendingMessages()
               + ")");
     }
-    for (int index = 0; index < tuning.shards(); index++) {
+    for (int index = 0; index < tuning.shardCount(); index++) {
       shards.add(new Shard());
     }
     this.loop = shards.get(0).loop;
@@ -243,7 +204,7 @@
     // one first.
     try {
       lockFolder();
-      this.leftOut = operators == null ? Set.of() : operators.file.read();
+      this.disabledEndpoints = operators == null ? Set.of() : operators.file.read();
     } catch (final IOException | RuntimeException e) {
       kill();
       throw e;
@@ -270,18 +231,19 @@
    * for that.
    */
   private void lockFolder() throws IOException {
-    lock = StateLock.tryLock(config.state());
-    if (lock == null && (config.operator() == null || tuning.shards() > 1)) {
+    stateLock = StateLock.tryLock(config.state());
+    if (stateLock == null && (config.operator() == null || tuning.shardCount() > 1)) {
       throw new Passing.LastingException(
           config.state() + ": another courier that runs uses this folder");
     }
-    if (lock != null) {
+    if (stateLock != null) {
       openJournals();
     }
   }
 
   private void openJournals() throws IOException {
-    final List<Journal> journals = Layout.open(config.state(), config.diskBytes(), shards.size());
+    final List<Journal> journals =
+        ShardJournals.open(config.state(), config.diskBytes(), shards.size());
     for (int index = 0; index < shards.size(); index++) {
       shards.get(index).journal = journals.get(index);
     }
@@ -296,7 +258,7 @@
       final Inheritance inheritance = only.host.handOver(heir);
       // From here on the heir decides: what fails now must not keep it from that.
       only.journal.compactAndClose();
-      close("unlocking the folder", lock);
+      close("unlocking the folder", stateLock);
       Log.info("handed over with " + inheritance.calls().size() + " calls out");
       return inheritance;
     }
@@ -314,7 +276,7 @@
 
     @Override
     public void heirGone() {
-      takeUpAgain(LOCK_TRIES, clock.nowUs() + Passing.PATIENCE_US);
+      takeUpAgain(LOCK_ATTEMPTS, clock.nowUs() + Passing.PATIENCE_US);
     }
 
     /**
@@ -326,13 +288,13 @@
         return;
       }
       try {
-        lock = StateLock.tryLock(config.state());
-        if (lock == null && tries > 0) {
+        stateLock = StateLock.tryLock(config.state());
+        if (stateLock == null && tries > 0) {
           loop.schedule(
-              () -> takeUpAgain(tries - 1, untilUs), STOP_CHECK_MS, TimeUnit.MILLISECONDS);
+              () -> takeUpAgain(tries - 1, untilUs), SHUTDOWN_POLL_MS, TimeUnit.MILLISECONDS);
           return;
         }
-        if (lock == null) {
+        if (stateLock == null) {
           throw new Passing.LastingException("another process holds " + config.state());
         }
         openJournals();
@@ -344,11 +306,11 @@
           Log.event(Event.START_RETRIED, "step", "take up again", "cause", e);
           unlock();
           loop.schedule(
-              () -> takeUpAgain(LOCK_TRIES, untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+              () -> takeUpAgain(LOCK_ATTEMPTS, untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
           return;
         }
         Log.info("the newer process has ended, and so does this one: " + e.getMessage());
-        new Thread(() -> System.exit(HEIR_GONE_STATUS), "heir gone").start();
+        new Thread(() -> System.exit(SUCCESSOR_LOST_EXIT_STATUS), "heir gone").start();
       }
     }
   }
@@ -368,9 +330,9 @@
 
     private DecisionLoop next() {
       next.continueCountersOf(before);
-      next.setDisabledEndpoints(leftOut);
-      if (witness != null) {
-        next.setObserver(new Relayed(witness));
+      next.setDisabledEndpoints(disabledEndpoints);
+      if (stateObserver != null) {
+        next.setObserver(new Relayed(stateObserver));
       }
       final int resumed = next.start(before.handOverAgain(this), this);
       Log.info("resumed " + resumed + " messages");
@@ -430,12 +392,12 @@
   }
 
   /** What operators ask and tell, carried to all shards. Lives on the first one's loop. */
-  private final class Operators implements OperatorDesk {
-    private final MaintenanceFile file =
-        new MaintenanceFile(config.state(), ProcessHandle.current().pid());
+  private final class Operators implements AdminOperations {
+    private final DisabledEndpointsFile file =
+        new DisabledEndpointsFile(config.state(), ProcessHandle.current().pid());
 
     @Override
-    public boolean isReady() {
+    public boolean isServing() {
       return listening;
     }
 
@@ -445,21 +407,22 @@
     }
 
     @Override
-    public CompletionStage<Figures> figures() {
-      return each(shard -> shard.host.metrics()).thenApply(Figures::sum);
+    public CompletionStage<CourierMetrics> collectMetrics() {
+      return onEachShard(shard -> shard.host.metrics()).thenApply(CourierMetrics::sum);
     }
 
     @Override
-    public CompletionStage<Boolean> maintain(final String endpoint, final boolean leaveOut) {
-      return each(shard -> shard.host.isKnownEndpoint(endpoint))
+    public CompletionStage<Boolean> setEndpointDisabled(
+        final String endpoint, final boolean leaveOut) {
+      return onEachShard(shard -> shard.host.isKnownEndpoint(endpoint))
           .thenComposeAsync(
               known -> {
                 if (!known.contains(true)) {
                   return CompletableFuture.completedStage(false);
                 }
                 try {
-                  if (witness != null) {
-                    witness.onEndpointDisabled(endpoint, leaveOut);
+                  if (stateObserver != null) {
+                    stateObserver.onEndpointDisabled(endpoint, leaveOut);
                   }
                   return set(endpoint, leaveOut).thenApply(done -> true);
                 } catch (final IOException e) {
@@ -474,18 +437,18 @@
         throws IOException {
       final Set<String> names = file.read();
       if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
-        file.write(names);
+        file.replace(names);
         Log.info("operator: " + endpoint + (leaveOut ? " is left out" : " may serve again"));
       }
-      return apply(names);
+      return disableExactly(names);
     }
 
     /** Takes over what another process of this courier has written. */
     private void look() {
       try {
         final Set<String> names = file.read();
-        if (!names.equals(leftOut)) {
-          apply(names);
+        if (!names.equals(disabledEndpoints)) {
+          disableExactly(names);
         }
       } catch (final IOException e) {
         Log.info("operator: cannot read who is left out: " + e.getMessage());
@@ -494,9 +457,9 @@
   }
 
   /** Has exactly these left out on all shards. */
-  private CompletionStage<?> apply(final Set<String> names) {
-    leftOut = Set.copyOf(names);
-    return each(
+  private CompletionStage<?> disableExactly(final Set<String> names) {
+    disabledEndpoints = Set.copyOf(names);
+    return onEachShard(
         shard -> {
           shard.host.setDisabledEndpoints(names);
           return true;
@@ -504,7 +467,7 @@
   }
 
   /** Asks each shard on its own loop. */
-  private <T> CompletionStage<List<T>> each(final Function<Shard, T> question) {
+  private <T> CompletionStage<List<T>> onEachShard(final Function<Shard, T> question) {
     final List<CompletableFuture<T>> answers =
         shards.stream()
             .map(shard -> CompletableFuture.supplyAsync(() -> question.apply(shard), shard.loop))
@@ -519,8 +482,8 @@
   private final class Helm implements DirectiveSink {
     @Override
     public void observe(final StateObserver by) {
-      witness = by;
-      each(
+      stateObserver = by;
+      onEachShard(
           shard -> {
             shard.host.setObserver(new Relayed(by));
             return true;
@@ -529,7 +492,7 @@
 
     @Override
     public void applyDirective(final long destination, final Directive word) {
-      each(
+      onEachShard(
           shard -> {
             shard.host.applyDirective(destination, word);
             return true;
@@ -546,15 +509,15 @@
       } catch (final IOException e) {
         Log.info("who is left out cannot be put down: " + e.getMessage());
       }
-      final Set<String> names = new TreeSet<>(leftOut);
+      final Set<String> names = new TreeSet<>(disabledEndpoints);
       if (leaveOut ? names.add(endpoint) : names.remove(endpoint)) {
-        apply(names);
+        disableExactly(names);
       }
     }
 
     @Override
     public Set<String> disabledEndpoints() {
-      return leftOut;
+      return disabledEndpoints;
     }
   }
 
@@ -609,7 +572,8 @@
             1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
     private final EventLoop loop = group.next();
     private final Descriptors descriptors =
-        new Descriptors(part(tuning.clientShare()), part(tuning.endpointShare()));
+        new Descriptors(
+            part(tuning.clientDescriptorShare()), part(tuning.endpointDescriptorShare()));
     private Journal journal;
 
     /** Where what was learnt is kept; null where it is not. */
@@ -634,7 +598,8 @@
           LoopTasks.guarded(
               "what was learnt",
               () -> {
-                if (++looksSinceKept < LOOKS_A_KEEPING && host.learnedStateVersion() == keptTurns) {
+                if (++looksSinceKept < POLLS_BETWEEN_SAVES
+                    && host.learnedStateVersion() == keptTurns) {
                   return;
                 }
                 looksSinceKept = 0;
@@ -644,13 +609,13 @@
                   keeper.keep(now);
                 }
               }),
-          LOOK_MS,
-          LOOK_MS,
+          SHARED_STATE_POLL_MS,
+          SHARED_STATE_POLL_MS,
           TimeUnit.MILLISECONDS);
     }
 
     private int part(final double share) {
-      return (int) Math.max(1, share * config.sockets() / tuning.shards());
+      return (int) Math.max(1, share * config.sockets() / tuning.shardCount());
     }
 
     @Override
@@ -660,7 +625,7 @@
 
     @Override
     public OutcomeNotifier outcomeNotifier(final OutcomeNotifier.Listener listener) {
-      return new Notices(latest.discovery(), loop, clock, turns, listener);
+      return new Notices(latestConfig.discovery(), loop, clock, turns, listener);
     }
 
     @Override
@@ -681,28 +646,30 @@
    *     is wrong
    * @throws IOException if the journal cannot be opened
    */
-  public static CourierProcess start(final Map<String, String> environment)
+  public static CourierServer start(final Map<String, String> environment)
       throws Config.BadConfigException, IOException {
     return start(environment, null);
   }
 
   /** Starts a courier with a subsystem beside the platform's own. */
-  public static CourierProcess start(
-      final Map<String, String> environment, final Extension extension)
+  public static CourierServer start(
+      final Map<String, String> environment, final CourierExtension extension)
       throws Config.BadConfigException, IOException {
-    return start(environment, extension, Tuning.platform());
+    return start(environment, extension, CourierOptions.platformDefaults());
   }
 
   /** Starts a courier of another size than the platform's, with a subsystem or (null) without. */
-  public static CourierProcess start(
-      final Map<String, String> environment, final Extension extension, final Tuning tuning)
+  public static CourierServer start(
+      final Map<String, String> environment,
+      final CourierExtension extension,
+      final CourierOptions tuning)
       throws Config.BadConfigException, IOException {
-    final CourierProcess process =
-        new CourierProcess(environment, extension == null ? new None() : extension, tuning);
+    final CourierServer process =
+        new CourierServer(environment, extension == null ? new NoExtension() : extension, tuning);
     process.loop.execute(
         () -> {
           try {
-            process.run();
+            process.startOnEventLoop();
           } catch (final RuntimeException e) {
             // On the loop's thread this would be swallowed, and a courier left that is never ready.
             process.serving.completeExceptionally(e);
@@ -717,30 +684,30 @@
   }
 
   /** The loop that owns all its state. */
-  public EventLoop loop() {
+  public EventLoop eventLoop() {
     return loop;
   }
 
   /** Builds everything, each shard's part on its event loop, which owns it from then on. */
-  private void run() {
+  private void startOnEventLoop() {
     if (config.operator() != null) {
       listenToOperators();
     }
-    own =
-        extension.directory(
+    platformDirectory =
+        extension.createDirectory(
             new Discovery(config, loop, clock, shards.get(0).turns),
-            new Surroundings(
+            new ExtensionContext(
                 config,
                 loop,
                 clock,
-                this::lanes,
+                this::routeStatus,
                 () -> shards.get(0).host.healthStatus(),
                 new Helm()));
-    if (lock != null) {
-      begin(null, null);
+    if (stateLock != null) {
+      startShards(null, null);
     } else {
       Log.info(config.name() + " takes over from the process that serves");
-      new Practice(config, loop, clock).run(this::takeOver);
+      new TakeoverWarmUp(config, loop, clock).runThen(this::requestHandover);
     }
   }
 
@@ -752,7 +719,7 @@
               if (failure == null) {
                 Log.info(config.name() + " hears operators at " + bound);
               } else {
-                again("listen to operators", failure, this::listenToOperators);
+                retryOrFail("listen to operators", failure, this::listenToOperators);
               }
             });
   }
@@ -761,7 +728,7 @@
    * Tries a step of the start again if what it failed for may pass; else, or after a while, the
    * start has failed.
    */
-  private void again(final String step, final Throwable failure, final Runnable action) {
+  private void retryOrFail(final String step, final Throwable failure, final Runnable action) {
     if (Passing.mayPass(failure) && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
       Log.event(Event.START_RETRIED, "step", step, "cause", failure);
       loop.schedule(action, Passing.RETRY_MS, TimeUnit.MILLISECONDS);
@@ -771,9 +738,9 @@
   }
 
   private void unlock() {
-    if (lock != null) {
-      close("unlocking the folder", lock);
-      lock = null;
+    if (stateLock != null) {
+      close("unlocking the folder", stateLock);
+      stateLock = null;
     }
   }
 
@@ -781,49 +748,49 @@
    * Asks the process that holds the folder to hand over; again, while it cannot; unless it has
    * ended meanwhile.
    */
-  private void takeOver() {
+  private void requestHandover() {
     final AtomicReference<Predecessor> asked = new AtomicReference<>();
     asked.set(
         Predecessor.ask(
             loop,
             config.state(),
-            inheritance -> succeed(inheritance, asked.get()),
+            inheritance -> acceptHandover(inheritance, asked.get()),
             () -> {
               try {
-                lock = StateLock.tryLock(config.state());
-                if (lock != null) {
+                stateLock = StateLock.tryLock(config.state());
+                if (stateLock != null) {
                   openJournals();
-                  begin(null, null);
+                  startShards(null, null);
                 } else {
-                  loop.schedule(this::takeOver, RETRY_MS, TimeUnit.MILLISECONDS);
+                  loop.schedule(this::requestHandover, HANDOVER_RETRY_MS, TimeUnit.MILLISECONDS);
                 }
               } catch (final IOException e) {
                 unlock();
-                again("take over", e, this::takeOver);
+                retryOrFail("take over", e, this::requestHandover);
               }
             }));
   }
 
-  private void succeed(final Inheritance inheritance, final Predecessor predecessor) {
+  private void acceptHandover(final Inheritance inheritance, final Predecessor predecessor) {
     try {
-      lock = StateLock.tryLock(config.state());
-      if (lock == null) {
+      stateLock = StateLock.tryLock(config.state());
+      if (stateLock == null) {
         throw new IOException(config.state() + ": handed over, but still in use");
       }
       openJournals();
-      begin(inheritance, predecessor);
+      startShards(inheritance, predecessor);
     } catch (final IOException e) {
       unlock();
-      again("succeed", e, () -> succeed(inheritance, predecessor));
+      retryOrFail("succeed", e, () -> acceptHandover(inheritance, predecessor));
     }
   }
 
   /** Begins to decide; where an older process handed over, with what it handed on. */
-  private void begin(final Inheritance inheritance, final Predecessor from) {
+  private void startShards(final Inheritance inheritance, final Predecessor from) {
     predecessor = from;
     final List<EventLoop> loops = shards.stream().map(shard -> shard.loop).toList();
     final SharedDirectory shared =
-        shards.size() == 1 ? null : new SharedDirectory(own, loop, loops);
+        shards.size() == 1 ? null : new SharedDirectory(platformDirectory, loop, loops);
     final ResourceLimits limits = config.settings().limits();
     final List<CompletableFuture<Void>> built = new ArrayList<>();
     final List<String> classes =
@@ -831,10 +798,10 @@
     for (int index = 0; index < shards.size(); index++) {
       final Shard shard = shards.get(index);
       shard.learnt =
-          tuning.remembers()
+          tuning.retainsLearnedState()
               ? new LearntFile(config.state(), index, classes, config.diskBytes() / shards.size())
               : null;
-      shard.directory = shared == null ? own : shared.view(index);
+      shard.directory = shared == null ? platformDirectory : shared.view(index);
       built.add(
           on(
               shard,
@@ -842,21 +809,21 @@
                 shard.host = new DecisionLoop(config, shard.loop, clock, shard.journal, shard);
                 if (shared != null) {
                   // An even part, until room is moved by need.
-                  shard.host.limit(
+                  shard.host.applyCapacityLimits(
                       limits.concurrencyLimit() / shards.size(),
                       limits.maxPendingMessages() / shards.size());
                 }
                 if (operators != null) {
-                  shard.host.setDisabledEndpoints(leftOut);
+                  shard.host.setDisabledEndpoints(disabledEndpoints);
                 }
                 if (inheritance == null && shard.learnt != null) {
                   shard.host.restoreWhenListed(shard.learnt.read(clock.nowUs()));
                 }
                 final int resumed =
                     inheritance == null ? shard.host.start() : shard.host.start(inheritance, from);
-                if (latest != config) {
+                if (latestConfig != config) {
                   // SIGHUP came before there was anybody to tell.
-                  shard.host.reload(latest);
+                  shard.host.reload(latestConfig);
                 }
                 if (resumed > 0) {
                   Log.info("resumed " + resumed + " messages");
@@ -873,12 +840,14 @@
               final List<DecisionLoop> hosts = shards.stream().map(shard -> shard.host).toList();
               if (shared != null) {
                 shared.start();
-                new Room(limits, loop, loops, hosts).start();
+                new CapacityExchange(limits, loop, loops, hosts).start();
               }
               for (int index = 0; index < shards.size(); index++) {
                 final Shard shard = shards.get(index);
                 final IngressHandler desk =
-                    shared == null ? new Counter(shard) : new ShardDesk(index, loops, hosts);
+                    shared == null
+                        ? new Counter(shard)
+                        : new ShardedIngressHandler(index, loops, hosts);
                 shard.front =
                     new HttpFront(
                         config,
@@ -902,8 +871,8 @@
               if (operators != null) {
                 loop.scheduleWithFixedDelay(
                     LoopTasks.guarded("who is left out", operators::look),
-                    LOOK_MS,
-                    LOOK_MS,
+                    SHARED_STATE_POLL_MS,
+                    SHARED_STATE_POLL_MS,
                     TimeUnit.MILLISECONDS);
               }
             },
@@ -913,7 +882,7 @@
   /**
    * How each destination is; those of other shards are left out, since only their loops may ask.
    */
-  private JsonNode lanes() {
+  private JsonNode routeStatus() {
     return shards.get(0).host.routeStatus();
   }
 
@@ -961,7 +930,7 @@
                 loop.schedule(
                     () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
               } else if (failure != null) {
-                again(
+                retryOrFail(
                     "listen",
                     new IOException(
                         "cannot listen on " + config.listen() + ": " + failure.getMessage(),
@@ -979,7 +948,7 @@
                 if (operators != null && shards.size() == 1) {
                   new Elder(new Estate()).listen(loop, config.state());
                 }
-                extension.ready(bound);
+                extension.onServing(bound);
                 serving.complete(bound);
               }
             },
@@ -997,7 +966,7 @@
   private synchronized void reload(final long untilUs) {
     try {
       final Config fresh = Config.read(environment);
-      latest = fresh;
+      latestConfig = fresh;
       shards.forEach(
           shard ->
               shard.loop.execute(
@@ -1013,26 +982,26 @@
       }
       Log.info("SIGHUP: the configuration stays as it was: " + e.getMessage());
     }
-    extension.reload();
+    extension.onConfigurationReload();
   }
 
   /**
    * On SIGTERM: goes on for a while, and leaves what is not done by then to the next process.
    * Returns when done.
    */
-  public void stop() {
+  public void shutDownGracefully() {
     loop.execute(
         () -> {
           if (!running) {
             stopped.countDown();
             return;
           }
-          final long stopUs = clock.nowUs() + STOP_MS * US_PER_MS;
+          final long stopUs = clock.nowUs() + SHUTDOWN_TIMEOUT_MS * US_PER_MS;
           listening = false;
           stopping = true;
-          extension.stopping();
+          extension.onShutdownStarted();
           if (shards.get(0).host.hasSuccessor()) {
-            leaveToHeir(stopUs);
+            awaitShutdownBesideSuccessor(stopUs);
             return;
           }
           shards.forEach(
@@ -1042,10 +1011,10 @@
                         shard.front.drain();
                         shard.host.prepareToStop(stopUs);
                       }));
-          loop.schedule(() -> leave(stopUs), LISTEN_MS, TimeUnit.MILLISECONDS);
+          loop.schedule(() -> awaitShutdown(stopUs), LISTENER_DRAIN_MS, TimeUnit.MILLISECONDS);
         });
     try {
-      if (!stopped.await(STOP_MS + LISTEN_MS / 2, TimeUnit.MILLISECONDS)) {
+      if (!stopped.await(SHUTDOWN_TIMEOUT_MS + LISTENER_DRAIN_MS / 2, TimeUnit.MILLISECONDS)) {
         Log.info("the event loop did not stop in time");
       }
     } catch (final InterruptedException e) {
@@ -1057,24 +1026,25 @@
    * What is out ends here, and clients are served while they stay; what they keep open is closed
    * last of all.
    */
-  private void leaveToHeir(final long stopUs) {
+  private void awaitShutdownBesideSuccessor(final long stopUs) {
     final Shard only = shards.get(0);
-    loop.schedule(only.front::drain, STOP_MS - LEAVE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        only.front::drain, SHUTDOWN_TIMEOUT_MS - EXTENSION_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
         LoopTasks.guarded(
             "end beside a newer process",
             () -> {
               final boolean due = only.host.isIdle() && only.front.hasNoConnections();
-              if ((due && extension.leave()) || clock.nowUs() >= stopUs) {
+              if ((due && extension.tryFinishShutdown()) || clock.nowUs() >= stopUs) {
                 stopped.countDown();
               }
             }),
-        STOP_CHECK_MS,
-        STOP_CHECK_MS,
+        SHUTDOWN_POLL_MS,
+        SHUTDOWN_POLL_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void leave(final long stopUs) {
+  private void awaitShutdown(final long stopUs) {
     shards.forEach(
         shard ->
             shard.loop.execute(
@@ -1083,7 +1053,7 @@
                   // So long before the process ends that its answers are on their way by then.
                   shard.loop.schedule(
                       shard.front::rejectIncompleteRequests,
-                      stopUs - 2 * LEAVE_MS * US_PER_MS - clock.nowUs(),
+                      stopUs - 2 * EXTENSION_SHUTDOWN_MS * US_PER_MS - clock.nowUs(),
                       TimeUnit.MICROSECONDS);
                   // A request that is coming in, or an answer on its way, would be cut off by the
                   // end of the process.
@@ -1092,7 +1062,7 @@
                           "end in order",
                           () -> shard.idle = shard.host.isIdle() && shard.front.hasNoConnections()),
                       0,
-                      STOP_CHECK_MS,
+                      SHUTDOWN_POLL_MS,
                       TimeUnit.MILLISECONDS);
                 }));
     loop.scheduleWithFixedDelay(
@@ -1101,13 +1071,13 @@
             () -> {
               final boolean due =
                   shards.stream().allMatch(shard -> shard.idle)
-                      || clock.nowUs() >= stopUs - LEAVE_MS * US_PER_MS;
-              if ((due && extension.leave()) || clock.nowUs() >= stopUs) {
+                      || clock.nowUs() >= stopUs - EXTENSION_SHUTDOWN_MS * US_PER_MS;
+              if ((due && extension.tryFinishShutdown()) || clock.nowUs() >= stopUs) {
                 stopped.countDown();
               }
             }),
-        STOP_CHECK_MS,
-        STOP_CHECK_MS,
+        SHUTDOWN_POLL_MS,
+        SHUTDOWN_POLL_MS,
         TimeUnit.MILLISECONDS);
   }
 
@@ -1140,8 +1110,8 @@
         close("closing the journal", shard.journal);
       }
     }
-    if (lock != null) {
-      close("unlocking the folder", lock);
+    if (stateLock != null) {
+      close("unlocking the folder", stateLock);
     }
   }
 
--- a/courier/src/main/java/thistleturn/courier/DecisionLoop.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -21,7 +21,7 @@
 import thistleturn.courier.handover.Predecessor;
 import thistleturn.courier.handover.Remote;
 import thistleturn.courier.health.Pulse;
-import thistleturn.courier.operator.Figures;
+import thistleturn.courier.operator.CourierMetrics;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.port.Ingress;
@@ -36,7 +36,7 @@
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.courier.shard.Room;
+import thistleturn.courier.shard.CapacityExchange;
 import thistleturn.decisions.DeliveryActions;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.RouteStatus;
@@ -62,7 +62,7 @@
         IngressHandler,
         Dispatcher.Listener,
         OutcomeNotifier.Listener,
-        Room.Tenant,
+        CapacityExchange.Participant,
         Predecessor.Listener {
   private static final long US_PER_MS = 1000;
   private static final double US_PER_S = 1_000_000;
@@ -712,17 +712,17 @@
   }
 
   /** What this process has done, and what it has now. */
-  Figures metrics() {
-    final List<Figures.Ends> ends =
+  CourierMetrics metrics() {
+    final List<CourierMetrics.ClassOutcomes> ends =
         config.settings().classes().stream()
             .map(
                 kind -> {
                   final int index = classIndexes.get(kind.name());
-                  return new Figures.Ends(
+                  return new CourierMetrics.ClassOutcomes(
                       kind.name(), served[index], rejected[index], failed[index]);
                 })
             .toList();
-    return new Figures(
+    return new CourierMetrics(
         ends,
         messagesWritten,
         successor == null ? messages.size() : 0,
@@ -914,9 +914,9 @@
   // ---------------------------------------------------------------- room among shards
 
   @Override
-  public Room.Use use() {
-    final Room.Use use =
-        new Room.Use(
+  public CapacityExchange.CapacityUsage capacityUsage() {
+    final CapacityExchange.CapacityUsage use =
+        new CapacityExchange.CapacityUsage(
             control.callsInFlight(), callLimitReached, messages.size(), messageLimitReached);
     callLimitReached = control.needsMoreCapacity();
     messageLimitReached = false;
@@ -924,7 +924,7 @@
   }
 
   @Override
-  public void limit(final int slotsNow, final int maxOpenNow) {
+  public void applyCapacityLimits(final int slotsNow, final int maxOpenNow) {
     maxOpen = maxOpenNow;
     control.onCapacityChanged(clock.nowUs(), slotsNow, maxOpenNow);
     scheduleRound();
--- a/courier/src/main/java/thistleturn/courier/Main.java
+++ b/courier/src/main/java/thistleturn/courier/Main.java
@@ -22,7 +22,7 @@
   /** Runs a courier with what the environment tells, until it is ended. */
   public static void main(final String[] args) {
     try {
-      serve(System.getenv(), null, Tuning.platform());
+      serve(System.getenv(), null, CourierOptions.platformDefaults());
     } catch (final Config.BadConfigException | IOException e) {
       System.err.println("cannot start: " + e.getMessage());
       System.exit(1);
@@ -36,31 +36,31 @@
    * @param extension a subsystem beside the platform's own, or null
    * @param tuning how large it is made
    */
-  public static CourierProcess serve(
+  public static CourierServer serve(
       final Map<String, String> environment,
-      final CourierProcess.Extension extension,
-      final Tuning tuning)
+      final CourierExtension extension,
+      final CourierOptions tuning)
       throws Config.BadConfigException, IOException {
-    final AtomicReference<CourierProcess> started = new AtomicReference<>();
+    final AtomicReference<CourierServer> started = new AtomicReference<>();
     final AtomicBoolean asked = new AtomicBoolean();
     // First of all: until this is in place, a SIGHUP ends the process.
-    Hangup.onSignal(
+    ReloadSignal.onHangup(
         () -> {
           asked.set(true);
-          final CourierProcess process = started.get();
+          final CourierServer process = started.get();
           if (process == null) {
             Log.info("SIGHUP: the configuration is read again once this process has started");
           } else {
             process.reload();
           }
         });
-    final CourierProcess process = startUnlessItLasts(environment, extension, tuning);
+    final CourierServer process = startWithRetry(environment, extension, tuning);
     started.set(process);
     if (asked.get()) {
       // What was read may be what was there before the signal.
       process.reload();
     }
-    Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
+    Runtime.getRuntime().addShutdownHook(new Thread(process::shutDownGracefully, "stop"));
     process
         .ready()
         .exceptionally(
@@ -75,16 +75,16 @@
   /**
    * What the system cannot give now it may give in a moment: a start that ends for that is a crash.
    */
-  private static CourierProcess startUnlessItLasts(
+  private static CourierServer startWithRetry(
       final Map<String, String> environment,
-      final CourierProcess.Extension extension,
-      final Tuning tuning)
+      final CourierExtension extension,
+      final CourierOptions tuning)
       throws Config.BadConfigException, IOException {
     final Clock clock = new Clock();
     final long untilUs = clock.nowUs() + Passing.PATIENCE_US;
     while (true) {
       try {
-        return CourierProcess.start(environment, extension, tuning);
+        return CourierServer.start(environment, extension, tuning);
       } catch (final Config.BadConfigException
           | IOException
           | RuntimeException
--- a/courier/src/main/java/thistleturn/courier/Hangup.java
+++ b/courier/src/main/java/thistleturn/courier/ReloadSignal.java
@@ -8,11 +8,11 @@
  * that is reached by its name: it is supported, but the compiler warns of it in a way that cannot
  * be silenced where warnings are errors.
  */
-final class Hangup {
-  private Hangup() {}
+final class ReloadSignal {
+  private ReloadSignal() {}
 
   /** From now on each SIGHUP runs the task, on a thread of its own. */
-  static void onSignal(final Runnable task) {
+  static void onHangup(final Runnable task) {
     try {
       final Class<?> signal = Class.forName("sun.misc.Signal");
       final Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/courier/src/main/java/thistleturn/courier/Practice.java
+++ b/courier/src/main/java/thistleturn/courier/TakeoverWarmUp.java
@@ -34,7 +34,7 @@
  * takes over, clients wait, and code that has run before is some times as quick as code that has
  * not. Everything is kept in memory, and forgotten.
  */
-final class Practice {
+final class TakeoverWarmUp {
   private static final int ROUNDS = 4;
   private static final int MESSAGES = 60;
   private static final int ENDPOINTS = 6;
@@ -43,22 +43,22 @@
   /** How long a round's calls may take to come to their ends. */
   private static final long ROUND_MS = 25;
 
-  private static final long LIFE_US = 10_000_000;
+  private static final long MESSAGE_LIFETIME_US = 10_000_000;
 
   private final Config config;
   private final EventLoop loop;
   private final Clock clock;
 
-  Practice(final Config config, final EventLoop loop, final Clock clock) {
+  TakeoverWarmUp(final Config config, final EventLoop loop, final Clock clock) {
     this.config = config;
     this.loop = loop;
     this.clock = clock;
   }
 
   /** Practises, then goes on with what is given. Runs on the event loop. */
-  void run(final Runnable then) {
+  void runThen(final Runnable then) {
     Log.mute(true);
-    round(
+    runRound(
         0,
         () -> {
           Log.mute(false);
@@ -66,13 +66,14 @@
         });
   }
 
-  private void round(final int number, final Runnable then) {
+  private void runRound(final int number, final Runnable then) {
     if (number == ROUNDS) {
       then.run();
       return;
     }
-    final Pages pages = new Pages();
-    final DecisionLoop elder = new DecisionLoop(config, loop, clock, pages, new Nowhere());
+    final InMemoryMessageStore pages = new InMemoryMessageStore();
+    final DecisionLoop elder =
+        new DecisionLoop(config, loop, clock, pages, new SimulatedEndpoints());
     elder.start();
     for (int message = 0; message < MESSAGES; message++) {
       final MessageClass kind =
@@ -84,16 +85,17 @@
               kind.name(),
               "key-" + message,
               message % DESTINATIONS,
-              nowUs + LIFE_US,
+              nowUs + MESSAGE_LIFETIME_US,
               new byte[message]);
-      held.startTimeline(new MessageTimeline(nowUs, nowUs, nowUs, nowUs + LIFE_US));
-      elder.submit(held, nowUs + LIFE_US, new Unheard());
+      held.startTimeline(new MessageTimeline(nowUs, nowUs, nowUs, nowUs + MESSAGE_LIFETIME_US));
+      elder.submit(held, nowUs + MESSAGE_LIFETIME_US, new DiscardedReply());
     }
     loop.schedule(
         () -> {
           try {
-            final Inheritance inheritance = Wire.copy(elder.handOver(new Nobody()));
-            final DecisionLoop heir = new DecisionLoop(config, loop, clock, pages, new Nowhere());
+            final Inheritance inheritance = Wire.copy(elder.handOver(new DiscardingSuccessor()));
+            final DecisionLoop heir =
+                new DecisionLoop(config, loop, clock, pages, new SimulatedEndpoints());
             heir.start(inheritance, Predecessor.none());
             inheritance
                 .calls()
@@ -110,11 +112,11 @@
                 () -> {
                   // It may not go on deciding beside the real one.
                   try {
-                    heir.handOver(new Nobody());
+                    heir.handOver(new DiscardingSuccessor());
                   } catch (final IOException e) {
                     Log.failure("practice", e);
                   }
-                  round(number + 1, then);
+                  runRound(number + 1, then);
                 },
                 ROUND_MS,
                 TimeUnit.MILLISECONDS);
@@ -128,12 +130,12 @@
   }
 
   /** Calls that go nowhere: four of five are answered, in the next turn. */
-  private final class Nowhere
+  private final class SimulatedEndpoints
       implements DecisionLoop.Ports, Dispatcher, OutcomeNotifier, EndpointDirectory {
     private Dispatcher.Listener listener;
     private int calls;
 
-    private record Made(long endpoint, long preparedUs, List<? extends Attempt> parcels)
+    private record SimulatedCall(long endpoint, long preparedUs, List<? extends Attempt> parcels)
         implements Call {}
 
     @Override
@@ -178,7 +180,7 @@
 
     @Override
     public Call prepare(final long endpoint, final List<? extends Attempt> parcels) {
-      return new Made(endpoint, clock.nowUs(), List.copyOf(parcels));
+      return new SimulatedCall(endpoint, clock.nowUs(), List.copyOf(parcels));
     }
 
     @Override
@@ -194,7 +196,7 @@
     }
 
     private void end(final Call call, final DispatchOutcome answer) {
-      ((Made) call).parcels().forEach(parcel -> listener.onOutcome(parcel, call, answer));
+      ((SimulatedCall) call).parcels().forEach(parcel -> listener.onOutcome(parcel, call, answer));
     }
 
     @Override
@@ -250,22 +252,22 @@
   }
 
   /** A journal in memory. */
-  private static final class Pages implements MessageStore {
-    private final Map<String, StoredMessage> live = new LinkedHashMap<>();
+  private static final class InMemoryMessageStore implements MessageStore {
+    private final Map<String, StoredMessage> liveMessages = new LinkedHashMap<>();
 
     @Override
     public Collection<StoredMessage> pendingMessages() {
-      return List.copyOf(live.values());
+      return List.copyOf(liveMessages.values());
     }
 
     @Override
     public boolean contains(final String id) {
-      return live.containsKey(id);
+      return liveMessages.containsKey(id);
     }
 
     @Override
     public boolean recordAccepted(final StoredMessage held) {
-      live.put(held.id(), held);
+      liveMessages.put(held.id(), held);
       return true;
     }
 
@@ -283,12 +285,12 @@
     @Override
     public void recordFinalOutcome(
         final StoredMessage held, final StoredMessage.FinalOutcome notice) {
-      live.remove(held.id());
+      liveMessages.remove(held.id());
     }
 
     @Override
     public void recordCompleted(final StoredMessage held) {
-      live.remove(held.id());
+      liveMessages.remove(held.id());
     }
 
     @Override
@@ -303,7 +305,7 @@
   }
 
   /** A client that does not listen. */
-  private static final class Unheard implements Ingress.Reply {
+  private static final class DiscardedReply implements Ingress.Reply {
     @Override
     public void accepted() {
       // It does not listen.
@@ -326,7 +328,7 @@
   }
 
   /** An heir that is told things and does nothing. */
-  private static final class Nobody implements Heir {
+  private static final class DiscardingSuccessor implements Heir {
     @Override
     public void offer(
         final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
--- a/courier/src/main/java/thistleturn/courier/http/HttpFront.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpFront.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.Tuning;
+import thistleturn.courier.CourierOptions;
 import thistleturn.courier.port.Ingress;
 import thistleturn.courier.port.IngressHandler;
 import thistleturn.courier.runtime.Clock;
@@ -154,14 +154,14 @@
       final LoopTurns turns,
       final IngressHandler desk,
       final Descriptors descriptors,
-      final Tuning tuning) {
+      final CourierOptions tuning) {
     this.config = config;
     this.group = group;
     this.loop = loop;
     this.clock = clock;
     this.turns = turns;
     this.desk = desk;
-    this.idleUs = tuning.clientIdleUs();
+    this.idleUs = tuning.clientIdleTimeoutUs();
     this.descriptors = descriptors;
   }
 
--- a/courier/src/main/java/thistleturn/courier/operator/MaintenanceFile.java
+++ b/courier/src/main/java/thistleturn/courier/operator/DisabledEndpointsFile.java
@@ -15,17 +15,17 @@
  * It is replaced in one step, so that a reader, in this process or another one, finds one state
  * whole.
  */
-public final class MaintenanceFile {
-  private static final String FILE = "maintenance";
-  private static final int MOST_BYTES = 1 << 16;
+public final class DisabledEndpointsFile {
+  private static final String FILE_NAME = "maintenance";
+  private static final int MAX_BYTES = 1 << 16;
 
   private final Path file;
-  private final Path next;
+  private final Path replacement;
 
   /** Nothing is read or written yet; {@code writer} is this process's own. */
-  public MaintenanceFile(final Path folder, final long writer) {
-    this.file = folder.resolve(FILE);
-    this.next = folder.resolve(FILE + ".next-" + writer);
+  public DisabledEndpointsFile(final Path folder, final long writer) {
+    this.file = folder.resolve(FILE_NAME);
+    this.replacement = folder.resolve(FILE_NAME + ".next-" + writer);
   }
 
   /**
@@ -51,17 +51,17 @@
    *
    * @throws IOException if that failed, or they would need over 64 KiB; then the file is as it was
    */
-  public void write(final Collection<String> names) throws IOException {
+  public void replace(final Collection<String> names) throws IOException {
     final byte[] text =
         names.stream()
             .map(name -> name + "\n")
             .reduce("", String::concat)
             .getBytes(StandardCharsets.UTF_8);
-    if (text.length > MOST_BYTES) {
+    if (text.length > MAX_BYTES) {
       throw new IOException(
-          "the names left out need " + text.length + " bytes; " + MOST_BYTES + " are allowed");
+          "the names left out need " + text.length + " bytes; " + MAX_BYTES + " are allowed");
     }
-    Files.write(next, text);
-    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+    Files.write(replacement, text);
+    Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -38,23 +38,24 @@
  * makes room.
  */
 public final class OperatorServer {
-  private static final int MOST_CONNECTIONS = 24;
-  private static final int MOST_REQUEST_BYTES = 1 << 12;
+  private static final int MAX_CONNECTIONS = 24;
+  private static final int MAX_REQUEST_BYTES = 1 << 12;
 
   /** A connection without a whole call is closed after this. */
-  private static final long PATIENCE_MS = 5000;
+  private static final long REQUEST_TIMEOUT_MS = 5000;
 
   private static final int BACKLOG = 128;
-  private static final Pattern ENDPOINT = Pattern.compile("/-/endpoints/([^/]+)/(disable|enable)");
+  private static final Pattern ENDPOINT_COMMAND =
+      Pattern.compile("/-/endpoints/([^/]+)/(disable|enable)");
 
-  private final OperatorDesk desk;
+  private final AdminOperations operations;
 
   /** Connections without a whole call, the oldest first. */
-  private final Set<Channel> silent = new LinkedHashSet<>();
+  private final Set<Channel> connectionsAwaitingRequest = new LinkedHashSet<>();
 
   /** Not listening yet. */
-  public OperatorServer(final OperatorDesk desk) {
-    this.desk = desk;
+  public OperatorServer(final AdminOperations desk) {
+    this.operations = desk;
   }
 
   /** Listens; completes with the address in fact, or exceptionally. */
@@ -71,13 +72,13 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(final Channel channel) {
-                opened(channel);
+                onConnectionOpened(channel);
                 channel
                     .pipeline()
                     .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_REQUEST_BYTES),
-                        new Answer());
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                        new RequestHandler());
               }
             })
         .bind(address)
@@ -96,96 +97,106 @@
     return listening;
   }
 
-  private void opened(final Channel channel) {
-    silent.add(channel);
-    if (silent.size() > MOST_CONNECTIONS) {
-      final Channel oldest = silent.iterator().next();
-      silent.remove(oldest);
+  private void onConnectionOpened(final Channel channel) {
+    connectionsAwaitingRequest.add(channel);
+    if (connectionsAwaitingRequest.size() > MAX_CONNECTIONS) {
+      final Channel oldest = connectionsAwaitingRequest.iterator().next();
+      connectionsAwaitingRequest.remove(oldest);
       oldest.close();
     }
     final var patience =
-        channel.eventLoop().schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+        channel
+            .eventLoop()
+            .schedule(() -> channel.close(), REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     channel
         .closeFuture()
         .addListener(
             closed -> {
-              silent.remove(channel);
+              connectionsAwaitingRequest.remove(channel);
               patience.cancel(false);
             });
   }
 
   /** What a call is answered: a status and a text. */
-  private record Said(HttpResponseStatus status, String text) {}
+  private record OperatorResponse(HttpResponseStatus status, String text) {}
 
-  private CompletionStage<Said> say(final FullHttpRequest request) {
+  private CompletionStage<OperatorResponse> handle(final FullHttpRequest request) {
     if (request.decoderResult().isFailure()) {
-      return said(HttpResponseStatus.BAD_REQUEST, "this cannot be read");
+      return completed(HttpResponseStatus.BAD_REQUEST, "this cannot be read");
     }
     final String path = new QueryStringDecoder(request.uri()).path();
-    final Matcher endpoint = ENDPOINT.matcher(path);
+    final Matcher endpoint = ENDPOINT_COMMAND.matcher(path);
     final boolean asks = path.equals("/-/ready") || path.equals("/-/metrics");
     if (!asks && !endpoint.matches()) {
-      return said(HttpResponseStatus.NOT_FOUND, "no such call");
+      return completed(HttpResponseStatus.NOT_FOUND, "no such call");
     }
     if (!request.method().equals(asks ? HttpMethod.GET : HttpMethod.POST)) {
-      return said(HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "asked by GET" : "asked by POST");
+      return completed(
+          HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "asked by GET" : "asked by POST");
     }
     if (path.equals("/-/ready")) {
-      return desk.isReady()
-          ? said(HttpResponseStatus.OK, "ready")
-          : said(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+      return operations.isServing()
+          ? completed(HttpResponseStatus.OK, "ready")
+          : completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
     }
-    if (!desk.isStarted()) {
-      return said(HttpResponseStatus.SERVICE_UNAVAILABLE, "starting");
+    if (!operations.isStarted()) {
+      return completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "starting");
     }
     if (asks) {
-      return desk.figures()
-          .thenApply(figures -> new Said(HttpResponseStatus.OK, figures.text() + Log.counters()));
+      return operations
+          .collectMetrics()
+          .thenApply(
+              figures ->
+                  new OperatorResponse(
+                      HttpResponseStatus.OK, figures.toPrometheusText() + Log.counters()));
     }
     final boolean leaveOut = endpoint.group(2).equals("disable");
-    return desk.maintain(endpoint.group(1), leaveOut)
+    return operations
+        .setEndpointDisabled(endpoint.group(1), leaveOut)
         .thenApply(
             known ->
                 known
-                    ? new Said(HttpResponseStatus.OK, leaveOut ? "left out" : "may serve")
-                    : new Said(
+                    ? new OperatorResponse(
+                        HttpResponseStatus.OK, leaveOut ? "left out" : "may serve")
+                    : new OperatorResponse(
                         HttpResponseStatus.NOT_FOUND, "no endpoint of that name was ever listed"));
   }
 
-  private static CompletionStage<Said> said(final HttpResponseStatus status, final String text) {
-    return CompletableFuture.completedStage(new Said(status, text));
+  private static CompletionStage<OperatorResponse> completed(
+      final HttpResponseStatus status, final String text) {
+    return CompletableFuture.completedStage(new OperatorResponse(status, text));
   }
 
-  private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private boolean asked;
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private boolean requestReceived;
 
     @Override
     protected void channelRead0(
         final ChannelHandlerContext context, final FullHttpRequest request) {
-      if (asked) {
+      if (requestReceived) {
         // One call a connection: what comes behind it is not looked at.
         return;
       }
-      asked = true;
-      silent.remove(context.channel());
-      say(request)
+      requestReceived = true;
+      connectionsAwaitingRequest.remove(context.channel());
+      handle(request)
           .whenCompleteAsync(
               (said, failure) -> {
                 if (failure != null) {
                   Log.info("operator: " + failure.getMessage());
                 }
-                answer(
+                respond(
                     context,
                     failure == null
                         ? said
-                        : new Said(
+                        : new OperatorResponse(
                             HttpResponseStatus.SERVICE_UNAVAILABLE,
                             "it could not be written down"));
               },
               context.executor());
     }
 
-    private void answer(final ChannelHandlerContext context, final Said said) {
+    private void respond(final ChannelHandlerContext context, final OperatorResponse said) {
       final var response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
--- a/courier/src/main/java/thistleturn/courier/shard/Layout.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardJournals.java
@@ -23,18 +23,18 @@
  * then puts the name in place in one step, then deletes the old ones: at every moment exactly one
  * whole layout counts, and what a kill left of another is deleted at the next start.
  */
-public final class Layout {
-  private static final String MARKER = "shards";
-  private static final String NEXT_MARKER = "shards.next";
-  private static final String FOLDERS = "shards-";
-  private static final String JOURNAL = "journal";
-  private static final int MOST_SHARDS = 64;
+public final class ShardJournals {
+  private static final String MARKER_FILE = "shards";
+  private static final String NEXT_MARKER_FILE = "shards.next";
+  private static final String SHARD_FOLDER_PREFIX = "shards-";
+  private static final String JOURNAL_FILE = "journal";
+  private static final int MAX_SHARDS = 64;
 
-  private final Path state;
+  private final Path stateFolder;
   private final long diskBytes;
 
-  private Layout(final Path state, final long diskBytes) {
-    this.state = state;
+  private ShardJournals(final Path state, final long diskBytes) {
+    this.stateFolder = state;
     this.diskBytes = diskBytes;
   }
 
@@ -45,41 +45,43 @@
    */
   public static List<Journal> open(final Path state, final long diskBytes, final int shards)
       throws IOException {
-    final Layout layout = new Layout(state, diskBytes);
+    final ShardJournals layout = new ShardJournals(state, diskBytes);
     Files.createDirectories(state);
-    Files.deleteIfExists(state.resolve(NEXT_MARKER));
-    final int before = layout.marked();
-    layout.deleteAllBut(before);
+    Files.deleteIfExists(state.resolve(NEXT_MARKER_FILE));
+    final int before = layout.recordedShardCount();
+    layout.deleteOtherLayouts(before);
     if (before != shards) {
-      layout.move(before, shards);
+      layout.migrate(before, shards);
     }
-    return layout.journals(shards);
+    return layout.openAll(shards);
   }
 
-  private int marked() throws IOException {
-    final Path marker = state.resolve(MARKER);
+  private int recordedShardCount() throws IOException {
+    final Path marker = stateFolder.resolve(MARKER_FILE);
     if (!Files.exists(marker)) {
       return 1;
     }
     final String text = Files.readString(marker).trim();
     if (text.matches("\\d{1,2}")
         && Integer.parseInt(text) >= 1
-        && Integer.parseInt(text) <= MOST_SHARDS) {
+        && Integer.parseInt(text) <= MAX_SHARDS) {
       return Integer.parseInt(text);
     }
     throw new IOException(
-        marker + ": \"" + text + "\": expected a number of shards from 1 to " + MOST_SHARDS);
+        marker + ": \"" + text + "\": expected a number of shards from 1 to " + MAX_SHARDS);
   }
 
-  private Path folder(final int shards, final int shard) {
-    return shards == 1 ? state : state.resolve(FOLDERS + shards).resolve(Integer.toString(shard));
+  private Path journalFolder(final int shards, final int shard) {
+    return shards == 1
+        ? stateFolder
+        : stateFolder.resolve(SHARD_FOLDER_PREFIX + shards).resolve(Integer.toString(shard));
   }
 
-  private List<Journal> journals(final int shards) throws IOException {
+  private List<Journal> openAll(final int shards) throws IOException {
     final List<Journal> journals = new ArrayList<>();
     try {
       for (int shard = 0; shard < shards; shard++) {
-        journals.add(Journal.open(folder(shards, shard), diskBytes / shards));
+        journals.add(Journal.open(journalFolder(shards, shard), diskBytes / shards));
       }
     } catch (final IOException | RuntimeException e) {
       journals.forEach(Journal::close);
@@ -88,33 +90,40 @@
     return journals;
   }
 
-  private void move(final int before, final int shards) throws IOException {
+  private void migrate(final int before, final int shards) throws IOException {
     final Map<String, StoredMessage> held = new LinkedHashMap<>();
-    for (final Journal journal : journals(before)) {
+    for (final Journal journal : openAll(before)) {
       journal.pendingMessages().forEach(one -> held.put(one.id(), one));
       journal.close();
     }
     for (int shard = 0; shard < shards; shard++) {
       final int to = shard;
       Journal.rewrite(
-          folder(shards, shard),
+          journalFolder(shards, shard),
           diskBytes / shards,
           held.values().stream()
               .filter(one -> ShardPlacement.shardOf(one.destination(), shards) == to)
               .toList());
     }
-    Files.writeString(state.resolve(NEXT_MARKER), shards + "\n", StandardCharsets.US_ASCII);
-    Files.move(state.resolve(NEXT_MARKER), state.resolve(MARKER), StandardCopyOption.ATOMIC_MOVE);
+    Files.writeString(
+        stateFolder.resolve(NEXT_MARKER_FILE), shards + "\n", StandardCharsets.US_ASCII);
+    Files.move(
+        stateFolder.resolve(NEXT_MARKER_FILE),
+        stateFolder.resolve(MARKER_FILE),
+        StandardCopyOption.ATOMIC_MOVE);
     Log.info(
         "journals of " + before + " shards moved to " + shards + ": " + held.size() + " messages");
-    deleteAllBut(shards);
+    deleteOtherLayouts(shards);
   }
 
   /** Deletes what belongs to another layout than the one that counts. */
-  private void deleteAllBut(final int shards) throws IOException {
+  private void deleteOtherLayouts(final int shards) throws IOException {
     final List<Path> others;
-    try (Stream<Path> files = Files.list(state)) {
-      others = files.filter(file -> isOther(file.getFileName().toString(), shards)).toList();
+    try (Stream<Path> files = Files.list(stateFolder)) {
+      others =
+          files
+              .filter(file -> belongsToOtherLayout(file.getFileName().toString(), shards))
+              .toList();
     }
     for (final Path other : others) {
       try (Stream<Path> files = Files.walk(other)) {
@@ -125,8 +134,8 @@
     }
   }
 
-  private static boolean isOther(final String name, final int shards) {
-    return (name.startsWith(FOLDERS) && !name.equals(FOLDERS + shards))
-        || (shards > 1 && (name.equals(JOURNAL) || name.equals(JOURNAL + ".next")));
+  private static boolean belongsToOtherLayout(final String name, final int shards) {
+    return (name.startsWith(SHARD_FOLDER_PREFIX) && !name.equals(SHARD_FOLDER_PREFIX + shards))
+        || (shards > 1 && (name.equals(JOURNAL_FILE) || name.equals(JOURNAL_FILE + ".next")));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/ShardDesk.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardedIngressHandler.java
@@ -12,80 +12,82 @@
  * The desk of a front on one loop: a message goes to the loop that owns its destination, and its
  * answer comes back.
  */
-public final class ShardDesk implements IngressHandler {
-  private final int own;
+public final class ShardedIngressHandler implements IngressHandler {
+  private final int ownShard;
   private final List<EventLoop> loops;
-  private final List<? extends IngressHandler> desks;
+  private final List<? extends IngressHandler> handlers;
 
   /**
    * {@code desks} are the shards' own, in the order of their loops; {@code own} is the one of this
    * front's loop.
    */
-  public ShardDesk(
+  public ShardedIngressHandler(
       final int own, final List<EventLoop> loops, final List<? extends IngressHandler> desks) {
-    this.own = own;
+    this.ownShard = own;
     this.loops = List.copyOf(loops);
-    this.desks = List.copyOf(desks);
+    this.handlers = List.copyOf(desks);
   }
 
   @Override
   public MessageClass messageClass(final String className) {
-    return desks.get(own).messageClass(className);
+    return handlers.get(ownShard).messageClass(className);
   }
 
   @Override
   public boolean isAnsweredOnThisLoop(final long destination) {
-    return ShardPlacement.shardOf(destination, desks.size()) == own;
+    return ShardPlacement.shardOf(destination, handlers.size()) == ownShard;
   }
 
   @Override
   public void submit(final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
-    final int shard = ShardPlacement.shardOf(held.destination(), desks.size());
-    if (shard == own) {
-      desks.get(own).submit(held, validUntilUs, reply);
+    final int shard = ShardPlacement.shardOf(held.destination(), handlers.size());
+    if (shard == ownShard) {
+      handlers.get(ownShard).submit(held, validUntilUs, reply);
     } else {
       loops
           .get(shard)
-          .execute(() -> desks.get(shard).submit(held, validUntilUs, new Returned(reply)));
+          .execute(
+              () ->
+                  handlers.get(shard).submit(held, validUntilUs, new ReplyOnConnectionLoop(reply)));
     }
   }
 
   @Override
   public void withdraw(final String id, final long destination) {
-    final int shard = ShardPlacement.shardOf(destination, desks.size());
-    if (shard == own) {
-      desks.get(own).withdraw(id, destination);
+    final int shard = ShardPlacement.shardOf(destination, handlers.size());
+    if (shard == ownShard) {
+      handlers.get(ownShard).withdraw(id, destination);
     } else {
-      loops.get(shard).execute(() -> desks.get(shard).withdraw(id, destination));
+      loops.get(shard).execute(() -> handlers.get(shard).withdraw(id, destination));
     }
   }
 
   /** Takes an answer back to the loop of the connection that it belongs to. */
-  private final class Returned implements Ingress.Reply {
+  private final class ReplyOnConnectionLoop implements Ingress.Reply {
     private final Ingress.Reply reply;
 
-    private Returned(final Ingress.Reply reply) {
+    private ReplyOnConnectionLoop(final Ingress.Reply reply) {
       this.reply = reply;
     }
 
     @Override
     public void accepted() {
-      loops.get(own).execute(reply::accepted);
+      loops.get(ownShard).execute(reply::accepted);
     }
 
     @Override
     public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      loops.get(own).execute(() -> reply.rejected(why, retryAfterUs));
+      loops.get(ownShard).execute(() -> reply.rejected(why, retryAfterUs));
     }
 
     @Override
     public void failed() {
-      loops.get(own).execute(reply::failed);
+      loops.get(ownShard).execute(reply::failed);
     }
 
     @Override
     public void invalid(final Ingress.InvalidReason fault) {
-      loops.get(own).execute(() -> reply.invalid(fault));
+      loops.get(ownShard).execute(() -> reply.invalid(fault));
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -15,14 +15,14 @@
 
 /** One directory for several shards: each is told of its own destinations, on its own loop. */
 public final class SharedDirectory {
-  private static final long FRESH_MS = 250;
+  private static final long FRESHNESS_PERIOD_MS = 250;
 
   private final EndpointDirectory shared;
   private final EventLoop owner;
-  private final List<View> views = new ArrayList<>();
+  private final List<ShardView> shardViews = new ArrayList<>();
 
   /** Which shard knows an endpoint. */
-  private final Map<String, Integer> places = new HashMap<>();
+  private final Map<String, Integer> shardsByEndpoint = new HashMap<>();
 
   private volatile boolean fresh;
 
@@ -32,34 +32,37 @@
     this.shared = shared;
     this.owner = owner;
     for (final EventLoop loop : loops) {
-      views.add(new View(loop));
+      shardViews.add(new ShardView(loop));
     }
   }
 
   /** What a shard follows. */
   public EndpointDirectory view(final int shard) {
-    return views.get(shard);
+    return shardViews.get(shard);
   }
 
   /** Begins; every view must have been started before. Called on the owner's loop. */
   public void start() {
-    shared.start(this::told);
+    shared.start(this::distribute);
     owner.scheduleWithFixedDelay(
         LoopTasks.guarded("freshness of the list", () -> fresh = shared.isCurrent()),
         0,
-        FRESH_MS,
+        FRESHNESS_PERIOD_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void told(final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
+  private void distribute(
+      final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
     fresh = shared.isCurrent();
     final List<List<EndpointDirectory.Entry>> parts = new ArrayList<>();
-    views.forEach(view -> parts.add(new ArrayList<>()));
+    shardViews.forEach(view -> parts.add(new ArrayList<>()));
     for (final EndpointDirectory.Entry listing : listings) {
-      final int shard = ShardPlacement.shardOf(listing.destination(), views.size());
+      final int shard = ShardPlacement.shardOf(listing.destination(), shardViews.size());
       final boolean gone = listing.state() == EndpointState.GONE;
       final Integer before =
-          gone ? places.remove(listing.name()) : places.put(listing.name(), shard);
+          gone
+              ? shardsByEndpoint.remove(listing.name())
+              : shardsByEndpoint.put(listing.name(), shard);
       if (before != null && before != shard) {
         // It serves another destination now: for the shard that knew it, it is gone.
         parts
@@ -76,8 +79,8 @@
       }
       parts.get(shard).add(listing);
     }
-    for (int shard = 0; shard < views.size(); shard++) {
-      final View view = views.get(shard);
+    for (int shard = 0; shard < shardViews.size(); shard++) {
+      final ShardView view = shardViews.get(shard);
       final List<EndpointDirectory.Entry> part = parts.get(shard);
       if ((update != EndpointUpdate.CHANGES && update != EndpointUpdate.SUPPLEMENT)
           || !part.isEmpty()) {
@@ -87,11 +90,11 @@
   }
 
   /** The directory as one shard sees it. */
-  private final class View implements EndpointDirectory {
+  private final class ShardView implements EndpointDirectory {
     private final EventLoop loop;
     private Listener listener;
 
-    private View(final EventLoop loop) {
+    private ShardView(final EventLoop loop) {
       this.loop = loop;
     }
 
@@ -112,7 +115,7 @@
 
     @Override
     public void reload(final Config changed) {
-      if (views.get(0) == this) {
+      if (shardViews.get(0) == this) {
         owner.execute(() -> shared.reload(changed));
       }
     }
--- a/courier/src/test/java/thistleturn/courier/ClosingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ClosingTest.java
@@ -34,27 +34,27 @@
 
   @TempDir private Path folder;
   private Rig rig;
-  private CourierProcess courier;
+  private CourierServer courier;
   private String address;
 
   @BeforeEach
   void start() throws Exception {
     rig = new Rig(folder);
-    final Tuning usual = Tuning.platform();
+    final CourierOptions usual = CourierOptions.platformDefaults();
     courier =
-        CourierProcess.start(
+        CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
                 rig.configure(rig.platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()),
             null,
-            new Tuning(
+            new CourierOptions(
                 IDLE_US,
-                usual.clientShare(),
-                usual.endpointShare(),
-                usual.shards(),
-                usual.remembers()));
+                usual.clientDescriptorShare(),
+                usual.endpointDescriptorShare(),
+                usual.shardCount(),
+                usual.retainsLearnedState()));
     address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** A connection that has been used and asks nothing. */
-  private Socket idle() throws IOException {
+  private Socket connectIdle() throws IOException {
     final Socket socket = connect();
     assertEquals(200, Rig.send(socket, UP).status());
     return socket;
@@ -86,11 +86,11 @@
   }
 
   /** Has the loop stand still from now on until that is done. */
-  private CountDownLatch hold() throws InterruptedException {
+  private CountDownLatch blockEventLoop() throws InterruptedException {
     final CountDownLatch standing = new CountDownLatch(1);
     final CountDownLatch release = new CountDownLatch(1);
     courier
-        .loop()
+        .eventLoop()
         .execute(
             () -> {
               standing.countDown();
@@ -104,8 +104,8 @@
     return release;
   }
 
-  private Thread stop() {
-    final Thread stopping = new Thread(courier::stop);
+  private Thread startShutdown() {
+    final Thread stopping = new Thread(courier::shutDownGracefully);
     stopping.start();
     return stopping;
   }
@@ -115,14 +115,16 @@
    * answered.
    */
   @Test
-  void aRequestThatLiesUnreadAtTheShutdownIsAnswered() throws Exception {
-    final Socket socket = idle();
-    final CountDownLatch release = hold();
+  void requestUnreadAtShutdown_isAnswered() throws Exception {
+    final Socket socket = connectIdle();
+    final CountDownLatch release = blockEventLoop();
     write(socket, Rig.message("m1", "safe"));
-    final Thread stopping = stop();
+    final Thread stopping = startShutdown();
     rig.await(
         "the order to end waits behind",
-        () -> courier.loop() instanceof SingleThreadEventExecutor loop && loop.pendingTasks() > 0);
+        () ->
+            courier.eventLoop() instanceof SingleThreadEventExecutor loop
+                && loop.pendingTasks() > 0);
     release.countDown();
     final Rig.Answer answer = Rig.read(socket.getInputStream());
     assertEquals(202, answer.status());
@@ -134,8 +136,8 @@
 
   /** The same reset, where a connection has been idle for too long. */
   @Test
-  void whatCrossesTheEndOfAConnectionThatWasIdleForTooLongDoesNotResetIt() throws Exception {
-    final Socket socket = idle();
+  void requestCrossingIdleTimeout_doesNotResetConnection() throws Exception {
+    final Socket socket = connectIdle();
     assertEquals(-1, socket.getInputStream().read(), "an end in order");
     write(socket, Rig.message("m1", "safe"));
     write(socket, Rig.message("m1", "safe"));
@@ -148,9 +150,9 @@
    * its way.
    */
   @Test
-  void whatCrossesTheEndOfAnIdleConnectionDoesNotResetIt() throws Exception {
-    final Socket socket = idle();
-    final Thread stopping = stop();
+  void requestCrossingShutdown_doesNotResetConnection() throws Exception {
+    final Socket socket = connectIdle();
+    final Thread stopping = startShutdown();
     assertEquals(-1, socket.getInputStream().read(), "an end in order");
     write(socket, Rig.message("m1", "safe"));
     write(socket, Rig.message("m1", "safe"));
@@ -161,7 +163,7 @@
 
   /** The first half came before the order to end, the second after the listener has gone. */
   @Test
-  void aRequestInPiecesAcrossTheShutdownIsAnswered(@TempDir final Path other) throws Exception {
+  void requestInPiecesAcrossShutdown_isAnswered(@TempDir final Path other) throws Exception {
     try (Rig process = new Rig(other)) {
       process.start();
       final String text = Rig.message("m1", "safe");
@@ -202,7 +204,7 @@
    * last moment.
    */
   @Test
-  void whoAsksNothingDoesNotHoldUpTheEnd(@TempDir final Path other) throws Exception {
+  void connectionsWithoutRequest_doNotDelayShutdown(@TempDir final Path other) throws Exception {
     try (Rig process = new Rig(other)) {
       process.start();
       final Socket silent = process.connect();
@@ -219,8 +221,7 @@
 
   /** A request that never comes in whole is told so before the process ends. */
   @Test
-  void aRequestThatIsNotWholeWhenTheProcessEndsIsTurnedAway(@TempDir final Path other)
-      throws Exception {
+  void incompleteRequestAtShutdown_isRejected(@TempDir final Path other) throws Exception {
     try (Rig process = new Rig(other)) {
       process.start();
       final String text = Rig.message("m1", "safe");
--- a/courier/src/test/java/thistleturn/courier/ReloadTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
@@ -18,7 +18,7 @@
 
 /** What a new configuration and a SIGHUP change in a courier that runs. */
 @Timeout(120)
-final class ReloadTest {
+final class ConfigurationReloadTest {
   @TempDir private Path folder;
   private Rig rig;
 
@@ -33,7 +33,7 @@
     rig.close();
   }
 
-  private void moveAndAwaitTheWatch() throws IOException, InterruptedException {
+  private void moveDiscoveryAndAwaitWatch() throws IOException, InterruptedException {
     rig.configure(rig.moved.address());
     rig.hangUp();
     rig.await(
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void theWatchMovesAtOnceAndTheWholeListOfTheNewAddressCounts()
+  void newDiscoveryAddress_watchMovesAndCompleteSnapshotApplies()
       throws IOException, InterruptedException {
     rig.start();
     rig.await("the watch", () -> rig.watches.size() == 1);
-    moveAndAwaitTheWatch();
+    moveDiscoveryAndAwaitWatch();
     rig.await("the end of the old one", () -> rig.watches.get(0).ended);
     assertEquals(
         "GET /discovery/hosts HTTP/1.1",
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void aNoticeThatIsNotConfirmedGoesToTheNewAddress() throws IOException, InterruptedException {
+  void unconfirmedNotification_isSentToNewAddress() throws IOException, InterruptedException {
     rig.noticeStatus = 503;
     rig.first.script((request, connection) -> connection.reset());
     rig.start();
@@ -77,7 +77,7 @@
     rig.await("a try at the old address", () -> rig.noticed("m1", "undeliverable"));
     rig.noticeStatus = 204;
     rig.platform.close();
-    moveAndAwaitTheWatch();
+    moveDiscoveryAndAwaitWatch();
     rig.await(
         "the notice at the new address",
         () ->
@@ -87,10 +87,10 @@
   }
 
   @Test
-  void twoInARowEndAtTheLaterAddress() throws IOException, InterruptedException {
+  void twoReloadsInARow_laterAddressApplies() throws IOException, InterruptedException {
     rig.start();
     rig.await("the watch", () -> rig.watches.size() == 1);
-    moveAndAwaitTheWatch();
+    moveDiscoveryAndAwaitWatch();
     rig.movedHosts = Rig.host("e1", rig.first, "Ready");
     final int before = rig.platform.requests.size();
     rig.configure(rig.platform.address());
@@ -107,8 +107,7 @@
   }
 
   @Test
-  void aFileThatCannotBeUsedChangesNothingAndSaysSoInOneLine()
-      throws IOException, InterruptedException {
+  void invalidFile_changesNothingAndLogsOneLine() throws IOException, InterruptedException {
     rig.start();
     rig.await("the watch", () -> rig.watches.size() == 1);
     final int before = rig.log.size();
@@ -123,13 +122,14 @@
   }
 
   @Test
-  void aSighupDuringTheStopIsHeededAndDoesNotDisturbIt() throws IOException, InterruptedException {
+  void hangupDuringShutdown_isAppliedWithoutDisturbingShutdown()
+      throws IOException, InterruptedException {
     rig.first.script((request, connection) -> {});
     rig.start();
     assertEquals(202, rig.handIn("m1", "safe").status());
     rig.await("the call", () -> rig.first.requests.size() == 1);
     final Process ending = rig.terminate();
-    moveAndAwaitTheWatch();
+    moveDiscoveryAndAwaitWatch();
     assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
     rig.first.script((request, connection) -> connection.answer(200, ""));
     rig.start();
@@ -141,7 +141,7 @@
    * afterwards.
    */
   @Test
-  void aSighupDuringTheStartIsHeededOnceItHasStarted() throws Exception {
+  void hangupDuringStart_isAppliedOnceStarted() throws Exception {
     final String before = Files.readString(rig.configure(rig.platform.address()));
     final String after = Files.readString(rig.configure(rig.moved.address()));
     final Path pipe = folder.resolve("pipe");
--- a/courier/src/test/java/thistleturn/courier/CrowdAfterStandstillTest.java
+++ b/courier/src/test/java/thistleturn/courier/CrowdAfterStandstillTest.java
@@ -29,7 +29,7 @@
   private static final int CLIENTS = 150;
 
   private Rig rig;
-  private CourierProcess courier;
+  private CourierServer courier;
   private int port;
   private final List<Socket> clients = new ArrayList<>();
 
@@ -39,7 +39,7 @@
     rig.sockets = SOCKETS;
     rig.maxOpen = 2 * CLIENTS;
     courier =
-        CourierProcess.start(
+        CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
                 rig.configure(rig.platform.address()).toString(),
@@ -67,7 +67,7 @@
     final CountDownLatch standing = new CountDownLatch(1);
     final CountDownLatch goOn = new CountDownLatch(1);
     courier
-        .loop()
+        .eventLoop()
         .execute(
             () -> {
               standing.countDown();
--- a/courier/src/test/java/thistleturn/courier/HandoverTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverTest.java
@@ -211,8 +211,8 @@
   @Test
   void aSighupDuringATakeoverIsHeededByTheNewerOne() throws Exception {
     older.movedHosts = Rig.host("e2", older.second, "Ready");
-    final CourierProcess next =
-        CourierProcess.start(
+    final CourierServer next =
+        CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
                 newer.configure(older.platform.address()).toString(),
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.port.StoredMessage;
-import thistleturn.courier.shard.Layout;
+import thistleturn.courier.shard.ShardJournals;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInEndpoint.Act;
@@ -42,8 +42,8 @@
       // One call each: whatever a destination's window is, that many are always allowed.
       final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(2));
       endpoints.forEach(endpoint -> world.platform.tell(endpoint, "Ready", 1000));
-      final CourierProcess courier =
-          CourierProcess.start(world.environment(CourierFiles.Size.usual()));
+      final CourierServer courier =
+          CourierServer.start(world.environment(CourierFiles.Size.usual()));
       world.client.courier(courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS));
       // A destination that serves well is called again at once when a call of its breaks.
       endpoints.forEach(endpoint -> endpoint.fare(Manner.after(SERVICE_MS)));
@@ -70,7 +70,7 @@
       world.endConnections();
       assertEquals(served + 2, calls(endpoints));
       final Collection<StoredMessage> owed =
-          Layout.open(folder.resolve("state"), 1_000_000, 1).get(0).pendingMessages();
+          ShardJournals.open(folder.resolve("state"), 1_000_000, 1).get(0).pendingMessages();
       assertEquals(List.of(1, 1), owed.stream().map(StoredMessage::attempts).toList());
     }
   }
--- a/courier/src/test/java/thistleturn/courier/OperatorTest.java
+++ b/courier/src/test/java/thistleturn/courier/OperatorEndpointTest.java
@@ -19,7 +19,7 @@
 /** What on-call staff ask of a courier, and that a ban by hand holds whatever the list says. */
 @Tag("operators")
 @Timeout(120)
-final class OperatorTest {
+final class OperatorEndpointTest {
   @TempDir private Path folder;
   private Rig rig;
 
@@ -35,23 +35,23 @@
     rig.close();
   }
 
-  private static int sent(final FakeServer endpoint) {
+  private static int callCount(final FakeServer endpoint) {
     return endpoint.requests.size();
   }
 
   private void deliver(final String prefix, final int messages) throws IOException {
     for (int number = 0; number < messages; number++) {
       // One by one: what waits together travels in one call.
-      final int calls = sent(rig.first) + sent(rig.second) + 1;
+      final int calls = callCount(rig.first) + callCount(rig.second) + 1;
       assertEquals(202, rig.handIn(prefix + number, "safe").status());
-      rig.await("the call", () -> sent(rig.first) + sent(rig.second) == calls);
+      rig.await("the call", () -> callCount(rig.first) + callCount(rig.second) == calls);
       // Its answer must be known too: what a kill overtakes is sent again by the next process.
       rig.await("its end", () -> rig.ask("GET", "/-/metrics").contains("svc_in_flight 0\n"));
     }
   }
 
   @Test
-  void figuresTellWhatThePeersSaw() throws IOException {
+  void metrics_matchWhatPeersObserved() throws IOException {
     rig.start();
     assertTrue(rig.ask("GET", "/-/ready").startsWith("HTTP/1.1 200"));
     deliver("m", 5);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void anEndpointLeftOutGetsNothingWhateverTheListSaysAndThroughARestart()
+  void disabledEndpoint_getsNoCallsThroughUpdatesAndRestart()
       throws IOException, InterruptedException {
     rig.start();
     rig.await("the watch", () -> rig.watches.size() == 1);
@@ -88,17 +88,17 @@
     deliver("a", 8);
     rig.killAndRestart();
     deliver("b", 8);
-    assertEquals(0, sent(rig.first));
+    assertEquals(0, callCount(rig.first));
     assertTrue(rig.ask("GET", "/-/metrics").contains("svc_endpoints_excluded 1\n"));
     assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
     rig.second.script((request, connection) -> {});
     assertEquals(202, rig.handIn("c1", "safe").status());
     assertEquals(202, rig.handIn("c2", "safe").status());
-    rig.await("a call to it", () -> sent(rig.first) > 0);
+    rig.await("a call to it", () -> callCount(rig.first) > 0);
   }
 
   @Test
-  void theOnlyEndpointOfADestinationComesBackInPaces() throws IOException {
+  void soleEndpointEnabledAgain_recoversGradually() throws IOException {
     rig.hosts = Rig.host("e1", rig.first, "Ready").replace("100.0", "2.0");
     rig.start();
     assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
@@ -107,14 +107,14 @@
     }
     assertTrue(rig.ask("GET", "/-/metrics").contains("svc_in_flight 4\n"), "they wait");
     assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
-    rig.await("all calls", () -> sent(rig.first) == 4);
+    rig.await("all calls", () -> callCount(rig.first) == 4);
     final long spreadMs =
         (rig.first.requests.get(3).atNs() - rig.first.requests.get(0).atNs()) / 1_000_000;
     assertTrue(spreadMs > 300, "four calls to a cold endpoint within " + spreadMs + " ms");
   }
 
   @Test
-  void callersWhoSayNothingOrHalfOfItHoldNobodyUp() throws IOException {
+  void silentOrIncompleteCallers_doNotDelayOthers() throws IOException {
     rig.start();
     final List<Socket> silent = new ArrayList<>();
     try {
--- a/courier/src/test/java/thistleturn/courier/RestingConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/RestingConnectionsTest.java
@@ -33,7 +33,7 @@
   private static final long REST_MS = 1_000;
 
   private StandInWorld world;
-  private CourierProcess courier;
+  private CourierServer courier;
   private String address;
   private final List<Socket> sockets = new ArrayList<>();
 
@@ -42,7 +42,7 @@
     world = new StandInWorld(folder, 3);
     final StandInEndpoint endpoint = world.endpoint(7);
     world.platform.tell(endpoint, "Ready", 500);
-    courier = CourierProcess.start(world.environment(CourierFiles.Size.usual()));
+    courier = CourierServer.start(world.environment(CourierFiles.Size.usual()));
     address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
   }
 
--- a/courier/src/test/java/thistleturn/courier/ShardsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardingTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.runtime.Config;
-import thistleturn.courier.shard.Layout;
+import thistleturn.courier.shard.ShardJournals;
 import thistleturn.decisions.shards.ShardPlacement;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
@@ -30,14 +30,14 @@
  * changes.
  */
 @Tag("scale")
-final class ShardsTest {
+final class ShardingTest {
   private static final long[] DESTINATIONS = LongStream.rangeClosed(1, 12).toArray();
   private static final long TIMEOUT_MS = 6000;
 
   @TempDir private Path folder;
   private StandInWorld world;
   private final List<StandInEndpoint> endpoints = new ArrayList<>();
-  private CourierProcess courier;
+  private CourierServer courier;
 
   @BeforeEach
   void begin() {
@@ -57,15 +57,15 @@
   }
 
   private void start(final int shards) throws IOException, Config.BadConfigException {
-    final Tuning platform = Tuning.platform();
+    final CourierOptions platform = CourierOptions.platformDefaults();
     courier =
-        CourierProcess.start(
+        CourierServer.start(
             world.environment(CourierFiles.Size.usual()),
             null,
-            new Tuning(
-                platform.clientIdleUs(),
-                platform.clientShare(),
-                platform.endpointShare(),
+            new CourierOptions(
+                platform.clientIdleTimeoutUs(),
+                platform.clientDescriptorShare(),
+                platform.endpointDescriptorShare(),
                 shards,
                 true));
     world.client.courier(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void theRulesHoldThroughKillsAndChangesOfTheNumber() throws Exception {
+  void killsAndChangesOfShardCount_rulesHold() throws Exception {
     start(1);
     world.load(250, TIMEOUT_MS, DESTINATIONS);
     for (final int shards : new int[] {8, 3, 8, 1, 4}) {
@@ -108,7 +108,7 @@
    * lost.
    */
   @Test
-  void aShardThatStallsHoldsUpItsOwnDestinationsOnly() throws Exception {
+  void stalledShard_delaysOnlyItsOwnDestinations() throws Exception {
     start(3);
     world.load(150, TIMEOUT_MS, DESTINATIONS);
     awaitCalls(100);
@@ -116,7 +116,7 @@
     // them all.
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(250);
     courier
-        .loop()
+        .eventLoop()
         .execute(
             () -> {
               while (System.nanoTime() < untilNs) {
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void drainsAreKeptOnEveryShard() throws Exception {
+  void drainingEndpoints_getNoCallsFromAnyShard() throws Exception {
     start(4);
     final List<StandInEndpoint> others = new ArrayList<>();
     for (final long destination : DESTINATIONS) {
@@ -152,7 +152,7 @@
 
   /** Silent destinations on some shards: their messages end in time, the others' are delivered. */
   @Test
-  void silenceOnOneShardDoesNotTouchTheOthers() throws Exception {
+  void unresponsiveDestinationsOnOneShard_othersAreDelivered() throws Exception {
     start(4);
     for (int index = 0; index < endpoints.size(); index++) {
       if (ShardPlacement.shardOf(DESTINATIONS[index], 4) == 0) {
@@ -166,7 +166,7 @@
 
   /** A kill in the middle of moving journals: whichever layout the marker names counts, whole. */
   @Test
-  void whatIsLeftOfAMoveIsDeletedAndNothingOfItCounts() throws Exception {
+  void interruptedMigration_leftoversAreDeletedAndIgnored() throws Exception {
     start(3);
     courier.kill();
     final Path state = folder.resolve("state");
@@ -176,13 +176,13 @@
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
     Files.writeString(state.resolve("shards.next"), "8\n");
-    Layout.open(state, 1_000_000, 3)
+    ShardJournals.open(state, 1_000_000, 3)
         .forEach(journal -> assertTrue(journal.pendingMessages().isEmpty()));
     assertFalse(Files.exists(state.resolve("shards-8")));
     // A kill after the commit, before the old ones were deleted.
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.writeString(state.resolve("shards"), "8\n");
-    Layout.open(state, 1_000_000, 8);
+    ShardJournals.open(state, 1_000_000, 8);
     assertFalse(Files.exists(state.resolve("shards-3")));
     start(1);
     assertTrue(Files.exists(state.resolve("journal")));
--- a/courier/src/test/java/thistleturn/courier/SignalWalkTest.java
+++ b/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
@@ -30,16 +30,16 @@
  */
 @Tag("crossings")
 @Timeout(120)
-final class SignalWalkTest {
+final class SignalDuringDeliveryTest {
   /** A process that is told to end has ended by then: its own 3.1 s, and a busy machine. */
-  private static final long ENDS_S = 10;
+  private static final long SHUTDOWN_TIMEOUT_S = 10;
 
-  private static final String ID = "m1";
+  private static final String MESSAGE_ID = "m1";
 
   /** May not be repeated. */
-  private static final String CLASS = "once";
+  private static final String NON_IDEMPOTENT_CLASS = "once";
 
-  private static final long BRIEF_MS = 600;
+  private static final long SHORT_DEADLINE_MS = 600;
 
   private enum Signal {
     HUP,
@@ -50,19 +50,19 @@
   /** What is under way when the signal comes. */
   private enum Step {
     /** A client's connection rests. */
-    REST,
+    IDLE_CONNECTION,
     /** Half of a request's head has come. */
-    HEAD,
+    PARTIAL_HEADERS,
     /** Its head has come, and half of its body. */
-    BODY,
+    PARTIAL_BODY,
     /** Its message was taken on and called, and the endpoint has not answered. */
-    CALL,
+    CALL_IN_FLIGHT,
     /** Half of the answer's first line has come. */
-    ANSWER,
+    PARTIAL_RESPONSE,
     /** Half of a line of the watch has come. */
-    WATCH,
+    PARTIAL_WATCH_EVENT,
     /** A notice is told and not confirmed. */
-    NOTICE
+    UNCONFIRMED_NOTIFICATION
   }
 
   @TempDir private Path folder;
@@ -72,9 +72,9 @@
   /** Ids that endpoints were called with; the first call is held. */
   private final List<String> calls = new CopyOnWriteArrayList<>();
 
-  private volatile FakeServer.Connection held;
-  private volatile FakeServer.Connection unconfirmed;
-  private volatile boolean holds;
+  private volatile FakeServer.Connection heldCall;
+  private volatile FakeServer.Connection unconfirmedNotification;
+  private volatile boolean holdsNextCall;
 
   static Stream<Arguments> crossings() {
     return Arrays.stream(Step.values())
@@ -87,8 +87,8 @@
     rig.first.script(
         (request, connection) -> {
           calls.add(request.header("X-Request-ID"));
-          if (holds) {
-            held = connection;
+          if (holdsNextCall) {
+            heldCall = connection;
           } else {
             connection.answer(200, "");
           }
@@ -108,7 +108,7 @@
     client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  private int answer() throws IOException {
+  private int readStatus() throws IOException {
     return Rig.read(client.getInputStream()).status();
   }
 
@@ -128,60 +128,67 @@
    * What was under way is over: a process that was told to end ends, and the next one works,
    * whoever follows.
    */
-  private void goOn(final Signal signal, final Process ending)
+  private void awaitRecovery(final Signal signal, final Process ending)
       throws IOException, InterruptedException {
     if (signal == Signal.HUP) {
       rig.await(
           "the reload",
           () -> rig.log.stream().anyMatch(line -> line.contains("SIGHUP: discovery is at")));
     } else {
-      assertTrue(ending == null || ending.waitFor(ENDS_S, TimeUnit.SECONDS), "it does not end");
+      assertTrue(
+          ending == null || ending.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS),
+          "it does not end");
       rig.start();
     }
-    assertEquals(202, rig.handIn("next", CLASS).status());
+    assertEquals(202, rig.handIn("next", NON_IDEMPOTENT_CLASS).status());
     rig.await("the next call", () -> calls.contains("next") || !rig.second.requests.isEmpty());
   }
 
   /** A message that was taken on is called once at most, and ends by that call or by one notice. */
-  private void assertOneEnd(final boolean delivered) {
+  private void assertOneOutcome(final boolean delivered) {
     final List<String> notices =
-        rig.notices.stream().filter(line -> line.contains('"' + ID + '"')).distinct().toList();
-    assertTrue(calls.stream().filter(ID::equals).count() <= 1, "calls " + calls);
+        rig.notices.stream()
+            .filter(line -> line.contains('"' + MESSAGE_ID + '"'))
+            .distinct()
+            .toList();
+    assertTrue(calls.stream().filter(MESSAGE_ID::equals).count() <= 1, "calls " + calls);
     assertEquals(delivered ? 0 : 1, notices.size(), "calls " + calls + ", notices " + notices);
   }
 
-  private void held() throws IOException {
-    holds = true;
-    assertEquals(202, rig.handIn(ID, CLASS).status());
-    rig.await("the call", () -> held != null);
-    holds = false;
+  private void submitAndHoldCall() throws IOException {
+    holdsNextCall = true;
+    assertEquals(202, rig.handIn(MESSAGE_ID, NON_IDEMPOTENT_CLASS).status());
+    rig.await("the call", () -> heldCall != null);
+    holdsNextCall = false;
   }
 
   @ParameterizedTest
   @MethodSource("crossings")
-  void nothingIsLostOrDoubled(final Step step, final Signal signal) throws Exception {
+  void signalAtStep_losesAndDuplicatesNothing(final Step step, final Signal signal)
+      throws Exception {
     switch (step) {
-      case REST -> rest(signal);
-      case HEAD, BODY -> request(step, signal);
-      case CALL, ANSWER -> call(step == Step.ANSWER ? "HTTP/1.1 20" : "", signal);
-      case WATCH -> watch(signal);
-      default -> notice(signal);
+      case IDLE_CONNECTION -> signalOnIdleConnection(signal);
+      case PARTIAL_HEADERS, PARTIAL_BODY -> signalDuringRequest(step, signal);
+      case CALL_IN_FLIGHT, PARTIAL_RESPONSE ->
+          signalDuringCall(step == Step.PARTIAL_RESPONSE ? "HTTP/1.1 20" : "", signal);
+      case PARTIAL_WATCH_EVENT -> signalDuringWatchEvent(signal);
+      default -> signalDuringNotification(signal);
     }
   }
 
-  private void rest(final Signal signal) throws Exception {
+  private void signalOnIdleConnection(final Signal signal) throws Exception {
     say("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assertEquals(200, answer());
+    assertEquals(200, readStatus());
     final Process ending = send(signal);
     if (signal == Signal.TERM) {
       assertEquals(-1, client.getInputStream().read(), "it is ended in order");
     }
-    goOn(signal, ending);
+    awaitRecovery(signal, ending);
   }
 
-  private void request(final Step step, final Signal signal) throws Exception {
-    final String request = Rig.message(ID, CLASS);
-    final int half = step == Step.HEAD ? request.length() / 3 : request.length() - 2;
+  private void signalDuringRequest(final Step step, final Signal signal) throws Exception {
+    final String request = Rig.message(MESSAGE_ID, NON_IDEMPOTENT_CLASS);
+    final int half = step == Step.PARTIAL_HEADERS ? request.length() / 3 : request.length() - 2;
     say(request.substring(0, half));
     // Another connection is answered behind it: the half has been read.
     assertEquals(404, rig.send("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status());
@@ -189,37 +196,37 @@
     boolean taken = false;
     if (signal != Signal.KILL) {
       say(request.substring(half));
-      final int status = answer();
+      final int status = readStatus();
       taken = status == 202;
       assertTrue(taken || status == 503, "status " + status);
     }
-    goOn(signal, ending);
+    awaitRecovery(signal, ending);
     if (taken) {
-      rig.await("its end", () -> calls.contains(ID) || rig.noticed(ID, ""));
-      assertOneEnd(calls.contains(ID));
+      rig.await("its end", () -> calls.contains(MESSAGE_ID) || rig.noticed(MESSAGE_ID, ""));
+      assertOneOutcome(calls.contains(MESSAGE_ID));
     } else {
       assertTrue(
-          !calls.contains(ID) && !rig.noticed(ID, ""),
+          !calls.contains(MESSAGE_ID) && !rig.noticed(MESSAGE_ID, ""),
           "calls " + calls + ", notices " + rig.notices);
     }
   }
 
-  private void call(final String half, final Signal signal) throws Exception {
-    held();
-    held.write(half);
+  private void signalDuringCall(final String half, final Signal signal) throws Exception {
+    submitAndHoldCall();
+    heldCall.write(half);
     final Process ending = send(signal);
     if (signal != Signal.KILL) {
-      held.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".substring(half.length()));
+      heldCall.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".substring(half.length()));
     }
-    goOn(signal, ending);
+    awaitRecovery(signal, ending);
     if (signal == Signal.KILL) {
       // It may have run: it ends by a notice of its failure, and does not go again.
-      rig.await("the notice", () -> rig.noticed(ID, "undeliverable"));
+      rig.await("the notice", () -> rig.noticed(MESSAGE_ID, "undeliverable"));
     }
-    assertOneEnd(signal != Signal.KILL);
+    assertOneOutcome(signal != Signal.KILL);
   }
 
-  private void watch(final Signal signal) throws Exception {
+  private void signalDuringWatchEvent(final Signal signal) throws Exception {
     final FakeServer.Connection watch = rig.watches.get(0);
     final String change =
         "{\"seq\":42,\"whole\":false,\"hosts\":["
@@ -235,23 +242,23 @@
           "what the whole line says",
           () -> {
             try {
-              return rig.handIn("w" + System.nanoTime(), CLASS).status() == 202
+              return rig.handIn("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
                   && !rig.second.requests.isEmpty();
             } catch (final IOException e) {
               throw new IllegalStateException(e);
             }
           });
     }
-    goOn(signal, ending);
+    awaitRecovery(signal, ending);
   }
 
-  private void notice(final Signal signal) throws Exception {
+  private void signalDuringNotification(final Signal signal) throws Exception {
     final List<String> told = new ArrayList<>();
     rig.platform.script(
         (request, connection) -> {
-          if (request.line().startsWith("POST") && unconfirmed == null) {
+          if (request.line().startsWith("POST") && unconfirmedNotification == null) {
             told.add(request.text());
-            unconfirmed = connection;
+            unconfirmedNotification = connection;
           } else if (request.line().startsWith("POST")) {
             rig.notices.addAll(request.text().lines().toList());
             connection.answer(204, "");
@@ -260,17 +267,21 @@
             connection.chunk("\n");
           }
         });
-    holds = true;
+    holdsNextCall = true;
     assertEquals(
-        202, rig.send(Rig.message(ID, CLASS).replace("20000", Long.toString(BRIEF_MS))).status());
-    rig.await("the notice", () -> unconfirmed != null);
-    holds = false;
+        202,
+        rig.send(
+                Rig.message(MESSAGE_ID, NON_IDEMPOTENT_CLASS)
+                    .replace("20000", Long.toString(SHORT_DEADLINE_MS)))
+            .status());
+    rig.await("the notice", () -> unconfirmedNotification != null);
+    holdsNextCall = false;
     final Process ending = send(signal);
-    goOn(signal, ending);
+    awaitRecovery(signal, ending);
     // Not confirmed, it is told again, by this process or by the next; the same, and no call
     // besides.
-    rig.await("the notice again", () -> rig.noticed(ID, "undeliverable"));
+    rig.await("the notice again", () -> rig.noticed(MESSAGE_ID, "undeliverable"));
     assertTrue(told.get(0).contains("undeliverable"), told.toString());
-    assertOneEnd(false);
+    assertOneOutcome(false);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
+++ b/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
@@ -44,7 +44,7 @@
   }
 
   private FakeServer platform;
-  private CourierProcess courier;
+  private CourierServer courier;
   private String address;
   private volatile long noticedNs;
 
@@ -65,7 +65,7 @@
     // Nothing may be sent to it, so that the message waits until its time is up, with no attempt.
     rig.hosts = Rig.host("e1", rig.first, "Terminating");
     courier =
-        CourierProcess.start(
+        CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
                 rig.configure(platform.address()).toString(),
@@ -85,7 +85,7 @@
   private void stall(final long ms) throws InterruptedException {
     final CountDownLatch standing = new CountDownLatch(1);
     courier
-        .loop()
+        .eventLoop()
         .execute(
             () -> {
               standing.countDown();
--- a/courier/src/test/java/thistleturn/courier/StartTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
@@ -18,8 +18,6 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.CourierProcess.Extension;
-import thistleturn.courier.CourierProcess.Surroundings;
 import thistleturn.courier.handover.StateLock;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Config;
@@ -30,8 +28,8 @@
  * A start that fails at any of its steps says why in a line, and leaves nothing of those before it.
  */
 @Tag("decisions")
-final class StartTest {
-  private static final long PATIENCE_S = 20;
+final class StartupFailureTest {
+  private static final long TIMEOUT_S = 20;
 
   @TempDir private Path folder;
   private StandInWorld world;
@@ -49,13 +47,13 @@
     world.close();
   }
 
-  private String fails(final Extension extension) {
+  private String startAndGetFailure(final CourierExtension extension) {
     try {
-      final CourierProcess process = CourierProcess.start(environment, extension);
+      final CourierServer process = CourierServer.start(environment, extension);
       final ExecutionException failure =
           assertThrows(
-              ExecutionException.class, () -> process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
-      assertTrue(process.loop().isTerminated(), "its loop has ended");
+              ExecutionException.class, () -> process.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
+      assertTrue(process.eventLoop().isTerminated(), "its loop has ended");
       return String.valueOf(failure.getCause().getMessage());
     } catch (final IOException | Config.BadConfigException e) {
       return e.getMessage();
@@ -63,9 +61,9 @@
   }
 
   /** What was in the way is gone: a start on the same folder serves. */
-  private void startsNow() throws Exception {
-    final CourierProcess process = CourierProcess.start(environment);
-    world.client.courier(process.ready().get(PATIENCE_S, TimeUnit.SECONDS));
+  private void assertStartsAndReleasesFolder() throws Exception {
+    final CourierServer process = CourierServer.start(environment);
+    world.client.courier(process.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
     process.kill();
     try (StateLock free = StateLock.tryLock(folder.resolve("state"))) {
       assertTrue(free != null, "the folder is free");
@@ -73,82 +71,82 @@
   }
 
   @Test
-  void theFolderIsInUse() throws Exception {
+  void folderLockedByAnotherCourier_startFails() throws Exception {
     try (StateLock other = StateLock.tryLock(folder.resolve("state"))) {
       assertTrue(other != null);
-      assertTrue(fails(null).contains("another courier"));
+      assertTrue(startAndGetFailure(null).contains("another courier"));
     }
-    startsNow();
+    assertStartsAndReleasesFolder();
   }
 
   @Test
-  void theJournalCannotBeOpened() throws Exception {
+  void journalCannotBeOpened_startFails() throws Exception {
     Files.createDirectories(folder.resolve("state").resolve("journal"));
-    fails(null);
+    startAndGetFailure(null);
     Files.delete(folder.resolve("state").resolve("journal"));
-    startsNow();
+    assertStartsAndReleasesFolder();
   }
 
   @Test
-  void whoIsLeftOutCannotBeRead() throws Exception {
+  void disabledEndpointsCannotBeRead_startFails() throws Exception {
     Files.createDirectories(folder.resolve("state").resolve("maintenance"));
     environment.put("PROXY_OPERATOR", "127.0.0.1:0");
-    fails(null);
+    startAndGetFailure(null);
     Files.delete(folder.resolve("state").resolve("maintenance"));
-    startsNow();
+    assertStartsAndReleasesFolder();
   }
 
   @Test
-  void theOperatorsAddressIsTaken() throws Exception {
+  void operatorAddressInUse_startFails() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       environment.put("PROXY_OPERATOR", "127.0.0.1:" + taken.getLocalPort());
-      assertTrue(fails(null).contains("cannot listen on operator"));
+      assertTrue(startAndGetFailure(null).contains("cannot listen on operator"));
     }
     environment.remove("PROXY_OPERATOR");
-    startsNow();
+    assertStartsAndReleasesFolder();
   }
 
   @Test
-  void aSubsystemDoesNotStart() throws Exception {
-    assertEquals("no registry", fails(new Broken()));
-    startsNow();
+  void extensionThrows_startFails() throws Exception {
+    assertEquals("no registry", startAndGetFailure(new FailingExtension()));
+    assertStartsAndReleasesFolder();
   }
 
   @Test
-  void theClientsAddressIsTaken() throws Exception {
+  void clientAddressInUse_startFails() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       environment.put("PROXY_LISTEN", "127.0.0.1:" + taken.getLocalPort());
-      assertTrue(fails(null).contains("cannot listen on"));
+      assertTrue(startAndGetFailure(null).contains("cannot listen on"));
     }
     environment.remove("PROXY_LISTEN");
-    startsNow();
+    assertStartsAndReleasesFolder();
   }
 
   /** A subsystem that throws when it is asked for its directory. */
-  private static final class Broken implements Extension {
+  private static final class FailingExtension implements CourierExtension {
     @Override
-    public EndpointDirectory directory(
-        final EndpointDirectory own, final Surroundings surroundings) {
+    public EndpointDirectory createDirectory(
+        final EndpointDirectory own, final ExtensionContext surroundings) {
       throw new IllegalStateException("no registry");
     }
 
     @Override
-    public void ready(final String address) {
+    public void onServing(final String address) {
       throw new AssertionError("it is not ready");
     }
 
     @Override
-    public void stopping() {
+    public void onShutdownStarted() {
       throw new AssertionError("it never began");
     }
 
     @Override
-    public boolean leave() {
+    public boolean tryFinishShutdown() {
       return true;
     }
 
     @Override
-    public void reload() {
+    public void onConfigurationReload() {
       throw new AssertionError("nobody asked for it");
     }
   }
--- a/courier/src/test/java/thistleturn/courier/http/DeadConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/DeadConnectionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.CourierProcess;
+import thistleturn.courier.CourierServer;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInWorld;
@@ -34,8 +34,8 @@
         endpoint.fare(StandInEndpoint.Manner.after(100));
         world.platform.tell(endpoint, "Ready", 1000);
       }
-      final CourierProcess courier =
-          CourierProcess.start(world.environment(CourierFiles.Size.usual()));
+      final CourierServer courier =
+          CourierServer.start(world.environment(CourierFiles.Size.usual()));
       try {
         world.client.courier(courier.ready().get(10, TimeUnit.SECONDS));
         world.load(200, TIMEOUT_MS, 1);
--- a/courier/src/test/java/thistleturn/courier/operator/MaintenanceFileFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/operator/MaintenanceFileFormatTest.java
@@ -16,19 +16,19 @@
 
   @Test
   void excludedEndpointsAreWrittenOneALine() throws IOException {
-    new MaintenanceFile(folder, 7).write(List.of("e1", "zone-a/\u00e9 2"));
+    new DisabledEndpointsFile(folder, 7).replace(List.of("e1", "zone-a/\u00e9 2"));
     assertEquals("e1\nzone-a/\u00e9 2\n", Files.readString(folder.resolve("maintenance")));
   }
 
   @Test
   void fileWithoutEndpointsIsEmpty() throws IOException {
-    new MaintenanceFile(folder, 7).write(List.of());
+    new DisabledEndpointsFile(folder, 7).replace(List.of());
     assertEquals("", Files.readString(folder.resolve("maintenance")));
   }
 
   @Test
   void fileWithTheseLinesIsReadBack() throws IOException {
     Files.writeString(folder.resolve("maintenance"), "e1\n\nzone-a/\u00e9 2\n");
-    assertEquals(Set.of("e1", "zone-a/\u00e9 2"), new MaintenanceFile(folder, 7).read());
+    assertEquals(Set.of("e1", "zone-a/\u00e9 2"), new DisabledEndpointsFile(folder, 7).read());
   }
 }
--- a/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
@@ -11,9 +11,11 @@
 
   @Test
   void figuresOfTheCourierAreThisText() {
-    final Figures figures =
-        new Figures(
-            List.of(new Figures.Ends("safe", 1, 2, 3), new Figures.Ends("a\\b\"c\nd", 4, 5, 6)),
+    final CourierMetrics figures =
+        new CourierMetrics(
+            List.of(
+                new CourierMetrics.ClassOutcomes("safe", 1, 2, 3),
+                new CourierMetrics.ClassOutcomes("a\\b\"c\nd", 4, 5, 6)),
             7,
             8,
             9,
@@ -36,7 +38,7 @@
         # TYPE svc_endpoints_excluded gauge
         svc_endpoints_excluded 10
         """,
-        figures.text());
+        figures.toPrometheusText());
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/shard/StateFolderFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/shard/StateFolderFormatTest.java
@@ -20,7 +20,7 @@
   @TempDir private Path folder;
 
   private void open(final int shards) throws IOException {
-    Layout.open(folder, DISK_BYTES, shards).forEach(Journal::close);
+    ShardJournals.open(folder, DISK_BYTES, shards).forEach(Journal::close);
   }
 
   private List<String> files() throws IOException {
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -4,17 +4,17 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Objects;
-import thistleturn.courier.CourierProcess.Extension;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.CourierExtension;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Log;
 import thistleturn.eureka.EurekaRegistration;
 
 /** Membership as a subsystem of a courier: the merged directory, and this courier's own entry. */
-public final class MembershipExtension implements Extension {
+public final class MembershipExtension implements CourierExtension {
   private final Reader reader;
   private MembershipSettings settings;
-  private Surroundings surroundings;
+  private ExtensionContext surroundings;
   private MergedDirectory directory;
   private EurekaRegistration registration;
 
@@ -32,19 +32,20 @@
   }
 
   @Override
-  public EndpointDirectory directory(final EndpointDirectory own, final Surroundings given) {
+  public EndpointDirectory createDirectory(
+      final EndpointDirectory own, final ExtensionContext given) {
     surroundings = given;
     directory = new MergedDirectory(own, given, settings);
     return directory;
   }
 
   @Override
-  public void ready(final String address) {
+  public void onServing(final String address) {
     if (settings.registration() != null) {
       registration =
           new EurekaRegistration(
               settings.registration(),
-              surroundings.loop(),
+              surroundings.eventLoop(),
               surroundings.clock(),
               surroundings.config().name(),
               address);
@@ -52,19 +53,19 @@
   }
 
   @Override
-  public void stopping() {
+  public void onShutdownStarted() {
     if (registration != null) {
       registration.leave();
     }
   }
 
   @Override
-  public boolean leave() {
+  public boolean tryFinishShutdown() {
     return registration == null || registration.cancel();
   }
 
   @Override
-  public void reload() {
+  public void onConfigurationReload() {
     final MembershipSettings fresh;
     try {
       fresh = reader.read();
@@ -73,7 +74,7 @@
       return;
     }
     surroundings
-        .loop()
+        .eventLoop()
         .execute(
             () -> {
               if (!fresh.rules().equals(settings.rules())
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
@@ -57,10 +57,10 @@
 
   MergedDirectory(
       final EndpointDirectory own,
-      final Surroundings surroundings,
+      final ExtensionContext surroundings,
       final MembershipSettings settings) {
     this.own = own;
-    this.loop = surroundings.loop();
+    this.loop = surroundings.eventLoop();
     this.clock = surroundings.clock();
     this.membership = new Membership(settings.rules());
     this.random = new Random(surroundings.config().seed());
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import thistleturn.courier.CourierProcess;
+import thistleturn.courier.CourierServer;
 import thistleturn.courier.runtime.Config;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
@@ -28,7 +28,7 @@
   MergeSettings rules = MergeSettings.defaults();
   List<RegistrySettings> registries = new ArrayList<>();
   RegistrationSettings registration;
-  private CourierProcess process;
+  private CourierServer process;
   private MembershipExtension extension;
 
   CourierUnderTest(final Path folder, final long seed) {
@@ -62,7 +62,7 @@
   CourierUnderTest start() throws IOException, Config.BadConfigException {
     extension =
         new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
-    process = CourierProcess.start(world.environment(CourierFiles.Size.usual()), extension);
+    process = CourierServer.start(world.environment(CourierFiles.Size.usual()), extension);
     world.client.courier(process.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
     return this;
   }
@@ -84,12 +84,12 @@
 
   /** SIGTERM: returns when the process would end. */
   void stop() {
-    process.stop();
+    process.shutDownGracefully();
   }
 
   JsonNode status() {
     final CompletableFuture<JsonNode> status = new CompletableFuture<>();
-    process.loop().execute(() -> status.complete(extension.status()));
+    process.eventLoop().execute(() -> status.complete(extension.status()));
     return status.orTimeout(AWAIT_S, TimeUnit.SECONDS).join();
   }
 
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.platform.Discovery;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
@@ -84,7 +84,7 @@
                 directory =
                     new MergedDirectory(
                         directory,
-                        new Surroundings(config, loop, clock, () -> null, () -> null, null),
+                        new ExtensionContext(config, loop, clock, () -> null, () -> null, null),
                         new MembershipSettings(MergeSettings.defaults(), List.of(), null));
               }
               directory.start(
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.runtime.Config;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.health.LocalHealth;
@@ -34,7 +34,7 @@
   private static final long SAY_US = 1_000_000;
 
   private final PeersSettings settings;
-  private Surroundings surroundings;
+  private ExtensionContext surroundings;
   private IncarnationFile incarnations;
   private MembershipProtocol peers;
   private Datagrams datagrams;
@@ -58,7 +58,7 @@
    * Begins to take part; a courier that takes up again after its successor takes part already.
    * Called on the event loop.
    */
-  public void begin(final Surroundings given) {
+  public void begin(final ExtensionContext given) {
     if (surroundings != null) {
       return;
     }
@@ -87,7 +87,7 @@
         new Datagrams(codec, seal, surroundings.clock(), this::onPacket, this::onCargo);
     final Connections nextConnections =
         new Connections(
-            surroundings.loop(),
+            surroundings.eventLoop(),
             codec,
             seal,
             () -> peers.self(),
@@ -96,7 +96,7 @@
             this::onFull,
             this::onCargo);
     nextDatagrams
-        .bind(surroundings.loop(), settings.listen())
+        .bind(surroundings.eventLoop(), settings.listen())
         .addListener(
             first -> {
               if (!first.isSuccess()) {
@@ -127,7 +127,7 @@
       complained = true;
       Log.info("peers: cannot listen at " + address() + " yet: " + failed.cause().getMessage());
     }
-    surroundings.loop().schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
+    surroundings.eventLoop().schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
   }
 
   private String address() {
@@ -260,7 +260,7 @@
     }
     final long nowUs = surroundings.clock().nowUs();
     surroundings
-        .loop()
+        .eventLoop()
         .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (nowUs >= sayUs) {
       sayUs = nowUs + SAY_US;
@@ -275,7 +275,7 @@
 
   /** How this courier itself is, and whether it ends any of what it holds. */
   private PeerStatus word(final long nowUs) {
-    final JsonNode health = surroundings.health().get();
+    final JsonNode health = surroundings.localHealth().get();
     final long ended = health.path("ended").asLong();
     final int holds = health.path("holds").asInt();
     if (ended != endedBefore || holds == 0) {
@@ -300,7 +300,7 @@
       peers.leave(surroundings.clock().nowUs());
       connections.close();
       // Behind what was just written there.
-      surroundings.loop().execute(datagrams::close);
+      surroundings.eventLoop().execute(datagrams::close);
     }
   }
 
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.CourierProcess.Surroundings;
+import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.port.StateObserver;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.directives.Directive;
@@ -54,7 +54,7 @@
   private final Set<Subject> standing = new LinkedHashSet<>();
 
   private final Set<String> conflicts = new LinkedHashSet<>();
-  private Surroundings surroundings;
+  private ExtensionContext surroundings;
   private Folder folder;
   private ReplicationProtocol replicas;
   private boolean applying;
@@ -71,7 +71,7 @@
   }
 
   /** What the courier is; to be told before the peers begin. */
-  public void surroundings(final Surroundings given) {
+  public void surroundings(final ExtensionContext given) {
     surroundings = given;
     folder = new Folder(given.config().state(), given.clock());
   }
@@ -95,8 +95,8 @@
             this);
     replicas.restore(found.deltas(), found.togetherUs(), nowUs());
     Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
-    surroundings.steering().observe(this);
-    for (final String endpoint : surroundings.steering().disabledEndpoints()) {
+    surroundings.directives().observe(this);
+    for (final String endpoint : surroundings.directives().disabledEndpoints()) {
       if (settings.maintenance() && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
         replicas.setEndpointDisabled(endpoint, true, operator(), nowUs());
       }
@@ -117,7 +117,7 @@
       return;
     }
     surroundings
-        .loop()
+        .eventLoop()
         .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % LOOK_TICKS == 0) {
       replicas.setReachablePeers(peers.others().values());
@@ -223,7 +223,7 @@
     dirty.add(subject);
     if (!applying) {
       applying = true;
-      surroundings.loop().execute(this::apply);
+      surroundings.eventLoop().execute(this::apply);
     }
   }
 
@@ -267,7 +267,7 @@
       final double value) {
     if (wanted && verdict.isPresent() && !verdict.writers().contains(replicas.self())) {
       surroundings
-          .steering()
+          .directives()
           .applyDirective(
               Long.parseLong(verdict.subject()),
               new Directive(kind, value, BY + verdict.writers().get(0).name(), verdict.untilUs()));
@@ -280,14 +280,14 @@
       return;
     }
     final boolean out = verdict.state().equals("left out");
-    if (out != surroundings.steering().disabledEndpoints().contains(verdict.subject())) {
+    if (out != surroundings.directives().disabledEndpoints().contains(verdict.subject())) {
       Log.info(
           "replicas: "
               + verdict.subject()
               + (out ? " is left out" : " may serve again")
               + " by the word of "
               + verdict.writers().get(0).name());
-      surroundings.steering().setDisabled(verdict.subject(), out);
+      surroundings.directives().setDisabled(verdict.subject(), out);
     }
     if (!verdict.conflict()) {
       conflicts.remove(verdict.subject());
