--- a/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
+++ b/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.transport.AcceptRetry;
+import thistleturn.courier.transport.AcceptRetryHandler;
 
 /**
  * Answers operators' questions of a running courier, as JSON, on a loopback address: one question a
@@ -48,7 +48,7 @@
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
-        .handler(new AcceptRetry())
+        .handler(new AcceptRetryHandler())
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
--- a/courier/src/main/java/thistleturn/courier/CourierServer.java
+++ b/courier/src/main/java/thistleturn/courier/CourierServer.java
@@ -27,15 +27,15 @@
 import thistleturn.courier.handover.Predecessor;
 import thistleturn.courier.handover.Remote;
 import thistleturn.courier.handover.StateLock;
-import thistleturn.courier.http.HttpCarrier;
-import thistleturn.courier.http.HttpFront;
+import thistleturn.courier.http.HttpDispatcher;
+import thistleturn.courier.http.HttpIngress;
 import thistleturn.courier.journal.Journal;
 import thistleturn.courier.operator.AdminOperations;
 import thistleturn.courier.operator.CourierMetrics;
 import thistleturn.courier.operator.DisabledEndpointsFile;
 import thistleturn.courier.operator.OperatorServer;
-import thistleturn.courier.platform.Discovery;
-import thistleturn.courier.platform.Notices;
+import thistleturn.courier.platform.DiscoveryClient;
+import thistleturn.courier.platform.HttpOutcomeNotifier;
 import thistleturn.courier.port.DirectiveSink;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
@@ -271,7 +271,7 @@
     @Override
     public void heirListens() {
       listening = false;
-      only.front.handOver();
+      only.front.drainForHandover();
     }
 
     @Override
@@ -583,7 +583,7 @@
     private int looksSinceKept;
     private EndpointDirectory directory;
     private DecisionLoop host;
-    private HttpFront front;
+    private HttpIngress front;
 
     /** Nothing is under way here; told across loops while the process ends. */
     private volatile boolean idle;
@@ -620,12 +620,12 @@
 
     @Override
     public Dispatcher dispatcher(final Dispatcher.Listener listener) {
-      return new HttpCarrier(config, loop, clock, turns, listener, descriptors);
+      return new HttpDispatcher(config, loop, clock, turns, listener, descriptors);
     }
 
     @Override
     public OutcomeNotifier outcomeNotifier(final OutcomeNotifier.Listener listener) {
-      return new Notices(latestConfig.discovery(), loop, clock, turns, listener);
+      return new HttpOutcomeNotifier(latestConfig.discovery(), loop, clock, turns, listener);
     }
 
     @Override
@@ -695,7 +695,7 @@
     }
     platformDirectory =
         extension.createDirectory(
-            new Discovery(config, loop, clock, shards.get(0).turns),
+            new DiscoveryClient(config, loop, clock, shards.get(0).turns),
             new ExtensionContext(
                 config,
                 loop,
@@ -849,7 +849,7 @@
                         ? new Counter(shard)
                         : new ShardedIngressHandler(index, loops, hosts);
                 shard.front =
-                    new HttpFront(
+                    new HttpIngress(
                         config,
                         shard.group,
                         shard.loop,
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Elder.java
@@ -19,7 +19,7 @@
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.Passing;
-import thistleturn.courier.transport.AcceptRetry;
+import thistleturn.courier.transport.AcceptRetryHandler;
 import thistleturn.decisions.model.AttemptResult;
 
 /**
@@ -69,7 +69,7 @@
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerDomainSocketChannel.class)
-            .handler(new AcceptRetry())
+            .handler(new AcceptRetryHandler())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
--- a/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Predecessor.java
@@ -17,7 +17,7 @@
 import thistleturn.courier.port.Ingress;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.transport.Connector;
-import thistleturn.courier.transport.NoSocketException;
+import thistleturn.courier.transport.SocketUnavailableException;
 import thistleturn.decisions.model.AttemptResult;
 
 /**
@@ -81,7 +81,7 @@
           template,
           Wire.address(folder),
           predecessor::connected);
-    } catch (final NoSocketException e) {
+    } catch (final SocketUnavailableException e) {
       loop.execute(predecessor.session::ended);
     }
     return predecessor;
--- a/courier/src/main/java/thistleturn/courier/http/HttpRequests.java
+++ b/courier/src/main/java/thistleturn/courier/http/CallRequestEncoder.java
@@ -13,17 +13,17 @@
 /**
  * Calls as the protocol writes them: one message with its headers, or several in one JSON array.
  */
-final class HttpRequests {
+final class CallRequestEncoder {
   private static final long US_PER_MS = 1000;
-  private static final int HEAD_CHARS = 256;
+  private static final int INITIAL_HEAD_CAPACITY = 256;
 
-  private HttpRequests() {}
+  private CallRequestEncoder() {}
 
   /** The bytes of a call's request; id, key and body go on unchanged. */
-  static ByteBuf request(final HttpCall call, final long nowUs) {
+  static ByteBuf encode(final HttpCall call, final long nowUs) {
     final boolean many = call.isBulk();
-    final byte[] body = many ? bulk(call) : call.parcels.get(0).message().body();
-    final StringBuilder head = new StringBuilder(HEAD_CHARS);
+    final byte[] body = many ? encodeBulkBody(call) : call.parcels.get(0).message().body();
+    final StringBuilder head = new StringBuilder(INITIAL_HEAD_CAPACITY);
     head.append(many ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
     head.append(call.pool.address.getHostString())
         .append("\r\nX-Timeout-Ms: ")
@@ -44,7 +44,7 @@
     return bytes.writeBytes(body);
   }
 
-  private static byte[] bulk(final HttpCall call) {
+  private static byte[] encodeBulkBody(final HttpCall call) {
     final ArrayNode items = JsonNodeFactory.instance.arrayNode();
     for (final Dispatcher.Attempt parcel : call.parcels) {
       final StoredMessage held = parcel.message();
--- a/courier/src/main/java/thistleturn/courier/http/HttpSession.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -45,17 +45,17 @@
 /**
  * One client's connection: requests are read strictly and served in turn, each with its one answer.
  */
-final class HttpSession extends ChannelInboundHandlerAdapter {
-  private static final int MOST_BODY_BYTES = 1 << 16;
-  private static final int MOST_QUEUED = 16;
+final class ClientConnection extends ChannelInboundHandlerAdapter {
+  private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final int MAX_QUEUED_REQUESTS = 16;
 
   /** For how long, and how much, what a client sends behind its last answer is read away. */
   private static final long LINGER_MS = 500;
 
-  private static final int MOST_DRAINED_BYTES = 1 << 18;
+  private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
   /** The answer to nearly every request, made once. */
-  private static final ByteBuf ACCEPTED =
+  private static final ByteBuf ACCEPTED_RESPONSE =
       Unpooled.unreleasableBuffer(
               Unpooled.directBuffer()
                   .writeBytes(
@@ -67,100 +67,100 @@
    * What is kept of a connection that waits for its turn to wake: it is read once, so hardly more
    * than a request.
    */
-  private static final int MOST_WAKING_BYTES = 1 << 10;
+  private static final int MAX_DEFERRED_BYTES = 1 << 10;
 
-  private static final long GONE_RETRY_US = 500_000;
+  private static final long HALF_CLOSED_RETRY_AFTER_US = 500_000;
   private static final long US_PER_MS = 1000;
   private static final double US_PER_SECOND = 1_000_000;
 
-  private final HttpFront front;
-  private final IngressHandler desk;
+  private final HttpIngress ingress;
+  private final IngressHandler ingressHandler;
   private final Clock clock;
   private final LoopTurns turns;
-  private final Arrival arrival;
+  private final ReceiveTimeBound receiveTime;
   private ChannelHandlerContext context;
 
   /** Writes bytes as they are; null while it rests. */
-  private ChannelHandlerContext toSocket;
+  private ChannelHandlerContext encoderContext;
 
   /** What it said while many woke at once. */
-  private ByteBuf waking;
+  private ByteBuf deferredBytes;
 
-  private HttpRequest head;
+  private HttpRequest requestHead;
 
   /** What has come of a body; nothing is kept of it once the request is whole. */
-  private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
+  private ByteArrayOutputStream requestBody = new ByteArrayOutputStream(0);
 
-  private final Look look = new Look(this);
-  private final Deque<Request> queue = new ArrayDeque<>(1);
+  private final ScheduledCheck scheduledCheck = new ScheduledCheck(this);
+  private final Deque<QueuedRequest> queuedRequests = new ArrayDeque<>(1);
   private int queuedBytes;
-  private Request current;
+  private QueuedRequest currentRequest;
   private String currentId;
   private long currentDestination;
-  private boolean reading;
-  private boolean hasAsked;
+  private boolean readingBody;
+  private boolean hasSentRequest;
 
   /**
    * It was read from once without the selector's word; it is being; that found what the selector
    * had not told.
    */
-  private boolean readDirectly;
+  private boolean directReadDone;
 
-  private boolean readsDirectly;
+  private boolean directReadActive;
   private boolean unwatched;
 
   /** What is said once all before it is answered; then nothing further is read. */
-  private HttpResponseStatus last;
+  private HttpResponseStatus finalStatus;
 
-  private boolean rejected;
-  private int drainedBytes;
+  private boolean discardingInput;
+  private int discardedBytes;
 
   /** Since when it has been of no use, and since when a request has been coming in. */
-  private long sinceUs;
+  private long idleSinceUs;
 
-  private long askedSinceUs = Long.MAX_VALUE;
-  private long lastByteUs;
+  private long requestStartedUs = Long.MAX_VALUE;
+  private long lastReceivedUs;
 
-  HttpSession(
-      final HttpFront front,
+  ClientConnection(
+      final HttpIngress front,
       final IngressHandler desk,
       final Clock clock,
       final LoopTurns turns,
       final long acceptableSinceUs) {
     this.turns = turns;
-    this.arrival = new Arrival(acceptableSinceUs);
-    this.front = front;
-    this.desk = desk;
+    this.receiveTime = new ReceiveTimeBound(acceptableSinceUs);
+    this.ingress = front;
+    this.ingressHandler = desk;
     this.clock = clock;
-    this.sinceUs = clock.nowUs();
+    this.idleSinceUs = clock.nowUs();
   }
 
   /** When a session is looked at next. */
-  static final class Look extends TimeHeap.Entry {
-    final HttpSession session;
+  static final class ScheduledCheck extends TimeHeap.Entry {
+    final ClientConnection connection;
 
-    private Look(final HttpSession session) {
-      this.session = session;
+    private ScheduledCheck(final ClientConnection session) {
+      this.connection = session;
     }
   }
 
   /** A whole request that waits for its turn on its connection. */
-  private record Request(
-      HttpRequest head, byte[] body, long arrivedUs, long firstByteUs, long wholeUs) {}
+  private record QueuedRequest(
+      HttpRequest head, byte[] body, long receivedUs, long firstByteUs, long completedUs) {}
 
-  Look look() {
-    return look;
+  ScheduledCheck scheduledCheck() {
+    return scheduledCheck;
   }
 
   /** True while it holds nothing but itself: no decoder, no buffer. */
-  boolean isResting() {
-    return toSocket == null;
+  boolean isHibernating() {
+    return encoderContext == null;
   }
 
   /** Gives back what reading and writing need, until bytes come. */
-  void rest() {
-    if (!isResting() && !rejected) {
-      toSocket = null;
+  void hibernate() {
+    if (!isHibernating() && !discardingInput) {
+      encoderContext = null;
       context.pipeline().remove(HttpResponseEncoder.class);
       context.pipeline().remove(HttpServerExpectContinueHandler.class);
       // Last of all: what it has of a further request comes out here, and wakes the connection at
@@ -170,14 +170,14 @@
   }
 
   /** Bytes have come: they are read from the start of the pipeline. */
-  private void wake(final Object bytes) {
+  private void wakeUp(final Object bytes) {
     context
         .pipeline()
         .addFirst(
-            new RequestDecoder(this::bytesCame),
+            new RequestDecoder(this::onBytesReceived),
             new HttpResponseEncoder(),
             new HttpServerExpectContinueHandler());
-    toSocket = context.pipeline().context(HttpResponseEncoder.class);
+    encoderContext = context.pipeline().context(HttpResponseEncoder.class);
     context.pipeline().fireChannelRead(bytes);
   }
 
@@ -185,30 +185,30 @@
    * Many wake at once: what it says is kept, and read when its turn comes; until then it is asked
    * for no more.
    */
-  private void wakeInTurn(final ByteBuf bytes) {
-    bytesCame(bytes);
+  private void deferWakeUp(final ByteBuf bytes) {
+    onBytesReceived(bytes);
     context.channel().config().setAutoRead(false);
-    if (waking == null) {
-      waking = Unpooled.copiedBuffer(bytes);
-      front.wakeInTurn(this);
+    if (deferredBytes == null) {
+      deferredBytes = Unpooled.copiedBuffer(bytes);
+      ingress.queueWakeUp(this);
     } else {
-      waking = Unpooled.wrappedBuffer(waking, Unpooled.copiedBuffer(bytes));
+      deferredBytes = Unpooled.wrappedBuffer(deferredBytes, Unpooled.copiedBuffer(bytes));
     }
     bytes.release();
   }
 
   /** True while it waits for its turn to wake. */
-  boolean isWaking() {
-    return waking != null;
+  boolean isAwaitingWakeUp() {
+    return deferredBytes != null;
   }
 
   /** Its turn to wake has come. */
-  void wake() {
-    final ByteBuf bytes = waking;
-    waking = null;
+  void wakeUp() {
+    final ByteBuf bytes = deferredBytes;
+    deferredBytes = null;
     if (context.channel().isActive()) {
       context.channel().config().setAutoRead(true);
-      wake(bytes);
+      wakeUp(bytes);
     } else {
       bytes.release();
     }
@@ -220,81 +220,87 @@
    */
   boolean mayBeUnwatched() {
     return unwatched
-        || (!readDirectly && !hasAsked && askedSinceUs == Long.MAX_VALUE && !isClosing());
+        || (!directReadDone
+            && !hasSentRequest
+            && requestStartedUs == Long.MAX_VALUE
+            && !isClosing());
   }
 
   /** Reads what it has without the selector's word; what is found that way is watched by nobody. */
   void readDirectly() {
-    readDirectly = true;
-    readsDirectly = true;
-    DirectRead.of(context.channel());
-    readsDirectly = false;
+    directReadDone = true;
+    directReadActive = true;
+    DirectRead.readOnce(context.channel());
+    directReadActive = false;
   }
 
   /** Since when it has been of no use, us. */
-  long sinceUs() {
-    return sinceUs;
+  long idleSinceUs() {
+    return idleSinceUs;
   }
 
   /** Since when a request has been coming in, us; never, while none is. */
-  long askedSinceUs() {
-    return askedSinceUs;
+  long requestStartedUs() {
+    return requestStartedUs;
   }
 
-  boolean hasAsked() {
-    return hasAsked;
+  boolean hasSentRequest() {
+    return hasSentRequest;
   }
 
   boolean isIdle() {
-    return askedSinceUs == Long.MAX_VALUE && current == null && queue.isEmpty() && !isClosing();
+    return requestStartedUs == Long.MAX_VALUE
+        && currentRequest == null
+        && queuedRequests.isEmpty()
+        && !isClosing();
   }
 
   boolean isClosing() {
-    return last != null || rejected;
+    return finalStatus != null || discardingInput;
   }
 
   /** How little is lost if it makes room for another. */
-  int rank(final ConnectionEvictionRanking crowd, final long nowUs) {
+  int evictionRank(final ConnectionEvictionRanking crowd, final long nowUs) {
     return crowd.rank(
-        rejected
+        discardingInput
             ? ConnectionEvictionRanking.ConnectionState.REJECTED
-            : current != null || !queue.isEmpty()
+            : currentRequest != null || !queuedRequests.isEmpty()
                 ? ConnectionEvictionRanking.ConnectionState.PROCESSING_REQUEST
                 : !isIdle()
                     ? ConnectionEvictionRanking.ConnectionState.RECEIVING_REQUEST
-                    : hasAsked
+                    : hasSentRequest
                         ? ConnectionEvictionRanking.ConnectionState.IDLE_AFTER_RESPONSE
                         : ConnectionEvictionRanking.ConnectionState.NO_REQUEST_YET,
-        sinceUs,
-        lastByteUs,
+        idleSinceUs,
+        lastReceivedUs,
         nowUs);
   }
 
   /** Ends a connection that asks nothing. */
-  void shutIfIdle() {
-    if (isIdle() && front.leaves(this)) {
-      shut(context.newSucceededFuture());
+  void closeIfIdle() {
+    if (isIdle() && ingress.moveToClosing(this)) {
+      closeOutputAfter(context.newSucceededFuture());
     }
   }
 
   /** The process ends: what has not come whole by now is not taken on. */
-  void turnAway() {
-    shutIfIdle();
-    if (!isClosing() && askedSinceUs != Long.MAX_VALUE) {
+  void rejectIncomplete() {
+    closeIfIdle();
+    if (!isClosing() && requestStartedUs != Long.MAX_VALUE) {
       reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
     }
   }
 
   /** Closes it, and no longer counts it from this moment: its end is told only after this pass. */
-  void drop() {
+  void closeNow() {
     logClosed("makes_room");
-    front.closed(this);
+    ingress.onConnectionClosed(this);
     context.close();
   }
 
   /** That a connection is ended from this side, unless it is between two requests. */
   private void logClosed(final String why) {
-    if (current != null || !queue.isEmpty() || askedSinceUs != Long.MAX_VALUE) {
+    if (currentRequest != null || !queuedRequests.isEmpty() || requestStartedUs != Long.MAX_VALUE) {
       Log.event(
           Event.CONNECTION_CLOSED,
           "client",
@@ -304,28 +310,28 @@
           "id",
           currentId,
           "queued",
-          queue.size(),
+          queuedRequests.size(),
           "coming_in",
-          askedSinceUs != Long.MAX_VALUE);
+          requestStartedUs != Long.MAX_VALUE);
     }
   }
 
   @Override
   public void channelActive(final ChannelHandlerContext ctx) {
     context = ctx;
-    front.opened(this);
+    ingress.onConnectionOpened(this);
   }
 
   @Override
   public void channelInactive(final ChannelHandlerContext ctx) {
-    if (hasAsked && isIdle()) {
-      front.learn(false);
+    if (hasSentRequest && isIdle()) {
+      ingress.recordKeepAliveOutcome(false);
     }
-    front.closed(this);
-    front.release(body.size() + queuedBytes);
+    ingress.onConnectionClosed(this);
+    ingress.releaseBodyBytes(requestBody.size() + queuedBytes);
     queuedBytes = 0;
-    body = new ByteArrayOutputStream(0);
-    queue.clear();
+    requestBody = new ByteArrayOutputStream(0);
+    queuedRequests.clear();
     if (currentId != null) {
       Log.event(
           Event.REQUEST_UNANSWERED,
@@ -334,9 +340,9 @@
           "client",
           ctx.channel().remoteAddress(),
           "after_us",
-          clock.nowUs() - current.wholeUs());
-      desk.withdraw(currentId, currentDestination);
-      current = null;
+          clock.nowUs() - currentRequest.completedUs());
+      ingressHandler.withdraw(currentId, currentDestination);
+      currentRequest = null;
       currentId = null;
     }
   }
@@ -350,62 +356,63 @@
     if (event != ChannelInputShutdownEvent.INSTANCE) {
       return;
     }
-    if (currentId != null && !desk.isAnsweredOnThisLoop(currentDestination)) {
+    if (currentId != null && !ingressHandler.isAnsweredOnThisLoop(currentDestination)) {
       // Its answer is on its way from another loop, where its first attempt may have begun.
-      last = HttpResponseStatus.SERVICE_UNAVAILABLE;
+      finalStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
     } else if (currentId != null) {
-      last = HttpResponseStatus.SERVICE_UNAVAILABLE;
-      desk.withdraw(currentId, currentDestination);
-      answer(HttpResponseStatus.SERVICE_UNAVAILABLE, GONE_RETRY_US);
-    } else if (isClosing() || (current == null && queue.isEmpty())) {
-      drop();
+      finalStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
+      ingressHandler.withdraw(currentId, currentDestination);
+      respond(HttpResponseStatus.SERVICE_UNAVAILABLE, HALF_CLOSED_RETRY_AFTER_US);
+    } else if (isClosing() || (currentRequest == null && queuedRequests.isEmpty())) {
+      closeNow();
     } else {
-      last = HttpResponseStatus.BAD_REQUEST;
+      finalStatus = HttpResponseStatus.BAD_REQUEST;
     }
   }
 
   /** Bytes have come, perhaps too few to make a head. */
-  void bytesCame(final ByteBuf bytes) {
-    lastByteUs = clock.nowUs();
-    if (readsDirectly && !unwatched) {
+  void onBytesReceived(final ByteBuf bytes) {
+    lastReceivedUs = clock.nowUs();
+    if (directReadActive && !unwatched) {
       unwatched = true;
       Log.event(
           Event.CONNECTION_UNWATCHED,
           "client",
           context.channel().remoteAddress(),
           "after_us",
-          lastByteUs - sinceUs);
+          lastReceivedUs - idleSinceUs);
     }
-    arrival.read(lastByteUs, turns.previousLookUs(), bytes.isWritable());
-    if (hasAsked && isIdle()) {
-      front.learn(true);
+    receiveTime.onRead(lastReceivedUs, turns.previousLookUs(), bytes.isWritable());
+    if (hasSentRequest && isIdle()) {
+      ingress.recordKeepAliveOutcome(true);
     }
-    asking();
+    markRequestStarted();
   }
 
-  private void asking() {
-    if (askedSinceUs == Long.MAX_VALUE) {
-      askedSinceUs = clock.nowUs();
+  private void markRequestStarted() {
+    if (requestStartedUs == Long.MAX_VALUE) {
+      requestStartedUs = clock.nowUs();
     }
   }
 
   @Override
   public void channelRead(final ChannelHandlerContext ctx, final Object part) {
-    if (isResting() && part instanceof ByteBuf bytes && !rejected) {
-      if (waking == null && (bytes.readableBytes() > MOST_WAKING_BYTES || !front.isWakeUp())) {
-        wake(bytes);
+    if (isHibernating() && part instanceof ByteBuf bytes && !discardingInput) {
+      if (deferredBytes == null
+          && (bytes.readableBytes() > MAX_DEFERRED_BYTES || !ingress.mustQueueWakeUp())) {
+        wakeUp(bytes);
       } else {
-        wakeInTurn(bytes);
+        deferWakeUp(bytes);
       }
       return;
     }
     try {
       if (part instanceof HttpObject object && !isClosing()) {
-        read(object);
-      } else if (part instanceof ByteBuf bytes && rejected) {
+        onHttpObject(object);
+      } else if (part instanceof ByteBuf bytes && discardingInput) {
         // It is read away, within bounds, lest a reset overtake the answer.
-        drainedBytes += bytes.readableBytes();
-        if (drainedBytes > MOST_DRAINED_BYTES) {
+        discardedBytes += bytes.readableBytes();
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
           ctx.close();
         }
       }
@@ -414,7 +421,7 @@
     }
   }
 
-  private void read(final HttpObject part) {
+  private void onHttpObject(final HttpObject part) {
     if (part.decoderResult().isFailure()) {
       final Throwable cause = part.decoderResult().cause();
       reject(
@@ -426,134 +433,139 @@
       return;
     }
     if (part instanceof HttpRequest request) {
-      head = request;
-      reading = true;
-      asking();
-      if (!RequestDecoder.isFramedPlainly(request)) {
+      requestHead = request;
+      readingBody = true;
+      markRequestStarted();
+      if (!RequestDecoder.hasUnambiguousFraming(request)) {
         reject(HttpResponseStatus.BAD_REQUEST);
         return;
       }
-      if (HttpUtil.getContentLength(request, 0L) > MOST_BODY_BYTES) {
+      if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
         reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         return;
       }
     }
-    if (part instanceof HttpContent content && reading) {
+    if (part instanceof HttpContent content && readingBody) {
       final int more = content.content().readableBytes();
-      if (body.size() + more > MOST_BODY_BYTES) {
+      if (requestBody.size() + more > MAX_BODY_BYTES) {
         reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         return;
       }
-      if (!front.hold(more)) {
+      if (!ingress.reserveBodyBytes(more)) {
         reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
         return;
       }
       final byte[] bytes = new byte[more];
       content.content().readBytes(bytes);
-      body.writeBytes(bytes);
+      requestBody.writeBytes(bytes);
       if (part instanceof LastHttpContent) {
-        complete();
+        onRequestComplete();
       }
     }
   }
 
   /** A request has come whole: it takes its turn. */
-  private void complete() {
-    reading = false;
-    hasAsked = true;
+  private void onRequestComplete() {
+    readingBody = false;
+    hasSentRequest = true;
     final long nowUs = clock.nowUs();
-    queue.add(
-        new Request(
-            head,
-            body.toByteArray(),
-            Math.max(arrival.sinceUs(), nowUs - HandIn.CLIENT_PATIENCE_US),
-            askedSinceUs,
+    queuedRequests.add(
+        new QueuedRequest(
+            requestHead,
+            requestBody.toByteArray(),
+            Math.max(receiveTime.earliestUs(), nowUs - SubmitRequest.CLIENT_TIMEOUT_US),
+            requestStartedUs,
             nowUs));
-    askedSinceUs = Long.MAX_VALUE;
-    queuedBytes += body.size();
-    head = null;
-    body = new ByteArrayOutputStream(0);
-    if (queue.size() > MOST_QUEUED) {
+    requestStartedUs = Long.MAX_VALUE;
+    queuedBytes += requestBody.size();
+    requestHead = null;
+    requestBody = new ByteArrayOutputStream(0);
+    if (queuedRequests.size() > MAX_QUEUED_REQUESTS) {
       reject(HttpResponseStatus.TOO_MANY_REQUESTS);
     }
-    next();
+    serveNext();
   }
 
   /** Serves requests of one connection in turn, so that their answers keep their order. */
-  private void next() {
-    while (current == null && !queue.isEmpty() && !rejected) {
-      current = queue.poll();
-      queuedBytes -= current.body().length;
-      front.release(current.body().length);
-      serve(current);
+  private void serveNext() {
+    while (currentRequest == null && !queuedRequests.isEmpty() && !discardingInput) {
+      currentRequest = queuedRequests.poll();
+      queuedBytes -= currentRequest.body().length;
+      ingress.releaseBodyBytes(currentRequest.body().length);
+      serve(currentRequest);
     }
-    if (current == null && queue.isEmpty() && last != null && !rejected) {
-      sayLast();
+    if (currentRequest == null
+        && queuedRequests.isEmpty()
+        && finalStatus != null
+        && !discardingInput) {
+      sendFinalResponse();
     }
-    if (!queue.isEmpty()) {
-      arrival.paused(clock.nowUs());
+    if (!queuedRequests.isEmpty()) {
+      receiveTime.onReadPaused(clock.nowUs());
     }
-    context.channel().config().setAutoRead(queue.isEmpty());
+    context.channel().config().setAutoRead(queuedRequests.isEmpty());
   }
 
-  private void serve(final Request request) {
+  private void serve(final QueuedRequest request) {
     final String uri = request.head().uri();
     final int query = uri.indexOf('?');
     final String path = query < 0 ? uri : uri.substring(0, query);
     if (path.equals("/up")) {
       if (!request.head().method().equals(HttpMethod.GET)) {
-        answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
+        respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
       } else {
-        answer(
-            front.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK, 0);
+        respond(
+            ingress.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+            0);
       }
       return;
     }
     final String className = path.substring(Math.min(path.length(), 1)).split("/", 2)[0];
-    final MessageClass kind = desk.messageClass(className);
+    final MessageClass kind = ingressHandler.messageClass(className);
     if (kind == null) {
-      answer(HttpResponseStatus.NOT_FOUND, 0);
+      respond(HttpResponseStatus.NOT_FOUND, 0);
     } else if (!request.head().method().equals(HttpMethod.POST)) {
-      answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
+      respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
     } else {
-      handIn(request, kind);
+      submit(request, kind);
     }
   }
 
-  private void handIn(final Request request, final MessageClass kind) {
-    final HandIn handIn = HandIn.read(request.head().headers(), kind);
+  private void submit(final QueuedRequest request, final MessageClass kind) {
+    final SubmitRequest handIn = SubmitRequest.parse(request.head().headers(), kind);
     if (handIn == null) {
-      answer(HttpResponseStatus.BAD_REQUEST, 0);
+      respond(HttpResponseStatus.BAD_REQUEST, 0);
       return;
     }
     final long validUntilUs =
-        request.arrivedUs() + HandIn.lifeUs(handIn.timeoutMs(), kind.deadlineUs());
+        request.receivedUs() + SubmitRequest.remainingTimeUs(handIn.timeoutMs(), kind.deadlineUs());
     currentId = handIn.id();
     currentDestination = handIn.destination();
     final StoredMessage held =
         new StoredMessage(
             handIn.id(),
             kind.name(),
-            handIn.key(),
+            handIn.idempotencyKey(),
             handIn.destination(),
             validUntilUs,
             request.body());
     held.startTimeline(
         new MessageTimeline(
-            request.arrivedUs(),
+            request.receivedUs(),
             request.firstByteUs(),
-            request.wholeUs(),
-            request.arrivedUs() + handIn.timeoutMs() * US_PER_MS));
-    desk.submit(held, validUntilUs, new Answerer(request, handIn.id(), handIn.destination()));
+            request.completedUs(),
+            request.receivedUs() + handIn.timeoutMs() * US_PER_MS));
+    ingressHandler.submit(
+        held, validUntilUs, new SubmitReply(request, handIn.id(), handIn.destination()));
   }
 
   /** Answers the request that is current, once its message's fate at the door is known. */
-  private final class Answerer implements Ingress.Reply {
-    private final Request request;
+  private final class SubmitReply implements Ingress.Reply {
+    private final QueuedRequest request;
     private final String id;
     private final long destination;
 
-    private Answerer(final Request request, final String id, final long destination) {
+    private SubmitReply(final QueuedRequest request, final String id, final long destination) {
       this.request = request;
       this.id = id;
       this.destination = destination;
@@ -561,13 +573,13 @@
 
     @Override
     public void accepted() {
-      if (current == request) {
+      if (currentRequest == request) {
         // A client that never gets this counts on nothing: its message is withdrawn.
-        answer(HttpResponseStatus.ACCEPTED, 0)
+        respond(HttpResponseStatus.ACCEPTED, 0)
             .addListener(
                 done -> {
                   if (!done.isSuccess()) {
-                    desk.withdraw(id, destination);
+                    ingressHandler.withdraw(id, destination);
                   }
                 });
       }
@@ -575,7 +587,7 @@
 
     @Override
     public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      say(
+      respondIfCurrent(
           why == Ingress.RejectionReason.NO_ROOM
               ? HttpResponseStatus.SERVICE_UNAVAILABLE
               : HttpResponseStatus.TOO_MANY_REQUESTS,
@@ -584,13 +596,13 @@
 
     @Override
     public void failed() {
-      say(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
+      respondIfCurrent(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
     }
 
     @Override
     public void invalid(final Ingress.InvalidReason fault) {
       Log.event(Event.REQUEST_UNUSABLE, "id", id, "dest", destination, "why", fault);
-      say(
+      respondIfCurrent(
           fault == Ingress.InvalidReason.NO_DESTINATION
               ? HttpResponseStatus.NOT_FOUND
               : HttpResponseStatus.CONFLICT,
@@ -598,14 +610,14 @@
     }
 
     /** Its connection may have ended meanwhile, and then nobody is told. */
-    private void say(final HttpResponseStatus status, final long retryAfterUs) {
-      if (current == request) {
-        answer(status, retryAfterUs);
+    private void respondIfCurrent(final HttpResponseStatus status, final long retryAfterUs) {
+      if (currentRequest == request) {
+        respond(status, retryAfterUs);
       }
     }
   }
 
-  private ChannelFuture answer(final HttpResponseStatus status, final long retryAfterUs) {
+  private ChannelFuture respond(final HttpResponseStatus status, final long retryAfterUs) {
     // Who asks for what cannot be had is not trusted with what it sends behind it.
     final boolean good =
         status.code() < HttpResponseStatus.BAD_REQUEST.code()
@@ -614,15 +626,15 @@
             || status.equals(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     final boolean keep =
         good
-            && HttpUtil.isKeepAlive(current.head())
-            && !front.isDraining()
-            && last == null
+            && HttpUtil.isKeepAlive(currentRequest.head())
+            && !ingress.isDraining()
+            && finalStatus == null
             && !unwatched;
-    current = null;
+    currentRequest = null;
     currentId = null;
-    sinceUs = clock.nowUs();
+    idleSinceUs = clock.nowUs();
     final boolean plain = keep && status == HttpResponseStatus.ACCEPTED;
-    final var response = plain ? null : response(status);
+    final var response = plain ? null : emptyResponse(status);
     if (retryAfterUs > 0) {
       response
           .headers()
@@ -630,15 +642,17 @@
               HttpHeaderNames.RETRY_AFTER,
               String.format(Locale.ROOT, "%.3f", retryAfterUs / US_PER_SECOND));
     }
-    if ((!keep && queue.isEmpty()) || !good) {
+    if ((!keep && queuedRequests.isEmpty()) || !good) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
-      return end(response);
+      return respondAndClose(response);
     }
     final ChannelFuture written =
-        plain ? toSocket.writeAndFlush(ACCEPTED.duplicate()) : context.writeAndFlush(response);
+        plain
+            ? encoderContext.writeAndFlush(ACCEPTED_RESPONSE.duplicate())
+            : context.writeAndFlush(response);
     if (context.channel().isWritable()) {
-      if (!queue.isEmpty() || last != null) {
-        context.executor().execute(this::next);
+      if (!queuedRequests.isEmpty() || finalStatus != null) {
+        context.executor().execute(this::serveNext);
       }
     } else {
       // It asks and does not read what it is told.
@@ -659,32 +673,32 @@
         "id",
         currentId,
         "queued",
-        queue.size());
-    last = status;
-    reading = false;
-    front.release(body.size());
-    body = new ByteArrayOutputStream(0);
-    if (current == null && queue.isEmpty()) {
-      sayLast();
+        queuedRequests.size());
+    finalStatus = status;
+    readingBody = false;
+    ingress.releaseBodyBytes(requestBody.size());
+    requestBody = new ByteArrayOutputStream(0);
+    if (currentRequest == null && queuedRequests.isEmpty()) {
+      sendFinalResponse();
     }
   }
 
-  private void sayLast() {
-    final var response = response(last);
+  private void sendFinalResponse() {
+    final var response = emptyResponse(finalStatus);
     response.headers().set(HttpHeaderNames.CONNECTION, "close");
-    end(response);
+    respondAndClose(response);
   }
 
   /**
    * The last answer of a connection; what still comes is read away for a while and not looked at.
    */
-  private ChannelFuture end(final DefaultFullHttpResponse response) {
-    last = response.status();
-    front.release(queuedBytes);
+  private ChannelFuture respondAndClose(final DefaultFullHttpResponse response) {
+    finalStatus = response.status();
+    ingress.releaseBodyBytes(queuedBytes);
     queuedBytes = 0;
-    queue.clear();
+    queuedRequests.clear();
     final ChannelFuture written = context.writeAndFlush(response);
-    shut(written);
+    closeOutputAfter(written);
     return written;
   }
 
@@ -693,8 +707,8 @@
    * a close over bytes that were not read would reset the connection, and take back answers that
    * are on their way. Whoever sent them sends them again on another connection.
    */
-  private void shut(final ChannelFuture written) {
-    rejected = true;
+  private void closeOutputAfter(final ChannelFuture written) {
+    discardingInput = true;
     if (context.pipeline().get(RequestDecoder.class) != null) {
       context.pipeline().remove(RequestDecoder.class);
     }
@@ -708,7 +722,7 @@
         });
   }
 
-  private static DefaultFullHttpResponse response(final HttpResponseStatus status) {
+  private static DefaultFullHttpResponse emptyResponse(final HttpResponseStatus status) {
     final var response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
--- a/courier/src/main/java/thistleturn/courier/http/HttpConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnection.java
@@ -25,51 +25,51 @@
 import thistleturn.decisions.pools.ConnectionLoss;
 
 /** Reads the answers of one connection. */
-final class HttpConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements AnswerDecoder.Listener {
-  private static final int MOST_BODY_BYTES = 1 << 16;
-  private static final int INFORMATIONAL = 200;
-  private static final int MOST_STATUS = 599;
+final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements ResponseDecoder.Listener {
+  private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final int MIN_FINAL_STATUS = 200;
+  private static final int MAX_STATUS = 599;
 
   /** An answer that has begun comes whole within this, ms: its sender has it all. */
-  private static final long ANSWER_MS = 500;
+  private static final long RESPONSE_COMPLETION_TIMEOUT_MS = 500;
 
   /** For how long the answer to a call that was given up is still looked at. */
   private static final long LINGER_MS = 500;
 
-  private final HttpCarrier carrier;
+  private final HttpDispatcher dispatcher;
   private final EventLoop loop;
   private final Clock clock;
   private ChannelHandlerContext context;
   private HttpCall call;
 
   /** Whose call was given up here; null: none. Nothing goes over it any more. */
-  private HttpPool givenUp;
+  private EndpointConnectionPool abandonedPool;
 
   /** Where it was last kept while it carried no call; null while it carries its first one. */
-  private HttpPool pool;
+  private EndpointConnectionPool pool;
 
   private long idleSinceUs;
 
   /** When its present call was written. */
-  private long wroteUs;
+  private long writtenUs;
 
   /** The answer's first line, as soon as it has come; its head, once that has. */
-  private HttpResponse line;
+  private HttpResponse statusLine;
 
-  private HttpResponse head;
-  private boolean keep;
+  private HttpResponse responseHead;
+  private boolean keepAlive;
 
   /** An answer has begun and is not whole. */
-  private boolean answering;
+  private boolean responseStarted;
 
-  private ByteArrayOutputStream body;
+  private ByteArrayOutputStream responseBody;
 
   /** When an answer that has begun is given up. */
-  private Future<?> wholeBy;
+  private Future<?> completionTimer;
 
-  HttpConnection(final HttpCarrier carrier, final EventLoop loop, final Clock clock) {
-    this.carrier = carrier;
+  EndpointConnection(final HttpDispatcher carrier, final EventLoop loop, final Clock clock) {
+    this.dispatcher = carrier;
     this.loop = loop;
     this.clock = clock;
   }
@@ -88,27 +88,27 @@
     context = added;
   }
 
-  void write(final HttpCall next) {
+  void send(final HttpCall next) {
     call = next;
-    wroteUs = clock.nowUs();
+    writtenUs = clock.nowUs();
     call.channel = context.channel();
-    call.reader = this;
-    line = null;
-    head = null;
-    body = null;
+    call.connection = this;
+    statusLine = null;
+    responseHead = null;
+    responseBody = null;
     context
-        .writeAndFlush(HttpRequests.request(call, clock.nowUs()))
+        .writeAndFlush(CallRequestEncoder.encode(call, clock.nowUs()))
         .addListener(
             done -> {
               if (done.isSuccess()) {
-                carrier.written(next);
+                dispatcher.onCallWritten(next);
               }
             });
   }
 
   void close() {
     if (call == null) {
-      unpool();
+      removeFromPool();
       context.close();
     }
   }
@@ -118,12 +118,12 @@
    * there unread: the wait that it tells binds, so that it is read for a while, and counts for
    * nothing else.
    */
-  void giveUp() {
-    givenUp = call.pool;
+  void abandonCall() {
+    abandonedPool = call.pool;
     call = null;
-    stopWaiting();
-    if (head != null) {
-      heed(head);
+    cancelCompletionTimer();
+    if (responseHead != null) {
+      reportLateRetryAfter(responseHead);
     }
     if (context.channel() instanceof SocketChannel socket) {
       socket.shutdownOutput();
@@ -131,73 +131,73 @@
     loop.schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void heed(final HttpResponse late) {
-    final long waitUs = HttpAnswers.waitUs(late);
+  private void reportLateRetryAfter(final HttpResponse late) {
+    final long waitUs = EndpointResponseParser.retryAfterUs(late);
     if (waitUs > 0) {
-      carrier.toldToWait(givenUp, waitUs);
+      dispatcher.toldToWait(abandonedPool, waitUs);
     }
   }
 
-  private void unpool() {
+  private void removeFromPool() {
     if (pool != null) {
-      carrier.unpool(this, pool);
+      dispatcher.removeIdle(this, pool);
     }
   }
 
   @Override
   protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-    if (givenUp != null) {
+    if (abandonedPool != null) {
       if (part instanceof HttpResponse late && part.decoderResult().isSuccess()) {
-        heed(late);
+        reportLateRetryAfter(late);
       }
       return;
     }
     if (call == null || part.decoderResult().isFailure()) {
       // Bytes that answer nothing, or nothing that can be read: this connection cannot be trusted.
-      broken(AttemptResult.ERROR);
+      onConnectionBroken(AttemptResult.ERROR);
       return;
     }
     if (part instanceof HttpResponse response) {
       final int code = response.status().code();
-      if (code > MOST_STATUS || !RequestDecoder.isFramedPlainly(response)) {
-        broken(AttemptResult.ERROR);
+      if (code > MAX_STATUS || !RequestDecoder.hasUnambiguousFraming(response)) {
+        onConnectionBroken(AttemptResult.ERROR);
         return;
       }
-      head = response;
-      keep = HttpUtil.isKeepAlive(response);
+      responseHead = response;
+      keepAlive = HttpUtil.isKeepAlive(response);
     }
     if (part instanceof HttpContent content) {
       final int more = content.content().readableBytes();
       if (more > 0) {
-        body = body == null ? new ByteArrayOutputStream(more) : body;
-        if (body.size() + more > MOST_BODY_BYTES) {
-          broken(AttemptResult.ERROR);
+        responseBody = responseBody == null ? new ByteArrayOutputStream(more) : responseBody;
+        if (responseBody.size() + more > MAX_BODY_BYTES) {
+          onConnectionBroken(AttemptResult.ERROR);
           return;
         }
-        read(content.content());
+        appendBody(content.content());
       }
     }
-    if (part instanceof LastHttpContent && head != null) {
-      stopWaiting();
-      if (head.status().code() >= INFORMATIONAL) {
-        finish();
+    if (part instanceof LastHttpContent && responseHead != null) {
+      cancelCompletionTimer();
+      if (responseHead.status().code() >= MIN_FINAL_STATUS) {
+        onResponseComplete();
       } else {
-        line = null;
-        head = null;
+        statusLine = null;
+        responseHead = null;
       }
     }
   }
 
   @Override
-  public void begun() {
-    if (givenUp != null) {
+  public void onResponseStarted() {
+    if (abandonedPool != null) {
       return;
     }
     if (call == null || !call.written) {
       // It answers no call, or comes before its call: it belongs to an earlier one.
-      broken(AttemptResult.RESET);
+      onConnectionBroken(AttemptResult.RESET);
     } else {
-      answering = true;
+      responseStarted = true;
     }
   }
 
@@ -206,22 +206,26 @@
    */
   @Override
   public void channelReadComplete(final ChannelHandlerContext ctx) {
-    if (answering && wholeBy == null && call != null) {
-      wholeBy = loop.schedule(() -> broken(AttemptResult.ERROR), ANSWER_MS, TimeUnit.MILLISECONDS);
+    if (responseStarted && completionTimer == null && call != null) {
+      completionTimer =
+          loop.schedule(
+              () -> onConnectionBroken(AttemptResult.ERROR),
+              RESPONSE_COMPLETION_TIMEOUT_MS,
+              TimeUnit.MILLISECONDS);
     }
     ctx.fireChannelReadComplete();
   }
 
   @Override
-  public void firstLine(final HttpResponse answer) {
-    line = answer;
+  public void onStatusLine(final HttpResponse answer) {
+    statusLine = answer;
   }
 
-  private void stopWaiting() {
-    answering = false;
-    if (wholeBy != null) {
-      wholeBy.cancel(false);
-      wholeBy = null;
+  private void cancelCompletionTimer() {
+    responseStarted = false;
+    if (completionTimer != null) {
+      completionTimer.cancel(false);
+      completionTimer = null;
     }
   }
 
@@ -231,53 +235,54 @@
    */
   boolean isDelivered(final HttpCall of) {
     return of == call
-        && line != null
-        && line.status().code() == HttpAnswers.OK
+        && statusLine != null
+        && statusLine.status().code() == EndpointResponseParser.OK
         && of.written
         && !of.isBulk()
-        && line.protocolVersion().majorVersion() == 1;
+        && statusLine.protocolVersion().majorVersion() == 1;
   }
 
   /**
    * What a delivery tells whose answer was cut off: waits and reports only if its head came whole.
    */
-  Dispatcher.DispatchOutcome delivered() {
-    return head == null
+  Dispatcher.DispatchOutcome partialDelivery() {
+    return responseHead == null
         ? new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null)
-        : HttpAnswers.answer(head, HttpAnswers.waitUs(head));
+        : EndpointResponseParser.parse(
+            responseHead, EndpointResponseParser.retryAfterUs(responseHead));
   }
 
-  private void read(final ByteBuf content) {
+  private void appendBody(final ByteBuf content) {
     try {
-      content.readBytes(body, content.readableBytes());
+      content.readBytes(responseBody, content.readableBytes());
     } catch (final IOException e) {
       throw new IllegalStateException("writing to memory failed", e);
     }
   }
 
-  private void finish() {
+  private void onResponseComplete() {
     final HttpCall done = call;
     call = null;
-    if (!carrier.remove(done)) {
+    if (!dispatcher.removeCall(done)) {
       context.close();
       return;
     }
-    if (keep && done.written && !done.pool.removed) {
+    if (keepAlive && done.written && !done.pool.removed) {
       idleSinceUs = clock.nowUs();
       pool = done.pool;
-      carrier.pool(this, pool);
+      dispatcher.addIdle(this, pool);
     } else {
       context.close();
     }
-    final long waitUs = HttpAnswers.waitUs(head);
+    final long waitUs = EndpointResponseParser.retryAfterUs(responseHead);
     if (waitUs > 0) {
-      carrier.holdBack(done.pool);
+      dispatcher.holdBack(done.pool);
     }
-    final Dispatcher.DispatchOutcome all = HttpAnswers.answer(head, waitUs);
-    if (done.isBulk() && head.status().code() == HttpAnswers.OK) {
-      tellEach(done, all);
+    final Dispatcher.DispatchOutcome all = EndpointResponseParser.parse(responseHead, waitUs);
+    if (done.isBulk() && responseHead.status().code() == EndpointResponseParser.OK) {
+      reportBulkOutcomes(done, all);
     } else {
-      carrier.tell(done, all);
+      dispatcher.report(done, all);
     }
   }
 
@@ -286,43 +291,49 @@
    * the same: the destination is there and its work is done, so that counts as an error and not as
    * a reset.
    */
-  private void broken(final AttemptResult spoilt) {
-    final boolean answered = answering || line != null;
-    stopWaiting();
-    unpool();
+  private void onConnectionBroken(final AttemptResult spoilt) {
+    final boolean answered = responseStarted || statusLine != null;
+    cancelCompletionTimer();
+    removeFromPool();
     context.close();
     final HttpCall cut = call;
     final boolean delivered = cut != null && isDelivered(cut);
     call = null;
-    if (cut == null || !carrier.remove(cut)) {
+    if (cut == null || !dispatcher.removeCall(cut)) {
       return;
     }
     if (delivered) {
-      final Dispatcher.DispatchOutcome answer = delivered();
+      final Dispatcher.DispatchOutcome answer = partialDelivery();
       if (answer.retryAfterUs() > 0) {
-        carrier.holdBack(cut.pool);
+        dispatcher.holdBack(cut.pool);
       }
-      carrier.tell(cut, answer);
+      dispatcher.report(cut, answer);
     } else {
       final ConnectionLoss how =
           new ConnectionLoss(
-              cut.written, pool != null, answered, clock.nowUs() - wroteUs, cut.pool.handshakeUs());
+              cut.written,
+              pool != null,
+              answered,
+              clock.nowUs() - writtenUs,
+              cut.pool.handshakeUs());
       final AttemptResult read =
           cut.written && spoilt != AttemptResult.RESET ? spoilt : how.result();
       // What stopped short may have told a wait before that.
-      final long waitUs = head == null ? 0 : HttpAnswers.waitUs(head);
+      final long waitUs =
+          responseHead == null ? 0 : EndpointResponseParser.retryAfterUs(responseHead);
       if (waitUs > 0) {
-        carrier.holdBack(cut.pool);
+        dispatcher.holdBack(cut.pool);
       }
-      carrier.tell(cut, new Dispatcher.DispatchOutcome(read, false, waitUs, null));
+      dispatcher.report(cut, new Dispatcher.DispatchOutcome(read, false, waitUs, null));
     }
   }
 
   /** Several messages' ends, each with its state; one that is not named may have run. */
-  private void tellEach(final HttpCall done, final Dispatcher.DispatchOutcome all) {
+  private void reportBulkOutcomes(final HttpCall done, final Dispatcher.DispatchOutcome all) {
     final Map<String, String> states = new HashMap<>();
     try {
-      for (final JsonNode item : Json.read(body == null ? new byte[0] : body.toByteArray())) {
+      for (final JsonNode item :
+          Json.read(responseBody == null ? new byte[0] : responseBody.toByteArray())) {
         states.put(item.path("id").asText(), item.path("state").asText());
       }
     } catch (final IOException e) {
@@ -348,13 +359,13 @@
                 new Dispatcher.DispatchOutcome(
                     AttemptResult.ERROR, false, all.retryAfterUs(), all.loadReport());
           };
-      carrier.tell(parcel, done, one);
+      dispatcher.report(parcel, done, one);
     }
   }
 
   @Override
   public void channelInactive(final ChannelHandlerContext ctx) {
-    broken(AttemptResult.RESET);
+    onConnectionBroken(AttemptResult.RESET);
   }
 
   @Override
@@ -362,6 +373,6 @@
     if (!(cause instanceof IOException)) {
       Log.failure("connection to an endpoint", cause);
     }
-    broken(AttemptResult.RESET);
+    onConnectionBroken(AttemptResult.RESET);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpPool.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnectionPool.java
@@ -5,36 +5,37 @@
 import java.util.Deque;
 import thistleturn.decisions.model.Endpoint;
 
-/** The connections to one endpoint; its fields are the {@link HttpCarrier}'s to change. */
-final class HttpPool {
+/** The connections to one endpoint; its fields are the {@link HttpDispatcher}'s to change. */
+final class EndpointConnectionPool {
   /** Of one handshake in the mean. */
-  private static final double WEIGHT = 0.2;
+  private static final double HANDSHAKE_SMOOTHING = 0.2;
 
   final long endpoint;
   final long destination;
-  final boolean apart;
+  final boolean separateRoute;
   InetSocketAddress address;
 
   /** Idle ones, the one used last at the end. */
-  final Deque<HttpConnection> idle = new ArrayDeque<>();
+  final Deque<EndpointConnection> idleConnections = new ArrayDeque<>();
 
   boolean removed;
 
   /** The list names it as one that wants new calls: not while it drains, nor once it is gone. */
-  boolean takesNew = true;
+  boolean acceptsCalls = true;
 
   private double handshakeUs;
 
-  HttpPool(final Endpoint entry, final boolean apart, final InetSocketAddress address) {
+  EndpointConnectionPool(
+      final Endpoint entry, final boolean apart, final InetSocketAddress address) {
     this.endpoint = entry.id();
     this.destination = entry.destinationId();
-    this.apart = apart;
+    this.separateRoute = apart;
     this.address = address;
   }
 
   /** A connection was made in so long, us. */
-  void shaken(final long us) {
-    handshakeUs += handshakeUs == 0 ? us : WEIGHT * (us - handshakeUs);
+  void recordHandshake(final long us) {
+    handshakeUs += handshakeUs == 0 ? us : HANDSHAKE_SMOOTHING * (us - handshakeUs);
   }
 
   /** How long that takes, smoothed; 0: none was made yet. */
--- a/courier/src/main/java/thistleturn/courier/http/HttpCall.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCall.java
@@ -9,7 +9,7 @@
 
 /** One call: the messages in it, and how far it has come. */
 final class HttpCall extends TimeHeap.Entry implements Dispatcher.Call {
-  final HttpPool pool;
+  final EndpointConnectionPool pool;
   final long endpoint;
   final long sentUs;
 
@@ -23,7 +23,7 @@
   final long deadlineUs;
 
   /** Until when all of it may go, us. */
-  final long goesUntilUs;
+  final long sendBeforeUs;
 
   final List<Dispatcher.Attempt> parcels;
 
@@ -34,16 +34,16 @@
   final List<Future<?>> timers = new ArrayList<>(0);
 
   Channel channel;
-  HttpConnection reader;
+  EndpointConnection connection;
 
   /** How often this machine's own system refused to begin its connection. */
-  int ownFailures;
+  int localFailures;
 
   boolean started;
   boolean written;
 
   HttpCall(
-      final HttpPool pool,
+      final EndpointConnectionPool pool,
       final long endpoint,
       final List<? extends Dispatcher.Attempt> parcels,
       final long sentUs) {
@@ -60,7 +60,7 @@
         Math.min(
             validUntilUs,
             sentUs + parcels.stream().mapToLong(Dispatcher.Attempt::timeoutUs).max().orElse(0));
-    this.goesUntilUs =
+    this.sendBeforeUs =
         parcels.stream().mapToLong(Dispatcher.Attempt::latestSendUs).min().orElse(Long.MAX_VALUE);
   }
 
--- a/courier/src/main/java/thistleturn/courier/http/HttpCarrier.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
@@ -23,7 +23,7 @@
 import thistleturn.courier.runtime.LoopTurns;
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.DirectRead;
-import thistleturn.courier.transport.NoSocketException;
+import thistleturn.courier.transport.SocketUnavailableException;
 import thistleturn.decisions.index.TimeHeap;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.Endpoint;
@@ -34,52 +34,52 @@
  * call at a time. It tells the {@link Host} how each message fared, above all whether it can have
  * run: that turns on whether the call's last byte was written before the connection broke.
  */
-public final class HttpCarrier implements Dispatcher {
+public final class HttpDispatcher implements Dispatcher {
   private static final long US_PER_MS = 1000;
 
   /**
    * Share of the endpoints' own limit after which an idle connection is closed: a request may not
    * cross it.
    */
-  private static final double IDLE_SHARE = 0.8;
+  private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
   /**
    * What belongs to no call may still come right behind an answer: a connection rests so long
    * before its next, and what has come by then has been looked for. The clock alone says little
    * where a pass takes longer than that.
    */
-  private static final long REST_US = 5_000;
+  private static final long REUSE_DELAY_US = 5_000;
 
   /** How soon a socket is asked for again that the system does not have, us. */
-  private static final long SOCKET_RETRY_US = 5_000;
+  private static final long SOCKET_RETRY_DELAY_US = 5_000;
 
   /** So often a call is tried again whose connection this machine's own system refused to begin. */
-  private static final int MOST_OWN_FAILURES = 4;
+  private static final int MAX_LOCAL_FAILURES = 4;
 
   private final Clock clock;
   private final EventLoop loop;
   private final LoopTurns turns;
   private final long connectTimeoutUs;
   private final Listener listener;
-  private final Bootstrap template;
-  private final long idleUs;
+  private final Bootstrap bootstrapTemplate;
+  private final long idleTimeoutUs;
   private final Descriptors descriptors;
-  private final Map<Long, HttpPool> pools = new HashMap<>();
+  private final Map<Long, EndpointConnectionPool> pools = new HashMap<>();
   private final Set<HttpCall> calls = new HashSet<>();
 
   /** Calls that are not written whole yet: a wait that is told meanwhile binds them. */
   private final Set<HttpCall> unwritten = new LinkedHashSet<>();
 
   /** Connections that carry no call, over all endpoints, the one idle longest first. */
-  private final Set<HttpConnection> idle = new LinkedHashSet<>();
+  private final Set<EndpointConnection> idleConnections = new LinkedHashSet<>();
 
   private final TimeHeap<HttpCall> deadlines = new TimeHeap<>();
 
   /** For when the next look at deadlines is planned. */
-  private long armedUs = Long.MAX_VALUE;
+  private long deadlineTimerUs = Long.MAX_VALUE;
 
   /** No connection is made yet. */
-  public HttpCarrier(
+  public HttpDispatcher(
       final Config config,
       final EventLoop loop,
       final Clock clock,
@@ -91,22 +91,24 @@
     this.turns = turns;
     this.connectTimeoutUs = config.connectTimeoutUs();
     this.listener = listener;
-    this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
+    this.idleTimeoutUs =
+        (long) (IDLE_TIMEOUT_FRACTION * config.settings().limits().idleTimeoutUs());
     this.descriptors = descriptors;
-    this.template =
+    this.bootstrapTemplate =
         new Bootstrap()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    final HttpConnection reader = new HttpConnection(HttpCarrier.this, loop, clock);
-                    channel.pipeline().addLast(new AnswerDecoder(reader), reader);
+                    final EndpointConnection reader =
+                        new EndpointConnection(HttpDispatcher.this, loop, clock);
+                    channel.pipeline().addLast(new ResponseDecoder(reader), reader);
                   }
                 });
-    final long sweepUs = Math.max(US_PER_MS, idleUs / 8);
+    final long sweepUs = Math.max(US_PER_MS, idleTimeoutUs / 8);
     loop.scheduleWithFixedDelay(
-        LoopTasks.guarded("idle connections", this::closeOld),
+        LoopTasks.guarded("idle connections", this::closeExpiredIdle),
         sweepUs,
         sweepUs,
         TimeUnit.MICROSECONDS);
@@ -117,9 +119,10 @@
   @Override
   public void updateEndpoint(
       final Endpoint entry, final boolean apart, final InetSocketAddress address) {
-    final HttpPool pool =
-        pools.computeIfAbsent(entry.id(), unused -> new HttpPool(entry, apart, address));
-    pool.takesNew = entry.state() == EndpointState.LISTED;
+    final EndpointConnectionPool pool =
+        pools.computeIfAbsent(
+            entry.id(), unused -> new EndpointConnectionPool(entry, apart, address));
+    pool.acceptsCalls = entry.state() == EndpointState.LISTED;
     if (!pool.address.equals(address)) {
       pool.address = address;
       closeIdleConnections(entry.id());
@@ -129,18 +132,18 @@
   @Override
   public void removeEndpoint(final long endpoint) {
     closeIdleConnections(endpoint);
-    final HttpPool pool = pools.remove(endpoint);
+    final EndpointConnectionPool pool = pools.remove(endpoint);
     if (pool != null) {
       pool.removed = true;
-      pool.takesNew = false;
+      pool.acceptsCalls = false;
     }
   }
 
   @Override
   public void closeIdleConnections(final long endpoint) {
-    final HttpPool pool = pools.get(endpoint);
+    final EndpointConnectionPool pool = pools.get(endpoint);
     if (pool != null) {
-      List.copyOf(pool.idle).forEach(HttpConnection::close);
+      List.copyOf(pool.idleConnections).forEach(EndpointConnection::close);
     }
   }
 
@@ -148,16 +151,17 @@
    * Closes connections before the endpoint does: a request that crosses its close may have run, or
    * not.
    */
-  private void closeOld() {
-    final long beforeUs = clock.nowUs() - idleUs;
-    while (!idle.isEmpty() && idle.iterator().next().idleSinceUs() <= beforeUs) {
-      idle.iterator().next().close();
+  private void closeExpiredIdle() {
+    final long beforeUs = clock.nowUs() - idleTimeoutUs;
+    while (!idleConnections.isEmpty()
+        && idleConnections.iterator().next().idleSinceUs() <= beforeUs) {
+      idleConnections.iterator().next().close();
     }
   }
 
-  private void makeRoom() {
-    if (descriptors.isFullOfEndpoints() && !idle.isEmpty()) {
-      idle.iterator().next().close();
+  private void evictIdleIfFull() {
+    if (descriptors.isFullOfEndpoints() && !idleConnections.isEmpty()) {
+      idleConnections.iterator().next().close();
     }
   }
 
@@ -177,14 +181,14 @@
     }
     calls.add(call);
     deadlines.schedule(call, call.deadlineUs);
-    arm();
+    armDeadlineTimer();
     call.started = true;
     unwritten.add(call);
     dispatch(call);
   }
 
   /** A call's last byte is written. */
-  void written(final HttpCall call) {
+  void onCallWritten(final HttpCall call) {
     call.written = true;
     unwritten.remove(call);
     listener.onMessagesWritten(call.parcels.size());
@@ -193,11 +197,12 @@
   /**
    * One timer for all calls, at the first deadline; a call that ends takes its deadline with it.
    */
-  private void arm() {
+  private void armDeadlineTimer() {
     final long firstUs = deadlines.earliestDueUs();
-    if (firstUs < armedUs) {
-      armedUs = firstUs;
-      loop.schedule(this::giveUp, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
+    if (firstUs < deadlineTimerUs) {
+      deadlineTimerUs = firstUs;
+      loop.schedule(
+          this::expireOverdueCalls, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
     }
   }
 
@@ -206,34 +211,34 @@
    * sockets that began after its time. A process that was stopped wakes to its timers first,
    * whatever has come meanwhile.
    */
-  private void giveUp() {
-    armedUs = Long.MAX_VALUE;
+  private void expireOverdueCalls() {
+    deadlineTimerUs = Long.MAX_VALUE;
     final long lookedUs = turns.lookUs();
     for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
-      readUnwatched(late);
+      readUnpolled(late);
       abandon(late, AttemptResult.TIMED_OUT);
     }
     // What fell due since that look began is judged in the next turn, after another.
-    arm();
+    armDeadlineTimer();
   }
 
   /**
    * An answer that the selector does not tell of, since the system refused to watch its connection,
    * counts as well.
    */
-  private static void readUnwatched(final HttpCall call) {
+  private static void readUnpolled(final HttpCall call) {
     if (call.written && call.channel.isActive()) {
-      DirectRead.of(call.channel);
+      DirectRead.readOnce(call.channel);
     }
   }
 
   /** Runs something for a call, unless the call ends first: then nothing of it is kept. */
-  private void later(final HttpCall call, final long delayUs, final Runnable action) {
+  private void scheduleFor(final HttpCall call, final long delayUs, final Runnable action) {
     call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
   }
 
   /** Forgets a call; false if it was over already. */
-  boolean remove(final HttpCall call) {
+  boolean removeCall(final HttpCall call) {
     call.timers.forEach(timer -> timer.cancel(false));
     call.timers.clear();
     deadlines.remove(call);
@@ -246,12 +251,12 @@
    *
    * @return true if something is left
    */
-  private boolean mayGo(final HttpCall call) {
+  private boolean retainSendable(final HttpCall call) {
     if (!calls.contains(call)) {
       return false;
     }
     final long nowUs = clock.nowUs();
-    if (!call.pool.takesNew) {
+    if (!call.pool.acceptsCalls) {
       // The list has changed since it was decided, while a connection came up: it drains, or is
       // gone.
       abandon(call, AttemptResult.NOT_SENT);
@@ -263,7 +268,7 @@
       abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
-    if (call.goesUntilUs >= nowUs) {
+    if (call.sendBeforeUs >= nowUs) {
       return true;
     }
     final List<Attempt> late =
@@ -285,41 +290,42 @@
    * is waited for.
    */
   private void dispatch(final HttpCall call) {
-    if (!mayGo(call)) {
+    if (!retainSendable(call)) {
       return;
     }
     final long nowUs = clock.nowUs();
     final long lookedUs = turns.lookUs();
-    HttpConnection rested = null;
+    EndpointConnection rested = null;
     long restUs = Long.MAX_VALUE;
     // Those used last stand at the end: of the rested ones the last is taken, so that the others
     // may age.
-    for (final Iterator<HttpConnection> readers = call.pool.idle.descendingIterator();
+    for (final Iterator<EndpointConnection> readers =
+            call.pool.idleConnections.descendingIterator();
         readers.hasNext(); ) {
-      final HttpConnection reader = readers.next();
+      final EndpointConnection reader = readers.next();
       if (!reader.isActive()) {
         readers.remove();
-        idle.remove(reader);
-      } else if (reader.idleSinceUs() + REST_US <= lookedUs) {
+        idleConnections.remove(reader);
+      } else if (reader.idleSinceUs() + REUSE_DELAY_US <= lookedUs) {
         readers.remove();
-        idle.remove(reader);
+        idleConnections.remove(reader);
         rested = reader;
         break;
       } else {
-        restUs = Math.min(restUs, Math.max(0, reader.idleSinceUs() + REST_US - nowUs));
+        restUs = Math.min(restUs, Math.max(0, reader.idleSinceUs() + REUSE_DELAY_US - nowUs));
       }
     }
     if (rested != null) {
-      rested.write(call);
-    } else if (restUs <= REST_US) {
-      later(call, restUs, () -> dispatch(call));
+      rested.send(call);
+    } else if (restUs <= REUSE_DELAY_US) {
+      scheduleFor(call, restUs, () -> dispatch(call));
     } else {
       connect(call);
     }
   }
 
   private void connect(final HttpCall call) {
-    makeRoom();
+    evictIdleIfFull();
     if (descriptors.isFullOfEndpoints()) {
       loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
       return;
@@ -329,16 +335,19 @@
     try {
       connecting =
           Connector.connect(
-              loop, template, call.pool.address, done -> connected(call, done, fromUs));
-    } catch (final NoSocketException e) {
-      waitForSocket(call, fromUs);
+              loop,
+              bootstrapTemplate,
+              call.pool.address,
+              done -> onConnectCompleted(call, done, fromUs));
+    } catch (final SocketUnavailableException e) {
+      retryWithoutSocket(call, fromUs);
       return;
     }
     descriptors.endpoints(1);
     call.channel = connecting.channel();
     call.channel.closeFuture().addListener(closed -> descriptors.endpoints(-1));
     // Not the channel's own timer: that would judge before the look that tells that it has come up.
-    later(
+    scheduleFor(
         call,
         connectTimeoutUs,
         () ->
@@ -356,27 +365,29 @@
    * The system has no socket now. Nothing was asked of the endpoint, so nothing is said of it when
    * that lasts.
    */
-  private void waitForSocket(final HttpCall call, final long nowUs) {
+  private void retryWithoutSocket(final HttpCall call, final long nowUs) {
     if (nowUs - call.sentUs < connectTimeoutUs) {
-      later(call, SOCKET_RETRY_US, () -> dispatch(call));
+      scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
     } else {
       loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
     }
   }
 
-  private void connected(final HttpCall call, final ChannelFuture connecting, final long fromUs) {
+  private void onConnectCompleted(
+      final HttpCall call, final ChannelFuture connecting, final long fromUs) {
     if (connecting.isSuccess()) {
-      call.pool.shaken(clock.nowUs() - fromUs);
+      call.pool.recordHandshake(clock.nowUs() - fromUs);
     }
     if (!connecting.isSuccess() && calls.contains(call)) {
-      if (Connector.isOwnFailure(connecting.cause()) && call.ownFailures++ < MOST_OWN_FAILURES) {
+      if (Connector.isLocalFailure(connecting.cause())
+          && call.localFailures++ < MAX_LOCAL_FAILURES) {
         call.channel = null;
-        later(call, SOCKET_RETRY_US, () -> dispatch(call));
+        scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
       } else {
         abandon(call, AttemptResult.NO_CONNECTION);
       }
-    } else if (mayGo(call)) {
-      connecting.channel().pipeline().get(HttpConnection.class).write(call);
+    } else if (retainSendable(call)) {
+      connecting.channel().pipeline().get(EndpointConnection.class).send(call);
     } else {
       connecting.channel().close();
     }
@@ -389,34 +400,36 @@
   @Override
   public void abandon(final Call given, final AttemptResult result) {
     final HttpCall call = (HttpCall) given;
-    final boolean known = remove(call);
+    final boolean known = removeCall(call);
     if (!known && call.started) {
       return;
     }
     final DispatchOutcome delivered =
-        call.reader != null && call.reader.isDelivered(call) ? call.reader.delivered() : null;
+        call.connection != null && call.connection.isDelivered(call)
+            ? call.connection.partialDelivery()
+            : null;
     if (call.written && call.channel.isActive()) {
-      call.reader.giveUp();
+      call.connection.abandonCall();
     } else if (call.channel != null) {
       call.channel.close();
     }
     if (delivered != null) {
-      tell(call, delivered);
+      report(call, delivered);
       return;
     }
     final AttemptResult sure =
-        call.written || result == AttemptResult.NOT_SENT ? result : neverWritten(result);
-    tell(call, new DispatchOutcome(sure, false, 0, null));
+        call.written || result == AttemptResult.NOT_SENT ? result : unwrittenResult(result);
+    report(call, new DispatchOutcome(sure, false, 0, null));
   }
 
   /** What gave up a call that was never written whole cannot have run. */
-  private static AttemptResult neverWritten(final AttemptResult result) {
+  private static AttemptResult unwrittenResult(final AttemptResult result) {
     return result == AttemptResult.CANCELLED ? AttemptResult.NOT_SENT : AttemptResult.NO_CONNECTION;
   }
 
   /** Tells the outcome of all messages of a call. */
-  void tell(final HttpCall call, final DispatchOutcome answer) {
-    call.parcels.forEach(parcel -> tell(parcel, call, answer));
+  void report(final HttpCall call, final DispatchOutcome answer) {
+    call.parcels.forEach(parcel -> report(parcel, call, answer));
   }
 
   /**
@@ -424,7 +437,7 @@
    * this process stood still, may have been written after it, when nobody counts it any more: such
    * a message ends by a notice, which does no harm if the answer counted after all.
    */
-  void tell(final Attempt parcel, final HttpCall call, final DispatchOutcome answer) {
+  void report(final Attempt parcel, final HttpCall call, final DispatchOutcome answer) {
     final boolean tooLate =
         answer.result() == AttemptResult.DELIVERED && clock.nowUs() > call.validUntilUs;
     listener.onOutcome(
@@ -437,10 +450,10 @@
   }
 
   /** A wait was told: what is on its way to that destination, and not written yet, may not go. */
-  void holdBack(final HttpPool told) {
+  void holdBack(final EndpointConnectionPool told) {
     for (final HttpCall call : List.copyOf(unwritten)) {
       final boolean bound =
-          told.apart ? call.pool == told : call.pool.destination == told.destination;
+          told.separateRoute ? call.pool == told : call.pool.destination == told.destination;
       if (bound) {
         abandon(call, AttemptResult.NOT_SENT);
       }
@@ -448,29 +461,29 @@
   }
 
   /** An answer that comes too late for its call tells a wait all the same. */
-  void toldToWait(final HttpPool by, final long waitUs) {
+  void toldToWait(final EndpointConnectionPool by, final long waitUs) {
     holdBack(by);
     listener.onRetryAfter(by.endpoint, waitUs);
   }
 
   @Override
   public void abandonUnwrittenCalls(final long endpoint) {
-    final HttpPool pool = pools.get(endpoint);
+    final EndpointConnectionPool pool = pools.get(endpoint);
     if (pool != null) {
       holdBack(pool);
     }
   }
 
   /** A connection carries no call from now on. */
-  void pool(final HttpConnection connection, final HttpPool pool) {
-    pool.idle.addLast(connection);
-    idle.add(connection);
+  void addIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
+    pool.idleConnections.addLast(connection);
+    idleConnections.add(connection);
   }
 
   /** A connection is in use, or not to be used again. */
-  void unpool(final HttpConnection connection, final HttpPool pool) {
-    if (idle.remove(connection)) {
-      pool.idle.remove(connection);
+  void removeIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
+    if (idleConnections.remove(connection)) {
+      pool.idleConnections.remove(connection);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpFront.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpIngress.java
@@ -36,10 +36,10 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.courier.transport.AcceptRetry;
+import thistleturn.courier.transport.AcceptRetryHandler;
 import thistleturn.courier.transport.DirectRead;
-import thistleturn.courier.transport.PatientServerSocketChannel;
-import thistleturn.courier.transport.PatientSocketChannel;
+import thistleturn.courier.transport.RetryingServerSocketChannel;
+import thistleturn.courier.transport.RetryingSocketChannel;
 import thistleturn.decisions.admission.ConnectionEvictionRanking;
 import thistleturn.decisions.index.TimeHeap;
 
@@ -48,82 +48,83 @@
  * whatever cannot be read or used is answered with its 4xx, and nothing is taken. No request is
  * left without an answer.
  */
-public final class HttpFront implements Ingress {
+public final class HttpIngress implements Ingress {
   /** Bodies that are coming in or wait their turn, on all connections together. */
-  private static final int MOST_HELD_BYTES = 1 << 22;
+  private static final int MAX_BUFFERED_BODY_BYTES = 1 << 22;
 
   /** What is read at once from one connection: one that floods may not keep the others waiting. */
-  private static final int READ_BYTES = 1 << 14;
+  private static final int MAX_READ_BYTES = 1 << 14;
 
   /** Resting connections that wake in one turn, and how soon the next ones do, us. */
-  private static final int MOST_WAKES = 64;
+  private static final int MAX_WAKE_UPS_PER_POLL = 64;
 
-  private static final long WAKE_US = 500;
+  private static final long WAKE_UP_INTERVAL_US = 500;
   private static final int BACKLOG = 256;
   private static final long US_PER_MS = 1000;
 
   /** Connections accepted in one turn of the loop. */
-  private static final int MOST_ACCEPTS = 16;
+  private static final int MAX_ACCEPTS_PER_POLL = 16;
 
   /** How long a new connection may take to begin a request. */
-  private static final long BEGIN_US = 2_000_000;
+  private static final long FIRST_REQUEST_TIMEOUT_US = 2_000_000;
 
   /** How long a request may take to come in whole: some write theirs in two seconds. */
-  private static final long REQUEST_US = 2_600_000;
+  private static final long REQUEST_TIMEOUT_US = 2_600_000;
 
   private static final ChannelOption<Boolean> REUSE_PORT =
       NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
   /** How long a connection is kept between requests where there are many. */
-  private static final long CROWDED_IDLE_US = 2_100_000;
+  private static final long CROWDED_IDLE_TIMEOUT_US = 2_100_000;
 
-  private static final double CROWDED_SHARE = 0.5;
+  private static final double CROWDED_FRACTION = 0.5;
 
   /** A connection without a request for so long gives back all but itself. */
-  private static final long REST_US = 1_000_000;
+  private static final long HIBERNATE_AFTER_US = 1_000_000;
 
-  private static final long SWEEP_MS = 200;
+  private static final long SWEEP_INTERVAL_MS = 200;
 
   /**
    * A connection that has said nothing for so long, us, is read from once without the selector's
    * word.
    */
-  private static final long UNHEARD_US = 50_000;
+  private static final long DIRECT_READ_AFTER_US = 50_000;
 
   /**
    * For so long, us, a listener that is to be closed is asked again for connections that it cannot
    * give.
    */
-  private static final long LAST_ACCEPTS_US = 1_000_000;
+  private static final long FINAL_ACCEPT_TIMEOUT_US = 1_000_000;
 
   /**
    * Connections looked at in one turn of the loop: what falls due in the same instant is spread.
    */
-  private static final int MOST_LOOKS = 256;
+  private static final int MAX_CHECKS_PER_TASK = 256;
 
   private final Config config;
   private final Clock clock;
-  private final IngressHandler desk;
+  private final IngressHandler ingressHandler;
   private final LoopTurns turns;
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Descriptors descriptors;
-  private final ConnectionEvictionRanking crowd = new ConnectionEvictionRanking(CROWDED_IDLE_US);
-  private final long idleUs;
+  private final ConnectionEvictionRanking evictionRanking =
+      new ConnectionEvictionRanking(CROWDED_IDLE_TIMEOUT_US);
+  private final long idleTimeoutUs;
 
   /** The newest at the end. */
-  private final Set<HttpSession> sessions = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** Room is made after the next look. */
-  private boolean makesRoom;
+  private boolean evictionScheduled;
 
   /**
    * Connections that are shut on this side and wait for the other, the one shut first at the front.
    */
-  private final Set<HttpSession> leaving = new LinkedHashSet<>();
+  private final Set<ClientConnection> closingConnections = new LinkedHashSet<>();
 
   /** When each connection is looked at next: it is at least as late as what falls due for it. */
-  private final TimeHeap<HttpSession.Look> looks = new TimeHeap<>();
+  private final TimeHeap<ClientConnection.ScheduledCheck> checks = new TimeHeap<>();
 
   private boolean crowded;
 
@@ -131,22 +132,22 @@
    * Connections that wait for their turn to wake, and how many woke in which turn of the loop
    * without waiting.
    */
-  private final ArrayDeque<HttpSession> waking = new ArrayDeque<>();
+  private final ArrayDeque<ClientConnection> wakeUpQueue = new ArrayDeque<>();
 
-  private long wakeTurnUs;
-  private int wokenInTurn;
-  private int heldBytes;
+  private long wakeUpPollUs;
+  private int wokenInPoll;
+  private int bufferedBodyBytes;
   private Channel listener;
-  private ServerSocketChannel accepts;
+  private ServerSocketChannel serverSocket;
   private boolean draining;
 
   /** The listener is to be closed once what waits there could be accepted. */
-  private boolean acceptsLast;
+  private boolean acceptingBacklog;
 
-  private Future<?> sweeping;
+  private Future<?> sweepTask;
 
   /** Accepts on the group; all that it accepts is owned by the loop. */
-  public HttpFront(
+  public HttpIngress(
       final Config config,
       final EventLoopGroup group,
       final EventLoop loop,
@@ -160,8 +161,8 @@
     this.loop = loop;
     this.clock = clock;
     this.turns = turns;
-    this.desk = desk;
-    this.idleUs = tuning.clientIdleTimeoutUs();
+    this.ingressHandler = desk;
+    this.idleTimeoutUs = tuning.clientIdleTimeoutUs();
     this.descriptors = descriptors;
   }
 
@@ -178,43 +179,48 @@
   public CompletionStage<String> listen(final InetSocketAddress address, final boolean several) {
     final CompletableFuture<String> listening = new CompletableFuture<>();
     draining = false;
-    if (sweeping == null) {
-      sweeping =
+    if (sweepTask == null) {
+      sweepTask =
           loop.scheduleWithFixedDelay(
               LoopTasks.guarded("sweep of clients", this::sweep),
-              SWEEP_MS,
-              SWEEP_MS,
+              SWEEP_INTERVAL_MS,
+              SWEEP_INTERVAL_MS,
               TimeUnit.MILLISECONDS);
     }
-    final Accepting accepting = new Accepting();
+    final AcceptHandler accepting = new AcceptHandler();
     try {
-      accepts = ServerSocketChannel.open();
+      serverSocket = ServerSocketChannel.open();
     } catch (final IOException e) {
       return CompletableFuture.failedFuture(e);
     }
     final ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channelFactory(() -> new PatientServerSocketChannel(accepts))
+            .channelFactory(() -> new RetryingServerSocketChannel(serverSocket))
             .option(REUSE_PORT, several)
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MOST_ACCEPTS))
+                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_POLL))
             .handler(accepting)
             .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .childOption(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator(READ_BYTES / 16, READ_BYTES / 8, READ_BYTES)
+                new AdaptiveRecvByteBufAllocator(
+                        MAX_READ_BYTES / 16, MAX_READ_BYTES / 8, MAX_READ_BYTES)
                     .maxMessagesPerRead(1))
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    final HttpSession session =
-                        new HttpSession(
-                            HttpFront.this, desk, clock, turns, accepting.arrival.sinceUs());
+                    final ClientConnection session =
+                        new ClientConnection(
+                            HttpIngress.this,
+                            ingressHandler,
+                            clock,
+                            turns,
+                            accepting.receiveTime.earliestUs());
                     channel.pipeline().addLast(session);
                   }
                 })
@@ -234,19 +240,19 @@
   @Override
   public void drain() {
     draining = true;
-    shutIdle(List.copyOf(sessions));
+    closeIdleAfterPoll(List.copyOf(connections));
   }
 
   @Override
   public void stopListening() {
-    final List<HttpSession> before = List.copyOf(sessions);
+    final List<ClientConnection> before = List.copyOf(connections);
     closeListener();
-    shutIdle(before);
+    closeIdleAfterPoll(before);
   }
 
   /** What has come by now is read first: a connection with a request on it is not idle. */
-  private void shutIdle(final List<HttpSession> some) {
-    turns.afterLook(loop, clock.nowUs(), () -> some.forEach(HttpSession::shutIfIdle));
+  private void closeIdleAfterPoll(final List<ClientConnection> some) {
+    turns.afterLook(loop, clock.nowUs(), () -> some.forEach(ClientConnection::closeIfIdle));
   }
 
   /**
@@ -256,26 +262,28 @@
   @Override
   public void rejectIncompleteRequests() {
     turns.afterLook(
-        loop, clock.nowUs(), () -> List.copyOf(sessions).forEach(HttpSession::turnAway));
+        loop,
+        clock.nowUs(),
+        () -> List.copyOf(connections).forEach(ClientConnection::rejectIncomplete));
   }
 
   /**
    * Another process takes new connections from now on. Those that stand are served until they are
    * told, with their next answer, to end; what asks nothing may still ask, and is not closed.
    */
-  public void handOver() {
+  public void drainForHandover() {
     draining = true;
     closeListener();
   }
 
   @Override
   public boolean hasNoConnections() {
-    return sessions.isEmpty() && leaving.isEmpty() && !acceptsLast;
+    return connections.isEmpty() && closingConnections.isEmpty() && !acceptingBacklog;
   }
 
   private void closeListener() {
     if (listener.isOpen()) {
-      acceptLast(clock.nowUs() + LAST_ACCEPTS_US);
+      acceptBacklogAndClose(clock.nowUs() + FINAL_ACCEPT_TIMEOUT_US);
     }
   }
 
@@ -283,18 +291,18 @@
    * What waits to be accepted is accepted first: the system would reset it. What it cannot give now
    * is asked for again.
    */
-  private void acceptLast(final long untilUs) {
-    acceptsLast = false;
+  private void acceptBacklogAndClose(final long untilUs) {
+    acceptingBacklog = false;
     try {
-      for (SocketChannel next = accepts.accept(); next != null; next = accepts.accept()) {
-        listener.pipeline().fireChannelRead(new PatientSocketChannel(listener, next));
+      for (SocketChannel next = serverSocket.accept(); next != null; next = serverSocket.accept()) {
+        listener.pipeline().fireChannelRead(new RetryingSocketChannel(listener, next));
       }
       listener.pipeline().fireChannelReadComplete();
     } catch (final IOException | ChannelException e) {
       if (clock.nowUs() < untilUs) {
         Log.event(Event.ACCEPT_FAILED, "at", listener.localAddress(), "cause", e, "closing", true);
-        acceptsLast = true;
-        loop.schedule(() -> acceptLast(untilUs), US_PER_MS, TimeUnit.MICROSECONDS);
+        acceptingBacklog = true;
+        loop.schedule(() -> acceptBacklogAndClose(untilUs), US_PER_MS, TimeUnit.MICROSECONDS);
         return;
       }
       Log.event(Event.ACCEPT_GIVEN_UP, "at", listener.localAddress(), "cause", e);
@@ -307,90 +315,98 @@
    * why.
    */
   private void sweep() {
-    final boolean many = sessions.size() > CROWDED_SHARE * descriptors.mostClients();
+    final boolean many = connections.size() > CROWDED_FRACTION * descriptors.mostClients();
     if (many && !crowded) {
       // Less time is left to each of them than when they were last looked at.
-      sessions.forEach(session -> looks.schedule(session.look(), dueUs(session)));
+      connections.forEach(
+          session -> checks.schedule(session.scheduledCheck(), nextCheckUs(session)));
     }
     crowded = many;
-    lookAtDue();
+    checkDueConnections();
     if (listener != null && listener.isActive() && listener.config().isAutoRead()) {
-      DirectRead.of(listener);
+      DirectRead.readOnce(listener);
     }
   }
 
-  private void lookAtDue() {
+  private void checkDueConnections() {
     final long nowUs = clock.nowUs();
     int looked = 0;
-    for (HttpSession.Look due = looks.poll(nowUs); due != null; due = looks.poll(nowUs)) {
-      look(due.session, nowUs);
-      if (++looked == MOST_LOOKS) {
-        loop.execute(this::lookAtDue);
+    for (ClientConnection.ScheduledCheck due = checks.poll(nowUs);
+        due != null;
+        due = checks.poll(nowUs)) {
+      check(due.connection, nowUs);
+      if (++looked == MAX_CHECKS_PER_TASK) {
+        loop.execute(this::checkDueConnections);
         return;
       }
     }
   }
 
-  private void look(final HttpSession session, final long nowUs) {
+  private void check(final ClientConnection session, final long nowUs) {
     // A look that began after it was accepted has told of it, if it is watched.
-    if (session.mayBeUnwatched() && turns.lookUs() > session.sinceUs()) {
+    if (session.mayBeUnwatched() && turns.lookUs() > session.idleSinceUs()) {
       session.readDirectly();
-      if (!sessions.contains(session)) {
+      if (!connections.contains(session)) {
         return;
       }
     }
-    if (isTooLate(session, nowUs) || isIdleTooLong(session, nowUs)) {
+    if (isRequestOverdue(session, nowUs) || isIdleTooLong(session, nowUs)) {
       // What had come by now is read before it is judged, however long this process stood still.
-      turns.afterLook(loop, nowUs, () -> end(session, nowUs));
+      turns.afterLook(loop, nowUs, () -> closeIfStillOverdue(session, nowUs));
       return;
     }
-    if (session.isIdle() && session.sinceUs() <= nowUs - REST_US) {
-      session.rest();
+    if (session.isIdle() && session.idleSinceUs() <= nowUs - HIBERNATE_AFTER_US) {
+      session.hibernate();
     }
-    looks.schedule(session.look(), Math.max(dueUs(session), nowUs + US_PER_MS));
+    checks.schedule(session.scheduledCheck(), Math.max(nextCheckUs(session), nowUs + US_PER_MS));
   }
 
-  private boolean isTooLate(final HttpSession session, final long nowUs) {
-    return session.askedSinceUs() <= nowUs - REQUEST_US
+  private boolean isRequestOverdue(final ClientConnection session, final long nowUs) {
+    return session.requestStartedUs() <= nowUs - REQUEST_TIMEOUT_US
         && !session.isClosing()
-        && !session.isWaking();
+        && !session.isAwaitingWakeUp();
   }
 
-  private boolean isIdleTooLong(final HttpSession session, final long nowUs) {
-    return session.isIdle() && session.sinceUs() <= nowUs - patienceUs(session);
+  private boolean isIdleTooLong(final ClientConnection session, final long nowUs) {
+    return session.isIdle() && session.idleSinceUs() <= nowUs - allowedIdleUs(session);
   }
 
   /**
    * Ends what was too late, or idle for too long, at that moment and has not been saved by what had
    * come by then.
    */
-  private void end(final HttpSession session, final long thenUs) {
-    if (!sessions.contains(session)) {
+  private void closeIfStillOverdue(final ClientConnection session, final long thenUs) {
+    if (!connections.contains(session)) {
       return;
     }
-    if (isTooLate(session, thenUs)) {
+    if (isRequestOverdue(session, thenUs)) {
       session.reject(HttpResponseStatus.REQUEST_TIMEOUT);
     } else if (isIdleTooLong(session, thenUs)) {
-      session.shutIfIdle();
+      session.closeIfIdle();
       return;
     }
-    looks.schedule(session.look(), Math.max(dueUs(session), clock.nowUs() + US_PER_MS));
+    checks.schedule(
+        session.scheduledCheck(), Math.max(nextCheckUs(session), clock.nowUs() + US_PER_MS));
   }
 
-  private long patienceUs(final HttpSession session) {
-    return !session.hasAsked() ? BEGIN_US : crowded ? Math.min(CROWDED_IDLE_US, idleUs) : idleUs;
+  private long allowedIdleUs(final ClientConnection session) {
+    return !session.hasSentRequest()
+        ? FIRST_REQUEST_TIMEOUT_US
+        : crowded ? Math.min(CROWDED_IDLE_TIMEOUT_US, idleTimeoutUs) : idleTimeoutUs;
   }
 
   /** When something is to be done about a connection unless something happens to it before. */
-  private long dueUs(final HttpSession session) {
+  private long nextCheckUs(final ClientConnection session) {
     if (session.mayBeUnwatched()) {
-      return Math.max(session.sinceUs() + UNHEARD_US, clock.nowUs());
+      return Math.max(session.idleSinceUs() + DIRECT_READ_AFTER_US, clock.nowUs());
     }
     if (!session.isIdle()) {
-      return Math.min(session.askedSinceUs(), clock.nowUs()) + REQUEST_US;
+      return Math.min(session.requestStartedUs(), clock.nowUs()) + REQUEST_TIMEOUT_US;
     }
-    return session.sinceUs()
-        + (session.isResting() ? patienceUs(session) : Math.min(REST_US, patienceUs(session)));
+    return session.idleSinceUs()
+        + (session.isHibernating()
+            ? allowedIdleUs(session)
+            : Math.min(HIBERNATE_AFTER_US, allowedIdleUs(session)));
   }
 
   /**
@@ -398,13 +414,13 @@
    * a standstill many wait to be accepted, each with a request on it, and one that has not been
    * read yet only seems to say nothing.
    */
-  private void makeRoom() {
-    makesRoom = false;
-    while (sessions.size() + leaving.size() > descriptors.mostClients()) {
-      if (leaving.isEmpty()) {
-        leastLost().drop();
+  private void evictExcessConnections() {
+    evictionScheduled = false;
+    while (connections.size() + closingConnections.size() > descriptors.mostClients()) {
+      if (closingConnections.isEmpty()) {
+        evictionCandidate().closeNow();
       } else {
-        leaving.iterator().next().drop();
+        closingConnections.iterator().next().closeNow();
       }
     }
   }
@@ -414,21 +430,21 @@
    * one that asks nothing. What was accepted since the look began has not been read, and goes last
    * of all.
    */
-  private HttpSession leastLost() {
+  private ClientConnection evictionCandidate() {
     final long nowUs = clock.nowUs();
-    HttpSession least = null;
+    ClientConnection least = null;
     int leastRank = ConnectionEvictionRanking.NEVER_EVICT;
-    HttpSession newest = null;
-    for (final HttpSession session : sessions) {
-      if (!session.hasAsked() && session.sinceUs() >= turns.lookUs()) {
+    ClientConnection newest = null;
+    for (final ClientConnection session : connections) {
+      if (!session.hasSentRequest() && session.idleSinceUs() >= turns.lookUs()) {
         newest = newest == null ? session : newest;
         continue;
       }
-      final int rank = session.rank(crowd, nowUs);
+      final int rank = session.evictionRank(evictionRanking, nowUs);
       if (rank < leastRank
           || (rank == leastRank
               && rank < ConnectionEvictionRanking.NEVER_EVICT
-              && session.sinceUs() < least.sinceUs())) {
+              && session.idleSinceUs() < least.idleSinceUs())) {
         least = session;
         leastRank = rank;
       }
@@ -441,91 +457,92 @@
    * Reckons since when a connection that is accepted may have waited for that, with a request on
    * it.
    */
-  private final class Accepting extends AcceptRetry {
-    private final Arrival arrival = new Arrival(clock.nowUs());
-    private int accepted;
+  private final class AcceptHandler extends AcceptRetryHandler {
+    private final ReceiveTimeBound receiveTime = new ReceiveTimeBound(clock.nowUs());
+    private int acceptedInPoll;
 
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object connection) {
-      accepted++;
+      acceptedInPoll++;
       // One more may always wait behind it; whether that is so is known when the reading ends.
-      arrival.read(clock.nowUs(), turns.previousLookUs(), false);
+      receiveTime.onRead(clock.nowUs(), turns.previousLookUs(), false);
       super.channelRead(context, connection);
     }
 
     /** More may wait than could be taken. */
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-      arrival.drained(false);
+      receiveTime.setDrained(false);
       super.exceptionCaught(context, cause);
     }
 
     @Override
     public void channelReadComplete(final ChannelHandlerContext context) {
-      arrival.drained(accepted < MOST_ACCEPTS);
-      accepted = 0;
+      receiveTime.setDrained(acceptedInPoll < MAX_ACCEPTS_PER_POLL);
+      acceptedInPoll = 0;
       context.fireChannelReadComplete();
     }
   }
 
   // ---------------------------------------------------------------- what its sessions ask
 
-  void opened(final HttpSession session) {
-    sessions.add(session);
-    looks.schedule(session.look(), dueUs(session));
-    descriptors.clients(sessions.size() + leaving.size());
-    if (!makesRoom && sessions.size() + leaving.size() > descriptors.mostClients()) {
-      makesRoom = true;
-      turns.afterLook(loop, clock.nowUs(), this::makeRoom);
+  void onConnectionOpened(final ClientConnection session) {
+    connections.add(session);
+    checks.schedule(session.scheduledCheck(), nextCheckUs(session));
+    descriptors.clients(connections.size() + closingConnections.size());
+    if (!evictionScheduled
+        && connections.size() + closingConnections.size() > descriptors.mostClients()) {
+      evictionScheduled = true;
+      turns.afterLook(loop, clock.nowUs(), this::evictExcessConnections);
     }
   }
 
   /** A connection that was answered has asked again, or has ended without. */
-  void learn(final boolean askedAgain) {
-    crowd.recordReuse(askedAgain);
+  void recordKeepAliveOutcome(final boolean askedAgain) {
+    evictionRanking.recordReuse(askedAgain);
   }
 
   /**
    * A connection is shut on this side: it is served no more, but still there. False if it has ended
    * meanwhile.
    */
-  boolean leaves(final HttpSession session) {
-    looks.remove(session.look());
-    return sessions.remove(session) && leaving.add(session);
+  boolean moveToClosing(final ClientConnection session) {
+    checks.remove(session.scheduledCheck());
+    return connections.remove(session) && closingConnections.add(session);
   }
 
-  void closed(final HttpSession session) {
-    sessions.remove(session);
-    leaving.remove(session);
-    descriptors.clients(sessions.size() + leaving.size());
-    looks.remove(session.look());
+  void onConnectionClosed(final ClientConnection session) {
+    connections.remove(session);
+    closingConnections.remove(session);
+    descriptors.clients(connections.size() + closingConnections.size());
+    checks.remove(session.scheduledCheck());
   }
 
   /** True when so many resting connections wake in one turn that the further ones take turns. */
-  boolean isWakeUp() {
-    if (turns.lookUs() != wakeTurnUs) {
-      wakeTurnUs = turns.lookUs();
-      wokenInTurn = 0;
+  boolean mustQueueWakeUp() {
+    if (turns.lookUs() != wakeUpPollUs) {
+      wakeUpPollUs = turns.lookUs();
+      wokenInPoll = 0;
     }
-    return !waking.isEmpty() || ++wokenInTurn > MOST_WAKES;
+    return !wakeUpQueue.isEmpty() || ++wokenInPoll > MAX_WAKE_UPS_PER_POLL;
   }
 
   /**
    * It wakes behind those that wait already; some are woken in each turn, beside the active ones.
    */
-  void wakeInTurn(final HttpSession session) {
-    waking.add(session);
-    if (waking.size() == 1) {
-      loop.schedule(this::wakeSome, WAKE_US, TimeUnit.MICROSECONDS);
+  void queueWakeUp(final ClientConnection session) {
+    wakeUpQueue.add(session);
+    if (wakeUpQueue.size() == 1) {
+      loop.schedule(this::wakeNextBatch, WAKE_UP_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
   }
 
-  private void wakeSome() {
-    for (int woken = 0; woken < MOST_WAKES && !waking.isEmpty(); woken++) {
-      waking.poll().wake();
+  private void wakeNextBatch() {
+    for (int woken = 0; woken < MAX_WAKE_UPS_PER_POLL && !wakeUpQueue.isEmpty(); woken++) {
+      wakeUpQueue.poll().wakeUp();
     }
-    if (!waking.isEmpty()) {
-      loop.schedule(this::wakeSome, WAKE_US, TimeUnit.MICROSECONDS);
+    if (!wakeUpQueue.isEmpty()) {
+      loop.schedule(this::wakeNextBatch, WAKE_UP_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
   }
 
@@ -536,15 +553,15 @@
   /**
    * Reckons with some bytes of a body; false, and nothing reckoned, if there is no room for them.
    */
-  boolean hold(final int bytes) {
-    if (heldBytes + bytes > MOST_HELD_BYTES) {
+  boolean reserveBodyBytes(final int bytes) {
+    if (bufferedBodyBytes + bytes > MAX_BUFFERED_BODY_BYTES) {
       return false;
     }
-    heldBytes += bytes;
+    bufferedBodyBytes += bytes;
     return true;
   }
 
-  void release(final int bytes) {
-    heldBytes -= bytes;
+  void releaseBodyBytes(final int bytes) {
+    bufferedBodyBytes -= bytes;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/Arrival.java
+++ b/courier/src/main/java/thistleturn/courier/http/ReceiveTimeBound.java
@@ -4,16 +4,16 @@
  * Since when what is read from a socket may have lain in its buffer. It is told of each read and of
  * each pause, and bounds the moment of arrival from below; it never guesses a later one.
  */
-final class Arrival {
+final class ReceiveTimeBound {
   /** While false, what comes next may have been there along with what was read last. */
   private boolean drained;
 
-  private long sinceUs;
+  private long earliestUs;
   private long lastReadUs;
 
   /** {@code sinceUs}: nothing can have come before. */
-  Arrival(final long sinceUs) {
-    this.sinceUs = sinceUs;
+  ReceiveTimeBound(final long sinceUs) {
+    this.earliestUs = sinceUs;
     this.lastReadUs = sinceUs;
   }
 
@@ -24,29 +24,29 @@
    *     read something
    * @param all false if there may be more: the read filled its buffer
    */
-  void read(final long nowUs, final long previousLookUs, final boolean all) {
+  void onRead(final long nowUs, final long previousLookUs, final boolean all) {
     if (drained) {
-      sinceUs = Math.max(lastReadUs, previousLookUs);
+      earliestUs = Math.max(lastReadUs, previousLookUs);
     }
     lastReadUs = nowUs;
     drained = all;
   }
 
   /** Whether nothing is left of what was there at the last read. */
-  void drained(final boolean all) {
+  void setDrained(final boolean all) {
     drained = all;
   }
 
   /** Nothing is read for a while: what comes meanwhile lies there from now on at the earliest. */
-  void paused(final long nowUs) {
+  void onReadPaused(final long nowUs) {
     if (drained) {
       drained = false;
-      sinceUs = nowUs;
+      earliestUs = nowUs;
     }
   }
 
   /** What was read last came no sooner than this, us. */
-  long sinceUs() {
-    return sinceUs;
+  long earliestUs() {
+    return earliestUs;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
@@ -14,30 +14,30 @@
  * hidden in another's body.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-  private static final int MOST_LINE_BYTES = 2048;
-  private static final int MOST_HEAD_BYTES = 8192;
+  private static final int MAX_REQUEST_LINE_BYTES = 2048;
+  private static final int MAX_HEAD_BYTES = 8192;
 
   private static final HttpDecoderConfig CONFIG =
       new HttpDecoderConfig()
-          .setMaxInitialLineLength(MOST_LINE_BYTES)
-          .setMaxHeaderSize(MOST_HEAD_BYTES)
+          .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+          .setMaxHeaderSize(MAX_HEAD_BYTES)
           .setAllowDuplicateContentLengths(false)
           .setStrictLineParsing(true)
           .setUseRfc9112TransferEncoding(true);
 
-  private final Consumer<ByteBuf> bytesCame;
+  private final Consumer<ByteBuf> receiveListener;
 
   /** {@code bytesCame} is told of all that is read, also of what is no head yet. */
   RequestDecoder(final Consumer<ByteBuf> bytesCame) {
     super(CONFIG);
-    this.bytesCame = bytesCame;
+    this.receiveListener = bytesCame;
   }
 
   @Override
   public void channelRead(final ChannelHandlerContext context, final Object bytes)
       throws Exception {
     if (bytes instanceof ByteBuf read) {
-      bytesCame.accept(read);
+      receiveListener.accept(read);
     }
     super.channelRead(context, bytes);
   }
@@ -51,7 +51,7 @@
    * True where the body's end is told by the one coding that is understood here, or by a length
    * alone.
    */
-  static boolean isFramedPlainly(final HttpMessage message) {
+  static boolean hasUnambiguousFraming(final HttpMessage message) {
     final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     return codings.isEmpty()
         || (codings.size() == 1
--- a/courier/src/main/java/thistleturn/courier/http/AnswerDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/ResponseDecoder.java
@@ -12,26 +12,26 @@
  * Reads answers strictly, and tells of each as soon as there is something to tell: that it has
  * begun, and what its first line says, which is true whatever becomes of the rest.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
-  private static final int MOST_LINE_BYTES = 1024;
-  private static final int MOST_HEAD_BYTES = 8192;
+final class ResponseDecoder extends HttpResponseDecoder {
+  private static final int MAX_STATUS_LINE_BYTES = 1024;
+  private static final int MAX_HEAD_BYTES = 8192;
 
   /** Who is told. */
   interface Listener {
     /** Bytes of an answer have come. */
-    void begun();
+    void onResponseStarted();
 
     /** The first line of an answer has come whole. */
-    void firstLine(HttpResponse answer);
+    void onStatusLine(HttpResponse answer);
   }
 
   private final Listener listener;
 
-  AnswerDecoder(final Listener listener) {
+  ResponseDecoder(final Listener listener) {
     super(
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(MOST_LINE_BYTES)
-            .setMaxHeaderSize(MOST_HEAD_BYTES)
+            .setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEAD_BYTES)
             .setAllowDuplicateContentLengths(false)
             .setUseRfc9112TransferEncoding(true));
     this.listener = listener;
@@ -42,7 +42,7 @@
       final ChannelHandlerContext context, final ByteBuf bytes, final List<Object> out)
       throws Exception {
     if (bytes.isReadable()) {
-      listener.begun();
+      listener.onResponseStarted();
     }
     super.decode(context, bytes, out);
   }
@@ -50,7 +50,7 @@
   @Override
   protected HttpMessage createMessage(final String[] firstLine) {
     final HttpMessage message = super.createMessage(firstLine);
-    listener.firstLine((HttpResponse) message);
+    listener.onStatusLine((HttpResponse) message);
     return message;
   }
 
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -29,8 +29,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.transport.AcceptRetry;
-import thistleturn.courier.transport.PatientServerSocketChannel;
+import thistleturn.courier.transport.AcceptRetryHandler;
+import thistleturn.courier.transport.RetryingServerSocketChannel;
 
 /**
  * Answers operators, one call a connection. Callers who say nothing, or half of it, hold a
@@ -63,8 +63,8 @@
     final CompletableFuture<String> listening = new CompletableFuture<>();
     new ServerBootstrap()
         .group(loop)
-        .channel(PatientServerSocketChannel.class)
-        .handler(new AcceptRetry())
+        .channel(RetryingServerSocketChannel.class)
+        .handler(new AcceptRetryHandler())
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
--- a/courier/src/main/java/thistleturn/courier/platform/Discovery.java
+++ b/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
@@ -32,50 +32,50 @@
  * When the watch breaks, falls silent or says what cannot be read, the decisions are told that it
  * is lost; they say when to ask again.
  */
-public final class Discovery implements EndpointDirectory {
+public final class DiscoveryClient implements EndpointDirectory {
   /**
    * What a watch misses counts as told 6 s after it fell silent: to find that out, to connect and
    * to be answered may take no longer, all three together. A line comes every 2 s; one that is not
    * whole by then, however many of its bytes have come, has not come.
    */
-  private static final long SILENT_US = 2_800_000;
+  private static final long SILENCE_TIMEOUT_US = 2_800_000;
 
-  private static final long CONNECT_US = 800_000;
+  private static final long CONNECT_TIMEOUT_US = 800_000;
 
   /** An answer waits its turn for two seconds at most. */
-  private static final long ANSWER_US = 2_200_000;
+  private static final long RESPONSE_TIMEOUT_US = 2_200_000;
 
   /**
    * The decisions say when to ask again, and wait longer each time. But a change counts as told 6 s
    * after it could be had, whatever failed before: this wait and two tries, of which the first may
    * be turned away, have to fit into that. Couriers that lost it in one moment do not ask in one.
    */
-  private static final long RETRY_LEAST_US = 1_200_000;
+  private static final long MIN_RETRY_DELAY_US = 1_200_000;
 
-  private static final long RETRY_MOST_US = 1_500_000;
+  private static final long MAX_RETRY_DELAY_US = 1_500_000;
 
   /** No version of the list is known that the one asked would understand. */
-  private static final long NONE = -1;
+  private static final long UNKNOWN_VERSION = -1;
 
   private static final int OK = 200;
 
   private final EventLoop loop;
   private final Clock clock;
   private final LoopTurns turns;
-  private final JsonNode known;
+  private final JsonNode configuredList;
   private Listener listener;
   private InetSocketAddress address;
 
   /** When a watch last said something whole: the list was up to date then. */
-  private long freshUs;
+  private long lastUpToDateUs;
 
-  private long seq;
-  private Watch watch;
+  private long listVersion;
+  private WatchSession currentWatch;
 
   /** A watch that does not ask for anything yet. */
-  public Discovery(
+  public DiscoveryClient(
       final Config config, final EventLoop loop, final Clock clock, final LoopTurns turns) {
-    this.known = config.known();
+    this.configuredList = config.known();
     this.loop = loop;
     this.clock = clock;
     this.turns = turns;
@@ -85,8 +85,8 @@
   @Override
   public void start(final Listener told) {
     listener = told;
-    if (known.path("hosts").isArray()) {
-      apply(known, EndpointUpdate.RESTORED_SNAPSHOT);
+    if (configuredList.path("hosts").isArray()) {
+      publish(configuredList, EndpointUpdate.RESTORED_SNAPSHOT);
     }
   }
 
@@ -97,15 +97,15 @@
    */
   @Override
   public boolean isCurrent() {
-    return clock.nowUs() - freshUs <= SILENT_US;
+    return clock.nowUs() - lastUpToDateUs <= SILENCE_TIMEOUT_US;
   }
 
   @Override
   public void requestUpdates() {
-    if (watch != null) {
+    if (currentWatch != null) {
       return;
     }
-    open();
+    openWatch();
   }
 
   /** From now on the list is at another address, whose versions are numbered in their own way. */
@@ -116,30 +116,30 @@
       return;
     }
     address = next;
-    seq = NONE;
-    final Watch old = watch;
-    open();
+    listVersion = UNKNOWN_VERSION;
+    final WatchSession old = currentWatch;
+    openWatch();
     if (old != null) {
       old.close();
     }
   }
 
-  private void open() {
-    final Watch fresh = new Watch();
-    watch = fresh;
+  private void openWatch() {
+    final WatchSession fresh = new WatchSession();
+    currentWatch = fresh;
     fresh.connect();
   }
 
-  private void apply(final JsonNode list, final EndpointUpdate update) {
+  private void publish(final JsonNode list, final EndpointUpdate update) {
     final List<Entry> listings = new ArrayList<>();
     for (final JsonNode node : list.path("hosts")) {
-      listings.add(listing(node));
+      listings.add(parseListing(node));
     }
-    seq = list.path("seq").asLong(seq);
+    listVersion = list.path("seq").asLong(listVersion);
     listener.onUpdate(update, listings);
   }
 
-  private static Entry listing(final JsonNode node) {
+  private static Entry parseListing(final JsonNode node) {
     final String name = node.path("host").asText();
     if (name.isEmpty() || !node.path("block").canConvertToLong()) {
       throw new IllegalArgumentException("an entry without a host or a block: " + node);
@@ -165,70 +165,72 @@
    * One watch, until its connection ends or it falls silent; before it the whole list, where no
    * version is known.
    */
-  private final class Watch extends SimpleChannelInboundHandler<HttpObject>
-      implements ListStream.Listener {
-    private final ListStream stream = new ListStream(this);
-    private Dial dial;
-    private boolean asksWhole;
+  private final class WatchSession extends SimpleChannelInboundHandler<HttpObject>
+      implements JsonObjectFramer.Listener {
+    private final JsonObjectFramer framer = new JsonObjectFramer(this);
+    private PlatformConnection connection;
+    private boolean snapshotRequested;
 
     /** The whole list that was asked for has come. */
-    private boolean hasWhole;
+    private boolean snapshotReceived;
 
     /** It has said something: its answer is not waited for any more, but its next line. */
-    private boolean follows;
+    private boolean established;
 
     /** When it is given up unless something whole comes before. */
-    private long dueUs;
+    private long deadlineUs;
 
     private void connect() {
-      expect(CONNECT_US);
-      dial = Dial.begin(loop, address, this, this::lost);
-      keepTime();
+      extendDeadline(CONNECT_TIMEOUT_US);
+      connection = PlatformConnection.open(loop, address, this, this::onLost);
+      scheduleDeadlineCheck();
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext ctx) {
-      if (watch == this) {
-        ask();
+      if (currentWatch == this) {
+        sendListRequest();
       } else {
         ctx.close();
       }
     }
 
-    private void ask() {
-      expect(ANSWER_US);
-      asksWhole = seq == NONE;
+    private void sendListRequest() {
+      extendDeadline(RESPONSE_TIMEOUT_US);
+      snapshotRequested = listVersion == UNKNOWN_VERSION;
       final var request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1,
               HttpMethod.GET,
-              asksWhole ? "/discovery/hosts" : "/discovery/hosts?watch=1&after=" + seq);
+              snapshotRequested
+                  ? "/discovery/hosts"
+                  : "/discovery/hosts?watch=1&after=" + listVersion);
       request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-      dial.write(request);
+      connection.write(request);
     }
 
-    private void expect(final long withinUs) {
-      dueUs = clock.nowUs() + withinUs;
+    private void extendDeadline(final long withinUs) {
+      deadlineUs = clock.nowUs() + withinUs;
     }
 
     /** What has come by the time that is over counts: it is read before the watch is given up. */
-    private void keepTime() {
-      final long checkedUs = dueUs;
+    private void scheduleDeadlineCheck() {
+      final long checkedUs = deadlineUs;
       loop.schedule(
           () ->
               turns.afterLook(
                   loop,
                   checkedUs,
                   () -> {
-                    if (watch != this) {
+                    if (currentWatch != this) {
                       return;
                     }
-                    if (dueUs > checkedUs) {
-                      keepTime();
-                    } else if (follows) {
+                    if (deadlineUs > checkedUs) {
+                      scheduleDeadlineCheck();
+                    } else if (established) {
                       // It is opened anew at once: for how long nothing was told is known, and
                       // counts.
-                      open();
+                      openWatch();
                       close();
                     } else {
                       close();
@@ -239,12 +241,12 @@
     }
 
     private void close() {
-      dial.close();
+      connection.close();
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-      if (watch != this
+      if (currentWatch != this
           || part.decoderResult().isFailure()
           || (part instanceof HttpResponse response && response.status().code() != OK)) {
         ctx.close();
@@ -253,21 +255,21 @@
       if (part instanceof HttpContent content) {
         final byte[] bytes = new byte[content.content().readableBytes()];
         content.content().readBytes(bytes);
-        stream.read(bytes);
+        framer.read(bytes);
       }
-      if (part instanceof LastHttpContent && hasWhole) {
-        hasWhole = false;
-        ask();
+      if (part instanceof LastHttpContent && snapshotReceived) {
+        snapshotReceived = false;
+        sendListRequest();
       } else if (part instanceof LastHttpContent) {
         ctx.close();
       }
     }
 
     @Override
-    public void object(final String text) {
+    public void onObject(final String text) {
       try {
         final JsonNode list = Json.read(text);
-        apply(
+        publish(
             list,
             list.path("whole").asBoolean()
                 ? EndpointUpdate.COMPLETE_SNAPSHOT
@@ -275,29 +277,29 @@
       } catch (final IOException e) {
         throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
       }
-      if (asksWhole) {
-        hasWhole = true;
+      if (snapshotRequested) {
+        snapshotReceived = true;
       } else {
-        heard();
+        onHeartbeat();
       }
     }
 
     @Override
-    public void lineEnd() {
-      if (!asksWhole) {
-        heard();
+    public void onLineEnd() {
+      if (!snapshotRequested) {
+        onHeartbeat();
       }
     }
 
-    private void heard() {
-      follows = true;
-      freshUs = clock.nowUs();
-      expect(SILENT_US);
+    private void onHeartbeat() {
+      established = true;
+      lastUpToDateUs = clock.nowUs();
+      extendDeadline(SILENCE_TIMEOUT_US);
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext ctx) {
-      lost();
+      onLost();
     }
 
     @Override
@@ -308,13 +310,13 @@
       ctx.close();
     }
 
-    private void lost() {
-      if (watch == this) {
-        watch = null;
+    private void onLost() {
+      if (currentWatch == this) {
+        currentWatch = null;
         listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
         loop.schedule(
-            Discovery.this::requestUpdates,
-            ThreadLocalRandom.current().nextLong(RETRY_LEAST_US, RETRY_MOST_US),
+            DiscoveryClient.this::requestUpdates,
+            ThreadLocalRandom.current().nextLong(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US),
             TimeUnit.MICROSECONDS);
       }
     }
--- a/courier/src/main/java/thistleturn/courier/platform/Notices.java
+++ b/courier/src/main/java/thistleturn/courier/platform/HttpOutcomeNotifier.java
@@ -34,34 +34,34 @@
  * way at a time, and again until each is confirmed. A notice that is told twice does no harm; one
  * that is not told loses a message.
  */
-public final class Notices implements OutcomeNotifier {
-  private static final int BATCH = 200;
+public final class HttpOutcomeNotifier implements OutcomeNotifier {
+  private static final int MAX_BATCH_SIZE = 200;
 
   /**
    * A message ends 200 ms before its time, and its notice may come 300 ms after it. The platform
    * answers at once; where a connection does not come up, or has fallen silent, another try on a
    * new one has to fit into that.
    */
-  private static final long CONNECT_US = 200_000;
+  private static final long CONNECT_TIMEOUT_US = 200_000;
 
-  private static final long ANSWER_US = 200_000;
-  private static final int BACK_OFF_LEAST_MS = 50;
-  private static final int BACK_OFF_MOST_MS = 250;
-  private static final int CONFIRMED = 204;
+  private static final long RESPONSE_TIMEOUT_US = 200_000;
+  private static final int MIN_BACKOFF_MS = 50;
+  private static final int MAX_BACKOFF_MS = 250;
+  private static final int STATUS_CONFIRMED = 204;
 
   private InetSocketAddress address;
   private final EventLoop loop;
   private final Clock clock;
   private final LoopTurns turns;
   private final Listener listener;
-  private final Map<String, StoredMessage> owed = new LinkedHashMap<>();
-  private Session session;
-  private List<StoredMessage> underWay = List.of();
-  private boolean paused;
-  private int backOffMs = BACK_OFF_LEAST_MS;
+  private final Map<String, StoredMessage> unconfirmed = new LinkedHashMap<>();
+  private ReportSession session;
+  private List<StoredMessage> batchInFlight = List.of();
+  private boolean backingOff;
+  private int backoffMs = MIN_BACKOFF_MS;
 
   /** Nothing is told yet. */
-  public Notices(
+  public HttpOutcomeNotifier(
       final InetSocketAddress address,
       final EventLoop loop,
       final Clock clock,
@@ -76,25 +76,25 @@
 
   @Override
   public void enqueue(final StoredMessage held) {
-    owed.put(held.id(), held);
+    unconfirmed.put(held.id(), held);
   }
 
   @Override
   public boolean isEmpty() {
-    return owed.isEmpty();
+    return unconfirmed.isEmpty();
   }
 
   @Override
   public void flush() {
-    if (owed.isEmpty() || !underWay.isEmpty() || paused) {
+    if (unconfirmed.isEmpty() || !batchInFlight.isEmpty() || backingOff) {
       return;
     }
-    underWay = owed.values().stream().limit(BATCH).toList();
+    batchInFlight = unconfirmed.values().stream().limit(MAX_BATCH_SIZE).toList();
     if (session != null) {
-      session.write();
+      session.sendBatch();
       return;
     }
-    final Session fresh = new Session();
+    final ReportSession fresh = new ReportSession();
     session = fresh;
     fresh.connect();
   }
@@ -109,18 +109,18 @@
       return;
     }
     address = next;
-    final Session old = session;
+    final ReportSession old = session;
     session = null;
-    underWay = List.of();
-    paused = false;
-    backOffMs = BACK_OFF_LEAST_MS;
+    batchInFlight = List.of();
+    backingOff = false;
+    backoffMs = MIN_BACKOFF_MS;
     if (old != null) {
       old.close();
     }
     flush();
   }
 
-  private static String line(final StoredMessage held) {
+  private static String reportLine(final StoredMessage held) {
     final ObjectNode line = JsonNodeFactory.instance.objectNode().put("id", held.id());
     line.put("status", held.finalOutcome().failed() ? "undeliverable" : "deferred");
     if (!held.finalOutcome().failed() && held.finalOutcome().retryAfterMs() > 0) {
@@ -130,13 +130,13 @@
   }
 
   private void retryLater() {
-    underWay = List.of();
-    paused = true;
-    final long delayMs = ThreadLocalRandom.current().nextLong(backOffMs / 2, backOffMs);
-    backOffMs = Math.min(2 * backOffMs, BACK_OFF_MOST_MS);
+    batchInFlight = List.of();
+    backingOff = true;
+    final long delayMs = ThreadLocalRandom.current().nextLong(backoffMs / 2, backoffMs);
+    backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     loop.schedule(
         () -> {
-          paused = false;
+          backingOff = false;
           flush();
         },
         delayMs,
@@ -144,21 +144,21 @@
   }
 
   /** One connection to the platform. */
-  private final class Session extends SimpleChannelInboundHandler<HttpObject> {
-    private Dial dial;
+  private final class ReportSession extends SimpleChannelInboundHandler<HttpObject> {
+    private PlatformConnection connection;
     private HttpResponse head;
-    private long batch;
+    private long requestNumber;
 
     private void connect() {
-      dial = Dial.begin(loop, address, this, this::ended);
-      giveUpAfter(CONNECT_US);
+      connection = PlatformConnection.open(loop, address, this, this::onEnded);
+      closeUnlessAnsweredWithin(CONNECT_TIMEOUT_US);
     }
 
     /**
      * What has come by the time that is over counts: it is read before the connection is given up.
      */
-    private void giveUpAfter(final long us) {
-      final long waitsFor = batch;
+    private void closeUnlessAnsweredWithin(final long us) {
+      final long waitsFor = requestNumber;
       final long dueUs = clock.nowUs() + us;
       loop.schedule(
           () ->
@@ -166,7 +166,7 @@
                   loop,
                   dueUs,
                   () -> {
-                    if (batch == waitsFor && session == this) {
+                    if (requestNumber == waitsFor && session == this) {
                       close();
                     }
                   }),
@@ -177,33 +177,33 @@
     @Override
     public void channelActive(final ChannelHandlerContext ctx) {
       if (session == this) {
-        write();
+        sendBatch();
       } else {
         ctx.close();
       }
     }
 
     private void close() {
-      dial.close();
+      connection.close();
     }
 
-    private void write() {
+    private void sendBatch() {
       final StringBuilder text = new StringBuilder();
-      underWay.forEach(held -> text.append(line(held)));
+      batchInFlight.forEach(held -> text.append(reportLine(held)));
       final var body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
       final var request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/v1/outcomes", body);
       request.headers().set(HttpHeaderNames.HOST, address.getHostString());
       request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
       head = null;
-      batch++;
-      dial.write(request);
-      giveUpAfter(ANSWER_US);
+      requestNumber++;
+      connection.write(request);
+      closeUnlessAnsweredWithin(RESPONSE_TIMEOUT_US);
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-      if (session != this || underWay.isEmpty() || part.decoderResult().isFailure()) {
+      if (session != this || batchInFlight.isEmpty() || part.decoderResult().isFailure()) {
         // What an address that was left still says, or what nothing asked for, confirms nothing
         // that is under way.
         ctx.close();
@@ -213,8 +213,8 @@
         head = response;
       }
       if (part instanceof LastHttpContent && head != null) {
-        if (head.status().code() == CONFIRMED) {
-          confirmed();
+        if (head.status().code() == STATUS_CONFIRMED) {
+          onConfirmed();
         } else {
           Log.info("the platform answers notices with " + head.status());
           ctx.close();
@@ -222,12 +222,12 @@
       }
     }
 
-    private void confirmed() {
-      final List<StoredMessage> done = underWay;
-      underWay = List.of();
-      batch++;
-      backOffMs = BACK_OFF_LEAST_MS;
-      done.forEach(held -> owed.remove(held.id()));
+    private void onConfirmed() {
+      final List<StoredMessage> done = batchInFlight;
+      batchInFlight = List.of();
+      requestNumber++;
+      backoffMs = MIN_BACKOFF_MS;
+      done.forEach(held -> unconfirmed.remove(held.id()));
       listener.onConfirmed(done);
       if (!HttpUtil.isKeepAlive(head)) {
         session = null;
@@ -238,13 +238,13 @@
 
     @Override
     public void channelInactive(final ChannelHandlerContext ctx) {
-      ended();
+      onEnded();
     }
 
-    private void ended() {
+    private void onEnded() {
       if (session == this) {
         session = null;
-        if (!underWay.isEmpty()) {
+        if (!batchInFlight.isEmpty()) {
           retryLater();
         }
       }
--- a/courier/src/main/java/thistleturn/courier/platform/ListStream.java
+++ b/courier/src/main/java/thistleturn/courier/platform/JsonObjectFramer.java
@@ -8,8 +8,8 @@
  * not those of lines; a line end between two objects is the platform's sign of life. Nothing is
  * told of an object before it is whole.
  */
-final class ListStream {
-  private static final int MOST_BYTES = 1 << 22;
+final class JsonObjectFramer {
+  private static final int MAX_OBJECT_BYTES = 1 << 22;
 
   private final Listener listener;
   private final ByteArrayOutputStream object = new ByteArrayOutputStream();
@@ -20,13 +20,13 @@
   /** Who is told. */
   interface Listener {
     /** A whole object has come. */
-    void object(String text);
+    void onObject(String text);
 
     /** A line has ended outside any object. */
-    void lineEnd();
+    void onLineEnd();
   }
 
-  ListStream(final Listener listener) {
+  JsonObjectFramer(final Listener listener) {
     this.listener = listener;
   }
 
@@ -38,29 +38,29 @@
   void read(final byte[] bytes) {
     for (final byte next : bytes) {
       if (depth == 0) {
-        between(next);
+        readBetweenObjects(next);
       } else {
-        within(next);
+        readWithinObject(next);
       }
     }
   }
 
-  private void between(final byte next) {
+  private void readBetweenObjects(final byte next) {
     if (next == '{') {
       depth = 1;
       object.write(next);
     } else if (next == '\n') {
-      listener.lineEnd();
+      listener.onLineEnd();
     } else if (next != ' ' && next != '\t' && next != '\r') {
       throw new IllegalArgumentException(
           "the list cannot be read: no object begins with byte " + next);
     }
   }
 
-  private void within(final byte next) {
-    if (object.size() == MOST_BYTES) {
+  private void readWithinObject(final byte next) {
+    if (object.size() == MAX_OBJECT_BYTES) {
       throw new IllegalArgumentException(
-          "the list cannot be read: an object of over " + MOST_BYTES + " bytes");
+          "the list cannot be read: an object of over " + MAX_OBJECT_BYTES + " bytes");
     }
     object.write(next);
     if (inString) {
@@ -77,7 +77,7 @@
     } else if ((next == '}' || next == ']') && --depth == 0) {
       final String whole = object.toString(StandardCharsets.UTF_8);
       object.reset();
-      listener.object(whole);
+      listener.onObject(whole);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/Dial.java
+++ b/courier/src/main/java/thistleturn/courier/platform/PlatformConnection.java
@@ -11,44 +11,44 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.transport.Connector;
-import thistleturn.courier.transport.NoSocketException;
+import thistleturn.courier.transport.SocketUnavailableException;
 
 /**
  * One connection to the platform, from the first try to its end. While the system refuses to begin
  * one it is asked again; when to give up is the caller's to say, not the channel's own timer: that
  * would judge before the look that tells that it has come up. Used on the event loop.
  */
-final class Dial {
-  private static final long RETRY_MS = 10;
+final class PlatformConnection {
+  private static final long RETRY_DELAY_MS = 10;
 
   private final EventLoop loop;
   private final InetSocketAddress address;
-  private final ChannelHandler reader;
-  private final Runnable failed;
+  private final ChannelHandler responseHandler;
+  private final Runnable failureCallback;
   private Channel channel;
   private boolean closed;
 
-  private Dial(
+  private PlatformConnection(
       final EventLoop loop,
       final InetSocketAddress address,
       final ChannelHandler reader,
       final Runnable failed) {
     this.loop = loop;
     this.address = address;
-    this.reader = reader;
-    this.failed = failed;
+    this.responseHandler = reader;
+    this.failureCallback = failed;
   }
 
   /**
    * Begins to connect, for a handler of HTTP's parts; {@code failed} is run on the loop if it does
    * not come up.
    */
-  static Dial begin(
+  static PlatformConnection open(
       final EventLoop loop,
       final InetSocketAddress address,
       final ChannelHandler reader,
       final Runnable failed) {
-    final Dial dial = new Dial(loop, address, reader, failed);
+    final PlatformConnection dial = new PlatformConnection(loop, address, reader, failed);
     dial.connect();
     return dial;
   }
@@ -64,25 +64,25 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel made) {
-                    made.pipeline().addLast(new HttpClientCodec(), reader);
+                    made.pipeline().addLast(new HttpClientCodec(), responseHandler);
                   }
                 });
     try {
-      channel = Connector.connect(loop, template, address, this::connected).channel();
-    } catch (final NoSocketException e) {
-      loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
+      channel = Connector.connect(loop, template, address, this::onConnectCompleted).channel();
+    } catch (final SocketUnavailableException e) {
+      loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void connected(final ChannelFuture connecting) {
+  private void onConnectCompleted(final ChannelFuture connecting) {
     if (connecting.isSuccess()) {
       return;
     }
-    if (!closed && Connector.isOwnFailure(connecting.cause())) {
+    if (!closed && Connector.isLocalFailure(connecting.cause())) {
       channel = null;
-      loop.schedule(this::connect, RETRY_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     } else {
-      failed.run();
+      failureCallback.run();
     }
   }
 
@@ -96,7 +96,7 @@
     if (channel != null) {
       channel.close();
     } else if (!closed) {
-      loop.execute(failed);
+      loop.execute(failureCallback);
     }
     closed = true;
   }
--- a/courier/src/main/java/thistleturn/courier/transport/AcceptRetry.java
+++ b/courier/src/main/java/thistleturn/courier/transport/AcceptRetryHandler.java
@@ -12,18 +12,18 @@
  * Netty's acceptor would stop for a second, in which clients whose requests wait in the backlog
  * give up. To be the first handler of a listener's own pipeline.
  */
-public class AcceptRetry extends ChannelInboundHandlerAdapter {
+public class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
   /** A client waits 400 ms for its answer; a loop that spins on a lasting failure serves nobody. */
-  private static final long FIRST_DELAY_MS = 1;
+  private static final long MIN_DELAY_MS = 1;
 
-  private static final long MOST_DELAY_MS = 10;
+  private static final long MAX_DELAY_MS = 10;
 
-  private long delayMs = FIRST_DELAY_MS;
+  private long delayMs = MIN_DELAY_MS;
   private boolean failing;
 
   @Override
   public void channelRead(final ChannelHandlerContext context, final Object connection) {
-    delayMs = FIRST_DELAY_MS;
+    delayMs = MIN_DELAY_MS;
     if (failing) {
       failing = false;
       Log.event(Event.ACCEPT_RECOVERED, "at", context.channel().localAddress());
@@ -54,6 +54,6 @@
             },
             delayMs,
             TimeUnit.MILLISECONDS);
-    delayMs = Math.min(2 * delayMs, MOST_DELAY_MS);
+    delayMs = Math.min(2 * delayMs, MAX_DELAY_MS);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/Connector.java
+++ b/courier/src/main/java/thistleturn/courier/transport/Connector.java
@@ -28,7 +28,7 @@
    * like): no word of the other side, and mostly gone in a moment. A connection that was refused,
    * reset, found no host or ran out of time is none.
    */
-  public static boolean isOwnFailure(final Throwable cause) {
+  public static boolean isLocalFailure(final Throwable cause) {
     return cause instanceof SocketException
         && !(cause instanceof ConnectException)
         && !(cause instanceof NoRouteToHostException)
@@ -40,15 +40,15 @@
    *
    * @param template options and handler of the connection
    * @param told hears on the loop, after this call has returned, whether it came up
-   * @throws NoSocketException if the system has no socket now; then nothing is told
+   * @throws SocketUnavailableException if the system has no socket now; then nothing is told
    */
   public static ChannelFuture connect(
       final EventLoop loop,
       final Bootstrap template,
       final SocketAddress address,
       final Consumer<ChannelFuture> told)
-      throws NoSocketException {
-    return connect(loop, PatientSocketChannel::new, template, address, told);
+      throws SocketUnavailableException {
+    return connect(loop, RetryingSocketChannel::new, template, address, told);
   }
 
   /**
@@ -61,14 +61,14 @@
       final Bootstrap template,
       final SocketAddress address,
       final Consumer<ChannelFuture> told)
-      throws NoSocketException {
+      throws SocketUnavailableException {
     final Channel channel;
     try {
       channel = maker.get();
     } catch (final ChannelException e) {
       Log.event(
           Event.SOCKET_FAILED, "to", address, "cause", e.getCause() == null ? e : e.getCause());
-      throw new NoSocketException(e);
+      throw new SocketUnavailableException(e);
     }
     final ChannelFuture connecting =
         template.clone(loop).channelFactory(() -> channel).connect(address);
--- a/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
+++ b/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
@@ -12,7 +12,7 @@
   private DirectRead() {}
 
   /** Reads once, on the channel's loop; what is found goes through its handlers as ever. */
-  public static void of(final Channel channel) {
+  public static void readOnce(final Channel channel) {
     if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
       unsafe.read();
     }
--- a/courier/src/main/java/thistleturn/courier/transport/PatientServerSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/RetryingServerSocketChannel.java
@@ -5,15 +5,15 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listener whose connections are {@link PatientSocketChannel}s. */
-public final class PatientServerSocketChannel extends NioServerSocketChannel {
+/** A listener whose connections are {@link RetryingSocketChannel}s. */
+public final class RetryingServerSocketChannel extends NioServerSocketChannel {
   /** One of its own. */
-  public PatientServerSocketChannel() {
+  public RetryingServerSocketChannel() {
     super();
   }
 
   /** One over a socket that is there. */
-  public PatientServerSocketChannel(final ServerSocketChannel socket) {
+  public RetryingServerSocketChannel(final ServerSocketChannel socket) {
     super(socket);
   }
 
@@ -23,7 +23,7 @@
     if (next == null) {
       return 0;
     }
-    accepted.add(new PatientSocketChannel(this, next));
+    accepted.add(new RetryingSocketChannel(this, next));
     return 1;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/PatientSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/RetryingSocketChannel.java
@@ -16,25 +16,25 @@
  * read or written then is in a moment. Netty's own closes at any error, and a client whose request
  * was read would have no answer.
  */
-public final class PatientSocketChannel extends NioSocketChannel {
-  private static final long RETRY_MS = 1;
+public final class RetryingSocketChannel extends NioSocketChannel {
+  private static final long RETRY_DELAY_MS = 1;
 
   /** As the C library words them. */
-  private static final Set<String> SHORTAGES =
+  private static final Set<String> MEMORY_SHORTAGE_MESSAGES =
       Set.of("No buffer space available", "Cannot allocate memory");
 
   /** One that is to be connected. */
-  public PatientSocketChannel() {
+  public RetryingSocketChannel() {
     super();
   }
 
   /** One that was accepted. */
-  public PatientSocketChannel(final Channel parent, final SocketChannel socket) {
+  public RetryingSocketChannel(final Channel parent, final SocketChannel socket) {
     super(parent, socket);
   }
 
-  private static boolean isShortage(final IOException cause) {
-    return SHORTAGES.contains(String.valueOf(cause.getMessage()));
+  private static boolean isMemoryShortage(final IOException cause) {
+    return MEMORY_SHORTAGE_MESSAGES.contains(String.valueOf(cause.getMessage()));
   }
 
   @Override
@@ -42,7 +42,7 @@
     try {
       return super.doReadBytes(bytes);
     } catch (final IOException e) {
-      if (!isShortage(e)) {
+      if (!isMemoryShortage(e)) {
         throw e;
       }
       Log.event(
@@ -59,7 +59,7 @@
     try {
       super.doWrite(pending);
     } catch (final IOException e) {
-      if (!isShortage(e)) {
+      if (!isMemoryShortage(e)) {
         throw e;
       }
       Log.event(
@@ -70,7 +70,7 @@
           "write",
           "cause",
           e.getMessage());
-      eventLoop().schedule(this::flush, RETRY_MS, TimeUnit.MILLISECONDS);
+      eventLoop().schedule(this::flush, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/transport/NoSocketException.java
+++ b/courier/src/main/java/thistleturn/courier/transport/SocketUnavailableException.java
@@ -6,10 +6,10 @@
  * The system has no socket to give at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM): nothing was
  * asked of any other side.
  */
-public final class NoSocketException extends IOException {
+public final class SocketUnavailableException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  NoSocketException(final Throwable cause) {
+  SocketUnavailableException(final Throwable cause) {
     super(
         "no socket: " + (cause.getCause() == null ? cause : cause.getCause()).getMessage(), cause);
   }
--- a/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
@@ -20,12 +20,12 @@
 @Timeout(120)
 final class ConfigurationReloadTest {
   @TempDir private Path folder;
-  private Rig rig;
+  private CourierHarness rig;
 
   @BeforeEach
   void build() throws IOException {
-    rig = new Rig(folder);
-    rig.movedHosts = Rig.host("e2", rig.second, "Ready");
+    rig = new CourierHarness(folder);
+    rig.relocatedHosts = CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready");
   }
 
   @AfterEach
@@ -34,34 +34,40 @@
   }
 
   private void moveDiscoveryAndAwaitWatch() throws IOException, InterruptedException {
-    rig.configure(rig.moved.address());
-    rig.hangUp();
+    rig.writeConfiguration(rig.relocatedPlatform.address());
+    rig.sendHangupSignal();
     rig.await(
         "the watch at the new address",
-        () -> rig.moved.requests.stream().anyMatch(request -> request.line().contains("after=3")));
+        () ->
+            rig.relocatedPlatform.requests.stream()
+                .anyMatch(request -> request.requestLine().contains("after=3")));
   }
 
   @Test
   void newDiscoveryAddress_watchMovesAndCompleteSnapshotApplies()
       throws IOException, InterruptedException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
     moveDiscoveryAndAwaitWatch();
-    rig.await("the end of the old one", () -> rig.watches.get(0).ended);
+    rig.await("the end of the old one", () -> rig.watchConnections.get(0).closedByPeer);
     assertEquals(
         "GET /discovery/hosts HTTP/1.1",
-        rig.moved.requests.get(0).line(),
+        rig.relocatedPlatform.requests.get(0).requestLine(),
         "no version of the old address");
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    rig.await("the call", () -> rig.second.requests.size() == 1);
-    assertTrue(rig.first.requests.isEmpty(), "the new address does not list it");
-    rig.change(4, Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Gone"));
+    assertEquals(202, rig.submit("m1", "safe").status());
+    rig.await("the call", () -> rig.secondEndpoint.requests.size() == 1);
+    assertTrue(rig.firstEndpoint.requests.isEmpty(), "the new address does not list it");
+    rig.sendEndpointChange(
+        4,
+        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready")
+            + ","
+            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Gone"));
     rig.await(
         "a change from the new address",
         () -> {
           final String id = "m" + System.nanoTime();
           try {
-            return rig.handIn(id, "safe").status() == 202 && !rig.first.requests.isEmpty();
+            return rig.submit(id, "safe").status() == 202 && !rig.firstEndpoint.requests.isEmpty();
           } catch (final IOException e) {
             throw new IllegalStateException(e);
           }
@@ -70,70 +76,71 @@
 
   @Test
   void unconfirmedNotification_isSentToNewAddress() throws IOException, InterruptedException {
-    rig.noticeStatus = 503;
-    rig.first.script((request, connection) -> connection.reset());
+    rig.outcomeResponseStatus = 503;
+    rig.firstEndpoint.script((request, connection) -> connection.reset());
     rig.start();
-    assertEquals(202, rig.handIn("m1", "once").status());
-    rig.await("a try at the old address", () -> rig.noticed("m1", "undeliverable"));
-    rig.noticeStatus = 204;
+    assertEquals(202, rig.submit("m1", "once").status());
+    rig.await("a try at the old address", () -> rig.hasOutcomeReport("m1", "undeliverable"));
+    rig.outcomeResponseStatus = 204;
     rig.platform.close();
     moveDiscoveryAndAwaitWatch();
     rig.await(
         "the notice at the new address",
         () ->
-            rig.moved.requests.stream()
+            rig.relocatedPlatform.requests.stream()
                 .anyMatch(
-                    request -> request.line().startsWith("POST") && request.text().contains("m1")));
+                    request ->
+                        request.requestLine().startsWith("POST") && request.text().contains("m1")));
   }
 
   @Test
   void twoReloadsInARow_laterAddressApplies() throws IOException, InterruptedException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
     moveDiscoveryAndAwaitWatch();
-    rig.movedHosts = Rig.host("e1", rig.first, "Ready");
+    rig.relocatedHosts = CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready");
     final int before = rig.platform.requests.size();
-    rig.configure(rig.platform.address());
-    rig.hangUp();
-    rig.hangUp();
+    rig.writeConfiguration(rig.platform.address());
+    rig.sendHangupSignal();
+    rig.sendHangupSignal();
     rig.await(
         "the watch at the first address again",
         () ->
             rig.platform.requests.stream()
                 .skip(before)
-                .anyMatch(request -> request.line().contains("after=3")));
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    rig.await("the call", () -> rig.first.requests.size() == 1);
+                .anyMatch(request -> request.requestLine().contains("after=3")));
+    assertEquals(202, rig.submit("m1", "safe").status());
+    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
   }
 
   @Test
   void invalidFile_changesNothingAndLogsOneLine() throws IOException, InterruptedException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
-    final int before = rig.log.size();
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
+    final int before = rig.logLines.size();
     Files.writeString(folder.resolve("config.json"), "{\"discovery\":\n\"nowhere");
-    rig.hangUp();
-    rig.await("its line", () -> rig.log.size() > before);
-    assertTrue(rig.log.get(before).contains("stays as it was"), rig.log.toString());
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    rig.await("the call", () -> rig.first.requests.size() == 1);
-    assertEquals(before + 1, rig.log.size(), rig.log.toString());
+    rig.sendHangupSignal();
+    rig.await("its line", () -> rig.logLines.size() > before);
+    assertTrue(rig.logLines.get(before).contains("stays as it was"), rig.logLines.toString());
+    assertEquals(202, rig.submit("m1", "safe").status());
+    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
+    assertEquals(before + 1, rig.logLines.size(), rig.logLines.toString());
     assertTrue(rig.isRunning());
   }
 
   @Test
   void hangupDuringShutdown_isAppliedWithoutDisturbingShutdown()
       throws IOException, InterruptedException {
-    rig.first.script((request, connection) -> {});
+    rig.firstEndpoint.script((request, connection) -> {});
     rig.start();
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    rig.await("the call", () -> rig.first.requests.size() == 1);
+    assertEquals(202, rig.submit("m1", "safe").status());
+    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
     final Process ending = rig.terminate();
     moveDiscoveryAndAwaitWatch();
-    assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-    rig.first.script((request, connection) -> connection.answer(200, ""));
+    assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
+    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
     rig.start();
-    rig.await("what was held goes on", () -> rig.first.requests.size() == 2);
+    rig.await("what was held goes on", () -> rig.firstEndpoint.requests.size() == 2);
   }
 
   /**
@@ -142,19 +149,21 @@
    */
   @Test
   void hangupDuringStart_isAppliedOnceStarted() throws Exception {
-    final String before = Files.readString(rig.configure(rig.platform.address()));
-    final String after = Files.readString(rig.configure(rig.moved.address()));
+    final String before = Files.readString(rig.writeConfiguration(rig.platform.address()));
+    final String after = Files.readString(rig.writeConfiguration(rig.relocatedPlatform.address()));
     final Path pipe = folder.resolve("pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     rig.launch(pipe);
     // Opened once somebody reads: from then on the process waits for what is written.
     try (OutputStream first = Files.newOutputStream(pipe)) {
-      rig.hangUp();
-      rig.await("the signal", () -> rig.log.stream().anyMatch(line -> line.contains("SIGHUP")));
+      rig.sendHangupSignal();
+      rig.await(
+          "the signal", () -> rig.logLines.stream().anyMatch(line -> line.contains("SIGHUP")));
       first.write(before.getBytes(StandardCharsets.UTF_8));
     }
     // The first reading is over by then: what is written from now on is another.
-    rig.await("the start", () -> rig.log.stream().anyMatch(line -> line.contains("is ready at")));
+    rig.await(
+        "the start", () -> rig.logLines.stream().anyMatch(line -> line.contains("is ready at")));
     final Thread second =
         new Thread(
             () -> {
@@ -168,6 +177,8 @@
     second.start();
     rig.await(
         "the watch at the new address",
-        () -> rig.moved.requests.stream().anyMatch(request -> request.line().contains("after=3")));
+        () ->
+            rig.relocatedPlatform.requests.stream()
+                .anyMatch(request -> request.requestLine().contains("after=3")));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/ClosingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionCloseTest.java
@@ -25,7 +25,7 @@
  */
 @Tag("crossings")
 @Timeout(120)
-final class ClosingTest {
+final class ConnectionCloseTest {
   private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
   private static final long IDLE_US = 300_000;
 
@@ -33,19 +33,19 @@
   private static final long FULL_STOP_MS = 2800;
 
   @TempDir private Path folder;
-  private Rig rig;
+  private CourierHarness rig;
   private CourierServer courier;
   private String address;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new Rig(folder);
+    rig = new CourierHarness(folder);
     final CourierOptions usual = CourierOptions.platformDefaults();
     courier =
         CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
-                rig.configure(rig.platform.address()).toString(),
+                rig.writeConfiguration(rig.platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()),
             null,
@@ -55,7 +55,7 @@
                 usual.endpointDescriptorShare(),
                 usual.shardCount(),
                 usual.retainsLearnedState()));
-    address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+    address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -70,14 +70,14 @@
 
   private Socket connect() throws IOException {
     final Socket socket = new Socket("127.0.0.1", port());
-    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
     return socket;
   }
 
   /** A connection that has been used and asks nothing. */
   private Socket connectIdle() throws IOException {
     final Socket socket = connect();
-    assertEquals(200, Rig.send(socket, UP).status());
+    assertEquals(200, CourierHarness.send(socket, UP).status());
     return socket;
   }
 
@@ -95,12 +95,12 @@
             () -> {
               standing.countDown();
               try {
-                assertTrue(release.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(release.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
               } catch (final InterruptedException e) {
                 throw new IllegalStateException(e);
               }
             });
-    assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(standing.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     return release;
   }
 
@@ -118,7 +118,7 @@
   void requestUnreadAtShutdown_isAnswered() throws Exception {
     final Socket socket = connectIdle();
     final CountDownLatch release = blockEventLoop();
-    write(socket, Rig.message("m1", "safe"));
+    write(socket, CourierHarness.submitRequest("m1", "safe"));
     final Thread stopping = startShutdown();
     rig.await(
         "the order to end waits behind",
@@ -126,12 +126,12 @@
             courier.eventLoop() instanceof SingleThreadEventExecutor loop
                 && loop.pendingTasks() > 0);
     release.countDown();
-    final Rig.Answer answer = Rig.read(socket.getInputStream());
+    final CourierHarness.Response answer = CourierHarness.readResponse(socket.getInputStream());
     assertEquals(202, answer.status());
     assertTrue(answer.head().contains("connection: close"), answer.head());
     assertEquals(-1, socket.getInputStream().read(), "an end in order");
-    rig.await("the call", () -> rig.first.requests.size() == 1);
-    stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
+    stopping.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
   }
 
   /** The same reset, where a connection has been idle for too long. */
@@ -139,10 +139,10 @@
   void requestCrossingIdleTimeout_doesNotResetConnection() throws Exception {
     final Socket socket = connectIdle();
     assertEquals(-1, socket.getInputStream().read(), "an end in order");
-    write(socket, Rig.message("m1", "safe"));
-    write(socket, Rig.message("m1", "safe"));
+    write(socket, CourierHarness.submitRequest("m1", "safe"));
+    write(socket, CourierHarness.submitRequest("m1", "safe"));
     assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-    assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
+    assertTrue(rig.firstEndpoint.requests.isEmpty(), "read behind the end, it is not sent on");
   }
 
   /**
@@ -154,37 +154,38 @@
     final Socket socket = connectIdle();
     final Thread stopping = startShutdown();
     assertEquals(-1, socket.getInputStream().read(), "an end in order");
-    write(socket, Rig.message("m1", "safe"));
-    write(socket, Rig.message("m1", "safe"));
+    write(socket, CourierHarness.submitRequest("m1", "safe"));
+    write(socket, CourierHarness.submitRequest("m1", "safe"));
     assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-    stopping.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-    assertTrue(rig.first.requests.isEmpty(), "read behind the end, it is not sent on");
+    stopping.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
+    assertTrue(rig.firstEndpoint.requests.isEmpty(), "read behind the end, it is not sent on");
   }
 
   /** The first half came before the order to end, the second after the listener has gone. */
   @Test
   void requestInPiecesAcrossShutdown_isAnswered(@TempDir final Path other) throws Exception {
-    try (Rig process = new Rig(other)) {
+    try (CourierHarness process = new CourierHarness(other)) {
       process.start();
-      final String text = Rig.message("m1", "safe");
+      final String text = CourierHarness.submitRequest("m1", "safe");
       final Socket socket = process.connect();
       write(socket, text.substring(0, text.length() / 2));
       assertEquals(200, process.send(UP).status(), "the half has been read by then");
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
       write(socket, text.substring(text.length() / 2));
-      final Rig.Answer answer = Rig.read(socket.getInputStream());
+      final CourierHarness.Response answer = CourierHarness.readResponse(socket.getInputStream());
       assertEquals(202, answer.status());
       assertTrue(answer.head().contains("connection: close"), answer.head());
-      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       // A call that the end of this process could cut off is left to the next one.
       process.start();
       process.await(
-          "its call, by this process or the next", () -> process.first.requests.size() == 1);
+          "its call, by this process or the next",
+          () -> process.firstEndpoint.requests.size() == 1);
     }
   }
 
-  private static void awaitNoMoreConnections(final Rig process) {
+  private static void awaitNoMoreConnections(final CourierHarness process) {
     process.await(
         "no more connections",
         () -> {
@@ -205,14 +206,14 @@
    */
   @Test
   void connectionsWithoutRequest_doNotDelayShutdown(@TempDir final Path other) throws Exception {
-    try (Rig process = new Rig(other)) {
+    try (CourierHarness process = new CourierHarness(other)) {
       process.start();
       final Socket silent = process.connect();
       assertEquals(200, process.send(UP).status(), "the silent one has been accepted by then");
       final long sinceNs = System.nanoTime();
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
-      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
       assertTrue(tookMs < FULL_STOP_MS, "ended after " + tookMs + " ms");
       silent.close();
@@ -222,19 +223,19 @@
   /** A request that never comes in whole is told so before the process ends. */
   @Test
   void incompleteRequestAtShutdown_isRejected(@TempDir final Path other) throws Exception {
-    try (Rig process = new Rig(other)) {
+    try (CourierHarness process = new CourierHarness(other)) {
       process.start();
-      final String text = Rig.message("m1", "safe");
+      final String text = CourierHarness.submitRequest("m1", "safe");
       final Socket socket = process.connect();
       write(socket, text.substring(0, text.length() / 2));
       assertEquals(200, process.send(UP).status(), "the half has been read by then");
       final Process ending = process.terminate();
       // By how it came: for the time that it took, or for want of any.
-      final int status = Rig.read(socket.getInputStream()).status();
+      final int status = CourierHarness.readResponse(socket.getInputStream()).status();
       assertTrue(status == 408 || status == 503, "told " + status);
       assertEquals(-1, socket.getInputStream().read(), "an end in order");
-      assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-      assertTrue(process.first.requests.isEmpty());
+      assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
+      assertTrue(process.firstEndpoint.requests.isEmpty());
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/CrowdAfterStandstillTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
@@ -24,38 +24,38 @@
  */
 @Tag("crossings")
 @Timeout(120)
-final class CrowdAfterStandstillTest {
-  private static final int SOCKETS = 100;
-  private static final int CLIENTS = 150;
+final class ConnectionLimitAfterPauseTest {
+  private static final int SOCKET_LIMIT = 100;
+  private static final int CLIENT_COUNT = 150;
 
-  private Rig rig;
+  private CourierHarness harness;
   private CourierServer courier;
   private int port;
   private final List<Socket> clients = new ArrayList<>();
 
   @BeforeEach
-  void start(@TempDir final Path folder) throws Exception {
-    rig = new Rig(folder);
-    rig.sockets = SOCKETS;
-    rig.maxOpen = 2 * CLIENTS;
+  void startCourier(@TempDir final Path folder) throws Exception {
+    harness = new CourierHarness(folder);
+    harness.socketLimit = SOCKET_LIMIT;
+    harness.maxOpenConnections = 2 * CLIENT_COUNT;
     courier =
         CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
-                rig.configure(rig.platform.address()).toString(),
+                harness.writeConfiguration(harness.platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()));
-    final String address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+    final String address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
     port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopCourier() throws IOException {
     for (final Socket client : clients) {
       client.close();
     }
     courier.kill();
-    rig.close();
+    harness.close();
   }
 
   /**
@@ -63,7 +63,7 @@
    * make room.
    */
   @Test
-  void eachOfThemIsAnswered() throws Exception {
+  void connectionsOverLimitWithUnreadRequests_areAllAnswered() throws Exception {
     final CountDownLatch standing = new CountDownLatch(1);
     final CountDownLatch goOn = new CountDownLatch(1);
     courier
@@ -78,18 +78,22 @@
               }
             });
     standing.await();
-    for (int number = 0; number < CLIENTS; number++) {
+    for (int number = 0; number < CLIENT_COUNT; number++) {
       final Socket client = new Socket("127.0.0.1", port);
-      client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+      client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
       client
           .getOutputStream()
-          .write(Rig.message("m" + number, "safe").getBytes(StandardCharsets.US_ASCII));
+          .write(
+              CourierHarness.submitRequest("m" + number, "safe")
+                  .getBytes(StandardCharsets.US_ASCII));
       clients.add(client);
     }
     goOn.countDown();
-    for (int number = 0; number < CLIENTS; number++) {
+    for (int number = 0; number < CLIENT_COUNT; number++) {
       assertEquals(
-          202, Rig.read(clients.get(number).getInputStream()).status(), "client " + number);
+          202,
+          CourierHarness.readResponse(clients.get(number).getInputStream()).status(),
+          "client " + number);
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/Rig.java
+++ b/courier/src/test/java/thistleturn/courier/CourierHarness.java
@@ -18,9 +18,9 @@
 import java.util.function.BooleanSupplier;
 
 /** A real courier as a process of its own, between fakes of the platform and of its endpoints. */
-final class Rig implements AutoCloseable {
-  static final long PATIENCE_S = 20;
-  private static final String CLASSES =
+final class CourierHarness implements AutoCloseable {
+  static final long TIMEOUT_S = 20;
+  private static final String MESSAGE_CLASSES =
       """
             [{"name":"safe","effect":"pure","target":5000000,"deadline":20000000,"points":1.0},
              {"name":"keyed","effect":"token","group":"all","dedup_window":10000000,"target":5000000,"deadline":20000000},
@@ -28,93 +28,96 @@
              {"name":"once","effect":"side_effect","target":5000000,"deadline":20000000}]""";
 
   /** What a client was answered. */
-  record Answer(int status, String head) {}
+  record Response(int status, String head) {}
 
   /** The platform's notices, a line each. */
-  final List<String> notices = new CopyOnWriteArrayList<>();
+  final List<String> outcomeReports = new CopyOnWriteArrayList<>();
 
-  final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
-  final FakeServer platform;
+  final List<FakeHttpServer.Connection> watchConnections = new CopyOnWriteArrayList<>();
+  final FakeHttpServer platform;
 
   /** Where the platform is after a move. */
-  final FakeServer moved;
+  final FakeHttpServer relocatedPlatform;
 
-  final FakeServer first = new FakeServer((request, connection) -> connection.answer(200, ""));
-  final FakeServer second = new FakeServer((request, connection) -> connection.answer(200, ""));
-  final List<String> log = new CopyOnWriteArrayList<>();
-  volatile int noticeStatus = 204;
-  int maxOpen = 50;
+  final FakeHttpServer firstEndpoint =
+      new FakeHttpServer((request, connection) -> connection.respond(200, ""));
+  final FakeHttpServer secondEndpoint =
+      new FakeHttpServer((request, connection) -> connection.respond(200, ""));
+  final List<String> logLines = new CopyOnWriteArrayList<>();
+  volatile int outcomeResponseStatus = 204;
+  int maxOpenConnections = 50;
 
   /** Calls that may be out at once. */
-  int slots = 12;
+  int maxCallsInFlight = 12;
 
   /** How the list comes, by the settings: {@code on_request} or {@code pushed}. */
-  String discovery = "on_request";
+  String discoveryMode = "on_request";
 
   int diskMb = 3;
-  int sockets = 1024;
+  int socketLimit = 1024;
   String extraSetting = "\"unheard_of\":[{\"x\":1}]";
 
   /** Endpoints that the courier knows at its start. */
-  String hosts;
+  String configuredHosts;
 
   /** The whole list, where it is asked for. */
-  volatile String movedHosts = "";
+  volatile String relocatedHosts = "";
 
-  private final Path folder;
+  private final Path workDirectory;
 
   /** The rig whose platform counts, where this is a further process of its courier. */
-  private Rig shared;
+  private CourierHarness platformOwner;
 
   private Process process;
   private int port;
 
   /** Whether operators have an address, and its port. */
-  boolean operator;
+  boolean operatorPortEnabled;
 
   int operatorPort;
 
   /** Where clients connect; 0: wherever the system says. */
   int listenPort;
 
-  Rig(final Path folder) throws IOException {
-    this.folder = folder;
-    this.platform = new FakeServer(this::platform);
-    this.moved = new FakeServer(this::platform);
-    this.hosts = host("e1", first, "Ready");
+  CourierHarness(final Path folder) throws IOException {
+    this.workDirectory = folder;
+    this.platform = new FakeHttpServer(this::answerPlatformRequest);
+    this.relocatedPlatform = new FakeHttpServer(this::answerPlatformRequest);
+    this.configuredHosts = hostEntry("e1", firstEndpoint, "Ready");
   }
 
   /**
    * A further process of the same courier: same addresses and folder, but another one for
    * operators.
    */
-  Rig successor() throws IOException {
-    final Rig next = new Rig(folder);
-    next.shared = shared == null ? this : shared;
-    next.hosts = hosts;
-    next.operator = operator;
+  CourierHarness successor() throws IOException {
+    final CourierHarness next = new CourierHarness(workDirectory);
+    next.platformOwner = platformOwner == null ? this : platformOwner;
+    next.configuredHosts = configuredHosts;
+    next.operatorPortEnabled = operatorPortEnabled;
     next.listenPort = listenPort;
     return next;
   }
 
-  private void platform(final FakeServer.Request request, final FakeServer.Connection connection) {
-    if (request.line().startsWith("POST")) {
-      notices.addAll(request.text().lines().toList());
-      connection.answer(noticeStatus, "");
-    } else if (!request.line().contains("watch=1")) {
-      connection.answer(200, "{\"seq\":3,\"whole\":true,\"hosts\":[" + movedHosts + "]}\n");
+  private void answerPlatformRequest(
+      final FakeHttpServer.Request request, final FakeHttpServer.Connection connection) {
+    if (request.requestLine().startsWith("POST")) {
+      outcomeReports.addAll(request.text().lines().toList());
+      connection.respond(outcomeResponseStatus, "");
+    } else if (!request.requestLine().contains("watch=1")) {
+      connection.respond(200, "{\"seq\":3,\"whole\":true,\"hosts\":[" + relocatedHosts + "]}\n");
     } else {
       connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      connection.chunk("\n");
-      watches.add(connection);
+      connection.writeChunk("\n");
+      watchConnections.add(connection);
     }
   }
 
-  static String host(final String name, final FakeServer at, final String health) {
-    return host(name, at.address(), health);
+  static String hostEntry(final String name, final FakeHttpServer at, final String health) {
+    return hostEntry(name, at.address(), health);
   }
 
-  static String host(final String name, final String address, final String health) {
+  static String hostEntry(final String name, final String address, final String health) {
     return "{\"host\":\""
         + name
         + "\",\"dial\":\""
@@ -126,22 +129,22 @@
   }
 
   /** Tells a change of the list over the newest watch. */
-  void change(final long seq, final String host) {
-    watches
-        .get(watches.size() - 1)
-        .chunk("{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n");
+  void sendEndpointChange(final long seq, final String host) {
+    watchConnections
+        .get(watchConnections.size() - 1)
+        .writeChunk("{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n");
   }
 
   /** Starts the program and waits until it is ready. */
-  Rig start() throws IOException {
+  CourierHarness start() throws IOException {
     launch();
-    final List<String> before = List.copyOf(log);
+    final List<String> before = List.copyOf(logLines);
     await("ready", () -> readyLine(before.size()) != null);
     final String ready = readyLine(before.size());
     port = Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1));
-    if (operator) {
+    if (operatorPortEnabled) {
       final String hears =
-          log.stream()
+          logLines.stream()
               .skip(before.size())
               .filter(line -> line.contains("hears operators at"))
               .findFirst()
@@ -152,9 +155,9 @@
   }
 
   /** One call of an operator, and all that is answered. */
-  String ask(final String method, final String path) {
+  String sendOperatorRequest(final String method, final String path) {
     try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
-      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
       socket
           .getOutputStream()
           .write(
@@ -167,7 +170,7 @@
   }
 
   private String readyLine(final int from) {
-    return log.stream()
+    return logLines.stream()
         .skip(from)
         .filter(line -> line.contains("is ready at"))
         .findFirst()
@@ -176,7 +179,7 @@
 
   /** Starts the program without waiting for anything. */
   Process launch() throws IOException {
-    return launch(configure(discoveryAddress()));
+    return launch(writeConfiguration(discoveryAddress()));
   }
 
   /** The same, with a configuration that stands ready. */
@@ -191,30 +194,30 @@
             System.getProperty("java.class.path"),
             "thistleturn.courier.Main");
     builder.environment().put("PROXY_CONFIG", config.toString());
-    if (operator) {
+    if (operatorPortEnabled) {
       builder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
     }
     builder.environment().put("PROXY_DISCOVERY", discoveryAddress());
-    builder.environment().put("PROXY_STATE", folder.resolve("state").toString());
+    builder.environment().put("PROXY_STATE", workDirectory.resolve("state").toString());
     process = builder.redirectErrorStream(true).start();
     final BufferedReader out =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    final Thread reader = new Thread(() -> out.lines().forEach(log::add));
+    final Thread reader = new Thread(() -> out.lines().forEach(logLines::add));
     reader.setDaemon(true);
     reader.start();
     return process;
   }
 
   private String discoveryAddress() {
-    return (shared == null ? this : shared).platform.address();
+    return (platformOwner == null ? this : platformOwner).platform.address();
   }
 
   /**
    * Writes the configuration in full, with the platform at that address, in the place of the one
    * before.
    */
-  Path configure(final String discovery) throws IOException {
-    final Path config = folder.resolve("config.json");
+  Path writeConfiguration(final String discovery) throws IOException {
+    final Path config = workDirectory.resolve("config.json");
     Files.writeString(
         config,
         """
@@ -229,13 +232,13 @@
             .formatted(
                 listenPort,
                 discovery,
-                sockets,
+                socketLimit,
                 diskMb,
-                hosts,
-                this.discovery,
-                CLASSES,
-                slots,
-                maxOpen,
+                configuredHosts,
+                this.discoveryMode,
+                MESSAGE_CLASSES,
+                maxCallsInFlight,
+                maxOpenConnections,
                 extraSetting));
     return config;
   }
@@ -248,11 +251,11 @@
 
   void kill() throws InterruptedException {
     process.destroyForcibly();
-    assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
   }
 
   /** Sends SIGHUP to the program. */
-  void hangUp() throws IOException, InterruptedException {
+  void sendHangupSignal() throws IOException, InterruptedException {
     assertTrue(
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor() == 0);
   }
@@ -267,11 +270,11 @@
     return process;
   }
 
-  static String message(final String id, final String kind) {
-    return message(id, kind, "hello");
+  static String submitRequest(final String id, final String kind) {
+    return submitRequest(id, kind, "hello");
   }
 
-  static String message(final String id, final String kind, final String body) {
+  static String submitRequest(final String id, final String kind, final String body) {
     return "POST /"
         + kind
         + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: "
@@ -287,49 +290,52 @@
         + body;
   }
 
-  Answer handIn(final String id, final String kind) throws IOException {
-    return send(message(id, kind));
+  Response submit(final String id, final String kind) throws IOException {
+    return send(submitRequest(id, kind));
   }
 
   Socket connect() throws IOException {
     final Socket socket = new Socket("127.0.0.1", port);
-    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
     return socket;
   }
 
   /** Sends some bytes on a connection of their own, and reads the answer. */
-  Answer send(final String raw) throws IOException {
+  Response send(final String raw) throws IOException {
     try (Socket socket = connect()) {
       return send(socket, raw);
     }
   }
 
-  static Answer send(final Socket socket, final String raw) throws IOException {
+  static Response send(final Socket socket, final String raw) throws IOException {
     socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-    return read(socket.getInputStream());
+    return readResponse(socket.getInputStream());
   }
 
-  static Answer read(final InputStream in) throws IOException {
+  static Response readResponse(final InputStream in) throws IOException {
     final List<String> lines = new ArrayList<>();
-    for (String line = FakeServer.line(in); !line.isEmpty(); line = FakeServer.line(in)) {
+    for (String line = FakeHttpServer.readLine(in);
+        !line.isEmpty();
+        line = FakeHttpServer.readLine(in)) {
       lines.add(line);
     }
     final int status = lines.isEmpty() ? 0 : Integer.parseInt(lines.get(0).split(" ")[1]);
-    return new Answer(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
+    return new Response(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
   }
 
   /** Waits for something that must come, under a bound that only a failure reaches. */
   void await(final String what, final BooleanSupplier condition) {
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + log);
+      assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + logLines);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
     }
   }
 
-  boolean noticed(final String id, final String status) {
-    return (shared == null ? this : shared)
-        .notices.stream().anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
+  boolean hasOutcomeReport(final String id, final String status) {
+    return (platformOwner == null ? this : platformOwner)
+        .outcomeReports.stream()
+            .anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
   }
 
   @Override
@@ -338,8 +344,8 @@
       process.destroyForcibly();
     }
     platform.close();
-    moved.close();
-    first.close();
-    second.close();
+    relocatedPlatform.close();
+    firstEndpoint.close();
+    secondEndpoint.close();
   }
 }
--- a/courier/src/test/java/thistleturn/courier/FakeServer.java
+++ b/courier/src/test/java/thistleturn/courier/FakeHttpServer.java
@@ -18,10 +18,14 @@
  * A small HTTP server for tests, on a port of the system's choice: it records requests and answers
  * by a script.
  */
-final class FakeServer implements AutoCloseable {
+final class FakeHttpServer implements AutoCloseable {
   /** One request that has come in whole. */
   record Request(
-      String line, Map<String, String> headers, byte[] body, Connection connection, long atNs) {
+      String requestLine,
+      Map<String, String> headers,
+      byte[] body,
+      Connection connection,
+      long receivedNs) {
     String text() {
       return new String(body, StandardCharsets.UTF_8);
     }
@@ -36,10 +40,10 @@
   private final ServerSocket server;
   private volatile BiConsumer<Request, Connection> script;
 
-  FakeServer(final BiConsumer<Request, Connection> script) throws IOException {
+  FakeHttpServer(final BiConsumer<Request, Connection> script) throws IOException {
     this.script = script;
     this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    daemon(this::accept);
+    startDaemonThread(this::accept);
   }
 
   void script(final BiConsumer<Request, Connection> next) {
@@ -50,7 +54,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  private static void daemon(final Runnable work) {
+  private static void startDaemonThread(final Runnable work) {
     final Thread thread = new Thread(work);
     thread.setDaemon(true);
     thread.start();
@@ -61,7 +65,7 @@
       while (true) {
         final Connection connection = new Connection(server.accept());
         connections.add(connection);
-        daemon(() -> serve(connection));
+        startDaemonThread(() -> serve(connection));
       }
     } catch (final IOException e) {
       assert server.isClosed();
@@ -72,7 +76,7 @@
     try {
       final InputStream in = connection.socket.getInputStream();
       while (true) {
-        final Request request = read(in, connection);
+        final Request request = readRequest(in, connection);
         if (request == null) {
           break;
         }
@@ -80,19 +84,19 @@
         script.accept(request, connection);
       }
     } catch (final IOException e) {
-      connection.ended = true;
+      connection.closedByPeer = true;
     }
-    connection.ended = true;
+    connection.closedByPeer = true;
   }
 
-  private static Request read(final InputStream in, final Connection connection)
+  private static Request readRequest(final InputStream in, final Connection connection)
       throws IOException {
-    final String line = line(in);
+    final String line = readLine(in);
     if (line.isEmpty()) {
       return null;
     }
     final Map<String, String> headers = new TreeMap<>();
-    for (String header = line(in); !header.isEmpty(); header = line(in)) {
+    for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
       final int colon = header.indexOf(':');
       headers.put(
           header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
@@ -102,7 +106,7 @@
     return new Request(line, headers, body, connection, System.nanoTime());
   }
 
-  static String line(final InputStream in) throws IOException {
+  static String readLine(final InputStream in) throws IOException {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
       bytes.write(next);
@@ -121,13 +125,13 @@
     private final Socket socket;
 
     /** The other side has ended its sending, or the connection is gone. */
-    volatile boolean ended;
+    volatile boolean closedByPeer;
 
     Connection(final Socket socket) {
       this.socket = socket;
     }
 
-    void answer(final int status, final String body, final String... headers) {
+    void respond(final int status, final String body, final String... headers) {
       final StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
       for (final String header : headers) {
         head.append(header).append("\r\n");
@@ -144,11 +148,11 @@
       try {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       } catch (final IOException e) {
-        ended = true;
+        closedByPeer = true;
       }
     }
 
-    void chunk(final String text) {
+    void writeChunk(final String text) {
       write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
--- a/courier/src/test/java/thistleturn/courier/RestingConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
@@ -23,14 +23,14 @@
  * speak.
  */
 @Tag("scale")
-final class RestingConnectionsTest {
-  private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+final class IdleClientConnectionsTest {
+  private static final String HEALTH_CHECK_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
   /**
    * After so long without a request a connection rests; what is kept between requests ends after 10
    * s.
    */
-  private static final long REST_MS = 1_000;
+  private static final long HIBERNATE_AFTER_MS = 1_000;
 
   private StandInWorld world;
   private CourierServer courier;
@@ -38,16 +38,16 @@
   private final List<Socket> sockets = new ArrayList<>();
 
   @BeforeEach
-  void start(@TempDir final Path folder) throws Exception {
+  void startCourier(@TempDir final Path folder) throws Exception {
     world = new StandInWorld(folder, 3);
     final StandInEndpoint endpoint = world.endpoint(7);
     world.platform.tell(endpoint, "Ready", 500);
     courier = CourierServer.start(world.environment(CourierFiles.Size.usual()));
-    address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+    address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopCourier() throws IOException {
     for (final Socket socket : sockets) {
       socket.close();
     }
@@ -58,7 +58,7 @@
   private Socket connect() throws IOException {
     final Socket socket =
         new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
-    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
     sockets.add(socket);
     return socket;
   }
@@ -67,47 +67,55 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  private static int status(final Socket socket) throws IOException {
-    return Rig.read(socket.getInputStream()).status();
+  private static int readStatus(final Socket socket) throws IOException {
+    return CourierHarness.readResponse(socket.getInputStream()).status();
   }
 
   /** Keeps one connection busy until the others have rested for certain. */
-  private void letRest(final Socket busy) throws IOException {
-    final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * REST_MS);
+  private void awaitHibernation(final Socket busy) throws IOException {
+    final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * HIBERNATE_AFTER_MS);
     while (System.nanoTime() < untilNs) {
-      write(busy, UP);
-      assertEquals(200, status(busy));
+      write(busy, HEALTH_CHECK_REQUEST);
+      assertEquals(200, readStatus(busy));
     }
   }
 
   @Test
-  void allThatRestWakeAtOnceAndEachIsServed() throws IOException {
+  void simultaneousWakeUp_servesEveryConnection() throws IOException {
     final Socket busy = connect();
     final List<Socket> resting = new ArrayList<>();
     for (int index = 0; index < 150; index++) {
       final Socket socket = connect();
-      write(socket, UP);
-      assertEquals(200, status(socket));
+      write(socket, HEALTH_CHECK_REQUEST);
+      assertEquals(200, readStatus(socket));
       resting.add(socket);
     }
-    letRest(busy);
+    awaitHibernation(busy);
     int number = 0;
     for (final Socket socket : resting) {
       // Some in two pieces, some with a second request right behind: all while others wait for
       // their turn.
-      final String text = number % 2 == 0 ? UP : Rig.message("m" + number, "safe");
+      final String text =
+          number % 2 == 0
+              ? HEALTH_CHECK_REQUEST
+              : CourierHarness.submitRequest("m" + number, "safe");
       write(socket, number % 3 == 0 ? text.substring(0, 9) : text);
       number++;
     }
     for (int index = 0; index < resting.size(); index += 3) {
       write(
           resting.get(index),
-          (index % 2 == 0 ? UP : Rig.message("m" + index, "safe")).substring(9) + UP);
+          (index % 2 == 0
+                      ? HEALTH_CHECK_REQUEST
+                      : CourierHarness.submitRequest("m" + index, "safe"))
+                  .substring(9)
+              + HEALTH_CHECK_REQUEST);
     }
     for (int index = 0; index < resting.size(); index++) {
-      assertEquals(index % 2 == 0 ? 200 : 202, status(resting.get(index)), "connection " + index);
+      assertEquals(
+          index % 2 == 0 ? 200 : 202, readStatus(resting.get(index)), "connection " + index);
       if (index % 3 == 0) {
-        assertEquals(200, status(resting.get(index)), "second on connection " + index);
+        assertEquals(200, readStatus(resting.get(index)), "second on connection " + index);
       }
     }
   }
@@ -117,13 +125,13 @@
    * forgets nothing.
    */
   @Test
-  void theBeginningOfTheNextRequestIsKept() throws IOException {
+  void partialNextRequest_survivesHibernation() throws IOException {
     final Socket busy = connect();
     final Socket socket = connect();
-    write(socket, UP + UP.substring(0, 12));
-    assertEquals(200, status(socket));
-    letRest(busy);
-    write(socket, UP.substring(12));
-    assertEquals(200, status(socket));
+    write(socket, HEALTH_CHECK_REQUEST + HEALTH_CHECK_REQUEST.substring(0, 12));
+    assertEquals(200, readStatus(socket));
+    awaitHibernation(busy);
+    write(socket, HEALTH_CHECK_REQUEST.substring(12));
+    assertEquals(200, readStatus(socket));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -44,7 +44,7 @@
       endpoints.forEach(endpoint -> world.platform.tell(endpoint, "Ready", 1000));
       final CourierServer courier =
           CourierServer.start(world.environment(CourierFiles.Size.usual()));
-      world.client.courier(courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS));
+      world.client.courier(courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       // A destination that serves well is called again at once when a call of its breaks.
       endpoints.forEach(endpoint -> endpoint.fare(Manner.after(SERVICE_MS)));
       world.load(10, TIMEOUT_MS, 1, 2);
@@ -64,7 +64,7 @@
               .write(
                   "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
                       .getBytes(StandardCharsets.US_ASCII));
-          Rig.read(last.getInputStream());
+          CourierHarness.readResponse(last.getInputStream());
         }
       }
       world.endConnections();
