--- a/courier/src/test/java/thistleturn/courier/BadClientTest.java
+++ b/courier/src/test/java/thistleturn/courier/MisbehavingClientTest.java
@@ -21,26 +21,26 @@
  * three seconds.
  */
 @Timeout(120)
-final class BadClientTest {
-  private static final double OWED_S = 3;
+final class MisbehavingClientTest {
+  private static final double MAX_RESPONSE_S = 3;
 
-  @TempDir private Path folder;
-  private Rig rig;
+  @TempDir private Path workDirectory;
+  private CourierHarness harness;
 
   @BeforeEach
-  void build() throws IOException {
-    rig = new Rig(folder);
-    rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
+  void startCourier() throws IOException {
+    harness = new CourierHarness(workDirectory);
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
   }
 
   @AfterEach
-  void end() throws IOException {
-    rig.close();
+  void stopCourier() throws IOException {
+    harness.close();
   }
 
   /** All that a connection says until it ends. */
-  private static String allOf(final Socket socket) throws IOException {
+  private static String readUntilClosed(final Socket socket) throws IOException {
     try {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     } catch (final SocketException e) {
@@ -48,45 +48,47 @@
     }
   }
 
-  private String tell(final String raw) throws IOException {
-    try (Socket socket = rig.connect()) {
+  private String sendAndReadUntilClosed(final String raw) throws IOException {
+    try (Socket socket = harness.connect()) {
       final long startNs = System.nanoTime();
       socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-      final String said = allOf(socket);
+      final String said = readUntilClosed(socket);
       final double seconds = (System.nanoTime() - startNs) / 1e9;
-      assertTrue(seconds < OWED_S, "after " + seconds + " s");
+      assertTrue(seconds < MAX_RESPONSE_S, "after " + seconds + " s");
       return said;
     }
   }
 
-  private void assertOnlyGoodOneArrives() throws IOException {
-    assertEquals(202, rig.handIn("good", "safe").status());
-    rig.await("the good one", () -> rig.first.requests.size() == 1);
-    assertEquals("good", rig.first.requests.get(0).header("X-Request-ID"));
+  private void assertOnlyValidRequestDelivered() throws IOException {
+    assertEquals(202, harness.submit("good", "safe").status());
+    harness.await("the good one", () -> harness.firstEndpoint.requests.size() == 1);
+    assertEquals("good", harness.firstEndpoint.requests.get(0).header("X-Request-ID"));
   }
 
   @Test
-  void aConnectionThatSaysNothingIsClosed() throws IOException {
-    assertEquals("", tell(""));
+  void silentConnection_isClosed() throws IOException {
+    assertEquals("", sendAndReadUntilClosed(""));
   }
 
   @Test
-  void aHeadThatDoesNotEndIsTurnedAway() throws IOException {
-    assertTrue(tell("POST /safe HTTP/1.1\r\nHost: x\r\nX-").startsWith("HTTP/1.1 408"));
+  void unfinishedHead_isRejectedWith408() throws IOException {
+    assertTrue(
+        sendAndReadUntilClosed("POST /safe HTTP/1.1\r\nHost: x\r\nX-").startsWith("HTTP/1.1 408"));
   }
 
   @Test
-  void aBodyThatDoesNotEndIsTurnedAwayAlsoOnAConnectionThatWasUsed() throws IOException {
-    final String half = Rig.message("half", "safe").replace("Length: 5", "Length: 50");
-    final String said = tell("GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + half);
+  void unfinishedBodyOnReusedConnection_isRejectedWith408() throws IOException {
+    final String half =
+        CourierHarness.submitRequest("half", "safe").replace("Length: 5", "Length: 50");
+    final String said = sendAndReadUntilClosed("GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + half);
     assertTrue(said.startsWith("HTTP/1.1 200") && said.contains("HTTP/1.1 408"), said);
-    assertOnlyGoodOneArrives();
+    assertOnlyValidRequestDelivered();
   }
 
   @Test
-  void aRequestThatMayHideAnotherIsTurnedAwayWithAllBehindIt() throws IOException {
-    final String hidden = Rig.message("hidden", "safe");
-    final String good = Rig.message("outer", "safe");
+  void ambiguousFraming_isRejectedWithAllPipelinedRequests() throws IOException {
+    final String hidden = CourierHarness.submitRequest("hidden", "safe");
+    final String good = CourierHarness.submitRequest("outer", "safe");
     final List<String> bad =
         List.of(
             good.replace("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked"),
@@ -101,24 +103,31 @@
                 "Transfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n"),
             good.replace("dest=7", "dest=none"));
     for (final String raw : bad) {
-      final String said = tell(raw + hidden);
+      final String said = sendAndReadUntilClosed(raw + hidden);
       assertTrue(
           said.startsWith("HTTP/1.1 4") && said.indexOf("HTTP/1.1", 1) < 0, said + " for " + raw);
     }
-    assertOnlyGoodOneArrives();
+    assertOnlyValidRequestDelivered();
   }
 
   @Test
-  void aDestinationThatDoesNotExistIsTurnedAway() throws IOException {
+  void unknownDestination_isRejectedWith404UntilListed() throws IOException {
     assertTrue(
-        tell(Rig.message("m1", "safe").replace("dest=7", "dest=8")).startsWith("HTTP/1.1 404"));
-    rig.change(42, Rig.host("e8", rig.first, "Ready").replace("\"block\":7", "\"block\":8"));
-    rig.await(
+        sendAndReadUntilClosed(
+                CourierHarness.submitRequest("m1", "safe").replace("dest=7", "dest=8"))
+            .startsWith("HTTP/1.1 404"));
+    harness.sendEndpointChange(
+        42,
+        CourierHarness.hostEntry("e8", harness.firstEndpoint, "Ready")
+            .replace("\"block\":7", "\"block\":8"));
+    harness.await(
         "the new destination",
         () -> {
           try {
-            return rig.send(
-                        Rig.message("m" + System.nanoTime(), "safe").replace("dest=7", "dest=8"))
+            return harness
+                    .send(
+                        CourierHarness.submitRequest("m" + System.nanoTime(), "safe")
+                            .replace("dest=7", "dest=8"))
                     .status()
                 == 202;
           } catch (final IOException e) {
@@ -128,12 +137,12 @@
   }
 
   @Test
-  void hundredsThatSayNothingLeaveRoomForOneThatAsks() throws IOException {
+  void manySilentConnections_areEvictedForOneWithARequest() throws IOException {
     final List<Socket> silent = new ArrayList<>();
     for (int count = 0; count < 780; count++) {
-      silent.add(rig.connect());
+      silent.add(harness.connect());
     }
-    assertEquals(202, rig.handIn("good", "safe").status());
+    assertEquals(202, harness.submit("good", "safe").status());
     // Clients' share of 1,024 descriptors, and half of the endpoints', which have no use for it:
     // the rest was closed.
     int closed = 0;
@@ -152,26 +161,28 @@
   }
 
   @Test
-  void manyRequestsAtOnceAreAnsweredUpToABound() throws IOException {
+  void pipelinedRequests_areAnsweredUpToTheQueueLimit() throws IOException {
     final StringBuilder many = new StringBuilder();
     for (int count = 0; count < 300; count++) {
-      many.append(Rig.message("m" + count, "safe"));
+      many.append(CourierHarness.submitRequest("m" + count, "safe"));
     }
-    final String said = tell(many.toString());
+    final String said = sendAndReadUntilClosed(many.toString());
     final int answers = said.split("HTTP/1.1 ", -1).length - 1;
     assertTrue(answers >= 1 && answers <= 40, "answers: " + answers);
   }
 
   /** A client that has sent its request may close its sending side; it still reads. */
   @Test
-  void aClientThatSendsNoMoreIsAnsweredAllTheSame() throws IOException {
+  void halfClosedClient_isAnswered() throws IOException {
     for (int count = 0; count < 20; count++) {
-      try (Socket socket = rig.connect()) {
+      try (Socket socket = harness.connect()) {
         socket
             .getOutputStream()
-            .write(Rig.message("m" + count, "safe").getBytes(StandardCharsets.ISO_8859_1));
+            .write(
+                CourierHarness.submitRequest("m" + count, "safe")
+                    .getBytes(StandardCharsets.ISO_8859_1));
         socket.shutdownOutput();
-        final String said = allOf(socket);
+        final String said = readUntilClosed(socket);
         assertTrue(
             said.startsWith("HTTP/1.1 202") || said.startsWith("HTTP/1.1 503"), "said: " + said);
       }
@@ -182,9 +193,11 @@
    * A message's time runs from its sending: one that waited to be read ends in time all the same.
    */
   @Test
-  void aBodyFarTooLargeIsTurnedAwayAtItsHead() throws IOException {
+  void oversizedContentLength_isRejectedWith413() throws IOException {
     final String head =
-        Rig.message("m1", "safe").replace("Length: 5", "Length: 60000000").replace("hello", "");
-    assertTrue(tell(head).startsWith("HTTP/1.1 413"));
+        CourierHarness.submitRequest("m1", "safe")
+            .replace("Length: 5", "Length: 60000000")
+            .replace("hello", "");
+    assertTrue(sendAndReadUntilClosed(head).startsWith("HTTP/1.1 413"));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/OperatorEndpointTest.java
+++ b/courier/src/test/java/thistleturn/courier/OperatorEndpointTest.java
@@ -21,13 +21,16 @@
 @Timeout(120)
 final class OperatorEndpointTest {
   @TempDir private Path folder;
-  private Rig rig;
+  private CourierHarness rig;
 
   @BeforeEach
   void build() throws IOException {
-    rig = new Rig(folder);
-    rig.operator = true;
-    rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+    rig = new CourierHarness(folder);
+    rig.operatorPortEnabled = true;
+    rig.configuredHosts =
+        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready")
+            + ","
+            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready");
   }
 
   @AfterEach
@@ -35,34 +38,37 @@
     rig.close();
   }
 
-  private static int callCount(final FakeServer endpoint) {
+  private static int callCount(final FakeHttpServer endpoint) {
     return endpoint.requests.size();
   }
 
   private void deliver(final String prefix, final int messages) throws IOException {
     for (int number = 0; number < messages; number++) {
       // One by one: what waits together travels in one call.
-      final int calls = callCount(rig.first) + callCount(rig.second) + 1;
-      assertEquals(202, rig.handIn(prefix + number, "safe").status());
-      rig.await("the call", () -> callCount(rig.first) + callCount(rig.second) == calls);
+      final int calls = callCount(rig.firstEndpoint) + callCount(rig.secondEndpoint) + 1;
+      assertEquals(202, rig.submit(prefix + number, "safe").status());
+      rig.await(
+          "the call", () -> callCount(rig.firstEndpoint) + callCount(rig.secondEndpoint) == calls);
       // Its answer must be known too: what a kill overtakes is sent again by the next process.
-      rig.await("its end", () -> rig.ask("GET", "/-/metrics").contains("svc_in_flight 0\n"));
+      rig.await(
+          "its end",
+          () -> rig.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 0\n"));
     }
   }
 
   @Test
   void metrics_matchWhatPeersObserved() throws IOException {
     rig.start();
-    assertTrue(rig.ask("GET", "/-/ready").startsWith("HTTP/1.1 200"));
+    assertTrue(rig.sendOperatorRequest("GET", "/-/ready").startsWith("HTTP/1.1 200"));
     deliver("m", 5);
-    rig.first.script((request, connection) -> connection.reset());
-    rig.second.script((request, connection) -> connection.reset());
-    assertEquals(202, rig.handIn("lost", "once").status());
-    rig.await("the notice", () -> rig.noticed("lost", "undeliverable"));
+    rig.firstEndpoint.script((request, connection) -> connection.reset());
+    rig.secondEndpoint.script((request, connection) -> connection.reset());
+    assertEquals(202, rig.submit("lost", "once").status());
+    rig.await("the notice", () -> rig.hasOutcomeReport("lost", "undeliverable"));
     rig.await(
         "the figures",
         () -> {
-          final String figures = rig.ask("GET", "/-/metrics");
+          final String figures = rig.sendOperatorRequest("GET", "/-/metrics");
           return figures.contains("svc_requests_total{class=\"safe\",outcome=\"served\"} 5\n")
               && figures.contains("svc_requests_total{class=\"once\",outcome=\"failed\"} 1\n")
               && figures.contains("svc_attempts_total 6\n")
@@ -75,41 +81,49 @@
   void disabledEndpoint_getsNoCallsThroughUpdatesAndRestart()
       throws IOException, InterruptedException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
-    assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
     assertTrue(
-        rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"),
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
+    assertTrue(
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"),
         "it may be said again");
     assertTrue(
-        rig.ask("POST", "/-/endpoints/e9/disable").startsWith("HTTP/1.1 404"),
+        rig.sendOperatorRequest("POST", "/-/endpoints/e9/disable").startsWith("HTTP/1.1 404"),
         "it was never listed");
-    rig.change(42, Rig.host("e1", rig.first, "Terminating"));
-    rig.change(43, Rig.host("e1", rig.first, "Ready"));
+    rig.sendEndpointChange(42, CourierHarness.hostEntry("e1", rig.firstEndpoint, "Terminating"));
+    rig.sendEndpointChange(43, CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready"));
     deliver("a", 8);
     rig.killAndRestart();
     deliver("b", 8);
-    assertEquals(0, callCount(rig.first));
-    assertTrue(rig.ask("GET", "/-/metrics").contains("svc_endpoints_excluded 1\n"));
-    assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
-    rig.second.script((request, connection) -> {});
-    assertEquals(202, rig.handIn("c1", "safe").status());
-    assertEquals(202, rig.handIn("c2", "safe").status());
-    rig.await("a call to it", () -> callCount(rig.first) > 0);
+    assertEquals(0, callCount(rig.firstEndpoint));
+    assertTrue(rig.sendOperatorRequest("GET", "/-/metrics").contains("svc_endpoints_excluded 1\n"));
+    assertTrue(
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
+    rig.secondEndpoint.script((request, connection) -> {});
+    assertEquals(202, rig.submit("c1", "safe").status());
+    assertEquals(202, rig.submit("c2", "safe").status());
+    rig.await("a call to it", () -> callCount(rig.firstEndpoint) > 0);
   }
 
   @Test
   void soleEndpointEnabledAgain_recoversGradually() throws IOException {
-    rig.hosts = Rig.host("e1", rig.first, "Ready").replace("100.0", "2.0");
+    rig.configuredHosts =
+        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready").replace("100.0", "2.0");
     rig.start();
-    assertTrue(rig.ask("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
+    assertTrue(
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
     for (int number = 0; number < 4; number++) {
-      assertEquals(202, rig.handIn("m" + number, "safe").status());
+      assertEquals(202, rig.submit("m" + number, "safe").status());
     }
-    assertTrue(rig.ask("GET", "/-/metrics").contains("svc_in_flight 4\n"), "they wait");
-    assertTrue(rig.ask("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
-    rig.await("all calls", () -> callCount(rig.first) == 4);
+    assertTrue(
+        rig.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 4\n"), "they wait");
+    assertTrue(
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
+    rig.await("all calls", () -> callCount(rig.firstEndpoint) == 4);
     final long spreadMs =
-        (rig.first.requests.get(3).atNs() - rig.first.requests.get(0).atNs()) / 1_000_000;
+        (rig.firstEndpoint.requests.get(3).receivedNs()
+                - rig.firstEndpoint.requests.get(0).receivedNs())
+            / 1_000_000;
     assertTrue(spreadMs > 300, "four calls to a cold endpoint within " + spreadMs + " ms");
   }
 
@@ -125,14 +139,14 @@
           socket.getOutputStream().write("GET /-/metr".getBytes(StandardCharsets.US_ASCII));
         }
       }
-      assertTrue(rig.ask("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
+      assertTrue(rig.sendOperatorRequest("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
     } finally {
       for (final Socket socket : silent) {
         socket.close();
       }
     }
-    assertTrue(rig.ask("GET", "/-/nothing").startsWith("HTTP/1.1 404"));
-    assertTrue(rig.ask("DELETE", "/-/ready").startsWith("HTTP/1.1 405"));
-    assertTrue(rig.ask("\u0001", "/-/ready").startsWith("HTTP/1.1 400"));
+    assertTrue(rig.sendOperatorRequest("GET", "/-/nothing").startsWith("HTTP/1.1 404"));
+    assertTrue(rig.sendOperatorRequest("DELETE", "/-/ready").startsWith("HTTP/1.1 405"));
+    assertTrue(rig.sendOperatorRequest("\u0001", "/-/ready").startsWith("HTTP/1.1 400"));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/NoticesTest.java
+++ b/courier/src/test/java/thistleturn/courier/OutcomeNotifierTest.java
@@ -21,29 +21,30 @@
  */
 @Tag("crossings")
 @Timeout(120)
-final class NoticesTest {
-  private static final long TIME_MS = 1000;
+final class OutcomeNotifierTest {
+  private static final long MESSAGE_TIMEOUT_MS = 1000;
 
   /** How long after its message's time a notice may come. */
-  private static final long GRACE_MS = 300;
+  private static final long REPORT_GRACE_MS = 300;
 
-  @TempDir private Path folder;
-  private Rig rig;
+  @TempDir private Path workDirectory;
+  private CourierHarness harness;
 
   @BeforeEach
-  void build() throws IOException {
-    rig = new Rig(folder);
+  void createHarness() throws IOException {
+    harness = new CourierHarness(workDirectory);
     // Nothing may be sent to it, so that a message waits until its time is up.
-    rig.hosts = Rig.host("e1", rig.first, "Terminating");
+    harness.configuredHosts = CourierHarness.hostEntry("e1", harness.firstEndpoint, "Terminating");
   }
 
   @AfterEach
-  void end() throws IOException {
-    rig.close();
+  void closeHarness() throws IOException {
+    harness.close();
   }
 
-  private static String brief(final String id) {
-    return Rig.message(id, "safe").replace("20000", Long.toString(TIME_MS));
+  private static String submitWithShortTimeout(final String id) {
+    return CourierHarness.submitRequest(id, "safe")
+        .replace("20000", Long.toString(MESSAGE_TIMEOUT_MS));
   }
 
   /**
@@ -51,26 +52,26 @@
    * the same.
    */
   @Test
-  void aConnectionThatFallsSilentDoesNotLoseAnEnd() throws IOException {
-    final List<FakeServer.Request> told = new CopyOnWriteArrayList<>();
-    rig.platform.script(
+  void unresponsiveConnection_isReplacedBeforeReportIsLate() throws IOException {
+    final List<FakeHttpServer.Request> told = new CopyOnWriteArrayList<>();
+    harness.platform.script(
         (request, connection) -> {
-          if (!request.line().startsWith("POST")) {
+          if (!request.requestLine().startsWith("POST")) {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            connection.chunk("\n");
+            connection.writeChunk("\n");
           } else if (told.isEmpty()) {
             told.add(request);
           } else {
             told.add(request);
-            connection.answer(204, "");
+            connection.respond(204, "");
           }
         });
-    rig.start();
+    harness.start();
     final long sentNs = System.nanoTime();
-    assertEquals(202, rig.send(brief("m1")).status());
-    rig.await("two tries", () -> told.size() >= 2);
-    final long tookMs = TimeUnit.NANOSECONDS.toMillis(told.get(1).atNs() - sentNs);
-    assertTrue(tookMs <= TIME_MS + GRACE_MS, "told after " + tookMs + " ms");
+    assertEquals(202, harness.send(submitWithShortTimeout("m1")).status());
+    harness.await("two tries", () -> told.size() >= 2);
+    final long tookMs = TimeUnit.NANOSECONDS.toMillis(told.get(1).receivedNs() - sentNs);
+    assertTrue(tookMs <= MESSAGE_TIMEOUT_MS + REPORT_GRACE_MS, "told after " + tookMs + " ms");
     assertTrue(told.get(1).text().contains("m1"), told.get(1).text());
   }
 }
--- a/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
+++ b/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
@@ -66,14 +66,14 @@
   }
 
   @TempDir private Path folder;
-  private Rig rig;
+  private CourierHarness rig;
   private Socket client;
 
   /** Ids that endpoints were called with; the first call is held. */
   private final List<String> calls = new CopyOnWriteArrayList<>();
 
-  private volatile FakeServer.Connection heldCall;
-  private volatile FakeServer.Connection unconfirmedNotification;
+  private volatile FakeHttpServer.Connection heldCall;
+  private volatile FakeHttpServer.Connection unconfirmedNotification;
   private volatile boolean holdsNextCall;
 
   static Stream<Arguments> crossings() {
@@ -83,18 +83,18 @@
 
   @BeforeEach
   void start() throws IOException {
-    rig = new Rig(folder);
-    rig.first.script(
+    rig = new CourierHarness(folder);
+    rig.firstEndpoint.script(
         (request, connection) -> {
           calls.add(request.header("X-Request-ID"));
           if (holdsNextCall) {
             heldCall = connection;
           } else {
-            connection.answer(200, "");
+            connection.respond(200, "");
           }
         });
     rig.start();
-    rig.await("the watch", () -> !rig.watches.isEmpty());
+    rig.await("the watch", () -> !rig.watchConnections.isEmpty());
     client = rig.connect();
   }
 
@@ -109,13 +109,13 @@
   }
 
   private int readStatus() throws IOException {
-    return Rig.read(client.getInputStream()).status();
+    return CourierHarness.readResponse(client.getInputStream()).status();
   }
 
   /** Sends it; a killed process is gone when this returns. */
   private Process send(final Signal signal) throws IOException, InterruptedException {
     switch (signal) {
-      case HUP -> rig.hangUp();
+      case HUP -> rig.sendHangupSignal();
       case KILL -> rig.kill();
       default -> {
         return rig.terminate();
@@ -133,21 +133,22 @@
     if (signal == Signal.HUP) {
       rig.await(
           "the reload",
-          () -> rig.log.stream().anyMatch(line -> line.contains("SIGHUP: discovery is at")));
+          () -> rig.logLines.stream().anyMatch(line -> line.contains("SIGHUP: discovery is at")));
     } else {
       assertTrue(
           ending == null || ending.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS),
           "it does not end");
       rig.start();
     }
-    assertEquals(202, rig.handIn("next", NON_IDEMPOTENT_CLASS).status());
-    rig.await("the next call", () -> calls.contains("next") || !rig.second.requests.isEmpty());
+    assertEquals(202, rig.submit("next", NON_IDEMPOTENT_CLASS).status());
+    rig.await(
+        "the next call", () -> calls.contains("next") || !rig.secondEndpoint.requests.isEmpty());
   }
 
   /** A message that was taken on is called once at most, and ends by that call or by one notice. */
   private void assertOneOutcome(final boolean delivered) {
     final List<String> notices =
-        rig.notices.stream()
+        rig.outcomeReports.stream()
             .filter(line -> line.contains('"' + MESSAGE_ID + '"'))
             .distinct()
             .toList();
@@ -157,7 +158,7 @@
 
   private void submitAndHoldCall() throws IOException {
     holdsNextCall = true;
-    assertEquals(202, rig.handIn(MESSAGE_ID, NON_IDEMPOTENT_CLASS).status());
+    assertEquals(202, rig.submit(MESSAGE_ID, NON_IDEMPOTENT_CLASS).status());
     rig.await("the call", () -> heldCall != null);
     holdsNextCall = false;
   }
@@ -187,7 +188,7 @@
   }
 
   private void signalDuringRequest(final Step step, final Signal signal) throws Exception {
-    final String request = Rig.message(MESSAGE_ID, NON_IDEMPOTENT_CLASS);
+    final String request = CourierHarness.submitRequest(MESSAGE_ID, NON_IDEMPOTENT_CLASS);
     final int half = step == Step.PARTIAL_HEADERS ? request.length() / 3 : request.length() - 2;
     say(request.substring(0, half));
     // Another connection is answered behind it: the half has been read.
@@ -202,12 +203,13 @@
     }
     awaitRecovery(signal, ending);
     if (taken) {
-      rig.await("its end", () -> calls.contains(MESSAGE_ID) || rig.noticed(MESSAGE_ID, ""));
+      rig.await(
+          "its end", () -> calls.contains(MESSAGE_ID) || rig.hasOutcomeReport(MESSAGE_ID, ""));
       assertOneOutcome(calls.contains(MESSAGE_ID));
     } else {
       assertTrue(
-          !calls.contains(MESSAGE_ID) && !rig.noticed(MESSAGE_ID, ""),
-          "calls " + calls + ", notices " + rig.notices);
+          !calls.contains(MESSAGE_ID) && !rig.hasOutcomeReport(MESSAGE_ID, ""),
+          "calls " + calls + ", notices " + rig.outcomeReports);
     }
   }
 
@@ -221,29 +223,29 @@
     awaitRecovery(signal, ending);
     if (signal == Signal.KILL) {
       // It may have run: it ends by a notice of its failure, and does not go again.
-      rig.await("the notice", () -> rig.noticed(MESSAGE_ID, "undeliverable"));
+      rig.await("the notice", () -> rig.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
     }
     assertOneOutcome(signal != Signal.KILL);
   }
 
   private void signalDuringWatchEvent(final Signal signal) throws Exception {
-    final FakeServer.Connection watch = rig.watches.get(0);
+    final FakeHttpServer.Connection watch = rig.watchConnections.get(0);
     final String change =
         "{\"seq\":42,\"whole\":false,\"hosts\":["
-            + Rig.host("e2", rig.second, "Ready")
+            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready")
             + ","
-            + Rig.host("e1", rig.first, "Gone")
+            + CourierHarness.hostEntry("e1", rig.firstEndpoint, "Gone")
             + "]}\n";
-    watch.chunk(change.substring(0, change.length() / 2));
+    watch.writeChunk(change.substring(0, change.length() / 2));
     final Process ending = send(signal);
-    watch.chunk(change.substring(change.length() / 2));
+    watch.writeChunk(change.substring(change.length() / 2));
     if (signal == Signal.HUP) {
       rig.await(
           "what the whole line says",
           () -> {
             try {
-              return rig.handIn("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
-                  && !rig.second.requests.isEmpty();
+              return rig.submit("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
+                  && !rig.secondEndpoint.requests.isEmpty();
             } catch (final IOException e) {
               throw new IllegalStateException(e);
             }
@@ -256,22 +258,22 @@
     final List<String> told = new ArrayList<>();
     rig.platform.script(
         (request, connection) -> {
-          if (request.line().startsWith("POST") && unconfirmedNotification == null) {
+          if (request.requestLine().startsWith("POST") && unconfirmedNotification == null) {
             told.add(request.text());
             unconfirmedNotification = connection;
-          } else if (request.line().startsWith("POST")) {
-            rig.notices.addAll(request.text().lines().toList());
-            connection.answer(204, "");
+          } else if (request.requestLine().startsWith("POST")) {
+            rig.outcomeReports.addAll(request.text().lines().toList());
+            connection.respond(204, "");
           } else {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            connection.chunk("\n");
+            connection.writeChunk("\n");
           }
         });
     holdsNextCall = true;
     assertEquals(
         202,
         rig.send(
-                Rig.message(MESSAGE_ID, NON_IDEMPOTENT_CLASS)
+                CourierHarness.submitRequest(MESSAGE_ID, NON_IDEMPOTENT_CLASS)
                     .replace("20000", Long.toString(SHORT_DEADLINE_MS)))
             .status());
     rig.await("the notice", () -> unconfirmedNotification != null);
@@ -280,7 +282,7 @@
     awaitRecovery(signal, ending);
     // Not confirmed, it is told again, by this process or by the next; the same, and no call
     // besides.
-    rig.await("the notice again", () -> rig.noticed(MESSAGE_ID, "undeliverable"));
+    rig.await("the notice again", () -> rig.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
     assertTrue(told.get(0).contains("undeliverable"), told.toString());
     assertOneOutcome(false);
   }
--- a/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
+++ b/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
@@ -43,7 +43,7 @@
     DECODE
   }
 
-  private FakeServer platform;
+  private FakeHttpServer platform;
   private CourierServer courier;
   private String address;
   private volatile long noticedNs;
@@ -51,28 +51,28 @@
   @BeforeEach
   void start(@TempDir final Path folder) throws Exception {
     platform =
-        new FakeServer(
+        new FakeHttpServer(
             (request, connection) -> {
-              if (request.line().startsWith("POST")) {
-                noticedNs = request.text().contains("\"late\"") ? request.atNs() : noticedNs;
-                connection.answer(204, "");
+              if (request.requestLine().startsWith("POST")) {
+                noticedNs = request.text().contains("\"late\"") ? request.receivedNs() : noticedNs;
+                connection.respond(204, "");
               } else {
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                connection.chunk("\n");
+                connection.writeChunk("\n");
               }
             });
-    final Rig rig = new Rig(folder);
+    final CourierHarness rig = new CourierHarness(folder);
     // Nothing may be sent to it, so that the message waits until its time is up, with no attempt.
-    rig.hosts = Rig.host("e1", rig.first, "Terminating");
+    rig.configuredHosts = CourierHarness.hostEntry("e1", rig.firstEndpoint, "Terminating");
     courier =
         CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
-                rig.configure(platform.address()).toString(),
+                rig.writeConfiguration(platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()));
     rig.close();
-    address = courier.ready().get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+    address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -94,33 +94,35 @@
                 Thread.onSpinWait();
               }
             });
-    assertTrue(standing.await(Rig.PATIENCE_S, TimeUnit.SECONDS));
+    assertTrue(standing.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
   }
 
   private Socket connect() throws IOException {
     final Socket socket =
         new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
-    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+    socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
     return socket;
   }
 
   @ParameterizedTest
   @EnumSource(Point.class)
   void theEndOfAMessageThatLayUnreadIsToldInTime(final Point point) throws Exception {
-    final String text = Rig.message("late", "safe").replace("20000", Long.toString(TIMEOUT_MS));
+    final String text =
+        CourierHarness.submitRequest("late", "safe").replace("20000", Long.toString(TIMEOUT_MS));
     final byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
     final int early = point == Point.DECODE ? bytes.length / 2 : 0;
     Socket socket = null;
     if (point != Point.ACCEPT) {
       socket = connect();
-      assertEquals(200, Rig.send(socket, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+      assertEquals(
+          200, CourierHarness.send(socket, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
       socket.getOutputStream().write(bytes, 0, early);
     }
     stall(STALL_MS);
     socket = socket == null ? connect() : socket;
     final long sentNs = System.nanoTime();
     socket.getOutputStream().write(bytes, early, bytes.length - early);
-    assertEquals(202, Rig.read(socket.getInputStream()).status());
+    assertEquals(202, CourierHarness.readResponse(socket.getInputStream()).status());
     socket.close();
     final long secondNs = sentNs + TimeUnit.MILLISECONDS.toNanos(SECOND_AT_MS);
     while (System.nanoTime() < secondNs && noticedNs == 0) {
@@ -129,7 +131,7 @@
     if (noticedNs == 0) {
       stall(STALL_MS);
     }
-    final long giveUpNs = sentNs + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
+    final long giveUpNs = sentNs + TimeUnit.SECONDS.toNanos(CourierHarness.TIMEOUT_S);
     while (noticedNs == 0 && System.nanoTime() < giveUpNs) {
       Thread.onSpinWait();
     }
--- a/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
@@ -18,12 +18,12 @@
 @Timeout(120)
 final class WireTextFormatTest {
   @TempDir private Path folder;
-  private Rig rig;
+  private CourierHarness rig;
 
   @BeforeEach
   void build() throws IOException {
-    rig = new Rig(folder);
-    rig.operator = true;
+    rig = new CourierHarness(folder);
+    rig.operatorPortEnabled = true;
   }
 
   @AfterEach
@@ -53,19 +53,20 @@
     try (Socket socket = rig.connect()) {
       socket
           .getOutputStream()
-          .write(Rig.message("m1", "safe").getBytes(StandardCharsets.ISO_8859_1));
+          .write(CourierHarness.submitRequest("m1", "safe").getBytes(StandardCharsets.ISO_8859_1));
       assertEquals(
           expected,
           new String(
               socket.getInputStream().readNBytes(expected.length()), StandardCharsets.ISO_8859_1));
     }
-    assertEquals(empty("202 Accepted"), answer(closing(Rig.message("m2", "safe"))));
+    assertEquals(
+        empty("202 Accepted"), answer(closing(CourierHarness.submitRequest("m2", "safe"))));
   }
 
   @Test
   void requestsThatCannotBeServedAreAnsweredByTheseBytes() throws IOException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
     assertEquals(empty("200 OK"), answer(closing("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")));
     assertEquals(empty("404 Not Found"), answer("GET /unknown HTTP/1.1\r\nHost: x\r\n\r\n"));
     assertEquals(empty("405 Method Not Allowed"), answer("GET /safe HTTP/1.1\r\nHost: x\r\n\r\n"));
@@ -73,24 +74,25 @@
         empty("400 Bad Request"),
         answer("POST /safe HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
     assertEquals(
-        empty("404 Not Found"), answer(Rig.message("m1", "safe").replace("dest=7", "dest=8")));
+        empty("404 Not Found"),
+        answer(CourierHarness.submitRequest("m1", "safe").replace("dest=7", "dest=8")));
   }
 
   @Test
   void messageOfAnIdInUseIsAnsweredByTheseBytes() throws IOException {
-    rig.first.script((request, connection) -> {});
+    rig.firstEndpoint.script((request, connection) -> {});
     rig.start();
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    assertEquals(empty("409 Conflict"), answer(Rig.message("m1", "safe")));
+    assertEquals(202, rig.submit("m1", "safe").status());
+    assertEquals(empty("409 Conflict"), answer(CourierHarness.submitRequest("m1", "safe")));
   }
 
   @Test
   void messageWithoutRoomIsAnsweredByTheseBytes() throws IOException {
-    rig.maxOpen = 1;
-    rig.first.script((request, connection) -> {});
+    rig.maxOpenConnections = 1;
+    rig.firstEndpoint.script((request, connection) -> {});
     rig.start();
-    assertEquals(202, rig.handIn("m1", "safe").status());
-    final String said = answer(closing(Rig.message("m2", "safe")));
+    assertEquals(202, rig.submit("m1", "safe").status());
+    final String said = answer(closing(CourierHarness.submitRequest("m2", "safe")));
     assertTrue(
         said.matches(
             "HTTP/1\\.1 (503 Service Unavailable|429 Too Many Requests)\r\ncontent-length: 0\r\n"
@@ -101,18 +103,25 @@
   @Test
   void operatorsAreAnsweredByTheseBytes() throws IOException {
     rig.start();
-    assertEquals(operatorAnswer("200 OK", "ready"), rig.ask("GET", "/-/ready"));
-    assertEquals(operatorAnswer("404 Not Found", "no such call"), rig.ask("GET", "/-/nothing"));
+    assertEquals(operatorAnswer("200 OK", "ready"), rig.sendOperatorRequest("GET", "/-/ready"));
+    assertEquals(
+        operatorAnswer("404 Not Found", "no such call"),
+        rig.sendOperatorRequest("GET", "/-/nothing"));
     assertEquals(
-        operatorAnswer("405 Method Not Allowed", "asked by GET"), rig.ask("POST", "/-/metrics"));
+        operatorAnswer("405 Method Not Allowed", "asked by GET"),
+        rig.sendOperatorRequest("POST", "/-/metrics"));
     assertEquals(
         operatorAnswer("405 Method Not Allowed", "asked by POST"),
-        rig.ask("GET", "/-/endpoints/e1/disable"));
-    assertEquals(operatorAnswer("200 OK", "left out"), rig.ask("POST", "/-/endpoints/e1/disable"));
-    assertEquals(operatorAnswer("200 OK", "may serve"), rig.ask("POST", "/-/endpoints/e1/enable"));
+        rig.sendOperatorRequest("GET", "/-/endpoints/e1/disable"));
+    assertEquals(
+        operatorAnswer("200 OK", "left out"),
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/disable"));
+    assertEquals(
+        operatorAnswer("200 OK", "may serve"),
+        rig.sendOperatorRequest("POST", "/-/endpoints/e1/enable"));
     assertEquals(
         operatorAnswer("404 Not Found", "no endpoint of that name was ever listed"),
-        rig.ask("POST", "/-/endpoints/e9/disable"));
+        rig.sendOperatorRequest("POST", "/-/endpoints/e9/disable"));
   }
 
   private static String operatorAnswer(final String status, final String text) {
@@ -128,9 +137,9 @@
   @Test
   void endpointListIsPolledByThisRequest() throws IOException {
     rig.start();
-    rig.await("the watch", () -> rig.watches.size() == 1);
-    final FakeServer.Request poll = rig.platform.requests.get(0);
-    assertEquals("GET /discovery/hosts?watch=1&after=41 HTTP/1.1", poll.line());
+    rig.await("the watch", () -> rig.watchConnections.size() == 1);
+    final FakeHttpServer.Request poll = rig.platform.requests.get(0);
+    assertEquals("GET /discovery/hosts?watch=1&after=41 HTTP/1.1", poll.requestLine());
     assertEquals(Map.of("host", "127.0.0.1"), poll.headers());
     assertEquals("", poll.text());
   }
--- a/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -38,10 +38,11 @@
 
   private static String request(final StoredMessage... messages) {
     final Endpoint endpoint = new Endpoint(4, EndpointState.LISTED, "a", 2.5, 0, 57);
-    final HttpPool pool = new HttpPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
+    final EndpointConnectionPool pool =
+        new EndpointConnectionPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
     final HttpCall call =
         new HttpCall(pool, 4, List.of(messages).stream().map(Part::new).toList(), 1_000_000);
-    return HttpRequests.request(call, 1_500_000).toString(StandardCharsets.ISO_8859_1);
+    return CallRequestEncoder.encode(call, 1_500_000).toString(StandardCharsets.ISO_8859_1);
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/http/CarrierTimersTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/HttpDispatcherTimeoutTest.java
@@ -43,42 +43,42 @@
 
 /** Time-outs of calls are judged once, after a look, and cost the loop no more than that. */
 @Tag("health")
-final class CarrierTimersTest {
-  private static final long PATIENCE_S = 10;
+final class HttpDispatcherTimeoutTest {
+  private static final long TIMEOUT_S = 10;
   private static final long SECOND_US = 1_000_000;
 
   private final Clock clock = new Clock();
   private final LoopTurns turns = new LoopTurns(clock);
-  private final AtomicLong turned = new AtomicLong();
+  private final AtomicLong polls = new AtomicLong();
   private final EventLoopGroup servers =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
-          1, NioIoHandler.newFactory(SelectorProvider.provider(), counting(turns)));
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), countingPolls(turns)));
   private final EventLoop loop = group.next();
-  private final BlockingQueue<AttemptResult> told = new LinkedBlockingQueue<>();
-  private final Semaphore arrived = new Semaphore(0);
-  private final Semaphore standing = new Semaphore(0);
-  private final Semaphore trailed = new Semaphore(0);
+  private final BlockingQueue<AttemptResult> reportedResults = new LinkedBlockingQueue<>();
+  private final Semaphore callsReceived = new Semaphore(0);
+  private final Semaphore responsePermits = new Semaphore(0);
+  private final Semaphore surplusResponsesSent = new Semaphore(0);
   private HttpStandIn server;
-  private HttpCarrier carrier;
+  private HttpDispatcher dispatcher;
 
-  private record Waiting(
+  private record TestParcel(
       StoredMessage message, long timeoutUs, long latestSendUs, long messageDeadlineUs)
       implements Dispatcher.Attempt {}
 
-  private SelectStrategyFactory counting(final LoopTurns its) {
+  private SelectStrategyFactory countingPolls(final LoopTurns its) {
     return () -> {
       final SelectStrategy strategy = its.newSelectStrategy();
       return (supplier, hasTasks) -> {
-        turned.incrementAndGet();
+        polls.incrementAndGet();
         return strategy.calculateStrategy(supplier, hasTasks);
       };
     };
   }
 
   @BeforeEach
-  void begin(@TempDir final Path folder) throws Exception {
+  void startDispatcher(@TempDir final Path folder) throws Exception {
     server =
         new HttpStandIn(
             servers,
@@ -88,13 +88,13 @@
               if (body.startsWith("well")) {
                 exchange.answer(200, "");
               } else if (body.startsWith("held")) {
-                arrived.release();
-                standing.acquireUninterruptibly();
+                callsReceived.release();
+                responsePermits.acquireUninterruptibly();
                 exchange.answer(200, "");
               } else if (body.startsWith("trail")) {
                 exchange.answer(200, "");
-                arrived.release();
-                standing.acquireUninterruptibly();
+                callsReceived.release();
+                responsePermits.acquireUninterruptibly();
                 exchange
                     .channel()
                     .pipeline()
@@ -103,10 +103,10 @@
                         Unpooled.copiedBuffer(
                             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
                             StandardCharsets.US_ASCII));
-                trailed.release();
+                surplusResponsesSent.release();
               } else if (body.startsWith("[")) {
-                arrived.release();
-                standing.acquireUninterruptibly();
+                callsReceived.release();
+                responsePermits.acquireUninterruptibly();
                 exchange.answer(
                     200,
                     "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"patient\",\"state\":\"accepted\"}]");
@@ -127,7 +127,7 @@
               final Dispatcher.Attempt parcel,
               final Dispatcher.Call call,
               final Dispatcher.DispatchOutcome answer) {
-            told.add(answer.result());
+            reportedResults.add(answer.result());
           }
 
           @Override
@@ -142,21 +142,22 @@
         };
     CompletableFuture.runAsync(
             () -> {
-              carrier =
-                  new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-              carrier.updateEndpoint(
+              dispatcher =
+                  new HttpDispatcher(
+                      config, loop, clock, turns, listener, new Descriptors(100, 100));
+              dispatcher.updateEndpoint(
                   new Endpoint(1, EndpointState.LISTED, "a", 0, 0, 1),
                   false,
                   new InetSocketAddress("127.0.0.1", server.port()));
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
-  void end() {
+  void stopDispatcher() {
     // Whoever still holds a call lets it go: else the loop never ends.
-    standing.release(100);
+    responsePermits.release(100);
     server.close();
     servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
@@ -164,7 +165,7 @@
 
   private void call(final String id, final long timeoutUs) throws Exception {
     final Dispatcher.Attempt parcel =
-        new Waiting(
+        new TestParcel(
             new StoredMessage(
                 id,
                 "safe",
@@ -175,8 +176,8 @@
             timeoutUs,
             Long.MAX_VALUE,
             clock.nowUs() + 9 * SECOND_US);
-    CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, List.of(parcel))), loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+    CompletableFuture.runAsync(() -> dispatcher.start(dispatcher.prepare(1, List.of(parcel))), loop)
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   /**
@@ -184,36 +185,38 @@
    * without a rest.
    */
   @Test
-  void aTimerOfACallThatIsOverDoesNotKeepTheLoopBusy() throws Exception {
+  void timerOfCompletedCall_doesNotSpinTheLoop() throws Exception {
     call("well", SECOND_US);
-    assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptResult.DELIVERED, reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS));
     call("silent", 5 * SECOND_US / 2);
-    final long before = turned.get();
-    assertEquals(AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    final long before = polls.get();
+    assertEquals(AttemptResult.TIMED_OUT, reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS));
     assertTrue(
-        turned.get() - before < 200, turned.get() - before + " turns of the loop for one time-out");
+        polls.get() - before < 200, polls.get() - before + " turns of the loop for one time-out");
   }
 
   /** A loop that stood still while the answer came reads it before it judges. */
   @Test
-  void anAnswerThatLiesUnreadCountsBeforeItsTimeOut() throws Exception {
+  void unreadResponse_isReadBeforeTimeout() throws Exception {
     call("well-0", 2 * SECOND_US);
-    assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptResult.DELIVERED, reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS));
     for (int round = 1; round <= 10; round++) {
       call("held-" + round, 80_000);
-      assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+      assertTrue(callsReceived.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the call comes");
       CompletableFuture.runAsync(
               () -> {
-                standing.release();
+                responsePermits.release();
                 final long untilUs = clock.nowUs() + 120_000;
                 while (clock.nowUs() < untilUs) {
                   Thread.onSpinWait();
                 }
               },
               loop)
-          .get(PATIENCE_S, TimeUnit.SECONDS);
+          .get(TIMEOUT_S, TimeUnit.SECONDS);
       assertEquals(
-          AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.DELIVERED,
+          reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS),
+          "round " + round);
     }
   }
 
@@ -222,13 +225,13 @@
    * not the next call's.
    */
   @Test
-  void whatTrailsAnAnswerIsNoOtherCallsAnswer() throws Exception {
+  void surplusResponse_neverAnswersNextCall() throws Exception {
     for (int round = 0; round < 5; round++) {
       call("trail", 2 * SECOND_US);
-      assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-      assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+      assertEquals(AttemptResult.DELIVERED, reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS));
+      assertTrue(callsReceived.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the call comes");
       final Dispatcher.Attempt next =
-          new Waiting(
+          new TestParcel(
               new StoredMessage(
                   "silent",
                   "safe",
@@ -241,18 +244,20 @@
               clock.nowUs() + 9 * SECOND_US);
       CompletableFuture.runAsync(
               () -> {
-                standing.release();
-                trailed.acquireUninterruptibly();
+                responsePermits.release();
+                surplusResponsesSent.acquireUninterruptibly();
                 final long untilUs = clock.nowUs() + 20_000;
                 while (clock.nowUs() < untilUs) {
                   Thread.onSpinWait();
                 }
-                carrier.start(carrier.prepare(1, List.of(next)));
+                dispatcher.start(dispatcher.prepare(1, List.of(next)));
               },
               loop)
-          .get(PATIENCE_S, TimeUnit.SECONDS);
+          .get(TIMEOUT_S, TimeUnit.SECONDS);
       assertEquals(
-          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.TIMED_OUT,
+          reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS),
+          "round " + round);
     }
   }
 
@@ -261,10 +266,10 @@
    * the call would run unheard.
    */
   @Test
-  void aCallWhoseTimeIsUpBeforeItsFirstByteIsNotSent() throws Exception {
+  void callExpiredBeforeFirstByte_isNotSent() throws Exception {
     for (int round = 0; round < 5; round++) {
       final Dispatcher.Attempt late =
-          new Waiting(
+          new TestParcel(
               new StoredMessage(
                   "held",
                   "safe",
@@ -277,21 +282,23 @@
               clock.nowUs() + 9 * SECOND_US);
       CompletableFuture.runAsync(
               () -> {
-                carrier.start(carrier.prepare(1, List.of(late)));
+                dispatcher.start(dispatcher.prepare(1, List.of(late)));
                 final long untilUs = clock.nowUs() + 100_000;
                 while (clock.nowUs() < untilUs) {
                   Thread.onSpinWait();
                 }
               },
               loop)
-          .get(PATIENCE_S, TimeUnit.SECONDS);
+          .get(TIMEOUT_S, TimeUnit.SECONDS);
       assertEquals(
-          AttemptResult.NOT_SENT, told.poll(PATIENCE_S, TimeUnit.SECONDS), "round " + round);
+          AttemptResult.NOT_SENT,
+          reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS),
+          "round " + round);
       // One loop serves there: what came before this one would have been seen.
       call("well", 2 * SECOND_US);
-      assertEquals(AttemptResult.DELIVERED, told.poll(PATIENCE_S, TimeUnit.SECONDS));
-      assertEquals(0, arrived.availablePermits(), "it came all the same");
-      carrierIdle();
+      assertEquals(AttemptResult.DELIVERED, reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS));
+      assertEquals(0, callsReceived.availablePermits(), "it came all the same");
+      closeIdleConnections();
     }
   }
 
@@ -301,12 +308,12 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void anAnswerThatIsReadAfterAMessagesTimeIsNoDelivery(final boolean several) throws Exception {
+  void responseReadAfterMessageExpiry_isNotDelivery(final boolean several) throws Exception {
     final long nowUs = clock.nowUs();
     final long briefUs = nowUs + SECOND_US / 2;
     final List<Dispatcher.Attempt> parcels = new ArrayList<>();
     parcels.add(
-        new Waiting(
+        new TestParcel(
             new StoredMessage(
                 "held", "safe", "held", 1, briefUs, "held".getBytes(StandardCharsets.UTF_8)),
             5 * SECOND_US,
@@ -314,7 +321,7 @@
             briefUs));
     if (several) {
       parcels.add(
-          new Waiting(
+          new TestParcel(
               new StoredMessage(
                   "patient",
                   "safe",
@@ -326,27 +333,29 @@
               Long.MAX_VALUE,
               nowUs + 9 * SECOND_US));
     }
-    CompletableFuture.runAsync(() -> carrier.start(carrier.prepare(1, parcels)), loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
-    assertTrue(arrived.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the call comes");
+    CompletableFuture.runAsync(() -> dispatcher.start(dispatcher.prepare(1, parcels)), loop)
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
+    assertTrue(callsReceived.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the call comes");
     CompletableFuture.runAsync(
             () -> {
-              standing.release();
+              responsePermits.release();
               while (clock.nowUs() <= briefUs + 100_000) {
                 Thread.onSpinWait();
               }
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
     for (final Dispatcher.Attempt parcel : parcels) {
       assertEquals(
-          AttemptResult.TIMED_OUT, told.poll(PATIENCE_S, TimeUnit.SECONDS), parcel.message().id());
+          AttemptResult.TIMED_OUT,
+          reportedResults.poll(TIMEOUT_S, TimeUnit.SECONDS),
+          parcel.message().id());
     }
   }
 
   /** Closes what is kept, so that the next call needs a connection of its own. */
-  private void carrierIdle() throws Exception {
-    CompletableFuture.runAsync(() -> carrier.closeIdleConnections(1), loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+  private void closeIdleConnections() throws Exception {
+    CompletableFuture.runAsync(() -> dispatcher.closeIdleConnections(1), loop)
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/LateCallTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateDispatchTest.java
@@ -41,13 +41,13 @@
  * A decision that is carried out too late: what must not go any more by then does not, and the rest
  * does.
  */
-final class LateCallTest {
-  private static final long PATIENCE_S = 10;
+final class LateDispatchTest {
+  private static final long TIMEOUT_S = 10;
   private static final long SECOND_US = 1_000_000;
-  private static final long TIMEOUT_US = 60 * SECOND_US;
-  private static final long DEST = 7;
+  private static final long CALL_TIMEOUT_US = 60 * SECOND_US;
+  private static final long DESTINATION = 7;
 
-  private record Told(String id, AttemptResult result) {}
+  private record ReportedOutcome(String id, AttemptResult result) {}
 
   private final Clock clock = new Clock();
   private final LoopTurns turns = new LoopTurns(clock);
@@ -57,40 +57,43 @@
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
   private final EventLoop loop = group.next();
-  private final List<String> came = new CopyOnWriteArrayList<>();
+  private final List<String> receivedBodies = new CopyOnWriteArrayList<>();
 
   /** The courier has closed the connection of a call that is not answered. */
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch bulkConnectionClosed = new CountDownLatch(1);
 
-  private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Long> waits = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ReportedOutcome> outcomes = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Long> retryAfterReports = new LinkedBlockingQueue<>();
 
   /** A call that is answered by the test. */
-  private final BlockingQueue<HttpExchange> open = new LinkedBlockingQueue<>();
+  private final BlockingQueue<HttpExchange> unansweredExchanges = new LinkedBlockingQueue<>();
 
   private HttpStandIn server;
-  private HttpCarrier carrier;
+  private HttpDispatcher dispatcher;
 
-  private record Late(StoredMessage message, long latestSendUs, long messageDeadlineUs)
+  private record TestParcel(StoredMessage message, long latestSendUs, long messageDeadlineUs)
       implements Dispatcher.Attempt {
     @Override
     public long timeoutUs() {
-      return TIMEOUT_US;
+      return CALL_TIMEOUT_US;
     }
   }
 
   @BeforeEach
-  void begin(@TempDir final Path folder) throws Exception {
+  void startDispatcher(@TempDir final Path folder) throws Exception {
     server =
         new HttpStandIn(
             servers,
             new InetSocketAddress("127.0.0.1", 0),
             exchange -> {
-              came.add(new String(exchange.body(), StandardCharsets.UTF_8));
-              if (came.contains("open")) {
-                open.add(exchange);
+              receivedBodies.add(new String(exchange.body(), StandardCharsets.UTF_8));
+              if (receivedBodies.contains("open")) {
+                unansweredExchanges.add(exchange);
               } else if (exchange.path().equals("/inbox/bulk")) {
-                exchange.channel().closeFuture().addListener(closed -> ended.countDown());
+                exchange
+                    .channel()
+                    .closeFuture()
+                    .addListener(closed -> bulkConnectionClosed.countDown());
               } else {
                 exchange.answer(200, "");
               }
@@ -110,15 +113,15 @@
               final Dispatcher.Attempt parcel,
               final Dispatcher.Call call,
               final Dispatcher.DispatchOutcome answer) {
-            told.add(new Told(parcel.message().id(), answer.result()));
+            outcomes.add(new ReportedOutcome(parcel.message().id(), answer.result()));
             if (answer.retryAfterUs() > 0) {
-              waits.add(answer.retryAfterUs());
+              retryAfterReports.add(answer.retryAfterUs());
             }
           }
 
           @Override
           public void onRetryAfter(final long endpoint, final long waitUs) {
-            waits.add(waitUs);
+            retryAfterReports.add(waitUs);
           }
 
           @Override
@@ -128,24 +131,25 @@
         };
     CompletableFuture.runAsync(
             () -> {
-              carrier =
-                  new HttpCarrier(config, loop, clock, turns, listener, new Descriptors(100, 100));
-              list(EndpointState.LISTED);
+              dispatcher =
+                  new HttpDispatcher(
+                      config, loop, clock, turns, listener, new Descriptors(100, 100));
+              updateEndpoint(EndpointState.LISTED);
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
-  void end() {
+  void stopDispatcher() {
     server.close();
     servers.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
   }
 
-  private void list(final EndpointState condition) {
-    carrier.updateEndpoint(
-        new Endpoint(1, condition, "a", 0, 0, DEST),
+  private void updateEndpoint(final EndpointState condition) {
+    dispatcher.updateEndpoint(
+        new Endpoint(1, condition, "a", 0, 0, DESTINATION),
         false,
         new InetSocketAddress("127.0.0.1", server.port()));
   }
@@ -156,8 +160,9 @@
 
   private Dispatcher.Attempt parcel(
       final String id, final long goesUntilUs, final long validUntilUs) {
-    return new Late(
-        new StoredMessage(id, "keyed", id, DEST, validUntilUs, id.getBytes(StandardCharsets.UTF_8)),
+    return new TestParcel(
+        new StoredMessage(
+            id, "keyed", id, DESTINATION, validUntilUs, id.getBytes(StandardCharsets.UTF_8)),
         goesUntilUs,
         validUntilUs);
   }
@@ -170,47 +175,47 @@
       throws Exception {
     CompletableFuture.runAsync(
             () -> {
-              carrier.start(carrier.prepare(1, List.of(parcels)));
+              dispatcher.start(dispatcher.prepare(1, List.of(parcels)));
               while (clock.nowUs() <= heldUpUntilUs) {
                 Thread.onSpinWait();
               }
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  private Told told() throws InterruptedException {
-    return told.poll(PATIENCE_S, TimeUnit.SECONDS);
+  private ReportedOutcome awaitOutcome() throws InterruptedException {
+    return outcomes.poll(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @Test
-  void aKeyThatIsForgottenWhileTheConnectionIsMadeDoesNotGo() throws Exception {
+  void idempotencyKeyExpiredDuringConnect_isNotSent() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", untilUs));
-    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
+    assertEquals(new ReportedOutcome("late", AttemptResult.NOT_SENT), awaitOutcome());
     // The connection that was made for it is closed, or serves what comes next; nothing of the late
     // one is in it.
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
-    assertEquals(List.of("next"), came);
+    assertEquals(new ReportedOutcome("next", AttemptResult.DELIVERED), awaitOutcome());
+    assertEquals(List.of("next"), receivedBodies);
   }
 
   @Test
-  void whatIsLateAlreadyDoesNotGoOverAKeptConnectionEither() throws Exception {
+  void expiredCall_isNotSentOverIdleConnection() throws Exception {
     call(0, parcel("first", Long.MAX_VALUE));
-    assertEquals(new Told("first", AttemptResult.DELIVERED), told());
+    assertEquals(new ReportedOutcome("first", AttemptResult.DELIVERED), awaitOutcome());
     call(0, parcel("late", clock.nowUs() - 1));
-    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
-    assertEquals(List.of("first"), came);
+    assertEquals(new ReportedOutcome("late", AttemptResult.NOT_SENT), awaitOutcome());
+    assertEquals(List.of("first"), receivedBodies);
   }
 
   @Test
-  void aLateOneDoesNotKeepOthersOfItsCall() throws Exception {
+  void expiredParcel_doesNotBlockOthersOfItsCall() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", untilUs), parcel("free", Long.MAX_VALUE));
-    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
-    assertEquals(new Told("free", AttemptResult.DELIVERED), told());
-    assertEquals(List.of("free"), came);
+    assertEquals(new ReportedOutcome("late", AttemptResult.NOT_SENT), awaitOutcome());
+    assertEquals(new ReportedOutcome("free", AttemptResult.DELIVERED), awaitOutcome());
+    assertEquals(List.of("free"), receivedBodies);
   }
 
   /**
@@ -218,14 +223,14 @@
    * the other may go at once.
    */
   @Test
-  void aCallDoesNotGoOnceTheTimeOfOneOfItsMessagesIsUp() throws Exception {
+  void callWithOneExpiredMessage_isNotSent() throws Exception {
     final long untilUs = clock.nowUs() + 20_000;
     call(untilUs, parcel("late", Long.MAX_VALUE, untilUs), parcel("free", Long.MAX_VALUE));
-    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
-    assertEquals(new Told("free", AttemptResult.NOT_SENT), told());
+    assertEquals(new ReportedOutcome("late", AttemptResult.NOT_SENT), awaitOutcome());
+    assertEquals(new ReportedOutcome("free", AttemptResult.NOT_SENT), awaitOutcome());
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
-    assertEquals(List.of("next"), came);
+    assertEquals(new ReportedOutcome("next", AttemptResult.DELIVERED), awaitOutcome());
+    assertEquals(List.of("next"), receivedBodies);
   }
 
   /**
@@ -233,14 +238,14 @@
    * others would wait.
    */
   @Test
-  void aCallEndsWithTheTimeOfTheFirstOfItsMessages() throws Exception {
+  void call_timesOutWithItsFirstMessage() throws Exception {
     call(
         0,
         parcel("brief", Long.MAX_VALUE, clock.nowUs() + SECOND_US / 2),
-        parcel("patient", Long.MAX_VALUE, clock.nowUs() + TIMEOUT_US));
-    assertEquals(new Told("brief", AttemptResult.TIMED_OUT), told());
-    assertEquals(new Told("patient", AttemptResult.TIMED_OUT), told());
-    assertTrue(ended.await(PATIENCE_S, TimeUnit.SECONDS), "its connection is closed");
+        parcel("patient", Long.MAX_VALUE, clock.nowUs() + CALL_TIMEOUT_US));
+    assertEquals(new ReportedOutcome("brief", AttemptResult.TIMED_OUT), awaitOutcome());
+    assertEquals(new ReportedOutcome("patient", AttemptResult.TIMED_OUT), awaitOutcome());
+    assertTrue(bulkConnectionClosed.await(TIMEOUT_S, TimeUnit.SECONDS), "its connection is closed");
   }
 
   /**
@@ -249,24 +254,24 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatWasDecidedBeforeADrainDoesNotGoAfterIt(final boolean gone) throws Exception {
+  void callPreparedBeforeDrain_isNotSentAfterIt(final boolean gone) throws Exception {
     CompletableFuture.runAsync(
             () -> {
-              carrier.start(carrier.prepare(1, List.of(parcel("late", Long.MAX_VALUE))));
+              dispatcher.start(dispatcher.prepare(1, List.of(parcel("late", Long.MAX_VALUE))));
               if (gone) {
-                carrier.removeEndpoint(1);
+                dispatcher.removeEndpoint(1);
               } else {
-                list(EndpointState.DRAINING);
+                updateEndpoint(EndpointState.DRAINING);
               }
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
-    assertEquals(new Told("late", AttemptResult.NOT_SENT), told());
-    CompletableFuture.runAsync(() -> list(EndpointState.LISTED), loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
+    assertEquals(new ReportedOutcome("late", AttemptResult.NOT_SENT), awaitOutcome());
+    CompletableFuture.runAsync(() -> updateEndpoint(EndpointState.LISTED), loop)
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
     call(0, parcel("next", Long.MAX_VALUE));
-    assertEquals(new Told("next", AttemptResult.DELIVERED), told());
-    assertEquals(List.of("next"), came);
+    assertEquals(new ReportedOutcome("next", AttemptResult.DELIVERED), awaitOutcome());
+    assertEquals(List.of("next"), receivedBodies);
   }
 
   /**
@@ -274,40 +279,40 @@
    * tells binds.
    */
   @Test
-  void aWaitThatIsToldToACallThatIsGivenUpIsHeeded() throws Exception {
+  void retryAfterOfAbandonedCall_isReported() throws Exception {
     final Dispatcher.Attempt parcel = parcel("open", Long.MAX_VALUE);
     final Dispatcher.Call call =
         CompletableFuture.supplyAsync(
                 () -> {
-                  final Dispatcher.Call made = carrier.prepare(1, List.of(parcel));
-                  carrier.start(made);
+                  final Dispatcher.Call made = dispatcher.prepare(1, List.of(parcel));
+                  dispatcher.start(made);
                   return made;
                 },
                 loop)
-            .get(PATIENCE_S, TimeUnit.SECONDS);
-    final HttpExchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+            .get(TIMEOUT_S, TimeUnit.SECONDS);
+    final HttpExchange exchange = unansweredExchanges.poll(TIMEOUT_S, TimeUnit.SECONDS);
     CompletableFuture.runAsync(
             () -> {
               exchange.answer(429, "", "Retry-After", "1.5").syncUninterruptibly();
-              carrier.abandon(call, AttemptResult.TIMED_OUT);
+              dispatcher.abandon(call, AttemptResult.TIMED_OUT);
             },
             loop)
-        .get(PATIENCE_S, TimeUnit.SECONDS);
-    assertEquals(new Told("open", AttemptResult.TIMED_OUT), told());
-    assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
+    assertEquals(new ReportedOutcome("open", AttemptResult.TIMED_OUT), awaitOutcome());
+    assertEquals(3 * SECOND_US / 2, retryAfterReports.poll(TIMEOUT_S, TimeUnit.SECONDS));
   }
 
   /** The same of an answer whose head is whole and whose rest never comes. */
   @Test
-  void aWaitInAnAnswerThatStopsShortIsHeeded() throws Exception {
+  void retryAfterOfTruncatedResponse_isReported() throws Exception {
     call(0, parcel("open", Long.MAX_VALUE));
-    final HttpExchange exchange = open.poll(PATIENCE_S, TimeUnit.SECONDS);
+    final HttpExchange exchange = unansweredExchanges.poll(TIMEOUT_S, TimeUnit.SECONDS);
     exchange
         .raw(
             "HTTP/1.1 429 X\r\nRetry-After: 1.5\r\nContent-Length: 10\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII))
         .addListener(written -> exchange.channel().close());
-    assertEquals(new Told("open", AttemptResult.RESET), told());
-    assertEquals(3 * SECOND_US / 2, waits.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(new ReportedOutcome("open", AttemptResult.RESET), awaitOutcome());
+    assertEquals(3 * SECOND_US / 2, retryAfterReports.poll(TIMEOUT_S, TimeUnit.SECONDS));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/DeadConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
@@ -19,7 +19,7 @@
  * only.
  */
 @Tag("connections")
-final class DeadConnectionTest {
+final class StaleConnectionTest {
   private static final long TIMEOUT_MS = 4000;
 
   /**
@@ -27,7 +27,7 @@
    * long.
    */
   @Test
-  void deadConnectionsHoldUpNothing(@TempDir final Path folder) throws Exception {
+  void staleConnections_doNotDelayDeliveries(@TempDir final Path folder) throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 5)) {
       final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(1));
       for (final StandInEndpoint endpoint : endpoints) {
--- /dev/null
+++ b/courier/src/test/java/thistleturn/courier/http/SubmitRequestTest.java
@@ -0,0 +1,22 @@
+package thistleturn.courier.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** How long a message that is handed in may still be delivered. */
+final class SubmitRequestTest {
+  @Test
+  void remainingTime_deductsTransitTime() {
+    assertEquals(4_800_000, SubmitRequest.remainingTimeUs(5000, 12_000_000));
+    assertEquals(
+        11_800_000,
+        SubmitRequest.remainingTimeUs(99_000, 12_000_000),
+        "no longer than its class may take");
+    assertEquals(
+        300_000,
+        SubmitRequest.remainingTimeUs(400, 12_000_000),
+        "a short time is not used up by the margin");
+    assertEquals(0, SubmitRequest.remainingTimeUs(0, 12_000_000));
+  }
+}
--- a/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
@@ -52,8 +52,8 @@
             + "{\"id\":\"m3\",\"status\":\"deferred\"}\n";
     final CompletableFuture<List<StoredMessage>> confirmed = new CompletableFuture<>();
     try (ServerSocket platform = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-      final Notices notices =
-          new Notices(
+      final HttpOutcomeNotifier notices =
+          new HttpOutcomeNotifier(
               new InetSocketAddress("127.0.0.1", platform.getLocalPort()),
               loops.next(),
               clock,
--- a/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.transport.Connector;
-import thistleturn.courier.transport.NoSocketException;
+import thistleturn.courier.transport.SocketUnavailableException;
 
 /**
  * One call to a registry, on a connection of its own: it ends once, within its time, and reads no
@@ -122,7 +122,7 @@
                     }
                   })
               .channel();
-    } catch (final NoSocketException e) {
+    } catch (final SocketUnavailableException e) {
       request.release();
       loop.execute(() -> call.fail(e.getMessage()));
     }
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import thistleturn.courier.ExtensionContext;
-import thistleturn.courier.platform.Discovery;
+import thistleturn.courier.platform.DiscoveryClient;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Config;
@@ -79,7 +79,7 @@
     final Config config = Config.read(world.environment(CourierFiles.Size.usual()));
     loop.submit(
             () -> {
-              directory = new Discovery(config, loop, clock, turns);
+              directory = new DiscoveryClient(config, loop, clock, turns);
               if (kind == Kind.MERGED) {
                 directory =
                     new MergedDirectory(
--- a/peers/src/main/java/thistleturn/peers/Connections.java
+++ b/peers/src/main/java/thistleturn/peers/Connections.java
@@ -24,9 +24,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import thistleturn.courier.transport.AcceptRetry;
+import thistleturn.courier.transport.AcceptRetryHandler;
 import thistleturn.courier.transport.Connector;
-import thistleturn.courier.transport.NoSocketException;
+import thistleturn.courier.transport.SocketUnavailableException;
 import thistleturn.decisions.peers.FullStateMessage;
 import thistleturn.decisions.peers.PeerId;
 
@@ -90,7 +90,7 @@
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
-            .handler(new AcceptRetry())
+            .handler(new AcceptRetryHandler())
             .option(ChannelOption.SO_REUSEADDR, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -202,7 +202,7 @@
                       }
                     })
                 .channel();
-      } catch (final NoSocketException e) {
+      } catch (final SocketUnavailableException e) {
         // Our own doing: nothing is said of the other side.
         loop.execute(() -> end(false));
       }
