--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Future;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInEndpoint.Manner;
 import thistleturn.testkit.StandInRegistry;
@@ -80,7 +80,7 @@
     return broken == 0 ? 0 : 1;
   }
 
-  private static Run run(final long seed) throws IOException, Config.BadConfigException {
+  private static Run run(final long seed) throws IOException, ConfigurationException {
     try (World world = new World(seed)) {
       final var standIns = world.standIns();
       final StandInEndpoint draining = standIns.endpoint(1);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInEndpoint.Manner;
 import thistleturn.testkit.StandInRegistry;
@@ -60,7 +60,7 @@
   }
 
   private int row(final String name, final Outage outage)
-      throws IOException, Config.BadConfigException {
+      throws IOException, ConfigurationException {
     try (World world = new World(1)) {
       final StandInWorld standIns = world.standIns();
       final StandInEndpoint[] endpoints = new StandInEndpoint[4];
--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/World.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import thistleturn.courier.CourierServer;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrySettings;
@@ -35,7 +35,7 @@
   }
 
   /** Starts the courier; the registry is asked at that period. */
-  void start(final long periodUs) throws IOException, Config.BadConfigException {
+  void start(final long periodUs) throws IOException, ConfigurationException {
     final RegistrySettings registry =
         new RegistrySettings(
             "registry",
--- a/cli/src/main/java/thistleturn/cli/CheckCommand.java
+++ b/cli/src/main/java/thistleturn/cli/CheckCommand.java
@@ -39,7 +39,10 @@
                 + "; peers "
                 + (config.peers() == null
                     ? "off"
-                    : config.peers().listen() + ", " + config.peers().seeds().size() + " seeds")
+                    : config.peers().listenAddress()
+                        + ", "
+                        + config.peers().seeds().size()
+                        + " seeds")
                 + ")");
     return 0;
   }
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import thistleturn.courier.CourierServer;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrySettings;
@@ -68,7 +68,7 @@
   @Spec private CommandSpec spec;
 
   @Override
-  public Integer call() throws IOException, Config.BadConfigException {
+  public Integer call() throws IOException, ConfigurationException {
     if (seconds < 4 || seconds > 3600 || rate < 1 || rate > 10_000) {
       throw new IllegalArgumentException("--seconds is from 4 to 3600 and --rate from 1 to 10000");
     }
@@ -82,7 +82,7 @@
     }
   }
 
-  private int run(final StandInWorld world) throws IOException, Config.BadConfigException {
+  private int run(final StandInWorld world) throws IOException, ConfigurationException {
     final PrintWriter out = spec.commandLine().getOut();
     final List<StandInEndpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < 6; index++) {
--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -59,11 +59,11 @@
       pages.put("/members", membership::status);
     }
     if (replicas != null) {
-      replicas.surroundings(surroundings);
+      replicas.setSurroundings(surroundings);
       pages.put("/state", replicas::status);
     }
     if (peers != null) {
-      peers.begin(surroundings);
+      peers.join(surroundings);
       pages.put("/peers", peers::status);
     }
     if (config.admin() != null) {
--- a/cli/src/main/java/thistleturn/cli/ServeCommand.java
+++ b/cli/src/main/java/thistleturn/cli/ServeCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.cli.config.ProductConfig;
 import thistleturn.courier.CourierOptions;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 
 /** Runs a courier until it is ended. */
 @Command(
@@ -30,7 +30,7 @@
   private Path file;
 
   @Override
-  public Integer call() throws IOException, Config.BadConfigException {
+  public Integer call() throws IOException, ConfigurationException {
     if (file == null) {
       thistleturn.courier.Main.serve(System.getenv(), null, CourierOptions.platformDefaults());
       return SERVES;
--- a/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
+++ b/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
@@ -16,7 +16,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import thistleturn.courier.CourierOptions;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.decisions.peers.GossipSettings;
 import thistleturn.decisions.replicas.ReplicationSettings;
@@ -130,7 +130,7 @@
   /** The address that a text names, or null if that is none on loopback. */
   private static InetSocketAddress loopback(final String text) {
     try {
-      final InetSocketAddress address = Config.address("listen", text);
+      final InetSocketAddress address = CourierConfig.parseAddress("listen", text);
       return !address.isUnresolved() && address.getAddress().isLoopbackAddress() ? address : null;
     } catch (final IllegalArgumentException e) {
       return null;
@@ -166,11 +166,11 @@
             "loopback addresses with their ports, such as 127.0.0.1:7081");
       }
     }
-    if (enabled && key.length() < PeersSettings.LEAST_KEY) {
+    if (enabled && key.length() < PeersSettings.MIN_KEY_LENGTH) {
       throw table.wrong(
           "fleet-key",
           "(" + key.length() + " letters)",
-          "a text of at least " + PeersSettings.LEAST_KEY + " letters");
+          "a text of at least " + PeersSettings.MIN_KEY_LENGTH + " letters");
     }
     return enabled
         ? new PeersSettings(
--- a/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
+++ b/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import thistleturn.courier.runtime.ConfigurationException;
 
 /**
  * One run of a courier at the build, so that the Java machine can write down the classes that it
@@ -24,9 +25,7 @@
 
   /** Runs a courier in the folder given, hands in one message, and ends. */
   public static void main(final String[] args)
-      throws IOException,
-          InterruptedException,
-          thistleturn.courier.runtime.Config.BadConfigException {
+      throws IOException, InterruptedException, ConfigurationException {
     final Path folder = Files.createDirectories(Path.of(args[0]));
     final int port;
     final int operatorPort;
--- a/courier/src/main/java/thistleturn/courier/CourierServer.java
+++ b/courier/src/main/java/thistleturn/courier/CourierServer.java
@@ -20,16 +20,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
-import thistleturn.courier.handover.Elder;
-import thistleturn.courier.handover.Giver;
-import thistleturn.courier.handover.Heir;
-import thistleturn.courier.handover.Inheritance;
-import thistleturn.courier.handover.Predecessor;
-import thistleturn.courier.handover.Remote;
+import thistleturn.courier.handover.HandoverClient;
+import thistleturn.courier.handover.HandoverServer;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.HandoverSource;
+import thistleturn.courier.handover.RemoteCallExecutor;
 import thistleturn.courier.handover.StateLock;
+import thistleturn.courier.handover.Successor;
 import thistleturn.courier.http.HttpDispatcher;
 import thistleturn.courier.http.HttpIngress;
 import thistleturn.courier.journal.Journal;
+import thistleturn.courier.learned.LearnedStateFile;
+import thistleturn.courier.learned.LearnedStateWriter;
 import thistleturn.courier.operator.AdminOperations;
 import thistleturn.courier.operator.CourierMetrics;
 import thistleturn.courier.operator.DisabledEndpointsFile;
@@ -45,19 +47,19 @@
 import thistleturn.courier.port.StateObserver;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Descriptors;
+import thistleturn.courier.runtime.ConfigurationException;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.DescriptorBudget;
 import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.courier.runtime.LoopTurns;
-import thistleturn.courier.runtime.Passing;
+import thistleturn.courier.runtime.PermanentFailureException;
+import thistleturn.courier.runtime.PollTracker;
+import thistleturn.courier.runtime.TransientFailures;
 import thistleturn.courier.shard.CapacityExchange;
 import thistleturn.courier.shard.ShardJournals;
 import thistleturn.courier.shard.ShardedIngressHandler;
 import thistleturn.courier.shard.SharedDirectory;
-import thistleturn.courier.warm.LearntFile;
-import thistleturn.courier.warm.LearntKeeper;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.MessageClass;
@@ -112,13 +114,13 @@
   private final Map<String, String> environment;
   private final CourierExtension extension;
   private final CourierOptions tuning;
-  private final Config config;
+  private final CourierConfig config;
 
   /**
    * What was read last, at the start or on SIGHUP: of it only the platform's address counts in this
    * process.
    */
-  private volatile Config latestConfig;
+  private volatile CourierConfig latestConfig;
 
   /** Null where operators have no address here. */
   private final Operators operators;
@@ -139,7 +141,7 @@
    * The older process that handed over to this one, or null; whether it was asked to leave the
    * clients' address before its time.
    */
-  private Predecessor predecessor;
+  private HandoverClient predecessor;
 
   private boolean askedForAddress;
   private boolean listening;
@@ -177,16 +179,16 @@
       final Map<String, String> environment,
       final CourierExtension extension,
       final CourierOptions tuning)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     this.environment = environment;
     this.extension = extension;
     this.tuning = tuning;
-    this.config = Config.read(environment);
+    this.config = CourierConfig.read(environment);
     this.latestConfig = config;
     final ResourceLimits limits = config.settings().limits();
     if (limits.concurrencyLimit() < tuning.shardCount()
         || limits.maxPendingMessages() < tuning.shardCount()) {
-      throw new Config.BadConfigException(
+      throw new ConfigurationException(
           "shards: "
               + tuning.shardCount()
               + " of them need at least as many slots ("
@@ -199,7 +201,7 @@
       shards.add(new Shard());
     }
     this.loop = shards.get(0).loop;
-    this.operators = config.operator() == null ? null : new Operators();
+    this.operators = config.operatorAddress() == null ? null : new Operators();
     // From here on each step opens something; one that fails has those before it undone, the last
     // one first.
     try {
@@ -231,10 +233,10 @@
    * for that.
    */
   private void lockFolder() throws IOException {
-    stateLock = StateLock.tryLock(config.state());
-    if (stateLock == null && (config.operator() == null || tuning.shardCount() > 1)) {
-      throw new Passing.LastingException(
-          config.state() + ": another courier that runs uses this folder");
+    stateLock = StateLock.tryLock(config.stateFolder());
+    if (stateLock == null && (config.operatorAddress() == null || tuning.shardCount() > 1)) {
+      throw new PermanentFailureException(
+          config.stateFolder() + ": another courier that runs uses this folder");
     }
     if (stateLock != null) {
       openJournals();
@@ -243,19 +245,19 @@
 
   private void openJournals() throws IOException {
     final List<Journal> journals =
-        ShardJournals.open(config.state(), config.diskBytes(), shards.size());
+        ShardJournals.open(config.stateFolder(), config.diskBudgetBytes(), shards.size());
     for (int index = 0; index < shards.size(); index++) {
       shards.get(index).journal = journals.get(index);
     }
   }
 
   /** What a newer process is handed: all that this one decides, and its journal. */
-  private final class Estate implements Giver {
+  private final class Estate implements HandoverSource {
     private final Shard only = shards.get(0);
 
     @Override
-    public Inheritance handOver(final Heir heir) throws IOException {
-      final Inheritance inheritance = only.host.handOver(heir);
+    public HandoverSnapshot handOver(final Successor heir) throws IOException {
+      final HandoverSnapshot inheritance = only.host.handOver(heir);
       // From here on the heir decides: what fails now must not keep it from that.
       only.journal.compactAndClose();
       close("unlocking the folder", stateLock);
@@ -264,19 +266,19 @@
     }
 
     @Override
-    public void abandon(final long call, final AttemptResult result) {
+    public void abandonCall(final long call, final AttemptResult result) {
       only.host.abandonHandedOverCall(call, result);
     }
 
     @Override
-    public void heirListens() {
+    public void onSuccessorListening() {
       listening = false;
       only.front.drainForHandover();
     }
 
     @Override
-    public void heirGone() {
-      takeUpAgain(LOCK_ATTEMPTS, clock.nowUs() + Passing.PATIENCE_US);
+    public void onSuccessorGone() {
+      takeUpAgain(LOCK_ATTEMPTS, clock.nowUs() + TransientFailures.RETRY_BUDGET_US);
     }
 
     /**
@@ -288,25 +290,27 @@
         return;
       }
       try {
-        stateLock = StateLock.tryLock(config.state());
+        stateLock = StateLock.tryLock(config.stateFolder());
         if (stateLock == null && tries > 0) {
           loop.schedule(
               () -> takeUpAgain(tries - 1, untilUs), SHUTDOWN_POLL_MS, TimeUnit.MILLISECONDS);
           return;
         }
         if (stateLock == null) {
-          throw new Passing.LastingException("another process holds " + config.state());
+          throw new PermanentFailureException("another process holds " + config.stateFolder());
         }
         openJournals();
         Log.info("the newer process has ended: this one takes up again");
         only.host = new Succession(only.host).next();
-        listen(0, config.listen());
+        listen(0, config.listenAddress());
       } catch (final IOException e) {
-        if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
+        if (TransientFailures.isTransient(e) && clock.nowUs() < untilUs) {
           Log.event(Event.START_RETRIED, "step", "take up again", "cause", e);
           unlock();
           loop.schedule(
-              () -> takeUpAgain(LOCK_ATTEMPTS, untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+              () -> takeUpAgain(LOCK_ATTEMPTS, untilUs),
+              TransientFailures.RETRY_DELAY_MS,
+              TimeUnit.MILLISECONDS);
           return;
         }
         Log.info("the newer process has ended, and so does this one: " + e.getMessage());
@@ -319,7 +323,7 @@
    * A host of this process that decides for one that had handed over, and goes on carrying out what
    * it has out.
    */
-  private final class Succession implements Heir, Remote {
+  private final class Succession implements Successor, RemoteCallExecutor {
     private final DecisionLoop before;
     private final DecisionLoop next;
 
@@ -340,9 +344,9 @@
     }
 
     @Override
-    public void offer(
+    public void submit(
         final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
-      next.offer(held, reply);
+      next.onMessageSubmitted(held, reply);
     }
 
     @Override
@@ -351,18 +355,18 @@
     }
 
     @Override
-    public void outcome(
+    public void reportOutcome(
         final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
-      next.remoteOutcome(messageId, answer);
+      next.onRemoteOutcome(messageId, answer);
     }
 
     @Override
-    public void serve(final Predecessor.Listener to) {
+    public void setListener(final HandoverClient.Listener to) {
       // It is the next host, and known.
     }
 
     @Override
-    public void abandon(final long call, final AttemptResult result) {
+    public void abandonCall(final long call, final AttemptResult result) {
       before.abandonHandedOverCall(call, result);
     }
   }
@@ -394,7 +398,7 @@
   /** What operators ask and tell, carried to all shards. Lives on the first one's loop. */
   private final class Operators implements AdminOperations {
     private final DisabledEndpointsFile file =
-        new DisabledEndpointsFile(config.state(), ProcessHandle.current().pid());
+        new DisabledEndpointsFile(config.stateFolder(), ProcessHandle.current().pid());
 
     @Override
     public boolean isServing() {
@@ -566,18 +570,18 @@
 
   /** One event loop with all that it owns. */
   private final class Shard implements DecisionLoop.Ports {
-    private final LoopTurns turns = new LoopTurns(clock);
+    private final PollTracker turns = new PollTracker(clock);
     private final EventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
     private final EventLoop loop = group.next();
-    private final Descriptors descriptors =
-        new Descriptors(
+    private final DescriptorBudget descriptors =
+        new DescriptorBudget(
             part(tuning.clientDescriptorShare()), part(tuning.endpointDescriptorShare()));
     private Journal journal;
 
     /** Where what was learnt is kept; null where it is not. */
-    private LearntFile learnt;
+    private LearnedStateFile learnt;
 
     private long keptTurns;
     private int looksSinceKept;
@@ -593,9 +597,9 @@
      * returns.
      */
     private void keepLearnt() {
-      final LearntKeeper keeper = new LearntKeeper(learnt, clock);
+      final LearnedStateWriter keeper = new LearnedStateWriter(learnt, clock);
       loop.scheduleWithFixedDelay(
-          LoopTasks.guarded(
+          GuardedTasks.guard(
               "what was learnt",
               () -> {
                 if (++looksSinceKept < POLLS_BETWEEN_SAVES
@@ -604,9 +608,9 @@
                 }
                 looksSinceKept = 0;
                 keptTurns = host.learnedStateVersion();
-                final Inheritance now = host.learnedState();
+                final HandoverSnapshot now = host.learnedState();
                 if (now != null) {
-                  keeper.keep(now);
+                  keeper.save(now);
                 }
               }),
           SHARED_STATE_POLL_MS,
@@ -615,7 +619,7 @@
     }
 
     private int part(final double share) {
-      return (int) Math.max(1, share * config.sockets() / tuning.shardCount());
+      return (int) Math.max(1, share * config.maxSockets() / tuning.shardCount());
     }
 
     @Override
@@ -625,7 +629,7 @@
 
     @Override
     public OutcomeNotifier outcomeNotifier(final OutcomeNotifier.Listener listener) {
-      return new HttpOutcomeNotifier(latestConfig.discovery(), loop, clock, turns, listener);
+      return new HttpOutcomeNotifier(latestConfig.discoveryAddress(), loop, clock, turns, listener);
     }
 
     @Override
@@ -635,26 +639,26 @@
 
     @Override
     public void afterPoll(final long us, final Runnable action) {
-      turns.afterLook(loop, us, action);
+      turns.runAfterPoll(loop, us, action);
     }
   }
 
   /**
    * Starts a courier with what the environment tells.
    *
-   * @throws Config.BadConfigException if the configuration cannot be used; one line that names what
-   *     is wrong
+   * @throws ConfigurationException if the configuration cannot be used; one line that names what is
+   *     wrong
    * @throws IOException if the journal cannot be opened
    */
   public static CourierServer start(final Map<String, String> environment)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     return start(environment, null);
   }
 
   /** Starts a courier with a subsystem beside the platform's own. */
   public static CourierServer start(
       final Map<String, String> environment, final CourierExtension extension)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     return start(environment, extension, CourierOptions.platformDefaults());
   }
 
@@ -663,7 +667,7 @@
       final Map<String, String> environment,
       final CourierExtension extension,
       final CourierOptions tuning)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     final CourierServer process =
         new CourierServer(environment, extension == null ? new NoExtension() : extension, tuning);
     process.loop.execute(
@@ -690,7 +694,7 @@
 
   /** Builds everything, each shard's part on its event loop, which owns it from then on. */
   private void startOnEventLoop() {
-    if (config.operator() != null) {
+    if (config.operatorAddress() != null) {
       listenToOperators();
     }
     platformDirectory =
@@ -713,7 +717,7 @@
 
   private void listenToOperators() {
     new OperatorServer(operators)
-        .listen(loop, config.operator())
+        .listen(loop, config.operatorAddress())
         .whenComplete(
             (bound, failure) -> {
               if (failure == null) {
@@ -729,9 +733,10 @@
    * start has failed.
    */
   private void retryOrFail(final String step, final Throwable failure, final Runnable action) {
-    if (Passing.mayPass(failure) && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
+    if (TransientFailures.isTransient(failure)
+        && clock.nowUs() < startedUs + TransientFailures.RETRY_BUDGET_US) {
       Log.event(Event.START_RETRIED, "step", step, "cause", failure);
-      loop.schedule(action, Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(action, TransientFailures.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     } else {
       serving.completeExceptionally(failure);
     }
@@ -749,15 +754,15 @@
    * ended meanwhile.
    */
   private void requestHandover() {
-    final AtomicReference<Predecessor> asked = new AtomicReference<>();
+    final AtomicReference<HandoverClient> asked = new AtomicReference<>();
     asked.set(
-        Predecessor.ask(
+        HandoverClient.requestHandover(
             loop,
-            config.state(),
+            config.stateFolder(),
             inheritance -> acceptHandover(inheritance, asked.get()),
             () -> {
               try {
-                stateLock = StateLock.tryLock(config.state());
+                stateLock = StateLock.tryLock(config.stateFolder());
                 if (stateLock != null) {
                   openJournals();
                   startShards(null, null);
@@ -771,11 +776,12 @@
             }));
   }
 
-  private void acceptHandover(final Inheritance inheritance, final Predecessor predecessor) {
+  private void acceptHandover(
+      final HandoverSnapshot inheritance, final HandoverClient predecessor) {
     try {
-      stateLock = StateLock.tryLock(config.state());
+      stateLock = StateLock.tryLock(config.stateFolder());
       if (stateLock == null) {
-        throw new IOException(config.state() + ": handed over, but still in use");
+        throw new IOException(config.stateFolder() + ": handed over, but still in use");
       }
       openJournals();
       startShards(inheritance, predecessor);
@@ -786,7 +792,7 @@
   }
 
   /** Begins to decide; where an older process handed over, with what it handed on. */
-  private void startShards(final Inheritance inheritance, final Predecessor from) {
+  private void startShards(final HandoverSnapshot inheritance, final HandoverClient from) {
     predecessor = from;
     final List<EventLoop> loops = shards.stream().map(shard -> shard.loop).toList();
     final SharedDirectory shared =
@@ -799,7 +805,8 @@
       final Shard shard = shards.get(index);
       shard.learnt =
           tuning.retainsLearnedState()
-              ? new LearntFile(config.state(), index, classes, config.diskBytes() / shards.size())
+              ? new LearnedStateFile(
+                  config.stateFolder(), index, classes, config.diskBudgetBytes() / shards.size())
               : null;
       shard.directory = shared == null ? platformDirectory : shared.view(index);
       built.add(
@@ -864,13 +871,13 @@
               serving.thenAccept(
                   bound -> {
                     if (from != null) {
-                      from.listening();
+                      from.announceListening();
                     }
                   });
-              listen(0, config.listen());
+              listen(0, config.listenAddress());
               if (operators != null) {
                 loop.scheduleWithFixedDelay(
-                    LoopTasks.guarded("who is left out", operators::look),
+                    GuardedTasks.guard("who is left out", operators::look),
                     SHARED_STATE_POLL_MS,
                     SHARED_STATE_POLL_MS,
                     TimeUnit.MILLISECONDS);
@@ -913,31 +920,37 @@
                 // It served before: nobody else would try again.
                 Log.event(Event.START_RETRIED, "step", "listen again", "cause", failure);
                 loop.schedule(
-                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+                    () -> listen(index, address),
+                    TransientFailures.RETRY_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
               } else if (failure != null
                   && predecessor != null
                   && !askedForAddress
-                  && Passing.isAddressTaken(failure)) {
+                  && TransientFailures.isAddressInUse(failure)) {
                 // Java looks once whether sockets may share an address, and takes a failure of that
                 // look for a no.
                 askedForAddress = true;
-                predecessor.listening();
+                predecessor.announceListening();
                 loop.schedule(
-                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+                    () -> listen(index, address),
+                    TransientFailures.RETRY_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
               } else if (failure != null
                   && askedForAddress
-                  && clock.nowUs() < startedUs + Passing.PATIENCE_US) {
+                  && clock.nowUs() < startedUs + TransientFailures.RETRY_BUDGET_US) {
                 loop.schedule(
-                    () -> listen(index, address), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+                    () -> listen(index, address),
+                    TransientFailures.RETRY_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
               } else if (failure != null) {
                 retryOrFail(
                     "listen",
                     new IOException(
-                        "cannot listen on " + config.listen() + ": " + failure.getMessage(),
+                        "cannot listen on " + config.listenAddress() + ": " + failure.getMessage(),
                         failure),
                     () -> listen(index, address));
               } else if (index + 1 < shards.size()) {
-                listen(index + 1, Config.address("listen", bound));
+                listen(index + 1, CourierConfig.parseAddress("listen", bound));
               } else {
                 Log.info(
                     config.name()
@@ -946,7 +959,7 @@
                         + (shards.size() > 1 ? " on " + shards.size() + " shards" : ""));
                 listening = true;
                 if (operators != null && shards.size() == 1) {
-                  new Elder(new Estate()).listen(loop, config.state());
+                  new HandoverServer(new Estate()).listen(loop, config.stateFolder());
                 }
                 extension.onServing(bound);
                 serving.complete(bound);
@@ -960,12 +973,12 @@
    * two signals in a row the later one's file counts. A file that cannot be used changes nothing.
    */
   public synchronized void reload() {
-    reload(clock.nowUs() + Passing.PATIENCE_US);
+    reload(clock.nowUs() + TransientFailures.RETRY_BUDGET_US);
   }
 
   private synchronized void reload(final long untilUs) {
     try {
-      final Config fresh = Config.read(environment);
+      final CourierConfig fresh = CourierConfig.read(environment);
       latestConfig = fresh;
       shards.forEach(
           shard ->
@@ -975,9 +988,10 @@
                       shard.host.reload(fresh);
                     }
                   }));
-    } catch (final Config.BadConfigException e) {
-      if (Passing.mayPass(e) && clock.nowUs() < untilUs) {
-        loop.schedule(() -> reload(untilUs), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+    } catch (final ConfigurationException e) {
+      if (TransientFailures.isTransient(e) && clock.nowUs() < untilUs) {
+        loop.schedule(
+            () -> reload(untilUs), TransientFailures.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         return;
       }
       Log.info("SIGHUP: the configuration stays as it was: " + e.getMessage());
@@ -1031,7 +1045,7 @@
     loop.schedule(
         only.front::drain, SHUTDOWN_TIMEOUT_MS - EXTENSION_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
-        LoopTasks.guarded(
+        GuardedTasks.guard(
             "end beside a newer process",
             () -> {
               final boolean due = only.host.isIdle() && only.front.hasNoConnections();
@@ -1058,7 +1072,7 @@
                   // A request that is coming in, or an answer on its way, would be cut off by the
                   // end of the process.
                   shard.loop.scheduleWithFixedDelay(
-                      LoopTasks.guarded(
+                      GuardedTasks.guard(
                           "end in order",
                           () -> shard.idle = shard.host.isIdle() && shard.front.hasNoConnections()),
                       0,
@@ -1066,7 +1080,7 @@
                       TimeUnit.MILLISECONDS);
                 }));
     loop.scheduleWithFixedDelay(
-        LoopTasks.guarded(
+        GuardedTasks.guard(
             "end in order",
             () -> {
               final boolean due =
--- a/courier/src/main/java/thistleturn/courier/DecisionLoop.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -15,12 +15,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.handover.Continuity;
-import thistleturn.courier.handover.Heir;
-import thistleturn.courier.handover.Inheritance;
-import thistleturn.courier.handover.Predecessor;
-import thistleturn.courier.handover.Remote;
-import thistleturn.courier.health.Pulse;
+import thistleturn.courier.handover.HandoverClient;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.LearnedStateSource;
+import thistleturn.courier.handover.RemoteCallExecutor;
+import thistleturn.courier.handover.Successor;
+import thistleturn.courier.health.StallDetector;
 import thistleturn.courier.operator.CourierMetrics;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
@@ -32,10 +32,10 @@
 import thistleturn.courier.port.StateObserver;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.courier.shard.CapacityExchange;
 import thistleturn.decisions.DeliveryActions;
 import thistleturn.decisions.OverloadController;
@@ -63,7 +63,7 @@
         Dispatcher.Listener,
         OutcomeNotifier.Listener,
         CapacityExchange.Participant,
-        Predecessor.Listener {
+        HandoverClient.Listener {
   private static final long US_PER_MS = 1000;
   private static final double US_PER_S = 1_000_000;
 
@@ -121,7 +121,7 @@
    */
   private static final int MAX_REMEMBERED_ENDPOINTS = 2000;
 
-  private final Config config;
+  private final CourierConfig config;
   private final EventLoop loop;
   private final Clock clock;
   private final MessageStore store;
@@ -132,7 +132,7 @@
   private final EndpointTable endpointTable;
   private final Ports ports;
   private final LocalHealth health;
-  private final Pulse pulse;
+  private final StallDetector pulse;
   private final Map<String, PendingDelivery> messages = new LinkedHashMap<>();
   private final Map<String, Integer> classIndexes = new HashMap<>();
   private final Map<Long, List<DeliveryAttempt>> attemptsByEndpoint = new LinkedHashMap<>();
@@ -158,7 +158,7 @@
   private long messagesWritten;
 
   /** The newer process that decides now; null while this one does. */
-  private Heir successor;
+  private Successor successor;
 
   /** Nothing is decided or put down any more: what breaks from now on breaks with the process. */
   private boolean halted;
@@ -171,12 +171,12 @@
   /**
    * The older process that this one took over from, or null; what it has out, by the messages' ids.
    */
-  private Remote predecessor;
+  private RemoteCallExecutor predecessor;
 
   private final Map<String, DeliveryAttempt> predecessorAttempts = new HashMap<>();
 
   /** What an earlier process had learnt, until it is taken up; else null. */
-  private Continuity pendingLearnedState;
+  private LearnedStateSource pendingLearnedState;
 
   /**
    * Who hears what is told and found out here; null: nobody. Which destinations it was last known
@@ -203,7 +203,7 @@
   }
 
   DecisionLoop(
-      final Config config,
+      final CourierConfig config,
       final EventLoop loop,
       final Clock clock,
       final MessageStore store,
@@ -214,7 +214,7 @@
     this.store = store;
     this.ports = wiring;
     this.health = new LocalHealth(clock.nowUs());
-    this.pulse = new Pulse(loop, clock, health, this::onProcessPaused);
+    this.pulse = new StallDetector(loop, clock, health, this::onProcessPaused);
     this.control = new OverloadController(config.settings(), config.seed(), this);
     this.maxOpen = config.settings().limits().maxPendingMessages();
     this.dispatcher = wiring.dispatcher(this);
@@ -239,17 +239,17 @@
   }
 
   /** The same, after an older process that goes on carrying out what it has begun. */
-  int start(final Inheritance inheritance, final Remote from) {
+  int start(final HandoverSnapshot inheritance, final RemoteCallExecutor from) {
     predecessor = from;
     directory.start(this::onEndpointUpdate);
     onEndpointUpdate(
         EndpointUpdate.RESTORED_SNAPSHOT,
-        inheritance.endpoints().stream().map(Inheritance.Named::listing).toList());
+        inheritance.endpoints().stream().map(HandoverSnapshot.NumberedEndpoint::entry).toList());
     final Map<Long, Long> numbers = restoreLearnedState(inheritance);
     final Map<String, StoredMessage> held = new HashMap<>();
     store.pendingMessages().forEach(one -> held.put(one.id(), one));
     final List<Endpoint> unlisted = new ArrayList<>();
-    for (final Inheritance.CallOut out : inheritance.calls()) {
+    for (final HandoverSnapshot.InFlightRemoteCall out : inheritance.calls()) {
       final long endpoint =
           numbers.computeIfAbsent(
               out.endpoint(),
@@ -272,12 +272,14 @@
                 entry ->
                     new Endpoint(entry.id(), EndpointState.GONE, "", 0, -1, entry.destinationId()))
             .toList());
-    from.serve(this);
+    from.setListener(this);
     return recoverPendingMessages();
   }
 
   private void adoptInFlightCall(
-      final Inheritance.CallOut out, final RemoteCall call, final Map<String, StoredMessage> live) {
+      final HandoverSnapshot.InFlightRemoteCall out,
+      final RemoteCall call,
+      final Map<String, StoredMessage> live) {
     boolean sameCall = false;
     for (final String id : out.messageIds()) {
       final StoredMessage held = live.get(id);
@@ -309,19 +311,19 @@
    *
    * @return their numbers there, and here
    */
-  private Map<Long, Long> restoreLearnedState(final Continuity from) {
+  private Map<Long, Long> restoreLearnedState(final LearnedStateSource from) {
     final Map<String, EndpointDirectory.Entry> now = new HashMap<>();
-    endpointTable.snapshot().forEach(named -> now.put(named.listing().name(), named.listing()));
+    endpointTable.snapshot().forEach(named -> now.put(named.entry().name(), named.entry()));
     final Map<Long, Long> numbers = new HashMap<>();
-    for (final Inheritance.Named named : from.endpoints()) {
-      final EndpointDirectory.Entry listing = now.get(named.listing().name());
+    for (final HandoverSnapshot.NumberedEndpoint named : from.endpoints()) {
+      final EndpointDirectory.Entry listing = now.get(named.entry().name());
       if (listing != null
-          && listing.address().equals(named.listing().address())
-          && listing.destination() == named.listing().destination()) {
+          && listing.address().equals(named.entry().address())
+          && listing.destination() == named.entry().destination()) {
         numbers.put(named.number(), endpointTable.idOf(listing.name()));
       }
     }
-    control.onLearnedState(clock.nowUs(), from.memory(numbers, clock));
+    control.onLearnedState(clock.nowUs(), from.learnedState(numbers, clock));
     return numbers;
   }
 
@@ -417,10 +419,10 @@
   @Override
   public void submit(final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
     if (successor != null) {
-      successor.offer(held, held.deadlineUs(), reply);
+      successor.submit(held, held.deadlineUs(), reply);
       return;
     }
-    pulse.feel();
+    pulse.recordActivity();
     if (!endpointTable.isKnownDestination(held.destination()) && directory.isCurrent()) {
       reply.invalid(Ingress.InvalidReason.NO_DESTINATION);
       return;
@@ -472,7 +474,7 @@
   /** The list has changed, or could not be had. */
   private void onEndpointUpdate(
       final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
-    final long nowUs = pulse.feel();
+    final long nowUs = pulse.recordActivity();
     if (update == EndpointUpdate.UNAVAILABLE) {
       health.recordPlatformFailure(nowUs);
     } else if (update != EndpointUpdate.RESTORED_SNAPSHOT) {
@@ -519,12 +521,12 @@
       return;
     }
     final PendingDelivery open = ((DeliveryAttempt) parcel).delivery();
-    final long nowUs = pulse.feel();
+    final long nowUs = pulse.recordActivity();
     open.call = null;
     if (successor != null) {
       // A message that was over before the handover is nobody's any more.
       if (handedOverNumbers.containsKey(call) && messages.remove(open.message.id()) != null) {
-        successor.outcome(handedOverNumbers.get(call), open.message.id(), answer);
+        successor.reportOutcome(handedOverNumbers.get(call), open.message.id(), answer);
       }
       return;
     }
@@ -738,7 +740,7 @@
    *
    * @throws IOException if the journal cannot be brought up to date; then all goes on as it was
    */
-  Inheritance handOver(final Heir to) throws IOException {
+  HandoverSnapshot handOver(final Successor to) throws IOException {
     // What this turn brought is decided and answered here.
     runRound();
     final MessageStore.FlushResult flush = store.flush();
@@ -754,7 +756,7 @@
   /**
    * Another one decides from now on, after the one that did has ended; what is out here goes on.
    */
-  Inheritance handOverAgain(final Heir to) {
+  HandoverSnapshot handOverAgain(final Successor to) {
     successor = to;
     return snapshot();
   }
@@ -762,12 +764,12 @@
   /**
    * What was learnt so far, null while another process decides, or nothing or too much is listed.
    */
-  Inheritance learnedState() {
+  HandoverSnapshot learnedState() {
     return successor != null
             || endpointTable.size() == 0
             || endpointTable.size() > MAX_REMEMBERED_ENDPOINTS
         ? null
-        : new Inheritance(endpointTable.snapshot(), control.learnedState(), List.of());
+        : new HandoverSnapshot(endpointTable.snapshot(), control.learnedState(), List.of());
   }
 
   /**
@@ -822,30 +824,30 @@
   }
 
   /** What the process before this one had learnt is taken up as soon as the list is told. */
-  void restoreWhenListed(final Continuity found) {
+  void restoreWhenListed(final LearnedStateSource found) {
     pendingLearnedState = found;
   }
 
-  private Inheritance snapshot() {
+  private HandoverSnapshot snapshot() {
     final IdentityHashMap<Dispatcher.Call, List<String>> out = new IdentityHashMap<>();
     for (final PendingDelivery open : messages.values()) {
       out.computeIfAbsent(open.call, unused -> new ArrayList<>()).add(open.message.id());
     }
-    final List<Inheritance.CallOut> calls = new ArrayList<>();
+    final List<HandoverSnapshot.InFlightRemoteCall> calls = new ArrayList<>();
     out.forEach(
         (call, ids) -> {
           final long number =
               handedOverNumbers.computeIfAbsent(call, unused -> handedOverNumbers.size() + 1L);
           handedOverCalls.put(number, call);
           calls.add(
-              new Inheritance.CallOut(
+              new HandoverSnapshot.InFlightRemoteCall(
                   number,
                   call.endpoint(),
                   messages.get(ids.get(0)).message.destination(),
                   call.preparedUs(),
                   ids));
         });
-    return new Inheritance(endpointTable.snapshot(), control.learnedState(), calls);
+    return new HandoverSnapshot(endpointTable.snapshot(), control.learnedState(), calls);
   }
 
   /** Gives up a call that was out when the newer process took over. */
@@ -879,7 +881,7 @@
   }
 
   @Override
-  public void offer(final StoredMessage held, final Ingress.Reply reply) {
+  public void onMessageSubmitted(final StoredMessage held, final Ingress.Reply reply) {
     final long nowUs = clock.nowUs();
     final long validUntilUs = held.deadlineUs();
     held.startTimeline(new MessageTimeline(nowUs, nowUs, nowUs, validUntilUs));
@@ -891,7 +893,7 @@
   }
 
   @Override
-  public void remoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
+  public void onRemoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
     final DeliveryAttempt part = predecessorAttempts.remove(messageId);
     if (part != null) {
       final Dispatcher.Call call = part.delivery.call;
@@ -903,11 +905,11 @@
   }
 
   @Override
-  public void predecessorGone() {
+  public void onPredecessorGone() {
     List.copyOf(predecessorAttempts.keySet())
         .forEach(
             id ->
-                remoteOutcome(
+                onRemoteOutcome(
                     id, new Dispatcher.DispatchOutcome(AttemptResult.RESET, false, 0, null)));
   }
 
@@ -947,8 +949,8 @@
     roundScheduled = false;
     // One moment for all of it: a stop in the middle of a pass is found by the next one, before it
     // is judged by.
-    final long nowUs = pulse.feel();
-    pulse.keep(!messages.isEmpty());
+    final long nowUs = pulse.recordActivity();
+    pulse.setBusy(!messages.isEmpty());
     try {
       runController(nowUs);
     } catch (final RuntimeException | Error e) {
@@ -956,7 +958,8 @@
     }
     attemptsByEndpoint.forEach(
         (endpoint, parcels) ->
-            LoopTasks.guarded("calls to an endpoint", () -> prepareCalls(endpoint, parcels)).run());
+            GuardedTasks.guard("calls to an endpoint", () -> prepareCalls(endpoint, parcels))
+                .run());
     attemptsByEndpoint.clear();
     // The journal is ahead of all that this pass promises: answers, calls, and ends that are told.
     effects.runAfterFlush(store.flush(), clock.nowUs());
@@ -1169,7 +1172,7 @@
   /** Gives up a call, here or where it is out. */
   private void abandonCall(final Dispatcher.Call call, final AttemptResult result) {
     if (call instanceof RemoteCall far) {
-      predecessor.abandon(far.number(), result);
+      predecessor.abandonCall(far.number(), result);
     } else {
       dispatcher.abandon(call, result);
     }
@@ -1220,12 +1223,13 @@
   // ---------------------------------------------------------------- a new configuration
 
   /** Moves to the discovery of a new configuration at once; all else counts from the next start. */
-  void reload(final Config fresh) {
+  void reload(final CourierConfig fresh) {
     final boolean same =
-        fresh.settings().equals(config.settings()) && fresh.listen().equals(config.listen());
+        fresh.settings().equals(config.settings())
+            && fresh.listenAddress().equals(config.listenAddress());
     Log.info(
         "SIGHUP: discovery is at "
-            + fresh.discovery()
+            + fresh.discoveryAddress()
             + (same ? "" : "; what else is new in the configuration counts from the next start"));
     directory.reload(fresh);
     outcomeNotifier.reload(fresh);
--- a/courier/src/main/java/thistleturn/courier/EndpointTable.java
+++ b/courier/src/main/java/thistleturn/courier/EndpointTable.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import thistleturn.courier.handover.Inheritance;
+import thistleturn.courier.handover.HandoverSnapshot;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.maintenance.DisabledEndpoints;
@@ -114,11 +114,11 @@
   }
 
   /** The list as it was last told, with the numbers that stand for its entries. */
-  List<Inheritance.Named> snapshot() {
+  List<HandoverSnapshot.NumberedEndpoint> snapshot() {
     return entries.values().stream()
         .map(
             entry ->
-                new Inheritance.Named(
+                new HandoverSnapshot.NumberedEndpoint(
                     entry.id(),
                     new EndpointDirectory.Entry(
                         names.get(entry.id()),
--- a/courier/src/main/java/thistleturn/courier/ExtensionContext.java
+++ b/courier/src/main/java/thistleturn/courier/ExtensionContext.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import thistleturn.courier.port.DirectiveSink;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 
 /**
  * What an extension is given to work with; {@code routeStatus} tells how each destination is,
@@ -13,7 +13,7 @@
  * on the loop once the courier is ready.
  */
 public record ExtensionContext(
-    Config config,
+    CourierConfig config,
     EventLoop eventLoop,
     Clock clock,
     Supplier<JsonNode> routeStatus,
--- a/courier/src/main/java/thistleturn/courier/Main.java
+++ b/courier/src/main/java/thistleturn/courier/Main.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.concurrent.locks.LockSupport;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.Passing;
+import thistleturn.courier.runtime.TransientFailures;
 
 /**
  * Starts a real courier, has it read its configuration again on SIGHUP, and ends it in order on
@@ -23,7 +23,7 @@
   public static void main(final String[] args) {
     try {
       serve(System.getenv(), null, CourierOptions.platformDefaults());
-    } catch (final Config.BadConfigException | IOException e) {
+    } catch (final ConfigurationException | IOException e) {
       System.err.println("cannot start: " + e.getMessage());
       System.exit(1);
     }
@@ -40,7 +40,7 @@
       final Map<String, String> environment,
       final CourierExtension extension,
       final CourierOptions tuning)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     final AtomicReference<CourierServer> started = new AtomicReference<>();
     final AtomicBoolean asked = new AtomicBoolean();
     // First of all: until this is in place, a SIGHUP ends the process.
@@ -79,22 +79,19 @@
       final Map<String, String> environment,
       final CourierExtension extension,
       final CourierOptions tuning)
-      throws Config.BadConfigException, IOException {
+      throws ConfigurationException, IOException {
     final Clock clock = new Clock();
-    final long untilUs = clock.nowUs() + Passing.PATIENCE_US;
+    final long untilUs = clock.nowUs() + TransientFailures.RETRY_BUDGET_US;
     while (true) {
       try {
         return CourierServer.start(environment, extension, tuning);
-      } catch (final Config.BadConfigException
-          | IOException
-          | RuntimeException
-          | OutOfMemoryError e) {
-        if (!Passing.mayPass(e) || clock.nowUs() > untilUs) {
+      } catch (final ConfigurationException | IOException | RuntimeException | OutOfMemoryError e) {
+        if (!TransientFailures.isTransient(e) || clock.nowUs() > untilUs) {
           throw e;
         }
         Log.event(Event.START_RETRIED, "step", "open", "cause", e);
       }
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(Passing.RETRY_MS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TransientFailures.RETRY_DELAY_MS));
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/TakeoverWarmUp.java
+++ b/courier/src/main/java/thistleturn/courier/TakeoverWarmUp.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.handover.Heir;
-import thistleturn.courier.handover.Inheritance;
-import thistleturn.courier.handover.Predecessor;
-import thistleturn.courier.handover.Wire;
+import thistleturn.courier.handover.HandoverClient;
+import thistleturn.courier.handover.HandoverCodec;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.Successor;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.port.Ingress;
@@ -21,7 +21,7 @@
 import thistleturn.courier.port.OutcomeNotifier;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.Endpoint;
@@ -45,11 +45,11 @@
 
   private static final long MESSAGE_LIFETIME_US = 10_000_000;
 
-  private final Config config;
+  private final CourierConfig config;
   private final EventLoop loop;
   private final Clock clock;
 
-  TakeoverWarmUp(final Config config, final EventLoop loop, final Clock clock) {
+  TakeoverWarmUp(final CourierConfig config, final EventLoop loop, final Clock clock) {
     this.config = config;
     this.loop = loop;
     this.clock = clock;
@@ -57,11 +57,11 @@
 
   /** Practises, then goes on with what is given. Runs on the event loop. */
   void runThen(final Runnable then) {
-    Log.mute(true);
+    Log.setMuted(true);
     runRound(
         0,
         () -> {
-          Log.mute(false);
+          Log.setMuted(false);
           then.run();
         });
   }
@@ -93,10 +93,11 @@
     loop.schedule(
         () -> {
           try {
-            final Inheritance inheritance = Wire.copy(elder.handOver(new DiscardingSuccessor()));
+            final HandoverSnapshot inheritance =
+                HandoverCodec.encodeAndDecode(elder.handOver(new DiscardingSuccessor()));
             final DecisionLoop heir =
                 new DecisionLoop(config, loop, clock, pages, new SimulatedEndpoints());
-            heir.start(inheritance, Predecessor.none());
+            heir.start(inheritance, HandoverClient.none());
             inheritance
                 .calls()
                 .forEach(
@@ -104,7 +105,7 @@
                         call.messageIds()
                             .forEach(
                                 id ->
-                                    heir.remoteOutcome(
+                                    heir.onRemoteOutcome(
                                         id,
                                         new Dispatcher.DispatchOutcome(
                                             AttemptResult.DELIVERED, true, 0, null))));
@@ -246,7 +247,7 @@
     }
 
     @Override
-    public void reload(final Config fresh) {
+    public void reload(final CourierConfig fresh) {
       // It keeps nothing of it.
     }
   }
@@ -328,9 +329,9 @@
   }
 
   /** An heir that is told things and does nothing. */
-  private static final class DiscardingSuccessor implements Heir {
+  private static final class DiscardingSuccessor implements Successor {
     @Override
-    public void offer(
+    public void submit(
         final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
       reply.failed();
     }
@@ -341,7 +342,7 @@
     }
 
     @Override
-    public void outcome(
+    public void reportOutcome(
         final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
       // It is not told of by anyone.
     }
--- a/courier/src/main/java/thistleturn/courier/handover/Wire.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverCodec.java
@@ -33,42 +33,42 @@
  * What the two processes say to each other: JSON objects, one a line, each with what it is in
  * {@code t}.
  */
-public final class Wire {
+public final class HandoverCodec {
   /**
    * To be raised when the lines change; it and the memory's version only ever rise, so that no sum
    * comes twice.
    */
-  private static final int LINES = 1;
+  private static final int LINE_FORMAT_VERSION = 1;
 
   /**
    * The newer process says this first; one of another version, of lines or of what was learnt, is
    * not handed anything.
    */
-  static final int VERSION = LINES + LearnedState.VERSION;
+  static final int PROTOCOL_VERSION = LINE_FORMAT_VERSION + LearnedState.VERSION;
 
   /** A message's body has 64 KiB at most, and a third more as text. */
-  private static final int MOST_LINE_BYTES = 1 << 18;
+  private static final int MAX_LINE_BYTES = 1 << 18;
 
-  private Wire() {}
+  private HandoverCodec() {}
 
-  static UnixDomainSocketAddress address(final Path folder) {
+  static UnixDomainSocketAddress socketAddress(final Path folder) {
     return UnixDomainSocketAddress.of(folder.resolve("handover"));
   }
 
   /** One end of the connection. What cannot be read ends it. */
-  abstract static class End extends SimpleChannelInboundHandler<ByteBuf> {
+  abstract static class LineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private ChannelHandlerContext context;
 
-    abstract void said(String what, JsonNode line);
+    abstract void onLine(String what, JsonNode line);
 
-    abstract void ended();
+    abstract void onClosed();
 
     final void addTo(final Channel channel) {
-      channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE_BYTES), this);
+      channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), this);
     }
 
-    final void say(final ObjectNode line) {
-      context.write(Unpooled.copiedBuffer(Json.text(line) + "\n", StandardCharsets.UTF_8));
+    final void writeLine(final ObjectNode line) {
+      context.write(Unpooled.copiedBuffer(Json.toText(line) + "\n", StandardCharsets.UTF_8));
     }
 
     final void flush() {
@@ -88,12 +88,12 @@
     protected final void channelRead0(final ChannelHandlerContext ctx, final ByteBuf bytes)
         throws IOException {
       final JsonNode line = Json.read(bytes.toString(StandardCharsets.UTF_8));
-      said(line.path("t").asText(), line);
+      onLine(line.path("t").asText(), line);
     }
 
     @Override
     public final void channelInactive(final ChannelHandlerContext ctx) {
-      ended();
+      onClosed();
     }
 
     @Override
@@ -105,17 +105,17 @@
     }
   }
 
-  static ObjectNode line(final String what) {
+  static ObjectNode newLine(final String what) {
     return JsonNodeFactory.instance.objectNode().put("t", what);
   }
 
   // ---------------------------------------------------------------- what is handed on
 
-  static void tell(final Inheritance inheritance, final Consumer<ObjectNode> to) {
-    for (final Inheritance.Named named : inheritance.endpoints()) {
-      final EndpointDirectory.Entry one = named.listing();
+  static void writeSnapshot(final HandoverSnapshot inheritance, final Consumer<ObjectNode> to) {
+    for (final HandoverSnapshot.NumberedEndpoint named : inheritance.endpoints()) {
+      final EndpointDirectory.Entry one = named.entry();
       to.accept(
-          line("endpoint")
+          newLine("endpoint")
               .put("number", named.number())
               .put("name", one.name())
               .put("condition", one.state().name())
@@ -126,9 +126,9 @@
               .put("kind", one.kind())
               .put("dest", one.destination()));
     }
-    final LearnedState memory = inheritance.memory();
-    final ObjectNode classes = line("classes").put("trust", memory.trustedIdleUs());
-    classes.set("mean", texts(memory.classMeanUs()));
+    final LearnedState memory = inheritance.learnedState();
+    final ObjectNode classes = newLine("classes").put("trust", memory.trustedIdleUs());
+    classes.set("mean", toTextArray(memory.classMeanUs()));
     final ArrayNode samples = classes.putArray("samples");
     Arrays.stream(memory.classSamples()).forEach(samples::add);
     to.accept(classes);
@@ -138,9 +138,9 @@
     memory
         .endpoints()
         .forEach(one -> to.accept(figures("node", one.endpointId(), one.figures(), one.moments())));
-    for (final Inheritance.CallOut call : inheritance.calls()) {
+    for (final HandoverSnapshot.InFlightRemoteCall call : inheritance.calls()) {
       final ObjectNode line =
-          line("call")
+          newLine("call")
               .put("number", call.number())
               .put("endpoint", call.endpoint())
               .put("dest", call.destination())
@@ -149,42 +149,43 @@
       call.messageIds().forEach(ids::add);
       to.accept(line);
     }
-    to.accept(line("yours"));
+    to.accept(newLine("yours"));
   }
 
   /** The same as lines of text. */
-  public static List<String> lines(final Inheritance inheritance) {
+  public static List<String> encodeSnapshot(final HandoverSnapshot inheritance) {
     final List<String> lines = new ArrayList<>();
-    tell(inheritance, line -> lines.add(Json.text(line)));
+    writeSnapshot(inheritance, line -> lines.add(Json.toText(line)));
     return lines;
   }
 
   /** What such lines tell; what cannot be read is an error. */
-  public static Inheritance read(final List<String> lines) throws IOException {
-    final Collector collector = new Collector();
+  public static HandoverSnapshot decodeSnapshot(final List<String> lines) throws IOException {
+    final SnapshotAssembler collector = new SnapshotAssembler();
     for (final String text : lines) {
       final JsonNode line = Json.read(text);
       collector.add(line.path("t").asText(), line);
     }
-    return collector.whole();
+    return collector.toSnapshot();
   }
 
   /** The same, through its text and back. */
-  public static Inheritance copy(final Inheritance inheritance) throws IOException {
-    return read(lines(inheritance));
+  public static HandoverSnapshot encodeAndDecode(final HandoverSnapshot inheritance)
+      throws IOException {
+    return decodeSnapshot(encodeSnapshot(inheritance));
   }
 
   private static ObjectNode figures(
       final String what, final long endpoint, final double[] figures, final long[] moments) {
-    final ObjectNode line = line(what).put("endpoint", endpoint);
-    line.set("figures", texts(figures));
+    final ObjectNode line = newLine(what).put("endpoint", endpoint);
+    line.set("figures", toTextArray(figures));
     final ArrayNode times = line.putArray("moments");
     Arrays.stream(moments).forEach(times::add);
     return line;
   }
 
   /** As texts: JSON has no number for what is unlimited. */
-  private static ArrayNode texts(final double[] figures) {
+  private static ArrayNode toTextArray(final double[] figures) {
     final ArrayNode texts = JsonNodeFactory.instance.arrayNode();
     Arrays.stream(figures).forEach(figure -> texts.add(Double.toString(figure)));
     return texts;
@@ -196,20 +197,20 @@
     return figures;
   }
 
-  private static long[] moments(final JsonNode numbers) {
+  private static long[] readLongs(final JsonNode numbers) {
     final long[] moments = new long[numbers.size()];
     Arrays.setAll(moments, index -> numbers.get(index).asLong());
     return moments;
   }
 
   /** Collects what is handed on, line by line. */
-  static final class Collector {
-    private final List<Inheritance.Named> endpoints = new ArrayList<>();
-    private final List<LearnedState.LearnedRoute> lanes = new ArrayList<>();
+  static final class SnapshotAssembler {
+    private final List<HandoverSnapshot.NumberedEndpoint> endpoints = new ArrayList<>();
+    private final List<LearnedState.LearnedRoute> routes = new ArrayList<>();
     private final List<LearnedState.LearnedEndpoint> nodes = new ArrayList<>();
-    private final List<Inheritance.CallOut> calls = new ArrayList<>();
-    private double[] means = {};
-    private int[] samples = {};
+    private final List<HandoverSnapshot.InFlightRemoteCall> calls = new ArrayList<>();
+    private double[] classMeanUs = {};
+    private int[] classSamples = {};
     private double trustUs;
 
     /** Takes a line in; true once it was the last. */
@@ -217,7 +218,7 @@
       switch (what) {
         case "endpoint" ->
             endpoints.add(
-                new Inheritance.Named(
+                new HandoverSnapshot.NumberedEndpoint(
                     line.path("number").asLong(),
                     new EndpointDirectory.Entry(
                         line.path("name").asText(),
@@ -229,28 +230,30 @@
                         line.path("kind").asText(),
                         line.path("dest").asLong())));
         case "classes" -> {
-          means = figures(line.path("mean"));
-          samples =
-              Arrays.stream(moments(line.path("samples"))).mapToInt(count -> (int) count).toArray();
+          classMeanUs = figures(line.path("mean"));
+          classSamples =
+              Arrays.stream(readLongs(line.path("samples")))
+                  .mapToInt(count -> (int) count)
+                  .toArray();
           trustUs = line.path("trust").asDouble();
         }
         case "lane" ->
-            lanes.add(
+            routes.add(
                 new LearnedState.LearnedRoute(
                     line.path("endpoint").asLong(),
                     figures(line.path("figures")),
-                    moments(line.path("moments"))));
+                    readLongs(line.path("moments"))));
         case "node" ->
             nodes.add(
                 new LearnedState.LearnedEndpoint(
                     line.path("endpoint").asLong(),
                     figures(line.path("figures")),
-                    moments(line.path("moments"))));
+                    readLongs(line.path("moments"))));
         case "call" -> {
           final List<String> ids = new ArrayList<>();
           line.path("ids").forEach(id -> ids.add(id.asText()));
           calls.add(
-              new Inheritance.CallOut(
+              new HandoverSnapshot.InFlightRemoteCall(
                   line.path("number").asLong(),
                   line.path("endpoint").asLong(),
                   line.path("dest").asLong(),
@@ -265,16 +268,17 @@
       return false;
     }
 
-    Inheritance whole() {
-      return new Inheritance(
-          endpoints, new LearnedState(means, samples, trustUs, lanes, nodes), calls);
+    HandoverSnapshot toSnapshot() {
+      return new HandoverSnapshot(
+          endpoints, new LearnedState(classMeanUs, classSamples, trustUs, routes, nodes), calls);
     }
   }
 
   // ---------------------------------------------------------------- messages and outcomes
 
-  static ObjectNode offer(final long number, final StoredMessage held, final long validUntilUs) {
-    return line("offer")
+  static ObjectNode encodeOffer(
+      final long number, final StoredMessage held, final long validUntilUs) {
+    return newLine("offer")
         .put("number", number)
         .put("id", held.id())
         .put("class", held.className())
@@ -284,7 +288,7 @@
         .put("body", held.body());
   }
 
-  static StoredMessage held(final JsonNode line) throws IOException {
+  static StoredMessage decodeOffer(final JsonNode line) throws IOException {
     return new StoredMessage(
         line.path("id").asText(),
         line.path("class").asText(),
@@ -294,10 +298,10 @@
         line.path("body").binaryValue());
   }
 
-  static ObjectNode outcome(
+  static ObjectNode encodeOutcome(
       final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
     final ObjectNode line =
-        line("outcome")
+        newLine("outcome")
             .put("call", call)
             .put("id", messageId)
             .put("result", answer.result().name())
@@ -310,7 +314,7 @@
     return line;
   }
 
-  static Dispatcher.DispatchOutcome answer(final JsonNode line) {
+  static Dispatcher.DispatchOutcome decodeOutcome(final JsonNode line) {
     return new Dispatcher.DispatchOutcome(
         AttemptResult.valueOf(line.path("result").asText()),
         line.path("over").asBoolean(),
--- a/courier/src/main/java/thistleturn/courier/handover/Elder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverServer.java
@@ -18,7 +18,7 @@
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.Passing;
+import thistleturn.courier.runtime.TransientFailures;
 import thistleturn.courier.transport.AcceptRetryHandler;
 import thistleturn.decisions.model.AttemptResult;
 
@@ -26,43 +26,46 @@
  * The side of the process that serves: it waits for a newer one, and hands over to the first that
  * asks.
  */
-public final class Elder {
-  private static final long RETRY_US = 1_000_000;
+public final class HandoverServer {
+  private static final long RETRY_AFTER_US = 1_000_000;
 
   /** How often an address for newer processes is asked for that the system does not give. */
-  private static final int LISTEN_TRIES = 800;
+  private static final int MAX_LISTEN_ATTEMPTS = 800;
 
-  private final Giver giver;
+  private final HandoverSource source;
   private Channel listener;
-  private Session heir;
+  private SuccessorConnection successor;
 
   /** Not listening yet. */
-  public Elder(final Giver giver) {
-    this.giver = giver;
+  public HandoverServer(final HandoverSource giver) {
+    this.source = giver;
   }
 
   /** Waits for a newer process from now on; the folder must be locked by this one. */
   public void listen(final EventLoop loop, final Path folder) {
-    listen(loop, folder, LISTEN_TRIES);
+    listen(loop, folder, MAX_LISTEN_ATTEMPTS);
   }
 
-  private void again(
+  private void retryListen(
       final EventLoop loop, final Path folder, final int tries, final Throwable failure) {
-    if (tries > 1 && Passing.mayPass(failure)) {
+    if (tries > 1 && TransientFailures.isTransient(failure)) {
       Log.event(Event.START_RETRIED, "step", "listen to a newer process", "cause", failure);
-      loop.schedule(() -> listen(loop, folder, tries - 1), Passing.RETRY_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> listen(loop, folder, tries - 1),
+          TransientFailures.RETRY_DELAY_MS,
+          TimeUnit.MILLISECONDS);
     } else {
       Log.info("handover: no newer process can take over: " + failure);
     }
   }
 
   private void listen(final EventLoop loop, final Path folder, final int tries) {
-    final UnixDomainSocketAddress address = Wire.address(folder);
+    final UnixDomainSocketAddress address = HandoverCodec.socketAddress(folder);
     try {
       // What an earlier process left: nobody can be listening there while we hold the lock.
       Files.deleteIfExists(address.getPath());
     } catch (final IOException e) {
-      again(loop, folder, tries, e);
+      retryListen(loop, folder, tries, e);
       return;
     }
     listener =
@@ -74,30 +77,33 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    new Session().addTo(channel);
+                    new SuccessorConnection().addTo(channel);
                   }
                 })
             .bind(address)
             .addListener(
                 bound -> {
                   if (!bound.isSuccess()) {
-                    again(loop, folder, tries, bound.cause());
+                    retryListen(loop, folder, tries, bound.cause());
                   }
                 })
             .channel();
   }
 
-  private final class Session extends Wire.End implements Heir {
-    private final Map<Long, Ingress.Reply> replies = new HashMap<>();
-    private long offers;
+  private final class SuccessorConnection extends HandoverCodec.LineConnection
+      implements Successor {
+    private final Map<Long, Ingress.Reply> pendingReplies = new HashMap<>();
+    private long lastOfferNumber;
 
     @Override
-    void said(final String what, final JsonNode line) {
-      if (heir != this) {
-        if (heir != null || !what.equals("hello") || line.path("version").asInt() != Wire.VERSION) {
+    void onLine(final String what, final JsonNode line) {
+      if (successor != this) {
+        if (successor != null
+            || !what.equals("hello")
+            || line.path("version").asInt() != HandoverCodec.PROTOCOL_VERSION) {
           Log.info(
               "handover: refused: "
-                  + (heir != null ? "it is under way" : "another version: " + line));
+                  + (successor != null ? "it is under way" : "another version: " + line));
           close();
           return;
         }
@@ -105,22 +111,22 @@
         return;
       }
       switch (what) {
-        case "listening" -> giver.heirListens();
+        case "listening" -> source.onSuccessorListening();
         case "abandon" ->
-            giver.abandon(
+            source.abandonCall(
                 line.path("call").asLong(), AttemptResult.valueOf(line.path("result").asText()));
-        case "reply" -> reply(line);
+        case "reply" -> completeReply(line);
         default -> Log.info("handover: unknown line " + what);
       }
     }
 
     private void handOver() {
       try {
-        final Inheritance inheritance = giver.handOver(this);
-        heir = this;
+        final HandoverSnapshot inheritance = source.handOver(this);
+        successor = this;
         // The newer one listens there in its turn.
         listener.close();
-        Wire.tell(inheritance, this::say);
+        HandoverCodec.writeSnapshot(inheritance, this::writeLine);
         flush();
       } catch (final IOException e) {
         Log.info("handover: not now: " + e.getMessage());
@@ -128,8 +134,8 @@
       }
     }
 
-    private void reply(final JsonNode line) {
-      final Ingress.Reply reply = replies.remove(line.path("number").asLong());
+    private void completeReply(final JsonNode line) {
+      final Ingress.Reply reply = pendingReplies.remove(line.path("number").asLong());
       if (reply == null) {
         return;
       }
@@ -145,38 +151,38 @@
     }
 
     @Override
-    public void offer(
+    public void submit(
         final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
-      if (heir != this) {
-        reply.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_US);
+      if (successor != this) {
+        reply.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_AFTER_US);
         return;
       }
-      replies.put(++offers, reply);
-      say(Wire.offer(offers, held, validUntilUs));
+      pendingReplies.put(++lastOfferNumber, reply);
+      writeLine(HandoverCodec.encodeOffer(lastOfferNumber, held, validUntilUs));
       flush();
     }
 
     @Override
     public void withdraw(final String id, final long destination) {
-      if (heir == this) {
-        say(Wire.line("withdraw").put("id", id).put("dest", destination));
+      if (successor == this) {
+        writeLine(HandoverCodec.newLine("withdraw").put("id", id).put("dest", destination));
         flush();
       }
     }
 
     @Override
-    public void outcome(
+    public void reportOutcome(
         final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
-      if (heir == this) {
-        say(Wire.outcome(call, messageId, answer));
+      if (successor == this) {
+        writeLine(HandoverCodec.encodeOutcome(call, messageId, answer));
         flush();
       }
     }
 
     @Override
-    void ended() {
-      if (heir == this) {
-        giver.heirGone();
+    void onClosed() {
+      if (successor == this) {
+        source.onSuccessorGone();
       }
     }
   }
--- a/courier/src/main/java/thistleturn/courier/handover/Inheritance.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverSnapshot.java
@@ -11,22 +11,23 @@
  * are those of the monotonic clock.
  *
  * @param endpoints the list as it was last told
- * @param memory what the decisions have learnt
+ * @param learnedState what the decisions have learnt
  * @param calls calls that are out, and stay with the older process until they end
  */
-public record Inheritance(List<Named> endpoints, LearnedState memory, List<CallOut> calls)
-    implements Continuity {
+public record HandoverSnapshot(
+    List<NumberedEndpoint> endpoints, LearnedState learnedState, List<InFlightRemoteCall> calls)
+    implements LearnedStateSource {
 
   /** An endpoint's number, and how the list names it. */
-  public record Named(long number, EndpointDirectory.Entry listing) {}
+  public record NumberedEndpoint(long number, EndpointDirectory.Entry entry) {}
 
   /** A call with the ids of its messages in order; {@code destination} is theirs. */
-  public record CallOut(
+  public record InFlightRemoteCall(
       long number, long endpoint, long destination, long sentUs, List<String> messageIds) {}
 
   /** It was learnt up to this moment. */
   @Override
-  public LearnedState memory(final Map<Long, Long> numbers, final Clock clock) {
-    return Continuity.renumbered(memory, numbers);
+  public LearnedState learnedState(final Map<Long, Long> numbers, final Clock clock) {
+    return LearnedStateSource.withEndpointNumbers(learnedState, numbers);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/Continuity.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LearnedStateSource.java
@@ -10,19 +10,20 @@
  * one that lives, or found in the folder of one that died. Endpoints are known there by numbers of
  * that process's own.
  */
-public interface Continuity {
+public interface LearnedStateSource {
   /** The endpoints that it speaks of, each with its number there. */
-  List<Inheritance.Named> endpoints();
+  List<HandoverSnapshot.NumberedEndpoint> endpoints();
 
   /**
    * What was learnt, as it can be trusted at this moment.
    *
    * @param numbers the numbers of endpoints there, to those here; of others nothing is told
    */
-  LearnedState memory(Map<Long, Long> numbers, Clock clock);
+  LearnedState learnedState(Map<Long, Long> numbers, Clock clock);
 
   /** The same with other numbers for its endpoints; what has none is left out. */
-  static LearnedState renumbered(final LearnedState memory, final Map<Long, Long> numbers) {
+  static LearnedState withEndpointNumbers(
+      final LearnedState memory, final Map<Long, Long> numbers) {
     return new LearnedState(
         memory.classMeanUs(),
         memory.classSamples(),
--- a/courier/src/main/java/thistleturn/courier/handover/Remote.java
+++ b/courier/src/main/java/thistleturn/courier/handover/RemoteCallExecutor.java
@@ -6,10 +6,10 @@
  * Whoever carries out calls that another one decides on: they were out at a handover. On the event
  * loop only.
  */
-public interface Remote {
+public interface RemoteCallExecutor {
   /** From now on its events go there. */
-  void serve(Predecessor.Listener to);
+  void setListener(HandoverClient.Listener to);
 
   /** Gives up a call that it has out; its outcome is told. */
-  void abandon(long call, AttemptResult result);
+  void abandonCall(long call, AttemptResult result);
 }
--- a/courier/src/main/java/thistleturn/courier/handover/StateLock.java
+++ b/courier/src/main/java/thistleturn/courier/handover/StateLock.java
@@ -13,7 +13,7 @@
  * one that dies.
  */
 public final class StateLock implements AutoCloseable {
-  private static final String FILE = "lock";
+  private static final String FILE_NAME = "lock";
 
   private final FileChannel channel;
 
@@ -29,7 +29,8 @@
   public static StateLock tryLock(final Path folder) throws IOException {
     Files.createDirectories(folder);
     final FileChannel channel =
-        FileChannel.open(folder.resolve(FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(
+            folder.resolve(FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       final FileLock lock = channel.tryLock();
       if (lock != null) {
--- a/courier/src/main/java/thistleturn/courier/handover/Heir.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Successor.java
@@ -8,13 +8,13 @@
  * The process that decides, as one sees it that carries out for it what it has begun. On its event
  * loop only.
  */
-public interface Heir {
+public interface Successor {
   /** A client has handed a message in here; the answer comes back to it. */
-  void offer(StoredMessage held, long validUntilUs, Ingress.Reply reply);
+  void submit(StoredMessage held, long validUntilUs, Ingress.Reply reply);
 
   /** The client went before it was answered. */
   void withdraw(String id, long destination);
 
   /** The outcome of one message's part in a call that was out at the handover. */
-  void outcome(long call, String messageId, Dispatcher.DispatchOutcome answer);
+  void reportOutcome(long call, String messageId, Dispatcher.DispatchOutcome answer);
 }
--- a/courier/src/main/java/thistleturn/courier/http/CallRequestEncoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/CallRequestEncoder.java
@@ -54,6 +54,6 @@
       }
       item.put("body", held.body());
     }
-    return Json.text(items).getBytes(StandardCharsets.UTF_8);
+    return Json.toText(items).getBytes(StandardCharsets.UTF_8);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -36,7 +36,7 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.decisions.admission.ConnectionEvictionRanking;
 import thistleturn.decisions.index.TimeHeap;
@@ -76,7 +76,7 @@
   private final HttpIngress ingress;
   private final IngressHandler ingressHandler;
   private final Clock clock;
-  private final LoopTurns turns;
+  private final PollTracker turns;
   private final ReceiveTimeBound receiveTime;
   private ChannelHandlerContext context;
 
@@ -125,7 +125,7 @@
       final HttpIngress front,
       final IngressHandler desk,
       final Clock clock,
-      final LoopTurns turns,
+      final PollTracker turns,
       final long acceptableSinceUs) {
     this.turns = turns;
     this.receiveTime = new ReceiveTimeBound(acceptableSinceUs);
@@ -382,7 +382,7 @@
           "after_us",
           lastReceivedUs - idleSinceUs);
     }
-    receiveTime.onRead(lastReceivedUs, turns.previousLookUs(), bytes.isWritable());
+    receiveTime.onRead(lastReceivedUs, turns.previousPollUs(), bytes.isWritable());
     if (hasSentRequest && isIdle()) {
       ingress.recordKeepAliveOutcome(true);
     }
--- a/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Descriptors;
-import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.DescriptorBudget;
+import thistleturn.courier.runtime.GuardedTasks;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.courier.transport.Connector;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.SocketUnavailableException;
@@ -58,12 +58,12 @@
 
   private final Clock clock;
   private final EventLoop loop;
-  private final LoopTurns turns;
+  private final PollTracker turns;
   private final long connectTimeoutUs;
   private final Listener listener;
   private final Bootstrap bootstrapTemplate;
   private final long idleTimeoutUs;
-  private final Descriptors descriptors;
+  private final DescriptorBudget descriptors;
   private final Map<Long, EndpointConnectionPool> pools = new HashMap<>();
   private final Set<HttpCall> calls = new HashSet<>();
 
@@ -80,12 +80,12 @@
 
   /** No connection is made yet. */
   public HttpDispatcher(
-      final Config config,
+      final CourierConfig config,
       final EventLoop loop,
       final Clock clock,
-      final LoopTurns turns,
+      final PollTracker turns,
       final Listener listener,
-      final Descriptors descriptors) {
+      final DescriptorBudget descriptors) {
     this.clock = clock;
     this.loop = loop;
     this.turns = turns;
@@ -108,7 +108,7 @@
                 });
     final long sweepUs = Math.max(US_PER_MS, idleTimeoutUs / 8);
     loop.scheduleWithFixedDelay(
-        LoopTasks.guarded("idle connections", this::closeExpiredIdle),
+        GuardedTasks.guard("idle connections", this::closeExpiredIdle),
         sweepUs,
         sweepUs,
         TimeUnit.MICROSECONDS);
@@ -160,7 +160,7 @@
   }
 
   private void evictIdleIfFull() {
-    if (descriptors.isFullOfEndpoints() && !idleConnections.isEmpty()) {
+    if (descriptors.isEndpointLimitReached() && !idleConnections.isEmpty()) {
       idleConnections.iterator().next().close();
     }
   }
@@ -213,7 +213,7 @@
    */
   private void expireOverdueCalls() {
     deadlineTimerUs = Long.MAX_VALUE;
-    final long lookedUs = turns.lookUs();
+    final long lookedUs = turns.currentPollUs();
     for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
       readUnpolled(late);
       abandon(late, AttemptResult.TIMED_OUT);
@@ -294,7 +294,7 @@
       return;
     }
     final long nowUs = clock.nowUs();
-    final long lookedUs = turns.lookUs();
+    final long lookedUs = turns.currentPollUs();
     EndpointConnection rested = null;
     long restUs = Long.MAX_VALUE;
     // Those used last stand at the end: of the rested ones the last is taken, so that the others
@@ -326,7 +326,7 @@
 
   private void connect(final HttpCall call) {
     evictIdleIfFull();
-    if (descriptors.isFullOfEndpoints()) {
+    if (descriptors.isEndpointLimitReached()) {
       loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
       return;
     }
@@ -343,15 +343,15 @@
       retryWithoutSocket(call, fromUs);
       return;
     }
-    descriptors.endpoints(1);
+    descriptors.addEndpointConnections(1);
     call.channel = connecting.channel();
-    call.channel.closeFuture().addListener(closed -> descriptors.endpoints(-1));
+    call.channel.closeFuture().addListener(closed -> descriptors.addEndpointConnections(-1));
     // Not the channel's own timer: that would judge before the look that tells that it has come up.
     scheduleFor(
         call,
         connectTimeoutUs,
         () ->
-            turns.afterLook(
+            turns.runAfterPoll(
                 loop,
                 fromUs + connectTimeoutUs,
                 () -> {
--- a/courier/src/main/java/thistleturn/courier/http/HttpIngress.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpIngress.java
@@ -30,12 +30,12 @@
 import thistleturn.courier.port.Ingress;
 import thistleturn.courier.port.IngressHandler;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Descriptors;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.DescriptorBudget;
 import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTasks;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.courier.transport.AcceptRetryHandler;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.RetryingServerSocketChannel;
@@ -101,13 +101,13 @@
    */
   private static final int MAX_CHECKS_PER_TASK = 256;
 
-  private final Config config;
+  private final CourierConfig config;
   private final Clock clock;
   private final IngressHandler ingressHandler;
-  private final LoopTurns turns;
+  private final PollTracker turns;
   private final EventLoopGroup group;
   private final EventLoop loop;
-  private final Descriptors descriptors;
+  private final DescriptorBudget descriptors;
   private final ConnectionEvictionRanking evictionRanking =
       new ConnectionEvictionRanking(CROWDED_IDLE_TIMEOUT_US);
   private final long idleTimeoutUs;
@@ -148,13 +148,13 @@
 
   /** Accepts on the group; all that it accepts is owned by the loop. */
   public HttpIngress(
-      final Config config,
+      final CourierConfig config,
       final EventLoopGroup group,
       final EventLoop loop,
       final Clock clock,
-      final LoopTurns turns,
+      final PollTracker turns,
       final IngressHandler desk,
-      final Descriptors descriptors,
+      final DescriptorBudget descriptors,
       final CourierOptions tuning) {
     this.config = config;
     this.group = group;
@@ -169,7 +169,7 @@
   /** Listens on the one address of the configuration; {@code /up} is answered from then on. */
   @Override
   public CompletionStage<String> listen() {
-    return listen(config.listen(), false);
+    return listen(config.listenAddress(), false);
   }
 
   /**
@@ -182,7 +182,7 @@
     if (sweepTask == null) {
       sweepTask =
           loop.scheduleWithFixedDelay(
-              LoopTasks.guarded("sweep of clients", this::sweep),
+              GuardedTasks.guard("sweep of clients", this::sweep),
               SWEEP_INTERVAL_MS,
               SWEEP_INTERVAL_MS,
               TimeUnit.MILLISECONDS);
@@ -252,7 +252,7 @@
 
   /** What has come by now is read first: a connection with a request on it is not idle. */
   private void closeIdleAfterPoll(final List<ClientConnection> some) {
-    turns.afterLook(loop, clock.nowUs(), () -> some.forEach(ClientConnection::closeIfIdle));
+    turns.runAfterPoll(loop, clock.nowUs(), () -> some.forEach(ClientConnection::closeIfIdle));
   }
 
   /**
@@ -261,7 +261,7 @@
    */
   @Override
   public void rejectIncompleteRequests() {
-    turns.afterLook(
+    turns.runAfterPoll(
         loop,
         clock.nowUs(),
         () -> List.copyOf(connections).forEach(ClientConnection::rejectIncomplete));
@@ -315,7 +315,7 @@
    * why.
    */
   private void sweep() {
-    final boolean many = connections.size() > CROWDED_FRACTION * descriptors.mostClients();
+    final boolean many = connections.size() > CROWDED_FRACTION * descriptors.maxClientConnections();
     if (many && !crowded) {
       // Less time is left to each of them than when they were last looked at.
       connections.forEach(
@@ -344,7 +344,7 @@
 
   private void check(final ClientConnection session, final long nowUs) {
     // A look that began after it was accepted has told of it, if it is watched.
-    if (session.mayBeUnwatched() && turns.lookUs() > session.idleSinceUs()) {
+    if (session.mayBeUnwatched() && turns.currentPollUs() > session.idleSinceUs()) {
       session.readDirectly();
       if (!connections.contains(session)) {
         return;
@@ -352,7 +352,7 @@
     }
     if (isRequestOverdue(session, nowUs) || isIdleTooLong(session, nowUs)) {
       // What had come by now is read before it is judged, however long this process stood still.
-      turns.afterLook(loop, nowUs, () -> closeIfStillOverdue(session, nowUs));
+      turns.runAfterPoll(loop, nowUs, () -> closeIfStillOverdue(session, nowUs));
       return;
     }
     if (session.isIdle() && session.idleSinceUs() <= nowUs - HIBERNATE_AFTER_US) {
@@ -416,7 +416,7 @@
    */
   private void evictExcessConnections() {
     evictionScheduled = false;
-    while (connections.size() + closingConnections.size() > descriptors.mostClients()) {
+    while (connections.size() + closingConnections.size() > descriptors.maxClientConnections()) {
       if (closingConnections.isEmpty()) {
         evictionCandidate().closeNow();
       } else {
@@ -436,7 +436,7 @@
     int leastRank = ConnectionEvictionRanking.NEVER_EVICT;
     ClientConnection newest = null;
     for (final ClientConnection session : connections) {
-      if (!session.hasSentRequest() && session.idleSinceUs() >= turns.lookUs()) {
+      if (!session.hasSentRequest() && session.idleSinceUs() >= turns.currentPollUs()) {
         newest = newest == null ? session : newest;
         continue;
       }
@@ -465,7 +465,7 @@
     public void channelRead(final ChannelHandlerContext context, final Object connection) {
       acceptedInPoll++;
       // One more may always wait behind it; whether that is so is known when the reading ends.
-      receiveTime.onRead(clock.nowUs(), turns.previousLookUs(), false);
+      receiveTime.onRead(clock.nowUs(), turns.previousPollUs(), false);
       super.channelRead(context, connection);
     }
 
@@ -489,11 +489,11 @@
   void onConnectionOpened(final ClientConnection session) {
     connections.add(session);
     checks.schedule(session.scheduledCheck(), nextCheckUs(session));
-    descriptors.clients(connections.size() + closingConnections.size());
+    descriptors.setClientConnections(connections.size() + closingConnections.size());
     if (!evictionScheduled
-        && connections.size() + closingConnections.size() > descriptors.mostClients()) {
+        && connections.size() + closingConnections.size() > descriptors.maxClientConnections()) {
       evictionScheduled = true;
-      turns.afterLook(loop, clock.nowUs(), this::evictExcessConnections);
+      turns.runAfterPoll(loop, clock.nowUs(), this::evictExcessConnections);
     }
   }
 
@@ -514,14 +514,14 @@
   void onConnectionClosed(final ClientConnection session) {
     connections.remove(session);
     closingConnections.remove(session);
-    descriptors.clients(connections.size() + closingConnections.size());
+    descriptors.setClientConnections(connections.size() + closingConnections.size());
     checks.remove(session.scheduledCheck());
   }
 
   /** True when so many resting connections wake in one turn that the further ones take turns. */
   boolean mustQueueWakeUp() {
-    if (turns.lookUs() != wakeUpPollUs) {
-      wakeUpPollUs = turns.lookUs();
+    if (turns.currentPollUs() != wakeUpPollUs) {
+      wakeUpPollUs = turns.currentPollUs();
       wokenInPoll = 0;
     }
     return !wakeUpQueue.isEmpty() || ++wokenInPoll > MAX_WAKE_UPS_PER_POLL;
--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -102,7 +102,7 @@
     if (nowUs >= last.monotonicUs()) {
       return LongUnaryOperator.identity();
     }
-    final long passedUs = Math.max(0, clock.wallUs() - last.wallUs());
+    final long passedUs = Math.max(0, clock.wallClockUs() - last.wallUs());
     Log.event(Event.JOURNAL_CLOCK_BEGAN_ANEW, "passed_us", passedUs);
     return us -> us - last.monotonicUs() - passedUs + nowUs;
   }
@@ -212,7 +212,7 @@
   }
 
   private JournalRecords.BatchTimestamps timestamps() {
-    return new JournalRecords.BatchTimestamps(clock.nowUs(), clock.wallUs());
+    return new JournalRecords.BatchTimestamps(clock.nowUs(), clock.wallClockUs());
   }
 
   private void onFlushed() {
--- a/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
+++ b/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
@@ -32,7 +32,7 @@
       return;
     }
     final ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
-    final long behindUs = clock.nowUs() - clock.wallUs();
+    final long behindUs = clock.nowUs() - clock.wallClockUs();
     while (all.remaining() >= RECORD_HEADER_BYTES) {
       final int length = all.getInt();
       final int checksum = all.getInt();
--- a/courier/src/main/java/thistleturn/courier/warm/LearntKeeper.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateWriter.java
@@ -1,11 +1,11 @@
-package thistleturn.courier.warm;
+package thistleturn.courier.learned;
 
 import java.io.IOException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import thistleturn.courier.handover.Inheritance;
+import thistleturn.courier.handover.HandoverSnapshot;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.Log;
 
@@ -14,8 +14,8 @@
  * thread of its own makes the text and the file. What comes while it writes takes the place of what
  * waits, so that a slow disk costs freshness, never memory or time.
  */
-public final class LearntKeeper {
-  private static final ExecutorService WRITER =
+public final class LearnedStateWriter {
+  private static final ExecutorService WRITER_THREAD =
       Executors.newSingleThreadExecutor(
           task -> {
             final Thread thread = new Thread(task, "learnt");
@@ -23,38 +23,38 @@
             return thread;
           });
 
-  private record Taken(Inheritance learnt, long nowUs) {}
+  private record PendingWrite(HandoverSnapshot snapshot, long capturedUs) {}
 
-  private final LearntFile file;
+  private final LearnedStateFile file;
   private final Clock clock;
-  private final AtomicReference<Taken> waiting = new AtomicReference<>();
-  private final AtomicBoolean told = new AtomicBoolean();
+  private final AtomicReference<PendingWrite> pendingWrite = new AtomicReference<>();
+  private final AtomicBoolean failureLogged = new AtomicBoolean();
 
   /** One that writes to a file. */
-  public LearntKeeper(final LearntFile file, final Clock clock) {
+  public LearnedStateWriter(final LearnedStateFile file, final Clock clock) {
     this.file = file;
     this.clock = clock;
   }
 
   /** To be written soon. */
-  public void keep(final Inheritance learnt) {
-    if (waiting.getAndSet(new Taken(learnt, clock.nowUs())) == null) {
-      WRITER.execute(this::write);
+  public void save(final HandoverSnapshot learnt) {
+    if (pendingWrite.getAndSet(new PendingWrite(learnt, clock.nowUs())) == null) {
+      WRITER_THREAD.execute(this::writePending);
     }
   }
 
-  private void write() {
-    final Taken taken = waiting.getAndSet(null);
+  private void writePending() {
+    final PendingWrite taken = pendingWrite.getAndSet(null);
     try {
-      final byte[] bytes = file.bytes(taken.learnt(), taken.nowUs());
+      final byte[] bytes = file.encode(taken.snapshot(), taken.capturedUs());
       if (bytes != null) {
-        file.write(bytes);
-        told.set(false);
-      } else if (!told.getAndSet(true)) {
-        Log.info("what was learnt is not kept: more than " + file.mostBytes() + " bytes");
+        file.replace(bytes);
+        failureLogged.set(false);
+      } else if (!failureLogged.getAndSet(true)) {
+        Log.info("what was learnt is not kept: more than " + file.maxBytes() + " bytes");
       }
     } catch (final IOException e) {
-      if (!told.getAndSet(true)) {
+      if (!failureLogged.getAndSet(true)) {
         Log.info("what was learnt is not kept: " + e);
       }
     }
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -148,7 +148,8 @@
           .thenApply(
               figures ->
                   new OperatorResponse(
-                      HttpResponseStatus.OK, figures.toPrometheusText() + Log.counters()));
+                      HttpResponseStatus.OK,
+                      figures.toPrometheusText() + Log.prometheusCounters()));
     }
     final boolean leaveOut = endpoint.group(2).equals("disable");
     return operations
--- a/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
+++ b/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 
@@ -61,7 +61,7 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  private final LoopTurns turns;
+  private final PollTracker turns;
   private final JsonNode configuredList;
   private Listener listener;
   private InetSocketAddress address;
@@ -74,12 +74,15 @@
 
   /** A watch that does not ask for anything yet. */
   public DiscoveryClient(
-      final Config config, final EventLoop loop, final Clock clock, final LoopTurns turns) {
-    this.configuredList = config.known();
+      final CourierConfig config,
+      final EventLoop loop,
+      final Clock clock,
+      final PollTracker turns) {
+    this.configuredList = config.initialEndpointList();
     this.loop = loop;
     this.clock = clock;
     this.turns = turns;
-    this.address = config.discovery();
+    this.address = config.discoveryAddress();
   }
 
   @Override
@@ -110,8 +113,8 @@
 
   /** From now on the list is at another address, whose versions are numbered in their own way. */
   @Override
-  public void reload(final Config fresh) {
-    final InetSocketAddress next = fresh.discovery();
+  public void reload(final CourierConfig fresh) {
+    final InetSocketAddress next = fresh.discoveryAddress();
     if (next.equals(address)) {
       return;
     }
@@ -154,7 +157,7 @@
     return new Entry(
         name,
         condition,
-        Config.address("dial", node.path("dial").asText()),
+        CourierConfig.parseAddress("dial", node.path("dial").asText()),
         node.path("site").asText(),
         node.path("share").asDouble(0),
         node.path("class").asText(),
@@ -218,7 +221,7 @@
       final long checkedUs = deadlineUs;
       loop.schedule(
           () ->
-              turns.afterLook(
+              turns.runAfterPoll(
                   loop,
                   checkedUs,
                   () -> {
--- a/courier/src/main/java/thistleturn/courier/platform/HttpOutcomeNotifier.java
+++ b/courier/src/main/java/thistleturn/courier/platform/HttpOutcomeNotifier.java
@@ -24,10 +24,10 @@
 import thistleturn.courier.port.OutcomeNotifier;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.PollTracker;
 
 /**
  * Tells the platform how messages ended that were taken on and not delivered: in batches, one under
@@ -52,7 +52,7 @@
   private InetSocketAddress address;
   private final EventLoop loop;
   private final Clock clock;
-  private final LoopTurns turns;
+  private final PollTracker turns;
   private final Listener listener;
   private final Map<String, StoredMessage> unconfirmed = new LinkedHashMap<>();
   private ReportSession session;
@@ -65,7 +65,7 @@
       final InetSocketAddress address,
       final EventLoop loop,
       final Clock clock,
-      final LoopTurns turns,
+      final PollTracker turns,
       final Listener listener) {
     this.address = address;
     this.loop = loop;
@@ -103,8 +103,8 @@
    * From now on the platform is at another address: what it has not confirmed goes there, at once.
    */
   @Override
-  public void reload(final Config fresh) {
-    final InetSocketAddress next = fresh.discovery();
+  public void reload(final CourierConfig fresh) {
+    final InetSocketAddress next = fresh.discoveryAddress();
     if (next.equals(address)) {
       return;
     }
@@ -126,7 +126,7 @@
     if (!held.finalOutcome().failed() && held.finalOutcome().retryAfterMs() > 0) {
       line.put("again_ms", held.finalOutcome().retryAfterMs());
     }
-    return Json.text(line) + "\n";
+    return Json.toText(line) + "\n";
   }
 
   private void retryLater() {
@@ -162,7 +162,7 @@
       final long dueUs = clock.nowUs() + us;
       loop.schedule(
           () ->
-              turns.afterLook(
+              turns.runAfterPoll(
                   loop,
                   dueUs,
                   () -> {
--- a/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 
@@ -45,5 +45,5 @@
   boolean isCurrent();
 
   /** A new configuration counts from now on, as far as it concerns this directory. */
-  void reload(Config fresh);
+  void reload(CourierConfig fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/OutcomeNotifier.java
+++ b/courier/src/main/java/thistleturn/courier/port/OutcomeNotifier.java
@@ -1,7 +1,7 @@
 package thistleturn.courier.port;
 
 import java.util.List;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 
 /**
  * Where it is told how messages ended that were taken on and not delivered; again until that is
@@ -24,5 +24,5 @@
   boolean isEmpty();
 
   /** A new configuration counts from now on, as far as it concerns the telling. */
-  void reload(Config fresh);
+  void reload(CourierConfig fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/Clock.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Clock.java
@@ -19,7 +19,7 @@
   }
 
   /** Now, in Unix time, as whoever set the clock would have it. */
-  public long wallUs() {
+  public long wallClockUs() {
     return System.currentTimeMillis() * US_PER_MS;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/Config.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/CourierConfig.java
@@ -17,50 +17,36 @@
  * on addresses and folders. Unknown keys are ignored; a value that cannot be read ends the start
  * with one line that names it.
  */
-public record Config(
+public record CourierConfig(
     String name,
-    InetSocketAddress listen,
-    InetSocketAddress operator,
-    InetSocketAddress discovery,
-    Path state,
+    InetSocketAddress listenAddress,
+    InetSocketAddress operatorAddress,
+    InetSocketAddress discoveryAddress,
+    Path stateFolder,
     long seed,
-    int sockets,
-    long diskBytes,
-    JsonNode known,
+    int maxSockets,
+    long diskBudgetBytes,
+    JsonNode initialEndpointList,
     DeliverySettings settings,
     long connectTimeoutUs) {
 
-  private static final int MOST_PORT = 65_535;
-  private static final int HEX = 16;
+  private static final int MAX_PORT = 65_535;
+  private static final int HEX_RADIX = 16;
   private static final long BYTES_PER_MB = 1_000_000;
   private static final String SOURCE = "configuration";
 
-  /** Why a courier cannot start. */
-  public static final class BadConfigException extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    /** One line that names what is wrong. */
-    public BadConfigException(final String reason) {
-      super(reason);
-    }
-
-    /** The same for a file that could not be read at all. */
-    public BadConfigException(final String reason, final IOException cause) {
-      super(reason, cause);
-    }
-  }
-
   /** Reads the file that the environment names. */
-  public static Config read(final Map<String, String> environment) throws BadConfigException {
+  public static CourierConfig read(final Map<String, String> environment)
+      throws ConfigurationException {
     final String file = environment.get("PROXY_CONFIG");
     if (file == null) {
-      throw new BadConfigException("PROXY_CONFIG is not set");
+      throw new ConfigurationException("PROXY_CONFIG is not set");
     }
     final JsonNode root;
     try {
       root = Json.read(Files.readAllBytes(Path.of(file)));
     } catch (final IOException e) {
-      throw new BadConfigException(
+      throw new ConfigurationException(
           "cannot read "
               + file
               + ": "
@@ -70,10 +56,10 @@
     return parse(root, environment);
   }
 
-  static Config parse(final JsonNode root, final Map<String, String> environment)
-      throws BadConfigException {
+  static CourierConfig parse(final JsonNode root, final Map<String, String> environment)
+      throws ConfigurationException {
     if (root == null || !root.isObject()) {
-      throw new BadConfigException(SOURCE + ": not a JSON object");
+      throw new ConfigurationException(SOURCE + ": not a JSON object");
     }
     // Two name spaces: "discovery" is an address outside the settings, and a way of asking inside
     // them.
@@ -107,11 +93,11 @@
     final Fields settings = Fields.of(settingValues, SOURCE);
     try {
       final String operator = fields.text("operator", "");
-      return new Config(
+      return new CourierConfig(
           fields.text("name", "courier"),
-          address("listen", fields.text("listen")),
-          operator.isEmpty() ? null : address("operator", operator),
-          address("discovery", fields.text("discovery")),
+          parseAddress("listen", fields.text("listen")),
+          operator.isEmpty() ? null : parseAddress("operator", operator),
+          parseAddress("discovery", fields.text("discovery")),
           Path.of(fields.text("state")),
           seed(fields.text("seed", "0")),
           (int) atLeastOne(fields, "limits.sockets", 1024),
@@ -120,9 +106,9 @@
           SettingsReader.read(settings),
           atLeastOne(settings, "limits.connect_timeout", 1_000_000));
     } catch (final MalformedLineException e) {
-      throw new BadConfigException(e.getMessage());
+      throw new ConfigurationException(e.getMessage());
     } catch (final IllegalArgumentException e) {
-      throw new BadConfigException(SOURCE + ": " + e.getMessage());
+      throw new ConfigurationException(SOURCE + ": " + e.getMessage());
     }
   }
 
@@ -163,7 +149,7 @@
 
   private static long seed(final String text) {
     try {
-      return Long.parseUnsignedLong(text, HEX);
+      return Long.parseUnsignedLong(text, HEX_RADIX);
     } catch (final NumberFormatException e) {
       throw new IllegalArgumentException("'seed' is no hexadecimal number: '" + text + "'", e);
     }
@@ -173,11 +159,11 @@
    * An address with its port, both as figures: there is no DNS. Port 0 lets the system choose one
    * to listen on.
    */
-  public static InetSocketAddress address(final String what, final String text) {
+  public static InetSocketAddress parseAddress(final String what, final String text) {
     final int colon = text.lastIndexOf(':');
     try {
       final int port = Integer.parseInt(text.substring(colon + 1));
-      if (colon > 0 && port >= 0 && port <= MOST_PORT) {
+      if (colon > 0 && port >= 0 && port <= MAX_PORT) {
         return new InetSocketAddress(text.substring(0, colon), port);
       }
     } catch (final NumberFormatException e) {
--- a/courier/src/main/java/thistleturn/courier/runtime/Json.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Json.java
@@ -21,10 +21,10 @@
  */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
-  private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+  private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
   /** Nothing here is nested as deep: what is, is refused before it can fill the stack. */
-  private static final int MOST_DEPTH = 64;
+  private static final int MAX_DEPTH = 64;
 
   private Json() {}
 
@@ -47,55 +47,55 @@
   }
 
   private static JsonNode read(final JsonParser parser) throws IOException {
-    return parser.nextToken() == null ? MissingNode.getInstance() : value(parser, 0);
+    return parser.nextToken() == null ? MissingNode.getInstance() : readValue(parser, 0);
   }
 
-  private static JsonNode value(final JsonParser parser, final int depth) throws IOException {
-    if (depth > MOST_DEPTH) {
-      throw new JsonParseException(parser, "nested over " + MOST_DEPTH + " deep");
+  private static JsonNode readValue(final JsonParser parser, final int depth) throws IOException {
+    if (depth > MAX_DEPTH) {
+      throw new JsonParseException(parser, "nested over " + MAX_DEPTH + " deep");
     }
     switch (parser.currentToken()) {
       case START_OBJECT -> {
-        final ObjectNode object = NODES.objectNode();
+        final ObjectNode object = NODE_FACTORY.objectNode();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
           final String name = parser.currentName();
           parser.nextToken();
-          object.set(name, value(parser, depth + 1));
+          object.set(name, readValue(parser, depth + 1));
         }
         return object;
       }
       case START_ARRAY -> {
-        final ArrayNode array = NODES.arrayNode();
+        final ArrayNode array = NODE_FACTORY.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-          array.add(value(parser, depth + 1));
+          array.add(readValue(parser, depth + 1));
         }
         return array;
       }
       case VALUE_STRING -> {
-        return NODES.textNode(parser.getText());
+        return NODE_FACTORY.textNode(parser.getText());
       }
       case VALUE_NUMBER_INT -> {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-            ? NODES.numberNode(parser.getBigIntegerValue())
-            : NODES.numberNode(parser.getLongValue());
+            ? NODE_FACTORY.numberNode(parser.getBigIntegerValue())
+            : NODE_FACTORY.numberNode(parser.getLongValue());
       }
       case VALUE_NUMBER_FLOAT -> {
-        return NODES.numberNode(parser.getDoubleValue());
+        return NODE_FACTORY.numberNode(parser.getDoubleValue());
       }
       case VALUE_TRUE -> {
-        return NODES.booleanNode(true);
+        return NODE_FACTORY.booleanNode(true);
       }
       case VALUE_FALSE -> {
-        return NODES.booleanNode(false);
+        return NODE_FACTORY.booleanNode(false);
       }
       default -> {
-        return NODES.nullNode();
+        return NODE_FACTORY.nullNode();
       }
     }
   }
 
   /** A tree as text, on one line. */
-  public static String text(final JsonNode node) {
+  public static String toText(final JsonNode node) {
     final StringWriter text = new StringWriter();
     try (JsonGenerator to = FACTORY.createGenerator(text)) {
       write(node, to);
--- a/courier/src/main/java/thistleturn/courier/runtime/Log.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Log.java
@@ -7,14 +7,14 @@
 
 /**
  * The courier's log, through SLF4J: one line an event, its fields as {@code name=value}. Every
- * event is counted; of one kind at most {@value #MOST_LINES_A_SECOND} lines are written in a
+ * event is counted; of one kind at most {@value #MAX_LINES_PER_SECOND} lines are written in a
  * second, and the next one says how many were left out, so that a storm of failures costs no more
  * than its counting.
  */
 public final class Log {
-  private static final int BROKEN_STATUS = 70;
-  private static final int MOST_LINES_A_SECOND = 20;
-  private static final int MOST_FRAMES = 16;
+  private static final int FATAL_EXIT_STATUS = 70;
+  private static final int MAX_LINES_PER_SECOND = 20;
+  private static final int MAX_STACK_FRAMES = 16;
   private static final long NS_PER_S = 1_000_000_000;
   private static final Logger LOGGER = LoggerFactory.getLogger("thistleturn");
   private static final Event[] EVENTS = Event.values();
@@ -24,10 +24,10 @@
    * The second in which an event was last written, how often in it, and how many lines were left
    * out since.
    */
-  private static final long[] SECONDS = new long[EVENTS.length];
+  private static final long[] LAST_LOGGED_SECOND = new long[EVENTS.length];
 
-  private static final int[] LINES = new int[EVENTS.length];
-  private static final long[] LEFT_OUT = new long[EVENTS.length];
+  private static final int[] LINES_IN_SECOND = new int[EVENTS.length];
+  private static final long[] SUPPRESSED_LINES = new long[EVENTS.length];
 
   /** What a rehearsal does to itself is nobody's event. */
   private static volatile boolean muted;
@@ -35,7 +35,7 @@
   private Log() {}
 
   /** Events are neither counted nor written from now on, or they are again. */
-  public static void mute(final boolean mute) {
+  public static void setMuted(final boolean mute) {
     muted = mute;
   }
 
@@ -57,22 +57,22 @@
       return;
     }
     count(event);
-    final long leftOut = linesLeftOut(event);
+    final long leftOut = suppressedLinesOrLimit(event);
     if (leftOut < 0) {
       return;
     }
     final StringBuilder line =
         new StringBuilder("ts=").append(Instant.now()).append(" event=").append(event.label());
     for (int index = 0; index + 1 < fields.length; index += 2) {
-      field(line, fields[index], fields[index + 1]);
+      appendField(line, fields[index], fields[index + 1]);
     }
     if (leftOut > 0) {
-      field(line, "lines_left_out", leftOut);
+      appendField(line, "lines_left_out", leftOut);
     }
     LOGGER.info(line.toString());
   }
 
-  private static void field(final StringBuilder line, final Object name, final Object value) {
+  private static void appendField(final StringBuilder line, final Object name, final Object value) {
     final String text = String.valueOf(value);
     line.append(' ').append(name).append('=');
     if (text.isEmpty() || text.chars().anyMatch(one -> one <= ' ' || one == '"' || one == '=')) {
@@ -92,24 +92,24 @@
    * How many lines of an event were left out before this one; below 0 if this one is left out as
    * well.
    */
-  private static synchronized long linesLeftOut(final Event event) {
+  private static synchronized long suppressedLinesOrLimit(final Event event) {
     final int index = event.ordinal();
     final long second = System.nanoTime() / NS_PER_S;
-    if (SECONDS[index] != second) {
-      SECONDS[index] = second;
-      LINES[index] = 0;
+    if (LAST_LOGGED_SECOND[index] != second) {
+      LAST_LOGGED_SECOND[index] = second;
+      LINES_IN_SECOND[index] = 0;
     }
-    if (++LINES[index] > MOST_LINES_A_SECOND) {
-      LEFT_OUT[index]++;
+    if (++LINES_IN_SECOND[index] > MAX_LINES_PER_SECOND) {
+      SUPPRESSED_LINES[index]++;
       return -1;
     }
-    final long before = LEFT_OUT[index];
-    LEFT_OUT[index] = 0;
+    final long before = SUPPRESSED_LINES[index];
+    SUPPRESSED_LINES[index] = 0;
     return before;
   }
 
   /** How often each event came since the process began, in the form that Prometheus reads. */
-  public static String counters() {
+  public static String prometheusCounters() {
     final StringBuilder text = new StringBuilder("# TYPE courier_events_total counter\n");
     for (final Event event : EVENTS) {
       text.append("courier_events_total{event=\"")
@@ -123,18 +123,18 @@
 
   /** Says what failed and why, with the place: an unexpected exception. */
   public static void failure(final String what, final Throwable cause) {
-    event(Event.FAILURE, "what", what, "cause", cause, "at", frames(cause));
+    event(Event.FAILURE, "what", what, "cause", cause, "at", formatStack(cause));
     if (cause instanceof VirtualMachineError) {
       // Nothing can be trusted after that, least of all that anyone is served; the next process
       // resumes.
-      Runtime.getRuntime().halt(BROKEN_STATUS);
+      Runtime.getRuntime().halt(FATAL_EXIT_STATUS);
     }
   }
 
-  private static String frames(final Throwable cause) {
+  private static String formatStack(final Throwable cause) {
     final StringBuilder text = new StringBuilder();
     final StackTraceElement[] frames = cause.getStackTrace();
-    for (int index = 0; index < Math.min(MOST_FRAMES, frames.length); index++) {
+    for (int index = 0; index < Math.min(MAX_STACK_FRAMES, frames.length); index++) {
       text.append(index == 0 ? "" : " < ")
           .append(frames[index].getClassName())
           .append('.')
@@ -146,7 +146,7 @@
       text.append(" caused by ")
           .append(cause.getCause())
           .append(" at ")
-          .append(frames(cause.getCause()));
+          .append(formatStack(cause.getCause()));
     }
     return text.toString();
   }
--- a/courier/src/main/java/thistleturn/courier/runtime/LoopTurns.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/PollTracker.java
@@ -12,31 +12,32 @@
  * have lain in a socket's buffer, however long the loop, or the whole process, stood still. Used by
  * one event loop, on its thread.
  */
-public final class LoopTurns implements SelectStrategyFactory {
+public final class PollTracker implements SelectStrategyFactory {
   private final Clock clock;
-  private final SelectStrategy plain = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
-  private long beganUs;
-  private long beforeUs;
+  private final SelectStrategy defaultStrategy =
+      DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
+  private long currentPollUs;
+  private long previousPollUs;
 
   /** No turn has begun yet. */
-  public LoopTurns(final Clock clock) {
+  public PollTracker(final Clock clock) {
     this.clock = clock;
-    this.beganUs = clock.nowUs();
-    this.beforeUs = beganUs;
+    this.currentPollUs = clock.nowUs();
+    this.previousPollUs = currentPollUs;
   }
 
   @Override
   public SelectStrategy newSelectStrategy() {
     return (supplier, hasTasks) -> {
-      beforeUs = beganUs;
-      beganUs = clock.nowUs();
-      return plain.calculateStrategy(supplier, hasTasks);
+      previousPollUs = currentPollUs;
+      currentPollUs = clock.nowUs();
+      return defaultStrategy.calculateStrategy(supplier, hasTasks);
     };
   }
 
   /** When the look before this turn's began, us: what is found only now was not there then. */
-  public long previousLookUs() {
-    return beforeUs;
+  public long previousPollUs() {
+    return previousPollUs;
   }
 
   /**
@@ -44,24 +45,24 @@
    * been read. It is not where a process was stopped within a look that waited: that look ends
    * without having seen what came meanwhile.
    */
-  private boolean hasLookedSince(final long us) {
-    return beganUs >= us;
+  private boolean hasPolledSince(final long us) {
+    return currentPollUs >= us;
   }
 
   /**
    * Does something on that loop after a look that began after that moment, at once if there was
    * one.
    */
-  public void afterLook(final EventLoop loop, final long us, final Runnable action) {
-    if (hasLookedSince(us)) {
+  public void runAfterPoll(final EventLoop loop, final long us, final Runnable action) {
+    if (hasPolledSince(us)) {
       action.run();
     } else {
-      loop.schedule(() -> afterLook(loop, us, action), 0, TimeUnit.MICROSECONDS);
+      loop.schedule(() -> runAfterPoll(loop, us, action), 0, TimeUnit.MICROSECONDS);
     }
   }
 
   /** When the look of this turn began, us. */
-  public long lookUs() {
-    return beganUs;
+  public long currentPollUs() {
+    return currentPollUs;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/Passing.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/TransientFailures.java
@@ -11,49 +11,39 @@
  * (ENOSPC, EIO, ENFILE, EMFILE, ENOBUFS, ENOMEM). What somebody has to mend (a file that is
  * missing, an address that is taken, a setting that cannot be read) stays.
  */
-public final class Passing {
+public final class TransientFailures {
   /** A courier is to be ready within 30 s of its start. */
-  public static final long PATIENCE_US = 22_000_000;
+  public static final long RETRY_BUDGET_US = 22_000_000;
 
   /** How soon what failed is tried again, ms. */
-  public static final long RETRY_MS = 25;
+  public static final long RETRY_DELAY_MS = 25;
 
-  private static final String NO_THREAD = "native thread";
+  private static final String NO_NATIVE_THREAD = "native thread";
 
-  private Passing() {}
+  private TransientFailures() {}
 
   /** True if the failure, or what caused it, may pass. */
-  public static boolean mayPass(final Throwable failure) {
+  public static boolean isTransient(final Throwable failure) {
     boolean system = false;
     for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
       if (cause instanceof BindException
           || cause instanceof NoSuchFileException
           || cause instanceof AccessDeniedException
           || cause instanceof JsonProcessingException
-          || cause instanceof LastingException) {
+          || cause instanceof PermanentFailureException) {
         return false;
       }
       system |=
           cause instanceof IOException
               || (cause instanceof OutOfMemoryError
-                  && String.valueOf(cause.getMessage()).contains(NO_THREAD));
+                  && String.valueOf(cause.getMessage()).contains(NO_NATIVE_THREAD));
     }
     return system;
   }
 
   /** True if somebody else has the address. */
-  public static boolean isAddressTaken(final Throwable failure) {
+  public static boolean isAddressInUse(final Throwable failure) {
     return failure instanceof BindException
-        || (failure != null && isAddressTaken(failure.getCause()));
-  }
-
-  /** Something of the system's that does not pass by itself. */
-  public static final class LastingException extends IOException {
-    private static final long serialVersionUID = 1L;
-
-    /** One line that says what is in the way. */
-    public LastingException(final String reason) {
-      super(reason);
-    }
+        || (failure != null && isAddressInUse(failure.getCause()));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
+++ b/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.runtime.LoopTasks;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.decisions.model.ResourceLimits;
 import thistleturn.decisions.shards.CapacityAllocator;
 
@@ -55,7 +55,7 @@
       exchangeWith(shard);
     }
     owner.scheduleWithFixedDelay(
-        LoopTasks.guarded("room among shards", this::rebalance),
+        GuardedTasks.guard("room among shards", this::rebalance),
         REBALANCE_PERIOD_MS,
         REBALANCE_PERIOD_MS,
         TimeUnit.MILLISECONDS);
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.port.EndpointDirectory;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.LoopTasks;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.shards.ShardPlacement;
@@ -45,7 +45,7 @@
   public void start() {
     shared.start(this::distribute);
     owner.scheduleWithFixedDelay(
-        LoopTasks.guarded("freshness of the list", () -> fresh = shared.isCurrent()),
+        GuardedTasks.guard("freshness of the list", () -> fresh = shared.isCurrent()),
         0,
         FRESHNESS_PERIOD_MS,
         TimeUnit.MILLISECONDS);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void reload(final Config changed) {
+    public void reload(final CourierConfig changed) {
       if (shardViews.get(0) == this) {
         owner.execute(() -> shared.reload(changed));
       }
--- a/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
+++ b/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
@@ -11,7 +11,7 @@
 import thistleturn.courier.port.MessageStore.FlushResult;
 import thistleturn.courier.port.OutcomeNotifier;
 import thistleturn.courier.port.StoredMessage;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 
 /** What may be told, and when, by what the journal says of its last flush. */
 @Tag("faults")
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void reload(final Config fresh) {
+    public void reload(final CourierConfig fresh) {
       // It goes nowhere.
     }
   }
--- a/courier/src/test/java/thistleturn/courier/HandoverTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverTest.java
@@ -52,8 +52,7 @@
   }
 
   @Test
-  void whatIsOutStaysWithTheOlderOneAndEndsInTheNewerOne()
-      throws IOException, InterruptedException {
+  void callInFlightAtHandover_endsThroughOlderProcess() throws IOException, InterruptedException {
     older.firstEndpoint.script((request, connection) -> {});
     assertEquals(202, older.submit("out", "once").status());
     older.await("the call", () -> older.firstEndpoint.requests.size() == 1);
@@ -80,7 +79,7 @@
   }
 
   @Test
-  void aClientThatKeepsItsConnectionIsServedThroughTheOlderOne() throws IOException {
+  void clientOnOldConnection_isServedThroughOlderProcess() throws IOException {
     try (Socket kept = older.connect()) {
       assertEquals(
           202, CourierHarness.send(kept, CourierHarness.submitRequest("m1", "safe")).status());
@@ -104,7 +103,7 @@
   }
 
   @Test
-  void aWaitToldToOneBindsTheOther() throws IOException {
+  void retryAfterSeenByOlderProcess_bindsNewerProcess() throws IOException {
     older.firstEndpoint.script(
         (request, connection) ->
             connection.write("HTTP/1.1 429 x\r\nRetry-After: 1.500\r\nContent-Length: 0\r\n\r\n"));
@@ -124,7 +123,7 @@
   }
 
   @Test
-  void aCallWhoseProcessIsKilledMayHaveRun() throws IOException, InterruptedException {
+  void olderProcessKilled_onlyIdempotentCallIsRetried() throws IOException, InterruptedException {
     older.firstEndpoint.script((request, connection) -> {});
     assertEquals(202, older.submit("once", "once").status());
     assertEquals(202, older.submit("safe", "safe").status());
@@ -139,7 +138,8 @@
   }
 
   @Test
-  void underLoadNoClientIsTurnedAwayAndNothingGoesTwice() throws IOException, InterruptedException {
+  void handoverUnderLoad_rejectsNoClientAndDuplicatesNothing()
+      throws IOException, InterruptedException {
     final Set<String> sent = new HashSet<>();
     final Thread upgrade =
         new Thread(
@@ -164,8 +164,7 @@
   }
 
   @Test
-  void aNewerOneThatDiesLeavesAllToTheOlderWhichTakesUpAgain()
-      throws IOException, InterruptedException {
+  void newerProcessKilled_olderProcessResumes() throws IOException, InterruptedException {
     older.firstEndpoint.script((request, connection) -> {});
     assertEquals(202, older.submit("out", "once").status());
     older.await("the call", () -> older.firstEndpoint.requests.size() == 1);
@@ -199,7 +198,7 @@
   }
 
   @Test
-  void threeInARow() throws IOException, InterruptedException {
+  void twoHandoversInARow_thirdProcessDelivers() throws IOException, InterruptedException {
     newer.start();
     assertTrue(older.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     try (CourierHarness third = newer.successor()) {
@@ -218,7 +217,7 @@
    * yet.
    */
   @Test
-  void aSighupDuringATakeoverIsHeededByTheNewerOne() throws Exception {
+  void reloadDuringHandover_isAppliedByNewerProcess() throws Exception {
     older.relocatedHosts = CourierHarness.hostEntry("e2", older.secondEndpoint, "Ready");
     final CourierServer next =
         CourierServer.start(
--- a/courier/src/test/java/thistleturn/courier/ShardingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardingTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.courier.shard.ShardJournals;
 import thistleturn.decisions.shards.ShardPlacement;
 import thistleturn.testkit.CourierFiles;
@@ -56,7 +56,7 @@
     world.close();
   }
 
-  private void start(final int shards) throws IOException, Config.BadConfigException {
+  private void start(final int shards) throws IOException, ConfigurationException {
     final CourierOptions platform = CourierOptions.platformDefaults();
     courier =
         CourierServer.start(
@@ -71,7 +71,7 @@
     world.client.courier(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
   }
 
-  private void restart(final int shards) throws IOException, Config.BadConfigException {
+  private void restart(final int shards) throws IOException, ConfigurationException {
     world.auditor.restarted(world.ticks.nowUs(), false);
     courier.kill();
     world.endConnections();
--- a/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.handover.StateLock;
 import thistleturn.courier.port.EndpointDirectory;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInWorld;
 
@@ -55,7 +55,7 @@
               ExecutionException.class, () -> process.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
       assertTrue(process.eventLoop().isTerminated(), "its loop has ended");
       return String.valueOf(failure.getCause().getMessage());
-    } catch (final IOException | Config.BadConfigException e) {
+    } catch (final IOException | ConfigurationException e) {
       return e.getMessage();
     }
   }
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -59,8 +59,8 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private static Inheritance emptyInheritance() {
-    return new Inheritance(
+  private static HandoverSnapshot emptyInheritance() {
+    return new HandoverSnapshot(
         List.of(), new LearnedState(new double[0], new int[0], 1, List.of(), List.of()), List.of());
   }
 
@@ -91,12 +91,12 @@
   // ---------------------------------------------------------------- the new process
 
   /** Answers offers in turn in each possible way, and notes what it is told. */
-  private static final class DecidingProcess implements Predecessor.Listener {
+  private static final class DecidingProcess implements HandoverClient.Listener {
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private int offers;
 
     @Override
-    public void offer(final StoredMessage held, final Ingress.Reply reply) {
+    public void onMessageSubmitted(final StoredMessage held, final Ingress.Reply reply) {
       assertArrayEquals(new byte[] {1}, held.body());
       switch (offers++) {
         case 0 -> reply.accepted();
@@ -114,12 +114,12 @@
     }
 
     @Override
-    public void remoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
+    public void onRemoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
       events.add("outcome " + messageId + " " + answer.result().neverExecuted());
     }
 
     @Override
-    public void predecessorGone() {
+    public void onPredecessorGone() {
       events.add("gone");
     }
   }
@@ -128,10 +128,13 @@
   void newProcessSaysTheseLines() throws Exception {
     try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       server.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
-      final CompletableFuture<Inheritance> taken = new CompletableFuture<>();
-      final CompletableFuture<Predecessor> asked = new CompletableFuture<>();
+      final CompletableFuture<HandoverSnapshot> taken = new CompletableFuture<>();
+      final CompletableFuture<HandoverClient> asked = new CompletableFuture<>();
       final Runnable failed = () -> taken.completeExceptionally(new IOException("refused"));
-      loop.execute(() -> asked.complete(Predecessor.ask(loop, folder, taken::complete, failed)));
+      loop.execute(
+          () ->
+              asked.complete(
+                  HandoverClient.requestHandover(loop, folder, taken::complete, failed)));
       try (SocketChannel connection = server.accept();
           BufferedReader in = reader(connection)) {
         assertEquals("{\"t\":\"hello\",\"version\":4}", in.readLine());
@@ -139,12 +142,12 @@
         assertEquals(List.of(), taken.get(PATIENCE_S, TimeUnit.SECONDS).endpoints());
 
         final DecidingProcess deciding = new DecidingProcess();
-        final Predecessor predecessor = asked.get(PATIENCE_S, TimeUnit.SECONDS);
+        final HandoverClient predecessor = asked.get(PATIENCE_S, TimeUnit.SECONDS);
         loop.execute(
             () -> {
-              predecessor.serve(deciding);
-              predecessor.listening();
-              predecessor.abandon(11, AttemptResult.TIMED_OUT);
+              predecessor.setListener(deciding);
+              predecessor.announceListening();
+              predecessor.abandonCall(11, AttemptResult.TIMED_OUT);
             });
         assertEquals(
             List.of(
@@ -183,28 +186,28 @@
   // ---------------------------------------------------------------- the old process
 
   /** Hands over at once, and notes what it is told. */
-  private static final class ServingProcess implements Giver {
-    private final CompletableFuture<Heir> heir = new CompletableFuture<>();
+  private static final class ServingProcess implements HandoverSource {
+    private final CompletableFuture<Successor> heir = new CompletableFuture<>();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @Override
-    public Inheritance handOver(final Heir to) {
+    public HandoverSnapshot handOver(final Successor to) {
       heir.complete(to);
       return emptyInheritance();
     }
 
     @Override
-    public void abandon(final long call, final AttemptResult result) {
+    public void abandonCall(final long call, final AttemptResult result) {
       events.add("abandon " + call + " " + result.name());
     }
 
     @Override
-    public void heirListens() {
+    public void onSuccessorListening() {
       events.add("listening");
     }
 
     @Override
-    public void heirGone() {
+    public void onSuccessorGone() {
       events.add("gone");
     }
   }
@@ -248,23 +251,23 @@
   @Test
   void oldProcessSaysTheseLines() throws Exception {
     final ServingProcess serving = new ServingProcess();
-    loop.execute(() -> new Elder(serving).listen(loop, folder));
+    loop.execute(() -> new HandoverServer(serving).listen(loop, folder));
     try (SocketChannel connection = connectToOldProcess();
         BufferedReader in = reader(connection)) {
       write(connection, "{\"t\":\"hello\",\"version\":4}");
       assertEquals(EMPTY_INHERITANCE, read(in, 2));
 
-      final Heir heir = serving.heir.get(PATIENCE_S, TimeUnit.SECONDS);
+      final Successor heir = serving.heir.get(PATIENCE_S, TimeUnit.SECONDS);
       final BlockingQueue<String> replies = new LinkedBlockingQueue<>();
       final StoredMessage held =
           new StoredMessage("m1", "safe", null, 57, 4_000_000, new byte[] {1});
       loop.execute(
           () -> {
             for (int offer = 1; offer <= 6; offer++) {
-              heir.offer(held, 5_000_000, new NotedReply(replies));
+              heir.submit(held, 5_000_000, new NotedReply(replies));
             }
             heir.withdraw("m1", 57);
-            heir.outcome(
+            heir.reportOutcome(
                 11, "m2", new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, false, 0, null));
           });
       final List<String> expected = new ArrayList<>();
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -45,9 +45,9 @@
         "e-1", condition, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
   }
 
-  private static Inheritance inheritance() {
-    return new Inheritance(
-        List.of(new Inheritance.Named(4, listing(EndpointState.LISTED))),
+  private static HandoverSnapshot inheritance() {
+    return new HandoverSnapshot(
+        List.of(new HandoverSnapshot.NumberedEndpoint(4, listing(EndpointState.LISTED))),
         new LearnedState(
             new double[] {1000, 0.5},
             new int[] {7, 8},
@@ -56,40 +56,42 @@
                 new LearnedState.LearnedRoute(
                     4, new double[] {3, Double.POSITIVE_INFINITY}, new long[] {0, Long.MAX_VALUE})),
             List.of(new LearnedState.LearnedEndpoint(4, new double[] {0.25}, new long[] {5}))),
-        List.of(new Inheritance.CallOut(11, 4, 57, 123_456, List.of("m1", "m2"))));
+        List.of(new HandoverSnapshot.InFlightRemoteCall(11, 4, 57, 123_456, List.of("m1", "m2"))));
   }
 
   @Test
   void inheritanceIsWrittenAsTheseLines() {
-    assertEquals(LINES, Wire.lines(inheritance()));
+    assertEquals(LINES, HandoverCodec.encodeSnapshot(inheritance()));
   }
 
   @Test
   void theseLinesAreReadAsTheInheritance() throws IOException {
-    final Inheritance read = Wire.read(LINES);
+    final HandoverSnapshot read = HandoverCodec.decodeSnapshot(LINES);
     assertEquals(inheritance().endpoints(), read.endpoints());
     assertEquals(inheritance().calls(), read.calls());
-    assertArrayEquals(new double[] {1000, 0.5}, read.memory().classMeanUs());
-    assertArrayEquals(new int[] {7, 8}, read.memory().classSamples());
-    assertEquals(1e7, read.memory().trustedIdleUs());
-    assertEquals(4, read.memory().routes().get(0).endpointId());
+    assertArrayEquals(new double[] {1000, 0.5}, read.learnedState().classMeanUs());
+    assertArrayEquals(new int[] {7, 8}, read.learnedState().classSamples());
+    assertEquals(1e7, read.learnedState().trustedIdleUs());
+    assertEquals(4, read.learnedState().routes().get(0).endpointId());
     assertArrayEquals(
-        new double[] {3, Double.POSITIVE_INFINITY}, read.memory().routes().get(0).figures());
-    assertArrayEquals(new long[] {0, Long.MAX_VALUE}, read.memory().routes().get(0).moments());
-    assertEquals(4, read.memory().endpoints().get(0).endpointId());
-    assertArrayEquals(new double[] {0.25}, read.memory().endpoints().get(0).figures());
-    assertArrayEquals(new long[] {5}, read.memory().endpoints().get(0).moments());
+        new double[] {3, Double.POSITIVE_INFINITY}, read.learnedState().routes().get(0).figures());
+    assertArrayEquals(
+        new long[] {0, Long.MAX_VALUE}, read.learnedState().routes().get(0).moments());
+    assertEquals(4, read.learnedState().endpoints().get(0).endpointId());
+    assertArrayEquals(new double[] {0.25}, read.learnedState().endpoints().get(0).figures());
+    assertArrayEquals(new long[] {5}, read.learnedState().endpoints().get(0).moments());
   }
 
   @Test
   void versionOfTheLinesIsFour() {
-    assertEquals(4, Wire.VERSION);
+    assertEquals(4, HandoverCodec.PROTOCOL_VERSION);
     assertEquals(3, LearnedState.VERSION);
   }
 
   @Test
   void addressIsTheSocketNamedHandover() {
-    assertEquals(Path.of("state", "handover"), Wire.address(Path.of("state")).getPath());
+    assertEquals(
+        Path.of("state", "handover"), HandoverCodec.socketAddress(Path.of("state")).getPath());
   }
 
   @Test
@@ -99,9 +101,9 @@
             + "\"dest\":57,\"valid\":5000000,\"body\":\"AQL/\"}";
     final byte[] body = {1, 2, (byte) 0xFF};
     final StoredMessage held = new StoredMessage("m1", "keyed", "key-1", 57, 4_000_000, body);
-    assertEquals(line, Json.text(Wire.offer(3, held, 5_000_000)));
+    assertEquals(line, Json.toText(HandoverCodec.encodeOffer(3, held, 5_000_000)));
 
-    final StoredMessage read = Wire.held(Json.read(line));
+    final StoredMessage read = HandoverCodec.decodeOffer(Json.read(line));
     assertEquals("m1", read.id());
     assertEquals("keyed", read.className());
     assertEquals("key-1", read.idempotencyKey());
@@ -116,8 +118,8 @@
         "{\"t\":\"offer\",\"number\":4,\"id\":\"m2\",\"class\":\"safe\",\"key\":null,"
             + "\"dest\":57,\"valid\":5000000,\"body\":\"\"}";
     final StoredMessage held = new StoredMessage("m2", "safe", null, 57, 4_000_000, new byte[0]);
-    assertEquals(line, Json.text(Wire.offer(4, held, 5_000_000)));
-    assertNull(Wire.held(Json.read(line)).idempotencyKey());
+    assertEquals(line, Json.toText(HandoverCodec.encodeOffer(4, held, 5_000_000)));
+    assertNull(HandoverCodec.decodeOffer(Json.read(line)).idempotencyKey());
   }
 
   @Test
@@ -128,8 +130,8 @@
     final Dispatcher.DispatchOutcome answer =
         new Dispatcher.DispatchOutcome(
             AttemptResult.REFUSED, false, 2_000_000, new LoadReport(0.5, 40));
-    assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
-    assertEquals(answer, Wire.answer(Json.read(line)));
+    assertEquals(line, Json.toText(HandoverCodec.encodeOutcome(11, "m1", answer)));
+    assertEquals(answer, HandoverCodec.decodeOutcome(Json.read(line)));
   }
 
   @Test
@@ -139,8 +141,8 @@
             + "\"wait\":0}";
     final Dispatcher.DispatchOutcome answer =
         new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null);
-    assertEquals(line, Json.text(Wire.outcome(11, "m1", answer)));
-    assertEquals(answer, Wire.answer(Json.read(line)));
+    assertEquals(line, Json.toText(HandoverCodec.encodeOutcome(11, "m1", answer)));
+    assertEquals(answer, HandoverCodec.decodeOutcome(Json.read(line)));
   }
 
   @Test
@@ -160,13 +162,14 @@
     for (final AttemptResult result : AttemptResult.values()) {
       final Dispatcher.DispatchOutcome answer =
           new Dispatcher.DispatchOutcome(result, true, 0, null);
-      written.add(Wire.outcome(1, "m1", answer).path("result").asText());
+      written.add(HandoverCodec.encodeOutcome(1, "m1", answer).path("result").asText());
     }
     assertEquals(names, written);
     for (int index = 0; index < names.size(); index++) {
       final String line =
           "{\"t\":\"outcome\",\"id\":\"m1\",\"result\":\"" + names.get(index) + "\"}";
-      assertEquals(AttemptResult.values()[index], Wire.answer(Json.read(line)).result());
+      assertEquals(
+          AttemptResult.values()[index], HandoverCodec.decodeOutcome(Json.read(line)).result());
     }
   }
 
@@ -174,14 +177,15 @@
   void conditionsOfEndpointsAreWrittenByTheseNames() throws IOException {
     final List<String> written = new ArrayList<>();
     for (final EndpointState condition : EndpointState.values()) {
-      final Inheritance one =
-          new Inheritance(
-              List.of(new Inheritance.Named(4, listing(condition))),
-              inheritance().memory(),
+      final HandoverSnapshot one =
+          new HandoverSnapshot(
+              List.of(new HandoverSnapshot.NumberedEndpoint(4, listing(condition))),
+              inheritance().learnedState(),
               List.of());
-      final List<String> lines = Wire.lines(one);
+      final List<String> lines = HandoverCodec.encodeSnapshot(one);
       written.add(Json.read(lines.get(0)).path("condition").asText());
-      assertEquals(condition, Wire.read(lines).endpoints().get(0).listing().state());
+      assertEquals(
+          condition, HandoverCodec.decodeSnapshot(lines).endpoints().get(0).entry().state());
     }
     assertEquals(List.of("LISTED", "DRAINING", "GONE"), written);
   }
--- a/courier/src/test/java/thistleturn/courier/handover/ContinuityContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/LearnedStateSourceContractTest.java
@@ -11,23 +11,23 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import thistleturn.courier.learned.LearnedStateFile;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.warm.LearntFile;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
 /** Whoever hands on what a process had learnt, living or dead, does so by the same contract. */
 @Tag("decisions")
-final class ContinuityContractTest {
+final class LearnedStateSourceContractTest {
   private static final Clock CLOCK = new Clock();
   private static final int WINDOW = 0;
   private static final int WAIT = 1;
   private static final int FIGURES = 21;
   private static final int MOMENTS = 7;
 
-  private static Inheritance.Named named(final long number, final int port) {
-    return new Inheritance.Named(
+  private static HandoverSnapshot.NumberedEndpoint named(final long number, final int port) {
+    return new HandoverSnapshot.NumberedEndpoint(
         number,
         new EndpointDirectory.Entry(
             "e" + number,
@@ -56,19 +56,20 @@
         List.of(new LearnedState.LearnedEndpoint(4, new double[3], new long[] {0, 0, waitUs})));
   }
 
-  static Stream<Continuity> both() {
+  static Stream<LearnedStateSource> bothSources() {
     final long nowUs = CLOCK.nowUs();
-    final Inheritance inheritance =
-        new Inheritance(List.of(named(4, 9001), named(5, 9002)), memory(nowUs), List.of());
-    return Stream.of(inheritance, new LearntFile.Found(inheritance, nowUs));
+    final HandoverSnapshot inheritance =
+        new HandoverSnapshot(List.of(named(4, 9001), named(5, 9002)), memory(nowUs), List.of());
+    return Stream.of(inheritance, new LearnedStateFile.StoredState(inheritance, nowUs));
   }
 
   @ParameterizedTest
   @MethodSource("both")
-  void endpointsThatAreStillThereGoOnUnderTheirNewNumbers(final Continuity from) {
+  void remainingEndpoints_areRenumberedAndOthersDropped(final LearnedStateSource from) {
     assertEquals(
-        List.of(4L, 5L), from.endpoints().stream().map(Inheritance.Named::number).toList());
-    final LearnedState here = from.memory(Map.of(4L, 17L), CLOCK);
+        List.of(4L, 5L),
+        from.endpoints().stream().map(HandoverSnapshot.NumberedEndpoint::number).toList());
+    final LearnedState here = from.learnedState(Map.of(4L, 17L), CLOCK);
     assertEquals(
         List.of(17L),
         here.routes().stream().map(LearnedState.LearnedRoute::endpointId).toList(),
@@ -81,8 +82,8 @@
 
   @ParameterizedTest
   @MethodSource("both")
-  void momentsAreOnThisProcessesClockAndWaitsThatWereToldStand(final Continuity from) {
-    final long[] moments = from.memory(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
+  void timestamps_areOnThisProcessesClockAndWaitsRemain(final LearnedStateSource from) {
+    final long[] moments = from.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
     assertTrue(
         Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000,
         "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
@@ -91,8 +92,9 @@
 
   @ParameterizedTest
   @MethodSource("both")
-  void knowingSomethingIsNoReasonToBeginWithLess(final Continuity from) {
-    final double window = from.memory(Map.of(4L, 17L), CLOCK).routes().get(0).figures()[WINDOW];
+  void learnedWindow_isNotBelowInitialWindow(final LearnedStateSource from) {
+    final double window =
+        from.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).figures()[WINDOW];
     assertTrue(window >= 2 && window <= 9, "window " + window);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/health/TroubledFleetTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
@@ -26,7 +26,7 @@
 
 /** Processes that lose their way out, or are stopped while one takes over from the other. */
 @Tag("health")
-final class TroubledFleetTest {
+final class FaultyFleetTest {
   private static final long TIMEOUT_MS = 8000;
 
   @TempDir private Path folder;
@@ -56,7 +56,7 @@
    * back with the first answer.
    */
   @Test
-  void whenItsWayOutIsGoneItSaysSoAndComesBackAsOne() throws Exception {
+  void egressLost_isReportedAndRecoversTogether() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 3)) {
       final List<StandInEndpoint> partners = partners(world, 3);
       try (ChildProcess courier =
@@ -97,7 +97,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4})
-  void aTakeoverInWhichOneIsStoppedLosesNothing(final int seed) throws Exception {
+  void handoverWithPausedProcess_losesNothing(final int seed) throws Exception {
     final Random random = new Random(seed);
     try (StandInWorld world = new StandInWorld(folder, seed)) {
       partners(world, 2);
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -26,8 +26,8 @@
 final class PausedCourierTest {
   private static final long TIMEOUT_MS = 4000;
   private static final int RATE = 150;
-  private static final long HELD_MS = 15_000;
-  private static final int HELD_A_SECOND = 500;
+  private static final long PENDING_DEADLINE_MS = 15_000;
+  private static final int PENDING_PER_SECOND = 500;
   private static final int SLICES = 60;
 
   @TempDir private Path folder;
@@ -39,7 +39,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 1000, 2500})
-  void whatCameWhileItWasStoppedIsReadBeforeAnythingIsJudged(final long pauseMs) throws Exception {
+  void pausedCourier_readsResponsesBeforeJudgingTimeouts(final long pauseMs) throws Exception {
     try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
       for (int index = 0; index < 4; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
@@ -72,13 +72,13 @@
         final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(
             ends.getOrDefault("delivered", 0) >= 0.98 * handed,
-            () -> "ends " + ends + events(courier));
+            () -> "ends " + ends + summarizeEvents(courier));
       }
     }
   }
 
   /** How often the courier told of each event, and its first lines of each. */
-  private static String events(final ChildProcess courier) {
+  private static String summarizeEvents(final ChildProcess courier) {
     final Map<String, List<String>> told =
         courier.lines().stream()
             .filter(line -> line.contains("event="))
@@ -100,7 +100,7 @@
    * messages that it holds.
    */
   @Test
-  void aStartThatIsStoppedOrStarvedEndsInTimeAllTheSame() throws Exception {
+  void pausedOrStarvedStart_completesInTime() throws Exception {
     final int held = 2000;
     try (StandInWorld world = new StandInWorld(folder, 7)) {
       final StandInEndpoint endpoint = world.endpoint(1);
@@ -111,7 +111,7 @@
       try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         final String ready = first.await(line -> line.contains("is ready at "));
         world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(HELD_A_SECOND, HELD_MS, 1);
+        world.load(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
         world.await(
             "messages that are held", () -> world.auditor.ends().getOrDefault("open", 0) >= held);
         world.stopHandingIn();
--- a/courier/src/test/java/thistleturn/courier/health/PulseTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/StallDetectorTest.java
@@ -12,7 +12,7 @@
 
 /** The beat of a courier that waits for an answer and has nothing else to do. */
 @Tag("health")
-final class PulseTest {
+final class StallDetectorTest {
   private static final int BEATS = 15;
 
   /**
@@ -20,14 +20,15 @@
    * absence of that length.
    */
   @Test
-  void aBeatThatComesWhenItIsDueIsNoAbsence() throws Exception {
+  void punctualTicks_reportNoStall() throws Exception {
     final DefaultEventLoop loop = new DefaultEventLoop();
     try {
       final Clock clock = new Clock();
       final AtomicInteger aways = new AtomicInteger();
-      final Pulse pulse =
-          new Pulse(loop, clock, new LocalHealth(clock.nowUs()), us -> aways.incrementAndGet());
-      loop.submit(() -> pulse.keep(true)).get();
+      final StallDetector pulse =
+          new StallDetector(
+              loop, clock, new LocalHealth(clock.nowUs()), us -> aways.incrementAndGet());
+      loop.submit(() -> pulse.setBusy(true)).get();
       loop.schedule(() -> {}, BEATS * LocalHealth.TICK_INTERVAL_US, TimeUnit.MICROSECONDS).get();
       assertTrue(aways.get() < BEATS / 3, aways + " absences in " + BEATS + " beats");
     } finally {
--- a/courier/src/test/java/thistleturn/courier/http/HttpDispatcherTimeoutTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/HttpDispatcherTimeoutTest.java
@@ -32,9 +32,9 @@
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Descriptors;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.DescriptorBudget;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
@@ -48,7 +48,7 @@
   private static final long SECOND_US = 1_000_000;
 
   private final Clock clock = new Clock();
-  private final LoopTurns turns = new LoopTurns(clock);
+  private final PollTracker turns = new PollTracker(clock);
   private final AtomicLong polls = new AtomicLong();
   private final EventLoopGroup servers =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -67,7 +67,7 @@
       StoredMessage message, long timeoutUs, long latestSendUs, long messageDeadlineUs)
       implements Dispatcher.Attempt {}
 
-  private SelectStrategyFactory countingPolls(final LoopTurns its) {
+  private SelectStrategyFactory countingPolls(final PollTracker its) {
     return () -> {
       final SelectStrategy strategy = its.newSelectStrategy();
       return (supplier, hasTasks) -> {
@@ -112,8 +112,8 @@
                     "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"patient\",\"state\":\"accepted\"}]");
               }
             });
-    final Config config =
-        Config.read(
+    final CourierConfig config =
+        CourierConfig.read(
             CourierFiles.write(
                 folder,
                 "n0",
@@ -144,7 +144,7 @@
             () -> {
               dispatcher =
                   new HttpDispatcher(
-                      config, loop, clock, turns, listener, new Descriptors(100, 100));
+                      config, loop, clock, turns, listener, new DescriptorBudget(100, 100));
               dispatcher.updateEndpoint(
                   new Endpoint(1, EndpointState.LISTED, "a", 0, 0, 1),
                   false,
--- a/courier/src/test/java/thistleturn/courier/http/LateDispatchTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateDispatchTest.java
@@ -27,9 +27,9 @@
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.Descriptors;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.DescriptorBudget;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
@@ -50,7 +50,7 @@
   private record ReportedOutcome(String id, AttemptResult result) {}
 
   private final Clock clock = new Clock();
-  private final LoopTurns turns = new LoopTurns(clock);
+  private final PollTracker turns = new PollTracker(clock);
   private final EventLoopGroup servers =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoopGroup group =
@@ -98,8 +98,8 @@
                 exchange.answer(200, "");
               }
             });
-    final Config config =
-        Config.read(
+    final CourierConfig config =
+        CourierConfig.read(
             CourierFiles.write(
                 folder,
                 "n0",
@@ -133,7 +133,7 @@
             () -> {
               dispatcher =
                   new HttpDispatcher(
-                      config, loop, clock, turns, listener, new Descriptors(100, 100));
+                      config, loop, clock, turns, listener, new DescriptorBudget(100, 100));
               updateEndpoint(EndpointState.LISTED);
             },
             loop)
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -199,7 +199,7 @@
   @Test
   void legacyFormatIsReadAndReplaced() throws IOException {
     final Clock clock = new Clock();
-    final long validWallUs = clock.wallUs() + 5_000_000;
+    final long validWallUs = clock.wallClockUs() + 5_000_000;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     final DataOutputStream record = new DataOutputStream(bytes);
     record.writeByte(1);
@@ -228,7 +228,7 @@
       assertEquals(2, held.attempts());
       assertEquals(StoredMessage.NEVER, held.firstRunUs());
       assertEquals(
-          (double) (clock.nowUs() + validWallUs - clock.wallUs()),
+          (double) (clock.nowUs() + validWallUs - clock.wallClockUs()),
           (double) held.deadlineUs(),
           1_000_000);
     }
--- a/courier/src/test/java/thistleturn/courier/warm/LearntFileTest.java
+++ b/courier/src/test/java/thistleturn/courier/learned/LearnedStateFileTest.java
@@ -1,4 +1,4 @@
-package thistleturn.courier.warm;
+package thistleturn.courier.learned;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.handover.Inheritance;
+import thistleturn.courier.handover.HandoverSnapshot;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
@@ -25,19 +25,19 @@
  * on it.
  */
 @Tag("noise")
-final class LearntFileTest {
+final class LearnedStateFileTest {
   private static final long TAKEN_US = 5_000_000_000L;
   private static final long SECOND = 1_000_000;
   private static final long DISK_BYTES = 3 << 20;
   private static final List<String> CLASSES = List.of("safe", "once");
 
   @TempDir private Path folder;
-  private LearntFile file;
+  private LearnedStateFile file;
 
-  private static Inheritance learnt() {
-    return new Inheritance(
+  private static HandoverSnapshot learnedSnapshot() {
+    return new HandoverSnapshot(
         List.of(
-            new Inheritance.Named(
+            new HandoverSnapshot.NumberedEndpoint(
                 4,
                 new EndpointDirectory.Entry(
                     "s-1",
@@ -62,70 +62,71 @@
 
   @BeforeEach
   void write() throws IOException {
-    file = new LearntFile(folder, 0, CLASSES, DISK_BYTES);
-    file.write(file.bytes(learnt(), TAKEN_US));
+    file = new LearnedStateFile(folder, 0, CLASSES, DISK_BYTES);
+    file.replace(file.encode(learnedSnapshot(), TAKEN_US));
   }
 
-  private LearntFile.Found after(final long us) {
+  private LearnedStateFile.StoredState readAfter(final long us) {
     return file.read(TAKEN_US + us);
   }
 
   @Test
-  void whatWasLearntIsFoundAgain() {
-    final LearntFile.Found found = after(SECOND);
-    assertEquals(TAKEN_US, found.takenUs());
-    assertEquals(learnt().endpoints(), found.learnt().endpoints());
-    final LearnedState.LearnedRoute lane = found.learnt().memory().routes().get(0);
+  void writtenState_isReadBack() {
+    final LearnedStateFile.StoredState found = readAfter(SECOND);
+    assertEquals(TAKEN_US, found.capturedUs());
+    assertEquals(learnedSnapshot().endpoints(), found.snapshot().endpoints());
+    final LearnedState.LearnedRoute lane = found.snapshot().learnedState().routes().get(0);
     assertEquals(
         "[3.0, Infinity] [1, 2]",
         Arrays.toString(lane.figures()) + " " + Arrays.toString(lane.moments()));
   }
 
   @Test
-  void aTornOrChangedOneIsNotUsed() throws IOException {
+  void tornOrCorruptedFile_isIgnored() throws IOException {
     final Path path = folder.resolve("learnt");
     final byte[] whole = Files.readAllBytes(path);
     for (int length = 0; length < whole.length; length++) {
       Files.write(path, Arrays.copyOf(whole, length));
-      assertNull(after(SECOND), "cut to " + length);
+      assertNull(readAfter(SECOND), "cut to " + length);
     }
     for (int at = 0; at < whole.length; at++) {
       final byte[] flipped = whole.clone();
       flipped[at] ^= 4;
       Files.write(path, flipped);
-      assertNull(after(SECOND), "flipped at " + at);
+      assertNull(readAfter(SECOND), "flipped at " + at);
     }
     Files.write(path, whole);
-    assertNotNull(after(SECOND));
+    assertNotNull(readAfter(SECOND));
   }
 
   @Test
-  void anOldOneIsNotUsed() {
-    assertNotNull(after(LearnedState.MAX_AGE_US));
-    assertNull(after(LearnedState.MAX_AGE_US + 1));
-    assertNull(after(3600 * SECOND));
+  void expiredFile_isIgnored() {
+    assertNotNull(readAfter(LearnedState.MAX_AGE_US));
+    assertNull(readAfter(LearnedState.MAX_AGE_US + 1));
+    assertNull(readAfter(3600 * SECOND));
   }
 
   @Test
-  void oneFromBeforeTheMachineBeganAnewIsNotUsed() {
+  void fileFromBeforeReboot_isIgnored() {
     assertNull(file.read(TAKEN_US - 1));
     assertNull(file.read(SECOND));
   }
 
   @Test
-  void oneForOtherClassesIsNotUsed() {
-    assertNull(new LearntFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(TAKEN_US));
-    assertNull(new LearntFile(folder, 1, CLASSES, DISK_BYTES).read(TAKEN_US), "another shard's");
+  void fileForOtherClassesOrShard_isIgnored() {
+    assertNull(new LearnedStateFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(TAKEN_US));
+    assertNull(
+        new LearnedStateFile(folder, 1, CLASSES, DISK_BYTES).read(TAKEN_US), "another shard's");
   }
 
   @Test
-  void whatIsTooLargeIsNeitherWrittenNorRead() throws IOException {
+  void oversizedState_isNeitherWrittenNorRead() throws IOException {
     final LearnedState.LearnedEndpoint node =
         new LearnedState.LearnedEndpoint(4, new double[100], new long[100]);
     final LearnedState large =
         new LearnedState(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
-    assertNull(file.bytes(new Inheritance(List.of(), large, List.of()), TAKEN_US));
+    assertNull(file.encode(new HandoverSnapshot(List.of(), large, List.of()), TAKEN_US));
     Files.write(folder.resolve("learnt"), new byte[4 << 20]);
-    assertNull(after(SECOND));
+    assertNull(readAfter(SECOND));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/warm/LearnedStateFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/learned/LearnedStateFormatTest.java
@@ -1,4 +1,4 @@
-package thistleturn.courier.warm;
+package thistleturn.courier.learned;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.handover.Inheritance;
+import thistleturn.courier.handover.HandoverSnapshot;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
@@ -40,11 +40,11 @@
 
   @TempDir private Path folder;
 
-  private LearntFile file(final int shard) {
-    return new LearntFile(folder, shard, CLASSES, DISK_BYTES);
+  private LearnedStateFile file(final int shard) {
+    return new LearnedStateFile(folder, shard, CLASSES, DISK_BYTES);
   }
 
-  private static Inheritance learned() {
+  private static HandoverSnapshot learned() {
     final EndpointDirectory.Entry listing =
         new EndpointDirectory.Entry(
             "e-1",
@@ -54,8 +54,8 @@
             2.5,
             "std",
             57);
-    return new Inheritance(
-        List.of(new Inheritance.Named(4, listing)),
+    return new HandoverSnapshot(
+        List.of(new HandoverSnapshot.NumberedEndpoint(4, listing)),
         new LearnedState(
             new double[] {1000, 2000},
             new int[] {7, 8},
@@ -71,17 +71,17 @@
 
   @Test
   void learnedStateIsWrittenAsThisText() {
-    assertEquals(TEXT, new String(file(0).bytes(learned(), TAKEN_US), StandardCharsets.UTF_8));
+    assertEquals(TEXT, new String(file(0).encode(learned(), TAKEN_US), StandardCharsets.UTF_8));
   }
 
   @Test
   void fileWithThisTextIsReadBack() throws IOException {
     Files.writeString(folder.resolve("learnt"), TEXT);
-    final LearntFile.Found found = file(0).read(TAKEN_US + 1);
+    final LearnedStateFile.StoredState found = file(0).read(TAKEN_US + 1);
     assertNotNull(found);
-    assertEquals(TAKEN_US, found.takenUs());
-    assertEquals(learned().endpoints(), found.learnt().endpoints());
-    final LearnedState memory = found.learnt().memory();
+    assertEquals(TAKEN_US, found.capturedUs());
+    assertEquals(learned().endpoints(), found.snapshot().endpoints());
+    final LearnedState memory = found.snapshot().learnedState();
     assertArrayEquals(new double[] {1000, 2000}, memory.classMeanUs());
     assertArrayEquals(new int[] {7, 8}, memory.classSamples());
     assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, memory.routes().get(0).figures());
@@ -90,8 +90,8 @@
 
   @Test
   void filesOfShardsHaveTheseNames() throws IOException {
-    file(0).write(new byte[] {1});
-    file(2).write(new byte[] {1});
+    file(0).replace(new byte[] {1});
+    file(2).replace(new byte[] {1});
     assertTrue(Files.exists(folder.resolve("learnt")));
     assertTrue(Files.exists(folder.resolve("learnt-2")));
   }
--- a/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
@@ -76,6 +76,6 @@
         courier_events_total{event="step_failed"}
         courier_events_total{event="failure"}
         """,
-        Log.counters().replaceAll("} \\d+\n", "}\n"));
+        Log.prometheusCounters().replaceAll("} \\d+\n", "}\n"));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Timeout;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.PollTracker;
 
 /** The exact request by which the platform is notified how messages ended. */
 @Timeout(60)
 final class OutcomeNoticeFormatTest {
   private final Clock clock = new Clock();
-  private final LoopTurns turns = new LoopTurns(clock);
+  private final PollTracker turns = new PollTracker(clock);
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
--- a/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
@@ -14,7 +14,7 @@
 
 /** The library's own object mapper is the judge of what is read and written without it. */
 final class JsonTest {
-  private static final ObjectMapper JUDGE = new ObjectMapper();
+  private static final ObjectMapper REFERENCE_MAPPER = new ObjectMapper();
 
   @ParameterizedTest
   @ValueSource(
@@ -26,29 +26,29 @@
         "1.5e300",
         "[[[],{}],false,0.1]"
       })
-  void readsAndWritesAsTheMapperDoes(final String text) throws IOException {
+  void validText_matchesObjectMapper(final String text) throws IOException {
     final JsonNode tree = Json.read(text);
-    assertEquals(JUDGE.readTree(text).toString(), tree.toString());
-    assertEquals(JUDGE.readTree(text).toString(), Json.text(tree));
+    assertEquals(REFERENCE_MAPPER.readTree(text).toString(), tree.toString());
+    assertEquals(REFERENCE_MAPPER.readTree(text).toString(), Json.toText(tree));
     assertEquals(
-        Json.text(tree),
-        Json.text(Json.read(text.getBytes(java.nio.charset.StandardCharsets.UTF_8))));
+        Json.toText(tree),
+        Json.toText(Json.read(text.getBytes(java.nio.charset.StandardCharsets.UTF_8))));
   }
 
   @Test
-  void bytesGoAsBase64() throws IOException {
+  void binaryNode_isWrittenAsBase64() throws IOException {
     final JsonNode node = JsonNodeFactory.instance.objectNode().put("body", new byte[] {0, -1, 7});
-    assertEquals(node.toString(), Json.text(node));
+    assertEquals(node.toString(), Json.toText(node));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"{", "[1,", "{\"a\"}", "nul", "\u0001"})
-  void whatIsNoJsonIsRefused(final String text) {
+  void malformedText_isRejected(final String text) {
     assertThrows(IOException.class, () -> Json.read(text));
   }
 
   @Test
-  void nothingIsMissingAndDepthIsBounded() throws IOException {
+  void emptyText_isMissingNodeAndDepthIsBounded() throws IOException {
     assertTrue(Json.read("").isMissingNode());
     assertThrows(IOException.class, () -> Json.read("[".repeat(100_000)));
   }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.membership.RegistrationLease;
 import thistleturn.decisions.membership.RegistrationLease.Action;
@@ -47,14 +47,14 @@
       final Clock clock,
       final String name,
       final String address) {
-    final InetSocketAddress at = Config.address("address", address);
+    final InetSocketAddress at = CourierConfig.parseAddress("address", address);
     this.settings = settings;
     this.loop = loop;
     this.clock = clock;
     this.host = at.getHostString();
     this.port = at.getPort();
     this.id = name + ":" + settings.app().toLowerCase(Locale.ROOT) + ":" + port;
-    this.dirtyMs = clock.wallUs() / US_PER_MS;
+    this.dirtyMs = clock.wallClockUs() / US_PER_MS;
     this.lease =
         new RegistrationLease(clock.nowUs(), settings.addresses().size(), settings.renewUs());
     step();
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -18,9 +18,9 @@
 import thistleturn.courier.ExtensionContext;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.LoopTasks;
 import thistleturn.decisions.membership.Membership;
 import thistleturn.decisions.membership.MergedEndpoint;
 import thistleturn.decisions.membership.ReportedStatus;
@@ -110,7 +110,7 @@
     own.start(this::ownTold);
     registries.values().forEach(EurekaSource::start);
     loop.scheduleWithFixedDelay(
-        LoopTasks.guarded("registries", this::hear), HEARD_MS, HEARD_MS, TimeUnit.MILLISECONDS);
+        GuardedTasks.guard("registries", this::hear), HEARD_MS, HEARD_MS, TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public void reload(final Config fresh) {
+  public void reload(final CourierConfig fresh) {
     own.reload(fresh);
   }
 
@@ -265,7 +265,7 @@
     return new Entry(
         member.name(),
         condition,
-        Config.address("address", member.address()),
+        CourierConfig.parseAddress("address", member.address()),
         member.zone(),
         member.ratePerSecond(),
         member.kind(),
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import thistleturn.courier.CourierServer;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.eureka.MetadataNames;
 import thistleturn.eureka.RegistrationSettings;
@@ -59,7 +59,7 @@
         new InetSocketAddress("127.0.0.1", peer.server().port()), "/eureka");
   }
 
-  CourierUnderTest start() throws IOException, Config.BadConfigException {
+  CourierUnderTest start() throws IOException, ConfigurationException {
     extension =
         new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
     process = CourierServer.start(world.environment(CourierFiles.Size.usual()), extension);
@@ -72,7 +72,7 @@
   }
 
   /** Ends it as a power cut would, and starts the next one on the same folder. */
-  void killAndRestart() throws IOException, Config.BadConfigException {
+  void killAndRestart() throws IOException, ConfigurationException {
     world.auditor.restarted(world.ticks.nowUs(), false);
     process.kill();
     world.endConnections();
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -26,8 +26,8 @@
 import thistleturn.courier.platform.DiscoveryClient;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Config;
-import thistleturn.courier.runtime.LoopTurns;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.PollTracker;
 import thistleturn.decisions.membership.MergeSettings;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
@@ -49,7 +49,7 @@
 
   @TempDir private Path folder;
   private final Clock clock = new Clock();
-  private final LoopTurns turns = new LoopTurns(clock);
+  private final PollTracker turns = new PollTracker(clock);
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
           1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
@@ -76,7 +76,7 @@
   }
 
   private void start(final Kind kind) throws Exception {
-    final Config config = Config.read(world.environment(CourierFiles.Size.usual()));
+    final CourierConfig config = CourierConfig.read(world.environment(CourierFiles.Size.usual()));
     loop.submit(
             () -> {
               directory = new DiscoveryClient(config, loop, clock, turns);
@@ -170,8 +170,8 @@
       final Path config = folder.resolve("config.json");
       Files.writeString(
           config, Files.readString(config).replace(world.platform.address(), moved.address()));
-      final Config fresh =
-          Config.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
+      final CourierConfig fresh =
+          CourierConfig.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
       loop.submit(() -> directory.reload(fresh)).get(PATIENCE_S, TimeUnit.SECONDS);
       awaitState(second, EndpointState.LISTED);
       awaitState(first, EndpointState.GONE);
--- a/peers/src/main/java/thistleturn/peers/Datagrams.java
+++ b/peers/src/main/java/thistleturn/peers/DatagramTransport.java
@@ -19,46 +19,46 @@
 import thistleturn.decisions.peers.Packet;
 
 /**
- * Sealed datagrams of at most {@link #MOST_BYTES}. What cannot be read is counted and moves
+ * Sealed datagrams of at most {@link #MAX_DATAGRAM_BYTES}. What cannot be read is counted and moves
  * nothing. Lives on the event loop.
  */
-final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+final class DatagramTransport extends SimpleChannelInboundHandler<DatagramPacket> {
   /** Bytes of a datagram at most. */
-  static final int MOST_BYTES = 1200;
+  static final int MAX_DATAGRAM_BYTES = 1200;
 
   /**
    * What comes beyond so many in a second is not even looked at: strangers cost a bounded share of
    * the loop.
    */
-  private static final int MOST_PER_S = 4000;
+  private static final int MAX_DATAGRAMS_PER_S = 4000;
 
   private static final long US_PER_S = 1_000_000;
 
-  private final Codec codec;
-  private final Seal seal;
+  private final PeerCodec codec;
+  private final MessageAuthenticator authenticator;
   private final Clock clock;
-  private final Consumer<Packet> consumer;
-  private final Consumer<Cargo> cargoes;
+  private final Consumer<Packet> packetConsumer;
+  private final Consumer<PiggybackMessage> piggybackConsumer;
   private Channel channel;
-  private long secondUs;
-  private int inSecond;
-  private long malformed;
-  private long sent;
+  private long rateWindowStartUs;
+  private int receivedInWindow;
+  private long malformedCount;
+  private long sentCount;
   private long sentBytes;
-  private long read;
-  private long tooLarge;
+  private long readCount;
+  private long oversizedCount;
 
-  Datagrams(
-      final Codec codec,
-      final Seal seal,
+  DatagramTransport(
+      final PeerCodec codec,
+      final MessageAuthenticator seal,
       final Clock clock,
       final Consumer<Packet> consumer,
-      final Consumer<Cargo> cargoes) {
+      final Consumer<PiggybackMessage> cargoes) {
     this.codec = codec;
-    this.seal = seal;
+    this.authenticator = seal;
     this.clock = clock;
-    this.consumer = consumer;
-    this.cargoes = cargoes;
+    this.packetConsumer = consumer;
+    this.piggybackConsumer = cargoes;
   }
 
   /** Listens there. */
@@ -67,7 +67,9 @@
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES + 1))
+            .option(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES + 1))
             .handler(this)
             .bind(listen);
     channel = bound.channel();
@@ -80,18 +82,18 @@
   }
 
   /** Sends, or loses, what a passenger has. */
-  void send(final InetSocketAddress to, final Cargo cargo) {
+  void send(final InetSocketAddress to, final PiggybackMessage cargo) {
     send(to, codec.write(cargo));
   }
 
   private void send(final InetSocketAddress to, final byte[] text) {
-    final byte[] sealed = seal.close(text);
-    if (sealed.length > MOST_BYTES) {
-      tooLarge++;
+    final byte[] sealed = authenticator.sign(text);
+    if (sealed.length > MAX_DATAGRAM_BYTES) {
+      oversizedCount++;
       return;
     }
     if (channel != null && channel.isActive()) {
-      sent++;
+      sentCount++;
       sentBytes += sealed.length;
       channel.writeAndFlush(
           new DatagramPacket(Unpooled.wrappedBuffer(sealed), to), channel.voidPromise());
@@ -101,37 +103,37 @@
   @Override
   protected void channelRead0(final ChannelHandlerContext context, final DatagramPacket datagram) {
     final long nowUs = clock.nowUs();
-    if (nowUs - secondUs >= US_PER_S) {
-      secondUs = nowUs;
-      inSecond = 0;
+    if (nowUs - rateWindowStartUs >= US_PER_S) {
+      rateWindowStartUs = nowUs;
+      receivedInWindow = 0;
     }
     final ByteBuf content = datagram.content();
-    if (++inSecond > MOST_PER_S || content.readableBytes() > MOST_BYTES) {
-      malformed++;
+    if (++receivedInWindow > MAX_DATAGRAMS_PER_S || content.readableBytes() > MAX_DATAGRAM_BYTES) {
+      malformedCount++;
       return;
     }
     final byte[] sealed = new byte[content.readableBytes()];
     content.readBytes(sealed);
-    final byte[] text = seal.open(sealed);
+    final byte[] text = authenticator.verify(sealed);
     if (text == null) {
-      malformed++;
+      malformedCount++;
       return;
     }
     final Packet packet;
-    final Cargo cargo;
+    final PiggybackMessage cargo;
     try {
-      final boolean isCargo = Codec.isCargo(text);
-      cargo = isCargo ? codec.cargo(text) : null;
-      packet = isCargo ? null : codec.packet(text);
+      final boolean isCargo = PeerCodec.isPiggyback(text);
+      cargo = isCargo ? codec.readPiggyback(text) : null;
+      packet = isCargo ? null : codec.readPacket(text);
     } catch (final IOException e) {
-      malformed++;
+      malformedCount++;
       return;
     }
-    read++;
+    readCount++;
     if (cargo != null) {
-      cargoes.accept(cargo);
+      piggybackConsumer.accept(cargo);
     } else {
-      consumer.accept(packet);
+      packetConsumer.accept(packet);
     }
   }
 
@@ -145,28 +147,28 @@
     }
   }
 
-  long malformed() {
-    return malformed;
+  long malformedCount() {
+    return malformedCount;
   }
 
-  long sent() {
-    return sent;
+  long sentCount() {
+    return sentCount;
   }
 
   long sentBytes() {
     return sentBytes;
   }
 
-  long read() {
-    return read;
+  long readCount() {
+    return readCount;
   }
 
   /**
    * Datagrams that were not sent since they would have been too large: 0 unless an estimate of
    * bytes is wrong.
    */
-  long tooLarge() {
-    return tooLarge;
+  long oversizedCount() {
+    return oversizedCount;
   }
 
   void close() {
--- a/peers/src/main/java/thistleturn/peers/Frames.java
+++ b/peers/src/main/java/thistleturn/peers/FrameHandler.java
@@ -13,55 +13,55 @@
  * A connection's bytes: frames of a length (4 bytes), a seal, a kind (1 byte) and a text. The first
  * frame in either direction is a greeting. One that cannot be read ends the connection.
  */
-abstract class Frames extends SimpleChannelInboundHandler<ByteBuf> {
+abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
   /** Bytes of a frame at most: the full state of some thousand couriers. */
-  static final int MOST_BYTES = 1 << 20;
+  static final int MAX_FRAME_BYTES = 1 << 20;
 
   static final byte GREETING = 1;
-  static final byte FULL = 2;
-  static final byte CARGO = 3;
+  static final byte FULL_STATE = 2;
+  static final byte PIGGYBACK = 3;
   private static final int LENGTH_BYTES = 4;
 
-  private final Seal seal;
+  private final MessageAuthenticator authenticator;
 
-  Frames(final Seal seal) {
-    this.seal = seal;
+  FrameHandler(final MessageAuthenticator seal) {
+    this.authenticator = seal;
   }
 
   /** Adds what reads frames to a connection's pipeline. */
-  final void join(final ChannelPipeline pipeline) {
+  final void addTo(final ChannelPipeline pipeline) {
     pipeline.addLast(
-        new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES), this);
+        new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES), this);
   }
 
   /** A frame as it goes out. */
-  static ByteBuf frame(final Seal seal, final byte kind, final byte[] text) {
+  static ByteBuf encodeFrame(final MessageAuthenticator seal, final byte kind, final byte[] text) {
     final byte[] named = new byte[text.length + 1];
     named[0] = kind;
     System.arraycopy(text, 0, named, 1, text.length);
-    final byte[] sealed = seal.close(named);
+    final byte[] sealed = seal.sign(named);
     return Unpooled.wrappedBuffer(
         Unpooled.buffer(LENGTH_BYTES).writeInt(sealed.length), Unpooled.wrappedBuffer(sealed));
   }
 
   /** A frame came; one that cannot be read is an {@link IOException}. */
-  abstract void read(ChannelHandlerContext context, byte kind, byte[] text) throws IOException;
+  abstract void onFrame(ChannelHandlerContext context, byte kind, byte[] text) throws IOException;
 
   /** One came that is not this fleet's, or not whole. */
-  abstract void malformed();
+  abstract void onMalformedFrame();
 
   @Override
   protected void channelRead0(final ChannelHandlerContext context, final ByteBuf frame) {
     final byte[] sealed = new byte[frame.readableBytes()];
     frame.readBytes(sealed);
-    final byte[] named = seal.open(sealed);
+    final byte[] named = authenticator.verify(sealed);
     try {
       if (named == null) {
-        throw new Codec.MalformedException("a seal of another fleet");
+        throw new MalformedMessageException("a seal of another fleet");
       }
-      read(context, named[0], Arrays.copyOfRange(named, 1, named.length));
+      onFrame(context, named[0], Arrays.copyOfRange(named, 1, named.length));
     } catch (final IOException e) {
-      malformed();
+      onMalformedFrame();
       context.close();
     }
   }
--- a/peers/src/main/java/thistleturn/peers/IncarnationFile.java
+++ b/peers/src/main/java/thistleturn/peers/IncarnationFile.java
@@ -12,12 +12,12 @@
  * none again.
  */
 final class IncarnationFile {
-  private static final String NAME = "peers.incarnation";
+  private static final String FILE_NAME = "peers.incarnation";
 
   private final Path file;
 
   IncarnationFile(final Path folder) {
-    this.file = folder.resolve(NAME);
+    this.file = folder.resolve(FILE_NAME);
   }
 
   /** A further one: that of the wall clock, or one above the last if the clock is behind it. */
@@ -29,14 +29,14 @@
       Log.info("peers: " + file + " cannot be used, the clock alone counts: " + e.getMessage());
     }
     final long next = Math.max(wallUs, last + 1);
-    keep(next);
+    store(next);
     return next;
   }
 
   /** Keeps one that was taken since. */
-  void keep(final long incarnation) {
+  void store(final long incarnation) {
     try {
-      final Path fresh = file.resolveSibling(NAME + ".new");
+      final Path fresh = file.resolveSibling(FILE_NAME + ".new");
       Files.write(fresh, Long.toString(incarnation).getBytes(StandardCharsets.US_ASCII));
       Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
     } catch (final IOException e) {
--- a/peers/src/main/java/thistleturn/peers/Seal.java
+++ b/peers/src/main/java/thistleturn/peers/MessageAuthenticator.java
@@ -12,39 +12,39 @@
  * that what another fleet says, or what was damaged, moves nothing. It keeps nothing secret. For
  * one thread.
  */
-final class Seal {
+final class MessageAuthenticator {
   /** Bytes that it takes. */
-  static final int BYTES = 16;
+  static final int TAG_BYTES = 16;
 
-  private static final String KIND = "HmacSHA256";
+  private static final String ALGORITHM = "HmacSHA256";
 
   private final Mac mac;
 
-  Seal(final String key) {
+  MessageAuthenticator(final String key) {
     try {
-      mac = Mac.getInstance(KIND);
-      mac.init(new SecretKeySpec(key.getBytes(StandardCharsets.UTF_8), KIND));
+      mac = Mac.getInstance(ALGORITHM);
+      mac.init(new SecretKeySpec(key.getBytes(StandardCharsets.UTF_8), ALGORITHM));
     } catch (final GeneralSecurityException e) {
-      throw new IllegalStateException("every Java machine has " + KIND, e);
+      throw new IllegalStateException("every Java machine has " + ALGORITHM, e);
     }
   }
 
   /** The text with its seal before it. */
-  byte[] close(final byte[] text) {
-    final byte[] sealed = Arrays.copyOf(mac.doFinal(text), BYTES + text.length);
-    System.arraycopy(text, 0, sealed, BYTES, text.length);
+  byte[] sign(final byte[] text) {
+    final byte[] sealed = Arrays.copyOf(mac.doFinal(text), TAG_BYTES + text.length);
+    System.arraycopy(text, 0, sealed, TAG_BYTES, text.length);
     return sealed;
   }
 
   /** The text behind a seal; null: it is not this fleet's, or not whole. */
-  byte[] open(final byte[] sealed) {
-    if (sealed.length <= BYTES) {
+  byte[] verify(final byte[] sealed) {
+    if (sealed.length <= TAG_BYTES) {
       return null;
     }
-    mac.update(sealed, BYTES, sealed.length - BYTES);
-    final byte[] wanted = Arrays.copyOf(mac.doFinal(), BYTES);
-    return MessageDigest.isEqual(wanted, Arrays.copyOf(sealed, BYTES))
-        ? Arrays.copyOfRange(sealed, BYTES, sealed.length)
+    mac.update(sealed, TAG_BYTES, sealed.length - TAG_BYTES);
+    final byte[] wanted = Arrays.copyOf(mac.doFinal(), TAG_BYTES);
+    return MessageDigest.isEqual(wanted, Arrays.copyOf(sealed, TAG_BYTES))
+        ? Arrays.copyOfRange(sealed, TAG_BYTES, sealed.length)
         : null;
   }
 }
