--- a/peers/src/main/java/thistleturn/peers/Codec.java
+++ b/peers/src/main/java/thistleturn/peers/PeerCodec.java
@@ -26,45 +26,36 @@
  * what it knows from the front of an array and passes over what a later version put behind it, and
  * over items of kinds that it does not know. For one thread.
  */
-final class Codec {
+final class PeerCodec {
   /**
-   * Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone.
+   * Version of what is written; a reader turns down a lower one than {@link #MIN_VERSION} alone.
    */
   static final int VERSION = 1;
 
-  private static final int LEAST_VERSION = 1;
-  private static final int MOST_ITEMS = 10_000;
-  private static final int MOST_ADDRESS = 64;
+  private static final int MIN_VERSION = 1;
+  private static final int MAX_ITEMS = 10_000;
+  private static final int MAX_ADDRESS_LENGTH = 64;
   private static final Pattern ADDRESS =
       Pattern.compile(
           "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}:"
               + "(6553[0-5]|655[0-2]\\d|65[0-4]\\d\\d|6[0-4]\\d{3}|[1-5]\\d{4}|[1-9]\\d{0,3})");
-  private static final int FIRST_BYTES = 512;
+  private static final int INITIAL_BUFFER_BYTES = 512;
 
   /**
    * What no array begins with: a stop code (RFC 8949, table 5). A reader of version 1 takes it for
    * malformed, and for nothing else.
    */
-  private static final byte CARGO_MARK = (byte) 0xFF;
+  private static final byte PIGGYBACK_MARK = (byte) 0xFF;
 
   private final CBORFactory factory = new CBORFactory();
 
-  /** What came cannot be read; one line. */
-  static final class MalformedException extends IOException {
-    private static final long serialVersionUID = 1L;
-
-    MalformedException(final String message) {
-      super(message);
-    }
-  }
-
   /** Something that can be written. */
-  private interface Writing {
+  private interface Encoder {
     void write(CBORGenerator out) throws IOException;
   }
 
-  private byte[] bytes(final Writing writing) {
-    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
+  private byte[] encode(final Encoder writing) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (CBORGenerator out = factory.createGenerator(bytes)) {
       writing.write(out);
     } catch (final IOException e) {
@@ -75,75 +66,76 @@
 
   /** A datagram's text. */
   byte[] write(final Packet packet) {
-    return bytes(
+    return encode(
         out -> {
           out.writeStartArray();
           out.writeNumber(VERSION);
-          id(out, packet.sender());
+          writeId(out, packet.sender());
           out.writeString(packet.address());
           out.writeNumber(packet.sequence());
           out.writeNumber(packet.heartbeat());
-          mark(out, packet.viewId());
+          writeViewId(out, packet.viewId());
           out.writeNumber(packet.statusVersion());
-          word(out, packet.status());
+          writeStatus(out, packet.status());
           out.writeNumber(packet.type().ordinal());
           out.writeNumber(packet.echoedSequence());
-          items(out, packet.items());
+          writeItems(out, packet.items());
           out.writeEndArray();
         });
   }
 
   /** A frame's text: all that one knows. */
   byte[] write(final FullStateMessage full) {
-    return bytes(
+    return encode(
         out -> {
           out.writeStartArray();
           out.writeNumber(VERSION);
-          id(out, full.sender());
+          writeId(out, full.sender());
           out.writeString(full.address());
           if (full.view() == null) {
             out.writeNull();
           } else {
-            view(out, full.view());
+            writeView(out, full.view());
           }
-          items(out, full.items());
+          writeItems(out, full.items());
           out.writeEndArray();
         });
   }
 
   /**
-   * What a passenger sends: in a datagram behind {@link #CARGO_MARK}, which begins no packet; in a
-   * frame of its own kind.
+   * What a passenger sends: in a datagram behind {@link #PIGGYBACK_MARK}, which begins no packet;
+   * in a frame of its own kind.
    */
-  byte[] write(final Cargo cargo) {
+  byte[] write(final PiggybackMessage cargo) {
     final byte[] array =
-        bytes(
+        encode(
             out -> {
               out.writeStartArray();
               out.writeNumber(VERSION);
-              id(out, cargo.sender());
+              writeId(out, cargo.sender());
               out.writeString(cargo.address());
-              out.writeNumber(cargo.seq());
-              out.writeBinary(cargo.text());
+              out.writeNumber(cargo.sequence());
+              out.writeBinary(cargo.payload());
               out.writeEndArray();
             });
     final byte[] marked = new byte[array.length + 1];
-    marked[0] = CARGO_MARK;
+    marked[0] = PIGGYBACK_MARK;
     System.arraycopy(array, 0, marked, 1, array.length);
     return marked;
   }
 
-  /** True for what {@link #write(Cargo)} wrote. */
-  static boolean isCargo(final byte[] text) {
-    return text.length > 0 && text[0] == CARGO_MARK;
+  /** True for what {@link #write(PiggybackMessage)} wrote. */
+  static boolean isPiggyback(final byte[] text) {
+    return text.length > 0 && text[0] == PIGGYBACK_MARK;
   }
 
   /** Reads what a passenger sent. */
-  Cargo cargo(final byte[] text) throws IOException {
-    try (Reading in = new Reading(factory.createParser(text, 1, text.length - 1))) {
+  PiggybackMessage readPiggyback(final byte[] text) throws IOException {
+    try (Reader in = new Reader(factory.createParser(text, 1, text.length - 1))) {
       in.begin();
       in.version();
-      final Cargo cargo = new Cargo(in.id(), in.address(), in.number(), in.binary());
+      final PiggybackMessage cargo =
+          new PiggybackMessage(in.id(), in.address(), in.number(), in.binary());
       in.end();
       return cargo;
     }
@@ -151,16 +143,16 @@
 
   /** A frame's text: a greeting. */
   byte[] write(final PeerId greeting) {
-    return bytes(
+    return encode(
         out -> {
           out.writeStartArray();
           out.writeNumber(VERSION);
-          id(out, greeting);
+          writeId(out, greeting);
           out.writeEndArray();
         });
   }
 
-  private static void id(final CBORGenerator out, final PeerId id) throws IOException {
+  private static void writeId(final CBORGenerator out, final PeerId id) throws IOException {
     if (id == null) {
       out.writeNull();
       return;
@@ -171,7 +163,7 @@
     out.writeEndArray();
   }
 
-  private static void mark(final CBORGenerator out, final ViewId mark) throws IOException {
+  private static void writeViewId(final CBORGenerator out, final ViewId mark) throws IOException {
     out.writeStartArray();
     out.writeNumber(mark.generation());
     out.writeNumber(mark.founder());
@@ -180,7 +172,8 @@
     out.writeEndArray();
   }
 
-  private static void word(final CBORGenerator out, final PeerStatus word) throws IOException {
+  private static void writeStatus(final CBORGenerator out, final PeerStatus word)
+      throws IOException {
     out.writeStartArray();
     out.writeNumber(word.health().ordinal());
     out.writeNumber(word.pauseMs());
@@ -189,14 +182,16 @@
     out.writeEndArray();
   }
 
-  private static void member(final CBORGenerator out, final ViewMember member) throws IOException {
+  private static void writeMember(final CBORGenerator out, final ViewMember member)
+      throws IOException {
     out.writeStartArray();
-    id(out, member.id());
+    writeId(out, member.id());
     out.writeString(member.address());
     out.writeEndArray();
   }
 
-  private static void change(final CBORGenerator out, final ViewChange change) throws IOException {
+  private static void writeChange(final CBORGenerator out, final ViewChange change)
+      throws IOException {
     if (change == null) {
       out.writeNull();
       return;
@@ -204,86 +199,86 @@
     out.writeStartArray();
     out.writeStartArray();
     for (final PeerId id : change.removed()) {
-      id(out, id);
+      writeId(out, id);
     }
     out.writeEndArray();
     out.writeStartArray();
     for (final ViewMember member : change.added()) {
-      member(out, member);
+      writeMember(out, member);
     }
     out.writeEndArray();
     out.writeEndArray();
   }
 
-  private static void view(final CBORGenerator out, final View view) throws IOException {
+  private static void writeView(final CBORGenerator out, final View view) throws IOException {
     out.writeStartArray();
     out.writeNumber(view.generation());
     out.writeNumber(view.founder());
     out.writeNumber(view.number());
     out.writeStartArray();
     for (final ViewMember member : view.members()) {
-      member(out, member);
+      writeMember(out, member);
     }
     out.writeEndArray();
     out.writeStartArray();
     for (final PeerId id : view.committee()) {
-      id(out, id);
+      writeId(out, id);
     }
     out.writeEndArray();
     out.writeEndArray();
   }
 
-  private static void items(final CBORGenerator out, final List<GossipItem> items)
+  private static void writeItems(final CBORGenerator out, final List<GossipItem> items)
       throws IOException {
     out.writeStartArray();
     for (final GossipItem item : items) {
       out.writeStartArray();
-      item(out, item);
+      writeItem(out, item);
       out.writeEndArray();
     }
     out.writeEndArray();
   }
 
-  private static void item(final CBORGenerator out, final GossipItem item) throws IOException {
+  private static void writeItem(final CBORGenerator out, final GossipItem item) throws IOException {
     if (item instanceof GossipItem.MemberUpdate fact) {
-      out.writeNumber(Tag.FACT.ordinal());
-      id(out, fact.id());
+      out.writeNumber(ItemTag.FACT.ordinal());
+      writeId(out, fact.id());
       out.writeString(fact.address());
       out.writeNumber(fact.liveness().ordinal());
     } else if (item instanceof GossipItem.ReachabilityReport report) {
-      out.writeNumber(Tag.REPORT.ordinal());
-      id(out, report.observer());
-      id(out, report.subject());
+      out.writeNumber(ItemTag.REPORT.ordinal());
+      writeId(out, report.observer());
+      writeId(out, report.subject());
       out.writeNumber(report.version());
       out.writeNumber(report.reachability().ordinal());
       out.writeNumber(report.ageUs());
     } else if (item instanceof GossipItem.Heartbeat beat) {
-      out.writeNumber(Tag.BEAT.ordinal());
-      id(out, beat.id());
+      out.writeNumber(ItemTag.BEAT.ordinal());
+      writeId(out, beat.id());
       out.writeNumber(beat.count());
     } else if (item instanceof GossipItem.StatusUpdate said) {
-      out.writeNumber(Tag.SAID.ordinal());
-      id(out, said.id());
+      out.writeNumber(ItemTag.SAID.ordinal());
+      writeId(out, said.id());
       out.writeNumber(said.version());
-      word(out, said.status());
+      writeStatus(out, said.status());
     } else if (item instanceof GossipItem.FullStateRequest) {
-      out.writeNumber(Tag.ASK.ordinal());
+      out.writeNumber(ItemTag.ASK.ordinal());
     } else if (item instanceof GossipItem.ViewDecision decided) {
-      out.writeNumber(Tag.DECIDED.ordinal());
-      mark(out, decided.viewId());
-      change(out, decided.change());
+      out.writeNumber(ItemTag.DECIDED.ordinal());
+      writeViewId(out, decided.viewId());
+      writeChange(out, decided.change());
     } else if (item instanceof GossipItem.PaxosMessage vote) {
-      out.writeNumber(Tag.VOTE.ordinal());
-      mark(out, vote.viewId());
+      out.writeNumber(ItemTag.VOTE.ordinal());
+      writeViewId(out, vote.viewId());
       out.writeNumber(vote.type().ordinal());
       out.writeNumber(vote.ballot());
       out.writeNumber(vote.acceptedBallot());
-      change(out, vote.change());
+      writeChange(out, vote.change());
     }
   }
 
   /** Kinds of items by their number; new ones come last. */
-  private enum Tag {
+  private enum ItemTag {
     FACT,
     REPORT,
     BEAT,
@@ -294,8 +289,8 @@
   }
 
   /** A datagram. */
-  Packet packet(final byte[] text) throws IOException {
-    try (Reading in = new Reading(factory.createParser(text))) {
+  Packet readPacket(final byte[] text) throws IOException {
+    try (Reader in = new Reader(factory.createParser(text))) {
       in.begin();
       in.version();
       final Packet packet =
@@ -316,8 +311,8 @@
   }
 
   /** A frame with all that one knows. */
-  FullStateMessage full(final byte[] text) throws IOException {
-    try (Reading in = new Reading(factory.createParser(text))) {
+  FullStateMessage readFullState(final byte[] text) throws IOException {
+    try (Reader in = new Reader(factory.createParser(text))) {
       in.begin();
       in.version();
       final FullStateMessage full =
@@ -328,8 +323,8 @@
   }
 
   /** A greeting. */
-  PeerId greeting(final byte[] text) throws IOException {
-    try (Reading in = new Reading(factory.createParser(text))) {
+  PeerId readGreeting(final byte[] text) throws IOException {
+    try (Reader in = new Reader(factory.createParser(text))) {
       in.begin();
       in.version();
       final PeerId id = in.id();
@@ -339,24 +334,24 @@
   }
 
   /** Reads by place; each of its verbs takes the next value. */
-  private static final class Reading implements AutoCloseable {
+  private static final class Reader implements AutoCloseable {
     private final CBORParser in;
 
-    Reading(final CBORParser in) {
+    Reader(final CBORParser in) {
       this.in = in;
     }
 
     private JsonToken next() throws IOException {
       final JsonToken token = in.nextToken();
       if (token == null) {
-        throw new MalformedException("it ends too early");
+        throw new MalformedMessageException("it ends too early");
       }
       return token;
     }
 
     void begin() throws IOException {
       if (next() != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected an array, not " + in.currentToken());
+        throw new MalformedMessageException("expected an array, not " + in.currentToken());
       }
     }
 
@@ -374,14 +369,14 @@
 
     void version() throws IOException {
       final long version = number();
-      if (version < LEAST_VERSION) {
-        throw new MalformedException("version " + version + " is not spoken here");
+      if (version < MIN_VERSION) {
+        throw new MalformedMessageException("version " + version + " is not spoken here");
       }
     }
 
     long number() throws IOException {
       if (next() != JsonToken.VALUE_NUMBER_INT) {
-        throw new MalformedException("expected a number, not " + in.currentToken());
+        throw new MalformedMessageException("expected a number, not " + in.currentToken());
       }
       // Beyond 63 bits there is nothing that could be meant; the library says so by an exception of
       // its own.
@@ -391,23 +386,24 @@
     <T> T one(final T[] values) throws IOException {
       final long index = number();
       if (index < 0 || index >= values.length) {
-        throw new MalformedException("expected a number below " + values.length + ", not " + index);
+        throw new MalformedMessageException(
+            "expected a number below " + values.length + ", not " + index);
       }
       return values[(int) index];
     }
 
     private String text(final int most) throws IOException {
       if (next() != JsonToken.VALUE_STRING || in.getTextLength() > most) {
-        throw new MalformedException("expected a text of at most " + most + " letters");
+        throw new MalformedMessageException("expected a text of at most " + most + " letters");
       }
       return in.getText();
     }
 
     /** An address in figures: a name would be looked up, and by anybody's word. */
     String address() throws IOException {
-      final String text = text(MOST_ADDRESS);
+      final String text = text(MAX_ADDRESS_LENGTH);
       if (!ADDRESS.matcher(text).matches()) {
-        throw new MalformedException("expected an address in figures, not '" + text + "'");
+        throw new MalformedMessageException("expected an address in figures, not '" + text + "'");
       }
       return text;
     }
@@ -415,7 +411,7 @@
     PeerId id() throws IOException {
       final PeerId id = idOrNull();
       if (id == null) {
-        throw new MalformedException("expected a life");
+        throw new MalformedMessageException("expected a life");
       }
       return id;
     }
@@ -427,11 +423,11 @@
 
     private PeerId idAfter(final JsonToken token) throws IOException {
       if (token != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected a life, not " + token);
+        throw new MalformedMessageException("expected a life, not " + token);
       }
       final PeerId id = new PeerId(text(PeerId.MAX_NAME_LENGTH), number());
       if (id.name().isEmpty() || id.incarnation() <= 0) {
-        throw new MalformedException("no life: " + id);
+        throw new MalformedMessageException("no life: " + id);
       }
       end();
       return id;
@@ -460,21 +456,21 @@
     private boolean flag() throws IOException {
       final JsonToken token = next();
       if (!token.isBoolean()) {
-        throw new MalformedException("expected true or false, not " + token);
+        throw new MalformedMessageException("expected true or false, not " + token);
       }
       return token == JsonToken.VALUE_TRUE;
     }
 
     byte[] binary() throws IOException {
       if (next() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-        throw new MalformedException("expected bytes, not " + in.currentToken());
+        throw new MalformedMessageException("expected bytes, not " + in.currentToken());
       }
       return in.getBinaryValue();
     }
 
     private ViewMember memberAfter(final JsonToken token) throws IOException {
       if (token != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected a member, not " + token);
+        throw new MalformedMessageException("expected a member, not " + token);
       }
       final ViewMember member = new ViewMember(id(), address());
       end();
@@ -502,8 +498,8 @@
     }
 
     private static void bound(final int size) throws IOException {
-      if (size > MOST_ITEMS) {
-        throw new MalformedException("more than " + MOST_ITEMS + " of a kind");
+      if (size > MAX_ITEMS) {
+        throw new MalformedMessageException("more than " + MAX_ITEMS + " of a kind");
       }
     }
 
@@ -512,7 +508,7 @@
         return null;
       }
       if (in.currentToken() != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected a change");
+        throw new MalformedMessageException("expected a change");
       }
       final ViewChange change = new ViewChange(ids(), members());
       end();
@@ -524,7 +520,7 @@
         return null;
       }
       if (in.currentToken() != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected a view");
+        throw new MalformedMessageException("expected a view");
       }
       final View view = new View(number(), number(), number(), members(), ids());
       end();
@@ -532,7 +528,7 @@
           || view.number() < 1
           || view.members().isEmpty()
           || view.committee().isEmpty()) {
-        throw new MalformedException("no view: " + view.viewId());
+        throw new MalformedMessageException("no view: " + view.viewId());
       }
       return view;
     }
@@ -542,11 +538,11 @@
       begin();
       while (more()) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
-          throw new MalformedException("expected an item, not " + in.currentToken());
+          throw new MalformedMessageException("expected an item, not " + in.currentToken());
         }
         final long tag = number();
-        if (tag >= 0 && tag < Tag.values().length) {
-          items.add(item(Tag.values()[(int) tag]));
+        if (tag >= 0 && tag < ItemTag.values().length) {
+          items.add(item(ItemTag.values()[(int) tag]));
         }
         end();
         bound(items.size());
@@ -554,7 +550,7 @@
       return items;
     }
 
-    private GossipItem item(final Tag tag) throws IOException {
+    private GossipItem item(final ItemTag tag) throws IOException {
       return switch (tag) {
         case FACT ->
             new GossipItem.MemberUpdate(id(), address(), one(GossipItem.Liveness.values()));
--- a/peers/src/main/java/thistleturn/peers/Connections.java
+++ b/peers/src/main/java/thistleturn/peers/PeerConnections.java
@@ -35,53 +35,53 @@
  * first and at once, so that a connection which ends before its greeting says that nobody of the
  * fleet listens there; one that is full greets, too, and closes then. Lives on the event loop.
  */
-final class Connections {
+final class PeerConnections {
   /** For so long a greeting is waited for. */
-  private static final int PATIENCE_MS = 1000;
+  private static final int GREETING_TIMEOUT_MS = 1000;
 
   /** Connections of others at most: each is watched by few. */
-  private static final int MOST_ACCEPTED = 96;
+  private static final int MAX_ACCEPTED = 96;
 
   /** What becomes of a connection that was asked for. */
-  interface Told {
-    void greeted(String to, PeerId by);
+  interface Listener {
+    void onGreeted(String to, PeerId by);
 
-    void closed(String to);
+    void onClosed(String to);
 
-    void unanswered(String to);
+    void onUnanswered(String to);
   }
 
   private final EventLoop loop;
-  private final Codec codec;
-  private final Seal seal;
+  private final PeerCodec codec;
+  private final MessageAuthenticator authenticator;
   private final Supplier<PeerId> self;
-  private final Function<String, InetSocketAddress> way;
-  private final Told told;
-  private final Consumer<FullStateMessage> fulls;
-  private final Consumer<Cargo> cargoes;
-  private final Map<String, Outgoing> outgoing = new HashMap<>();
+  private final Function<String, InetSocketAddress> addressResolver;
+  private final Listener listener;
+  private final Consumer<FullStateMessage> fullStateConsumer;
+  private final Consumer<PiggybackMessage> piggybackConsumer;
+  private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
   private final Set<Channel> accepted = new HashSet<>();
-  private Channel listener;
-  private long malformed;
-  private boolean ending;
+  private Channel serverChannel;
+  private long malformedCount;
+  private boolean closing;
 
-  Connections(
+  PeerConnections(
       final EventLoop loop,
-      final Codec codec,
-      final Seal seal,
+      final PeerCodec codec,
+      final MessageAuthenticator seal,
       final Supplier<PeerId> self,
       final Function<String, InetSocketAddress> way,
-      final Told told,
+      final Listener told,
       final Consumer<FullStateMessage> fulls,
-      final Consumer<Cargo> cargoes) {
+      final Consumer<PiggybackMessage> cargoes) {
     this.loop = loop;
     this.codec = codec;
-    this.seal = seal;
+    this.authenticator = seal;
     this.self = self;
-    this.way = way;
-    this.told = told;
-    this.fulls = fulls;
-    this.cargoes = cargoes;
+    this.addressResolver = way;
+    this.listener = told;
+    this.fullStateConsumer = fulls;
+    this.piggybackConsumer = cargoes;
   }
 
   /** Listens there. */
@@ -96,27 +96,27 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    new Incoming().join(channel.pipeline());
+                    new IncomingConnection().addTo(channel.pipeline());
                   }
                 })
             .bind(listen);
-    listener = bound.channel();
+    serverChannel = bound.channel();
     return bound;
   }
 
   /** Somebody else's connection. */
-  private final class Incoming extends Frames {
+  private final class IncomingConnection extends FrameHandler {
     private boolean greeted;
 
-    Incoming() {
-      super(seal);
+    IncomingConnection() {
+      super(authenticator);
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
       final ChannelFuture said =
-          context.writeAndFlush(frame(seal, GREETING, codec.write(self.get())));
-      if (accepted.size() >= MOST_ACCEPTED) {
+          context.writeAndFlush(encodeFrame(authenticator, GREETING, codec.write(self.get())));
+      if (accepted.size() >= MAX_ACCEPTED) {
         said.addListener(ChannelFutureListener.CLOSE);
         return;
       }
@@ -127,7 +127,7 @@
               context.close();
             }
           },
-          PATIENCE_MS,
+          GREETING_TIMEOUT_MS,
           TimeUnit.MILLISECONDS);
     }
 
@@ -137,53 +137,53 @@
     }
 
     @Override
-    void read(final ChannelHandlerContext context, final byte kind, final byte[] text)
+    void onFrame(final ChannelHandlerContext context, final byte kind, final byte[] text)
         throws IOException {
       if (kind == GREETING) {
-        codec.greeting(text);
+        codec.readGreeting(text);
         greeted = true;
-      } else if (kind == FULL) {
-        fulls.accept(codec.full(text));
-      } else if (kind == CARGO) {
-        cargoes.accept(codec.cargo(text));
+      } else if (kind == FULL_STATE) {
+        fullStateConsumer.accept(codec.readFullState(text));
+      } else if (kind == PIGGYBACK) {
+        piggybackConsumer.accept(codec.readPiggyback(text));
       }
     }
 
     @Override
-    void malformed() {
-      malformed++;
+    void onMalformedFrame() {
+      malformedCount++;
     }
   }
 
   /** A connection of our own: kept, or for one full state. */
-  private final class Outgoing extends Frames {
-    private final String to;
-    private final boolean kept;
+  private final class OutgoingConnection extends FrameHandler {
+    private final String remoteAddress;
+    private final boolean persistent;
 
     /** What goes out as soon as it is greeted, and ends it; null for one that is kept. */
-    private ByteBuf burden;
+    private ByteBuf pendingFrame;
 
     private Channel channel;
     private boolean greeted;
-    private boolean over;
+    private boolean ended;
 
-    Outgoing(final String to, final boolean kept, final ByteBuf burden) {
-      super(seal);
-      this.to = to;
-      this.kept = kept;
-      this.burden = burden;
+    OutgoingConnection(final String to, final boolean kept, final ByteBuf burden) {
+      super(authenticator);
+      this.remoteAddress = to;
+      this.persistent = kept;
+      this.pendingFrame = burden;
     }
 
-    private void begin() {
+    private void connect() {
       final Bootstrap template =
           new Bootstrap()
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PATIENCE_MS)
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, GREETING_TIMEOUT_MS)
               .option(ChannelOption.TCP_NODELAY, true)
               .handler(
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel made) {
-                      join(made.pipeline());
+                      addTo(made.pipeline());
                     }
                   });
       try {
@@ -191,12 +191,12 @@
             Connector.connect(
                     loop,
                     template,
-                    way.apply(to),
+                    addressResolver.apply(remoteAddress),
                     done -> {
                       if (!done.isSuccess()) {
                         // Only a refusal is the word of the system there; all else may be the way's
                         // doing, or our own.
-                        end(
+                        endAndReport(
                             done.cause() instanceof ConnectException
                                 && !(done.cause() instanceof ConnectTimeoutException));
                       }
@@ -204,15 +204,15 @@
                 .channel();
       } catch (final SocketUnavailableException e) {
         // Our own doing: nothing is said of the other side.
-        loop.execute(() -> end(false));
+        loop.execute(() -> endAndReport(false));
       }
       loop.schedule(
           () -> {
             if (!greeted) {
-              end(false);
+              endAndReport(false);
             }
           },
-          PATIENCE_MS,
+          GREETING_TIMEOUT_MS,
           TimeUnit.MILLISECONDS);
     }
 
@@ -223,101 +223,101 @@
     }
 
     /** It is over, by the word of the other side or by nobody's. */
-    private void end(final boolean byWord) {
-      if (over) {
+    private void endAndReport(final boolean byWord) {
+      if (ended) {
         return;
       }
-      over = true;
-      if (burden != null) {
-        burden.release();
-        burden = null;
+      ended = true;
+      if (pendingFrame != null) {
+        pendingFrame.release();
+        pendingFrame = null;
       }
       close();
-      if (kept && outgoing.remove(to, this) && !ending) {
+      if (persistent && outgoing.remove(remoteAddress, this) && !closing) {
         if (byWord) {
-          told.closed(to);
+          listener.onClosed(remoteAddress);
         } else {
-          told.unanswered(to);
+          listener.onUnanswered(remoteAddress);
         }
       }
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-      context.writeAndFlush(frame(seal, GREETING, codec.write(self.get())));
+      context.writeAndFlush(encodeFrame(authenticator, GREETING, codec.write(self.get())));
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-      end(true);
+      endAndReport(true);
     }
 
     @Override
-    void read(final ChannelHandlerContext context, final byte kind, final byte[] text)
+    void onFrame(final ChannelHandlerContext context, final byte kind, final byte[] text)
         throws IOException {
       if (kind == GREETING && !greeted) {
         greeted = true;
-        final PeerId by = codec.greeting(text);
-        if (burden != null) {
-          context.writeAndFlush(burden);
-          burden = null;
+        final PeerId by = codec.readGreeting(text);
+        if (pendingFrame != null) {
+          context.writeAndFlush(pendingFrame);
+          pendingFrame = null;
         }
-        if (!kept) {
-          over = true;
+        if (!persistent) {
+          ended = true;
           context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        } else if (!over) {
-          told.greeted(to, by);
+        } else if (!ended) {
+          listener.onGreeted(remoteAddress, by);
         }
       }
     }
 
     @Override
-    void malformed() {
-      malformed++;
+    void onMalformedFrame() {
+      malformedCount++;
     }
   }
 
   /** Begins a connection that is kept; one that is there ends, and nothing more is told of it. */
   void connect(final String to) {
     disconnect(to);
-    if (!ending) {
-      final Outgoing next = new Outgoing(to, true, null);
+    if (!closing) {
+      final OutgoingConnection next = new OutgoingConnection(to, true, null);
       outgoing.put(to, next);
-      next.begin();
+      next.connect();
     }
   }
 
   /** Ends the kept connection there, if there is one. */
   void disconnect(final String to) {
-    final Outgoing before = outgoing.remove(to);
+    final OutgoingConnection before = outgoing.remove(to);
     if (before != null) {
-      before.over = true;
+      before.ended = true;
       before.close();
     }
   }
 
   /** Sends a full state. */
-  void full(final String to, final FullStateMessage full) {
-    carry(to, Frames.FULL, codec.write(full));
+  void sendFullState(final String to, final FullStateMessage full) {
+    sendFrame(to, FrameHandler.FULL_STATE, codec.write(full));
   }
 
   /** Sends what a passenger has. */
-  void cargo(final String to, final Cargo cargo) {
-    carry(to, Frames.CARGO, codec.write(cargo));
+  void sendPiggyback(final String to, final PiggybackMessage cargo) {
+    sendFrame(to, FrameHandler.PIGGYBACK, codec.write(cargo));
   }
 
   /**
    * Over the kept connection, or over one that is made for it; what is too long for a frame is
    * lost.
    */
-  private void carry(final String to, final byte kind, final byte[] text) {
-    if (ending || text.length >= Frames.MOST_BYTES / 2) {
+  private void sendFrame(final String to, final byte kind, final byte[] text) {
+    if (closing || text.length >= FrameHandler.MAX_FRAME_BYTES / 2) {
       return;
     }
-    final Outgoing kept = outgoing.get(to);
-    final ByteBuf frame = Frames.frame(seal, kind, text);
+    final OutgoingConnection kept = outgoing.get(to);
+    final ByteBuf frame = FrameHandler.encodeFrame(authenticator, kind, text);
     if (kept == null || !kept.greeted) {
-      new Outgoing(to, false, frame).begin();
+      new OutgoingConnection(to, false, frame).connect();
     } else if (kept.channel.isWritable()) {
       kept.channel.writeAndFlush(frame);
     } else {
@@ -326,19 +326,19 @@
     }
   }
 
-  long malformed() {
-    return malformed;
+  long malformedCount() {
+    return malformedCount;
   }
 
   /** Connections that are open, of others and our own. */
-  int open() {
+  int openCount() {
     return accepted.size() + outgoing.size();
   }
 
   void close() {
-    ending = true;
-    if (listener != null) {
-      listener.close();
+    closing = true;
+    if (serverChannel != null) {
+      serverChannel.close();
     }
     Set.copyOf(outgoing.keySet()).forEach(this::disconnect);
     Set.copyOf(accepted).forEach(Channel::close);
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.ExtensionContext;
-import thistleturn.courier.runtime.Config;
+import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.peers.FullStateMessage;
@@ -30,24 +30,24 @@
  */
 public final class PeersExtension {
   private static final long MS = 1000;
-  private static final long AGAIN_MS = 500;
-  private static final long SAY_US = 1_000_000;
+  private static final long BIND_RETRY_MS = 500;
+  private static final long HEALTH_REPORT_PERIOD_US = 1_000_000;
 
   private final PeersSettings settings;
   private ExtensionContext surroundings;
-  private IncarnationFile incarnations;
+  private IncarnationFile incarnationFile;
   private MembershipProtocol peers;
-  private Datagrams datagrams;
-  private Connections connections;
-  private PeerId kept;
-  private long sayUs;
-  private long endedBefore;
-  private long endedUs;
-  private boolean complained;
-  private final Arrivals arrivals = new Arrivals();
-  private Passenger passenger;
-  private long cargoes;
-  private boolean left;
+  private DatagramTransport datagrams;
+  private PeerConnections connections;
+  private PeerId storedSelf;
+  private long nextHealthReportUs;
+  private long lastEndedCount;
+  private long lastProgressUs;
+  private boolean bindFailureLogged;
+  private final ReplayWindow replayWindow = new ReplayWindow();
+  private PiggybackChannel piggybackChannel;
+  private long piggybackSequence;
+  private boolean stopped;
 
   /** With settings that hold until the next start. */
   public PeersExtension(final PeersSettings settings) {
@@ -58,7 +58,7 @@
    * Begins to take part; a courier that takes up again after its successor takes part already.
    * Called on the event loop.
    */
-  public void begin(final ExtensionContext given) {
+  public void join(final ExtensionContext given) {
     if (surroundings != null) {
       return;
     }
@@ -70,45 +70,45 @@
               + " has more than "
               + PeerId.MAX_NAME_LENGTH
               + " letters");
-      left = true;
+      stopped = true;
       return;
     }
-    incarnations = new IncarnationFile(given.config().state());
+    incarnationFile = new IncarnationFile(given.config().stateFolder());
     bind();
   }
 
   private void bind() {
-    if (left) {
+    if (stopped) {
       return;
     }
-    final Codec codec = new Codec();
-    final Seal seal = new Seal(settings.fleetKey());
-    final Datagrams nextDatagrams =
-        new Datagrams(codec, seal, surroundings.clock(), this::onPacket, this::onCargo);
-    final Connections nextConnections =
-        new Connections(
+    final PeerCodec codec = new PeerCodec();
+    final MessageAuthenticator seal = new MessageAuthenticator(settings.fleetKey());
+    final DatagramTransport nextDatagrams =
+        new DatagramTransport(codec, seal, surroundings.clock(), this::onPacket, this::onPiggyback);
+    final PeerConnections nextConnections =
+        new PeerConnections(
             surroundings.eventLoop(),
             codec,
             seal,
             () -> peers.self(),
-            this::way,
-            new Told(),
-            this::onFull,
-            this::onCargo);
+            this::resolve,
+            new ConnectionEvents(),
+            this::onFullState,
+            this::onPiggyback);
     nextDatagrams
-        .bind(surroundings.eventLoop(), settings.listen())
+        .bind(surroundings.eventLoop(), settings.listenAddress())
         .addListener(
             first -> {
               if (!first.isSuccess()) {
-                again(first, nextDatagrams, nextConnections);
+                retryBind(first, nextDatagrams, nextConnections);
                 return;
               }
               nextConnections
-                  .bind(settings.listen())
+                  .bind(settings.listenAddress())
                   .addListener(
                       second -> {
-                        if (!second.isSuccess() || left) {
-                          again(second, nextDatagrams, nextConnections);
+                        if (!second.isSuccess() || stopped) {
+                          retryBind(second, nextDatagrams, nextConnections);
                           return;
                         }
                         datagrams = nextDatagrams;
@@ -119,50 +119,56 @@
   }
 
   /** An older process of this courier may still listen there. */
-  private void again(
-      final Future<?> failed, final Datagrams madeDatagrams, final Connections madeConnections) {
+  private void retryBind(
+      final Future<?> failed,
+      final DatagramTransport madeDatagrams,
+      final PeerConnections madeConnections) {
     madeDatagrams.close();
     madeConnections.close();
-    if (!complained && !left) {
-      complained = true;
-      Log.info("peers: cannot listen at " + address() + " yet: " + failed.cause().getMessage());
+    if (!bindFailureLogged && !stopped) {
+      bindFailureLogged = true;
+      Log.info(
+          "peers: cannot listen at " + listenAddress() + " yet: " + failed.cause().getMessage());
     }
-    surroundings.eventLoop().schedule(this::bind, AGAIN_MS, TimeUnit.MILLISECONDS);
+    surroundings.eventLoop().schedule(this::bind, BIND_RETRY_MS, TimeUnit.MILLISECONDS);
   }
 
-  private String address() {
-    return settings.listen().getAddress().getHostAddress() + ':' + settings.listen().getPort();
+  private String listenAddress() {
+    return settings.listenAddress().getAddress().getHostAddress()
+        + ':'
+        + settings.listenAddress().getPort();
   }
 
-  private InetSocketAddress way(final String address) {
-    return Config.address("peers", settings.via().getOrDefault(address, address));
+  private InetSocketAddress resolve(final String address) {
+    return CourierConfig.parseAddress(
+        "peers", settings.addressOverrides().getOrDefault(address, address));
   }
 
   private void start() {
     final long nowUs = surroundings.clock().nowUs();
     final String name = surroundings.config().name();
-    kept = new PeerId(name, incarnations.next(surroundings.clock().wallUs()));
+    storedSelf = new PeerId(name, incarnationFile.next(surroundings.clock().wallClockUs()));
     peers =
         new MembershipProtocol(
-            settings.rules(),
-            kept,
-            address(),
+            settings.gossipSettings(),
+            storedSelf,
+            listenAddress(),
             settings.seeds(),
-            name.hashCode() * 31L + kept.incarnation(),
+            name.hashCode() * 31L + storedSelf.incarnation(),
             nowUs,
-            new Out());
-    endedUs = nowUs;
-    Log.info("peers: " + kept + " listens at " + address());
+            new GossipActions());
+    lastProgressUs = nowUs;
+    Log.info("peers: " + storedSelf + " listens at " + listenAddress());
     tick();
-    if (passenger != null) {
-      passenger.begin();
+    if (piggybackChannel != null) {
+      piggybackChannel.onStarted();
     }
   }
 
-  private final class Out implements PeerActions {
+  private final class GossipActions implements PeerActions {
     @Override
     public void send(final String to, final Packet packet) {
-      datagrams.send(way(to), packet);
+      datagrams.send(resolve(to), packet);
     }
 
     @Override
@@ -177,7 +183,7 @@
 
     @Override
     public void sendFullState(final String to, final FullStateMessage full) {
-      connections.full(to, full);
+      connections.sendFullState(to, full);
     }
 
     @Override
@@ -187,115 +193,115 @@
     }
   }
 
-  private final class Told implements Connections.Told {
+  private final class ConnectionEvents implements PeerConnections.Listener {
     @Override
-    public void greeted(final String to, final PeerId by) {
+    public void onGreeted(final String to, final PeerId by) {
       peers.onConnectionGreeted(to, by, surroundings.clock().nowUs());
     }
 
     @Override
-    public void closed(final String to) {
+    public void onClosed(final String to) {
       peers.onConnectionClosed(to, surroundings.clock().nowUs());
     }
 
     @Override
-    public void unanswered(final String to) {
+    public void onUnanswered(final String to) {
       peers.onConnectionUnanswered(to, surroundings.clock().nowUs());
     }
   }
 
   private void onPacket(final Packet packet) {
-    if (peers != null && !left) {
+    if (peers != null && !stopped) {
       peers.onPacket(packet, surroundings.clock().nowUs());
     }
   }
 
-  private void onFull(final FullStateMessage full) {
-    if (peers != null && !left) {
+  private void onFullState(final FullStateMessage full) {
+    if (peers != null && !stopped) {
       peers.onFullState(full, surroundings.clock().nowUs());
     }
   }
 
-  /** What travels with the exchange from now on; one at most. To be told before {@link #begin}. */
-  public void carry(final Passenger with) {
-    passenger = with;
+  /** What travels with the exchange from now on; one at most. To be told before {@link #join}. */
+  public void attach(final PiggybackChannel with) {
+    piggybackChannel = with;
   }
 
-  private void onCargo(final Cargo cargo) {
+  private void onPiggyback(final PiggybackMessage cargo) {
     if (peers != null
-        && !left
-        && passenger != null
+        && !stopped
+        && piggybackChannel != null
         && peers.isAlive(cargo.sender())
-        && arrivals.isNew(cargo.sender(), cargo.seq())) {
-      passenger.received(cargo.address(), cargo.text());
+        && replayWindow.recordIfNew(cargo.sender(), cargo.sequence())) {
+      piggybackChannel.onReceived(cargo.address(), cargo.payload());
     }
   }
 
   /** Sends a datagram of a passenger's, which may be lost. */
   public void send(final String to, final byte[] text) {
-    if (peers != null && !left) {
-      datagrams.send(way(to), cargo(text));
+    if (peers != null && !stopped) {
+      datagrams.send(resolve(to), piggybackMessage(text));
     }
   }
 
   /** Sends it over a connection; it is lost if that ends before. */
-  public void sendSurely(final String to, final byte[] text) {
-    if (peers != null && !left) {
-      connections.cargo(to, cargo(text));
+  public void sendOverConnection(final String to, final byte[] text) {
+    if (peers != null && !stopped) {
+      connections.sendPiggyback(to, piggybackMessage(text));
     }
   }
 
-  private Cargo cargo(final byte[] text) {
-    return new Cargo(peers.self(), address(), ++cargoes, text);
+  private PiggybackMessage piggybackMessage(final byte[] text) {
+    return new PiggybackMessage(peers.self(), listenAddress(), ++piggybackSequence, text);
   }
 
   /** Where the others are who live, as far as is known, by name. */
-  public Map<String, String> others() {
+  public Map<String, String> livingPeerAddresses() {
     return peers == null ? Map.of() : peers.addressesByName();
   }
 
   private void tick() {
-    if (left) {
+    if (stopped) {
       return;
     }
     final long nowUs = surroundings.clock().nowUs();
     surroundings
         .eventLoop()
-        .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
-    if (nowUs >= sayUs) {
-      sayUs = nowUs + SAY_US;
-      peers.updateOwnStatus(word(nowUs), nowUs);
+        .schedule(this::tick, settings.gossipSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
+    if (nowUs >= nextHealthReportUs) {
+      nextHealthReportUs = nowUs + HEALTH_REPORT_PERIOD_US;
+      peers.updateOwnStatus(localStatus(nowUs), nowUs);
     }
     peers.tick(nowUs);
-    if (!kept.equals(peers.self())) {
-      kept = peers.self();
-      incarnations.keep(kept.incarnation());
+    if (!storedSelf.equals(peers.self())) {
+      storedSelf = peers.self();
+      incarnationFile.store(storedSelf.incarnation());
     }
   }
 
   /** How this courier itself is, and whether it ends any of what it holds. */
-  private PeerStatus word(final long nowUs) {
+  private PeerStatus localStatus(final long nowUs) {
     final JsonNode health = surroundings.localHealth().get();
     final long ended = health.path("ended").asLong();
     final int holds = health.path("holds").asInt();
-    if (ended != endedBefore || holds == 0) {
-      endedBefore = ended;
-      endedUs = nowUs;
+    if (ended != lastEndedCount || holds == 0) {
+      lastEndedCount = ended;
+      lastProgressUs = nowUs;
     }
     final double lastAwayS = health.path("last_away_s").asDouble();
     return new PeerStatus(
         LocalHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
         (int) (lastAwayS * MS),
         holds,
-        nowUs - endedUs >= PeerStatus.DELIVERY_STALL_US);
+        nowUs - lastProgressUs >= PeerStatus.DELIVERY_STALL_US);
   }
 
   /** Says farewell, and lets go of the address. Called on the event loop. */
   public void leave() {
-    if (left) {
+    if (stopped) {
       return;
     }
-    left = true;
+    stopped = true;
     if (peers != null) {
       peers.leave(surroundings.clock().nowUs());
       connections.close();
@@ -308,21 +314,21 @@
   public JsonNode status() {
     final ObjectNode root = JsonNodeFactory.instance.objectNode();
     if (peers == null) {
-      return root.put("standing", "waits").put("address", address());
+      return root.put("standing", "waits").put("address", listenAddress());
     }
     final long nowUs = surroundings.clock().nowUs();
     root.put("name", peers.self().name())
         .put("incarnation", peers.self().incarnation())
-        .put("address", address())
+        .put("address", listenAddress())
         .put("standing", peers.status().name().toLowerCase(Locale.ROOT))
         .put("reached", peers.reachableMembers())
-        .put("sent", datagrams.sent())
+        .put("sent", datagrams.sentCount())
         .put("sent_bytes", datagrams.sentBytes())
-        .put("read", datagrams.read())
-        .put("malformed", datagrams.malformed() + connections.malformed())
-        .put("too_large", datagrams.tooLarge())
+        .put("read", datagrams.readCount())
+        .put("malformed", datagrams.malformedCount() + connections.malformedCount())
+        .put("too_large", datagrams.oversizedCount())
         .put("turned_down", peers.rejectedPackets())
-        .put("connections", connections.open());
+        .put("connections", connections.openCount());
     final View view = peers.view();
     if (view != null) {
       final ObjectNode told =
--- a/peers/src/main/java/thistleturn/peers/PeersSettings.java
+++ b/peers/src/main/java/thistleturn/peers/PeersSettings.java
@@ -8,24 +8,25 @@
 /**
  * How a courier takes part in its fleet.
  *
- * @param listen where, by datagrams and by connections alike
+ * @param listenAddress where, by datagrams and by connections alike
  * @param seeds addresses at which others may listen
  * @param fleetKey what seals all that is said: another fleet has another one
- * @param rules times and counts
- * @param via where an address of another is to be reached instead, if it is not reached at itself
+ * @param gossipSettings times and counts
+ * @param addressOverrides where an address of another is to be reached instead, if it is not
+ *     reached at itself
  */
 public record PeersSettings(
-    InetSocketAddress listen,
+    InetSocketAddress listenAddress,
     List<String> seeds,
     String fleetKey,
-    GossipSettings rules,
-    Map<String, String> via) {
+    GossipSettings gossipSettings,
+    Map<String, String> addressOverrides) {
   /** Letters that a key has at least. */
-  public static final int LEAST_KEY = 8;
+  public static final int MIN_KEY_LENGTH = 8;
 
   /** Collections that nobody changes any more. */
   public PeersSettings {
     seeds = List.copyOf(seeds);
-    via = Map.copyOf(via);
+    addressOverrides = Map.copyOf(addressOverrides);
   }
 }
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -44,7 +44,7 @@
   private static final ViewChange CHANGE =
       new ViewChange(List.of(BETA), List.of(new ViewMember(ALPHA, ADDRESS)));
 
-  private final Codec codec = new Codec();
+  private final PeerCodec codec = new PeerCodec();
 
   private static String hex(final byte[] bytes) {
     return HexFormat.of().formatHex(bytes);
@@ -65,7 +65,7 @@
 
   private void assertPacketBytes(final String hexLines, final Packet packet) throws IOException {
     assertEquals(joined(hexLines), hex(codec.write(packet)));
-    assertEquals(packet, codec.packet(bytes(hexLines)));
+    assertEquals(packet, codec.readPacket(bytes(hexLines)));
   }
 
   private static Packet of(final GossipItem item) {
@@ -195,7 +195,7 @@
         ff16ffffff
         """;
     assertEquals(joined(hexLines), hex(codec.write(full)));
-    assertEquals(full, codec.full(bytes(hexLines)));
+    assertEquals(full, codec.readFullState(bytes(hexLines)));
   }
 
   @Test
@@ -206,7 +206,7 @@
         """;
     assertEquals(
         joined(hexLines), hex(codec.write(new FullStateMessage(ALPHA, ADDRESS, null, List.of()))));
-    assertNull(codec.full(bytes(hexLines)).view());
+    assertNull(codec.readFullState(bytes(hexLines)).view());
   }
 
   @Test
@@ -216,7 +216,7 @@
         9f019f65616c7068611b00060a24181e4001ffff
         """;
     assertEquals(joined(hexLines), hex(codec.write(ALPHA)));
-    assertEquals(ALPHA, codec.greeting(bytes(hexLines)));
+    assertEquals(ALPHA, codec.readGreeting(bytes(hexLines)));
   }
 
   @Test
@@ -227,12 +227,13 @@
         ff
         """;
     final byte[] text = {1, 2, (byte) 0xFF};
-    assertEquals(joined(hexLines), hex(codec.write(new Cargo(ALPHA, ADDRESS, 13, text))));
-    final Cargo read = codec.cargo(bytes(hexLines));
+    assertEquals(
+        joined(hexLines), hex(codec.write(new PiggybackMessage(ALPHA, ADDRESS, 13, text))));
+    final PiggybackMessage read = codec.readPiggyback(bytes(hexLines));
     assertEquals(ALPHA, read.sender());
     assertEquals(ADDRESS, read.address());
-    assertEquals(13, read.seq());
-    assertArrayEquals(text, read.text());
+    assertEquals(13, read.sequence());
+    assertArrayEquals(text, read.payload());
   }
 
   /** Length, checksum keyed by the fleet's key, kind of frame and text. */
@@ -245,15 +246,19 @@
     final byte[] text = "text".getBytes(StandardCharsets.US_ASCII);
     assertEquals(
         joined(hexLines),
-        ByteBufUtil.hexDump(Frames.frame(new Seal("fleet key"), Frames.FULL, text)));
+        ByteBufUtil.hexDump(
+            FrameHandler.encodeFrame(
+                new MessageAuthenticator("fleet key"), FrameHandler.FULL_STATE, text)));
     assertEquals(
-        "0274657874", hex(new Seal("fleet key").open(bytes(joined(hexLines).substring(8)))));
+        "0274657874",
+        hex(new MessageAuthenticator("fleet key").verify(bytes(joined(hexLines).substring(8)))));
   }
 
   @Test
   void kindsOfFramesHaveTheseNumbers() {
     assertEquals(
-        List.of((byte) 1, (byte) 2, (byte) 3), List.of(Frames.GREETING, Frames.FULL, Frames.CARGO));
+        List.of((byte) 1, (byte) 2, (byte) 3),
+        List.of(FrameHandler.GREETING, FrameHandler.FULL_STATE, FrameHandler.PIGGYBACK));
   }
 
   /** These are written as numbers, so their order is fixed, and new ones come last. */
--- a/peers/src/test/java/thistleturn/peers/CodecTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCodecTest.java
@@ -35,7 +35,7 @@
  * never anything else.
  */
 @Tag("peers")
-final class CodecTest {
+final class PeerCodecTest {
   private static final String NAME = "n".repeat(PeerId.MAX_NAME_LENGTH);
   private static final PeerId ID = new PeerId(NAME, Long.MAX_VALUE);
   private static final PeerId OTHER = new PeerId("b", 2);
@@ -46,7 +46,7 @@
       new ViewChange(
           List.of(ID, OTHER), List.of(new ViewMember(ID, ADDRESS), new ViewMember(OTHER, ADDRESS)));
 
-  private final Codec codec = new Codec();
+  private final PeerCodec codec = new PeerCodec();
 
   private static List<GossipItem> everyItem() {
     return List.of(
@@ -67,8 +67,8 @@
   }
 
   @Test
-  void whatIsWrittenIsReadAsItWas() throws IOException {
-    assertEquals(packet(everyItem()), codec.packet(codec.write(packet(everyItem()))));
+  void writtenMessages_areReadBackEqual() throws IOException {
+    assertEquals(packet(everyItem()), codec.readPacket(codec.write(packet(everyItem()))));
     final Packet look =
         new Packet(
             null,
@@ -81,7 +81,7 @@
             Packet.Type.PING,
             0,
             List.of());
-    assertEquals(look, codec.packet(codec.write(look)));
+    assertEquals(look, codec.readPacket(codec.write(look)));
     final View view =
         new View(
             3,
@@ -90,9 +90,12 @@
             List.of(new ViewMember(OTHER, ADDRESS), new ViewMember(ID, ADDRESS)),
             List.of(ID, OTHER));
     final FullStateMessage full = new FullStateMessage(ID, ADDRESS, view, everyItem());
-    assertEquals(full, codec.full(codec.write(full)));
-    assertNull(codec.full(codec.write(new FullStateMessage(ID, ADDRESS, null, List.of()))).view());
-    assertEquals(ID, codec.greeting(codec.write(ID)));
+    assertEquals(full, codec.readFullState(codec.write(full)));
+    assertNull(
+        codec
+            .readFullState(codec.write(new FullStateMessage(ID, ADDRESS, null, List.of())))
+            .view());
+    assertEquals(ID, codec.readGreeting(codec.write(ID)));
   }
 
   /**
@@ -100,7 +103,7 @@
    * stays within its bound.
    */
   @Test
-  void noItemTakesMoreBytesThanItIsReckonedWith() {
+  void everyItem_fitsItsEstimatedSize() {
     final int empty = codec.write(packet(List.of())).length;
     for (final GossipItem item : everyItem()) {
       final int taken = codec.write(packet(List.of(item))).length - empty;
@@ -109,16 +112,17 @@
           () -> item + " takes " + taken + " bytes, not " + item.maxBytes());
     }
     assertTrue(
-        empty + Packet.MAX_ITEM_BYTES + Seal.BYTES <= Datagrams.MOST_BYTES,
+        empty + Packet.MAX_ITEM_BYTES + MessageAuthenticator.TAG_BYTES
+            <= DatagramTransport.MAX_DATAGRAM_BYTES,
         () -> "a head of " + empty + " bytes");
   }
 
   @Test
-  void nothingThatIsCutOrDamagedIsReadAsAnythingElseThanAnError() throws IOException {
+  void truncatedOrDamagedPacket_isError() throws IOException {
     final byte[] whole = codec.write(packet(everyItem()));
     for (int length = 0; length < whole.length; length++) {
       final byte[] cut = Arrays.copyOf(whole, length);
-      assertThrows(IOException.class, () -> codec.packet(cut), () -> "cut to " + cut.length);
+      assertThrows(IOException.class, () -> codec.readPacket(cut), () -> "cut to " + cut.length);
     }
     final Random random = new Random(7);
     int read = 0;
@@ -126,7 +130,7 @@
       final byte[] damaged = whole.clone();
       damaged[random.nextInt(whole.length)] = (byte) random.nextInt();
       try {
-        assertNotNull(codec.packet(damaged));
+        assertNotNull(codec.readPacket(damaged));
         read++;
       } catch (final IOException e) {
         assertNotNull(e.getMessage());
@@ -186,15 +190,15 @@
   }
 
   @Test
-  void aLaterVersionIsReadAsFarAsItIsKnown() throws IOException {
+  void laterVersion_isReadAsFarAsKnown() throws IOException {
     final Packet packet =
-        codec.packet(ofVersion(2, 5L, "127.0.0.1:7081", "added later", List.of(1L)));
+        codec.readPacket(ofVersion(2, 5L, "127.0.0.1:7081", "added later", List.of(1L)));
     assertEquals(new PeerId("a", 5), packet.sender());
     assertEquals(List.of(new GossipItem.FullStateRequest()), packet.items());
   }
 
   @Test
-  void strangeValuesAreTurnedDown() throws IOException {
+  void invalidValues_areRejected() throws IOException {
     for (final byte[] strange :
         List.of(
             ofVersion(0, 5L, "127.0.0.1:1"),
@@ -207,26 +211,26 @@
             ofVersion(1, 5L, "127.0.0.256:1"),
             cbor("no datagram"),
             new byte[0])) {
-      assertThrows(IOException.class, () -> codec.packet(strange));
+      assertThrows(IOException.class, () -> codec.readPacket(strange));
     }
     assertThrows(
         IOException.class,
-        () -> codec.greeting(cbor(1L, List.of("n".repeat(PeerId.MAX_NAME_LENGTH + 1), 5L))));
+        () -> codec.readGreeting(cbor(1L, List.of("n".repeat(PeerId.MAX_NAME_LENGTH + 1), 5L))));
   }
 
   @Test
-  void aSealIsOfOneKeyAndOneText() {
-    final Seal seal = new Seal("one fleet's key");
+  void authenticationTag_matchesOneKeyAndOneText() {
+    final MessageAuthenticator seal = new MessageAuthenticator("one fleet's key");
     final byte[] text = {1, 2, 3};
-    final byte[] sealed = seal.close(text);
-    assertArrayEquals(text, seal.open(sealed));
-    assertNull(new Seal("another fleet's").open(sealed));
+    final byte[] sealed = seal.sign(text);
+    assertArrayEquals(text, seal.verify(sealed));
+    assertNull(new MessageAuthenticator("another fleet's").verify(sealed));
     for (int at = 0; at < sealed.length; at++) {
       final byte[] damaged = sealed.clone();
       damaged[at] ^= 1;
-      assertNull(seal.open(damaged));
+      assertNull(seal.verify(damaged));
     }
-    assertNull(seal.open(Arrays.copyOf(sealed, Seal.BYTES)));
-    assertNull(seal.open(new byte[0]));
+    assertNull(seal.verify(Arrays.copyOf(sealed, MessageAuthenticator.TAG_BYTES)));
+    assertNull(seal.verify(new byte[0]));
   }
 }
--- a/replicas/src/main/java/thistleturn/replicas/Codec.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicaCodec.java
@@ -21,43 +21,34 @@
  * came, known or not; what a later version puts behind the known places of a message is passed
  * over. For one thread.
  */
-final class Codec {
+final class ReplicaCodec {
   /**
-   * Version of what is written; a reader turns down a lower one than {@link #LEAST_VERSION} alone.
+   * Version of what is written; a reader turns down a lower one than {@link #MIN_VERSION} alone.
    */
   static final int VERSION = 1;
 
-  private static final int LEAST_VERSION = 1;
-  private static final int MOST_DELTAS = 10_000;
-  private static final int MOST_ENTRIES = 200_000;
-  private static final int MOST_FIELDS = 64;
-  private static final int MOST_TEXT = 1000;
+  private static final int MIN_VERSION = 1;
+  private static final int MAX_DELTAS = 10_000;
+  private static final int MAX_ENTRIES = 200_000;
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_TEXT_LENGTH = 1000;
   private static final int NEWS = 1;
   private static final int MARK = 2;
   private static final int PAGE = 3;
   private static final int PIECE = 4;
-  private static final int FIRST_BYTES = 1024;
+  private static final int INITIAL_BUFFER_BYTES = 1024;
 
   private final CBORFactory factory = new CBORFactory();
 
-  /** What came cannot be read; one line. */
-  static final class MalformedException extends IOException {
-    private static final long serialVersionUID = 1L;
-
-    MalformedException(final String message) {
-      super(message);
-    }
-  }
-
   /** A message's text, at that moment. */
   byte[] write(final ReplicationMessage message, final long nowUs) {
-    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_BYTES);
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (CBORGenerator out = factory.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(VERSION);
       if (message instanceof ReplicationMessage.EntryBroadcast news) {
         out.writeNumber(NEWS);
-        deltas(out, news.deltas(), nowUs);
+        writeDeltas(out, news.deltas(), nowUs);
       } else if (message instanceof ReplicationMessage.Checksum mark) {
         out.writeNumber(MARK);
         out.writeNumber(mark.value());
@@ -67,13 +58,13 @@
         out.writeNumber(page.partition());
         out.writeNumber(page.partitionCount());
         out.writeBoolean(page.replyRequested());
-        known(out, page.knownVersions());
+        writeKnownVersions(out, page.knownVersions());
       } else if (message instanceof ReplicationMessage.DeltaBatch piece) {
         out.writeNumber(PIECE);
         out.writeNumber(piece.partition());
         out.writeNumber(piece.partitionCount());
         out.writeBoolean(piece.hasMore());
-        deltas(out, piece.deltas(), nowUs);
+        writeDeltas(out, piece.deltas(), nowUs);
       }
       out.writeEndArray();
     } catch (final IOException e) {
@@ -82,31 +73,33 @@
     return bytes.toByteArray();
   }
 
-  static void known(final CBORGenerator out, final Map<WriterId, Long> known) throws IOException {
+  static void writeKnownVersions(final CBORGenerator out, final Map<WriterId, Long> known)
+      throws IOException {
     out.writeStartArray();
     for (final Map.Entry<WriterId, Long> one : known.entrySet()) {
-      writer(out, one.getKey());
+      writeWriterId(out, one.getKey());
       out.writeNumber(one.getValue());
     }
     out.writeEndArray();
   }
 
-  private static void writer(final CBORGenerator out, final WriterId writer) throws IOException {
+  private static void writeWriterId(final CBORGenerator out, final WriterId writer)
+      throws IOException {
     out.writeString(writer.name());
     out.writeNumber(writer.epoch());
   }
 
-  private static void deltas(final CBORGenerator out, final List<Delta> deltas, final long nowUs)
-      throws IOException {
+  private static void writeDeltas(
+      final CBORGenerator out, final List<Delta> deltas, final long nowUs) throws IOException {
     out.writeStartArray();
     for (final Delta delta : deltas) {
       out.writeStartArray();
-      writer(out, delta.writer());
+      writeWriterId(out, delta.writer());
       out.writeNumber(delta.afterVersion());
       out.writeNumber(delta.upToVersion());
       out.writeStartArray();
       for (final Entry entry : delta.entries()) {
-        entry(out, entry, nowUs);
+        writeEntry(out, entry, nowUs);
       }
       out.writeEndArray();
       out.writeEndArray();
@@ -115,7 +108,7 @@
   }
 
   /** An entry without its writer. */
-  static void entry(final CBORGenerator out, final Entry entry, final long nowUs)
+  static void writeEntry(final CBORGenerator out, final Entry entry, final long nowUs)
       throws IOException {
     out.writeStartArray();
     out.writeNumber(entry.typeCode());
@@ -139,10 +132,10 @@
 
   /** Reads a message that came at that moment; null: of a kind that is not known here. */
   ReplicationMessage read(final byte[] text, final long nowUs) throws IOException {
-    try (Reading in = new Reading(factory.createParser(text), nowUs)) {
+    try (Reader in = new Reader(factory.createParser(text), nowUs)) {
       in.begin();
-      if (in.number() < LEAST_VERSION) {
-        throw new MalformedException("a version that is not spoken here");
+      if (in.number() < MIN_VERSION) {
+        throw new MalformedEntryException("a version that is not spoken here");
       }
       final long kind = in.number();
       final ReplicationMessage message;
@@ -151,13 +144,13 @@
       } else if (kind == MARK) {
         message = new ReplicationMessage.Checksum(in.number(), in.number());
       } else if (kind == PAGE) {
-        final int part = in.small();
-        final int parts = in.small();
+        final int part = in.nonNegativeInt();
+        final int parts = in.nonNegativeInt();
         final boolean wantsBack = in.flag();
-        message = new ReplicationMessage.Digest(part, parts, in.known(), wantsBack);
+        message = new ReplicationMessage.Digest(part, parts, in.knownVersions(), wantsBack);
       } else if (kind == PIECE) {
-        final int part = in.small();
-        final int parts = in.small();
+        final int part = in.nonNegativeInt();
+        final int parts = in.nonNegativeInt();
         final boolean more = in.flag();
         message = new ReplicationMessage.DeltaBatch(part, parts, in.deltas(), more);
       } else {
@@ -169,11 +162,11 @@
   }
 
   /** Reads by place; each of its verbs takes the next value. */
-  static final class Reading implements AutoCloseable {
+  static final class Reader implements AutoCloseable {
     private final CBORParser in;
     private final long nowUs;
 
-    Reading(final CBORParser in, final long nowUs) {
+    Reader(final CBORParser in, final long nowUs) {
       this.in = in;
       this.nowUs = nowUs;
     }
@@ -181,14 +174,14 @@
     private JsonToken next() throws IOException {
       final JsonToken token = in.nextToken();
       if (token == null) {
-        throw new MalformedException("it ends too early");
+        throw new MalformedEntryException("it ends too early");
       }
       return token;
     }
 
     void begin() throws IOException {
       if (next() != JsonToken.START_ARRAY) {
-        throw new MalformedException("expected an array, not " + in.currentToken());
+        throw new MalformedEntryException("expected an array, not " + in.currentToken());
       }
     }
 
@@ -200,39 +193,40 @@
 
     long number() throws IOException {
       if (next() != JsonToken.VALUE_NUMBER_INT) {
-        throw new MalformedException("expected a number, not " + in.currentToken());
+        throw new MalformedEntryException("expected a number, not " + in.currentToken());
       }
       return in.getLongValue();
     }
 
-    int small() throws IOException {
+    int nonNegativeInt() throws IOException {
       final long number = number();
       if (number < 0 || number > Integer.MAX_VALUE) {
-        throw new MalformedException("expected a small number, not " + number);
+        throw new MalformedEntryException("expected a small number, not " + number);
       }
       return (int) number;
     }
 
     boolean flag() throws IOException {
       if (!next().isBoolean()) {
-        throw new MalformedException("expected true or false, not " + in.currentToken());
+        throw new MalformedEntryException("expected true or false, not " + in.currentToken());
       }
       return in.currentToken() == JsonToken.VALUE_TRUE;
     }
 
     private String text() throws IOException {
-      if (next() != JsonToken.VALUE_STRING || in.getTextLength() > MOST_TEXT) {
-        throw new MalformedException("expected a text of at most " + MOST_TEXT + " letters");
+      if (next() != JsonToken.VALUE_STRING || in.getTextLength() > MAX_TEXT_LENGTH) {
+        throw new MalformedEntryException(
+            "expected a text of at most " + MAX_TEXT_LENGTH + " letters");
       }
       return in.getText();
     }
 
-    Map<WriterId, Long> known() throws IOException {
+    Map<WriterId, Long> knownVersions() throws IOException {
       final Map<WriterId, Long> known = new TreeMap<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
-        if (in.currentToken() != JsonToken.VALUE_STRING || known.size() >= MOST_DELTAS) {
-          throw new MalformedException("expected at most " + MOST_DELTAS + " writers");
+        if (in.currentToken() != JsonToken.VALUE_STRING || known.size() >= MAX_DELTAS) {
+          throw new MalformedEntryException("expected at most " + MAX_DELTAS + " writers");
         }
         final WriterId writer = new WriterId(in.getText(), number());
         known.put(writer, number());
@@ -244,8 +238,8 @@
       final List<Delta> deltas = new ArrayList<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
-        if (in.currentToken() != JsonToken.START_ARRAY || deltas.size() >= MOST_DELTAS) {
-          throw new MalformedException("expected at most " + MOST_DELTAS + " writers' entries");
+        if (in.currentToken() != JsonToken.START_ARRAY || deltas.size() >= MAX_DELTAS) {
+          throw new MalformedEntryException("expected at most " + MAX_DELTAS + " writers' entries");
         }
         final WriterId writer = new WriterId(text(), number());
         final long from = number();
@@ -261,8 +255,8 @@
       final List<Entry> entries = new ArrayList<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
-        if (in.currentToken() != JsonToken.START_ARRAY || entries.size() >= MOST_ENTRIES) {
-          throw new MalformedException("expected at most " + MOST_ENTRIES + " entries");
+        if (in.currentToken() != JsonToken.START_ARRAY || entries.size() >= MAX_ENTRIES) {
+          throw new MalformedEntryException("expected at most " + MAX_ENTRIES + " entries");
         }
         entries.add(entryAfterBegin(writer));
       }
@@ -270,12 +264,12 @@
     }
 
     /** Writers with their entries, to the end of the list. */
-    Map<WriterId, List<Entry>> shelves() throws IOException {
+    Map<WriterId, List<Entry>> entriesByWriter() throws IOException {
       final Map<WriterId, List<Entry>> shelves = new TreeMap<>();
       begin();
       while (next() != JsonToken.END_ARRAY) {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-          throw new MalformedException("expected a writer, not " + in.currentToken());
+          throw new MalformedEntryException("expected a writer, not " + in.currentToken());
         }
         final WriterId writer = new WriterId(in.getText(), number());
         shelves.put(writer, entries(writer));
@@ -284,15 +278,15 @@
     }
 
     private Entry entryAfterBegin(final WriterId writer) throws IOException {
-      final int kind = small();
+      final int kind = nonNegativeInt();
       final String subject = text();
       final long version = number();
       final long lifeUs = number();
       final long ageUs = number();
       final List<Object> fields = new ArrayList<>();
       while (next() != JsonToken.END_ARRAY) {
-        if (fields.size() >= MOST_FIELDS) {
-          throw new MalformedException("an entry with more than " + MOST_FIELDS + " fields");
+        if (fields.size() >= MAX_FIELDS) {
+          throw new MalformedEntryException("an entry with more than " + MAX_FIELDS + " fields");
         }
         fields.add(
             switch (in.currentToken()) {
@@ -302,12 +296,12 @@
               case VALUE_FALSE -> false;
               case VALUE_STRING -> in.getText();
               default ->
-                  throw new MalformedException(
+                  throw new MalformedEntryException(
                       "a field that is neither number, text, true nor false");
             });
       }
       if (ageUs < 0) {
-        throw new MalformedException("an entry of the future");
+        throw new MalformedEntryException("an entry of the future");
       }
       return new Entry(kind, subject, writer, version, lifeUs, nowUs - ageUs, List.copyOf(fields));
     }
--- a/replicas/src/main/java/thistleturn/replicas/Folder.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicaStorage.java
@@ -22,11 +22,11 @@
  * collected in slices on the loop and written by a thread of its own; what comes while that writes
  * takes the place of what waits.
  */
-final class Folder {
-  private static final String WORDS = "replicas.words";
-  private static final String ALL = "replicas.all";
-  private static final int SLICE = 4000;
-  private static final long GAP_US = 5_000_000;
+final class ReplicaStorage {
+  private static final String DISABLED_ENDPOINTS_FILE = "replicas.words";
+  private static final String ALL_ENTRIES_FILE = "replicas.all";
+  private static final int SLICE_SIZE = 4000;
+  private static final long SAVE_PERIOD_US = 5_000_000;
   private static final long NS_PER_US = 1000;
   private static final ExecutorService WRITER =
       Executors.newSingleThreadExecutor(
@@ -36,22 +36,22 @@
             return thread;
           });
 
-  private final SnapshotFile words;
-  private final SnapshotFile all;
+  private final SnapshotFile disabledEndpointsFile;
+  private final SnapshotFile allEntriesFile;
   private final Clock clock;
-  private final AtomicReference<SnapshotFile.Taken> waiting = new AtomicReference<>();
-  private final AtomicBoolean told = new AtomicBoolean();
-  private long birth;
+  private final AtomicReference<SnapshotFile.Snapshot> pendingSnapshot = new AtomicReference<>();
+  private final AtomicBoolean failureLogged = new AtomicBoolean();
+  private long writerEpoch;
 
   /** What is being collected; null: nothing is. */
   private List<Entry> collected;
 
-  private long dueUs;
-  private long writtenSum;
+  private long nextSaveUs;
+  private long savedChecksum;
 
-  Folder(final Path folder, final Clock clock) {
-    this.words = new SnapshotFile(folder, WORDS);
-    this.all = new SnapshotFile(folder, ALL);
+  ReplicaStorage(final Path folder, final Clock clock) {
+    this.disabledEndpointsFile = new SnapshotFile(folder, DISABLED_ENDPOINTS_FILE);
+    this.allEntriesFile = new SnapshotFile(folder, ALL_ENTRIES_FILE);
     this.clock = clock;
   }
 
@@ -59,99 +59,102 @@
    * How long the machine has been up, us: the clock that is not set, and begins anew with the
    * machine.
    */
-  private static long upUs() {
+  private static long uptimeUs() {
     return System.nanoTime() / NS_PER_US;
   }
 
   /** What was found in both files; its birth is a further one, and put down as used. */
-  SnapshotFile.Found begin() throws IOException {
+  SnapshotFile.StoredSnapshot load() throws IOException {
     final long nowUs = clock.nowUs();
-    final SnapshotFile.Found byHand = words.read(nowUs, clock.wallUs(), upUs());
-    final SnapshotFile.Found rest = all.read(nowUs, clock.wallUs(), upUs());
+    final SnapshotFile.StoredSnapshot byHand =
+        disabledEndpointsFile.read(nowUs, clock.wallClockUs(), uptimeUs());
+    final SnapshotFile.StoredSnapshot rest =
+        allEntriesFile.read(nowUs, clock.wallClockUs(), uptimeUs());
     final List<Delta> deltas = new ArrayList<>();
     long last = 0;
     long togetherUs = 0;
     // The words first: nothing in the other file, which may be older, can take their place.
-    for (final SnapshotFile.Found found : new SnapshotFile.Found[] {byHand, rest}) {
+    for (final SnapshotFile.StoredSnapshot found :
+        new SnapshotFile.StoredSnapshot[] {byHand, rest}) {
       if (found != null) {
         deltas.addAll(found.deltas());
-        last = Math.max(last, found.birth());
-        togetherUs = found.togetherUs() == 0 ? togetherUs : found.togetherUs();
+        last = Math.max(last, found.epoch());
+        togetherUs = found.lastInSyncUs() == 0 ? togetherUs : found.lastInSyncUs();
       }
     }
-    birth = Math.max(clock.wallUs(), last + 1);
+    writerEpoch = Math.max(clock.wallClockUs(), last + 1);
     final List<Entry> held = new ArrayList<>();
     deltas.forEach(
         delta ->
             delta.entries().stream()
                 .filter(entry -> entry.typeCode() == EntryType.MAINTENANCE.code())
                 .forEach(held::add));
-    words.write(
-        words.bytes(
-            new SnapshotFile.Taken(
-                birth, Map.of(), held, togetherUs, nowUs, clock.wallUs(), upUs())));
-    return new SnapshotFile.Found(birth, deltas, togetherUs);
+    disabledEndpointsFile.replace(
+        disabledEndpointsFile.encode(
+            new SnapshotFile.Snapshot(
+                writerEpoch, Map.of(), held, togetherUs, nowUs, clock.wallClockUs(), uptimeUs())));
+    return new SnapshotFile.StoredSnapshot(writerEpoch, deltas, togetherUs);
   }
 
   /** Puts the words by hand down now. */
-  void keepWords(final ReplicationProtocol replicas) throws IOException {
+  void saveDisabledEndpoints(final ReplicationProtocol replicas) throws IOException {
     final List<Entry> held = new ArrayList<>();
     replicas
         .subjects(EntryType.MAINTENANCE)
         .forEach(subject -> held.addAll(replicas.entries(EntryType.MAINTENANCE, subject)));
-    words.write(
-        words.bytes(
-            new SnapshotFile.Taken(
-                birth,
+    disabledEndpointsFile.replace(
+        disabledEndpointsFile.encode(
+            new SnapshotFile.Snapshot(
+                writerEpoch,
                 Map.of(),
                 held,
                 replicas.lastSyncedUs(),
                 clock.nowUs(),
-                clock.wallUs(),
-                upUs())));
+                clock.wallClockUs(),
+                uptimeUs())));
   }
 
   /** Goes on collecting, or begins to when it is time and something has changed. */
   void tick(final ReplicationProtocol replicas) {
     final long nowUs = clock.nowUs();
     if (collected == null) {
-      if (nowUs < dueUs || replicas.checksum() == writtenSum) {
+      if (nowUs < nextSaveUs || replicas.checksum() == savedChecksum) {
         return;
       }
-      dueUs = nowUs + GAP_US;
-      writtenSum = replicas.checksum();
+      nextSaveUs = nowUs + SAVE_PERIOD_US;
+      savedChecksum = replicas.checksum();
       collected = new ArrayList<>();
     }
     final List<Entry> slice =
         replicas.entriesAfter(
-            collected.isEmpty() ? null : collected.get(collected.size() - 1), SLICE);
+            collected.isEmpty() ? null : collected.get(collected.size() - 1), SLICE_SIZE);
     collected.addAll(slice);
-    if (slice.size() < SLICE) {
-      keep(
-          new SnapshotFile.Taken(
-              birth,
+    if (slice.size() < SLICE_SIZE) {
+      scheduleSave(
+          new SnapshotFile.Snapshot(
+              writerEpoch,
               replicas.knownVersions(),
               collected,
               replicas.lastSyncedUs(),
               nowUs,
-              clock.wallUs(),
-              upUs()));
+              clock.wallClockUs(),
+              uptimeUs()));
       collected = null;
     }
   }
 
-  private void keep(final SnapshotFile.Taken taken) {
-    if (waiting.getAndSet(taken) == null) {
+  private void scheduleSave(final SnapshotFile.Snapshot taken) {
+    if (pendingSnapshot.getAndSet(taken) == null) {
       WRITER.execute(this::write);
     }
   }
 
   private void write() {
     try {
-      all.write(all.bytes(waiting.getAndSet(null)));
-      told.set(false);
+      allEntriesFile.replace(allEntriesFile.encode(pendingSnapshot.getAndSet(null)));
+      failureLogged.set(false);
     } catch (final IOException e) {
-      if (!told.getAndSet(true)) {
+      if (!failureLogged.getAndSet(true)) {
         Log.info("replicas: what is held is not put down: " + e);
       }
     }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -22,65 +22,66 @@
 import thistleturn.decisions.replicas.ReplicationMessage;
 import thistleturn.decisions.replicas.ReplicationProtocol;
 import thistleturn.decisions.replicas.WriterId;
-import thistleturn.peers.Passenger;
 import thistleturn.peers.PeersExtension;
+import thistleturn.peers.PiggybackChannel;
 
 /**
  * Replicas as a subsystem of a courier: it tells the others what this courier is told and finds
  * out, and says to its decisions what counts of what others tell. It lives on the courier's first
  * event loop, travels with {@code peers}, and is on no message's path.
  */
-public final class ReplicasExtension implements Passenger, StateObserver, ReplicationActions {
+public final class ReplicasExtension
+    implements PiggybackChannel, StateObserver, ReplicationActions {
   private static final double US_PER_S = 1_000_000;
 
   /** Ticks after which it is looked who the others are. */
-  private static final int LOOK_TICKS = 4;
+  private static final int PEER_REFRESH_TICKS = 4;
 
   /** Words that operators are shown at most. */
-  private static final int MOST_SHOWN = 5000;
+  private static final int MAX_ENTRIES_SHOWN = 5000;
 
   /** How a word of the fleet's is signed. */
-  private static final String BY = "fleet: ";
+  private static final String SOURCE_PREFIX = "fleet: ";
 
   /** A subject on which something is to be read anew, or stands. */
   private record Subject(EntryType kind, String name) {}
 
   private final ReplicasSettings settings;
   private final PeersExtension peers;
-  private final Codec codec = new Codec();
-  private final Set<Subject> dirty = new LinkedHashSet<>();
+  private final ReplicaCodec codec = new ReplicaCodec();
+  private final Set<Subject> changedSubjects = new LinkedHashSet<>();
 
   /** What was said to the decisions, and is said again whenever the list names something new. */
-  private final Set<Subject> standing = new LinkedHashSet<>();
+  private final Set<Subject> directedSubjects = new LinkedHashSet<>();
 
   private final Set<String> conflicts = new LinkedHashSet<>();
   private ExtensionContext surroundings;
-  private Folder folder;
+  private ReplicaStorage storage;
   private ReplicationProtocol replicas;
-  private boolean applying;
-  private boolean left;
-  private boolean wordsDue;
-  private long malformed;
+  private boolean applyScheduled;
+  private boolean stopped;
+  private boolean saveDue;
+  private long malformedCount;
   private int ticks;
 
   /** One that travels with these peers. */
   public ReplicasExtension(final ReplicasSettings settings, final PeersExtension peers) {
     this.settings = settings;
     this.peers = peers;
-    peers.carry(this);
+    peers.attach(this);
   }
 
   /** What the courier is; to be told before the peers begin. */
-  public void surroundings(final ExtensionContext given) {
+  public void setSurroundings(final ExtensionContext given) {
     surroundings = given;
-    folder = new Folder(given.config().state(), given.clock());
+    storage = new ReplicaStorage(given.config().stateFolder(), given.clock());
   }
 
   @Override
-  public void begin() {
-    final SnapshotFile.Found found;
+  public void onStarted() {
+    final SnapshotFile.StoredSnapshot found;
     try {
-      found = folder.begin();
+      found = storage.load();
     } catch (final IOException e) {
       Log.info("replicas: off: the folder cannot be written: " + e.getMessage());
       return;
@@ -88,16 +89,17 @@
     final String name = surroundings.config().name();
     replicas =
         new ReplicationProtocol(
-            settings.rules(),
-            new WriterId(name, found.birth()),
-            name.hashCode() * 31L + found.birth(),
+            settings.exchangeSettings(),
+            new WriterId(name, found.epoch()),
+            name.hashCode() * 31L + found.epoch(),
             nowUs(),
             this);
-    replicas.restore(found.deltas(), found.togetherUs(), nowUs());
+    replicas.restore(found.deltas(), found.lastInSyncUs(), nowUs());
     Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
     surroundings.directives().observe(this);
     for (final String endpoint : surroundings.directives().disabledEndpoints()) {
-      if (settings.maintenance() && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
+      if (settings.sharesDisabledEndpoints()
+          && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
         replicas.setEndpointDisabled(endpoint, true, operator(), nowUs());
       }
     }
@@ -113,26 +115,26 @@
   }
 
   private void tick() {
-    if (left) {
+    if (stopped) {
       return;
     }
     surroundings
         .eventLoop()
-        .schedule(this::tick, settings.rules().tickIntervalUs(), TimeUnit.MICROSECONDS);
-    if (ticks++ % LOOK_TICKS == 0) {
-      replicas.setReachablePeers(peers.others().values());
+        .schedule(this::tick, settings.exchangeSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
+    if (ticks++ % PEER_REFRESH_TICKS == 0) {
+      replicas.setReachablePeers(peers.livingPeerAddresses().values());
     }
     replicas.tick(nowUs());
-    if (wordsDue) {
-      keepWords();
+    if (saveDue) {
+      saveDisabledEndpoints();
     }
-    folder.tick(replicas);
+    storage.tick(replicas);
   }
 
-  private void keepWords() {
+  private void saveDisabledEndpoints() {
     try {
-      folder.keepWords(replicas);
-      wordsDue = false;
+      storage.saveDisabledEndpoints(replicas);
+      saveDue = false;
     } catch (final IOException e) {
       Log.info("replicas: words by hand are not put down: " + e.getMessage());
     }
@@ -140,14 +142,14 @@
 
   /** The process ends soon. */
   public void leave() {
-    left = true;
+    stopped = true;
   }
 
   // ---------------------------------------------------------------- the wire
 
   @Override
-  public void received(final String from, final byte[] text) {
-    if (replicas == null || left) {
+  public void onReceived(final String from, final byte[] text) {
+    if (replicas == null || stopped) {
       return;
     }
     try {
@@ -156,7 +158,7 @@
         replicas.onMessage(from, message, nowUs());
       }
     } catch (final IOException | IllegalArgumentException e) {
-      malformed++;
+      malformedCount++;
     }
   }
 
@@ -167,7 +169,7 @@
 
   @Override
   public void sendOverConnection(final String to, final ReplicationMessage message) {
-    peers.sendSurely(to, codec.write(message, nowUs()));
+    peers.sendOverConnection(to, codec.write(message, nowUs()));
   }
 
   @Override
@@ -180,35 +182,35 @@
 
   @Override
   public void onEndpointsListed() {
-    standing.forEach(this::changed);
+    directedSubjects.forEach(this::changed);
   }
 
   @Override
   public void onRetryAfter(final long destination, final long untilUs) {
-    if (settings.waits() && !left) {
+    if (settings.sharesRetryAfter() && !stopped) {
       replicas.recordWait(Long.toString(destination), untilUs, nowUs());
     }
   }
 
   @Override
   public void onRateLimit(final long destination, final double perSecond) {
-    if (settings.limits() && !left) {
+    if (settings.sharesRateLimits() && !stopped) {
       replicas.recordRateLimit(Long.toString(destination), perSecond, nowUs());
     }
   }
 
   @Override
   public void onOutageChanged(final long destination, final boolean isOut) {
-    if (settings.outages() && !left) {
+    if (settings.sharesOutages() && !stopped) {
       replicas.recordOutage(Long.toString(destination), isOut, nowUs());
     }
   }
 
   @Override
   public void onEndpointDisabled(final String endpoint, final boolean leaveOut) throws IOException {
-    if (settings.maintenance() && !left) {
+    if (settings.sharesDisabledEndpoints() && !stopped) {
       replicas.setEndpointDisabled(endpoint, leaveOut, operator(), nowUs());
-      folder.keepWords(replicas);
+      storage.saveDisabledEndpoints(replicas);
     }
   }
 
@@ -220,24 +222,24 @@
   }
 
   private void changed(final Subject subject) {
-    dirty.add(subject);
-    if (!applying) {
-      applying = true;
+    changedSubjects.add(subject);
+    if (!applyScheduled) {
+      applyScheduled = true;
       surroundings.eventLoop().execute(this::apply);
     }
   }
 
   /** Says to the decisions what counts now, once for all that a turn of the loop has brought. */
   private void apply() {
-    applying = false;
-    final List<Subject> due = List.copyOf(dirty);
-    dirty.clear();
+    applyScheduled = false;
+    final List<Subject> due = List.copyOf(changedSubjects);
+    changedSubjects.clear();
     for (final Subject subject : due) {
       final MergedValue verdict = replicas.mergedValue(subject.kind, subject.name);
       if (verdict.isPresent() && subject.kind != EntryType.MAINTENANCE) {
-        standing.add(subject);
+        directedSubjects.add(subject);
       } else {
-        standing.remove(subject);
+        directedSubjects.remove(subject);
       }
       apply(verdict);
     }
@@ -246,21 +248,23 @@
   private void apply(final MergedValue verdict) {
     switch (verdict.type()) {
       case MAINTENANCE -> applyMaintenance(verdict);
-      case WAIT -> say(settings.waits(), verdict, Directive.Kind.WAIT, 0);
+      case WAIT -> issueDirective(settings.sharesRetryAfter(), verdict, Directive.Kind.WAIT, 0);
       case OUTAGE ->
-          say(
-              settings.outages(),
+          issueDirective(
+              settings.sharesOutages(),
               verdict,
               verdict.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
               (double) Math.max(0, verdict.sinceUs()));
-      case LIMIT -> say(settings.limits(), verdict, Directive.Kind.LIMIT, verdict.value());
+      case LIMIT ->
+          issueDirective(
+              settings.sharesRateLimits(), verdict, Directive.Kind.LIMIT, verdict.value());
       // Of these nothing is said: they are there to be looked at.
       case LEARNT, LIST -> {}
     }
   }
 
   /** What this courier said itself its decisions know already. */
-  private void say(
+  private void issueDirective(
       final boolean wanted,
       final MergedValue verdict,
       final Directive.Kind kind,
@@ -270,13 +274,14 @@
           .directives()
           .applyDirective(
               Long.parseLong(verdict.subject()),
-              new Directive(kind, value, BY + verdict.writers().get(0).name(), verdict.untilUs()));
+              new Directive(
+                  kind, value, SOURCE_PREFIX + verdict.writers().get(0).name(), verdict.untilUs()));
     }
   }
 
   private void applyMaintenance(final MergedValue verdict) {
-    wordsDue = true;
-    if (!settings.maintenance() || !verdict.isPresent()) {
+    saveDue = true;
+    if (!settings.sharesDisabledEndpoints() || !verdict.isPresent()) {
       return;
     }
     final boolean out = verdict.state().equals("left out");
@@ -318,7 +323,7 @@
             "together_s",
             replicas.lastSyncedUs() == 0 ? -1 : (nowUs - replicas.lastSyncedUs()) / US_PER_S)
         .put("turned_down", replicas.rejectedInputs())
-        .put("malformed", malformed)
+        .put("malformed", malformedCount)
         .put("sent_bytes", replicas.sentBytes());
     final ObjectNode known = root.putObject("known");
     for (final Map.Entry<WriterId, Long> one : replicas.knownVersions().entrySet()) {
@@ -328,7 +333,7 @@
     int shown = 0;
     for (final EntryType kind : EntryType.values()) {
       for (final String name : replicas.subjects(kind)) {
-        if (shown > MOST_SHOWN) {
+        if (shown > MAX_ENTRIES_SHOWN) {
           root.put("cut_off", true);
           return root;
         }
--- a/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
+++ b/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
@@ -29,17 +29,17 @@
  */
 final class SnapshotFile {
   private static final int MAGIC = 0x54545231;
-  private static final int HEAD_BYTES = Integer.BYTES + Long.BYTES;
+  private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES;
   private static final int VERSION = 1;
 
   /** Bytes at most: the entries that a copy may hold. */
-  private static final long MOST_BYTES = 64L << 20;
+  private static final long MAX_BYTES = 64L << 20;
 
   /**
    * How far the two clocks may have gone apart, us: else one of them was set, or began anew with
    * the machine.
    */
-  private static final long CLOCKS_APART_US = 1_000_000;
+  private static final long MAX_CLOCK_SKEW_US = 1_000_000;
 
   private final Path file;
   private final CBORFactory factory = new CBORFactory();
@@ -51,40 +51,40 @@
   /**
    * What is put down.
    *
-   * @param birth the writer's latest
-   * @param known up to where each writer's entries are known
+   * @param epoch the writer's latest
+   * @param knownVersions up to where each writer's entries are known
    * @param entries as they were held at {@code nowUs}
-   * @param togetherUs when the copy was last found equal with another; 0: never
+   * @param lastInSyncUs when the copy was last found equal with another; 0: never
    */
-  record Taken(
-      long birth,
-      Map<WriterId, Long> known,
+  record Snapshot(
+      long epoch,
+      Map<WriterId, Long> knownVersions,
       List<Entry> entries,
-      long togetherUs,
+      long lastInSyncUs,
       long nowUs,
-      long wallUs,
-      long upUs) {}
+      long wallClockUs,
+      long uptimeUs) {}
 
   /**
    * What was found.
    *
    * @param deltas entries on the present process's clock
-   * @param togetherUs on that clock, perhaps before the process's start; 0: never
+   * @param lastInSyncUs on that clock, perhaps before the process's start; 0: never
    */
-  record Found(long birth, List<Delta> deltas, long togetherUs) {}
+  record StoredSnapshot(long epoch, List<Delta> deltas, long lastInSyncUs) {}
 
   /** The file's bytes. */
-  byte[] bytes(final Taken taken) throws IOException {
+  byte[] encode(final Snapshot taken) throws IOException {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.write(new byte[HEAD_BYTES]);
+    bytes.write(new byte[HEADER_BYTES]);
     try (CBORGenerator out = factory.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(VERSION);
-      out.writeNumber(taken.birth);
-      out.writeNumber(taken.wallUs);
-      out.writeNumber(taken.upUs);
-      out.writeNumber(taken.togetherUs == 0 ? -1 : taken.nowUs - taken.togetherUs);
-      Codec.known(out, taken.known);
+      out.writeNumber(taken.epoch);
+      out.writeNumber(taken.wallClockUs);
+      out.writeNumber(taken.uptimeUs);
+      out.writeNumber(taken.lastInSyncUs == 0 ? -1 : taken.nowUs - taken.lastInSyncUs);
+      ReplicaCodec.writeKnownVersions(out, taken.knownVersions);
       final Map<WriterId, List<Entry>> byWriter = new TreeMap<>();
       taken.entries.forEach(
           entry ->
@@ -95,7 +95,7 @@
         out.writeNumber(one.getKey().epoch());
         out.writeStartArray();
         for (final Entry entry : one.getValue()) {
-          Codec.entry(out, entry, taken.nowUs);
+          ReplicaCodec.writeEntry(out, entry, taken.nowUs);
         }
         out.writeEndArray();
       }
@@ -103,35 +103,35 @@
       out.writeEndArray();
     }
     final byte[] all = bytes.toByteArray();
-    ByteBuffer.wrap(all).putInt(MAGIC).putLong(crc(all));
+    ByteBuffer.wrap(all).putInt(MAGIC).putLong(checksum(all));
     return all;
   }
 
-  private static long crc(final byte[] all) {
+  private static long checksum(final byte[] all) {
     final CRC32C crc = new CRC32C();
-    crc.update(all, HEAD_BYTES, all.length - HEAD_BYTES);
+    crc.update(all, HEADER_BYTES, all.length - HEADER_BYTES);
     return crc.getValue();
   }
 
   /** Puts a file in the place of the one before. */
-  void write(final byte[] bytes) throws IOException {
+  void replace(final byte[] bytes) throws IOException {
     final Path fresh = file.resolveSibling(file.getFileName() + ".new");
     Files.write(fresh, bytes);
     Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
   /** What an earlier process had put down; null if there is nothing that can be used. */
-  Found read(final long nowUs, final long wallUs, final long upUs) {
+  StoredSnapshot read(final long nowUs, final long wallUs, final long upUs) {
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        throw new IOException("more than " + MOST_BYTES + " bytes");
+      if (Files.size(file) > MAX_BYTES) {
+        throw new IOException("more than " + MAX_BYTES + " bytes");
       }
       final byte[] all = Files.readAllBytes(file);
       final ByteBuffer head = ByteBuffer.wrap(all);
-      if (all.length < HEAD_BYTES || head.getInt() != MAGIC || head.getLong() != crc(all)) {
+      if (all.length < HEADER_BYTES || head.getInt() != MAGIC || head.getLong() != checksum(all)) {
         throw new IOException("torn, or something else");
       }
-      return parse(Arrays.copyOfRange(all, HEAD_BYTES, all.length), nowUs, wallUs, upUs);
+      return parse(Arrays.copyOfRange(all, HEADER_BYTES, all.length), nowUs, wallUs, upUs);
     } catch (final NoSuchFileException e) {
       return null;
     } catch (final IOException | RuntimeException e) {
@@ -140,10 +140,10 @@
     }
   }
 
-  private Found parse(final byte[] text, final long nowUs, final long wallUs, final long upUs)
-      throws IOException {
+  private StoredSnapshot parse(
+      final byte[] text, final long nowUs, final long wallUs, final long upUs) throws IOException {
     // Ages are taken as of now first, and moved by what passed since.
-    try (Codec.Reading in = new Codec.Reading(factory.createParser(text), nowUs)) {
+    try (ReplicaCodec.Reader in = new ReplicaCodec.Reader(factory.createParser(text), nowUs)) {
       in.begin();
       final long version = in.number();
       if (version != VERSION) {
@@ -153,10 +153,10 @@
       final long passedUs = wallUs - in.number();
       final long upPassedUs = upUs - in.number();
       final long togetherAgoUs = in.number();
-      final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= CLOCKS_APART_US;
+      final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= MAX_CLOCK_SKEW_US;
       final long movedUs = Math.max(0, passedUs);
-      final Map<WriterId, Long> known = in.known();
-      final Map<WriterId, List<Entry>> entries = in.shelves();
+      final Map<WriterId, Long> known = in.knownVersions();
+      final Map<WriterId, List<Entry>> entries = in.entriesByWriter();
       final List<Delta> deltas = new ArrayList<>();
       entries.forEach(
           (writer, all) -> {
@@ -182,7 +182,8 @@
               deltas.add(new Delta(writer, 0, upTo, List.of()));
             }
           });
-      return new Found(birth, deltas, togetherAgoUs < 0 ? 0 : nowUs - togetherAgoUs - movedUs);
+      return new StoredSnapshot(
+          birth, deltas, togetherAgoUs < 0 ? 0 : nowUs - togetherAgoUs - movedUs);
     }
   }
 }
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
@@ -47,7 +47,7 @@
       08ff9f046137081a039387001a0003d090fb4011000000000000ffffffff
       """;
 
-  private final Codec codec = new Codec();
+  private final ReplicaCodec codec = new ReplicaCodec();
 
   private static Entry entry(final EntryType kind, final long lifeUs, final Object... fields) {
     return new Entry(kind.code(), "7", ALPHA, 8, lifeUs, NOW_US - 250_000, List.of(fields));
@@ -127,11 +127,11 @@
     assertEquals("alpha#1700000000000001", ALPHA.toString());
   }
 
-  private static SnapshotFile.Taken snapshot() {
+  private static SnapshotFile.Snapshot snapshot() {
     final Map<WriterId, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 9L);
     known.put(BETA, 1L);
-    return new SnapshotFile.Taken(
+    return new SnapshotFile.Snapshot(
         1_700_000_000_000_002L,
         known,
         DELTAS.get(0).entries(),
@@ -144,17 +144,17 @@
   /** A mark, a checksum and CBOR. */
   @Test
   void snapshotFileHasTheseBytes(@TempDir final Path folder) throws IOException {
-    final byte[] written = new SnapshotFile(folder, "replicas.all").bytes(snapshot());
+    final byte[] written = new SnapshotFile(folder, "replicas.all").encode(snapshot());
     assertEquals(joined(SNAPSHOT_HEX), HexFormat.of().formatHex(written));
   }
 
   @Test
   void snapshotFileWithTheseBytesIsReadBack(@TempDir final Path folder) throws IOException {
     Files.write(folder.resolve("replicas.all"), bytes(SNAPSHOT_HEX));
-    final SnapshotFile.Found found =
+    final SnapshotFile.StoredSnapshot found =
         new SnapshotFile(folder, "replicas.all").read(NOW_US, 1_700_000_100_000_000L, 900_000_000);
-    assertEquals(1_700_000_000_000_002L, found.birth());
-    assertEquals(NOW_US - 2_000_000, found.togetherUs());
+    assertEquals(1_700_000_000_000_002L, found.epoch());
+    assertEquals(NOW_US - 2_000_000, found.lastInSyncUs());
     assertEquals(
         List.of(new Delta(ALPHA, 0, 9, DELTAS.get(0).entries()), new Delta(BETA, 0, 1, List.of())),
         found.deltas());
--- a/replicas/src/test/java/thistleturn/replicas/CodecTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCodecTest.java
@@ -28,13 +28,13 @@
  * later is passed over or kept.
  */
 @Tag("replicas")
-final class CodecTest {
+final class ReplicaCodecTest {
   private static final long NOW = 5_000_000;
   private static final WriterId WRITER =
       new WriterId("n".repeat(WriterId.MAX_NAME_LENGTH), Long.MAX_VALUE);
   private static final WriterId OTHER = new WriterId("b", 2);
 
-  private final Codec codec = new Codec();
+  private final ReplicaCodec codec = new ReplicaCodec();
 
   private static Entry entry(final int kind, final Object... fields) {
     return new Entry(kind, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
@@ -61,14 +61,14 @@
   }
 
   @Test
-  void whatIsWrittenIsReadAsItWas() throws IOException {
+  void writtenMessages_areReadBackEqual() throws IOException {
     for (final ReplicationMessage message : everyMessage()) {
       assertEquals(message, codec.read(codec.write(message, NOW), NOW));
     }
   }
 
   @Test
-  void entriesTravelWithTheirAge() throws IOException {
+  void entries_areSentWithTheirAge() throws IOException {
     final ReplicationMessage.EntryBroadcast read =
         (ReplicationMessage.EntryBroadcast)
             codec.read(codec.write(everyMessage().get(0), NOW), 77_000_000);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aFullDatagramOfNewsFitsOne() {
+  void fullDeltaMessage_fitsOneDatagram() {
     final List<Delta> deltas = new ArrayList<>();
     int bytes = 0;
     for (long version = 1; bytes < ReplicationProtocol.MAX_DATAGRAM_BYTES - 200; version++) {
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void whatIsDamagedIsAnErrorOrSomethingElseThatCanBeMeant() {
+  void damagedMessage_isErrorOrAnotherValidMessage() {
     final Random random = new Random(7);
     int errors = 0;
     for (int turn = 0; turn < 20_000; turn++) {
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aKindOfMessageOfALaterVersionIsPassedOverAndFieldsBehindThoseKnownToo() throws IOException {
+  void unknownMessageTypeOrTrailingFields_areSkipped() throws IOException {
     assertNull(codec.read(array(9, 77, "whatever"), NOW));
     assertEquals(
         new ReplicationMessage.Checksum(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
--- a/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
@@ -33,7 +33,7 @@
 
   @TempDir private Path folder;
 
-  private static SnapshotFile.Taken taken() {
+  private static SnapshotFile.Snapshot taken() {
     final long now = 50 * SECOND;
     final Entry ban =
         new Entry(
@@ -46,21 +46,21 @@
             List.of(true, "operator at a"));
     final Entry wait =
         new Entry(EntryType.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
-    return new SnapshotFile.Taken(
+    return new SnapshotFile.Snapshot(
         9, Map.of(A, 5L, B, 11L), List.of(ban, wait), now - 2 * SECOND, now, WALL, UP);
   }
 
-  private SnapshotFile.Found read(final long passedUs, final long upPassedUs) {
+  private SnapshotFile.StoredSnapshot read(final long passedUs, final long upPassedUs) {
     return new SnapshotFile(folder, "s").read(SECOND, WALL + passedUs, UP + upPassedUs);
   }
 
   @Test
-  void whatWasPutDownIsOlderByWhatPassed() throws IOException {
+  void storedEntries_ageByElapsedTime() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    file.write(file.bytes(taken()));
-    final SnapshotFile.Found found = read(10 * SECOND, 10 * SECOND);
-    assertEquals(9, found.birth());
-    assertEquals(SECOND - 12 * SECOND, found.togetherUs());
+    file.replace(file.encode(taken()));
+    final SnapshotFile.StoredSnapshot found = read(10 * SECOND, 10 * SECOND);
+    assertEquals(9, found.epoch());
+    assertEquals(SECOND - 12 * SECOND, found.lastInSyncUs());
     final Delta first = found.deltas().get(0);
     assertEquals(
         new Delta(
@@ -93,9 +93,9 @@
    * passed, and waits are left out.
    */
   @Test
-  void whereTheClocksDisagreeOnlyWhatHoldsForGoodIsKept() throws IOException {
+  void disagreeingClocks_keepOnlyPermanentEntries() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    file.write(file.bytes(taken()));
+    file.replace(file.encode(taken()));
     for (final long[] passed :
         new long[][] {
           {3600 * SECOND, 10 * SECOND}, {-3600 * SECOND, 10 * SECOND}, {10 * SECOND, -UP + SECOND}
@@ -107,10 +107,10 @@
   }
 
   @Test
-  void nothingThatWasTornOrChangedIsUsed() throws IOException {
+  void tornOrCorruptedFile_isIgnored() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
     assertNull(read(0, 0), "there is none");
-    final byte[] bytes = file.bytes(taken());
+    final byte[] bytes = file.encode(taken());
     final Path path = folder.resolve("s");
     for (int length = 0; length < bytes.length; length += 3) {
       Files.write(path, Arrays.copyOf(bytes, length));
@@ -132,15 +132,15 @@
    * reads.
    */
   @Test
-  void aKillInTheMidstOfWritingLeavesTheOneBefore() throws IOException {
+  void killDuringWrite_leavesPreviousFile() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    final byte[] bytes = file.bytes(taken());
-    file.write(bytes);
+    final byte[] bytes = file.encode(taken());
+    file.replace(bytes);
     for (int length = 0; length <= bytes.length; length += 13) {
       Files.write(folder.resolve("s.new"), Arrays.copyOf(bytes, length));
-      assertEquals(9, read(0, 0).birth());
+      assertEquals(9, read(0, 0).epoch());
     }
-    file.write(bytes);
-    assertEquals(9, read(0, 0).birth());
+    file.replace(bytes);
+    assertEquals(9, read(0, 0).epoch());
   }
 }
