--- a/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
+++ b/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
@@ -73,10 +73,10 @@
         .that()
         .resideOutsideOfPackages("thistleturn.decisions..", "thistleturn.adapter..")
         .and()
-        .doNotHaveFullyQualifiedName("thistleturn.courier.Host")
+        .doNotHaveFullyQualifiedName("thistleturn.courier.DecisionLoop")
         .should()
         .dependOnClassesThat()
-        .haveFullyQualifiedName("thistleturn.decisions.Control")
+        .haveFullyQualifiedName("thistleturn.decisions.OverloadController")
         .check(ALL);
   }
 
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -85,7 +85,7 @@
     try (StandInWorld world = new StandInWorld(folder, 1);
         Started courier = new Started(world, "-Xlog:class+load", "thistleturn.courier.Main")) {
       world.await("ready", () -> courier.says("is ready at"));
-      assertTrue(courier.says("thistleturn.courier.Host "), "classes are logged");
+      assertTrue(courier.says("thistleturn.courier.DecisionLoop "), "classes are logged");
       for (final String room :
           List.of(
               "thistleturn.eureka.",
--- a/courier/src/main/java/thistleturn/courier/warm/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/learned/package-info.java
@@ -2,4 +2,4 @@
  * What was learnt outlives the process: a small file beside the journal, written away from the
  * loop, trusted for a minute.
  */
-package thistleturn.courier.warm;
+package thistleturn.courier.learned;
--- a/decisions/src/main/java/thistleturn/decisions/noise/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/package-info.java
@@ -2,4 +2,4 @@
  * What is learnt of refusals, single failures, tails and first seconds; pure, and asked by the
  * decisions.
  */
-package thistleturn.decisions.noise;
+package thistleturn.decisions.rejections;
