--- /dev/null
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/package-info.java
@@ -0,0 +1,2 @@
+/** Measures couriers that are stopped, starved or cut off from their network. */
+package thistleturn.benchmarks.health;
--- a/cli/src/main/java/thistleturn/cli/RoutesCommand.java
+++ b/cli/src/main/java/thistleturn/cli/RoutesCommand.java
@@ -14,7 +14,8 @@
 
 /** How a running courier's destinations are, and why nothing goes there now. */
 @Command(
-    name = "lanes",
+    name = "routes",
+    aliases = "lanes",
     mixinStandardHelpOptions = true,
     description =
         "How each destination is: its window, what its "
--- a/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
+++ b/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -10,6 +11,9 @@
 
 /** The rooms, and which of them may know which. */
 final class ArchitectureTest {
+  private static final String CONTROLLER = "thistleturn.decisions.OverloadController";
+  private static final String DECISION_LOOP = "thistleturn.courier.DecisionLoop";
+
   private static final JavaClasses ALL =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -67,16 +71,37 @@
         .check(ALL);
   }
 
+  /** Settings, events and outcomes are plain values: they know no policy. */
+  @Test
+  void modelDependsOnNoDecision() {
+    classes()
+        .that()
+        .resideInAPackage("thistleturn.decisions.model..")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage("thistleturn.decisions.model..", "java.lang..", "java.util")
+        .check(ALL);
+  }
+
+  /**
+   * A rule that names a class by a string passes without a word once that class has another name.
+   */
+  @Test
+  void classesNamedInRulesExist() {
+    assertEquals(CONTROLLER, ALL.get(CONTROLLER).getName());
+    assertEquals(DECISION_LOOP, ALL.get(DECISION_LOOP).getName());
+  }
+
   @Test
-  void onlyTheHostTalksToControl() {
+  void onlyDecisionLoopTalksToOverloadController() {
     noClasses()
         .that()
         .resideOutsideOfPackages("thistleturn.decisions..", "thistleturn.adapter..")
         .and()
-        .doNotHaveFullyQualifiedName("thistleturn.courier.DecisionLoop")
+        .doNotHaveFullyQualifiedName(DECISION_LOOP)
         .should()
         .dependOnClassesThat()
-        .haveFullyQualifiedName("thistleturn.decisions.OverloadController")
+        .haveFullyQualifiedName(CONTROLLER)
         .check(ALL);
   }
 
