--- a/courier/src/main/java/thistleturn/courier/handover/HandoverClient.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverClient.java
@@ -1,7 +1,6 @@
 package thistleturn.courier.handover;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -21,57 +20,85 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * The older process, as the newer one sees it: first it hands over, then it is a front and a
- * carrier for it.
+ * The newer process's side of a handover: asks the serving process for its snapshot, and from then
+ * on receives what that process's clients submit and what becomes of its calls. Lives on one event
+ * loop.
  */
 public final class HandoverClient implements RemoteCallExecutor {
-  private final PredecessorConnection connection = new PredecessorConnection();
-  private Consumer<HandoverSnapshot> onSnapshot;
-  private Runnable onFailure;
-  private Listener listener;
 
-  /** Who decides now. Called on its event loop. */
+  /** Receives what the older process reports once this process decides. On the event loop. */
   public interface Listener {
-    /** A client has handed a message in at the older process. */
-    void onMessageSubmitted(StoredMessage held, Ingress.Reply reply);
+    /** A client has submitted a message at the older process. */
+    void onMessageSubmitted(StoredMessage message, Ingress.Reply reply);
 
-    /** That client went before it was answered. */
+    /** That client has disconnected before it got a reply. */
     void withdraw(String id, long destination);
 
-    /** The outcome of one message's part in a call that the older process has out. */
-    void onRemoteOutcome(String messageId, Dispatcher.DispatchOutcome answer);
+    /** The outcome of one message in a call that the older process has in flight. */
+    void onRemoteOutcome(String messageId, Dispatcher.DispatchOutcome outcome);
 
-    /** The older process has ended; what it had out may have run. */
+    /** The older process has ended. The calls that it still had in flight may have executed. */
     void onPredecessorGone();
   }
 
-  private HandoverClient() {}
+  /** How far the handover has come. */
+  private enum State {
+    /** The snapshot is not complete yet. */
+    REQUESTING,
+    /** This process has taken over, and nobody listens yet: opening the journal takes its time. */
+    AWAITING_LISTENER,
+    /** The listener receives each line. */
+    FORWARDING,
+    /**
+     * The connection has closed; what came before still waits for the listener, if there is none.
+     */
+    CLOSED
+  }
 
-  /** Nobody: there is no older process, and nothing may be asked of it. */
-  public static HandoverClient none() {
-    return new HandoverClient();
+  private final PredecessorConnection connection = new PredecessorConnection();
+  private final SnapshotAssembler snapshotAssembler = new SnapshotAssembler();
+  private final Consumer<HandoverSnapshot> onSnapshot;
+  private final Runnable onFailure;
+
+  /** Lines that came before there was a listener. */
+  private final List<PredecessorLine> bufferedLines = new ArrayList<>();
+
+  private State state = State.REQUESTING;
+  private Listener listener;
+
+  private HandoverClient(final Consumer<HandoverSnapshot> onSnapshot, final Runnable onFailure) {
+    this.onSnapshot = onSnapshot;
+    this.onFailure = onFailure;
   }
 
   /**
-   * Asks the process that serves to hand over. Exactly one of the two is called, on the loop:
-   * {@code taken} when it has, and then the journal is free, or {@code failed}, and nothing has
-   * changed.
+   * Asks the process that serves from a state folder to hand over. Calls exactly one of the two on
+   * the loop: {@code onSnapshot} once it has, and then the journal is free, or {@code onFailure},
+   * and nothing has changed.
    */
   public static HandoverClient requestHandover(
       final EventLoop loop,
-      final Path folder,
-      final Consumer<HandoverSnapshot> taken,
-      final Runnable failed) {
-    final HandoverClient predecessor = new HandoverClient();
-    predecessor.onSnapshot = taken;
-    predecessor.onFailure = failed;
+      final Path stateFolder,
+      final Consumer<HandoverSnapshot> onSnapshot,
+      final Runnable onFailure) {
+    final HandoverClient client = new HandoverClient(onSnapshot, onFailure);
+    client.connect(loop, stateFolder);
+    return client;
+  }
+
+  /** Returns what stands for the older process where there is none: it has no calls. */
+  public static RemoteCallExecutor none() {
+    return NoRemoteCalls.INSTANCE;
+  }
+
+  private void connect(final EventLoop loop, final Path stateFolder) {
     final Bootstrap template =
         new Bootstrap()
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    predecessor.connection.addTo(channel);
+                    connection.addTo(channel);
                   }
                 });
     try {
@@ -79,144 +106,116 @@
           loop,
           NioDomainSocketChannel::new,
           template,
-          HandoverCodec.socketAddress(folder),
-          predecessor::onConnectCompleted);
+          LineConnection.socketAddress(stateFolder),
+          this::onConnectCompleted);
     } catch (final SocketUnavailableException e) {
-      loop.execute(predecessor.connection::onClosed);
+      // The connector has logged it. The caller hears of it after this call has returned.
+      loop.execute(connection::onClosed);
     }
-    return predecessor;
   }
 
   private void onConnectCompleted(final ChannelFuture connecting) {
     if (connecting.isSuccess()) {
-      connection.writeLine(
-          HandoverCodec.newLine("hello").put("version", HandoverCodec.PROTOCOL_VERSION));
-      connection.flush();
+      connection.send(new SuccessorLine.Hello(HandoverCodec.PROTOCOL_VERSION));
     } else {
       connection.onClosed();
     }
   }
 
   @Override
-  public void setListener(final Listener to) {
-    listener = to;
-    connection.dispatchBufferedLines();
+  public void setListener(final Listener newListener) {
+    listener = newListener;
+    if (state == State.AWAITING_LISTENER) {
+      state = State.FORWARDING;
+    }
+    final List<PredecessorLine> earlierLines = List.copyOf(bufferedLines);
+    bufferedLines.clear();
+    earlierLines.forEach(this::dispatch);
+    if (state == State.CLOSED) {
+      listener.onPredecessorGone();
+    }
   }
 
-  /** This process takes clients. */
+  /** Tells the older process that this one accepts clients. */
   public void announceListening() {
-    connection.writeLine(HandoverCodec.newLine("listening"));
-    connection.flush();
+    connection.send(new SuccessorLine.Listening());
   }
 
   @Override
   public void abandonCall(final long call, final AttemptResult result) {
-    connection.writeLine(
-        HandoverCodec.newLine("abandon").put("call", call).put("result", result.name()));
-    connection.flush();
+    connection.send(new SuccessorLine.AbandonCall(call, result));
   }
 
-  private final class PredecessorConnection extends HandoverCodec.LineConnection {
-    private final HandoverCodec.SnapshotAssembler snapshotAssembler =
-        new HandoverCodec.SnapshotAssembler();
-
-    /**
-     * What was said since it handed over, while nobody decides yet: the journal may take its time
-     * to open.
-     */
-    private final List<JsonNode> bufferedLines = new ArrayList<>();
+  private void onSnapshotLine(final SnapshotLine line) {
+    if (snapshotAssembler.add(line)) {
+      state = State.AWAITING_LISTENER;
+      onSnapshot.accept(snapshotAssembler.toSnapshot());
+    }
+  }
 
-    private boolean closed;
+  private void dispatch(final PredecessorLine line) {
+    if (line instanceof PredecessorLine.Offer offer) {
+      listener.onMessageSubmitted(offer.message(), new ForwardedReply(offer.offerNumber()));
+    } else if (line instanceof PredecessorLine.Withdrawal withdrawal) {
+      listener.withdraw(withdrawal.messageId(), withdrawal.destination());
+    } else if (line instanceof PredecessorLine.CallOutcome outcome) {
+      listener.onRemoteOutcome(outcome.messageId(), outcome.outcome());
+    }
+  }
 
+  private final class PredecessorConnection extends LineConnection {
     @Override
-    void onLine(final String what, final JsonNode line) {
+    void onLine(final JsonNode line) {
       try {
-        if (onSnapshot == null && listener == null) {
-          bufferedLines.add(line);
-        } else if (onSnapshot == null) {
-          dispatch(what, line);
-        } else if (snapshotAssembler.add(what, line)) {
-          final Consumer<HandoverSnapshot> heir = onSnapshot;
-          onSnapshot = null;
-          heir.accept(snapshotAssembler.toSnapshot());
+        switch (state) {
+          case REQUESTING -> onSnapshotLine(SnapshotLine.fromJson(line));
+          case AWAITING_LISTENER -> bufferedLines.add(PredecessorLine.fromJson(line));
+          case FORWARDING -> dispatch(PredecessorLine.fromJson(line));
+          case CLOSED -> throw new IllegalStateException("a line after the end: " + line);
         }
       } catch (final IOException e) {
         throw new IllegalArgumentException("handover: " + line, e);
       }
     }
 
-    private void dispatchBufferedLines() {
-      final List<JsonNode> lines = List.copyOf(bufferedLines);
-      bufferedLines.clear();
-      lines.forEach(line -> onLine(line.path("t").asText(), line));
-      if (closed) {
-        listener.onPredecessorGone();
-      }
-    }
-
-    private void dispatch(final String what, final JsonNode line) throws IOException {
-      switch (what) {
-        case "offer" ->
-            listener.onMessageSubmitted(
-                HandoverCodec.decodeOffer(line), new ForwardedReply(line.path("number").asLong()));
-        case "withdraw" -> listener.withdraw(line.path("id").asText(), line.path("dest").asLong());
-        case "outcome" ->
-            listener.onRemoteOutcome(line.path("id").asText(), HandoverCodec.decodeOutcome(line));
-        default -> throw new IOException("unknown line " + what);
-      }
-    }
-
     @Override
     void onClosed() {
-      closed = true;
-      if (onSnapshot != null) {
-        onSnapshot = null;
+      final State before = state;
+      state = State.CLOSED;
+      if (before == State.REQUESTING) {
         onFailure.run();
-      } else if (listener != null) {
+      } else if (before == State.FORWARDING) {
         listener.onPredecessorGone();
       }
     }
   }
 
-  /** Takes an answer back to the process that the client is connected to. */
+  /** Sends the reply to a submitted message to the process that the client is connected to. */
   private final class ForwardedReply implements Ingress.Reply {
     private final long offerNumber;
 
-    private ForwardedReply(final long number) {
-      this.offerNumber = number;
-    }
-
-    private void send(final String kind, final Enum<?> why, final long retryAfterUs) {
-      final ObjectNode line =
-          HandoverCodec.newLine("reply")
-              .put("number", offerNumber)
-              .put("kind", kind)
-              .put("retry", retryAfterUs);
-      if (why != null) {
-        line.put("why", why.name());
-      }
-      connection.writeLine(line);
-      connection.flush();
+    private ForwardedReply(final long offerNumber) {
+      this.offerNumber = offerNumber;
     }
 
     @Override
     public void accepted() {
-      send("accepted", null, 0);
+      connection.send(new SuccessorLine.Accepted(offerNumber));
     }
 
     @Override
-    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      send("refused", why, retryAfterUs);
+    public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
+      connection.send(new SuccessorLine.Rejected(offerNumber, reason, retryAfterUs));
     }
 
     @Override
     public void failed() {
-      send("failed", null, 0);
+      connection.send(new SuccessorLine.Failed(offerNumber));
     }
 
     @Override
-    public void invalid(final Ingress.InvalidReason fault) {
-      send("unusable", fault, 0);
+    public void invalid(final Ingress.InvalidReason reason) {
+      connection.send(new SuccessorLine.Invalid(offerNumber, reason));
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverServer.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverServer.java
@@ -1,6 +1,5 @@
 package thistleturn.courier.handover;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -10,65 +9,47 @@
 import java.net.UnixDomainSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Dispatcher;
-import thistleturn.courier.port.Ingress;
-import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.TransientFailures;
 import thistleturn.courier.transport.AcceptRetryHandler;
-import thistleturn.decisions.model.AttemptResult;
 
 /**
- * The side of the process that serves: it waits for a newer one, and hands over to the first that
- * asks.
+ * The serving process's side of a handover: listens for a newer process, and hands over to the
+ * first one that asks. Lives on one event loop.
+ *
+ * <p>It has at most one successor. Once there is one, the socket is closed, since the newer process
+ * listens there in its turn; connections that were accepted before are rejected.
  */
 public final class HandoverServer {
-  private static final long RETRY_AFTER_US = 1_000_000;
-
-  /** How often an address for newer processes is asked for that the system does not give. */
+  /** How often listening is attempted while the system refuses it for what may pass. */
   private static final int MAX_LISTEN_ATTEMPTS = 800;
 
   private final HandoverSource source;
-  private Channel listener;
+  private Channel serverChannel;
   private SuccessorConnection successor;
 
-  /** Not listening yet. */
-  public HandoverServer(final HandoverSource giver) {
-    this.source = giver;
-  }
-
-  /** Waits for a newer process from now on; the folder must be locked by this one. */
-  public void listen(final EventLoop loop, final Path folder) {
-    listen(loop, folder, MAX_LISTEN_ATTEMPTS);
+  /** Makes a server that does not listen yet. */
+  public HandoverServer(final HandoverSource source) {
+    this.source = source;
   }
 
-  private void retryListen(
-      final EventLoop loop, final Path folder, final int tries, final Throwable failure) {
-    if (tries > 1 && TransientFailures.isTransient(failure)) {
-      Log.event(Event.START_RETRIED, "step", "listen to a newer process", "cause", failure);
-      loop.schedule(
-          () -> listen(loop, folder, tries - 1),
-          TransientFailures.RETRY_DELAY_MS,
-          TimeUnit.MILLISECONDS);
-    } else {
-      Log.info("handover: no newer process can take over: " + failure);
-    }
+  /** Listens for a newer process from now on. This process must hold the lock of the folder. */
+  public void listen(final EventLoop loop, final Path stateFolder) {
+    listen(loop, stateFolder, MAX_LISTEN_ATTEMPTS);
   }
 
-  private void listen(final EventLoop loop, final Path folder, final int tries) {
-    final UnixDomainSocketAddress address = HandoverCodec.socketAddress(folder);
+  private void listen(final EventLoop loop, final Path stateFolder, final int attemptsLeft) {
+    final UnixDomainSocketAddress address = LineConnection.socketAddress(stateFolder);
     try {
-      // What an earlier process left: nobody can be listening there while we hold the lock.
+      // An earlier process may have left its socket: nobody listens there while we hold the lock.
       Files.deleteIfExists(address.getPath());
     } catch (final IOException e) {
-      retryListen(loop, folder, tries, e);
+      retryListen(loop, stateFolder, attemptsLeft, e);
       return;
     }
-    listener =
+    final ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerDomainSocketChannel.class)
@@ -77,113 +58,53 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel channel) {
-                    new SuccessorConnection().addTo(channel);
+                    new SuccessorConnection(HandoverServer.this, source).addTo(channel);
                   }
-                })
+                });
+    serverChannel =
+        bootstrap
             .bind(address)
             .addListener(
                 bound -> {
                   if (!bound.isSuccess()) {
-                    retryListen(loop, folder, tries, bound.cause());
+                    retryListen(loop, stateFolder, attemptsLeft, bound.cause());
                   }
                 })
             .channel();
   }
 
-  private final class SuccessorConnection extends HandoverCodec.LineConnection
-      implements Successor {
-    private final Map<Long, Ingress.Reply> pendingReplies = new HashMap<>();
-    private long lastOfferNumber;
-
-    @Override
-    void onLine(final String what, final JsonNode line) {
-      if (successor != this) {
-        if (successor != null
-            || !what.equals("hello")
-            || line.path("version").asInt() != HandoverCodec.PROTOCOL_VERSION) {
-          Log.info(
-              "handover: refused: "
-                  + (successor != null ? "it is under way" : "another version: " + line));
-          close();
-          return;
-        }
-        handOver();
-        return;
-      }
-      switch (what) {
-        case "listening" -> source.onSuccessorListening();
-        case "abandon" ->
-            source.abandonCall(
-                line.path("call").asLong(), AttemptResult.valueOf(line.path("result").asText()));
-        case "reply" -> completeReply(line);
-        default -> Log.info("handover: unknown line " + what);
-      }
-    }
-
-    private void handOver() {
-      try {
-        final HandoverSnapshot inheritance = source.handOver(this);
-        successor = this;
-        // The newer one listens there in its turn.
-        listener.close();
-        HandoverCodec.writeSnapshot(inheritance, this::writeLine);
-        flush();
-      } catch (final IOException e) {
-        Log.info("handover: not now: " + e.getMessage());
-        close();
-      }
-    }
-
-    private void completeReply(final JsonNode line) {
-      final Ingress.Reply reply = pendingReplies.remove(line.path("number").asLong());
-      if (reply == null) {
-        return;
-      }
-      switch (line.path("kind").asText()) {
-        case "accepted" -> reply.accepted();
-        case "refused" ->
-            reply.rejected(
-                Ingress.RejectionReason.valueOf(line.path("why").asText()),
-                line.path("retry").asLong());
-        case "unusable" -> reply.invalid(Ingress.InvalidReason.valueOf(line.path("why").asText()));
-        default -> reply.failed();
-      }
-    }
-
-    @Override
-    public void submit(
-        final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
-      if (successor != this) {
-        reply.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_AFTER_US);
-        return;
-      }
-      pendingReplies.put(++lastOfferNumber, reply);
-      writeLine(HandoverCodec.encodeOffer(lastOfferNumber, held, validUntilUs));
-      flush();
+  private void retryListen(
+      final EventLoop loop,
+      final Path stateFolder,
+      final int attemptsLeft,
+      final Throwable failure) {
+    if (attemptsLeft > 1 && TransientFailures.isTransient(failure)) {
+      Log.event(Event.START_RETRIED, "step", "listen to a newer process", "cause", failure);
+      loop.schedule(
+          () -> listen(loop, stateFolder, attemptsLeft - 1),
+          TransientFailures.RETRY_DELAY_MS,
+          TimeUnit.MILLISECONDS);
+    } else {
+      Log.info("handover: no newer process can take over: " + failure);
     }
+  }
 
-    @Override
-    public void withdraw(final String id, final long destination) {
-      if (successor == this) {
-        writeLine(HandoverCodec.newLine("withdraw").put("id", id).put("dest", destination));
-        flush();
-      }
-    }
+  /** True if a process has taken over, though it may have ended since. */
+  boolean hasSuccessor() {
+    return successor != null;
+  }
 
-    @Override
-    public void reportOutcome(
-        final long call, final String messageId, final Dispatcher.DispatchOutcome answer) {
-      if (successor == this) {
-        writeLine(HandoverCodec.encodeOutcome(call, messageId, answer));
-        flush();
-      }
-    }
+  /** True for the connection of the process that has taken over. */
+  boolean isSuccessor(final SuccessorConnection connection) {
+    return successor == connection;
+  }
 
-    @Override
-    void onClosed() {
-      if (successor == this) {
-        source.onSuccessorGone();
-      }
+  /** The process at this connection has taken over. */
+  void setSuccessor(final SuccessorConnection connection) {
+    if (successor != null) {
+      throw new IllegalStateException("handed over already, to another connection");
     }
+    successor = connection;
+    serverChannel.close();
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverSource.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverSource.java
@@ -3,21 +3,22 @@
 import java.io.IOException;
 import thistleturn.decisions.model.AttemptResult;
 
-/** A process that can hand over. Called on its event loop. */
+/** A process that can hand over to a newer one. Called on its event loop. */
 public interface HandoverSource {
   /**
-   * Decides nothing from this moment on, and lets the journal go.
+   * Stops deciding and releases the journal. From here on it only carries out what it has begun.
    *
-   * @throws IOException if that cannot be done now; then it goes on as it was
+   * @param successor receives what this process's clients submit and what becomes of its calls
+   * @throws IOException if this is not possible now; then the process goes on as before
    */
-  HandoverSnapshot handOver(Successor heir) throws IOException;
+  HandoverSnapshot handOver(Successor successor) throws IOException;
 
-  /** Gives up a call that is still out; its outcome is told. */
+  /** Abandons a call that is still in flight; its outcome is reported. */
   void abandonCall(long call, AttemptResult result);
 
-  /** The heir takes clients: no further connection need be accepted here. */
+  /** The successor accepts clients: no further connection need be accepted here. */
   void onSuccessorListening();
 
-  /** The heir has gone before this process. */
+  /** The successor has ended before this process. */
   void onSuccessorGone();
 }
--- a/courier/src/main/java/thistleturn/courier/handover/LearnedStateSource.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LearnedStateSource.java
@@ -6,41 +6,43 @@
 import thistleturn.decisions.LearnedState;
 
 /**
- * What an earlier process of this courier had learnt, as the next one takes it up: handed over by
- * one that lives, or found in the folder of one that died. Endpoints are known there by numbers of
- * that process's own.
+ * What an earlier process of this courier has learned, for the next one: handed over by a process
+ * that is alive, or read from the files of one that died. Endpoints have the numbers of that
+ * process.
  */
 public interface LearnedStateSource {
-  /** The endpoints that it speaks of, each with its number there. */
+  /** Returns the endpoints that it describes, with their numbers there. */
   List<HandoverSnapshot.NumberedEndpoint> endpoints();
 
   /**
-   * What was learnt, as it can be trusted at this moment.
+   * Returns what was learned, as far as it can be trusted now.
    *
-   * @param numbers the numbers of endpoints there, to those here; of others nothing is told
+   * @param endpointNumbers maps numbers of endpoints there to those here; others are left out
    */
-  LearnedState learnedState(Map<Long, Long> numbers, Clock clock);
+  LearnedState learnedState(Map<Long, Long> endpointNumbers, Clock clock);
 
-  /** The same with other numbers for its endpoints; what has none is left out. */
+  /** Returns a state with other numbers for its endpoints, without those that have none. */
   static LearnedState withEndpointNumbers(
-      final LearnedState memory, final Map<Long, Long> numbers) {
-    return new LearnedState(
-        memory.classMeanUs(),
-        memory.classSamples(),
-        memory.trustedIdleUs(),
-        memory.routes().stream()
-            .filter(one -> numbers.containsKey(one.endpointId()))
+      final LearnedState state, final Map<Long, Long> endpointNumbers) {
+    final List<LearnedState.LearnedRoute> routes =
+        state.routes().stream()
+            .filter(route -> endpointNumbers.containsKey(route.endpointId()))
             .map(
-                one ->
+                route ->
                     new LearnedState.LearnedRoute(
-                        numbers.get(one.endpointId()), one.figures(), one.moments()))
-            .toList(),
-        memory.endpoints().stream()
-            .filter(one -> numbers.containsKey(one.endpointId()))
+                        endpointNumbers.get(route.endpointId()), route.figures(), route.moments()))
+            .toList();
+    final List<LearnedState.LearnedEndpoint> endpoints =
+        state.endpoints().stream()
+            .filter(endpoint -> endpointNumbers.containsKey(endpoint.endpointId()))
             .map(
-                one ->
+                endpoint ->
                     new LearnedState.LearnedEndpoint(
-                        numbers.get(one.endpointId()), one.figures(), one.moments()))
-            .toList());
+                        endpointNumbers.get(endpoint.endpointId()),
+                        endpoint.figures(),
+                        endpoint.moments()))
+            .toList();
+    return new LearnedState(
+        state.classMeanUs(), state.classSamples(), state.trustedIdleUs(), routes, endpoints);
   }
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/handover/PredecessorLine.java
@@ -0,0 +1,116 @@
+package thistleturn.courier.handover;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.LoadReport;
+
+/** A line that the older process sends once its snapshot is complete. */
+sealed interface PredecessorLine extends HandoverLine {
+
+  /**
+   * A client of the older process has submitted a message. The older process expects one reply
+   * under {@code offerNumber}.
+   */
+  record Offer(long offerNumber, StoredMessage message, long deadlineUs)
+      implements PredecessorLine {
+    private static final String TYPE = "offer";
+
+    @Override
+    public ObjectNode toJson() {
+      return HandoverLine.ofType(TYPE)
+          .put("number", offerNumber)
+          .put("id", message.id())
+          .put("class", message.className())
+          .put("key", message.idempotencyKey())
+          .put("dest", message.destination())
+          .put("valid", deadlineUs)
+          .put("body", message.body());
+    }
+
+    private static Offer fromJson(final JsonNode line) throws IOException {
+      final JsonNode key = line.path("key");
+      final long deadlineUs = line.path("valid").asLong();
+      final StoredMessage message =
+          new StoredMessage(
+              line.path("id").asText(),
+              line.path("class").asText(),
+              key.isTextual() ? key.asText() : null,
+              line.path("dest").asLong(),
+              deadlineUs,
+              line.path("body").binaryValue());
+      return new Offer(line.path("number").asLong(), message, deadlineUs);
+    }
+  }
+
+  /** The client of an offered message has disconnected before it got a reply. */
+  record Withdrawal(String messageId, long destination) implements PredecessorLine {
+    private static final String TYPE = "withdraw";
+
+    @Override
+    public ObjectNode toJson() {
+      return HandoverLine.ofType(TYPE).put("id", messageId).put("dest", destination);
+    }
+
+    private static Withdrawal fromJson(final JsonNode line) {
+      return new Withdrawal(line.path("id").asText(), line.path("dest").asLong());
+    }
+  }
+
+  /** The outcome of one message in a call that was in flight at the handover. */
+  record CallOutcome(long callNumber, String messageId, Dispatcher.DispatchOutcome outcome)
+      implements PredecessorLine {
+    private static final String TYPE = "outcome";
+    private static final String REMAINING_SHARE = "left";
+
+    @Override
+    public ObjectNode toJson() {
+      final ObjectNode line =
+          HandoverLine.ofType(TYPE)
+              .put("call", callNumber)
+              .put("id", messageId)
+              .put("result", outcome.result().name())
+              .put("over", outcome.completed())
+              .put("wait", outcome.retryAfterUs());
+      final LoadReport loadReport = outcome.loadReport();
+      if (loadReport != null) {
+        line.put(REMAINING_SHARE, loadReport.remainingShare())
+            .put("limit", loadReport.callsPerSecond());
+      }
+      return line;
+    }
+
+    private static CallOutcome fromJson(final JsonNode line) {
+      final LoadReport loadReport =
+          line.has(REMAINING_SHARE)
+              ? new LoadReport(line.path(REMAINING_SHARE).asDouble(), line.path("limit").asDouble())
+              : null;
+      return new CallOutcome(
+          line.path("call").asLong(),
+          line.path("id").asText(),
+          new Dispatcher.DispatchOutcome(
+              AttemptResult.valueOf(line.path("result").asText()),
+              line.path("over").asBoolean(),
+              line.path("wait").asLong(),
+              loadReport));
+    }
+  }
+
+  /**
+   * Reads a line that follows a snapshot.
+   *
+   * @throws IOException if it is of no type that is known here
+   */
+  static PredecessorLine fromJson(final JsonNode line) throws IOException {
+    final String type = HandoverLine.typeOf(line);
+    return switch (type) {
+      case Offer.TYPE -> Offer.fromJson(line);
+      case Withdrawal.TYPE -> Withdrawal.fromJson(line);
+      case CallOutcome.TYPE -> CallOutcome.fromJson(line);
+      default -> throw new IOException("unknown line " + type);
+    };
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/handover/RemoteCallExecutor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/RemoteCallExecutor.java
@@ -3,13 +3,13 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * Whoever carries out calls that another one decides on: they were out at a handover. On the event
- * loop only.
+ * Carries out calls that another process decides on: they were in flight at a handover, and stay on
+ * the connections of the older process. On the event loop only.
  */
 public interface RemoteCallExecutor {
-  /** From now on its events go there. */
-  void setListener(HandoverClient.Listener to);
+  /** Reports events to this listener from now on, those that came before first. */
+  void setListener(HandoverClient.Listener listener);
 
-  /** Gives up a call that it has out; its outcome is told. */
+  /** Abandons a call in flight; its outcome is reported. */
   void abandonCall(long call, AttemptResult result);
 }
--- a/courier/src/main/java/thistleturn/courier/handover/StateLock.java
+++ b/courier/src/main/java/thistleturn/courier/handover/StateLock.java
@@ -9,8 +9,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Who may write in a courier's lasting folder: one process at a time. The system lifts the lock of
- * one that dies.
+ * The right to write in a courier's state folder, which one process has at a time. The operating
+ * system releases the lock of a process that dies.
  */
 public final class StateLock implements AutoCloseable {
   private static final String FILE_NAME = "lock";
@@ -22,15 +22,16 @@
   }
 
   /**
-   * Locks a folder, which is made if there is none; null if another process holds it.
+   * Locks a folder, which is created if it does not exist.
    *
+   * @return the lock, or null if another process holds it
    * @throws IOException if the folder cannot be used
    */
-  public static StateLock tryLock(final Path folder) throws IOException {
-    Files.createDirectories(folder);
+  public static StateLock tryLock(final Path stateFolder) throws IOException {
+    Files.createDirectories(stateFolder);
     final FileChannel channel =
         FileChannel.open(
-            folder.resolve(FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            stateFolder.resolve(FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       final FileLock lock = channel.tryLock();
       if (lock != null) {
@@ -48,7 +49,7 @@
     return null;
   }
 
-  /** Lets another process write. */
+  /** Releases the lock. */
   @Override
   public void close() throws IOException {
     channel.close();
--- a/courier/src/main/java/thistleturn/courier/handover/Successor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Successor.java
@@ -5,16 +5,16 @@
 import thistleturn.courier.port.StoredMessage;
 
 /**
- * The process that decides, as one sees it that carries out for it what it has begun. On its event
- * loop only.
+ * The process that decides, as seen by the older one, which still has connections of clients and
+ * calls in flight. On the event loop only.
  */
 public interface Successor {
-  /** A client has handed a message in here; the answer comes back to it. */
-  void submit(StoredMessage held, long validUntilUs, Ingress.Reply reply);
+  /** A client has submitted a message at the older process; the reply goes back to it. */
+  void submit(StoredMessage message, long deadlineUs, Ingress.Reply reply);
 
-  /** The client went before it was answered. */
+  /** The client has disconnected before it got a reply. */
   void withdraw(String id, long destination);
 
-  /** The outcome of one message's part in a call that was out at the handover. */
-  void reportOutcome(long call, String messageId, Dispatcher.DispatchOutcome answer);
+  /** The outcome of one message in a call that was in flight at the handover. */
+  void reportOutcome(long call, String messageId, Dispatcher.DispatchOutcome outcome);
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/handover/SuccessorConnection.java
@@ -0,0 +1,128 @@
+package thistleturn.courier.handover;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.Map;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.courier.runtime.Log;
+
+/**
+ * The older process's end of the connection. The newer one must begin with a {@link
+ * SuccessorLine.Hello} of the same version; then it gets the snapshot and is the successor, to
+ * which this process forwards what its clients submit and what becomes of its calls. Any other
+ * beginning closes the connection.
+ */
+final class SuccessorConnection extends LineConnection implements Successor {
+  /** After which time a client may submit again what nobody can decide on now. */
+  private static final long RETRY_AFTER_US = 1_000_000;
+
+  private final HandoverServer server;
+  private final HandoverSource source;
+
+  /** Clients that wait for the successor's reply, by the numbers of their offers. */
+  private final Map<Long, Ingress.Reply> pendingReplies = new HashMap<>();
+
+  private long lastOfferNumber;
+
+  SuccessorConnection(final HandoverServer server, final HandoverSource source) {
+    this.server = server;
+    this.source = source;
+  }
+
+  @Override
+  void onLine(final JsonNode json) {
+    if (server.isSuccessor(this)) {
+      onSuccessorLine(SuccessorLine.fromJson(json));
+    } else {
+      onFirstLine(json);
+    }
+  }
+
+  private void onFirstLine(final JsonNode json) {
+    if (server.hasSuccessor()) {
+      reject("it is under way");
+    } else if (isHelloOfThisVersion(json)) {
+      handOver();
+    } else {
+      reject("another version: " + json);
+    }
+  }
+
+  private static boolean isHelloOfThisVersion(final JsonNode json) {
+    return HandoverLine.typeOf(json).equals(SuccessorLine.Hello.TYPE)
+        && SuccessorLine.Hello.fromJson(json).version() == HandoverCodec.PROTOCOL_VERSION;
+  }
+
+  private void reject(final String reason) {
+    Log.info("handover: refused: " + reason);
+    close();
+  }
+
+  private void handOver() {
+    try {
+      final HandoverSnapshot snapshot = source.handOver(this);
+      server.setSuccessor(this);
+      HandoverCodec.toLines(snapshot).forEach(this::write);
+      flush();
+    } catch (final IOException e) {
+      Log.info("handover: not now: " + e.getMessage());
+      close();
+    }
+  }
+
+  private void onSuccessorLine(final SuccessorLine line) {
+    if (line instanceof SuccessorLine.Listening) {
+      source.onSuccessorListening();
+    } else if (line instanceof SuccessorLine.AbandonCall abandon) {
+      source.abandonCall(abandon.callNumber(), abandon.result());
+    } else if (line instanceof SuccessorLine.OfferReply reply) {
+      onReply(reply);
+    } else if (line instanceof SuccessorLine.Unknown unknown) {
+      Log.info("handover: unknown line " + unknown.type());
+    }
+  }
+
+  private void onReply(final SuccessorLine.OfferReply reply) {
+    final Ingress.Reply client = pendingReplies.remove(reply.offerNumber());
+    if (client != null) {
+      reply.sendTo(client);
+    }
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    if (!server.isSuccessor(this)) {
+      reply.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_AFTER_US);
+      return;
+    }
+    lastOfferNumber++;
+    pendingReplies.put(lastOfferNumber, reply);
+    send(new PredecessorLine.Offer(lastOfferNumber, message, deadlineUs));
+  }
+
+  @Override
+  public void withdraw(final String id, final long destination) {
+    if (server.isSuccessor(this)) {
+      send(new PredecessorLine.Withdrawal(id, destination));
+    }
+  }
+
+  @Override
+  public void reportOutcome(
+      final long call, final String messageId, final Dispatcher.DispatchOutcome outcome) {
+    if (server.isSuccessor(this)) {
+      send(new PredecessorLine.CallOutcome(call, messageId, outcome));
+    }
+  }
+
+  @Override
+  void onClosed() {
+    if (server.isSuccessor(this)) {
+      source.onSuccessorGone();
+    }
+  }
+}
--- a/courier/src/test/java/thistleturn/courier/HandoverTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A newer process takes over from one that serves: the two are one courier to everyone outside. */
+/** A newer process takes over from the serving one: to everyone outside the two are one courier. */
 @Tag("operators")
 @Timeout(120)
 final class HandoverTest {
@@ -29,7 +29,7 @@
   private CourierHarness newer;
 
   @BeforeEach
-  void build() throws IOException {
+  void startOlderProcess() throws IOException {
     older = new CourierHarness(folder);
     older.operatorPortEnabled = true;
     try (ServerSocket free = new ServerSocket(0)) {
@@ -40,12 +40,12 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopProcesses() throws IOException {
     newer.close();
     older.close();
   }
 
-  private static Set<String> ids(final FakeHttpServer server) {
+  private static Set<String> requestIds(final FakeHttpServer server) {
     final Set<String> ids = new HashSet<>();
     server.requests.forEach(request -> ids.add(request.header("X-Request-ID")));
     return ids;
@@ -56,16 +56,16 @@
     older.firstEndpoint.script((request, connection) -> {});
     assertEquals(202, older.submit("out", "once").status());
     older.await("the call", () -> older.firstEndpoint.requests.size() == 1);
-    final FakeHttpServer.Request out = older.firstEndpoint.requests.get(0);
+    final FakeHttpServer.Request heldCall = older.firstEndpoint.requests.get(0);
     older.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
     newer.start();
     assertTrue(newer.sendOperatorRequest("GET", "/-/ready").startsWith("HTTP/1.1 200"));
     newer.await(
-        "the call that is out, in its figures",
+        "the call in flight, in its metrics",
         () -> newer.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 1\n"));
-    out.connection().respond(200, "");
+    heldCall.connection().respond(200, "");
     newer.await(
-        "its end",
+        "its outcome",
         () ->
             newer
                 .sendOperatorRequest("GET", "/-/metrics")
@@ -80,22 +80,24 @@
 
   @Test
   void clientOnOldConnection_isServedThroughOlderProcess() throws IOException {
-    try (Socket kept = older.connect()) {
+    try (Socket oldConnection = older.connect()) {
       assertEquals(
-          202, CourierHarness.send(kept, CourierHarness.submitRequest("m1", "safe")).status());
+          202,
+          CourierHarness.send(oldConnection, CourierHarness.submitRequest("m1", "safe")).status());
       older.await(
-          "the first one's end",
+          "the first outcome",
           () -> older.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 0\n"));
       newer.start();
-      final CourierHarness.Response answer =
-          CourierHarness.send(kept, CourierHarness.submitRequest("m2", "safe"));
-      assertEquals(202, answer.status());
-      assertTrue(answer.head().contains("connection: close"), answer.head());
-      assertEquals(-1, kept.getInputStream().read(), "it is told to come again elsewhere");
+      final CourierHarness.Response response =
+          CourierHarness.send(oldConnection, CourierHarness.submitRequest("m2", "safe"));
+      assertEquals(202, response.status());
+      assertTrue(response.head().contains("connection: close"), response.head());
+      assertEquals(
+          -1, oldConnection.getInputStream().read(), "the client is to reconnect elsewhere");
     }
-    newer.await("both calls", () -> ids(older.firstEndpoint).equals(Set.of("m1", "m2")));
+    newer.await("both calls", () -> requestIds(older.firstEndpoint).equals(Set.of("m1", "m2")));
     newer.await(
-        "the end of the second in the newer one",
+        "the second outcome in the newer process",
         () ->
             newer
                 .sendOperatorRequest("GET", "/-/metrics")
@@ -110,7 +112,7 @@
     assertEquals(202, older.submit("m1", "safe").status());
     older.await("the call", () -> older.firstEndpoint.requests.size() == 1);
     older.await(
-        "the answer",
+        "the response",
         () -> older.sendOperatorRequest("GET", "/-/metrics").contains("svc_attempts_total 1\n"));
     older.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
     newer.start();
@@ -132,8 +134,10 @@
     older.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
     older.kill();
     newer.await(
-        "the end of what may not go again", () -> newer.hasOutcomeReport("once", "undeliverable"));
-    newer.await("what may", () -> older.firstEndpoint.requests.size() == 3);
+        "the outcome of the non-idempotent message",
+        () -> newer.hasOutcomeReport("once", "undeliverable"));
+    newer.await(
+        "the retry of the idempotent message", () -> older.firstEndpoint.requests.size() == 3);
     assertEquals("safe", older.firstEndpoint.requests.get(2).header("X-Request-ID"));
   }
 
@@ -155,11 +159,11 @@
     for (int number = 0; upgrade.isAlive() || number < 200; number++) {
       sent.add("u" + number);
       assertEquals(202, older.submit("u" + number, "once").status(), "message " + number);
-      // One by one: what waits together travels in one call.
+      // One by one: messages that wait together are sent in one call.
       newer.await("its call", () -> older.firstEndpoint.requests.size() >= sent.size());
     }
-    newer.await("all calls", () -> ids(older.firstEndpoint).equals(sent));
-    assertEquals(sent.size(), older.firstEndpoint.requests.size(), "no copies");
+    newer.await("all calls", () -> requestIds(older.firstEndpoint).equals(sent));
+    assertEquals(sent.size(), older.firstEndpoint.requests.size(), "no duplicates");
     assertTrue(older.outcomeReports.isEmpty(), () -> "all delivered: " + older.outcomeReports);
   }
 
@@ -174,25 +178,25 @@
     older.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
     newer.kill();
     older.await(
-        "that it takes up again",
+        "the older process to resume",
         () -> older.logLines.stream().filter(l -> l.contains("is ready at")).count() == 2);
     older.await(
-        "the end of what the newer one had out",
+        "the outcome of the call of the newer process",
         () -> older.hasOutcomeReport("its-own", "undeliverable"));
     older.firstEndpoint.requests.get(0).connection().respond(200, "");
     older.await(
-        "the end of what it has out itself",
+        "the outcome of its own call",
         () ->
             older
                 .sendOperatorRequest("GET", "/-/metrics")
                 .contains("svc_requests_total{class=\"once\",outcome=\"served\"} 1\n"));
     assertEquals(202, older.submit("m3", "safe").status());
-    older.await("the next call", () -> ids(older.firstEndpoint).contains("m3"));
+    older.await("the next call", () -> requestIds(older.firstEndpoint).contains("m3"));
     try (CourierHarness third = newer.successor()) {
       third.start();
       assertTrue(older.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       assertEquals(202, third.submit("m4", "safe").status());
-      third.await("a call of the third", () -> ids(older.firstEndpoint).contains("m4"));
+      third.await("a call of the third", () -> requestIds(older.firstEndpoint).contains("m4"));
     }
     assertFalse(older.hasOutcomeReport("out", "undeliverable"));
   }
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -22,9 +22,8 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * The exact text of the lines by which a courier hands over to the process that replaces it. The
- * two processes may be of different versions, so a change that alters any of these lines must not
- * pass unnoticed.
+ * The exact text of the lines by which a courier hands over to its successor. The two processes may
+ * be of different versions, so a change that alters any of these lines must not pass unnoticed.
  */
 final class HandoverLineFormatTest {
   private static final List<String> LINES =
@@ -40,14 +39,14 @@
               + "\"ids\":[\"m1\",\"m2\"]}",
           "{\"t\":\"yours\"}");
 
-  private static EndpointDirectory.Entry listing(final EndpointState condition) {
+  private static EndpointDirectory.Entry entry(final EndpointState state) {
     return new EndpointDirectory.Entry(
-        "e-1", condition, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
+        "e-1", state, new InetSocketAddress("127.0.0.1", 9001), "a", 2.5, "std", 57);
   }
 
-  private static HandoverSnapshot inheritance() {
+  private static HandoverSnapshot snapshot() {
     return new HandoverSnapshot(
-        List.of(new HandoverSnapshot.NumberedEndpoint(4, listing(EndpointState.LISTED))),
+        List.of(new HandoverSnapshot.NumberedEndpoint(4, entry(EndpointState.LISTED))),
         new LearnedState(
             new double[] {1000, 0.5},
             new int[] {7, 8},
@@ -60,15 +59,15 @@
   }
 
   @Test
-  void inheritanceIsWrittenAsTheseLines() {
-    assertEquals(LINES, HandoverCodec.encodeSnapshot(inheritance()));
+  void snapshot_isWrittenAsTheseLines() {
+    assertEquals(LINES, HandoverCodec.encodeSnapshot(snapshot()));
   }
 
   @Test
-  void theseLinesAreReadAsTheInheritance() throws IOException {
+  void theseLines_areReadAsTheSnapshot() throws IOException {
     final HandoverSnapshot read = HandoverCodec.decodeSnapshot(LINES);
-    assertEquals(inheritance().endpoints(), read.endpoints());
-    assertEquals(inheritance().calls(), read.calls());
+    assertEquals(snapshot().endpoints(), read.endpoints());
+    assertEquals(snapshot().calls(), read.calls());
     assertArrayEquals(new double[] {1000, 0.5}, read.learnedState().classMeanUs());
     assertArrayEquals(new int[] {7, 8}, read.learnedState().classSamples());
     assertEquals(1e7, read.learnedState().trustedIdleUs());
@@ -83,27 +82,35 @@
   }
 
   @Test
-  void versionOfTheLinesIsFour() {
+  void protocolVersion_isFour() {
     assertEquals(4, HandoverCodec.PROTOCOL_VERSION);
     assertEquals(3, LearnedState.VERSION);
   }
 
   @Test
-  void addressIsTheSocketNamedHandover() {
+  void socketAddress_isNamedHandover() {
     assertEquals(
-        Path.of("state", "handover"), HandoverCodec.socketAddress(Path.of("state")).getPath());
+        Path.of("state", "handover"), LineConnection.socketAddress(Path.of("state")).getPath());
+  }
+
+  private static StoredMessage readOffer(final String line) throws IOException {
+    return ((PredecessorLine.Offer) PredecessorLine.fromJson(Json.read(line))).message();
+  }
+
+  private static Dispatcher.DispatchOutcome readOutcome(final String line) throws IOException {
+    return ((PredecessorLine.CallOutcome) PredecessorLine.fromJson(Json.read(line))).outcome();
   }
 
   @Test
-  void offerOfMessageWithKeyIsThisLine() throws IOException {
+  void offerWithIdempotencyKey_isThisLine() throws IOException {
     final String line =
         "{\"t\":\"offer\",\"number\":3,\"id\":\"m1\",\"class\":\"keyed\",\"key\":\"key-1\","
             + "\"dest\":57,\"valid\":5000000,\"body\":\"AQL/\"}";
     final byte[] body = {1, 2, (byte) 0xFF};
-    final StoredMessage held = new StoredMessage("m1", "keyed", "key-1", 57, 4_000_000, body);
-    assertEquals(line, Json.toText(HandoverCodec.encodeOffer(3, held, 5_000_000)));
+    final StoredMessage message = new StoredMessage("m1", "keyed", "key-1", 57, 4_000_000, body);
+    assertEquals(line, new PredecessorLine.Offer(3, message, 5_000_000).toText());
 
-    final StoredMessage read = HandoverCodec.decodeOffer(Json.read(line));
+    final StoredMessage read = readOffer(line);
     assertEquals("m1", read.id());
     assertEquals("keyed", read.className());
     assertEquals("key-1", read.idempotencyKey());
@@ -113,40 +120,40 @@
   }
 
   @Test
-  void offerOfMessageWithoutKeyIsThisLine() throws IOException {
+  void offerWithoutIdempotencyKey_isThisLine() throws IOException {
     final String line =
         "{\"t\":\"offer\",\"number\":4,\"id\":\"m2\",\"class\":\"safe\",\"key\":null,"
             + "\"dest\":57,\"valid\":5000000,\"body\":\"\"}";
-    final StoredMessage held = new StoredMessage("m2", "safe", null, 57, 4_000_000, new byte[0]);
-    assertEquals(line, Json.toText(HandoverCodec.encodeOffer(4, held, 5_000_000)));
-    assertNull(HandoverCodec.decodeOffer(Json.read(line)).idempotencyKey());
+    final StoredMessage message = new StoredMessage("m2", "safe", null, 57, 4_000_000, new byte[0]);
+    assertEquals(line, new PredecessorLine.Offer(4, message, 5_000_000).toText());
+    assertNull(readOffer(line).idempotencyKey());
   }
 
   @Test
-  void outcomeWithAllowanceIsThisLine() throws IOException {
+  void outcomeWithLoadReport_isThisLine() throws IOException {
     final String line =
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"REFUSED\",\"over\":false,"
             + "\"wait\":2000000,\"left\":0.5,\"limit\":40.0}";
-    final Dispatcher.DispatchOutcome answer =
+    final Dispatcher.DispatchOutcome outcome =
         new Dispatcher.DispatchOutcome(
             AttemptResult.REFUSED, false, 2_000_000, new LoadReport(0.5, 40));
-    assertEquals(line, Json.toText(HandoverCodec.encodeOutcome(11, "m1", answer)));
-    assertEquals(answer, HandoverCodec.decodeOutcome(Json.read(line)));
+    assertEquals(line, new PredecessorLine.CallOutcome(11, "m1", outcome).toText());
+    assertEquals(outcome, readOutcome(line));
   }
 
   @Test
-  void outcomeWithoutAllowanceIsThisLine() throws IOException {
+  void outcomeWithoutLoadReport_isThisLine() throws IOException {
     final String line =
         "{\"t\":\"outcome\",\"call\":11,\"id\":\"m1\",\"result\":\"DELIVERED\",\"over\":true,"
             + "\"wait\":0}";
-    final Dispatcher.DispatchOutcome answer =
+    final Dispatcher.DispatchOutcome outcome =
         new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null);
-    assertEquals(line, Json.toText(HandoverCodec.encodeOutcome(11, "m1", answer)));
-    assertEquals(answer, HandoverCodec.decodeOutcome(Json.read(line)));
+    assertEquals(line, new PredecessorLine.CallOutcome(11, "m1", outcome).toText());
+    assertEquals(outcome, readOutcome(line));
   }
 
   @Test
-  void resultsAreWrittenByTheseNames() throws IOException {
+  void results_areWrittenByTheseNames() throws IOException {
     final List<String> names =
         List.of(
             "DELIVERED",
@@ -160,32 +167,31 @@
             "STALE");
     final List<String> written = new ArrayList<>();
     for (final AttemptResult result : AttemptResult.values()) {
-      final Dispatcher.DispatchOutcome answer =
+      final Dispatcher.DispatchOutcome outcome =
           new Dispatcher.DispatchOutcome(result, true, 0, null);
-      written.add(HandoverCodec.encodeOutcome(1, "m1", answer).path("result").asText());
+      written.add(
+          new PredecessorLine.CallOutcome(1, "m1", outcome).toJson().path("result").asText());
     }
     assertEquals(names, written);
     for (int index = 0; index < names.size(); index++) {
       final String line =
           "{\"t\":\"outcome\",\"id\":\"m1\",\"result\":\"" + names.get(index) + "\"}";
-      assertEquals(
-          AttemptResult.values()[index], HandoverCodec.decodeOutcome(Json.read(line)).result());
+      assertEquals(AttemptResult.values()[index], readOutcome(line).result());
     }
   }
 
   @Test
-  void conditionsOfEndpointsAreWrittenByTheseNames() throws IOException {
+  void endpointStates_areWrittenByTheseNames() throws IOException {
     final List<String> written = new ArrayList<>();
-    for (final EndpointState condition : EndpointState.values()) {
+    for (final EndpointState state : EndpointState.values()) {
       final HandoverSnapshot one =
           new HandoverSnapshot(
-              List.of(new HandoverSnapshot.NumberedEndpoint(4, listing(condition))),
-              inheritance().learnedState(),
+              List.of(new HandoverSnapshot.NumberedEndpoint(4, entry(state))),
+              snapshot().learnedState(),
               List.of());
       final List<String> lines = HandoverCodec.encodeSnapshot(one);
       written.add(Json.read(lines.get(0)).path("condition").asText());
-      assertEquals(
-          condition, HandoverCodec.decodeSnapshot(lines).endpoints().get(0).entry().state());
+      assertEquals(state, HandoverCodec.decodeSnapshot(lines).endpoints().get(0).entry().state());
     }
     assertEquals(List.of("LISTED", "DRAINING", "GONE"), written);
   }
--- a/courier/src/test/java/thistleturn/courier/handover/LearnedStateSourceContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/LearnedStateSourceContractTest.java
@@ -17,16 +17,16 @@
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
-/** Whoever hands on what a process had learnt, living or dead, does so by the same contract. */
+/** Learned state is the same to its receiver whether its process is alive or has died. */
 @Tag("decisions")
 final class LearnedStateSourceContractTest {
   private static final Clock CLOCK = new Clock();
   private static final int WINDOW = 0;
   private static final int WAIT = 1;
-  private static final int FIGURES = 21;
-  private static final int MOMENTS = 7;
+  private static final int FIGURE_COUNT = 21;
+  private static final int MOMENT_COUNT = 7;
 
-  private static HandoverSnapshot.NumberedEndpoint named(final long number, final int port) {
+  private static HandoverSnapshot.NumberedEndpoint endpoint(final long number, final int port) {
     return new HandoverSnapshot.NumberedEndpoint(
         number,
         new EndpointDirectory.Entry(
@@ -39,13 +39,13 @@
             57));
   }
 
-  private static LearnedState memory(final long waitUs) {
-    final double[] figures = new double[FIGURES];
+  private static LearnedState learnedState(final long waitUs) {
+    final double[] figures = new double[FIGURE_COUNT];
     figures[WINDOW] = 9;
-    final long[] moments = new long[MOMENTS];
+    final long[] moments = new long[MOMENT_COUNT];
     moments[0] = Long.MAX_VALUE;
     moments[WAIT] = waitUs;
-    moments[MOMENTS - 1] = waitUs;
+    moments[MOMENT_COUNT - 1] = waitUs;
     return new LearnedState(
         new double[] {1000},
         new int[] {7},
@@ -58,32 +58,33 @@
 
   static Stream<LearnedStateSource> bothSources() {
     final long nowUs = CLOCK.nowUs();
-    final HandoverSnapshot inheritance =
-        new HandoverSnapshot(List.of(named(4, 9001), named(5, 9002)), memory(nowUs), List.of());
-    return Stream.of(inheritance, new LearnedStateFile.StoredState(inheritance, nowUs));
+    final HandoverSnapshot snapshot =
+        new HandoverSnapshot(
+            List.of(endpoint(4, 9001), endpoint(5, 9002)), learnedState(nowUs), List.of());
+    return Stream.of(snapshot, new LearnedStateFile.StoredState(snapshot, nowUs));
   }
 
   @ParameterizedTest
-  @MethodSource("both")
-  void remainingEndpoints_areRenumberedAndOthersDropped(final LearnedStateSource from) {
+  @MethodSource("bothSources")
+  void remainingEndpoints_areRenumberedAndOthersDropped(final LearnedStateSource source) {
     assertEquals(
         List.of(4L, 5L),
-        from.endpoints().stream().map(HandoverSnapshot.NumberedEndpoint::number).toList());
-    final LearnedState here = from.learnedState(Map.of(4L, 17L), CLOCK);
+        source.endpoints().stream().map(HandoverSnapshot.NumberedEndpoint::number).toList());
+    final LearnedState renumbered = source.learnedState(Map.of(4L, 17L), CLOCK);
     assertEquals(
         List.of(17L),
-        here.routes().stream().map(LearnedState.LearnedRoute::endpointId).toList(),
-        "of one that is gone nothing is told");
+        renumbered.routes().stream().map(LearnedState.LearnedRoute::endpointId).toList(),
+        "endpoints without a number are dropped");
     assertEquals(
         List.of(17L),
-        here.endpoints().stream().map(LearnedState.LearnedEndpoint::endpointId).toList());
-    assertArrayEquals(new int[] {7}, here.classSamples());
+        renumbered.endpoints().stream().map(LearnedState.LearnedEndpoint::endpointId).toList());
+    assertArrayEquals(new int[] {7}, renumbered.classSamples());
   }
 
   @ParameterizedTest
-  @MethodSource("both")
-  void timestamps_areOnThisProcessesClockAndWaitsRemain(final LearnedStateSource from) {
-    final long[] moments = from.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
+  @MethodSource("bothSources")
+  void timestamps_areOnThisProcessesClockAndWaitsRemain(final LearnedStateSource source) {
+    final long[] moments = source.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
     assertTrue(
         Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000,
         "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
@@ -91,10 +92,10 @@
   }
 
   @ParameterizedTest
-  @MethodSource("both")
-  void learnedWindow_isNotBelowInitialWindow(final LearnedStateSource from) {
+  @MethodSource("bothSources")
+  void learnedWindow_isNotBelowInitialWindow(final LearnedStateSource source) {
     final double window =
-        from.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).figures()[WINDOW];
+        source.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).figures()[WINDOW];
     assertTrue(window >= 2 && window <= 9, "window " + window);
   }
 }
