--- a/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
@@ -21,42 +21,59 @@
 import thistleturn.decisions.LearnedState;
 
 /**
- * What the decisions had learnt, on disk, for the process that starts after this one has died. A
- * file of lines: a head (version, classes, the monotonic clock), what {@link HandoverCodec} says of
- * endpoints and memory, and a checksum of all before it. It is put in place by a rename, so that it
- * is whole or the one before; a torn, old or foreign one is not used. Nothing of any rule hangs on
- * it: losing it costs what a new courier costs.
+ * The learned state of one shard on disk, for the process that starts after this one has died.
+ *
+ * <p>The file consists of lines: a header (version, classes, monotonic time), the lines of a
+ * {@linkplain HandoverCodec snapshot}, and a trailer with a checksum of all bytes before it. It is
+ * replaced by a rename, so a reader finds either the new file or the previous one. A file that is
+ * torn, expired, or of another version or configuration is ignored. No delivery guarantee depends
+ * on it: a courier that loses it learns anew.
  */
 public final class LearnedStateFile {
-  /**
-   * Bytes at most: some two thousand endpoints, and a twentieth of the disk, since it is written
-   * beside the one before.
-   */
+  private static final String FILE_NAME = "learnt";
+
+  /** Enough for some two thousand endpoints. */
   private static final int MAX_FILE_BYTES = 1 << 20;
 
+  /**
+   * The part of the disk budget that the file may take: small, since the next one is written beside
+   * it.
+   */
   private static final int DISK_DIVISOR = 20;
+
+  private static final String HEADER_TYPE = "learnt";
   private static final String TRAILER_PREFIX = "{\"t\":\"end\",\"crc\":";
+  private static final String TRAILER_SUFFIX = "}\n";
+  private static final long US_PER_S = 1_000_000;
 
   private final Path file;
-  private final String classes;
+  private final String classNames;
   private final long maxBytes;
 
   /**
-   * Where it is kept, how large the disk is, and the names of the classes in their order: what was
-   * learnt of others means nothing.
+   * Names the file of a shard.
+   *
+   * @param stateFolder the folder that outlasts the process
+   * @param shard the index of the shard
+   * @param classNames the names of the message classes, in order: a state that was learned with
+   *     others cannot be used
+   * @param diskBudgetBytes the part of the disk that this shard may use
    */
   public LearnedStateFile(
-      final Path folder, final int shard, final List<String> classes, final long diskBytes) {
-    this.maxBytes = Math.min(MAX_FILE_BYTES, diskBytes / DISK_DIVISOR);
-    this.file = folder.resolve(shard == 0 ? "learnt" : "learnt-" + shard);
-    this.classes = String.join(" ", classes);
+      final Path stateFolder,
+      final int shard,
+      final List<String> classNames,
+      final long diskBudgetBytes) {
+    this.maxBytes = Math.min(MAX_FILE_BYTES, diskBudgetBytes / DISK_DIVISOR);
+    this.file = stateFolder.resolve(shard == 0 ? FILE_NAME : FILE_NAME + "-" + shard);
+    this.classNames = String.join(" ", classNames);
   }
 
   /**
-   * What was learnt, and when that was.
+   * What was read from a file.
    *
-   * @param snapshot its moments are those of the monotonic clock
-   * @param capturedUs when it was put down, us
+   * @param snapshot its timestamps are those of the monotonic clock
+   * @param capturedUs when it was captured
    */
   public record StoredState(HandoverSnapshot snapshot, long capturedUs)
       implements LearnedStateSource {
@@ -65,51 +82,57 @@
       return snapshot.endpoints();
     }
 
-    /** Its process has died: what it had learnt is as old as that. */
+    /** {@inheritDoc} Its process has died, so the state is as old as the file. */
     @Override
-    public LearnedState learnedState(final Map<Long, Long> numbers, final Clock clock) {
-      return snapshot.learnedState(numbers, clock).aged(capturedUs, clock.nowUs());
+    public LearnedState learnedState(final Map<Long, Long> endpointNumbers, final Clock clock) {
+      return snapshot.learnedState(endpointNumbers, clock).aged(capturedUs, clock.nowUs());
     }
   }
 
-  /** The bytes of a file that tells what was learnt by now; null if it would be too large. */
-  byte[] encode(final HandoverSnapshot learnt, final long nowUs) {
-    final StringBuilder text =
-        new StringBuilder(
-                Json.toText(
-                    JsonNodeFactory.instance
-                        .objectNode()
-                        .put("t", "learnt")
-                        .put("version", LearnedState.VERSION)
-                        .put("classes", classes)
-                        .put("taken", nowUs)))
-            .append('\n');
-    HandoverCodec.encodeSnapshot(learnt).forEach(line -> text.append(line).append('\n'));
+  /** Returns the bytes of a file with this snapshot, or null if they were too many. */
+  byte[] encode(final HandoverSnapshot snapshot, final long capturedUs) {
+    final StringBuilder text = new StringBuilder(header(capturedUs)).append('\n');
+    HandoverCodec.encodeSnapshot(snapshot).forEach(line -> text.append(line).append('\n'));
     final byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
     if (body.length > maxBytes) {
       return null;
     }
-    return text.append(TRAILER_PREFIX)
-        .append(checksum(body, body.length))
-        .append("}\n")
-        .toString()
-        .getBytes(StandardCharsets.UTF_8);
+    text.append(trailer(body, body.length));
+    return text.toString().getBytes(StandardCharsets.UTF_8);
+  }
+
+  private String header(final long capturedUs) {
+    return Json.toText(
+        JsonNodeFactory.instance
+            .objectNode()
+            .put("t", HEADER_TYPE)
+            .put("version", LearnedState.VERSION)
+            .put("classes", classNames)
+            .put("taken", capturedUs));
+  }
+
+  private static String trailer(final byte[] bytes, final int bodyLength) {
+    return TRAILER_PREFIX + checksum(bytes, bodyLength) + TRAILER_SUFFIX;
   }
 
+  /** Returns how many bytes the file may have, apart from its trailer. */
   long maxBytes() {
     return maxBytes;
   }
 
-  /** Puts a file in the place of the one before. */
+  /** Replaces the file. */
   void replace(final byte[] bytes) throws IOException {
-    final Path fresh = file.resolveSibling(file.getFileName() + ".new");
-    Files.write(fresh, bytes);
-    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    final Path replacement = file.resolveSibling(file.getFileName() + ".new");
+    Files.write(replacement, bytes);
+    Files.move(
+        replacement, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
   /**
-   * What the process before had learnt, if that can be trusted now; else null, with a line in the
-   * log unless there is none.
+   * Reads what the previous process had learned.
+   *
+   * @return the state, or null if there is no file or it cannot be trusted now; the latter is
+   *     logged
    */
   public StoredState read(final long nowUs) {
     try {
@@ -126,29 +149,38 @@
   }
 
   private StoredState parse(final byte[] bytes, final long nowUs) throws IOException {
+    final List<String> lines = new ArrayList<>(checkedBody(bytes).lines().toList());
+    final JsonNode header = Json.read(lines.remove(0));
+    if (header.path("version").asInt() != LearnedState.VERSION
+        || !header.path("classes").asText().equals(classNames)) {
+      throw new IOException("written by another version, or for other classes");
+    }
+    final long capturedUs = header.path("taken").asLong();
+    checkAge(nowUs - capturedUs);
+    return new StoredState(HandoverCodec.decodeSnapshot(lines), capturedUs);
+  }
+
+  /** Returns the text before the trailer, whose checksum must match. */
+  private static String checkedBody(final byte[] bytes) throws IOException {
     final String text = new String(bytes, StandardCharsets.UTF_8);
-    final int last = text.lastIndexOf(TRAILER_PREFIX);
-    final int bodyBytes =
-        last < 0 ? 0 : text.substring(0, last).getBytes(StandardCharsets.UTF_8).length;
-    if (last < 0
-        || !text.substring(last).equals(TRAILER_PREFIX + checksum(bytes, bodyBytes) + "}\n")) {
-      throw new IOException("torn, or changed since it was written");
+    final int trailerStart = text.lastIndexOf(TRAILER_PREFIX);
+    if (trailerStart >= 0) {
+      final String body = text.substring(0, trailerStart);
+      final int bodyLength = body.getBytes(StandardCharsets.UTF_8).length;
+      if (text.substring(trailerStart).equals(trailer(bytes, bodyLength))) {
+        return body;
+      }
     }
-    final List<String> lines = new ArrayList<>(text.substring(0, last).lines().toList());
-    final JsonNode head = Json.read(lines.remove(0));
-    if (head.path("version").asInt() != LearnedState.VERSION
-        || !head.path("classes").asText().equals(classes)) {
-      throw new IOException("written by another version, or for other classes");
+    throw new IOException("torn, or changed since it was written");
+  }
+
+  private static void checkAge(final long ageUs) throws IOException {
+    if (ageUs < 0) {
+      throw new IOException("the machine was started anew since it was written");
     }
-    final long takenUs = head.path("taken").asLong();
-    final long ageUs = nowUs - takenUs;
-    if (ageUs < 0 || ageUs > LearnedState.MAX_AGE_US) {
-      throw new IOException(
-          ageUs < 0
-              ? "the machine was started anew since it was written"
-              : "it is " + ageUs / 1_000_000 + " s old");
+    if (ageUs > LearnedState.MAX_AGE_US) {
+      throw new IOException("it is " + ageUs / US_PER_S + " s old");
     }
-    return new StoredState(HandoverCodec.decodeSnapshot(lines), takenUs);
   }
 
   private static long checksum(final byte[] bytes, final int length) {
--- a/courier/src/main/java/thistleturn/courier/learned/LearnedStateWriter.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateWriter.java
@@ -10,9 +10,9 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Puts down what was learnt, away from the event loop: the loop hands over what is to be written, a
- * thread of its own makes the text and the file. What comes while it writes takes the place of what
- * waits, so that a slow disk costs freshness, never memory or time.
+ * Writes the learned state away from the event loop: the loop passes a snapshot, and a thread that
+ * all writers share encodes and writes it. A snapshot that arrives during a write replaces the one
+ * that waits, so a slow disk costs freshness, but neither memory nor time on the loop.
  */
 public final class LearnedStateWriter {
   private static final ExecutorService WRITER_THREAD =
@@ -28,35 +28,42 @@
   private final LearnedStateFile file;
   private final Clock clock;
   private final AtomicReference<PendingWrite> pendingWrite = new AtomicReference<>();
+
+  /** The last write failed, and that was logged: it is not logged again until one has succeeded. */
   private final AtomicBoolean failureLogged = new AtomicBoolean();
 
-  /** One that writes to a file. */
+  /** Makes a writer of one file. */
   public LearnedStateWriter(final LearnedStateFile file, final Clock clock) {
     this.file = file;
     this.clock = clock;
   }
 
-  /** To be written soon. */
-  public void save(final HandoverSnapshot learnt) {
-    if (pendingWrite.getAndSet(new PendingWrite(learnt, clock.nowUs())) == null) {
+  /** Schedules a snapshot to be written. */
+  public void save(final HandoverSnapshot snapshot) {
+    final PendingWrite replaced = pendingWrite.getAndSet(new PendingWrite(snapshot, clock.nowUs()));
+    if (replaced == null) {
       WRITER_THREAD.execute(this::writePending);
     }
   }
 
   private void writePending() {
-    final PendingWrite taken = pendingWrite.getAndSet(null);
+    final PendingWrite pending = pendingWrite.getAndSet(null);
     try {
-      final byte[] bytes = file.encode(taken.snapshot(), taken.capturedUs());
-      if (bytes != null) {
-        file.replace(bytes);
-        failureLogged.set(false);
-      } else if (!failureLogged.getAndSet(true)) {
-        Log.info("what was learnt is not kept: more than " + file.maxBytes() + " bytes");
+      final byte[] bytes = file.encode(pending.snapshot(), pending.capturedUs());
+      if (bytes == null) {
+        logFailure("more than " + file.maxBytes() + " bytes");
+        return;
       }
+      file.replace(bytes);
+      failureLogged.set(false);
     } catch (final IOException e) {
-      if (!failureLogged.getAndSet(true)) {
-        Log.info("what was learnt is not kept: " + e);
-      }
+      logFailure(e.toString());
+    }
+  }
+
+  private void logFailure(final String reason) {
+    if (!failureLogged.getAndSet(true)) {
+      Log.info("what was learnt is not kept: " + reason);
     }
   }
 }
