--- a/courier/src/main/java/thistleturn/courier/health/StallDetector.java
+++ b/courier/src/main/java/thistleturn/courier/health/StallDetector.java
@@ -9,65 +9,70 @@
 import thistleturn.decisions.health.LocalHealth;
 
 /**
- * Keeps a beat while the courier has something to do, so that a stretch in which the process did
- * not run is seen by whatever runs first after it, be it a timer or an answer. An idle courier
- * keeps none. Runs on the event loop.
+ * Detects periods in which this process did not run, so that nobody else is blamed for them. While
+ * the courier is busy a timer ticks; a tick that comes late, or any other event after its time,
+ * shows for how long the process was stopped. It does not tick while the courier is idle. Lives on
+ * the event loop.
  */
 public final class StallDetector {
   private static final long US_PER_S = 1_000_000;
+  private static final long US_PER_MS = 1000;
 
-  /** An absence so long, us, is worth a line. */
+  /** Shorter stalls are not logged. */
   private static final long MIN_LOGGED_STALL_US = US_PER_S;
 
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NO_TICK = Long.MAX_VALUE;
 
   private final EventLoop loop;
   private final Clock clock;
   private final LocalHealth localHealth;
   private final LongConsumer stallListener;
   private LocalHealth.State lastLoggedState = LocalHealth.State.WELL;
-  private long nextTickUs = NEVER;
+  private long nextTickUs = NO_TICK;
   private boolean tickWanted;
 
   /**
-   * {@code away} is told for how long the process did not run, us, before anything else that came
-   * meanwhile.
+   * Makes a detector that does not tick yet.
+   *
+   * @param stallListener receives the length of a stall, us, before anything else is handled that
+   *     came meanwhile
    */
   public StallDetector(
-      final EventLoop loop, final Clock clock, final LocalHealth health, final LongConsumer away) {
+      final EventLoop loop,
+      final Clock clock,
+      final LocalHealth localHealth,
+      final LongConsumer stallListener) {
     this.loop = loop;
     this.clock = clock;
-    this.localHealth = health;
-    this.stallListener = away;
+    this.localHealth = localHealth;
+    this.stallListener = stallListener;
   }
 
   /**
-   * The courier runs at this moment: to be called before anything is read from what came. Returns
-   * that moment, us.
+   * Records that the process runs now. To be called at each event, before anything is done with it.
+   *
+   * @return the time, us
    */
   public long recordActivity() {
     final long nowUs = clock.nowUs();
-    final long awayUs = localHealth.recordRun(nowUs);
-    if (nextTickUs != NEVER) {
-      // A beat that is late was late for this; the next promise is one from now.
+    final long stallUs = localHealth.recordRun(nowUs);
+    if (nextTickUs != NO_TICK) {
+      // The tick was late because of this stall: from now on it is due at once, and no longer late.
       localHealth.expectRunBy(Math.max(nextTickUs, nowUs));
     }
-    if (awayUs > 0) {
-      stallListener.accept(awayUs);
-      if (awayUs >= MIN_LOGGED_STALL_US) {
-        Log.info(
-            "this process did not run for "
-                + awayUs / (US_PER_S / 1000)
-                + " ms: nobody's time-out");
+    if (stallUs > 0) {
+      stallListener.accept(stallUs);
+      if (stallUs >= MIN_LOGGED_STALL_US) {
+        Log.info("this process did not run for " + stallUs / US_PER_MS + " ms: nobody's time-out");
       }
     }
     return nowUs;
   }
 
-  /** There is something to do, or (false) nothing more: from the next beat on there is none. */
+  /** Ticks from now on, or no more after the next tick. */
   public void setBusy(final boolean busy) {
     tickWanted = busy;
-    if (busy && nextTickUs == NEVER) {
+    if (busy && nextTickUs == NO_TICK) {
       scheduleTick(clock.nowUs());
     }
   }
@@ -79,8 +84,8 @@
   }
 
   private void onTick() {
-    // Before it is felt: what this beat promised is kept by now, and the next one promises anew.
-    nextTickUs = NEVER;
+    // This tick has come: it must not be expected again when the activity is recorded.
+    nextTickUs = NO_TICK;
     final long nowUs = recordActivity();
     logHealthChange(nowUs);
     if (tickWanted) {
@@ -88,15 +93,10 @@
     }
   }
 
-  /** Lasting trouble of its own is worth a line when it begins and when it is over. */
+  /** Logs when a lasting fault of this courier itself begins, changes or ends. */
   private void logHealthChange(final long nowUs) {
     final LocalHealth.State state = localHealth.state(nowUs);
-    final boolean lasting =
-        state == LocalHealth.State.STARVED || state == LocalHealth.State.CUT_OFF;
-    final boolean lasted =
-        lastLoggedState == LocalHealth.State.STARVED
-            || lastLoggedState == LocalHealth.State.CUT_OFF;
-    if (state != lastLoggedState && (lasting || lasted)) {
+    if (state != lastLoggedState && (isLastingFault(state) || isLastingFault(lastLoggedState))) {
       Log.info(
           "own health: "
               + state.name().toLowerCase(Locale.ROOT)
@@ -105,4 +105,8 @@
     }
     lastLoggedState = state;
   }
+
+  private static boolean isLastingFault(final LocalHealth.State state) {
+    return state == LocalHealth.State.STARVED || state == LocalHealth.State.CUT_OFF;
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/health/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/health/package-info.java
@@ -1,5 +1,7 @@
 /**
- * How a courier feels its own pulse: what tells {@code decisions.health} when the process runs and
- * when it meant to.
+ * Tells {@code decisions.health} when this process ran and when it was due to run, so that a
+ * courier that was stopped blames no endpoint for it. {@link
+ * thistleturn.courier.health.StallDetector} is the entry point, one for each event loop, and lives
+ * there. What follows from a stall is decided elsewhere.
  */
 package thistleturn.courier.health;
