--- a/courier/src/main/java/thistleturn/courier/runtime/ConfigurationException.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/ConfigurationException.java
@@ -1,18 +1,16 @@
 package thistleturn.courier.runtime;
 
-import java.io.IOException;
-
-/** Why a courier cannot start. */
+/** The configuration cannot be used. The message is one line that names what is wrong. */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** One line that names what is wrong. */
+  /** A value that is missing, or that contradicts another one. */
   public ConfigurationException(final String reason) {
     super(reason);
   }
 
-  /** The same for a file that could not be read at all. */
-  public ConfigurationException(final String reason, final IOException cause) {
+  /** A file that cannot be read, or a value that cannot be parsed. */
+  public ConfigurationException(final String reason, final Exception cause) {
     super(reason, cause);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/DescriptorBudget.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/DescriptorBudget.java
@@ -1,12 +1,13 @@
 package thistleturn.courier.runtime;
 
 /**
- * The descriptors that clients and endpoints share. Either side has its own part; what the
- * endpoints leave of theirs is lent to clients, down to half, and asked back by closing what is of
- * least use. Used on one event loop.
+ * Divides the file descriptors between connections of clients and connections to endpoints. Each
+ * side has its share. What the endpoints do not use of theirs, down to {@value #RESERVED_FRACTION}
+ * of it, is lent to clients, and taken back by closing the connections of least use. Used on one
+ * event loop.
  */
 public final class DescriptorBudget {
-  /** Share of the endpoints' part that is never lent. */
+  /** The fraction of the endpoints' share that is never lent. */
   private static final double RESERVED_FRACTION = 0.5;
 
   private final int clientShare;
@@ -14,38 +15,41 @@
   private int clientConnections;
   private int endpointConnections;
 
-  /** The two parts, each at least 1. */
-  public DescriptorBudget(final int clientsPart, final int endpointsPart) {
-    this.clientShare = clientsPart;
-    this.endpointShare = endpointsPart;
+  /** Makes a budget of two shares, each at least 1. */
+  public DescriptorBudget(final int clientShare, final int endpointShare) {
+    this.clientShare = clientShare;
+    this.endpointShare = endpointShare;
   }
 
-  /** So many more connections to endpoints stand or come up; below 0: fewer. */
+  /**
+   * Counts connections to endpoints, open or connecting.
+   *
+   * @param change how many there are more, or fewer if below 0
+   */
   public void addEndpointConnections(final int change) {
     endpointConnections += change;
   }
 
+  /** Counts the connections of clients. */
+  public void setClientConnections(final int connections) {
+    clientConnections = connections;
+  }
+
   /** True if no further connection to an endpoint may be made now. */
   public boolean isEndpointLimitReached() {
     return endpointConnections >= maxEndpointConnections();
   }
 
-  /** So many clients are connected. */
-  public void setClientConnections(final int now) {
-    clientConnections = now;
-  }
-
-  /** Clients' connections that may stand now. */
+  /** Returns how many connections of clients may be open now. */
   public int maxClientConnections() {
-    return clientShare
-        + endpointShare
-        - Math.max(endpointConnections, (int) (RESERVED_FRACTION * endpointShare));
+    final int reserved = (int) (RESERVED_FRACTION * endpointShare);
+    return clientShare + endpointShare - Math.max(endpointConnections, reserved);
   }
 
-  /** Connections to endpoints that may stand now; at least half of their part. */
+  /** Returns how many connections to endpoints may be open now. */
   private int maxEndpointConnections() {
-    return Math.max(
-        (int) Math.max(1, RESERVED_FRACTION * endpointShare),
-        endpointShare - Math.max(0, clientConnections - clientShare));
+    final int reserved = (int) Math.max(1, RESERVED_FRACTION * endpointShare);
+    final int lent = Math.max(0, clientConnections - clientShare);
+    return Math.max(reserved, endpointShare - lent);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/Event.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Event.java
@@ -1,77 +1,82 @@
 package thistleturn.courier.runtime;
 
-import java.util.Locale;
-
-/** What the courier's log and counters tell of, each in one line with its fields. */
+/**
+ * The events of the courier's log and counters. The label is what is written, and what operators
+ * search for: it stays as it is.
+ */
 public enum Event {
-  /** A request was answered that its message is not taken on, without harm. */
-  REQUEST_REFUSED,
-  /** A request was answered that it cannot be used as it is. */
-  REQUEST_UNUSABLE,
-  /** A request was read, and its connection ended before its answer. */
-  REQUEST_UNANSWERED,
-  /** A client's connection was ended from this side while it was not between two requests. */
-  CONNECTION_CLOSED,
+  /** A request was answered with a rejection of its message; submitting it again is harmless. */
+  REQUEST_REFUSED("request_refused"),
+  /** A request was answered as invalid. */
+  REQUEST_UNUSABLE("request_unusable"),
+  /** A request was read, and its connection ended before the response. */
+  REQUEST_UNANSWERED("request_unanswered"),
+  /** This side closed a client's connection while a request was incomplete or unanswered. */
+  CONNECTION_CLOSED("connection_closed"),
   /**
-   * A connection has bytes of which the selector did not tell: it is read from now and then, and
-   * ended with its answer.
+   * A connection has bytes that the selector did not report: it is read periodically, and closed
+   * with its response.
    */
-  CONNECTION_UNWATCHED,
-  /** An attempt ended in something else than a delivery. */
-  ATTEMPT_FAILED,
-  /** An attempt did not begin, since what was planned for it has changed. */
-  ATTEMPT_NOT_SENT,
-  /** A message that was taken on ended by a notice. */
-  MESSAGE_ENDED,
-  /** The platform confirmed an end long after its message's time. */
-  MESSAGE_ENDED_LATE,
+  CONNECTION_UNWATCHED("connection_unwatched"),
+  /** An attempt ended otherwise than by a delivery. */
+  ATTEMPT_FAILED("attempt_failed"),
+  /** An attempt was not started, since its plan was no longer valid. */
+  ATTEMPT_NOT_SENT("attempt_not_sent"),
+  /** An accepted message was not delivered: the platform is notified of its outcome. */
+  MESSAGE_ENDED("message_ended"),
+  /** The platform confirmed an outcome long after the message's deadline. */
+  MESSAGE_ENDED_LATE("message_ended_late"),
   /**
-   * Ends are told though the journal cannot be written: their messages' time is up, so that no
-   * restart sends them again.
+   * Outcomes are reported though the journal cannot be written: the deadlines of their messages
+   * have passed, so that no restart sends them again.
    */
-  END_TOLD_UNWRITTEN,
-  /** A connection could not be accepted; it waits, and is tried again. */
-  ACCEPT_FAILED,
+  END_TOLD_UNWRITTEN("end_told_unwritten"),
+  /** A connection could not be accepted; it waits, and is accepted later. */
+  ACCEPT_FAILED("accept_failed"),
   /** Connections are accepted again. */
-  ACCEPT_RECOVERED,
+  ACCEPT_RECOVERED("accept_recovered"),
   /** The last connections of a listener could not be accepted. */
-  ACCEPT_GIVEN_UP,
-  /** No socket could be made for a connection to somewhere. */
-  SOCKET_FAILED,
-  /** A connection could not be made. */
-  CONNECT_FAILED,
-  /** A connection could not be read or written for want of memory, and is tried again. */
-  TRANSFER_RETRIED,
+  ACCEPT_GIVEN_UP("accept_given_up"),
+  /** No socket could be created for an outgoing connection. */
+  SOCKET_FAILED("socket_failed"),
+  /** An outgoing connection could not be made. */
+  CONNECT_FAILED("connect_failed"),
+  /** A connection could not be read or written for lack of memory; that is retried. */
+  TRANSFER_RETRIED("transfer_retried"),
   /** The journal cannot be written from now on. */
-  JOURNAL_UNWRITABLE,
-  /** A write of the journal failed. */
-  JOURNAL_WRITE_FAILED,
+  JOURNAL_UNWRITABLE("journal_unwritable"),
+  /** A write to the journal failed. */
+  JOURNAL_WRITE_FAILED("journal_write_failed"),
   /** The journal can be written again. */
-  JOURNAL_WRITABLE,
-  /** A write that was told as failed is in the file as a whole. */
-  JOURNAL_WRITE_DONE_ALL_THE_SAME,
-  /** What a write that was cut off had left was dropped. */
-  JOURNAL_TAIL_DROPPED,
+  JOURNAL_WRITABLE("journal_writable"),
+  /** A write to the journal is complete in the file though the system reported an error. */
+  JOURNAL_WRITE_DONE_ALL_THE_SAME("journal_write_done_all_the_same"),
+  /** The rest of an interrupted write was dropped. */
+  JOURNAL_TAIL_DROPPED("journal_tail_dropped"),
   /** A record of a later version was found. */
-  JOURNAL_RECORD_UNKNOWN,
-  /** The machine was started anew since the journal was written. */
-  JOURNAL_CLOCK_BEGAN_ANEW,
-  /** The journal is left with records that could not be written. */
-  JOURNAL_CLOSED_UNWRITTEN,
-  /** The journal was handed on without being trimmed. */
-  JOURNAL_NOT_TRIMMED,
+  JOURNAL_RECORD_UNKNOWN("journal_record_unknown"),
+  /** The machine was rebooted since the journal was written. */
+  JOURNAL_CLOCK_BEGAN_ANEW("journal_clock_began_anew"),
+  /** The journal was closed with records that could not be written. */
+  JOURNAL_CLOSED_UNWRITTEN("journal_closed_unwritten"),
+  /** The journal was handed over without being trimmed. */
+  JOURNAL_NOT_TRIMMED("journal_not_trimmed"),
   /** A file could not be closed. */
-  FILE_CLOSE_FAILED,
-  /** A step of the start failed for what may pass, and is tried again. */
-  START_RETRIED,
-  /** What was asked for in a pass could not be carried out for one message or call. */
-  STEP_FAILED,
-  /** Something that should not happen did; with the place. */
-  FAILURE;
+  FILE_CLOSE_FAILED("file_close_failed"),
+  /** A step of the start failed for a transient reason, and is retried. */
+  START_RETRIED("start_retried"),
+  /** A step of a decision round could not be carried out for one message or call. */
+  STEP_FAILED("step_failed"),
+  /** An unexpected exception, with its stack. */
+  FAILURE("failure");
+
+  private final String label;
 
-  private final String label = name().toLowerCase(Locale.ROOT);
+  Event(final String label) {
+    this.label = label;
+  }
 
-  /** As the log and the counters name it. */
+  /** Returns the name of the event in the log and in the counters. */
   public String label() {
     return label;
   }
--- a/courier/src/main/java/thistleturn/courier/runtime/GuardedTasks.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/GuardedTasks.java
@@ -1,13 +1,17 @@
 package thistleturn.courier.runtime;
 
 /**
- * Tasks of an event loop that throw. Netty keeps what a scheduled task throws in its future, where
- * nobody looks, and runs a repeated one never again.
+ * Makes tasks of an event loop safe to throw. Netty keeps what a scheduled task throws in a future
+ * that nobody reads, and never runs a periodic one again.
  */
 public final class GuardedTasks {
   private GuardedTasks() {}
 
-  /** The same task; what it throws is told in the log, and it may run again. */
+  /**
+   * Returns a task that logs what the given one throws, and can run again.
+   *
+   * @param what names the task in the log
+   */
   public static Runnable guard(final String what, final Runnable task) {
     return () -> {
       try {
--- a/courier/src/main/java/thistleturn/courier/runtime/Json.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Json.java
@@ -15,23 +15,24 @@
 import java.util.Map;
 
 /**
- * JSON as trees, by the library's parser and generator alone. Its object mapper does the same and
- * more, but finds out how to map classes first, and that costs each start a tenth of a second of a
- * core.
+ * Reads and writes JSON trees by the library's parser and generator alone. Its object mapper would
+ * do as well, but it finds out how to map classes first, which costs each start a tenth of a second
+ * of a core.
  */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
-  /** Nothing here is nested as deep: what is, is refused before it can fill the stack. */
+  /** Deeper values are rejected before they can overflow the stack; none here is nested as deep. */
   private static final int MAX_DEPTH = 64;
 
   private Json() {}
 
   /**
-   * Reads one value; what stands behind it is not looked at. A missing node if there is none.
+   * Reads one value and ignores what follows it.
    *
-   * @throws IOException if it is no JSON
+   * @return the value, or a missing node if there is none
+   * @throws IOException if it is not valid JSON
    */
   public static JsonNode read(final byte[] bytes) throws IOException {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
@@ -39,7 +40,7 @@
     }
   }
 
-  /** The same, from a text. */
+  /** Reads one value of a text, like {@link #read(byte[])}. */
   public static JsonNode read(final String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       return read(parser);
@@ -54,51 +55,48 @@
     if (depth > MAX_DEPTH) {
       throw new JsonParseException(parser, "nested over " + MAX_DEPTH + " deep");
     }
-    switch (parser.currentToken()) {
-      case START_OBJECT -> {
-        final ObjectNode object = NODE_FACTORY.objectNode();
-        while (parser.nextToken() == JsonToken.FIELD_NAME) {
-          final String name = parser.currentName();
-          parser.nextToken();
-          object.set(name, readValue(parser, depth + 1));
-        }
-        return object;
-      }
-      case START_ARRAY -> {
-        final ArrayNode array = NODE_FACTORY.arrayNode();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-          array.add(readValue(parser, depth + 1));
-        }
-        return array;
-      }
-      case VALUE_STRING -> {
-        return NODE_FACTORY.textNode(parser.getText());
-      }
-      case VALUE_NUMBER_INT -> {
-        return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-            ? NODE_FACTORY.numberNode(parser.getBigIntegerValue())
-            : NODE_FACTORY.numberNode(parser.getLongValue());
-      }
-      case VALUE_NUMBER_FLOAT -> {
-        return NODE_FACTORY.numberNode(parser.getDoubleValue());
-      }
-      case VALUE_TRUE -> {
-        return NODE_FACTORY.booleanNode(true);
-      }
-      case VALUE_FALSE -> {
-        return NODE_FACTORY.booleanNode(false);
-      }
-      default -> {
-        return NODE_FACTORY.nullNode();
-      }
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> readObject(parser, depth);
+      case START_ARRAY -> readArray(parser, depth);
+      case VALUE_STRING -> NODE_FACTORY.textNode(parser.getText());
+      case VALUE_NUMBER_INT -> readInteger(parser);
+      case VALUE_NUMBER_FLOAT -> NODE_FACTORY.numberNode(parser.getDoubleValue());
+      case VALUE_TRUE -> NODE_FACTORY.booleanNode(true);
+      case VALUE_FALSE -> NODE_FACTORY.booleanNode(false);
+      default -> NODE_FACTORY.nullNode();
+    };
+  }
+
+  private static ObjectNode readObject(final JsonParser parser, final int depth)
+      throws IOException {
+    final ObjectNode object = NODE_FACTORY.objectNode();
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      final String name = parser.currentName();
+      parser.nextToken();
+      object.set(name, readValue(parser, depth + 1));
     }
+    return object;
+  }
+
+  private static ArrayNode readArray(final JsonParser parser, final int depth) throws IOException {
+    final ArrayNode array = NODE_FACTORY.arrayNode();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      array.add(readValue(parser, depth + 1));
+    }
+    return array;
+  }
+
+  private static JsonNode readInteger(final JsonParser parser) throws IOException {
+    return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+        ? NODE_FACTORY.numberNode(parser.getBigIntegerValue())
+        : NODE_FACTORY.numberNode(parser.getLongValue());
   }
 
-  /** A tree as text, on one line. */
+  /** Returns a tree as text on one line. */
   public static String toText(final JsonNode node) {
     final StringWriter text = new StringWriter();
-    try (JsonGenerator to = FACTORY.createGenerator(text)) {
-      write(node, to);
+    try (JsonGenerator generator = FACTORY.createGenerator(text)) {
+      write(node, generator);
     } catch (final IOException e) {
       throw new IllegalStateException("writing to memory failed", e);
     }
@@ -107,18 +105,9 @@
 
   private static void write(final JsonNode node, final JsonGenerator to) throws IOException {
     if (node.isObject()) {
-      to.writeStartObject();
-      for (final Map.Entry<String, JsonNode> entry : node.properties()) {
-        to.writeFieldName(entry.getKey());
-        write(entry.getValue(), to);
-      }
-      to.writeEndObject();
+      writeObject(node, to);
     } else if (node.isArray()) {
-      to.writeStartArray();
-      for (final JsonNode item : node) {
-        write(item, to);
-      }
-      to.writeEndArray();
+      writeArray(node, to);
     } else if (node.isTextual()) {
       to.writeString(node.textValue());
     } else if (node.isBinary()) {
@@ -133,4 +122,22 @@
       to.writeNull();
     }
   }
+
+  private static void writeObject(final JsonNode object, final JsonGenerator to)
+      throws IOException {
+    to.writeStartObject();
+    for (final Map.Entry<String, JsonNode> member : object.properties()) {
+      to.writeFieldName(member.getKey());
+      write(member.getValue(), to);
+    }
+    to.writeEndObject();
+  }
+
+  private static void writeArray(final JsonNode array, final JsonGenerator to) throws IOException {
+    to.writeStartArray();
+    for (final JsonNode item : array) {
+      write(item, to);
+    }
+    to.writeEndArray();
+  }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/PermanentFailureException.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/PermanentFailureException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Something of the system's that does not pass by itself. */
+/** The system refuses something, and will do so until somebody mends it: a retry is of no use. */
 public final class PermanentFailureException extends IOException {
   private static final long serialVersionUID = 1L;
 
--- a/courier/src/main/java/thistleturn/courier/runtime/PollTracker.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/PollTracker.java
@@ -7,10 +7,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notes when each turn of an event loop began to look for what its sockets have. What a turn finds
- * and the turn before did not find came after that earlier look began: that bounds how long it can
- * have lain in a socket's buffer, however long the loop, or the whole process, stood still. Used by
- * one event loop, on its thread.
+ * Records when an event loop began to poll its sockets, in this iteration and in the one before.
+ *
+ * <p>What one poll finds and the previous one did not find arrived after that previous poll began.
+ * This bounds how long it can have lain in a socket's buffer, however long the loop, or the whole
+ * process, stood still. Used by one event loop, on its thread.
  */
 public final class PollTracker implements SelectStrategyFactory {
   private final Clock clock;
@@ -19,7 +20,7 @@
   private long currentPollUs;
   private long previousPollUs;
 
-  /** No turn has begun yet. */
+  /** Makes a tracker of a loop that has not polled yet. */
   public PollTracker(final Clock clock) {
     this.clock = clock;
     this.currentPollUs = clock.nowUs();
@@ -35,23 +36,21 @@
     };
   }
 
-  /** When the look before this turn's began, us: what is found only now was not there then. */
-  public long previousPollUs() {
-    return previousPollUs;
+  /** Returns when the poll of this iteration began, us. */
+  public long currentPollUs() {
+    return currentPollUs;
   }
 
-  /**
-   * True if the sockets were looked at since that moment, so that all which had come by then has
-   * been read. It is not where a process was stopped within a look that waited: that look ends
-   * without having seen what came meanwhile.
-   */
-  private boolean hasPolledSince(final long us) {
-    return currentPollUs >= us;
+  /** Returns when the poll before that began, us: what is found only now was not there then. */
+  public long previousPollUs() {
+    return previousPollUs;
   }
 
   /**
-   * Does something on that loop after a look that began after that moment, at once if there was
-   * one.
+   * Runs an action on the loop after a poll that began at or after a time, at once if there was
+   * one: then all that had arrived by that time has been read.
+   *
+   * @param us the time
    */
   public void runAfterPoll(final EventLoop loop, final long us, final Runnable action) {
     if (hasPolledSince(us)) {
@@ -61,8 +60,11 @@
     }
   }
 
-  /** When the look of this turn began, us. */
-  public long currentPollUs() {
-    return currentPollUs;
+  /**
+   * True if a poll began at or after a time. A process that is stopped within a poll that waits
+   * does not see what arrives meanwhile, so the end of a poll proves nothing.
+   */
+  private boolean hasPolledSince(final long us) {
+    return currentPollUs >= us;
   }
 }
