--- a/peers/src/main/java/thistleturn/peers/FrameHandler.java
+++ b/peers/src/main/java/thistleturn/peers/FrameHandler.java
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import java.io.IOException;
 import java.util.Arrays;
+import thistleturn.peers.cbor.MalformedMessageException;
 
 /**
  * A connection's bytes: frames of a length (4 bytes), a seal, a kind (1 byte) and a text. The first
--- /dev/null
+++ b/peers/src/main/java/thistleturn/peers/cbor/Cbor.java
@@ -0,0 +1,35 @@
+package thistleturn.peers.cbor;
+
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+
+/** Makes writers and parsers of CBOR. May be used from any thread. */
+public final class Cbor {
+  private static final CBORFactory FACTORY = new CBORFactory();
+
+  /** Writes the values of one message. */
+  @FunctionalInterface
+  public interface Encoder {
+    /** Writes to a generator. */
+    void encode(CBORGenerator out) throws IOException;
+  }
+
+  private Cbor() {}
+
+  /**
+   * Returns what an encoder writes.
+   *
+   * @param initialBytes how many bytes to begin with; the buffer grows as needed
+   */
+  public static byte[] encode(final int initialBytes, final Encoder encoder) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream(initialBytes);
+    try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
+      encoder.encode(out);
+    } catch (final IOException e) {
+      throw new IllegalStateException("writing to memory failed", e);
+    }
+    return bytes.toByteArray();
+  }
+}
--- a/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
+++ b/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
@@ -1,8 +1,6 @@
 package thistleturn.replicas;
 
-import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -19,42 +17,49 @@
 import thistleturn.decisions.replicas.Delta;
 import thistleturn.decisions.replicas.Entry;
 import thistleturn.decisions.replicas.WriterId;
+import thistleturn.peers.cbor.Cbor;
 
 /**
- * Entries in the folder that lasts: a mark, a checksum of all behind it, and a text in CBOR. It is
- * put in place by a rename, so that it is whole or the one before; one that is torn, of another
- * kind or of a later version is not used, and a line in the log says so. Entries are put down with
- * their age. What was between two processes is told by the wall clock, if the system's other clock
- * agrees; else entries that hold for a while only are left out: nobody knows whether they still do.
+ * Entries in the state folder: a magic number, a checksum of all bytes behind it, and CBOR.
+ *
+ * <p>The file is replaced by a rename, so a reader finds either the new file or the previous one. A
+ * file that is torn, of another kind or of a later version is ignored, which is logged.
+ *
+ * <p>Entries are stored with their age. How much time has passed between two processes is read from
+ * the wall clock, provided that the machine's uptime agrees. If it does not, entries with a time to
+ * live are left out: nobody knows whether they are still valid.
  */
 final class SnapshotFile {
   private static final int MAGIC = 0x54545231;
   private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES;
   private static final int VERSION = 1;
+  private static final int INITIAL_BUFFER_BYTES = 1024;
 
-  /** Bytes at most: the entries that a copy may hold. */
+  /** Enough for the entries that a replica may hold. */
   private static final long MAX_BYTES = 64L << 20;
 
   /**
-   * How far the two clocks may have gone apart, us: else one of them was set, or began anew with
-   * the machine.
+   * How far the two clocks may disagree, us. Beyond that one of them was set, or the machine was
+   * rebooted.
    */
   private static final long MAX_CLOCK_SKEW_US = 1_000_000;
 
+  /** Stands for the time since the replica was last in sync if it never was. */
+  private static final long NEVER_IN_SYNC = -1;
+
   private final Path file;
-  private final CBORFactory factory = new CBORFactory();
 
   SnapshotFile(final Path folder, final String name) {
     this.file = folder.resolve(name);
   }
 
   /**
-   * What is put down.
+   * What is stored.
    *
    * @param epoch the writer's latest
-   * @param knownVersions up to where each writer's entries are known
-   * @param entries as they were held at {@code nowUs}
-   * @param lastInSyncUs when the copy was last found equal with another; 0: never
+   * @param knownVersions up to which version each writer's entries are known
+   * @param entries as they are at {@code nowUs}
+   * @param lastInSyncUs when the replica was last found equal with another one; 0: never
    */
   record Snapshot(
       long epoch,
@@ -66,72 +71,69 @@
       long uptimeUs) {}
 
   /**
-   * What was found.
+   * What was read.
    *
-   * @param deltas entries on the present process's clock
+   * @param deltas entries with times on the present process's clock
    * @param lastInSyncUs on that clock, perhaps before the process's start; 0: never
    */
   record StoredSnapshot(long epoch, List<Delta> deltas, long lastInSyncUs) {}
 
-  /** The file's bytes. */
-  byte[] encode(final Snapshot taken) throws IOException {
-    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.write(new byte[HEADER_BYTES]);
-    try (CBORGenerator out = factory.createGenerator(bytes)) {
-      out.writeStartArray();
-      out.writeNumber(VERSION);
-      out.writeNumber(taken.epoch);
-      out.writeNumber(taken.wallClockUs);
-      out.writeNumber(taken.uptimeUs);
-      out.writeNumber(taken.lastInSyncUs == 0 ? -1 : taken.nowUs - taken.lastInSyncUs);
-      ReplicaCodec.writeKnownVersions(out, taken.knownVersions);
-      final Map<WriterId, List<Entry>> byWriter = new TreeMap<>();
-      taken.entries.forEach(
-          entry ->
-              byWriter.computeIfAbsent(entry.writer(), unused -> new ArrayList<>()).add(entry));
-      out.writeStartArray();
-      for (final Map.Entry<WriterId, List<Entry>> one : byWriter.entrySet()) {
-        out.writeString(one.getKey().name());
-        out.writeNumber(one.getKey().epoch());
-        out.writeStartArray();
-        for (final Entry entry : one.getValue()) {
-          ReplicaCodec.writeEntry(out, entry, taken.nowUs);
-        }
-        out.writeEndArray();
-      }
-      out.writeEndArray();
-      out.writeEndArray();
-    }
-    final byte[] all = bytes.toByteArray();
-    ByteBuffer.wrap(all).putInt(MAGIC).putLong(checksum(all));
-    return all;
+  /** Returns the bytes of a file with this snapshot. */
+  byte[] encode(final Snapshot snapshot) {
+    final byte[] body = Cbor.encode(INITIAL_BUFFER_BYTES, out -> writeBody(out, snapshot));
+    return ByteBuffer.allocate(HEADER_BYTES + body.length)
+        .putInt(MAGIC)
+        .putLong(checksum(body))
+        .put(body)
+        .array();
   }
 
-  private static long checksum(final byte[] all) {
+  private static void writeBody(final CBORGenerator out, final Snapshot snapshot)
+      throws IOException {
+    out.writeStartArray();
+    out.writeNumber(VERSION);
+    out.writeNumber(snapshot.epoch);
+    out.writeNumber(snapshot.wallClockUs);
+    out.writeNumber(snapshot.uptimeUs);
+    out.writeNumber(
+        snapshot.lastInSyncUs == 0 ? NEVER_IN_SYNC : snapshot.nowUs - snapshot.lastInSyncUs);
+    EntryWriter.writeKnownVersions(out, snapshot.knownVersions);
+    EntryWriter.writeEntriesByWriter(out, byWriter(snapshot.entries), snapshot.nowUs);
+    out.writeEndArray();
+  }
+
+  private static Map<WriterId, List<Entry>> byWriter(final List<Entry> entries) {
+    final Map<WriterId, List<Entry>> byWriter = new TreeMap<>();
+    entries.forEach(
+        entry -> byWriter.computeIfAbsent(entry.writer(), unused -> new ArrayList<>()).add(entry));
+    return byWriter;
+  }
+
+  private static long checksum(final byte[] body) {
     final CRC32C crc = new CRC32C();
-    crc.update(all, HEADER_BYTES, all.length - HEADER_BYTES);
+    crc.update(body, 0, body.length);
     return crc.getValue();
   }
 
-  /** Puts a file in the place of the one before. */
+  /** Replaces the file. */
   void replace(final byte[] bytes) throws IOException {
-    final Path fresh = file.resolveSibling(file.getFileName() + ".new");
-    Files.write(fresh, bytes);
-    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    final Path replacement = file.resolveSibling(file.getFileName() + ".new");
+    Files.write(replacement, bytes);
+    Files.move(
+        replacement, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** What an earlier process had put down; null if there is nothing that can be used. */
-  StoredSnapshot read(final long nowUs, final long wallUs, final long upUs) {
+  /**
+   * Reads what an earlier process has stored.
+   *
+   * @return the snapshot, or null if there is no file or it cannot be used; the latter is logged
+   */
+  StoredSnapshot read(final long nowUs, final long wallClockUs, final long uptimeUs) {
     try {
       if (Files.size(file) > MAX_BYTES) {
         throw new IOException("more than " + MAX_BYTES + " bytes");
       }
-      final byte[] all = Files.readAllBytes(file);
-      final ByteBuffer head = ByteBuffer.wrap(all);
-      if (all.length < HEADER_BYTES || head.getInt() != MAGIC || head.getLong() != checksum(all)) {
-        throw new IOException("torn, or something else");
-      }
-      return parse(Arrays.copyOfRange(all, HEADER_BYTES, all.length), nowUs, wallUs, upUs);
+      return parse(checkedBody(Files.readAllBytes(file)), nowUs, wallClockUs, uptimeUs);
     } catch (final NoSuchFileException e) {
       return null;
     } catch (final IOException | RuntimeException e) {
@@ -140,50 +142,78 @@
     }
   }
 
-  private StoredSnapshot parse(
-      final byte[] text, final long nowUs, final long wallUs, final long upUs) throws IOException {
-    // Ages are taken as of now first, and moved by what passed since.
-    try (ReplicaCodec.Reader in = new ReplicaCodec.Reader(factory.createParser(text), nowUs)) {
-      in.begin();
+  /** Returns the bytes behind the header, which must match them. */
+  private static byte[] checkedBody(final byte[] bytes) throws IOException {
+    if (bytes.length >= HEADER_BYTES) {
+      final ByteBuffer header = ByteBuffer.wrap(bytes);
+      final byte[] body = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
+      if (header.getInt() == MAGIC && header.getLong() == checksum(body)) {
+        return body;
+      }
+    }
+    throw new IOException("torn, or something else");
+  }
+
+  private static StoredSnapshot parse(
+      final byte[] body, final long nowUs, final long wallClockUs, final long uptimeUs)
+      throws IOException {
+    // Ages count back from now first, as if no time had passed, and are corrected afterwards.
+    try (EntryReader in = new EntryReader(body, nowUs)) {
+      in.beginArray();
       final long version = in.number();
       if (version != VERSION) {
         throw new IOException("of version " + version + ", not " + VERSION);
       }
-      final long birth = in.number();
-      final long passedUs = wallUs - in.number();
-      final long upPassedUs = upUs - in.number();
-      final long togetherAgoUs = in.number();
-      final boolean sure = passedUs >= 0 && Math.abs(passedUs - upPassedUs) <= MAX_CLOCK_SKEW_US;
-      final long movedUs = Math.max(0, passedUs);
-      final Map<WriterId, Long> known = in.knownVersions();
-      final Map<WriterId, List<Entry>> entries = in.entriesByWriter();
-      final List<Delta> deltas = new ArrayList<>();
-      entries.forEach(
-          (writer, all) -> {
-            final List<Entry> kept =
-                all.stream()
-                    .filter(entry -> sure || entry.ttlUs() == 0)
-                    .map(
-                        entry ->
-                            new Entry(
-                                entry.typeCode(),
-                                entry.subject(),
-                                entry.writer(),
-                                entry.version(),
-                                entry.ttlUs(),
-                                entry.createdUs() - movedUs,
-                                entry.fields()))
-                    .toList();
-            deltas.add(new Delta(writer, 0, known.getOrDefault(writer, 0L), kept));
-          });
-      known.forEach(
-          (writer, upTo) -> {
-            if (!entries.containsKey(writer)) {
-              deltas.add(new Delta(writer, 0, upTo, List.of()));
-            }
-          });
-      return new StoredSnapshot(
-          birth, deltas, togetherAgoUs < 0 ? 0 : nowUs - togetherAgoUs - movedUs);
+      final long epoch = in.number();
+      final long passedUs = wallClockUs - in.number();
+      final long uptimePassedUs = uptimeUs - in.number();
+      final long lastInSyncAgoUs = in.number();
+      final boolean clocksAgree =
+          passedUs >= 0 && Math.abs(passedUs - uptimePassedUs) <= MAX_CLOCK_SKEW_US;
+      final long shiftUs = Math.max(0, passedUs);
+      final List<Delta> deltas =
+          deltas(in.knownVersions(), in.entriesByWriter(), clocksAgree, shiftUs);
+      final long lastInSyncUs = lastInSyncAgoUs < 0 ? 0 : nowUs - lastInSyncAgoUs - shiftUs;
+      return new StoredSnapshot(epoch, deltas, lastInSyncUs);
     }
   }
+
+  /**
+   * Returns a delta for each writer: its entries, created earlier by the time that has passed. Only
+   * those without a time to live are kept unless the clocks agree.
+   */
+  private static List<Delta> deltas(
+      final Map<WriterId, Long> knownVersions,
+      final Map<WriterId, List<Entry>> entriesByWriter,
+      final boolean clocksAgree,
+      final long shiftUs) {
+    final List<Delta> deltas = new ArrayList<>();
+    entriesByWriter.forEach(
+        (writer, entries) -> {
+          final List<Entry> kept =
+              entries.stream()
+                  .filter(entry -> clocksAgree || entry.ttlUs() == 0)
+                  .map(entry -> createdEarlier(entry, shiftUs))
+                  .toList();
+          deltas.add(new Delta(writer, 0, knownVersions.getOrDefault(writer, 0L), kept));
+        });
+    knownVersions.forEach(
+        (writer, upToVersion) -> {
+          if (!entriesByWriter.containsKey(writer)) {
+            deltas.add(new Delta(writer, 0, upToVersion, List.of()));
+          }
+        });
+    return deltas;
+  }
+
+  private static Entry createdEarlier(final Entry entry, final long shiftUs) {
+    return new Entry(
+        entry.typeCode(),
+        entry.subject(),
+        entry.writer(),
+        entry.version(),
+        entry.ttlUs(),
+        entry.createdUs() - shiftUs,
+        entry.fields());
+  }
 }
