--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -17,47 +17,41 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * The record of what this courier has taken on, in the folder that outlasts the process. Records
+ * The record of what this courier has accepted, in the folder that outlasts the process. Records
  * are collected in memory and written as one batch by {@link #flush}; a batch that cannot be
- * written is kept and goes with the next one. When the file has grown to its bound, what is still
- * owed is written to a new file that takes its place in one step.
+ * written is kept and goes with the next one. When the file has grown to its limit it is compacted:
+ * the pending messages are written to a new file, which replaces the old one in one step.
  */
 public final class Journal implements MessageStore, AutoCloseable {
-  /**
-   * Share of the disk for one file: with the one that takes its place, four fifths are used at
-   * most.
-   */
+  /** Share of the disk budget for one file: with its replacement, four fifths are used at most. */
   private static final double FILE_SHARE = 0.4;
 
-  /**
-   * Share of a file that messages may fill: the rest is for how they fare, which must always find
-   * room.
-   */
+  /** Share of a file that messages may fill: the rest is for their outcomes, which must fit. */
   private static final double ACCEPT_SHARE = 0.6;
 
-  /** Room that is reckoned for how a message fares, and its notice: attempts are few and short. */
+  /** Space reserved for a message's attempts and its final outcome: they are few and short. */
   private static final int OUTCOME_RESERVE_BYTES = 256;
 
   private static final int RECORDS_PER_MESSAGE = 3;
 
-  /** A file is replaced by batches of about this size. */
+  /** The longest encoding of a character that a header field may hold. */
+  private static final int BYTES_PER_CHARACTER = 2;
+
+  /** A compaction writes batches of about this size. */
   private static final int COMPACTION_BATCH_BYTES = 1 << 17;
 
-  /**
-   * Records that wait for a disk that fails; beyond that they are given up for what is known in
-   * memory.
-   */
+  /** Records kept for a disk that fails; beyond that the next write is a compaction. */
   private static final int MAX_UNWRITTEN_BYTES = 1 << 19;
 
   private final Path folder;
   private final long fileBytes;
   private final Clock clock;
   private final Map<String, StoredMessage> pendingMessages = new LinkedHashMap<>();
-  private final JournalRecords unwritten = new JournalRecords();
+  private final RecordBuffer unwritten = new RecordBuffer();
   private JournalFile file;
   private long reservedTotalBytes;
 
-  /** What is written next is not a batch more, but all that is known. */
+  /** True if records were given up, so that only a compaction brings the file up to date. */
   private boolean compactionDue;
 
   private boolean writable = true;
@@ -69,66 +63,69 @@
     this.clock = clock;
   }
 
-  /** Opens the journal of a folder, or begins it, and reads what the courier still owes. */
+  // ---------------------------------------------------------------- opening
+
+  /** Opens the journal of a folder, or begins it, and reads the pending messages. */
   public static Journal open(final Path folder, final long diskBytes) throws IOException {
     Files.createDirectories(folder);
     final Journal journal = new Journal(folder, diskBytes, new Clock());
+    journal.readFile();
+    return journal;
+  }
+
+  private void readFile() throws IOException {
     final List<ByteBuffer> batches = new ArrayList<>();
-    journal.file = JournalFile.open(folder, batches::add);
-    if (journal.file == null) {
-      LegacyJournalFormat.read(JournalFile.path(folder), journal.pendingMessages, journal.clock);
-      journal.compact();
+    file = JournalFile.open(folder, batches::add);
+    if (file == null) {
+      LegacyJournalFormat.read(JournalFile.path(folder), pendingMessages, clock);
+      compact();
     } else {
-      final LongUnaryOperator moment = journal.clockCorrection(batches);
-      batches.forEach(batch -> JournalRecords.apply(batch, journal.pendingMessages, moment));
+      final RecordReader reader = new RecordReader(pendingMessages, clockCorrection(batches));
+      batches.forEach(reader::applyBatch);
     }
-    journal.reservedTotalBytes =
-        journal.pendingMessages.values().stream().mapToLong(Journal::reservedBytes).sum();
-    return journal;
+    reservedTotalBytes = pendingMessages.values().stream().mapToLong(Journal::reservedBytes).sum();
   }
 
   /**
-   * Moments of processes of this boot are this process's. Should the machine have been started anew
-   * with its folder kept, its monotonic clock has begun anew as well, and the wall clock tells how
-   * long ago the last batch was written.
+   * Returns what turns recorded timestamps into ones of this process's clock. Within one boot they
+   * are the same. If the machine was restarted with its folder kept, its monotonic clock began
+   * anew, and the wall clock tells how long ago the last batch was written.
    */
   private LongUnaryOperator clockCorrection(final List<ByteBuffer> batches) {
     if (batches.isEmpty()) {
       return LongUnaryOperator.identity();
     }
-    final JournalRecords.BatchTimestamps last =
-        JournalRecords.readTimestamps(batches.get(batches.size() - 1));
+    final BatchTimestamps last = BatchTimestamps.read(batches.get(batches.size() - 1));
     final long nowUs = clock.nowUs();
     if (nowUs >= last.monotonicUs()) {
       return LongUnaryOperator.identity();
     }
-    final long passedUs = Math.max(0, clock.wallClockUs() - last.wallUs());
+    final long passedUs = Math.max(0, clock.wallClockUs() - last.wallClockUs());
     Log.event(Event.JOURNAL_CLOCK_BEGAN_ANEW, "passed_us", passedUs);
     return us -> us - last.monotonicUs() - passedUs + nowUs;
   }
 
-  /**
-   * Makes the journal of a folder anew, with these messages as they stand; what was there before is
-   * gone.
-   */
+  /** Replaces the journal of a folder by one with these messages as they are. */
   public static void rewrite(
       final Path folder, final long diskBytes, final Collection<StoredMessage> messages)
       throws IOException {
     Files.createDirectories(folder);
     final Journal journal = new Journal(folder, diskBytes, new Clock());
-    messages.forEach(held -> journal.pendingMessages.put(held.id(), held));
+    messages.forEach(message -> journal.pendingMessages.put(message.id(), message));
     journal.compact();
     journal.file.close();
   }
 
+  // ---------------------------------------------------------------- records
+
   @Override
   public Collection<StoredMessage> pendingMessages() {
     return List.copyOf(pendingMessages.values());
   }
 
   @Override
-  public boolean contains(final String id) {
-    return pendingMessages.containsKey(id);
+  public boolean contains(final String messageId) {
+    return pendingMessages.containsKey(messageId);
   }
 
   @Override
@@ -137,56 +134,58 @@
   }
 
   @Override
-  public boolean recordAccepted(final StoredMessage held) {
-    final long bytes = reservedBytes(held);
+  public boolean recordAccepted(final StoredMessage message) {
+    final long bytes = reservedBytes(message);
     if (!writable
-        || pendingMessages.containsKey(held.id())
+        || pendingMessages.containsKey(message.id())
         || reservedTotalBytes + bytes > ACCEPT_SHARE * fileBytes) {
       return false;
     }
-    unwritten.addAccepted(held);
-    pendingMessages.put(held.id(), held);
+    unwritten.addAccepted(message);
+    pendingMessages.put(message.id(), message);
     reservedTotalBytes += bytes;
     return true;
   }
 
   @Override
-  public void recordAttemptStarted(final StoredMessage held, final long nowUs, final String zone) {
-    unwritten.addAttemptStarted(held.id(), nowUs, zone);
-    held.startAttempt(nowUs, zone);
+  public void recordAttemptStarted(
+      final StoredMessage message, final long nowUs, final String zone) {
+    unwritten.addAttemptStarted(message.id(), nowUs, zone);
+    message.startAttempt(nowUs, zone);
   }
 
   @Override
-  public void recordAttemptOutcome(final StoredMessage held, final boolean neverRan) {
-    held.endAttempt(neverRan);
-    unwritten.addAttemptOutcome(held.id(), neverRan);
+  public void recordAttemptOutcome(final StoredMessage message, final boolean neverRan) {
+    message.endAttempt(neverRan);
+    unwritten.addAttemptOutcome(message.id(), neverRan);
   }
 
   @Override
   public void recordFinalOutcome(
-      final StoredMessage held, final StoredMessage.FinalOutcome notice) {
-    final boolean counted = pendingMessages.containsKey(held.id());
-    final long before = reservedBytes(held);
-    held.end(notice);
-    reservedTotalBytes -= counted ? before - reservedBytes(held) : 0;
-    unwritten.addFinalOutcome(held.id(), notice);
+      final StoredMessage message, final StoredMessage.FinalOutcome outcome) {
+    final boolean counted = pendingMessages.containsKey(message.id());
+    final long before = reservedBytes(message);
+    message.end(outcome);
+    reservedTotalBytes -= counted ? before - reservedBytes(message) : 0;
+    unwritten.addFinalOutcome(message.id(), outcome);
   }
 
   @Override
-  public void recordCompleted(final StoredMessage held) {
-    if (pendingMessages.remove(held.id()) != null) {
-      reservedTotalBytes -= reservedBytes(held);
-      unwritten.addCompleted(held.id());
+  public void recordCompleted(final StoredMessage message) {
+    if (pendingMessages.remove(message.id()) != null) {
+      reservedTotalBytes -= reservedBytes(message);
+      unwritten.addCompleted(message.id());
     }
   }
 
-  private static long reservedBytes(final StoredMessage held) {
-    final int keyChars = held.idempotencyKey() == null ? 0 : held.idempotencyKey().length();
-    // Two bytes a character at most, for what a header may hold; each of a message's records names
-    // its id.
-    return held.body().length
-        + 2L * (RECORDS_PER_MESSAGE * held.id().length() + keyChars + held.className().length())
-        + OUTCOME_RESERVE_BYTES;
+  /** Returns the space that all records of a message take at most. */
+  private static long reservedBytes(final StoredMessage message) {
+    final String key = message.idempotencyKey();
+    final int keyLength = key == null ? 0 : key.length();
+    // Each of the message's records names its id.
+    final int characters =
+        RECORDS_PER_MESSAGE * message.id().length() + keyLength + message.className().length();
+    return message.body().length + (long) BYTES_PER_CHARACTER * characters + OUTCOME_RESERVE_BYTES;
   }
 
   // ---------------------------------------------------------------- writing
@@ -194,7 +193,7 @@
   @Override
   public FlushResult flush() {
     try {
-      if (compactionDue || (!unwritten.isEmpty() && file.size() + unwritten.size() > fileBytes)) {
+      if (needsCompaction()) {
         compact();
       } else if (!unwritten.isEmpty()) {
         file.append(unwritten.toBatch(timestamps()));
@@ -211,8 +210,13 @@
     }
   }
 
-  private JournalRecords.BatchTimestamps timestamps() {
-    return new JournalRecords.BatchTimestamps(clock.nowUs(), clock.wallClockUs());
+  private boolean needsCompaction() {
+    final boolean overflows = file.size() + unwritten.size() > fileBytes;
+    return compactionDue || (!unwritten.isEmpty() && overflows);
+  }
+
+  private BatchTimestamps timestamps() {
+    return new BatchTimestamps(clock.nowUs(), clock.wallClockUs());
   }
 
   private void onFlushed() {
@@ -242,25 +246,15 @@
           unwritten.size());
     }
     if (unwritten.size() > MAX_UNWRITTEN_BYTES) {
-      // What is known in memory says it all, with no more bytes than the file may have.
+      // The messages in memory say it all, in no more bytes than the file may have.
       unwritten.clear();
       compactionDue = true;
     }
   }
 
-  /** Writes what is owed to a new file, which takes the place of the old one. */
+  /** Writes the pending messages to a new file, which replaces the old one. */
   private void compact() throws IOException {
-    final List<ByteBuffer> batches = new ArrayList<>();
-    JournalRecords records = new JournalRecords();
-    for (final StoredMessage held : pendingMessages.values()) {
-      records.addSnapshot(held);
-      if (records.size() > COMPACTION_BATCH_BYTES) {
-        batches.add(records.toBatch(timestamps()));
-        records = new JournalRecords();
-      }
-    }
-    batches.add(records.toBatch(timestamps()));
-    final JournalFile fresh = JournalFile.replace(folder, batches);
+    final JournalFile fresh = JournalFile.replace(folder, snapshotBatches());
     if (file != null) {
       file.close();
     }
@@ -269,6 +263,22 @@
     compactionDue = false;
   }
 
+  private List<ByteBuffer> snapshotBatches() {
+    final List<ByteBuffer> batches = new ArrayList<>();
+    RecordBuffer records = new RecordBuffer();
+    for (final StoredMessage message : pendingMessages.values()) {
+      records.addSnapshot(message);
+      if (records.size() > COMPACTION_BATCH_BYTES) {
+        batches.add(records.toBatch(timestamps()));
+        records = new RecordBuffer();
+      }
+    }
+    batches.add(records.toBatch(timestamps()));
+    return batches;
+  }
+
+  // ---------------------------------------------------------------- closing
+
   @Override
   public void close() {
     if (flush() != FlushResult.DURABLE) {
@@ -278,8 +288,8 @@
   }
 
   /**
-   * Closes it, if it can be with nothing in its file but what is owed: who reads it next is waited
-   * for.
+   * Compacts the journal, if that is possible, and closes it: the process that reads it next keeps
+   * clients waiting meanwhile.
    */
   public void compactAndClose() {
     try {
--- a/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
@@ -16,19 +16,24 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * A file of batches, each of which is read back whole or not at all: one length and one checksum
- * for all of it. The checksum covers the file's generation and the batch's place as well, so that
- * bytes which an earlier write left behind, or a client chose, are never taken for a batch. Nothing
- * is synced: the folder outlasts the process, and a machine that is lost loses the folder as well.
+ * A file of batches, each of which is read back completely or not at all: one length and one
+ * checksum cover all of it. The checksum also covers the file's generation and the batch's
+ * position, so that bytes which an earlier write left behind, or a client chose, are never taken
+ * for a batch. Nothing is synced: the folder outlasts the process, and a machine that is lost loses
+ * the folder as well.
  *
- * <p>A write that is told as failed may have been done in part, or in whole. The next one at the
- * same place overwrites it; and what it has left meanwhile is looked up, since that is what the
+ * <p>A write that is reported as failed may have been done in part, or completely. The next one at
+ * the same position overwrites it; and what it left meanwhile is read back, since that is what the
  * next process would find.
  */
 final class JournalFile implements Closeable {
   private static final String NAME = "journal";
   private static final String REPLACEMENT_NAME = "journal.next";
+
+  /** The first bytes of a file of this format: "TTJOURN2". */
   private static final long MAGIC = 0x5454_4a4f_5552_4e32L;
+
+  /** The magic number and the generation. */
   private static final int FILE_HEADER_BYTES = 2 * Long.BYTES;
 
   /** Length and checksum. */
@@ -58,16 +63,19 @@
     return folder.resolve(NAME);
   }
 
+  // ---------------------------------------------------------------- reading
+
   /**
-   * Opens the file of a folder and reads its batches; null if there is none, or one that this class
-   * did not write.
+   * Opens the file of a folder and reads its batches; returns null if there is none, or one of
+   * another format.
    *
    * @throws IOException if it cannot be read now
    */
   static JournalFile open(final Path folder, final Consumer<ByteBuffer> batches)
       throws IOException {
-    // A kill in the middle of a replacement leaves this; the old file is still the whole truth.
+    // A kill in the middle of a replacement leaves this; the old file is still complete.
     Files.deleteIfExists(folder.resolve(REPLACEMENT_NAME));
+    // A file of which it cannot be told whether it exists fails when it is opened.
     if (!Files.exists(path(folder)) && Files.notExists(path(folder))) {
       return null;
     }
@@ -75,8 +83,7 @@
         FileChannel.open(path(folder), StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
       final ByteBuffer all = ByteBuffer.allocate((int) channel.size());
-      while (all.hasRemaining() && channel.read(all, all.position()) >= 0) {}
-
+      readFully(channel, all, 0);
       all.flip();
       if (all.remaining() < FILE_HEADER_BYTES || all.getLong(0) != MAGIC) {
         channel.close();
@@ -92,55 +99,67 @@
   }
 
   private void readBatches(final ByteBuffer all, final Consumer<ByteBuffer> batches) {
-    while (all.limit() - size >= BATCH_HEADER_BYTES) {
-      final int at = (int) size;
-      final int length = all.getInt(at);
-      if (length <= 0 || length > all.limit() - at - BATCH_HEADER_BYTES) {
-        break;
-      }
-      final ByteBuffer content = all.slice(at + BATCH_HEADER_BYTES, length);
-      if (checksum(content.duplicate(), size) != all.getInt(at + Integer.BYTES)) {
-        break;
-      }
+    ByteBuffer content = nextBatch(all);
+    while (content != null) {
       batches.accept(content);
-      size += BATCH_HEADER_BYTES + length;
+      size += BATCH_HEADER_BYTES + content.capacity();
+      content = nextBatch(all);
     }
     if (size < all.limit()) {
-      // A write that was cut off, by a kill or a full disk; nothing was answered or sent on its
-      // strength.
+      // A write that was cut off, by a kill or a full disk; nothing was promised on its strength.
       Log.event(Event.JOURNAL_TAIL_DROPPED, "bytes", all.limit() - size, "at", size);
     }
   }
 
+  /** Returns the content of the batch after the last one read, or null if none is complete. */
+  private ByteBuffer nextBatch(final ByteBuffer all) {
+    if (all.limit() - size < BATCH_HEADER_BYTES) {
+      return null;
+    }
+    final int position = (int) size;
+    final int length = all.getInt(position);
+    if (length <= 0 || length > all.limit() - position - BATCH_HEADER_BYTES) {
+      return null;
+    }
+    final ByteBuffer content = all.slice(position + BATCH_HEADER_BYTES, length);
+    final int checksum = all.getInt(position + Integer.BYTES);
+    return checksum(content.duplicate(), size) == checksum ? content : null;
+  }
+
+  /** Fills the buffer from a position on, as far as the file goes. */
+  private static void readFully(
+      final FileChannel from, final ByteBuffer buffer, final long position) throws IOException {
+    int read = 0;
+    while (buffer.hasRemaining() && read >= 0) {
+      read = from.read(buffer, position + buffer.position());
+    }
+  }
+
+  // ---------------------------------------------------------------- writing
+
   /**
-   * Puts a file with these batches in the place of the one that the folder has, in one step.
+   * Replaces the file of a folder by one with these batches, in one step.
    *
    * @throws UnknownOutcomeException if the folder does not tell which of the two it has now
-   * @throws IOException if that failed; then the old one stands
+   * @throws IOException if that failed; then the old file stands
    */
   static JournalFile replace(final Path folder, final Collection<ByteBuffer> batches)
       throws IOException {
-    final Path next = folder.resolve(REPLACEMENT_NAME);
+    final Path replacement = folder.resolve(REPLACEMENT_NAME);
     final FileChannel channel =
         FileChannel.open(
-            next,
+            replacement,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
     try {
       final JournalFile fresh = new JournalFile(channel, ThreadLocalRandom.current().nextLong());
-      writeFully(
-          channel,
-          ByteBuffer.allocate(FILE_HEADER_BYTES).putLong(MAGIC).putLong(fresh.generation).flip(),
-          0);
+      fresh.writeFileHeader();
       for (final ByteBuffer batch : batches) {
-        fresh.writeHeader(batch);
-        final int bytes = batch.remaining();
-        writeFully(channel, batch, fresh.size);
-        fresh.size += bytes;
+        fresh.writeBatch(batch);
       }
-      rename(next, path(folder));
+      rename(replacement, path(folder));
       return fresh;
     } catch (final IOException e) {
       closeQuietly(channel);
@@ -148,9 +167,20 @@
     }
   }
 
-  /**
-   * A rename that is told as failed may have been done: then the file is no longer where it was.
-   */
+  private void writeFileHeader() throws IOException {
+    final ByteBuffer header =
+        ByteBuffer.allocate(FILE_HEADER_BYTES).putLong(MAGIC).putLong(generation).flip();
+    writeFully(channel, header, 0);
+  }
+
+  private void writeBatch(final ByteBuffer batch) throws IOException {
+    writeHeader(batch);
+    final int bytes = batch.remaining();
+    writeFully(channel, batch, size);
+    size += bytes;
+  }
+
+  /** A rename that is reported as failed may have been done: then the source is gone. */
   private static void rename(final Path from, final Path to) throws IOException {
     try {
       Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
@@ -162,15 +192,16 @@
     }
   }
 
+  /** Returns the size of the file up to the end of its last batch, in bytes. */
   long size() {
     return size;
   }
 
   /**
-   * Writes a batch behind the last one. The buffer holds room for the head ahead of the content.
+   * Writes a batch after the last one. The buffer begins with space for the batch's header.
    *
    * @throws UnknownOutcomeException if it may have been written, or not
-   * @throws IOException if it has certainly not been written as a whole
+   * @throws IOException if it has certainly not been written completely
    */
   void append(final ByteBuffer batch) throws IOException {
     writeHeader(batch);
@@ -190,36 +221,35 @@
     size += batch.remaining();
   }
 
-  /** Puts length and checksum into the head of a batch that goes behind the last one. */
+  /** Puts length and checksum into the header of a batch that goes after the last one. */
   private void writeHeader(final ByteBuffer batch) {
+    final int start = batch.position();
     final int length = batch.remaining() - BATCH_HEADER_BYTES;
-    batch.putInt(batch.position(), length);
-    batch.putInt(
-        batch.position() + Integer.BYTES,
-        checksum(batch.slice(batch.position() + BATCH_HEADER_BYTES, length), size));
+    final ByteBuffer content = batch.slice(start + BATCH_HEADER_BYTES, length);
+    batch.putInt(start, length);
+    batch.putInt(start + Integer.BYTES, checksum(content, size));
   }
 
   private boolean isWritten(final ByteBuffer batch) throws UnknownOutcomeException {
     try {
       final ByteBuffer found = ByteBuffer.allocate(batch.remaining());
-      while (found.hasRemaining() && channel.read(found, size + found.position()) >= 0) {}
-
+      readFully(channel, found, size);
       return found.flip().equals(batch);
     } catch (final IOException e) {
       throw new UnknownOutcomeException(e);
     }
   }
 
-  private int checksum(final ByteBuffer content, final long at) {
+  private int checksum(final ByteBuffer content, final long position) {
     final CRC32C crc = new CRC32C();
-    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(generation).putLong(at).flip());
+    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(generation).putLong(position).flip());
     crc.update(content);
     return (int) crc.getValue();
   }
 
-  private static void writeFully(final FileChannel to, final ByteBuffer bytes, final long at)
+  private static void writeFully(final FileChannel to, final ByteBuffer bytes, final long start)
       throws IOException {
-    long position = at;
+    long position = start;
     while (bytes.hasRemaining()) {
       final int written = to.write(bytes, position);
       if (written <= 0) {
@@ -229,17 +259,19 @@
     }
   }
 
+  // ---------------------------------------------------------------- closing
+
+  @Override
+  public void close() {
+    closeQuietly(channel);
+  }
+
   private static void closeQuietly(final FileChannel channel) {
     try {
       channel.close();
     } catch (final IOException e) {
-      // The system lets a descriptor go whatever it says of that.
+      // The system releases the descriptor whatever it reports.
       Log.event(Event.FILE_CLOSE_FAILED, "cause", e.getMessage());
     }
   }
-
-  @Override
-  public void close() {
-    closeQuietly(channel);
-  }
 }
--- a/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
+++ b/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
@@ -12,9 +12,9 @@
 import thistleturn.courier.runtime.Clock;
 
 /**
- * The journal as versions up to 0.2 wrote it: single records, each with length and CRC32C ahead,
- * and moments of the wall clock. It is read once, by the first process of a newer version in that
- * folder.
+ * The journal as versions up to 0.2 wrote it: single records, each preceded by its length and its
+ * CRC32C, with timestamps of the wall clock. It is read once, by the first process of a newer
+ * version in that folder.
  */
 final class LegacyJournalFormat {
   private static final int RECORD_HEADER_BYTES = 2 * Integer.BYTES;
@@ -23,32 +23,35 @@
   private LegacyJournalFormat() {}
 
   /**
-   * Reads what such a file holds, up to what a kill cut off at its end; nothing if there is no
-   * file.
+   * Reads the messages in such a file, up to what a kill cut off at its end; reads nothing if there
+   * is no file.
    */
-  static void read(final Path file, final Map<String, StoredMessage> live, final Clock clock)
+  static void read(final Path file, final Map<String, StoredMessage> messages, final Clock clock)
       throws IOException {
     if (Files.notExists(file)) {
       return;
     }
     final ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
-    final long behindUs = clock.nowUs() - clock.wallClockUs();
+    final long wallClockToMonotonicUs = clock.nowUs() - clock.wallClockUs();
+    final RecordReader reader =
+        new RecordReader(messages, wallClockUs -> wallClockUs + wallClockToMonotonicUs);
     while (all.remaining() >= RECORD_HEADER_BYTES) {
       final int length = all.getInt();
       final int checksum = all.getInt();
-      if (length <= 0 || length > MAX_RECORD_BYTES || length > all.remaining()) {
+      final boolean complete =
+          length > 0 && length <= MAX_RECORD_BYTES && length <= all.remaining();
+      if (!complete || checksum(all, length) != checksum) {
         return;
       }
-      final CRC32C crc = new CRC32C();
-      crc.update(all.array(), all.position(), length);
-      if ((int) crc.getValue() != checksum) {
-        return;
-      }
-      JournalRecords.apply(
-          new DataInputStream(new ByteArrayInputStream(all.array(), all.position(), length)),
-          live,
-          wallUs -> wallUs + behindUs);
+      reader.applyRecord(
+          new DataInputStream(new ByteArrayInputStream(all.array(), all.position(), length)));
       all.position(all.position() + length);
     }
   }
+
+  private static int checksum(final ByteBuffer all, final int length) {
+    final CRC32C crc = new CRC32C();
+    crc.update(all.slice(all.position(), length));
+    return (int) crc.getValue();
+  }
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/journal/RecordType.java
@@ -0,0 +1,21 @@
+package thistleturn.courier.journal;
+
+/** The first byte of a record in the journal file. Stored values: they never change. */
+final class RecordType {
+  /** A message was accepted. */
+  static final byte ACCEPTED = 1;
+
+  /** An attempt started. */
+  static final byte ATTEMPT_STARTED = 2;
+
+  /** The attempt in flight had its outcome. */
+  static final byte ATTEMPT_OUTCOME = 3;
+
+  /** A message ended, and its outcome is still to be reported. */
+  static final byte FINAL_OUTCOME = 4;
+
+  /** Nothing is owed for a message any more. */
+  static final byte COMPLETED = 5;
+
+  private RecordType() {}
+}
--- a/courier/src/main/java/thistleturn/courier/port/DirectiveSink.java
+++ b/courier/src/main/java/thistleturn/courier/port/DirectiveSink.java
@@ -4,25 +4,22 @@
 import thistleturn.decisions.directives.Directive;
 
 /**
- * What a subsystem may say to the decisions of all shards. To be called on the courier's first
- * event loop.
+ * Accepts what a subsystem directs the decisions of all shards to. To be called on the courier's
+ * first event loop.
  */
 public interface DirectiveSink {
-  /** From now on that one hears what this courier is told and finds out. */
-  void observe(StateObserver witness);
+  /** Reports what this courier learns to this observer from now on. */
+  void observe(StateObserver observer);
 
-  /**
-   * Says something of a destination; where it is not known, nothing comes of it until it is said
-   * again.
-   */
-  void applyDirective(long destination, Directive word);
+  /** Applies a directive on a destination; for an unknown one it has to be repeated later. */
+  void applyDirective(long destination, Directive directive);
 
   /**
-   * Leaves an endpoint out, or lets it serve again, as an operator here would; a {@link
-   * StateObserver} is not told.
+   * Disables an endpoint, or enables it again, as an operator here would; a {@link StateObserver}
+   * is not told.
    */
-  void setDisabled(String endpoint, boolean leaveOut);
+  void setDisabled(String endpoint, boolean disabled);
 
-  /** The endpoints that are left out by hand now. */
+  /** Returns the endpoints that are administratively disabled now. */
   Set<String> disabledEndpoints();
 }
--- a/courier/src/main/java/thistleturn/courier/port/Dispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/port/Dispatcher.java
@@ -7,91 +7,90 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * A way by which calls reach endpoints. It makes a call when told to, never by itself and never
- * again, and tells how each message in it fared, above all whether it can have run. All methods run
- * on the event loop's thread.
+ * A way to call endpoints. It makes a call when it is told to, never by itself and never twice, and
+ * reports the outcome for each message in it: above all whether the message can have been executed.
+ * All methods run on the event loop's thread.
  */
 public interface Dispatcher {
 
-  /** One message's part in a call. */
+  /** One message's attempt, as part of a call. */
   interface Attempt {
-    /** What goes out unchanged. */
+    /** Returns the message, whose body goes out unchanged. */
     StoredMessage message();
 
     /**
-     * When the message's own time is up, on the clock of the events, us: its call goes, and waits,
-     * no longer than that.
+     * Returns when the message expires, in microseconds of the loop's clock. Its call neither goes
+     * nor is awaited any longer than that.
      */
     long messageDeadlineUs();
 
     /**
-     * Until when its first byte may go, us: then a key that must hold may be forgotten. Never later
-     * than that.
+     * Returns when its first byte may go at the latest, in microseconds of the loop's clock: after
+     * that its idempotency key may have been forgotten.
      */
     long latestSendUs();
 
-    /** How long its answer is waited for, us. */
+    /** Returns how long its answer is awaited, in microseconds. */
     long timeoutUs();
   }
 
-  /** One call, from its preparation to its outcomes. */
+  /** One call, from its preparation to the outcomes of its attempts. */
   interface Call {
-    /** Whom it calls. */
+    /** Returns the id of the endpoint. */
     long endpoint();
 
-    /** When it was prepared, us. */
+    /** Returns when the call was prepared, in microseconds of the loop's clock. */
     long preparedUs();
   }
 
   /**
-   * How a message fared in a call. {@code completed}: it has its final answer. {@code
-   * retryAfterUs}: what the answer told to wait, or 0. {@code loadReport}: null if nothing was
-   * told.
+   * How a message fared in a call.
+   *
+   * @param completed true if the answer is final for the message, whatever its result
+   * @param retryAfterUs how long the endpoint asked to wait, in microseconds; 0 if it did not
+   * @param loadReport null if the answer carried none
    */
   record DispatchOutcome(
       AttemptResult result, boolean completed, long retryAfterUs, LoadReport loadReport) {}
 
-  /** Who is told of outcomes: once for each parcel of a call. */
+  /** Receives outcomes: exactly one for each attempt of a call. */
   interface Listener {
-    /**
-     * The outcome of one message's part in a call. Its connection carries nothing of it any more.
-     */
-    void onOutcome(Attempt parcel, Call call, DispatchOutcome answer);
+    /** An attempt ended. Its connection carries nothing of it any more. */
+    void onOutcome(Attempt attempt, Call call, DispatchOutcome outcome);
 
     /**
-     * An endpoint tells a wait in an answer whose call was given up before: it binds as one in any
-     * other.
+     * An endpoint asked for a wait, in an answer whose call had been abandoned. It binds as in any
+     * other answer.
      */
-    void onRetryAfter(long endpoint, long waitUs);
+    void onRetryAfter(long endpoint, long retryAfterUs);
 
-    /** A call with so many messages is written whole. */
-    void onMessagesWritten(int messages);
+    /** A call with so many messages is written completely. */
+    void onMessagesWritten(int count);
   }
 
   /**
-   * The list names an endpoint, or its address or condition has changed; {@code apart}: it is a
-   * route of its own. To one that drains nothing new goes from now on, calls that were prepared
-   * before included.
+   * An endpoint is new, or its address or state has changed. One that is draining gets nothing new
+   * from now on, not even calls that were prepared before.
+   *
+   * @param separateRoute true if the endpoint is a route of its own within its destination
    */
-  void updateEndpoint(Endpoint entry, boolean apart, InetSocketAddress address);
+  void updateEndpoint(Endpoint endpoint, boolean separateRoute, InetSocketAddress address);
 
-  /** The list names an endpoint no more: nothing new goes there. */
+  /** An endpoint is gone: nothing new goes there. */
   void removeEndpoint(long endpoint);
 
-  /** A call that has not begun: the journal comes before its first byte. */
-  Call prepare(long endpoint, List<? extends Attempt> parcels);
+  /** Prepares a call without beginning it: the journal comes before its first byte. */
+  Call prepare(long endpoint, List<? extends Attempt> attempts);
 
   /** Makes a prepared call. */
   void start(Call call);
 
-  /** Ends a call from this side; its outcomes are told before this returns. */
+  /** Ends a call from this side; the outcomes are reported before this returns. */
   void abandon(Call call, AttemptResult result);
 
-  /**
-   * A wait was told elsewhere: calls that are on their way there and not written yet may not go.
-   */
+  /** An endpoint asked for a wait: abandons the unwritten calls that the wait binds. */
   void abandonUnwrittenCalls(long endpoint);
 
-  /** Closes what is kept open to an endpoint and carries no call. */
+  /** Closes the connections to an endpoint that carry no call. */
   void closeIdleConnections(long endpoint);
 }
--- a/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
@@ -7,15 +7,18 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * Who tells which endpoints there are and in which state. All methods run on the event loop's
- * thread.
+ * Reports which endpoints there are, and their state. All methods run on the event loop's thread.
  */
 public interface EndpointDirectory {
 
   /**
-   * An endpoint as a directory names it. {@code name} is the same for as long as the endpoint is;
-   * {@code weight} is the calls a second that its destination takes from all couriers, 0 if that is
-   * not told; {@code kind} the name of a kind in the settings, or any other text for none.
+   * An endpoint as a directory describes it.
+   *
+   * @param name the same for as long as the endpoint exists
+   * @param weight calls per second that its destination takes from all couriers together; 0 if
+   *     unknown
+   * @param kind the name of a kind in the settings, or any other text for none
+   * @param destination the number of its destination
    */
   record Entry(
       String name,
@@ -26,24 +29,21 @@
       String kind,
       long destination) {}
 
-  /** Who is told. */
+  /** Receives updates. */
   interface Listener {
-    /**
-     * Changed entries, all, the last ones known, or that no news can be had ({@link
-     * EndpointUpdate}).
-     */
-    void onUpdate(EndpointUpdate update, List<Entry> listings);
+    /** Entries were received, or could not be; {@code update} says which of them. */
+    void onUpdate(EndpointUpdate update, List<Entry> entries);
   }
 
-  /** Begins, first of all with what is known from before, if anything is. */
+  /** Begins to report, first of all what is known from an earlier process, if anything is. */
   void start(Listener listener);
 
-  /** Asks for changes from now on; while they are being asked for or come, that is enough. */
+  /** Requests changes from now on; has no effect while they are being requested or received. */
   void requestUpdates();
 
-  /** True while what it does not name does not exist. */
+  /** Returns true while the list is known to be complete: what it does not name does not exist. */
   boolean isCurrent();
 
-  /** A new configuration counts from now on, as far as it concerns this directory. */
+  /** Applies a new configuration, as far as it concerns this directory. */
   void reload(CourierConfig fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Ingress.java
+++ b/courier/src/main/java/thistleturn/courier/port/Ingress.java
@@ -3,57 +3,69 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * A way by which clients hand messages in. It reads requests and gives each its one answer; whether
- * a message is taken is not its to say. All methods run on the event loop's thread.
+ * A way for clients to hand messages in. It reads requests and gives each its one answer; whether a
+ * message is accepted is decided by the {@link IngressHandler}. All methods run on the event loop's
+ * thread.
  */
 public interface Ingress {
 
-  /** Why a message is turned away at the door; handing it in again is harmless in each case. */
+  /**
+   * Why a message is rejected; handing it in again is harmless in each case. The names are part of
+   * the handover protocol.
+   */
   enum RejectionReason {
     /** The store is full. */
     NO_ROOM,
-    /** The decisions turned it away. */
+    /** The controller shed it. */
     DECIDED
   }
 
-  /** Why a message cannot be taken at all. */
+  /**
+   * Why a message cannot be accepted at all. The names are part of the handover protocol and of the
+   * log.
+   */
   enum InvalidReason {
-    /** Its destination, as far as can be known now, does not exist. */
+    /** Its destination, as far as is known now, does not exist. */
     NO_DESTINATION,
-    /** A message of that id is owed its end, or its notice. */
+    /** A message of that id is pending already, or its outcome is still to be reported. */
     HELD_ALREADY
   }
 
-  /** Where the answer to a client goes; exactly one of these is called, once. */
+  /** Where the answer to a client goes; exactly one of the methods is called, once. */
   interface Reply {
-    /** Taken on: the courier owes the message its end from now on. */
+    /** The message is accepted: from now on the courier brings it to an end. */
     void accepted();
 
-    /** Refused; {@code retryAfterUs} above 0 tells after how many microseconds to come again. */
-    void rejected(RejectionReason why, long retryAfterUs);
+    /**
+     * The message is rejected.
+     *
+     * @param retryAfterUs if above 0, after how many microseconds to retry
+     */
+    void rejected(RejectionReason reason, long retryAfterUs);
 
-    /** Ended with nothing promised. */
+    /** The message ended, and nothing is promised about it. */
     void failed();
 
-    /** Not taken, and it would not be another time. */
-    void invalid(InvalidReason fault);
+    /** The message cannot be accepted, and retrying would not change that. */
+    void invalid(InvalidReason reason);
   }
 
-  /** Begins to listen; tells the address in fact, or why that failed. */
+  /**
+   * Begins to listen.
+   *
+   * @return the address in fact listened on, or why that failed
+   */
   CompletionStage<String> listen();
 
-  /** From now on answers end their connections, and those on which nothing is asked are shut. */
+  /** Ends each connection with its next answer from now on, and closes idle ones. */
   void drain();
 
-  /** Accepts no further connection; those that stand are still served. */
+  /** Accepts no further connections; established ones are still served. */
   void stopListening();
 
-  /**
-   * The process ends soon: what has not come in whole by now is turned away, and what asks nothing
-   * is shut.
-   */
+  /** Rejects requests that have not been received completely, and closes idle connections. */
   void rejectIncompleteRequests();
 
-  /** True while no client is connected. */
+  /** Returns true while no client is connected. */
   boolean hasNoConnections();
 }
--- a/courier/src/main/java/thistleturn/courier/port/IngressHandler.java
+++ b/courier/src/main/java/thistleturn/courier/port/IngressHandler.java
@@ -2,21 +2,25 @@
 
 import thistleturn.decisions.model.MessageClass;
 
-/** What a front asks of its host, and hands to it. */
+/** Decides on the messages that an {@link Ingress} receives. */
 public interface IngressHandler {
-  /** The class of that name, or null. */
+  /** Returns the class of that name, or null if there is none. */
   MessageClass messageClass(String className);
 
-  /** True if what is offered for that destination is answered before another event of this loop. */
+  /**
+   * Returns true if a message for that destination is answered on this event loop, before its next
+   * event.
+   */
   boolean isAnsweredOnThisLoop(long destination);
 
   /**
-   * Takes a message, if it can be taken and there is room; its reply comes at the end of the pass,
-   * or at once. Its way must have begun ({@link StoredMessage#startTimeline}): the host notes there
-   * where its time goes.
+   * Accepts or rejects a message, at once or at the end of the current decision round. Its timeline
+   * must have been started ({@link StoredMessage#startTimeline}).
+   *
+   * @param deadlineUs when the message expires, on the loop's clock
    */
-  void submit(StoredMessage held, long validUntilUs, Ingress.Reply reply);
+  void submit(StoredMessage message, long deadlineUs, Ingress.Reply reply);
 
-  /** The client went before it was answered: nobody knows of this message, and nobody wants it. */
-  void withdraw(String id, long destination);
+  /** The client went away before it was answered: its message is dropped. */
+  void withdraw(String messageId, long destination);
 }
--- a/courier/src/main/java/thistleturn/courier/port/MessageStore.java
+++ b/courier/src/main/java/thistleturn/courier/port/MessageStore.java
@@ -3,13 +3,13 @@
 import java.util.Collection;
 
 /**
- * What outlasts the process. Records are safe from the end of this process once {@link #flush} has
- * returned {@link MessageStore.FlushResult#DURABLE} after them: it is called ahead of whatever they
- * promise, once for all that a pass brought. What was recorded since the last such flush outlasts
- * the process whole or not at all. All methods run on the event loop's thread.
+ * Keeps what must outlast the process. What was recorded before a {@link #flush} that returned
+ * {@link FlushResult#DURABLE} outlasts it; what was recorded since then does so completely or not
+ * at all. The flush precedes whatever the records promise, once for all that a decision round
+ * brought. All methods run on the event loop's thread.
  */
 public interface MessageStore {
-  /** What became of the records since the last flush that was safe. */
+  /** What became of the records since the last flush that was durable. */
   enum FlushResult {
     /** They outlast the process. */
     DURABLE,
@@ -22,36 +22,44 @@
     UNKNOWN
   }
 
-  /** What the courier owes an end or a notice, in the order taken. */
+  /**
+   * Returns the messages that are to be ended, or to be reported as ended, in the order accepted.
+   */
   Collection<StoredMessage> pendingMessages();
 
-  /** True while an end or a notice is owed for a message of that id. */
-  boolean contains(String id);
+  /** Returns true while a message of that id is to be ended, or to be reported as ended. */
+  boolean contains(String messageId);
 
   /**
-   * Records a message that is taken on; false, and nothing taken, if there is no room for it, or
-   * nothing can be written now.
+   * Records an accepted message.
+   *
+   * @return false if there is no capacity for it or nothing can be written now; then nothing is
+   *     recorded
    */
-  boolean recordAccepted(StoredMessage held);
+  boolean recordAccepted(StoredMessage message);
 
-  /** Records an attempt that begins now, before its call's first byte. */
-  void recordAttemptStarted(StoredMessage held, long nowUs, String zone);
+  /** Records an attempt that starts now, before its call's first byte. */
+  void recordAttemptStarted(StoredMessage message, long nowUs, String zone);
 
-  /** Records the outcome of an attempt. */
-  void recordAttemptOutcome(StoredMessage held, boolean neverRan);
+  /**
+   * Records the outcome of an attempt.
+   *
+   * @param neverRan true if the endpoint cannot have executed the message
+   */
+  void recordAttemptOutcome(StoredMessage message, boolean neverRan);
 
-  /** Records that a message has ended and that only its notice is still owed. */
-  void recordFinalOutcome(StoredMessage held, StoredMessage.FinalOutcome notice);
+  /** Records that a message has ended and that only its outcome is still to be reported. */
+  void recordFinalOutcome(StoredMessage message, StoredMessage.FinalOutcome outcome);
 
   /** Records that nothing is owed for a message any more. */
-  void recordCompleted(StoredMessage held);
+  void recordCompleted(StoredMessage message);
 
   /**
-   * Makes all that was recorded so far safe. Unless that succeeded, nothing may be promised on the
-   * strength of it.
+   * Makes all records so far durable. Unless that succeeds, nothing may be promised on the strength
+   * of them.
    */
   FlushResult flush();
 
-  /** False from a flush that failed until one that succeeds. */
+  /** Returns false from a flush that failed until one that succeeds. */
   boolean isWritable();
 }
--- a/courier/src/main/java/thistleturn/courier/port/MessageTimeline.java
+++ b/courier/src/main/java/thistleturn/courier/port/MessageTimeline.java
@@ -1,11 +1,13 @@
 package thistleturn.courier.port;
 
 /**
- * A message's way through this process, with the times (us, on the clock of the events; 0: not yet)
- * that tell where it lay when its end came late. It is not kept across a restart. Written on the
- * event loop's thread only.
+ * When a message passed each step of its way through this process, to explain an outcome that came
+ * late. Times are in microseconds of the loop's clock, 0 for a step that was not reached. It does
+ * not outlast the process. Written on the event loop's thread only.
  */
 public final class MessageTimeline {
+  private static final double US_PER_MS = 1000.0;
+
   private final long arrivedUs;
   private final long firstByteUs;
   private final long completeUs;
@@ -19,30 +21,31 @@
   /**
    * A message has been read.
    *
-   * @param arrivedUs its last byte lay in the socket's buffer no sooner than this
-   * @param firstByteUs its first byte was read
-   * @param wholeUs its last byte was read
-   * @param timeUpUs its client's time is up, reckoned from {@code arrivedUs}
+   * @param arrivedUs the earliest time at which its last byte can have arrived in the socket's
+   *     buffer
+   * @param firstByteUs when its first byte was read
+   * @param completeUs when its last byte was read
+   * @param deadlineUs when it expires, counted from {@code arrivedUs}
    */
   public MessageTimeline(
-      final long arrivedUs, final long firstByteUs, final long wholeUs, final long timeUpUs) {
+      final long arrivedUs, final long firstByteUs, final long completeUs, final long deadlineUs) {
     this.arrivedUs = arrivedUs;
     this.firstByteUs = firstByteUs;
-    this.completeUs = wholeUs;
-    this.deadlineUs = timeUpUs;
+    this.completeUs = completeUs;
+    this.deadlineUs = deadlineUs;
   }
 
-  /** It was handed to the decisions. */
+  /** The message was handed to the controller. */
   public void markAccepted(final long nowUs) {
     acceptedUs = nowUs;
   }
 
-  /** Its client was answered that it is taken on. */
+  /** The client was told that its message is accepted. */
   public void markAnswered(final long nowUs) {
     answeredUs = nowUs;
   }
 
-  /** An attempt was begun. */
+  /** An attempt started. */
   public void markAttemptStarted(final long nowUs) {
     attemptStartedUs = nowUs;
   }
@@ -52,19 +55,19 @@
     attemptEndedUs = nowUs;
   }
 
-  /** It ended, by a notice that is still to be told. */
+  /** The message ended, with an outcome that is still to be reported. */
   public void markEnded(final long nowUs) {
     endedUs = nowUs;
   }
 
-  /** By how much an end that is known now is late; below 0 if it is in time, us. */
+  /** Returns by how much an outcome known now is late, in microseconds; below 0 if in time. */
   public long latenessUs(final long nowUs) {
     return nowUs - deadlineUs;
   }
 
   /**
-   * Where the time went, in milliseconds after the earliest moment of its arrival; "-" for what
-   * never was.
+   * Describes where the time went, in milliseconds after the message can have arrived, with "-" for
+   * a step that was not reached.
    */
   public String describe(final long confirmedUs) {
     return "time up "
@@ -89,6 +92,6 @@
   }
 
   private String sinceArrivalMs(final long us) {
-    return us == 0 ? "-" : Long.toString(Math.round((us - arrivedUs) / 1000.0));
+    return us == 0 ? "-" : Long.toString(Math.round((us - arrivedUs) / US_PER_MS));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/port/OutcomeNotifier.java
+++ b/courier/src/main/java/thistleturn/courier/port/OutcomeNotifier.java
@@ -4,25 +4,27 @@
 import thistleturn.courier.runtime.CourierConfig;
 
 /**
- * Where it is told how messages ended that were taken on and not delivered; again until that is
- * confirmed. All methods run on the event loop's thread.
+ * Reports to the platform how messages ended that were accepted and not delivered, again and again
+ * until it confirms that. All methods run on the event loop's thread.
  */
 public interface OutcomeNotifier {
-  /** Who is told that ends are confirmed. */
+  /** Receives confirmations. */
   interface Listener {
-    /** The platform knows these ends; nothing more is owed for them. */
+    /** The platform knows the outcomes of these messages; nothing more is owed for them. */
     void onConfirmed(List<StoredMessage> messages);
   }
 
-  /** Adds an end that the store holds; it goes out with the next {@link #flush}. */
-  void enqueue(StoredMessage held);
+  /**
+   * Adds a message whose final outcome the store holds; it goes out with the next {@link #flush}.
+   */
+  void enqueue(StoredMessage message);
 
-  /** Tells what is to be told, unless a telling is under way already. */
+  /** Reports what is to be reported, unless a report is under way already. */
   void flush();
 
-  /** True when nothing is left to tell. */
+  /** Returns true when nothing is left to report. */
   boolean isEmpty();
 
-  /** A new configuration counts from now on, as far as it concerns the telling. */
+  /** Applies a new configuration, as far as it concerns the reports. */
   void reload(CourierConfig fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/StateObserver.java
+++ b/courier/src/main/java/thistleturn/courier/port/StateObserver.java
@@ -3,33 +3,29 @@
 import java.io.IOException;
 
 /**
- * A subsystem that hears what this courier is told and finds out. All methods are called on the
- * courier's first event loop.
+ * A subsystem that observes what this courier learns of destinations and endpoints. All methods are
+ * called on the courier's first event loop.
  */
 public interface StateObserver {
-  /**
-   * The list was told: what is said of endpoints and destinations that it names can count from now
-   * on.
-   */
+  /** The endpoint list was received: directives on what it names take effect from now on. */
   void onEndpointsListed();
 
-  /** A destination told to wait until that moment, us. */
+  /** A destination asked to wait until this time, in microseconds of the loop's clock. */
   void onRetryAfter(long destination, long untilUs);
 
-  /** A destination told how many calls a second it takes from all couriers. */
-  void onRateLimit(long destination, double perSecond);
+  /** A destination reported how many calls per second it takes from all couriers together. */
+  void onRateLimit(long destination, double callsPerSecond);
 
   /**
-   * A destination was found out here, or was found serving after it was; not by somebody else's
-   * word.
+   * This courier found a destination unavailable, or available again, by its own calls and not by a
+   * directive.
    */
   void onOutageChanged(long destination, boolean isOut);
 
   /**
-   * An operator left an endpoint out here, or lets it serve again.
+   * An operator disabled an endpoint here, or enabled it again.
    *
-   * @throws IOException if that cannot be put down: then the operator is told so, and nothing has
-   *     changed
+   * @throws IOException if that cannot be stored; then the operator is told so, and nothing changes
    */
-  void onEndpointDisabled(String endpoint, boolean leaveOut) throws IOException;
+  void onEndpointDisabled(String endpoint, boolean disabled) throws IOException;
 }
--- a/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
+++ b/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
@@ -3,12 +3,15 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * A message that this courier owes an end, as the journal keeps it (times in microseconds of the
- * machine's monotonic clock, which all processes of one boot share): what its client handed in, and
- * what became of it so far. Once it has ended by a notice, only the notice is still owed.
+ * A message that this courier has to bring to an end, as the journal keeps it: what its client
+ * handed in, and its attempts so far. Once it has ended, only its final outcome is still to be
+ * reported. Times are in microseconds of the machine's monotonic clock, which all processes of one
+ * boot share.
+ *
+ * <p>At most one attempt is in flight at a time.
  */
 public final class StoredMessage {
-  /** A moment that never comes. */
+  /** Stands for a time that never comes. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private static final byte[] EMPTY_BODY = {};
@@ -23,7 +26,7 @@
   private long firstRunUs = NEVER;
   private String runZone = "";
 
-  /** When the attempt that is out was begun; never, while none is. */
+  /** When the attempt in flight started; {@link #NEVER} while there is none. */
   private long attemptStartedUs = NEVER;
 
   private String attemptZone = "";
@@ -31,60 +34,72 @@
   private MessageTimeline timeline;
 
   /**
-   * The end that the platform is told: a failure, or a refusal with the time after which to come
-   * again.
+   * How a message ended that was not delivered, as the platform is told.
+   *
+   * @param failed true if it failed; false if it is deferred, and may be handed in again
+   * @param retryAfterMs when to hand a deferred message in again, in milliseconds; 0 if unknown
    */
   public record FinalOutcome(boolean failed, long retryAfterMs) {}
 
-  /** What a client handed in; {@code idempotencyKey} may be null. */
+  /**
+   * A message that a client handed in.
+   *
+   * @param idempotencyKey by which its destination recognizes a repeat; may be null
+   * @param destination the number of its destination
+   * @param deadlineUs when it expires
+   */
   public StoredMessage(
       final String id,
       final String className,
       final String idempotencyKey,
       final long destination,
-      final long validUntilUs,
+      final long deadlineUs,
       final byte[] body) {
     this.id = id;
     this.className = className;
     this.idempotencyKey = idempotencyKey;
     this.destination = destination;
-    this.deadlineUs = validUntilUs;
+    this.deadlineUs = deadlineUs;
     this.body = body;
   }
 
-  /** The message's id, as its client gave it. */
+  /** Returns the message's id, as its client gave it. */
   public String id() {
     return id;
   }
 
-  /** The name of its class. */
+  /** Returns the name of its class. */
   public String className() {
     return className;
   }
 
-  /** The key by which its destination knows a repeat, or null. */
+  /** Returns the key by which its destination recognizes a repeat, or null. */
   public String idempotencyKey() {
     return idempotencyKey;
   }
 
-  /** The number of its destination. */
+  /** Returns the number of its destination. */
   public long destination() {
     return destination;
   }
 
-  /** When its time is up, us. */
+  /** Returns when it expires, in microseconds. */
   public long deadlineUs() {
     return deadlineUs;
   }
 
-  /** An attempt begins; the store has recorded it. */
+  /** An attempt starts; the store has recorded it. */
   public void startAttempt(final long nowUs, final String zone) {
     attempts++;
     attemptStartedUs = nowUs;
     attemptZone = zone;
   }
 
-  /** The attempt that was out has its outcome. */
+  /**
+   * The attempt in flight has its outcome.
+   *
+   * @param neverRan true if the endpoint cannot have executed the message
+   */
   public void endAttempt(final boolean neverRan) {
     if (!neverRan && attemptStartedUs != NEVER) {
       firstRunUs = Math.min(firstRunUs, attemptStartedUs);
@@ -93,79 +108,87 @@
     attemptStartedUs = NEVER;
   }
 
-  /** What an earlier process had recorded of its attempts. */
-  public void restoreAttempts(final int attemptsUsed, final long firstRun, final String zone) {
+  /** Restores what an earlier process recorded of its attempts. */
+  public void restoreAttempts(
+      final int attemptsUsed, final long firstPossibleRunUs, final String zone) {
     attempts = attemptsUsed;
-    firstRunUs = firstRun;
+    firstRunUs = firstPossibleRunUs;
     runZone = zone;
   }
 
   /**
-   * Only its notice is owed from now on, and that needs no body: many may wait while the platform
-   * is away.
+   * Ends the message: only its outcome is to be reported from now on. That needs no body, and many
+   * may wait while the platform is unreachable.
    */
-  public void end(final FinalOutcome owed) {
-    finalOutcome = owed;
+  public void end(final FinalOutcome outcome) {
+    finalOutcome = outcome;
     body = EMPTY_BODY;
   }
 
-  /** What its client handed in; empty once only its notice is owed. */
+  /** Returns what its client handed in; empty once the message has ended. */
   public byte[] body() {
     return body;
   }
 
-  /** The end that is still to be told, or null. */
+  /** Returns the outcome that is still to be reported, or null. */
   public FinalOutcome finalOutcome() {
     return finalOutcome;
   }
 
-  /** Attempts begun so far. */
+  /** Returns how many attempts have started. */
   public int attempts() {
     return attempts;
   }
 
-  /** When the first attempt began that may have run; {@link #NEVER} if none. */
+  /**
+   * Returns when the first of its ended attempts started that may have been executed; {@link
+   * #NEVER} if none may.
+   */
   public long firstRunUs() {
     return firstRunUs;
   }
 
-  /** The zone of that attempt. */
+  /** Returns the zone of the last ended attempt that may have been executed. */
   public String runZone() {
     return runZone;
   }
 
-  /** True while an attempt is out. */
+  /** Returns true while an attempt is in flight. */
   public boolean hasAttemptInFlight() {
     return attemptStartedUs != NEVER;
   }
 
-  /** When the attempt that is out was begun. */
+  /** Returns when the attempt in flight started. */
   public long attemptStartedUs() {
     return attemptStartedUs;
   }
 
-  /** The zone of the attempt that is out. */
+  /** Returns the zone of the attempt in flight. */
   public String attemptZone() {
     return attemptZone;
   }
 
   /**
-   * What a process that did not see the attempts may count on. A call that was out may have run.
+   * Returns what a process may rely on that did not see the attempts: one that was in flight may
+   * have been executed.
    */
   public PriorAttempts priorAttempts() {
     final long firstUs = Math.min(firstRunUs, attemptStartedUs);
-    final boolean ran = firstUs != NEVER;
+    final boolean mayHaveRun = firstUs != NEVER;
     return new PriorAttempts(
-        attempts, ran, ran ? firstUs : 0, hasAttemptInFlight() ? attemptZone : runZone);
+        attempts,
+        mayHaveRun,
+        mayHaveRun ? firstUs : 0,
+        hasAttemptInFlight() ? attemptZone : runZone);
   }
 
-  /** Its way through this process; null if an earlier one took it. */
+  /** Returns its timeline in this process; null if an earlier one accepted it. */
   public MessageTimeline timeline() {
     return timeline;
   }
 
-  /** Begins its way. */
-  public void startTimeline(final MessageTimeline begun) {
-    timeline = begun;
+  /** Starts its timeline. */
+  public void startTimeline(final MessageTimeline started) {
+    timeline = started;
   }
 }
--- a/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
@@ -26,8 +26,8 @@
  * so a change that alters any of these bytes must not pass unnoticed.
  */
 final class JournalBytesTest {
-  private static final JournalRecords.BatchTimestamps STAMP =
-      new JournalRecords.BatchTimestamps(1_000_000, 1_700_000_000_000_000L);
+  private static final BatchTimestamps TIMESTAMPS =
+      new BatchTimestamps(1_000_000, 1_700_000_000_000_000L);
   private static final String GENERATION_7_HEADER_HEX = "54544a4f55524e32" + "0000000000000007";
   private static final String FILE_HEX =
       """
@@ -52,8 +52,8 @@
         id, "keyed", "key-\u00e9", 7, 5_000_000, new byte[] {1, 2, (byte) 0xFF});
   }
 
-  private static String batchHex(final JournalRecords records) {
-    final ByteBuffer batch = records.toBatch(STAMP);
+  private static String batchHex(final RecordBuffer records) {
+    final ByteBuffer batch = records.toBatch(TIMESTAMPS);
     final byte[] bytes = new byte[batch.remaining()];
     batch.get(bytes);
     return HexFormat.of().formatHex(bytes);
@@ -65,28 +65,28 @@
     final ByteBuffer content =
         ByteBuffer.wrap(all)
             .slice(JournalFile.BATCH_HEADER_BYTES, all.length - JournalFile.BATCH_HEADER_BYTES);
-    assertEquals(STAMP, JournalRecords.readTimestamps(content));
-    JournalRecords.apply(content, messages, LongUnaryOperator.identity());
+    assertEquals(TIMESTAMPS, BatchTimestamps.read(content));
+    new RecordReader(messages, LongUnaryOperator.identity()).applyBatch(content);
   }
 
-  private static Map<String, StoredMessage> messagesWith(final StoredMessage held) {
+  private static Map<String, StoredMessage> messagesWith(final StoredMessage message) {
     final Map<String, StoredMessage> messages = new LinkedHashMap<>();
-    messages.put(held.id(), held);
+    messages.put(message.id(), message);
     return messages;
   }
 
   @Test
-  void takenRecordOfMessageWithKeyHasTheseBytes() {
+  void acceptedRecordWithKeyHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000100026d3100056b657965640100066b
         65792dc3a9000000000000000700000000004c4b40000000030102ff0000000200000000003d0900
         00067a6f6e652d62
         """;
-    final StoredMessage held = keyed("m1");
-    held.restoreAttempts(2, 4_000_000, "zone-b");
-    final JournalRecords records = new JournalRecords();
-    records.addAccepted(held);
+    final StoredMessage message = keyed("m1");
+    message.restoreAttempts(2, 4_000_000, "zone-b");
+    final RecordBuffer records = new RecordBuffer();
+    records.addAccepted(message);
     assertEquals(joined(hexLines), batchHex(records));
 
     final Map<String, StoredMessage> messages = new LinkedHashMap<>();
@@ -103,13 +103,13 @@
   }
 
   @Test
-  void takenRecordOfMessageWithoutKeyHasTheseBytes() {
+  void acceptedRecordWithoutKeyHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000100026d320004736166650000000000
         00000000000800000000004c4b4000000000000000007fffffffffffffff0000
         """;
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addAccepted(new StoredMessage("m2", "safe", null, 8, 5_000_000, new byte[0]));
     assertEquals(joined(hexLines), batchHex(records));
 
@@ -120,13 +120,13 @@
   }
 
   @Test
-  void begunRecordHasTheseBytes() {
+  void attemptStartedRecordHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000200026d3100000000002dc6c000067a
         6f6e652d61
         """;
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addAttemptStarted("m1", 3_000_000, "zone-a");
     assertEquals(joined(hexLines), batchHex(records));
 
@@ -138,29 +138,29 @@
   }
 
   @Test
-  void settledRecordHasTheseBytes() {
+  void attemptOutcomeRecordHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000300026d3101
         """;
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addAttemptOutcome("m1", true);
     assertEquals(joined(hexLines), batchHex(records));
 
-    final StoredMessage held = keyed("m1");
-    held.startAttempt(3_000_000, "zone-a");
-    apply(hexLines, messagesWith(held));
-    assertFalse(held.hasAttemptInFlight());
-    assertEquals(StoredMessage.NEVER, held.firstRunUs());
+    final StoredMessage message = keyed("m1");
+    message.startAttempt(3_000_000, "zone-a");
+    apply(hexLines, messagesWith(message));
+    assertFalse(message.hasAttemptInFlight());
+    assertEquals(StoredMessage.NEVER, message.firstRunUs());
   }
 
   @Test
-  void owedRecordHasTheseBytes() {
+  void finalOutcomeRecordHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000400026d310000000000000002bc
         """;
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addFinalOutcome("m1", new StoredMessage.FinalOutcome(false, 700));
     assertEquals(joined(hexLines), batchHex(records));
 
@@ -170,12 +170,12 @@
   }
 
   @Test
-  void overRecordHasTheseBytes() {
+  void completedRecordHasTheseBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000500026d31
         """;
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addCompleted("m1");
     assertEquals(joined(hexLines), batchHex(records));
 
@@ -184,7 +184,7 @@
     assertEquals(Map.of(), messages);
   }
 
-  /** A message with an attempt in flight and a notice to deliver is three records. */
+  /** A message with an attempt in flight and a final outcome to report is three records. */
   @Test
   void compactedMessageHasTheseBytes() {
     final String hexLines =
@@ -193,11 +193,11 @@
         65792dc3a9000000000000000700000000004c4b4000000000000000007fffffffffffffff000002
         00026d3100000000002dc6c000067a6f6e652d610400026d31010000000000000000
         """;
-    final StoredMessage held = keyed("m1");
-    held.startAttempt(3_000_000, "zone-a");
-    held.end(new StoredMessage.FinalOutcome(true, 0));
-    final JournalRecords records = new JournalRecords();
-    records.addSnapshot(held);
+    final StoredMessage message = keyed("m1");
+    message.startAttempt(3_000_000, "zone-a");
+    message.end(new StoredMessage.FinalOutcome(true, 0));
+    final RecordBuffer records = new RecordBuffer();
+    records.addSnapshot(message);
     assertEquals(joined(hexLines), batchHex(records));
 
     final Map<String, StoredMessage> messages = new LinkedHashMap<>();
@@ -214,12 +214,12 @@
     final List<ByteBuffer> found = new ArrayList<>();
     final JournalFile file = JournalFile.open(folder, found::add);
     assertNotNull(file);
-    final JournalRecords records = new JournalRecords();
+    final RecordBuffer records = new RecordBuffer();
     records.addAccepted(keyed("m1"));
-    file.append(records.toBatch(STAMP));
+    file.append(records.toBatch(TIMESTAMPS));
     records.clear();
     records.addAttemptStarted("m1", 3_000_000, "zone-a");
-    file.append(records.toBatch(STAMP));
+    file.append(records.toBatch(TIMESTAMPS));
     file.close();
     assertEquals(List.of(), found);
     assertEquals(
@@ -230,11 +230,11 @@
   void fileWithTheseBytesIsReadBack() throws IOException {
     Files.write(folder.resolve("journal"), bytes(FILE_HEX));
     try (Journal journal = Journal.open(folder, 100_000)) {
-      final List<StoredMessage> live = List.copyOf(journal.pendingMessages());
-      assertEquals(1, live.size());
-      assertEquals("m1", live.get(0).id());
-      assertEquals("key-\u00e9", live.get(0).idempotencyKey());
-      assertTrue(live.get(0).hasAttemptInFlight());
+      final List<StoredMessage> recovered = List.copyOf(journal.pendingMessages());
+      assertEquals(1, recovered.size());
+      assertEquals("m1", recovered.get(0).id());
+      assertEquals("key-\u00e9", recovered.get(0).idempotencyKey());
+      assertTrue(recovered.get(0).hasAttemptInFlight());
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -23,7 +23,9 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.model.PriorAttempts;
 
-/** What outlasts the process, and what a kill in the middle of a write leaves of it. */
+/**
+ * What the journal restores after a restart, a kill in the middle of a write, or a failed write.
+ */
 final class JournalTest {
   private static final long DISK_BYTES = 100_000;
 
@@ -33,42 +35,44 @@
     return new StoredMessage(id, "keyed", "key-" + id, 7, 5_000_000, new byte[bytes]);
   }
 
+  private List<String> reopenedIds() throws IOException {
+    return reopen().stream().map(StoredMessage::id).toList();
+  }
+
   private List<StoredMessage> reopen() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       return List.copyOf(journal.pendingMessages());
     }
   }
 
-  /**
-   * What is owed only a notice makes room, and the same id does not count twice while that is so.
-   */
   @Test
   void failedCompactionOnCloseLeavesJournalComplete() throws IOException {
     final Journal journal = Journal.open(folder, DISK_BYTES);
     assertTrue(journal.recordAccepted(message("m1", 100)));
-    // The trimmed file cannot be made where a folder of its name stands.
+    // The compacted file cannot be created where a folder has its name.
     Files.createDirectory(folder.resolve("journal.next"));
     journal.compactAndClose();
-    assertEquals(List.of("m1"), reopen().stream().map(StoredMessage::id).toList());
+    assertEquals(List.of("m1"), reopenedIds());
   }
 
+  /** A message that has only its outcome to report frees its space, but its id is not free yet. */
   @Test
   void finalOutcomeReservesNoSpaceForTheBody() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       for (int count = 0; count < 30; count++) {
-        final StoredMessage held = message("m" + count, 10_000);
-        assertTrue(journal.recordAccepted(held), "message " + count);
-        journal.recordFinalOutcome(held, new StoredMessage.FinalOutcome(true, 0));
-        assertFalse(journal.recordAccepted(message("m" + count, 10)), "its id is not free yet");
+        final StoredMessage message = message("m" + count, 10_000);
+        assertTrue(journal.recordAccepted(message), "message " + count);
+        journal.recordFinalOutcome(message, new StoredMessage.FinalOutcome(true, 0));
+        assertFalse(journal.recordAccepted(message("m" + count, 10)), "its id is still in use");
       }
     }
     assertEquals(30, reopen().size());
     assertTrue(
         reopen().stream()
-            .allMatch(held -> held.finalOutcome().failed() && held.body().length == 0));
+            .allMatch(message -> message.finalOutcome().failed() && message.body().length == 0));
   }
 
-  /** A full disk for a moment: what could not be written then is written with the next record. */
+  /** The disk is full for a moment: the next flush that succeeds writes all records. */
   @Test
   void unwrittenRecordsAreWrittenByTheNextSuccessfulFlush() throws IOException {
     final Path blocked = folder.resolve("journal.next");
@@ -76,7 +80,7 @@
       final StoredMessage first = message("first", 10_000);
       final StoredMessage second = message("second", 10_000);
       assertTrue(journal.recordAccepted(first) && journal.recordAccepted(second));
-      // The next compaction cannot make its file.
+      // The next compaction cannot create its file.
       Files.createDirectory(blocked);
       Files.createFile(blocked.resolve("in-the-way"));
       int attempts = 0;
@@ -89,7 +93,7 @@
       assertFalse(journal.isWritable());
       assertFalse(
           journal.recordAccepted(message("third", 10)),
-          "nothing is taken on that cannot be written down");
+          "nothing is accepted that cannot be recorded");
       journal.recordCompleted(first);
       Files.delete(blocked.resolve("in-the-way"));
       Files.delete(blocked);
@@ -97,7 +101,7 @@
       assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
       assertTrue(journal.isWritable());
     }
-    assertEquals(List.of("second"), reopen().stream().map(held -> held.id()).toList());
+    assertEquals(List.of("second"), reopenedIds());
   }
 
   @Test
@@ -105,26 +109,27 @@
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       final StoredMessage sent =
           new StoredMessage("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
-      final StoredMessage over = message("over", 3);
+      final StoredMessage completed = message("over", 3);
       final StoredMessage ended = message("ended", 3);
-      Stream.of(sent, over, ended).forEach(one -> assertTrue(journal.recordAccepted(one)));
+      Stream.of(sent, completed, ended)
+          .forEach(message -> assertTrue(journal.recordAccepted(message)));
       journal.recordAttemptStarted(sent, 1000, "a");
       journal.recordAttemptOutcome(sent, true);
       journal.recordAttemptStarted(sent, 2000, "b");
-      journal.recordCompleted(over);
+      journal.recordCompleted(completed);
       journal.recordFinalOutcome(ended, new StoredMessage.FinalOutcome(false, 700));
     }
-    final List<StoredMessage> live = reopen();
-    assertEquals(List.of("sent", "ended"), live.stream().map(one -> one.id()).toList());
-    final StoredMessage sent = live.get(0);
+    final List<StoredMessage> recovered = reopen();
+    assertEquals(List.of("sent", "ended"), recovered.stream().map(StoredMessage::id).toList());
+    final StoredMessage sent = recovered.get(0);
     assertArrayEquals(new byte[] {1, 2, 3}, sent.body());
     assertEquals("k", sent.idempotencyKey());
-    final PriorAttempts past = sent.priorAttempts();
-    assertEquals(2, past.attempts());
-    assertTrue(past.mayHaveExecuted(), "the attempt that was out may have run");
-    assertEquals("b", past.executionZone());
-    assertEquals(2000, past.firstExecutionUs(), "the refused attempt before does not count");
-    assertEquals(new StoredMessage.FinalOutcome(false, 700), live.get(1).finalOutcome());
+    final PriorAttempts prior = sent.priorAttempts();
+    assertEquals(2, prior.attempts());
+    assertTrue(prior.mayHaveExecuted(), "the attempt in flight may have been executed");
+    assertEquals("b", prior.executionZone());
+    assertEquals(2000, prior.firstExecutionUs(), "the rejected attempt before does not count");
+    assertEquals(new StoredMessage.FinalOutcome(false, 700), recovered.get(1).finalOutcome());
   }
 
   @Test
@@ -138,18 +143,15 @@
     final byte[] all = Files.readAllBytes(file);
     for (int cut = 1; cut < 60; cut++) {
       Files.write(file, Arrays.copyOf(all, all.length - cut));
-      assertEquals(List.of("whole"), reopen().stream().map(one -> one.id()).toList());
+      assertEquals(List.of("whole"), reopenedIds());
     }
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       assertTrue(journal.recordAccepted(message("next", 50)));
     }
-    assertEquals(List.of("whole", "next"), reopen().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("whole", "next"), reopenedIds());
   }
 
-  /**
-   * All that one flush writes is there or is not, wherever a kill cuts it: half of a pass is no
-   * state that ever was.
-   */
+  /** Wherever a kill cuts a write, either all records of a flush are read back or none. */
   @Test
   void batchIsReadCompleteOrNotAtAll() throws IOException {
     final Path file = folder.resolve("journal");
@@ -165,18 +167,13 @@
     final byte[] all = Files.readAllBytes(file);
     for (int length = before; length < all.length; length++) {
       Files.write(file, Arrays.copyOf(all, length));
-      assertEquals(
-          List.of("whole"), reopen().stream().map(StoredMessage::id).toList(), "cut to " + length);
+      assertEquals(List.of("whole"), reopenedIds(), "cut to " + length);
     }
     Files.write(file, all);
-    assertEquals(
-        List.of("whole", "first", "second"), reopen().stream().map(StoredMessage::id).toList());
+    assertEquals(List.of("whole", "first", "second"), reopenedIds());
   }
 
-  /**
-   * What a client chose to look like a batch, left behind by a write that was cut off, is not taken
-   * for one.
-   */
+  /** Bytes that look like a batch but belong to another file are not taken for one. */
   @Test
   void batchOfAnotherGenerationIsIgnored() throws IOException {
     final Path file = folder.resolve("journal");
@@ -192,14 +189,14 @@
     final byte[] both = Arrays.copyOf(own, own.length + foreign.length);
     System.arraycopy(foreign, 0, both, own.length, foreign.length);
     Files.write(file, both);
-    assertEquals(List.of("own"), reopen().stream().map(StoredMessage::id).toList());
+    assertEquals(List.of("own"), reopenedIds());
   }
 
-  /** The journal of the version before this one: single records, moments of the wall clock. */
+  /** The journal of versions up to 0.2: single records, timestamps of the wall clock. */
   @Test
   void legacyFormatIsReadAndReplaced() throws IOException {
     final Clock clock = new Clock();
-    final long validWallUs = clock.wallClockUs() + 5_000_000;
+    final long deadlineWallClockUs = clock.wallClockUs() + 5_000_000;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     final DataOutputStream record = new DataOutputStream(bytes);
     record.writeByte(1);
@@ -208,7 +205,7 @@
     record.writeBoolean(true);
     record.writeUTF("k");
     record.writeLong(7);
-    record.writeLong(validWallUs);
+    record.writeLong(deadlineWallClockUs);
     record.writeInt(3);
     record.write(new byte[] {1, 2, 3});
     record.writeInt(2);
@@ -222,14 +219,14 @@
             .putInt((int) crc.getValue())
             .put(bytes.toByteArray());
     Files.write(folder.resolve("journal"), file.array());
-    for (int time = 0; time < 2; time++) {
-      final StoredMessage held = reopen().get(0);
-      assertEquals("old", held.id());
-      assertEquals(2, held.attempts());
-      assertEquals(StoredMessage.NEVER, held.firstRunUs());
+    for (int reopened = 0; reopened < 2; reopened++) {
+      final StoredMessage message = reopen().get(0);
+      assertEquals("old", message.id());
+      assertEquals(2, message.attempts());
+      assertEquals(StoredMessage.NEVER, message.firstRunUs());
       assertEquals(
-          (double) (clock.nowUs() + validWallUs - clock.wallClockUs()),
-          (double) held.deadlineUs(),
+          (double) (clock.nowUs() + deadlineWallClockUs - clock.wallClockUs()),
+          (double) message.deadlineUs(),
           1_000_000);
     }
   }
@@ -245,7 +242,7 @@
     final byte[] all = Files.readAllBytes(file);
     all[all.length - 30] ^= 1;
     Files.write(file, all);
-    assertEquals(List.of("whole"), reopen().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("whole"), reopenedIds());
   }
 
   @Test
@@ -264,34 +261,34 @@
         assertTrue(usedBytes() < DISK_BYTES / 2, "used: " + usedBytes());
       }
     }
-    final List<StoredMessage> live = reopen();
-    assertEquals(List.of("staying"), live.stream().map(one -> one.id()).toList());
-    assertTrue(live.get(0).hasAttemptInFlight(), "a compaction keeps the attempt that is out");
+    final List<StoredMessage> recovered = reopen();
+    assertEquals(List.of("staying"), recovered.stream().map(StoredMessage::id).toList());
+    assertTrue(recovered.get(0).hasAttemptInFlight(), "a compaction keeps the attempt in flight");
   }
 
   @Test
   void fullJournalRejectsMessagesButRecordsOutcomes() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      int taken = 0;
-      while (taken < 1000 && journal.recordAccepted(message("m" + taken, 1000))) {
-        taken++;
+      int accepted = 0;
+      while (accepted < 1000 && journal.recordAccepted(message("m" + accepted, 1000))) {
+        accepted++;
       }
-      assertTrue(taken > 10 && taken < 100, "taken: " + taken);
+      assertTrue(accepted > 10 && accepted < 100, "accepted: " + accepted);
       assertFalse(journal.recordAccepted(message("late", 1000)));
-      for (final StoredMessage one : List.copyOf(journal.pendingMessages())) {
+      for (final StoredMessage message : List.copyOf(journal.pendingMessages())) {
         for (int attempt = 0; attempt < 12; attempt++) {
-          journal.recordAttemptStarted(one, attempt, "a");
-          journal.recordAttemptOutcome(one, true);
+          journal.recordAttemptStarted(message, attempt, "a");
+          journal.recordAttemptOutcome(message, true);
           assertEquals(
               MessageStore.FlushResult.DURABLE,
               journal.flush(),
-              "room for how messages fare is kept");
+              "space for the outcomes of messages is reserved");
         }
-        journal.recordFinalOutcome(one, new StoredMessage.FinalOutcome(true, 0));
+        journal.recordFinalOutcome(message, new StoredMessage.FinalOutcome(true, 0));
       }
       assertTrue(
           journal.recordAccepted(message("later", 1000)),
-          "a notice that is owed needs no room for a body");
+          "a message that only has its outcome to report needs no space for a body");
       assertTrue(usedBytes() < DISK_BYTES, "used: " + usedBytes());
     }
   }
@@ -302,7 +299,7 @@
       assertTrue(journal.recordAccepted(message("kept", 50)));
     }
     Files.write(folder.resolve("journal.next"), new byte[] {1, 2, 3}, StandardOpenOption.CREATE);
-    assertEquals(List.of("kept"), reopen().stream().map(one -> one.id()).toList());
+    assertEquals(List.of("kept"), reopenedIds());
     assertFalse(Files.exists(folder.resolve("journal.next")));
   }
 
