--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/PendingMessages.java
@@ -0,0 +1,181 @@
+package thistleturn.decisions;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import thistleturn.decisions.index.TimeHeap;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.PriorAttempts;
+
+/**
+ * The messages of this courier from their acceptance to their end.
+ *
+ * <p>A message waits in the queue of its destination or is part of a call; it ends exactly once,
+ * and before its deadline. One that can no longer be delivered is shed if its client may safely
+ * hand it in again, and fails otherwise.
+ */
+final class PendingMessages {
+  /** Share of the message store that is kept free by shedding, so that it never rejects blindly. */
+  private static final double STORE_RESERVE = 0.05;
+
+  /** The Retry-After of a message that is shed for want of capacity, us. */
+  private static final long SHED_RETRY_AFTER_US = OverloadController.SECOND_US;
+
+  private static final Comparator<PendingMessage> EXPIRY_ORDER =
+      Comparator.comparing((PendingMessage message) -> message.destination, Destination.ORDER)
+          .thenComparingLong(message -> message.queuePosition);
+
+  private final ControllerState state;
+  private final RetryPolicy retryPolicy;
+  private final KeyOrdering keyOrdering;
+  private final EndpointRegistry endpointRegistry;
+  private final TenantQuotas tenantQuotas;
+  private final Map<String, PendingMessage> messages = new HashMap<>();
+
+  /** When the messages that wait expire. */
+  private final TimeHeap<MessageDeadline> deadlines = new TimeHeap<>();
+
+  private long nextSequence;
+  private long nextQueuePosition;
+
+  PendingMessages(
+      final ControllerState state,
+      final RetryPolicy retryPolicy,
+      final KeyOrdering keyOrdering,
+      final EndpointRegistry endpointRegistry) {
+    this.state = state;
+    this.retryPolicy = retryPolicy;
+    this.keyOrdering = keyOrdering;
+    this.endpointRegistry = endpointRegistry;
+    this.tenantQuotas = new TenantQuotas(state.settings);
+  }
+
+  /** Returns the message of this id, or null if there is none. */
+  PendingMessage find(final String id) {
+    return messages.get(id);
+  }
+
+  /** Takes on a message; it waits from now on. */
+  PendingMessage accept(final Message accepted) {
+    final PendingMessage message =
+        new PendingMessage(
+            accepted, state.settings.classes().get(accepted.classIndex()), nextSequence++);
+    messages.put(accepted.id(), message);
+    state.pendingMessages++;
+    message.overQuota = tenantQuotas.recordAndCheckExceeded(accepted.tenantIndex(), state.nowUs);
+    message.destination = state.destination(accepted.destinationId());
+    message.destination.openMessages++;
+    keyOrdering.enqueue(message);
+    enqueue(message);
+    return message;
+  }
+
+  /** Takes on a message again that an earlier process of this courier had accepted. */
+  void resume(final Message accepted, final PriorAttempts priorAttempts) {
+    final PendingMessage message = accept(accepted);
+    dequeue(message);
+    message.attempts = priorAttempts.attempts();
+    message.mayHaveExecuted = priorAttempts.mayHaveExecuted();
+    if (message.mayHaveExecuted) {
+      message.firstExecutionUs = priorAttempts.firstExecutionUs();
+      message.executionZone = priorAttempts.executionZone();
+      keyOrdering.beginSettleDelay(message);
+      keyOrdering.refreshHead(message.keyQueue);
+    }
+    enqueue(message);
+  }
+
+  /** Lets a message wait; one that may not be attempted again ends in the next round. */
+  void enqueue(final PendingMessage message) {
+    final Destination destination = message.destination;
+    state.markChanged(destination);
+    message.waiting = true;
+    message.queuePosition = nextQueuePosition++;
+    destination.waitingMessages++;
+    deadlines.schedule(
+        message.deadline, retryPolicy.mayAttempt(message) ? retryPolicy.expiryUs(message) : 0);
+    destination.enqueue(message, !keyOrdering.mayProceed(message));
+    keyOrdering.refreshHead(message.keyQueue);
+  }
+
+  /** Ends the wait of a message, if it waits. */
+  void dequeue(final PendingMessage message) {
+    if (!message.waiting) {
+      return;
+    }
+    final Destination destination = message.destination;
+    state.markChanged(destination);
+    message.waiting = false;
+    destination.waitingMessages--;
+    deadlines.remove(message.deadline);
+    destination.dequeue(message);
+  }
+
+  /** Returns when the next message that waits expires. */
+  long nextExpiryUs() {
+    return deadlines.earliestDueUs();
+  }
+
+  /** Ends the messages that wait and have expired, by destination and position. */
+  void endExpired() {
+    final List<PendingMessage> expired = new ArrayList<>();
+    for (MessageDeadline due = deadlines.poll(state.nowUs);
+        due != null;
+        due = deadlines.poll(state.nowUs)) {
+      expired.add(due.message);
+    }
+    expired.sort(EXPIRY_ORDER);
+    for (final PendingMessage message : expired) {
+      // A client should come back when the queue that is there now has drained, and no sooner.
+      message.destination.catchUpIdleSteps(state.stepCount);
+      endUndelivered(
+          message, Math.max(RecoveryPacer.MIN_BACKOFF_US, message.destination.queueDrainUs()));
+    }
+  }
+
+  /** Sheds the least valuable messages before the message store is full. */
+  void shedExcess() {
+    final int reserve = (int) Math.max(1, STORE_RESERVE * state.maxPendingMessages);
+    while (state.pendingMessages > state.maxPendingMessages - reserve) {
+      final Destination destination = state.shedCandidates().best(state.nowUs);
+      if (destination == null) {
+        return;
+      }
+      endUndelivered(destination.leastValuable, SHED_RETRY_AFTER_US);
+    }
+  }
+
+  /** Gives the final answer: sheds the message where that is harmless, and fails it otherwise. */
+  private void endUndelivered(final PendingMessage message, final long retryAfterUs) {
+    if (message.mayShed()) {
+      final long maxRetryAfterUs = state.settings.limits().maxRetryAfterUs();
+      state.actions.shed(message.message.id(), Math.min(retryAfterUs, maxRetryAfterUs));
+    } else {
+      state.actions.fail(message.message.id());
+    }
+    end(message);
+  }
+
+  /** Ends a message; it is kept until its attempt, if one is in flight, has its outcome. */
+  void end(final PendingMessage message) {
+    if (!message.ended) {
+      state.pendingMessages--;
+      message.ended = true;
+    }
+    dequeue(message);
+    if (message.call == null) {
+      remove(message);
+    }
+  }
+
+  private void remove(final PendingMessage message) {
+    keyOrdering.remove(message);
+    messages.remove(message.message.id());
+    final Destination destination = message.destination;
+    if (--destination.openMessages == 0) {
+      endpointRegistry.markVacant(destination);
+    }
+  }
+}
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/RouteStepper.java
@@ -0,0 +1,76 @@
+package thistleturn.decisions;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Takes the step of each route on which something happened, once a second. */
+final class RouteStepper {
+  static final long STEP_US = OverloadController.SECOND_US;
+
+  /** The mean latency of a class is published anew when it has changed by this share. */
+  private static final double LATENCY_PUBLISH_THRESHOLD = 0.25;
+
+  private final ControllerState state;
+  private final ConcurrencyWindow concurrencyWindow;
+
+  /** When the next step is due; 0 before the first round. */
+  private long nextStepUs;
+
+  RouteStepper(final ControllerState state, final ConcurrencyWindow concurrencyWindow) {
+    this.state = state;
+    this.concurrencyWindow = concurrencyWindow;
+  }
+
+  long nextStepUs() {
+    return nextStepUs;
+  }
+
+  long lastStepUs() {
+    return nextStepUs - STEP_US;
+  }
+
+  /** Returns whether a step is due; the first one is, a second after the first round. */
+  boolean isDue() {
+    nextStepUs = nextStepUs == 0 ? state.nowUs + STEP_US : nextStepUs;
+    return state.nowUs >= nextStepUs;
+  }
+
+  /** Takes the step; routes without activity catch up when they are used again. */
+  void takeStep() {
+    state.stepCount++;
+    final List<Route> stepping = state.activeRoutes;
+    state.activeRoutes = new ArrayList<>();
+    for (final Route route : stepping) {
+      route.active = false;
+      route.stepsTaken = state.stepCount;
+      concurrencyWindow.step(route);
+    }
+    for (final Route route : stepping) {
+      if (route.callsInFlight > 0 || changesByTime(route)) {
+        state.markChanged(route.destination);
+      } else {
+        state.rerank(route.destination);
+      }
+    }
+    publishLatencies(LATENCY_PUBLISH_THRESHOLD);
+    nextStepUs += STEP_US * ((state.nowUs - nextStepUs) / STEP_US + 1);
+  }
+
+  /** Returns whether the rate of a route, or the spacing of its calls, still changes. */
+  private boolean changesByTime(final Route route) {
+    final Destination destination = route.destination;
+    if (destination.waitingMessages == 0) {
+      return false;
+    }
+    final long spacingUs = (long) (OverloadController.SECOND_US / route.permittedRate);
+    return route.messageRate * destination.routes.size() >= Destination.MIN_RATE
+        || route.lastSendUs + spacingUs > state.nowUs;
+  }
+
+  /** Publishes the mean latencies that have changed by more than a share; ranks anew if any has. */
+  void publishLatencies(final double threshold) {
+    if (state.latencies.publishMeans(threshold)) {
+      state.rerankAll();
+    }
+  }
+}
