--- a/decisions/src/main/java/thistleturn/decisions/CallDispatcher.java
+++ b/decisions/src/main/java/thistleturn/decisions/CallDispatcher.java
@@ -1,6 +1,5 @@
 package thistleturn.decisions;
 
-import java.util.Comparator;
 import thistleturn.decisions.index.Ranking;
 import thistleturn.decisions.model.Idempotence;
 
@@ -44,8 +43,8 @@
       if (best == null) {
         return;
       }
-      if (retryPolicy.fitsBeforeStop(best.route, best.selected.group)) {
-        startCall(best.selected, best.route);
+      if (retryPolicy.fitsBeforeStop(best.route(), best.selected().group())) {
+        startCall(best.selected(), best.route());
       } else {
         ready.invalidate(best);
       }
@@ -54,75 +53,58 @@
 
   /** Calls an endpoint with a message and, where calls are shared, with those that wait with it. */
   private void startCall(final PendingMessage first, final Route route) {
-    final EndpointHealth endpoint = endpointSelector.select(route, first.group, first.rejectedBy);
-    state.markChanged(route.destination);
-    final InFlightCall call = new InFlightCall();
-    call.probe = route.tryTakeProbe(state.nowUs);
-    call.endpoint = endpoint;
-    call.sentUs = state.nowUs;
+    final EndpointHealth endpoint =
+        endpointSelector.select(route, first.group(), first.rejectedBy());
+    state.markChanged(route.destination());
+    final InFlightCall call = new InFlightCall(endpoint, state.nowUs);
+    call.setProbe(route.tryTakeProbe(state.nowUs));
     occupyEndpoint(call, first);
-    if (route.circuitState == CircuitState.OUT) {
-      route.nextTrialUs =
-          state.recoveryPacer.nextTrialUs(route, state.nowUs, state.classifiesFaults);
+    if (route.circuit().isOpen()) {
+      route.circuit().scheduleTrial(state.recoveryPacer.nextTrialUs(route, state.nowUs));
     }
     sendBatch(call, first);
     overdueCalls.track(call);
-    route.lastCallWeight = 1 + BATCHED_MESSAGE_WEIGHT * (call.batchSize - 1);
-    route.rateShare.recordCall(state.nowUs);
+    final double weight = 1 + BATCHED_MESSAGE_WEIGHT * (call.batchSize() - 1);
+    route.pacing().recordCall(weight, state.nowUs);
   }
 
   private void occupyEndpoint(final InFlightCall call, final PendingMessage first) {
-    final EndpointHealth endpoint = call.endpoint;
-    final Route route = endpoint.route;
+    final EndpointHealth endpoint = call.endpoint();
+    final boolean wasIdle = endpoint.callsInFlight() == 0;
     state.callsInFlight++;
-    route.stepPeakCalls = Math.max(route.stepPeakCalls, ++route.callsInFlight);
-    if (endpoint.callsInFlight++ == 0) {
-      idleConnections.closeIfUntrusted(call, endpoint, first);
+    endpoint.route().startCall();
+    endpoint.startCall();
+    if (wasIdle) {
+      idleConnections.closeIfUntrusted(call, first);
     }
-    final int streams = state.settings.limits().streamsPerConnection();
-    call.reusedConnection = endpoint.connections * streams >= endpoint.callsInFlight;
-    endpoint.connections =
-        Math.max(endpoint.connections, (endpoint.callsInFlight + streams - 1) / streams);
-    endpoint.lastSendUs = state.nowUs;
-    route.lastSendUs = state.nowUs;
+    call.setReusedConnection(
+        endpoint.occupyConnection(state.settings.limits().streamsPerConnection()));
+    endpoint.recordSend(state.nowUs);
+    endpoint.route().pacing().recordSend(state.nowUs);
   }
 
   private void sendBatch(final InFlightCall call, final PendingMessage first) {
-    final Route route = call.endpoint.route;
+    final Route route = call.route();
     final boolean alone =
-        route.circuitState == CircuitState.OUT
-            || first.messageClass.idempotence() == Idempotence.NON_IDEMPOTENT;
-    final int maxBatchSize = alone ? 1 : route.destinationKind.messagesPerCall();
+        route.circuit().isOpen() || first.idempotence() == Idempotence.NON_IDEMPOTENT;
+    final int maxBatchSize = alone ? 1 : route.kind().messagesPerCall();
     PendingMessage message = first;
     while (message != null) {
       send(message, call);
       message =
-          call.batchSize >= maxBatchSize
+          call.batchSize() >= maxBatchSize
               ? null
-              : messageScheduler.selectMessage(message.destination, route, call.endpoint);
+              : messageScheduler.selectMessage(message.destination(), route, call.endpoint());
     }
-    call.pendingMessages.sort(Comparator.comparingLong(sent -> sent.sequence));
+    call.completeBatch();
   }
 
   private void send(final PendingMessage message, final InFlightCall call) {
-    final EndpointHealth endpoint = call.endpoint;
-    addToBatch(message, call);
-    message.attempts++;
+    call.add(message, (long) retryPolicy.expectedUs(call.route(), message));
+    message.startAttempt(call);
     messages.dequeue(message);
     state.actions.send(
-        message.message.id(),
-        endpoint.id(),
-        retryPolicy.timeoutUs(
-            endpoint.route, endpoint.classStatistics[message.message.classIndex()], message));
-  }
-
-  private void addToBatch(final PendingMessage message, final InFlightCall call) {
-    call.pendingOutcomes++;
-    call.batchSize = call.pendingOutcomes;
-    call.expectedUs =
-        Math.max(call.expectedUs, (long) retryPolicy.expectedUs(call.endpoint.route, message));
-    call.pendingMessages.add(message);
-    message.call = call;
+        message.id(), call.endpoint().id(), retryPolicy.timeoutUs(call.endpoint(), message));
   }
 
   /**
@@ -136,25 +118,24 @@
       final long sentUs,
       final boolean sameCall) {
     if (!sameCall) {
-      lastAdoptedCall = new InFlightCall();
-      lastAdoptedCall.endpoint = endpoint;
-      lastAdoptedCall.sentUs = sentUs;
+      lastAdoptedCall = new InFlightCall(endpoint, sentUs);
       state.callsInFlight++;
-      endpoint.route.callsInFlight++;
-      endpoint.callsInFlight++;
+      endpoint.route().adoptCall();
+      endpoint.startCall();
     }
-    addToBatch(message, lastAdoptedCall);
+    lastAdoptedCall.add(message, (long) retryPolicy.expectedUs(endpoint.route(), message));
+    message.adoptAttempt(lastAdoptedCall);
     overdueCalls.track(lastAdoptedCall);
   }
 
   /** Ends a call all of whose messages have their outcome. */
   void endCall(final InFlightCall call) {
-    final EndpointHealth endpoint = call.endpoint;
+    final EndpointHealth endpoint = call.endpoint();
     state.callsInFlight--;
-    endpoint.callsInFlight--;
-    endpoint.route.callsInFlight--;
+    endpoint.endCall();
+    endpoint.route().endCall();
     overdueCalls.untrack(call);
-    endpoint.lastUseUs = state.nowUs;
+    endpoint.recordUse(state.nowUs);
     idleConnections.closeIfNotReused(endpoint, call);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
+++ b/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
@@ -1,133 +1,82 @@
 package thistleturn.decisions;
 
-import thistleturn.decisions.rejections.RejectionClassifier.Cause;
-
 /**
- * The paper's window on a lane's calls in flight (section V): once a second Table I moves it from
- * latency and refusals, within the design's shares of the slots. Pure; it owns no state but each
- * lane's own.
+ * The window of one route: how many calls it may have in flight, as learned from latency and
+ * rejections (section V of the paper).
  */
 final class ConcurrencyWindow {
-  /** Floor of a window, calls: a lane must always be able to learn. */
-  static final double MIN_WINDOW = 1;
-
-  /** A new lane's window, calls: one slow answer may not block it. */
-  static final double INITIAL_WINDOW = 2;
-
-  /**
-   * After refusals, sends go at so many times the rate served and so many a second more: room may
-   * come.
-   */
-  static final double RATE_GROWTH = 1.2;
+  /** The smallest window, calls: a route must always be able to learn. */
+  static final double MIN = 1;
 
-  private static final double RATE_INCREMENT = 0.5;
+  /** The window of a new route, calls: one slow answer must not block it. */
+  static final double INITIAL = 2;
 
-  /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
-  static final double SAMPLE_WEIGHT = 0.1;
+  /** The window of a new route in a large fleet, calls, where arrivals come in clumps. */
+  private static final double INITIAL_IN_LARGE_FLEET = 4;
 
-  /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
-  private static final double HEALTHY_CAPACITY_SHARE = 0.75;
+  private double calls;
+  private double callsBeforeNoise;
 
-  private static final double DEGRADED_CAPACITY_SHARE = 0.5;
-
-  /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
-  private static final double DEGRADED_INPUT = 0.75;
+  ConcurrencyWindow(final boolean largeFleet) {
+    calls = largeFleet ? INITIAL_IN_LARGE_FLEET : INITIAL;
+  }
 
-  /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
-  private static final double LATENCY_PRIOR_SAMPLES = 2;
+  double calls() {
+    return calls;
+  }
 
-  /** Share of a window that must be used for it to grow: unused room has proved nothing. */
-  private static final double MIN_UTILIZATION_TO_GROW = 0.5;
+  /** Returns the calls that may be in flight under two further bounds; at least one. */
+  int limit(final double ceiling, final int maxLimit) {
+    return (int) Math.max(1, Math.min(Math.floor(Math.min(calls, ceiling)), maxLimit));
+  }
 
-  /**
-   * Where a long line waits after a second without a refusal, sends may go at so many times the
-   * rate.
-   */
-  private static final double REGAIN_FACTOR = 2;
+  /** Returns whether so many calls in flight use enough of the window to let it grow. */
+  boolean isUsed(final int callsInFlight, final double minUtilization) {
+    return callsInFlight >= minUtilization * Math.floor(calls);
+  }
 
-  /** Refusals under this share of a step's calls would be as many with that spacing. */
-  private static final double TOLERATED_REJECTION_RATIO = 0.05;
+  /** Returns whether so many calls in flight leave no room for another one after the next. */
+  boolean isNearlyFull(final int callsInFlight) {
+    return callsInFlight + 1 >= Math.floor(calls);
+  }
 
-  private final ControllerState state;
+  /** Moves the window by a share of itself, within its bounds. */
+  void scale(final double change, final double max) {
+    calls = PriorityValue.clamp(calls * (1 + change), MIN, max);
+  }
 
-  ConcurrencyWindow(final ControllerState state) {
-    this.state = state;
+  /** Grows the window by so many calls, up to a bound. */
+  void grow(final double by, final double max) {
+    calls = Math.min(calls + by, max);
   }
 
-  /**
-   * Calls that a lane may have in flight now: its window, within its share of the slots and what
-   * others say.
-   */
-  int limit(final Route lane) {
-    final double window =
-        Math.min(lane.window, lane.destination.directives.concurrencyLimit(state.nowUs));
-    return (int) Math.max(1, Math.min(Math.floor(window), maxLimit(lane)));
+  /** Takes back half of what the window has grown to. */
+  void halve() {
+    calls = Math.max(Math.min(calls, INITIAL), calls / 2);
   }
 
-  /** Calls that a lane may have in flight at all: its share of the slots. */
-  int maxLimit(final Route lane) {
-    final double share =
-        lane.circuitState == CircuitState.WELL && !lane.degraded
-            ? HEALTHY_CAPACITY_SHARE
-            : DEGRADED_CAPACITY_SHARE;
-    return (int) Math.max(1, Math.floor(share * state.concurrencyLimit));
+  /** Shrinks the window as far as it goes: the circuit has opened. */
+  void collapse() {
+    calls = MIN;
   }
 
-  /** What a window can grow to, calls. */
-  private double maxLimit() {
-    return Math.max(1, Math.floor(HEALTHY_CAPACITY_SHARE * state.concurrencyLimit));
+  /** Raises the window to that of a new route, if it is smaller. */
+  void raiseToInitial() {
+    calls = Math.max(calls, INITIAL);
   }
 
-  /** A call served proves room: a window that held up a line grows by it (RFC 7661). */
-  void growOnSuccess(final Route lane, final double calls) {
-    if (lane.circuitState == CircuitState.WELL
-        && lane.destination.waitingMessages > 0
-        && lane.callsInFlight + 1 >= Math.floor(lane.window)) {
-      lane.window = Math.min(lane.window + calls, maxLimit());
-    }
+  /** Remembers the window: from now on rejections are taken for noise. */
+  void markBeforeNoise() {
+    callsBeforeNoise = calls;
   }
 
-  /** Load that shows in a lane's first seconds takes half of what it grew to. */
-  void halve(final Route lane) {
-    lane.window = Math.max(Math.min(lane.window, INITIAL_WINDOW), lane.window / 2);
+  /** Returns to the window before rejections were taken for noise, if it has grown since. */
+  void revertToBeforeNoise() {
+    calls = Math.min(calls, callsBeforeNoise);
   }
 
-  /** Moves a lane's window by Table I. */
-  void step(final Route lane) {
-    lane.rateShare.advance(lane.destination.waitingMessages, state.nowUs);
-    final double bad = lane.stepFailures + lane.unresponsiveCalls;
-    final double read = lane.stepCalls + lane.stepErrors + bad;
-    if (lane.circuitState == CircuitState.WELL) {
-      final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.stepCount);
-      lane.messageRate += weight * (lane.stepDeliveries - lane.messageRate);
-      lane.callRate += weight * (lane.stepCalls - lane.callRate);
-    }
-    if (read > 0) {
-      double latency = 0;
-      if (lane.stepDeliveries > 0) {
-        final double mean = lane.stepLatencyRatioSum / lane.stepDeliveries;
-        final double trust = lane.stepDeliveries / (lane.stepDeliveries + LATENCY_PRIOR_SAMPLES);
-        latency = PriorityValue.clamp(trust * (mean / lane.baselineLatencyRatio - 1), 0, 1);
-        lane.baselineLatencyRatio += SAMPLE_WEIGHT * trust * (mean - lane.baselineLatencyRatio);
-      }
-      double refusal = bad / read;
-      if (lane.stepLoadReport != null && lane.stepLoadReport.callsPerSecond() > 0) {
-        refusal = Math.max(refusal, 1 - lane.stepLoadReport.remainingShare());
-      }
-      final double change =
-          Math.max(bad == 0 ? 0 : -1, FuzzyRuleTable.windowChange(latency, refusal));
-      if (change < 0 || lane.stepPeakCalls >= MIN_UTILIZATION_TO_GROW * Math.floor(lane.window)) {
-        lane.window = PriorityValue.clamp(lane.window * (1 + change), MIN_WINDOW, maxLimit());
-      }
-      lane.degraded = latency > DEGRADED_INPUT || refusal > DEGRADED_INPUT;
-    }
-    final double refusing = RATE_INCREMENT + RATE_GROWTH * Math.max(lane.stepCalls, lane.callRate);
-    final boolean heeded =
-        lane.stepRejections > (state.classifiesFaults ? TOLERATED_REJECTION_RATIO * read : 0)
-            && lane.rejectionClassifier.cause(state.nowUs) != Cause.NOISE;
-    final boolean regains = state.classifiesFaults && lane.mayRegainRate(state.nowUs);
-    lane.permittedRate =
-        heeded ? refusing : (regains ? REGAIN_FACTOR : RATE_GROWTH) * lane.permittedRate;
-    lane.beginStep();
+  /** Restores the window that another process of this courier had learned. */
+  void restore(final double restoredCalls) {
+    calls = restoredCalls;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/ControllerState.java
+++ b/decisions/src/main/java/thistleturn/decisions/ControllerState.java
@@ -11,136 +11,185 @@
 import thistleturn.decisions.model.DeliverySettings;
 
 /**
- * What the rooms of the decisions share: the settings, the moment, who is known, and what has
- * changed since the last pass. It decides nothing.
+ * What the parts of the controller share: the settings, the current time, who is known, the
+ * capacity in use, and what has changed since the last round. It decides nothing.
  */
 final class ControllerState {
   final DeliverySettings settings;
   final DeliveryActions actions;
 
-  /** The courier's only source of chance: all draw from it, in the order of the events. */
+  /** The courier's only source of randomness: all draw from it, in the order of the events. */
   final Random random;
 
   final RecoveryPacer recoveryPacer;
   final LatencyEstimator latencies;
 
-  /**
-   * Whether refusals, failures and first seconds are read; even parts are kept to; thin ones are
-   * deep.
-   */
-  final boolean classifiesFaults, sharesRates, relaxesThinShares;
+  /** Whether rejections, failures and first seconds are classified. */
+  final boolean classifiesFaults;
+
+  /** Whether this courier keeps to its share of a reported rate. */
+  final boolean sharesRates;
+
+  /** Whether a thin share is kept to less strictly in a vast fleet. */
+  final boolean relaxesThinShares;
 
   final Map<Long, Destination> destinations = new HashMap<>();
   final Map<Long, EndpointHealth> endpoints = new HashMap<>();
 
-  /** Destinations of which something has changed since the last pass. */
-  final List<Destination> changedDestinations = new ArrayList<>();
-
-  /** When lanes are to be looked at again. */
+  /** When routes are to be ranked and checked again. */
   final TimeHeap<RouteTimer> routeTimers = new TimeHeap<>();
 
-  /** Lanes on which a step is more than the passing of time. */
-  List<Route> activeRoutes = new ArrayList<>();
+  /** The time of the current event or round. */
+  long nowUs;
 
-  /** What this courier may use now, and what it uses. */
-  int concurrencyLimit, maxPendingMessages, callsInFlight, pendingMessages;
+  /** When this process ends; {@link OverloadController#NEVER} while it goes on. */
+  long stopAtUs = OverloadController.NEVER;
+
+  /** Counts the events and rounds so far. */
+  long tick;
 
-  long nowUs, stopAtUs = OverloadController.NEVER;
+  /** Counts the steps taken so far. */
+  long stepCount;
 
-  /** Steps taken; events and passes so far; lanes gone out or returning. */
-  long stepCount, tick, circuitTransitions;
+  /** Counts the moves of circuits so far. */
+  long circuitTransitions;
 
-  /** When a pass is wanted that no event and no heap would bring. */
+  /** When a round is wanted that no event and no timer would bring. */
   long nextRoundUs = OverloadController.NEVER;
 
-  /**
-   * Lanes by the urgency of what may go: as it is, and for each call's time where the store is
-   * crowded.
-   */
-  private List<Ranking<ReadyRoute>> readyRoutes;
+  /** What this courier may use now, and what it uses. */
+  int concurrencyLimit;
 
-  /** Destinations by the message in their line that is worth least: the first to make room. */
+  int maxPendingMessages;
+  int callsInFlight;
+  int pendingMessages;
+
+  /** Routes on which a step is more than the passing of time. */
+  List<Route> activeRoutes = new ArrayList<>();
+
+  /** Destinations that have changed since the last round, and the list of the round before. */
+  private List<Destination> changedDestinations = new ArrayList<>();
+
+  private List<Destination> checkedDestinations = new ArrayList<>();
+
+  /** Routes by the urgency of what they would send: as it is, and for each call's time. */
+  private Ranking<ReadyRoute> byUrgency;
+
+  private Ranking<ReadyRoute> byUrgencyPerCallTime;
+
+  /** Destinations by the value of the message that would be shed first. */
   private Ranking<Destination> shedCandidates;
 
   ControllerState(
       final DeliverySettings settings,
       final long seed,
       final DeliveryActions actions,
-      final boolean learns,
-      final boolean shares,
-      final boolean thin) {
+      final boolean classifiesFaults,
+      final boolean sharesRates,
+      final boolean relaxesThinShares) {
     this.settings = settings;
     this.actions = actions;
     this.random = new Random(seed);
-    this.recoveryPacer = new RecoveryPacer(settings, random);
+    this.recoveryPacer = new RecoveryPacer(settings, random, classifiesFaults);
     this.latencies = new LatencyEstimator(settings.classes());
-    this.classifiesFaults = learns;
-    this.sharesRates = shares;
-    this.relaxesThinShares = thin;
+    this.classifiesFaults = classifiesFaults;
+    this.sharesRates = sharesRates;
+    this.relaxesThinShares = relaxesThinShares;
     this.concurrencyLimit = settings.limits().concurrencyLimit();
     this.maxPendingMessages = settings.limits().maxPendingMessages();
   }
 
-  /** Says by what lanes and destinations are ranked; once, before anything is told. */
+  /** Returns the destination of this number, a new one if it is not known yet. */
+  Destination destination(final long id) {
+    return destinations.computeIfAbsent(id, Destination::new);
+  }
+
+  // ---------------------------------------------------------------- rankings
+
+  /** Sets by what routes and destinations are ranked; once, before the first event. */
   void initializeRankings(
       final ToDoubleFunction<ReadyRoute> urgency,
-      final ToDoubleFunction<Destination> leastWorth,
-      final long lookUs) {
-    readyRoutes =
-        List.of(
-            new Ranking<>(urgency, ReadyRoute.ORDER, lookUs),
-            new Ranking<>(urgency, ReadyRoute.ORDER, lookUs));
-    shedCandidates = new Ranking<>(leastWorth, Destination.ORDER, lookUs);
+      final ToDoubleFunction<Destination> shedPriority,
+      final long budgetUs) {
+    byUrgency = new Ranking<>(urgency, ReadyRoute.ORDER, budgetUs);
+    byUrgencyPerCallTime = new Ranking<>(urgency, ReadyRoute.ORDER, budgetUs);
+    shedCandidates = new Ranking<>(shedPriority, Destination.ORDER, budgetUs);
   }
 
   /**
-   * Lanes by what their messages lose; with the store over half full some messages will not be
-   * served.
+   * Returns the routes by the urgency of what they would send. With the message store over half
+   * full some messages will not be served: then by the urgency for each call's time.
    */
   Ranking<ReadyRoute> readyRoutes() {
-    return readyRoutes.get(2 * pendingMessages > maxPendingMessages ? 1 : 0);
+    return 2 * pendingMessages > maxPendingMessages ? byUrgencyPerCallTime : byUrgency;
   }
 
-  /** Destinations by what is refused first. */
+  /** Returns the destinations by what would be shed first. */
   Ranking<Destination> shedCandidates() {
     return shedCandidates;
   }
 
-  Destination destination(final long id) {
-    return destinations.computeIfAbsent(id, Destination::new);
+  /** Has the routes and the queue of a destination ranked anew before the next choice. */
+  void rerank(final Destination destination) {
+    shedCandidates.invalidate(destination);
+    for (final Route route : destination.routes()) {
+      byUrgency.invalidate(route.entryByUrgency());
+      byUrgencyPerCallTime.invalidate(route.entryByUrgencyPerCallTime());
+    }
   }
 
-  /**
-   * Something about a destination has changed, or time has brought it something: it is looked at
-   * again.
-   */
+  /** Has all routes ranked anew before the next choice. */
+  void rerankAll() {
+    byUrgency.invalidateAll();
+    byUrgencyPerCallTime.invalidateAll();
+  }
+
+  // ---------------------------------------------------------------- changes
+
+  /** Notes that an event or time has changed a destination: it is checked and ranked again. */
   void markChanged(final Destination destination) {
-    if (!destination.changed) {
-      destination.changed = true;
+    if (!destination.isChanged()) {
+      destination.markChanged();
       changedDestinations.add(destination);
     }
     rerank(destination);
-    for (final Route lane : destination.routes) {
-      lane.catchUpIdleSteps(stepCount);
-      if (!lane.active) {
-        lane.active = true;
-        activeRoutes.add(lane);
+    for (final Route route : destination.routes()) {
+      route.catchUpIdleSteps(stepCount);
+      if (route.activate()) {
+        activeRoutes.add(route);
       }
     }
   }
 
-  /** Its lanes and its line are ranked anew before the next choice. */
-  void rerank(final Destination destination) {
-    shedCandidates.invalidate(destination);
-    for (final Route lane : destination.routes) {
-      for (final ReadyRoute entry : lane.readyEntries) {
-        readyRoutes.get(entry.rankingMode).invalidate(entry);
-      }
+  /** Marks the destinations whose route timers are due. */
+  void markChangedByTime() {
+    for (RouteTimer due = routeTimers.poll(nowUs); due != null; due = routeTimers.poll(nowUs)) {
+      markChanged(due.route().destination());
     }
   }
 
-  /** All lanes are ranked anew before the next choice. */
-  void rerankAll() {
-    readyRoutes.forEach(Ranking::invalidateAll);
+  /** Returns the destinations changed since the last call, in order; valid until the next one. */
+  List<Destination> takeChangedDestinations() {
+    final List<Destination> taken = changedDestinations;
+    changedDestinations = checkedDestinations;
+    changedDestinations.clear();
+    checkedDestinations = taken;
+    taken.sort(Destination.ORDER);
+    taken.forEach(Destination::clearChanged);
+    return taken;
+  }
+
+  /** Has a route checked again when its recovery ends. */
+  void scheduleRecoveryEnd(final Route route) {
+    final long endUs = route.circuit().recoverySinceUs() + settings.guarantees().warmUpUs();
+    routeTimers.schedule(route.recoveryEndTimer(), endUs + 1);
+  }
+
+  /** Begins a step; returns the routes that take it, which become active again by events only. */
+  List<Route> beginStep() {
+    stepCount++;
+    final List<Route> stepping = activeRoutes;
+    activeRoutes = new ArrayList<>();
+    return stepping;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
@@ -7,40 +7,88 @@
 import thistleturn.decisions.model.Idempotence;
 import thistleturn.decisions.model.MessageClass;
 
-/** Messages that wait for a destination and differ in their times alone. */
+/**
+ * Messages that wait for one destination and differ in their times alone, so that the most urgent
+ * of them is found without looking at each.
+ */
 final class DeadlineGroup {
-  final int classIndex;
-  final MessageClass messageClass;
-  final boolean overQuota, mayHaveExecuted, blocked;
+  private final int classIndex;
+  private final MessageClass messageClass;
+  private final boolean overQuota;
+  private final boolean mayHaveExecuted;
 
-  /** The one zone that would know a repeat; null: any. */
-  final String requiredZone;
+  /** Whether another message of the same key goes first. */
+  private final boolean blocked;
 
-  /** By their aims; or, where each key's window ends by itself, as they are. */
-  final OrderedQueue<PendingMessage> ordered;
+  /** The only zone that would recognize a repeat; null: any zone would do. */
+  private final String requiredZone;
 
-  final Set<PendingMessage> unordered;
+  /** The messages by their latency objectives; null in an unordered group. */
+  private final OrderedQueue<PendingMessage> ordered;
 
-  DeadlineGroup(final PendingMessage job, final boolean blocked, final boolean odd) {
-    this.classIndex = job.message.classIndex();
-    this.messageClass = job.messageClass;
-    this.overQuota = job.overQuota;
-    this.mayHaveExecuted = job.mayHaveExecuted;
+  /** The messages whose idempotency windows end each by itself; null in an ordered group. */
+  private final Set<PendingMessage> unordered;
+
+  DeadlineGroup(final PendingMessage first, final boolean blocked, final boolean endsWithItsKey) {
+    this.classIndex = first.classIndex();
+    this.messageClass = first.messageClass();
+    this.overQuota = first.isOverQuota();
+    this.mayHaveExecuted = first.mayHaveExecuted();
     this.blocked = blocked;
-    this.requiredZone = job.requiredZone();
-    this.ordered = odd ? null : new OrderedQueue<>();
-    this.unordered = odd ? new HashSet<>() : null;
+    this.requiredZone = first.requiredZone();
+    this.ordered = endsWithItsKey ? null : new OrderedQueue<>();
+    this.unordered = endsWithItsKey ? new HashSet<>() : null;
+  }
+
+  int classIndex() {
+    return classIndex;
+  }
+
+  MessageClass messageClass() {
+    return messageClass;
+  }
+
+  Idempotence idempotence() {
+    return messageClass.idempotence();
+  }
+
+  boolean mayHaveExecuted() {
+    return mayHaveExecuted;
+  }
+
+  boolean isBlocked() {
+    return blocked;
   }
 
-  boolean matches(final PendingMessage job, final boolean isBlocked, final boolean isOdd) {
-    return classIndex == job.message.classIndex()
-        && overQuota == job.overQuota
-        && mayHaveExecuted == job.mayHaveExecuted
+  /** Returns whether a message belongs here. */
+  boolean matches(
+      final PendingMessage message, final boolean isBlocked, final boolean endsWithItsKey) {
+    return classIndex == message.classIndex()
+        && overQuota == message.isOverQuota()
+        && mayHaveExecuted == message.mayHaveExecuted()
         && blocked == isBlocked
-        && isOdd == (unordered != null)
+        && endsWithItsKey == (unordered != null)
         && (requiredZone == null
-            ? job.requiredZone() == null
-            : requiredZone.equals(job.requiredZone()));
+            ? message.requiredZone() == null
+            : requiredZone.equals(message.requiredZone()));
+  }
+
+  void add(final PendingMessage message) {
+    if (unordered != null) {
+      unordered.add(message);
+    } else {
+      ordered.add(message, message.objectiveUs(), message.queuePosition());
+    }
+    message.enterGroup(this);
+  }
+
+  void remove(final PendingMessage message) {
+    if (unordered != null) {
+      unordered.remove(message);
+    } else {
+      ordered.remove(message);
+    }
+    message.leaveGroup();
   }
 
   boolean isEmpty() {
@@ -48,35 +96,40 @@
   }
 
   /**
-   * The member of greatest value, the one that came first among equals; the value turns at these
-   * aims only.
+   * Returns the message of greatest value, the first in the queue among equals.
+   *
+   * @param breakpoints the latency objectives between which the value only rises or only falls
    */
-  PendingMessage greatest(final long[] turns, final ToDoubleFunction<PendingMessage> value) {
+  PendingMessage greatest(final long[] breakpoints, final ToDoubleFunction<PendingMessage> value) {
     if (unordered == null) {
-      return ordered.greatest(turns, value);
+      return ordered.greatest(breakpoints, value);
     }
     PendingMessage best = null;
-    double most = 0;
-    for (final PendingMessage job : unordered) {
-      final double one = value.applyAsDouble(job);
-      if (best == null || one > most || (one == most && job.queuePosition < best.queuePosition)) {
-        best = job;
-        most = one;
+    double bestValue = 0;
+    for (final PendingMessage message : unordered) {
+      final double itsValue = value.applyAsDouble(message);
+      if (best == null
+          || itsValue > bestValue
+          || (itsValue == bestValue && message.queuePosition() < best.queuePosition())) {
+        best = message;
+        bestValue = itsValue;
       }
     }
     return best;
   }
 
-  Idempotence idempotence() {
-    return messageClass.idempotence();
-  }
-
+  /** Returns whether the clients of these messages may safely hand them in again. */
   boolean mayShed() {
     return PendingMessage.mayShed(messageClass, mayHaveExecuted);
   }
 
-  /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
-  boolean allowsZoneOf(final EndpointHealth node) {
-    return requiredZone == null || node.descriptor.zone().equals(requiredZone);
+  /** Returns whether one of these may be sent in a call that others share. */
+  boolean mayShareCall() {
+    return idempotence() != Idempotence.NON_IDEMPOTENT;
+  }
+
+  /** Returns whether an endpoint would recognize a repeat, if one of these may have executed. */
+  boolean allowsZoneOf(final EndpointHealth endpoint) {
+    return requiredZone == null || endpoint.zone().equals(requiredZone);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -3,97 +3,156 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.directives.Directives;
 import thistleturn.decisions.index.Ranking;
 
-/** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
+/** A destination: the messages that wait for it, and its routes. */
 final class Destination extends Ranking.Entry {
   static final Comparator<Destination> ORDER =
       Comparator.comparingLong(destination -> destination.id);
 
-  /** Messages a second: least rate at which a line is reckoned. */
+  /** The least rate at which a queue is taken to drain, messages a second. */
   static final double MIN_RATE = 0.25;
 
-  /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
+  /** How far ahead the loss by waiting is reckoned, us: the next call at least. */
   static final long MIN_LOOK_AHEAD_US = OverloadController.SECOND_US;
 
   static final long MAX_LOOK_AHEAD_US = 10 * OverloadController.SECOND_US;
 
-  final long id;
+  private final long id;
 
-  /** What waits, like with like. */
-  final List<DeadlineGroup> groups = new ArrayList<>();
+  /** The messages that wait, like with like. */
+  private final List<DeadlineGroup> groups = new ArrayList<>();
 
-  final List<Route> routes = new ArrayList<>();
+  private final List<Route> routes = new ArrayList<>();
+  private Directives directives = Directives.NONE;
 
-  /** What other subsystems say of it; binds all of its lanes. */
-  Directives directives = Directives.NONE;
+  /** Its messages, waiting or in flight, and those of them that wait. */
+  private int openMessages;
 
-  /** Its messages, waiting or out; those that wait. */
-  int openMessages, waitingMessages;
+  private int waitingMessages;
 
-  boolean changed;
+  /** Whether it is among the changed destinations of the round. */
+  private boolean changed;
 
-  /** What is refused first to make room, when last looked at. */
-  PendingMessage leastValuable;
+  /** The message that would be shed first, as of the last ranking. */
+  private PendingMessage leastValuable;
 
   Destination(final long id) {
     this.id = id;
   }
 
-  /** How long its line takes at the rate that it was served, us. */
+  long id() {
+    return id;
+  }
+
+  List<DeadlineGroup> groups() {
+    return groups;
+  }
+
+  List<Route> routes() {
+    return routes;
+  }
+
+  Directives directives() {
+    return directives;
+  }
+
+  void applyDirective(final Directive directive, final long nowUs) {
+    directives = directives.with(directive, nowUs);
+  }
+
+  // ---------------------------------------------------------------- messages
+
+  boolean hasMessages() {
+    return openMessages > 0;
+  }
+
+  int waitingMessages() {
+    return waitingMessages;
+  }
+
+  void addMessage() {
+    openMessages++;
+  }
+
+  void removeMessage() {
+    openMessages--;
+  }
+
+  void startWaiting() {
+    waitingMessages++;
+  }
+
+  void stopWaiting() {
+    waitingMessages--;
+  }
+
+  /** Puts a waiting message among those like it; {@code blocked}: another of its key goes first. */
+  void enqueue(final PendingMessage message, final boolean blocked) {
+    final boolean endsWithItsKey = message.retryDeadlineUs() < message.validUntilUs();
+    DeadlineGroup matching = null;
+    for (final DeadlineGroup group : groups) {
+      matching = group.matches(message, blocked, endsWithItsKey) ? group : matching;
+    }
+    if (matching == null) {
+      matching = new DeadlineGroup(message, blocked, endsWithItsKey);
+      groups.add(matching);
+    }
+    matching.add(message);
+  }
+
+  /** Takes a message out from among those like it. */
+  void dequeue(final PendingMessage message) {
+    final DeadlineGroup group = message.group();
+    group.remove(message);
+    if (group.isEmpty()) {
+      groups.remove(group);
+    }
+  }
+
+  /** Returns how long its queue takes to drain at the rate at which it was served. */
   long queueDrainUs() {
     double rate = 0;
-    for (final Route lane : routes) {
-      rate += lane.messageRate;
+    for (final Route route : routes) {
+      rate += route.serviceRate().messagesPerSecond();
     }
     return (long) (waitingMessages / Math.max(MIN_RATE, rate) * OverloadController.SECOND_US);
   }
 
+  /** Returns how far ahead the loss by waiting is reckoned. */
   long lookAheadUs() {
     return (long)
         PriorityValue.clamp((double) queueDrainUs(), MIN_LOOK_AHEAD_US, MAX_LOOK_AHEAD_US);
   }
 
-  /**
-   * Puts a message that waits among those like it; {@code blocked}: another of its key goes first.
-   */
-  void enqueue(final PendingMessage job, final boolean blocked) {
-    final boolean odd = job.retryDeadlineUs() < job.message.validUntilUs();
-    DeadlineGroup group = null;
-    for (final DeadlineGroup one : groups) {
-      group = one.matches(job, blocked, odd) ? one : group;
-    }
-    if (group == null) {
-      group = new DeadlineGroup(job, blocked, odd);
-      groups.add(group);
-    }
-    job.group = group;
-    if (odd) {
-      group.unordered.add(job);
-    } else {
-      group.ordered.add(job, job.objectiveUs, job.queuePosition);
-    }
+  // ---------------------------------------------------------------- round
+
+  boolean isChanged() {
+    return changed;
   }
 
-  /** Takes a message out from among those like it. */
-  void dequeue(final PendingMessage job) {
-    final DeadlineGroup group = job.group;
-    if (group.unordered != null) {
-      group.unordered.remove(job);
-    } else {
-      group.ordered.remove(job);
-    }
-    if (group.isEmpty()) {
-      groups.remove(group);
-    }
-    job.group = null;
+  void markChanged() {
+    changed = true;
+  }
+
+  void clearChanged() {
+    changed = false;
+  }
+
+  PendingMessage leastValuable() {
+    return leastValuable;
+  }
+
+  void setLeastValuable(final PendingMessage message) {
+    leastValuable = message;
   }
 
-  /** Makes up for the steps that its lanes were idle for. */
-  void catchUpIdleSteps(final long steps) {
-    for (final Route lane : routes) {
-      lane.catchUpIdleSteps(steps);
+  /** Makes up for the steps for which its routes were idle. */
+  void catchUpIdleSteps(final long stepNumber) {
+    for (final Route route : routes) {
+      route.catchUpIdleSteps(stepNumber);
     }
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
@@ -1,90 +1,285 @@
 package thistleturn.decisions;
 
 import java.util.Arrays;
+import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.directives.Directives;
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.rejections.EndpointClassStatistics;
 
-/** An endpoint. */
+/**
+ * One endpoint of a route: its calls and connections, and how it has answered each message class.
+ */
 final class EndpointHealth {
+  /** What the endpoint that has just rejected a message weighs more for it, in calls. */
   private static final double REJECTED_MESSAGE_LOAD = 2;
-  final Endpoint descriptor;
-  final Route route;
-  EndpointState state;
 
-  /** What other subsystems say of it. */
-  Directives directives = Directives.NONE;
+  private final Endpoint descriptor;
+  private final Route route;
+  private EndpointState state;
+  private Directives directives = Directives.NONE;
 
-  int callsInFlight, connections, unresponsiveCalls;
+  private int callsInFlight;
+  private int connections;
+  private int unresponsiveCalls;
 
-  /** Since which event or pass its silent calls are to be reckoned with. */
-  long unresponsiveSinceTick;
+  /** Since which event or round its unresponsive calls count. */
+  private long unresponsiveSinceTick;
 
-  /** Failures in a row of each class, and until when that class goes elsewhere. */
-  final double[] failureRuns;
+  /** By class: failures in a row, and until when calls of the class go elsewhere. */
+  private final double[] failureRuns;
 
-  final long[] avoidUntilUs;
+  private final long[] avoidUntilUs;
+  private final EndpointClassStatistics[] classStatistics;
 
-  /** By class: its tail and its own refusals. */
-  final EndpointClassStatistics[] classStatistics;
+  private long lastUseUs;
+  private long lastSendUs;
+  private long lastSuccessUs;
 
-  long lastUseUs, lastSendUs, lastSuccessUs;
-
-  EndpointHealth(final Endpoint entry, final Route lane, final int classes) {
-    this.failureRuns = new double[classes];
-    this.avoidUntilUs = new long[classes];
-    this.classStatistics = new EndpointClassStatistics[classes];
-    Arrays.setAll(classStatistics, kind -> new EndpointClassStatistics());
-    this.descriptor = entry;
-    this.route = lane;
+  EndpointHealth(final Endpoint descriptor, final Route route, final int classCount) {
+    this.descriptor = descriptor;
+    this.route = route;
+    this.failureRuns = new double[classCount];
+    this.avoidUntilUs = new long[classCount];
+    this.classStatistics = new EndpointClassStatistics[classCount];
+    Arrays.setAll(classStatistics, classIndex -> new EndpointClassStatistics());
   }
 
   long id() {
     return descriptor.id();
   }
 
-  /** True if new calls may go there, as far as the list and other subsystems say. */
+  String zone() {
+    return descriptor.zone();
+  }
+
+  Route route() {
+    return route;
+  }
+
+  // ---------------------------------------------------------------- availability
+
+  EndpointState state() {
+    return state;
+  }
+
+  void setState(final EndpointState next) {
+    state = next;
+  }
+
+  Directives directives() {
+    return directives;
+  }
+
+  void applyDirective(final Directive directive, final long nowUs) {
+    directives = directives.with(directive, nowUs);
+  }
+
+  boolean isListed() {
+    return state == EndpointState.LISTED;
+  }
+
+  /** Returns whether the endpoint list and the directives let new calls go here. */
   boolean acceptsCalls(final long nowUs) {
-    return state == EndpointState.LISTED && directives.earliestCallUs(lastSendUs, nowUs) <= nowUs;
+    return isListed() && directives.earliestCallUs(lastSendUs, nowUs) <= nowUs;
+  }
+
+  /** Returns whether calls go elsewhere, or only as trials, although the endpoint is listed. */
+  boolean isAvoided(final long nowUs) {
+    return isListed()
+        && (route.circuit().isOpen()
+            || unresponsiveCalls > 0
+            || Arrays.stream(avoidUntilUs).allMatch(untilUs -> nowUs < untilUs));
+  }
+
+  /** Returns whether messages of a class go elsewhere for now. */
+  boolean isAvoidedBy(final int classIndex, final long nowUs) {
+    return unresponsiveCalls > 0 || nowUs < avoidUntilUs[classIndex];
+  }
+
+  /** Returns when the first class that is avoided may come back; never, if none is avoided. */
+  long nextClassReturnUs(final long nowUs) {
+    long nextUs = OverloadController.NEVER;
+    for (final long untilUs : avoidUntilUs) {
+      nextUs = untilUs > nowUs ? Math.min(nextUs, untilUs) : nextUs;
+    }
+    return nextUs;
+  }
+
+  void avoidClassUntil(final int classIndex, final long untilUs) {
+    avoidUntilUs[classIndex] = untilUs;
+  }
+
+  void avoidAllUntil(final long untilUs) {
+    Arrays.fill(avoidUntilUs, untilUs);
+  }
+
+  // ---------------------------------------------------------------- calls and connections
+
+  int callsInFlight() {
+    return callsInFlight;
+  }
+
+  int connections() {
+    return connections;
+  }
+
+  long lastUseUs() {
+    return lastUseUs;
+  }
+
+  long lastSendUs() {
+    return lastSendUs;
+  }
+
+  void startCall() {
+    callsInFlight++;
+  }
+
+  void endCall() {
+    callsInFlight--;
+  }
+
+  void recordSend(final long nowUs) {
+    lastSendUs = nowUs;
+  }
+
+  void recordUse(final long nowUs) {
+    lastUseUs = nowUs;
   }
 
   /**
-   * What its refusals weigh in the choice for a message, in calls in flight; more where it refused
-   * this one.
+   * Gives the call that has just started a connection.
+   *
+   * @return whether there was one already
    */
-  double rejectionLoad(final int kind, final EndpointHealth refusedBy) {
-    return classStatistics[kind].consecutiveRejections()
-        + (this == refusedBy ? REJECTED_MESSAGE_LOAD : 0);
+  boolean occupyConnection(final int streamsPerConnection) {
+    final boolean reused = connections * streamsPerConnection >= callsInFlight;
+    connections =
+        Math.max(connections, (callsInFlight + streamsPerConnection - 1) / streamsPerConnection);
+    return reused;
   }
 
-  /** A message was served there: it is neither silent nor in trouble for its class. */
-  void recordSuccess(final int kind, final long nowUs, final long durationUs) {
+  /** Returns whether the next call would open a connection. */
+  boolean needsHandshake(
+      final int streamsPerConnection, final long idleTimeoutUs, final long nowUs) {
+    return callsInFlight >= connections * streamsPerConnection
+        || (callsInFlight == 0 && nowUs - lastUseUs >= idleTimeoutUs);
+  }
+
+  void dropConnections() {
+    connections = 0;
+  }
+
+  void dropOneConnection() {
+    connections -= Math.min(1, connections);
+  }
+
+  void dropIdleConnections() {
+    connections = Math.min(connections, callsInFlight);
+  }
+
+  // ---------------------------------------------------------------- outcomes
+
+  /** Records a delivered message; a duration below 0 was not measured. */
+  void recordSuccess(final int classIndex, final long nowUs, final long durationUs) {
     lastSuccessUs = nowUs;
-    route.unresponsiveCalls -= unresponsiveCalls;
-    unresponsiveCalls = 0;
-    failureRuns[kind] = 0;
-    avoidUntilUs[kind] = 0;
-    classStatistics[kind].recordServed(Math.max(0, durationUs));
+    forgetUnresponsiveCalls();
+    failureRuns[classIndex] = 0;
+    avoidUntilUs[classIndex] = 0;
+    classStatistics[classIndex].recordServed(Math.max(0, durationUs));
   }
 
-  /**
-   * What failed there failed for want of a way out; calls that are still out from then say nothing
-   * more of it.
-   */
+  /** Forgets all faults: they were due to this courier's own connectivity. */
   void clearFaults(final long nowUs) {
     lastSuccessUs = nowUs;
     Arrays.fill(failureRuns, 0);
     Arrays.fill(avoidUntilUs, 0);
-    route.unresponsiveCalls -= unresponsiveCalls;
+    forgetUnresponsiveCalls();
+  }
+
+  private void forgetUnresponsiveCalls() {
+    route.removeUnresponsiveCalls(unresponsiveCalls);
     unresponsiveCalls = 0;
   }
 
-  /** True if nothing goes there though it is listed, for trouble with it, or only single trials. */
-  boolean isAvoided(final long nowUs) {
-    return state == EndpointState.LISTED
-        && (route.circuitState == CircuitState.OUT
-            || unresponsiveCalls > 0
-            || Arrays.stream(avoidUntilUs).allMatch(untilUs -> nowUs < untilUs));
+  void recordFailure(final int classIndex, final double part) {
+    failureRuns[classIndex] += part;
+  }
+
+  double failureRun(final int classIndex) {
+    return failureRuns[classIndex];
+  }
+
+  /** Returns whether a call was delivered here at or after a time. */
+  boolean hasSucceededSince(final long sinceUs) {
+    return lastSuccessUs >= sinceUs;
+  }
+
+  long lastSuccessUs() {
+    return lastSuccessUs;
+  }
+
+  EndpointClassStatistics classStatistics(final int classIndex) {
+    return classStatistics[classIndex];
+  }
+
+  /** Returns what its rejections weigh in the choice for a message, in calls in flight. */
+  double rejectionLoad(final int classIndex, final EndpointHealth rejectedBy) {
+    return classStatistics[classIndex].consecutiveRejections()
+        + (this == rejectedBy ? REJECTED_MESSAGE_LOAD : 0);
+  }
+
+  // ---------------------------------------------------------------- unresponsive calls
+
+  boolean isUnresponsive() {
+    return unresponsiveCalls > 0;
+  }
+
+  /** Counts an overdue call since which nothing has succeeded here. */
+  void addUnresponsiveCall(final long tick) {
+    route.addUnresponsiveCall();
+    if (unresponsiveCalls++ == 0) {
+      unresponsiveSinceTick = tick;
+    }
+  }
+
+  void removeUnresponsiveCall() {
+    unresponsiveCalls--;
+    route.removeUnresponsiveCalls(1);
+  }
+
+  long unresponsiveSinceTick() {
+    return unresponsiveSinceTick;
+  }
+
+  void restartUnresponsiveness(final long tick) {
+    unresponsiveSinceTick = tick;
+  }
+
+  // ---------------------------------------------------------------- learned state
+
+  int classCount() {
+    return failureRuns.length;
+  }
+
+  double[] failureRuns() {
+    return failureRuns.clone();
+  }
+
+  long[] avoidUntilUs() {
+    return avoidUntilUs.clone();
+  }
+
+  /** Restores what another process of this courier had learned. */
+  void restore(
+      final double[] restoredFailureRuns,
+      final long[] restoredAvoidUntilUs,
+      final long restoredLastSendUs,
+      final long restoredLastSuccessUs) {
+    System.arraycopy(restoredFailureRuns, 0, failureRuns, 0, failureRuns.length);
+    System.arraycopy(restoredAvoidUntilUs, 0, avoidUntilUs, 0, avoidUntilUs.length);
+    lastSendUs = restoredLastSendUs;
+    lastSuccessUs = restoredLastSuccessUs;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointSelector.java
@@ -1,14 +1,13 @@
 package thistleturn.decisions;
 
+import thistleturn.decisions.model.ResourceLimits;
+
 /**
- * Which endpoint of a lane a message goes to: the one with least in flight, recent trouble,
- * handshakes and zones to cross.
+ * Selects the endpoint of a route for a message: the one with the least load of calls in flight,
+ * recent failures, handshakes and zones to cross.
  */
 final class EndpointSelector {
-  /**
-   * What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in
-   * flight.
-   */
+  /** What a handshake and the crossing of a zone weigh, in calls in flight. */
   private static final double HANDSHAKE_LOAD = 0.8;
 
   private static final double CROSS_ZONE_LOAD = 0.6;
@@ -19,38 +18,48 @@
     this.state = state;
   }
 
-  /** The best endpoint of a lane for a message now, or null. */
+  /** Returns the best endpoint of a route for a message of a group, or null if there is none. */
   EndpointHealth select(
-      final Route lane, final DeadlineGroup group, final EndpointHealth refusedBy) {
+      final Route route, final DeadlineGroup group, final EndpointHealth rejectedBy) {
     EndpointHealth best = null;
     double bestLoad = 0;
-    final int kind = group.classIndex;
-    for (final EndpointHealth node : lane.endpoints) {
-      if (!node.acceptsCalls(state.nowUs)
-          || !group.allowsZoneOf(node)
-          || (lane.circuitState == CircuitState.WELL
-              && (node.unresponsiveCalls > 0 || state.nowUs < node.avoidUntilUs[kind]))) {
+    for (final EndpointHealth endpoint : route.endpoints()) {
+      if (!isEligible(endpoint, route, group)) {
         continue;
       }
-      final boolean handshake =
-          node.callsInFlight >= node.connections * state.settings.limits().streamsPerConnection()
-              || (node.callsInFlight == 0
-                  && state.nowUs - node.lastUseUs >= state.settings.limits().idleTimeoutUs());
       final double load =
-          lane.circuitState == CircuitState.OUT
-              ? node.lastSendUs
-              : node.callsInFlight
-                  + node.failureRuns[kind]
-                  + (handshake ? HANDSHAKE_LOAD : 0)
-                  + node.rejectionLoad(kind, refusedBy)
-                  + (lane.isInLocalZone(node) ? 0 : CROSS_ZONE_LOAD);
-      final double weighed =
-          lane.circuitState == CircuitState.OUT ? load : load / node.directives.weight(state.nowUs);
-      if (best == null || weighed < bestLoad) {
-        best = node;
-        bestLoad = weighed;
+          route.circuit().isOpen()
+              ? endpoint.lastSendUs()
+              : load(endpoint, route, group.classIndex(), rejectedBy);
+      if (best == null || load < bestLoad) {
+        best = endpoint;
+        bestLoad = load;
       }
     }
     return best;
   }
+
+  private boolean isEligible(
+      final EndpointHealth endpoint, final Route route, final DeadlineGroup group) {
+    return endpoint.acceptsCalls(state.nowUs)
+        && group.allowsZoneOf(endpoint)
+        && !(route.circuit().isClosed() && endpoint.isAvoidedBy(group.classIndex(), state.nowUs));
+  }
+
+  private double load(
+      final EndpointHealth endpoint,
+      final Route route,
+      final int classIndex,
+      final EndpointHealth rejectedBy) {
+    final ResourceLimits limits = state.settings.limits();
+    final boolean handshake =
+        endpoint.needsHandshake(limits.streamsPerConnection(), limits.idleTimeoutUs(), state.nowUs);
+    final double load =
+        endpoint.callsInFlight()
+            + endpoint.failureRun(classIndex)
+            + (handshake ? HANDSHAKE_LOAD : 0)
+            + endpoint.rejectionLoad(classIndex, rejectedBy)
+            + (route.isInLocalZone(endpoint) ? 0 : CROSS_ZONE_LOAD);
+    return load / endpoint.directives().weight(state.nowUs);
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/IdleConnectionPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/IdleConnectionPolicy.java
@@ -3,84 +3,98 @@
 import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.decisions.model.Idempotence;
 
-/**
- * Connections that carry no call: how long they are trusted, and which are closed for others' sake.
- */
+/** Decides which idle connections are closed: for lack of trust, or for the sake of others. */
 final class IdleConnectionPolicy {
-  /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
+  /**
+   * Growth a second of the idle time that connections are trusted to survive: threefold a minute.
+   */
   private static final double TRUST_GROWTH = 1.02;
 
-  /** Idle for less, us, a connection dies of something else than its idleness. */
+  /** A connection that was idle for less, us, has died of something else. */
   private static final long MIN_TRUST_US = OverloadController.SECOND_US;
 
-  /**
-   * Calls' time within which a connection waits for its next use: a few for each call in flight.
-   */
+  /** Durations of a call within which a kept connection waits for its next use. */
   private static final double REUSE_CALLS = 2;
 
   private final ControllerState state;
   private final SendPermission sendPermission;
+  private double trustedIdleUs;
 
-  /** How long an idle connection is trusted, us. */
-  double trustedIdleUs;
-
-  IdleConnectionPolicy(final ControllerState state, final SendPermission gate) {
+  IdleConnectionPolicy(final ControllerState state, final SendPermission sendPermission) {
     this.state = state;
-    this.sendPermission = gate;
+    this.sendPermission = sendPermission;
     this.trustedIdleUs = state.settings.limits().idleTimeoutUs();
   }
 
-  /** A second has passed. */
+  /** Returns for how long idle connections are trusted. */
+  double trustedIdleUs() {
+    return trustedIdleUs;
+  }
+
+  void restoreTrust(final double restoredTrustUs) {
+    trustedIdleUs = restoredTrustUs;
+  }
+
+  /** Extends the trust: a second has passed. */
   void extendTrust() {
     trustedIdleUs =
         Math.min((double) state.settings.limits().idleTimeoutUs(), TRUST_GROWTH * trustedIdleUs);
   }
 
-  /** A call over a connection that had been idle failed where all was well. */
+  /** Reduces the trust: a call over an idle connection has failed where all was well. */
   void recordStaleConnection(final InFlightCall call) {
-    if (call.connectionIdleUs >= MIN_TRUST_US) {
-      final long halfUs = call.connectionIdleUs / 2;
+    if (call.connectionIdleUs() >= MIN_TRUST_US) {
+      final long halfUs = call.connectionIdleUs() / 2;
       trustedIdleUs = Math.max(MIN_TRUST_US, Math.min(trustedIdleUs, (double) halfUs));
     }
   }
 
   /**
-   * An idle connection may be dead without a sign, wherever it died: when a call over one fails
-   * where all was well, none idle half as long is used for a while (a quarter, for unsafe ones).
-   * Costs handshakes.
+   * Closes the idle connections of an endpoint before a call, if they have been idle for longer
+   * than they are trusted. An idle connection may be stale without a sign; a non-idempotent message
+   * trusts it half as long.
    */
-  void closeIfUntrusted(
-      final InFlightCall call, final EndpointHealth node, final PendingMessage job) {
-    final long idleUs = state.nowUs - node.lastUseUs;
-    if (node.connections > 0
-        && idleUs
-            >= trustedIdleUs
-                / (job.messageClass.idempotence() == Idempotence.NON_IDEMPOTENT ? 2 : 1)) {
-      node.connections = 0;
-      state.actions.closeIdleConnections(node.descriptor.id());
+  void closeIfUntrusted(final InFlightCall call, final PendingMessage message) {
+    final EndpointHealth endpoint = call.endpoint();
+    if (endpoint.connections() == 0) {
+      call.useIdleConnection(0);
+      return;
+    }
+    final long idleUs = state.nowUs - endpoint.lastUseUs();
+    final int caution = message.idempotence() == Idempotence.NON_IDEMPOTENT ? 2 : 1;
+    if (idleUs >= trustedIdleUs / caution) {
+      endpoint.dropConnections();
+      state.actions.closeIdleConnections(endpoint.id());
     } else {
-      call.connectionIdleUs = node.connections > 0 ? idleUs : 0;
+      call.useIdleConnection(idleUs);
     }
   }
 
   /**
-   * An idle connection takes the place of another courier's: where they are many, it is closed
-   * unless its next use is near or few keep one. Guards against refused connections; costs a
-   * handshake a call.
+   * Closes the idle connections of an endpoint after a call in a large fleet, where they take the
+   * place of other couriers', unless they are used again soon or few couriers keep one.
    */
-  void closeIfNotReused(final EndpointHealth node, final InFlightCall call) {
-    final double usesInReach =
-        node.route.callRate * REUSE_CALLS * call.expectedUs / OverloadController.SECOND_US;
-    final boolean next =
-        node.route.inVastFleet
-            && node.route.destination.waitingMessages > 0
-            && sendPermission.sendAllowedAtUs(node.route) <= state.nowUs + call.expectedUs;
-    if (FleetSize.isLarge(state.settings.courierCount())
-        && usesInReach < node.route.endpoints.size()
-        && !next
-        && !node.route.mayKeepIdleConnection(node)) {
-      node.connections = Math.min(node.connections, node.callsInFlight);
-      state.actions.closeIdleConnections(node.descriptor.id());
+  void closeIfNotReused(final EndpointHealth endpoint, final InFlightCall call) {
+    if (!FleetSize.isLarge(state.settings.courierCount())) {
+      return;
     }
+    final Route route = endpoint.route();
+    final double usesSoon =
+        route.serviceRate().averageCallsPerSecond()
+            * REUSE_CALLS
+            * call.expectedUs()
+            / OverloadController.SECOND_US;
+    if (usesSoon < route.endpoints().size()
+        && !isNextUseNear(route, call.expectedUs())
+        && !route.mayKeepIdleConnection(endpoint)) {
+      endpoint.dropIdleConnections();
+      state.actions.closeIdleConnections(endpoint.id());
+    }
+  }
+
+  private boolean isNextUseNear(final Route route, final long withinUs) {
+    return route.isInVastFleet()
+        && route.destination().waitingMessages() > 0
+        && sendPermission.sendAllowedAtUs(route) <= state.nowUs + withinUs;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
+++ b/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
@@ -1,87 +1,217 @@
 package thistleturn.decisions;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import thistleturn.decisions.index.TimeHeap;
 import thistleturn.decisions.model.AttemptResult;
 
-/** A call in flight, with one or more messages. */
+/** A call in flight to one endpoint, with one or more messages; due when it becomes overdue. */
 final class InFlightCall extends TimeHeap.Entry {
-  /**
-   * A failure is a single one while less than this share of the lane's calls fails, and its
-   * endpoint serves.
-   */
-  static final double ISOLATED_FAILURE_RATIO = 0.3;
-
-  /**
-   * A call is overdue after so many times what is expected (one in 150, by chance), and so long,
-   * us.
-   */
+  /** A call is overdue after this many times its expected duration: one in 150, by chance. */
   static final double OVERDUE_FACTOR = 5;
 
+  /** A call is not overdue before it has taken this long, us. */
   static final long MIN_OVERDUE_US = OverloadController.SECOND_US;
 
-  EndpointHealth endpoint;
+  /** A failure is isolated while less than this ratio of the route's calls fails. */
+  private static final double MAX_ISOLATED_FAILURE_RATIO = 0.3;
 
-  /** Its messages without an outcome, in the order taken. */
-  final List<PendingMessage> pendingMessages = new ArrayList<>(1);
+  private final EndpointHealth endpoint;
+  private final long sentUs;
 
-  /** Messages sent with it, and those without an outcome yet. */
-  int batchSize, pendingOutcomes;
+  /** The messages without an outcome. */
+  private final List<PendingMessage> pendingMessages = new ArrayList<>(1);
 
-  long sentUs, expectedUs, connectionIdleUs;
+  private int batchSize;
+  private long expectedUs;
+  private long connectionIdleUs;
 
-  /** How long this courier did not run while it was out. */
-  long hostPauseUs;
+  /** How long this courier did not run while the call was in flight. */
+  private long hostPauseUs;
 
-  /**
-   * It went over a connection that was kept, as far as is known here; and that alone made it fail.
-   */
-  boolean reusedConnection, staleConnection;
+  /** Whether it went over a connection that was there already, as far as is known here. */
+  private boolean reusedConnection;
+
+  /** Whether a stale connection alone made it fail. */
+  private boolean staleConnection;
+
+  private boolean cancelled;
+  private boolean overdue;
+  private boolean probe;
+
+  /** What its rejection was found to mean. */
+  private RejectionMeaning rejection = RejectionMeaning.UNCLASSIFIED;
+
+  /** What the rejection of a call was found to mean. */
+  private enum RejectionMeaning {
+    UNCLASSIFIED,
+    LOAD,
+    STRAY
+  }
+
+  InFlightCall(final EndpointHealth endpoint, final long sentUs) {
+    this.endpoint = endpoint;
+    this.sentUs = sentUs;
+  }
+
+  EndpointHealth endpoint() {
+    return endpoint;
+  }
+
+  Route route() {
+    return endpoint.route();
+  }
 
-  boolean cancelled, overdue;
+  long sentUs() {
+    return sentUs;
+  }
+
+  // ---------------------------------------------------------------- messages
+
+  /** Adds a message to the call, which is expected to take at least so long with it. */
+  void add(final PendingMessage message, final long messageExpectedUs) {
+    pendingMessages.add(message);
+    batchSize++;
+    expectedUs = Math.max(expectedUs, messageExpectedUs);
+  }
+
+  /** Puts the messages into the order in which they were accepted: all of them are sent. */
+  void completeBatch() {
+    pendingMessages.sort(Comparator.comparingLong(PendingMessage::sequence));
+  }
+
+  /** Removes a message that has its outcome. */
+  void remove(final PendingMessage message) {
+    pendingMessages.remove(message);
+  }
+
+  List<PendingMessage> pendingMessages() {
+    return pendingMessages;
+  }
+
+  /** Returns whether all messages have their outcome. */
+  boolean isComplete() {
+    return pendingMessages.isEmpty();
+  }
+
+  /** Returns the number of messages it was sent with. */
+  int batchSize() {
+    return batchSize;
+  }
 
-  /** It was sent to learn what a refusal answered to. */
-  boolean probe;
+  /** Returns the part that one message is of the call. */
+  double partPerMessage() {
+    return 1.0 / batchSize;
+  }
+
+  long firstSequence() {
+    return pendingMessages.get(0).sequence();
+  }
 
-  /** A message of it was refused; and that was found not to answer to what is sent. */
-  boolean rejectionClassified, strayRejection;
+  // ---------------------------------------------------------------- connection
+
+  void useIdleConnection(final long idleUs) {
+    connectionIdleUs = idleUs;
+  }
+
+  long connectionIdleUs() {
+    return connectionIdleUs;
+  }
+
+  void setReusedConnection(final boolean reused) {
+    reusedConnection = reused;
+  }
 
   /**
-   * True if its connection was dead before the call: as the host tells, or, where hosts cannot
-   * tell, as it seems from a reset of what may have been a kept connection, its endpoint well so
-   * far.
+   * Decides whether a failure is that of a connection that was stale before the call: as the host
+   * tells or, where hosts cannot tell, as it seems from a reset of what may have been a reused
+   * connection of an endpoint without failures. Once stale, it stays so for all of its messages.
    */
-  boolean wasConnectionStale(final AttemptResult how, final double badRun) {
-    return how == AttemptResult.STALE
-        || (how == AttemptResult.RESET && reusedConnection && badRun == 0);
+  boolean failedOnStaleConnection(final AttemptResult result, final double failureRun) {
+    staleConnection |=
+        result == AttemptResult.STALE
+            || (result == AttemptResult.RESET && reusedConnection && failureRun == 0);
+    return staleConnection;
   }
 
-  /** True if it alone was lost while others came through: that says little of its endpoint. */
-  boolean isIsolatedFailure(final int kind, final AttemptResult result) {
-    final Route lane = endpoint.route;
+  /** Returns whether it alone was lost while others came through. */
+  boolean isIsolatedFailure(final int classIndex, final AttemptResult result) {
+    final CircuitBreaker circuit = route().circuit();
     // A reset comes at once, before another call can have been served.
-    final boolean among =
-        endpoint.lastSuccessUs >= sentUs
+    final boolean othersSucceed =
+        endpoint.hasSucceededSince(sentUs)
             || (result != AttemptResult.TIMED_OUT
-                && lane.faultRun == 0
-                && endpoint.lastSuccessUs > 0);
-    return among
-        && lane.circuitState == CircuitState.WELL
-        && endpoint.failureRuns[kind] == 0
-        && lane.failureRatio < ISOLATED_FAILURE_RATIO;
+                && !circuit.hasFaultRun()
+                && endpoint.lastSuccessUs() > 0);
+    return othersSucceed
+        && circuit.isClosed()
+        && endpoint.failureRun(classIndex) == 0
+        && circuit.failureRatio() < MAX_ISOLATED_FAILURE_RATIO;
   }
 
-  /** True while it is worth calling off. */
-  boolean isCancellable() {
-    return overdue && !cancelled;
+  /** Returns whether failures of the route are too many to be isolated ones. */
+  static boolean isCommonFailure(final double failureRatio) {
+    return failureRatio > MAX_ISOLATED_FAILURE_RATIO;
   }
 
-  long firstSequence() {
-    return pendingMessages.get(0).sequence;
+  // ---------------------------------------------------------------- overdue calls
+
+  long expectedUs() {
+    return expectedUs;
   }
 
   long overdueAtUs() {
     return sentUs + hostPauseUs + Math.max(MIN_OVERDUE_US, (long) (OVERDUE_FACTOR * expectedUs));
   }
+
+  /** Grants the call the time in which this courier did not run. */
+  void extendBy(final long pauseUs) {
+    hostPauseUs += pauseUs;
+  }
+
+  boolean isOverdue() {
+    return overdue;
+  }
+
+  void markOverdue() {
+    overdue = true;
+  }
+
+  boolean isCancelled() {
+    return cancelled;
+  }
+
+  void cancel() {
+    cancelled = true;
+  }
+
+  /** Returns whether it is overdue and still worth cancelling. */
+  boolean isCancellable() {
+    return overdue && !cancelled;
+  }
+
+  // ---------------------------------------------------------------- rejection
+
+  boolean isProbe() {
+    return probe;
+  }
+
+  /** Marks the call as one that is sent to learn what a rejection answered to. */
+  void setProbe(final boolean isProbe) {
+    probe = isProbe;
+  }
+
+  boolean isRejectionClassified() {
+    return rejection != RejectionMeaning.UNCLASSIFIED;
+  }
+
+  void classifyRejection(final boolean stray) {
+    rejection = stray ? RejectionMeaning.STRAY : RejectionMeaning.LOAD;
+  }
+
+  /** Returns whether its rejection was found not to answer to what the route is sent. */
+  boolean isRejectionStray() {
+    return rejection == RejectionMeaning.STRAY;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
@@ -7,89 +7,91 @@
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * The rule on order: messages of one key go one behind the other, each after the rest that an open
- * attempt asks for.
+ * Keeps the messages of one key in order: each goes after the one before it has ended, and after
+ * the settle delay that an unanswered attempt asks for.
  */
 final class KeyOrdering {
   private final ControllerState state;
   private final Map<String, KeyQueue> queues = new HashMap<>();
+
+  /** Queues without messages, kept while their settle delay lasts. */
   private final Set<KeyQueue> emptyQueues = new LinkedHashSet<>();
+
   private final TimeHeap<KeyQueue> settleTimers = new TimeHeap<>();
 
   KeyOrdering(final ControllerState state) {
     this.state = state;
   }
 
-  /** A message is the last of its key, if its class goes in turn. */
-  void enqueue(final PendingMessage job) {
-    if (job.messageClass.orderedByKey() && job.message.key() != null) {
-      job.keyQueue = queues.computeIfAbsent(job.message.key(), KeyQueue::new);
-      job.keyQueue.messages.add(job);
+  /** Puts a message behind all others of its key, if its class is ordered by key. */
+  void enqueue(final PendingMessage message) {
+    if (message.messageClass().orderedByKey() && message.key() != null) {
+      message.joinKeyQueue(queues.computeIfAbsent(message.key(), KeyQueue::new));
     }
   }
 
-  /** A message is over: the next of its key has its turn. */
-  void remove(final PendingMessage job) {
-    if (job.keyQueue != null) {
-      job.keyQueue.messages.remove(job);
-      refreshHead(job.keyQueue);
-      if (job.keyQueue.messages.isEmpty()) {
-        emptyQueues.add(job.keyQueue);
+  /** Takes out a message that has ended; the next of its key may go. */
+  void remove(final PendingMessage message) {
+    final KeyQueue queue = message.keyQueue();
+    if (queue != null) {
+      queue.remove(message);
+      refreshHead(queue);
+      if (queue.isEmpty()) {
+        emptyQueues.add(queue);
       }
     }
   }
 
-  /** An attempt may still run: its key rests. */
-  void beginSettleDelay(final PendingMessage job) {
-    if (job.keyQueue != null) {
-      job.keyQueue.settledAtUs = state.nowUs + state.settings.guarantees().settleDelayUs();
+  /** Begins the settle delay of a key: an attempt of this message may still run. */
+  void beginSettleDelay(final PendingMessage message) {
+    if (message.keyQueue() != null) {
+      message.keyQueue().settleUntil(state.nowUs + state.settings.guarantees().settleDelayUs());
     }
   }
 
-  /** When the first key has rested; never, if none rests. */
+  /** Returns when the next settle delay ends; never, if none is under way. */
   long nextSettledUs() {
     return settleTimers.earliestDueUs();
   }
 
-  /** Takes up what has rested. */
+  /** Lets the keys go on whose settle delay has ended. */
   void releaseSettled() {
-    for (KeyQueue rested = settleTimers.poll(state.nowUs);
-        rested != null;
-        rested = settleTimers.poll(state.nowUs)) {
-      refreshHead(rested);
+    for (KeyQueue settled = settleTimers.poll(state.nowUs);
+        settled != null;
+        settled = settleTimers.poll(state.nowUs)) {
+      refreshHead(settled);
     }
   }
 
-  /** Forgets keys without messages that need no rest any more. */
+  /** Removes the queues that are empty and settled. */
   void removeEmptyQueues() {
     emptyQueues.removeIf(
-        line ->
-            !line.messages.isEmpty()
-                || (line.settledAtUs <= state.nowUs && queues.remove(line.key, line)));
+        queue ->
+            !queue.isEmpty()
+                || (queue.isSettled(state.nowUs) && queues.remove(queue.key(), queue)));
   }
 
-  /**
-   * Rule on order: the first of its key goes, and only after the rest that an open attempt asks
-   * for.
-   */
-  boolean mayProceed(final PendingMessage job) {
-    return job.keyQueue == null
-        || (job.keyQueue.first() == job
-            && (job.mayHaveExecuted || job.keyQueue.settledAtUs <= state.nowUs));
+  /** Returns whether a message is the first of its key and its key is settled. */
+  boolean mayProceed(final PendingMessage message) {
+    final KeyQueue queue = message.keyQueue();
+    return queue == null
+        || (queue.first() == message
+            && (message.mayHaveExecuted() || queue.isSettled(state.nowUs)));
   }
 
-  /** The first of a key may go now, or must wait again, or is another one. */
-  void refreshHead(final KeyQueue line) {
-    final PendingMessage first = line == null ? null : line.first();
-    if (first != null && first.waiting) {
-      if (first.group.blocked == mayProceed(first)) {
-        state.markChanged(first.destination);
-        first.destination.dequeue(first);
-        first.destination.enqueue(first, !mayProceed(first));
-        state.nextRoundUs = state.nowUs;
-      }
-      settleTimers.schedule(
-          line, first.group.blocked ? line.settledAtUs : OverloadController.NEVER);
+  /** Refiles the first message of a key, which may go now or must wait again; null: nothing. */
+  void refreshHead(final KeyQueue queue) {
+    final PendingMessage first = queue == null ? null : queue.first();
+    if (first == null || !first.isWaiting()) {
+      return;
+    }
+    if (first.group().isBlocked() == mayProceed(first)) {
+      state.markChanged(first.destination());
+      first.destination().dequeue(first);
+      first.destination().enqueue(first, !mayProceed(first));
+      state.nextRoundUs = state.nowUs;
     }
+    settleTimers.schedule(
+        queue, first.group().isBlocked() ? queue.settledAtUs() : OverloadController.NEVER);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/KeyQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/KeyQueue.java
@@ -4,17 +4,47 @@
 import java.util.Set;
 import thistleturn.decisions.index.TimeHeap;
 
-/** The messages of one key, in the order taken. */
+/** The messages of one key in the order accepted; due when its settle delay ends. */
 final class KeyQueue extends TimeHeap.Entry {
-  final String key;
-  final Set<PendingMessage> messages = new LinkedHashSet<>();
-  long settledAtUs;
+  private final String key;
+  private final Set<PendingMessage> messages = new LinkedHashSet<>();
+  private long settledAtUs;
 
   KeyQueue(final String key) {
     this.key = key;
   }
 
+  String key() {
+    return key;
+  }
+
+  void add(final PendingMessage message) {
+    messages.add(message);
+  }
+
+  void remove(final PendingMessage message) {
+    messages.remove(message);
+  }
+
+  boolean isEmpty() {
+    return messages.isEmpty();
+  }
+
+  /** Returns the message that goes first, or null. */
   PendingMessage first() {
     return messages.isEmpty() ? null : messages.iterator().next();
   }
+
+  long settledAtUs() {
+    return settledAtUs;
+  }
+
+  /** Begins a settle delay: an attempt of this key may still run until then. */
+  void settleUntil(final long untilUs) {
+    settledAtUs = untilUs;
+  }
+
+  boolean isSettled(final long nowUs) {
+    return settledAtUs <= nowUs;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/LatencyEstimator.java
+++ b/decisions/src/main/java/thistleturn/decisions/LatencyEstimator.java
@@ -3,71 +3,90 @@
 import java.util.List;
 import thistleturn.decisions.model.MessageClass;
 
-/** How long classes take, over all destinations, and the pace of each lane beside that. */
+/** How long the calls of each class take over all destinations, and of each route beside that. */
 final class LatencyEstimator {
-  /**
-   * Service time of a class before any was seen, as a share of its aim: the aim was set to be met.
-   */
+  /** The latency of a class before any was seen, as a share of its objective. */
   private static final double INITIAL_OBJECTIVE_SHARE = 0.25;
 
-  /**
-   * Least pace of a lane, times the usual: no answer is so quick that the next must be quicker
-   * still.
-   */
+  /** The least latency factor of a route: no answer is so quick that the next must be quicker. */
   private static final double MIN_LATENCY_FACTOR = 0.1;
 
-  /** By class: mean, us, and samples; the mean as last noted, with which messages are compared. */
-  final double[] meanUs;
+  /** Least weight of a sample in a mean: a memory of about ten samples. */
+  private static final double SAMPLE_WEIGHT = 0.1;
 
-  final int[] samples;
+  private final double[] meanUs;
+  private final int[] samples;
+
+  /** The means as last published, by which messages are compared. */
   private final double[] publishedMeanUs;
 
   LatencyEstimator(final List<MessageClass> classes) {
     this.meanUs =
         classes.stream()
-            .mapToDouble(kind -> INITIAL_OBJECTIVE_SHARE * kind.latencyObjectiveUs())
+            .mapToDouble(one -> INITIAL_OBJECTIVE_SHARE * one.latencyObjectiveUs())
             .toArray();
     this.samples = new int[meanUs.length];
     this.publishedMeanUs = meanUs.clone();
   }
 
   /**
-   * Takes in a call served, by class and lane; the result is how long it took, times the usual. Of
-   * one whose time was not measured (below 0) nothing is learnt: it was as usual.
+   * Takes in the latency of a delivery; nothing is learned from one that was not measured.
+   *
+   * @param durationUs how long it took; below 0: not measured
+   * @return how long it took, as a multiple of the usual latency of its class
    */
-  double recordLatency(final Route lane, final int kind, final long durationUs) {
+  double recordLatency(final Route route, final int classIndex, final long durationUs) {
+    final LatencyProfile profile = route.latency();
     if (durationUs < 0) {
-      return lane.latencyFactor;
+      return profile.factor();
     }
-    final double ratio = durationUs / Math.max(1, meanUs[kind]);
-    final double weight = Math.max(ConcurrencyWindow.SAMPLE_WEIGHT, 1.0 / ++samples[kind]);
-    meanUs[kind] +=
-        weight * (durationUs / Math.max(MIN_LATENCY_FACTOR, lane.latencyFactor) - meanUs[kind]);
-    lane.latencyFactor +=
-        Math.max(ConcurrencyWindow.SAMPLE_WEIGHT, 1.0 / (1 + ++lane.latencySamples))
-            * (ratio - lane.latencyFactor);
+    final double ratio = durationUs / Math.max(1, meanUs[classIndex]);
+    final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++samples[classIndex]);
+    meanUs[classIndex] += weight * (durationUs / boundedFactor(route) - meanUs[classIndex]);
+    profile.recordRatio(ratio);
     return ratio;
   }
 
-  /** Notes the means that have changed by more than a share; true if there were any. */
-  boolean publishMeans(final double change) {
-    boolean noted = false;
-    for (int kind = 0; kind < publishedMeanUs.length; kind++) {
-      if (Math.abs(meanUs[kind] - publishedMeanUs[kind]) > change * publishedMeanUs[kind]) {
-        publishedMeanUs[kind] = meanUs[kind];
-        noted = true;
+  /** Publishes the means that have changed by more than a share; returns whether any has. */
+  boolean publishMeans(final double threshold) {
+    boolean published = false;
+    for (int index = 0; index < publishedMeanUs.length; index++) {
+      final double change = Math.abs(meanUs[index] - publishedMeanUs[index]);
+      if (change > threshold * publishedMeanUs[index]) {
+        publishedMeanUs[index] = meanUs[index];
+        published = true;
       }
     }
-    return noted;
+    return published;
+  }
+
+  /** Returns how long a call of a class is expected to take on a route. */
+  double expectedUs(final Route route, final int classIndex) {
+    return meanUs[classIndex] * boundedFactor(route);
+  }
+
+  /** Returns the same by the mean of the class as last published. */
+  double publishedExpectedUs(final Route route, final int classIndex) {
+    return publishedMeanUs[classIndex] * boundedFactor(route);
+  }
+
+  private static double boundedFactor(final Route route) {
+    return Math.max(MIN_LATENCY_FACTOR, route.latency().factor());
+  }
+
+  // ---------------------------------------------------------------- learned state
+
+  double[] means() {
+    return meanUs.clone();
   }
 
-  /** What a call is expected to take, us. */
-  double expectedUs(final Route lane, final int kind) {
-    return meanUs[kind] * Math.max(MIN_LATENCY_FACTOR, lane.latencyFactor);
+  int[] sampleCounts() {
+    return samples.clone();
   }
 
-  /** The same with the class's time as it was last noted. */
-  double publishedExpectedUs(final Route lane, final int kind) {
-    return publishedMeanUs[kind] * Math.max(MIN_LATENCY_FACTOR, lane.latencyFactor);
+  /** Restores what another process of this courier had learned of the same classes. */
+  void restore(final double[] restoredMeanUs, final int[] restoredSamples) {
+    System.arraycopy(restoredMeanUs, 0, meanUs, 0, meanUs.length);
+    System.arraycopy(restoredSamples, 0, samples, 0, samples.length);
   }
 }
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedEndpointFormat.java
@@ -0,0 +1,48 @@
+package thistleturn.decisions;
+
+import java.util.Arrays;
+
+/**
+ * How the figures and moments of an endpoint stand in {@link LearnedState}; part of its format.
+ *
+ * <p>The figures are the failures in a row of each class; then, for each class, the longest of
+ * recent latencies and the number of samples. The moments are until when each class goes elsewhere;
+ * then the last call and the last success.
+ */
+final class LearnedEndpointFormat {
+  /** Figures of a class besides its failures in a row. */
+  private static final int FIGURES_OF_LATENCY = 2;
+
+  private LearnedEndpointFormat() {}
+
+  static double[] figures(final EndpointHealth endpoint) {
+    final int classes = endpoint.classCount();
+    final double[] figures =
+        Arrays.copyOf(endpoint.failureRuns(), (1 + FIGURES_OF_LATENCY) * classes);
+    for (int index = 0; index < classes; index++) {
+      final double[] latency = endpoint.classStatistics(index).learnedValues();
+      final int place = classes + FIGURES_OF_LATENCY * index;
+      figures[place] = latency[0];
+      figures[place + 1] = latency[1];
+    }
+    return figures;
+  }
+
+  static long[] moments(final EndpointHealth endpoint) {
+    final int classes = endpoint.classCount();
+    final long[] moments = Arrays.copyOf(endpoint.avoidUntilUs(), classes + 2);
+    moments[classes] = endpoint.lastSendUs();
+    moments[classes + 1] = endpoint.lastSuccessUs();
+    return moments;
+  }
+
+  /** Gives an endpoint what was learned. */
+  static void restore(final EndpointHealth endpoint, final double[] figures, final long[] moments) {
+    final int classes = endpoint.classCount();
+    endpoint.restore(figures, moments, moments[classes], moments[classes + 1]);
+    for (int index = 0; index < classes; index++) {
+      final int place = classes + FIGURES_OF_LATENCY * index;
+      endpoint.classStatistics(index).restore(figures[place], figures[place + 1]);
+    }
+  }
+}
--- a/decisions/src/main/java/thistleturn/decisions/MessageDeadline.java
+++ b/decisions/src/main/java/thistleturn/decisions/MessageDeadline.java
@@ -2,11 +2,15 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** When a message's wait ends. */
+/** When the wait of a message ends. */
 final class MessageDeadline extends TimeHeap.Entry {
-  final PendingMessage message;
+  private final PendingMessage message;
 
-  MessageDeadline(final PendingMessage job) {
-    this.message = job;
+  MessageDeadline(final PendingMessage message) {
+    this.message = message;
+  }
+
+  PendingMessage message() {
+    return message;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
+++ b/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
@@ -1,15 +1,11 @@
 package thistleturn.decisions;
 
-import thistleturn.decisions.model.Idempotence;
-
 /**
- * Which message goes next, over all lanes and within one; and which is worth least when room must
- * be made.
+ * Decides which message goes next, over all routes and within one, and which one is worth least
+ * when messages must be shed.
  */
 final class MessageScheduler {
-  /**
-   * Chance that a message put off is served after all, in a short line; half of it in a long one.
-   */
+  /** Chance that a deferred message is served after all in a short queue; half of it in a long. */
   private static final double DEFERRED_SERVICE_CHANCE = 0.9;
 
   private final ControllerState state;
@@ -19,82 +15,77 @@
   private final PriorityValue priorityValue;
 
   /**
-   * {@code lookUs}: the time that is given to a look at what time alone has changed, us; 0: all,
-   * always.
+   * Creates the scheduler and gives the rankings their order.
+   *
+   * @param rankingBudgetUs the time for ranking anew what time alone has changed, us; 0: no bound
    */
   MessageScheduler(
       final ControllerState state,
-      final SendPermission gate,
-      final EndpointSelector choice,
-      final RetryPolicy attempts,
-      final long lookUs) {
+      final SendPermission sendPermission,
+      final EndpointSelector endpointSelector,
+      final RetryPolicy retryPolicy,
+      final long rankingBudgetUs) {
     this.state = state;
-    this.sendPermission = gate;
-    this.endpointSelector = choice;
-    this.retryPolicy = attempts;
+    this.sendPermission = sendPermission;
+    this.endpointSelector = endpointSelector;
+    this.retryPolicy = retryPolicy;
     this.priorityValue = new PriorityValue(state.settings);
-    state.initializeRankings(this::urgency, this::shedPriority, lookUs);
+    state.initializeRankings(this::urgency, this::shedPriority, rankingBudgetUs);
   }
 
-  /** Of a lane that may send, how urgent the message to go is among those of other lanes. */
+  /** Selects the message a route would send now and returns its urgency among other routes'. */
   private double urgency(final ReadyRoute entry) {
-    final Route lane = entry.route;
-    if (lane.destination.waitingMessages == 0) {
-      state.routeTimers.remove(lane.recheckTimer);
+    final Route route = entry.route();
+    final Destination destination = route.destination();
+    if (destination.waitingMessages() == 0) {
+      state.routeTimers.remove(route.recheckTimer());
       return Double.NEGATIVE_INFINITY;
     }
-    lane.destination.catchUpIdleSteps(state.stepCount);
-    state.routeTimers.schedule(lane.recheckTimer, sendPermission.nextChangeUs(lane));
-    entry.selected =
-        sendPermission.sendAllowedAtUs(lane) <= state.nowUs
-            ? selectMessage(lane.destination, lane, null)
-            : null;
-    if (entry.selected == null) {
+    destination.catchUpIdleSteps(state.stepCount);
+    state.routeTimers.schedule(route.recheckTimer(), sendPermission.nextChangeUs(route));
+    final boolean maySend = sendPermission.sendAllowedAtUs(route) <= state.nowUs;
+    final PendingMessage message = maySend ? selectMessage(destination, route, null) : null;
+    entry.select(message);
+    if (message == null) {
       return Double.NEGATIVE_INFINITY;
     }
-    final int kind = entry.selected.message.classIndex();
+    final int classIndex = message.classIndex();
     final double urgency =
-        urgency(entry.selected, expectedCompletionUs(lane, kind), lane.destination.lookAheadUs());
-    // Where not all can be served, slots go where they serve most.
-    return entry.rankingMode == 0
-        ? urgency
-        : urgency / state.latencies.publishedExpectedUs(lane, kind);
+        urgency(message, expectedCompletionUs(route, classIndex), destination.lookAheadUs());
+    // Where not all can be served, capacity goes where it serves most.
+    return entry.ranksByCallTime()
+        ? urgency / state.latencies.publishedExpectedUs(route, classIndex)
+        : urgency;
   }
 
   /**
-   * The most urgent message for a lane (a node, if given); trials risk first what is lost anyway.
+   * Returns the most urgent message for a route, or for one endpoint of it if given, or null.
+   * Trials of an open circuit risk first the messages that lose least by a failure.
    */
   PendingMessage selectMessage(
-      final Destination destination, final Route lane, final EndpointHealth node) {
+      final Destination destination, final Route route, final EndpointHealth endpoint) {
     PendingMessage best = null;
     int bestRisk = 0;
     double bestUrgency = 0;
-    final long horizonUs = destination.lookAheadUs();
-    for (final DeadlineGroup group : destination.groups) {
-      final int risk =
-          lane.circuitState != CircuitState.OUT || group.mayHaveExecuted
-              ? 0
-              : 1 + group.idempotence().ordinal();
-      if (group.blocked
+    final long lookAheadUs = destination.lookAheadUs();
+    for (final DeadlineGroup group : destination.groups()) {
+      final int risk = trialRisk(route, group);
+      if (group.isBlocked()
           || (best != null && risk > bestRisk)
-          || !retryPolicy.fitsBeforeStop(lane, group)
-          || (node == null && endpointSelector.select(lane, group, null) == null)
-          || (node != null
-              && (!group.allowsZoneOf(node)
-                  || group.idempotence() == Idempotence.NON_IDEMPOTENT))) {
+          || !maySend(group, route, endpoint)) {
         continue;
       }
-      final long doneUs = expectedCompletionUs(lane, group.classIndex);
-      final PendingMessage job =
+      final long doneUs = expectedCompletionUs(route, group.classIndex());
+      final PendingMessage message =
           group.greatest(
-              priorityValue.urgencyBreakpoints(group, doneUs, horizonUs),
-              one -> urgency(one, doneUs, horizonUs));
-      final double urgency = urgency(job, doneUs, horizonUs);
+              priorityValue.urgencyBreakpoints(group, doneUs, lookAheadUs),
+              candidate -> urgency(candidate, doneUs, lookAheadUs));
+      final double urgency = urgency(message, doneUs, lookAheadUs);
       if (best == null
           || risk < bestRisk
           || urgency > bestUrgency
-          || (urgency == bestUrgency && job.queuePosition < best.queuePosition)) {
-        best = job;
+          || (urgency == bestUrgency && message.queuePosition() < best.queuePosition())) {
+        best = message;
         bestRisk = risk;
         bestUrgency = urgency;
       }
@@ -102,42 +93,62 @@
     return best;
   }
 
-  /** What a message loses by waiting for as long as its destination's line takes. */
-  private double urgency(final PendingMessage job, final long doneUs, final long horizonUs) {
-    final double kept =
-        DEFERRED_SERVICE_CHANCE / (1 + (double) horizonUs / Destination.MAX_LOOK_AHEAD_US);
-    return priorityValue.valueAt(job, doneUs)
-        - kept * priorityValue.valueAt(job, doneUs + horizonUs);
+  /** Returns how much a trial risks with a message of a group; 0 while the circuit is not open. */
+  private static int trialRisk(final Route route, final DeadlineGroup group) {
+    return !route.circuit().isOpen() || group.mayHaveExecuted()
+        ? 0
+        : 1 + group.idempotence().ordinal();
   }
 
-  /** When a message would be done if it went now, with the class's time as it was last noted. */
-  private long expectedCompletionUs(final Route lane, final int kind) {
-    return state.nowUs + (long) state.latencies.publishedExpectedUs(lane, kind);
+  private boolean maySend(
+      final DeadlineGroup group, final Route route, final EndpointHealth endpoint) {
+    if (!retryPolicy.fitsBeforeStop(route, group)) {
+      return false;
+    }
+    return endpoint == null
+        ? endpointSelector.select(route, group, null) != null
+        : group.allowsZoneOf(endpoint) && group.mayShareCall();
   }
 
-  /**
-   * Of a line, the worth (below nothing) of the message that is worth least when its turn comes.
-   */
+  /** Returns what a message loses by waiting for as long as the queue of its destination takes. */
+  private double urgency(final PendingMessage message, final long doneUs, final long lookAheadUs) {
+    final double servedChance =
+        DEFERRED_SERVICE_CHANCE / (1 + (double) lookAheadUs / Destination.MAX_LOOK_AHEAD_US);
+    return priorityValue.valueAt(message, doneUs)
+        - servedChance * priorityValue.valueAt(message, doneUs + lookAheadUs);
+  }
+
+  /** Returns when a message would be done if it went now, by the published mean of its class. */
+  private long expectedCompletionUs(final Route route, final int classIndex) {
+    return state.nowUs + (long) state.latencies.publishedExpectedUs(route, classIndex);
+  }
+
+  /** Finds the message of a destination to be shed first; returns its value below zero. */
   private double shedPriority(final Destination destination) {
     destination.catchUpIdleSteps(state.stepCount);
-    destination.leastValuable = null;
-    double least = Double.POSITIVE_INFINITY;
-    final long atUs = state.nowUs + destination.queueDrainUs();
-    for (final DeadlineGroup group : destination.groups) {
+    PendingMessage least = null;
+    double leastValue = Double.POSITIVE_INFINITY;
+    final long servedUs = state.nowUs + destination.queueDrainUs();
+    for (final DeadlineGroup group : destination.groups()) {
       if (!group.mayShed()) {
         continue;
       }
-      final PendingMessage job =
+      final PendingMessage message =
           group.greatest(
-              priorityValue.valueBreakpoints(group, atUs),
-              one -> -priorityValue.valueAt(one, Math.min(atUs, one.retryDeadlineUs() - 1)));
-      final double its = priorityValue.valueAt(job, Math.min(atUs, job.retryDeadlineUs() - 1));
-      if (its < least
-          || (its == least && job.queuePosition < destination.leastValuable.queuePosition)) {
-        least = its;
-        destination.leastValuable = job;
+              priorityValue.valueBreakpoints(group, servedUs),
+              candidate -> -valueWhenServed(candidate, servedUs));
+      final double value = valueWhenServed(message, servedUs);
+      if (value < leastValue
+          || (value == leastValue && message.queuePosition() < least.queuePosition())) {
+        leastValue = value;
+        least = message;
       }
     }
-    return -least;
+    destination.setLeastValuable(least);
+    return -leastValue;
+  }
+
+  private double valueWhenServed(final PendingMessage message, final long servedUs) {
+    return priorityValue.valueAt(message, Math.min(servedUs, message.retryDeadlineUs() - 1));
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
@@ -1,336 +1,368 @@
 package thistleturn.decisions;
 
-import java.util.Arrays;
 import thistleturn.decisions.directives.Directive;
 import thistleturn.decisions.model.AttemptOutcome;
 import thistleturn.decisions.model.AttemptResult;
-import thistleturn.decisions.rejections.RejectionClassifier.Cause;
+import thistleturn.decisions.model.LoadReport;
 
 /**
- * What an outcome says of its endpoint and its lane: trouble, outage, return, and what refusals
- * answer to.
+ * Reads the outcomes of attempts: what they say of the latency, the capacity and the health of
+ * their endpoint and route. Opens the circuit of a route that has failed, and begins its recovery.
+ *
+ * <p>What is counted in calls gets a message's part of its call: five messages rejected together
+ * are one rejection.
  */
 final class OutlierDetector {
-  /**
-   * After a time-out, the next ones are so many times as wide: it may have been slowness, not
-   * silence.
-   */
-  private static final double TIMEOUT_MULTIPLIER = 3;
-
-  /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
+  /** A Retry-After above this, us, is no rate limit's, whose windows last a second or two. */
   private static final long MAX_RATE_LIMIT_WAIT_US = 5 * OverloadController.SECOND_US / 2;
 
-  /**
-   * Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix.
-   */
+  /** Weights in the run of faults, where a failure weighs 1. */
   private static final double REJECTION_WEIGHT = 0.5;
 
   private static final double ERROR_WEIGHT = 0.4;
 
-  /**
-   * A run of this weight without success is an outage; so is this share of failures: most, and
-   * chance.
-   */
-  private static final double OUTAGE_FAULT_RUN = 3;
-
-  private static final double OUTAGE_FAILURE_RATIO = 0.6;
-
-  /** Weight of a call in that share: about eight calls of memory. */
-  private static final double FAILURE_SAMPLE_WEIGHT = 0.12;
-
-  /**
-   * An endpoint that failed is left alone so long, us; after that its failures in a row count as
-   * calls.
-   */
+  /** An endpoint that has failed is avoided this long, us. */
   private static final long AVOID_US = OverloadController.SECOND_US;
 
   private final ControllerState state;
-  private final ConcurrencyWindow concurrencyWindow;
+  private final ConcurrencyPolicy concurrencyPolicy;
   private final IdleConnectionPolicy idleConnections;
 
   OutlierDetector(
       final ControllerState state,
-      final ConcurrencyWindow window,
-      final IdleConnectionPolicy idle) {
+      final ConcurrencyPolicy concurrencyPolicy,
+      final IdleConnectionPolicy idleConnections) {
     this.state = state;
-    this.concurrencyWindow = window;
-    this.idleConnections = idle;
+    this.concurrencyPolicy = concurrencyPolicy;
+    this.idleConnections = idleConnections;
   }
 
-  /**
-   * Reads one outcome: service times, the step's inputs, waits, health of endpoint and lane. What
-   * is counted in calls gets a message's part of its call: five messages turned away together are
-   * one refusal.
-   */
+  // ---------------------------------------------------------------- outcomes
+
+  /** Records the outcome of an attempt to deliver a message. */
   void recordOutcome(
-      final EndpointHealth node,
-      final InFlightCall call,
-      final PendingMessage job,
-      final AttemptOutcome outcome) {
-    final Route lane = node.route;
-    if (outcome.loadReport() != null) {
-      lane.stepLoadReport = outcome.loadReport();
-      lane.setReportedLimit(
-          lane.stepLoadReport.callsPerSecond(), Route.SOURCE_DESTINATION, state.nowUs);
-    }
-    final int kind = job.message.classIndex();
-    final double part = 1.0 / call.batchSize;
-    final boolean first = lane.faultSinceUs == OverloadController.NEVER;
-    lane.faultSinceUs = Math.min(lane.faultSinceUs, state.nowUs);
-    // A wait may stand in any answer, also one that delivers some of a call's messages.
-    lane.retryAfterUntilUs = Math.max(lane.retryAfterUntilUs, state.nowUs + outcome.retryAfterUs());
+      final InFlightCall call, final PendingMessage message, final AttemptOutcome outcome) {
+    final Route route = call.route();
+    recordLoadReport(route, outcome.loadReport());
+    final int classIndex = message.classIndex();
+    final boolean firstFault = !route.circuit().isFaulty();
+    route.circuit().markFaultySince(state.nowUs);
+    // A Retry-After may stand in any answer, also one that delivers some of a call's messages.
+    route.pacing().holdUntil(state.nowUs + outcome.retryAfterUs());
     switch (outcome.result()) {
-      case DELIVERED -> recordDelivery(node, call, kind, part, outcome.durationUs());
-      case REFUSED -> {
-        if (state.classifiesFaults
-            && outcome.retryAfterUs() == 0
-            && isStrayRejection(lane, node, job, call)) {
-          restoreFaultStart(lane, first);
-        } else {
-          recordRejection(lane, call, part, outcome.retryAfterUs());
-        }
-      }
-      case ERROR -> {
-        lane.stepErrors += part;
-        lane.failureRatio += part * FAILURE_SAMPLE_WEIGHT * (1 - lane.failureRatio);
-        addFaultWeight(lane, part * ERROR_WEIGHT);
-      }
+      case DELIVERED -> recordDelivery(call, classIndex, outcome.durationUs());
+      case REFUSED -> recordRejection(call, message, outcome.retryAfterUs(), firstFault);
+      case ERROR -> recordError(call);
       case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE ->
-          recordFailure(node, call, kind, part, outcome.result(), first);
-      case NOT_SENT -> restoreFaultStart(lane, first);
+          recordFailure(call, classIndex, outcome.result(), firstFault);
+      case NOT_SENT -> withdrawFault(route, firstFault);
+    }
+  }
+
+  private void recordLoadReport(final Route route, final LoadReport report) {
+    if (report != null) {
+      route.step().recordLoadReport(report);
+      route
+          .pacing()
+          .setReportedLimit(report.callsPerSecond(), SendPacing.SOURCE_DESTINATION, state.nowUs);
+    }
+  }
+
+  /** The outcome was no sign of a fault, nor was there one before if this was the first. */
+  private static void withdrawFault(final Route route, final boolean firstFault) {
+    if (firstFault) {
+      route.circuit().clearFaulty();
     }
   }
 
-  /** It was no sign of trouble; {@code first}: nor was there any before. */
-  private static void restoreFaultStart(final Route lane, final boolean first) {
-    lane.faultSinceUs = first ? OverloadController.NEVER : lane.faultSinceUs;
+  private void recordError(final InFlightCall call) {
+    final Route route = call.route();
+    route.step().recordError(call.partPerMessage());
+    route.circuit().recordFailure(call.partPerMessage());
+    addFault(route, call.partPerMessage() * ERROR_WEIGHT);
   }
 
+  // ---------------------------------------------------------------- deliveries
+
   private void recordDelivery(
-      final EndpointHealth node,
-      final InFlightCall call,
-      final int kind,
-      final double part,
-      final long durationUs) {
-    final Route lane = node.route;
-    final double ratio = state.latencies.recordLatency(lane, kind, durationUs);
-    lane.stepLatencyRatioSum += ratio;
-    lane.stepDeliveries++;
-    lane.stepCalls += part;
-    node.recordSuccess(kind, state.nowUs, durationUs);
+      final InFlightCall call, final int classIndex, final long durationUs) {
+    final Route route = call.route();
+    final CircuitBreaker circuit = route.circuit();
+    final double part = call.partPerMessage();
+    final double latencyRatio = state.latencies.recordLatency(route, classIndex, durationUs);
+    route.step().recordDelivery(part, latencyRatio);
+    call.endpoint().recordSuccess(classIndex, state.nowUs, durationUs);
     if (state.classifiesFaults) {
-      recordAvailableCapacity(lane, call, part, ratio);
+      recordAvailableCapacity(call, latencyRatio);
     }
-    lane.faultRun = 0;
-    lane.timeoutMultiplier =
-        Math.max(1, lane.timeoutMultiplier - TIMEOUT_MULTIPLIER * ConcurrencyWindow.SAMPLE_WEIGHT);
-    lane.failureRatio -= part * FAILURE_SAMPLE_WEIGHT * lane.failureRatio;
-    if (lane.circuitState == CircuitState.OUT) {
-      beginRecovery(lane);
+    circuit.endFaultRun();
+    route.latency().narrowTimeouts();
+    circuit.recordSuccess(part);
+    if (circuit.isOpen()) {
+      beginRecovery(route, state.nowUs);
     }
-    lane.faultSinceUs = OverloadController.NEVER;
+    circuit.clearFaulty();
   }
 
-  /**
-   * A refusal that is heeded: a pause for the lane, and a step towards an outage unless it says the
-   * same as one before.
-   */
+  /** A call served says that there was capacity, and that there may be more. */
+  private void recordAvailableCapacity(final InFlightCall call, final double latencyRatio) {
+    final Route route = call.route();
+    if (route.rejections().initialGrowth().recordServed(latencyRatio)) {
+      concurrencyPolicy.growOnSuccess(route, call.partPerMessage());
+    }
+    if (call.isComplete()) {
+      route.recordCompletedCall(call, state.nowUs);
+    }
+  }
+
+  // ---------------------------------------------------------------- rejections
+
   private void recordRejection(
-      final Route lane, final InFlightCall call, final double part, final long waitUs) {
-    lane.stepFailures += part;
-    lane.stepRejections++;
-    lane.rateShare.recordRejected(state.nowUs);
-    final long fromUs = Math.max(state.nowUs, lane.retryAfterUntilUs);
-    final long gapUs = state.recoveryPacer.backoffUs(lane, fromUs);
-    lane.backoffUntilUs =
-        fromUs
-            + (waitUs > 0
-                ? (long) (state.random.nextDouble() * gapUs)
-                : state.recoveryPacer.jitter(gapUs));
-    final boolean same =
-        state.classifiesFaults && lane.isSameRejectionSignal(call.sentUs, state.nowUs);
-    addFaultWeight(
-        lane,
-        waitUs > MAX_RATE_LIMIT_WAIT_US ? OUTAGE_FAULT_RUN : same ? 0 : part * REJECTION_WEIGHT);
+      final InFlightCall call,
+      final PendingMessage message,
+      final long retryAfterUs,
+      final boolean firstFault) {
+    if (state.classifiesFaults && retryAfterUs == 0 && isStrayRejection(call, message)) {
+      withdrawFault(call.route(), firstFault);
+    } else {
+      backOff(call, retryAfterUs);
+    }
+  }
+
+  /** Heeds a rejection: the route backs off, and may be a step nearer to an outage. */
+  private void backOff(final InFlightCall call, final long retryAfterUs) {
+    final Route route = call.route();
+    route.step().recordRejection(call.partPerMessage());
+    route.pacing().rateShare().recordRejected(state.nowUs);
+    final long fromUs = Math.max(state.nowUs, route.pacing().retryAfterUntilUs());
+    final long backoffUs = state.recoveryPacer.backoffUs(route, fromUs);
+    final long drawnUs =
+        retryAfterUs > 0
+            ? (long) (state.random.nextDouble() * backoffUs)
+            : state.recoveryPacer.jitter(backoffUs);
+    route.pacing().backOffUntil(fromUs + drawnUs);
+    addFault(route, rejectionWeight(call, retryAfterUs));
+  }
+
+  private double rejectionWeight(final InFlightCall call, final long retryAfterUs) {
+    final boolean sameSignal =
+        state.classifiesFaults
+            && call.route().rejections().isSameSignal(call.sentUs(), state.nowUs);
+    if (retryAfterUs > MAX_RATE_LIMIT_WAIT_US) {
+      return CircuitBreaker.OUTAGE_FAULT_RUN;
+    }
+    return sameSignal ? 0 : call.partPerMessage() * REJECTION_WEIGHT;
   }
 
   /**
-   * Nobody answered, or a connection broke: of a kept one that was dead, of a single call, or of
-   * its endpoint and lane.
+   * Returns whether a rejection does not answer to what the route is sent, so that its message may
+   * be retried at once. If one endpoint or class alone is rejected, only that one is avoided; noise
+   * is borne within a budget.
    */
-  private void recordFailure(
-      final EndpointHealth node,
-      final InFlightCall call,
-      final int kind,
-      final double part,
-      final AttemptResult how,
-      final boolean first) {
-    final Route lane = node.route;
-    call.staleConnection |= call.wasConnectionStale(how, node.failureRuns[kind]);
-    if (call.staleConnection) {
-      // A kept connection was dead: that says nothing of its endpoint, but of others like it.
-      restoreFaultStart(lane, first);
-      node.failureRuns[kind] += how == AttemptResult.STALE ? 0 : part;
-      node.connections = 0;
-      state.actions.closeIdleConnections(node.descriptor.id());
-      return;
+  private boolean isStrayRejection(final InFlightCall call, final PendingMessage message) {
+    message.recordRejection(call.endpoint());
+    if (!call.isRejectionClassified() && call.route().circuit().isClosed()) {
+      call.classifyRejection(isStrayRejection(call, message.classIndex()));
     }
-    if (state.classifiesFaults && call.isIsolatedFailure(kind, how)) {
-      restoreFaultStart(lane, first);
-      node.failureRuns[kind] += part;
-      node.connections -= call.pendingOutcomes == 0 ? Math.min(1, node.connections) : 0;
-      lane.failureRatio += part * FAILURE_SAMPLE_WEIGHT * (1 - lane.failureRatio);
-      addFaultWeight(lane, part);
-      return;
-    }
-    lane.stepFailures += part;
-    if (how == AttemptResult.TIMED_OUT || how == AttemptResult.CANCELLED) {
-      lane.timeoutMultiplier = TIMEOUT_MULTIPLIER;
+    return call.isRejectionStray();
+  }
+
+  private boolean isStrayRejection(final InFlightCall call, final int classIndex) {
+    final Route route = call.route();
+    final RejectionHistory rejections = route.rejections();
+    if (avoidIfRejectedAlone(call.endpoint(), classIndex)) {
+      return true;
     }
-    if (first && !call.cancelled && how != AttemptResult.NO_CONNECTION) {
-      idleConnections.recordStaleConnection(call);
+    rejections.classifier().recordRejected(call.sentUs(), state.nowUs);
+    if (rejections.isNoise(state.nowUs)) {
+      if (rejections.retryBudget().tryAcquire()) {
+        return true;
+      }
+      route.treatRejectionsAsLoad(state.nowUs);
     }
-    node.failureRuns[kind] += part;
-    if (node.lastSuccessUs < call.sentUs) {
-      Arrays.fill(node.avoidUntilUs, state.nowUs + state.recoveryPacer.jitter(AVOID_US));
+    if (rejections.initialGrowth().recordRejected()) {
+      route.window().halve();
     }
-    node.avoidUntilUs[kind] = state.nowUs + state.recoveryPacer.jitter(AVOID_US);
-    node.connections -= call.pendingOutcomes == 0 ? Math.min(1, node.connections) : 0;
-    if (how != AttemptResult.NO_CONNECTION || node.lastSuccessUs <= call.sentUs) {
-      lane.failureRatio += part * FAILURE_SAMPLE_WEIGHT * (1 - lane.failureRatio);
-      if (lane.failureRatio > InFlightCall.ISOLATED_FAILURE_RATIO) {
-        lane.initialGrowth.stop();
-      }
-      addFaultWeight(lane, part);
+    if (call.isProbe()) {
+      rejections.classifier().recordProbe(false, state.nowUs);
     }
+    rejections.allowProbe();
+    return false;
   }
 
-  /** A call served says whether there was room, and that there may be more. */
-  private void recordAvailableCapacity(
-      final Route lane, final InFlightCall call, final double part, final double ratio) {
-    if (lane.initialGrowth.recordServed(ratio)) {
-      concurrencyWindow.growOnSuccess(lane, part);
+  /** Avoids an endpoint for a class that it alone rejects; returns whether it does. */
+  private boolean avoidIfRejectedAlone(final EndpointHealth endpoint, final int classIndex) {
+    final RejectionHistory rejections = endpoint.route().rejections();
+    final long restUs =
+        endpoint
+            .classStatistics(classIndex)
+            .recordRejected(rejections.completedCalls(), rejections.countRejectedCall());
+    if (restUs > 0) {
+      endpoint.avoidClassUntil(classIndex, state.nowUs + state.recoveryPacer.jitter(restUs));
     }
-    if (call.pendingOutcomes == 0) {
-      lane.recordCompletedCall(call, state.nowUs);
+    return restUs > 0;
+  }
+
+  // ---------------------------------------------------------------- failures
+
+  /** Nobody answered, or a connection broke: finds out what that is the fault of. */
+  private void recordFailure(
+      final InFlightCall call,
+      final int classIndex,
+      final AttemptResult result,
+      final boolean firstFault) {
+    if (call.failedOnStaleConnection(result, call.endpoint().failureRun(classIndex))) {
+      recordStaleConnection(call, classIndex, result, firstFault);
+    } else if (state.classifiesFaults && call.isIsolatedFailure(classIndex, result)) {
+      recordIsolatedFailure(call, classIndex, firstFault);
+    } else {
+      recordEndpointFailure(call, classIndex, result, firstFault);
     }
   }
 
-  /**
-   * True for a refusal that does not answer to what this lane is sent: its message goes again at
-   * once. One of an endpoint or class that alone refuses leaves only these alone; noise is borne
-   * within a budget.
-   */
-  private boolean isStrayRejection(
-      final Route lane,
-      final EndpointHealth node,
-      final PendingMessage job,
-      final InFlightCall call) {
-    job.rejectedBy = node;
-    if (call.rejectionClassified || lane.circuitState != CircuitState.WELL) {
-      return call.strayRejection;
+  /** A stale connection says nothing of its endpoint, but of other idle connections to it. */
+  private void recordStaleConnection(
+      final InFlightCall call,
+      final int classIndex,
+      final AttemptResult result,
+      final boolean firstFault) {
+    final EndpointHealth endpoint = call.endpoint();
+    withdrawFault(call.route(), firstFault);
+    if (result != AttemptResult.STALE) {
+      endpoint.recordFailure(classIndex, call.partPerMessage());
     }
-    call.rejectionClassified = true;
-    call.strayRejection = classifyRejection(lane, node, job.message.classIndex(), call);
-    return call.strayRejection;
+    endpoint.dropConnections();
+    state.actions.closeIdleConnections(endpoint.id());
   }
 
-  private boolean classifyRejection(
-      final Route lane, final EndpointHealth node, final int kind, final InFlightCall call) {
-    final long restUs =
-        node.classStatistics[kind].recordRejected(lane.completedCalls, ++lane.rejectedCalls);
-    if (restUs > 0) {
-      node.avoidUntilUs[kind] = state.nowUs + state.recoveryPacer.jitter(restUs);
-      return true;
+  private void recordIsolatedFailure(
+      final InFlightCall call, final int classIndex, final boolean firstFault) {
+    withdrawFault(call.route(), firstFault);
+    call.endpoint().recordFailure(classIndex, call.partPerMessage());
+    dropConnectionOf(call);
+    call.route().circuit().recordFailure(call.partPerMessage());
+    addFault(call.route(), call.partPerMessage());
+  }
+
+  private void recordEndpointFailure(
+      final InFlightCall call,
+      final int classIndex,
+      final AttemptResult result,
+      final boolean firstFault) {
+    final Route route = call.route();
+    final EndpointHealth endpoint = call.endpoint();
+    route.step().recordFailure(call.partPerMessage());
+    if (result == AttemptResult.TIMED_OUT || result == AttemptResult.CANCELLED) {
+      route.latency().widenTimeouts();
     }
-    lane.rejectionClassifier.recordRejected(call.sentUs, state.nowUs);
-    if (lane.rejectionClassifier.cause(state.nowUs) == Cause.NOISE) {
-      if (lane.retryBudget.tryAcquire()) {
-        return true;
-      }
-      lane.treatRejectionsAsLoad(state.nowUs);
+    if (firstFault && !call.isCancelled() && result != AttemptResult.NO_CONNECTION) {
+      idleConnections.recordStaleConnection(call);
     }
-    if (lane.initialGrowth.recordRejected()) {
-      concurrencyWindow.halve(lane);
+    endpoint.recordFailure(classIndex, call.partPerMessage());
+    avoid(endpoint, classIndex, call.sentUs());
+    dropConnectionOf(call);
+    if (result != AttemptResult.NO_CONNECTION || endpoint.lastSuccessUs() <= call.sentUs()) {
+      recordRouteFailure(route, call.partPerMessage());
     }
-    if (call.probe) {
-      lane.rejectionClassifier.recordProbe(false, state.nowUs);
+  }
+
+  private void recordRouteFailure(final Route route, final double part) {
+    route.circuit().recordFailure(part);
+    if (InFlightCall.isCommonFailure(route.circuit().failureRatio())) {
+      route.rejections().initialGrowth().stop();
     }
-    lane.probeAllowed = true;
-    return false;
+    addFault(route, part);
   }
 
-  /** Time may have brought silence, or the end of a ramp. */
-  void checkCircuit(final Route lane) {
-    addFaultWeight(lane, 0);
-    if (lane.circuitState == CircuitState.RAMP
-        && state.nowUs - lane.recoverySinceUs > state.settings.guarantees().warmUpUs()) {
-      lane.circuitState = CircuitState.WELL;
+  /** Avoids an endpoint for the class that has failed; for all, if nothing has succeeded since. */
+  private void avoid(final EndpointHealth endpoint, final int classIndex, final long sentUs) {
+    if (!endpoint.hasSucceededSince(sentUs)) {
+      endpoint.avoidAllUntil(state.nowUs + state.recoveryPacer.jitter(AVOID_US));
+    }
+    endpoint.avoidClassUntil(classIndex, state.nowUs + state.recoveryPacer.jitter(AVOID_US));
+  }
+
+  private static void dropConnectionOf(final InFlightCall call) {
+    if (call.isComplete()) {
+      call.endpoint().dropOneConnection();
+    }
+  }
+
+  // ---------------------------------------------------------------- circuit
+
+  /** Checks what time alone may have brought: unresponsive calls, or the end of a recovery. */
+  void checkCircuit(final Route route) {
+    openCircuitIfFailed(route);
+    final long warmUpUs = state.settings.guarantees().warmUpUs();
+    final CircuitBreaker circuit = route.circuit();
+    if (circuit.isRecovering() && circuit.recoveryAgeUs(state.nowUs) > warmUpUs) {
+      circuit.completeRecovery();
       if (state.classifiesFaults) {
-        lane.completeRecovery(state.nowUs + state.settings.guarantees().warmUpUs());
+        route.resumeAfterRecovery(state.nowUs + warmUpUs);
       }
     }
   }
 
-  /**
-   * Another says that a lane is out, or has begun to return: so it is here, unless more is known by
-   * own calls since. A return is a ramp from the moment told on, so that all who are told share
-   * one.
-   */
-  void applyDirective(final Route lane, final Directive word) {
-    if (word.kind() == Directive.Kind.LIMIT) {
-      lane.setReportedLimit(word.value(), word.source(), state.nowUs);
-      return;
-    }
-    final long sinceUs = (long) word.value();
-    if (word.kind() == Directive.Kind.OUTAGE
-        && lane.circuitState == CircuitState.WELL
-        && lane.endpoints.stream().allMatch(node -> node.lastSuccessUs < sinceUs)) {
-      lane.faultSinceUs = Math.min(lane.faultSinceUs, sinceUs);
-      openCircuit(lane);
-    } else if (word.kind() == Directive.Kind.RETURN
-        && lane.circuitState == CircuitState.OUT
-        && lane.faultSinceUs < sinceUs) {
-      beginRecovery(lane);
-      lane.recoverySinceUs = Math.min(state.nowUs, sinceUs);
-      lane.faultSinceUs = OverloadController.NEVER;
-      lane.faultRun = 0;
-      state.routeTimers.schedule(
-          lane.recoveryEndTimer, lane.recoverySinceUs + state.settings.guarantees().warmUpUs() + 1);
+  /** Adds to the run of faults of a route, and opens its circuit if that amounts to an outage. */
+  private void addFault(final Route route, final double weight) {
+    route.circuit().addFault(weight);
+    openCircuitIfFailed(route);
+  }
+
+  private void openCircuitIfFailed(final Route route) {
+    route.recordFaultCheck(state.tick, state.nowUs);
+    final CircuitBreaker circuit = route.circuit();
+    if (!circuit.isOpen() && circuit.isOutage(route.unresponsiveCalls())) {
+      openCircuit(route, state.nowUs);
     }
   }
 
-  /** From now on a lane is paced as one that is cold. */
-  void beginRecovery(final Route lane) {
+  private void openCircuit(final Route route, final long faultSinceUs) {
     state.circuitTransitions++;
-    lane.circuitState = CircuitState.RAMP;
-    lane.recoverySinceUs = state.nowUs;
-    state.routeTimers.schedule(
-        lane.recoveryEndTimer, state.nowUs + state.settings.guarantees().warmUpUs() + 1);
-    lane.recoveryIntervalUs = state.recoveryPacer.backoffUs(lane, state.nowUs);
-    lane.failureRatio = 0;
+    route.circuit().markFaultySince(faultSinceUs);
+    route.circuit().open();
+    route.window().collapse();
+    route.circuit().scheduleTrial(state.recoveryPacer.nextTrialUs(route, state.nowUs));
   }
 
-  /**
-   * Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage.
-   */
-  void addFaultWeight(final Route lane, final double weight) {
-    lane.faultRun += weight;
-    lane.faultCheckTick = state.tick;
-    lane.faultCheckUs = state.nowUs;
-    final boolean out =
-        lane.faultRun + lane.unresponsiveCalls >= OUTAGE_FAULT_RUN
-            || lane.failureRatio > OUTAGE_FAILURE_RATIO;
-    if (out && lane.circuitState != CircuitState.OUT) {
-      lane.faultSinceUs = Math.min(lane.faultSinceUs, state.nowUs);
-      openCircuit(lane);
+  /** Paces a route from now on as one that began to warm up at a time. */
+  void beginRecovery(final Route route, final long sinceUs) {
+    state.circuitTransitions++;
+    final double intervalUs = state.recoveryPacer.backoffUs(route, state.nowUs);
+    route.circuit().beginRecovery(sinceUs, intervalUs);
+    state.scheduleRecoveryEnd(route);
+  }
+
+  // ---------------------------------------------------------------- directives
+
+  /** Applies what another subsystem knows of a route, unless own calls have shown more since. */
+  void applyDirective(final Route route, final Directive directive) {
+    switch (directive.kind()) {
+      case LIMIT ->
+          route.pacing().setReportedLimit(directive.value(), directive.source(), state.nowUs);
+      case OUTAGE -> applyOutage(route, (long) directive.value());
+      case RETURN -> applyReturn(route, (long) directive.value());
+      default -> {
+        // All other directives bind by themselves, as long as they are active.
+      }
     }
   }
 
-  private void openCircuit(final Route lane) {
-    state.circuitTransitions++;
-    lane.circuitState = CircuitState.OUT;
-    lane.window = ConcurrencyWindow.MIN_WINDOW;
-    lane.nextTrialUs = state.recoveryPacer.nextTrialUs(lane, state.nowUs, state.classifiesFaults);
+  private void applyOutage(final Route route, final long sinceUs) {
+    final boolean succeededSince =
+        route.endpoints().stream().anyMatch(endpoint -> endpoint.hasSucceededSince(sinceUs));
+    if (route.circuit().isClosed() && !succeededSince) {
+      openCircuit(route, sinceUs);
+    }
+  }
+
+  /** Begins the recovery at the time that all couriers are told, so that they share one. */
+  private void applyReturn(final Route route, final long sinceUs) {
+    final CircuitBreaker circuit = route.circuit();
+    if (circuit.isOpen() && circuit.faultSinceUs() < sinceUs) {
+      beginRecovery(route, Math.min(state.nowUs, sinceUs));
+      circuit.clearFaulty();
+      circuit.endFaultRun();
+    }
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/OverloadController.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverloadController.java
@@ -25,7 +25,7 @@
  *       SendPermission} allows.
  *   <li>{@link OutlierDetector} reads outcomes, and opens and closes circuits; {@link
  *       OverdueCallDetector} notices calls without an outcome.
- *   <li>{@link RouteStepper} moves windows and rates once a second, by {@link ConcurrencyWindow}.
+ *   <li>{@link RouteStepper} moves windows and rates once a second, by {@link ConcurrencyPolicy}.
  * </ul>
  *
  * <p>A round costs what has changed since the last one, not what there is: times are kept in heaps,
@@ -48,7 +48,7 @@
   private final EndpointRegistry endpointRegistry;
   private final KeyOrdering keyOrdering;
   private final PendingMessages messages;
-  private final ConcurrencyWindow concurrencyWindow;
+  private final ConcurrencyPolicy concurrencyPolicy;
   private final SendPermission sendPermission;
   private final IdleConnectionPolicy idleConnections;
   private final OverdueCallDetector overdueCalls;
@@ -105,12 +105,12 @@
     endpointRegistry = new EndpointRegistry(state);
     keyOrdering = new KeyOrdering(state);
     messages = new PendingMessages(state, retryPolicy, keyOrdering, endpointRegistry);
-    concurrencyWindow = new ConcurrencyWindow(state);
-    sendPermission = new SendPermission(state, concurrencyWindow);
+    concurrencyPolicy = new ConcurrencyPolicy(state);
+    sendPermission = new SendPermission(state, concurrencyPolicy);
     idleConnections = new IdleConnectionPolicy(state, sendPermission);
     overdueCalls = new OverdueCallDetector(state);
-    outlierDetector = new OutlierDetector(state, concurrencyWindow, idleConnections);
-    routeStepper = new RouteStepper(state, concurrencyWindow);
+    outlierDetector = new OutlierDetector(state, concurrencyPolicy, idleConnections);
+    routeStepper = new RouteStepper(state, concurrencyPolicy);
     wakeUpScheduler = new WakeUpScheduler(state);
     final MessageScheduler messageScheduler =
         new MessageScheduler(state, sendPermission, endpointSelector, retryPolicy, rankingBudgetUs);
@@ -154,22 +154,15 @@
   /** Checks the circuits of the routes that events or time have changed. */
   private void checkChangedRoutes() {
     overdueCalls.recordRound();
-    for (RouteTimer due = state.routeTimers.poll(state.nowUs);
-        due != null;
-        due = state.routeTimers.poll(state.nowUs)) {
-      state.markChanged(due.route.destination);
-    }
+    state.markChangedByTime();
     keyOrdering.releaseSettled();
-    state.changedDestinations.sort(Destination.ORDER);
-    for (final Destination destination : state.changedDestinations) {
-      destination.changed = false;
-      if (destination.openMessages > 0) {
-        for (final Route route : destination.routes) {
+    for (final Destination destination : state.takeChangedDestinations()) {
+      if (destination.hasMessages()) {
+        for (final Route route : destination.routes()) {
           outlierDetector.checkCircuit(route);
         }
       }
     }
-    state.changedDestinations.clear();
   }
 
   /** Returns when time alone can change something: a pace, a deadline, an overdue call, a step. */
@@ -231,22 +224,22 @@
   public void onOutcome(final long nowUs, final AttemptOutcome outcome) {
     state.nowUs = nowUs;
     final PendingMessage message = messages.find(outcome.messageId());
-    if (message == null || message.call == null) {
+    if (message == null || !message.isInFlight()) {
       return;
     }
-    final InFlightCall call = message.call;
+    final InFlightCall call = message.call();
     state.tick++;
     overdueCalls.markOverdueCalls();
-    overdueCalls.avoidIfUnresponsive(call.endpoint);
-    state.markChanged(call.endpoint.route.destination);
-    message.call = null;
+    overdueCalls.avoidIfUnresponsive(call.endpoint());
+    state.markChanged(call.route().destination());
+    message.endAttempt();
     overdueCalls.recordOutcome(call, message);
     recordEffect(message, call, outcome);
-    if (--call.pendingOutcomes == 0) {
+    if (call.isComplete()) {
       callDispatcher.endCall(call);
     }
-    outlierDetector.recordOutcome(call.endpoint, call, message, outcome);
-    if (outcome.isFinal() || message.ended) {
+    outlierDetector.recordOutcome(call, message, outcome);
+    if (outcome.isFinal() || message.hasEnded()) {
       messages.end(message);
     } else {
       messages.enqueue(message);
@@ -258,9 +251,7 @@
     if (outcome.result().neverExecuted()) {
       return;
     }
-    message.mayHaveExecuted = true;
-    message.firstExecutionUs = Math.min(message.firstExecutionUs, call.sentUs);
-    message.executionZone = call.endpoint.descriptor.zone();
+    message.recordPossibleExecution(call.sentUs(), call.endpoint().zone());
     if (!outcome.result().hasAnswer()) {
       keyOrdering.beginSettleDelay(message);
     }
@@ -280,9 +271,8 @@
     state.nowUs = nowUs;
     final EndpointHealth endpoint = state.endpoints.get(endpointId);
     if (endpoint != null) {
-      final Route route = endpoint.route;
-      route.retryAfterUntilUs = Math.max(route.retryAfterUntilUs, nowUs + retryAfterUs);
-      state.markChanged(endpoint.route.destination);
+      endpoint.route().pacing().holdUntil(nowUs + retryAfterUs);
+      state.markChanged(endpoint.route().destination());
     }
   }
 
@@ -293,12 +283,13 @@
     if (endpoint == null || !endpoint.acceptsCalls(nowUs)) {
       return;
     }
-    final Route route = endpoint.route;
+    final Route route = endpoint.route();
     final boolean othersServe =
-        route.endpoints.stream().anyMatch(other -> other != endpoint && other.acceptsCalls(nowUs));
-    if (route.circuitState == CircuitState.WELL && !othersServe) {
-      state.markChanged(route.destination);
-      outlierDetector.beginRecovery(route);
+        route.endpoints().stream()
+            .anyMatch(other -> other != endpoint && other.acceptsCalls(nowUs));
+    if (route.circuit().isClosed() && !othersServe) {
+      state.markChanged(route.destination());
+      outlierDetector.beginRecovery(route, nowUs);
     }
   }
 
@@ -310,8 +301,8 @@
     if (endpoint == null) {
       return false;
     }
-    endpoint.directives = endpoint.directives.with(directive, nowUs);
-    state.markChanged(endpoint.route.destination);
+    endpoint.applyDirective(directive, nowUs);
+    state.markChanged(endpoint.route().destination());
     return true;
   }
 
@@ -320,12 +311,12 @@
       final long nowUs, final long destinationId, final Directive directive) {
     state.nowUs = nowUs;
     final Destination destination = state.destinations.get(destinationId);
-    if (destination == null || destination.routes.isEmpty()) {
+    if (destination == null || destination.routes().isEmpty()) {
       return false;
     }
-    destination.directives = destination.directives.with(directive, nowUs);
+    destination.applyDirective(directive, nowUs);
     if (directive.isActive(nowUs)) {
-      destination.routes.forEach(route -> outlierDetector.applyDirective(route, directive));
+      destination.routes().forEach(route -> outlierDetector.applyDirective(route, directive));
     }
     state.markChanged(destination);
     return true;
@@ -339,7 +330,7 @@
     state.nowUs = nowUs;
     state.concurrencyLimit = concurrencyLimit;
     state.maxPendingMessages = maxPendingMessages;
-    List.copyOf(state.activeRoutes).forEach(route -> state.markChanged(route.destination));
+    List.copyOf(state.activeRoutes).forEach(route -> state.markChanged(route.destination()));
   }
 
   @Override
@@ -372,7 +363,7 @@
     state.nowUs = nowUs;
     for (final Destination destination : state.destinations.values()) {
       boolean anyUndone = false;
-      for (final Route route : destination.routes) {
+      for (final Route route : destination.routes()) {
         anyUndone |= route.undoFaultsSince(sinceUs, nowUs);
       }
       if (anyUndone) {
@@ -387,9 +378,8 @@
   /** Returns what this courier has learned so far. */
   public LearnedState learnedState() {
     return LearnedState.of(
-        state.latencies.meanUs,
-        state.latencies.samples,
-        idleConnections.trustedIdleUs,
+        state.latencies,
+        idleConnections.trustedIdleUs(),
         routeStepper.lastStepUs(),
         state.endpoints.values());
   }
@@ -397,19 +387,14 @@
   /** Takes over what another process of this courier had learned, after the endpoint list. */
   public void onLearnedState(final long nowUs, final LearnedState learned) {
     state.nowUs = nowUs;
-    idleConnections.trustedIdleUs =
-        learned.restore(state.endpoints, state.latencies.meanUs, state.latencies.samples, nowUs);
+    learned.restore(state.endpoints, state.latencies, nowUs);
+    idleConnections.restoreTrust(learned.trustedIdleUs());
     routeStepper.publishLatencies(0);
     state.destinations.values().forEach(state::markChanged);
     state.endpoints.values().stream()
-        .map(endpoint -> endpoint.route)
-        .filter(route -> route.circuitState == CircuitState.RAMP)
-        .forEach(this::scheduleRecoveryEnd);
-  }
-
-  private void scheduleRecoveryEnd(final Route route) {
-    final long warmUpUs = state.settings.guarantees().warmUpUs();
-    state.routeTimers.schedule(route.recoveryEndTimer, route.recoverySinceUs + warmUpUs + 1);
+        .map(EndpointHealth::route)
+        .filter(route -> route.circuit().isRecovering())
+        .forEach(state::scheduleRecoveryEnd);
   }
 
   // ---------------------------------------------------------------- status
@@ -439,14 +424,14 @@
   /** Returns how each route is, and what keeps its next message from being sent. */
   public List<RouteStatus> routes() {
     return state.destinations.values().stream()
-        .flatMap(destination -> destination.routes.stream())
+        .flatMap(destination -> destination.routes().stream())
         .map(this::statusOf)
         .toList();
   }
 
   private RouteStatus statusOf(final Route route) {
     return RouteStatus.of(
-        route, state.nowUs, sendPermission.sendAllowedAtUs(route), concurrencyWindow.limit(route));
+        route, state.nowUs, sendPermission.sendAllowedAtUs(route), concurrencyPolicy.limit(route));
   }
 
   /** Returns the number of destinations in memory. */
--- a/decisions/src/main/java/thistleturn/decisions/PendingMessage.java
+++ b/decisions/src/main/java/thistleturn/decisions/PendingMessage.java
@@ -4,58 +4,235 @@
 import thistleturn.decisions.model.Idempotence;
 import thistleturn.decisions.model.Message;
 import thistleturn.decisions.model.MessageClass;
+import thistleturn.decisions.model.PriorAttempts;
 
-/** A message that is owed an answer, or still has an attempt out. */
+/**
+ * An accepted message that is owed an answer, or still has an attempt in flight.
+ *
+ * <p>It is either waiting in a group of its destination, or part of a call, or ended. An ended
+ * message is kept for as long as its last attempt is in flight.
+ */
 final class PendingMessage extends OrderedQueue.Entry {
-  final MessageDeadline deadline = new MessageDeadline(this);
-  final long sequence;
-  final Message message;
-  final MessageClass messageClass;
-  final long objectiveUs;
-  Destination destination;
-  KeyQueue keyQueue;
-  InFlightCall call;
-
-  /** The endpoint that refused it last. */
-  EndpointHealth rejectedBy;
-
-  /** While it waits: among which, and its place in the line of its destination. */
-  DeadlineGroup group;
-
-  long queuePosition;
-  int attempts;
-  boolean overQuota, mayHaveExecuted, ended, waiting;
-  long firstExecutionUs = OverloadController.NEVER;
-  String executionZone = "";
-
-  PendingMessage(final Message message, final MessageClass kind, final long number) {
-    this.sequence = number;
+  private final Message message;
+  private final MessageClass messageClass;
+
+  /** Its number in the order of acceptance. */
+  private final long sequence;
+
+  private final long objectiveUs;
+  private final boolean overQuota;
+  private final Destination destination;
+  private final MessageDeadline deadline = new MessageDeadline(this);
+
+  /** The messages of its key, in order; null if it goes in no order. */
+  private KeyQueue keyQueue;
+
+  /** While it waits: the group it waits in, and its position in the queue of its destination. */
+  private DeadlineGroup group;
+
+  private long queuePosition;
+  private boolean waiting;
+
+  private InFlightCall call;
+  private int attempts;
+  private EndpointHealth rejectedBy;
+
+  private boolean mayHaveExecuted;
+  private long firstExecutionUs = OverloadController.NEVER;
+  private String executionZone = "";
+
+  private boolean ended;
+
+  PendingMessage(
+      final Message message,
+      final MessageClass messageClass,
+      final long sequence,
+      final Destination destination,
+      final boolean overQuota) {
     this.message = message;
-    this.messageClass = kind;
-    this.objectiveUs = message.validUntilUs() - kind.deadlineUs() + kind.latencyObjectiveUs();
+    this.messageClass = messageClass;
+    this.sequence = sequence;
+    this.destination = destination;
+    this.overQuota = overQuota;
+    this.objectiveUs =
+        message.validUntilUs() - messageClass.deadlineUs() + messageClass.latencyObjectiveUs();
+  }
+
+  String id() {
+    return message.id();
+  }
+
+  String key() {
+    return message.key();
+  }
+
+  int classIndex() {
+    return message.classIndex();
+  }
+
+  long validUntilUs() {
+    return message.validUntilUs();
+  }
+
+  MessageClass messageClass() {
+    return messageClass;
+  }
+
+  Idempotence idempotence() {
+    return messageClass.idempotence();
+  }
+
+  long sequence() {
+    return sequence;
+  }
+
+  long objectiveUs() {
+    return objectiveUs;
+  }
+
+  boolean isOverQuota() {
+    return overQuota;
+  }
+
+  Destination destination() {
+    return destination;
+  }
+
+  MessageDeadline deadline() {
+    return deadline;
+  }
+
+  // ---------------------------------------------------------------- waiting
+
+  KeyQueue keyQueue() {
+    return keyQueue;
+  }
+
+  void joinKeyQueue(final KeyQueue queue) {
+    keyQueue = queue;
+    queue.add(this);
+  }
+
+  boolean isWaiting() {
+    return waiting;
+  }
+
+  /** Begins to wait at a position of the destination's queue. */
+  void startWaiting(final long position) {
+    waiting = true;
+    queuePosition = position;
   }
 
-  /** True where handing it in again after a refusal can do no harm. */
+  void stopWaiting() {
+    waiting = false;
+  }
+
+  long queuePosition() {
+    return queuePosition;
+  }
+
+  DeadlineGroup group() {
+    return group;
+  }
+
+  void enterGroup(final DeadlineGroup entered) {
+    group = entered;
+  }
+
+  void leaveGroup() {
+    group = null;
+  }
+
+  // ---------------------------------------------------------------- attempts
+
+  int attempts() {
+    return attempts;
+  }
+
+  InFlightCall call() {
+    return call;
+  }
+
+  boolean isInFlight() {
+    return call != null;
+  }
+
+  /** Joins a call that is being sent: a new attempt. */
+  void startAttempt(final InFlightCall joined) {
+    call = joined;
+    attempts++;
+  }
+
+  /** Joins a call that another process of this courier has sent and counted. */
+  void adoptAttempt(final InFlightCall adopted) {
+    call = adopted;
+  }
+
+  void endAttempt() {
+    call = null;
+  }
+
+  EndpointHealth rejectedBy() {
+    return rejectedBy;
+  }
+
+  void recordRejection(final EndpointHealth endpoint) {
+    rejectedBy = endpoint;
+  }
+
+  /** Takes over what became of it in an earlier process. */
+  void restore(final PriorAttempts prior) {
+    attempts = prior.attempts();
+    mayHaveExecuted = prior.mayHaveExecuted();
+    if (mayHaveExecuted) {
+      firstExecutionUs = prior.firstExecutionUs();
+      executionZone = prior.executionZone();
+    }
+  }
+
+  // ---------------------------------------------------------------- effects
+
+  boolean mayHaveExecuted() {
+    return mayHaveExecuted;
+  }
+
+  /** Notes that an attempt, sent at a time, may have had its effect. */
+  void recordPossibleExecution(final long sentUs, final String zone) {
+    mayHaveExecuted = true;
+    firstExecutionUs = Math.min(firstExecutionUs, sentUs);
+    executionZone = zone;
+  }
+
+  /** Returns whether its client may safely hand it in again after it has been shed. */
   boolean mayShed() {
     return mayShed(messageClass, mayHaveExecuted);
   }
 
-  static boolean mayShed(final MessageClass kind, final boolean mayHaveRun) {
-    return !mayHaveRun
-        || kind.idempotence() == Idempotence.IDEMPOTENT
-        || (kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !kind.keyScopedToZone());
+  static boolean mayShed(final MessageClass messageClass, final boolean mayHaveExecuted) {
+    return !mayHaveExecuted
+        || messageClass.idempotence() == Idempotence.IDEMPOTENT
+        || (messageClass.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+            && !messageClass.keyScopedToZone());
   }
 
-  /** The zone in which a repeat would be known, where only that one is left; else null. */
+  /** Returns the only zone that would recognize a repeat, or null if any zone would do. */
   String requiredZone() {
     return mayHaveExecuted && messageClass.keyScopedToZone() ? executionZone : null;
   }
 
-  /**
-   * Until when it may be sent: a key that may be in use ends a message like its own deadline does.
-   */
+  /** Returns until when it may be sent: an idempotency key in use ends with its window. */
   long retryDeadlineUs() {
     return Math.min(
         message.validUntilUs(), messageClass.retryDeadlineUs(mayHaveExecuted, firstExecutionUs));
   }
+
+  // ---------------------------------------------------------------- end
+
+  boolean hasEnded() {
+    return ended;
+  }
+
+  void end() {
+    ended = true;
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/PendingMessages.java
+++ b/decisions/src/main/java/thistleturn/decisions/PendingMessages.java
@@ -24,8 +24,8 @@
   private static final long SHED_RETRY_AFTER_US = OverloadController.SECOND_US;
 
   private static final Comparator<PendingMessage> EXPIRY_ORDER =
-      Comparator.comparing((PendingMessage message) -> message.destination, Destination.ORDER)
-          .thenComparingLong(message -> message.queuePosition);
+      Comparator.comparing(PendingMessage::destination, Destination.ORDER)
+          .thenComparingLong(PendingMessage::queuePosition);
 
   private final ControllerState state;
   private final RetryPolicy retryPolicy;
@@ -61,12 +61,14 @@
   PendingMessage accept(final Message accepted) {
     final PendingMessage message =
         new PendingMessage(
-            accepted, state.settings.classes().get(accepted.classIndex()), nextSequence++);
+            accepted,
+            state.settings.classes().get(accepted.classIndex()),
+            nextSequence++,
+            state.destination(accepted.destinationId()),
+            tenantQuotas.recordAndCheckExceeded(accepted.tenantIndex(), state.nowUs));
     messages.put(accepted.id(), message);
     state.pendingMessages++;
-    message.overQuota = tenantQuotas.recordAndCheckExceeded(accepted.tenantIndex(), state.nowUs);
-    message.destination = state.destination(accepted.destinationId());
-    message.destination.openMessages++;
+    message.destination().addMessage();
     keyOrdering.enqueue(message);
     enqueue(message);
     return message;
@@ -76,40 +78,36 @@
   void resume(final Message accepted, final PriorAttempts priorAttempts) {
     final PendingMessage message = accept(accepted);
     dequeue(message);
-    message.attempts = priorAttempts.attempts();
-    message.mayHaveExecuted = priorAttempts.mayHaveExecuted();
-    if (message.mayHaveExecuted) {
-      message.firstExecutionUs = priorAttempts.firstExecutionUs();
-      message.executionZone = priorAttempts.executionZone();
+    message.restore(priorAttempts);
+    if (message.mayHaveExecuted()) {
       keyOrdering.beginSettleDelay(message);
-      keyOrdering.refreshHead(message.keyQueue);
+      keyOrdering.refreshHead(message.keyQueue());
     }
     enqueue(message);
   }
 
   /** Lets a message wait; one that may not be attempted again ends in the next round. */
   void enqueue(final PendingMessage message) {
-    final Destination destination = message.destination;
+    final Destination destination = message.destination();
     state.markChanged(destination);
-    message.waiting = true;
-    message.queuePosition = nextQueuePosition++;
-    destination.waitingMessages++;
+    message.startWaiting(nextQueuePosition++);
+    destination.startWaiting();
     deadlines.schedule(
-        message.deadline, retryPolicy.mayAttempt(message) ? retryPolicy.expiryUs(message) : 0);
+        message.deadline(), retryPolicy.mayAttempt(message) ? retryPolicy.expiryUs(message) : 0);
     destination.enqueue(message, !keyOrdering.mayProceed(message));
-    keyOrdering.refreshHead(message.keyQueue);
+    keyOrdering.refreshHead(message.keyQueue());
   }
 
   /** Ends the wait of a message, if it waits. */
   void dequeue(final PendingMessage message) {
-    if (!message.waiting) {
+    if (!message.isWaiting()) {
       return;
     }
-    final Destination destination = message.destination;
+    final Destination destination = message.destination();
     state.markChanged(destination);
-    message.waiting = false;
-    destination.waitingMessages--;
-    deadlines.remove(message.deadline);
+    message.stopWaiting();
+    destination.stopWaiting();
+    deadlines.remove(message.deadline());
     destination.dequeue(message);
   }
 
@@ -124,14 +122,14 @@
     for (MessageDeadline due = deadlines.poll(state.nowUs);
         due != null;
         due = deadlines.poll(state.nowUs)) {
-      expired.add(due.message);
+      expired.add(due.message());
     }
     expired.sort(EXPIRY_ORDER);
     for (final PendingMessage message : expired) {
       // A client should come back when the queue that is there now has drained, and no sooner.
-      message.destination.catchUpIdleSteps(state.stepCount);
+      message.destination().catchUpIdleSteps(state.stepCount);
       endUndelivered(
-          message, Math.max(RecoveryPacer.MIN_BACKOFF_US, message.destination.queueDrainUs()));
+          message, Math.max(RecoveryPacer.MIN_BACKOFF_US, message.destination().queueDrainUs()));
     }
   }
 
@@ -143,7 +141,7 @@
       if (destination == null) {
         return;
       }
-      endUndelivered(destination.leastValuable, SHED_RETRY_AFTER_US);
+      endUndelivered(destination.leastValuable(), SHED_RETRY_AFTER_US);
     }
   }
 
@@ -151,30 +149,31 @@
   private void endUndelivered(final PendingMessage message, final long retryAfterUs) {
     if (message.mayShed()) {
       final long maxRetryAfterUs = state.settings.limits().maxRetryAfterUs();
-      state.actions.shed(message.message.id(), Math.min(retryAfterUs, maxRetryAfterUs));
+      state.actions.shed(message.id(), Math.min(retryAfterUs, maxRetryAfterUs));
     } else {
-      state.actions.fail(message.message.id());
+      state.actions.fail(message.id());
     }
     end(message);
   }
 
   /** Ends a message; it is kept until its attempt, if one is in flight, has its outcome. */
   void end(final PendingMessage message) {
-    if (!message.ended) {
+    if (!message.hasEnded()) {
       state.pendingMessages--;
-      message.ended = true;
+      message.end();
     }
     dequeue(message);
-    if (message.call == null) {
+    if (!message.isInFlight()) {
       remove(message);
     }
   }
 
   private void remove(final PendingMessage message) {
     keyOrdering.remove(message);
-    messages.remove(message.message.id());
-    final Destination destination = message.destination;
-    if (--destination.openMessages == 0) {
+    messages.remove(message.id());
+    final Destination destination = message.destination();
+    destination.removeMessage();
+    if (!destination.hasMessages()) {
       endpointRegistry.markVacant(destination);
     }
   }
--- a/decisions/src/main/java/thistleturn/decisions/PriorityValue.java
+++ b/decisions/src/main/java/thistleturn/decisions/PriorityValue.java
@@ -5,14 +5,14 @@
 import thistleturn.decisions.model.MessageClass;
 import thistleturn.decisions.model.ValueDecay;
 
-/** What a message is worth at a given time, and the times at which that turns. Plain arithmetic. */
+/** What a message is worth when it is delivered at a given time, and where that changes course. */
 final class PriorityValue {
-  /** Share of worth beyond a quota, of which we see a part. */
+  /** Share of its value that a message beyond the quota of its tenant keeps. */
   private static final double OVER_QUOTA_SHARE = 0.25;
 
   private final ValueDecay valueDecay;
 
-  /** By class: how late its worth has reached its floor, us after its aim. */
+  /** By class: how long after the objective the value has decayed to its floor, us. */
   private final long[] floorReachedUs;
 
   PriorityValue(final DeliverySettings settings) {
@@ -24,74 +24,79 @@
     return Math.max(least, Math.min(most, value));
   }
 
-  /**
-   * The worth of a message delivered at a given time; a key's window ends it like the deadline
-   * does.
-   */
-  double valueAt(final PendingMessage job, final long atUs) {
-    return atUs >= job.retryDeadlineUs()
-        ? 0
-        : job.messageClass.priorityWeight()
-            * (job.overQuota ? OVER_QUOTA_SHARE : 1)
-            * remainingShare(job.messageClass, Math.max(0, atUs - job.objectiveUs));
+  /** Returns the value of a message that is delivered at a time; 0 once it may not be sent. */
+  double valueAt(final PendingMessage message, final long atUs) {
+    if (atUs >= message.retryDeadlineUs()) {
+      return 0;
+    }
+    final MessageClass messageClass = message.messageClass();
+    return messageClass.priorityWeight()
+        * (message.isOverQuota() ? OVER_QUOTA_SHARE : 1)
+        * remainingShare(messageClass, Math.max(0, atUs - message.objectiveUs()));
   }
 
-  /** The share of its worth that is left of a message so late, us, before it ends. */
-  private double remainingShare(final MessageClass kind, final long lateUs) {
-    return (valueDecay == ValueDecay.HALVING
-        ? Math.max(
-            kind.lateWeight(),
-            Math.pow(0.5, (double) lateUs / Math.max(1, kind.latencyObjectiveUs())))
-        : 1
-            - (1 - kind.lateWeight())
-                * lateUs
-                / Math.max(1, kind.deadlineUs() - kind.latencyObjectiveUs()));
+  /** Returns the share of its value that is left of a message so late, before it ends. */
+  private double remainingShare(final MessageClass messageClass, final long lateUs) {
+    return switch (valueDecay) {
+      case HALVING -> halvedShare(messageClass, lateUs);
+      case LINEAR -> linearShare(messageClass, lateUs);
+    };
   }
 
-  /**
-   * How late a message's worth has faded as far as it does, us after its aim; its end at the
-   * latest.
-   */
-  private long floorReachedUs(final MessageClass kind) {
-    final long lifeUs = kind.deadlineUs() - kind.latencyObjectiveUs();
-    long lowUs = -1;
-    long highUs = lifeUs;
-    while (highUs - lowUs > 1) {
-      final long middleUs = (lowUs + highUs) >>> 1;
-      final boolean faded = remainingShare(kind, middleUs) <= kind.lateWeight();
-      lowUs = faded ? lowUs : middleUs;
-      highUs = faded ? middleUs : highUs;
+  private static double halvedShare(final MessageClass messageClass, final long lateUs) {
+    final double halvings = (double) lateUs / Math.max(1, messageClass.latencyObjectiveUs());
+    return Math.max(messageClass.lateWeight(), Math.pow(0.5, halvings));
+  }
+
+  private static double linearShare(final MessageClass messageClass, final long lateUs) {
+    final long decayUs = messageClass.deadlineUs() - messageClass.latencyObjectiveUs();
+    return 1 - (1 - messageClass.lateWeight()) * lateUs / Math.max(1, decayUs);
+  }
+
+  /** Finds how long after its objective a value has decayed as far as it does. */
+  private long floorReachedUs(final MessageClass messageClass) {
+    long aboveUs = -1;
+    long reachedUs = messageClass.deadlineUs() - messageClass.latencyObjectiveUs();
+    while (reachedUs - aboveUs > 1) {
+      final long middleUs = (aboveUs + reachedUs) >>> 1;
+      if (remainingShare(messageClass, middleUs) <= messageClass.lateWeight()) {
+        reachedUs = middleUs;
+      } else {
+        aboveUs = middleUs;
+      }
     }
-    return highUs;
+    return reachedUs;
   }
 
   /**
-   * The urgency of like messages follows from their aims alone. It only rises, only falls or stays
-   * the same between these aims: where worth turns when a message is done, and when it is done
-   * after the line.
+   * Returns the latency objectives at which the urgency of messages of a group changes course.
+   * Between these it only rises, only falls or stays the same: they are where the value changes
+   * course when a message is done, and when it is done after the queue.
    */
-  long[] urgencyBreakpoints(final DeadlineGroup group, final long doneUs, final long horizonUs) {
-    final long lifeUs = group.messageClass.deadlineUs() - group.messageClass.latencyObjectiveUs();
-    final long floorAimUs = doneUs - floorReachedUs[group.classIndex] + 1;
-    final long[] turns = {
+  long[] urgencyBreakpoints(final DeadlineGroup group, final long doneUs, final long lookAheadUs) {
+    final long decayUs = decayUs(group);
+    final long floorObjectiveUs = doneUs - floorReachedUs[group.classIndex()] + 1;
+    final long[] breakpoints = {
       doneUs + 1,
-      floorAimUs,
-      doneUs - lifeUs + 1,
-      doneUs + 1 + horizonUs,
-      floorAimUs + horizonUs,
-      doneUs - lifeUs + 1 + horizonUs
+      floorObjectiveUs,
+      doneUs - decayUs + 1,
+      doneUs + 1 + lookAheadUs,
+      floorObjectiveUs + lookAheadUs,
+      doneUs - decayUs + 1 + lookAheadUs
     };
-    Arrays.sort(turns);
-    return turns;
+    Arrays.sort(breakpoints);
+    return breakpoints;
   }
 
-  /**
-   * The same for what a message that is done at a given time is worth, just before its end at the
-   * latest.
-   */
+  /** Returns the same for the value of a message that is done at a time, or just before its end. */
   long[] valueBreakpoints(final DeadlineGroup group, final long atUs) {
-    final long lifeUs = group.messageClass.deadlineUs() - group.messageClass.latencyObjectiveUs();
-    final long flatUs = Math.max(0, Math.min(floorReachedUs[group.classIndex], lifeUs - 1));
+    final long flatUs =
+        Math.max(0, Math.min(floorReachedUs[group.classIndex()], decayUs(group) - 1));
     return new long[] {atUs - flatUs + 1, atUs + 1};
   }
+
+  private static long decayUs(final DeadlineGroup group) {
+    final MessageClass messageClass = group.messageClass();
+    return messageClass.deadlineUs() - messageClass.latencyObjectiveUs();
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
@@ -1,27 +1,18 @@
 package thistleturn.decisions;
 
 import thistleturn.decisions.model.Idempotence;
-import thistleturn.decisions.rejections.EndpointClassStatistics;
 
-/**
- * What a further attempt is allowed: how long it may take, until when, and whether there may be one
- * at all.
- */
+/** Whether a message may be attempted, for how long, and until when. */
 final class RetryPolicy {
-  /**
-   * A call begun before a stop has so many times what is expected left (chance cuts off one in
-   * seven).
-   */
+  /** A call begun before a stop has this many times its expected duration left. */
   private static final double STOP_FACTOR = 2;
 
-  /**
-   * A time-out, in times what is expected, and at least so long, us: wide enough for a long tail.
-   */
+  /** A timeout, in times the expected duration, and at least, us: wide enough for a long tail. */
   private static final double TIMEOUT_FACTOR = 8;
 
   private static final long MIN_TIMEOUT_US = 2 * OverloadController.SECOND_US;
 
-  /** A message ends so long before its time, us: two rounds. */
+  /** A message ends this long before its deadline, us: two rounds. */
   private static final long EXPIRY_MARGIN_US = 12_000;
 
   private final ControllerState state;
@@ -30,53 +21,72 @@
     this.state = state;
   }
 
-  /**
-   * False for a call that the end of this process would likely cut off: the next one may send it.
-   */
-  boolean fitsBeforeStop(final Route lane, final DeadlineGroup group) {
-    return state.stopAtUs == OverloadController.NEVER
-        || state.nowUs
-                + (group.idempotence() == Idempotence.NON_IDEMPOTENT
-                        ? InFlightCall.OVERDUE_FACTOR
-                        : STOP_FACTOR)
-                    * state.latencies.publishedExpectedUs(lane, group.classIndex)
-            < state.stopAtUs;
+  /** Returns whether the end of this process would likely leave a call the time that it needs. */
+  boolean fitsBeforeStop(final Route route, final DeadlineGroup group) {
+    if (state.stopAtUs == OverloadController.NEVER) {
+      return true;
+    }
+    final double factor =
+        group.idempotence() == Idempotence.NON_IDEMPOTENT
+            ? InFlightCall.OVERDUE_FACTOR
+            : STOP_FACTOR;
+    final double expectedUs = state.latencies.publishedExpectedUs(route, group.classIndex());
+    return state.nowUs + factor * expectedUs < state.stopAtUs;
   }
 
-  /** How long a message's call is expected to take there, us. */
-  double expectedUs(final Route lane, final PendingMessage job) {
-    return state.latencies.expectedUs(lane, job.message.classIndex());
+  /** Returns how long the call of a message is expected to take. */
+  double expectedUs(final Route route, final PendingMessage message) {
+    return state.latencies.expectedUs(route, message.classIndex());
   }
 
-  /** How long an attempt may take. */
-  long timeoutUs(final Route lane, final EndpointClassStatistics cell, final PendingMessage job) {
-    final double expectedUs = expectedUs(lane, job);
-    final long leftUs = job.message.validUntilUs() - state.nowUs;
-    long timeoutUs =
-        (long) Math.max(MIN_TIMEOUT_US, TIMEOUT_FACTOR * lane.timeoutMultiplier * expectedUs);
-    if (job.messageClass.idempotence() == Idempotence.NON_IDEMPOTENT) {
-      return leftUs;
+  /** Returns how long an attempt may take. */
+  long timeoutUs(final EndpointHealth endpoint, final PendingMessage message) {
+    final long remainingUs = message.validUntilUs() - state.nowUs;
+    if (message.idempotence() == Idempotence.NON_IDEMPOTENT) {
+      return remainingUs;
     }
-    timeoutUs =
-        state.classifiesFaults ? cell.timeoutUs(timeoutUs, lane.timeoutMultiplier) : timeoutUs;
-    if (job.messageClass.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.mayHaveExecuted) {
-      final long againUs = job.messageClass.safeKeyWindowUs() - InFlightCall.MIN_OVERDUE_US / 2;
-      timeoutUs = Math.min(timeoutUs, Math.max(InFlightCall.MIN_OVERDUE_US, againUs));
+    final double expectedUs = expectedUs(endpoint.route(), message);
+    final long timeoutUs =
+        withinKeyWindow(message, usualTimeoutUs(endpoint, message.classIndex(), expectedUs));
+    // Too little would be left for another attempt.
+    return remainingUs - timeoutUs < expectedUs ? remainingUs : timeoutUs;
+  }
+
+  private long usualTimeoutUs(
+      final EndpointHealth endpoint, final int classIndex, final double expectedUs) {
+    final double multiplier = endpoint.route().latency().timeoutMultiplier();
+    final long timeoutUs =
+        (long) Math.max(MIN_TIMEOUT_US, TIMEOUT_FACTOR * multiplier * expectedUs);
+    return state.classifiesFaults
+        ? endpoint.classStatistics(classIndex).timeoutUs(timeoutUs, multiplier)
+        : timeoutUs;
+  }
+
+  /** Shortens the timeout of a first attempt with a key, so that the key outlasts it. */
+  private static long withinKeyWindow(final PendingMessage message, final long timeoutUs) {
+    if (message.idempotence() != Idempotence.IDEMPOTENT_BY_KEY || message.mayHaveExecuted()) {
+      return timeoutUs;
     }
-    return leftUs - timeoutUs < expectedUs ? leftUs : timeoutUs;
+    final long retryUs = message.messageClass().safeKeyWindowUs() - InFlightCall.MIN_OVERDUE_US / 2;
+    return Math.min(timeoutUs, Math.max(InFlightCall.MIN_OVERDUE_US, retryUs));
+  }
+
+  /** Returns when a message that waits expires: its time or the window of its key is up. */
+  long expiryUs(final PendingMessage message) {
+    return Math.min(message.validUntilUs() - EXPIRY_MARGIN_US, message.retryDeadlineUs());
   }
 
-  /** When a message that waits is ended: its time or its key's window is up. */
-  long expiryUs(final PendingMessage job) {
-    return Math.min(job.message.validUntilUs() - EXPIRY_MARGIN_US, job.retryDeadlineUs());
+  /** Returns whether another attempt is harmless, and within the maximum. */
+  boolean mayAttempt(final PendingMessage message) {
+    return message.attempts() < state.settings.limits().maxAttempts()
+        && (!message.mayHaveExecuted() || mayRepeat(message));
   }
 
-  /** Rule on effects, and the most attempts. */
-  boolean mayAttempt(final PendingMessage job) {
-    final Idempotence effect = job.messageClass.idempotence();
-    return job.attempts < state.settings.limits().maxAttempts()
-        && (!job.mayHaveExecuted
-            || effect == Idempotence.IDEMPOTENT
-            || (effect == Idempotence.IDEMPOTENT_BY_KEY && state.nowUs < job.retryDeadlineUs()));
+  private boolean mayRepeat(final PendingMessage message) {
+    return switch (message.idempotence()) {
+      case IDEMPOTENT -> true;
+      case IDEMPOTENT_BY_KEY -> state.nowUs < message.retryDeadlineUs();
+      case NON_IDEMPOTENT -> false;
+    };
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/Route.java
+++ b/decisions/src/main/java/thistleturn/decisions/Route.java
@@ -6,328 +6,360 @@
 import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.decisions.model.DeliverySettings;
 import thistleturn.decisions.model.DestinationKind;
-import thistleturn.decisions.model.LoadReport;
 import thistleturn.decisions.model.WeightMeaning;
-import thistleturn.decisions.rejections.InitialWindowGrowth;
-import thistleturn.decisions.rejections.RejectionClassifier;
-import thistleturn.decisions.rejections.RetryBudget;
 
-/** The unit of the window: a destination, or a route of it. */
+/**
+ * A route to a destination: the unit that has a window, a pace and a circuit breaker of its own. A
+ * destination has one route, unless its kind keeps routes separate.
+ *
+ * <p>The route owns its parts, each of which changes its own state only, and the counts of its
+ * calls. Of the calls in flight some are overdue, and of these some are unresponsive: nothing has
+ * succeeded on their endpoint since they were sent.
+ */
 final class Route {
-  /**
-   * Steps of an idle lane that are taken one by one; further ones at once, since little is left by
-   * then.
-   */
-  private static final long MAX_SINGLE_STEPS = 200;
+  /** Idle steps that are taken one by one; after more, the averages are taken for zero. */
+  private static final long MAX_SINGLE_STEPS = 201;
 
-  /** Messages, the refused one too, that must wait for a call to be made only to learn. */
+  /** Messages, the rejected one among them, that must wait for a probe to be worth a rejection. */
   private static final int MIN_WAITING_FOR_PROBE = 3;
 
   private static final int LONG_QUEUE = 10;
 
-  /** A new lane's window in a large fleet, calls: clumps come first. */
-  private static final double LARGE_FLEET_WINDOW = 4;
-
-  /**
-   * Who tells of a limit: the list by its weights, a partner with an answer, what an earlier
-   * process knew.
-   */
-  static final String SOURCE_ENDPOINT_LIST = "list";
-
-  static final String SOURCE_DESTINATION = "partner";
-  static final String SOURCE_LEARNED_STATE = "memory";
-
-  final Destination destination;
-  final DestinationKind destinationKind;
-  final List<EndpointHealth> endpoints = new ArrayList<>();
-  final List<ReadyRoute> readyEntries = List.of(new ReadyRoute(this, 0), new ReadyRoute(this, 1));
-  final RouteTimer recheckTimer = new RouteTimer(this), recoveryEndTimer = new RouteTimer(this);
-  double window;
-
-  /** What its refusals answer to, what may be tried again at once, its first seconds. */
-  final RejectionClassifier rejectionClassifier = new RejectionClassifier();
-
-  final RetryBudget retryBudget = new RetryBudget();
-  final InitialWindowGrowth initialGrowth = new InitialWindowGrowth();
-
-  /**
-   * This courier's part of the rate told; never told of it in a fleet so small that it need not be
-   * kept to.
-   */
-  final FairShare rateShare;
-
-  /** One of so many that its part of a rate may be thin. */
-  final boolean inVastFleet;
-
-  private final int rateSharers;
+  private final Destination destination;
+  private final DestinationKind kind;
   private final DeliverySettings settings;
-
-  /**
-   * Drawn once: an idle connection is kept where the share of the fleet that may keep one is above
-   * it.
-   */
+  private final List<EndpointHealth> endpoints = new ArrayList<>();
+  private final ReadyRoute entryByUrgency = new ReadyRoute(this, false);
+  private final ReadyRoute entryByUrgencyPerCallTime = new ReadyRoute(this, true);
+  private final RouteTimer recheckTimer = new RouteTimer(this);
+  private final RouteTimer recoveryEndTimer = new RouteTimer(this);
+
+  private final CircuitBreaker circuit = new CircuitBreaker();
+  private final ConcurrencyWindow window;
+  private final SendPacing pacing;
+  private final StepStatistics step = new StepStatistics();
+  private final ServiceRate serviceRate = new ServiceRate();
+  private final LatencyProfile latency = new LatencyProfile();
+  private final RejectionHistory rejections = new RejectionHistory();
+
+  /** Whether this courier's share of a rate may be thin, as one of very many. */
+  private final boolean inVastFleet;
+
+  /** Drawn once: this courier may keep an idle connection while the share that may is above it. */
   private final double idleConnectionDraw;
 
-  /**
-   * Calls in flight, those of them that are overdue, and of these those with no success on their
-   * endpoint since.
-   */
-  int callsInFlight, overdueCalls, unresponsiveCalls;
+  private int callsInFlight;
+  private int overdueCalls;
+  private int unresponsiveCalls;
 
-  /** Calls served and refused in all. */
-  long completedCalls, rejectedCalls;
+  /** Whether the last step with calls was a slow one, or had many failures. */
+  private boolean degraded;
 
-  /** Of these, calls served before its first step: until then, all that is known of its rate. */
-  int callsBeforeFirstStep;
+  private boolean active;
+  private long stepsTaken;
+  private long faultCheckTick;
+  private long faultCheckUs;
 
-  /** Until when the rate that it had before its last outage grows by a fifth a second only. */
-  long cautiousUntilUs;
+  Route(final Destination destination, final DestinationKind kind, final ControllerState state) {
+    this.settings = state.settings;
+    this.destination = destination;
+    this.kind = kind;
+    final boolean largeFleet = FleetSize.isLarge(settings.courierCount());
+    final boolean sharing = largeFleet && state.sharesRates;
+    this.idleConnectionDraw = sharing ? state.random.nextDouble() : Double.POSITIVE_INFINITY;
+    final int rateSharers =
+        sharing && settings.weightMeaning() == WeightMeaning.NOMINAL ? settings.courierCount() : 0;
+    this.inVastFleet = state.relaxesThinShares && FleetSize.isVast(settings.courierCount());
+    this.pacing = new SendPacing(new FairShare(inVastFleet), rateSharers);
+    this.window = new ConcurrencyWindow(largeFleet);
+    this.stepsTaken = state.stepCount;
+  }
 
-  /** When the first refusal came of those that are one sign. */
-  long rejectionSignalUs;
+  // ---------------------------------------------------------------- parts
 
-  /** Window and spacing before its refusals were taken for noise. */
-  double windowBeforeNoise, rateBeforeNoise;
+  Destination destination() {
+    return destination;
+  }
 
-  /** One call may go in spite of the pause, to learn what the refusal answered to. */
-  boolean probeAllowed;
+  DestinationKind kind() {
+    return kind;
+  }
 
-  boolean active;
-  long stepsTaken, faultCheckTick, faultCheckUs;
+  List<EndpointHealth> endpoints() {
+    return endpoints;
+  }
 
-  /** This step's counts and sum of latency ratios. */
-  int stepPeakCalls, stepRejections, stepDeliveries;
+  ReadyRoute entryByUrgency() {
+    return entryByUrgency;
+  }
 
-  /** Of these, in calls. */
-  double stepCalls, stepFailures, stepErrors;
+  ReadyRoute entryByUrgencyPerCallTime() {
+    return entryByUrgencyPerCallTime;
+  }
 
-  double stepLatencyRatioSum;
-  LoadReport stepLoadReport;
+  RouteTimer recheckTimer() {
+    return recheckTimer;
+  }
 
-  /**
-   * Slow averages: steps seen, messages and calls served a second, step means, pace by other lanes.
-   */
-  int stepCount, latencySamples;
+  RouteTimer recoveryEndTimer() {
+    return recoveryEndTimer;
+  }
 
-  double messageRate, callRate, baselineLatencyRatio = 1, latencyFactor = 1, timeoutMultiplier = 1;
+  CircuitBreaker circuit() {
+    return circuit;
+  }
+
+  ConcurrencyWindow window() {
+    return window;
+  }
 
-  /** What the last call weighs on a cold destination. */
-  double lastCallWeight = 1;
+  SendPacing pacing() {
+    return pacing;
+  }
 
-  /** The limit told (0: none), and the sends allowed now, a second. */
-  double reportedLimit, permittedRate = Double.POSITIVE_INFINITY;
+  StepStatistics step() {
+    return step;
+  }
+
+  ServiceRate serviceRate() {
+    return serviceRate;
+  }
 
-  /** Who told the limit last. */
-  String limitSource = "";
+  LatencyProfile latency() {
+    return latency;
+  }
 
-  boolean degraded;
-  CircuitState circuitState = CircuitState.WELL;
-  double faultRun, failureRatio, recoveryIntervalUs;
+  RejectionHistory rejections() {
+    return rejections;
+  }
 
-  /** Since when nothing was served there; never, while all is well. */
-  long faultSinceUs = OverloadController.NEVER;
+  boolean isDegraded() {
+    return degraded;
+  }
 
-  long retryAfterUntilUs, backoffUntilUs, nextTrialUs, recoverySinceUs, lastSendUs;
+  void setDegraded(final boolean isDegraded) {
+    degraded = isDegraded;
+  }
 
-  Route(final Destination destination, final DestinationKind kind, final ControllerState state) {
-    this.settings = state.settings;
-    final boolean large = FleetSize.isLarge(settings.courierCount());
-    final boolean sharing = large && state.sharesRates;
-    this.destination = destination;
-    this.destinationKind = kind;
-    this.idleConnectionDraw = sharing ? state.random.nextDouble() : Double.POSITIVE_INFINITY;
-    this.rateSharers =
-        sharing && settings.weightMeaning() == WeightMeaning.NOMINAL ? settings.courierCount() : 0;
-    this.inVastFleet = state.relaxesThinShares && FleetSize.isVast(settings.courierCount());
-    this.rateShare = new FairShare(inVastFleet);
-    this.window = large ? LARGE_FLEET_WINDOW : ConcurrencyWindow.INITIAL_WINDOW;
-    this.stepsTaken = state.stepCount;
+  boolean isInVastFleet() {
+    return inVastFleet;
   }
 
-  /**
-   * The rate that it takes from all couriers is told, calls a second; the last word on it counts,
-   * whoever says it.
-   */
-  void setReportedLimit(final double ratePerSecond, final String by, final long nowUs) {
-    reportedLimit = ratePerSecond;
-    limitSource = by;
-    rateShare.setEvenRate(rateSharers == 0 ? 0 : reportedLimit / rateSharers, nowUs);
+  /** Returns whether an endpoint is in this courier's own zone. */
+  boolean isInLocalZone(final EndpointHealth endpoint) {
+    return endpoint.zone().equals(settings.zone());
   }
 
   /**
-   * True if this courier is one of those that keep a connection of this lane open, and it is this
-   * endpoint's. In a vast fleet none does: a kept one is hardly used again, and those in use want
-   * the room.
+   * Returns whether this courier is one of those that keep a connection of this route open, and
+   * this endpoint is the one to keep it to. In a vast fleet nobody does: a kept connection is
+   * hardly ever used again, and those in use need the capacity.
    */
-  boolean mayKeepIdleConnection(final EndpointHealth node) {
+  boolean mayKeepIdleConnection(final EndpointHealth endpoint) {
     return !inVastFleet
         && idleConnectionDraw
             < FleetSize.idleConnectionShare(endpoints.size(), settings.courierCount())
-        && node.connections == 1
+        && endpoint.connections() == 1
         && endpoints.stream()
             .allMatch(
                 other ->
-                    other == node
-                        || (isInLocalZone(node) == isInLocalZone(other)
-                            ? other.connections == 0
-                            : isInLocalZone(node)));
+                    other == endpoint
+                        || (isInLocalZone(endpoint) == isInLocalZone(other)
+                            ? other.connections() == 0
+                            : isInLocalZone(endpoint)));
   }
 
-  /** True for an endpoint in this courier's own zone. */
-  boolean isInLocalZone(final EndpointHealth node) {
-    return node.descriptor.zone().equals(settings.zone());
+  // ---------------------------------------------------------------- calls
+
+  int callsInFlight() {
+    return callsInFlight;
   }
 
-  /**
-   * When its rate lets the next call go: so many a second at most, and this courier's part of what
-   * is told.
-   */
-  long nextPacedSendUs(final double ratePerSecond, final long atUs) {
-    return rateShare.isLimited()
-        ? rateShare.earliestCallUs(atUs)
-        : lastSendUs + (long) (OverloadController.SECOND_US / ratePerSecond);
+  int overdueCalls() {
+    return overdueCalls;
   }
 
-  /**
-   * Its pause; one call may go sooner, to learn, where more waits than one refusal more would cost.
-   */
-  long effectiveBackoffUntilUs() {
-    return probeAllowed && destination.waitingMessages >= MIN_WAITING_FOR_PROBE
-        ? Math.min(backoffUntilUs, rejectionClassifier.nextProbeUs())
-        : backoffUntilUs;
+  int unresponsiveCalls() {
+    return unresponsiveCalls;
   }
 
-  /** True if the call that goes now does so to learn. */
-  boolean tryTakeProbe(final long nowUs) {
-    if (backoffUntilUs <= nowUs) {
-      return false;
-    }
-    probeAllowed = false;
-    return true;
+  /** Counts a call that goes out now. */
+  void startCall() {
+    callsInFlight++;
+    step.recordCallsInFlight(callsInFlight);
+  }
+
+  /** Counts a call that another process of this courier has sent. */
+  void adoptCall() {
+    callsInFlight++;
+  }
+
+  void endCall() {
+    callsInFlight--;
+  }
+
+  void addOverdueCall() {
+    overdueCalls++;
+  }
+
+  void removeOverdueCall() {
+    overdueCalls--;
+  }
+
+  void addUnresponsiveCall() {
+    unresponsiveCalls++;
+  }
+
+  void removeUnresponsiveCalls(final int count) {
+    unresponsiveCalls -= count;
   }
 
-  /** A call was served whole: what that says of its refusals. */
+  /** Takes in a call that was answered for all of its messages: what it says of rejections. */
   void recordCompletedCall(final InFlightCall call, final long nowUs) {
-    completedCalls++;
-    callsBeforeFirstStep += stepCount == 0 && circuitState == CircuitState.WELL ? 1 : 0;
-    rejectionClassifier.recordServed(call.sentUs, nowUs);
-    retryBudget.recordServed();
-    if (call.probe) {
-      rejectionClassifier.recordProbe(true, nowUs);
-      backoffUntilUs = nowUs;
+    if (circuit.isClosed()) {
+      serviceRate.recordCallBeforeFirstStep();
     }
-    if (rejectionClassifier.hasJustSettledOnNoise()) {
+    rejections.recordCompletedCall(call.sentUs(), nowUs);
+    if (call.isProbe()) {
+      rejections.classifier().recordProbe(true, nowUs);
+      pacing.endBackoff(nowUs);
+    }
+    if (rejections.classifier().hasJustSettledOnNoise()) {
       treatRejectionsAsNoise(nowUs);
     }
   }
 
-  /** There was room: the pause was for nothing, and so was all else that refusals brought. */
+  /** Returns the calls served a second as far as they are known for certain. */
+  double callsPerSecond() {
+    return serviceRate.knownCallsPerSecond(step.calls());
+  }
+
+  // ---------------------------------------------------------------- rejections and outages
+
+  /** There was capacity after all: lifts the backoff and whatever else rejections have brought. */
   private void treatRejectionsAsNoise(final long nowUs) {
-    windowBeforeNoise = window;
-    rateBeforeNoise = permittedRate;
-    backoffUntilUs = nowUs;
-    permittedRate = nowUs < cautiousUntilUs ? permittedRate : Double.POSITIVE_INFINITY;
-    initialGrowth.restart();
+    window.markBeforeNoise();
+    pacing.beginNoise(nowUs);
+    rejections.initialGrowth().restart();
   }
 
-  /**
-   * True for the refusal of a call that was sent before the last refusal came: it says the same as
-   * that one.
-   */
-  boolean isSameRejectionSignal(final long sentUs, final long nowUs) {
-    final boolean same = sentUs < rejectionSignalUs;
-    rejectionSignalUs = same ? rejectionSignalUs : nowUs;
-    return same;
+  /** The rejections answered to load after all: returns to what was known before. */
+  void treatRejectionsAsLoad(final long nowUs) {
+    rejections.classifier().onRetryBudgetExhausted(nowUs);
+    window.revertToBeforeNoise();
+    pacing.revertToBeforeNoise();
+  }
+
+  /** Returns when the backoff ends; earlier where a probe may go and enough messages wait. */
+  long effectiveBackoffUntilUs() {
+    return rejections.isProbeAllowed() && destination.waitingMessages() >= MIN_WAITING_FOR_PROBE
+        ? Math.min(pacing.backoffUntilUs(), rejections.classifier().nextProbeUs())
+        : pacing.backoffUntilUs();
+  }
+
+  /** Returns whether the call that goes now is a probe; if so, no other one may be. */
+  boolean tryTakeProbe(final long nowUs) {
+    if (pacing.backoffUntilUs() <= nowUs) {
+      return false;
+    }
+    rejections.takeProbe();
+    return true;
   }
 
   /**
-   * It has returned from an outage, and is surely warm: what its refusals answered to is past. All
-   * that waited meanwhile does not go at once: that could still push it over.
+   * Takes the route for warmed up. What its rejections answered to is past; the queue that has
+   * grown meanwhile goes at the known rate only, since it could still overload the destination.
    */
-  void completeRecovery(final long pacedUntilUs) {
-    cautiousUntilUs = pacedUntilUs;
-    rejectionClassifier.reset();
-    permittedRate = ConcurrencyWindow.RATE_GROWTH * Math.max(1, callsPerSecond());
-    initialGrowth.restart();
+  void resumeAfterRecovery(final long cautiousUntilUs) {
+    pacing.stayCautiousUntil(cautiousUntilUs);
+    rejections.classifier().reset();
+    pacing.restrictRateAfterOutage(callsPerSecond());
+    rejections.initialGrowth().restart();
   }
 
   /**
-   * This courier had no way out from a moment on, and has one again: if it is out for what came
-   * after that, it is as it was before, at the rate that it had, since all that waited meanwhile
-   * shall not go at once.
+   * Undoes an outage that was found while this courier itself had no connectivity: the route is as
+   * it was before, at the rate that it had.
    *
-   * @return whether it was out for that
+   * @param sinceUs since when this courier had no connectivity
+   * @return whether there was such an outage
    */
   boolean undoFaultsSince(final long sinceUs, final long nowUs) {
-    if (circuitState != CircuitState.OUT || faultSinceUs < sinceUs) {
+    if (!circuit.isOpen() || circuit.faultSinceUs() < sinceUs) {
       return false;
     }
-    circuitState = CircuitState.WELL;
-    faultRun = failureRatio = 0;
-    faultSinceUs = OverloadController.NEVER;
-    backoffUntilUs = nowUs;
-    window = Math.max(window, ConcurrencyWindow.INITIAL_WINDOW);
-    permittedRate = ConcurrencyWindow.RATE_GROWTH * Math.max(1, callsPerSecond());
-    endpoints.forEach(node -> node.clearFaults(nowUs));
+    circuit.cancelOutage();
+    pacing.endBackoff(nowUs);
+    window.raiseToInitial();
+    pacing.restrictRateAfterOutage(callsPerSecond());
+    endpoints.forEach(endpoint -> endpoint.clearFaults(nowUs));
     return true;
   }
 
-  /**
-   * Calls served a second, by what is known for certain: this step's so far, and what was served
-   * before the first one.
-   */
-  double callsPerSecond() {
-    return Math.max(callRate, Math.max(stepCalls, stepCount == 0 ? callsBeforeFirstStep : 0));
+  /** Returns whether the rate may grow faster: a long queue waits and nothing was rejected. */
+  boolean mayRegainRate(final long nowUs) {
+    return step.rejections() == 0
+        && destination.waitingMessages() >= LONG_QUEUE
+        && !pacing.isCautious(nowUs);
   }
 
-  /** It was load after all: back to what was known before. */
-  void treatRejectionsAsLoad(final long nowUs) {
-    rejectionClassifier.onRetryBudgetExhausted(nowUs);
-    window = Math.min(window, windowBeforeNoise);
-    permittedRate = Math.min(permittedRate, rateBeforeNoise);
+  /** Notes that the circuit breaker has been checked for an outage. */
+  void recordFaultCheck(final long tick, final long nowUs) {
+    faultCheckTick = tick;
+    faultCheckUs = nowUs;
   }
 
-  /**
-   * True where a long line waits after a step without a refusal, and no outage is so near that it
-   * might be tipped.
-   */
-  boolean mayRegainRate(final long nowUs) {
-    return stepRejections == 0
-        && destination.waitingMessages >= LONG_QUEUE
-        && nowUs >= cautiousUntilUs;
+  long faultCheckTick() {
+    return faultCheckTick;
   }
 
-  /** What is counted within a step begins anew. */
-  void beginStep() {
-    stepPeakCalls = callsInFlight;
-    stepLatencyRatioSum = stepRejections = stepDeliveries = 0;
-    stepCalls = stepFailures = stepErrors = 0;
-    stepLoadReport = null;
+  long faultCheckUs() {
+    return faultCheckUs;
   }
 
-  /**
-   * Makes up for the steps that it was idle for: nothing was served, and nothing stood in the way.
-   */
-  void catchUpIdleSteps(final long stepsNow) {
-    final long missed = stepsNow - stepsTaken;
-    stepsTaken = stepsNow;
-    for (long step = 0; step < Math.min(missed, MAX_SINGLE_STEPS); step++) {
-      applyIdleSteps(1);
+  // ---------------------------------------------------------------- steps
+
+  /** Marks the route as one whose next step must be taken; returns whether it was not before. */
+  boolean activate() {
+    final boolean wasInactive = !active;
+    active = true;
+    return wasInactive;
+  }
+
+  /** Begins the step with this number, up to which nothing is left to catch up. */
+  void beginStep(final long stepNumber) {
+    active = false;
+    stepsTaken = stepNumber;
+  }
+
+  /** Makes up for the steps in which the route was idle: nothing was served or in the way. */
+  void catchUpIdleSteps(final long stepNumber) {
+    final long missed = stepNumber - stepsTaken;
+    if (missed == 0) {
+      return;
     }
+    stepsTaken = stepNumber;
     if (missed > MAX_SINGLE_STEPS) {
-      applyIdleSteps(missed - MAX_SINGLE_STEPS);
+      skipIdleSteps(missed);
+    } else {
+      takeIdleSteps(missed);
+    }
+    step.resetPeak(callsInFlight);
+  }
+
+  private void takeIdleSteps(final long count) {
+    for (long taken = 0; taken < count; taken++) {
+      if (circuit.isClosed()) {
+        serviceRate.recordIdleStep();
+      }
+      pacing.growRate();
     }
-    stepPeakCalls = missed > 0 ? callsInFlight : stepPeakCalls;
   }
 
-  private void applyIdleSteps(final long count) {
-    if (circuitState == CircuitState.WELL) {
-      stepCount = (int) (stepCount + count);
-      final double weight = Math.max(ConcurrencyWindow.SAMPLE_WEIGHT, 1.0 / stepCount);
-      messageRate = count == 1 ? messageRate + weight * (0 - messageRate) : 0;
-      callRate = count == 1 ? callRate + weight * (0 - callRate) : 0;
+  private void skipIdleSteps(final long count) {
+    if (circuit.isClosed()) {
+      serviceRate.recordLongIdleness(count);
     }
-    permittedRate =
-        count == 1 ? ConcurrencyWindow.RATE_GROWTH * permittedRate : Double.POSITIVE_INFINITY;
+    pacing.liftRate();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/RouteStatus.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteStatus.java
@@ -3,29 +3,30 @@
 import java.util.ArrayList;
 import java.util.List;
 import thistleturn.decisions.directives.Directive;
-import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.directives.Directives;
 
 /**
- * One destination (or route) as operators see it.
+ * One route of a destination as operators see it.
  *
- * @param destinationId its number
+ * @param destinationId the number of its destination
  * @param endpoints the numbers of its endpoints
- * @param circuitState how it is: {@code WELL}, {@code OUT} or {@code RAMP}
- * @param window calls in flight that it may have
- * @param callsInFlight those it has; {@code overdueCalls} of them are overdue
- * @param waitingMessages messages of the destination that wait
- * @param callsPerSecond calls, a slow average
- * @param permittedPerSecond sends allowed a second, after refusals or as this courier's part of a
- *     told rate; infinite: any number
- * @param rejectionCause what its refusals are taken to answer to: {@code UNSURE}, {@code LOAD} or
+ * @param circuitState the state of its circuit: {@code WELL}, {@code OUT} or {@code RAMP}
+ * @param window the calls in flight that it may have
+ * @param callsInFlight the calls in flight that it has
+ * @param overdueCalls those of them that are overdue
+ * @param waitingMessages the messages of the destination that wait
+ * @param callsPerSecond the calls served a second, a slow average
+ * @param permittedPerSecond the calls allowed a second, after rejections or as this courier's share
+ *     of a reported rate; infinite: any number
+ * @param rejectionCause what its rejections are taken to answer to: {@code UNSURE}, {@code LOAD} or
  *     {@code NOISE}
- * @param noiseEvidence nats for noise (above 0) or load (below); 3 settle it
- * @param rejectedShare share of recent calls that were refused
- * @param retryBudget further calls at once that its budget leaves
- * @param inInitialGrowth true in its first seconds, until the first sign of crowding
+ * @param noiseEvidence the evidence for noise (above 0) or load (below), nats; 3 settle it
+ * @param rejectedShare the share of recent calls that were rejected
+ * @param retryBudget the retries that may be made at once
+ * @param inInitialGrowth whether it is in its first seconds, until the first sign of crowding
  * @param blockedReason what keeps the next message, in a sentence
- * @param constraints what binds it from outside: the limit told and by whom, this courier's part of
- *     it, and other subsystems' words
+ * @param constraints what binds it from outside: the reported limit, this courier's share of it,
+ *     and the directives of other subsystems
  */
 public record RouteStatus(
     long destinationId,
@@ -44,133 +45,109 @@
     boolean inInitialGrowth,
     String blockedReason,
     List<Constraint> constraints) {
-  private static final long US_PER_MS = 1000;
 
-  /** What the limit of all couriers together is called among what is said. */
+  /** What the limit of all couriers together is called among the constraints. */
   private static final String LIMIT_CONSTRAINT = "LIMIT";
 
+  /** The source of the constraint that is this courier's share of a reported rate. */
+  private static final String RATE_SHARE_SOURCE = "even part";
+
+  /** The endpoint of a constraint that binds the whole destination. */
+  private static final long WHOLE_DESTINATION = -1;
+
   /**
-   * Something said from outside.
+   * One constraint from outside.
    *
-   * @param endpointId the endpoint that is meant; below 0: the whole destination
-   * @param type what is said
-   * @param value how much
-   * @param source who says it
-   * @param untilUs until when, us; {@link Long#MAX_VALUE}: until it is taken back
+   * @param endpointId the endpoint that is bound; below 0: the whole destination
+   * @param type the type of the constraint
+   * @param value its value
+   * @param source who set it
+   * @param untilUs until when it binds, us; {@link Long#MAX_VALUE}: until it is revoked
    */
   public record Constraint(
       long endpointId, String type, double value, String source, long untilUs) {
-    private static Constraint of(final long endpoint, final Directive word) {
+    private static Constraint of(final long endpointId, final Directive directive) {
       return new Constraint(
-          endpoint, word.kind().name(), word.value(), word.source(), word.expiresUs());
+          endpointId,
+          directive.kind().name(),
+          directive.value(),
+          directive.source(),
+          directive.expiresUs());
+    }
+
+    private static Constraint onDestination(
+        final String type, final double value, final String source, final long untilUs) {
+      return new Constraint(WHOLE_DESTINATION, type, value, source, untilUs);
     }
   }
 
-  static RouteStatus of(final Route lane, final long nowUs, final long openAtUs, final int cap) {
+  /**
+   * Describes a route.
+   *
+   * @param sendAllowedAtUs when its next call may go
+   * @param limit the calls that it may have in flight now
+   */
+  static RouteStatus of(
+      final Route route, final long nowUs, final long sendAllowedAtUs, final int limit) {
+    final RejectionHistory rejections = route.rejections();
     return new RouteStatus(
-        lane.destination.id,
-        lane.endpoints.stream().map(EndpointHealth::id).toList(),
-        lane.circuitState.name(),
-        lane.window,
-        lane.callsInFlight,
-        lane.overdueCalls,
-        lane.destination.waitingMessages,
-        lane.callRate,
-        lane.rateShare.isLimited() ? lane.rateShare.ratePerSecond() : lane.permittedRate,
-        lane.rejectionClassifier.cause(nowUs).name(),
-        lane.rejectionClassifier.evidence(nowUs),
-        lane.rejectionClassifier.rejectedShare(),
-        lane.retryBudget.available(),
-        lane.initialGrowth.isGrowing(),
-        blockedReason(lane, nowUs, openAtUs, cap),
-        constraints(lane, nowUs));
+        route.destination().id(),
+        route.endpoints().stream().map(EndpointHealth::id).toList(),
+        route.circuit().state().reportedName(),
+        route.window().calls(),
+        route.callsInFlight(),
+        route.overdueCalls(),
+        route.destination().waitingMessages(),
+        route.serviceRate().averageCallsPerSecond(),
+        route.pacing().effectiveRate(),
+        rejections.classifier().cause(nowUs).name(),
+        rejections.classifier().evidence(nowUs),
+        rejections.classifier().rejectedShare(),
+        rejections.retryBudget().available(),
+        rejections.initialGrowth().isGrowing(),
+        new BlockedReason(route, nowUs, sendAllowedAtUs, limit).describe(),
+        constraintsOn(route, nowUs));
   }
 
-  private static List<Constraint> constraints(final Route lane, final long nowUs) {
-    final List<Constraint> said = new ArrayList<>();
-    if (lane.reportedLimit > 0) {
-      said.add(
-          new Constraint(
-              -1,
+  private static List<Constraint> constraintsOn(final Route route, final long nowUs) {
+    final List<Constraint> constraints = new ArrayList<>();
+    final SendPacing pacing = route.pacing();
+    if (pacing.hasReportedLimit()) {
+      constraints.add(
+          Constraint.onDestination(
               LIMIT_CONSTRAINT,
-              lane.reportedLimit,
-              lane.limitSource,
+              pacing.reportedLimit(),
+              pacing.limitSource(),
               OverloadController.NEVER));
     }
-    if (lane.rateShare.isLimited()) {
-      said.add(
-          new Constraint(
-              -1,
+    if (pacing.rateShare().isLimited()) {
+      constraints.add(
+          Constraint.onDestination(
               Directive.Kind.RATE.name(),
-              lane.rateShare.ratePerSecond(),
-              "even part",
+              pacing.rateShare().ratePerSecond(),
+              RATE_SHARE_SOURCE,
               OverloadController.NEVER));
     }
-    if (nowUs < lane.retryAfterUntilUs) {
-      said.add(
-          new Constraint(
-              -1, Directive.Kind.WAIT.name(), 0, Route.SOURCE_DESTINATION, lane.retryAfterUntilUs));
-    }
-    lane.destination.directives.active(nowUs).forEach(word -> said.add(Constraint.of(-1, word)));
-    lane.endpoints.forEach(
-        node ->
-            node.directives
-                .active(nowUs)
-                .forEach(word -> said.add(Constraint.of(node.id(), word))));
-    return said;
-  }
-
-  private static String blockedReason(
-      final Route lane, final long nowUs, final long openAtUs, final int cap) {
-    if (lane.destination.waitingMessages == 0) {
-      return "nothing waits";
+    if (nowUs < pacing.retryAfterUntilUs()) {
+      constraints.add(
+          Constraint.onDestination(
+              Directive.Kind.WAIT.name(),
+              0,
+              SendPacing.SOURCE_DESTINATION,
+              pacing.retryAfterUntilUs()));
     }
-    if (lane.endpoints.stream().noneMatch(node -> node.state == EndpointState.LISTED)) {
-      return "none of its endpoints is listed for use";
+    addActive(constraints, WHOLE_DESTINATION, route.destination().directives(), nowUs);
+    for (final EndpointHealth endpoint : route.endpoints()) {
+      addActive(constraints, endpoint.id(), endpoint.directives(), nowUs);
     }
-    if (lane.endpoints.stream().noneMatch(node -> node.acceptsCalls(nowUs))) {
-      return "its endpoints are left out: "
-          + sources(
-              lane.endpoints.stream()
-                  .flatMap(node -> node.directives.active(nowUs).stream())
-                  .toList());
-    }
-    if (nowUs < lane.retryAfterUntilUs) {
-      return "it told to wait: " + inMillis(lane.retryAfterUntilUs - nowUs) + " are left";
-    }
-    if (lane.circuitState == CircuitState.OUT) {
-      return lane.callsInFlight > 0
-          ? "it is out, and a trial is under way"
-          : "it is out: the next trial goes in " + inMillis(lane.nextTrialUs - nowUs);
-    }
-    if (lane.callsInFlight >= cap) {
-      return "its window is full: " + lane.callsInFlight + " of " + cap + " calls are in flight";
-    }
-    if (lane.destination.directives.earliestCallUs(lane.lastSendUs, nowUs) > nowUs) {
-      return "it is held back by " + sources(lane.destination.directives.active(nowUs));
-    }
-    if (openAtUs > nowUs) {
-      return lane.circuitState == CircuitState.RAMP
-          ? "it returns from an outage: the next call goes in " + inMillis(openAtUs - nowUs)
-          : nowUs < lane.effectiveBackoffUntilUs()
-              ? "it pauses after a refusal: " + inMillis(openAtUs - nowUs) + " are left"
-              : lane.rateShare.isLimited()
-                  ? "this courier's part of the rate told is used up: the next one goes in "
-                      + inMillis(openAtUs - nowUs)
-                  : "its sends are spaced after refusals: the next one goes in "
-                      + inMillis(openAtUs - nowUs);
-    }
-    if (lane.endpoints.stream().allMatch(node -> node.isAvoided(nowUs))) {
-      return "all of its endpoints are avoided for trouble with them";
-    }
-    return "the next message may go as soon as a slot is free, unless its class is avoided or another of its key is out";
-  }
-
-  private static String sources(final List<Directive> words) {
-    return String.join(", ", words.stream().map(Directive::source).distinct().toList());
+    return constraints;
   }
 
-  private static String inMillis(final long us) {
-    return Math.max(0, us) / US_PER_MS + " ms";
+  private static void addActive(
+      final List<Constraint> to,
+      final long endpointId,
+      final Directives directives,
+      final long nowUs) {
+    directives.active(nowUs).forEach(directive -> to.add(Constraint.of(endpointId, directive)));
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/RouteStepper.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteStepper.java
@@ -1,6 +1,5 @@
 package thistleturn.decisions;
 
-import java.util.ArrayList;
 import java.util.List;
 
 /** Takes the step of each route on which something happened, once a second. */
@@ -11,14 +10,14 @@
   private static final double LATENCY_PUBLISH_THRESHOLD = 0.25;
 
   private final ControllerState state;
-  private final ConcurrencyWindow concurrencyWindow;
+  private final ConcurrencyPolicy concurrencyPolicy;
 
   /** When the next step is due; 0 before the first round. */
   private long nextStepUs;
 
-  RouteStepper(final ControllerState state, final ConcurrencyWindow concurrencyWindow) {
+  RouteStepper(final ControllerState state, final ConcurrencyPolicy concurrencyPolicy) {
     this.state = state;
-    this.concurrencyWindow = concurrencyWindow;
+    this.concurrencyPolicy = concurrencyPolicy;
   }
 
   long nextStepUs() {
@@ -37,19 +36,16 @@
 
   /** Takes the step; routes without activity catch up when they are used again. */
   void takeStep() {
-    state.stepCount++;
-    final List<Route> stepping = state.activeRoutes;
-    state.activeRoutes = new ArrayList<>();
+    final List<Route> stepping = state.beginStep();
     for (final Route route : stepping) {
-      route.active = false;
-      route.stepsTaken = state.stepCount;
-      concurrencyWindow.step(route);
+      route.beginStep(state.stepCount);
+      concurrencyPolicy.step(route);
     }
     for (final Route route : stepping) {
-      if (route.callsInFlight > 0 || changesByTime(route)) {
-        state.markChanged(route.destination);
+      if (route.callsInFlight() > 0 || changesByTime(route)) {
+        state.markChanged(route.destination());
       } else {
-        state.rerank(route.destination);
+        state.rerank(route.destination());
       }
     }
     publishLatencies(LATENCY_PUBLISH_THRESHOLD);
@@ -58,13 +54,12 @@
 
   /** Returns whether the rate of a route, or the spacing of its calls, still changes. */
   private boolean changesByTime(final Route route) {
-    final Destination destination = route.destination;
-    if (destination.waitingMessages == 0) {
+    final Destination destination = route.destination();
+    if (destination.waitingMessages() == 0) {
       return false;
     }
-    final long spacingUs = (long) (OverloadController.SECOND_US / route.permittedRate);
-    return route.messageRate * destination.routes.size() >= Destination.MIN_RATE
-        || route.lastSendUs + spacingUs > state.nowUs;
+    final double queueRate = route.serviceRate().messagesPerSecond() * destination.routes().size();
+    return queueRate >= Destination.MIN_RATE || route.pacing().isSpaced(state.nowUs);
   }
 
   /** Publishes the mean latencies that have changed by more than a share; ranks anew if any has. */
--- a/decisions/src/main/java/thistleturn/decisions/RouteTimer.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteTimer.java
@@ -2,11 +2,15 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** When a lane is looked at again. */
+/** When a route is to be ranked and checked again. */
 final class RouteTimer extends TimeHeap.Entry {
-  final Route route;
+  private final Route route;
 
-  RouteTimer(final Route lane) {
-    this.route = lane;
+  RouteTimer(final Route route) {
+    this.route = route;
+  }
+
+  Route route() {
+    return route;
   }
 }
