--- a/decisions/src/main/java/thistleturn/decisions/SendPermission.java
+++ b/decisions/src/main/java/thistleturn/decisions/SendPermission.java
@@ -3,78 +3,103 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * When a lane may send: its window, its waits and pauses, the rate it is held to, single trials
- * while it is out, and the pace of its return. What other subsystems say of it ({@link
- * thistleturn.decisions.directives.Directives}) enters here.
+ * When a route may send its next call: as its window, its waits, the rate it is kept to, the trials
+ * of an open circuit, the pace of a recovery and the directives of other subsystems allow.
  */
 final class SendPermission {
   private final ControllerState state;
-  private final ConcurrencyWindow concurrencyWindow;
+  private final ConcurrencyPolicy concurrencyPolicy;
 
-  SendPermission(final ControllerState state, final ConcurrencyWindow window) {
+  SendPermission(final ControllerState state, final ConcurrencyPolicy concurrencyPolicy) {
     this.state = state;
-    this.concurrencyWindow = window;
+    this.concurrencyPolicy = concurrencyPolicy;
   }
 
-  /** When a lane's waits and guards let a call go; never, while its window is full. */
-  long sendAllowedAtUs(final Route lane) {
-    return sendAllowedAtUs(lane, state.nowUs);
+  /** Returns when the next call may go; never, while the window is full. */
+  long sendAllowedAtUs(final Route route) {
+    return sendAllowedAtUs(route, state.nowUs);
   }
 
-  /** The same, as it is reckoned at that moment: a ramp gets steeper with time. */
-  long sendAllowedAtUs(final Route lane, final long atUs) {
-    // Single calls that are silent while others are served hold slots, but not the lane's window.
-    final int stray = state.classifiesFaults ? lane.overdueCalls - lane.unresponsiveCalls : 0;
-    if (lane.callsInFlight - stray >= concurrencyWindow.limit(lane)
-        || lane.callsInFlight >= concurrencyWindow.maxLimit(lane)) {
+  /** Returns the same as reckoned at a time: during a recovery the interval shrinks with time. */
+  private long sendAllowedAtUs(final Route route, final long atUs) {
+    if (isWindowFull(route)) {
       return OverloadController.NEVER;
     }
-    final boolean exact =
-        state.settings.weightMeaning() == WeightMeaning.NOMINAL && lane.reportedLimit > 0;
-    final double rate =
-        exact ? Math.min(lane.reportedLimit, lane.permittedRate) : lane.permittedRate;
-    final long guardUs =
-        switch (lane.circuitState) {
-          case WELL -> lane.nextPacedSendUs(rate, atUs);
-          case OUT -> lane.callsInFlight == 0 ? lane.nextTrialUs : OverloadController.NEVER;
-          case RAMP ->
-              lane.lastSendUs
-                  + (long)
-                      (lane.recoveryIntervalUs
-                          * lane.lastCallWeight
-                          / state.settings.guarantees().overloadShare(atUs - lane.recoverySinceUs));
-        };
-    return Math.max(
-        lane.destination.directives.earliestCallUs(lane.lastSendUs, atUs),
-        Math.max(guardUs, Math.max(lane.retryAfterUntilUs, lane.effectiveBackoffUntilUs())));
+    final SendPacing pacing = route.pacing();
+    final long directedUs =
+        route.destination().directives().earliestCallUs(pacing.lastSendUs(), atUs);
+    final long waitedUs = Math.max(pacing.retryAfterUntilUs(), route.effectiveBackoffUntilUs());
+    return Math.max(directedUs, Math.max(pacedUntilUs(route, atUs), waitedUs));
   }
 
-  /** When a lane may be able to send more than now by the passing of time alone. */
-  long nextChangeUs(final Route lane) {
-    long highUs = sendAllowedAtUs(lane);
-    if (highUs > state.nowUs) {
-      // On a ramp the moment comes nearer while it is waited for.
-      long lowUs =
-          lane.circuitState == CircuitState.RAMP && highUs != OverloadController.NEVER
-              ? state.nowUs
-              : highUs;
-      while (highUs - lowUs > 1) {
-        final long middleUs = (lowUs + highUs) >>> 1;
-        lowUs = sendAllowedAtUs(lane, middleUs) > middleUs ? middleUs : lowUs;
-        highUs = lowUs == middleUs ? highUs : middleUs;
+  private boolean isWindowFull(final Route route) {
+    // Single calls that are overdue while others are served use capacity, but not the window.
+    final int straying =
+        state.classifiesFaults ? route.overdueCalls() - route.unresponsiveCalls() : 0;
+    return route.callsInFlight() - straying >= concurrencyPolicy.limit(route)
+        || route.callsInFlight() >= concurrencyPolicy.maxLimit(route);
+  }
+
+  private long pacedUntilUs(final Route route, final long atUs) {
+    final CircuitBreaker circuit = route.circuit();
+    return switch (circuit.state()) {
+      case CLOSED -> route.pacing().nextPacedSendUs(ratePerSecond(route.pacing()), atUs);
+      case OPEN -> route.callsInFlight() == 0 ? circuit.nextTrialUs() : OverloadController.NEVER;
+      case RECOVERING -> recoveryPacedUntilUs(route, atUs);
+    };
+  }
+
+  private double ratePerSecond(final SendPacing pacing) {
+    final boolean limitIsExact =
+        state.settings.weightMeaning() == WeightMeaning.NOMINAL && pacing.hasReportedLimit();
+    return limitIsExact ? pacing.permittedRateWithinLimit() : pacing.permittedRate();
+  }
+
+  private long recoveryPacedUntilUs(final Route route, final long atUs) {
+    final CircuitBreaker circuit = route.circuit();
+    final double overloadShare =
+        state.settings.guarantees().overloadShare(circuit.recoveryAgeUs(atUs));
+    return route.pacing().lastSendUs()
+        + (long) (circuit.recoveryIntervalUs() * route.pacing().lastCallWeight() / overloadShare);
+  }
+
+  /** Returns when a route may be able to send more than now by the passing of time alone. */
+  long nextChangeUs(final Route route) {
+    final long allowedAtUs = sendAllowedAtUs(route);
+    return allowedAtUs > state.nowUs
+        ? earliestSendUs(route, allowedAtUs)
+        : nextEndpointChangeUs(route);
+  }
+
+  /**
+   * Finds when the call may go that may go by a time: in a recovery that comes nearer by itself.
+   */
+  private long earliestSendUs(final Route route, final long allowedAtUs) {
+    if (!route.circuit().isRecovering() || allowedAtUs == OverloadController.NEVER) {
+      return allowedAtUs;
+    }
+    long tooEarlyUs = state.nowUs;
+    long allowedUs = allowedAtUs;
+    while (allowedUs - tooEarlyUs > 1) {
+      final long middleUs = (tooEarlyUs + allowedUs) >>> 1;
+      if (sendAllowedAtUs(route, middleUs) > middleUs) {
+        tooEarlyUs = middleUs;
+      } else {
+        allowedUs = middleUs;
       }
-      return highUs;
     }
-    long next = OverloadController.NEVER;
-    for (final EndpointHealth node : lane.endpoints) {
-      next = Math.min(next, node.directives.nextExpiryUs(state.nowUs));
-      for (int kind = 0;
-          kind < node.avoidUntilUs.length && lane.circuitState == CircuitState.WELL;
-          kind++) {
-        next =
-            node.avoidUntilUs[kind] > state.nowUs ? Math.min(next, node.avoidUntilUs[kind]) : next;
+    return allowedUs;
+  }
+
+  private long nextEndpointChangeUs(final Route route) {
+    final boolean avoidsClasses = route.circuit().isClosed();
+    long nextUs = OverloadController.NEVER;
+    for (final EndpointHealth endpoint : route.endpoints()) {
+      nextUs = Math.min(nextUs, endpoint.directives().nextExpiryUs(state.nowUs));
+      if (avoidsClasses) {
+        nextUs = Math.min(nextUs, endpoint.nextClassReturnUs(state.nowUs));
       }
     }
-    return next;
+    return nextUs;
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
@@ -19,12 +19,12 @@
  */
 @Tag("decisions")
 final class LearnedFiguresOrderTest {
-  private static final double[] LANE_FIGURES = {
+  private static final double[] ROUTE_FIGURES = {
     9, 10, 11, 12, 13, 1.5, 1.6, 1.7, 1.8, 19, 20, 1, 2, 23, 0.24, 25, 26, 2.5, 0.25, 1, 300_000
   };
-  private static final long[] LANE_MOMENTS = {101, 102, 103, 104, 105, 106, 107};
-  private static final double[] NODE_FIGURES = {3, 4, 5000, 60, 7000, 80};
-  private static final long[] NODE_MOMENTS = {201, 202, 203, 204};
+  private static final long[] ROUTE_MOMENTS = {101, 102, 103, 104, 105, 106, 107};
+  private static final double[] ENDPOINT_FIGURES = {3, 4, 5000, 60, 7000, 80};
+  private static final long[] ENDPOINT_MOMENTS = {201, 202, 203, 204};
 
   private final ControllerState state =
       new ControllerState(
@@ -35,123 +35,116 @@
           true,
           true);
   private final Destination destination = new Destination(ScriptedController.DESTINATION);
-  private final Route lane =
+  private final Route route =
       new Route(destination, ScriptedController.settings().kinds().get(0), state);
-  private final EndpointHealth node =
+  private final EndpointHealth endpoint =
       new EndpointHealth(
-          ScriptedController.endpoint(4, ScriptedController.DESTINATION, "a"), lane, 2);
+          ScriptedController.endpoint(4, ScriptedController.DESTINATION, "a"), route, 2);
 
-  private LearnedState memory() {
+  /** The first two classes of the settings are those of the figures. */
+  private final LatencyEstimator latencies =
+      new LatencyEstimator(ScriptedController.settings().classes().subList(0, 2));
+
+  private LearnedState learnedState() {
     return new LearnedState(
         new double[] {1000, 2000},
         new int[] {7, 8},
         1e7,
-        List.of(new LearnedState.LearnedRoute(4, LANE_FIGURES, LANE_MOMENTS)),
-        List.of(new LearnedState.LearnedEndpoint(4, NODE_FIGURES, NODE_MOMENTS)));
+        List.of(new LearnedState.LearnedRoute(4, ROUTE_FIGURES, ROUTE_MOMENTS)),
+        List.of(new LearnedState.LearnedEndpoint(4, ENDPOINT_FIGURES, ENDPOINT_MOMENTS)));
   }
 
   @Test
-  void figuresOfLaneAndNodeAreWrittenInThesePlaces() {
-    lane.endpoints.add(node);
-    lane.window = 9;
-    lane.stepCount = 10;
-    lane.latencySamples = 11;
-    lane.messageRate = 12;
-    lane.callRate = 13;
-    lane.baselineLatencyRatio = 1.5;
-    lane.latencyFactor = 1.6;
-    lane.timeoutMultiplier = 1.7;
-    lane.lastCallWeight = 1.8;
-    lane.reportedLimit = 19;
-    lane.permittedRate = 20;
-    lane.degraded = true;
-    lane.circuitState = CircuitState.RAMP;
-    lane.faultRun = 23;
-    lane.failureRatio = 0.24;
-    lane.recoveryIntervalUs = 25;
-    lane.stepRejections = 26;
-    lane.rejectionClassifier.restore(new double[] {2.5, 0.25, 1, 300_000}, 1);
-    lane.faultSinceUs = 101;
-    lane.retryAfterUntilUs = 102;
-    lane.backoffUntilUs = 103;
-    lane.nextTrialUs = 104;
-    lane.recoverySinceUs = 105;
-    lane.lastSendUs = 106;
-    node.failureRuns[0] = 3;
-    node.failureRuns[1] = 4;
-    node.classStatistics[0].restore(5000, 60);
-    node.classStatistics[1].restore(7000, 80);
-    node.avoidUntilUs[0] = 201;
-    node.avoidUntilUs[1] = 202;
-    node.lastSendUs = 203;
-    node.lastSuccessUs = 204;
+  void learnedFigures_areWrittenInThesePlaces() {
+    route.endpoints().add(endpoint);
+    route.window().restore(9);
+    route.serviceRate().restore(10, 12, 13);
+    route.latency().restore(11, 1.5, 1.6, 1.7);
+    route.pacing().restoreRates(1.8, 19, 20);
+    route.setDegraded(true);
+    route.circuit().restore(CircuitState.RECOVERING, 23, 0.24, 25);
+    for (int rejection = 0; rejection < 26; rejection++) {
+      route.step().recordRejection(1);
+    }
+    route.rejections().classifier().restore(new double[] {2.5, 0.25, 1, 300_000}, 1);
+    route.circuit().restoreTimes(101, 104, 105);
+    route.pacing().restoreTimes(102, 103, 106);
+    endpoint.restore(new double[] {3, 4}, new long[] {201, 202}, 203, 204);
+    endpoint.classStatistics(0).restore(5000, 60);
+    endpoint.classStatistics(1).restore(7000, 80);
+    latencies.restore(new double[] {1000, 2000}, new int[] {7, 8});
 
-    final LearnedState written =
-        LearnedState.of(new double[] {1000, 2000}, new int[] {7, 8}, 1e7, 107, List.of(node));
-    assertArrayEquals(LANE_FIGURES, written.routes().get(0).figures());
-    assertArrayEquals(LANE_MOMENTS, written.routes().get(0).moments());
-    assertArrayEquals(NODE_FIGURES, written.endpoints().get(0).figures());
-    assertArrayEquals(NODE_MOMENTS, written.endpoints().get(0).moments());
+    final LearnedState written = LearnedState.of(latencies, 1e7, 107, List.of(endpoint));
+    assertArrayEquals(new double[] {1000, 2000}, written.classMeanUs());
+    assertArrayEquals(new int[] {7, 8}, written.classSamples());
+    assertEquals(1e7, written.trustedIdleUs());
+    assertArrayEquals(ROUTE_FIGURES, written.routes().get(0).figures());
+    assertArrayEquals(ROUTE_MOMENTS, written.routes().get(0).moments());
+    assertArrayEquals(ENDPOINT_FIGURES, written.endpoints().get(0).figures());
+    assertArrayEquals(ENDPOINT_MOMENTS, written.endpoints().get(0).moments());
   }
 
   @Test
-  void figuresOfLaneAndNodeAreReadFromThesePlaces() {
-    lane.endpoints.add(node);
-    final double[] meanUs = new double[2];
-    final int[] samples = new int[2];
-    assertEquals(1e7, memory().restore(Map.of(4L, node), meanUs, samples, 1));
-    assertArrayEquals(new double[] {1000, 2000}, meanUs);
-    assertArrayEquals(new int[] {7, 8}, samples);
-    assertEquals(9, lane.window);
-    assertEquals(10, lane.stepCount);
-    assertEquals(11, lane.latencySamples);
-    assertEquals(12, lane.messageRate);
-    assertEquals(13, lane.callRate);
-    assertEquals(1.5, lane.baselineLatencyRatio);
-    assertEquals(1.6, lane.latencyFactor);
-    assertEquals(1.7, lane.timeoutMultiplier);
-    assertEquals(1.8, lane.lastCallWeight);
-    assertEquals(19, lane.reportedLimit);
-    assertEquals(20, lane.permittedRate);
-    assertTrue(lane.degraded);
-    assertEquals(CircuitState.RAMP, lane.circuitState);
-    assertEquals(23, lane.faultRun);
-    assertEquals(0.24, lane.failureRatio);
-    assertEquals(25, lane.recoveryIntervalUs);
+  void learnedFigures_areReadFromThesePlaces() {
+    route.endpoints().add(endpoint);
+    learnedState().restore(Map.of(4L, endpoint), latencies, 1);
+    assertEquals(1e7, learnedState().trustedIdleUs());
+    assertArrayEquals(new double[] {1000, 2000}, latencies.means());
+    assertArrayEquals(new int[] {7, 8}, latencies.sampleCounts());
+    assertEquals(9, route.window().calls());
+    assertEquals(10, route.serviceRate().steps());
+    assertEquals(11, route.latency().factorSamples());
+    assertEquals(12, route.serviceRate().messagesPerSecond());
+    assertEquals(13, route.serviceRate().averageCallsPerSecond());
+    assertEquals(1.5, route.latency().baselineRatio());
+    assertEquals(1.6, route.latency().factor());
+    assertEquals(1.7, route.latency().timeoutMultiplier());
+    assertEquals(1.8, route.pacing().lastCallWeight());
+    assertEquals(19, route.pacing().reportedLimit());
+    assertEquals(20, route.pacing().permittedRate());
+    assertTrue(route.isDegraded());
+    assertEquals(CircuitState.RECOVERING, route.circuit().state());
+    assertEquals(23, route.circuit().faultRun());
+    assertEquals(0.24, route.circuit().failureRatio());
+    assertEquals(25, route.circuit().recoveryIntervalUs());
     assertArrayEquals(
-        new double[] {2.5, 0.25, 1, 300_000}, lane.rejectionClassifier.learnedValues());
-    assertEquals(101, lane.faultSinceUs);
-    assertEquals(102, lane.retryAfterUntilUs);
-    assertEquals(103, lane.backoffUntilUs);
-    assertEquals(104, lane.nextTrialUs);
-    assertEquals(105, lane.recoverySinceUs);
-    assertEquals(106, lane.lastSendUs);
-    assertArrayEquals(new double[] {3, 4}, node.failureRuns);
-    assertArrayEquals(new double[] {5000, 60}, node.classStatistics[0].learnedValues());
-    assertArrayEquals(new double[] {7000, 80}, node.classStatistics[1].learnedValues());
-    assertArrayEquals(new long[] {201, 202}, node.avoidUntilUs);
-    assertEquals(203, node.lastSendUs);
-    assertEquals(204, node.lastSuccessUs);
+        new double[] {2.5, 0.25, 1, 300_000}, route.rejections().classifier().learnedValues());
+    assertEquals(101, route.circuit().faultSinceUs());
+    assertEquals(102, route.pacing().retryAfterUntilUs());
+    assertEquals(103, route.pacing().backoffUntilUs());
+    assertEquals(104, route.circuit().nextTrialUs());
+    assertEquals(105, route.circuit().recoverySinceUs());
+    assertEquals(106, route.pacing().lastSendUs());
+    assertArrayEquals(new double[] {3, 4}, endpoint.failureRuns());
+    assertArrayEquals(new double[] {5000, 60}, endpoint.classStatistics(0).learnedValues());
+    assertArrayEquals(new double[] {7000, 80}, endpoint.classStatistics(1).learnedValues());
+    assertArrayEquals(new long[] {201, 202}, endpoint.avoidUntilUs());
+    assertEquals(203, endpoint.lastSendUs());
+    assertEquals(204, endpoint.lastSuccessUs());
   }
 
   @Test
-  void versionOfTheFiguresIsThree() {
+  void version_isThree() {
     assertEquals(3, LearnedState.VERSION);
   }
 
-  /** The phase is a number in learned state and a name in the operators' JSON. */
+  /** The circuit state is a number in learned state and a name in the operators' JSON. */
   @Test
-  void phasesKeepTheirOrderAndNames() {
-    assertEquals("[WELL, OUT, RAMP]", Arrays.toString(CircuitState.values()));
+  void circuitStates_keepTheirOrderAndReportedNames() {
+    assertEquals(
+        "[WELL, OUT, RAMP]",
+        Arrays.stream(CircuitState.values()).map(CircuitState::reportedName).toList().toString());
     assertEquals(
         List.of(0, 1, 2),
         List.of(
-            CircuitState.WELL.ordinal(), CircuitState.OUT.ordinal(), CircuitState.RAMP.ordinal()));
+            CircuitState.CLOSED.ordinal(),
+            CircuitState.OPEN.ordinal(),
+            CircuitState.RECOVERING.ordinal()));
   }
 
-  /** The operators' JSON of lanes holds these names, the latter in lower case. */
+  /** The operators' JSON of routes holds these names, the latter in lower case. */
   @Test
-  void causesOfRefusalsAndKindsOfWordsHaveTheseNames() {
+  void rejectionCausesAndDirectiveKinds_haveTheseNames() {
     assertEquals("[UNSURE, LOAD, NOISE]", Arrays.toString(RejectionClassifier.Cause.values()));
     assertEquals(
         "[LIMIT, RATE, CEILING, EXCLUSION, WAIT, OUTAGE, RETURN, WEIGHT]",
--- a/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
@@ -135,7 +135,7 @@
   @Test
   void rate_isKnownBeforeFirstStep() {
     final LearnedState memory = served(20).controller.learnedState();
-    assertEquals(60, memory.routes().get(0).figures()[LearnedState.CALL_RATE]);
+    assertEquals(60, memory.routes().get(0).figures()[LearnedRouteFormat.CALL_RATE]);
   }
 
   /** Steps that no process lived to take are reckoned with, but for one that was refused in. */
@@ -144,9 +144,9 @@
     final LearnedState memory = served(20).controller.learnedState();
     final LearnedState.LearnedRoute lane = memory.routes().get(0);
     final double[] paced = lane.figures().clone();
-    paced[LearnedState.PERMITTED_RATE] = 10;
+    paced[LearnedRouteFormat.PERMITTED_RATE] = 10;
     final double[] refused = paced.clone();
-    refused[LearnedState.STEP_REJECTIONS] = 1;
+    refused[LearnedRouteFormat.STEP_REJECTIONS] = 1;
     final long[] stepped = lane.moments().clone();
     stepped[stepped.length - 1] = 100 * SECOND;
     final LearnedState aged =
@@ -160,7 +160,9 @@
                 List.of())
             .aged(101 * SECOND, 103 * SECOND);
     assertEquals(
-        10 * Math.pow(1.2, 3), aged.routes().get(0).figures()[LearnedState.PERMITTED_RATE], 1e-9);
-    assertEquals(10, aged.routes().get(1).figures()[LearnedState.PERMITTED_RATE], 1e-9);
+        10 * Math.pow(1.2, 3),
+        aged.routes().get(0).figures()[LearnedRouteFormat.PERMITTED_RATE],
+        1e-9);
+    assertEquals(10, aged.routes().get(1).figures()[LearnedRouteFormat.PERMITTED_RATE], 1e-9);
   }
 }
