--- a/decisions/src/main/java/thistleturn/decisions/membership/EndpointRecord.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/EndpointRecord.java
@@ -5,296 +5,221 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
-/** One address of one destination: what the sources say of it, and what was made of that. */
+import java.util.OptionalLong;
+
+/**
+ * One address of one destination: what the sources list there, and what was last published of it.
+ *
+ * <p>There is one record for each endpoint of a large registry, so its state is kept in plain
+ * fields and its entries in a linked list: most endpoints have exactly one entry and no deletions.
+ */
 final class EndpointRecord {
+  /** The time of what never happens. */
   static final long NEVER = Long.MAX_VALUE;
 
-  final String address;
-  final long destination;
-
-  /** The first of its entries; they are chained. */
-  private EndpointSource.Entry first;
+  private final String address;
+  private final long destination;
+  private SourceEntry firstEntry;
 
-  /** Another point with the same address, for another destination; null if there is none. */
-  EndpointRecord nextClaim;
+  /** Another record with the same address, for another destination; null if there is none. */
+  private EndpointRecord nextClaim;
 
-  /** Until when a source's deletion outweighs other sources' listing, by source; most have none. */
+  /** Until when a source's deletion outweighs other sources' listing, by source. */
   private Map<EndpointSource, Long> deletions = Map.of();
 
-  /**
-   * What was told last; a state of null if nothing ever was. Kept as fields: there are many points.
-   */
+  /** What was published last; a null state if nothing ever was. */
   private MergedEndpoint.State state;
 
-  private StateReason because;
-  private EndpointSource by;
+  private StateReason reason;
+  private EndpointSource decidedBy;
   private String zone;
   private String kind;
   private double ratePerSecond;
-  private long sinceUs;
+  private long stateSinceUs;
 
-  /**
-   * How often it fell in a row without a calm time, and since when its sources have it up again.
-   */
+  /** How often the endpoint went down in a row without being stable in between. */
   private int consecutiveFalls;
 
-  private long upSinceUs = NEVER;
+  /** Since when the sources have reported the endpoint up; {@link #NEVER} while they do not. */
+  private long reportedUpSinceUs = NEVER;
 
   EndpointRecord(final String address, final long destination) {
     this.address = address;
     this.destination = destination;
   }
 
-  /**
-   * What the sources' words come to, before its neighbours are looked at. {@code decidedBy}: whose
-   * word counted, or null. {@code grade}: for one that is up, how well that is founded. {@code
-   * reassessUs}: when time alone changes it.
-   */
-  record Verdict(
+  /** The state that an endpoint is to have, and why. */
+  record Decision(
       MergedEndpoint.State state,
       StateReason reason,
       EndpointSource decidedBy,
-      Grade grade,
-      long reassessUs) {
-    boolean isUp() {
-      return state == MergedEndpoint.State.UP;
-    }
+      boolean reportedDown) {}
+
+  String address() {
+    return address;
+  }
+
+  long destination() {
+    return destination;
+  }
+
+  /** True if a report is about this address and destination. */
+  boolean matches(final SourceReport report) {
+    return destination == report.destination() && address.equals(report.address());
   }
 
-  /** How well it is founded that an endpoint is up, best first. */
-  enum Grade {
-    FRESH,
-    USABLE,
-    POOR
+  EndpointRecord nextClaim() {
+    return nextClaim;
   }
 
-  void add(final EndpointSource.Entry entry) {
-    if (first == null) {
-      first = entry;
+  void linkClaim(final EndpointRecord next) {
+    nextClaim = next;
+  }
+
+  // ---------------------------------------------------------------- entries
+
+  void add(final SourceEntry entry) {
+    if (firstEntry == null) {
+      firstEntry = entry;
       return;
     }
-    EndpointSource.Entry last = first;
-    while (last.next != null) {
-      last = last.next;
+    SourceEntry last = firstEntry;
+    while (last.next() != null) {
+      last = last.next();
     }
-    last.next = entry;
+    last.linkTo(entry);
   }
 
-  void remove(final EndpointSource.Entry entry) {
-    if (first == entry) {
-      first = entry.next;
+  void remove(final SourceEntry entry) {
+    if (firstEntry == entry) {
+      firstEntry = entry.next();
       return;
     }
-    for (EndpointSource.Entry before = first; before != null; before = before.next) {
-      if (before.next == entry) {
-        before.next = entry.next;
+    for (SourceEntry before = firstEntry; before != null; before = before.next()) {
+      if (before.next() == entry) {
+        before.linkTo(entry.next());
         return;
       }
     }
   }
 
+  /** True if no source lists the endpoint. */
   boolean isUnlisted() {
-    return first == null;
+    return firstEntry == null;
   }
 
   boolean isListedBy(final EndpointSource source) {
-    for (EndpointSource.Entry entry = first; entry != null; entry = entry.next) {
-      if (entry.source == source) {
+    for (SourceEntry entry = firstEntry; entry != null; entry = entry.next()) {
+      if (entry.source() == source) {
         return true;
       }
     }
     return false;
   }
 
-  void recordDeletion(final EndpointSource by, final long untilUs) {
-    if (deletions.isEmpty()) {
-      deletions = new HashMap<>();
-    }
-    deletions.put(by, untilUs);
-  }
-
-  /** The source lists it again, or is no longer asked. */
-  void clearDeletion(final EndpointSource by) {
-    if (!deletions.isEmpty()) {
-      deletions.remove(by);
-    }
-  }
-
-  /**
-   * The entry by which a source's word counts: of several instances at one address the one that
-   * changed last.
-   */
-  private static EndpointSource.Entry newer(
-      final EndpointSource.Entry one, final EndpointSource.Entry two) {
-    return two.report.version() >= one.report.version() ? two : one;
-  }
-
-  /** One entry a source, by rank. */
-  private List<EndpointSource.Entry> latestBySource() {
-    if (first == null) {
+  /** The latest entry of each source, by rank. */
+  List<SourceEntry> latestBySource() {
+    if (firstEntry == null) {
       return List.of();
     }
-    if (first.next == null) {
-      return List.of(first);
+    if (firstEntry.next() == null) {
+      return List.of(firstEntry);
     }
-    final Map<EndpointSource, EndpointSource.Entry> bySource = new HashMap<>();
-    for (EndpointSource.Entry entry = first; entry != null; entry = entry.next) {
-      bySource.merge(entry.source, entry, EndpointRecord::newer);
+    final Map<EndpointSource, SourceEntry> latest = new HashMap<>();
+    for (SourceEntry entry = firstEntry; entry != null; entry = entry.next()) {
+      latest.merge(entry.source(), entry, EndpointRecord::later);
     }
-    final List<EndpointSource.Entry> words = new ArrayList<>(bySource.values());
-    words.sort(Comparator.comparingInt(entry -> entry.source.rank));
-    return words;
+    final List<SourceEntry> entries = new ArrayList<>(latest.values());
+    entries.sort(Comparator.comparingInt(entry -> entry.source().rank()));
+    return entries;
   }
 
-  /** The entry of the highest rank, or null. */
-  EndpointSource.Entry owner() {
-    final List<EndpointSource.Entry> words = latestBySource();
-    return words.isEmpty() ? null : words.get(0);
+  /** Of several instances of one source at one address the one that changed last counts. */
+  private static SourceEntry later(final SourceEntry one, final SourceEntry other) {
+    return other.report().version() >= one.report().version() ? other : one;
   }
 
-  Verdict assess(final long nowUs, final MergeSettings rules) {
-    final List<EndpointSource.Entry> words = latestBySource();
-    EndpointSource.Entry best = null;
-    Grade bestGrade = null;
-    long againUs = NEVER;
-    long heardUs = 0;
-    for (final EndpointSource.Entry entry : words) {
-      if (entry.report.status() == ReportedStatus.UP) {
-        heardUs = Math.max(heardUs, entry.source.lastResponseUs());
-        final Grade grade = grade(entry, nowUs, rules);
-        if (best == null || grade.compareTo(bestGrade) < 0) {
-          best = entry;
-          bestGrade = grade;
-        }
-        againUs = Math.min(againUs, gradeEndsUs(entry, nowUs, rules));
-      }
-    }
-    final boolean heardUp =
-        best != null && !best.source.isUnreachable() && best.absentSinceUs == EndpointSource.UNSET;
-    EndpointSource expired = null;
-    for (final EndpointSource.Entry entry : words) {
-      if (!entry.report.status().blocksNewCalls()) {
-        continue;
-      }
-      final long endsUs = warningEndsUs(entry.source, rules);
-      if (endsUs > nowUs || (!heardUp && endsUs != EndpointSource.UNSET)) {
-        return new Verdict(
-            MergedEndpoint.State.DRAINING,
-            best == null ? StateReason.SAID : StateReason.CAUTION,
-            entry.source,
-            null,
-            heardUp ? endsUs : NEVER);
-      }
-      if (best == null) {
-        return new Verdict(
-            MergedEndpoint.State.DRAINING, StateReason.SAID, entry.source, null, NEVER);
-      }
-      overrule(entry.source);
-      expired = entry.source;
-    }
-    if (best == null) {
-      return new Verdict(MergedEndpoint.State.GONE, StateReason.UNLISTED, null, null, NEVER);
-    }
-    for (final Map.Entry<EndpointSource, Long> deletion : deletions.entrySet()) {
-      final long untilUs = deletion.getValue();
-      // Who still lists it must have been heard since: its word may be older than the deletion.
-      if (untilUs > nowUs || heardUs < untilUs - rules.conflictWindowUs()) {
-        return new Verdict(
-            MergedEndpoint.State.DRAINING,
-            StateReason.DELETED,
-            deletion.getKey(),
-            null,
-            untilUs > nowUs ? untilUs : NEVER);
-      }
-    }
-    final StateReason because =
-        expired != null
-            ? StateReason.WARNING_EXPIRED
-            : best.absentSinceUs != EndpointSource.UNSET
-                ? StateReason.DOUBTED
-                : best.source.isUnreachable() ? StateReason.STALE : StateReason.SAID;
-    return new Verdict(MergedEndpoint.State.UP, because, best.source, bestGrade, againUs);
+  /** The entry that describes the endpoint, which is the one of the best-ranked source; or null. */
+  SourceEntry owner() {
+    final List<SourceEntry> entries = latestBySource();
+    return entries.isEmpty() ? null : entries.get(0);
   }
 
+  // ---------------------------------------------------------------- warnings and deletions
+
   /**
-   * Until when the warnings of a source count against another's word; {@link EndpointSource#UNSET}
-   * if all were overruled. Once overruled, a warning stays so until it is said again: a further
-   * outage may not bring it back.
+   * Until when the warnings of a source count against other sources' statuses; empty if all of them
+   * were overruled.
    */
-  private long warningEndsUs(final EndpointSource by, final MergeSettings rules) {
-    long untilUs = EndpointSource.UNSET;
-    for (EndpointSource.Entry entry = first; entry != null; entry = entry.next) {
-      if (entry.source == by && entry.report.status().blocksNewCalls() && !entry.overruled) {
-        final long silentUs = entry.unconfirmedSinceUs();
-        untilUs =
-            Math.max(
-                untilUs,
-                silentUs == EndpointSource.UNSET ? NEVER : silentUs + rules.conflictWindowUs());
+  OptionalLong warningEndsUs(final EndpointSource source, final MergeSettings settings) {
+    OptionalLong endsUs = OptionalLong.empty();
+    for (SourceEntry entry = firstEntry; entry != null; entry = entry.next()) {
+      if (entry.source() == source && entry.warnsAgainstOthers()) {
+        final long entryEndsUs = entry.warningEndsUs(settings);
+        endsUs = OptionalLong.of(Math.max(endsUs.orElse(entryEndsUs), entryEndsUs));
       }
     }
-    return untilUs;
+    return endsUs;
   }
 
-  private void overrule(final EndpointSource by) {
-    for (EndpointSource.Entry entry = first; entry != null; entry = entry.next) {
-      entry.overruled |= entry.source == by && entry.report.status().blocksNewCalls();
+  void overruleWarnings(final EndpointSource source) {
+    for (SourceEntry entry = firstEntry; entry != null; entry = entry.next()) {
+      if (entry.source() == source) {
+        entry.overruleWarning();
+      }
     }
   }
 
-  private static Grade grade(
-      final EndpointSource.Entry entry, final long nowUs, final MergeSettings rules) {
-    if (gradeEndsUs(entry, nowUs, rules) == NEVER
-        && !entry.source.isUnreachable()
-        && entry.absentSinceUs == EndpointSource.UNSET) {
-      return Grade.FRESH;
+  /** A source deleted the endpoint; that outweighs other sources' listing until then. */
+  void recordDeletion(final EndpointSource source, final long untilUs) {
+    if (deletions.isEmpty()) {
+      deletions = new HashMap<>();
     }
-    final boolean poor =
-        (entry.source.isUnreachable()
-                && nowUs >= entry.source.unreachableSinceUs() + rules.staleAfterUs())
-            || (entry.absentSinceUs != EndpointSource.UNSET
-                && nowUs >= entry.absentSinceUs + rules.absenceGraceUs());
-    return poor ? Grade.POOR : Grade.USABLE;
+    deletions.put(source, untilUs);
   }
 
-  /** When its foundation grows worse by time alone. */
-  private static long gradeEndsUs(
-      final EndpointSource.Entry entry, final long nowUs, final MergeSettings rules) {
-    long endsUs = NEVER;
-    if (entry.source.isUnreachable()) {
-      endsUs = entry.source.unreachableSinceUs() + rules.staleAfterUs();
-    }
-    if (entry.absentSinceUs != EndpointSource.UNSET) {
-      endsUs = Math.min(endsUs, entry.absentSinceUs + rules.absenceGraceUs());
+  /** The source lists the endpoint again, or is no longer polled. */
+  void clearDeletion(final EndpointSource source) {
+    if (!deletions.isEmpty()) {
+      deletions.remove(source);
     }
-    return endsUs > nowUs ? endsUs : NEVER;
+  }
+
+  Map<EndpointSource, Long> deletions() {
+    return deletions;
   }
 
   // ---------------------------------------------------------------- flapping
 
-  /** Notes whether its sources have it up now. */
+  /** Notes whether the sources report the endpoint up now. */
   void recordReportedUp(final long nowUs, final boolean up) {
-    if (up) {
-      upSinceUs = Math.min(upSinceUs, nowUs);
-    } else {
-      upSinceUs = NEVER;
-    }
+    reportedUpSinceUs = up ? Math.min(reportedUpSinceUs, nowUs) : NEVER;
   }
 
-  /** Until when it is held back though it is up. */
-  long heldDownUntilUs(final MergeSettings rules) {
-    return upSinceUs == NEVER ? NEVER : upSinceUs + rules.holdDownUs(consecutiveFalls);
+  /** Until when the endpoint is held down for flapping though the sources report it up. */
+  long heldDownUntilUs(final MergeSettings settings) {
+    return reportedUpSinceUs == NEVER
+        ? NEVER
+        : reportedUpSinceUs + settings.holdDownUs(consecutiveFalls);
   }
 
-  boolean isPublishedUp() {
-    return state == MergedEndpoint.State.UP;
+  /** True if the endpoint is reported up and not used for flapping. */
+  boolean isHeldDown(final long nowUs, final MergeSettings settings) {
+    return state != MergedEndpoint.State.UP && heldDownUntilUs(settings) > nowUs;
   }
 
+  private void recordFall(final long nowUs, final MergeSettings settings) {
+    final boolean wasStable = nowUs - stateSinceUs >= settings.stableAfterUs();
+    consecutiveFalls = wasStable ? 1 : consecutiveFalls + 1;
+  }
+
+  // ---------------------------------------------------------------- publication
+
   boolean isPublished() {
     return state != null;
   }
 
-  /** What was told last, for the courier and for people; not before something was. */
+  /** The endpoint as it was published last; only after something was. */
   MergedEndpoint published() {
     return new MergedEndpoint(
         address,
@@ -303,61 +228,64 @@
         kind,
         ratePerSecond,
         state,
-        because,
-        by == null ? "" : by.name,
-        by == null ? 0 : by.lastResponseUs(),
-        sinceUs);
+        reason,
+        decidedBy == null ? "" : decidedBy.name(),
+        decidedBy == null ? 0 : decidedBy.lastResponseUs(),
+        stateSinceUs);
   }
 
   /**
-   * Takes over what is decided.
+   * Takes over a decision.
    *
-   * @param rate what its destination takes, as told by whoever tells it
-   * @param fell its sources' words took it out of use
-   * @return true if that is news to the courier; age and reason are for people
+   * @param destinationRate the rate that the destination takes, where this endpoint's owner does
+   *     not report one
+   * @return true if the state or the attributes changed; a new reason alone concerns only operators
    */
   boolean publish(
       final long nowUs,
-      final MergedEndpoint.State next,
-      final StateReason why,
-      final Verdict verdict,
-      final double rate,
-      final boolean fell,
-      final MergeSettings rules) {
-    final EndpointSource.Entry owner = owner();
+      final Decision decision,
+      final double destinationRate,
+      final MergeSettings settings) {
+    final SourceEntry owner = owner();
     if (owner == null && state == null) {
       return false;
     }
     final MergedEndpoint.State before = state;
-    if (before == MergedEndpoint.State.UP && next != MergedEndpoint.State.UP && fell) {
-      consecutiveFalls = nowUs - sinceUs >= rules.stableAfterUs() ? 1 : consecutiveFalls + 1;
-    }
-    sinceUs = before == next ? sinceUs : nowUs;
-    state = next;
-    because = why;
-    by = verdict.decidedBy();
-    boolean same = before == next;
-    if (owner != null) {
-      final SourceReport report = owner.report;
-      final double nextRate = report.ratePerSecond() > 0 ? report.ratePerSecond() : rate;
-      same &= report.zone().equals(zone) && report.kind().equals(kind) && nextRate == ratePerSecond;
-      zone = report.zone();
-      kind = report.kind();
-      ratePerSecond = nextRate;
+    final boolean stateChanged = before != decision.state();
+    if (before == MergedEndpoint.State.UP && stateChanged && decision.reportedDown()) {
+      recordFall(nowUs, settings);
     }
-    if (next == MergedEndpoint.State.GONE) {
-      return before != null && before != MergedEndpoint.State.GONE;
+    state = decision.state();
+    stateSinceUs = stateChanged ? nowUs : stateSinceUs;
+    reason = decision.reason();
+    decidedBy = decision.decidedBy();
+    final boolean attributesChanged =
+        owner != null && adoptAttributes(owner.report(), destinationRate);
+    if (state == MergedEndpoint.State.GONE) {
+      return before != null && stateChanged;
     }
-    return !same;
+    return stateChanged || attributesChanged;
   }
 
-  /** When nothing of it need be remembered any more; never, while something lists it. */
-  long removableUs(final MergeSettings rules) {
-    if (first != null) {
+  /** Takes zone, kind and rate over; true if any of them changed. */
+  private boolean adoptAttributes(final SourceReport report, final double destinationRate) {
+    final double rate = report.ratePerSecond() > 0 ? report.ratePerSecond() : destinationRate;
+    final boolean changed =
+        !report.zone().equals(zone) || !report.kind().equals(kind) || rate != ratePerSecond;
+    zone = report.zone();
+    kind = report.kind();
+    ratePerSecond = rate;
+    return changed;
+  }
+
+  /** From when on the record may be removed; {@link #NEVER} while a source lists the endpoint. */
+  long removableUs(final MergeSettings settings) {
+    if (!isUnlisted()) {
       return NEVER;
     }
-    return state == null
-        ? 0
-        : state == MergedEndpoint.State.GONE ? sinceUs + rules.stableAfterUs() : NEVER;
+    if (state == null) {
+      return 0;
+    }
+    return state == MergedEndpoint.State.GONE ? stateSinceUs + settings.stableAfterUs() : NEVER;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/EndpointSource.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/EndpointSource.java
@@ -1,82 +1,96 @@
 package thistleturn.decisions.membership;
 
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 
-/** One source: what it lists, and how far that can be believed now. */
+/** One source of endpoints: what it lists, and how far that can be believed now. */
 final class EndpointSource {
-  static final long UNSET = -1;
+  private static final long UNSET = -1;
 
-  final String name;
-  final int rank;
+  private final String name;
+  private final int rank;
 
-  /** True if whatever its whole answers lack is gone: a source that is never wrong about that. */
-  final boolean snapshotsAuthoritative;
+  /**
+   * True if whatever a snapshot lacks is gone. The platform's protocol guarantees that of its list;
+   * a registry that restarts may lack instances for a while.
+   */
+  private final boolean snapshotsAuthoritative;
 
-  final Map<String, Entry> entries = new HashMap<>();
+  private final Map<String, SourceEntry> entries = new HashMap<>();
   private long lastResponseUs;
   private long unreachableSinceUs;
   private long implausibleSinceUs = UNSET;
-  private int peak;
+
+  /** The most instances in a plausible snapshot of late, and when that was seen. */
+  private int peakInstances;
+
   private long peakUs;
   private long droppedEntries;
   private long snapshots;
   private long implausibleSnapshots;
 
-  EndpointSource(final String name, final int rank, final boolean absenceIsWord, final long nowUs) {
+  /** A source that has not responded yet, and so counts as unreachable. */
+  EndpointSource(
+      final String name, final int rank, final boolean snapshotsAuthoritative, final long nowUs) {
     this.name = name;
     this.rank = rank;
-    this.snapshotsAuthoritative = absenceIsWord;
+    this.snapshotsAuthoritative = snapshotsAuthoritative;
     this.unreachableSinceUs = nowUs;
   }
 
-  /** An instance as this source lists it. */
-  static final class Entry {
-    final EndpointSource source;
-    final EndpointRecord endpoint;
-    SourceReport report;
+  String name() {
+    return name;
+  }
+
+  /** The lower, the more the source counts where sources describe an endpoint differently. */
+  int rank() {
+    return rank;
+  }
 
-    /** The next entry at the same point, in the order of their coming; null for the last. */
-    Entry next;
+  // ---------------------------------------------------------------- entries
 
-    /** Since when answers lack it that are not plausible; {@link #UNSET} while they have it. */
-    long absentSinceUs = UNSET;
+  /** The entry of an instance, or null. */
+  SourceEntry entry(final String instanceId) {
+    return entries.get(instanceId);
+  }
 
-    /** When it last said something cautious; {@link #UNSET} if it never did. */
-    long lastWarningUs = UNSET;
+  /** All entries, in a copy that stays as it is while entries come and go. */
+  List<SourceEntry> entries() {
+    return List.copyOf(entries.values());
+  }
 
-    /**
-     * Its warning outlived its source's silence and another source's word counted; until it is said
-     * again.
-     */
-    boolean overruled;
+  int entryCount() {
+    return entries.size();
+  }
 
-    Entry(final EndpointSource source, final EndpointRecord point, final SourceReport report) {
-      this.source = source;
-      this.endpoint = point;
-      this.report = report;
-    }
+  void add(final SourceEntry entry) {
+    entries.put(entry.report().instanceId(), entry);
+  }
 
-    /**
-     * Since when its source has not said it, being lost or lacking it in its answers; {@link
-     * #UNSET} if it does.
-     */
-    long unconfirmedSinceUs() {
-      if (!source.isUnreachable() || absentSinceUs == UNSET) {
-        return source.isUnreachable() ? source.unreachableSinceUs : absentSinceUs;
-      }
-      return Math.min(source.unreachableSinceUs, absentSinceUs);
-    }
+  void remove(final SourceEntry entry) {
+    entries.remove(entry.report().instanceId());
+  }
+
+  /** An instance was not taken in because the source lists too many. */
+  void recordDropped() {
+    droppedEntries++;
   }
 
+  // ---------------------------------------------------------------- reachability
+
   void recordResponse(final long nowUs) {
     lastResponseUs = nowUs;
     unreachableSinceUs = UNSET;
   }
 
-  /** True if it was heard until now. */
+  /**
+   * The source cannot be reached.
+   *
+   * @return true if it was reachable until now
+   */
   boolean markUnreachable(final long nowUs) {
-    if (unreachableSinceUs != UNSET) {
+    if (isUnreachable()) {
       return false;
     }
     unreachableSinceUs = nowUs;
@@ -87,6 +101,7 @@
     return unreachableSinceUs != UNSET;
   }
 
+  /** Since when the source has been unreachable; only meaningful while it is. */
   long unreachableSinceUs() {
     return unreachableSinceUs;
   }
@@ -95,46 +110,49 @@
     return lastResponseUs;
   }
 
+  // ---------------------------------------------------------------- plausibility
+
   /**
-   * Judges a whole answer with so many instances; false if what it lacks is not to be believed
-   * gone.
+   * Judges a snapshot by its size. What an implausible one lacks is not believed to be gone: an
+   * empty one, or one that lacks more than the usual loss of what was known of late.
+   *
+   * @param instances how many instances the snapshot has
    */
-  boolean isPlausible(final long nowUs, final int count, final MergeSettings rules) {
+  boolean recordSnapshot(final long nowUs, final int instances, final MergeSettings settings) {
     snapshots++;
-    if (nowUs - peakUs > rules.absenceGraceUs()) {
-      peak = entries.size();
-      peakUs = nowUs;
+    if (nowUs - peakUs > settings.absenceGraceUs()) {
+      setPeak(entries.size(), nowUs);
     }
-    final int known = Math.max(peak, entries.size());
-    final boolean plausible =
-        snapshotsAuthoritative
-            || known == 0
-            || (count > 0 && known - count <= rules.plausibleLoss(known));
-    if (plausible) {
-      implausibleSinceUs = UNSET;
-      if (count >= peak) {
-        peak = count;
-        peakUs = nowUs;
-      }
-    } else {
+    final boolean plausible = snapshotsAuthoritative || isPlausible(instances, settings);
+    if (!plausible) {
       implausibleSnapshots++;
       implausibleSinceUs = implausibleSinceUs == UNSET ? nowUs : implausibleSinceUs;
+      return false;
+    }
+    implausibleSinceUs = UNSET;
+    if (instances >= peakInstances) {
+      setPeak(instances, nowUs);
     }
-    return plausible;
+    return true;
   }
 
-  void recordDropped() {
-    droppedEntries++;
+  private boolean isPlausible(final int instances, final MergeSettings settings) {
+    final int known = Math.max(peakInstances, entries.size());
+    return known == 0 || (instances > 0 && known - instances <= settings.plausibleLoss(known));
+  }
+
+  private void setPeak(final int instances, final long nowUs) {
+    peakInstances = instances;
+    peakUs = nowUs;
   }
 
   SourceStatus status() {
-    final int doubted =
-        (int) entries.values().stream().filter(entry -> entry.absentSinceUs != UNSET).count();
+    final int missing = (int) entries.values().stream().filter(SourceEntry::isMissing).count();
     return new SourceStatus(
         name,
         rank,
         entries.size(),
-        doubted,
+        missing,
         droppedEntries,
         lastResponseUs,
         unreachableSinceUs,
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Freshness.java
@@ -0,0 +1,11 @@
+package thistleturn.decisions.membership;
+
+/** How current the report is by which an endpoint is considered up, best first. */
+enum Freshness {
+  /** The source is reachable and lists the endpoint. */
+  CONFIRMED,
+  /** The source is unreachable, or lacks the endpoint implausibly, but not for long. */
+  UNCONFIRMED,
+  /** Unconfirmed for so long that the endpoint is used only as a last resort. */
+  STALE
+}
--- a/decisions/src/main/java/thistleturn/decisions/membership/MergeSettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/MergeSettings.java
@@ -1,22 +1,22 @@
 package thistleturn.decisions.membership;
 
 /**
- * The figures of the merge; times in microseconds.
+ * The settings of the merge; times in microseconds.
  *
- * @param conflictWindowUs how long a warning outlives its source's silence while another source,
- *     which is heard, says that the endpoint is up; and how long a deletion by one source outweighs
- *     another's listing
- * @param staleAfterUs how long an endpoint is used like any other though no source that says it is
- *     up was heard; later it is used only where its destination has nothing fresher
- * @param absenceGraceUs for how long an instance that is absent from implausible answers is still
- *     held to be there
- * @param plausibleLossRatio share of the instances known that an answer may lack and still be
+ * @param conflictWindowUs how long a warning still counts after its source became unreachable while
+ *     another, reachable source reports the endpoint up; and how long a deletion by one source
+ *     outweighs another's listing
+ * @param staleAfterUs how long an endpoint is used like any other though no source that reports it
+ *     up is reachable; later it is used only where its destination has nothing better
+ * @param absenceGraceUs how long an instance that implausible snapshots lack is still used like any
+ *     other
+ * @param plausibleLossRatio share of the known instances that a snapshot may lack and still be
  *     plausible; one may always be lacking, but never all
  * @param stableAfterUs an endpoint that was up for so long does not flap
- * @param initialHoldDownUs for how long an endpoint that fell twice is held back after it is up
- *     again; doubled for each further fall
- * @param maxHoldDownUs the longest such hold
- * @param maxEntriesPerSource instances taken from one source at most
+ * @param initialHoldDownUs for how long an endpoint that went down twice is held down after it is
+ *     up again; doubled each further time
+ * @param maxHoldDownUs the longest such hold-down
+ * @param maxEntriesPerSource how many instances are taken from one source at most
  */
 public record MergeSettings(
     long conflictWindowUs,
@@ -28,8 +28,12 @@
     long maxHoldDownUs,
     int maxEntriesPerSource) {
   private static final long SECOND_US = 1_000_000;
+  private static final int MAX_DOUBLINGS = 30;
 
-  /** Refuses figures that contradict each other. */
+  /** The number of times an endpoint has to go down without being stable before it is held down. */
+  private static final int FALLS_BEFORE_HOLD_DOWN = 2;
+
+  /** Rejects settings that contradict each other. */
   public MergeSettings {
     require(
         conflictWindowUs >= 0 && staleAfterUs >= conflictWindowUs,
@@ -47,8 +51,8 @@
   }
 
   /**
-   * One minute of disagreement, 15 of stale use, 10 of doubt; 15% may be lacking, as in Eureka's
-   * self-preservation.
+   * A conflict window of one minute, 15 minutes until stale, 10 of grace for absent instances; 15%
+   * may be lacking, as in Eureka's self-preservation.
    */
   public static MergeSettings defaults() {
     return new MergeSettings(
@@ -62,22 +66,22 @@
         100_000);
   }
 
-  private static void require(final boolean kept, final String problem) {
-    if (!kept) {
+  private static void require(final boolean holds, final String problem) {
+    if (!holds) {
       throw new IllegalArgumentException(problem);
     }
   }
 
-  /** How long an endpoint that fell so often is held back, us. */
-  long holdDownUs(final int falls) {
-    if (falls < 2) {
+  /** How long an endpoint that went down so often in a row is held down, us. */
+  long holdDownUs(final int consecutiveFalls) {
+    if (consecutiveFalls < FALLS_BEFORE_HOLD_DOWN) {
       return 0;
     }
-    final int doublings = Math.min(falls - 2, 30);
+    final int doublings = Math.min(consecutiveFalls - FALLS_BEFORE_HOLD_DOWN, MAX_DOUBLINGS);
     return Math.min(maxHoldDownUs, initialHoldDownUs << doublings);
   }
 
-  /** How many of the instances known an answer may lack. */
+  /** How many of the known instances a plausible snapshot may lack. */
   int plausibleLoss(final int known) {
     return Math.max(1, (int) (plausibleLossRatio * known));
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
@@ -1,134 +1,189 @@
 package thistleturn.decisions.membership;
 
 /**
- * This courier's own entry in a registry: when to register, renew, warn and cancel. One call is out
- * at a time; a lease that is never cancelled (a process that is killed) expires at the registry by
- * itself. No clock of its own.
+ * This courier's own entry in a registry: when to register, renew, announce draining and cancel. At
+ * most one call is in flight at a time. A lease that is never cancelled, because the process was
+ * killed, expires at the registry by itself.
+ *
+ * <p>The caller asks {@link #next} what to do, makes the call at its time, and reports the result
+ * to {@link #onCompleted}. Times are microseconds on one clock that only advances.
  */
 public final class RegistrationLease {
+  /** The status to report for a call that was not answered. */
+  public static final int NO_ANSWER = 0;
+
   private static final int OK = 200;
   private static final int NO_CONTENT = 204;
   private static final int NOT_FOUND = 404;
 
+  /** The first backoff is the renewal interval divided by this. */
+  private static final int FIRST_BACKOFF_DIVISOR = 30;
+
+  private static final int MAX_BACKOFF_DOUBLINGS = 10;
+
   private final int addresses;
-  private final long renewUs;
+  private final long renewalIntervalUs;
+  private Phase phase = Phase.SERVING;
+  private Action nextAction = Action.REGISTER;
+  private long nextActionUs;
   private int address;
-  private int failedInRow;
-  private Action due = Action.REGISTER;
-  private long atUs;
-  private boolean leaving;
-  private boolean cancelling;
-  private boolean known;
+  private int consecutiveFailures;
+  private boolean mayBeRegistered;
+
+  /** Where the courier is in its life; it only moves forward. */
+  private enum Phase {
+    SERVING,
+    DRAINING,
+    CANCELLING
+  }
 
   /** What is to be done at the registry. */
   public enum Action {
     REGISTER,
     RENEW,
+    /** Announce that nothing new shall be sent here. */
     WARN,
     CANCEL,
     NOTHING
   }
 
-  /** The next call; {@link RegistrationLease.Action#NOTHING} has no time. */
+  /**
+   * The next call; {@link Action#NOTHING} has no time.
+   *
+   * @param address index of the registry's address to call
+   */
   public record ScheduledAction(Action action, long atUs, int address) {}
 
-  /** The first call registers at once; renewals follow at that interval, us. */
-  public RegistrationLease(final long nowUs, final int addresses, final long renewUs) {
-    if (addresses < 1 || renewUs < 1) {
+  /**
+   * A lease whose registration is due at once.
+   *
+   * @param addresses how many addresses the registry has
+   * @param renewalIntervalUs time between two renewals, us
+   */
+  public RegistrationLease(final long nowUs, final int addresses, final long renewalIntervalUs) {
+    if (addresses < 1 || renewalIntervalUs < 1) {
       throw new IllegalArgumentException("a registry has an address, and a lease an interval");
     }
     this.addresses = addresses;
-    this.renewUs = renewUs;
-    this.atUs = nowUs;
+    this.renewalIntervalUs = renewalIntervalUs;
+    this.nextActionUs = nowUs;
   }
 
   /** What is due next. */
   public ScheduledAction next() {
-    return new ScheduledAction(due, due == Action.NOTHING ? Long.MAX_VALUE : atUs, address);
+    final long atUs = nextAction == Action.NOTHING ? Long.MAX_VALUE : nextActionUs;
+    return new ScheduledAction(nextAction, atUs, address);
   }
 
   /**
-   * A call has ended.
+   * A call has completed.
    *
-   * @param status the answer's status; 0 if none came, and then the registry may have done it or
-   *     not
+   * @param status the HTTP status of the answer, or {@link #NO_ANSWER}, where the registry may have
+   *     carried out the call or not
    */
-  public void onCompleted(final long nowUs, final Action act, final int status) {
-    final boolean went = status == OK || status == NO_CONTENT;
-    if (act == Action.REGISTER || act == Action.RENEW) {
-      // A call without an answer may have registered us all the same; a refused renewal takes
-      // nothing away.
-      known = went || (status != NOT_FOUND && (known || (act == Action.REGISTER && status == 0)));
+  public void onCompleted(final long nowUs, final Action action, final int status) {
+    final boolean succeeded = status == OK || status == NO_CONTENT;
+    updateRegistered(action, status, succeeded);
+    updateFailures(status, succeeded);
+    if (action == Action.CANCEL) {
+      mayBeRegistered = false;
+      nextAction = Action.NOTHING;
+      return;
+    }
+    switch (phase) {
+      case CANCELLING -> schedule(mayBeRegistered ? Action.CANCEL : Action.NOTHING, nowUs);
+      // One warning is enough, even if it was in vain: the registry hears of us again at the end.
+      case DRAINING ->
+          schedule(mayBeRegistered && action != Action.WARN ? Action.WARN : Action.NOTHING, nowUs);
+      case SERVING -> scheduleWhileServing(nowUs, action, status, succeeded);
     }
-    if (went) {
-      failedInRow = 0;
+  }
+
+  private void updateRegistered(final Action action, final int status, final boolean succeeded) {
+    if (action == Action.REGISTER || action == Action.RENEW) {
+      // An unanswered call may have registered us all the same, and a failed renewal removes
+      // nothing.
+      final boolean maybeRegisteredNow = action == Action.REGISTER && status == NO_ANSWER;
+      mayBeRegistered =
+          succeeded || (status != NOT_FOUND && (mayBeRegistered || maybeRegisteredNow));
+    }
+  }
+
+  private void updateFailures(final int status, final boolean succeeded) {
+    if (succeeded) {
+      consecutiveFailures = 0;
     } else if (status != NOT_FOUND) {
-      failedInRow++;
+      consecutiveFailures++;
       address = (address + 1) % addresses;
     }
-    if (act == Action.CANCEL) {
-      due = Action.NOTHING;
-      known = false;
-      return;
-    }
-    if (cancelling) {
-      due = known ? Action.CANCEL : Action.NOTHING;
-      atUs = nowUs;
-    } else if (leaving) {
-      // Once warned, or in vain: the registry hears no more of us until the end.
-      final boolean warn = known && act != Action.WARN;
-      due = warn ? Action.WARN : Action.NOTHING;
-      atUs = nowUs;
-    } else if (went) {
-      due = Action.RENEW;
-      atUs = nowUs + renewUs;
-    } else if (act == Action.RENEW && status == NOT_FOUND) {
-      due = Action.REGISTER;
-      atUs = nowUs;
+  }
+
+  private void scheduleWhileServing(
+      final long nowUs, final Action action, final int status, final boolean succeeded) {
+    if (succeeded) {
+      schedule(Action.RENEW, nowUs + renewalIntervalUs);
+    } else if (action == Action.RENEW && status == NOT_FOUND) {
+      schedule(Action.REGISTER, nowUs);
     } else {
-      due = known && act == Action.RENEW ? Action.RENEW : Action.REGISTER;
-      final int rounds = Math.min(failedInRow / addresses, 10);
-      atUs =
-          nowUs
-              + (failedInRow % addresses != 0
-                  ? 0
-                  : Math.min(renewUs, Math.max(1, renewUs / 30) << rounds));
+      final boolean renews = mayBeRegistered && action == Action.RENEW;
+      schedule(renews ? Action.RENEW : Action.REGISTER, nowUs + backoffUs());
     }
   }
 
   /**
-   * The process ends soon: the registry is told that nothing new shall come here. {@code busy}: a
-   * call is out.
+   * The other addresses are tried at once; after each round in which all failed, backoff doubles.
+   */
+  private long backoffUs() {
+    if (consecutiveFailures % addresses != 0) {
+      return 0;
+    }
+    final int doublings = Math.min(consecutiveFailures / addresses, MAX_BACKOFF_DOUBLINGS);
+    final long firstUs = Math.max(1, renewalIntervalUs / FIRST_BACKOFF_DIVISOR);
+    return Math.min(renewalIntervalUs, firstUs << doublings);
+  }
+
+  private void schedule(final Action action, final long atUs) {
+    nextAction = action;
+    nextActionUs = atUs;
+  }
+
+  /**
+   * The process is shutting down gracefully: the registry is told to send nothing new here.
+   *
+   * @param callInFlight true if a call has not completed yet; its completion decides what follows
    */
-  public void beginDraining(final long nowUs, final boolean busy) {
-    if (!leaving) {
-      leaving = true;
-      if (!busy) {
-        due = known ? Action.WARN : Action.NOTHING;
-        atUs = nowUs;
-      }
+  public void beginDraining(final long nowUs, final boolean callInFlight) {
+    if (phase != Phase.SERVING) {
+      return;
+    }
+    phase = Phase.DRAINING;
+    if (!callInFlight) {
+      schedule(mayBeRegistered ? Action.WARN : Action.NOTHING, nowUs);
     }
   }
 
-  /** The process ends now: the entry goes. {@code busy}: a call is out, and its end decides. */
-  public void cancel(final long nowUs, final boolean busy) {
-    leaving = true;
-    if (!cancelling) {
-      cancelling = true;
-      if (!busy) {
-        due = known ? Action.CANCEL : Action.NOTHING;
-        atUs = nowUs;
-      }
+  /**
+   * The process ends now: the entry is removed.
+   *
+   * @param callInFlight true if a call has not completed yet; its completion decides what follows
+   */
+  public void cancel(final long nowUs, final boolean callInFlight) {
+    if (phase == Phase.CANCELLING) {
+      return;
+    }
+    phase = Phase.CANCELLING;
+    if (!callInFlight) {
+      schedule(mayBeRegistered ? Action.CANCEL : Action.NOTHING, nowUs);
     }
   }
 
-  /** True if nothing more is to be done for the end. */
+  /** True if the lease was cancelled and nothing more is to be done. */
   public boolean isFinished() {
-    return cancelling && due == Action.NOTHING;
+    return phase == Phase.CANCELLING && nextAction == Action.NOTHING;
   }
 
   /** True while the registry has, or may have, our entry. */
   public boolean mayBeRegistered() {
-    return known;
+    return mayBeRegistered;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistryPollSchedule.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistryPollSchedule.java
@@ -1,100 +1,116 @@
 package thistleturn.decisions.membership;
 
 /**
- * When a registry is asked next, at which of its addresses, and for what. One call is out at a
- * time. It has no clock and no randomness of its own: times come in, and a number drawn evenly from
- * [0, 1) spreads the calls of many couriers.
+ * When a registry is polled next, at which of its addresses, and for what. At most one call is in
+ * flight at a time. Times come in as arguments, as do random numbers drawn evenly from [0, 1),
+ * which spread the polls of many couriers.
  */
 public final class RegistryPollSchedule {
+  /** Share of an interval by which it is lengthened or shortened at random. */
   private static final double JITTER = 0.15;
 
+  /** The first backoff is the period divided by this. */
+  private static final int FIRST_BACKOFF_DIVISOR = 10;
+
+  private static final int MAX_BACKOFF_DOUBLINGS = 30;
+
   private final int addresses;
   private final long periodUs;
-  private final long mostBackOffUs;
+  private final long maxBackoffUs;
   private final boolean deltas;
   private int address;
-  private int failedInRow;
-  private boolean wantsFull = true;
-  private long atUs;
+  private int consecutiveFailures;
+  private boolean needsFull = true;
+  private long nextPollUs;
 
-  /** What a call asks for. */
+  /** What a poll asks for. */
   public enum Scope {
+    /** All instances. */
     FULL,
+    /** What changed of late. */
     DELTA
   }
 
-  /** The next call. */
+  /**
+   * The next call.
+   *
+   * @param address index of the registry's address to call
+   */
   public record ScheduledPoll(long atUs, int address, Scope scope) {}
 
   /**
-   * The first call is due at once.
+   * A schedule whose first poll is due at once.
    *
-   * @param addresses how many addresses the registry has; they are asked in turn when one fails
-   * @param periodUs between two calls that went well, us
-   * @param mostBackOffUs the longest pause after a round in which all addresses failed; the first
-   *     is a tenth of the period
-   * @param deltas false where only whole answers are asked for
+   * @param addresses how many addresses the registry has; the next one is tried when one fails
+   * @param periodUs time between two polls that succeed, us
+   * @param maxBackoffUs the longest backoff after a round in which all addresses failed; the first
+   *     one is a tenth of the period
+   * @param deltas false where every poll asks for all instances
    */
   public RegistryPollSchedule(
       final long nowUs,
       final int addresses,
       final long periodUs,
-      final long mostBackOffUs,
+      final long maxBackoffUs,
       final boolean deltas) {
-    if (addresses < 1 || periodUs < 1 || mostBackOffUs < 1) {
+    if (addresses < 1 || periodUs < 1 || maxBackoffUs < 1) {
       throw new IllegalArgumentException("a registry has an address, a period and a back-off");
     }
     this.addresses = addresses;
     this.periodUs = periodUs;
-    this.mostBackOffUs = mostBackOffUs;
+    this.maxBackoffUs = maxBackoffUs;
     this.deltas = deltas;
-    this.atUs = nowUs;
+    this.nextPollUs = nowUs;
   }
 
-  /** The call that is due next. */
+  /** The poll that is due next. */
   public ScheduledPoll next() {
-    return new ScheduledPoll(atUs, address, wantsFull || !deltas ? Scope.FULL : Scope.DELTA);
+    return new ScheduledPoll(nextPollUs, address, needsFull || !deltas ? Scope.FULL : Scope.DELTA);
   }
 
-  /** The call was answered, and what it told is known to be whole. */
+  /** The poll succeeded, and what was received until now is complete. */
   public void onSuccess(final long nowUs, final double random) {
-    failedInRow = 0;
-    wantsFull = false;
-    atUs = nowUs + jittered(periodUs, random);
+    consecutiveFailures = 0;
+    needsFull = false;
+    nextPollUs = nowUs + withJitter(periodUs, random);
   }
 
   /**
-   * A delta was answered that does not lead to what the registry has, or none are to be had: all is
-   * asked for.
+   * A delta does not lead to what the registry has, or the registry has no deltas: a full poll
+   * follows at once.
    */
   public void onMismatch(final long nowUs) {
-    failedInRow = 0;
-    wantsFull = true;
-    atUs = nowUs;
+    consecutiveFailures = 0;
+    needsFull = true;
+    nextPollUs = nowUs;
   }
 
   /**
-   * The call failed. The other addresses are tried at once, and after a round in which all failed
-   * there is a pause, twice as long each time.
+   * The poll failed. The other addresses are tried at once; after a round in which all of them
+   * failed, the schedule backs off exponentially.
    *
-   * @return true if this ended a round: the registry cannot be heard
+   * @return true if this ended a round: the registry is unreachable
    */
   public boolean onFailure(final long nowUs, final double random) {
-    // What another address has may be older or newer: a delta would not fit.
-    wantsFull = true;
+    // Another address may be ahead or behind, so that a delta would not fit.
+    needsFull = true;
     address = (address + 1) % addresses;
-    failedInRow++;
-    if (failedInRow % addresses != 0) {
-      atUs = nowUs;
+    consecutiveFailures++;
+    if (consecutiveFailures % addresses != 0) {
+      nextPollUs = nowUs;
       return false;
     }
-    final int rounds = Math.min(failedInRow / addresses, 30);
-    final long pauseUs = Math.min(mostBackOffUs, Math.max(1, periodUs / 10) << (rounds - 1));
-    atUs = nowUs + jittered(pauseUs, random);
+    nextPollUs = nowUs + withJitter(backoffUs(), random);
     return true;
   }
 
-  private static long jittered(final long us, final double random) {
-    return Math.max(1, Math.round(us * (1 + JITTER * (2 * random - 1))));
+  private long backoffUs() {
+    final int rounds = Math.min(consecutiveFailures / addresses, MAX_BACKOFF_DOUBLINGS);
+    final long firstUs = Math.max(1, periodUs / FIRST_BACKOFF_DIVISOR);
+    return Math.min(maxBackoffUs, firstUs << (rounds - 1));
+  }
+
+  private static long withJitter(final long intervalUs, final double random) {
+    return Math.max(1, Math.round(intervalUs * (1 + JITTER * (2 * random - 1))));
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/membership/ReportedStatus.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/ReportedStatus.java
@@ -1,15 +1,15 @@
 package thistleturn.decisions.membership;
 
-/** What a source says of an endpoint that it lists. */
+/** The status that a source reports of an instance that it lists. */
 public enum ReportedStatus {
   /** It takes new messages. */
   UP,
-  /** It has not begun to take messages, or the source does not know: nothing new goes there. */
+  /** It does not take messages yet, or the source does not know whether it does. */
   PENDING,
-  /** It finishes what it has and takes nothing new. */
+  /** It completes the messages that it has and takes no new ones. */
   DRAIN;
 
-  /** True where nothing new may go there. */
+  /** True where nothing new may be sent to the instance. */
   public boolean blocksNewCalls() {
     return this != UP;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/SourceReport.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/SourceReport.java
@@ -1,11 +1,18 @@
 package thistleturn.decisions.membership;
 
 /**
- * What a source says of one instance. {@code instanceId} is its id in that source; {@code address}
- * where it is called, in one spelling for all sources; {@code ratePerSecond} what its destination
- * takes from all couriers, 0 if that is not told. {@code version} grows with each change that the
- * instance itself makes (0 where the source has none): a word that is older than one heard already
- * may warn, but not reassure.
+ * What a source reports of one instance.
+ *
+ * @param instanceId the instance's id in that source
+ * @param address where it is called, in one spelling for all sources
+ * @param destination the destination that it serves
+ * @param zone its zone; empty if unknown
+ * @param kind its kind, by name; empty if unknown
+ * @param ratePerSecond the calls a second that its destination takes from all couriers together; 0
+ *     if that is not reported
+ * @param status whether it may be used
+ * @param version grows with each change that the instance itself makes; 0 where the source has
+ *     none. An older version than the one known may warn, but not clear a warning
  */
 public record SourceReport(
     String instanceId,
--- a/decisions/src/main/java/thistleturn/decisions/membership/StateReason.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/StateReason.java
@@ -1,26 +1,26 @@
 package thistleturn.decisions.membership;
 
-/** Why an endpoint is in its state. */
+/** Why an endpoint is in its state. The names are part of the operators' JSON. */
 public enum StateReason {
-  /** A source that is heard says so, and none says otherwise. */
+  /** A reachable source reports it, and none reports otherwise. */
   SAID,
-  /** Sources disagree: the more cautious word counts. */
+  /** Sources disagree: the more cautious status counts. */
   CAUTION,
-  /** A source warned and fell silent; another, which is heard, says that it is up. */
+  /** A source warned and became unreachable; another, reachable one reports that it is up. */
   WARNING_EXPIRED,
   /** A source deleted it a short while ago; another still lists it. */
   DELETED,
-  /** It is up again, but fell too often of late. */
+  /** It is up again, but went down too often of late. */
   FLAPPING,
-  /** Nobody who says that it is up was heard for a while; it is used all the same. */
+  /** No source that reports it up has been reachable for a while; it is used all the same. */
   STALE,
-  /** Nobody who says that it is up was heard for long, and its destination has fresher ones. */
+  /** Its report is stale, and its destination has endpoints with a more current one. */
   STALE_SPARED,
-  /** It is stale or absent for long, but its destination has nothing better. */
+  /** Its report is stale, but its destination has nothing better. */
   LAST_RESORT,
-  /** It is absent from an answer that is not plausible. */
+  /** A snapshot that is not plausible lacks it. */
   DOUBTED,
-  /** A source of higher rank says that its address belongs to another destination. */
+  /** A better-ranked source claims its address for another destination. */
   CONTESTED,
   /** No source lists it any more. */
   UNLISTED
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
@@ -16,39 +16,55 @@
 import net.jqwik.api.Tag;
 
 /**
- * Random sequences of reports, losses, restarts and time by three sources on a few addresses; what
- * the merge promises is checked after each step against what the sources have said, kept apart from
- * the module. jqwik prints the seed of a failure and shrinks the sequence.
+ * Random sequences of reports, outages, restarts and time by three sources on a few addresses. The
+ * guarantees of the merge are checked after each step against what the sources have reported, which
+ * is kept here independently of the merge. jqwik prints the seed of a failure and shrinks the
+ * sequence.
  */
 @Tag("membership")
 final class MembershipPropertyTest {
   private static final int SEQUENCES = 100_000;
   private static final long SECOND = 1_000_000;
   private static final String[] SOURCES = {"list", "east", "west"};
+
+  /** The index of the source whose snapshots are authoritative. */
+  private static final int LIST = 0;
+
   private static final int ADDRESSES = 4;
   private static final int DESTINATIONS = 2;
-  private static final MergeSettings RULES =
+  private static final MergeSettings SETTINGS =
       new MergeSettings(
           10 * SECOND, 30 * SECOND, 20 * SECOND, 0.15, 10 * SECOND, 2 * SECOND, 8 * SECOND, 50);
 
   enum Kind {
-    UP,
-    DRAIN,
-    PENDING,
+    REPORT_UP,
+    REPORT_DRAIN,
+    REPORT_PENDING,
     DELETE,
-    WHOLE,
-    EMPTY,
-    LOSE,
-    HEARD,
+    SNAPSHOT,
+    EMPTY_SNAPSHOT,
+    OUTAGE,
+    RESPONSE,
     WAIT,
-    SHORT
+    SHORT_SNAPSHOT
   }
 
-  /** One thing that happens. {@code number} picks the instance, or how long to wait. */
-  record Step(Kind kind, int source, int number, int place) {}
+  /**
+   * One event. {@code number} picks the instance, or how long to wait; {@code place} the address
+   * and the destination.
+   */
+  record Step(Kind kind, int source, int number, int place) {
+    String address() {
+      return "a" + place / DESTINATIONS;
+    }
+
+    long destination() {
+      return place % DESTINATIONS;
+    }
+  }
 
   @Provide
-  Arbitrary<List<Step>> days() {
+  Arbitrary<List<Step>> sequences() {
     final Arbitrary<Step> step =
         net.jqwik.api.Combinators.combine(
                 Arbitraries.of(Kind.values()),
@@ -60,182 +76,218 @@
   }
 
   @Property(tries = SEQUENCES, shrinking = ShrinkingMode.BOUNDED)
-  void mergedViewKeepsItsInvariants(@ForAll("days") final List<Step> steps) {
-    final World world = new World();
-    steps.forEach(world::play);
+  void mergedViewKeepsItsInvariants(@ForAll("sequences") final List<Step> steps) {
+    final Simulation simulation = new Simulation();
+    steps.forEach(simulation::perform);
   }
 
-  /** The sources as they are in truth, the view as the courier has it, and the promises. */
-  private static final class World {
-    private final Membership membership = new Membership(RULES);
-    private final List<Map<String, SourceReport>> said = new ArrayList<>();
-    private final boolean[] lost = {true, true, true};
+  /** The true state of the sources, the view as a courier has it, and the guarantees. */
+  private static final class Simulation {
+    private final Membership membership = new Membership(SETTINGS);
+    private final List<Map<String, SourceReport>> reportedBySource = new ArrayList<>();
+    private final boolean[] unreachable = {true, true, true};
     private final Map<String, MergedEndpoint> view = new TreeMap<>();
 
-    /** Instances that their source's last whole answer lacked though it has them. */
-    private final Set<String> unmentioned = new HashSet<>();
+    /** Instances that their source's last snapshot lacked though the source has them. */
+    private final Set<String> missing = new HashSet<>();
 
     private long nowUs = SECOND;
 
-    private World() {
+    private Simulation() {
       for (int index = 0; index < SOURCES.length; index++) {
-        membership.addSource(nowUs, SOURCES[index], index, index == 0);
-        said.add(new HashMap<>());
+        membership.addSource(nowUs, SOURCES[index], index, index == LIST);
+        reportedBySource.add(new HashMap<>());
       }
     }
 
-    private void play(final Step step) {
-      final String source = SOURCES[step.source()];
-      final Map<String, SourceReport> its = said.get(step.source());
+    private void perform(final Step step) {
       final Set<Long> upBefore = destinationsUp();
-      final String instance = source + step.number();
-      boolean outage = false;
-      switch (step.kind()) {
-        case UP, DRAIN, PENDING -> {
-          final SourceReport report =
-              new SourceReport(
-                  instance,
-                  "a" + step.place() / DESTINATIONS,
-                  step.place() % DESTINATIONS,
-                  "z",
-                  "k",
-                  1,
-                  ReportedStatus.valueOf(step.kind().name()),
-                  0);
-          its.put(instance, report);
-          unmentioned.remove(instance);
-          membership.applyChanges(nowUs, source, List.of(report), List.of());
-          lost[step.source()] = false;
-        }
-        case DELETE -> {
-          its.remove(instance);
-          membership.applyChanges(nowUs, source, List.of(), List.of(instance));
-          lost[step.source()] = false;
-        }
-        case WHOLE -> {
-          unmentioned.removeAll(its.keySet());
-          membership.applySnapshot(nowUs, source, List.copyOf(its.values()));
-          lost[step.source()] = false;
-        }
-        case EMPTY -> {
-          // A registry after its restart; the platform's own list is believed.
-          outage = step.source() != 0;
-          if (step.source() == 0) {
-            its.clear();
-          }
-          unmentioned.addAll(its.keySet());
-          membership.applySnapshot(nowUs, source, List.of());
-          lost[step.source()] = false;
-        }
-        case SHORT -> {
-          final List<SourceReport> some = its.values().stream().limit(its.size() / 2).toList();
-          outage = step.source() != 0 && its.size() >= 4;
-          if (outage) {
-            unmentioned.addAll(its.keySet());
-            some.forEach(report -> unmentioned.remove(report.instanceId()));
-            // A warning that it does mention is a word, and no outage.
-            some.stream()
-                .filter(report -> report.status().blocksNewCalls())
-                .forEach(report -> upBefore.remove(report.destination()));
-            membership.applySnapshot(nowUs, source, some);
-            lost[step.source()] = false;
-          }
-        }
-        case LOSE -> {
-          outage = true;
-          membership.markSourceUnreachable(nowUs, source);
-          lost[step.source()] = true;
-        }
-        case HEARD -> {
-          membership.markSourceReachable(nowUs, source);
-          lost[step.source()] = false;
-        }
-        case WAIT -> {
-          outage = true;
-          nowUs += (long) (SECOND * Math.pow(3, step.number()));
-        }
-      }
+      final boolean isOutage =
+          switch (step.kind()) {
+            case REPORT_UP -> report(step, ReportedStatus.UP);
+            case REPORT_DRAIN -> report(step, ReportedStatus.DRAIN);
+            case REPORT_PENDING -> report(step, ReportedStatus.PENDING);
+            case DELETE -> delete(step);
+            case SNAPSHOT -> sendSnapshot(step);
+            case EMPTY_SNAPSHOT -> sendEmptySnapshot(step);
+            case SHORT_SNAPSHOT -> sendShortSnapshot(step, upBefore);
+            case OUTAGE -> loseSource(step);
+            case RESPONSE -> respond(step);
+            case WAIT -> elapse(step);
+          };
       final List<MergedEndpoint> changed = membership.collectChanges(nowUs);
-      changed.forEach(member -> view.put(member.name(), member));
-      check(step, upBefore, outage);
+      changed.forEach(endpoint -> view.put(endpoint.name(), endpoint));
+      checkEndpoints();
+      if (isOutage) {
+        require(destinationsUp().containsAll(upBefore), step + " emptied a destination: " + view);
+      }
+      checkView();
+    }
+
+    // ------------------------------------------------ steps; each returns whether it is an outage
+
+    private boolean report(final Step step, final ReportedStatus status) {
+      final String source = SOURCES[step.source()];
+      final String instanceId = source + step.number();
+      final SourceReport report =
+          new SourceReport(instanceId, step.address(), step.destination(), "z", "k", 1, status, 0);
+      reported(step).put(instanceId, report);
+      missing.remove(instanceId);
+      membership.applyChanges(nowUs, source, List.of(report), List.of());
+      unreachable[step.source()] = false;
+      return false;
+    }
+
+    private boolean delete(final Step step) {
+      final String source = SOURCES[step.source()];
+      final String instanceId = source + step.number();
+      reported(step).remove(instanceId);
+      membership.applyChanges(nowUs, source, List.of(), List.of(instanceId));
+      unreachable[step.source()] = false;
+      return false;
+    }
+
+    private boolean sendSnapshot(final Step step) {
+      missing.removeAll(reported(step).keySet());
+      applySnapshot(step, List.copyOf(reported(step).values()));
+      return false;
+    }
+
+    /** A registry after its restart; the platform's list is authoritative, also if it is empty. */
+    private boolean sendEmptySnapshot(final Step step) {
+      final boolean isOutage = step.source() != LIST;
+      if (!isOutage) {
+        reported(step).clear();
+      }
+      missing.addAll(reported(step).keySet());
+      applySnapshot(step, List.of());
+      return isOutage;
     }
 
+    /** Half a snapshot of a registry, where that is implausibly little. */
+    private boolean sendShortSnapshot(final Step step, final Set<Long> upBefore) {
+      final Map<String, SourceReport> all = reported(step);
+      final boolean isOutage = step.source() != LIST && all.size() >= 4;
+      if (isOutage) {
+        final List<SourceReport> half = all.values().stream().limit(all.size() / 2).toList();
+        missing.addAll(all.keySet());
+        half.forEach(report -> missing.remove(report.instanceId()));
+        // A warning that the snapshot contains is a report and no outage.
+        half.stream()
+            .filter(report -> report.status().blocksNewCalls())
+            .forEach(report -> upBefore.remove(report.destination()));
+        applySnapshot(step, half);
+      }
+      return isOutage;
+    }
+
+    private boolean loseSource(final Step step) {
+      membership.markSourceUnreachable(nowUs, SOURCES[step.source()]);
+      unreachable[step.source()] = true;
+      return true;
+    }
+
+    private boolean respond(final Step step) {
+      membership.markSourceReachable(nowUs, SOURCES[step.source()]);
+      unreachable[step.source()] = false;
+      return false;
+    }
+
+    private boolean elapse(final Step step) {
+      nowUs += (long) (SECOND * Math.pow(3, step.number()));
+      return true;
+    }
+
+    private void applySnapshot(final Step step, final List<SourceReport> reports) {
+      membership.applySnapshot(nowUs, SOURCES[step.source()], reports);
+      unreachable[step.source()] = false;
+    }
+
+    private Map<String, SourceReport> reported(final Step step) {
+      return reportedBySource.get(step.source());
+    }
+
+    // ------------------------------------------------ guarantees
+
     private Set<Long> destinationsUp() {
       final Set<Long> up = new HashSet<>();
-      view.values().stream().filter(World::isUp).forEach(member -> up.add(member.destination()));
+      view.values().stream()
+          .filter(Simulation::isUp)
+          .forEach(endpoint -> up.add(endpoint.destination()));
       return up;
     }
 
-    private static boolean isUp(final MergedEndpoint member) {
-      return member.state() == MergedEndpoint.State.UP;
+    private static boolean isUp(final MergedEndpoint endpoint) {
+      return endpoint.state() == MergedEndpoint.State.UP;
     }
 
-    private static void require(final boolean kept, final String promise) {
-      if (!kept) {
-        throw new AssertionError(promise);
+    private static boolean isGone(final MergedEndpoint endpoint) {
+      return endpoint.state() == MergedEndpoint.State.GONE;
+    }
+
+    private static void require(final boolean holds, final String guarantee) {
+      if (!holds) {
+        throw new AssertionError(guarantee);
       }
     }
 
-    private void check(final Step step, final Set<Long> upBefore, final boolean outage) {
+    /** Every endpoint that is up is reported so, not warned of, and alone at its address. */
+    private void checkEndpoints() {
       final Set<String> addresses = new HashSet<>();
-      for (final MergedEndpoint member : view.values()) {
-        if (isUp(member)) {
+      for (final MergedEndpoint endpoint : view.values()) {
+        if (isUp(endpoint)) {
           require(
-              addresses.add(member.address()),
-              member.address() + " serves two destinations: " + view);
-          require(isBacked(member), "nobody says that it is up: " + member);
-          require(!isWarned(member), "a source that is heard warns of it: " + member);
+              addresses.add(endpoint.address()),
+              endpoint.address() + " serves two destinations: " + view);
+          require(isReportedUp(endpoint), "no source reports that it is up: " + endpoint);
+          require(!isWarnedOf(endpoint), "a reachable source warns of it: " + endpoint);
         }
       }
-      if (outage) {
-        require(destinationsUp().containsAll(upBefore), step + " emptied a destination: " + view);
-      }
-      final Map<String, MergedEndpoint> now = new TreeMap<>();
-      membership.endpoints().forEach(member -> now.put(member.name(), member));
-      view.values()
-          .removeIf(
-              member ->
-                  member.state() == MergedEndpoint.State.GONE && !now.containsKey(member.name()));
-      now.values()
-          .removeIf(
-              member ->
-                  member.state() == MergedEndpoint.State.GONE && !view.containsKey(member.name()));
-      require(now.keySet().equals(view.keySet()), "told " + view + " but has " + now);
-      now.forEach(
-          (name, member) ->
-              require(member.state() == view.get(name).state(), "told otherwise: " + name));
-      require(membership.collectChanges(nowUs).isEmpty(), "it tells something twice");
-      require(membership.nextChangeUs() > nowUs, "it wants to be called again at once");
-    }
-
-    /**
-     * True if some source said of this place, and did not take it back by a word of its own, that
-     * it is up.
-     */
-    private boolean isBacked(final MergedEndpoint member) {
-      return said.stream()
-          .flatMap(its -> its.values().stream())
-          .anyMatch(report -> at(report, member) && report.status() == ReportedStatus.UP);
-    }
-
-    /** True if a source that is heard says only cautious things of this place. */
-    private boolean isWarned(final MergedEndpoint member) {
+    }
+
+    /** The changes that were collected amount to the view that the merge has. */
+    private void checkView() {
+      final Map<String, MergedEndpoint> merged = new TreeMap<>();
+      membership.endpoints().forEach(endpoint -> merged.put(endpoint.name(), endpoint));
+      view.values().removeIf(endpoint -> isGone(endpoint) && !merged.containsKey(endpoint.name()));
+      merged.values().removeIf(endpoint -> isGone(endpoint) && !view.containsKey(endpoint.name()));
+      require(merged.keySet().equals(view.keySet()), "collected " + view + " but has " + merged);
+      merged.forEach(
+          (name, endpoint) ->
+              require(
+                  endpoint.state() == view.get(name).state(),
+                  "collected another state of " + name));
+      require(membership.collectChanges(nowUs).isEmpty(), "a change is collected twice");
+      require(membership.nextChangeUs() > nowUs, "the next change is due at once");
+    }
+
+    /** True if a source reported the endpoint up, and has not reported otherwise since. */
+    private boolean isReportedUp(final MergedEndpoint endpoint) {
+      return reportedBySource.stream()
+          .flatMap(reports -> reports.values().stream())
+          .anyMatch(report -> describes(report, endpoint) && report.status() == ReportedStatus.UP);
+    }
+
+    /** True if a reachable source reports nothing but warnings of the endpoint. */
+    private boolean isWarnedOf(final MergedEndpoint endpoint) {
       for (int index = 0; index < SOURCES.length; index++) {
-        final List<SourceReport> its =
-            said.get(index).values().stream().filter(report -> at(report, member)).toList();
-        // An instance that succeeded one that drains outweighs it, also while an answer lacks it.
-        if (!lost[index]
-            && its.stream().allMatch(report -> report.status().blocksNewCalls())
-            && its.stream().anyMatch(report -> !unmentioned.contains(report.instanceId()))) {
+        final List<SourceReport> reports =
+            reportedBySource.get(index).values().stream()
+                .filter(report -> describes(report, endpoint))
+                .toList();
+        // An instance that replaced a draining one outweighs it, also while a snapshot lacks it.
+        if (!unreachable[index]
+            && reports.stream().allMatch(report -> report.status().blocksNewCalls())
+            && reports.stream().anyMatch(report -> !missing.contains(report.instanceId()))) {
           return true;
         }
       }
       return false;
     }
 
-    private static boolean at(final SourceReport report, final MergedEndpoint member) {
-      return report.address().equals(member.address())
-          && report.destination() == member.destination();
+    private static boolean describes(final SourceReport report, final MergedEndpoint endpoint) {
+      return report.address().equals(endpoint.address())
+          && report.destination() == endpoint.destination();
     }
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** The rules of the merge, one by one. */
+/** The rules of the merge, one by one: {@code docs/design/membership.md}. */
 @Tag("membership")
 final class MembershipTest {
   private static final long SECOND = 1_000_000;
-  private static final MergeSettings RULES = MergeSettings.defaults();
+  private static final MergeSettings SETTINGS = MergeSettings.defaults();
 
-  private final Membership membership = new Membership(RULES);
+  private final Membership membership = new Membership(SETTINGS);
   private long nowUs = SECOND;
 
   @BeforeEach
@@ -41,15 +41,15 @@
         instance, "127.0.0.1:" + port, destination, "a", "std", 5, word, version);
   }
 
-  private void list(final SourceReport... reports) {
+  private void platformSnapshot(final SourceReport... reports) {
     membership.applySnapshot(nowUs, "list", List.of(reports));
   }
 
-  private void eureka(final SourceReport... reports) {
+  private void registrySnapshot(final SourceReport... reports) {
     membership.applySnapshot(nowUs, "eureka", List.of(reports));
   }
 
-  private MergedEndpoint member(final int port) {
+  private MergedEndpoint endpoint(final int port) {
     membership.collectChanges(nowUs);
     return membership.endpoints().stream()
         .filter(member -> member.address().endsWith(":" + port))
@@ -57,93 +57,93 @@
         .orElseThrow();
   }
 
-  private void assertIs(
-      final int port, final MergedEndpoint.State state, final StateReason because) {
-    final MergedEndpoint member = member(port);
-    assertEquals(state, member.state(), member.toString());
-    assertEquals(because, member.reason(), member.toString());
+  private void assertState(
+      final int port, final MergedEndpoint.State state, final StateReason reason) {
+    final MergedEndpoint found = endpoint(port);
+    assertEquals(state, found.state(), found.toString());
+    assertEquals(reason, found.reason(), found.toString());
   }
 
   @Test
   void singleSource_isBelieved() {
-    eureka(
+    registrySnapshot(
         report("i", 1, ReportedStatus.UP),
         report("j", 2, ReportedStatus.PENDING),
         report("k", 3, ReportedStatus.DRAIN));
-    final List<MergedEndpoint> told = membership.collectChanges(nowUs);
+    final List<MergedEndpoint> changed = membership.collectChanges(nowUs);
     assertEquals(
         List.of(
             MergedEndpoint.State.UP, MergedEndpoint.State.DRAINING, MergedEndpoint.State.DRAINING),
-        told.stream().map(MergedEndpoint::state).toList());
-    assertTrue(membership.collectChanges(nowUs).isEmpty(), "nothing is told twice");
+        changed.stream().map(MergedEndpoint::state).toList());
+    assertTrue(membership.collectChanges(nowUs).isEmpty(), "a change is collected twice");
   }
 
   @Test
   void conflictingStatuses_theMoreCautiousWinsAtOnce() {
-    list(report("e", 1, ReportedStatus.UP));
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
-    eureka(report("i", 1, ReportedStatus.DRAIN));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
+    platformSnapshot(report("e", 1, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
     nowUs += 3600 * SECOND;
     membership.markSourceReachable(nowUs, "list");
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
-    list(report("e", 1, ReportedStatus.DRAIN));
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
-    assertEquals("list", member(1).decidedBy());
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
+    platformSnapshot(report("e", 1, ReportedStatus.DRAIN));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
+    assertEquals("list", endpoint(1).decidedBy());
   }
 
   @Test
   void warningOfUnreachableSource_expiresAfterTheConflictWindow() {
-    list(report("e", 1, ReportedStatus.UP));
-    eureka(report("i", 1, ReportedStatus.DRAIN));
+    platformSnapshot(report("e", 1, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
     membership.markSourceUnreachable(nowUs, "eureka");
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
-    assertEquals(nowUs + RULES.conflictWindowUs(), membership.nextChangeUs());
-    nowUs += RULES.conflictWindowUs();
-    assertIs(1, MergedEndpoint.State.UP, StateReason.WARNING_EXPIRED);
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
+    assertEquals(nowUs + SETTINGS.conflictWindowUs(), membership.nextChangeUs());
+    nowUs += SETTINGS.conflictWindowUs();
+    assertState(1, MergedEndpoint.State.UP, StateReason.WARNING_EXPIRED);
     membership.markSourceReachable(nowUs, "eureka");
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.CAUTION);
   }
 
   @Test
   void warningThatNoSourceContradicts_neverExpires() {
-    eureka(report("i", 1, ReportedStatus.DRAIN));
+    registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
     membership.markSourceUnreachable(nowUs, "eureka");
-    nowUs += 100 * RULES.staleAfterUs();
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+    nowUs += 100 * SETTINGS.staleAfterUs();
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
   }
 
   @Test
   void deletion_countsAtOnceUntilAnotherSourceConfirmsTheEndpoint() {
-    list(report("e", 1, ReportedStatus.UP));
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    platformSnapshot(report("e", 1, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
     membership.applyChanges(nowUs, "eureka", List.of(), List.of("i"));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.DELETED);
-    nowUs += RULES.conflictWindowUs();
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.DELETED);
+    nowUs += SETTINGS.conflictWindowUs();
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void deletionThatNoSourceContradicts_removesTheEndpoint() {
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
     membership.applyChanges(nowUs, "eureka", List.of(), List.of("i"));
     assertEquals(MergedEndpoint.State.GONE, membership.collectChanges(nowUs).get(0).state());
-    nowUs += RULES.stableAfterUs();
+    nowUs += SETTINGS.stableAfterUs();
     membership.collectChanges(nowUs);
-    assertTrue(membership.endpoints().isEmpty(), "it is not remembered for ever");
+    assertTrue(membership.endpoints().isEmpty(), "it is forgotten in the end");
     assertEquals(Long.MAX_VALUE, membership.nextChangeUs());
   }
 
   @Test
   void endpointMissingFromPlausibleSnapshot_isRemoved() {
-    eureka(report("i", 1, ReportedStatus.UP), report("j", 2, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
-    eureka(report("j", 2, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
+    registrySnapshot(report("i", 1, ReportedStatus.UP), report("j", 2, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("j", 2, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
   }
 
   @Test
@@ -152,16 +152,16 @@
         IntStream.range(0, 10)
             .mapToObj(port -> report("i" + port, port, port, ReportedStatus.UP, 0))
             .toArray(SourceReport[]::new);
-    eureka(ten);
+    registrySnapshot(ten);
     membership.collectChanges(nowUs);
     for (final int left : new int[] {0, 5, 8}) {
-      eureka(List.of(ten).subList(0, left).toArray(SourceReport[]::new));
+      registrySnapshot(List.of(ten).subList(0, left).toArray(SourceReport[]::new));
       assertTrue(membership.collectChanges(nowUs).isEmpty(), "with " + left + " of 10");
     }
-    assertIs(9, MergedEndpoint.State.UP, StateReason.DOUBTED);
-    eureka(List.of(ten).subList(0, 9).toArray(SourceReport[]::new));
-    assertIs(9, MergedEndpoint.State.GONE, StateReason.UNLISTED);
-    assertIs(8, MergedEndpoint.State.UP, StateReason.SAID);
+    assertState(9, MergedEndpoint.State.UP, StateReason.DOUBTED);
+    registrySnapshot(List.of(ten).subList(0, 9).toArray(SourceReport[]::new));
+    assertState(9, MergedEndpoint.State.GONE, StateReason.UNLISTED);
+    assertState(8, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
@@ -171,12 +171,12 @@
             IntStream.range(0, 40)
                 .mapToObj(port -> report("i" + port, port, port, ReportedStatus.UP, 0))
                 .toList());
-    eureka(left.toArray(SourceReport[]::new));
+    registrySnapshot(left.toArray(SourceReport[]::new));
     membership.collectChanges(nowUs);
     while (left.size() > 10) {
       nowUs += 30 * SECOND;
       left.subList(0, 5).clear();
-      eureka(left.toArray(SourceReport[]::new));
+      registrySnapshot(left.toArray(SourceReport[]::new));
       membership.collectChanges(nowUs);
     }
     final long up =
@@ -188,65 +188,66 @@
 
   @Test
   void longMissingEndpoint_isDrainedOnceItsDestinationHasAnother() {
-    eureka(
+    registrySnapshot(
         report("i", 1, ReportedStatus.UP),
         report("j", 2, ReportedStatus.UP),
         report("k", 3, ReportedStatus.UP));
-    eureka();
-    nowUs += RULES.absenceGraceUs();
-    eureka();
-    assertIs(1, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
-    eureka(report("k", 3, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.STALE_SPARED);
-    assertIs(3, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot();
+    nowUs += SETTINGS.absenceGraceUs();
+    registrySnapshot();
+    assertState(1, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
+    registrySnapshot(report("k", 3, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.STALE_SPARED);
+    assertState(3, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void staleEndpoint_isUsedUnlessAFresherOneExists() {
-    eureka(report("i", 1, ReportedStatus.UP));
-    list(report("e", 2, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    platformSnapshot(report("e", 2, ReportedStatus.UP));
     membership.markSourceUnreachable(nowUs, "eureka");
-    assertIs(1, MergedEndpoint.State.UP, StateReason.STALE);
-    nowUs += RULES.staleAfterUs();
+    assertState(1, MergedEndpoint.State.UP, StateReason.STALE);
+    nowUs += SETTINGS.staleAfterUs();
     membership.markSourceReachable(nowUs, "list");
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.STALE_SPARED);
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.STALE_SPARED);
     membership.markSourceUnreachable(nowUs, "list");
-    nowUs += RULES.staleAfterUs();
-    assertIs(1, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
-    assertIs(2, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
+    nowUs += SETTINGS.staleAfterUs();
+    assertState(1, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
+    assertState(2, MergedEndpoint.State.UP, StateReason.LAST_RESORT);
   }
 
   @Test
   void newInstanceAtSameAddress_replacesTheOldOne() {
-    eureka(report("old", 1, 7, ReportedStatus.DRAIN, 5), report("x", 2, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+    registrySnapshot(
+        report("old", 1, 7, ReportedStatus.DRAIN, 5), report("x", 2, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
     membership.applyChanges(
         nowUs, "eureka", List.of(report("new", 1, 7, ReportedStatus.UP, 6)), List.of());
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
     membership.applyChanges(nowUs, "eureka", List.of(), List.of("old"));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void movedInstance_leavesItsOldAddress() {
-    eureka(report("i", 1, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
     membership.collectChanges(nowUs);
-    eureka(report("i", 2, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
-    assertIs(2, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 2, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
+    assertState(2, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void addressClaimedTwice_servesTheDestinationOfTheHigherRankedSource() {
-    eureka(report("i", 1, 8, ReportedStatus.UP, 0));
-    list(report("e", 1, 7, ReportedStatus.UP, 0));
+    registrySnapshot(report("i", 1, 8, ReportedStatus.UP, 0));
+    platformSnapshot(report("e", 1, 7, ReportedStatus.UP, 0));
     membership.collectChanges(nowUs);
     final List<MergedEndpoint> up =
         membership.endpoints().stream()
             .filter(one -> one.state() == MergedEndpoint.State.UP)
             .toList();
     assertEquals(List.of(7L), up.stream().map(MergedEndpoint::destination).toList());
-    list();
+    platformSnapshot();
     membership.collectChanges(nowUs);
     assertEquals(
         List.of(8L),
@@ -258,71 +259,73 @@
 
   @Test
   void olderVersion_mayWarnButNotClearAWarning() {
-    eureka(report("i", 1, 7, ReportedStatus.DRAIN, 10));
-    eureka(report("i", 1, 7, ReportedStatus.UP, 9));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
-    eureka(report("i", 1, 7, ReportedStatus.UP, 10));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
-    eureka(report("i", 1, 7, ReportedStatus.DRAIN, 9));
-    assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
-    nowUs += RULES.conflictWindowUs();
-    eureka(report("i", 1, 7, ReportedStatus.UP, 8));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, 7, ReportedStatus.DRAIN, 10));
+    registrySnapshot(report("i", 1, 7, ReportedStatus.UP, 9));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+    registrySnapshot(report("i", 1, 7, ReportedStatus.UP, 10));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, 7, ReportedStatus.DRAIN, 9));
+    assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+    nowUs += SETTINGS.conflictWindowUs();
+    registrySnapshot(report("i", 1, 7, ReportedStatus.UP, 8));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void flapping_delaysTheReturnIncreasinglyAndNeverTheDrain() {
-    list(report("steady", 2, ReportedStatus.UP));
-    long longest = 0;
+    platformSnapshot(report("steady", 2, ReportedStatus.UP));
+    long longestUs = 0;
     for (int fall = 1; fall <= 8; fall++) {
-      eureka(report("i", 1, ReportedStatus.UP));
-      long heldUs = 0;
-      while (member(1).state() != MergedEndpoint.State.UP) {
-        assertEquals(StateReason.FLAPPING, member(1).reason());
-        heldUs += membership.nextChangeUs() - nowUs;
+      registrySnapshot(report("i", 1, ReportedStatus.UP));
+      long heldDownUs = 0;
+      while (endpoint(1).state() != MergedEndpoint.State.UP) {
+        assertEquals(StateReason.FLAPPING, endpoint(1).reason());
+        heldDownUs += membership.nextChangeUs() - nowUs;
         nowUs = membership.nextChangeUs();
       }
-      assertTrue(heldUs >= longest && heldUs <= RULES.maxHoldDownUs(), "held for " + heldUs);
-      longest = heldUs;
+      assertTrue(
+          heldDownUs >= longestUs && heldDownUs <= SETTINGS.maxHoldDownUs(),
+          "held down for " + heldDownUs);
+      longestUs = heldDownUs;
       nowUs += SECOND;
-      eureka(report("i", 1, ReportedStatus.DRAIN));
-      assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+      registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
+      assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
     }
-    assertEquals(RULES.maxHoldDownUs(), longest);
-    eureka(report("i", 1, ReportedStatus.UP));
+    assertEquals(SETTINGS.maxHoldDownUs(), longestUs);
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
     membership.collectChanges(nowUs);
-    nowUs += RULES.maxHoldDownUs();
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
-    nowUs += RULES.stableAfterUs();
-    eureka(report("i", 1, ReportedStatus.DRAIN));
+    nowUs += SETTINGS.maxHoldDownUs();
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
+    nowUs += SETTINGS.stableAfterUs();
+    registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
     membership.collectChanges(nowUs);
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
   void onlyEndpointOfADestination_isNotHeldDownForFlapping() {
     for (int fall = 0; fall < 5; fall++) {
-      eureka(report("i", 1, ReportedStatus.UP));
-      assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
-      eureka(report("i", 1, ReportedStatus.DRAIN));
-      assertIs(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
+      registrySnapshot(report("i", 1, ReportedStatus.UP));
+      assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
+      registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
+      assertState(1, MergedEndpoint.State.DRAINING, StateReason.SAID);
     }
   }
 
   @Test
   void removedSource_takesItsEndpointsAlong() {
-    eureka(report("i", 1, ReportedStatus.UP));
-    list(report("e", 2, ReportedStatus.UP));
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    platformSnapshot(report("e", 2, ReportedStatus.UP));
     membership.collectChanges(nowUs);
     membership.removeSource("eureka");
-    assertIs(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
-    assertIs(2, MergedEndpoint.State.UP, StateReason.SAID);
+    assertState(1, MergedEndpoint.State.GONE, StateReason.UNLISTED);
+    assertState(2, MergedEndpoint.State.UP, StateReason.SAID);
     assertThrows(
         IllegalArgumentException.class, () -> membership.markSourceReachable(nowUs, "eureka"));
     membership.addSource(nowUs, "eureka", 1, false);
-    eureka(report("i", 1, ReportedStatus.UP));
-    assertIs(1, MergedEndpoint.State.UP, StateReason.SAID);
+    registrySnapshot(report("i", 1, ReportedStatus.UP));
+    assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
   }
 
   @Test
@@ -342,9 +345,9 @@
 
   @Test
   void rateOfADestination_isTakenFromAnySourceThatReportsIt() {
-    eureka(new SourceReport("i", "127.0.0.1:1", 7, "a", "std", 0, ReportedStatus.UP, 0));
-    list(report("e", 2, ReportedStatus.UP));
-    assertEquals(5, member(1).ratePerSecond());
+    registrySnapshot(new SourceReport("i", "127.0.0.1:1", 7, "a", "std", 0, ReportedStatus.UP, 0));
+    platformSnapshot(report("e", 2, ReportedStatus.UP));
+    assertEquals(5, endpoint(1).ratePerSecond());
   }
 
   @Test
--- a/decisions/src/test/java/thistleturn/decisions/membership/RegistrationLeaseTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/RegistrationLeaseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.membership.RegistrationLease.Action;
 
-/** A courier's own entry in a registry. */
+/** When a courier registers, renews, warns and cancels its own entry in a registry. */
 @Tag("membership")
 final class RegistrationLeaseTest {
   private static final long SECOND = 1_000_000;
@@ -57,7 +57,9 @@
       lease.onCompleted(0, Action.RENEW, 500);
       assertTrue(lease.next().atUs() <= 30 * SECOND);
       assertEquals(
-          Action.RENEW, lease.next().action(), "a refusal does not say that the entry is gone");
+          Action.RENEW,
+          lease.next().action(),
+          "a failed renewal does not say that the entry is gone");
     }
   }
 
