--- a/decisions/src/main/java/thistleturn/decisions/health/ConnectivityMonitor.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/ConnectivityMonitor.java
@@ -4,76 +4,75 @@
 import java.util.Set;
 
 /**
- * Whether a courier's own way out is gone. One partner that does not answer is that partner's
- * trouble; where all who were tried since the last answer of anybody do not answer, and the
- * platform does not either, it is this courier's. Times are microseconds.
+ * Decides whether a courier has lost its own network. A single endpoint that does not answer is
+ * that endpoint's fault. If nobody has answered since the last response, calls to several
+ * destinations failed, and the platform cannot be reached either, the fault is this courier's.
+ * Times are microseconds.
  */
 final class ConnectivityMonitor {
-  /**
-   * So many destinations at least must have been tried, where there are so many; alone, a
-   * destination proves nothing.
-   */
-  private static final int LEAST_DESTINATIONS = 2;
+  /** How many destinations must have failed: a single one proves nothing. */
+  private static final int MIN_DESTINATIONS = 2;
 
   /**
-   * For so long nobody may have answered: the longest that a collector, a list or a quiet second
-   * explains.
+   * For how long nobody must have answered: the longest gap that is usual for a healthy courier.
    */
-  private static final long SILENCE_US = 1_000_000;
+  private static final long MIN_SILENCE_US = 1_000_000;
+
+  /** How many destinations are remembered as unreached, which is enough for any decision. */
+  private static final int MAX_DESTINATIONS = 64;
 
-  /** Destinations that are remembered as unreached: enough for any verdict. */
-  private static final int MOST = 64;
+  private static final long NEVER = Long.MIN_VALUE;
 
   private final Set<Long> unreached = new HashSet<>();
-  private long answeredUs;
-  private long platformFailedUs = Long.MIN_VALUE;
-  private boolean cut;
-  private long cutSinceUs;
+  private long lastResponseUs;
+  private long platformFailureUs = NEVER;
+  private boolean cutOff;
+  private long cutOffSinceUs;
 
   /** Somebody beyond this machine answered, whatever the answer. */
   void recordResponse(final long nowUs) {
-    answeredUs = nowUs;
+    lastResponseUs = nowUs;
     unreached.clear();
-    platformFailedUs = Long.MIN_VALUE;
-    cut = false;
+    platformFailureUs = NEVER;
+    cutOff = false;
   }
 
-  /** A call to a destination had no answer, or none to connect to, and was begun at that moment. */
+  /** A call that was begun at {@code sentUs} was not answered, or could not connect. */
   void recordNoResponse(final long destination, final long sentUs, final long nowUs) {
-    if (sentUs < answeredUs) {
+    if (sentUs < lastResponseUs) {
       return;
     }
-    if (unreached.size() < MOST) {
+    if (unreached.size() < MAX_DESTINATIONS) {
       unreached.add(destination);
     }
-    judge(nowUs);
+    update(nowUs);
   }
 
-  /** The platform's list or its taking of ends could not be had. */
+  /** The platform's endpoint list could not be read, or outcomes could not be reported to it. */
   void recordPlatformFailure(final long nowUs) {
-    platformFailedUs = nowUs;
-    judge(nowUs);
+    platformFailureUs = nowUs;
+    update(nowUs);
   }
 
-  private void judge(final long nowUs) {
-    if (!cut
-        && unreached.size() >= LEAST_DESTINATIONS
-        && platformFailedUs > answeredUs
-        && nowUs - answeredUs >= SILENCE_US) {
-      cut = true;
-      cutSinceUs = answeredUs;
+  private void update(final long nowUs) {
+    final boolean platformUnreached = platformFailureUs > lastResponseUs;
+    final boolean silent = nowUs - lastResponseUs >= MIN_SILENCE_US;
+    if (!cutOff && unreached.size() >= MIN_DESTINATIONS && platformUnreached && silent) {
+      cutOff = true;
+      cutOffSinceUs = lastResponseUs;
     }
   }
 
   boolean isCutOff() {
-    return cut;
+    return cutOff;
   }
 
-  /** Since when nobody has answered, us; of use while it is cut off. */
+  /** Since when nobody has answered, us; only meaningful while the courier is cut off. */
   long cutOffSinceUs() {
-    return cutSinceUs;
+    return cutOffSinceUs;
   }
 
+  /** How many destinations failed since the last response. */
   int unreachedDestinations() {
     return unreached.size();
   }
--- a/decisions/src/main/java/thistleturn/decisions/health/PauseDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/PauseDetector.java
@@ -4,83 +4,96 @@
 import java.util.Deque;
 
 /**
- * Stretches in which a courier did not run though it had something to do. It says by when it will
- * run again ({@link #expectRunBy}); where it runs later than that ({@link #recordRun}), it was away
- * from that moment on: stopped, without a core, or behind a collector. The true beginning lies
- * between its last run and that moment, so an absence is never found too long. Times are
- * microseconds on a clock that goes on meanwhile.
+ * Detects the periods in which a process with something to do did not run: it was stopped, had no
+ * core, or waited for the garbage collector. The process announces by when it will run again
+ * ({@link #expectRunBy}); where it runs later than that ({@link #recordRun}), it was paused from
+ * the announced time on. The true beginning lies between its last run and that time, so a pause is
+ * never found too long. Times are microseconds on a clock that goes on during a pause.
  */
 final class PauseDetector {
   /**
-   * A timer that is late by less is nothing: the system's own slices, cold code, another callback
-   * of the same turn.
+   * The shortest pause. A timer that is late by less is usual: time slices, code that is not yet
+   * compiled, or another callback of the same loop iteration.
    */
   static final long MIN_PAUSE_US = 100_000;
 
-  /** What is older than this is not kept, nor are more stretches than that. */
+  /** How long pauses are remembered. */
   static final long RETENTION_US = 10_000_000;
 
-  private static final int MOST = 256;
+  private static final int MAX_PAUSES = 256;
 
-  /** One absence. */
-  record Pause(long fromUs, long toUs) {}
+  /** One pause. */
+  record Pause(long fromUs, long toUs) {
+    long durationUs() {
+      return toUs - fromUs;
+    }
+
+    /** How much of a period it covers, us. */
+    long overlapUs(final long periodFromUs, final long periodToUs) {
+      return Math.max(0, Math.min(periodToUs, toUs) - Math.max(periodFromUs, fromUs));
+    }
+  }
 
-  private final Deque<Pause> kept = new ArrayDeque<>();
-  private long promisedUs = Long.MAX_VALUE;
+  private final Deque<Pause> pauses = new ArrayDeque<>();
+  private long expectedRunUs = Long.MAX_VALUE;
 
-  /** It will run by that moment, whatever comes: a timer is set. An earlier promise stands. */
-  void expectRunBy(final long us) {
-    promisedUs = Math.min(promisedUs, us);
+  /** The process will run by that time, since a timer is set. An earlier expectation stands. */
+  void expectRunBy(final long atUs) {
+    expectedRunUs = Math.min(expectedRunUs, atUs);
   }
 
   /**
-   * It runs now; what was promised is kept, or not.
+   * The process runs now.
    *
-   * @return for how long before now it surely did not run though it should have, us; 0: it did
+   * @return for how long before now it was certainly paused, us; 0 if it was not
    */
   long recordRun(final long nowUs) {
-    final long fromUs = promisedUs;
-    promisedUs = Long.MAX_VALUE;
-    while (!kept.isEmpty()
-        && (kept.peekFirst().toUs() < nowUs - RETENTION_US || kept.size() >= MOST)) {
-      kept.removeFirst();
-    }
+    final long fromUs = expectedRunUs;
+    expectedRunUs = Long.MAX_VALUE;
+    removeOldPauses(nowUs);
     if (nowUs - MIN_PAUSE_US < fromUs) {
       return 0;
     }
-    kept.addLast(new Pause(fromUs, nowUs));
+    pauses.addLast(new Pause(fromUs, nowUs));
     return nowUs - fromUs;
   }
 
-  /** How much of a stretch of time it was away, us. */
+  private void removeOldPauses(final long nowUs) {
+    while (!pauses.isEmpty()
+        && (pauses.peekFirst().toUs() < nowUs - RETENTION_US || pauses.size() >= MAX_PAUSES)) {
+      pauses.removeFirst();
+    }
+  }
+
+  /** How much of a period the process was paused, us. */
   long pausedUs(final long fromUs, final long toUs) {
     long sumUs = 0;
-    for (final Pause one : kept) {
-      sumUs += Math.max(0, Math.min(toUs, one.toUs()) - Math.max(fromUs, one.fromUs()));
+    for (final Pause pause : pauses) {
+      sumUs += pause.overlapUs(fromUs, toUs);
     }
     return sumUs;
   }
 
-  /** The longest part of a stretch of time in which it was away at once, us. */
+  /** The longest continuous part of a period in which the process was paused, us. */
   long longestPauseUs(final long fromUs, final long toUs) {
-    long mostUs = 0;
-    for (final Pause one : kept) {
-      mostUs = Math.max(mostUs, Math.min(toUs, one.toUs()) - Math.max(fromUs, one.fromUs()));
+    long longestUs = 0;
+    for (final Pause pause : pauses) {
+      longestUs = Math.max(longestUs, pause.overlapUs(fromUs, toUs));
     }
-    return mostUs;
+    return longestUs;
   }
 
-  /** How many absences ended since that moment. */
-  int pausesSince(final long us) {
+  /** How many pauses ended since that time. */
+  int pausesSince(final long sinceUs) {
     int count = 0;
-    for (final Pause one : kept) {
-      count += one.toUs() >= us ? 1 : 0;
+    for (final Pause pause : pauses) {
+      count += pause.toUs() >= sinceUs ? 1 : 0;
     }
     return count;
   }
 
-  /** The last one; null: none that is kept. */
+  /** The last pause; null if none is remembered. */
   Pause lastPause() {
-    return kept.peekLast();
+    return pauses.peekLast();
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/health/LocalHealthMutationTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthMutationTest.java
@@ -12,162 +12,169 @@
 import thistleturn.decisions.health.LocalHealth.State;
 
 /**
- * The promises of own health as one judge over a scripted life; each of ten faults planted in the
- * module is caught by it.
+ * The invariants of {@link LocalHealth}, checked over one scripted sequence of events; each of ten
+ * mutations of the class violates at least one of them.
  */
 @Tag("health")
 final class LocalHealthMutationTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
-  private static final int MOST = 1000;
-
-  /** What goes wrong. */
-  enum Fault {
-    ABSENCE_TOO_LONG,
-    ABSENCE_UNSEEN,
-    IDLENESS_IS_ABSENCE,
-    AWAY_FOR_EVER,
-    STARVED_FOR_EVER,
-    STARVED_BY_ONE_STOP,
-    HOLDS_ALL_WHILE_STARVED,
-    MEASURES_OVER_ABSENCES,
+  private static final int MAX_PENDING = 1000;
+
+  /** What the mutated class does wrong. */
+  enum Mutation {
+    PAUSE_TOO_LONG,
+    PAUSE_UNDETECTED,
+    IDLENESS_IS_PAUSE,
+    AWAY_FOREVER,
+    STARVED_FOREVER,
+    STARVED_BY_ONE_PAUSE,
+    UNBOUNDED_WHILE_STARVED,
+    MEASURES_ACROSS_PAUSES,
     CUT_OFF_BY_ONE_DESTINATION,
-    CUT_OFF_FOR_EVER
+    CUT_OFF_FOREVER
   }
 
-  /** The module with one fault, or (null) none. */
-  private static final class Planted {
-    private final Fault fault;
+  /** The class with one mutation, or with none if that is null. */
+  private static final class MutatedHealth {
+    private final Mutation mutation;
     private final LocalHealth health;
     private boolean wasStarved;
     private boolean wasAway;
-    private boolean wasCut;
-    private long lastRanUs;
+    private boolean wasCutOff;
+    private long lastRunUs;
 
-    Planted(final Fault fault, final long nowUs) {
-      this.fault = fault;
+    MutatedHealth(final Mutation mutation, final long nowUs) {
+      this.mutation = mutation;
       this.health = new LocalHealth(nowUs);
-      this.lastRanUs = nowUs;
+      this.lastRunUs = nowUs;
     }
 
-    long ran(final long nowUs) {
-      final long gapUs = nowUs - lastRanUs;
-      lastRanUs = nowUs;
-      final long foundUs = health.recordRun(nowUs);
-      return switch (fault == null ? Fault.CUT_OFF_FOR_EVER : fault) {
-        case ABSENCE_TOO_LONG -> foundUs > 0 ? foundUs + 2 * LocalHealth.TICK_INTERVAL_US : 0;
-        case ABSENCE_UNSEEN -> foundUs > SECOND ? 0 : foundUs;
-        case IDLENESS_IS_ABSENCE -> gapUs > 10 * SECOND ? gapUs : foundUs;
-        default -> foundUs;
+    long recordRun(final long nowUs) {
+      final long gapUs = nowUs - lastRunUs;
+      lastRunUs = nowUs;
+      final long detectedUs = health.recordRun(nowUs);
+      return switch (mutation == null ? Mutation.CUT_OFF_FOREVER : mutation) {
+        case PAUSE_TOO_LONG -> detectedUs > 0 ? detectedUs + 2 * LocalHealth.TICK_INTERVAL_US : 0;
+        case PAUSE_UNDETECTED -> detectedUs > SECOND ? 0 : detectedUs;
+        case IDLENESS_IS_PAUSE -> gapUs > 10 * SECOND ? gapUs : detectedUs;
+        default -> detectedUs;
       };
     }
 
     State state(final long nowUs) {
-      final State its = health.state(nowUs);
-      wasAway |= its == State.AWAY;
-      wasStarved |= its == State.STARVED;
-      if (fault == Fault.AWAY_FOR_EVER && wasAway && its == State.WELL) {
+      final State actual = health.state(nowUs);
+      wasAway |= actual == State.AWAY;
+      wasStarved |= actual == State.STARVED;
+      if (mutation == Mutation.AWAY_FOREVER && wasAway && actual == State.WELL) {
         return State.AWAY;
       }
-      return (fault == Fault.STARVED_FOR_EVER && wasStarved)
-              || (fault == Fault.STARVED_BY_ONE_STOP && its == State.AWAY)
+      return (mutation == Mutation.STARVED_FOREVER && wasStarved)
+              || (mutation == Mutation.STARVED_BY_ONE_PAUSE && actual == State.AWAY)
           ? State.STARVED
-          : its;
+          : actual;
     }
 
-    int mayHold(final long nowUs) {
-      return fault == Fault.HOLDS_ALL_WHILE_STARVED
-          ? MOST
-          : fault == Fault.STARVED_BY_ONE_STOP && state(nowUs) == State.STARVED
+    int maxPendingMessages(final long nowUs) {
+      return mutation == Mutation.UNBOUNDED_WHILE_STARVED
+          ? MAX_PENDING
+          : mutation == Mutation.STARVED_BY_ONE_PAUSE && state(nowUs) == State.STARVED
               ? 8
-              : health.maxPendingMessages(MOST);
+              : health.maxPendingMessages(MAX_PENDING);
     }
 
-    boolean hasMeasured(final long fromUs, final long toUs) {
-      return fault == Fault.MEASURES_OVER_ABSENCES || health.wasRunningBetween(fromUs, toUs);
+    boolean wasRunningBetween(final long fromUs, final long toUs) {
+      return mutation == Mutation.MEASURES_ACROSS_PAUSES || health.wasRunningBetween(fromUs, toUs);
     }
 
     boolean isCutOff(final int destinations) {
-      wasCut |= health.isCutOff();
+      wasCutOff |= health.isCutOff();
       return health.isCutOff()
-          || (fault == Fault.CUT_OFF_BY_ONE_DESTINATION && destinations == 1)
-          || (fault == Fault.CUT_OFF_FOR_EVER && wasCut);
+          || (mutation == Mutation.CUT_OFF_BY_ONE_DESTINATION && destinations == 1)
+          || (mutation == Mutation.CUT_OFF_FOREVER && wasCutOff);
     }
   }
 
   private long nowUs;
-  private Planted planted;
-  private final List<String> broken = new ArrayList<>();
+  private MutatedHealth mutated;
+  private final List<String> violations = new ArrayList<>();
 
-  private void must(final boolean kept, final String what) {
-    if (!kept) {
-      broken.add(what + " at " + nowUs / MS + " ms");
+  private void check(final boolean holds, final String what) {
+    if (!holds) {
+      violations.add(what + " at " + nowUs / MS + " ms");
     }
   }
 
   private long run(final long us) {
     final long untilUs = nowUs + us;
-    long foundUs = 0;
+    long detectedUs = 0;
     while (nowUs < untilUs) {
-      foundUs += planted.ran(nowUs);
-      planted.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
+      detectedUs += mutated.recordRun(nowUs);
+      mutated.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
       nowUs += Math.min(LocalHealth.TICK_INTERVAL_US, untilUs - nowUs);
     }
-    return foundUs;
+    return detectedUs;
   }
 
-  private void stop(final long us) {
+  private void pause(final long us) {
     final long beforeUs = nowUs;
     nowUs += us;
-    final long foundUs = planted.ran(nowUs);
-    planted.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
-    must(foundUs <= us, "found " + foundUs + " of " + us);
-    must(
-        foundUs >= us - LocalHealth.TICK_INTERVAL_US - PauseDetector.MIN_PAUSE_US,
-        "found " + foundUs + " of " + us);
-    must(!planted.hasMeasured(beforeUs, nowUs), "a time measured while away");
+    final long detectedUs = mutated.recordRun(nowUs);
+    mutated.health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
+    check(detectedUs <= us, "detected " + detectedUs + " of " + us);
+    check(
+        detectedUs >= us - LocalHealth.TICK_INTERVAL_US - PauseDetector.MIN_PAUSE_US,
+        "detected " + detectedUs + " of " + us);
+    check(
+        !mutated.wasRunningBetween(beforeUs, nowUs),
+        "a duration measured across a pause counts as reliable");
   }
 
-  private List<String> judge(final Fault fault) {
+  private List<String> findViolations(final Mutation mutation) {
     nowUs = 50 * SECOND;
-    planted = new Planted(fault, nowUs);
-    must(run(5 * SECOND) == 0 && planted.state(nowUs) == State.WELL, "well");
-    planted.health.recordRun(nowUs);
+    mutated = new MutatedHealth(mutation, nowUs);
+    check(run(5 * SECOND) == 0 && mutated.state(nowUs) == State.WELL, "well");
+    mutated.health.recordRun(nowUs);
     nowUs += 30 * SECOND;
-    must(planted.ran(nowUs) == 0, "idle for 30 s");
+    check(mutated.recordRun(nowUs) == 0, "idle for 30 s");
     run(SECOND);
-    stop(3 * SECOND);
-    must(planted.state(nowUs) == State.AWAY, "away");
-    must(planted.mayHold(nowUs) == MOST, "one stop is no starvation");
+    pause(3 * SECOND);
+    check(mutated.state(nowUs) == State.AWAY, "away");
+    check(mutated.maxPendingMessages(nowUs) == MAX_PENDING, "one pause is no starvation");
     run(2 * SECOND);
-    must(planted.state(nowUs) == State.WELL, "well after a stop");
+    check(mutated.state(nowUs) == State.WELL, "well after a pause");
     for (int slice = 0; slice < 20; slice++) {
-      stop(350 * MS);
+      pause(350 * MS);
       run(50 * MS);
     }
-    must(planted.state(nowUs) == State.STARVED && planted.mayHold(nowUs) < MOST / 10, "starved");
+    check(
+        mutated.state(nowUs) == State.STARVED
+            && mutated.maxPendingMessages(nowUs) < MAX_PENDING / 10,
+        "starved");
     run(6 * SECOND);
-    must(planted.state(nowUs) == State.WELL && planted.mayHold(nowUs) == MOST, "fed");
-    planted.health.recordResponse(nowUs);
+    check(
+        mutated.state(nowUs) == State.WELL && mutated.maxPendingMessages(nowUs) == MAX_PENDING,
+        "recovered");
+    mutated.health.recordResponse(nowUs);
     run(2 * SECOND);
-    planted.health.recordPlatformFailure(nowUs);
-    planted.health.recordNoResponse(1, nowUs - SECOND, nowUs);
-    must(!planted.isCutOff(1), "one destination proves nothing");
-    planted.health.recordNoResponse(2, nowUs - SECOND, nowUs);
-    must(planted.isCutOff(2), "cut off");
-    planted.health.recordResponse(nowUs);
-    must(!planted.isCutOff(0), "back");
-    return broken;
+    mutated.health.recordPlatformFailure(nowUs);
+    mutated.health.recordNoResponse(1, nowUs - SECOND, nowUs);
+    check(!mutated.isCutOff(1), "one destination proves nothing");
+    mutated.health.recordNoResponse(2, nowUs - SECOND, nowUs);
+    check(mutated.isCutOff(2), "cut off");
+    mutated.health.recordResponse(nowUs);
+    check(!mutated.isCutOff(0), "connected again");
+    return violations;
   }
 
   @Test
   void unchangedModule_keepsItsInvariants() {
-    assertEquals(List.of(), judge(null));
+    assertEquals(List.of(), findViolations(null));
   }
 
   @ParameterizedTest
-  @EnumSource(Fault.class)
-  void eachMutation_isDetected(final Fault fault) {
-    assertFalse(judge(fault).isEmpty(), fault + " was not caught");
+  @EnumSource(Mutation.class)
+  void eachMutation_isDetected(final Mutation mutation) {
+    assertFalse(findViolations(mutation).isEmpty(), mutation + " was not detected");
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.decisions.health.LocalHealth.State;
 
-/** A courier's own health from the moments in which it runs, in virtual time. */
+/** A courier's own health from the times at which it runs, in virtual time. */
 @Tag("health")
 final class LocalHealthTest {
   private static final long MS = 1000;
@@ -20,24 +20,24 @@
   private long nowUs = 100 * SECOND;
   private final LocalHealth health = new LocalHealth(nowUs);
 
-  /** It runs, beat by beat, for so long; then it means to run again. */
+  /** Runs tick by tick for that time, with the next tick expected; returns the pauses detected. */
   private long run(final long us) {
     final long untilUs = nowUs + us;
-    long awayUs = 0;
+    long pausedUs = 0;
     while (nowUs < untilUs) {
-      awayUs += health.recordRun(nowUs);
+      pausedUs += health.recordRun(nowUs);
       health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
       nowUs += Math.min(LocalHealth.TICK_INTERVAL_US, untilUs - nowUs);
     }
-    return awayUs;
+    return pausedUs;
   }
 
-  /** It stands still for so long, and runs; what it finds then. */
-  private long stop(final long us) {
+  /** Pauses for that time and runs again; returns the pause detected. */
+  private long pause(final long us) {
     nowUs += us;
-    final long awayUs = health.recordRun(nowUs);
+    final long pausedUs = health.recordRun(nowUs);
     health.expectRunBy(nowUs + LocalHealth.TICK_INTERVAL_US);
-    return awayUs;
+    return pausedUs;
   }
 
   @Test
@@ -47,7 +47,7 @@
     assertEquals("runs when it means to", health.report(nowUs).evidence());
   }
 
-  /** An idle courier promises nothing: a quiet minute is no absence. */
+  /** An idle courier expects no run: a quiet minute is no pause. */
   @Test
   void idleProcess_isNotPaused() {
     run(SECOND);
@@ -57,29 +57,26 @@
     assertEquals(State.WELL, health.state(nowUs));
   }
 
-  /**
-   * Found to a beat and no longer than it was, whatever its length and wherever in a beat it
-   * begins.
-   */
+  /** Whatever its length, and wherever between two ticks it begins. */
   @ParameterizedTest
   @ValueSource(longs = {50, 150, 300, 1000, 3000, 8000})
   void pause_isMeasuredToATickAndNeverTooLong(final long pauseMs) {
     final Random random = new Random(pauseMs);
     for (int round = 0; round < 200; round++) {
       run(SECOND + random.nextInt((int) LocalHealth.TICK_INTERVAL_US));
-      final long foundUs = stop(pauseMs * MS);
-      assertTrue(foundUs <= pauseMs * MS, foundUs + " us found of " + pauseMs + " ms");
+      final long detectedUs = pause(pauseMs * MS);
+      assertTrue(detectedUs <= pauseMs * MS, detectedUs + " us detected of " + pauseMs + " ms");
       assertTrue(
-          foundUs >= pauseMs * MS - LocalHealth.TICK_INTERVAL_US - PauseDetector.MIN_PAUSE_US
-              || (foundUs == 0 && pauseMs <= 200),
-          foundUs + " us found of " + pauseMs + " ms");
+          detectedUs >= pauseMs * MS - LocalHealth.TICK_INTERVAL_US - PauseDetector.MIN_PAUSE_US
+              || (detectedUs == 0 && pauseMs <= 200),
+          detectedUs + " us detected of " + pauseMs + " ms");
     }
   }
 
   @Test
   void longPause_isReportedForOneSecond() {
     run(5 * SECOND);
-    assertTrue(stop(3 * SECOND) > 2 * SECOND);
+    assertTrue(pause(3 * SECOND) > 2 * SECOND);
     assertEquals(State.AWAY, health.state(nowUs));
     assertTrue(
         health.report(nowUs).evidence().startsWith("did not run for "),
@@ -90,27 +87,27 @@
     assertEquals(State.WELL, health.state(nowUs));
   }
 
-  /** What was measured over an absence says nothing of a partner; what lies beside it does. */
+  /** What was measured across a pause says nothing of an endpoint; what lies beside it does. */
   @Test
   void durationsMeasuredAcrossAPause_areUnreliable() {
     run(SECOND);
     final long beforeUs = nowUs;
-    stop(SECOND);
+    pause(SECOND);
     assertFalse(health.wasRunningBetween(beforeUs - 50 * MS, nowUs));
     assertTrue(health.wasRunningBetween(beforeUs - 500 * MS, beforeUs));
     run(SECOND);
     assertTrue(health.wasRunningBetween(nowUs - 300 * MS, nowUs));
-    // A slow call is still read by one that is a little late.
+    // A slow call is still measured by a courier that is a little late.
     run(2 * SECOND);
-    stop(250 * MS);
+    pause(250 * MS);
     assertTrue(
         health.wasRunningBetween(nowUs - 2 * SECOND, nowUs),
-        "a truly slow partner while the courier is a little late");
+        "a truly slow endpoint while the courier is a little late");
   }
 
   /**
-   * A twentieth of a core: many short absences. It holds what it can end, and recovers without
-   * flapping.
+   * A twentieth of a core: many short pauses. The courier accepts what it can complete, and
+   * recovers without flapping.
    */
   @Test
   void starvedProcess_acceptsFewerMessagesUntilItRecovers() {
@@ -120,7 +117,7 @@
     State before = health.state(nowUs);
     for (int slice = 0; slice < 50; slice++) {
       health.recordMessageCompleted();
-      stop(380 * MS);
+      pause(380 * MS);
       run(20 * MS);
       changes += health.state(nowUs) == before ? 0 : 1;
       before = health.state(nowUs);
@@ -136,16 +133,15 @@
     assertEquals(1000, health.maxPendingMessages(1000));
   }
 
-  /** One long stop is no starvation: what was taken on before it can still be delivered at once. */
+  /** What was accepted before one long pause can still be delivered at once. */
   @Test
   void oneLongPause_isNotStarvation() {
     run(5 * SECOND);
-    stop(3 * SECOND);
+    pause(3 * SECOND);
     assertEquals(500, health.maxPendingMessages(500));
-    // Nor is it one with some late timers behind it, as a cold process has them that wakes to a
-    // backlog.
+    // Nor is one with some late timers after it, as a process has that wakes to a backlog.
     for (int late = 0; late < 6; late++) {
-      stop(130 * MS);
+      pause(130 * MS);
       run(60 * MS);
     }
     assertEquals(500, health.maxPendingMessages(500));
@@ -159,7 +155,7 @@
     run(1200 * MS);
     health.recordNoResponse(1, lastUs + 100 * MS, nowUs);
     health.recordNoResponse(2, lastUs + 100 * MS, nowUs);
-    assertFalse(health.isCutOff(), "two partners may be down");
+    assertFalse(health.isCutOff(), "two endpoints may be down");
     health.recordPlatformFailure(nowUs);
     assertTrue(health.isCutOff());
     assertEquals(State.CUT_OFF, health.state(nowUs));
@@ -183,33 +179,30 @@
     run(2 * SECOND);
     health.recordPlatformFailure(nowUs);
     assertFalse(health.isCutOff(), "the platform alone");
-    // A call from before the last answer is a straggler.
+    // Calls from before the last response.
     health.recordNoResponse(1, nowUs - 10 * SECOND, nowUs);
     health.recordNoResponse(2, nowUs - 10 * SECOND, nowUs);
-    assertFalse(health.isCutOff(), "stragglers");
+    assertFalse(health.isCutOff(), "calls from before the last response");
   }
 
-  /**
-   * Random stops over an hour: what is found is never more than what was, nor less by more than a
-   * beat each.
-   */
+  /** What is detected is never more than the truth, nor less by more than a tick each. */
   @Test
   void randomPausesOverAnHour_addUp() {
     final Random random = new Random(11);
     long trueUs = 0;
-    long foundUs = 0;
-    int stops = 0;
+    long detectedUs = 0;
+    int pauses = 0;
     while (nowUs < 3700 * SECOND) {
-      foundUs += run((long) (random.nextDouble() * 3 * SECOND));
+      detectedUs += run((long) (random.nextDouble() * 3 * SECOND));
       final long pauseUs = 300 * MS + (long) (random.nextDouble() * 3 * SECOND);
       trueUs += pauseUs;
-      stops++;
-      foundUs += stop(pauseUs);
+      pauses++;
+      detectedUs += pause(pauseUs);
     }
     assertTrue(
-        foundUs <= trueUs
-            && foundUs
-                >= trueUs - stops * (LocalHealth.TICK_INTERVAL_US + PauseDetector.MIN_PAUSE_US),
-        foundUs + " of " + trueUs);
+        detectedUs <= trueUs
+            && detectedUs
+                >= trueUs - pauses * (LocalHealth.TICK_INTERVAL_US + PauseDetector.MIN_PAUSE_US),
+        detectedUs + " of " + trueUs);
   }
 }
