--- a/decisions/src/main/java/thistleturn/decisions/rejections/RetryBudget.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/RetryBudget.java
@@ -1,18 +1,18 @@
 package thistleturn.decisions.rejections;
 
 /**
- * What may be tried again at once: a share of what is served, and a few more. So however wrong a
- * reading is, further calls of this kind are at most {@link #RETRIES_PER_SERVED_CALL} of the calls
- * served and {@link #MAX_BURST} a destination.
+ * Limits the retries that are made at once: to a share of the calls served, and a small burst. So
+ * however wrong a classification of rejections is, the retries that follow from it are at most
+ * {@link #RETRIES_PER_SERVED_CALL} of the calls served plus {@link #MAX_BURST} for a destination.
  */
 public final class RetryBudget {
   /**
-   * Further calls for each call served: {@link RejectionClassifier#MAX_NOISE_SHARE} refused need
-   * more, half of that does not.
+   * Retries for each call served. As many rejections as {@link RejectionClassifier#MAX_NOISE_SHARE}
+   * allows need more than that; half as many do not.
    */
   public static final double RETRIES_PER_SERVED_CALL = 0.3;
 
-  /** Further calls that may come at once. */
+  /** Retries that may be made at once. */
   public static final double MAX_BURST = 8;
 
   private double tokens = MAX_BURST;
@@ -22,7 +22,7 @@
     tokens = Math.min(MAX_BURST, tokens + RETRIES_PER_SERVED_CALL);
   }
 
-  /** Takes one further call; false if there is none. */
+  /** Takes a token for one retry; false if there is none. */
   public boolean tryAcquire() {
     if (tokens < 1) {
       return false;
@@ -31,7 +31,7 @@
     return true;
   }
 
-  /** Further calls that may be made now. */
+  /** How many retries may be made now. */
   public double available() {
     return tokens;
   }
