--- a/decisions/src/main/java/thistleturn/decisions/directives/Directives.java
+++ b/decisions/src/main/java/thistleturn/decisions/directives/Directives.java
@@ -5,39 +5,35 @@
 import java.util.List;
 
 /**
- * What is said of one endpoint or destination, and what of it counts. It never changes: a further
- * word makes another one, so that whoever is spoken of by nobody costs one shared object. Where
- * more than {@link #MAX_DIRECTIVES} speak, those whose words end first are forgotten.
+ * The directives for one endpoint or destination, and what they amount to. A set never changes:
+ * {@link #with} returns another one, so that all endpoints without directives share {@link #NONE}.
+ * Beyond {@link #MAX_DIRECTIVES}, those that expire first are dropped.
  */
 public final class Directives {
-  /** Nobody says anything. */
+  /** No directives. */
   public static final Directives NONE = new Directives(List.of());
 
-  /** Words kept. */
+  /** The most directives in a set. */
   public static final int MAX_DIRECTIVES = 64;
 
   private static final double SECOND_US = 1_000_000;
 
   private final List<Directive> directives;
 
-  private Directives(final List<Directive> all) {
-    this.directives = all;
+  private Directives(final List<Directive> directives) {
+    this.directives = directives;
   }
 
-  /**
-   * The same with one word more: in the place of what its speaker said before of this kind. Words
-   * that are over go.
-   */
-  public Directives with(final Directive word, final long nowUs) {
+  /** This set with one directive added, and without those that it replaces or that have expired. */
+  public Directives with(final Directive added, final long nowUs) {
     final List<Directive> next = new ArrayList<>(directives.size() + 1);
-    for (final Directive one : directives) {
-      if (one.isActive(nowUs)
-          && !(one.kind() == word.kind() && one.source().equals(word.source()))) {
-        next.add(one);
+    for (final Directive directive : directives) {
+      if (directive.isActive(nowUs) && !directive.isReplacedBy(added)) {
+        next.add(directive);
       }
     }
-    if (word.isActive(nowUs)) {
-      next.add(word);
+    if (added.isActive(nowUs)) {
+      next.add(added);
     }
     if (next.size() > MAX_DIRECTIVES) {
       next.remove(next.stream().min(Comparator.comparingLong(Directive::expiresUs)).orElseThrow());
@@ -46,62 +42,67 @@
   }
 
   /**
-   * When the next call may go by these words, the last one having gone at {@code lastUs}; long ago,
-   * if they allow it.
+   * The earliest time at which the next call may be sent if the last one was sent at {@code
+   * lastCallUs}; {@link Long#MIN_VALUE} if nothing delays it.
    */
-  public long earliestCallUs(final long lastUs, final long atUs) {
-    long openUs = Long.MIN_VALUE;
+  public long earliestCallUs(final long lastCallUs, final long atUs) {
+    long earliestUs = Long.MIN_VALUE;
+    // Runs for each call that is considered: no iterator is allocated.
     for (int index = 0; index < directives.size(); index++) {
-      final Directive word = directives.get(index);
-      if (word.isActive(atUs)) {
-        switch (word.kind()) {
-          case EXCLUSION, WAIT -> openUs = Math.max(openUs, word.expiresUs());
-          case RATE ->
-              openUs =
-                  Math.max(
-                      openUs,
-                      Math.min(
-                          word.expiresUs(), lastUs + (long) Math.ceil(SECOND_US / word.value())));
-          default -> {}
-        }
+      final Directive directive = directives.get(index);
+      if (directive.isActive(atUs)) {
+        earliestUs = Math.max(earliestUs, earliestCallUs(directive, lastCallUs));
       }
     }
-    return openUs;
+    return earliestUs;
+  }
+
+  private static long earliestCallUs(final Directive directive, final long lastCallUs) {
+    return switch (directive.kind()) {
+      case EXCLUSION, WAIT -> directive.expiresUs();
+      case RATE -> {
+        final long intervalUs = (long) Math.ceil(SECOND_US / directive.value());
+        yield Math.min(directive.expiresUs(), lastCallUs + intervalUs);
+      }
+      default -> Long.MIN_VALUE;
+    };
   }
 
-  /** Calls in flight that are allowed; infinite, if nobody bounds them. */
+  /** The most calls in flight; infinite if no directive bounds them. */
   public double concurrencyLimit(final long nowUs) {
     return minimum(Directive.Kind.CEILING, Double.POSITIVE_INFINITY, nowUs);
   }
 
-  /** The part of the calls among endpoints that are alike; 1, if nobody says otherwise. */
+  /** The weight among endpoints that are otherwise alike; 1 if no directive sets it. */
   public double weight(final long nowUs) {
     return minimum(Directive.Kind.WEIGHT, 1, nowUs);
   }
 
-  private double minimum(final Directive.Kind kind, final double without, final long nowUs) {
-    double least = without;
+  private double minimum(final Directive.Kind kind, final double absent, final long nowUs) {
+    double minimum = absent;
     for (int index = 0; index < directives.size(); index++) {
-      final Directive word = directives.get(index);
-      if (word.kind() == kind && word.isActive(nowUs)) {
-        least = Math.min(least, word.value());
+      final Directive directive = directives.get(index);
+      if (directive.kind() == kind && directive.isActive(nowUs)) {
+        minimum = Math.min(minimum, directive.value());
       }
     }
-    return least;
+    return minimum;
   }
 
-  /** When the first of these words ends that holds now; never, if none does. */
+  /** When the first directive that is active now expires; {@link Long#MAX_VALUE} for never. */
   public long nextExpiryUs(final long nowUs) {
     long nextUs = Long.MAX_VALUE;
     for (int index = 0; index < directives.size(); index++) {
-      final Directive word = directives.get(index);
-      nextUs = word.isActive(nowUs) ? Math.min(nextUs, word.expiresUs()) : nextUs;
+      final Directive directive = directives.get(index);
+      if (directive.isActive(nowUs)) {
+        nextUs = Math.min(nextUs, directive.expiresUs());
+      }
     }
     return nextUs;
   }
 
-  /** Those that hold now, as they were said. */
+  /** The directives that are active now, in the order in which they came. */
   public List<Directive> active(final long nowUs) {
-    return directives.stream().filter(word -> word.isActive(nowUs)).toList();
+    return directives.stream().filter(directive -> directive.isActive(nowUs)).toList();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/directives/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/directives/package-info.java
@@ -1,5 +1,10 @@
 /**
- * The one way by which a subsystem's word on an endpoint or a destination enters the decisions:
- * what it may say, who said it, until when, and which of several wins. Pure.
+ * Directives: the one way in which a subsystem restricts what is sent to an endpoint or a
+ * destination.
+ *
+ * <p>A {@link thistleturn.decisions.directives.Directive} says what is restricted, on whose behalf
+ * and until when; {@link thistleturn.decisions.directives.Directives} combines those of several
+ * sources. Both are immutable; the overload controller holds one set for each endpoint and
+ * destination.
  */
 package thistleturn.decisions.directives;
--- a/decisions/src/test/java/thistleturn/decisions/directives/DirectivesTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/directives/DirectivesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.directives.Directive.Kind;
 
-/** Of what several say the more careful word counts, each for as long as it was said for. */
+/** Of several sources' directives the strictest counts, each until it expires. */
 @Tag("decisions")
 final class DirectivesTest {
   private static final long NEVER = Long.MAX_VALUE;
@@ -25,7 +25,7 @@
 
   @Test
   void conflictingDirectives_theStricterWins() {
-    final Directives words =
+    final Directives directives =
         Directives.NONE
             .with(new Directive(Kind.RATE, 10, "a", NEVER), 0)
             .with(new Directive(Kind.RATE, 2, "b", 900_000), 0)
@@ -33,14 +33,15 @@
             .with(new Directive(Kind.CEILING, 7, "b", NEVER), 0)
             .with(new Directive(Kind.WEIGHT, 0.5, "a", NEVER), 0)
             .with(new Directive(Kind.WEIGHT, 0.2, "b", 100), 0);
-    assertEquals(500_000, words.earliestCallUs(0, 0), "two a second");
-    assertEquals(900_000, words.earliestCallUs(800_000, 800_000), "until that word is over");
-    assertEquals(1_050_000, words.earliestCallUs(950_000, 950_000), "then ten");
-    assertEquals(3, words.concurrencyLimit(50));
-    assertEquals(0.2, words.weight(50));
-    assertEquals(0.5, words.weight(100));
-    assertEquals(100, words.nextExpiryUs(50));
-    assertEquals(900_000, words.nextExpiryUs(100));
+    assertEquals(500_000, directives.earliestCallUs(0, 0), "two a second");
+    assertEquals(
+        900_000, directives.earliestCallUs(800_000, 800_000), "until that directive expires");
+    assertEquals(1_050_000, directives.earliestCallUs(950_000, 950_000), "then ten");
+    assertEquals(3, directives.concurrencyLimit(50));
+    assertEquals(0.2, directives.weight(50));
+    assertEquals(0.5, directives.weight(100));
+    assertEquals(100, directives.nextExpiryUs(50));
+    assertEquals(900_000, directives.nextExpiryUs(100));
   }
 
   @Test
@@ -48,36 +49,36 @@
     final Directives first = Directives.NONE.with(new Directive(Kind.CEILING, 3, "a", NEVER), 0);
     final Directives second = first.with(new Directive(Kind.CEILING, 8, "a", NEVER), 1);
     assertEquals(8, second.concurrencyLimit(1));
-    assertEquals(3, first.concurrencyLimit(1), "what was said before is as it was");
+    assertEquals(3, first.concurrencyLimit(1), "the earlier set is unchanged");
     assertSame(
         Directives.NONE, second.with(new Directive(Kind.CEILING, 1, "a", NEVER).withdrawn(), 2));
   }
 
   @Test
   void exclusionOrLatestWait_blocksAllCalls() {
-    final Directives words =
+    final Directives directives =
         Directives.NONE
             .with(Directive.of(Kind.WAIT, "a", 700), 0)
             .with(Directive.of(Kind.WAIT, "b", 400), 0);
-    assertEquals(700, words.earliestCallUs(0, 10));
+    assertEquals(700, directives.earliestCallUs(0, 10));
     assertEquals(
         NEVER,
-        words.with(Directive.of(Kind.EXCLUSION, "operator", NEVER), 0).earliestCallUs(0, 10));
-    assertEquals(Long.MIN_VALUE, words.earliestCallUs(0, 700), "both are over");
-    assertEquals(List.of(), words.active(700));
+        directives.with(Directive.of(Kind.EXCLUSION, "operator", NEVER), 0).earliestCallUs(0, 10));
+    assertEquals(Long.MIN_VALUE, directives.earliestCallUs(0, 700), "both are over");
+    assertEquals(List.of(), directives.active(700));
   }
 
   @Test
   void manySources_areBounded() {
-    Directives words = Directives.NONE;
-    for (int speaker = 0; speaker < 10 * Directives.MAX_DIRECTIVES; speaker++) {
-      words = words.with(Directive.of(Kind.WAIT, "s" + speaker, 1000 + speaker), 0);
+    Directives directives = Directives.NONE;
+    for (int source = 0; source < 10 * Directives.MAX_DIRECTIVES; source++) {
+      directives = directives.with(Directive.of(Kind.WAIT, "s" + source, 1000 + source), 0);
     }
-    assertEquals(Directives.MAX_DIRECTIVES, words.active(0).size());
+    assertEquals(Directives.MAX_DIRECTIVES, directives.active(0).size());
     assertEquals(
         1000 + 10 * Directives.MAX_DIRECTIVES - 1,
-        words.earliestCallUs(0, 0),
-        "those whose words end first are forgotten");
+        directives.earliestCallUs(0, 0),
+        "those that expire first are dropped");
   }
 
   @Test
