--- a/decisions/src/main/java/thistleturn/decisions/fleet/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/fleet/package-info.java
@@ -1,5 +1,9 @@
 /**
- * What a courier does otherwise because there are many of it: pure, told the time and the size of
- * the fleet.
+ * What a courier does differently because there are many couriers: its share of a rate limit that
+ * all of them use together, and what it may do only if few do it.
+ *
+ * <p>Entry points: {@link thistleturn.decisions.fleet.FairShare}, one for each route of the
+ * overload controller and on its thread, and {@link thistleturn.decisions.fleet.FleetSize}. The
+ * package knows the time and the size of the fleet from its arguments, and no other courier.
  */
 package thistleturn.decisions.fleet;
--- a/decisions/src/main/java/thistleturn/decisions/shards/ShardPlacement.java
+++ b/decisions/src/main/java/thistleturn/decisions/shards/ShardPlacement.java
@@ -1,16 +1,10 @@
 package thistleturn.decisions.shards;
 
-/**
- * Which shard a destination belongs to: the same one for as long as the number of shards is the
- * same.
- */
+/** Assigns destinations to shards. The assignment depends on the number of shards alone. */
 public final class ShardPlacement {
   private ShardPlacement() {}
 
-  /**
-   * The shard, from 0 on, of a destination among so many; numbers in a row are spread like any
-   * others.
-   */
+  /** The shard of a destination, from 0 on; consecutive numbers are spread like any others. */
   public static int shardOf(final long destination, final int shards) {
     // The finalizer of SplitMix64 (Steele, Lea, Flood 2014).
     long bits = (destination ^ destination >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/decisions/src/test/java/thistleturn/decisions/shards/CapacityAllocatorPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/shards/CapacityAllocatorPropertyTest.java
@@ -12,30 +12,30 @@
 import net.jqwik.api.Tag;
 
 /**
- * Shards that hear of their limits late, stall and burst: together they never use more than the
- * whole.
+ * Shards that receive their limits late, stall and burst: together they never use more than the
+ * capacity.
  */
 @Tag("scale")
 final class CapacityAllocatorPropertyTest {
   private static final int STEPS = 2_000;
 
-  /** A shard as a thread of its own would be: it keeps to the last limit that has reached it. */
+  /** A shard as if on a thread of its own: it keeps to the last limit that has reached it. */
   private static final class Shard {
-    private int kept;
+    private int keptLimit;
     private int used;
-    private int wants;
+    private int demand;
     private boolean pressed;
     private boolean stalled;
 
     private void work(final Random random) {
       if (random.nextInt(20) == 0) {
-        wants = random.nextInt(120);
+        demand = random.nextInt(120);
       }
       used -= used > 0 ? random.nextInt(used + 1) / 2 : 0;
-      while (used < wants && used < kept) {
+      while (used < demand && used < keptLimit) {
         used++;
       }
-      pressed |= wants > kept;
+      pressed |= demand > keptLimit;
     }
   }
 
@@ -43,12 +43,12 @@
   void usage_neverExceedsTheTotalHoweverLateLimitsArrive(@ForAll final long seed) {
     final Random random = new Random(seed);
     final int shards = 1 + random.nextInt(8);
-    final int whole = shards + random.nextInt(200);
-    final CapacityAllocator allotment = new CapacityAllocator(shards, whole);
+    final int capacity = shards + random.nextInt(200);
+    final CapacityAllocator allocator = new CapacityAllocator(shards, capacity);
     final Shard[] all = new Shard[shards];
     for (int index = 0; index < shards; index++) {
       all[index] = new Shard();
-      all[index].kept = allotment.limit(index);
+      all[index].keptLimit = allocator.limit(index);
     }
     for (int step = 0; step < STEPS; step++) {
       final int index = random.nextInt(shards);
@@ -57,59 +57,56 @@
       if (!one.stalled) {
         one.work(random);
         if (random.nextBoolean()) {
-          allotment.reportUsage(index, one.kept, one.used, one.pressed);
+          allocator.reportUsage(index, one.keptLimit, one.used, one.pressed);
           one.pressed = false;
         } else {
-          one.kept = allotment.limit(index);
+          one.keptLimit = allocator.limit(index);
         }
       }
       if (random.nextInt(3) == 0) {
-        allotment.rebalance();
+        allocator.rebalance();
       }
       assertTrue(
-          Arrays.stream(all).mapToInt(shard -> shard.used).sum() <= whole,
+          Arrays.stream(all).mapToInt(shard -> shard.used).sum() <= capacity,
           "seed " + seed + " step " + step);
-      assertEquals(whole, allotment.total());
+      assertEquals(capacity, allocator.total());
     }
   }
 
-  /**
-   * One shard is pressed, the others idle: it soon has nearly all, and gives it back when they need
-   * it.
-   */
+  /** A shard that alone is pressed soon has nearly all, and gives it back when others need it. */
   @Example
   void capacity_movesByNeedAndBack() {
-    final CapacityAllocator allotment = new CapacityAllocator(4, 100);
+    final CapacityAllocator allocator = new CapacityAllocator(4, 100);
     for (int round = 0; round < 20; round++) {
       for (int shard = 0; shard < 4; shard++) {
-        final int kept = allotment.limit(shard);
-        allotment.reportUsage(shard, kept, shard == 0 ? kept : 0, shard == 0);
+        final int keptLimit = allocator.limit(shard);
+        allocator.reportUsage(shard, keptLimit, shard == 0 ? keptLimit : 0, shard == 0);
       }
-      allotment.rebalance();
+      allocator.rebalance();
     }
-    assertTrue(allotment.limit(0) >= 80, "pressed alone: " + allotment.limit(0));
+    assertTrue(allocator.limit(0) >= 80, "pressed alone: " + allocator.limit(0));
     for (int round = 0; round < 40; round++) {
       for (int shard = 0; shard < 4; shard++) {
-        final int kept = allotment.limit(shard);
-        allotment.reportUsage(shard, kept, kept, true);
+        final int keptLimit = allocator.limit(shard);
+        allocator.reportUsage(shard, keptLimit, keptLimit, true);
       }
-      allotment.rebalance();
+      allocator.rebalance();
     }
     for (int shard = 0; shard < 4; shard++) {
       assertTrue(
-          Math.abs(allotment.limit(shard) - 25) <= 3, "all pressed: " + allotment.limit(shard));
+          Math.abs(allocator.limit(shard) - 25) <= 3, "all pressed: " + allocator.limit(shard));
     }
   }
 
-  /** One that stalls keeps what it may use, and no more is given away than the others have. */
+  /** A stalled shard keeps what it may use; no more is moved than the others have. */
   @Example
   void stalledShard_keepsItsCapacity() {
-    final CapacityAllocator allotment = new CapacityAllocator(2, 10);
+    final CapacityAllocator allocator = new CapacityAllocator(2, 10);
     for (int round = 0; round < 20; round++) {
-      allotment.reportUsage(0, allotment.limit(0), allotment.limit(0), true);
-      allotment.rebalance();
+      allocator.reportUsage(0, allocator.limit(0), allocator.limit(0), true);
+      allocator.rebalance();
     }
-    assertEquals(5, allotment.limit(0));
+    assertEquals(5, allocator.limit(0));
   }
 
   @Example
