--- a/decisions/src/main/java/thistleturn/decisions/index/OrderedQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/OrderedQueue.java
@@ -3,22 +3,22 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A line whose members have a key and a place in the order they came in. It finds, at the cost of a
- * logarithm, the first and the last member of a range of keys, and the one of a range that came
- * first: a treap (Seidel and Aragon 1996) by key, then place, in which each member knows the
- * earliest place below it. Its shape comes from a hash of the places, so that equal lines have
- * equal shapes.
+ * A queue whose members have a key and a sequence number. In logarithmic time it finds the first
+ * and the last member of a range of keys, and the one with the lowest sequence number: a treap
+ * (Seidel and Aragon 1996) ordered by key, then sequence number, in which each node knows the
+ * lowest sequence number of its subtree. The heap priorities are hashes of the sequence numbers, so
+ * that equal queues have equal shapes.
  *
- * @param <E> the members; a member is in one line at a time
+ * @param <E> the members; a member is in at most one queue at a time
  */
 public final class OrderedQueue<E extends OrderedQueue.Entry> {
-  /** In each stretch: its first, its last, and the one that came first. */
-  private static final int CANDIDATES = 3;
+  /** In each interval of keys: the first member, the last, and the earliest. */
+  private static final int CANDIDATES_PER_INTERVAL = 3;
 
   private Entry root;
   private int size;
 
-  /** A member. */
+  /** A member, which is its own node of the tree. */
   public abstract static class Entry {
     private long key;
     private long sequence;
@@ -26,7 +26,7 @@
     private Entry left;
     private Entry right;
 
-    /** Of this member and those below it, the one that came first. */
+    /** The node with the lowest sequence number of this subtree. */
     private Entry earliest;
 
     final long key() {
@@ -36,22 +36,26 @@
     final long sequence() {
       return sequence;
     }
+
+    private boolean isBefore(final Entry other) {
+      return key < other.key || (key == other.key && sequence < other.sequence);
+    }
   }
 
-  /** Adds a member; keys may repeat, places may not. */
-  public void add(final E entry, final long key, final long place) {
-    final Entry given = entry;
-    given.key = key;
-    given.sequence = place;
-    given.priority = priorityOf(place);
-    given.left = null;
-    given.right = null;
-    given.earliest = given;
-    root = insert(root, given);
+  /** Adds a member; keys may repeat, sequence numbers may not. */
+  public void add(final E entry, final long key, final long sequence) {
+    final Entry added = entry;
+    added.key = key;
+    added.sequence = sequence;
+    added.priority = priorityOf(sequence);
+    added.left = null;
+    added.right = null;
+    added.earliest = added;
+    root = insert(root, added);
     size++;
   }
 
-  /** Takes a member out. */
+  /** Removes a member. */
   public void remove(final E entry) {
     root = delete(root, entry);
     size--;
@@ -63,44 +67,45 @@
   }
 
   /**
-   * The member with the least key of at least this, the one that came first among equals; null if
-   * none.
+   * The member with the least key of at least {@code fromKey}, the earliest one among equals; null
+   * if there is none.
    */
   @SuppressWarnings("unchecked")
   public E firstAtOrAbove(final long fromKey) {
-    Entry best = null;
-    Entry at = root;
-    while (at != null) {
-      if (at.key >= fromKey) {
-        best = at;
-        at = at.left;
+    Entry first = null;
+    Entry node = root;
+    while (node != null) {
+      if (node.key >= fromKey) {
+        first = node;
+        node = node.left;
       } else {
-        at = at.right;
+        node = node.right;
       }
     }
-    return (E) best;
+    return (E) first;
   }
 
   /**
-   * The member with the greatest key below this, the one that came first among equals; null if
-   * none.
+   * The member with the greatest key below {@code belowKey}, the earliest one among equals; null if
+   * there is none.
    */
   public E lastBelow(final long belowKey) {
-    Entry best = null;
-    Entry at = root;
-    while (at != null) {
-      if (at.key < belowKey) {
-        best = at;
-        at = at.right;
+    Entry last = null;
+    Entry node = root;
+    while (node != null) {
+      if (node.key < belowKey) {
+        last = node;
+        node = node.right;
       } else {
-        at = at.left;
+        node = node.left;
       }
     }
-    return best == null ? null : firstAtOrAbove(best.key);
+    return last == null ? null : firstAtOrAbove(last.key);
   }
 
   /**
-   * Of the members with {@code fromKey <= key < belowKey}, the one that came first; null if none.
+   * Of the members with {@code fromKey <= key < belowKey} the one with the lowest sequence number;
+   * null if there is none.
    */
   @SuppressWarnings("unchecked")
   public E earliest(final long fromKey, final long belowKey) {
@@ -108,123 +113,141 @@
   }
 
   /**
-   * The member of greatest value, the one that came first among equals, where the value of members
-   * follows from their keys and only rises, only falls or stays the same from each of {@code turns}
-   * (ascending) to the next, and before and after them: so it is the first or the last of such a
-   * stretch, or the one that came first in it. Only stretches with members are looked at. Null if
-   * there is no member.
+   * The member of the greatest value, the earliest one among equals. The value must follow from the
+   * key, and be monotonic within each interval between two neighbouring {@code breakpoints}, before
+   * the first and after the last: so the greatest value of an interval is that of its first or last
+   * member, or, where the value is constant, of its earliest.
+   *
+   * @param breakpoints keys in ascending order
+   * @return null if there is no member
    */
-  public E greatest(final long[] turns, final ToDoubleFunction<E> value) {
+  public E greatest(final long[] breakpoints, final ToDoubleFunction<E> value) {
     E best = firstAtOrAbove(Long.MIN_VALUE);
     if (size <= 1) {
       return best;
     }
-    double most = value.applyAsDouble(best);
+    double bestValue = value.applyAsDouble(best);
     E first = best;
-    for (int turn = 0; first != null; turn++) {
-      final long belowKey = turn < turns.length ? turns[turn] : Long.MAX_VALUE;
+    for (int interval = 0; interval <= breakpoints.length && first != null; interval++) {
+      final boolean isLast = interval == breakpoints.length;
+      final long belowKey = isLast ? Long.MAX_VALUE : breakpoints[interval];
       if (first.key() >= belowKey) {
         continue;
       }
-      for (int which = 0; which < CANDIDATES; which++) {
-        final E one =
-            which == 0 ? first : which == 1 ? lastBelow(belowKey) : earliest(first.key(), belowKey);
-        final double its = one == best ? most : value.applyAsDouble(one);
-        if (its > most || (its == most && one.sequence() < best.sequence())) {
-          best = one;
-          most = its;
+      for (int index = 0; index < CANDIDATES_PER_INTERVAL; index++) {
+        final E candidate = candidate(index, first, belowKey);
+        final double its = candidate == best ? bestValue : value.applyAsDouble(candidate);
+        final boolean isEarlier = candidate.sequence() < best.sequence();
+        if (its > bestValue || (its == bestValue && isEarlier)) {
+          best = candidate;
+          bestValue = its;
         }
       }
-      first = turn < turns.length ? firstAtOrAbove(belowKey) : null;
+      first = isLast ? null : firstAtOrAbove(belowKey);
     }
     return best;
   }
 
-  private static Entry earliest(final Entry from, final long fromKey, final long belowKey) {
-    Entry at = from;
-    while (at != null && (at.key < fromKey || at.key >= belowKey)) {
-      at = at.key < fromKey ? at.right : at.left;
-    }
-    if (at == null) {
+  /** One of the members of an interval that can have its greatest value. */
+  private E candidate(final int index, final E first, final long belowKey) {
+    return switch (index) {
+      case 0 -> first;
+      case 1 -> lastBelow(belowKey);
+      default -> earliest(first.key(), belowKey);
+    };
+  }
+
+  private static Entry earliest(final Entry root, final long fromKey, final long belowKey) {
+    final Entry fork = fork(root, fromKey, belowKey);
+    if (fork == null) {
       return null;
     }
-    Entry best = at;
-    // Left of the fork all that is above the lower bound counts, right of it all that is below the
-    // upper one.
-    for (Entry low = at.left; low != null; ) {
-      if (low.key >= fromKey) {
-        best = earlier(best, earlier(low, low.right == null ? null : low.right.earliest));
-        low = low.left;
+    Entry best = fork;
+    // Left of the fork all keys are below the upper bound, right of it all are above the lower one.
+    for (Entry node = fork.left; node != null; ) {
+      if (node.key >= fromKey) {
+        best = earlier(best, earlierWithSubtree(node, node.right));
+        node = node.left;
       } else {
-        low = low.right;
+        node = node.right;
       }
     }
-    for (Entry high = at.right; high != null; ) {
-      if (high.key < belowKey) {
-        best = earlier(best, earlier(high, high.left == null ? null : high.left.earliest));
-        high = high.right;
+    for (Entry node = fork.right; node != null; ) {
+      if (node.key < belowKey) {
+        best = earlier(best, earlierWithSubtree(node, node.left));
+        node = node.right;
       } else {
-        high = high.left;
+        node = node.left;
       }
     }
     return best;
   }
 
-  private static Entry earlier(final Entry one, final Entry other) {
-    return other == null || one.sequence <= other.sequence ? one : other;
+  /** The topmost node in a range of keys; null if the range has no member. */
+  private static Entry fork(final Entry root, final long fromKey, final long belowKey) {
+    Entry node = root;
+    while (node != null && (node.key < fromKey || node.key >= belowKey)) {
+      node = node.key < fromKey ? node.right : node.left;
+    }
+    return node;
+  }
+
+  private static Entry earlierWithSubtree(final Entry node, final Entry subtree) {
+    return subtree == null ? node : earlier(node, subtree.earliest);
   }
 
-  private static boolean isBefore(final Entry one, final Entry other) {
-    return one.key < other.key || (one.key == other.key && one.sequence < other.sequence);
+  private static Entry earlier(final Entry one, final Entry other) {
+    return one.sequence <= other.sequence ? one : other;
   }
 
-  private static Entry insert(final Entry at, final Entry entry) {
-    if (at == null) {
+  private static Entry insert(final Entry root, final Entry entry) {
+    if (root == null) {
       return entry;
     }
-    if (entry.priority > at.priority) {
-      split(at, entry);
+    if (entry.priority > root.priority) {
+      split(root, entry);
       return update(entry);
     }
-    if (isBefore(entry, at)) {
-      at.left = insert(at.left, entry);
+    if (entry.isBefore(root)) {
+      root.left = insert(root.left, entry);
     } else {
-      at.right = insert(at.right, entry);
+      root.right = insert(root.right, entry);
     }
-    return update(at);
+    return update(root);
   }
 
-  /** Hangs what is below {@code at} under {@code by}, on the two sides of it. */
-  private static void split(final Entry at, final Entry by) {
-    if (at == null) {
-      by.left = null;
-      by.right = null;
-    } else if (isBefore(at, by)) {
-      split(at.right, by);
-      at.right = by.left;
-      by.left = update(at);
+  /** Splits a subtree at an entry, and makes the two parts the children of that entry. */
+  private static void split(final Entry root, final Entry at) {
+    if (root == null) {
+      at.left = null;
+      at.right = null;
+    } else if (root.isBefore(at)) {
+      split(root.right, at);
+      root.right = at.left;
+      at.left = update(root);
     } else {
-      split(at.left, by);
-      at.left = by.right;
-      by.right = update(at);
+      split(root.left, at);
+      root.left = at.right;
+      at.right = update(root);
     }
   }
 
-  private static Entry delete(final Entry at, final Entry entry) {
-    if (at == null) {
-      throw new IllegalArgumentException("not a member of this line");
+  private static Entry delete(final Entry root, final Entry entry) {
+    if (root == null) {
+      throw new IllegalArgumentException("not a member of this queue");
     }
-    if (at == entry) {
-      return merge(at.left, at.right);
+    if (root == entry) {
+      return merge(root.left, root.right);
     }
-    if (isBefore(entry, at)) {
-      at.left = delete(at.left, entry);
+    if (entry.isBefore(root)) {
+      root.left = delete(root.left, entry);
     } else {
-      at.right = delete(at.right, entry);
+      root.right = delete(root.right, entry);
     }
-    return update(at);
+    return update(root);
   }
 
+  /** Merges two subtrees of which all members of the first are before those of the second. */
   private static Entry merge(final Entry low, final Entry high) {
     if (low == null || high == null) {
       return low == null ? high : low;
@@ -237,19 +260,15 @@
     return update(high);
   }
 
-  private static Entry update(final Entry at) {
-    Entry earliest = at.left == null ? at : earlier(at, at.left.earliest);
-    earliest = at.right == null ? earliest : earlier(earliest, at.right.earliest);
-    at.earliest = earliest;
-    return at;
+  /** Finds the earliest node of a subtree from its children's. */
+  private static Entry update(final Entry node) {
+    node.earliest = earlierWithSubtree(earlierWithSubtree(node, node.left), node.right);
+    return node;
   }
 
-  /**
-   * The finalizer of SplitMix64 (Steele, Lea, Flood 2014): places in a row get weights that look
-   * drawn.
-   */
-  private static long priorityOf(final long place) {
-    long bits = (place + 1) * 0x9E3779B97F4A7C15L;
+  /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014): consecutive numbers look random. */
+  private static long priorityOf(final long sequence) {
+    long bits = (sequence + 1) * 0x9E3779B97F4A7C15L;
     bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
     bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
     return bits ^ bits >>> 31;
--- a/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
@@ -8,48 +8,61 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Finds the entry of greatest value where values change with time by themselves, and by events.
- * What events change is told ({@link #invalidate}) and looked at before the next answer. What time
- * changes is looked at again in turn, each entry after so long for each entry there is: so the cost
- * of looking is the same share of the time however many there are, and the order is as old as that
- * at most. Among equal values the entry that comes first in the order given wins.
+ * Finds the entry of the greatest value where values change with time by themselves, and by events.
+ * An entry that an event changes is invalidated ({@link #invalidate}) and its value computed anew
+ * before the next answer. To follow time, each entry's value is computed anew in turn, once in a
+ * period that is proportional to the number of entries: so the cost of that takes the same share of
+ * the time however many entries there are, and the order is at most that period out of date. Among
+ * equal values the entry that comes first in the given order wins.
  *
  * @param <E> the entries; an entry is in one ranking
  */
 public final class Ranking<E extends Ranking.Entry> {
-  private static final int FIRST_SIZE = 16;
+  private static final int INITIAL_CAPACITY = 16;
 
   private final ToDoubleFunction<E> value;
-  private final Comparator<E> order;
+  private final Comparator<E> tieBreaker;
   private final long refreshUs;
   private final List<E> invalidated = new ArrayList<>();
+
+  /** The entries with a value, by when that was computed. */
   private final TimeHeap<Entry> refreshes = new TimeHeap<>();
-  private Entry[] entries = new Entry[FIRST_SIZE];
+
+  /** A binary heap of the entries with a value, the greatest first. */
+  private Entry[] heap = new Entry[INITIAL_CAPACITY];
+
   private int size;
 
-  /** Something with a value; due as a {@link TimeHeap.Entry} when it was looked at. */
+  /** Something with a value. As a {@link TimeHeap.Entry} it is due when that was last computed. */
   public abstract static class Entry extends TimeHeap.Entry {
+    private static final int NOT_RANKED = -1;
+
     private double value;
-    private int place;
+    private int rankingPosition = NOT_RANKED;
     private boolean isInvalidated;
   }
 
   /**
-   * A ranking without entries. {@code value}: the value now, or {@link Double#NEGATIVE_INFINITY} if
-   * the entry has none until it is touched again. {@code lookUs}: how much time is given to a look
-   * at one entry, us; 0: all are looked at whenever time has passed.
+   * A ranking without entries.
+   *
+   * @param value the value of an entry now, or {@link Double#NEGATIVE_INFINITY} if it has none
+   *     until it is invalidated again
+   * @param tieBreaker the order among entries of equal value
+   * @param refreshUs how much time is given to the refresh of one entry, us; 0 if all are refreshed
+   *     whenever time has passed
    */
-  public Ranking(final ToDoubleFunction<E> value, final Comparator<E> order, final long lookUs) {
+  public Ranking(
+      final ToDoubleFunction<E> value, final Comparator<E> tieBreaker, final long refreshUs) {
     this.value = value;
-    this.order = order;
-    this.refreshUs = lookUs;
+    this.tieBreaker = tieBreaker;
+    this.refreshUs = refreshUs;
   }
 
   /** The entry's value may have changed, or it has one now. */
   public void invalidate(final E entry) {
-    final Entry given = entry;
-    if (!given.isInvalidated) {
-      given.isInvalidated = true;
+    final Entry changed = entry;
+    if (!changed.isInvalidated) {
+      changed.isInvalidated = true;
       invalidated.add(entry);
     }
   }
@@ -57,120 +70,129 @@
   /** All values may have changed. */
   @SuppressWarnings("unchecked")
   public void invalidateAll() {
-    for (int at = 0; at < size; at++) {
-      invalidate((E) entries[at]);
+    for (int position = 0; position < size; position++) {
+      invalidate((E) heap[position]);
     }
   }
 
-  /** How many entries had a value when last looked at. */
+  /** How many entries had a value when that was last computed. */
   public int size() {
     return size;
   }
 
-  /** The entry of greatest value, or null if none has one. */
+  /** The entry of the greatest value, or null if none has one. */
   @SuppressWarnings("unchecked")
   public E best(final long nowUs) {
     refreshDue(nowUs);
-    return size == 0 ? null : (E) entries[0];
+    return size == 0 ? null : (E) heap[0];
   }
 
   /** True if an entry has a value and passes the test. */
   @SuppressWarnings("unchecked")
   public boolean anyOf(final Predicate<E> test, final long nowUs) {
     refreshDue(nowUs);
-    for (int at = 0; at < size; at++) {
-      if (test.test((E) entries[at])) {
+    for (int position = 0; position < size; position++) {
+      if (test.test((E) heap[position])) {
         return true;
       }
     }
     return false;
   }
 
+  /** Computes the values anew that were invalidated or are too old. */
   @SuppressWarnings("unchecked")
   private void refreshDue(final long nowUs) {
     for (final E entry : invalidated) {
-      final Entry given = entry;
-      given.isInvalidated = false;
+      final Entry changed = entry;
+      changed.isInvalidated = false;
       refresh(entry, nowUs);
     }
     invalidated.clear();
-    final long beforeUs = nowUs - Math.max(1, refreshUs * size);
-    for (Entry old = refreshes.poll(beforeUs); old != null; old = refreshes.poll(beforeUs)) {
+    final long tooOldUs = nowUs - Math.max(1, refreshUs * size);
+    for (Entry old = refreshes.poll(tooOldUs); old != null; old = refreshes.poll(tooOldUs)) {
       refresh((E) old, nowUs);
     }
   }
 
   private void refresh(final E entry, final long nowUs) {
-    final Entry given = entry;
-    final double now = value.applyAsDouble(entry);
-    if (now == Double.NEGATIVE_INFINITY) {
-      remove(given);
+    final Entry ranked = entry;
+    final double current = value.applyAsDouble(entry);
+    if (current == Double.NEGATIVE_INFINITY) {
+      remove(ranked);
       return;
     }
-    refreshes.schedule(given, nowUs);
-    given.value = now;
-    if (given.place == 0) {
-      if (size == entries.length) {
-        entries = Arrays.copyOf(entries, 2 * size);
-      }
-      siftUp(size++, given);
+    refreshes.schedule(ranked, nowUs);
+    ranked.value = current;
+    if (ranked.rankingPosition == Entry.NOT_RANKED) {
+      insert(ranked);
     } else {
-      siftUp(given.place - 1, given);
-      siftDown(given.place - 1, given);
+      siftUp(ranked.rankingPosition, ranked);
+      siftDown(ranked.rankingPosition, ranked);
     }
   }
 
-  private void remove(final Entry given) {
-    refreshes.remove(given);
-    if (given.place == 0) {
+  private void insert(final Entry entry) {
+    if (size == heap.length) {
+      heap = Arrays.copyOf(heap, 2 * size);
+    }
+    siftUp(size++, entry);
+  }
+
+  private void remove(final Entry entry) {
+    refreshes.remove(entry);
+    if (entry.rankingPosition == Entry.NOT_RANKED) {
       return;
     }
-    final int hole = given.place - 1;
-    given.place = 0;
-    final Entry last = entries[--size];
-    entries[size] = null;
-    if (last != given) {
+    final int hole = entry.rankingPosition;
+    entry.rankingPosition = Entry.NOT_RANKED;
+    final Entry last = heap[--size];
+    heap[size] = null;
+    if (last != entry) {
       siftUp(hole, last);
-      siftDown(last.place - 1, last);
+      siftDown(last.rankingPosition, last);
     }
   }
 
   @SuppressWarnings("unchecked")
   private boolean isAbove(final Entry one, final Entry other) {
     return one.value > other.value
-        || (one.value == other.value && order.compare((E) one, (E) other) < 0);
+        || (one.value == other.value && tieBreaker.compare((E) one, (E) other) < 0);
   }
 
   private void siftUp(final int from, final Entry entry) {
-    int at = from;
-    while (at > 0 && isAbove(entry, entries[(at - 1) >>> 1])) {
-      put(at, entries[(at - 1) >>> 1]);
-      at = (at - 1) >>> 1;
+    int position = from;
+    while (position > 0) {
+      final int parent = (position - 1) >>> 1;
+      if (!isAbove(entry, heap[parent])) {
+        break;
+      }
+      place(position, heap[parent]);
+      position = parent;
     }
-    put(at, entry);
+    place(position, entry);
   }
 
   private void siftDown(final int from, final Entry entry) {
-    int at = from;
+    int position = from;
     while (true) {
-      int below = 2 * at + 1;
-      if (below >= size) {
+      int child = 2 * position + 1;
+      if (child >= size) {
         break;
       }
-      if (below + 1 < size && isAbove(entries[below + 1], entries[below])) {
-        below++;
+      if (child + 1 < size && isAbove(heap[child + 1], heap[child])) {
+        child++;
       }
-      if (!isAbove(entries[below], entry)) {
+      if (!isAbove(heap[child], entry)) {
         break;
       }
-      put(at, entries[below]);
-      at = below;
+      place(position, heap[child]);
+      position = child;
     }
-    put(at, entry);
+    place(position, entry);
   }
 
-  private void put(final int at, final Entry entry) {
-    entries[at] = entry;
-    entry.place = at + 1;
+  private void place(final int position, final Entry entry) {
+    heap[position] = entry;
+    entry.rankingPosition = position;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
@@ -3,86 +3,94 @@
 import java.util.Arrays;
 
 /**
- * What falls due at a time, earliest first: a binary heap whose entries know their place, so that
- * one can be moved or taken out at the cost of a logarithm (Williams 1964). Entries of one time
- * come in any order.
+ * A priority queue of entries that fall due at a time, earliest first: a binary heap (Williams
+ * 1964) whose entries know their position, so that one can be rescheduled or removed in logarithmic
+ * time. Entries that fall due at the same time come in any order.
  *
- * @param <E> what falls due; an entry is in one heap at a time
+ * @param <E> the entries; an entry is in at most one heap at a time
  */
 public final class TimeHeap<E extends TimeHeap.Entry> {
-  private static final int FIRST_SIZE = 16;
+  private static final int INITIAL_CAPACITY = 16;
 
-  private Entry[] entries = new Entry[FIRST_SIZE];
+  private Entry[] heap = new Entry[INITIAL_CAPACITY];
   private int size;
 
   /** Something that can fall due. */
   public abstract static class Entry {
-    private long dueUs;
+    private static final int NOT_IN_HEAP = -1;
 
-    /** Its place in the heap and one more; 0: it is in none. */
-    private int place;
+    private long dueUs;
+    private int position = NOT_IN_HEAP;
 
-    /** When it falls due, us; of use only while it is in a heap. */
+    /** When the entry falls due, us; only meaningful while it is scheduled. */
     public final long dueUs() {
       return dueUs;
     }
 
-    /** True while it is in a heap. */
+    /** True while the entry is in a heap. */
     public final boolean isScheduled() {
-      return place > 0;
+      return position != NOT_IN_HEAP;
     }
   }
 
-  /** Adds an entry, or moves it to another time; {@link Long#MAX_VALUE} takes it out. */
+  /** Adds an entry, or moves it to another time; {@link Long#MAX_VALUE} removes it. */
   public void schedule(final E entry, final long dueUs) {
-    final Entry given = entry;
+    final Entry scheduled = entry;
     if (dueUs == Long.MAX_VALUE) {
       remove(entry);
-    } else if (given.place == 0) {
-      if (size == entries.length) {
-        entries = Arrays.copyOf(entries, 2 * size);
-      }
-      given.dueUs = dueUs;
-      siftUp(size++, given);
-    } else if (given.dueUs != dueUs) {
-      final boolean earlier = dueUs < given.dueUs;
-      given.dueUs = dueUs;
-      if (earlier) {
-        siftUp(given.place - 1, given);
-      } else {
-        siftDown(given.place - 1, given);
-      }
+    } else if (!entry.isScheduled()) {
+      insert(scheduled, dueUs);
+    } else if (scheduled.dueUs != dueUs) {
+      reschedule(scheduled, dueUs);
+    }
+  }
+
+  private void insert(final Entry entry, final long dueUs) {
+    if (size == heap.length) {
+      heap = Arrays.copyOf(heap, 2 * size);
+    }
+    entry.dueUs = dueUs;
+    siftUp(size++, entry);
+  }
+
+  private void reschedule(final Entry entry, final long dueUs) {
+    final boolean isEarlier = dueUs < entry.dueUs;
+    entry.dueUs = dueUs;
+    if (isEarlier) {
+      siftUp(entry.position, entry);
+    } else {
+      siftDown(entry.position, entry);
     }
   }
 
-  /** Takes an entry out, if it is in. */
+  /** Removes an entry, if it is scheduled. */
   public void remove(final E entry) {
-    final Entry given = entry;
-    if (given.place == 0) {
+    final Entry removed = entry;
+    if (!entry.isScheduled()) {
       return;
     }
-    final int hole = given.place - 1;
-    given.place = 0;
-    final Entry last = entries[--size];
-    entries[size] = null;
-    if (last != given) {
+    final int hole = removed.position;
+    removed.position = Entry.NOT_IN_HEAP;
+    final Entry last = heap[--size];
+    heap[size] = null;
+    if (last != removed) {
       siftUp(hole, last);
-      siftDown(last.place - 1, last);
+      siftDown(last.position, last);
     }
   }
 
   /** When the first entry falls due; {@link Long#MAX_VALUE} if there is none. */
   public long earliestDueUs() {
-    return size == 0 ? Long.MAX_VALUE : entries[0].dueUs;
+    return size == 0 ? Long.MAX_VALUE : heap[0].dueUs;
   }
 
-  /** Takes the first entry out if it is due by then, else null. */
+  /** Removes and returns the first entry if it is due by then, else null. */
   @SuppressWarnings("unchecked")
   public E poll(final long nowUs) {
-    if (size == 0 || entries[0].dueUs > nowUs) {
+    if (size == 0 || heap[0].dueUs > nowUs) {
       return null;
     }
-    final E first = (E) entries[0];
+    final E first = (E) heap[0];
     remove(first);
     return first;
   }
@@ -93,39 +101,39 @@
   }
 
   private void siftUp(final int from, final Entry entry) {
-    int at = from;
-    while (at > 0) {
-      final int above = (at - 1) >>> 1;
-      if (entries[above].dueUs <= entry.dueUs) {
+    int position = from;
+    while (position > 0) {
+      final int parent = (position - 1) >>> 1;
+      if (heap[parent].dueUs <= entry.dueUs) {
         break;
       }
-      put(at, entries[above]);
-      at = above;
+      place(position, heap[parent]);
+      position = parent;
     }
-    put(at, entry);
+    place(position, entry);
   }
 
   private void siftDown(final int from, final Entry entry) {
-    int at = from;
+    int position = from;
     while (true) {
-      int below = 2 * at + 1;
-      if (below >= size) {
+      int child = 2 * position + 1;
+      if (child >= size) {
         break;
       }
-      if (below + 1 < size && entries[below + 1].dueUs < entries[below].dueUs) {
-        below++;
+      if (child + 1 < size && heap[child + 1].dueUs < heap[child].dueUs) {
+        child++;
       }
-      if (entries[below].dueUs >= entry.dueUs) {
+      if (heap[child].dueUs >= entry.dueUs) {
         break;
       }
-      put(at, entries[below]);
-      at = below;
+      place(position, heap[child]);
+      position = child;
     }
-    put(at, entry);
+    place(position, entry);
   }
 
-  private void put(final int at, final Entry entry) {
-    entries[at] = entry;
-    entry.place = at + 1;
+  private void place(final int position, final Entry entry) {
+    heap[position] = entry;
+    entry.position = position;
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Tag;
 
-/** The indexes answer as plain lists do that are searched from end to end. */
+/** The indexes find what a linear search of a list finds. */
 @Tag("scale")
 final class IndexPropertyTest {
   private static final int STEPS = 300;
@@ -23,16 +23,16 @@
 
   private static final class Ranked extends Ranking.Entry {
     private final int number;
-    private double from;
-    private double speed;
-    private boolean has;
+    private double valueAtZero;
+    private double slope;
+    private boolean hasValue;
 
     private Ranked(final int number) {
       this.number = number;
     }
 
-    private double at(final long nowUs) {
-      return has ? from + speed * nowUs : Double.NEGATIVE_INFINITY;
+    private double valueAt(final long nowUs) {
+      return hasValue ? valueAtZero + slope * nowUs : Double.NEGATIVE_INFINITY;
     }
   }
 
@@ -40,7 +40,7 @@
   void timeHeap_pollsDueEntriesInOrder(@ForAll final long seed) {
     final Random random = new Random(seed);
     final TimeHeap<Due> heap = new TimeHeap<>();
-    final List<Due> in = new ArrayList<>();
+    final List<Due> members = new ArrayList<>();
     final List<Due> all = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(4) > 0) {
@@ -49,111 +49,109 @@
         all.add(one);
         final long dueUs = random.nextInt(10) == 0 ? Long.MAX_VALUE : random.nextInt(40);
         heap.schedule(one, dueUs);
-        in.remove(one);
+        members.remove(one);
         if (dueUs != Long.MAX_VALUE) {
-          in.add(one);
+          members.add(one);
           assertEquals(dueUs, one.dueUs());
         }
-      } else if (!in.isEmpty() && random.nextBoolean()) {
-        heap.remove(in.remove(random.nextInt(in.size())));
+      } else if (!members.isEmpty() && random.nextBoolean()) {
+        heap.remove(members.remove(random.nextInt(members.size())));
       } else {
         final long nowUs = random.nextInt(40);
-        final long leastUs = in.stream().mapToLong(Due::dueUs).min().orElse(Long.MAX_VALUE);
+        final long leastUs = members.stream().mapToLong(Due::dueUs).min().orElse(Long.MAX_VALUE);
         assertEquals(leastUs, heap.earliestDueUs());
         final Due polled = heap.poll(nowUs);
         assertEquals(leastUs <= nowUs, polled != null);
         assertTrue(polled == null || (polled.dueUs() == leastUs && !polled.isScheduled()));
-        in.remove(polled);
+        members.remove(polled);
       }
-      assertEquals(in.size(), heap.size());
-      assertTrue(in.stream().allMatch(Due::isScheduled));
+      assertEquals(members.size(), heap.size());
+      assertTrue(members.stream().allMatch(Due::isScheduled));
     }
   }
 
   @Property(tries = 200)
   void orderedQueue_findsWhatALinearSearchFinds(@ForAll final long seed) {
     final Random random = new Random(seed);
-    final OrderedQueue<Member> line = new OrderedQueue<>();
-    final List<Member> in = new ArrayList<>();
+    final OrderedQueue<Member> queue = new OrderedQueue<>();
+    final List<Member> members = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
-      if (in.isEmpty() || random.nextInt(3) > 0) {
+      if (members.isEmpty() || random.nextInt(3) > 0) {
         final Member member = new Member();
-        line.add(member, random.nextInt(30), step);
-        in.add(member);
+        queue.add(member, random.nextInt(30), step);
+        members.add(member);
       } else {
-        line.remove(in.remove(random.nextInt(in.size())));
+        queue.remove(members.remove(random.nextInt(members.size())));
       }
       final long from = random.nextInt(32) - 1L;
       final long below = from + random.nextInt(10);
       final Comparator<Member> byKey = Comparator.comparingLong(OrderedQueue.Entry::key);
       final Comparator<Member> byPlace = Comparator.comparingLong(OrderedQueue.Entry::sequence);
-      assertEquals(in.size(), line.size());
+      assertEquals(members.size(), queue.size());
       assertSame(
-          in.stream()
+          members.stream()
               .filter(one -> one.key() >= from)
               .min(byKey.thenComparing(byPlace))
               .orElse(null),
-          line.firstAtOrAbove(from));
+          queue.firstAtOrAbove(from));
       assertSame(
-          in.stream()
+          members.stream()
               .filter(one -> one.key() < below)
               .min(byKey.reversed().thenComparing(byPlace))
               .orElse(null),
-          line.lastBelow(below));
+          queue.lastBelow(below));
       assertSame(
-          in.stream()
+          members.stream()
               .filter(one -> one.key() >= from && one.key() < below)
               .min(byPlace)
               .orElse(null),
-          line.earliest(from, below));
-      greatest(random, line, in);
+          queue.earliest(from, below));
+      checkGreatest(random, queue, members);
     }
   }
 
-  /** Values that rise, fall or stay between turns drawn at random. */
-  private static void greatest(
-      final Random random, final OrderedQueue<Member> line, final List<Member> in) {
-    final long[] turns = random.longs(3, 0, 30).sorted().toArray();
+  /** Values that rise, fall or stay between breakpoints drawn at random. */
+  private static void checkGreatest(
+      final Random random, final OrderedQueue<Member> queue, final List<Member> members) {
+    final long[] breakpoints = random.longs(3, 0, 30).sorted().toArray();
     final int[] slopes = random.ints(4, -1, 2).toArray();
     final int[] heights = random.ints(4, 0, 40).toArray();
     final java.util.function.LongToDoubleFunction value =
         key -> {
-          int stretch = 0;
-          while (stretch < turns.length && turns[stretch] <= key) {
-            stretch++;
+          int interval = 0;
+          while (interval < breakpoints.length && breakpoints[interval] <= key) {
+            interval++;
           }
-          return heights[stretch] + slopes[stretch] * key;
+          return heights[interval] + slopes[interval] * key;
         };
     assertSame(
-        in.stream()
+        members.stream()
             .min(
                 Comparator.comparingDouble((Member one) -> -value.applyAsDouble(one.key()))
                     .thenComparingLong(OrderedQueue.Entry::sequence))
             .orElse(null),
-        line.greatest(turns, one -> value.applyAsDouble(one.key())));
+        queue.greatest(breakpoints, one -> value.applyAsDouble(one.key())));
   }
 
   @Property(tries = 100)
   void rankingThatRefreshesAll_findsTheGreatest(@ForAll final long seed) {
-    play(seed, 0);
+    checkAgainstSearch(seed, 0);
   }
 
-  /**
-   * One that looks in turn may be behind, but by no more than a look at each of its entries takes.
-   */
+  /** The ranking may be out of date, but by no more than the refresh of all its entries takes. */
   @Property(tries = 100)
   void rankingThatRefreshesInTurn_isStaleByABoundedTime(@ForAll final long seed) {
-    play(seed, 100);
+    checkAgainstSearch(seed, 100);
   }
 
-  private static void play(final long seed, final long lookUs) {
+  private static void checkAgainstSearch(final long seed, final long refreshUs) {
     final Random random = new Random(seed);
     final long[] nowUs = {0};
     final Ranking<Ranked> ranking =
         new Ranking<>(
-            entry -> entry.at(nowUs[0]),
+            entry -> entry.valueAt(nowUs[0]),
             Comparator.comparingInt((Ranked entry) -> entry.number),
-            lookUs);
+            refreshUs);
     final List<Ranked> all = new ArrayList<>();
     for (int number = 0; number < 40; number++) {
       all.add(new Ranked(number));
@@ -162,32 +160,35 @@
       nowUs[0] += 1 + random.nextInt(2_000);
       for (int change = random.nextInt(4); change > 0; change--) {
         final Ranked one = all.get(random.nextInt(all.size()));
-        one.has = random.nextInt(4) > 0;
-        one.speed = random.nextInt(3) - 1;
-        one.from = random.nextInt(20) * 1e3 - one.speed * nowUs[0];
+        one.hasValue = random.nextInt(4) > 0;
+        one.slope = random.nextInt(3) - 1;
+        one.valueAtZero = random.nextInt(20) * 1e3 - one.slope * nowUs[0];
         ranking.invalidate(one);
       }
       final Ranked greatest =
           all.stream()
-              .filter(one -> one.has)
+              .filter(one -> one.hasValue)
               .min(
-                  Comparator.comparingDouble((Ranked one) -> -one.at(nowUs[0]))
+                  Comparator.comparingDouble((Ranked one) -> -one.valueAt(nowUs[0]))
                       .thenComparingInt(one -> one.number))
               .orElse(null);
       final Ranked found = ranking.best(nowUs[0]);
-      assertEquals(all.stream().filter(one -> one.has).count(), ranking.size());
-      if (lookUs == 0 || greatest == null) {
+      assertEquals(all.stream().filter(one -> one.hasValue).count(), ranking.size());
+      if (refreshUs == 0 || greatest == null) {
         assertSame(greatest, found);
       } else {
-        // Both may have moved by one a microsecond since they were looked at, the one up, the other
-        // down.
-        final long behindUs = lookUs * ranking.size();
+        // Since their last refresh one may have risen and the other fallen, by one a microsecond.
+        final long behindUs = refreshUs * ranking.size();
         assertTrue(
-            found.at(nowUs[0]) >= greatest.at(nowUs[0]) - 2 * behindUs,
-            found.at(nowUs[0]) + " of " + greatest.at(nowUs[0]) + ", behind by " + behindUs);
+            found.valueAt(nowUs[0]) >= greatest.valueAt(nowUs[0]) - 2 * behindUs,
+            found.valueAt(nowUs[0])
+                + " of "
+                + greatest.valueAt(nowUs[0])
+                + ", behind by "
+                + behindUs);
       }
       assertEquals(
-          all.stream().anyMatch(one -> one.has && one.number % 7 == 0),
+          all.stream().anyMatch(one -> one.hasValue && one.number % 7 == 0),
           ranking.anyOf(one -> one.number % 7 == 0, nowUs[0]));
     }
   }
