--- a/decisions/src/main/java/thistleturn/decisions/admission/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/admission/package-info.java
@@ -1,5 +1,8 @@
 /**
- * Which client's connection makes room where there are too many. Pure: times and states come in, an
- * order comes out. Design: {@code docs/design/operators.md}, "Crowds".
+ * Which client connection is closed where there are too many.
+ *
+ * <p>Entry point: {@link thistleturn.decisions.admission.ConnectionEvictionRanking}, which belongs
+ * to the ingress and runs on its thread. Times and states come in, a rank comes out; sockets are
+ * the ingress's own. Design: {@code docs/design/operators.md}.
  */
 package thistleturn.decisions.admission;
--- a/decisions/src/main/java/thistleturn/decisions/maintenance/DisabledEndpoints.java
+++ b/decisions/src/main/java/thistleturn/decisions/maintenance/DisabledEndpoints.java
@@ -6,34 +6,28 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints that operators have left out. A ban holds whatever the list says, until it is
- * lifted; one call lifts it however many placed it. Only what was listed at some time can be left
- * out.
+ * The endpoints that operators have disabled. An endpoint stays disabled whatever the endpoint list
+ * says, until it is enabled again; that takes one call, however often it was disabled. Only an
+ * endpoint that was listed at some time can be disabled.
  */
 public final class DisabledEndpoints {
-  /**
-   * Names that are remembered though the list has them no more; the ones heard of first are
-   * forgotten first.
-   */
+  /** How many names are remembered, listed or not; those listed longest ago are forgotten first. */
   private final int maxNames;
 
   private final Set<String> knownNames = new LinkedHashSet<>();
   private final Set<String> disabled = new TreeSet<>();
 
-  /**
-   * Nothing is known yet; at most so many names (1 or more) are remembered beside those that are
-   * left out.
-   */
-  public DisabledEndpoints(final int mostNames) {
-    if (mostNames < 1) {
-      throw new IllegalArgumentException("at least one name is remembered, not " + mostNames);
+  /** Nothing is known yet; at most {@code maxNames} (1 or more) are remembered. */
+  public DisabledEndpoints(final int maxNames) {
+    if (maxNames < 1) {
+      throw new IllegalArgumentException("at least one name is remembered, not " + maxNames);
     }
-    this.maxNames = mostNames;
+    this.maxNames = maxNames;
   }
 
-  /** The list names an endpoint. */
+  /** The endpoint list names an endpoint. */
   public void recordListed(final String name) {
-    // Heard of anew: among the last to be forgotten.
+    // Moves the name to the end: it is now the last to be forgotten.
     knownNames.remove(name);
     knownNames.add(name);
     if (knownNames.size() > maxNames) {
@@ -41,19 +35,21 @@
     }
   }
 
-  /**
-   * True if an endpoint of that name was ever listed, as far as that is remembered, or is left out.
-   */
+  /** True if an endpoint of that name was ever listed, as far as remembered, or is disabled. */
   public boolean isKnown(final String name) {
     return knownNames.contains(name) || disabled.contains(name);
   }
 
-  /** True while the endpoint is left out. */
+  /** True while the endpoint is disabled. */
   public boolean isDisabled(final String name) {
     return disabled.contains(name);
   }
 
-  /** Exactly these are left out from now on; tells which names changed, in order. */
+  /**
+   * Disables exactly these endpoints from now on.
+   *
+   * @return the names that were disabled or enabled by this, in order
+   */
   public Set<String> replaceAll(final Collection<String> names) {
     final Set<String> changed = new TreeSet<>(names);
     changed.removeIf(disabled::contains);
@@ -63,7 +59,7 @@
     return changed;
   }
 
-  /** Those that are left out, in order. */
+  /** The names of the disabled endpoints. */
   public Set<String> disabledNames() {
     return Set.copyOf(disabled);
   }
--- a/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
@@ -1,5 +1,7 @@
 /**
- * What carriers decide about connections: what their breaks say. Pure: moments are told, nothing is
- * drawn or done.
+ * What dispatchers conclude from the loss of a connection.
+ *
+ * <p>Entry point: {@link thistleturn.decisions.pools.ConnectionLoss}, an immutable value. It knows
+ * no sockets: what was written, received and measured comes in as arguments.
  */
 package thistleturn.decisions.pools;
--- a/decisions/src/test/java/thistleturn/decisions/admission/ConnectionEvictionRankingTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/admission/ConnectionEvictionRankingTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.admission.ConnectionEvictionRanking.ConnectionState;
 
-/** Who makes room in a crowd, and who does not. */
+/** Which connections are closed to make room for others, and which are not. */
 @Tag("operators")
 final class ConnectionEvictionRankingTest {
   private static final long IDLE_US = 2_100_000;
   private static final long NOW_US = 50_000_000;
 
-  private final ConnectionEvictionRanking crowd = new ConnectionEvictionRanking(IDLE_US);
+  private final ConnectionEvictionRanking ranking = new ConnectionEvictionRanking(IDLE_US);
 
   private int rank(final ConnectionState state, final long ageUs, final long byteAgeUs) {
-    return crowd.rank(state, NOW_US - ageUs, NOW_US - byteAgeUs, NOW_US);
+    return ranking.rank(state, NOW_US - ageUs, NOW_US - byteAgeUs, NOW_US);
   }
 
   @Test
@@ -56,12 +56,12 @@
         rank(ConnectionState.IDLE_AFTER_RESPONSE, 0, 0),
         "nothing is known yet");
     for (int count = 0; count < 60; count++) {
-      crowd.recordReuse(false);
+      ranking.recordReuse(false);
     }
     assertTrue(
         rank(ConnectionState.IDLE_AFTER_RESPONSE, 0, 0) < ConnectionEvictionRanking.NEVER_EVICT);
     for (int count = 0; count < 20; count++) {
-      crowd.recordReuse(count % 2 == 0);
+      ranking.recordReuse(count % 2 == 0);
     }
     assertEquals(
         ConnectionEvictionRanking.NEVER_EVICT, rank(ConnectionState.IDLE_AFTER_RESPONSE, 0, 0));
--- a/decisions/src/test/java/thistleturn/decisions/maintenance/DisabledEndpointsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/maintenance/DisabledEndpointsTest.java
@@ -10,28 +10,31 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Who may be left out by hand, and for how long that is remembered. */
+/** Which endpoints may be disabled, and for how long their names are remembered. */
 @Tag("operators")
 final class DisabledEndpointsTest {
-  private final DisabledEndpoints maintenance = new DisabledEndpoints(3);
+  private final DisabledEndpoints disabledEndpoints = new DisabledEndpoints(3);
 
   @Test
   void onlyListedNamesAreKnown_andDisabledOnesAreNotForgotten() {
-    assertFalse(maintenance.isKnown("a"));
-    List.of("a", "b", "c").forEach(maintenance::recordListed);
-    assertEquals(Set.of("a"), maintenance.replaceAll(Set.of("a")));
-    List.of("b", "d", "e").forEach(maintenance::recordListed);
-    assertTrue(maintenance.isKnown("a"), "forgotten as listed, but it is left out");
-    assertFalse(maintenance.isKnown("c"), "heard of longest ago");
-    assertTrue(maintenance.isKnown("b") && maintenance.isKnown("d") && maintenance.isKnown("e"));
+    assertFalse(disabledEndpoints.isKnown("a"));
+    List.of("a", "b", "c").forEach(disabledEndpoints::recordListed);
+    assertEquals(Set.of("a"), disabledEndpoints.replaceAll(Set.of("a")));
+    List.of("b", "d", "e").forEach(disabledEndpoints::recordListed);
+    assertTrue(disabledEndpoints.isKnown("a"), "forgotten as listed, but it is disabled");
+    assertFalse(disabledEndpoints.isKnown("c"), "listed longest ago");
+    assertTrue(
+        disabledEndpoints.isKnown("b")
+            && disabledEndpoints.isKnown("d")
+            && disabledEndpoints.isKnown("e"));
   }
 
   @Test
   void replaceAll_returnsTheNamesThatChanged() {
-    maintenance.replaceAll(Set.of("a", "b"));
-    assertEquals(Set.of("a", "c"), maintenance.replaceAll(Set.of("b", "c")));
-    assertTrue(maintenance.isDisabled("c") && !maintenance.isDisabled("a"));
-    assertEquals(Set.of(), maintenance.replaceAll(maintenance.disabledNames()));
+    disabledEndpoints.replaceAll(Set.of("a", "b"));
+    assertEquals(Set.of("a", "c"), disabledEndpoints.replaceAll(Set.of("b", "c")));
+    assertTrue(disabledEndpoints.isDisabled("c") && !disabledEndpoints.isDisabled("a"));
+    assertEquals(Set.of(), disabledEndpoints.replaceAll(disabledEndpoints.disabledNames()));
   }
 
   @Test
--- a/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.model.AttemptResult;
 
-/** What the end of a connection says, case by case. */
+/** The outcome of a call that lost its connection, case by case. */
 @Tag("connections")
 final class ConnectionLossTest {
   private static final double HANDSHAKE = 2_000;
