--- a/decisions/src/main/java/thistleturn/settings/Fields.java
+++ b/decisions/src/main/java/thistleturn/settings/Fields.java
@@ -4,10 +4,15 @@
 import java.util.Map;
 
 /**
- * Values by name, of one line or of a file of settings. Absent ones read as their defaults; unknown
- * ones are never asked for.
+ * Named values of one line, or of a file of settings. A value that is absent reads as the default
+ * that the reader gives; a value that nobody reads is ignored. Values that cannot be read raise a
+ * {@link MalformedLineException} that names the line.
  */
 public final class Fields {
+  private static final char FIELD_SEPARATOR = '\t';
+  private static final char NAME_SEPARATOR = '=';
+  private static final String LIST_SEPARATOR = ",";
+
   private final String tag;
   private final Map<String, String> values;
   private final String source;
@@ -19,37 +24,51 @@
   }
 
   /**
-   * Values that come from elsewhere than the wire; {@code source} is named in what is said of a bad
-   * one.
+   * Values that come from elsewhere than a line.
+   *
+   * @param source where they come from, for messages about malformed ones
    */
   public static Fields of(final Map<String, String> values, final String source) {
     return new Fields(source, values, source);
   }
 
-  /** Splits a line at its tabs; a part without {@code =} is malformed. */
-  public static Fields parse(final String text, final long line) {
-    int end = text.indexOf('\t');
-    final String source = "line " + line;
-    final String tag = end < 0 ? text : text.substring(0, end);
+  /**
+   * Parses a line: a tag, and fields of the form {@code name=value}, separated by tabs.
+   *
+   * @param lineNumber the number of the line, for messages about malformed values
+   */
+  public static Fields parse(final String line, final long lineNumber) {
+    final String source = "line " + lineNumber;
     final Map<String, String> values = new HashMap<>();
+    int end = line.indexOf(FIELD_SEPARATOR);
+    final String tag = end < 0 ? line : line.substring(0, end);
     while (end >= 0) {
       final int start = end + 1;
-      end = text.indexOf('\t', start);
-      final int stop = end < 0 ? text.length() : end;
-      final int equals = text.indexOf('=', start);
-      if (equals < 0 || equals >= stop) {
-        throw new MalformedLineException(source, "no '=' in '" + text.substring(start, stop) + "'");
-      }
-      values.put(text.substring(start, equals), text.substring(equals + 1, stop));
+      end = line.indexOf(FIELD_SEPARATOR, start);
+      putField(line, start, end < 0 ? line.length() : end, values, source);
     }
     return new Fields(tag, values, source);
   }
 
+  private static void putField(
+      final String line,
+      final int start,
+      final int end,
+      final Map<String, String> values,
+      final String source) {
+    final int separator = line.indexOf(NAME_SEPARATOR, start);
+    if (separator < 0 || separator >= end) {
+      throw new MalformedLineException(source, "no '=' in '" + line.substring(start, end) + "'");
+    }
+    values.put(line.substring(start, separator), line.substring(separator + 1, end));
+  }
+
+  /** The tag of the line; the source of values that come from elsewhere. */
   public String tag() {
     return tag;
   }
 
-  /** The value as text, or what stands for its absence. */
+  /** The value as text, or {@code absent}. */
   public String text(final String name, final String absent) {
     return values.getOrDefault(name, absent);
   }
@@ -63,7 +82,7 @@
     return value;
   }
 
-  /** The value as a whole number, or what stands for its absence. */
+  /** The value as a whole number, or {@code absent}. */
   public long integer(final String name, final long absent) {
     final String value = values.get(name);
     if (value == null) {
@@ -72,7 +91,7 @@
     try {
       return Long.parseLong(value);
     } catch (final NumberFormatException e) {
-      throw malformed("'" + name + "' is no whole number: '" + value + "'");
+      throw malformed("'" + name + "' is no whole number: '" + value + "'", e);
     }
   }
 
@@ -82,32 +101,39 @@
     return integer(name, 0);
   }
 
+  /** The value as a decimal number, or {@code absent}. */
   public double decimal(final String name, final double absent) {
     final String value = values.get(name);
     return value == null ? absent : decimal(value);
   }
 
+  /** Reads a decimal number that is part of a value. */
   public double decimal(final String value) {
     try {
       return Double.parseDouble(value);
     } catch (final NumberFormatException e) {
-      throw malformed("no number: '" + value + "'");
+      throw malformed("no number: '" + value + "'", e);
     }
   }
 
+  /** The value as a flag, which is set by {@code 1} or {@code true}; false if it is absent. */
   public boolean flag(final String name) {
     final String value = values.getOrDefault(name, "0");
     return value.equals("1") || value.equals("true");
   }
 
-  /** A list of plain values joined by commas; absent or empty is a list of none. */
+  /** The value as a list of texts joined by commas; an empty list if it is absent or empty. */
   public String[] list(final String name) {
     final String value = values.getOrDefault(name, "");
-    return value.isEmpty() ? new String[0] : value.split(",", -1);
+    return value.isEmpty() ? new String[0] : value.split(LIST_SEPARATOR, -1);
+  }
+
+  /** The exception to throw for a value that cannot be used. */
+  public MalformedLineException malformed(final String problem) {
+    return new MalformedLineException(source, problem);
   }
 
-  /** What to throw at a value that cannot be used. */
-  public MalformedLineException malformed(final String reason) {
-    return new MalformedLineException(source, reason);
+  private MalformedLineException malformed(final String problem, final Throwable cause) {
+    return new MalformedLineException(source, problem, cause);
   }
 }
--- a/decisions/src/main/java/thistleturn/settings/MalformedLineException.java
+++ b/decisions/src/main/java/thistleturn/settings/MalformedLineException.java
@@ -1,13 +1,17 @@
 package thistleturn.settings;
 
 /**
- * A line of the wire or a setting that cannot be read; its message names where it stands and the
- * reason.
+ * A line or a setting that cannot be read. The message names where it stands, and what is wrong
+ * with it.
  */
 public final class MalformedLineException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  MalformedLineException(final String source, final String reason) {
-    super(source + ": " + reason);
+  MalformedLineException(final String source, final String problem) {
+    super(source + ": " + problem);
+  }
+
+  MalformedLineException(final String source, final String problem, final Throwable cause) {
+    super(source + ": " + problem, cause);
   }
 }
--- a/decisions/src/main/java/thistleturn/settings/SettingsReader.java
+++ b/decisions/src/main/java/thistleturn/settings/SettingsReader.java
@@ -13,30 +13,23 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * Reads the settings of an {@code enlist} line or of a courier's configuration. Absent ones
- * restrict nothing.
+ * Reads the settings of the decisions from the {@code enlist} line of the simulator's wire, or from
+ * a courier's configuration. Absent settings restrict nothing.
  */
 public final class SettingsReader {
+  /** One hour, which is longer than any message is of use. */
   private static final long FOREVER_US = 3_600_000_000L;
 
   private SettingsReader() {}
 
-  /** Reads all settings that the decisions ask for. */
+  /** Reads all settings of the decisions. */
   public static DeliverySettings read(final Fields fields) {
-    final WeightMeaning weights =
-        switch (fields.text("weights", "none")) {
-          case "nominal" -> WeightMeaning.NOMINAL;
-          case "rough" -> WeightMeaning.APPROXIMATE;
-          default -> WeightMeaning.NONE;
-        };
     return new DeliverySettings(
         (int) fields.integer("balancers", 1),
         fields.text("my_zone", ""),
         fields.text("discovery", "pushed").equals("on_request"),
-        weights,
-        fields.text("extra.fades", "linear").equals("halving")
-            ? ValueDecay.HALVING
-            : ValueDecay.LINEAR,
+        weightMeaning(fields),
+        valueDecay(fields),
         classes(fields),
         tenants(fields),
         kinds(fields),
@@ -44,32 +37,50 @@
         limits(fields));
   }
 
+  private static WeightMeaning weightMeaning(final Fields fields) {
+    return switch (fields.text("weights", "none")) {
+      case "nominal" -> WeightMeaning.NOMINAL;
+      case "rough" -> WeightMeaning.APPROXIMATE;
+      default -> WeightMeaning.NONE;
+    };
+  }
+
+  private static ValueDecay valueDecay(final Fields fields) {
+    final boolean halving = fields.text("extra.fades", "linear").equals("halving");
+    return halving ? ValueDecay.HALVING : ValueDecay.LINEAR;
+  }
+
   private static List<MessageClass> classes(final Fields fields) {
     final List<MessageClass> classes = new ArrayList<>();
     for (int index = 0; index < fields.integer("classes.count", 0); index++) {
-      final String path = "classes." + index + ".";
-      final Idempotence effect =
-          switch (fields.text(path + "effect", "side_effect")) {
-            case "pure" -> Idempotence.IDEMPOTENT;
-            case "token" -> Idempotence.IDEMPOTENT_BY_KEY;
-            default -> Idempotence.NON_IDEMPOTENT;
-          };
-      final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
-      classes.add(
-          new MessageClass(
-              fields.text(path + "name", ""),
-              effect,
-              !fields.text(path + "group", "all").equals("all"),
-              fields.flag(path + "in_turn"),
-              fields.decimal(path + "points", 1),
-              fields.decimal(path + "late_worth", 0),
-              fields.integer(path + "target", deadlineUs),
-              deadlineUs,
-              fields.integer(path + "dedup_window", 0)));
+      classes.add(messageClass(fields, "classes." + index + "."));
     }
     return classes;
   }
 
+  private static MessageClass messageClass(final Fields fields, final String path) {
+    final boolean keyScopedToZone = !fields.text(path + "group", "all").equals("all");
+    final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
+    return new MessageClass(
+        fields.text(path + "name", ""),
+        idempotence(fields, path),
+        keyScopedToZone,
+        fields.flag(path + "in_turn"),
+        fields.decimal(path + "points", 1),
+        fields.decimal(path + "late_worth", 0),
+        fields.integer(path + "target", deadlineUs),
+        deadlineUs,
+        fields.integer(path + "dedup_window", 0));
+  }
+
+  private static Idempotence idempotence(final Fields fields, final String path) {
+    return switch (fields.text(path + "effect", "side_effect")) {
+      case "pure" -> Idempotence.IDEMPOTENT;
+      case "token" -> Idempotence.IDEMPOTENT_BY_KEY;
+      default -> Idempotence.NON_IDEMPOTENT;
+    };
+  }
+
   private static List<Tenant> tenants(final Fields fields) {
     final List<Tenant> tenants = new ArrayList<>();
     for (int index = 0; index < fields.integer("tenants.count", 0); index++) {
@@ -80,17 +91,18 @@
     return tenants;
   }
 
+  /** Kinds come as lists side by side, of which the later ones may be shorter. */
   private static List<DestinationKind> kinds(final Fields fields) {
     final String[] names = fields.list("flavors");
-    final String[] apart = fields.list("extra.routes_apart");
-    final String[] perCall = fields.list("extra.per_call");
+    final String[] separateRoutes = fields.list("extra.routes_apart");
+    final String[] messagesPerCall = fields.list("extra.per_call");
     final List<DestinationKind> kinds = new ArrayList<>();
     for (int index = 0; index < names.length; index++) {
-      kinds.add(
-          new DestinationKind(
-              names[index],
-              index < apart.length && apart[index].equals("true"),
-              index < perCall.length ? (int) fields.decimal(perCall[index]) : 1));
+      final boolean separate =
+          index < separateRoutes.length && separateRoutes[index].equals("true");
+      final int perCall =
+          index < messagesPerCall.length ? (int) fields.decimal(messagesPerCall[index]) : 1;
+      kinds.add(new DestinationKind(names[index], separate, perCall));
     }
     return kinds;
   }
@@ -105,6 +117,7 @@
   }
 
   private static ResourceLimits limits(final Fields fields) {
+    final boolean mayAnswerRetryAfter = fields.flag("limits.retry_after");
     return new ResourceLimits(
         (int) fields.integer("extra.calls_out", Integer.MAX_VALUE),
         (int) fields.integer("limits.max_open", Integer.MAX_VALUE),
@@ -112,6 +125,6 @@
         fields.flag("limits.cancel"),
         fields.integer("limits.idle_close", FOREVER_US),
         (int) fields.integer("limits.multiplex", 1),
-        fields.flag("limits.retry_after") ? fields.integer("limits.max_retry_after", 0) : 0);
+        mayAnswerRetryAfter ? fields.integer("limits.max_retry_after", 0) : 0);
   }
 }
