--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/CallDispatcher.java
@@ -0,0 +1,101 @@
+package thistleturn.courier;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.runtime.GuardedTasks;
+import thistleturn.decisions.model.AttemptResult;
+import thistleturn.decisions.model.PriorAttempts;
+
+/**
+ * Turns the attempts of a decision round into calls: collects them by endpoint, records each in the
+ * journal, and has the call start once the journal is flushed. Abandons calls wherever they are.
+ */
+final class CallDispatcher {
+  private final LoopContext context;
+  private final EventLoop loop;
+  private final DecisionLoop.Ports ports;
+  private final Dispatcher dispatcher;
+  private final DurableEffects effects;
+  private final PredecessorCalls predecessorCalls;
+  private final Map<Long, List<DeliveryAttempt>> attemptsByEndpoint = new LinkedHashMap<>();
+
+  CallDispatcher(
+      final LoopContext context,
+      final EventLoop loop,
+      final DecisionLoop.Ports ports,
+      final Dispatcher dispatcher,
+      final DurableEffects effects,
+      final PredecessorCalls predecessorCalls) {
+    this.context = context;
+    this.loop = loop;
+    this.ports = ports;
+    this.dispatcher = dispatcher;
+    this.effects = effects;
+    this.predecessorCalls = predecessorCalls;
+  }
+
+  /** Collects an attempt for the end of this round. */
+  void addAttempt(final PendingDelivery delivery, final long endpoint, final long timeoutUs) {
+    attemptsByEndpoint
+        .computeIfAbsent(endpoint, unused -> new ArrayList<>())
+        .add(new DeliveryAttempt(delivery, timeoutUs, latestSendUs(delivery)));
+  }
+
+  /** The first byte may go later than it was decided: a loop stands still, a connection is slow. */
+  private static long latestSendUs(final PendingDelivery delivery) {
+    final PriorAttempts prior = delivery.message().priorAttempts();
+    return delivery
+        .messageClass()
+        .retryDeadlineUs(prior.mayHaveExecuted(), prior.firstExecutionUs());
+  }
+
+  /** Prepares and records the calls of this round. */
+  void prepareCalls() {
+    attemptsByEndpoint.forEach(
+        (endpoint, attempts) ->
+            GuardedTasks.guard("calls to an endpoint", () -> prepareCalls(endpoint, attempts))
+                .run());
+    attemptsByEndpoint.clear();
+  }
+
+  private void prepareCalls(final long endpoint, final List<DeliveryAttempt> attempts) {
+    final int batchSize = Math.max(1, context.endpoints().messagesPerCall(endpoint));
+    for (int from = 0; from < attempts.size(); from += batchSize) {
+      prepareCall(endpoint, attempts.subList(from, Math.min(attempts.size(), from + batchSize)));
+    }
+  }
+
+  private void prepareCall(final long endpoint, final List<DeliveryAttempt> batch) {
+    final Dispatcher.Call call = dispatcher.prepare(endpoint, batch);
+    for (final DeliveryAttempt attempt : batch) {
+      attempt.delivery().startCall(call);
+      if (attempt.message().timeline() != null) {
+        attempt.message().timeline().markAttemptStarted(context.clock().nowUs());
+      }
+      context
+          .store()
+          .recordAttemptStarted(
+              attempt.message(), context.clock().nowUs(), context.endpoints().zoneOf(endpoint));
+    }
+    effects.addCall(call);
+  }
+
+  /** Abandons a call, in this process or in the older one that carries it out. */
+  void abandon(final Dispatcher.Call call, final AttemptResult result) {
+    if (call instanceof RemoteCall remote) {
+      predecessorCalls.abandon(remote, result);
+    } else {
+      dispatcher.abandon(call, result);
+    }
+  }
+
+  /** Cancels a call, unless its answer has arrived by now and is only to be read. */
+  void cancelAfterPoll(final Dispatcher.Call call) {
+    final long decidedUs = context.clock().nowUs();
+    loop.execute(() -> ports.afterPoll(decidedUs, () -> abandon(call, AttemptResult.CANCELLED)));
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/DecidingRole.java
@@ -0,0 +1,235 @@
+package thistleturn.courier;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.LearnedStateSource;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.courier.runtime.Log;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointUpdate;
+
+/**
+ * This process decides. Messages are admitted, outcomes are recorded, and what bears on the next
+ * decision goes to the controller.
+ */
+final class DecidingRole implements LoopRole {
+  private static final long US_PER_MS = 1000;
+
+  /** Binds an endpoint that an operator has disabled. */
+  private static final Directive DISABLED_BY_OPERATOR =
+      Directive.of(Directive.Kind.EXCLUSION, "operator", Long.MAX_VALUE);
+
+  /** Saving the learned state of more endpoints would block the loop for too long each second. */
+  private static final int MAX_REMEMBERED_ENDPOINTS = 2000;
+
+  private final LoopContext context;
+  private final LoopPorts ports;
+  private final DurableEffects effects;
+  private final RoundScheduler scheduler;
+  private final DeliveryController controller;
+  private final ControllerGateway gateway;
+  private final MessageIntake intake;
+  private final OutcomeRecorder outcomes;
+  private final OutageReporter outages;
+
+  /** What an earlier process had learned, until the first endpoints are listed; then null. */
+  private LearnedStateSource pendingLearnedState;
+
+  DecidingRole(
+      final LoopContext context,
+      final LoopPorts ports,
+      final DurableEffects effects,
+      final RoundScheduler scheduler,
+      final DeliveryController controller,
+      final ControllerGateway gateway,
+      final MessageIntake intake,
+      final OutcomeRecorder outcomes,
+      final OutageReporter outages) {
+    this.context = context;
+    this.ports = ports;
+    this.effects = effects;
+    this.scheduler = scheduler;
+    this.controller = controller;
+    this.gateway = gateway;
+    this.intake = intake;
+    this.outcomes = outcomes;
+    this.outages = outages;
+  }
+
+  // ---------------------------------------------------------------- learned state
+
+  /** Restores what an earlier process had learned as soon as endpoints are listed. */
+  void restoreWhenListed(final LearnedStateSource source) {
+    pendingLearnedState = source;
+  }
+
+  /**
+   * Restores what was learned of endpoints that are unchanged.
+   *
+   * @return their ids in the earlier process, and here
+   */
+  Map<Long, Long> restoreLearnedState(final LearnedStateSource source) {
+    final Map<Long, Long> endpointIds = context.endpoints().idsOfUnchanged(source.endpoints());
+    gateway.restoreControllerState(source.learnedState(endpointIds, context.clock()));
+    return endpointIds;
+  }
+
+  @Override
+  public HandoverSnapshot learnedState() {
+    final int listed = context.endpoints().size();
+    return listed == 0 || listed > MAX_REMEMBERED_ENDPOINTS ? null : snapshot(List.of());
+  }
+
+  /** Returns what a newer process takes over beside the journal. */
+  HandoverSnapshot snapshot(final List<HandoverSnapshot.InFlightRemoteCall> calls) {
+    return new HandoverSnapshot(
+        context.endpoints().snapshot(), gateway.learnedControllerState(), calls);
+  }
+
+  // ---------------------------------------------------------------- events
+
+  @Override
+  public boolean isDeciding() {
+    return true;
+  }
+
+  @Override
+  public boolean hasSuccessor() {
+    return false;
+  }
+
+  @Override
+  public LoopRole handedOverTo(final ForwardingRole forwarding) {
+    return forwarding;
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    intake.submit(message, deadlineUs, reply);
+  }
+
+  @Override
+  public void withdraw(final String messageId, final long destination) {
+    intake.withdraw(messageId);
+  }
+
+  @Override
+  public void onEndpointUpdate(
+      final EndpointUpdate update, final EndpointTable.AppliedUpdate applied) {
+    controller.onEndpointList(context.clock().nowUs(), update, applied.changed());
+    excludeDisabled(applied.changed());
+    restorePendingLearnedState();
+    for (final long endpoint : applied.removed()) {
+      ports.dispatcher().removeEndpoint(endpoint);
+      context.endpoints().remove(endpoint);
+    }
+    if (update != EndpointUpdate.UNAVAILABLE) {
+      context.endpoints().expireVacantDestinations();
+      outages.reportEndpointsListed();
+    }
+    scheduler.requestRound();
+  }
+
+  private void excludeDisabled(final List<Endpoint> endpoints) {
+    for (final Endpoint endpoint : endpoints) {
+      if (context.endpoints().isDisabled(endpoint.id())) {
+        gateway.applyEndpointDirective(endpoint.id(), DISABLED_BY_OPERATOR);
+      }
+    }
+  }
+
+  private void restorePendingLearnedState() {
+    if (pendingLearnedState != null && context.endpoints().size() > 0) {
+      final int restored = restoreLearnedState(pendingLearnedState).size();
+      Log.info("recalled what was learnt of " + restored + " endpoints");
+      pendingLearnedState = null;
+    }
+  }
+
+  @Override
+  public void onOutcome(
+      final PendingDelivery delivery,
+      final Dispatcher.Call call,
+      final Dispatcher.DispatchOutcome outcome) {
+    outcomes.recordAttempt(delivery, call, outcome);
+  }
+
+  @Override
+  public void onRetryAfter(final long endpoint, final long retryAfterUs) {
+    gateway.reportRetryAfter(endpoint, retryAfterUs);
+    scheduler.requestRound();
+  }
+
+  @Override
+  public void onConfirmed(final List<StoredMessage> messages) {
+    outcomes.recordConfirmed(messages);
+  }
+
+  @Override
+  public void onProcessPaused(final long pausedUs) {
+    gateway.reportPause(pausedUs);
+  }
+
+  @Override
+  public void onConnectivityRestored(final long nowUs, final long cutOffSinceUs) {
+    Log.info(
+        "this courier had no way out for "
+            + (nowUs - cutOffSinceUs) / US_PER_MS
+            + " ms: nobody's outage");
+    gateway.reportConnectivityRestored(nowUs, cutOffSinceUs);
+  }
+
+  @Override
+  public void setDisabledEndpoints(final Set<String> names) {
+    final Map<Long, Boolean> changed = context.endpoints().setDisabled(names);
+    changed.forEach(this::setDisabled);
+    if (!changed.isEmpty()) {
+      scheduler.requestRound();
+    }
+  }
+
+  private void setDisabled(final long endpoint, final boolean disabled) {
+    // Connections kept open to an endpoint in maintenance die with its restart.
+    ports.dispatcher().closeIdleConnections(endpoint);
+    gateway.applyEndpointDirective(
+        endpoint, disabled ? DISABLED_BY_OPERATOR : DISABLED_BY_OPERATOR.withdrawn());
+    if (!disabled) {
+      gateway.reportEndpointEnabled(endpoint);
+    }
+  }
+
+  @Override
+  public void applyDirective(final long destination, final Directive directive) {
+    if (gateway.applyDestinationDirective(destination, directive)) {
+      outages.synchronize();
+      scheduler.requestRound();
+    }
+  }
+
+  @Override
+  public void prepareToStop(final long stopUs) {
+    controller.onStopping(context.clock().nowUs(), stopUs);
+    scheduler.requestRound();
+  }
+
+  // ---------------------------------------------------------------- state
+
+  @Override
+  public int ownedMessages() {
+    return context.pending().size();
+  }
+
+  @Override
+  public boolean isIdle() {
+    return context.pending().isEmpty()
+        && ports.notifier().isEmpty()
+        && !effects.hasUnreportedOutcomes();
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/DurableEffects.java
+++ b/courier/src/main/java/thistleturn/courier/DurableEffects.java
@@ -11,32 +11,33 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * What a pass of the decisions promises to others: answers to clients, calls to endpoints, and ends
- * to the platform. Each is carried out once the journal outlasts the process with it, or once it is
+ * What a decision round promises to others: answers to clients, calls to endpoints, and final
+ * outcomes to the platform. Each takes effect once the journal records it durably, or once it is
  * certain that a restart cannot contradict it:
  *
  * <ul>
  *   <li>an acceptance and a call need the record;
- *   <li>a refusal needs that the record of the taking is not there, or is there with its end;
- *   <li>an end needs the record, or that its message's time is up: no restart sends that one again.
+ *   <li>a rejection needs that the record of the acceptance is not there, or is there with its end;
+ *   <li>a final outcome needs the record, or that the message has expired: no restart sends it
+ *       again.
  * </ul>
  *
- * One that fails on its way does not keep the others from theirs. Used on the event loop's thread.
+ * One that fails does not prevent the others. Used on the event loop's thread.
  */
 final class DurableEffects {
   /**
-   * A client waits 400 ms for its answer; so long, us, the outcome of a write may be looked up
-   * before it is refused.
+   * A client waits 400 ms for its answer; a write whose result is unknown may be looked up for so
+   * long before the client is rejected.
    */
   private static final long MAX_UNCERTAIN_US = 250_000;
 
-  /** Who carries out what is promised. */
+  /** Carries the effects out. */
   interface Executor {
-    /** The message is taken on, and its client is told. */
-    void accept(PendingDelivery message);
+    /** The message is accepted, and its client is told. */
+    void accept(PendingDelivery delivery);
 
-    /** The message is not taken on, since it could not be written down; its client is told. */
-    void rejectUnjournaled(PendingDelivery message);
+    /** The message is not accepted, since it could not be recorded; its client is told. */
+    void rejectUnjournaled(PendingDelivery delivery);
 
     /** The call begins. */
     void startCall(Dispatcher.Call call);
@@ -47,7 +48,7 @@
 
   private record Rejection(Runnable answer, long sinceUs) {}
 
-  private record Acceptance(PendingDelivery message, long sinceUs) {}
+  private record Acceptance(PendingDelivery delivery, long sinceUs) {}
 
   private final Executor executor;
   private final OutcomeNotifier outcomeNotifier;
@@ -56,17 +57,17 @@
   private final List<Dispatcher.Call> calls = new ArrayList<>();
   private final List<StoredMessage> unreportedOutcomes = new ArrayList<>();
 
-  DurableEffects(final Executor keeper, final OutcomeNotifier ends) {
-    this.executor = keeper;
-    this.outcomeNotifier = ends;
+  DurableEffects(final Executor executor, final OutcomeNotifier outcomeNotifier) {
+    this.executor = executor;
+    this.outcomeNotifier = outcomeNotifier;
   }
 
-  /** A message was taken and waits for its answer. */
-  void addAcceptance(final PendingDelivery message, final long nowUs) {
-    acceptances.add(new Acceptance(message, nowUs));
+  /** A message was admitted and waits for its answer. */
+  void addAcceptance(final PendingDelivery delivery, final long nowUs) {
+    acceptances.add(new Acceptance(delivery, nowUs));
   }
 
-  /** A message ended before it was answered, and its client is told why. */
+  /** A message ended before its client was answered; {@code answer} tells the client why. */
   void addRejection(final Runnable answer, final long nowUs) {
     rejections.add(new Rejection(answer, nowUs));
   }
@@ -76,69 +77,77 @@
     calls.add(call);
   }
 
-  /** A message that was taken on ended by a notice. */
-  void addFinalOutcome(final StoredMessage held) {
-    unreportedOutcomes.add(held);
+  /** An accepted message ended with an outcome. */
+  void addFinalOutcome(final StoredMessage message) {
+    unreportedOutcomes.add(message);
   }
 
-  /** True while ends wait that the journal lacks. */
+  /** Returns true while outcomes wait for the journal. */
   boolean hasUnreportedOutcomes() {
     return !unreportedOutcomes.isEmpty();
   }
 
-  /** Carries out what may be after a flush of the journal with this outcome. */
-  void runAfterFlush(final FlushResult flush, final long nowUs) {
-    runRejections(flush, nowUs);
-    runAcceptances(flush, nowUs);
-    final List<Dispatcher.Call> due = List.copyOf(calls);
-    calls.clear();
-    for (final Dispatcher.Call call : due) {
-      if (flush != FlushResult.DURABLE || !runGuarded("call", () -> executor.startCall(call))) {
-        runGuarded("call that does not begin", () -> executor.dropCall(call));
-      }
-    }
-    reportOutcomes(flush, nowUs);
+  /** Carries out what is due after a flush of the journal with this result. */
+  void runAfterFlush(final FlushResult flushed, final long nowUs) {
+    runRejections(flushed, nowUs);
+    runAcceptances(flushed, nowUs);
+    runCalls(flushed);
+    reportOutcomes(flushed, nowUs);
   }
 
-  /** The same for what tells of ends only; answers and calls wait for the pass. */
-  void runRejectionsAndOutcomes(final FlushResult flush, final long nowUs) {
-    runRejections(flush, nowUs);
-    reportOutcomes(flush, nowUs);
+  /** Does the same for rejections and outcomes; acceptances and calls wait for the round. */
+  void runRejectionsAndOutcomes(final FlushResult flushed, final long nowUs) {
+    runRejections(flushed, nowUs);
+    reportOutcomes(flushed, nowUs);
   }
 
-  private void runRejections(final FlushResult flush, final long nowUs) {
+  private void runRejections(final FlushResult flushed, final long nowUs) {
     final List<Rejection> due =
-        removeDue(rejections, one -> isCertain(flush, one.sinceUs(), nowUs));
-    due.forEach(one -> runGuarded("refusal", one.answer()));
+        removeDue(rejections, rejection -> isCertain(flushed, rejection.sinceUs(), nowUs));
+    due.forEach(rejection -> runGuarded("refusal", rejection.answer()));
   }
 
-  private void runAcceptances(final FlushResult flush, final long nowUs) {
+  private void runAcceptances(final FlushResult flushed, final long nowUs) {
     final List<Acceptance> due =
-        removeDue(acceptances, one -> isCertain(flush, one.sinceUs(), nowUs));
-    for (final Acceptance one : due) {
-      if (one.message().reply != null && !one.message().ended) {
-        runGuarded(
-            "answer",
-            () -> {
-              if (flush == FlushResult.DURABLE) {
-                executor.accept(one.message());
-              } else {
-                executor.rejectUnjournaled(one.message());
-              }
-            });
+        removeDue(acceptances, acceptance -> isCertain(flushed, acceptance.sinceUs(), nowUs));
+    for (final Acceptance acceptance : due) {
+      if (acceptance.delivery().awaitsReply()) {
+        runGuarded("answer", () -> answer(acceptance.delivery(), flushed));
       }
     }
   }
 
-  private static boolean isCertain(final FlushResult flush, final long sinceUs, final long nowUs) {
-    return flush != FlushResult.UNKNOWN || nowUs - sinceUs >= MAX_UNCERTAIN_US;
+  private void answer(final PendingDelivery delivery, final FlushResult flushed) {
+    if (flushed == FlushResult.DURABLE) {
+      executor.accept(delivery);
+    } else {
+      executor.rejectUnjournaled(delivery);
+    }
   }
 
-  private void reportOutcomes(final FlushResult flush, final long nowUs) {
+  private static boolean isCertain(
+      final FlushResult flushed, final long sinceUs, final long nowUs) {
+    return flushed != FlushResult.UNKNOWN || nowUs - sinceUs >= MAX_UNCERTAIN_US;
+  }
+
+  private void runCalls(final FlushResult flushed) {
+    final List<Dispatcher.Call> due = List.copyOf(calls);
+    calls.clear();
+    for (final Dispatcher.Call call : due) {
+      final boolean started =
+          flushed == FlushResult.DURABLE && runGuarded("call", () -> executor.startCall(call));
+      if (!started) {
+        runGuarded("call that does not begin", () -> executor.dropCall(call));
+      }
+    }
+  }
+
+  private void reportOutcomes(final FlushResult flushed, final long nowUs) {
     final List<StoredMessage> due =
         removeDue(
-            unreportedOutcomes, held -> flush == FlushResult.DURABLE || held.deadlineUs() <= nowUs);
-    if (flush != FlushResult.DURABLE && !due.isEmpty()) {
+            unreportedOutcomes,
+            message -> flushed == FlushResult.DURABLE || message.deadlineUs() <= nowUs);
+    if (flushed != FlushResult.DURABLE && !due.isEmpty()) {
       Log.event(Event.END_TOLD_UNWRITTEN, "ends", due.size(), "first", due.get(0).id());
     }
     due.forEach(outcomeNotifier::enqueue);
@@ -151,10 +160,7 @@
     return due;
   }
 
-  /**
-   * True if it was carried out; what fails is told in the log and keeps nothing else from being
-   * carried out.
-   */
+  /** Returns true if the step succeeded; a failure is logged and stops nothing else. */
   private static boolean runGuarded(final String step, final Runnable action) {
     try {
       action.run();
--- a/courier/src/main/java/thistleturn/courier/EndpointTable.java
+++ b/courier/src/main/java/thistleturn/courier/EndpointTable.java
@@ -4,14 +4,13 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.HandoverSnapshot.NumberedEndpoint;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.decisions.maintenance.DisabledEndpoints;
@@ -21,137 +20,154 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * The endpoints that the directory named, under the numbers by which the decisions and the carrier
- * know them. An endpoint that is gone and named again is a new one.
+ * The endpoints that the directory named, under the ids by which the controller and the dispatcher
+ * know them. An endpoint that is removed and named again is a new one, with a new id.
  */
 final class EndpointTable {
-  /** How long a destination without an endpoint is still reckoned with. */
-  private static final long VACANT_DESTINATION_TTL_US = 120_000_000;
+  /** The kind index of an endpoint of no known kind. */
+  private static final int NO_KIND = -1;
 
-  /**
-   * Names of endpoints that are remembered, though they are gone, as ones that operators may speak
-   * of.
-   */
+  /** Names of endpoints that operators may still refer to after their removal. */
   private static final int MAX_REMEMBERED_NAMES = 10_000;
 
   private final List<DestinationKind> kinds;
-  private final LongSupplier nowUs;
   private final Map<String, Long> ids = new HashMap<>();
   private final Map<Long, String> names = new HashMap<>();
   private final Map<Long, Endpoint> entries = new HashMap<>();
   private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
-
-  /** How many endpoints each destination has. Between two of them it may have none for a while. */
-  private final Map<Long, Integer> endpointsPerDestination = new HashMap<>();
-
-  /** Since when destinations that had endpoints have none, oldest first. */
-  private final Map<Long, Long> vacantSinceUs = new LinkedHashMap<>();
-
-  /** Who is left out by hand. */
+  private final KnownDestinations destinations;
   private final DisabledEndpoints disabled = new DisabledEndpoints(MAX_REMEMBERED_NAMES);
-
   private long nextId = 1;
 
   EndpointTable(final List<DestinationKind> kinds, final LongSupplier nowUs) {
     this.kinds = kinds;
-    this.nowUs = nowUs;
+    this.destinations = new KnownDestinations(nowUs);
   }
 
-  /** An update, as the decisions are told of it, and the endpoints that are named no more. */
+  /**
+   * An update as the controller is told of it.
+   *
+   * @param removed ids of endpoints that are named no more; each is to be given to {@link #remove}
+   *     once the controller knows
+   */
   record AppliedUpdate(List<Endpoint> changed, Set<Long> removed) {}
 
-  /** Takes an update over. Who is gone is to be told to {@link #remove} once the decisions know. */
+  // ---------------------------------------------------------------- updates
+
+  /** Applies an update, and tells the dispatcher of the endpoints in it. */
   AppliedUpdate apply(
       final EndpointUpdate update,
-      final List<EndpointDirectory.Entry> listings,
-      final Dispatcher carrier) {
+      final List<EndpointDirectory.Entry> listed,
+      final Dispatcher dispatcher) {
     final List<Endpoint> changed = new ArrayList<>();
-    final Set<Long> gone = new LinkedHashSet<>();
+    final Set<Long> removed = new LinkedHashSet<>();
     if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
-      gone.addAll(entries.keySet());
+      removed.addAll(entries.keySet());
     }
-    for (final EndpointDirectory.Entry listing : listings) {
-      final Endpoint entry = toEndpoint(listing);
-      disabled.recordListed(listing.name());
-      changed.add(entry);
-      gone.remove(entry.id());
-      if (entry.state() == EndpointState.GONE) {
-        gone.add(entry.id());
-        continue;
+    for (final EndpointDirectory.Entry entry : listed) {
+      final Endpoint endpoint = toEndpoint(entry);
+      disabled.recordListed(entry.name());
+      changed.add(endpoint);
+      removed.remove(endpoint.id());
+      if (endpoint.state() == EndpointState.GONE) {
+        removed.add(endpoint.id());
+      } else {
+        put(endpoint, entry.address(), dispatcher);
       }
-      countEndpoints(entries.put(entry.id(), entry), entry);
-      addresses.put(entry.id(), listing.address());
-      final boolean apart = entry.kindIndex() >= 0 && kinds.get(entry.kindIndex()).separateRoutes();
-      carrier.updateEndpoint(entry, apart, listing.address());
     }
-    return new AppliedUpdate(changed, gone);
+    return new AppliedUpdate(changed, removed);
   }
 
-  /**
-   * Exactly these names are left out from now on; tells the numbers of those listed for which that
-   * is news: true, left out.
-   */
-  Map<Long, Boolean> setDisabled(final Set<String> leftOut) {
-    final Map<Long, Boolean> news = new LinkedHashMap<>();
-    for (final String name : disabled.replaceAll(leftOut)) {
-      final Long number = ids.get(name);
-      if (number != null && entries.containsKey(number)) {
-        news.put(number, disabled.isDisabled(name));
-      }
+  private void put(
+      final Endpoint endpoint, final InetSocketAddress address, final Dispatcher dispatcher) {
+    final Endpoint before = entries.put(endpoint.id(), endpoint);
+    destinations.endpointAdded(endpoint.destinationId());
+    if (before != null) {
+      destinations.endpointRemoved(before.destinationId());
     }
-    return news;
+    addresses.put(endpoint.id(), address);
+    final boolean separateRoute =
+        endpoint.kindIndex() >= 0 && kinds.get(endpoint.kindIndex()).separateRoutes();
+    dispatcher.updateEndpoint(endpoint, separateRoute, address);
   }
 
-  /** True for an endpoint that is left out by hand. */
-  boolean isDisabled(final long endpoint) {
-    final String name = names.get(endpoint);
-    return name != null && disabled.isDisabled(name);
+  private Endpoint toEndpoint(final EndpointDirectory.Entry entry) {
+    return new Endpoint(
+        idFor(entry.name()),
+        entry.state(),
+        entry.zone(),
+        entry.weight(),
+        kindIndex(entry.kind()),
+        entry.destination());
   }
 
-  /** True if an endpoint of that name was ever listed, as far as that is remembered. */
-  boolean isKnown(final String name) {
-    return disabled.isKnown(name);
+  private long idFor(final String name) {
+    return ids.computeIfAbsent(
+        name,
+        unused -> {
+          names.put(nextId, name);
+          return nextId++;
+        });
   }
 
-  /** The list as it was last told, with the numbers that stand for its entries. */
-  List<HandoverSnapshot.NumberedEndpoint> snapshot() {
-    return entries.values().stream()
-        .map(
-            entry ->
-                new HandoverSnapshot.NumberedEndpoint(
-                    entry.id(),
-                    new EndpointDirectory.Entry(
-                        names.get(entry.id()),
-                        entry.state(),
-                        addresses.get(entry.id()),
-                        entry.zone(),
-                        entry.weight(),
-                        entry.kindIndex() < 0 ? "" : kinds.get(entry.kindIndex()).name(),
-                        entry.destinationId())))
-        .toList();
+  private int kindIndex(final String kindName) {
+    int found = NO_KIND;
+    for (int index = 0; index < kinds.size(); index++) {
+      found = kinds.get(index).name().equals(kindName) ? index : found;
+    }
+    return found;
   }
 
-  /** The name of an endpoint by its number, or null. */
-  String nameOf(final long number) {
-    return names.get(number);
+  /** Removes an endpoint that is named no more. */
+  void remove(final long id) {
+    final Endpoint before = entries.remove(id);
+    if (before != null) {
+      destinations.endpointRemoved(before.destinationId());
+    }
+    addresses.remove(id);
+    ids.remove(names.remove(id));
   }
 
-  /** The number of a listed endpoint, or null. */
-  Long idOf(final String name) {
-    return ids.get(name);
+  /** Forgets destinations that have had no endpoint for long. */
+  void expireVacantDestinations() {
+    destinations.expireVacant();
   }
 
-  /** A number for an endpoint that the list names no more. */
+  /** Returns a new id for an endpoint that the list does not name any more. */
   long allocateUnlistedId() {
     return nextId++;
   }
 
-  /** How many endpoints are listed. */
-  int size() {
-    return entries.size();
+  // ---------------------------------------------------------------- administrative state
+
+  /**
+   * Disables exactly these endpoints from now on.
+   *
+   * @return the ids of listed endpoints whose state changed, with true for those disabled now
+   */
+  Map<Long, Boolean> setDisabled(final Set<String> disabledNames) {
+    final Map<Long, Boolean> changed = new LinkedHashMap<>();
+    for (final String name : disabled.replaceAll(disabledNames)) {
+      final Long id = ids.get(name);
+      if (id != null && entries.containsKey(id)) {
+        changed.put(id, disabled.isDisabled(name));
+      }
+    }
+    return changed;
+  }
+
+  /** Returns true for an endpoint that is administratively disabled. */
+  boolean isDisabled(final long id) {
+    final String name = names.get(id);
+    return name != null && disabled.isDisabled(name);
+  }
+
+  /** Returns true if an endpoint of that name was ever listed, as far as that is remembered. */
+  boolean isKnown(final String name) {
+    return disabled.isKnown(name);
   }
 
-  /** How many of the listed endpoints are left out by hand, or are among those given. */
+  /** Returns how many listed endpoints are disabled, or among those given. */
   long countExcluded(final List<Long> avoided) {
     final Set<Long> excluded = new HashSet<>(avoided);
     disabled.disabledNames().stream()
@@ -161,69 +177,73 @@
     return excluded.size();
   }
 
-  /** Forgets an endpoint, and what has long been without any. */
-  void remove(final long endpoint) {
-    countEndpoints(entries.remove(endpoint), null);
-    addresses.remove(endpoint);
-    ids.remove(names.remove(endpoint));
+  // ---------------------------------------------------------------- queries
+
+  /** Returns the list as it was last received, with the ids of its entries. */
+  List<NumberedEndpoint> snapshot() {
+    return entries.values().stream()
+        .map(endpoint -> new NumberedEndpoint(endpoint.id(), toEntry(endpoint)))
+        .toList();
   }
 
-  /** One entry takes the place of another; either may be null. */
-  private void countEndpoints(final Endpoint before, final Endpoint after) {
-    if (after != null) {
-      endpointsPerDestination.merge(after.destinationId(), 1, Integer::sum);
-      vacantSinceUs.remove(after.destinationId());
-    }
-    if (before != null
-        && endpointsPerDestination.computeIfPresent(
-                before.destinationId(), (id, count) -> count == 1 ? null : count - 1)
-            == null) {
-      vacantSinceUs.put(before.destinationId(), nowUs.getAsLong());
-    }
+  private EndpointDirectory.Entry toEntry(final Endpoint endpoint) {
+    return new EndpointDirectory.Entry(
+        names.get(endpoint.id()),
+        endpoint.state(),
+        addresses.get(endpoint.id()),
+        endpoint.zone(),
+        endpoint.weight(),
+        endpoint.kindIndex() < 0 ? "" : kinds.get(endpoint.kindIndex()).name(),
+        endpoint.destinationId());
   }
 
-  /** Forgets destinations that have long been without an endpoint. */
-  void expireVacantDestinations() {
-    final long beforeUs = nowUs.getAsLong() - VACANT_DESTINATION_TTL_US;
-    final Iterator<Long> since = vacantSinceUs.values().iterator();
-    while (since.hasNext() && since.next() < beforeUs) {
-      since.remove();
+  /**
+   * Returns the ids of endpoints that are the same here as in another process: one of the same name
+   * at another address, or of another destination, is a different endpoint.
+   *
+   * @return ids there, to ids here
+   */
+  Map<Long, Long> idsOfUnchanged(final List<NumberedEndpoint> elsewhere) {
+    final Map<Long, Long> unchanged = new HashMap<>();
+    for (final NumberedEndpoint numbered : elsewhere) {
+      final EndpointDirectory.Entry entry = numbered.entry();
+      final Long id = ids.get(entry.name());
+      final Endpoint here = id == null ? null : entries.get(id);
+      if (here != null
+          && addresses.get(id).equals(entry.address())
+          && here.destinationId() == entry.destination()) {
+        unchanged.put(numbered.number(), id);
+      }
     }
+    return unchanged;
   }
 
-  /** True for a destination that has an endpoint, or had one a short while ago. */
-  boolean isKnownDestination(final long destination) {
-    return endpointsPerDestination.containsKey(destination)
-        || vacantSinceUs.containsKey(destination);
+  /** Returns the name of an endpoint, or null. */
+  String nameOf(final long id) {
+    return names.get(id);
   }
 
-  /** Messages that one call to an endpoint may carry. */
-  int messagesPerCall(final long endpoint) {
-    final Endpoint entry = entries.get(endpoint);
-    return entry == null || entry.kindIndex() < 0
-        ? 1
-        : kinds.get(entry.kindIndex()).messagesPerCall();
+  /** Returns how many endpoints are listed. */
+  int size() {
+    return entries.size();
   }
 
-  /** The zone of an endpoint; empty if that is not known. */
-  String zoneOf(final long endpoint) {
-    final Endpoint entry = entries.get(endpoint);
-    return entry == null ? "" : entry.zone();
+  /** Returns true for a destination that has an endpoint, or had one a short while ago. */
+  boolean isKnownDestination(final long destination) {
+    return destinations.contains(destination);
   }
 
-  private Endpoint toEndpoint(final EndpointDirectory.Entry listing) {
-    int kind = -1;
-    for (int index = 0; index < kinds.size(); index++) {
-      kind = kinds.get(index).name().equals(listing.kind()) ? index : kind;
-    }
-    final long id =
-        ids.computeIfAbsent(
-            listing.name(),
-            name -> {
-              names.put(nextId, name);
-              return nextId++;
-            });
-    return new Endpoint(
-        id, listing.state(), listing.zone(), listing.weight(), kind, listing.destination());
+  /** Returns how many messages one call to an endpoint may carry. */
+  int messagesPerCall(final long id) {
+    final Endpoint endpoint = entries.get(id);
+    return endpoint == null || endpoint.kindIndex() < 0
+        ? 1
+        : kinds.get(endpoint.kindIndex()).messagesPerCall();
+  }
+
+  /** Returns the zone of an endpoint; empty if it is unknown. */
+  String zoneOf(final long id) {
+    final Endpoint endpoint = entries.get(id);
+    return endpoint == null ? "" : endpoint.zone();
   }
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/ForwardingRole.java
@@ -0,0 +1,125 @@
+package thistleturn.courier;
+
+import java.util.List;
+import java.util.Set;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.Successor;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.decisions.directives.Directive;
+import thistleturn.decisions.model.EndpointUpdate;
+
+/**
+ * A newer process decides. This one forwards what its clients hand in, and the outcomes of the
+ * calls that were in flight at the handover.
+ */
+final class ForwardingRole implements LoopRole {
+  private final LoopContext context;
+  private final Successor successor;
+  private final HandedOverCalls handedOver;
+
+  ForwardingRole(
+      final LoopContext context, final Successor successor, final HandedOverCalls handedOver) {
+    this.context = context;
+    this.successor = successor;
+    this.handedOver = handedOver;
+  }
+
+  @Override
+  public boolean isDeciding() {
+    return false;
+  }
+
+  @Override
+  public boolean hasSuccessor() {
+    return true;
+  }
+
+  @Override
+  public LoopRole handedOverTo(final ForwardingRole forwarding) {
+    return forwarding;
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    successor.submit(message, message.deadlineUs(), reply);
+  }
+
+  @Override
+  public void withdraw(final String messageId, final long destination) {
+    successor.withdraw(messageId, destination);
+  }
+
+  /** The endpoint table stays current: should the newer process end, this one decides again. */
+  @Override
+  public void onEndpointUpdate(
+      final EndpointUpdate update, final EndpointTable.AppliedUpdate applied) {
+    applied.removed().forEach(context.endpoints()::remove);
+  }
+
+  /** Reports the outcome to the newer process, unless the message ended before the handover. */
+  @Override
+  public void onOutcome(
+      final PendingDelivery delivery,
+      final Dispatcher.Call call,
+      final Dispatcher.DispatchOutcome outcome) {
+    context.stallDetector().recordActivity();
+    delivery.endCall();
+    final Long number = handedOver.numberOf(call);
+    if (number != null && context.pending().remove(delivery.id())) {
+      successor.reportOutcome(number, delivery.id(), outcome);
+    }
+  }
+
+  @Override
+  public void onRetryAfter(final long endpoint, final long retryAfterUs) {
+    // The newer process learns it from its own calls.
+  }
+
+  @Override
+  public void onConfirmed(final List<StoredMessage> messages) {
+    // The newer process reports them once more, which is harmless.
+  }
+
+  @Override
+  public void onProcessPaused(final long pausedUs) {
+    // Nothing is judged here.
+  }
+
+  @Override
+  public void onConnectivityRestored(final long nowUs, final long cutOffSinceUs) {
+    // Nothing is judged here.
+  }
+
+  @Override
+  public void setDisabledEndpoints(final Set<String> names) {
+    // The newer process reads them from the same folder.
+  }
+
+  @Override
+  public void applyDirective(final long destination, final Directive directive) {
+    // No calls are decided here.
+  }
+
+  @Override
+  public void prepareToStop(final long stopUs) {
+    // No calls are decided here.
+  }
+
+  @Override
+  public HandoverSnapshot learnedState() {
+    return null;
+  }
+
+  @Override
+  public int ownedMessages() {
+    return 0;
+  }
+
+  @Override
+  public boolean isIdle() {
+    return context.pending().isEmpty();
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/MessageCompletion.java
@@ -0,0 +1,105 @@
+package thistleturn.courier;
+
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage.FinalOutcome;
+import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.Log;
+
+/**
+ * Ends messages, each exactly once. A message whose client still waits ends with the answer to the
+ * client; an accepted one ends with its delivery, or with an outcome that the journal keeps until
+ * the platform has confirmed it.
+ */
+final class MessageCompletion {
+  private static final long US_PER_MS = 1000;
+
+  private final LoopContext context;
+  private final DurableEffects effects;
+
+  MessageCompletion(final LoopContext context, final DurableEffects effects) {
+    this.context = context;
+    this.effects = effects;
+  }
+
+  /** Ends a message undelivered; handing it in again is harmless. */
+  void shed(final String messageId, final long retryAfterUs) {
+    final PendingDelivery delivery = context.pending().get(messageId);
+    if (delivery == null) {
+      return;
+    }
+    context.counters().countRejected(delivery.message().className());
+    if (delivery.isAnswered()) {
+      finish(delivery, new FinalOutcome(false, retryAfterUs / US_PER_MS));
+      return;
+    }
+    final Ingress.Reply reply = complete(delivery);
+    Log.event(
+        Event.REQUEST_REFUSED,
+        "id",
+        messageId,
+        "class",
+        delivery.messageClass().name(),
+        "why",
+        "decided",
+        "retry_after_us",
+        retryAfterUs);
+    effects.addRejection(
+        () -> reply.rejected(Ingress.RejectionReason.DECIDED, retryAfterUs),
+        context.clock().nowUs());
+  }
+
+  /** Ends a message as failed; nothing is promised. */
+  void fail(final String messageId) {
+    final PendingDelivery delivery = context.pending().get(messageId);
+    if (delivery == null) {
+      return;
+    }
+    context.counters().countFailed(delivery.message().className());
+    if (delivery.isAnswered()) {
+      finish(delivery, new FinalOutcome(true, 0));
+      return;
+    }
+    final Ingress.Reply reply = complete(delivery);
+    effects.addRejection(reply::failed, context.clock().nowUs());
+  }
+
+  /** Ends an accepted message with an outcome, which the journal keeps until it is confirmed. */
+  void finish(final PendingDelivery delivery, final FinalOutcome outcome) {
+    delivery.end();
+    if (delivery.message().timeline() != null) {
+      delivery.message().timeline().markEnded(context.clock().nowUs());
+    }
+    context.pending().remove(delivery.id());
+    context.health().recordMessageCompleted();
+    Log.event(
+        Event.MESSAGE_ENDED,
+        "id",
+        delivery.id(),
+        "class",
+        delivery.message().className(),
+        "dest",
+        delivery.message().destination(),
+        "end",
+        outcome.failed() ? "undeliverable" : "deferred",
+        "attempts",
+        delivery.message().attempts(),
+        "time_left_us",
+        delivery.deadlineUs() - context.clock().nowUs());
+    context.store().recordFinalOutcome(delivery.message(), outcome);
+    effects.addFinalOutcome(delivery.message());
+  }
+
+  /**
+   * Ends a message for which nothing is owed any more, but perhaps the answer to its client.
+   *
+   * @return the client's reply, or null if the client was answered before
+   */
+  Ingress.Reply complete(final PendingDelivery delivery) {
+    delivery.end();
+    final Ingress.Reply reply = delivery.takeReply();
+    context.pending().remove(delivery.id());
+    context.health().recordMessageCompleted();
+    context.store().recordCompleted(delivery.message());
+    return reply;
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/MessageIntake.java
@@ -0,0 +1,141 @@
+package thistleturn.courier;
+
+import thistleturn.courier.port.EndpointDirectory;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.Log;
+import thistleturn.decisions.DeliveryController;
+
+/**
+ * Admits messages: checks that one can be delivered, that it is not pending already and that there
+ * is capacity for it, records it in the journal and hands it to the controller. Its client is
+ * answered once the journal is flushed.
+ */
+final class MessageIntake {
+  /** From this share of the limit on, another shard's capacity would be of use here. */
+  private static final double NEAR_LIMIT_SHARE = 0.9;
+
+  /** A message stays in the store for some seconds, so that a place is free soon. */
+  private static final long STORE_FULL_RETRY_AFTER_US = 1_000_000;
+
+  private final LoopContext context;
+  private final EndpointDirectory directory;
+  private final DurableEffects effects;
+  private final MessageCompletion completion;
+  private final DeliveryController controller;
+  private final RoundScheduler scheduler;
+  private int maxPendingMessages;
+  private boolean limitReached;
+
+  /**
+   * Admits up to so many messages.
+   *
+   * @param maxPendingMessages messages that may be pending at a time
+   */
+  MessageIntake(
+      final LoopContext context,
+      final EndpointDirectory directory,
+      final DurableEffects effects,
+      final MessageCompletion completion,
+      final DeliveryController controller,
+      final RoundScheduler scheduler,
+      final int maxPendingMessages) {
+    this.context = context;
+    this.directory = directory;
+    this.effects = effects;
+    this.completion = completion;
+    this.controller = controller;
+    this.scheduler = scheduler;
+    this.maxPendingMessages = maxPendingMessages;
+  }
+
+  /** Admits a message, or answers its client at once that it is not admitted. */
+  void submit(final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    context.stallDetector().recordActivity();
+    if (!context.endpoints().isKnownDestination(message.destination()) && directory.isCurrent()) {
+      reply.invalid(Ingress.InvalidReason.NO_DESTINATION);
+      return;
+    }
+    if (context.pending().contains(message.id()) || context.store().contains(message.id())) {
+      reply.invalid(Ingress.InvalidReason.HELD_ALREADY);
+      return;
+    }
+    limitReached |= context.pending().size() >= NEAR_LIMIT_SHARE * maxPendingMessages;
+    if (context.pending().size() >= currentLimit() || !context.store().recordAccepted(message)) {
+      reject(message, reply);
+      return;
+    }
+    admit(message, deadlineUs, reply);
+  }
+
+  private void reject(final StoredMessage message, final Ingress.Reply reply) {
+    context.counters().countRejected(message.className());
+    Log.event(
+        Event.REQUEST_REFUSED,
+        "id",
+        message.id(),
+        "class",
+        message.className(),
+        "why",
+        context.store().isWritable() ? "no_room" : "journal_unwritable",
+        "holds",
+        context.pending().size());
+    reply.rejected(Ingress.RejectionReason.NO_ROOM, STORE_FULL_RETRY_AFTER_US);
+  }
+
+  private void admit(
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    final int classIndex = context.classes().indexOf(message.className());
+    final PendingDelivery delivery =
+        new PendingDelivery(message, context.classes().get(message.className()), deadlineUs, reply);
+    context.pending().add(delivery);
+    effects.addAcceptance(delivery, context.clock().nowUs());
+    message.timeline().markAccepted(context.clock().nowUs());
+    controller.onMessage(context.clock().nowUs(), delivery.toControllerMessage(classIndex));
+    scheduler.requestRound();
+  }
+
+  /** Drops a message whose client went away before it was answered. */
+  void withdraw(final String messageId) {
+    final PendingDelivery delivery = context.pending().get(messageId);
+    if (delivery != null) {
+      completion.complete(delivery);
+      controller.onMessageAbandoned(context.clock().nowUs(), messageId);
+      scheduler.requestRound();
+    }
+  }
+
+  /** Rejects an admitted message that the journal could not record. */
+  void rejectUnjournaled(final PendingDelivery delivery) {
+    final Ingress.Reply reply = completion.complete(delivery);
+    context.counters().countRejected(delivery.message().className());
+    controller.onMessageAbandoned(context.clock().nowUs(), delivery.id());
+    Log.event(
+        Event.REQUEST_REFUSED,
+        "id",
+        delivery.id(),
+        "class",
+        delivery.messageClass().name(),
+        "why",
+        "journal_write_failed");
+    reply.rejected(Ingress.RejectionReason.NO_ROOM, STORE_FULL_RETRY_AFTER_US);
+  }
+
+  /** Admits up to so many messages from now on. */
+  void setMaxPendingMessages(final int limit) {
+    maxPendingMessages = limit;
+  }
+
+  /** Returns the limit that the process's own health allows now. */
+  int currentLimit() {
+    return context.health().maxPendingMessages(maxPendingMessages);
+  }
+
+  /** Returns whether the limit was nearly reached since this was last asked. */
+  boolean takeLimitReached() {
+    final boolean reached = limitReached;
+    limitReached = false;
+    return reached;
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/PendingDelivery.java
+++ b/courier/src/main/java/thistleturn/courier/PendingDelivery.java
@@ -3,30 +3,102 @@
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.Ingress;
 import thistleturn.courier.port.StoredMessage;
+import thistleturn.decisions.model.Message;
 import thistleturn.decisions.model.MessageClass;
 
-/** A message that is owed its end, as the {@link DecisionLoop} that decides for it sees it. */
+/**
+ * A message that this courier has to bring to an end: the client's reply until it is given, the
+ * call that carries the message now, and whether the message has ended. It is in one call at most,
+ * and its reply is handed out once.
+ */
 final class PendingDelivery {
-  final StoredMessage message;
-  final MessageClass messageClass;
-  final long deadlineUs;
+  /** The controller's tenant index for a courier without tenants. */
+  private static final int NO_TENANT = -1;
 
-  /** Where its first answer goes; null once that is given. */
-  Ingress.Reply reply;
-
-  boolean ended;
-
-  /** The call that it is in; null while it is in none. */
-  Dispatcher.Call call;
+  private final StoredMessage message;
+  private final MessageClass messageClass;
+  private final long deadlineUs;
+  private Ingress.Reply reply;
+  private Dispatcher.Call call;
+  private boolean ended;
 
+  /**
+   * A message that has not ended.
+   *
+   * @param messageClass null for a class that is not configured any more
+   * @param reply where the client's answer goes; null if the message was accepted earlier
+   */
   PendingDelivery(
-      final StoredMessage held,
-      final MessageClass kind,
-      final long validUntilUs,
+      final StoredMessage message,
+      final MessageClass messageClass,
+      final long deadlineUs,
       final Ingress.Reply reply) {
-    this.message = held;
-    this.messageClass = kind;
-    this.deadlineUs = validUntilUs;
+    this.message = message;
+    this.messageClass = messageClass;
+    this.deadlineUs = deadlineUs;
     this.reply = reply;
   }
+
+  StoredMessage message() {
+    return message;
+  }
+
+  String id() {
+    return message.id();
+  }
+
+  MessageClass messageClass() {
+    return messageClass;
+  }
+
+  /** Returns when the message expires, in microseconds of the loop's clock. */
+  long deadlineUs() {
+    return deadlineUs;
+  }
+
+  /** Returns true while the client has not been answered and the message has not ended. */
+  boolean awaitsReply() {
+    return reply != null && !ended;
+  }
+
+  /** Returns true once the client has its answer; what happens now is reported as an outcome. */
+  boolean isAnswered() {
+    return reply == null;
+  }
+
+  /**
+   * Hands out the client's reply, to be answered by the caller; null if it was handed out before.
+   */
+  Ingress.Reply takeReply() {
+    final Ingress.Reply taken = reply;
+    reply = null;
+    return taken;
+  }
+
+  boolean hasEnded() {
+    return ended;
+  }
+
+  void end() {
+    ended = true;
+  }
+
+  /** Returns the call that carries the message now, or null. */
+  Dispatcher.Call call() {
+    return call;
+  }
+
+  void startCall(final Dispatcher.Call started) {
+    call = started;
+  }
+
+  void endCall() {
+    call = null;
+  }
+
+  /** Returns the message as the controller sees it. */
+  Message toControllerMessage(final int classIndex) {
+    return new Message(
+        message.id(), classIndex, NO_TENANT, null, deadlineUs, message.destination());
+  }
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/PendingMessageRecovery.java
@@ -0,0 +1,185 @@
+package thistleturn.courier;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.port.OutcomeNotifier;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.decisions.DeliveryController;
+import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
+import thistleturn.decisions.model.EndpointUpdate;
+import thistleturn.decisions.model.Message;
+import thistleturn.decisions.model.PriorAttempts;
+
+/**
+ * Brings what an earlier process of this courier left in the journal back to the controller, and
+ * the calls that an older process still carries out.
+ */
+final class PendingMessageRecovery {
+  /** The controller's kind index of an endpoint of no known kind. */
+  private static final int NO_KIND = -1;
+
+  private final LoopContext context;
+  private final OutcomeNotifier notifier;
+  private final MessageCompletion completion;
+  private final PredecessorCalls predecessorCalls;
+  private final DeliveryController controller;
+  private final CallAdoption adoption;
+
+  /** Tells the controller of calls that are in flight already. */
+  interface CallAdoption {
+    /**
+     * A message is in a call that this process did not make.
+     *
+     * @param sameCall true if it is in the call of the message adopted before it
+     */
+    void adopt(Message message, PriorAttempts prior, RemoteCall call, boolean sameCall);
+  }
+
+  PendingMessageRecovery(
+      final LoopContext context,
+      final OutcomeNotifier notifier,
+      final MessageCompletion completion,
+      final PredecessorCalls predecessorCalls,
+      final DeliveryController controller,
+      final CallAdoption adoption) {
+    this.context = context;
+    this.notifier = notifier;
+    this.completion = completion;
+    this.predecessorCalls = predecessorCalls;
+    this.controller = controller;
+    this.adoption = adoption;
+  }
+
+  /**
+   * Recovers every message in the journal that is not pending yet.
+   *
+   * @return how many are delivered on
+   */
+  int recoverMessages() {
+    int resumed = 0;
+    for (final StoredMessage message : context.store().pendingMessages()) {
+      if (context.pending().contains(message.id())) {
+        continue;
+      }
+      if (message.finalOutcome() != null) {
+        notifier.enqueue(message);
+      } else if (context.classes().contains(message.className())) {
+        resume(message);
+        resumed++;
+      } else {
+        failUnknownClass(message);
+      }
+    }
+    return resumed;
+  }
+
+  private void resume(final StoredMessage message) {
+    final PendingDelivery delivery = pendingDelivery(message);
+    final PriorAttempts prior = message.priorAttempts();
+    if (message.hasAttemptInFlight()) {
+      context.store().recordAttemptOutcome(message, false);
+    }
+    context.pending().add(delivery);
+    controller.onMessageResumed(context.clock().nowUs(), toControllerMessage(delivery), prior);
+  }
+
+  private void failUnknownClass(final StoredMessage message) {
+    completion.finish(
+        new PendingDelivery(message, null, 0, null), new StoredMessage.FinalOutcome(true, 0));
+  }
+
+  /**
+   * Adopts the calls that an older process still carries out.
+   *
+   * @param endpointIds the ids of endpoints there, to those here; completed for endpoints that are
+   *     not listed any more
+   */
+  void adoptCalls(
+      final List<HandoverSnapshot.InFlightRemoteCall> calls, final Map<Long, Long> endpointIds) {
+    final Map<String, StoredMessage> messages = new HashMap<>();
+    context.store().pendingMessages().forEach(message -> messages.put(message.id(), message));
+    final List<Endpoint> unlisted = new ArrayList<>();
+    for (final HandoverSnapshot.InFlightRemoteCall call : calls) {
+      final long endpoint =
+          endpointIds.computeIfAbsent(
+              call.endpoint(), unused -> addUnlisted(call.destination(), unlisted));
+      adoptCall(call, new RemoteCall(call.number(), endpoint, call.sentUs()), messages);
+    }
+    removeUnlisted(unlisted);
+  }
+
+  /** An endpoint that is not listed any more still has a call in flight: it gets no others. */
+  private long addUnlisted(final long destination, final List<Endpoint> unlisted) {
+    final long id = context.endpoints().allocateUnlistedId();
+    final Endpoint endpoint = new Endpoint(id, EndpointState.DRAINING, "", 0, NO_KIND, destination);
+    unlisted.add(endpoint);
+    controller.onEndpointList(
+        context.clock().nowUs(), EndpointUpdate.SUPPLEMENT, List.of(endpoint));
+    return id;
+  }
+
+  private void removeUnlisted(final List<Endpoint> unlisted) {
+    final List<Endpoint> gone =
+        unlisted.stream()
+            .map(
+                endpoint ->
+                    new Endpoint(
+                        endpoint.id(),
+                        EndpointState.GONE,
+                        "",
+                        0,
+                        NO_KIND,
+                        endpoint.destinationId()))
+            .toList();
+    controller.onEndpointList(context.clock().nowUs(), EndpointUpdate.SUPPLEMENT, gone);
+  }
+
+  private void adoptCall(
+      final HandoverSnapshot.InFlightRemoteCall described,
+      final RemoteCall call,
+      final Map<String, StoredMessage> messages) {
+    boolean sameCall = false;
+    for (final String messageId : described.messageIds()) {
+      final StoredMessage message = messages.get(messageId);
+      if (message != null && isInFlight(message)) {
+        adoptMessage(message, call, sameCall);
+        sameCall = true;
+      }
+    }
+  }
+
+  private boolean isInFlight(final StoredMessage message) {
+    return context.classes().contains(message.className())
+        && message.finalOutcome() == null
+        && message.hasAttemptInFlight();
+  }
+
+  private void adoptMessage(
+      final StoredMessage message, final RemoteCall call, final boolean sameCall) {
+    final PendingDelivery delivery = pendingDelivery(message);
+    delivery.startCall(call);
+    context.pending().add(delivery);
+    predecessorCalls.add(message.id(), new DeliveryAttempt(delivery, 0, 0));
+    final boolean mayHaveRun = message.firstRunUs() != StoredMessage.NEVER;
+    final PriorAttempts prior =
+        new PriorAttempts(
+            message.attempts(),
+            mayHaveRun,
+            mayHaveRun ? message.firstRunUs() : 0,
+            message.runZone());
+    adoption.adopt(toControllerMessage(delivery), prior, call, sameCall);
+  }
+
+  private PendingDelivery pendingDelivery(final StoredMessage message) {
+    return new PendingDelivery(
+        message, context.classes().get(message.className()), message.deadlineUs(), null);
+  }
+
+  private Message toControllerMessage(final PendingDelivery delivery) {
+    return delivery.toControllerMessage(context.classes().indexOf(delivery.message().className()));
+  }
+}
--- a/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
+++ b/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
@@ -13,7 +13,7 @@
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.CourierConfig;
 
-/** What may be told, and when, by what the journal says of its last flush. */
+/** Which effects take place, and when, by the result of the journal's last flush. */
 @Tag("faults")
 final class DurableEffectsTest {
   private static final long NOW_US = 1_000_000;
@@ -24,16 +24,16 @@
 
   private final class RecordingExecutor implements DurableEffects.Executor {
     @Override
-    public void accept(final PendingDelivery message) {
-      executed.add("accept " + message.message.id());
-      if (message.message.id().equals("bad")) {
+    public void accept(final PendingDelivery delivery) {
+      executed.add("accept " + delivery.id());
+      if (delivery.id().equals("bad")) {
         throw new IllegalStateException("its answer fails");
       }
     }
 
     @Override
-    public void rejectUnjournaled(final PendingDelivery message) {
-      executed.add("refuse " + message.message.id());
+    public void rejectUnjournaled(final PendingDelivery delivery) {
+      executed.add("refuse " + delivery.id());
     }
 
     @Override
@@ -49,8 +49,8 @@
 
   private final class RecordingNotifier implements OutcomeNotifier {
     @Override
-    public void enqueue(final StoredMessage held) {
-      executed.add("end " + held.id());
+    public void enqueue(final StoredMessage message) {
+      executed.add("end " + message.id());
     }
 
     @Override
