--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/AcceptHandler.java
@@ -0,0 +1,53 @@
+package thistleturn.courier.http;
+
+import io.netty.channel.ChannelHandlerContext;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.PollTracker;
+import thistleturn.courier.transport.AcceptRetryHandler;
+
+/**
+ * Bounds since when an accepted connection, with a request on it, may have waited in the backlog of
+ * the listener.
+ */
+final class AcceptHandler extends AcceptRetryHandler {
+  /** The number of connections that are accepted in one iteration of the event loop. */
+  static final int MAX_ACCEPTS_PER_POLL = 16;
+
+  private final Clock clock;
+  private final PollTracker polls;
+  private final ReceiveTimeBound acceptTime;
+  private int acceptedInPoll;
+
+  AcceptHandler(final Clock clock, final PollTracker polls) {
+    this.clock = clock;
+    this.polls = polls;
+    this.acceptTime = new ReceiveTimeBound(clock.nowUs());
+  }
+
+  /** The earliest time at which the connection accepted last may have been made, us. */
+  long earliestAcceptUs() {
+    return acceptTime.earliestUs();
+  }
+
+  @Override
+  public void channelRead(final ChannelHandlerContext context, final Object connection) {
+    acceptedInPoll++;
+    // Another connection may always be waiting; that is known only when the reading ends.
+    acceptTime.onRead(clock.nowUs(), polls.previousPollUs(), false);
+    super.channelRead(context, connection);
+  }
+
+  /** Notes that more connections may wait than could be accepted. */
+  @Override
+  public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
+    acceptTime.setDrained(false);
+    super.exceptionCaught(context, cause);
+  }
+
+  @Override
+  public void channelReadComplete(final ChannelHandlerContext context) {
+    acceptTime.setDrained(acceptedInPoll < MAX_ACCEPTS_PER_POLL);
+    acceptedInPoll = 0;
+    context.fireChannelReadComplete();
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -1,717 +1,409 @@
 package thistleturn.courier.http;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.socket.ChannelInputShutdownEvent;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerExpectContinueHandler;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.http.TooLongHttpHeaderException;
-import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Ingress;
-import thistleturn.courier.port.IngressHandler;
-import thistleturn.courier.port.MessageTimeline;
-import thistleturn.courier.port.StoredMessage;
-import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Event;
 import thistleturn.courier.runtime.Log;
-import thistleturn.courier.runtime.PollTracker;
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.decisions.admission.ConnectionEvictionRanking;
-import thistleturn.decisions.index.TimeHeap;
-import thistleturn.decisions.model.MessageClass;
 
 /**
- * One client's connection: requests are read strictly and served in turn, each with its one answer.
+ * One client's connection. It serves the requests in the order in which they arrive and answers
+ * each exactly once. While it has no request for a while it hibernates: its pipeline then holds
+ * neither codecs nor buffers.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-  private static final int MAX_BODY_BYTES = 1 << 16;
   private static final int MAX_QUEUED_REQUESTS = 16;
 
-  /** For how long, and how much, what a client sends behind its last answer is read away. */
+  /** How long input is discarded after the last response, until the connection is closed. */
   private static final long LINGER_MS = 500;
 
+  /** How much input is discarded after the last response, until the connection is closed. */
   private static final int MAX_DISCARDED_BYTES = 1 << 18;
 
-  /** The answer to nearly every request, made once. */
-  private static final ByteBuf ACCEPTED_RESPONSE =
-      Unpooled.unreleasableBuffer(
-              Unpooled.directBuffer()
-                  .writeBytes(
-                      "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n"
-                          .getBytes(StandardCharsets.US_ASCII)))
-          .asReadOnly();
-
-  /**
-   * What is kept of a connection that waits for its turn to wake: it is read once, so hardly more
-   * than a request.
-   */
+  /** A larger read wakes a hibernating connection at once, rather than being copied and queued. */
   private static final int MAX_DEFERRED_BYTES = 1 << 10;
 
   private static final long HALF_CLOSED_RETRY_AFTER_US = 500_000;
-  private static final long US_PER_MS = 1000;
-  private static final double US_PER_SECOND = 1_000_000;
-
-  private final HttpIngress ingress;
-  private final IngressHandler ingressHandler;
-  private final Clock clock;
-  private final PollTracker turns;
-  private final ReceiveTimeBound receiveTime;
-  private ChannelHandlerContext context;
-
-  /** Writes bytes as they are; null while it rests. */
-  private ChannelHandlerContext encoderContext;
 
-  /** What it said while many woke at once. */
-  private ByteBuf deferredBytes;
-
-  private HttpRequest requestHead;
-
-  /** What has come of a body; nothing is kept of it once the request is whole. */
-  private ByteArrayOutputStream requestBody = new ByteArrayOutputStream(0);
+  /** The value of {@link #requestStartedUs} while no request is being received. */
+  private static final long NO_REQUEST = Long.MAX_VALUE;
 
+  private final IngressContext ingress;
+  private final ReceiveTimeBound receiveTime;
+  private final RequestAssembler assembler;
   private final ScheduledCheck scheduledCheck = new ScheduledCheck(this);
   private final Deque<QueuedRequest> queuedRequests = new ArrayDeque<>(1);
-  private int queuedBytes;
+  private ChannelHandlerContext context;
+  private HibernatingPipeline pipeline;
+  private int queuedBodyBytes;
+
+  /** The request that is being served; null while none is. */
   private QueuedRequest currentRequest;
-  private String currentId;
-  private long currentDestination;
-  private boolean readingBody;
-  private boolean hasSentRequest;
 
-  /**
-   * It was read from once without the selector's word; it is being; that found what the selector
-   * had not told.
-   */
-  private boolean directReadDone;
+  /** The submission of the current request; null if it submits nothing. */
+  private SubmitReply currentSubmission;
 
-  private boolean directReadActive;
-  private boolean unwatched;
+  private Phase phase = Phase.OPEN;
 
-  /** What is said once all before it is answered; then nothing further is read. */
+  /** The status of the last response, while {@link Phase#FINISHING}. */
   private HttpResponseStatus finalStatus;
 
-  private boolean discardingInput;
+  private SelectorWatch selectorWatch = SelectorWatch.UNVERIFIED;
+  private boolean hasSentRequest;
   private int discardedBytes;
 
-  /** Since when it has been of no use, and since when a request has been coming in. */
+  /** When the connection was accepted, or its last request answered. */
   private long idleSinceUs;
 
-  private long requestStartedUs = Long.MAX_VALUE;
+  private long requestStartedUs = NO_REQUEST;
   private long lastReceivedUs;
 
-  ClientConnection(
-      final HttpIngress front,
-      final IngressHandler desk,
-      final Clock clock,
-      final PollTracker turns,
-      final long acceptableSinceUs) {
-    this.turns = turns;
-    this.receiveTime = new ReceiveTimeBound(acceptableSinceUs);
-    this.ingress = front;
-    this.ingressHandler = desk;
-    this.clock = clock;
-    this.idleSinceUs = clock.nowUs();
-  }
-
-  /** When a session is looked at next. */
-  static final class ScheduledCheck extends TimeHeap.Entry {
-    final ClientConnection connection;
-
-    private ScheduledCheck(final ClientConnection session) {
-      this.connection = session;
-    }
+  /** The life cycle of a connection. */
+  private enum Phase {
+    /** Requests are read and served. */
+    OPEN,
+    /** Nothing more is read; the final status follows the responses that are still due. */
+    FINISHING,
+    /** The last response is written; input is discarded until the connection closes. */
+    CLOSING
   }
 
-  /** A whole request that waits for its turn on its connection. */
-  private record QueuedRequest(
-      HttpRequest head, byte[] body, long receivedUs, long firstByteUs, long completedUs) {}
+  /**
+   * Creates the handler of an accepted channel.
+   *
+   * @param earliestAcceptUs the earliest time at which the client may have connected
+   */
+  ClientConnection(final IngressContext ingress, final long earliestAcceptUs) {
+    this.ingress = ingress;
+    this.receiveTime = new ReceiveTimeBound(earliestAcceptUs);
+    this.assembler = new RequestAssembler(ingress.bodyBudget());
+    this.idleSinceUs = ingress.clock().nowUs();
+  }
+
+  // ---------------------------------------------------------------- state
 
   ScheduledCheck scheduledCheck() {
     return scheduledCheck;
   }
 
-  /** True while it holds nothing but itself: no decoder, no buffer. */
-  boolean isHibernating() {
-    return encoderContext == null;
+  /** When the connection was accepted, or its last request answered, us. */
+  long idleSinceUs() {
+    return idleSinceUs;
   }
 
-  /** Gives back what reading and writing need, until bytes come. */
-  void hibernate() {
-    if (!isHibernating() && !discardingInput) {
-      encoderContext = null;
-      context.pipeline().remove(HttpResponseEncoder.class);
-      context.pipeline().remove(HttpServerExpectContinueHandler.class);
-      // Last of all: what it has of a further request comes out here, and wakes the connection at
-      // once.
-      context.pipeline().remove(RequestDecoder.class);
-    }
+  /** When the request that is being received began, us; {@link Long#MAX_VALUE} if none is. */
+  long requestStartedUs() {
+    return requestStartedUs;
   }
 
-  /** Bytes have come: they are read from the start of the pipeline. */
-  private void wakeUp(final Object bytes) {
-    context
-        .pipeline()
-        .addFirst(
-            new RequestDecoder(this::onBytesReceived),
-            new HttpResponseEncoder(),
-            new HttpServerExpectContinueHandler());
-    encoderContext = context.pipeline().context(HttpResponseEncoder.class);
-    context.pipeline().fireChannelRead(bytes);
+  /** True once a complete request has been received. */
+  boolean hasSentRequest() {
+    return hasSentRequest;
   }
 
-  /**
-   * Many wake at once: what it says is kept, and read when its turn comes; until then it is asked
-   * for no more.
-   */
-  private void deferWakeUp(final ByteBuf bytes) {
-    onBytesReceived(bytes);
-    context.channel().config().setAutoRead(false);
-    if (deferredBytes == null) {
-      deferredBytes = Unpooled.copiedBuffer(bytes);
-      ingress.queueWakeUp(this);
-    } else {
-      deferredBytes = Unpooled.wrappedBuffer(deferredBytes, Unpooled.copiedBuffer(bytes));
-    }
-    bytes.release();
+  /** True if no request is being received, queued or served, and the connection is open. */
+  boolean isIdle() {
+    return !isReceivingRequest() && !isProcessingRequest() && !isClosing();
   }
 
-  /** True while it waits for its turn to wake. */
-  boolean isAwaitingWakeUp() {
-    return deferredBytes != null;
+  /** True if no further request is read. */
+  boolean isClosing() {
+    return phase != Phase.OPEN;
   }
 
-  /** Its turn to wake has come. */
-  void wakeUp() {
-    final ByteBuf bytes = deferredBytes;
-    deferredBytes = null;
-    if (context.channel().isActive()) {
-      context.channel().config().setAutoRead(true);
-      wakeUp(bytes);
-    } else {
-      bytes.release();
-    }
+  private boolean isReceivingRequest() {
+    return requestStartedUs != NO_REQUEST;
   }
 
-  /**
-   * True while it has not been known to be watched by the selector: nothing has been heard of it,
-   * or not by that way.
-   */
-  boolean mayBeUnwatched() {
-    return unwatched
-        || (!directReadDone
-            && !hasSentRequest
-            && requestStartedUs == Long.MAX_VALUE
-            && !isClosing());
+  private boolean isProcessingRequest() {
+    return currentRequest != null || !queuedRequests.isEmpty();
   }
 
-  /** Reads what it has without the selector's word; what is found that way is watched by nobody. */
-  void readDirectly() {
-    directReadDone = true;
-    directReadActive = true;
-    DirectRead.readOnce(context.channel());
-    directReadActive = false;
+  /** True while this is the request to which a response is due next. */
+  boolean isServing(final QueuedRequest request) {
+    return currentRequest == request;
   }
 
-  /** Since when it has been of no use, us. */
-  long idleSinceUs() {
-    return idleSinceUs;
+  /** The order in which connections are evicted; the lowest rank first. */
+  int evictionRank(final ConnectionEvictionRanking ranking, final long nowUs) {
+    return ranking.rank(evictionState(), idleSinceUs, lastReceivedUs, nowUs);
   }
 
-  /** Since when a request has been coming in, us; never, while none is. */
-  long requestStartedUs() {
-    return requestStartedUs;
+  private ConnectionEvictionRanking.ConnectionState evictionState() {
+    if (phase == Phase.CLOSING) {
+      return ConnectionEvictionRanking.ConnectionState.REJECTED;
+    }
+    if (isProcessingRequest()) {
+      return ConnectionEvictionRanking.ConnectionState.PROCESSING_REQUEST;
+    }
+    if (!isIdle()) {
+      return ConnectionEvictionRanking.ConnectionState.RECEIVING_REQUEST;
+    }
+    return hasSentRequest
+        ? ConnectionEvictionRanking.ConnectionState.IDLE_AFTER_RESPONSE
+        : ConnectionEvictionRanking.ConnectionState.NO_REQUEST_YET;
   }
 
-  boolean hasSentRequest() {
-    return hasSentRequest;
-  }
+  // ---------------------------------------------------------------- hibernation
 
-  boolean isIdle() {
-    return requestStartedUs == Long.MAX_VALUE
-        && currentRequest == null
-        && queuedRequests.isEmpty()
-        && !isClosing();
+  /** True while the pipeline holds neither codecs nor buffers. */
+  boolean isHibernating() {
+    return pipeline.isHibernating();
   }
 
-  boolean isClosing() {
-    return finalStatus != null || discardingInput;
-  }
-
-  /** How little is lost if it makes room for another. */
-  int evictionRank(final ConnectionEvictionRanking crowd, final long nowUs) {
-    return crowd.rank(
-        discardingInput
-            ? ConnectionEvictionRanking.ConnectionState.REJECTED
-            : currentRequest != null || !queuedRequests.isEmpty()
-                ? ConnectionEvictionRanking.ConnectionState.PROCESSING_REQUEST
-                : !isIdle()
-                    ? ConnectionEvictionRanking.ConnectionState.RECEIVING_REQUEST
-                    : hasSentRequest
-                        ? ConnectionEvictionRanking.ConnectionState.IDLE_AFTER_RESPONSE
-                        : ConnectionEvictionRanking.ConnectionState.NO_REQUEST_YET,
-        idleSinceUs,
-        lastReceivedUs,
-        nowUs);
-  }
-
-  /** Ends a connection that asks nothing. */
-  void closeIfIdle() {
-    if (isIdle() && ingress.moveToClosing(this)) {
-      closeOutputAfter(context.newSucceededFuture());
+  /** Removes the codecs from the pipeline until bytes are received. */
+  void hibernate() {
+    if (!pipeline.isHibernating() && phase != Phase.CLOSING) {
+      pipeline.hibernate();
     }
   }
 
-  /** The process ends: what has not come whole by now is not taken on. */
-  void rejectIncomplete() {
-    closeIfIdle();
-    if (!isClosing() && requestStartedUs != Long.MAX_VALUE) {
-      reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
-    }
+  /** True while received bytes wait for the queued wake-up. */
+  boolean isAwaitingWakeUp() {
+    return pipeline.isAwaitingWakeUp();
   }
 
-  /** Closes it, and no longer counts it from this moment: its end is told only after this pass. */
-  void closeNow() {
-    logClosed("makes_room");
-    ingress.onConnectionClosed(this);
-    context.close();
+  /** Reads the bytes that were kept until the queued wake-up. */
+  void wakeUp() {
+    pipeline.wakeUp();
   }
 
-  /** That a connection is ended from this side, unless it is between two requests. */
-  private void logClosed(final String why) {
-    if (currentRequest != null || !queuedRequests.isEmpty() || requestStartedUs != Long.MAX_VALUE) {
-      Log.event(
-          Event.CONNECTION_CLOSED,
-          "client",
-          context.channel().remoteAddress(),
-          "why",
-          why,
-          "id",
-          currentId,
-          "queued",
-          queuedRequests.size(),
-          "coming_in",
-          requestStartedUs != Long.MAX_VALUE);
+  private void onBytesWhileHibernating(final ByteBuf bytes) {
+    final boolean queued = pipeline.isAwaitingWakeUp();
+    if (!queued && (bytes.readableBytes() > MAX_DEFERRED_BYTES || ingress.wakeUps().tryAcquire())) {
+      pipeline.wakeUpWith(bytes);
+      return;
+    }
+    onBytesReceived(bytes);
+    pipeline.defer(bytes);
+    if (!queued) {
+      ingress.wakeUps().add(this);
     }
   }
 
-  @Override
-  public void channelActive(final ChannelHandlerContext ctx) {
-    context = ctx;
-    ingress.onConnectionOpened(this);
+  // ---------------------------------------------------------------- reading
+
+  /** True if the selector may not report this connection, so that it has to be read directly. */
+  boolean mayBeUnwatched() {
+    return selectorWatch == SelectorWatch.UNWATCHED
+        || (selectorWatch == SelectorWatch.UNVERIFIED
+            && !hasSentRequest
+            && !isReceivingRequest()
+            && !isClosing());
   }
 
-  @Override
-  public void channelInactive(final ChannelHandlerContext ctx) {
-    if (hasSentRequest && isIdle()) {
-      ingress.recordKeepAliveOutcome(false);
-    }
-    ingress.onConnectionClosed(this);
-    ingress.releaseBodyBytes(requestBody.size() + queuedBytes);
-    queuedBytes = 0;
-    requestBody = new ByteArrayOutputStream(0);
-    queuedRequests.clear();
-    if (currentId != null) {
-      Log.event(
-          Event.REQUEST_UNANSWERED,
-          "id",
-          currentId,
-          "client",
-          ctx.channel().remoteAddress(),
-          "after_us",
-          clock.nowUs() - currentRequest.completedUs());
-      ingressHandler.withdraw(currentId, currentDestination);
-      currentRequest = null;
-      currentId = null;
-    }
+  /** Reads without having been reported as ready; bytes found so show that nobody watches. */
+  void readDirectly() {
+    selectorWatch = selectorWatch.beginDirectRead();
+    DirectRead.readOnce(context.channel());
+    selectorWatch = selectorWatch.endDirectRead();
   }
 
-  /**
-   * The client sends no more. One that is not answered yet has most likely given up, so that its
-   * message is not taken on; but it may have closed its sending side only, and is told so.
-   */
   @Override
-  public void userEventTriggered(final ChannelHandlerContext ctx, final Object event) {
-    if (event != ChannelInputShutdownEvent.INSTANCE) {
-      return;
-    }
-    if (currentId != null && !ingressHandler.isAnsweredOnThisLoop(currentDestination)) {
-      // Its answer is on its way from another loop, where its first attempt may have begun.
-      finalStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
-    } else if (currentId != null) {
-      finalStatus = HttpResponseStatus.SERVICE_UNAVAILABLE;
-      ingressHandler.withdraw(currentId, currentDestination);
-      respond(HttpResponseStatus.SERVICE_UNAVAILABLE, HALF_CLOSED_RETRY_AFTER_US);
-    } else if (isClosing() || (currentRequest == null && queuedRequests.isEmpty())) {
-      closeNow();
-    } else {
-      finalStatus = HttpResponseStatus.BAD_REQUEST;
-    }
+  public void channelActive(final ChannelHandlerContext ctx) {
+    context = ctx;
+    pipeline = new HibernatingPipeline(ctx, this::onBytesReceived);
+    ingress.connections().onOpened(this);
   }
 
-  /** Bytes have come, perhaps too few to make a head. */
-  void onBytesReceived(final ByteBuf bytes) {
-    lastReceivedUs = clock.nowUs();
-    if (directReadActive && !unwatched) {
-      unwatched = true;
-      Log.event(
-          Event.CONNECTION_UNWATCHED,
-          "client",
-          context.channel().remoteAddress(),
-          "after_us",
-          lastReceivedUs - idleSinceUs);
+  /** Notes that bytes were received, perhaps too few for the head of a request. */
+  private void onBytesReceived(final ByteBuf bytes) {
+    lastReceivedUs = ingress.clock().nowUs();
+    if (selectorWatch == SelectorWatch.READING_DIRECTLY) {
+      selectorWatch = SelectorWatch.UNWATCHED;
+      ClientConnectionLog.unwatched(
+          context.channel().remoteAddress(), lastReceivedUs - idleSinceUs);
     }
-    receiveTime.onRead(lastReceivedUs, turns.previousPollUs(), bytes.isWritable());
+    receiveTime.onRead(lastReceivedUs, ingress.polls().previousPollUs(), bytes.isWritable());
     if (hasSentRequest && isIdle()) {
-      ingress.recordKeepAliveOutcome(true);
+      ingress.connections().recordKeepAliveOutcome(true);
     }
     markRequestStarted();
   }
 
   private void markRequestStarted() {
-    if (requestStartedUs == Long.MAX_VALUE) {
-      requestStartedUs = clock.nowUs();
+    if (!isReceivingRequest()) {
+      requestStartedUs = ingress.clock().nowUs();
     }
   }
 
   @Override
   public void channelRead(final ChannelHandlerContext ctx, final Object part) {
-    if (isHibernating() && part instanceof ByteBuf bytes && !discardingInput) {
-      if (deferredBytes == null
-          && (bytes.readableBytes() > MAX_DEFERRED_BYTES || !ingress.mustQueueWakeUp())) {
-        wakeUp(bytes);
-      } else {
-        deferWakeUp(bytes);
-      }
+    if (pipeline.isHibernating() && part instanceof ByteBuf bytes && phase != Phase.CLOSING) {
+      onBytesWhileHibernating(bytes);
       return;
     }
     try {
       if (part instanceof HttpObject object && !isClosing()) {
         onHttpObject(object);
-      } else if (part instanceof ByteBuf bytes && discardingInput) {
-        // It is read away, within bounds, lest a reset overtake the answer.
-        discardedBytes += bytes.readableBytes();
-        if (discardedBytes > MAX_DISCARDED_BYTES) {
-          ctx.close();
-        }
+      } else if (part instanceof ByteBuf bytes && phase == Phase.CLOSING) {
+        discard(bytes);
       }
     } finally {
       ReferenceCountUtil.release(part);
     }
   }
 
-  private void onHttpObject(final HttpObject part) {
-    if (part.decoderResult().isFailure()) {
-      final Throwable cause = part.decoderResult().cause();
-      reject(
-          cause instanceof TooLongHttpLineException
-              ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-              : cause instanceof TooLongHttpHeaderException
-                  ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-                  : HttpResponseStatus.BAD_REQUEST);
-      return;
+  /** Discards input, within a limit, since a reset could overtake the last response. */
+  private void discard(final ByteBuf bytes) {
+    discardedBytes += bytes.readableBytes();
+    if (discardedBytes > MAX_DISCARDED_BYTES) {
+      context.close();
     }
-    if (part instanceof HttpRequest request) {
-      requestHead = request;
-      readingBody = true;
+  }
+
+  private void onHttpObject(final HttpObject part) {
+    if (part instanceof HttpRequest && !part.decoderResult().isFailure()) {
       markRequestStarted();
-      if (!RequestDecoder.hasUnambiguousFraming(request)) {
-        reject(HttpResponseStatus.BAD_REQUEST);
-        return;
-      }
-      if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
-        reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-        return;
-      }
     }
-    if (part instanceof HttpContent content && readingBody) {
-      final int more = content.content().readableBytes();
-      if (requestBody.size() + more > MAX_BODY_BYTES) {
-        reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-        return;
-      }
-      if (!ingress.reserveBodyBytes(more)) {
-        reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
-        return;
-      }
-      final byte[] bytes = new byte[more];
-      content.content().readBytes(bytes);
-      requestBody.writeBytes(bytes);
-      if (part instanceof LastHttpContent) {
-        onRequestComplete();
-      }
+    final Optional<HttpResponseStatus> rejection = assembler.add(part);
+    if (rejection.isPresent()) {
+      reject(rejection.get());
+    } else if (assembler.isComplete()) {
+      onRequestComplete();
     }
   }
 
-  /** A request has come whole: it takes its turn. */
   private void onRequestComplete() {
-    readingBody = false;
     hasSentRequest = true;
-    final long nowUs = clock.nowUs();
-    queuedRequests.add(
-        new QueuedRequest(
-            requestHead,
-            requestBody.toByteArray(),
-            Math.max(receiveTime.earliestUs(), nowUs - SubmitRequest.CLIENT_TIMEOUT_US),
-            requestStartedUs,
-            nowUs));
-    requestStartedUs = Long.MAX_VALUE;
-    queuedBytes += requestBody.size();
-    requestHead = null;
-    requestBody = new ByteArrayOutputStream(0);
+    final long nowUs = ingress.clock().nowUs();
+    final long receivedUs =
+        Math.max(receiveTime.earliestUs(), nowUs - SubmitRequest.CLIENT_TIMEOUT_US);
+    final QueuedRequest request = assembler.take(receivedUs, requestStartedUs, nowUs);
+    queuedRequests.add(request);
+    queuedBodyBytes += request.body().length;
+    requestStartedUs = NO_REQUEST;
     if (queuedRequests.size() > MAX_QUEUED_REQUESTS) {
       reject(HttpResponseStatus.TOO_MANY_REQUESTS);
     }
     serveNext();
   }
 
-  /** Serves requests of one connection in turn, so that their answers keep their order. */
+  // ---------------------------------------------------------------- serving
+
+  /** Serves one request after another, so that the responses keep the order of the requests. */
   private void serveNext() {
-    while (currentRequest == null && !queuedRequests.isEmpty() && !discardingInput) {
+    while (currentRequest == null && !queuedRequests.isEmpty() && phase != Phase.CLOSING) {
       currentRequest = queuedRequests.poll();
-      queuedBytes -= currentRequest.body().length;
-      ingress.releaseBodyBytes(currentRequest.body().length);
-      serve(currentRequest);
+      queuedBodyBytes -= currentRequest.body().length;
+      ingress.bodyBudget().release(currentRequest.body().length);
+      ingress.router().route(this, currentRequest);
     }
-    if (currentRequest == null
-        && queuedRequests.isEmpty()
-        && finalStatus != null
-        && !discardingInput) {
+    if (phase == Phase.FINISHING && !isProcessingRequest()) {
       sendFinalResponse();
     }
     if (!queuedRequests.isEmpty()) {
-      receiveTime.onReadPaused(clock.nowUs());
+      receiveTime.onReadPaused(ingress.clock().nowUs());
     }
     context.channel().config().setAutoRead(queuedRequests.isEmpty());
   }
 
-  private void serve(final QueuedRequest request) {
-    final String uri = request.head().uri();
-    final int query = uri.indexOf('?');
-    final String path = query < 0 ? uri : uri.substring(0, query);
-    if (path.equals("/up")) {
-      if (!request.head().method().equals(HttpMethod.GET)) {
-        respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
-      } else {
-        respond(
-            ingress.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-            0);
-      }
-      return;
-    }
-    final String className = path.substring(Math.min(path.length(), 1)).split("/", 2)[0];
-    final MessageClass kind = ingressHandler.messageClass(className);
-    if (kind == null) {
-      respond(HttpResponseStatus.NOT_FOUND, 0);
-    } else if (!request.head().method().equals(HttpMethod.POST)) {
-      respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
-    } else {
-      submit(request, kind);
-    }
+  /** Notes that the current request is answered by this reply. */
+  void awaitReply(final SubmitReply reply) {
+    currentSubmission = reply;
   }
 
-  private void submit(final QueuedRequest request, final MessageClass kind) {
-    final SubmitRequest handIn = SubmitRequest.parse(request.head().headers(), kind);
-    if (handIn == null) {
-      respond(HttpResponseStatus.BAD_REQUEST, 0);
-      return;
-    }
-    final long validUntilUs =
-        request.receivedUs() + SubmitRequest.remainingTimeUs(handIn.timeoutMs(), kind.deadlineUs());
-    currentId = handIn.id();
-    currentDestination = handIn.destination();
-    final StoredMessage held =
-        new StoredMessage(
-            handIn.id(),
-            kind.name(),
-            handIn.idempotencyKey(),
-            handIn.destination(),
-            validUntilUs,
-            request.body());
-    held.startTimeline(
-        new MessageTimeline(
-            request.receivedUs(),
-            request.firstByteUs(),
-            request.completedUs(),
-            request.receivedUs() + handIn.timeoutMs() * US_PER_MS));
-    ingressHandler.submit(
-        held, validUntilUs, new SubmitReply(request, handIn.id(), handIn.destination()));
-  }
-
-  /** Answers the request that is current, once its message's fate at the door is known. */
-  private final class SubmitReply implements Ingress.Reply {
-    private final QueuedRequest request;
-    private final String id;
-    private final long destination;
-
-    private SubmitReply(final QueuedRequest request, final String id, final long destination) {
-      this.request = request;
-      this.id = id;
-      this.destination = destination;
-    }
-
-    @Override
-    public void accepted() {
-      if (currentRequest == request) {
-        // A client that never gets this counts on nothing: its message is withdrawn.
-        respond(HttpResponseStatus.ACCEPTED, 0)
-            .addListener(
-                done -> {
-                  if (!done.isSuccess()) {
-                    ingressHandler.withdraw(id, destination);
-                  }
-                });
-      }
-    }
-
-    @Override
-    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      respondIfCurrent(
-          why == Ingress.RejectionReason.NO_ROOM
-              ? HttpResponseStatus.SERVICE_UNAVAILABLE
-              : HttpResponseStatus.TOO_MANY_REQUESTS,
-          retryAfterUs);
-    }
-
-    @Override
-    public void failed() {
-      respondIfCurrent(HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
-    }
-
-    @Override
-    public void invalid(final Ingress.InvalidReason fault) {
-      Log.event(Event.REQUEST_UNUSABLE, "id", id, "dest", destination, "why", fault);
-      respondIfCurrent(
-          fault == Ingress.InvalidReason.NO_DESTINATION
-              ? HttpResponseStatus.NOT_FOUND
-              : HttpResponseStatus.CONFLICT,
-          0);
-    }
-
-    /** Its connection may have ended meanwhile, and then nobody is told. */
-    private void respondIfCurrent(final HttpResponseStatus status, final long retryAfterUs) {
-      if (currentRequest == request) {
-        respond(status, retryAfterUs);
-      }
-    }
+  /** Withdraws a message whose client does not know whether it was accepted. */
+  void withdraw(final SubmitReply submission) {
+    ingress.handler().withdraw(submission.messageId(), submission.destination());
   }
 
-  private ChannelFuture respond(final HttpResponseStatus status, final long retryAfterUs) {
-    // Who asks for what cannot be had is not trusted with what it sends behind it.
-    final boolean good =
-        status.code() < HttpResponseStatus.BAD_REQUEST.code()
-            || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
-            || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-            || status.equals(HttpResponseStatus.INTERNAL_SERVER_ERROR);
-    final boolean keep =
-        good
-            && HttpUtil.isKeepAlive(currentRequest.head())
-            && !ingress.isDraining()
-            && finalStatus == null
-            && !unwatched;
+  // ---------------------------------------------------------------- responding
+
+  /** Sends the response to the current request; {@code retryAfterUs} is 0 for no such header. */
+  ChannelFuture respond(final HttpResponseStatus status, final long retryAfterUs) {
+    final boolean reusable = ClientResponses.allowsReuse(status);
+    final boolean keepAlive =
+        reusable
+            && currentRequest.isKeepAlive()
+            && !ingress.draining().getAsBoolean()
+            && phase == Phase.OPEN
+            && selectorWatch != SelectorWatch.UNWATCHED;
     currentRequest = null;
-    currentId = null;
-    idleSinceUs = clock.nowUs();
-    final boolean plain = keep && status == HttpResponseStatus.ACCEPTED;
-    final var response = plain ? null : emptyResponse(status);
-    if (retryAfterUs > 0) {
-      response
-          .headers()
-          .set(
-              HttpHeaderNames.RETRY_AFTER,
-              String.format(Locale.ROOT, "%.3f", retryAfterUs / US_PER_SECOND));
+    currentSubmission = null;
+    idleSinceUs = ingress.clock().nowUs();
+    if (keepAlive && status == HttpResponseStatus.ACCEPTED) {
+      return continueAfter(pipeline.writeEncoded(ClientResponses.accepted()));
     }
-    if ((!keep && queuedRequests.isEmpty()) || !good) {
-      response.headers().set(HttpHeaderNames.CONNECTION, "close");
+    final DefaultFullHttpResponse response = ClientResponses.empty(status, retryAfterUs);
+    if (!reusable || (!keepAlive && queuedRequests.isEmpty())) {
       return respondAndClose(response);
     }
-    final ChannelFuture written =
-        plain
-            ? encoderContext.writeAndFlush(ACCEPTED_RESPONSE.duplicate())
-            : context.writeAndFlush(response);
-    if (context.channel().isWritable()) {
-      if (!queuedRequests.isEmpty() || finalStatus != null) {
-        context.executor().execute(this::serveNext);
-      }
-    } else {
-      // It asks and does not read what it is told.
+    return continueAfter(context.writeAndFlush(response));
+  }
+
+  /** Serves the next request, unless the client does not read its responses. */
+  private ChannelFuture continueAfter(final ChannelFuture written) {
+    if (!context.channel().isWritable()) {
       logClosed("does_not_read");
       context.close();
+    } else if (!queuedRequests.isEmpty() || phase == Phase.FINISHING) {
+      context.executor().execute(this::serveNext);
     }
     return written;
   }
 
-  /** Turns away what cannot be read, once what was read before it is answered. */
+  /** Reads no further request, and sends this status once the earlier requests are answered. */
   void reject(final HttpResponseStatus status) {
-    Log.event(
-        Event.CONNECTION_CLOSED,
-        "client",
+    ClientConnectionLog.rejected(
         context.channel().remoteAddress(),
-        "why",
         status.code(),
-        "id",
-        currentId,
-        "queued",
+        currentMessageId(),
         queuedRequests.size());
-    finalStatus = status;
-    readingBody = false;
-    ingress.releaseBodyBytes(requestBody.size());
-    requestBody = new ByteArrayOutputStream(0);
-    if (currentRequest == null && queuedRequests.isEmpty()) {
+    finishWith(status);
+    assembler.discard();
+    if (!isProcessingRequest()) {
       sendFinalResponse();
     }
   }
 
+  private void finishWith(final HttpResponseStatus status) {
+    finalStatus = status;
+    phase = Phase.FINISHING;
+  }
+
   private void sendFinalResponse() {
-    final var response = emptyResponse(finalStatus);
-    response.headers().set(HttpHeaderNames.CONNECTION, "close");
-    respondAndClose(response);
+    respondAndClose(ClientResponses.empty(finalStatus));
   }
 
-  /**
-   * The last answer of a connection; what still comes is read away for a while and not looked at.
-   */
   private ChannelFuture respondAndClose(final DefaultFullHttpResponse response) {
-    finalStatus = response.status();
-    ingress.releaseBodyBytes(queuedBytes);
-    queuedBytes = 0;
-    queuedRequests.clear();
+    response.headers().set(HttpHeaderNames.CONNECTION, "close");
+    phase = Phase.CLOSING;
+    releaseQueuedRequests();
     final ChannelFuture written = context.writeAndFlush(response);
     closeOutputAfter(written);
     return written;
   }
 
+  private void releaseQueuedRequests() {
+    ingress.bodyBudget().release(queuedBodyBytes);
+    queuedBodyBytes = 0;
+    queuedRequests.clear();
+  }
+
   /**
-   * Says no more once that is written. What still comes is read away for a while and not looked at:
-   * a close over bytes that were not read would reset the connection, and take back answers that
-   * are on their way. Whoever sent them sends them again on another connection.
+   * Ends the output once that is written, and discards further input for a while: closing with
+   * unread input would reset the connection, and destroy responses that are in flight. A client
+   * repeats on another connection what was discarded.
    */
   private void closeOutputAfter(final ChannelFuture written) {
-    discardingInput = true;
-    if (context.pipeline().get(RequestDecoder.class) != null) {
-      context.pipeline().remove(RequestDecoder.class);
-    }
+    phase = Phase.CLOSING;
+    pipeline.removeDecoder();
     context.channel().config().setAutoRead(true);
     written.addListener(
         done -> {
@@ -722,11 +414,86 @@
         });
   }
 
-  private static DefaultFullHttpResponse emptyResponse(final HttpResponseStatus status) {
-    final var response =
-        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    return response;
+  // ---------------------------------------------------------------- closing
+
+  /** Closes the connection gracefully if it is idle. */
+  void closeIfIdle() {
+    if (isIdle() && ingress.connections().moveToClosing(this)) {
+      closeOutputAfter(context.newSucceededFuture());
+    }
+  }
+
+  /** Closes an idle connection, and rejects a request that has not been received completely. */
+  void rejectIncomplete() {
+    closeIfIdle();
+    if (!isClosing() && isReceivingRequest()) {
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    }
+  }
+
+  /** Closes the connection; it is not counted from now on, before its channel reports the end. */
+  void closeNow() {
+    logClosed("makes_room");
+    ingress.connections().onClosed(this);
+    context.close();
+  }
+
+  /** Logs that this side closes the connection, unless it is between two requests. */
+  private void logClosed(final String reason) {
+    if (isProcessingRequest() || isReceivingRequest()) {
+      ClientConnectionLog.closed(
+          context.channel().remoteAddress(),
+          reason,
+          currentMessageId(),
+          queuedRequests.size(),
+          isReceivingRequest());
+    }
+  }
+
+  private String currentMessageId() {
+    return currentSubmission == null ? null : currentSubmission.messageId();
+  }
+
+  @Override
+  public void channelInactive(final ChannelHandlerContext ctx) {
+    if (hasSentRequest && isIdle()) {
+      ingress.connections().recordKeepAliveOutcome(false);
+    }
+    ingress.connections().onClosed(this);
+    assembler.discard();
+    releaseQueuedRequests();
+    if (currentSubmission != null) {
+      ClientConnectionLog.unanswered(
+          ctx.channel().remoteAddress(),
+          currentSubmission.messageId(),
+          ingress.clock().nowUs() - currentRequest.completedUs());
+      withdraw(currentSubmission);
+      currentRequest = null;
+      currentSubmission = null;
+    }
+  }
+
+  /**
+   * Handles that the client has closed its sending side. If it is not answered yet it has most
+   * likely given up, so that its message is withdrawn; but it may still read, and is answered.
+   */
+  @Override
+  public void userEventTriggered(final ChannelHandlerContext ctx, final Object event) {
+    if (event != ChannelInputShutdownEvent.INSTANCE) {
+      return;
+    }
+    if (currentSubmission != null) {
+      finishWith(HttpResponseStatus.SERVICE_UNAVAILABLE);
+      // Otherwise the reply comes from another loop, where the first attempt may have begun.
+      if (ingress.handler().isAnsweredOnThisLoop(currentSubmission.destination())) {
+        withdraw(currentSubmission);
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, HALF_CLOSED_RETRY_AFTER_US);
+      }
+    } else if (isClosing() || !isProcessingRequest()) {
+      closeNow();
+    } else {
+      finishWith(HttpResponseStatus.BAD_REQUEST);
+    }
   }
 
   @Override
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/ClientListener.java
@@ -0,0 +1,153 @@
+package thistleturn.courier.http;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.ServerChannelRecvByteBufAllocator;
+import io.netty.channel.socket.nio.NioChannelOption;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.StandardSocketOptions;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CompletionStage;
+import java.util.concurrent.TimeUnit;
+import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.Log;
+import thistleturn.courier.transport.DirectRead;
+import thistleturn.courier.transport.RetryingServerSocketChannel;
+import thistleturn.courier.transport.RetryingSocketChannel;
+
+/**
+ * The listening socket of an ingress. When it is closed, the connections in its backlog are
+ * accepted first, since the system would reset them.
+ */
+final class ClientListener {
+  /** Limits one read from a connection, so that a flooding client does not delay the others. */
+  private static final int MAX_READ_BYTES = 1 << 14;
+
+  private static final int BACKLOG = 256;
+  private static final long FINAL_ACCEPT_TIMEOUT_US = 1_000_000;
+  private static final long FINAL_ACCEPT_RETRY_DELAY_US = 1000;
+  private static final ChannelOption<Boolean> REUSE_PORT =
+      NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+
+  private final IngressContext ingress;
+  private final EventLoopGroup group;
+  private final EventLoop loop;
+  private Channel channel;
+  private ServerSocketChannel serverSocket;
+  private boolean acceptingBacklog;
+
+  /** Creates a listener that accepts on the group; the loop owns all connections. */
+  ClientListener(final IngressContext ingress, final EventLoopGroup group, final EventLoop loop) {
+    this.ingress = ingress;
+    this.group = group;
+    this.loop = loop;
+  }
+
+  /**
+   * Begins to listen.
+   *
+   * @param reusePort true if other listeners share the address; the system then distributes the
+   *     connections
+   * @return the address in use
+   */
+  CompletionStage<String> bind(final InetSocketAddress address, final boolean reusePort) {
+    try {
+      serverSocket = ServerSocketChannel.open();
+    } catch (final IOException e) {
+      return CompletableFuture.failedFuture(e);
+    }
+    final ChannelFuture bound = bootstrap(reusePort).bind(address);
+    channel = bound.channel();
+    final CompletableFuture<String> listening = new CompletableFuture<>();
+    bound.addListener(
+        done -> {
+          if (done.isSuccess()) {
+            listening.complete(channel.localAddress().toString().replaceFirst(".*/", ""));
+          } else {
+            listening.completeExceptionally(done.cause());
+          }
+        });
+    return listening;
+  }
+
+  private ServerBootstrap bootstrap(final boolean reusePort) {
+    final AcceptHandler acceptHandler = new AcceptHandler(ingress.clock(), ingress.polls());
+    return new ServerBootstrap()
+        .group(group)
+        .channelFactory(() -> new RetryingServerSocketChannel(serverSocket))
+        .option(REUSE_PORT, reusePort)
+        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .option(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new ServerChannelRecvByteBufAllocator()
+                .maxMessagesPerRead(AcceptHandler.MAX_ACCEPTS_PER_POLL))
+        .handler(acceptHandler)
+        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new AdaptiveRecvByteBufAllocator(
+                    MAX_READ_BYTES / 16, MAX_READ_BYTES / 8, MAX_READ_BYTES)
+                .maxMessagesPerRead(1))
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(final Channel accepted) {
+                accepted
+                    .pipeline()
+                    .addLast(new ClientConnection(ingress, acceptHandler.earliestAcceptUs()));
+              }
+            });
+  }
+
+  /** Accepts once without having been reported as ready, in case the selector does not watch. */
+  void acceptDirectly() {
+    if (channel != null && channel.isActive() && channel.config().isAutoRead()) {
+      DirectRead.readOnce(channel);
+    }
+  }
+
+  /** True while the listener is being closed, and connections in its backlog may be accepted. */
+  boolean isAcceptingBacklog() {
+    return acceptingBacklog;
+  }
+
+  /** Accepts the connections in the backlog, and closes the listener. */
+  void close() {
+    if (channel.isOpen()) {
+      acceptBacklogAndClose(ingress.clock().nowUs() + FINAL_ACCEPT_TIMEOUT_US);
+    }
+  }
+
+  private void acceptBacklogAndClose(final long untilUs) {
+    acceptingBacklog = false;
+    try {
+      for (SocketChannel next = serverSocket.accept(); next != null; next = serverSocket.accept()) {
+        channel.pipeline().fireChannelRead(new RetryingSocketChannel(channel, next));
+      }
+      channel.pipeline().fireChannelReadComplete();
+    } catch (final IOException | ChannelException e) {
+      if (ingress.clock().nowUs() < untilUs) {
+        Log.event(Event.ACCEPT_FAILED, "at", channel.localAddress(), "cause", e, "closing", true);
+        acceptingBacklog = true;
+        loop.schedule(
+            () -> acceptBacklogAndClose(untilUs),
+            FINAL_ACCEPT_RETRY_DELAY_US,
+            TimeUnit.MICROSECONDS);
+        return;
+      }
+      Log.event(Event.ACCEPT_GIVEN_UP, "at", channel.localAddress(), "cause", e);
+    }
+    channel.close();
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/IngressContext.java
@@ -0,0 +1,28 @@
+package thistleturn.courier.http;
+
+import java.util.function.BooleanSupplier;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.PollTracker;
+
+/**
+ * What all client connections of one ingress share.
+ *
+ * @param handler accepts the messages that clients submit
+ * @param router serves the requests of the connections
+ * @param connections manages the lifetime of the connections
+ * @param wakeUps throttles the wake-ups of hibernating connections
+ * @param bodyBudget limits the memory that buffered request bodies use
+ * @param draining true while each response ends its connection
+ * @param clock the clock of all timestamps
+ * @param polls when the event loop polled its sockets
+ */
+record IngressContext(
+    IngressHandler handler,
+    RequestRouter router,
+    ClientConnectionManager connections,
+    WakeUpQueue wakeUps,
+    RequestBodyBudget bodyBudget,
+    BooleanSupplier draining,
+    Clock clock,
+    PollTracker polls) {}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/RequestAssembler.java
@@ -0,0 +1,119 @@
+package thistleturn.courier.http;
+
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.handler.codec.http.TooLongHttpHeaderException;
+import io.netty.handler.codec.http.TooLongHttpLineException;
+import java.io.ByteArrayOutputStream;
+import java.util.Optional;
+
+/**
+ * Assembles the requests of one connection from the parts that the decoder emits, within the limits
+ * of a single body and of the shared budget.
+ */
+final class RequestAssembler {
+  private static final int MAX_BODY_BYTES = 1 << 16;
+
+  private final RequestBodyBudget bodyBudget;
+  private HttpRequest head;
+
+  /** Replaced after each request, so that an idle connection keeps no buffer. */
+  private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
+
+  private Progress progress = Progress.AWAITING_HEAD;
+
+  /** How far the present request has been received. */
+  private enum Progress {
+    AWAITING_HEAD,
+    RECEIVING_BODY,
+    COMPLETE
+  }
+
+  RequestAssembler(final RequestBodyBudget bodyBudget) {
+    this.bodyBudget = bodyBudget;
+  }
+
+  /**
+   * Adds the next part.
+   *
+   * @return the status with which the request has to be rejected; empty if the part is valid
+   */
+  Optional<HttpResponseStatus> add(final HttpObject part) {
+    if (part.decoderResult().isFailure()) {
+      return Optional.of(rejectionOf(part.decoderResult().cause()));
+    }
+    if (part instanceof HttpRequest request) {
+      head = request;
+      progress = Progress.RECEIVING_BODY;
+      if (!RequestDecoder.hasUnambiguousFraming(request)) {
+        return Optional.of(HttpResponseStatus.BAD_REQUEST);
+      }
+      if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
+        return Optional.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+      }
+    }
+    if (part instanceof HttpContent content && progress == Progress.RECEIVING_BODY) {
+      return append(content);
+    }
+    return Optional.empty();
+  }
+
+  private Optional<HttpResponseStatus> append(final HttpContent content) {
+    final int size = content.content().readableBytes();
+    if (body.size() + size > MAX_BODY_BYTES) {
+      return Optional.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+    }
+    if (!bodyBudget.tryReserve(size)) {
+      return Optional.of(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    }
+    final byte[] bytes = new byte[size];
+    content.content().readBytes(bytes);
+    body.writeBytes(bytes);
+    if (content instanceof LastHttpContent) {
+      progress = Progress.COMPLETE;
+    }
+    return Optional.empty();
+  }
+
+  private static HttpResponseStatus rejectionOf(final Throwable decoderFailure) {
+    if (decoderFailure instanceof TooLongHttpLineException) {
+      return HttpResponseStatus.REQUEST_URI_TOO_LONG;
+    }
+    if (decoderFailure instanceof TooLongHttpHeaderException) {
+      return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
+    }
+    return HttpResponseStatus.BAD_REQUEST;
+  }
+
+  /** True if the last part completed a request, which has to be taken then. */
+  boolean isComplete() {
+    return progress == Progress.COMPLETE;
+  }
+
+  /**
+   * Takes the complete request. Its body stays reserved in the budget; that is released by whoever
+   * took it.
+   */
+  QueuedRequest take(final long receivedUs, final long firstByteUs, final long completedUs) {
+    final QueuedRequest request =
+        new QueuedRequest(head, body.toByteArray(), receivedUs, firstByteUs, completedUs);
+    clear();
+    return request;
+  }
+
+  /** Drops what has been received of the present request, and releases its bytes. */
+  void discard() {
+    bodyBudget.release(body.size());
+    clear();
+  }
+
+  private void clear() {
+    progress = Progress.AWAITING_HEAD;
+    head = null;
+    body = new ByteArrayOutputStream(0);
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
+++ b/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
@@ -1,68 +1,96 @@
 package thistleturn.courier.http;
 
 import io.netty.handler.codec.http.HttpHeaders;
+import thistleturn.courier.port.MessageTimeline;
+import thistleturn.courier.port.StoredMessage;
 import thistleturn.decisions.model.Idempotence;
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * What the headers of a request say that hands a message in. {@code idempotencyKey} is null where
- * none was given; {@code timeoutMs} counts from when its client sent it.
+ * The headers of a request that submits a message.
+ *
+ * @param timeoutMs how long the message may be delivered, counted from when the client sent it
+ * @param idempotencyKey null if none was given
  */
 record SubmitRequest(String id, long timeoutMs, long destination, String idempotencyKey) {
   private static final int MAX_ID_CHARS = 128;
   private static final char DELETE = 0x7f;
   private static final char MAX_HEADER_CHAR = 0xff;
   private static final long US_PER_MS = 1000;
+  private static final long INVALID = -1;
 
-  /** What a request's way to this machine, and the clocks, may take at most, us. */
+  /** The time that a request may spend in transit, including the differences of clocks. */
   private static final long MAX_TRANSIT_US = 200_000;
 
-  /**
-   * A client waits no longer for its answer, us: what lay unread for longer is wanted by nobody.
-   */
+  /** A client waits no longer for its response; what lay unread for longer has been given up. */
   static final long CLIENT_TIMEOUT_US = 400_000;
 
-  /** Reads the headers; null if they lack something or contradict the class. */
-  static SubmitRequest parse(final HttpHeaders headers, final MessageClass kind) {
+  /** Parses the headers; returns null if they are incomplete or contradict the message class. */
+  static SubmitRequest parse(final HttpHeaders headers, final MessageClass messageClass) {
     final String id = headers.get("X-Request-ID", "");
     final long timeoutMs = parseNonNegative(headers.get("X-Timeout-Ms"));
-    final long destination = destination(headers.get("X-Consignee"));
+    final long destination = parseDestination(headers.get("X-Consignee"));
     final String key = headers.get("Idempotency-Key");
-    final boolean keyed = kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY;
-    if (!isHeaderSafe(id)
-        || (key != null && !isHeaderSafe(key))
-        || id.isEmpty()
-        || id.length() > MAX_ID_CHARS
-        || timeoutMs < 0
-        || destination < 0
-        || !kind.name().equals(headers.get("X-Priority-Class"))
-        || (keyed && (key == null || key.isEmpty()))) {
-      return null;
+    final boolean valid =
+        isValidId(id)
+            && isValidKey(key, messageClass)
+            && timeoutMs >= 0
+            && destination >= 0
+            && messageClass.name().equals(headers.get("X-Priority-Class"));
+    return valid ? new SubmitRequest(id, timeoutMs, destination, key) : null;
+  }
+
+  private static boolean isValidId(final String id) {
+    return !id.isEmpty() && id.length() <= MAX_ID_CHARS && isHeaderSafe(id);
+  }
+
+  private static boolean isValidKey(final String key, final MessageClass messageClass) {
+    if (key == null || key.isEmpty()) {
+      return messageClass.idempotence() != Idempotence.IDEMPOTENT_BY_KEY;
     }
-    return new SubmitRequest(id, timeoutMs, destination, key);
+    return isHeaderSafe(key);
+  }
+
+  /** When the message expires: by its own timeout or by the deadline of its class. */
+  long deadlineUs(final QueuedRequest request, final MessageClass messageClass) {
+    return request.receivedUs() + remainingTimeUs(timeoutMs, messageClass.deadlineUs());
   }
 
   /**
-   * How long a message may still be delivered, us, from its arrival on. Its time runs from when it
-   * was sent; how long it lay unread on this machine is not in here, since that is known ({@link
-   * ReceiveTimeBound}).
+   * How long a message may still be delivered, us, from when it reached this machine. Its timeout
+   * began when it was sent. How long it lay unread here is not deducted, since that is known
+   * ({@link ReceiveTimeBound}).
    */
-  static long remainingTimeUs(final long timeoutMs, final long deadlineUs) {
-    final long lifeUs = Math.min(timeoutMs, deadlineUs / US_PER_MS) * US_PER_MS;
-    return lifeUs - Math.min(MAX_TRANSIT_US, lifeUs / 4);
+  static long remainingTimeUs(final long timeoutMs, final long classDeadlineUs) {
+    final long timeoutUs = Math.min(timeoutMs, classDeadlineUs / US_PER_MS) * US_PER_MS;
+    return timeoutUs - Math.min(MAX_TRANSIT_US, timeoutUs / 4);
+  }
+
+  /** The message that the request submits. */
+  StoredMessage toMessage(
+      final QueuedRequest request, final MessageClass messageClass, final long deadlineUs) {
+    final StoredMessage message =
+        new StoredMessage(
+            id, messageClass.name(), idempotencyKey, destination, deadlineUs, request.body());
+    message.startTimeline(
+        new MessageTimeline(
+            request.receivedUs(),
+            request.firstByteUs(),
+            request.completedUs(),
+            request.receivedUs() + timeoutMs * US_PER_MS));
+    return message;
   }
 
-  /** A whole number that is not negative, or -1. */
   private static long parseNonNegative(final String text) {
     try {
-      return text == null ? -1 : Math.max(-1, Long.parseLong(text.trim()));
+      return text == null ? INVALID : Math.max(INVALID, Long.parseLong(text.trim()));
     } catch (final NumberFormatException e) {
-      return -1;
+      return INVALID;
     }
   }
 
-  /** The destination that a header of {@code name=value} pairs names, or -1. */
-  private static long destination(final String text) {
+  /** The destination that a header of {@code name=value} pairs names. */
+  private static long parseDestination(final String text) {
     if (text != null) {
       for (final String pair : text.split("[,;]")) {
         final String trimmed = pair.trim();
@@ -71,11 +99,13 @@
         }
       }
     }
-    return -1;
+    return INVALID;
   }
 
-  /** True for what can stand in a header: it goes on to an endpoint as it is. */
+  /** True if the text can be forwarded unchanged in a header. */
   private static boolean isHeaderSafe(final String text) {
-    return text.chars().allMatch(one -> one >= ' ' && one != DELETE && one <= MAX_HEADER_CHAR);
+    return text.chars()
+        .allMatch(
+            character -> character >= ' ' && character != DELETE && character <= MAX_HEADER_CHAR);
   }
 }
