--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/BulkResponseParser.java
@@ -0,0 +1,47 @@
+package thistleturn.courier.http;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.Map;
+import thistleturn.courier.port.Dispatcher.DispatchOutcome;
+import thistleturn.courier.runtime.Json;
+import thistleturn.decisions.model.AttemptResult;
+
+/** Parses the responses to calls with several messages: a JSON array with a state for each. */
+final class BulkResponseParser {
+  private final Map<String, String> statesById = new HashMap<>();
+  private final DispatchOutcome callOutcome;
+
+  /**
+   * Parses a body. If that fails none of the messages has a state.
+   *
+   * @param callOutcome has the Retry-After and the load report of the response
+   */
+  BulkResponseParser(final byte[] body, final DispatchOutcome callOutcome) {
+    this.callOutcome = callOutcome;
+    try {
+      for (final JsonNode item : Json.read(body)) {
+        statesById.put(item.path("id").asText(), item.path("state").asText());
+      }
+    } catch (final IOException e) {
+      statesById.clear();
+    }
+  }
+
+  /** The outcome of one message; one without a known state may have been executed. */
+  DispatchOutcome outcomeOf(final String messageId) {
+    return switch (statesById.getOrDefault(messageId, "")) {
+      case "accepted" -> outcome(AttemptResult.DELIVERED, true);
+      case "deferred" -> outcome(AttemptResult.REFUSED, false);
+      case "expired" -> outcome(AttemptResult.NOT_SENT, true);
+      case "no_more" -> outcome(AttemptResult.NOT_SENT, false);
+      default -> outcome(AttemptResult.ERROR, false);
+    };
+  }
+
+  private DispatchOutcome outcome(final AttemptResult result, final boolean completed) {
+    return new DispatchOutcome(
+        result, completed, callOutcome.retryAfterUs(), callOutcome.loadReport());
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/http/CallRequestEncoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/CallRequestEncoder.java
@@ -11,7 +11,8 @@
 import thistleturn.courier.runtime.Json;
 
 /**
- * Calls as the protocol writes them: one message with its headers, or several in one JSON array.
+ * Encodes calls as HTTP requests: one message with its headers, or several messages in one JSON
+ * array.
  */
 final class CallRequestEncoder {
   private static final long US_PER_MS = 1000;
@@ -19,26 +20,26 @@
 
   private CallRequestEncoder() {}
 
-  /** The bytes of a call's request; id, key and body go on unchanged. */
+  /** Encodes a call; ids, idempotency keys and bodies are forwarded unchanged. */
   static ByteBuf encode(final HttpCall call, final long nowUs) {
-    final boolean many = call.isBulk();
-    final byte[] body = many ? encodeBulkBody(call) : call.parcels.get(0).message().body();
+    final boolean bulk = call.isBulk();
+    final StoredMessage first = call.attempts().get(0).message();
+    final byte[] body = bulk ? encodeBulkBody(call) : first.body();
     final StringBuilder head = new StringBuilder(INITIAL_HEAD_CAPACITY);
-    head.append(many ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
-    head.append(call.pool.address.getHostString())
+    head.append(bulk ? "POST /inbox/bulk HTTP/1.1\r\nHost: " : "POST /inbox HTTP/1.1\r\nHost: ");
+    head.append(call.pool().address().getHostString())
         .append("\r\nX-Timeout-Ms: ")
-        .append(Math.max(1, (call.deadlineUs - nowUs) / US_PER_MS));
-    if (many) {
+        .append(Math.max(1, (call.deadlineUs() - nowUs) / US_PER_MS));
+    if (bulk) {
       head.append("\r\nContent-Type: application/json");
     } else {
-      final StoredMessage held = call.parcels.get(0).message();
-      head.append("\r\nX-Request-ID: ").append(held.id());
-      if (held.idempotencyKey() != null) {
-        head.append("\r\nIdempotency-Key: ").append(held.idempotencyKey());
+      head.append("\r\nX-Request-ID: ").append(first.id());
+      if (first.idempotencyKey() != null) {
+        head.append("\r\nIdempotency-Key: ").append(first.idempotencyKey());
       }
     }
     head.append("\r\nContent-Length: ").append(body.length).append("\r\n\r\n");
-    // Each character is one byte, as it was when it came in; one buffer is one write.
+    // Each character is one byte, as it was received; one buffer is one write.
     final ByteBuf bytes = Unpooled.buffer(head.length() + body.length);
     bytes.writeCharSequence(head, StandardCharsets.ISO_8859_1);
     return bytes.writeBytes(body);
@@ -46,13 +47,13 @@
 
   private static byte[] encodeBulkBody(final HttpCall call) {
     final ArrayNode items = JsonNodeFactory.instance.arrayNode();
-    for (final Dispatcher.Attempt parcel : call.parcels) {
-      final StoredMessage held = parcel.message();
-      final ObjectNode item = items.addObject().put("id", held.id());
-      if (held.idempotencyKey() != null) {
-        item.put("key", held.idempotencyKey());
+    for (final Dispatcher.Attempt attempt : call.attempts()) {
+      final StoredMessage message = attempt.message();
+      final ObjectNode item = items.addObject().put("id", message.id());
+      if (message.idempotencyKey() != null) {
+        item.put("key", message.idempotencyKey());
       }
-      item.put("body", held.body());
+      item.put("body", message.body());
     }
     return Json.toText(items).getBytes(StandardCharsets.UTF_8);
   }
--- a/courier/src/main/java/thistleturn/courier/http/EndpointConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnection.java
@@ -1,75 +1,60 @@
 package thistleturn.courier.http;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Dispatcher.Attempt;
+import thistleturn.courier.port.Dispatcher.DispatchOutcome;
 import thistleturn.courier.runtime.Clock;
-import thistleturn.courier.runtime.Json;
 import thistleturn.courier.runtime.Log;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.pools.ConnectionLoss;
 
-/** Reads the answers of one connection. */
+/**
+ * One connection to an endpoint, which carries one call at a time. It writes the call, reads its
+ * response and reports the outcome to the dispatcher.
+ */
 final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject>
     implements ResponseDecoder.Listener {
-  private static final int MAX_BODY_BYTES = 1 << 16;
-  private static final int MIN_FINAL_STATUS = 200;
-  private static final int MAX_STATUS = 599;
-
-  /** An answer that has begun comes whole within this, ms: its sender has it all. */
+  /** A response that has begun must be complete within this time: its sender has all of it. */
   private static final long RESPONSE_COMPLETION_TIMEOUT_MS = 500;
 
-  /** For how long the answer to a call that was given up is still looked at. */
+  /** How long the response to an abandoned call is still read, for its Retry-After. */
   private static final long LINGER_MS = 500;
 
   private final HttpDispatcher dispatcher;
   private final EventLoop loop;
   private final Clock clock;
+  private final EndpointResponse response = new EndpointResponse();
   private ChannelHandlerContext context;
+
+  /** The call that is carried now; null while the connection is idle. */
   private HttpCall call;
 
-  /** Whose call was given up here; null: none. Nothing goes over it any more. */
+  /** The pool of the call that was abandoned here; null if none was. No other call follows it. */
   private EndpointConnectionPool abandonedPool;
 
-  /** Where it was last kept while it carried no call; null while it carries its first one. */
+  /** The pool in which the connection was idle last; null while it carries its first call. */
   private EndpointConnectionPool pool;
 
   private long idleSinceUs;
+  private long sentUs;
 
-  /** When its present call was written. */
-  private long writtenUs;
-
-  /** The answer's first line, as soon as it has come; its head, once that has. */
-  private HttpResponse statusLine;
-
-  private HttpResponse responseHead;
-  private boolean keepAlive;
+  /** True while a response has begun and is not complete. */
+  private boolean receivingResponse;
 
-  /** An answer has begun and is not whole. */
-  private boolean responseStarted;
-
-  private ByteArrayOutputStream responseBody;
-
-  /** When an answer that has begun is given up. */
+  /** Ends the wait for the rest of a response. */
   private Future<?> completionTimer;
 
-  EndpointConnection(final HttpDispatcher carrier, final EventLoop loop, final Clock clock) {
-    this.dispatcher = carrier;
+  EndpointConnection(final HttpDispatcher dispatcher, final EventLoop loop, final Clock clock) {
+    this.dispatcher = dispatcher;
     this.loop = loop;
     this.clock = clock;
   }
@@ -78,7 +63,7 @@
     return context.channel().isActive();
   }
 
-  /** Since when it carries no call, us. */
+  /** When the last call of this connection was completed, us. */
   long idleSinceUs() {
     return idleSinceUs;
   }
@@ -88,24 +73,25 @@
     context = added;
   }
 
+  // ---------------------------------------------------------------- sending
+
+  /** Sends a call over this connection, which is idle. */
   void send(final HttpCall next) {
     call = next;
-    writtenUs = clock.nowUs();
-    call.channel = context.channel();
-    call.connection = this;
-    statusLine = null;
-    responseHead = null;
-    responseBody = null;
+    sentUs = clock.nowUs();
+    call.carriedBy(this, context.channel());
+    response.reset();
     context
         .writeAndFlush(CallRequestEncoder.encode(call, clock.nowUs()))
         .addListener(
-            done -> {
-              if (done.isSuccess()) {
+            written -> {
+              if (written.isSuccess()) {
                 dispatcher.onCallWritten(next);
               }
             });
   }
 
+  /** Closes the connection if it is idle. */
   void close() {
     if (call == null) {
       removeFromPool();
@@ -114,16 +100,15 @@
   }
 
   /**
-   * Gives its call up by ending its sending. An answer may be written in that very moment, or lie
-   * there unread: the wait that it tells binds, so that it is read for a while, and counts for
-   * nothing else.
+   * Abandons the call by ending the output. The response may arrive at this moment, or may be
+   * unread already: it is read for a while, but only its Retry-After is used.
    */
   void abandonCall() {
-    abandonedPool = call.pool;
+    abandonedPool = call.pool();
     call = null;
     cancelCompletionTimer();
-    if (responseHead != null) {
-      reportLateRetryAfter(responseHead);
+    if (response.head() != null) {
+      reportLateRetryAfter(response.head());
     }
     if (context.channel() instanceof SocketChannel socket) {
       socket.shutdownOutput();
@@ -131,82 +116,78 @@
     loop.schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void reportLateRetryAfter(final HttpResponse late) {
-    final long waitUs = EndpointResponseParser.retryAfterUs(late);
-    if (waitUs > 0) {
-      dispatcher.toldToWait(abandonedPool, waitUs);
+  private void reportLateRetryAfter(final HttpResponse head) {
+    final long retryAfterUs = applyRetryAfter(abandonedPool, head);
+    if (retryAfterUs > 0) {
+      dispatcher.reportRetryAfter(abandonedPool, retryAfterUs);
     }
   }
 
+  /**
+   * Holds back the unwritten calls that a Retry-After applies to.
+   *
+   * @param head null if it was not received
+   * @return the time to wait, us; 0 if there is none
+   */
+  private long applyRetryAfter(final EndpointConnectionPool source, final HttpResponse head) {
+    final long retryAfterUs = head == null ? 0 : EndpointResponseParser.retryAfterUs(head);
+    if (retryAfterUs > 0) {
+      dispatcher.abandonUnwrittenCalls(source);
+    }
+    return retryAfterUs;
+  }
+
   private void removeFromPool() {
     if (pool != null) {
       dispatcher.removeIdle(this, pool);
     }
   }
 
+  // ---------------------------------------------------------------- reading
+
   @Override
-  protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
+  public void onResponseStarted() {
     if (abandonedPool != null) {
-      if (part instanceof HttpResponse late && part.decoderResult().isSuccess()) {
-        reportLateRetryAfter(late);
-      }
-      return;
-    }
-    if (call == null || part.decoderResult().isFailure()) {
-      // Bytes that answer nothing, or nothing that can be read: this connection cannot be trusted.
-      onConnectionBroken(AttemptResult.ERROR);
       return;
     }
-    if (part instanceof HttpResponse response) {
-      final int code = response.status().code();
-      if (code > MAX_STATUS || !RequestDecoder.hasUnambiguousFraming(response)) {
-        onConnectionBroken(AttemptResult.ERROR);
-        return;
-      }
-      responseHead = response;
-      keepAlive = HttpUtil.isKeepAlive(response);
-    }
-    if (part instanceof HttpContent content) {
-      final int more = content.content().readableBytes();
-      if (more > 0) {
-        responseBody = responseBody == null ? new ByteArrayOutputStream(more) : responseBody;
-        if (responseBody.size() + more > MAX_BODY_BYTES) {
-          onConnectionBroken(AttemptResult.ERROR);
-          return;
-        }
-        appendBody(content.content());
-      }
-    }
-    if (part instanceof LastHttpContent && responseHead != null) {
-      cancelCompletionTimer();
-      if (responseHead.status().code() >= MIN_FINAL_STATUS) {
-        onResponseComplete();
-      } else {
-        statusLine = null;
-        responseHead = null;
-      }
+    if (call == null || !call.isWritten()) {
+      // The bytes belong to no call, or precede the call: they belong to an earlier one.
+      onConnectionBroken(AttemptResult.RESET);
+    } else {
+      receivingResponse = true;
     }
   }
 
   @Override
-  public void onResponseStarted() {
+  public void onStatusLine(final HttpResponse statusLine) {
+    response.onStatusLine(statusLine);
+  }
+
+  @Override
+  protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
     if (abandonedPool != null) {
+      if (part instanceof HttpResponse head && part.decoderResult().isSuccess()) {
+        reportLateRetryAfter(head);
+      }
       return;
     }
-    if (call == null || !call.written) {
-      // It answers no call, or comes before its call: it belongs to an earlier one.
-      onConnectionBroken(AttemptResult.RESET);
-    } else {
-      responseStarted = true;
+    if (call == null || part.decoderResult().isFailure() || !response.add(part)) {
+      // The bytes belong to no call, or are invalid: this connection cannot be trusted.
+      onConnectionBroken(AttemptResult.ERROR);
+      return;
+    }
+    if (part instanceof LastHttpContent) {
+      cancelCompletionTimer();
+    }
+    if (response.isComplete()) {
+      onResponseComplete();
     }
   }
 
-  /**
-   * What has come does not make an answer whole: the rest is waited for. Most come in one piece.
-   */
+  /** Waits for the rest of a response; most responses arrive in one piece. */
   @Override
   public void channelReadComplete(final ChannelHandlerContext ctx) {
-    if (responseStarted && completionTimer == null && call != null) {
+    if (receivingResponse && completionTimer == null && call != null) {
       completionTimer =
           loop.schedule(
               () -> onConnectionBroken(AttemptResult.ERROR),
@@ -216,151 +197,104 @@
     ctx.fireChannelReadComplete();
   }
 
-  @Override
-  public void onStatusLine(final HttpResponse answer) {
-    statusLine = answer;
-  }
-
   private void cancelCompletionTimer() {
-    responseStarted = false;
+    receivingResponse = false;
     if (completionTimer != null) {
       completionTimer.cancel(false);
       completionTimer = null;
     }
   }
 
-  /**
-   * True if the answer to this call says so in its first line; to a call with several messages only
-   * all of it tells.
-   */
-  boolean isDelivered(final HttpCall of) {
-    return of == call
-        && statusLine != null
-        && statusLine.status().code() == EndpointResponseParser.OK
-        && of.written
-        && !of.isBulk()
-        && statusLine.protocolVersion().majorVersion() == 1;
-  }
+  // ---------------------------------------------------------------- outcomes
 
   /**
-   * What a delivery tells whose answer was cut off: waits and reports only if its head came whole.
+   * True if the status line of the response shows that the call was delivered. A call with several
+   * messages needs the complete response.
    */
-  Dispatcher.DispatchOutcome partialDelivery() {
-    return responseHead == null
-        ? new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, 0, null)
-        : EndpointResponseParser.parse(
-            responseHead, EndpointResponseParser.retryAfterUs(responseHead));
+  boolean isDelivered(final HttpCall candidate) {
+    return candidate == call
+        && candidate.isWritten()
+        && !candidate.isBulk()
+        && response.hasDeliveredStatus();
   }
 
-  private void appendBody(final ByteBuf content) {
-    try {
-      content.readBytes(responseBody, content.readableBytes());
-    } catch (final IOException e) {
-      throw new IllegalStateException("writing to memory failed", e);
-    }
+  /** The outcome of a delivery whose response may be incomplete. */
+  DispatchOutcome partialDelivery() {
+    final HttpResponse head = response.head();
+    return head == null
+        ? new DispatchOutcome(AttemptResult.DELIVERED, true, 0, null)
+        : EndpointResponseParser.parse(head, EndpointResponseParser.retryAfterUs(head));
   }
 
   private void onResponseComplete() {
-    final HttpCall done = call;
+    final HttpCall completed = call;
     call = null;
-    if (!dispatcher.removeCall(done)) {
+    if (!dispatcher.removeCall(completed)) {
       context.close();
       return;
     }
-    if (keepAlive && done.written && !done.pool.removed) {
+    if (response.isKeepAlive() && completed.isWritten() && !completed.pool().isRemoved()) {
       idleSinceUs = clock.nowUs();
-      pool = done.pool;
+      pool = completed.pool();
       dispatcher.addIdle(this, pool);
     } else {
       context.close();
     }
-    final long waitUs = EndpointResponseParser.retryAfterUs(responseHead);
-    if (waitUs > 0) {
-      dispatcher.holdBack(done.pool);
-    }
-    final Dispatcher.DispatchOutcome all = EndpointResponseParser.parse(responseHead, waitUs);
-    if (done.isBulk() && responseHead.status().code() == EndpointResponseParser.OK) {
-      reportBulkOutcomes(done, all);
+    final HttpResponse head = response.head();
+    final long retryAfterUs = applyRetryAfter(completed.pool(), head);
+    final DispatchOutcome outcome = EndpointResponseParser.parse(head, retryAfterUs);
+    if (completed.isBulk() && head.status().code() == EndpointResponseParser.OK) {
+      reportBulkOutcomes(completed, outcome);
     } else {
-      dispatcher.report(done, all);
+      dispatcher.report(completed, outcome);
+    }
+  }
+
+  private void reportBulkOutcomes(final HttpCall completed, final DispatchOutcome callOutcome) {
+    final BulkResponseParser bulk = new BulkResponseParser(response.body(), callOutcome);
+    for (final Attempt attempt : completed.attempts()) {
+      dispatcher.report(attempt, completed, bulk.outcomeOf(attempt.message().id()));
     }
   }
 
   /**
-   * The connection has ended, or is of no more use. An answer that cannot be read is an answer all
-   * the same: the destination is there and its work is done, so that counts as an error and not as
-   * a reset.
+   * Ends a connection that has broken or cannot be used any more. An invalid response shows that
+   * the endpoint exists and has handled the call, which is an error and not a reset.
+   *
+   * @param cause {@link AttemptResult#RESET} if the connection was lost
    */
-  private void onConnectionBroken(final AttemptResult spoilt) {
-    final boolean answered = responseStarted || statusLine != null;
+  private void onConnectionBroken(final AttemptResult cause) {
+    final boolean answered = receivingResponse || response.hasStatusLine();
     cancelCompletionTimer();
     removeFromPool();
     context.close();
-    final HttpCall cut = call;
-    final boolean delivered = cut != null && isDelivered(cut);
+    final HttpCall interrupted = call;
+    final boolean delivered = interrupted != null && isDelivered(interrupted);
     call = null;
-    if (cut == null || !dispatcher.removeCall(cut)) {
+    if (interrupted == null || !dispatcher.removeCall(interrupted)) {
       return;
     }
-    if (delivered) {
-      final Dispatcher.DispatchOutcome answer = partialDelivery();
-      if (answer.retryAfterUs() > 0) {
-        dispatcher.holdBack(cut.pool);
-      }
-      dispatcher.report(cut, answer);
-    } else {
-      final ConnectionLoss how =
-          new ConnectionLoss(
-              cut.written,
-              pool != null,
-              answered,
-              clock.nowUs() - writtenUs,
-              cut.pool.handshakeUs());
-      final AttemptResult read =
-          cut.written && spoilt != AttemptResult.RESET ? spoilt : how.result();
-      // What stopped short may have told a wait before that.
-      final long waitUs =
-          responseHead == null ? 0 : EndpointResponseParser.retryAfterUs(responseHead);
-      if (waitUs > 0) {
-        dispatcher.holdBack(cut.pool);
-      }
-      dispatcher.report(cut, new Dispatcher.DispatchOutcome(read, false, waitUs, null));
-    }
+    final AttemptResult result =
+        delivered ? AttemptResult.DELIVERED : failedResult(interrupted, cause, answered);
+    // The head of an incomplete response may have a Retry-After.
+    final long retryAfterUs = applyRetryAfter(interrupted.pool(), response.head());
+    dispatcher.report(
+        interrupted,
+        delivered ? partialDelivery() : new DispatchOutcome(result, false, retryAfterUs, null));
   }
 
-  /** Several messages' ends, each with its state; one that is not named may have run. */
-  private void reportBulkOutcomes(final HttpCall done, final Dispatcher.DispatchOutcome all) {
-    final Map<String, String> states = new HashMap<>();
-    try {
-      for (final JsonNode item :
-          Json.read(responseBody == null ? new byte[0] : responseBody.toByteArray())) {
-        states.put(item.path("id").asText(), item.path("state").asText());
-      }
-    } catch (final IOException e) {
-      // Spoilt: each of them may have run.
-      states.clear();
-    }
-    for (final Dispatcher.Attempt parcel : done.parcels) {
-      final Dispatcher.DispatchOutcome one =
-          switch (states.getOrDefault(parcel.message().id(), "")) {
-            case "accepted" ->
-                new Dispatcher.DispatchOutcome(
-                    AttemptResult.DELIVERED, true, all.retryAfterUs(), all.loadReport());
-            case "deferred" ->
-                new Dispatcher.DispatchOutcome(
-                    AttemptResult.REFUSED, false, all.retryAfterUs(), all.loadReport());
-            case "expired" ->
-                new Dispatcher.DispatchOutcome(
-                    AttemptResult.NOT_SENT, true, all.retryAfterUs(), all.loadReport());
-            case "no_more" ->
-                new Dispatcher.DispatchOutcome(
-                    AttemptResult.NOT_SENT, false, all.retryAfterUs(), all.loadReport());
-            default ->
-                new Dispatcher.DispatchOutcome(
-                    AttemptResult.ERROR, false, all.retryAfterUs(), all.loadReport());
-          };
-      dispatcher.report(parcel, done, one);
+  private AttemptResult failedResult(
+      final HttpCall interrupted, final AttemptResult cause, final boolean answered) {
+    if (interrupted.isWritten() && cause != AttemptResult.RESET) {
+      return cause;
     }
+    return new ConnectionLoss(
+            interrupted.isWritten(),
+            pool != null,
+            answered,
+            clock.nowUs() - sentUs,
+            interrupted.pool().handshakeUs())
+        .result();
   }
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/http/EndpointConnectionPool.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnectionPool.java
@@ -3,43 +3,106 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.Iterator;
+import java.util.List;
 import thistleturn.decisions.model.Endpoint;
+import thistleturn.decisions.model.EndpointState;
 
-/** The connections to one endpoint; its fields are the {@link HttpDispatcher}'s to change. */
+/** The idle connections to one endpoint, and what is known of it. */
 final class EndpointConnectionPool {
-  /** Of one handshake in the mean. */
+  /** The weight of one handshake in the moving average. */
   private static final double HANDSHAKE_SMOOTHING = 0.2;
 
-  final long endpoint;
-  final long destination;
-  final boolean separateRoute;
-  InetSocketAddress address;
+  private final long endpoint;
+  private final long destination;
+  private final boolean separateRoute;
+  private final Deque<EndpointConnection> idle = new ArrayDeque<>();
+  private InetSocketAddress address;
+  private Availability availability;
+  private double handshakeUs;
 
-  /** Idle ones, the one used last at the end. */
-  final Deque<EndpointConnection> idleConnections = new ArrayDeque<>();
+  /** Whether calls may be sent to the endpoint. */
+  private enum Availability {
+    ACCEPTING_CALLS,
+    DRAINING,
+    REMOVED
+  }
 
-  boolean removed;
+  EndpointConnectionPool(
+      final Endpoint endpoint, final boolean separateRoute, final InetSocketAddress address) {
+    this.endpoint = endpoint.id();
+    this.destination = endpoint.destinationId();
+    this.separateRoute = separateRoute;
+    this.address = address;
+    updateState(endpoint.state());
+  }
 
-  /** The list names it as one that wants new calls: not while it drains, nor once it is gone. */
-  boolean acceptsCalls = true;
+  long endpoint() {
+    return endpoint;
+  }
 
-  private double handshakeUs;
+  InetSocketAddress address() {
+    return address;
+  }
 
-  EndpointConnectionPool(
-      final Endpoint entry, final boolean apart, final InetSocketAddress address) {
-    this.endpoint = entry.id();
-    this.destination = entry.destinationId();
-    this.separateRoute = apart;
-    this.address = address;
+  /** Applies the state that the endpoint list reports. */
+  void updateState(final EndpointState state) {
+    availability =
+        state == EndpointState.LISTED ? Availability.ACCEPTING_CALLS : Availability.DRAINING;
+  }
+
+  /** Uses another address from now on; returns false if it is the same. */
+  boolean updateAddress(final InetSocketAddress latest) {
+    final boolean changed = !address.equals(latest);
+    address = latest;
+    return changed;
+  }
+
+  /** Notes that the endpoint list does not contain the endpoint any more. */
+  void markRemoved() {
+    availability = Availability.REMOVED;
   }
 
-  /** A connection was made in so long, us. */
-  void recordHandshake(final long us) {
-    handshakeUs += handshakeUs == 0 ? us : HANDSHAKE_SMOOTHING * (us - handshakeUs);
+  /** True if the endpoint list has the endpoint as available, and not as draining. */
+  boolean acceptsCalls() {
+    return availability == Availability.ACCEPTING_CALLS;
   }
 
-  /** How long that takes, smoothed; 0: none was made yet. */
+  boolean isRemoved() {
+    return availability == Availability.REMOVED;
+  }
+
+  /** True if a Retry-After of this endpoint also applies to calls to the other one. */
+  boolean sharesRetryAfterWith(final EndpointConnectionPool other) {
+    return separateRoute ? other == this : other.destination == destination;
+  }
+
+  /** Notes how long it took to establish a connection. */
+  void recordHandshake(final long durationUs) {
+    handshakeUs += handshakeUs == 0 ? durationUs : HANDSHAKE_SMOOTHING * (durationUs - handshakeUs);
+  }
+
+  /** The smoothed duration of a handshake, us; 0 if no connection has been established. */
   double handshakeUs() {
     return handshakeUs;
   }
+
+  /** Adds an idle connection as the one used last. */
+  void addIdle(final EndpointConnection connection) {
+    idle.addLast(connection);
+  }
+
+  void removeIdle(final EndpointConnection connection) {
+    idle.remove(connection);
+  }
+
+  /** The idle connections, the one used last first; the iterator removes from the pool. */
+  Iterator<EndpointConnection> latestUsedFirst() {
+    return idle.descendingIterator();
+  }
+
+  /** A copy of the idle connections. */
+  List<EndpointConnection> idleSnapshot() {
+    return List.copyOf(idle);
+  }
 }
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointResponse.java
@@ -0,0 +1,119 @@
+package thistleturn.courier.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+
+/** The response to one call, as far as it has been received. */
+final class EndpointResponse {
+  private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final int MIN_FINAL_STATUS = 200;
+  private static final int MAX_STATUS = 599;
+  private static final byte[] NO_BODY = {};
+
+  /** Set as soon as the status line is received; its headers may be missing. */
+  private HttpResponse statusLine;
+
+  /** Set once the head is received completely. */
+  private HttpResponse head;
+
+  private boolean keepAlive;
+
+  /** Null while nothing of a body has been received. */
+  private ByteArrayOutputStream body;
+
+  private boolean complete;
+
+  /** Forgets the response, before the next call. */
+  void reset() {
+    statusLine = null;
+    head = null;
+    body = null;
+    complete = false;
+  }
+
+  /** Notes the status line, before the rest of the head is received. */
+  void onStatusLine(final HttpResponse received) {
+    statusLine = received;
+  }
+
+  /** Adds the next part; returns false if the response is invalid. */
+  boolean add(final HttpObject part) {
+    if (part instanceof HttpResponse response) {
+      if (response.status().code() > MAX_STATUS
+          || !RequestDecoder.hasUnambiguousFraming(response)) {
+        return false;
+      }
+      head = response;
+      keepAlive = HttpUtil.isKeepAlive(response);
+    }
+    if (part instanceof HttpContent content && !append(content.content())) {
+      return false;
+    }
+    if (part instanceof LastHttpContent && head != null) {
+      endResponse();
+    }
+    return true;
+  }
+
+  private boolean append(final ByteBuf content) {
+    final int size = content.readableBytes();
+    if (size == 0) {
+      return true;
+    }
+    body = body == null ? new ByteArrayOutputStream(size) : body;
+    if (body.size() + size > MAX_BODY_BYTES) {
+      return false;
+    }
+    try {
+      content.readBytes(body, size);
+    } catch (final IOException e) {
+      throw new IllegalStateException("writing to memory failed", e);
+    }
+    return true;
+  }
+
+  /** An informational response is skipped: the final one follows it. */
+  private void endResponse() {
+    if (head.status().code() >= MIN_FINAL_STATUS) {
+      complete = true;
+    } else {
+      statusLine = null;
+      head = null;
+    }
+  }
+
+  boolean isComplete() {
+    return complete;
+  }
+
+  boolean hasStatusLine() {
+    return statusLine != null;
+  }
+
+  /** True if the status line shows a delivery, whatever becomes of the rest. */
+  boolean hasDeliveredStatus() {
+    return statusLine != null
+        && statusLine.status().code() == EndpointResponseParser.OK
+        && statusLine.protocolVersion().majorVersion() == 1;
+  }
+
+  /** The complete head; null if it has not been received. */
+  HttpResponse head() {
+    return head;
+  }
+
+  /** True if the endpoint keeps the connection open after this response. */
+  boolean isKeepAlive() {
+    return keepAlive;
+  }
+
+  byte[] body() {
+    return body == null ? NO_BODY : body.toByteArray();
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/http/EndpointResponseParser.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointResponseParser.java
@@ -3,11 +3,11 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.regex.Pattern;
-import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Dispatcher.DispatchOutcome;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.LoadReport;
 
-/** What answers say, read strictly: outcomes, waits and reports. */
+/** Parses the heads of endpoints' responses strictly: outcome, Retry-After and load report. */
 final class EndpointResponseParser {
   static final int OK = 200;
   private static final int GONE = 410;
@@ -15,37 +15,41 @@
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int GATEWAY_TIMEOUT = 504;
   private static final double US_PER_SECOND = 1_000_000;
+  private static final double INVALID = -1;
 
-  /** A number as an answer may tell it: no sign, no exponent, no word. */
+  /** A number without sign and exponent. */
   private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,18})?");
 
-  /** No wait or limit is believed beyond these: an hour and a million calls a second. */
+  /** A longer Retry-After is shortened to this. */
   private static final double MAX_RETRY_AFTER_S = 3600;
 
+  /** A load report with a higher rate is ignored. */
   private static final double MAX_CALLS_PER_SECOND = 1e6;
+
+  /** A share slightly above 1 is noise; a load report with one above this limit is ignored. */
   private static final double MAX_SHARE_LEFT = 2;
 
   private EndpointResponseParser() {}
 
-  /** What an answer with this head says of a message. */
-  static Dispatcher.DispatchOutcome parse(final HttpResponse head, final long waitUs) {
-    final LoadReport allowance = parseLoadReport(head.headers().get("X-Server-Load"));
+  /** The outcome of a call with one message whose response has this head. */
+  static DispatchOutcome parse(final HttpResponse head, final long retryAfterUs) {
+    final LoadReport load = parseLoadReport(head.headers().get("X-Server-Load"));
     final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
     return switch (head.status().code()) {
-      case OK -> new Dispatcher.DispatchOutcome(AttemptResult.DELIVERED, true, waitUs, allowance);
+      case OK -> new DispatchOutcome(AttemptResult.DELIVERED, true, retryAfterUs, load);
       case TOO_MANY_REQUESTS ->
-          new Dispatcher.DispatchOutcome(AttemptResult.REFUSED, false, waitUs, allowance);
+          new DispatchOutcome(AttemptResult.REFUSED, false, retryAfterUs, load);
       case SERVICE_UNAVAILABLE ->
-          new Dispatcher.DispatchOutcome(
-              lineBusy ? AttemptResult.NOT_SENT : AttemptResult.REFUSED, false, waitUs, allowance);
+          new DispatchOutcome(
+              lineBusy ? AttemptResult.NOT_SENT : AttemptResult.REFUSED, false, retryAfterUs, load);
       case GATEWAY_TIMEOUT ->
-          new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, false, waitUs, allowance);
-      case GONE -> new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, true, waitUs, allowance);
-      default -> new Dispatcher.DispatchOutcome(AttemptResult.ERROR, false, waitUs, allowance);
+          new DispatchOutcome(AttemptResult.NOT_SENT, false, retryAfterUs, load);
+      case GONE -> new DispatchOutcome(AttemptResult.NOT_SENT, true, retryAfterUs, load);
+      default -> new DispatchOutcome(AttemptResult.ERROR, false, retryAfterUs, load);
     };
   }
 
-  /** The wait that an answer tells: seconds, with decimals. One that cannot be read is none. */
+  /** The Retry-After of a response, in decimal seconds there; 0 if it is absent or invalid. */
   static long retryAfterUs(final HttpResponse head) {
     final double seconds = parseNumber(head.headers().get(HttpHeaderNames.RETRY_AFTER));
     return seconds >= 0
@@ -53,13 +57,13 @@
         : 0;
   }
 
-  /** What a destination told of its limit; null if it told nothing, or nothing that can be read. */
+  /** Parses the report of a destination's limit; returns null if it is absent or invalid. */
   private static LoadReport parseLoadReport(final String report) {
     if (report == null) {
       return null;
     }
-    double shareLeft = -1;
-    double callsPerSecond = -1;
+    double shareLeft = INVALID;
+    double callsPerSecond = INVALID;
     for (final String field : report.split(",")) {
       final String value = field.substring(field.indexOf('=') + 1);
       if (field.trim().startsWith("x0=")) {
@@ -68,19 +72,19 @@
         callsPerSecond = parseNumber(value);
       }
     }
-    // A little over one is noise; far over it is nonsense.
-    final boolean whole =
-        shareLeft >= 0
-            && shareLeft <= MAX_SHARE_LEFT
-            && callsPerSecond >= 0
-            && callsPerSecond <= MAX_CALLS_PER_SECOND;
-    return whole ? new LoadReport(Math.min(1, shareLeft), callsPerSecond) : null;
+    final boolean valid =
+        isBetweenZeroAnd(MAX_SHARE_LEFT, shareLeft)
+            && isBetweenZeroAnd(MAX_CALLS_PER_SECOND, callsPerSecond);
+    return valid ? new LoadReport(Math.min(1, shareLeft), callsPerSecond) : null;
+  }
+
+  private static boolean isBetweenZeroAnd(final double limit, final double value) {
+    return value >= 0 && value <= limit;
   }
 
-  /** A number that an answer tells, or -1 if it tells none. */
   private static double parseNumber(final String text) {
     return text != null && NUMBER.matcher(text.trim()).matches()
         ? Double.parseDouble(text.trim())
-        : -1;
+        : INVALID;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpCall.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCall.java
@@ -3,70 +3,69 @@
 import io.netty.channel.Channel;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Future;
 import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.transport.DirectRead;
 import thistleturn.decisions.index.TimeHeap;
 
-/** One call: the messages in it, and how far it has come. */
+/** One call: the messages in it, its progress and the connection that carries it. */
 final class HttpCall extends TimeHeap.Entry implements Dispatcher.Call {
-  final EndpointConnectionPool pool;
-  final long endpoint;
-  final long sentUs;
+  /** How often a call is retried if this machine fails to begin its connection. */
+  private static final int MAX_LOCAL_FAILURES = 4;
 
-  /**
-   * When the time of the first of its messages is up: several in a call share one fate, and it is
-   * over for all of them.
-   */
-  final long validUntilUs;
+  private final EndpointConnectionPool pool;
+  private final long endpoint;
+  private final long preparedUs;
+  private final long messageDeadlineUs;
+  private final long deadlineUs;
+  private final long latestSendUs;
+  private final List<Dispatcher.Attempt> attempts;
 
-  /** When it is given up. */
-  final long deadlineUs;
+  /** The pending timers of this call: for a reusable connection, and for the connect timeout. */
+  private final List<Future<?>> timers = new ArrayList<>(0);
 
-  /** Until when all of it may go, us. */
-  final long sendBeforeUs;
+  private Channel channel;
+  private EndpointConnection connection;
+  private int localFailures;
+  private Progress progress = Progress.PREPARED;
 
-  final List<Dispatcher.Attempt> parcels;
+  /** How far a call has come. */
+  private enum Progress {
+    PREPARED,
+    STARTED,
+    WRITTEN
+  }
 
   /**
-   * What falls due for it beside its deadline: the end of a connection's rest, and of the wait for
-   * a connection.
+   * Prepares a call.
+   *
+   * @param pool the connections to the endpoint; null if the endpoint is not known
    */
-  final List<Future<?>> timers = new ArrayList<>(0);
-
-  Channel channel;
-  EndpointConnection connection;
-
-  /** How often this machine's own system refused to begin its connection. */
-  int localFailures;
-
-  boolean started;
-  boolean written;
-
   HttpCall(
       final EndpointConnectionPool pool,
       final long endpoint,
-      final List<? extends Dispatcher.Attempt> parcels,
-      final long sentUs) {
+      final List<? extends Dispatcher.Attempt> attempts,
+      final long preparedUs) {
     this.pool = pool;
     this.endpoint = endpoint;
-    this.parcels = new ArrayList<>(parcels);
-    this.sentUs = sentUs;
-    this.validUntilUs =
-        parcels.stream()
+    this.attempts = new ArrayList<>(attempts);
+    this.preparedUs = preparedUs;
+    this.messageDeadlineUs =
+        attempts.stream()
             .mapToLong(Dispatcher.Attempt::messageDeadlineUs)
             .min()
             .orElse(Long.MAX_VALUE);
-    this.deadlineUs =
-        Math.min(
-            validUntilUs,
-            sentUs + parcels.stream().mapToLong(Dispatcher.Attempt::timeoutUs).max().orElse(0));
-    this.sendBeforeUs =
-        parcels.stream().mapToLong(Dispatcher.Attempt::latestSendUs).min().orElse(Long.MAX_VALUE);
+    final long timeoutUs =
+        attempts.stream().mapToLong(Dispatcher.Attempt::timeoutUs).max().orElse(0);
+    this.deadlineUs = Math.min(messageDeadlineUs, preparedUs + timeoutUs);
+    this.latestSendUs =
+        attempts.stream().mapToLong(Dispatcher.Attempt::latestSendUs).min().orElse(Long.MAX_VALUE);
   }
 
-  /** Several messages go in one call: its answer tells each one's end. */
-  boolean isBulk() {
-    return parcels.size() > 1;
+  /** The connections to the endpoint; null if the endpoint was not known. */
+  EndpointConnectionPool pool() {
+    return pool;
   }
 
   @Override
@@ -76,6 +75,116 @@
 
   @Override
   public long preparedUs() {
-    return sentUs;
+    return preparedUs;
+  }
+
+  /** When the first of the messages expires: that ends the call for all of them. */
+  long messageDeadlineUs() {
+    return messageDeadlineUs;
+  }
+
+  /** When the call is abandoned. */
+  long deadlineUs() {
+    return deadlineUs;
+  }
+
+  /** The messages of the call, each with its attempt. */
+  List<Dispatcher.Attempt> attempts() {
+    return attempts;
+  }
+
+  /** True if the call has several messages: then the body of its response has their outcomes. */
+  boolean isBulk() {
+    return attempts.size() > 1;
+  }
+
+  /** True if all of the call may be sent at this time. */
+  boolean isSendable(final long nowUs) {
+    return latestSendUs >= nowUs;
+  }
+
+  /** The attempts that may not be sent any more at this time. */
+  List<Dispatcher.Attempt> unsendableAttempts(final long nowUs) {
+    return attempts.stream().filter(attempt -> attempt.latestSendUs() < nowUs).toList();
+  }
+
+  /** Takes attempts out of a call that is not sent yet. */
+  void removeAttempts(final List<Dispatcher.Attempt> removed) {
+    attempts.removeAll(removed);
+  }
+
+  void markStarted() {
+    progress = Progress.STARTED;
+  }
+
+  boolean isStarted() {
+    return progress != Progress.PREPARED;
+  }
+
+  /** Notes that the last byte of the call was written, so that it may be executed. */
+  void markWritten() {
+    progress = Progress.WRITTEN;
+  }
+
+  boolean isWritten() {
+    return progress == Progress.WRITTEN;
+  }
+
+  /** Keeps a timer to be cancelled when the call ends. */
+  void addTimer(final Future<?> timer) {
+    timers.add(timer);
+  }
+
+  void cancelTimers() {
+    timers.forEach(timer -> timer.cancel(false));
+    timers.clear();
+  }
+
+  /** Notes the channel of a connection that is being established for this call. */
+  void connectingOver(final Channel connecting) {
+    channel = connecting;
+  }
+
+  /** Notes that this machine failed to begin the connection; true if that is to be retried. */
+  boolean retriesLocalFailure() {
+    localFailures++;
+    if (localFailures > MAX_LOCAL_FAILURES) {
+      return false;
+    }
+    channel = null;
+    return true;
+  }
+
+  /** Notes the connection that carries the call. */
+  void carriedBy(final EndpointConnection carrier, final Channel carrierChannel) {
+    connection = carrier;
+    channel = carrierChannel;
+  }
+
+  /** Reads the response without the selector having reported it, in case it does not watch. */
+  void readDirectly() {
+    if (isAwaitingResponse()) {
+      DirectRead.readOnce(channel);
+    }
+  }
+
+  /** The delivery that a partly received response shows already. */
+  Optional<Dispatcher.DispatchOutcome> partialDelivery() {
+    return connection != null && connection.isDelivered(this)
+        ? Optional.of(connection.partialDelivery())
+        : Optional.empty();
+  }
+
+  /** Ends the output of a connection that may have run the call; closes any other connection. */
+  void releaseConnection() {
+    if (isAwaitingResponse()) {
+      connection.abandonCall();
+    } else if (channel != null) {
+      channel.close();
+    }
+  }
+
+  private boolean isAwaitingResponse() {
+    return isWritten() && channel.isActive();
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
@@ -9,10 +9,11 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.port.Dispatcher;
@@ -22,91 +23,64 @@
 import thistleturn.courier.runtime.GuardedTasks;
 import thistleturn.courier.runtime.PollTracker;
 import thistleturn.courier.transport.Connector;
-import thistleturn.courier.transport.DirectRead;
 import thistleturn.courier.transport.SocketUnavailableException;
-import thistleturn.decisions.index.TimeHeap;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.Endpoint;
-import thistleturn.decisions.model.EndpointState;
 
 /**
- * Calls to endpoints, with one message or several, over connections that are kept and carry one
- * call at a time. It tells the {@link Host} how each message fared, above all whether it can have
- * run: that turns on whether the call's last byte was written before the connection broke.
+ * Calls endpoints over HTTP, with one message or several in a call, over connections that are kept
+ * alive and carry one call at a time. It reports the outcome of each message, above all whether it
+ * may have been executed: that depends on whether the last byte of the call was written before the
+ * connection was lost.
  */
 public final class HttpDispatcher implements Dispatcher {
-  private static final long US_PER_MS = 1000;
-
   /**
-   * Share of the endpoints' own limit after which an idle connection is closed: a request may not
-   * cross it.
+   * The share of the endpoints' idle timeout after which an idle connection is closed: it must not
+   * be used while the endpoint closes it.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
-  /**
-   * What belongs to no call may still come right behind an answer: a connection rests so long
-   * before its next, and what has come by then has been looked for. The clock alone says little
-   * where a pass takes longer than that.
-   */
-  private static final long REUSE_DELAY_US = 5_000;
+  private static final int SWEEPS_PER_IDLE_TIMEOUT = 8;
+  private static final long MIN_SWEEP_INTERVAL_US = 1000;
 
-  /** How soon a socket is asked for again that the system does not have, us. */
+  /** The delay until a connection is attempted again that this machine failed to begin. */
   private static final long SOCKET_RETRY_DELAY_US = 5_000;
 
-  /** So often a call is tried again whose connection this machine's own system refused to begin. */
-  private static final int MAX_LOCAL_FAILURES = 4;
-
   private final Clock clock;
   private final EventLoop loop;
-  private final PollTracker turns;
+  private final PollTracker polls;
   private final long connectTimeoutUs;
-  private final Listener listener;
-  private final Bootstrap bootstrapTemplate;
   private final long idleTimeoutUs;
+  private final Listener listener;
   private final DescriptorBudget descriptors;
+  private final Bootstrap bootstrapTemplate;
   private final Map<Long, EndpointConnectionPool> pools = new HashMap<>();
+  private final IdleEndpointConnections idleConnections = new IdleEndpointConnections();
   private final Set<HttpCall> calls = new HashSet<>();
+  private final CallDeadlines deadlines;
 
-  /** Calls that are not written whole yet: a wait that is told meanwhile binds them. */
+  /** The calls that a Retry-After still holds back, since they are not written completely. */
   private final Set<HttpCall> unwritten = new LinkedHashSet<>();
 
-  /** Connections that carry no call, over all endpoints, the one idle longest first. */
-  private final Set<EndpointConnection> idleConnections = new LinkedHashSet<>();
-
-  private final TimeHeap<HttpCall> deadlines = new TimeHeap<>();
-
-  /** For when the next look at deadlines is planned. */
-  private long deadlineTimerUs = Long.MAX_VALUE;
-
-  /** No connection is made yet. */
+  /** Creates a dispatcher without connections. */
   public HttpDispatcher(
       final CourierConfig config,
       final EventLoop loop,
       final Clock clock,
-      final PollTracker turns,
+      final PollTracker polls,
       final Listener listener,
       final DescriptorBudget descriptors) {
     this.clock = clock;
     this.loop = loop;
-    this.turns = turns;
+    this.polls = polls;
     this.connectTimeoutUs = config.connectTimeoutUs();
-    this.listener = listener;
     this.idleTimeoutUs =
         (long) (IDLE_TIMEOUT_FRACTION * config.settings().limits().idleTimeoutUs());
+    this.listener = listener;
     this.descriptors = descriptors;
-    this.bootstrapTemplate =
-        new Bootstrap()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-            .handler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(final Channel channel) {
-                    final EndpointConnection reader =
-                        new EndpointConnection(HttpDispatcher.this, loop, clock);
-                    channel.pipeline().addLast(new ResponseDecoder(reader), reader);
-                  }
-                });
-    final long sweepUs = Math.max(US_PER_MS, idleTimeoutUs / 8);
+    this.bootstrapTemplate = bootstrapTemplate();
+    this.deadlines = new CallDeadlines(loop, clock, polls, this::expire);
+    final long sweepUs = Math.max(MIN_SWEEP_INTERVAL_US, idleTimeoutUs / SWEEPS_PER_IDLE_TIMEOUT);
     loop.scheduleWithFixedDelay(
         GuardedTasks.guard("idle connections", this::closeExpiredIdle),
         sweepUs,
@@ -114,18 +88,31 @@
         TimeUnit.MICROSECONDS);
   }
 
-  // ---------------------------------------------------------------- state
+  private Bootstrap bootstrapTemplate() {
+    return new Bootstrap()
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+        .handler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(final Channel channel) {
+                final EndpointConnection connection =
+                    new EndpointConnection(HttpDispatcher.this, loop, clock);
+                channel.pipeline().addLast(new ResponseDecoder(connection), connection);
+              }
+            });
+  }
+
+  // ---------------------------------------------------------------- endpoints
 
   @Override
   public void updateEndpoint(
-      final Endpoint entry, final boolean apart, final InetSocketAddress address) {
+      final Endpoint endpoint, final boolean separateRoute, final InetSocketAddress address) {
     final EndpointConnectionPool pool =
         pools.computeIfAbsent(
-            entry.id(), unused -> new EndpointConnectionPool(entry, apart, address));
-    pool.acceptsCalls = entry.state() == EndpointState.LISTED;
-    if (!pool.address.equals(address)) {
-      pool.address = address;
-      closeIdleConnections(entry.id());
+            endpoint.id(), id -> new EndpointConnectionPool(endpoint, separateRoute, address));
+    pool.updateState(endpoint.state());
+    if (pool.updateAddress(address)) {
+      closeIdleConnections(endpoint.id());
     }
   }
 
@@ -134,8 +121,7 @@
     closeIdleConnections(endpoint);
     final EndpointConnectionPool pool = pools.remove(endpoint);
     if (pool != null) {
-      pool.removed = true;
-      pool.acceptsCalls = false;
+      pool.markRemoved();
     }
   }
 
@@ -143,249 +129,182 @@
   public void closeIdleConnections(final long endpoint) {
     final EndpointConnectionPool pool = pools.get(endpoint);
     if (pool != null) {
-      List.copyOf(pool.idleConnections).forEach(EndpointConnection::close);
+      pool.idleSnapshot().forEach(EndpointConnection::close);
     }
   }
 
-  /**
-   * Closes connections before the endpoint does: a request that crosses its close may have run, or
-   * not.
-   */
+  /** Closes idle connections before the endpoint does, which would leave a call's fate unknown. */
   private void closeExpiredIdle() {
-    final long beforeUs = clock.nowUs() - idleTimeoutUs;
-    while (!idleConnections.isEmpty()
-        && idleConnections.iterator().next().idleSinceUs() <= beforeUs) {
-      idleConnections.iterator().next().close();
-    }
+    idleConnections.closeIdleSince(clock.nowUs() - idleTimeoutUs);
   }
 
-  private void evictIdleIfFull() {
-    if (descriptors.isEndpointLimitReached() && !idleConnections.isEmpty()) {
-      idleConnections.iterator().next().close();
-    }
+  /** A connection carries no call from now on. */
+  void addIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
+    idleConnections.add(connection, pool);
+  }
+
+  /** A connection is not to be used again. */
+  void removeIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
+    idleConnections.remove(connection, pool);
   }
 
   // ---------------------------------------------------------------- calls
 
   @Override
-  public Call prepare(final long endpoint, final List<? extends Attempt> parcels) {
-    return new HttpCall(pools.get(endpoint), endpoint, parcels, clock.nowUs());
+  public Call prepare(final long endpoint, final List<? extends Attempt> attempts) {
+    return new HttpCall(pools.get(endpoint), endpoint, attempts, clock.nowUs());
   }
 
   @Override
   public void start(final Call prepared) {
     final HttpCall call = (HttpCall) prepared;
-    if (call.pool == null) {
-      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
+    if (call.pool() == null) {
+      abandonLater(call);
       return;
     }
     calls.add(call);
-    deadlines.schedule(call, call.deadlineUs);
-    armDeadlineTimer();
-    call.started = true;
+    deadlines.add(call);
+    call.markStarted();
     unwritten.add(call);
     dispatch(call);
   }
 
-  /** A call's last byte is written. */
+  /** The last byte of a call was written. */
   void onCallWritten(final HttpCall call) {
-    call.written = true;
+    call.markWritten();
     unwritten.remove(call);
-    listener.onMessagesWritten(call.parcels.size());
+    listener.onMessagesWritten(call.attempts().size());
   }
 
-  /**
-   * One timer for all calls, at the first deadline; a call that ends takes its deadline with it.
-   */
-  private void armDeadlineTimer() {
-    final long firstUs = deadlines.earliestDueUs();
-    if (firstUs < deadlineTimerUs) {
-      deadlineTimerUs = firstUs;
-      loop.schedule(
-          this::expireOverdueCalls, Math.max(0, firstUs - clock.nowUs()), TimeUnit.MICROSECONDS);
-    }
-  }
-
-  /**
-   * An answer that lies unread counts as what it says: a call is given up only after a look at the
-   * sockets that began after its time. A process that was stopped wakes to its timers first,
-   * whatever has come meanwhile.
-   */
-  private void expireOverdueCalls() {
-    deadlineTimerUs = Long.MAX_VALUE;
-    final long lookedUs = turns.currentPollUs();
-    for (HttpCall late = deadlines.poll(lookedUs); late != null; late = deadlines.poll(lookedUs)) {
-      readUnpolled(late);
-      abandon(late, AttemptResult.TIMED_OUT);
-    }
-    // What fell due since that look began is judged in the next turn, after another.
-    armDeadlineTimer();
+  private void expire(final HttpCall overdue) {
+    overdue.readDirectly();
+    abandon(overdue, AttemptResult.TIMED_OUT);
   }
 
-  /**
-   * An answer that the selector does not tell of, since the system refused to watch its connection,
-   * counts as well.
-   */
-  private static void readUnpolled(final HttpCall call) {
-    if (call.written && call.channel.isActive()) {
-      DirectRead.readOnce(call.channel);
-    }
-  }
-
-  /** Runs something for a call, unless the call ends first: then nothing of it is kept. */
+  /** Runs an action for a call, unless the call ends first. */
   private void scheduleFor(final HttpCall call, final long delayUs, final Runnable action) {
-    call.timers.add(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
+    call.addTimer(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
   }
 
-  /** Forgets a call; false if it was over already. */
+  /** Forgets a call; returns false if it has ended already. */
   boolean removeCall(final HttpCall call) {
-    call.timers.forEach(timer -> timer.cancel(false));
-    call.timers.clear();
+    call.cancelTimers();
     deadlines.remove(call);
     unwritten.remove(call);
     return calls.remove(call);
   }
 
   /**
-   * Takes out of a call what may not go any more; the last look before its first byte.
+   * Checks a call immediately before its first byte, and takes out the messages that may not be
+   * sent any more. The decision to send it may be outdated: a connection had to be established, or
+   * the process was paused.
    *
-   * @return true if something is left
+   * @return false if the call has ended
    */
   private boolean retainSendable(final HttpCall call) {
     if (!calls.contains(call)) {
       return false;
     }
     final long nowUs = clock.nowUs();
-    if (!call.pool.acceptsCalls) {
-      // The list has changed since it was decided, while a connection came up: it drains, or is
-      // gone.
-      abandon(call, AttemptResult.NOT_SENT);
-      return false;
-    }
-    if (call.deadlineUs <= nowUs) {
-      // This process stood still since it was decided: sent now, it would be given up at once, and
-      // run all the same.
+    final boolean overdue = call.deadlineUs() <= nowUs;
+    if (overdue || !call.pool().acceptsCalls()) {
       abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
-    if (call.sendBeforeUs >= nowUs) {
+    if (call.isSendable(nowUs)) {
       return true;
     }
-    final List<Attempt> late =
-        call.parcels.stream().filter(parcel -> parcel.latestSendUs() < nowUs).toList();
-    if (late.size() == call.parcels.size()) {
+    final List<Attempt> late = call.unsendableAttempts(nowUs);
+    if (late.size() == call.attempts().size()) {
       abandon(call, AttemptResult.NOT_SENT);
       return false;
     }
-    call.parcels.removeAll(late);
-    late.forEach(
-        parcel ->
-            listener.onOutcome(
-                parcel, call, new DispatchOutcome(AttemptResult.NOT_SENT, false, 0, null)));
+    call.removeAttempts(late);
+    late.forEach(attempt -> listener.onOutcome(attempt, call, failure(AttemptResult.NOT_SENT)));
     return true;
   }
 
-  /**
-   * Over an idle connection that has had its rest and a look after it; one that needs a little more
-   * is waited for.
-   */
+  /** Sends a call over a reusable connection, waits for one that soon is, or establishes one. */
   private void dispatch(final HttpCall call) {
     if (!retainSendable(call)) {
       return;
     }
     final long nowUs = clock.nowUs();
-    final long lookedUs = turns.currentPollUs();
-    EndpointConnection rested = null;
-    long restUs = Long.MAX_VALUE;
-    // Those used last stand at the end: of the rested ones the last is taken, so that the others
-    // may age.
-    for (final Iterator<EndpointConnection> readers =
-            call.pool.idleConnections.descendingIterator();
-        readers.hasNext(); ) {
-      final EndpointConnection reader = readers.next();
-      if (!reader.isActive()) {
-        readers.remove();
-        idleConnections.remove(reader);
-      } else if (reader.idleSinceUs() + REUSE_DELAY_US <= lookedUs) {
-        readers.remove();
-        idleConnections.remove(reader);
-        rested = reader;
-        break;
-      } else {
-        restUs = Math.min(restUs, Math.max(0, reader.idleSinceUs() + REUSE_DELAY_US - nowUs));
-      }
+    final EndpointConnection reusable =
+        idleConnections.takeReusable(call.pool(), polls.currentPollUs());
+    if (reusable != null) {
+      reusable.send(call);
+      return;
     }
-    if (rested != null) {
-      rested.send(call);
-    } else if (restUs <= REUSE_DELAY_US) {
-      scheduleFor(call, restUs, () -> dispatch(call));
+    final OptionalLong reusableInUs = idleConnections.reusableInUs(call.pool(), nowUs);
+    if (reusableInUs.isPresent()) {
+      scheduleFor(call, reusableInUs.getAsLong(), () -> dispatch(call));
     } else {
       connect(call);
     }
   }
 
+  // ---------------------------------------------------------------- connecting
+
   private void connect(final HttpCall call) {
-    evictIdleIfFull();
     if (descriptors.isEndpointLimitReached()) {
-      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
+      idleConnections.closeLongestIdle();
+    }
+    if (descriptors.isEndpointLimitReached()) {
+      abandonLater(call);
       return;
     }
-    final long fromUs = clock.nowUs();
+    final long startedUs = clock.nowUs();
     final ChannelFuture connecting;
     try {
       connecting =
           Connector.connect(
               loop,
               bootstrapTemplate,
-              call.pool.address,
-              done -> onConnectCompleted(call, done, fromUs));
+              call.pool().address(),
+              done -> onConnectCompleted(call, done, startedUs));
     } catch (final SocketUnavailableException e) {
-      retryWithoutSocket(call, fromUs);
+      retryWithoutSocket(call, startedUs);
       return;
     }
     descriptors.addEndpointConnections(1);
-    call.channel = connecting.channel();
-    call.channel.closeFuture().addListener(closed -> descriptors.addEndpointConnections(-1));
-    // Not the channel's own timer: that would judge before the look that tells that it has come up.
+    connecting
+        .channel()
+        .closeFuture()
+        .addListener(closed -> descriptors.addEndpointConnections(-1));
+    call.connectingOver(connecting.channel());
+    scheduleConnectTimeout(call, connecting, startedUs + connectTimeoutUs);
+  }
+
+  /** The channel's own timer would expire before the poll that reports the connection. */
+  private void scheduleConnectTimeout(
+      final HttpCall call, final ChannelFuture connecting, final long deadlineUs) {
+    final Runnable abandonIfPending =
+        () -> {
+          if (!connecting.isDone()) {
+            abandon(call, AttemptResult.NO_CONNECTION);
+          }
+        };
     scheduleFor(
-        call,
-        connectTimeoutUs,
-        () ->
-            turns.runAfterPoll(
-                loop,
-                fromUs + connectTimeoutUs,
-                () -> {
-                  if (!connecting.isDone()) {
-                    abandon(call, AttemptResult.NO_CONNECTION);
-                  }
-                }));
+        call, connectTimeoutUs, () -> polls.runAfterPoll(loop, deadlineUs, abandonIfPending));
   }
 
-  /**
-   * The system has no socket now. Nothing was asked of the endpoint, so nothing is said of it when
-   * that lasts.
-   */
+  /** The endpoint was not contacted, so the outcome says nothing about it. */
   private void retryWithoutSocket(final HttpCall call, final long nowUs) {
-    if (nowUs - call.sentUs < connectTimeoutUs) {
+    if (nowUs - call.preparedUs() < connectTimeoutUs) {
       scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
     } else {
-      loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
+      abandonLater(call);
     }
   }
 
   private void onConnectCompleted(
-      final HttpCall call, final ChannelFuture connecting, final long fromUs) {
+      final HttpCall call, final ChannelFuture connecting, final long startedUs) {
     if (connecting.isSuccess()) {
-      call.pool.recordHandshake(clock.nowUs() - fromUs);
+      call.pool().recordHandshake(clock.nowUs() - startedUs);
     }
     if (!connecting.isSuccess() && calls.contains(call)) {
-      if (Connector.isLocalFailure(connecting.cause())
-          && call.localFailures++ < MAX_LOCAL_FAILURES) {
-        call.channel = null;
-        scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
-      } else {
-        abandon(call, AttemptResult.NO_CONNECTION);
-      }
+      onConnectFailed(call, connecting.cause());
     } else if (retainSendable(call)) {
       connecting.channel().pipeline().get(EndpointConnection.class).send(call);
     } else {
@@ -393,97 +312,91 @@
     }
   }
 
+  private void onConnectFailed(final HttpCall call, final Throwable cause) {
+    if (Connector.isLocalFailure(cause) && call.retriesLocalFailure()) {
+      scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
+    } else {
+      abandon(call, AttemptResult.NO_CONNECTION);
+    }
+  }
+
+  // ---------------------------------------------------------------- abandoning
+
   /**
-   * Ends a call from our side. Its connection is closed, or its sending ended, before the outcome
-   * is told, so that no further attempt of a message can meet this one.
+   * Ends a call from this side. Its connection is closed, or its output ended, before the outcome
+   * is reported, so that a further attempt of a message cannot overlap with this one.
    */
   @Override
-  public void abandon(final Call given, final AttemptResult result) {
-    final HttpCall call = (HttpCall) given;
-    final boolean known = removeCall(call);
-    if (!known && call.started) {
+  public void abandon(final Call abandoned, final AttemptResult result) {
+    final HttpCall call = (HttpCall) abandoned;
+    final boolean pending = removeCall(call);
+    if (!pending && call.isStarted()) {
       return;
     }
-    final DispatchOutcome delivered =
-        call.connection != null && call.connection.isDelivered(call)
-            ? call.connection.partialDelivery()
-            : null;
-    if (call.written && call.channel.isActive()) {
-      call.connection.abandonCall();
-    } else if (call.channel != null) {
-      call.channel.close();
-    }
-    if (delivered != null) {
-      report(call, delivered);
-      return;
-    }
-    final AttemptResult sure =
-        call.written || result == AttemptResult.NOT_SENT ? result : unwrittenResult(result);
-    report(call, new DispatchOutcome(sure, false, 0, null));
+    final Optional<DispatchOutcome> delivered = call.partialDelivery();
+    call.releaseConnection();
+    report(call, delivered.orElseGet(() -> failure(certainResult(call, result))));
   }
 
-  /** What gave up a call that was never written whole cannot have run. */
-  private static AttemptResult unwrittenResult(final AttemptResult result) {
-    return result == AttemptResult.CANCELLED ? AttemptResult.NOT_SENT : AttemptResult.NO_CONNECTION;
+  private void abandonLater(final HttpCall call) {
+    loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
   }
 
-  /** Tells the outcome of all messages of a call. */
-  void report(final HttpCall call, final DispatchOutcome answer) {
-    call.parcels.forEach(parcel -> report(parcel, call, answer));
+  /** A call that was not written completely cannot have been executed. */
+  private static AttemptResult certainResult(final HttpCall call, final AttemptResult result) {
+    if (call.isWritten() || result == AttemptResult.NOT_SENT) {
+      return result;
+    }
+    return result == AttemptResult.CANCELLED ? AttemptResult.NOT_SENT : AttemptResult.NO_CONNECTION;
   }
 
-  /**
-   * Tells the outcome of one message of a call. An answer that is read after the call's time, since
-   * this process stood still, may have been written after it, when nobody counts it any more: such
-   * a message ends by a notice, which does no harm if the answer counted after all.
-   */
-  void report(final Attempt parcel, final HttpCall call, final DispatchOutcome answer) {
-    final boolean tooLate =
-        answer.result() == AttemptResult.DELIVERED && clock.nowUs() > call.validUntilUs;
-    listener.onOutcome(
-        parcel,
-        call,
-        tooLate
-            ? new DispatchOutcome(
-                AttemptResult.TIMED_OUT, false, answer.retryAfterUs(), answer.loadReport())
-            : answer);
+  @Override
+  public void abandonUnwrittenCalls(final long endpoint) {
+    final EndpointConnectionPool pool = pools.get(endpoint);
+    if (pool != null) {
+      abandonUnwrittenCalls(pool);
+    }
   }
 
-  /** A wait was told: what is on its way to that destination, and not written yet, may not go. */
-  void holdBack(final EndpointConnectionPool told) {
+  /** Abandons the unwritten calls to which a Retry-After of this endpoint applies. */
+  void abandonUnwrittenCalls(final EndpointConnectionPool source) {
     for (final HttpCall call : List.copyOf(unwritten)) {
-      final boolean bound =
-          told.separateRoute ? call.pool == told : call.pool.destination == told.destination;
-      if (bound) {
+      if (source.sharesRetryAfterWith(call.pool())) {
         abandon(call, AttemptResult.NOT_SENT);
       }
     }
   }
 
-  /** An answer that comes too late for its call tells a wait all the same. */
-  void toldToWait(final EndpointConnectionPool by, final long waitUs) {
-    holdBack(by);
-    listener.onRetryAfter(by.endpoint, waitUs);
+  // ---------------------------------------------------------------- reporting
+
+  private static DispatchOutcome failure(final AttemptResult result) {
+    return new DispatchOutcome(result, false, 0, null);
   }
 
-  @Override
-  public void abandonUnwrittenCalls(final long endpoint) {
-    final EndpointConnectionPool pool = pools.get(endpoint);
-    if (pool != null) {
-      holdBack(pool);
-    }
+  /** Reports the outcome of all messages of a call. */
+  void report(final HttpCall call, final DispatchOutcome outcome) {
+    call.attempts().forEach(attempt -> report(attempt, call, outcome));
   }
 
-  /** A connection carries no call from now on. */
-  void addIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
-    pool.idleConnections.addLast(connection);
-    idleConnections.add(connection);
+  /**
+   * Reports the outcome of one message of a call. A response that is read after the deadline of the
+   * messages, because the process was paused, may have been written after it, and is not counted by
+   * the endpoint then: the message fails, which does no harm if the response counted after all.
+   */
+  void report(final Attempt attempt, final HttpCall call, final DispatchOutcome outcome) {
+    final boolean tooLate =
+        outcome.result() == AttemptResult.DELIVERED && clock.nowUs() > call.messageDeadlineUs();
+    listener.onOutcome(
+        attempt,
+        call,
+        tooLate
+            ? new DispatchOutcome(
+                AttemptResult.TIMED_OUT, false, outcome.retryAfterUs(), outcome.loadReport())
+            : outcome);
   }
 
-  /** A connection is in use, or not to be used again. */
-  void removeIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
-    if (idleConnections.remove(connection)) {
-      pool.idleConnections.remove(connection);
-    }
+  /** Reports a Retry-After that came with the response to an abandoned call. */
+  void reportRetryAfter(final EndpointConnectionPool source, final long retryAfterUs) {
+    listener.onRetryAfter(source.endpoint(), retryAfterUs);
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/ReceiveTimeBound.java
+++ b/courier/src/main/java/thistleturn/courier/http/ReceiveTimeBound.java
@@ -1,43 +1,43 @@
 package thistleturn.courier.http;
 
 /**
- * Since when what is read from a socket may have lain in its buffer. It is told of each read and of
- * each pause, and bounds the moment of arrival from below; it never guesses a later one.
+ * Bounds from below when the bytes that are read from a socket were received. It is notified of
+ * each read and each pause; the bound may be too early, but never too late.
  */
 final class ReceiveTimeBound {
-  /** While false, what comes next may have been there along with what was read last. */
+  /** While false, the next bytes may have been received together with the last ones. */
   private boolean drained;
 
   private long earliestUs;
   private long lastReadUs;
 
-  /** {@code sinceUs}: nothing can have come before. */
-  ReceiveTimeBound(final long sinceUs) {
-    this.earliestUs = sinceUs;
-    this.lastReadUs = sinceUs;
+  /** Creates a bound for a socket that received nothing before the given time. */
+  ReceiveTimeBound(final long openedUs) {
+    this.earliestUs = openedUs;
+    this.lastReadUs = openedUs;
   }
 
   /**
-   * Bytes were read.
+   * Notes that bytes were read.
    *
-   * @param previousLookUs when the loop began to look the last time that it found nothing here, or
-   *     read something
-   * @param all false if there may be more: the read filled its buffer
+   * @param previousPollUs when the last poll began that found the socket empty, or after which it
+   *     was read
+   * @param emptied false if the read filled its buffer, so that more bytes may be there
    */
-  void onRead(final long nowUs, final long previousLookUs, final boolean all) {
+  void onRead(final long nowUs, final long previousPollUs, final boolean emptied) {
     if (drained) {
-      earliestUs = Math.max(lastReadUs, previousLookUs);
+      earliestUs = Math.max(lastReadUs, previousPollUs);
     }
     lastReadUs = nowUs;
-    drained = all;
+    drained = emptied;
   }
 
-  /** Whether nothing is left of what was there at the last read. */
-  void setDrained(final boolean all) {
-    drained = all;
+  /** Notes whether the last read emptied the socket. */
+  void setDrained(final boolean emptied) {
+    drained = emptied;
   }
 
-  /** Nothing is read for a while: what comes meanwhile lies there from now on at the earliest. */
+  /** Notes that reading pauses: the next bytes may be received from now on. */
   void onReadPaused(final long nowUs) {
     if (drained) {
       drained = false;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** What was read last came no sooner than this, us. */
+  /** The earliest time at which the bytes of the last read may have been received, us. */
   long earliestUs() {
     return earliestUs;
   }
--- a/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads requests strictly. The library forgives a length beside a transfer coding by dropping one
- * of them; but two readers that drop different ones see different requests, and a request could be
- * hidden in another's body.
+ * Decodes requests strictly. Netty tolerates a Content-Length beside a Transfer-Encoding by
+ * ignoring one of them; two decoders that ignore different ones see different requests, so that a
+ * request could be smuggled in the body of another.
  */
 final class RequestDecoder extends HttpRequestDecoder {
   private static final int MAX_REQUEST_LINE_BYTES = 2048;
@@ -27,19 +27,23 @@
 
   private final Consumer<ByteBuf> receiveListener;
 
-  /** {@code bytesCame} is told of all that is read, also of what is no head yet. */
-  RequestDecoder(final Consumer<ByteBuf> bytesCame) {
+  /**
+   * Creates a decoder.
+   *
+   * @param receiveListener notified of all bytes, also of those that do not complete a head
+   */
+  RequestDecoder(final Consumer<ByteBuf> receiveListener) {
     super(CONFIG);
-    this.receiveListener = bytesCame;
+    this.receiveListener = receiveListener;
   }
 
   @Override
-  public void channelRead(final ChannelHandlerContext context, final Object bytes)
+  public void channelRead(final ChannelHandlerContext context, final Object input)
       throws Exception {
-    if (bytes instanceof ByteBuf read) {
-      receiveListener.accept(read);
+    if (input instanceof ByteBuf bytes) {
+      receiveListener.accept(bytes);
     }
-    super.channelRead(context, bytes);
+    super.channelRead(context, input);
   }
 
   @Override
@@ -47,10 +51,7 @@
     throw new IllegalArgumentException("a length and a transfer coding");
   }
 
-  /**
-   * True where the body's end is told by the one coding that is understood here, or by a length
-   * alone.
-   */
+  /** True if the end of the body follows from chunked encoding alone, or from a length alone. */
   static boolean hasUnambiguousFraming(final HttpMessage message) {
     final var codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     return codings.isEmpty()
--- a/courier/src/main/java/thistleturn/courier/http/ResponseDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/ResponseDecoder.java
@@ -9,20 +9,20 @@
 import java.util.List;
 
 /**
- * Reads answers strictly, and tells of each as soon as there is something to tell: that it has
- * begun, and what its first line says, which is true whatever becomes of the rest.
+ * Decodes responses strictly, and notifies a listener as early as possible: when a response begins,
+ * and when its status line is complete, which counts whatever becomes of the rest.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
   private static final int MAX_STATUS_LINE_BYTES = 1024;
   private static final int MAX_HEAD_BYTES = 8192;
 
-  /** Who is told. */
+  /** Notified of the progress of a response. */
   interface Listener {
-    /** Bytes of an answer have come. */
+    /** Bytes of a response were received. */
     void onResponseStarted();
 
-    /** The first line of an answer has come whole. */
-    void onStatusLine(HttpResponse answer);
+    /** The status line of a response was received completely. */
+    void onStatusLine(HttpResponse statusLine);
   }
 
   private final Listener listener;
@@ -48,8 +48,8 @@
   }
 
   @Override
-  protected HttpMessage createMessage(final String[] firstLine) {
-    final HttpMessage message = super.createMessage(firstLine);
+  protected HttpMessage createMessage(final String[] initialLine) {
+    final HttpMessage message = super.createMessage(initialLine);
     listener.onStatusLine((HttpResponse) message);
     return message;
   }
@@ -59,9 +59,9 @@
     throw new IllegalArgumentException("a length and a transfer coding");
   }
 
-  /** No call asks for another protocol: a 101 is one more answer that is not the last. */
+  /** No call requests another protocol, so a 101 is an informational response like others. */
   @Override
-  protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse answer) {
+  protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse response) {
     return false;
   }
 }
