--- a/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
+++ b/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
@@ -1,327 +1,147 @@
 package thistleturn.courier.platform;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.port.EndpointDirectory;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.CourierConfig;
-import thistleturn.courier.runtime.Json;
-import thistleturn.courier.runtime.Log;
 import thistleturn.courier.runtime.PollTracker;
-import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * The list of endpoints: the copy from the configuration at first, then a watch on its changes.
- * When the watch breaks, falls silent or says what cannot be read, the decisions are told that it
- * is lost; they say when to ask again.
+ * The endpoint list of the platform's discovery service: at first the copy in the configuration,
+ * then a watch on its changes. When the watch is lost, unresponsive or invalid, the listener is
+ * notified, and another watch is opened after a while.
  */
 public final class DiscoveryClient implements EndpointDirectory {
   /**
-   * What a watch misses counts as told 6 s after it fell silent: to find that out, to connect and
-   * to be answered may take no longer, all three together. A line comes every 2 s; one that is not
-   * whole by then, however many of its bytes have come, has not come.
-   */
-  private static final long SILENCE_TIMEOUT_US = 2_800_000;
-
-  private static final long CONNECT_TIMEOUT_US = 800_000;
-
-  /** An answer waits its turn for two seconds at most. */
-  private static final long RESPONSE_TIMEOUT_US = 2_200_000;
-
-  /**
-   * The decisions say when to ask again, and wait longer each time. But a change counts as told 6 s
-   * after it could be had, whatever failed before: this wait and two tries, of which the first may
-   * be turned away, have to fit into that. Couriers that lost it in one moment do not ask in one.
+   * The delay until another watch is opened. The listener requests updates as well, but with a
+   * growing backoff; a change must be known 6 s after it can be received, whatever failed before,
+   * so this delay and two attempts, the first of which may be rejected, have to fit into that. The
+   * range spreads the couriers that lost their watches at the same time.
    */
   private static final long MIN_RETRY_DELAY_US = 1_200_000;
 
   private static final long MAX_RETRY_DELAY_US = 1_500_000;
 
-  /** No version of the list is known that the one asked would understand. */
+  /** The discovery service would not understand any version that is known here. */
   private static final long UNKNOWN_VERSION = -1;
 
-  private static final int OK = 200;
-
   private final EventLoop loop;
   private final Clock clock;
-  private final PollTracker turns;
+  private final PollTracker polls;
   private final JsonNode configuredList;
   private Listener listener;
   private InetSocketAddress address;
 
-  /** When a watch last said something whole: the list was up to date then. */
+  /** When a watch last reported something complete: the list was up to date then. */
   private long lastUpToDateUs;
 
   private long listVersion;
   private WatchSession currentWatch;
 
-  /** A watch that does not ask for anything yet. */
+  /** Creates a client that requests nothing yet. */
   public DiscoveryClient(
       final CourierConfig config,
       final EventLoop loop,
       final Clock clock,
-      final PollTracker turns) {
+      final PollTracker polls) {
     this.configuredList = config.initialEndpointList();
     this.loop = loop;
     this.clock = clock;
-    this.turns = turns;
+    this.polls = polls;
     this.address = config.discoveryAddress();
   }
 
   @Override
-  public void start(final Listener told) {
-    listener = told;
+  public void start(final Listener updateListener) {
+    listener = updateListener;
     if (configuredList.path("hosts").isArray()) {
       publish(configuredList, EndpointUpdate.RESTORED_SNAPSHOT);
     }
   }
 
   /**
-   * While the watch lives, what it does not name does not exist. While the list is old nothing is
-   * known not to exist: refusing a destination that was added meanwhile would be wrong, and what
-   * has no endpoint in time is refused later.
+   * {@inheritDoc}
+   *
+   * <p>While the list is outdated a destination that it does not contain may have been added: it
+   * would be wrong to reject its messages. If it has no endpoint in time they are rejected later.
    */
   @Override
   public boolean isCurrent() {
-    return clock.nowUs() - lastUpToDateUs <= SILENCE_TIMEOUT_US;
+    return clock.nowUs() - lastUpToDateUs <= WatchSession.SILENCE_TIMEOUT_US;
   }
 
   @Override
   public void requestUpdates() {
-    if (currentWatch != null) {
-      return;
+    if (currentWatch == null) {
+      openWatch();
     }
-    openWatch();
   }
 
-  /** From now on the list is at another address, whose versions are numbered in their own way. */
+  /** Uses the address of another configuration, whose list has versions of its own. */
   @Override
-  public void reload(final CourierConfig fresh) {
-    final InetSocketAddress next = fresh.discoveryAddress();
-    if (next.equals(address)) {
+  public void reload(final CourierConfig config) {
+    final InetSocketAddress latest = config.discoveryAddress();
+    if (latest.equals(address)) {
       return;
     }
-    address = next;
+    address = latest;
     listVersion = UNKNOWN_VERSION;
-    final WatchSession old = currentWatch;
+    final WatchSession replaced = currentWatch;
     openWatch();
-    if (old != null) {
-      old.close();
+    if (replaced != null) {
+      replaced.close();
     }
   }
 
-  private void openWatch() {
-    final WatchSession fresh = new WatchSession();
-    currentWatch = fresh;
-    fresh.connect();
-  }
+  // ---------------------------------------------------------------- for the watch
 
-  private void publish(final JsonNode list, final EndpointUpdate update) {
-    final List<Entry> listings = new ArrayList<>();
-    for (final JsonNode node : list.path("hosts")) {
-      listings.add(parseListing(node));
-    }
-    listVersion = list.path("seq").asLong(listVersion);
-    listener.onUpdate(update, listings);
+  /** Opens a watch, which takes the place of the current one. */
+  void openWatch() {
+    final WatchSession watch = new WatchSession(this, address, loop, clock, polls);
+    currentWatch = watch;
+    watch.connect();
   }
 
-  private static Entry parseListing(final JsonNode node) {
-    final String name = node.path("host").asText();
-    if (name.isEmpty() || !node.path("block").canConvertToLong()) {
-      throw new IllegalArgumentException("an entry without a host or a block: " + node);
-    }
-    final EndpointState condition =
-        switch (node.path("health").asText()) {
-          case "Ready" -> EndpointState.LISTED;
-          case "Terminating" -> EndpointState.DRAINING;
-          case "Gone" -> EndpointState.GONE;
-          default -> throw new IllegalArgumentException("unknown health: " + node);
-        };
-    return new Entry(
-        name,
-        condition,
-        CourierConfig.parseAddress("dial", node.path("dial").asText()),
-        node.path("site").asText(),
-        node.path("share").asDouble(0),
-        node.path("class").asText(),
-        node.path("block").asLong());
+  boolean isCurrentWatch(final WatchSession watch) {
+    return currentWatch == watch;
   }
 
-  /**
-   * One watch, until its connection ends or it falls silent; before it the whole list, where no
-   * version is known.
-   */
-  private final class WatchSession extends SimpleChannelInboundHandler<HttpObject>
-      implements JsonObjectFramer.Listener {
-    private final JsonObjectFramer framer = new JsonObjectFramer(this);
-    private PlatformConnection connection;
-    private boolean snapshotRequested;
-
-    /** The whole list that was asked for has come. */
-    private boolean snapshotReceived;
-
-    /** It has said something: its answer is not waited for any more, but its next line. */
-    private boolean established;
-
-    /** When it is given up unless something whole comes before. */
-    private long deadlineUs;
-
-    private void connect() {
-      extendDeadline(CONNECT_TIMEOUT_US);
-      connection = PlatformConnection.open(loop, address, this, this::onLost);
-      scheduleDeadlineCheck();
-    }
+  /** True if the changes since {@link #listVersion} can be requested. */
+  boolean hasListVersion() {
+    return listVersion != UNKNOWN_VERSION;
+  }
 
-    @Override
-    public void channelActive(final ChannelHandlerContext ctx) {
-      if (currentWatch == this) {
-        sendListRequest();
-      } else {
-        ctx.close();
-      }
-    }
+  long listVersion() {
+    return listVersion;
+  }
 
-    private void sendListRequest() {
-      extendDeadline(RESPONSE_TIMEOUT_US);
-      snapshotRequested = listVersion == UNKNOWN_VERSION;
-      final var request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.GET,
-              snapshotRequested
-                  ? "/discovery/hosts"
-                  : "/discovery/hosts?watch=1&after=" + listVersion);
-      request.headers().set(HttpHeaderNames.HOST, address.getHostString());
-      connection.write(request);
-    }
+  /** Notifies the listener of an update. */
+  void publish(final JsonNode list, final EndpointUpdate update) {
+    final List<Entry> entries = EndpointListParser.parseEntries(list);
+    listVersion = list.path("seq").asLong(listVersion);
+    listener.onUpdate(update, entries);
+  }
 
-    private void extendDeadline(final long withinUs) {
-      deadlineUs = clock.nowUs() + withinUs;
-    }
+  /** The current watch reported that the list is up to date. */
+  void onHeartbeat() {
+    lastUpToDateUs = clock.nowUs();
+  }
 
-    /** What has come by the time that is over counts: it is read before the watch is given up. */
-    private void scheduleDeadlineCheck() {
-      final long checkedUs = deadlineUs;
+  /** A watch has ended; if it was the current one another is opened after a while. */
+  void onWatchEnded(final WatchSession watch) {
+    if (isCurrentWatch(watch)) {
+      currentWatch = null;
+      listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
       loop.schedule(
-          () ->
-              turns.runAfterPoll(
-                  loop,
-                  checkedUs,
-                  () -> {
-                    if (currentWatch != this) {
-                      return;
-                    }
-                    if (deadlineUs > checkedUs) {
-                      scheduleDeadlineCheck();
-                    } else if (established) {
-                      // It is opened anew at once: for how long nothing was told is known, and
-                      // counts.
-                      openWatch();
-                      close();
-                    } else {
-                      close();
-                    }
-                  }),
-          Math.max(0, checkedUs - clock.nowUs()),
+          this::requestUpdates,
+          ThreadLocalRandom.current().nextLong(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US),
           TimeUnit.MICROSECONDS);
     }
-
-    private void close() {
-      connection.close();
-    }
-
-    @Override
-    protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-      if (currentWatch != this
-          || part.decoderResult().isFailure()
-          || (part instanceof HttpResponse response && response.status().code() != OK)) {
-        ctx.close();
-        return;
-      }
-      if (part instanceof HttpContent content) {
-        final byte[] bytes = new byte[content.content().readableBytes()];
-        content.content().readBytes(bytes);
-        framer.read(bytes);
-      }
-      if (part instanceof LastHttpContent && snapshotReceived) {
-        snapshotReceived = false;
-        sendListRequest();
-      } else if (part instanceof LastHttpContent) {
-        ctx.close();
-      }
-    }
-
-    @Override
-    public void onObject(final String text) {
-      try {
-        final JsonNode list = Json.read(text);
-        publish(
-            list,
-            list.path("whole").asBoolean()
-                ? EndpointUpdate.COMPLETE_SNAPSHOT
-                : EndpointUpdate.CHANGES);
-      } catch (final IOException e) {
-        throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
-      }
-      if (snapshotRequested) {
-        snapshotReceived = true;
-      } else {
-        onHeartbeat();
-      }
-    }
-
-    @Override
-    public void onLineEnd() {
-      if (!snapshotRequested) {
-        onHeartbeat();
-      }
-    }
-
-    private void onHeartbeat() {
-      established = true;
-      lastUpToDateUs = clock.nowUs();
-      extendDeadline(SILENCE_TIMEOUT_US);
-    }
-
-    @Override
-    public void channelInactive(final ChannelHandlerContext ctx) {
-      onLost();
-    }
-
-    @Override
-    public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-      if (!(cause instanceof IOException)) {
-        Log.failure("watch on the list", cause);
-      }
-      ctx.close();
-    }
-
-    private void onLost() {
-      if (currentWatch == this) {
-        currentWatch = null;
-        listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
-        loop.schedule(
-            DiscoveryClient.this::requestUpdates,
-            ThreadLocalRandom.current().nextLong(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US),
-            TimeUnit.MICROSECONDS);
-      }
-    }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/JsonObjectFramer.java
+++ b/courier/src/main/java/thistleturn/courier/platform/JsonObjectFramer.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream into the JSON objects that it holds. They may be indented, so that their ends are
- * not those of lines; a line end between two objects is the platform's sign of life. Nothing is
- * told of an object before it is whole.
+ * Splits a stream into the JSON objects in it. They may be indented, so that they do not end with
+ * lines; a line end between two objects is a heartbeat. The listener is notified of complete
+ * objects only.
  */
 final class JsonObjectFramer {
   private static final int MAX_OBJECT_BYTES = 1 << 22;
@@ -17,12 +17,12 @@
   private boolean inString;
   private boolean escaped;
 
-  /** Who is told. */
+  /** Notified of what the stream has. */
   interface Listener {
-    /** A whole object has come. */
+    /** A complete object was received. */
     void onObject(String text);
 
-    /** A line has ended outside any object. */
+    /** A line ended outside of an object. */
     void onLineEnd();
   }
 
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Reads on.
+   * Reads the next bytes of the stream.
    *
-   * @throws IllegalArgumentException if this can be no object, or one over 4 MiB
+   * @throws IllegalArgumentException if they cannot belong to an object, or to one up to 4 MiB
    */
   void read(final byte[] bytes) {
     for (final byte next : bytes) {
@@ -65,7 +65,7 @@
     object.write(next);
     if (inString) {
       if (next == '\n') {
-        // No text holds one: the object was broken off, and what follows is another.
+        // A JSON string has no line end: the object is truncated, and another one follows.
         throw new IllegalArgumentException("the list cannot be read: a line ends within a text");
       }
       inString = escaped || next != '"';
@@ -75,9 +75,9 @@
     } else if (next == '{' || next == '[') {
       depth++;
     } else if ((next == '}' || next == ']') && --depth == 0) {
-      final String whole = object.toString(StandardCharsets.UTF_8);
+      final String complete = object.toString(StandardCharsets.UTF_8);
       object.reset();
-      listener.onObject(whole);
+      listener.onObject(complete);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/PlatformConnection.java
+++ b/courier/src/main/java/thistleturn/courier/platform/PlatformConnection.java
@@ -14,9 +14,10 @@
 import thistleturn.courier.transport.SocketUnavailableException;
 
 /**
- * One connection to the platform, from the first try to its end. While the system refuses to begin
- * one it is asked again; when to give up is the caller's to say, not the channel's own timer: that
- * would judge before the look that tells that it has come up. Used on the event loop.
+ * One connection to the platform, from the first attempt to its end. While the local system refuses
+ * to begin a connection the attempt is repeated. The owner decides when to close it: the channel's
+ * own connect timeout could expire before the poll that reports that the connection is established.
+ * Used on the event loop.
  */
 final class PlatformConnection {
   private static final long RETRY_DELAY_MS = 10;
@@ -31,26 +32,29 @@
   private PlatformConnection(
       final EventLoop loop,
       final InetSocketAddress address,
-      final ChannelHandler reader,
-      final Runnable failed) {
+      final ChannelHandler responseHandler,
+      final Runnable failureCallback) {
     this.loop = loop;
     this.address = address;
-    this.responseHandler = reader;
-    this.failureCallback = failed;
+    this.responseHandler = responseHandler;
+    this.failureCallback = failureCallback;
   }
 
   /**
-   * Begins to connect, for a handler of HTTP's parts; {@code failed} is run on the loop if it does
-   * not come up.
+   * Begins to connect.
+   *
+   * @param responseHandler handles the HTTP objects that are received
+   * @param failureCallback run on the loop if the connection cannot be established
    */
   static PlatformConnection open(
       final EventLoop loop,
       final InetSocketAddress address,
-      final ChannelHandler reader,
-      final Runnable failed) {
-    final PlatformConnection dial = new PlatformConnection(loop, address, reader, failed);
-    dial.connect();
-    return dial;
+      final ChannelHandler responseHandler,
+      final Runnable failureCallback) {
+    final PlatformConnection connection =
+        new PlatformConnection(loop, address, responseHandler, failureCallback);
+    connection.connect();
+    return connection;
   }
 
   private void connect() {
@@ -63,35 +67,39 @@
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
-                  protected void initChannel(final Channel made) {
-                    made.pipeline().addLast(new HttpClientCodec(), responseHandler);
+                  protected void initChannel(final Channel created) {
+                    created.pipeline().addLast(new HttpClientCodec(), responseHandler);
                   }
                 });
     try {
       channel = Connector.connect(loop, template, address, this::onConnectCompleted).channel();
     } catch (final SocketUnavailableException e) {
-      loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+      scheduleRetry();
     }
   }
 
+  private void scheduleRetry() {
+    loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+  }
+
   private void onConnectCompleted(final ChannelFuture connecting) {
     if (connecting.isSuccess()) {
       return;
     }
     if (!closed && Connector.isLocalFailure(connecting.cause())) {
       channel = null;
-      loop.schedule(this::connect, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+      scheduleRetry();
     } else {
       failureCallback.run();
     }
   }
 
-  /** Writes at once; it has come up. */
+  /** Writes a request; the connection is established. */
   void write(final Object request) {
     channel.writeAndFlush(request);
   }
 
-  /** Gives it up; one that has not come up is told as failed. */
+  /** Closes the connection; if it is not established the failure callback is run. */
   void close() {
     if (channel != null) {
       channel.close();
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/platform/PlatformSession.java
@@ -0,0 +1,98 @@
+package thistleturn.courier.platform;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.HttpObject;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.Log;
+import thistleturn.courier.runtime.PollTracker;
+
+/**
+ * The use of one connection to the platform, from connecting to its end. The client that owns the
+ * sessions has at most one current session; another one only waits for its end. Used on the event
+ * loop.
+ */
+abstract class PlatformSession extends SimpleChannelInboundHandler<HttpObject> {
+  private final EventLoop loop;
+  private final Clock clock;
+  private final PollTracker polls;
+  private final String logName;
+  private PlatformConnection connection;
+
+  /**
+   * Creates a session that is not connected.
+   *
+   * @param logName names the session where a failure is logged
+   */
+  PlatformSession(
+      final EventLoop loop, final Clock clock, final PollTracker polls, final String logName) {
+    this.loop = loop;
+    this.clock = clock;
+    this.polls = polls;
+    this.logName = logName;
+  }
+
+  /** True if the owner uses this session. */
+  abstract boolean isCurrent();
+
+  /** The connection of the current session is established. */
+  abstract void onConnected();
+
+  /** The connection has ended, or could not be established. */
+  abstract void onEnded();
+
+  /** Begins to connect. */
+  final void open(final InetSocketAddress address) {
+    connection = PlatformConnection.open(loop, address, this, this::onEnded);
+  }
+
+  /** Writes a request; the connection is established. */
+  final void write(final Object request) {
+    connection.write(request);
+  }
+
+  final void close() {
+    connection.close();
+  }
+
+  final long nowUs() {
+    return clock.nowUs();
+  }
+
+  /**
+   * Runs an action once input that arrived before the given time has been read, even if the process
+   * was paused then.
+   */
+  final void runAfterPollAt(final long dueUs, final Runnable action) {
+    loop.schedule(
+        () -> polls.runAfterPoll(loop, dueUs, action),
+        Math.max(0, dueUs - nowUs()),
+        TimeUnit.MICROSECONDS);
+  }
+
+  @Override
+  public void channelActive(final ChannelHandlerContext ctx) {
+    if (isCurrent()) {
+      onConnected();
+    } else {
+      ctx.close();
+    }
+  }
+
+  @Override
+  public void channelInactive(final ChannelHandlerContext ctx) {
+    onEnded();
+  }
+
+  @Override
+  public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
+    if (!(cause instanceof IOException)) {
+      Log.failure(logName, cause);
+    }
+    ctx.close();
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/transport/AcceptRetryHandler.java
+++ b/courier/src/main/java/thistleturn/courier/transport/AcceptRetryHandler.java
@@ -7,13 +7,16 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Keeps a listener accepting while the system refuses to (ECONNABORTED, ENFILE, EMFILE, ENOBUFS,
- * ENOMEM, a network error of the waiting connection): it is asked again within milliseconds.
- * Netty's acceptor would stop for a second, in which clients whose requests wait in the backlog
- * give up. To be the first handler of a listener's own pipeline.
+ * Retries within milliseconds when a listener fails to accept (ECONNABORTED, ENFILE, EMFILE,
+ * ENOBUFS, ENOMEM, a network error of the pending connection). Netty's acceptor would pause for a
+ * second, while clients whose requests wait in the backlog give up. It has to be the first handler
+ * in the pipeline of the listener itself.
  */
 public class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
-  /** A client waits 400 ms for its answer; a loop that spins on a lasting failure serves nobody. */
+  /**
+   * A client waits 400 ms for its response, so the delays are short; without any, the event loop
+   * would spin during a lasting failure.
+   */
   private static final long MIN_DELAY_MS = 1;
 
   private static final long MAX_DELAY_MS = 10;
@@ -31,7 +34,7 @@
     context.fireChannelRead(connection);
   }
 
-  /** It is not passed on: what stands behind would stop the listener. */
+  /** Does not pass the exception on: the next handler would stop the listener. */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
     failing = true;
--- a/courier/src/main/java/thistleturn/courier/transport/Connector.java
+++ b/courier/src/main/java/thistleturn/courier/transport/Connector.java
@@ -15,18 +15,18 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Makes connections whose outcome is told on the loop that owns them, and nowhere else. Netty's own
- * bootstrap, where the system has no socket to give, completes its future on a thread of its own,
- * with a channel that is never closed: state of the loop would be changed beside it, and what was
- * reckoned for the channel never given back.
+ * Establishes connections whose outcome is reported on the event loop that owns them, and nowhere
+ * else. If the system has no socket, Netty's bootstrap completes its future on another thread, with
+ * a channel that is never closed: the state of the loop would be changed from outside, and what was
+ * accounted for the channel never released.
  */
 public final class Connector {
   private Connector() {}
 
   /**
-   * True for what this machine's system said of itself (EADDRNOTAVAIL, ENOBUFS, ENETUNREACH and the
-   * like): no word of the other side, and mostly gone in a moment. A connection that was refused,
-   * reset, found no host or ran out of time is none.
+   * True if the local system failed (EADDRNOTAVAIL, ENOBUFS, ENETUNREACH and the like). That says
+   * nothing about the remote side, and is mostly transient. A connection that was refused or reset,
+   * found no host or timed out is no such failure.
    */
   public static boolean isLocalFailure(final Throwable cause) {
     return cause instanceof SocketException
@@ -39,32 +39,34 @@
    * Begins to connect over TCP. Called on the loop.
    *
    * @param template options and handler of the connection
-   * @param told hears on the loop, after this call has returned, whether it came up
-   * @throws SocketUnavailableException if the system has no socket now; then nothing is told
+   * @param callback receives the outcome on the loop, after this call has returned
+   * @throws SocketUnavailableException if the system has no socket now; then the callback is not
+   *     called
    */
   public static ChannelFuture connect(
       final EventLoop loop,
       final Bootstrap template,
       final SocketAddress address,
-      final Consumer<ChannelFuture> told)
+      final Consumer<ChannelFuture> callback)
       throws SocketUnavailableException {
-    return connect(loop, RetryingSocketChannel::new, template, address, told);
+    return connect(loop, RetryingSocketChannel::new, template, address, callback);
   }
 
   /**
-   * The same by another kind of channel; {@code maker} throws {@link ChannelException} where there
-   * is none to have.
+   * Begins to connect over another kind of channel.
+   *
+   * @param channelFactory throws {@link ChannelException} if no channel can be created
    */
   public static ChannelFuture connect(
       final EventLoop loop,
-      final Supplier<? extends Channel> maker,
+      final Supplier<? extends Channel> channelFactory,
       final Bootstrap template,
       final SocketAddress address,
-      final Consumer<ChannelFuture> told)
+      final Consumer<ChannelFuture> callback)
       throws SocketUnavailableException {
     final Channel channel;
     try {
-      channel = maker.get();
+      channel = channelFactory.get();
     } catch (final ChannelException e) {
       Log.event(
           Event.SOCKET_FAILED, "to", address, "cause", e.getCause() == null ? e : e.getCause());
@@ -78,9 +80,9 @@
             Log.event(Event.CONNECT_FAILED, "to", address, "cause", done.cause());
           }
           if (loop.inEventLoop()) {
-            told.accept(connecting);
+            callback.accept(connecting);
           } else {
-            loop.execute(() -> told.accept(connecting));
+            loop.execute(() -> callback.accept(connecting));
           }
         });
     return connecting;
--- a/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
+++ b/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
@@ -4,14 +4,14 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Reads what a channel has, whether or not the selector says so. Java ignores that the system
- * refuses to watch a descriptor (epoll_ctl: ENOMEM, ENOSPC): a channel of which nothing is heard
- * may be one that nobody watches.
+ * Reads from a channel whether or not the selector reports it as ready. Java ignores that the
+ * system refuses to watch a descriptor (epoll_ctl: ENOMEM, ENOSPC), so a channel that is never
+ * reported may be an unwatched one.
  */
 public final class DirectRead {
   private DirectRead() {}
 
-  /** Reads once, on the channel's loop; what is found goes through its handlers as ever. */
+  /** Reads once, on the loop of the channel; its handlers receive the input as usual. */
   public static void readOnce(final Channel channel) {
     if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
       unsafe.read();
--- a/courier/src/main/java/thistleturn/courier/transport/RetryingServerSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/RetryingServerSocketChannel.java
@@ -5,14 +5,14 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listener whose connections are {@link RetryingSocketChannel}s. */
+/** A listener that accepts {@link RetryingSocketChannel}s. */
 public final class RetryingServerSocketChannel extends NioServerSocketChannel {
-  /** One of its own. */
+  /** Creates a listener with a socket of its own. */
   public RetryingServerSocketChannel() {
     super();
   }
 
-  /** One over a socket that is there. */
+  /** Creates a listener with an existing socket. */
   public RetryingServerSocketChannel(final ServerSocketChannel socket) {
     super(socket);
   }
--- a/courier/src/main/java/thistleturn/courier/transport/RetryingSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/RetryingSocketChannel.java
@@ -12,23 +12,23 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * A connection that outlives a shortage of the system's memory (ENOBUFS, ENOMEM): what could not be
- * read or written then is in a moment. Netty's own closes at any error, and a client whose request
- * was read would have no answer.
+ * A connection that survives a transient shortage of memory in the system (ENOBUFS, ENOMEM) by
+ * reading and writing again. Netty's own channel closes at any error, which would leave a client
+ * without a response.
  */
 public final class RetryingSocketChannel extends NioSocketChannel {
   private static final long RETRY_DELAY_MS = 1;
 
-  /** As the C library words them. */
+  /** The messages of the C library. */
   private static final Set<String> MEMORY_SHORTAGE_MESSAGES =
       Set.of("No buffer space available", "Cannot allocate memory");
 
-  /** One that is to be connected. */
+  /** Creates a channel that is to be connected. */
   public RetryingSocketChannel() {
     super();
   }
 
-  /** One that was accepted. */
+  /** Creates a channel for an accepted socket. */
   public RetryingSocketChannel(final Channel parent, final SocketChannel socket) {
     super(parent, socket);
   }
@@ -52,7 +52,8 @@
   }
 
   /**
-   * What was written before the shortage is out of the buffer already: the rest goes on from there.
+   * Writes the pending data. What was written before a shortage has been removed from the buffer,
+   * so that the next attempt continues behind it.
    */
   @Override
   protected void doWrite(final ChannelOutboundBuffer pending) throws Exception {
--- a/courier/src/main/java/thistleturn/courier/transport/SocketUnavailableException.java
+++ b/courier/src/main/java/thistleturn/courier/transport/SocketUnavailableException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * The system has no socket to give at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM): nothing was
- * asked of any other side.
+ * The system has no socket at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM). No remote side was
+ * contacted.
  */
 public final class SocketUnavailableException extends IOException {
   private static final long serialVersionUID = 1L;
--- a/courier/src/main/java/thistleturn/courier/transport/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections as the system gives them: what it refuses for a moment is tried again here, or told
- * to its owner on its loop.
+ * Netty channels and connecting that tolerate transient failures of the local system: they are
+ * retried here, or reported to the owner of the connection on its event loop.
  */
 package thistleturn.courier.transport;
