--- a/adapter/src/main/java/thistleturn/adapter/SimulatedInstance.java
+++ b/adapter/src/main/java/thistleturn/adapter/SimulatedInstance.java
@@ -12,7 +12,7 @@
   private final EventParser parser;
   private final ActionWriter actions;
 
-  /** Null if its construction failed, which the simulator was told of. */
+  /** Null if its construction failed, which was reported to the simulator. */
   private final DeliveryController controller;
 
   /**
--- a/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
@@ -19,8 +19,8 @@
 import thistleturn.settings.MalformedLineException;
 
 /**
- * The exact form of the lines that the adapter exchanges with the program that runs it: the words
- * and fields of actions, but for the one that calls an attempt off, and the words for outcomes,
+ * The exact form of the lines that the adapter exchanges with the program that runs it: the tags
+ * and fields of actions, but for the cancellation of an attempt, and the values of reasons,
  * conditions and scopes.
  */
 final class AdapterLineFormatTest {
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void actionsAreWrittenInTheseForms() throws IOException {
+  void actions_areWrittenInTheseForms() throws IOException {
     final Set<String> seen = new TreeSet<>();
     final String reply = run(busyScenario()) + run(idleScenario());
     for (final String line : reply.split("\n")) {
@@ -143,7 +143,7 @@
         "called_off",
         "not_sent"
       })
-  void outcomeOfThisWordIsRead(final String reason) throws IOException {
+  void knownReason_isParsed(final String reason) throws IOException {
     final String reply =
         run(
             batch(1_000_000, ENLIST, endpoints("warm_copy", "U"), incoming("a", 7))
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void outcomeOfAnyOtherWordIsMalformed() {
+  void unknownReason_isMalformed() {
     final String input =
         batch(1_000_000, ENLIST, endpoints("warm_copy", "U"), incoming("a", 7))
             + batch(1_100_000, returned("a", "DELIVERED"));
@@ -165,7 +165,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"incr", "total", "warm_copy"})
-  void endpointListOfThisScopeIsRead(final String scope) throws IOException {
+  void knownScope_isParsed(final String scope) throws IOException {
     for (final String condition : List.of("U", "L", "D")) {
       final String reply = run(batch(1_000_000, ENLIST, endpoints(scope, condition)));
       assertFalse(reply.contains("die"), reply);
--- a/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import thistleturn.settings.MalformedLineException;
 import thistleturn.settings.SettingsReader;
 
-/** Whole batches through the adapter. */
+/** Complete batches of events, and the replies to them. */
 final class SimulatorAdapterTest {
   private static final String CONFIG =
       "\tnonce64=7\tbalancers=2\tclasses.count=1\tclasses.0.name=7\t"
@@ -47,11 +47,11 @@
         endpoint);
   }
 
-  private static String warm(final int instance) {
+  private static String restoredEndpoints(final int instance) {
     return "endpoints\ti=" + instance + "\tscope=warm_copy\tepoch=1\tbank=0\n";
   }
 
-  private static String incoming(final int instance, final String ref) {
+  private static String message(final int instance, final String ref) {
     return "incoming\ti="
         + instance
         + "\tref="
@@ -59,7 +59,7 @@
         + "\tqos=7\tvalid_until=90000000\tdestination=57\tnew=1\n";
   }
 
-  private static List<String> sends(final String reply) {
+  private static List<String> sentLines(final String reply) {
     return Arrays.stream(reply.split("\n")).filter(line -> line.startsWith("pass_on")).toList();
   }
 
@@ -72,12 +72,18 @@
   void twoInstancesInOneBatch_areIndependent() throws IOException {
     final String reply =
         run(
-            batch(1_000_000, enlist(3), sheet(11), warm(3), enlist(5), warm(5))
-                + batch(2_000_000, incoming(5, "0a"), incoming(3, "0b")));
-    final List<String> sends = sends(reply);
-    assertEquals(2, sends.size());
-    assertTrue(sends.contains("pass_on\ti=3\tref=0b\tpatience=2000000\tendpoint=11"), reply);
-    assertTrue(sends.get(1).startsWith("pass_on\ti=5\tref=0a\t"), reply);
+            batch(
+                    1_000_000,
+                    enlist(3),
+                    sheet(11),
+                    restoredEndpoints(3),
+                    enlist(5),
+                    restoredEndpoints(5))
+                + batch(2_000_000, message(5, "0a"), message(3, "0b")));
+    final List<String> sentLines = sentLines(reply);
+    assertEquals(2, sentLines.size());
+    assertTrue(sentLines.contains("pass_on\ti=3\tref=0b\tpatience=2000000\tendpoint=11"), reply);
+    assertTrue(sentLines.get(1).startsWith("pass_on\ti=5\tref=0a\t"), reply);
     assertEquals(2, reply.split("yield\n", -1).length - 1);
   }
 
@@ -85,13 +91,19 @@
   void restartUnderTheSameNumber_forgetsEverything() throws IOException {
     final String reply =
         run(
-            batch(1_000_000, enlist(1), sheet(11), warm(1))
-                + batch(2_000_000, incoming(1, "0a"))
+            batch(1_000_000, enlist(1), sheet(11), restoredEndpoints(1))
+                + batch(2_000_000, message(1, "0a"))
                 + batch(
-                    3_000_000, "stop\ti=1\n", enlist(1), sheet(12), warm(1), incoming(1, "0b")));
-    final List<String> sends = sends(reply);
-    assertEquals(2, sends.size());
-    assertTrue(sends.get(1).contains("ref=0b") && sends.get(1).endsWith("endpoint=12"), reply);
+                    3_000_000,
+                    "stop\ti=1\n",
+                    enlist(1),
+                    sheet(12),
+                    restoredEndpoints(1),
+                    message(1, "0b")));
+    final List<String> sentLines = sentLines(reply);
+    assertEquals(2, sentLines.size());
+    assertTrue(
+        sentLines.get(1).contains("ref=0b") && sentLines.get(1).endsWith("endpoint=12"), reply);
   }
 
   @Test
@@ -102,26 +114,28 @@
                 1_000_000,
                 enlist(1),
                 sheet(11),
-                warm(1),
+                restoredEndpoints(1),
                 enlist(2),
                 sheet(12),
-                warm(2),
-                incoming(1, "0a"),
-                incoming(2, "0b")));
-    final List<String> sends = sends(reply);
-    assertTrue(sends.get(0).endsWith("endpoint=11") && sends.get(1).endsWith("endpoint=12"), reply);
+                restoredEndpoints(2),
+                message(1, "0a"),
+                message(2, "0b")));
+    final List<String> sentLines = sentLines(reply);
+    assertTrue(
+        sentLines.get(0).endsWith("endpoint=11") && sentLines.get(1).endsWith("endpoint=12"),
+        reply);
   }
 
   @Test
   void expiryAfterTheOutcome_isIgnored() throws IOException {
     final String reply =
         run(
-            batch(1_000_000, enlist(1), sheet(11), warm(1), incoming(1, "0a"))
+            batch(1_000_000, enlist(1), sheet(11), restoredEndpoints(1), message(1, "0a"))
                 + batch(
                     2_000_000,
                     "returned\ti=1\tref=0a\treason=served\tcomplete=1\tendpoint=11\tduration=9\tleg=0\n",
                     "expired\ti=1\tref=0a\n"));
-    assertEquals(1, sends(reply).size());
+    assertEquals(1, sentLines(reply).size());
     assertFalse(reply.contains("die"), reply);
   }
 
@@ -140,7 +154,7 @@
         "line 1: 'clock' is no whole number: 'x'",
         assertThrows(MalformedLineException.class, () -> run("batch\tclock=x\n")).getMessage());
     assertThrows(MalformedLineException.class, () -> run(batch(1, "sheet\tbank=0\trows=2\n")));
-    assertThrows(MalformedLineException.class, () -> run(batch(1, incoming(9, "0a"))));
+    assertThrows(MalformedLineException.class, () -> run(batch(1, message(9, "0a"))));
   }
 
   @Test
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
@@ -30,7 +30,7 @@
   private int consecutiveFailures;
   private boolean mayBeRegistered;
 
-  /** Where the courier is in its life; it only moves forward. */
+  /** The phase of the courier; it only moves forward. */
   private enum Phase {
     SERVING,
     DRAINING,
@@ -92,7 +92,7 @@
     }
     switch (phase) {
       case CANCELLING -> schedule(mayBeRegistered ? Action.CANCEL : Action.NOTHING, nowUs);
-      // One warning is enough, even if it was in vain: the registry hears of us again at the end.
+      // One warning is enough, even if it failed: the next call is the cancellation.
       case DRAINING ->
           schedule(mayBeRegistered && action != Action.WARN ? Action.WARN : Action.NOTHING, nowUs);
       case SERVING -> scheduleWhileServing(nowUs, action, status, succeeded);
@@ -148,7 +148,7 @@
   }
 
   /**
-   * The process is shutting down gracefully: the registry is told to send nothing new here.
+   * The process is shutting down gracefully: the registry is asked to route nothing new here.
    *
    * @param callInFlight true if a call has not completed yet; its completion decides what follows
    */
--- a/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
@@ -199,9 +199,9 @@
   void changedEvenRate_countsAtOnceAndKeepsWhatWasLearned() {
     final FairShare share = shareOf(10);
     share.recordRejected(SECOND_US);
-    final double learnt = share.ratePerSecond();
+    final double learned = share.ratePerSecond();
     share.setEvenRate(5, 2 * SECOND_US);
-    assertEquals(learnt / 2, share.ratePerSecond(), 1e-9);
+    assertEquals(learned / 2, share.ratePerSecond(), 1e-9);
   }
 
   /** An hour without calls does not allow a burst of an hour's calls. */
--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -8,6 +8,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
+import java.util.function.LongToDoubleFunction;
+import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Tag;
@@ -44,15 +46,15 @@
     final List<Due> all = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(4) > 0) {
-        final Due one =
+        final Due entry =
             all.isEmpty() || random.nextBoolean() ? new Due() : all.get(random.nextInt(all.size()));
-        all.add(one);
+        all.add(entry);
         final long dueUs = random.nextInt(10) == 0 ? Long.MAX_VALUE : random.nextInt(40);
-        heap.schedule(one, dueUs);
-        members.remove(one);
+        heap.schedule(entry, dueUs);
+        members.remove(entry);
         if (dueUs != Long.MAX_VALUE) {
-          members.add(one);
-          assertEquals(dueUs, one.dueUs());
+          members.add(entry);
+          assertEquals(dueUs, entry.dueUs());
         }
       } else if (!members.isEmpty() && random.nextBoolean()) {
         heap.remove(members.remove(random.nextInt(members.size())));
@@ -86,37 +88,47 @@
       final long from = random.nextInt(32) - 1L;
       final long below = from + random.nextInt(10);
       final Comparator<Member> byKey = Comparator.comparingLong(OrderedQueue.Entry::key);
-      final Comparator<Member> byPlace = Comparator.comparingLong(OrderedQueue.Entry::sequence);
+      final Comparator<Member> bySequence = Comparator.comparingLong(OrderedQueue.Entry::sequence);
       assertEquals(members.size(), queue.size());
       assertSame(
           members.stream()
               .filter(one -> one.key() >= from)
-              .min(byKey.thenComparing(byPlace))
+              .min(byKey.thenComparing(bySequence))
               .orElse(null),
           queue.firstAtOrAbove(from));
       assertSame(
           members.stream()
               .filter(one -> one.key() < below)
-              .min(byKey.reversed().thenComparing(byPlace))
+              .min(byKey.reversed().thenComparing(bySequence))
               .orElse(null),
           queue.lastBelow(below));
       assertSame(
           members.stream()
               .filter(one -> one.key() >= from && one.key() < below)
-              .min(byPlace)
+              .min(bySequence)
               .orElse(null),
           queue.earliest(from, below));
       checkGreatest(random, queue, members);
     }
   }
 
+  /** The greatest key that there is lies above the last interval's bound. */
+  @Example
+  void orderedQueue_findsTheGreatestAmongMembersOfTheGreatestKey() {
+    final OrderedQueue<Member> queue = new OrderedQueue<>();
+    final Member first = new Member();
+    queue.add(first, Long.MAX_VALUE, 0);
+    queue.add(new Member(), Long.MAX_VALUE, 1);
+    assertSame(first, queue.greatest(new long[] {5}, one -> 1));
+  }
+
   /** Values that rise, fall or stay between breakpoints drawn at random. */
   private static void checkGreatest(
       final Random random, final OrderedQueue<Member> queue, final List<Member> members) {
     final long[] breakpoints = random.longs(3, 0, 30).sorted().toArray();
     final int[] slopes = random.ints(4, -1, 2).toArray();
     final int[] heights = random.ints(4, 0, 40).toArray();
-    final java.util.function.LongToDoubleFunction value =
+    final LongToDoubleFunction value =
         key -> {
           int interval = 0;
           while (interval < breakpoints.length && breakpoints[interval] <= key) {
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
@@ -27,18 +27,18 @@
   }
 
   private static SourceReport report(
-      final String instance, final int port, final ReportedStatus word) {
-    return report(instance, port, 7, word, 0);
+      final String instanceId, final int port, final ReportedStatus status) {
+    return report(instanceId, port, 7, status, 0);
   }
 
   private static SourceReport report(
-      final String instance,
+      final String instanceId,
       final int port,
       final long destination,
-      final ReportedStatus word,
+      final ReportedStatus status,
       final long version) {
     return new SourceReport(
-        instance, "127.0.0.1:" + port, destination, "a", "std", 5, word, version);
+        instanceId, "127.0.0.1:" + port, destination, "a", "std", 5, status, version);
   }
 
   private void platformSnapshot(final SourceReport... reports) {
