--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/ClientListeners.java
@@ -0,0 +1,75 @@
+package thistleturn.courier;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.function.Consumer;
+import thistleturn.courier.runtime.CourierConfig;
+import thistleturn.courier.runtime.TransientFailures;
+
+/**
+ * Opens the listeners for clients, one shard after the other; all share the port of the first one.
+ * Lives on the first event loop.
+ */
+final class ClientListeners {
+  private final ServerContext context;
+  private final StartupProgress progress;
+  private final TakeoverCoordinator takeover;
+  private final Consumer<String> onListening;
+
+  /** Nothing is opened yet; {@code onListening} gets the address once all listeners are open. */
+  ClientListeners(
+      final ServerContext context,
+      final TakeoverCoordinator takeover,
+      final Consumer<String> onListening) {
+    this.context = context;
+    this.progress = context.progress();
+    this.takeover = takeover;
+    this.onListening = onListening;
+  }
+
+  /** Opens all listeners; called again after a successor has ended before this process. */
+  void open() {
+    open(0, context.config().listenAddress());
+  }
+
+  private void open(final int index, final InetSocketAddress address) {
+    // Other shards, or a newer process, listen at the same address.
+    final boolean sharesAddress = context.shards().size() > 1 || context.hasOperators();
+    context
+        .shards()
+        .get(index)
+        .listen(address, sharesAddress)
+        .whenCompleteAsync(
+            (bound, failure) -> {
+              if (failure != null) {
+                onFailure(failure, () -> open(index, address));
+              } else if (index + 1 < context.shards().size()) {
+                open(index + 1, CourierConfig.parseAddress("listen", bound));
+              } else {
+                onListening.accept(bound);
+              }
+            },
+            context.eventLoop());
+  }
+
+  private void onFailure(final Throwable failure, final Runnable openAgain) {
+    if (progress.isDecided() && !context.lifecycle().isShuttingDown()) {
+      // The process has served before: nobody else would try again.
+      progress.logAndRetry("listen again", failure, openAgain);
+    } else if (TransientFailures.isAddressInUse(failure) && takeover.requestClientAddress()) {
+      // The JDK checks once whether sockets may share an address, and takes a failure of that check
+      // for a no.
+      progress.retry(openAgain);
+    } else if (takeover.hasRequestedClientAddress() && progress.hasTimeLeft()) {
+      progress.retry(openAgain);
+    } else {
+      progress.retryOrFail("listen", describe(failure), openAgain);
+    }
+  }
+
+  private IOException describe(final Throwable failure) {
+    return new IOException(
+        "cannot listen on " + context.config().listenAddress() + ": " + failure.getMessage(),
+        failure);
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoopReplacement.java
@@ -0,0 +1,76 @@
+package thistleturn.courier;
+
+import java.util.Set;
+import thistleturn.courier.handover.HandoverClient;
+import thistleturn.courier.handover.RemoteCallExecutor;
+import thistleturn.courier.handover.Successor;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.StateObserver;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.courier.runtime.Log;
+import thistleturn.decisions.model.AttemptResult;
+
+/**
+ * Connects a decision loop that had handed over with the one that takes its place in the same
+ * process: the new one decides, the old one completes the calls that it has in flight and reports
+ * their outcomes.
+ */
+final class DecisionLoopReplacement implements Successor, RemoteCallExecutor {
+  private final DecisionLoop replaced;
+  private final DecisionLoop current;
+
+  /**
+   * What the new decision loop is set up with.
+   *
+   * @param disabledEndpoints the endpoints that are administratively disabled
+   * @param observer who is notified of changes, or null
+   */
+  record Setup(Set<String> disabledEndpoints, StateObserver observer) {}
+
+  private DecisionLoopReplacement(final DecisionLoop replaced, final DecisionLoop current) {
+    this.replaced = replaced;
+    this.current = current;
+  }
+
+  /** Has {@code current} decide in place of {@code replaced}, and returns it. */
+  static DecisionLoop replace(
+      final DecisionLoop replaced, final DecisionLoop current, final Setup setup) {
+    current.continueCountersOf(replaced);
+    current.setDisabledEndpoints(setup.disabledEndpoints());
+    if (setup.observer() != null) {
+      current.setObserver(setup.observer());
+    }
+    final DecisionLoopReplacement link = new DecisionLoopReplacement(replaced, current);
+    final int resumed = current.start(replaced.handOverAgain(link), link);
+    Log.info("resumed " + resumed + " messages");
+    return current;
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long validUntilUs, final Ingress.Reply reply) {
+    current.onMessageSubmitted(message, reply);
+  }
+
+  @Override
+  public void withdraw(final String id, final long destination) {
+    current.withdraw(id, destination);
+  }
+
+  @Override
+  public void reportOutcome(
+      final long call, final String messageId, final Dispatcher.DispatchOutcome outcome) {
+    current.onRemoteOutcome(messageId, outcome);
+  }
+
+  @Override
+  public void setListener(final HandoverClient.Listener listener) {
+    // The listener is the current decision loop, which is known.
+  }
+
+  @Override
+  public void abandonCall(final long call, final AttemptResult result) {
+    replaced.abandonHandedOverCall(call, result);
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/DirectiveBroadcaster.java
@@ -0,0 +1,82 @@
+package thistleturn.courier;
+
+import java.io.IOException;
+import java.util.Set;
+import thistleturn.courier.port.DirectiveSink;
+import thistleturn.courier.port.StateObserver;
+import thistleturn.courier.runtime.Log;
+import thistleturn.decisions.directives.Directive;
+
+/**
+ * Carries what subsystems state about destinations and endpoints to all shards, and what the shards
+ * report back to one observer. Lives on the first event loop.
+ */
+final class DirectiveBroadcaster implements DirectiveSink {
+  private final ShardGroup shards;
+  private final DisabledEndpointRegistry disabledEndpoints;
+
+  /** Null while nobody observes. */
+  private StateObserver observer;
+
+  DirectiveBroadcaster(final ShardGroup shards, final DisabledEndpointRegistry disabledEndpoints) {
+    this.shards = shards;
+    this.disabledEndpoints = disabledEndpoints;
+  }
+
+  @Override
+  public void observe(final StateObserver stateObserver) {
+    observer = stateObserver;
+    shards.queryEach(
+        shard -> {
+          shard.decisionLoop().setObserver(relayTo(stateObserver));
+          return true;
+        });
+  }
+
+  /** Returns the observer as a shard may notify it, or null if there is none. */
+  StateObserver observerForShards() {
+    return observer == null ? null : relayTo(observer);
+  }
+
+  private ObserverRelay relayTo(final StateObserver stateObserver) {
+    return new ObserverRelay(shards.first().eventLoop(), stateObserver);
+  }
+
+  /**
+   * Notifies the observer that an operator disables or enables an endpoint here.
+   *
+   * @throws IOException if the observer cannot store that: then nothing must change
+   */
+  void reportEndpointDisabled(final String endpoint, final boolean disabled) throws IOException {
+    if (observer != null) {
+      observer.onEndpointDisabled(endpoint, disabled);
+    }
+  }
+
+  @Override
+  public void applyDirective(final long destination, final Directive directive) {
+    shards.queryEach(
+        shard -> {
+          shard.decisionLoop().applyDirective(destination, directive);
+          return true;
+        });
+  }
+
+  @Override
+  public void setDisabled(final String endpoint, final boolean disabled) {
+    if (disabledEndpoints.isStored()) {
+      try {
+        disabledEndpoints.setStored(endpoint, disabled);
+        return;
+      } catch (final IOException e) {
+        Log.info("who is left out cannot be put down: " + e.getMessage());
+      }
+    }
+    disabledEndpoints.setUnstored(endpoint, disabled);
+  }
+
+  @Override
+  public Set<String> disabledEndpoints() {
+    return disabledEndpoints.endpoints();
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/LocalIngressHandler.java
@@ -0,0 +1,33 @@
+package thistleturn.courier;
+
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.decisions.model.MessageClass;
+
+/**
+ * Passes requests to the decision loop that decides now for the only shard; another one may take
+ * its place while the ingress stays.
+ */
+record LocalIngressHandler(Shard shard) implements IngressHandler {
+  @Override
+  public MessageClass messageClass(final String className) {
+    return shard.decisionLoop().messageClass(className);
+  }
+
+  @Override
+  public boolean isAnsweredOnThisLoop(final long destination) {
+    return shard.decisionLoop().isAnsweredOnThisLoop(destination);
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long validUntilUs, final Ingress.Reply reply) {
+    shard.decisionLoop().submit(message, validUntilUs, reply);
+  }
+
+  @Override
+  public void withdraw(final String id, final long destination) {
+    shard.decisionLoop().withdraw(id, destination);
+  }
+}
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/ShardHandoverSource.java
@@ -0,0 +1,117 @@
+package thistleturn.courier;
+
+import java.io.IOException;
+import java.util.concurrent.TimeUnit;
+import thistleturn.courier.handover.HandoverSnapshot;
+import thistleturn.courier.handover.HandoverSource;
+import thistleturn.courier.handover.Successor;
+import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.Log;
+import thistleturn.courier.runtime.PermanentFailureException;
+import thistleturn.courier.runtime.TransientFailures;
+import thistleturn.decisions.model.AttemptResult;
+
+/**
+ * The older process's side of a takeover: hands over all that its only shard decides, with the
+ * journal, and takes it back if the newer process ends first. Lives on the shard's event loop. The
+ * other side is {@link TakeoverCoordinator}.
+ */
+final class ShardHandoverSource implements HandoverSource {
+  private static final int SUCCESSOR_LOST_EXIT_STATUS = 75;
+
+  /** How often the lock is tried that a process which has ended may still hold. */
+  private static final int LOCK_ATTEMPTS = 100;
+
+  private static final long LOCK_RETRY_MS = 20;
+
+  private final ServerContext context;
+  private final Shard shard;
+  private final DirectiveBroadcaster directives;
+  private final Runnable reopenListeners;
+
+  ShardHandoverSource(
+      final ServerContext context,
+      final DirectiveBroadcaster directives,
+      final Runnable reopenListeners) {
+    this.context = context;
+    this.shard = context.shards().first();
+    this.directives = directives;
+    this.reopenListeners = reopenListeners;
+  }
+
+  @Override
+  public HandoverSnapshot handOver(final Successor successor) throws IOException {
+    final HandoverSnapshot snapshot = shard.decisionLoop().handOver(successor);
+    // From here on the successor decides: what fails now must not keep it from that.
+    shard.releaseJournal();
+    context.stateFolder().unlock();
+    Log.info("handed over with " + snapshot.calls().size() + " calls out");
+    return snapshot;
+  }
+
+  @Override
+  public void abandonCall(final long call, final AttemptResult result) {
+    shard.decisionLoop().abandonHandedOverCall(call, result);
+  }
+
+  @Override
+  public void onSuccessorListening() {
+    context.lifecycle().onSuccessorListening();
+    shard.drainIngressForHandover();
+  }
+
+  @Override
+  public void onSuccessorGone() {
+    takeBack(LOCK_ATTEMPTS, context.clock().nowUs() + TransientFailures.RETRY_BUDGET_US);
+  }
+
+  /**
+   * Decides again. The system may release the lock of a process that died a moment after it has
+   * closed its connections, so the lock is tried several times.
+   */
+  private void takeBack(final int lockAttemptsLeft, final long retryUntilUs) {
+    if (context.lifecycle().isShuttingDown()) {
+      return;
+    }
+    try {
+      if (context.stateFolder().tryLock()) {
+        decideAgain();
+      } else if (lockAttemptsLeft > 0) {
+        scheduleTakeBack(lockAttemptsLeft - 1, retryUntilUs, LOCK_RETRY_MS);
+      } else {
+        throw new PermanentFailureException(
+            "another process holds " + context.config().stateFolder());
+      }
+    } catch (final IOException e) {
+      onTakeBackFailed(e, retryUntilUs);
+    }
+  }
+
+  private void decideAgain() throws IOException {
+    context.shards().openJournals(context.stateFolder());
+    Log.info("the newer process has ended: this one takes up again");
+    shard.replaceDecisionLoop(
+        new DecisionLoopReplacement.Setup(
+            directives.disabledEndpoints(), directives.observerForShards()));
+    reopenListeners.run();
+  }
+
+  private void onTakeBackFailed(final IOException failure, final long retryUntilUs) {
+    if (TransientFailures.isTransient(failure) && context.clock().nowUs() < retryUntilUs) {
+      Log.event(Event.START_RETRIED, "step", "take up again", "cause", failure);
+      context.stateFolder().unlock();
+      scheduleTakeBack(LOCK_ATTEMPTS, retryUntilUs, TransientFailures.RETRY_DELAY_MS);
+      return;
+    }
+    Log.info("the newer process has ended, and so does this one: " + failure.getMessage());
+    // Not on the event loop, which the shutdown hook needs.
+    new Thread(() -> System.exit(SUCCESSOR_LOST_EXIT_STATUS), "successor lost").start();
+  }
+
+  private void scheduleTakeBack(
+      final int lockAttempts, final long retryUntilUs, final long delayMs) {
+    context
+        .eventLoop()
+        .schedule(() -> takeBack(lockAttempts, retryUntilUs), delayMs, TimeUnit.MILLISECONDS);
+  }
+}
