--- a/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
+++ b/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
@@ -12,9 +12,9 @@
 import thistleturn.courier.runtime.ConfigurationException;
 
 /**
- * One run of a courier at the build, so that the Java machine can write down the classes that it
- * loads: a courier that finds them prepared is ready, after a restart too, in a fraction of the
- * time. It serves as its own discovery and endpoint, which answer that they know of nothing.
+ * Runs a courier at build time, so that the JVM can archive the classes that it loads: a courier
+ * with such a class data archive is ready in a fraction of the time. The courier is its own
+ * discovery and endpoint, and knows of no others.
  */
 public final class ClassArchiveTraining {
   private static final String ADDRESS = "127.0.0.1";
@@ -23,31 +23,18 @@
 
   private ClassArchiveTraining() {}
 
-  /** Runs a courier in the folder given, hands in one message, and ends. */
+  /** Runs a courier in the folder that the argument names, submits one message, and exits. */
   public static void main(final String[] args)
       throws IOException, InterruptedException, ConfigurationException {
     final Path folder = Files.createDirectories(Path.of(args[0]));
     final int port;
     final int operatorPort;
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS));
-        ServerSocket second = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS))) {
-      port = free.getLocalPort();
-      operatorPort = second.getLocalPort();
+    try (ServerSocket client = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS));
+        ServerSocket operator = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS))) {
+      port = client.getLocalPort();
+      operatorPort = operator.getLocalPort();
     }
-    final String own = ADDRESS + ":" + port;
-    final Path config =
-        Files.writeString(
-            folder.resolve("config.json"),
-            """
-                {"name":"rehearsal","listen":"%s","operator":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":256,"disk_mb":3},
-                 "known":{"seq":1,"whole":true,"hosts":[{"host":"e","dial":"%s","site":"a","class":"std","block":1,
-                  "health":"Ready","share":9.0,"born_ms":0}]},
-                 "settings":{"balancers":1,"my_zone":"a","discovery":"on_request","weights":"nominal","flavors":["std"],
-                  "classes":[{"name":"once","effect":"side_effect","target":500000,"deadline":1000000}],
-                  "extra":{"calls_out":4,"per_call":[5],"routes_apart":[false]},
-                  "limits":{"max_open":9,"most_tries":2,"idle_close":1000000}}}
-                """
-                .formatted(own, operatorPort, own, own));
+    final Path config = writeConfiguration(folder, port, operatorPort);
     Main.serve(
         Map.of(
             "PROXY_CONFIG", config.toString(), "PROXY_STATE", folder.resolve("state").toString()),
@@ -65,16 +52,34 @@
     System.exit(0);
   }
 
+  private static Path writeConfiguration(final Path folder, final int port, final int operatorPort)
+      throws IOException {
+    final String ownAddress = ADDRESS + ":" + port;
+    return Files.writeString(
+        folder.resolve("config.json"),
+        """
+                {"name":"rehearsal","listen":"%s","operator":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":256,"disk_mb":3},
+                 "known":{"seq":1,"whole":true,"hosts":[{"host":"e","dial":"%s","site":"a","class":"std","block":1,
+                  "health":"Ready","share":9.0,"born_ms":0}]},
+                 "settings":{"balancers":1,"my_zone":"a","discovery":"on_request","weights":"nominal","flavors":["std"],
+                  "classes":[{"name":"once","effect":"side_effect","target":500000,"deadline":1000000}],
+                  "extra":{"calls_out":4,"per_call":[5],"routes_apart":[false]},
+                  "limits":{"max_open":9,"most_tries":2,"idle_close":1000000}}}
+                """
+            .formatted(ownAddress, operatorPort, ownAddress, ownAddress));
+  }
+
+  /** Sends a request and waits for the end of the response; the listener may not be open yet. */
   private static void exchange(final int port, final String request)
       throws IOException, InterruptedException {
-    for (int left = MAX_ATTEMPTS; left > 0; left--) {
+    for (int attemptsLeft = MAX_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
       try (Socket socket = new Socket()) {
         socket.connect(new InetSocketAddress(ADDRESS, port));
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         socket.getInputStream().readAllBytes();
         return;
       } catch (final IOException e) {
-        if (left == 1) {
+        if (attemptsLeft == 1) {
           throw e;
         }
         Thread.sleep(RETRY_DELAY_MS);
--- a/courier/src/main/java/thistleturn/courier/CourierExtension.java
+++ b/courier/src/main/java/thistleturn/courier/CourierExtension.java
@@ -2,28 +2,32 @@
 
 import thistleturn.courier.port.EndpointDirectory;
 
-/** A subsystem beside the platform's own; without one nothing of it is loaded. */
+/**
+ * A subsystem beside the platform's own, such as a service registry or gossip with other couriers.
+ * Without one none of its classes are loaded.
+ */
 public interface CourierExtension {
   /**
-   * The directory that the courier follows: the platform's own, or one that merges it with others.
+   * Returns the directory that the courier follows: the platform's own, or one that merges it with
+   * others. Called once, on the event loop, while the courier starts.
    */
-  EndpointDirectory createDirectory(EndpointDirectory own, ExtensionContext surroundings);
+  EndpointDirectory createDirectory(EndpointDirectory platformDirectory, ExtensionContext context);
 
-  /** The courier serves at that address from now on. Called on the event loop. */
+  /**
+   * The courier accepts clients at that address. Called on the event loop, again after a successor
+   * has ended before this process.
+   */
   void onServing(String address);
 
-  /** The process ends soon; whoever knows of it may be told. Called on the event loop. */
+  /** A graceful shutdown begins; others may be notified. Called on the event loop. */
   void onShutdownStarted();
 
   /**
-   * Nothing is held any more, or the time is up: takes leave of whoever knows of this courier.
-   * Called on the event loop again and again until it is true that this is done.
+   * Deregisters this courier, since no message is pending any more or the time for a graceful
+   * shutdown is over. Called on the event loop repeatedly until it returns true.
    */
   boolean tryFinishShutdown();
 
-  /**
-   * The configuration is being read again; whatever the extension keeps in files of its own is,
-   * too.
-   */
+  /** The configuration was read again: the extension reads its own files again too. */
   void onConfigurationReload();
 }
--- a/courier/src/main/java/thistleturn/courier/Main.java
+++ b/courier/src/main/java/thistleturn/courier/Main.java
@@ -13,19 +13,21 @@
 import thistleturn.courier.runtime.TransientFailures;
 
 /**
- * Starts a real courier, has it read its configuration again on SIGHUP, and ends it in order on
- * SIGTERM.
+ * Runs a courier as a process of its own: SIGHUP reloads its configuration, SIGTERM shuts it down
+ * gracefully.
  */
 public final class Main {
+  private static final int START_FAILED_STATUS = 1;
+
   private Main() {}
 
-  /** Runs a courier with what the environment tells, until it is ended. */
+  /** Runs a courier with the configuration that the environment names, until it is ended. */
   public static void main(final String[] args) {
     try {
       serve(System.getenv(), null, CourierOptions.platformDefaults());
     } catch (final ConfigurationException | IOException e) {
       System.err.println("cannot start: " + e.getMessage());
-      System.exit(1);
+      System.exit(START_FAILED_STATUS);
     }
   }
 
@@ -33,60 +35,61 @@
    * Runs a courier as this process: signals are its own, and a start that fails later ends the
    * process.
    *
+   * @param environment the environment variables that name the configuration
    * @param extension a subsystem beside the platform's own, or null
-   * @param tuning how large it is made
+   * @param options the size of the courier
+   * @throws ConfigurationException if the configuration cannot be used
+   * @throws IOException if the journal cannot be opened
    */
   public static CourierServer serve(
       final Map<String, String> environment,
       final CourierExtension extension,
-      final CourierOptions tuning)
+      final CourierOptions options)
       throws ConfigurationException, IOException {
     final AtomicReference<CourierServer> started = new AtomicReference<>();
-    final AtomicBoolean asked = new AtomicBoolean();
+    final AtomicBoolean reloadRequested = new AtomicBoolean();
     // First of all: until this is in place, a SIGHUP ends the process.
-    ReloadSignal.onHangup(
-        () -> {
-          asked.set(true);
-          final CourierServer process = started.get();
-          if (process == null) {
-            Log.info("SIGHUP: the configuration is read again once this process has started");
-          } else {
-            process.reload();
-          }
-        });
-    final CourierServer process = startWithRetry(environment, extension, tuning);
-    started.set(process);
-    if (asked.get()) {
-      // What was read may be what was there before the signal.
-      process.reload();
+    ReloadSignal.onHangup(() -> onHangup(reloadRequested, started.get()));
+    final CourierServer server = startWithRetry(environment, extension, options);
+    started.set(server);
+    if (reloadRequested.get()) {
+      // The configuration may have been read before the signal.
+      server.reload();
     }
-    Runtime.getRuntime().addShutdownHook(new Thread(process::shutDownGracefully, "stop"));
-    process
-        .ready()
-        .exceptionally(
-            failure -> {
-              System.err.println("cannot start: " + failure.getMessage());
-              Runtime.getRuntime().halt(1);
-              return null;
-            });
-    return process;
+    Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownGracefully, "stop"));
+    server.ready().whenComplete(Main::haltIfStartFailed);
+    return server;
   }
 
-  /**
-   * What the system cannot give now it may give in a moment: a start that ends for that is a crash.
-   */
+  private static void onHangup(final AtomicBoolean reloadRequested, final CourierServer server) {
+    reloadRequested.set(true);
+    if (server == null) {
+      Log.info("SIGHUP: the configuration is read again once this process has started");
+    } else {
+      server.reload();
+    }
+  }
+
+  private static void haltIfStartFailed(final String address, final Throwable failure) {
+    if (failure != null) {
+      System.err.println("cannot start: " + failure.getMessage());
+      Runtime.getRuntime().halt(START_FAILED_STATUS);
+    }
+  }
+
+  /** Retries after a transient failure: what the system cannot provide now it may provide soon. */
   private static CourierServer startWithRetry(
       final Map<String, String> environment,
       final CourierExtension extension,
-      final CourierOptions tuning)
+      final CourierOptions options)
       throws ConfigurationException, IOException {
     final Clock clock = new Clock();
-    final long untilUs = clock.nowUs() + TransientFailures.RETRY_BUDGET_US;
+    final long retryUntilUs = clock.nowUs() + TransientFailures.RETRY_BUDGET_US;
     while (true) {
       try {
-        return CourierServer.start(environment, extension, tuning);
+        return CourierServer.start(environment, extension, options);
       } catch (final ConfigurationException | IOException | RuntimeException | OutOfMemoryError e) {
-        if (!TransientFailures.isTransient(e) || clock.nowUs() > untilUs) {
+        if (!TransientFailures.isTransient(e) || clock.nowUs() > retryUntilUs) {
           throw e;
         }
         Log.event(Event.START_RETRIED, "step", "open", "cause", e);
--- a/courier/src/main/java/thistleturn/courier/operator/AdminOperations.java
+++ b/courier/src/main/java/thistleturn/courier/operator/AdminOperations.java
@@ -3,23 +3,22 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * What the operators' address asks of the courier. All methods are called on the courier's first
- * event loop.
+ * What operators can ask of a courier. All methods are called on the courier's first event loop.
  */
 public interface AdminOperations {
-  /** True while this process takes clients. */
+  /** Returns whether this process accepts clients. */
   boolean isServing();
 
-  /** True once there is something to ask; what follows is only called then. */
+  /** Returns whether the courier decides; the methods below are called only then. */
   boolean isStarted();
 
-  /** The figures of this moment. */
+  /** Returns the metrics of this moment. */
   CompletionStage<CourierMetrics> collectMetrics();
 
   /**
-   * Leaves an endpoint out, or lets it serve again; true once that holds and outlasts the process,
-   * false if no endpoint of that name was ever listed. Completes exceptionally if it could not be
-   * written down: then nothing has changed.
+   * Disables an endpoint administratively, or enables it again. Completes with true once that is
+   * applied and stored, and with false if no endpoint of that name was ever listed. Completes
+   * exceptionally if it could not be stored: then nothing has changed.
    */
-  CompletionStage<Boolean> setEndpointDisabled(String endpoint, boolean leaveOut);
+  CompletionStage<Boolean> setEndpointDisabled(String endpoint, boolean disabled);
 }
--- a/courier/src/main/java/thistleturn/courier/operator/CourierMetrics.java
+++ b/courier/src/main/java/thistleturn/courier/operator/CourierMetrics.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * What a courier has done since its process began, and what it has now.
+ * The metrics of a courier: counters since its process began, and gauges of the present.
  *
- * @param outcomesByClass how messages ended, by class
- * @param attempts messages written whole to endpoints
- * @param inFlight messages taken and not yet ended
- * @param endpointsKnown endpoints in the list
- * @param endpointsExcluded those of them that get nothing new now, by hand or for trouble with them
+ * @param outcomesByClass how messages ended, by message class
+ * @param attempts messages that were written completely to endpoints
+ * @param inFlight messages that were accepted and have no final outcome yet
+ * @param endpointsKnown endpoints in the endpoint list
+ * @param endpointsExcluded those of them that get no new calls now, because they are
+ *     administratively disabled or unhealthy
  */
 public record CourierMetrics(
     List<ClassOutcomes> outcomesByClass,
@@ -19,43 +20,50 @@
     long endpointsKnown,
     long endpointsExcluded) {
 
-  /** How messages of a class ended. */
+  /**
+   * How the messages of a class ended.
+   *
+   * @param className the name of the message class
+   * @param served messages that were delivered
+   * @param refused messages that were rejected or shed
+   * @param failed messages that were given up
+   */
   public record ClassOutcomes(String className, long served, long refused, long failed) {}
 
   /**
-   * The figures of several parts of one courier together; all name the same classes in the same
-   * order.
+   * Returns the sum of the metrics of several shards of one courier; all name the same classes in
+   * the same order.
    */
-  public static CourierMetrics sum(final List<CourierMetrics> parts) {
-    final List<ClassOutcomes> ends = new ArrayList<>();
-    for (int kind = 0; kind < parts.get(0).outcomesByClass.size(); kind++) {
+  public static CourierMetrics sum(final List<CourierMetrics> shards) {
+    final List<ClassOutcomes> outcomes = new ArrayList<>();
+    for (int index = 0; index < shards.get(0).outcomesByClass.size(); index++) {
       long served = 0;
       long refused = 0;
       long failed = 0;
-      for (final CourierMetrics part : parts) {
-        served += part.outcomesByClass.get(kind).served();
-        refused += part.outcomesByClass.get(kind).refused();
-        failed += part.outcomesByClass.get(kind).failed();
+      for (final CourierMetrics shard : shards) {
+        served += shard.outcomesByClass.get(index).served();
+        refused += shard.outcomesByClass.get(index).refused();
+        failed += shard.outcomesByClass.get(index).failed();
       }
-      ends.add(
+      outcomes.add(
           new ClassOutcomes(
-              parts.get(0).outcomesByClass.get(kind).className(), served, refused, failed));
+              shards.get(0).outcomesByClass.get(index).className(), served, refused, failed));
     }
     return new CourierMetrics(
-        ends,
-        parts.stream().mapToLong(CourierMetrics::attempts).sum(),
-        parts.stream().mapToLong(CourierMetrics::inFlight).sum(),
-        parts.stream().mapToLong(CourierMetrics::endpointsKnown).sum(),
-        parts.stream().mapToLong(CourierMetrics::endpointsExcluded).sum());
+        outcomes,
+        shards.stream().mapToLong(CourierMetrics::attempts).sum(),
+        shards.stream().mapToLong(CourierMetrics::inFlight).sum(),
+        shards.stream().mapToLong(CourierMetrics::endpointsKnown).sum(),
+        shards.stream().mapToLong(CourierMetrics::endpointsExcluded).sum());
   }
 
-  /** As text in the form that Prometheus reads (exposition format 0.0.4). */
+  /** Returns the metrics in the Prometheus text exposition format 0.0.4. */
   public String toPrometheusText() {
     final StringBuilder text = new StringBuilder("# TYPE svc_requests_total counter\n");
-    for (final ClassOutcomes kind : outcomesByClass) {
-      appendRequestCount(text, kind.className(), "served", kind.served());
-      appendRequestCount(text, kind.className(), "refused", kind.refused());
-      appendRequestCount(text, kind.className(), "failed", kind.failed());
+    for (final ClassOutcomes outcomes : outcomesByClass) {
+      appendRequestCount(text, outcomes.className(), "served", outcomes.served());
+      appendRequestCount(text, outcomes.className(), "refused", outcomes.refused());
+      appendRequestCount(text, outcomes.className(), "failed", outcomes.failed());
     }
     return text.append("# TYPE svc_attempts_total counter\nsvc_attempts_total ")
         .append(attempts)
--- a/courier/src/main/java/thistleturn/courier/operator/DisabledEndpointsFile.java
+++ b/courier/src/main/java/thistleturn/courier/operator/DisabledEndpointsFile.java
@@ -11,25 +11,32 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints that are left out by hand, in the folder that outlasts the process: a name a line.
- * It is replaced in one step, so that a reader, in this process or another one, finds one state
- * whole.
+ * The file of the endpoints that are administratively disabled, one name per line, in the state
+ * folder. It is replaced atomically, so that a reader, in this process or another one, always finds
+ * a complete state.
  */
 public final class DisabledEndpointsFile {
+  /** A stored name: earlier versions read and write the same file. */
   private static final String FILE_NAME = "maintenance";
+
   private static final int MAX_BYTES = 1 << 16;
 
   private final Path file;
   private final Path replacement;
 
-  /** Nothing is read or written yet; {@code writer} is this process's own. */
-  public DisabledEndpointsFile(final Path folder, final long writer) {
+  /**
+   * Names the file; nothing is read or written yet.
+   *
+   * @param folder the state folder
+   * @param processId tells the replacements of several processes apart
+   */
+  public DisabledEndpointsFile(final Path folder, final long processId) {
     this.file = folder.resolve(FILE_NAME);
-    this.replacement = folder.resolve(FILE_NAME + ".next-" + writer);
+    this.replacement = folder.resolve(FILE_NAME + ".next-" + processId);
   }
 
   /**
-   * The names in the file; none if there is no file.
+   * Returns the names in the file; none if there is no file.
    *
    * @throws IOException if it cannot be read
    */
@@ -47,7 +54,7 @@
   }
 
   /**
-   * Puts these names in the file.
+   * Replaces the names in the file.
    *
    * @throws IOException if that failed, or they would need over 64 KiB; then the file is as it was
    */
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -3,6 +3,7 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
@@ -11,6 +12,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
@@ -18,6 +20,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -33,32 +36,35 @@
 import thistleturn.courier.transport.RetryingServerSocketChannel;
 
 /**
- * Answers operators, one call a connection. Callers who say nothing, or half of it, hold a
- * connection for a while and nobody up: where there are many, the one that has been silent longest
- * makes room.
+ * The HTTP server for operators, with one request per connection. Callers that send nothing, or an
+ * incomplete request, keep a connection open for a while without delaying others: if there are too
+ * many, the connection that has waited longest is closed.
  */
 public final class OperatorServer {
   private static final int MAX_CONNECTIONS = 24;
   private static final int MAX_REQUEST_BYTES = 1 << 12;
 
-  /** A connection without a whole call is closed after this. */
+  /** A connection without a complete request is closed after this. */
   private static final long REQUEST_TIMEOUT_MS = 5000;
 
   private static final int BACKLOG = 128;
+  private static final String READY_PATH = "/-/ready";
+  private static final String METRICS_PATH = "/-/metrics";
+  private static final String DISABLE_COMMAND = "disable";
   private static final Pattern ENDPOINT_COMMAND =
       Pattern.compile("/-/endpoints/([^/]+)/(disable|enable)");
 
   private final AdminOperations operations;
 
-  /** Connections without a whole call, the oldest first. */
+  /** Connections without a complete request, the oldest first. */
   private final Set<Channel> connectionsAwaitingRequest = new LinkedHashSet<>();
 
-  /** Not listening yet. */
-  public OperatorServer(final AdminOperations desk) {
-    this.operations = desk;
+  /** Creates a server that is not listening yet. */
+  public OperatorServer(final AdminOperations operations) {
+    this.operations = operations;
   }
 
-  /** Listens; completes with the address in fact, or exceptionally. */
+  /** Starts to listen; completes with the address in use, or exceptionally. */
   public CompletableFuture<String> listen(final EventLoop loop, final InetSocketAddress address) {
     final CompletableFuture<String> listening = new CompletableFuture<>();
     new ServerBootstrap()
@@ -68,35 +74,40 @@
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-        .childHandler(
-            new ChannelInitializer<Channel>() {
-              @Override
-              protected void initChannel(final Channel channel) {
-                onConnectionOpened(channel);
-                channel
-                    .pipeline()
-                    .addLast(
-                        new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                        new RequestHandler());
-              }
-            })
+        .childHandler(new ConnectionInitializer())
         .bind(address)
-        .addListener(
-            (io.netty.channel.ChannelFuture bound) -> {
-              if (bound.isSuccess()) {
-                listening.complete(
-                    bound.channel().localAddress().toString().replaceFirst(".*/", ""));
-              } else {
-                listening.completeExceptionally(
-                    new IOException(
-                        "cannot listen on operator " + address + ": " + bound.cause().getMessage(),
-                        bound.cause()));
-              }
-            });
+        .addListener((ChannelFuture bound) -> complete(listening, bound, address));
     return listening;
   }
 
+  private static void complete(
+      final CompletableFuture<String> listening,
+      final ChannelFuture bound,
+      final InetSocketAddress address) {
+    if (bound.isSuccess()) {
+      // A socket address is written as "host/address:port".
+      listening.complete(bound.channel().localAddress().toString().replaceFirst(".*/", ""));
+    } else {
+      listening.completeExceptionally(
+          new IOException(
+              "cannot listen on operator " + address + ": " + bound.cause().getMessage(),
+              bound.cause()));
+    }
+  }
+
+  private final class ConnectionInitializer extends ChannelInitializer<Channel> {
+    @Override
+    protected void initChannel(final Channel channel) {
+      onConnectionOpened(channel);
+      channel
+          .pipeline()
+          .addLast(
+              new HttpServerCodec(),
+              new HttpObjectAggregator(MAX_REQUEST_BYTES),
+              new RequestHandler());
+    }
+  }
+
   private void onConnectionOpened(final Channel channel) {
     connectionsAwaitingRequest.add(channel);
     if (connectionsAwaitingRequest.size() > MAX_CONNECTIONS) {
@@ -104,7 +115,7 @@
       connectionsAwaitingRequest.remove(oldest);
       oldest.close();
     }
-    final var patience =
+    final ScheduledFuture<?> timeout =
         channel
             .eventLoop()
             .schedule(() -> channel.close(), REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -113,11 +124,11 @@
         .addListener(
             closed -> {
               connectionsAwaitingRequest.remove(channel);
-              patience.cancel(false);
+              timeout.cancel(false);
             });
   }
 
-  /** What a call is answered: a status and a text. */
+  /** The response to a request. */
   private record OperatorResponse(HttpResponseStatus status, String text) {}
 
   private CompletionStage<OperatorResponse> handle(final FullHttpRequest request) {
@@ -125,40 +136,52 @@
       return completed(HttpResponseStatus.BAD_REQUEST, "this cannot be read");
     }
     final String path = new QueryStringDecoder(request.uri()).path();
-    final Matcher endpoint = ENDPOINT_COMMAND.matcher(path);
-    final boolean asks = path.equals("/-/ready") || path.equals("/-/metrics");
-    if (!asks && !endpoint.matches()) {
+    final Matcher endpointCommand = ENDPOINT_COMMAND.matcher(path);
+    final boolean isQuery = path.equals(READY_PATH) || path.equals(METRICS_PATH);
+    if (!isQuery && !endpointCommand.matches()) {
       return completed(HttpResponseStatus.NOT_FOUND, "no such call");
     }
-    if (!request.method().equals(asks ? HttpMethod.GET : HttpMethod.POST)) {
+    if (!request.method().equals(isQuery ? HttpMethod.GET : HttpMethod.POST)) {
       return completed(
-          HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "asked by GET" : "asked by POST");
+          HttpResponseStatus.METHOD_NOT_ALLOWED, isQuery ? "asked by GET" : "asked by POST");
     }
-    if (path.equals("/-/ready")) {
-      return operations.isServing()
-          ? completed(HttpResponseStatus.OK, "ready")
-          : completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+    if (path.equals(READY_PATH)) {
+      return readiness();
     }
     if (!operations.isStarted()) {
       return completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "starting");
     }
-    if (asks) {
-      return operations
-          .collectMetrics()
-          .thenApply(
-              figures ->
-                  new OperatorResponse(
-                      HttpResponseStatus.OK,
-                      figures.toPrometheusText() + Log.prometheusCounters()));
+    if (isQuery) {
+      return metrics();
     }
-    final boolean leaveOut = endpoint.group(2).equals("disable");
+    return setEndpointDisabled(
+        endpointCommand.group(1), endpointCommand.group(2).equals(DISABLE_COMMAND));
+  }
+
+  private CompletionStage<OperatorResponse> readiness() {
+    return operations.isServing()
+        ? completed(HttpResponseStatus.OK, "ready")
+        : completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+  }
+
+  private CompletionStage<OperatorResponse> metrics() {
+    return operations
+        .collectMetrics()
+        .thenApply(
+            metrics ->
+                new OperatorResponse(
+                    HttpResponseStatus.OK, metrics.toPrometheusText() + Log.prometheusCounters()));
+  }
+
+  private CompletionStage<OperatorResponse> setEndpointDisabled(
+      final String endpoint, final boolean disabled) {
     return operations
-        .setEndpointDisabled(endpoint.group(1), leaveOut)
+        .setEndpointDisabled(endpoint, disabled)
         .thenApply(
             known ->
                 known
                     ? new OperatorResponse(
-                        HttpResponseStatus.OK, leaveOut ? "left out" : "may serve")
+                        HttpResponseStatus.OK, disabled ? "left out" : "may serve")
                     : new OperatorResponse(
                         HttpResponseStatus.NOT_FOUND, "no endpoint of that name was ever listed"));
   }
@@ -175,21 +198,21 @@
     protected void channelRead0(
         final ChannelHandlerContext context, final FullHttpRequest request) {
       if (requestReceived) {
-        // One call a connection: what comes behind it is not looked at.
+        // One request per connection: what follows it is ignored.
         return;
       }
       requestReceived = true;
       connectionsAwaitingRequest.remove(context.channel());
       handle(request)
           .whenCompleteAsync(
-              (said, failure) -> {
+              (operatorResponse, failure) -> {
                 if (failure != null) {
                   Log.info("operator: " + failure.getMessage());
                 }
                 respond(
                     context,
                     failure == null
-                        ? said
+                        ? operatorResponse
                         : new OperatorResponse(
                             HttpResponseStatus.SERVICE_UNAVAILABLE,
                             "it could not be written down"));
@@ -197,13 +220,16 @@
               context.executor());
     }
 
-    private void respond(final ChannelHandlerContext context, final OperatorResponse said) {
-      final var response =
+    private void respond(
+        final ChannelHandlerContext context, final OperatorResponse operatorResponse) {
+      final FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              said.status(),
+              operatorResponse.status(),
               Unpooled.copiedBuffer(
-                  said.text().endsWith("\n") ? said.text() : said.text() + "\n",
+                  operatorResponse.text().endsWith("\n")
+                      ? operatorResponse.text()
+                      : operatorResponse.text() + "\n",
                   StandardCharsets.UTF_8));
       response
           .headers()
--- a/courier/src/main/java/thistleturn/courier/operator/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/operator/package-info.java
@@ -1,6 +1,11 @@
 /**
- * What on-call staff ask of a running courier, and tell it, on an address of its own. Nothing of it
- * is loaded where the configuration names no such address. Design: {@code
- * docs/design/operators.md}; use: {@code docs/operations/operators.md}.
+ * The operators' HTTP endpoint of a running courier: readiness, metrics, and disabling endpoints
+ * administratively.
+ *
+ * <p>The entry point is {@link thistleturn.courier.operator.OperatorServer}, which lives on the
+ * courier's first event loop and knows the courier only by {@link
+ * thistleturn.courier.operator.AdminOperations}. Nothing of this package is loaded where the
+ * configuration names no address for operators. Design: {@code docs/design/operators.md}; use:
+ * {@code docs/operations/operators.md}.
  */
 package thistleturn.courier.operator;
--- a/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
+++ b/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
@@ -8,8 +8,8 @@
 import thistleturn.decisions.shards.CapacityAllocator;
 
 /**
- * Moves room for calls and messages between shards; the decisions are {@link CapacityAllocator}'s.
- * It lives on one loop.
+ * Moves capacity for calls and messages between shards, as {@link CapacityAllocator} decides. It
+ * lives on one event loop, and reaches each shard by tasks on that shard's event loop.
  */
 public final class CapacityExchange {
   private static final long REBALANCE_PERIOD_MS = 50;
@@ -20,42 +20,49 @@
   private final CapacityAllocator callCapacity;
   private final CapacityAllocator messageCapacity;
 
-  /** What a shard uses, and whether its limits have held it back since it was last asked. */
+  /**
+   * The capacity that a shard uses, and whether it was limited since it was last asked.
+   *
+   * @param callsInFlight calls that are in flight now
+   * @param callLimitReached whether calls needed more capacity than that limit
+   * @param pendingMessages messages that are pending now
+   * @param messageLimitReached whether nearly all of that limit was in use
+   */
   public record CapacityUsage(
       int callsInFlight,
       boolean callLimitReached,
       int pendingMessages,
       boolean messageLimitReached) {}
 
-  /** A shard, as far as room goes. Called on its own loop. */
+  /** A shard that shares capacity with others. Called on its own event loop. */
   public interface Participant {
-    /** What it uses now. */
+    /** Returns the capacity in usage. */
     CapacityUsage capacityUsage();
 
-    /** What it keeps to from now on. */
-    void applyCapacityLimits(int slotsNow, int maxOpenNow);
+    /** Sets the limits that apply from now on. */
+    void applyCapacityLimits(int concurrencyLimit, int maxPendingMessages);
   }
 
-  /** An even division to begin with. */
+  /** Divides the limits evenly to begin with. */
   public CapacityExchange(
-      final ResourceLimits whole,
+      final ResourceLimits limits,
       final EventLoop owner,
       final List<EventLoop> loops,
-      final List<? extends Participant> tenants) {
+      final List<? extends Participant> participants) {
     this.owner = owner;
     this.loops = loops;
-    this.participants = tenants;
-    this.callCapacity = new CapacityAllocator(loops.size(), whole.concurrencyLimit());
-    this.messageCapacity = new CapacityAllocator(loops.size(), whole.maxPendingMessages());
+    this.participants = participants;
+    this.callCapacity = new CapacityAllocator(loops.size(), limits.concurrencyLimit());
+    this.messageCapacity = new CapacityAllocator(loops.size(), limits.maxPendingMessages());
   }
 
-  /** Begins to ask and to tell. Called on the owner's loop. */
+  /** Begins to move capacity. Called on the owner's event loop. */
   public void start() {
     for (int shard = 0; shard < loops.size(); shard++) {
       exchangeWith(shard);
     }
     owner.scheduleWithFixedDelay(
-        GuardedTasks.guard("room among shards", this::rebalance),
+        GuardedTasks.guard("capacity exchange among shards", this::rebalance),
         REBALANCE_PERIOD_MS,
         REBALANCE_PERIOD_MS,
         TimeUnit.MILLISECONDS);
@@ -69,22 +76,22 @@
     }
   }
 
-  /** Tells a shard its limits, and hears what it uses once it keeps to them. */
+  /** Sets a shard's limits, and receives what it uses under them. */
   private void exchangeWith(final int shard) {
-    final int slotsNow = callCapacity.limit(shard);
-    final int openNow = messageCapacity.limit(shard);
+    final int callLimit = callCapacity.limit(shard);
+    final int messageLimit = messageCapacity.limit(shard);
     loops
         .get(shard)
         .execute(
             () -> {
-              participants.get(shard).applyCapacityLimits(slotsNow, openNow);
-              final CapacityUsage use = participants.get(shard).capacityUsage();
+              participants.get(shard).applyCapacityLimits(callLimit, messageLimit);
+              final CapacityUsage usage = participants.get(shard).capacityUsage();
               owner.execute(
                   () -> {
                     callCapacity.reportUsage(
-                        shard, slotsNow, use.callsInFlight(), use.callLimitReached());
+                        shard, callLimit, usage.callsInFlight(), usage.callLimitReached());
                     messageCapacity.reportUsage(
-                        shard, openNow, use.pendingMessages(), use.messageLimitReached());
+                        shard, messageLimit, usage.pendingMessages(), usage.messageLimitReached());
                   });
             });
   }
--- a/courier/src/main/java/thistleturn/courier/shard/ShardJournals.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardJournals.java
@@ -17,11 +17,13 @@
 import thistleturn.decisions.shards.ShardPlacement;
 
 /**
- * The journals of a state folder, one for each shard. One shard has its journal in the folder
- * itself; more have theirs in {@code shards-N/K}. A file {@code shards} names the layout that
- * counts; without it that is one shard. A change of N writes the new journals beside the old ones,
- * then puts the name in place in one step, then deletes the old ones: at every moment exactly one
- * whole layout counts, and what a kill left of another is deleted at the next start.
+ * The journals of a state folder, one for each shard.
+ *
+ * <p>A single shard has its journal in the folder itself; several have theirs in {@code
+ * shards-N/K}. The marker file {@code shards} names the layout that is valid; without it that is
+ * one shard. A change of N writes the new journals beside the old ones, then replaces the marker
+ * atomically, then deletes the old ones: at every moment exactly one complete layout is valid, and
+ * what a kill left of another one is deleted at the next start.
  */
 public final class ShardJournals {
   private static final String MARKER_FILE = "shards";
@@ -33,29 +35,31 @@
   private final Path stateFolder;
   private final long diskBytes;
 
-  private ShardJournals(final Path state, final long diskBytes) {
-    this.stateFolder = state;
+  private ShardJournals(final Path stateFolder, final long diskBytes) {
+    this.stateFolder = stateFolder;
     this.diskBytes = diskBytes;
   }
 
   /**
-   * Opens the journals for so many shards, after moving what others hold, if there are others.
+   * Opens the journals for {@code shardCount} shards, after moving the messages of another layout
+   * to them if there is one.
    *
    * @throws IOException if a file cannot be read or written, or the marker names no layout
    */
-  public static List<Journal> open(final Path state, final long diskBytes, final int shards)
-      throws IOException {
-    final ShardJournals layout = new ShardJournals(state, diskBytes);
-    Files.createDirectories(state);
-    Files.deleteIfExists(state.resolve(NEXT_MARKER_FILE));
-    final int before = layout.recordedShardCount();
-    layout.deleteOtherLayouts(before);
-    if (before != shards) {
-      layout.migrate(before, shards);
+  public static List<Journal> open(
+      final Path stateFolder, final long diskBytes, final int shardCount) throws IOException {
+    final ShardJournals journals = new ShardJournals(stateFolder, diskBytes);
+    Files.createDirectories(stateFolder);
+    Files.deleteIfExists(stateFolder.resolve(NEXT_MARKER_FILE));
+    final int recordedShardCount = journals.recordedShardCount();
+    journals.deleteOtherLayouts(recordedShardCount);
+    if (recordedShardCount != shardCount) {
+      journals.migrate(recordedShardCount, shardCount);
     }
-    return layout.openAll(shards);
+    return journals.openAll(shardCount);
   }
 
+  /** Returns the number of shards of the layout that is valid. */
   private int recordedShardCount() throws IOException {
     final Path marker = stateFolder.resolve(MARKER_FILE);
     if (!Files.exists(marker)) {
@@ -71,17 +75,17 @@
         marker + ": \"" + text + "\": expected a number of shards from 1 to " + MAX_SHARDS);
   }
 
-  private Path journalFolder(final int shards, final int shard) {
-    return shards == 1
+  private Path journalFolder(final int shardCount, final int shard) {
+    return shardCount == 1
         ? stateFolder
-        : stateFolder.resolve(SHARD_FOLDER_PREFIX + shards).resolve(Integer.toString(shard));
+        : stateFolder.resolve(SHARD_FOLDER_PREFIX + shardCount).resolve(Integer.toString(shard));
   }
 
-  private List<Journal> openAll(final int shards) throws IOException {
+  private List<Journal> openAll(final int shardCount) throws IOException {
     final List<Journal> journals = new ArrayList<>();
     try {
-      for (int shard = 0; shard < shards; shard++) {
-        journals.add(Journal.open(journalFolder(shards, shard), diskBytes / shards));
+      for (int shard = 0; shard < shardCount; shard++) {
+        journals.add(Journal.open(journalFolder(shardCount, shard), diskBytes / shardCount));
       }
     } catch (final IOException | RuntimeException e) {
       journals.forEach(Journal::close);
@@ -90,39 +94,47 @@
     return journals;
   }
 
-  private void migrate(final int before, final int shards) throws IOException {
-    final Map<String, StoredMessage> held = new LinkedHashMap<>();
-    for (final Journal journal : openAll(before)) {
-      journal.pendingMessages().forEach(one -> held.put(one.id(), one));
+  private void migrate(final int previousShardCount, final int shardCount) throws IOException {
+    final Map<String, StoredMessage> messages = new LinkedHashMap<>();
+    for (final Journal journal : openAll(previousShardCount)) {
+      journal.pendingMessages().forEach(message -> messages.put(message.id(), message));
       journal.close();
     }
-    for (int shard = 0; shard < shards; shard++) {
-      final int to = shard;
+    for (int shard = 0; shard < shardCount; shard++) {
+      final int targetShard = shard;
       Journal.rewrite(
-          journalFolder(shards, shard),
-          diskBytes / shards,
-          held.values().stream()
-              .filter(one -> ShardPlacement.shardOf(one.destination(), shards) == to)
+          journalFolder(shardCount, shard),
+          diskBytes / shardCount,
+          messages.values().stream()
+              .filter(
+                  message ->
+                      ShardPlacement.shardOf(message.destination(), shardCount) == targetShard)
               .toList());
     }
     Files.writeString(
-        stateFolder.resolve(NEXT_MARKER_FILE), shards + "\n", StandardCharsets.US_ASCII);
+        stateFolder.resolve(NEXT_MARKER_FILE), shardCount + "\n", StandardCharsets.US_ASCII);
     Files.move(
         stateFolder.resolve(NEXT_MARKER_FILE),
         stateFolder.resolve(MARKER_FILE),
         StandardCopyOption.ATOMIC_MOVE);
     Log.info(
-        "journals of " + before + " shards moved to " + shards + ": " + held.size() + " messages");
-    deleteOtherLayouts(shards);
+        "journals of "
+            + previousShardCount
+            + " shards moved to "
+            + shardCount
+            + ": "
+            + messages.size()
+            + " messages");
+    deleteOtherLayouts(shardCount);
   }
 
-  /** Deletes what belongs to another layout than the one that counts. */
-  private void deleteOtherLayouts(final int shards) throws IOException {
+  /** Deletes what belongs to another layout than the valid one. */
+  private void deleteOtherLayouts(final int shardCount) throws IOException {
     final List<Path> others;
     try (Stream<Path> files = Files.list(stateFolder)) {
       others =
           files
-              .filter(file -> belongsToOtherLayout(file.getFileName().toString(), shards))
+              .filter(file -> belongsToOtherLayout(file.getFileName().toString(), shardCount))
               .toList();
     }
     for (final Path other : others) {
@@ -134,8 +146,8 @@
     }
   }
 
-  private static boolean belongsToOtherLayout(final String name, final int shards) {
-    return (name.startsWith(SHARD_FOLDER_PREFIX) && !name.equals(SHARD_FOLDER_PREFIX + shards))
-        || (shards > 1 && (name.equals(JOURNAL_FILE) || name.equals(JOURNAL_FILE + ".next")));
+  private static boolean belongsToOtherLayout(final String name, final int shardCount) {
+    return (name.startsWith(SHARD_FOLDER_PREFIX) && !name.equals(SHARD_FOLDER_PREFIX + shardCount))
+        || (shardCount > 1 && (name.equals(JOURNAL_FILE) || name.equals(JOURNAL_FILE + ".next")));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/ShardedIngressHandler.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardedIngressHandler.java
@@ -9,8 +9,8 @@
 import thistleturn.decisions.shards.ShardPlacement;
 
 /**
- * The desk of a front on one loop: a message goes to the loop that owns its destination, and its
- * answer comes back.
+ * The handler of an ingress on one event loop: a message goes to the event loop of the shard that
+ * owns its destination, and the reply returns to the event loop of the connection.
  */
 public final class ShardedIngressHandler implements IngressHandler {
   private final int ownShard;
@@ -18,14 +18,19 @@
   private final List<? extends IngressHandler> handlers;
 
   /**
-   * {@code desks} are the shards' own, in the order of their loops; {@code own} is the one of this
-   * front's loop.
+   * Creates the handler of one shard's ingress.
+   *
+   * @param ownShard the number of that shard
+   * @param loops the event loops of all shards
+   * @param handlers the handlers of all shards, in the same order
    */
   public ShardedIngressHandler(
-      final int own, final List<EventLoop> loops, final List<? extends IngressHandler> desks) {
-    this.ownShard = own;
+      final int ownShard,
+      final List<EventLoop> loops,
+      final List<? extends IngressHandler> handlers) {
+    this.ownShard = ownShard;
     this.loops = List.copyOf(loops);
-    this.handlers = List.copyOf(desks);
+    this.handlers = List.copyOf(handlers);
   }
 
   @Override
@@ -39,16 +44,19 @@
   }
 
   @Override
-  public void submit(final StoredMessage held, final long validUntilUs, final Ingress.Reply reply) {
-    final int shard = ShardPlacement.shardOf(held.destination(), handlers.size());
+  public void submit(
+      final StoredMessage message, final long validUntilUs, final Ingress.Reply reply) {
+    final int shard = ShardPlacement.shardOf(message.destination(), handlers.size());
     if (shard == ownShard) {
-      handlers.get(ownShard).submit(held, validUntilUs, reply);
+      handlers.get(ownShard).submit(message, validUntilUs, reply);
     } else {
       loops
           .get(shard)
           .execute(
               () ->
-                  handlers.get(shard).submit(held, validUntilUs, new ReplyOnConnectionLoop(reply)));
+                  handlers
+                      .get(shard)
+                      .submit(message, validUntilUs, new ReplyOnConnectionLoop(reply)));
     }
   }
 
@@ -62,7 +70,7 @@
     }
   }
 
-  /** Takes an answer back to the loop of the connection that it belongs to. */
+  /** Passes a reply to the event loop of the connection that it belongs to. */
   private final class ReplyOnConnectionLoop implements Ingress.Reply {
     private final Ingress.Reply reply;
 
@@ -76,8 +84,8 @@
     }
 
     @Override
-    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      loops.get(ownShard).execute(() -> reply.rejected(why, retryAfterUs));
+    public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
+      loops.get(ownShard).execute(() -> reply.rejected(reason, retryAfterUs));
     }
 
     @Override
@@ -86,8 +94,8 @@
     }
 
     @Override
-    public void invalid(final Ingress.InvalidReason fault) {
-      loops.get(ownShard).execute(() -> reply.invalid(fault));
+    public void invalid(final Ingress.InvalidReason reason) {
+      loops.get(ownShard).execute(() -> reply.invalid(reason));
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -13,7 +13,10 @@
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.shards.ShardPlacement;
 
-/** One directory for several shards: each is told of its own destinations, on its own loop. */
+/**
+ * Distributes the updates of one directory to several shards: each shard receives the endpoints of
+ * its own destinations, on its own event loop.
+ */
 public final class SharedDirectory {
   private static final long FRESHNESS_PERIOD_MS = 250;
 
@@ -21,12 +24,18 @@
   private final EventLoop owner;
   private final List<ShardView> shardViews = new ArrayList<>();
 
-  /** Which shard knows an endpoint. */
+  /** The shard that knows an endpoint, by the endpoint's name. */
   private final Map<String, Integer> shardsByEndpoint = new HashMap<>();
 
-  private volatile boolean fresh;
+  private volatile boolean current;
 
-  /** {@code shared} lives on {@code owner}; each other loop is a shard's. */
+  /**
+   * Creates a view of a directory for each shard.
+   *
+   * @param shared the directory to distribute
+   * @param owner the event loop on which {@code shared} lives
+   * @param loops the event loops of all shards
+   */
   public SharedDirectory(
       final EndpointDirectory shared, final EventLoop owner, final List<EventLoop> loops) {
     this.shared = shared;
@@ -36,48 +45,48 @@
     }
   }
 
-  /** What a shard follows. */
+  /** Returns the directory that a shard follows. */
   public EndpointDirectory view(final int shard) {
     return shardViews.get(shard);
   }
 
-  /** Begins; every view must have been started before. Called on the owner's loop. */
+  /** Starts the directory; every view was started before. Called on the owner's event loop. */
   public void start() {
     shared.start(this::distribute);
     owner.scheduleWithFixedDelay(
-        GuardedTasks.guard("freshness of the list", () -> fresh = shared.isCurrent()),
+        GuardedTasks.guard("currency of the endpoint list", () -> current = shared.isCurrent()),
         0,
         FRESHNESS_PERIOD_MS,
         TimeUnit.MILLISECONDS);
   }
 
   private void distribute(
-      final EndpointUpdate update, final List<EndpointDirectory.Entry> listings) {
-    fresh = shared.isCurrent();
+      final EndpointUpdate update, final List<EndpointDirectory.Entry> entries) {
+    current = shared.isCurrent();
     final List<List<EndpointDirectory.Entry>> parts = new ArrayList<>();
     shardViews.forEach(view -> parts.add(new ArrayList<>()));
-    for (final EndpointDirectory.Entry listing : listings) {
-      final int shard = ShardPlacement.shardOf(listing.destination(), shardViews.size());
-      final boolean gone = listing.state() == EndpointState.GONE;
-      final Integer before =
-          gone
-              ? shardsByEndpoint.remove(listing.name())
-              : shardsByEndpoint.put(listing.name(), shard);
-      if (before != null && before != shard) {
-        // It serves another destination now: for the shard that knew it, it is gone.
+    for (final EndpointDirectory.Entry entry : entries) {
+      final int shard = ShardPlacement.shardOf(entry.destination(), shardViews.size());
+      final boolean removed = entry.state() == EndpointState.GONE;
+      final Integer previousShard =
+          removed
+              ? shardsByEndpoint.remove(entry.name())
+              : shardsByEndpoint.put(entry.name(), shard);
+      if (previousShard != null && previousShard != shard) {
+        // The endpoint serves another destination now: the shard that knew it must forget it.
         parts
-            .get(before)
+            .get(previousShard)
             .add(
                 new EndpointDirectory.Entry(
-                    listing.name(),
+                    entry.name(),
                     EndpointState.GONE,
-                    listing.address(),
-                    listing.zone(),
-                    listing.weight(),
-                    listing.kind(),
-                    listing.destination()));
+                    entry.address(),
+                    entry.zone(),
+                    entry.weight(),
+                    entry.kind(),
+                    entry.destination()));
       }
-      parts.get(shard).add(listing);
+      parts.get(shard).add(entry);
     }
     for (int shard = 0; shard < shardViews.size(); shard++) {
       final ShardView view = shardViews.get(shard);
@@ -99,8 +108,8 @@
     }
 
     @Override
-    public void start(final Listener told) {
-      listener = told;
+    public void start(final Listener updateListener) {
+      listener = updateListener;
     }
 
     @Override
@@ -110,13 +119,13 @@
 
     @Override
     public boolean isCurrent() {
-      return fresh;
+      return current;
     }
 
     @Override
-    public void reload(final CourierConfig changed) {
+    public void reload(final CourierConfig fresh) {
       if (shardViews.get(0) == this) {
-        owner.execute(() -> shared.reload(changed));
+        owner.execute(() -> shared.reload(fresh));
       }
     }
   }
