--- a/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
@@ -20,54 +20,55 @@
 @Timeout(120)
 final class ConfigurationReloadTest {
   @TempDir private Path folder;
-  private CourierHarness rig;
+  private CourierHarness harness;
 
   @BeforeEach
   void build() throws IOException {
-    rig = new CourierHarness(folder);
-    rig.relocatedHosts = CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready");
+    harness = new CourierHarness(folder);
+    harness.relocatedHosts = CourierHarness.hostEntry("e2", harness.secondEndpoint, "Ready");
   }
 
   @AfterEach
   void end() throws IOException {
-    rig.close();
+    harness.close();
   }
 
   private void moveDiscoveryAndAwaitWatch() throws IOException, InterruptedException {
-    rig.writeConfiguration(rig.relocatedPlatform.address());
-    rig.sendHangupSignal();
-    rig.await(
+    harness.writeConfiguration(harness.relocatedPlatform.address());
+    harness.sendHangupSignal();
+    harness.await(
         "the watch at the new address",
         () ->
-            rig.relocatedPlatform.requests.stream()
+            harness.relocatedPlatform.requests.stream()
                 .anyMatch(request -> request.requestLine().contains("after=3")));
   }
 
   @Test
   void newDiscoveryAddress_watchMovesAndCompleteSnapshotApplies()
       throws IOException, InterruptedException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
     moveDiscoveryAndAwaitWatch();
-    rig.await("the end of the old one", () -> rig.watchConnections.get(0).closedByPeer);
+    harness.await("the end of the old one", () -> harness.watchConnections.get(0).closedByPeer);
     assertEquals(
         "GET /discovery/hosts HTTP/1.1",
-        rig.relocatedPlatform.requests.get(0).requestLine(),
+        harness.relocatedPlatform.requests.get(0).requestLine(),
         "no version of the old address");
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.secondEndpoint.requests.size() == 1);
-    assertTrue(rig.firstEndpoint.requests.isEmpty(), "the new address does not list it");
-    rig.sendEndpointChange(
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.secondEndpoint.requests.size() == 1);
+    assertTrue(harness.firstEndpoint.requests.isEmpty(), "the new address does not list it");
+    harness.sendEndpointChange(
         4,
-        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready")
+        CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready")
             + ","
-            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Gone"));
-    rig.await(
+            + CourierHarness.hostEntry("e2", harness.secondEndpoint, "Gone"));
+    harness.await(
         "a change from the new address",
         () -> {
           final String id = "m" + System.nanoTime();
           try {
-            return rig.submit(id, "safe").status() == 202 && !rig.firstEndpoint.requests.isEmpty();
+            return harness.submit(id, "safe").status() == 202
+                && !harness.firstEndpoint.requests.isEmpty();
           } catch (final IOException e) {
             throw new IllegalStateException(e);
           }
@@ -76,18 +77,19 @@
 
   @Test
   void unconfirmedNotification_isSentToNewAddress() throws IOException, InterruptedException {
-    rig.outcomeResponseStatus = 503;
-    rig.firstEndpoint.script((request, connection) -> connection.reset());
-    rig.start();
-    assertEquals(202, rig.submit("m1", "once").status());
-    rig.await("a try at the old address", () -> rig.hasOutcomeReport("m1", "undeliverable"));
-    rig.outcomeResponseStatus = 204;
-    rig.platform.close();
+    harness.outcomeResponseStatus = 503;
+    harness.firstEndpoint.script((request, connection) -> connection.reset());
+    harness.start();
+    assertEquals(202, harness.submit("m1", "once").status());
+    harness.await(
+        "an attempt at the old address", () -> harness.hasOutcomeReport("m1", "undeliverable"));
+    harness.outcomeResponseStatus = 204;
+    harness.platform.close();
     moveDiscoveryAndAwaitWatch();
-    rig.await(
-        "the notice at the new address",
+    harness.await(
+        "the outcome report at the new address",
         () ->
-            rig.relocatedPlatform.requests.stream()
+            harness.relocatedPlatform.requests.stream()
                 .anyMatch(
                     request ->
                         request.requestLine().startsWith("POST") && request.text().contains("m1")));
@@ -95,75 +97,79 @@
 
   @Test
   void twoReloadsInARow_laterAddressApplies() throws IOException, InterruptedException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
     moveDiscoveryAndAwaitWatch();
-    rig.relocatedHosts = CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready");
-    final int before = rig.platform.requests.size();
-    rig.writeConfiguration(rig.platform.address());
-    rig.sendHangupSignal();
-    rig.sendHangupSignal();
-    rig.await(
+    harness.relocatedHosts = CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready");
+    final int before = harness.platform.requests.size();
+    harness.writeConfiguration(harness.platform.address());
+    harness.sendHangupSignal();
+    harness.sendHangupSignal();
+    harness.await(
         "the watch at the first address again",
         () ->
-            rig.platform.requests.stream()
+            harness.platform.requests.stream()
                 .skip(before)
                 .anyMatch(request -> request.requestLine().contains("after=3")));
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
   }
 
   @Test
   void invalidFile_changesNothingAndLogsOneLine() throws IOException, InterruptedException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    final int before = rig.logLines.size();
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
+    final int before = harness.logLines.size();
     Files.writeString(folder.resolve("config.json"), "{\"discovery\":\n\"nowhere");
-    rig.sendHangupSignal();
-    rig.await("its line", () -> rig.logLines.size() > before);
-    assertTrue(rig.logLines.get(before).contains("stays as it was"), rig.logLines.toString());
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    assertEquals(before + 1, rig.logLines.size(), rig.logLines.toString());
-    assertTrue(rig.isRunning());
+    harness.sendHangupSignal();
+    harness.await("its line", () -> harness.logLines.size() > before);
+    assertTrue(
+        harness.logLines.get(before).contains("stays as it was"), harness.logLines.toString());
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    assertEquals(before + 1, harness.logLines.size(), harness.logLines.toString());
+    assertTrue(harness.isRunning());
   }
 
   @Test
   void hangupDuringShutdown_isAppliedWithoutDisturbingShutdown()
       throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    final Process ending = rig.terminate();
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    final Process ending = harness.terminate();
     moveDiscoveryAndAwaitWatch();
     assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
-    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
-    rig.start();
-    rig.await("what was held goes on", () -> rig.firstEndpoint.requests.size() == 2);
+    harness.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
+    harness.start();
+    harness.await(
+        "the pending message is delivered", () -> harness.firstEndpoint.requests.size() == 2);
   }
 
   /**
-   * The signal comes while the first configuration is being read: a pipe, which gives it only
-   * afterwards.
+   * The signal arrives while the first configuration is being read, from a pipe to which it is
+   * written only afterwards.
    */
   @Test
   void hangupDuringStart_isAppliedOnceStarted() throws Exception {
-    final String before = Files.readString(rig.writeConfiguration(rig.platform.address()));
-    final String after = Files.readString(rig.writeConfiguration(rig.relocatedPlatform.address()));
+    final String before = Files.readString(harness.writeConfiguration(harness.platform.address()));
+    final String after =
+        Files.readString(harness.writeConfiguration(harness.relocatedPlatform.address()));
     final Path pipe = folder.resolve("pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-    rig.launch(pipe);
-    // Opened once somebody reads: from then on the process waits for what is written.
+    harness.launch(pipe);
+    // Opens once the process reads: from then on it waits for what is written.
     try (OutputStream first = Files.newOutputStream(pipe)) {
-      rig.sendHangupSignal();
-      rig.await(
-          "the signal", () -> rig.logLines.stream().anyMatch(line -> line.contains("SIGHUP")));
+      harness.sendHangupSignal();
+      harness.await(
+          "the signal", () -> harness.logLines.stream().anyMatch(line -> line.contains("SIGHUP")));
       first.write(before.getBytes(StandardCharsets.UTF_8));
     }
-    // The first reading is over by then: what is written from now on is another.
-    rig.await(
-        "the start", () -> rig.logLines.stream().anyMatch(line -> line.contains("is ready at")));
+    // The first reading is over by then: what is written from now on is read by the second.
+    harness.await(
+        "the start",
+        () -> harness.logLines.stream().anyMatch(line -> line.contains("is ready at")));
     final Thread second =
         new Thread(
             () -> {
@@ -175,10 +181,10 @@
             });
     second.setDaemon(true);
     second.start();
-    rig.await(
+    harness.await(
         "the watch at the new address",
         () ->
-            rig.relocatedPlatform.requests.stream()
+            harness.relocatedPlatform.requests.stream()
                 .anyMatch(request -> request.requestLine().contains("after=3")));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/ConnectionCloseTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionCloseTest.java
@@ -20,48 +20,48 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Connections that a courier ends, and requests that meet that: each gets its one answer, or is
- * surely not taken.
+ * Connections that a courier closes, and requests that cross the close: each request gets its one
+ * response, or is certainly not accepted.
  */
 @Tag("crossings")
 @Timeout(120)
 final class ConnectionCloseTest {
   private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-  private static final long IDLE_US = 300_000;
+  private static final long IDLE_TIMEOUT_US = 300_000;
 
-  /** A process that is waited for ends so long after its order to. */
-  private static final long FULL_STOP_MS = 2800;
+  /** A process that waits for its clients to the last ends so long after SIGTERM. */
+  private static final long FULL_SHUTDOWN_MS = 2800;
 
   @TempDir private Path folder;
-  private CourierHarness rig;
+  private CourierHarness harness;
   private CourierServer courier;
   private String address;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new CourierHarness(folder);
-    final CourierOptions usual = CourierOptions.platformDefaults();
+    harness = new CourierHarness(folder);
+    final CourierOptions defaults = CourierOptions.platformDefaults();
     courier =
         CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
-                rig.writeConfiguration(rig.platform.address()).toString(),
+                harness.writeConfiguration(harness.platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()),
             null,
             new CourierOptions(
-                IDLE_US,
-                usual.clientDescriptorShare(),
-                usual.endpointDescriptorShare(),
-                usual.shardCount(),
-                usual.retainsLearnedState()));
+                IDLE_TIMEOUT_US,
+                defaults.clientDescriptorShare(),
+                defaults.endpointDescriptorShare(),
+                defaults.shardCount(),
+                defaults.retainsLearnedState()));
     address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
   void end() throws IOException {
     courier.kill();
-    rig.close();
+    harness.close();
   }
 
   private int port() {
@@ -74,7 +74,7 @@
     return socket;
   }
 
-  /** A connection that has been used and asks nothing. */
+  /** Opens a connection, uses it once, and leaves it open without a request. */
   private Socket connectIdle() throws IOException {
     final Socket socket = connect();
     assertEquals(200, CourierHarness.send(socket, UP).status());
@@ -85,83 +85,81 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** Has the loop stand still from now on until that is done. */
+  /** Blocks the event loop until the latch that is returned is counted down. */
   private CountDownLatch blockEventLoop() throws InterruptedException {
-    final CountDownLatch standing = new CountDownLatch(1);
+    final CountDownLatch blocked = new CountDownLatch(1);
     final CountDownLatch release = new CountDownLatch(1);
     courier
         .eventLoop()
         .execute(
             () -> {
-              standing.countDown();
+              blocked.countDown();
               try {
                 assertTrue(release.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
               } catch (final InterruptedException e) {
                 throw new IllegalStateException(e);
               }
             });
-    assertTrue(standing.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
+    assertTrue(blocked.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     return release;
   }
 
   private Thread startShutdown() {
-    final Thread stopping = new Thread(courier::shutDownGracefully);
-    stopping.start();
-    return stopping;
+    final Thread shutdown = new Thread(courier::shutDownGracefully);
+    shutdown.start();
+    return shutdown;
   }
 
-  /**
-   * The request lies in the socket when the courier is told to end: it came before, and is
-   * answered.
-   */
+  /** The request lies unread in the socket when the shutdown begins: it came before. */
   @Test
   void requestUnreadAtShutdown_isAnswered() throws Exception {
     final Socket socket = connectIdle();
     final CountDownLatch release = blockEventLoop();
     write(socket, CourierHarness.submitRequest("m1", "safe"));
-    final Thread stopping = startShutdown();
-    rig.await(
-        "the order to end waits behind",
+    final Thread shutdown = startShutdown();
+    harness.await(
+        "the request to shut down is queued",
         () ->
             courier.eventLoop() instanceof SingleThreadEventExecutor loop
                 && loop.pendingTasks() > 0);
     release.countDown();
-    final CourierHarness.Response answer = CourierHarness.readResponse(socket.getInputStream());
-    assertEquals(202, answer.status());
-    assertTrue(answer.head().contains("connection: close"), answer.head());
-    assertEquals(-1, socket.getInputStream().read(), "an end in order");
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    stopping.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
+    final CourierHarness.Response response = CourierHarness.readResponse(socket.getInputStream());
+    assertEquals(202, response.status());
+    assertTrue(response.head().contains("connection: close"), response.head());
+    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    shutdown.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
   }
 
-  /** The same reset, where a connection has been idle for too long. */
   @Test
   void requestCrossingIdleTimeout_doesNotResetConnection() throws Exception {
     final Socket socket = connectIdle();
-    assertEquals(-1, socket.getInputStream().read(), "an end in order");
+    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
     write(socket, CourierHarness.submitRequest("m1", "safe"));
     write(socket, CourierHarness.submitRequest("m1", "safe"));
-    assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-    assertTrue(rig.firstEndpoint.requests.isEmpty(), "read behind the end, it is not sent on");
+    assertEquals(-1, socket.getInputStream().read(), "no response, and no reset");
+    assertTrue(
+        harness.firstEndpoint.requests.isEmpty(), "read after the close, it is not forwarded");
   }
 
   /**
-   * What crosses the end of a connection is read away: a reset could overtake an answer that is on
-   * its way.
+   * What crosses the close of a connection is read and discarded: a reset could overtake a response
+   * that is still being sent.
    */
   @Test
   void requestCrossingShutdown_doesNotResetConnection() throws Exception {
     final Socket socket = connectIdle();
-    final Thread stopping = startShutdown();
-    assertEquals(-1, socket.getInputStream().read(), "an end in order");
+    final Thread shutdown = startShutdown();
+    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
     write(socket, CourierHarness.submitRequest("m1", "safe"));
     write(socket, CourierHarness.submitRequest("m1", "safe"));
-    assertEquals(-1, socket.getInputStream().read(), "nothing is said to it, and nothing breaks");
-    stopping.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
-    assertTrue(rig.firstEndpoint.requests.isEmpty(), "read behind the end, it is not sent on");
+    assertEquals(-1, socket.getInputStream().read(), "no response, and no reset");
+    shutdown.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
+    assertTrue(
+        harness.firstEndpoint.requests.isEmpty(), "read after the close, it is not forwarded");
   }
 
-  /** The first half came before the order to end, the second after the listener has gone. */
+  /** The first half comes before the shutdown, the second after the listener was closed. */
   @Test
   void requestInPiecesAcrossShutdown_isAnswered(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
@@ -173,11 +171,11 @@
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
       write(socket, text.substring(text.length() / 2));
-      final CourierHarness.Response answer = CourierHarness.readResponse(socket.getInputStream());
-      assertEquals(202, answer.status());
-      assertTrue(answer.head().contains("connection: close"), answer.head());
+      final CourierHarness.Response response = CourierHarness.readResponse(socket.getInputStream());
+      assertEquals(202, response.status());
+      assertTrue(response.head().contains("connection: close"), response.head());
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
-      // A call that the end of this process could cut off is left to the next one.
+      // A call that the end of this process could interrupt is left to the next one.
       process.start();
       process.await(
           "its call, by this process or the next",
@@ -201,26 +199,27 @@
   }
 
   /**
-   * Connections that ask nothing, and others that come and go, do not have the process wait for its
-   * last moment.
+   * Connections without a request, and others that open and close, do not make the process use all
+   * of the time for its shutdown.
    */
   @Test
   void connectionsWithoutRequest_doNotDelayShutdown(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
       process.start();
       final Socket silent = process.connect();
-      assertEquals(200, process.send(UP).status(), "the silent one has been accepted by then");
+      assertEquals(
+          200, process.send(UP).status(), "the silent connection has been accepted by then");
       final long sinceNs = System.nanoTime();
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
-      assertTrue(tookMs < FULL_STOP_MS, "ended after " + tookMs + " ms");
+      assertTrue(tookMs < FULL_SHUTDOWN_MS, "ended after " + tookMs + " ms");
       silent.close();
     }
   }
 
-  /** A request that never comes in whole is told so before the process ends. */
+  /** A request that is never complete gets a response before the process ends. */
   @Test
   void incompleteRequestAtShutdown_isRejected(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
@@ -230,10 +229,10 @@
       write(socket, text.substring(0, text.length() / 2));
       assertEquals(200, process.send(UP).status(), "the half has been read by then");
       final Process ending = process.terminate();
-      // By how it came: for the time that it took, or for want of any.
+      // 408 for the time that the request took, or 503 since the process ends.
       final int status = CourierHarness.readResponse(socket.getInputStream()).status();
-      assertTrue(status == 408 || status == 503, "told " + status);
-      assertEquals(-1, socket.getInputStream().read(), "an end in order");
+      assertTrue(status == 408 || status == 503, "status " + status);
+      assertEquals(-1, socket.getInputStream().read(), "an orderly close");
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       assertTrue(process.firstEndpoint.requests.isEmpty());
     }
--- a/courier/src/test/java/thistleturn/courier/ShardingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardingTest.java
@@ -26,8 +26,8 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * A courier of several event loops keeps the six rules as one of one does, also when their number
- * changes.
+ * A courier of several shards keeps the six delivery rules as one of a single shard does, also when
+ * the number of shards changes.
  */
 @Tag("scale")
 final class ShardingTest {
@@ -80,9 +80,9 @@
     world.auditor.restarted(world.ticks.nowUs(), true);
   }
 
-  private void awaitCalls(final long more) {
+  private void awaitCalls(final long additional) {
     final long from = calls();
-    world.await("calls", () -> calls() >= from + more);
+    world.await("calls", () -> calls() >= from + additional);
   }
 
   private long calls() {
@@ -103,17 +103,13 @@
         world.auditor.ends().getOrDefault("delivered", 0) > 500, world.auditor.ends().toString());
   }
 
-  /**
-   * One loop stands still: the destinations of the others are served all the same, and nothing is
-   * lost.
-   */
+  /** One event loop is blocked: the other shards' destinations are served, and nothing is lost. */
   @Test
   void stalledShard_delaysOnlyItsOwnDestinations() throws Exception {
     start(3);
     world.load(150, TIMEOUT_MS, DESTINATIONS);
     awaitCalls(100);
-    // The stand-in's connections are spread over all loops: the one that stalls is not the front of
-    // them all.
+    // The client's connections are spread over all loops: the blocked one serves only some of them.
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(250);
     courier
         .eventLoop()
@@ -150,7 +146,7 @@
     assertEquals(List.of(), world.stopLoad());
   }
 
-  /** Silent destinations on some shards: their messages end in time, the others' are delivered. */
+  /** Unresponsive destinations on one shard: their messages end in time, others are delivered. */
   @Test
   void unresponsiveDestinationsOnOneShard_othersAreDelivered() throws Exception {
     start(4);
@@ -164,7 +160,7 @@
     assertEquals(List.of(), world.stopLoad());
   }
 
-  /** A kill in the middle of moving journals: whichever layout the marker names counts, whole. */
+  /** After a kill during a migration, exactly the layout that the marker names is valid. */
   @Test
   void interruptedMigration_leftoversAreDeletedAndIgnored() throws Exception {
     start(3);
@@ -172,14 +168,14 @@
     final Path state = folder.resolve("state");
     assertTrue(Files.exists(state.resolve("shards-3")));
     assertFalse(Files.exists(state.resolve("journal")));
-    // Half a move to 8, and the marker's next content, as a kill before the commit leaves them.
+    // Half a migration to 8, and the marker's replacement, as a kill before the commit leaves them.
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
     Files.writeString(state.resolve("shards.next"), "8\n");
     ShardJournals.open(state, 1_000_000, 3)
         .forEach(journal -> assertTrue(journal.pendingMessages().isEmpty()));
     assertFalse(Files.exists(state.resolve("shards-8")));
-    // A kill after the commit, before the old ones were deleted.
+    // A kill after the commit, before the old journals were deleted.
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.writeString(state.resolve("shards"), "8\n");
     ShardJournals.open(state, 1_000_000, 8);
--- a/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
+++ b/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
@@ -23,20 +23,20 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A signal at each step of a request, a call, its answer, the watch and a notice. The step is
- * reached when its half has been written, and goes on only after the signal is sent: whatever the
- * process makes of it, each message that was taken on has one end, one that may not be repeated is
- * called once, and no request whose connection stands is left without an answer.
+ * A signal at each step of a request, a call, its response, a watch event and an outcome report. A
+ * step is reached when its first half is written, and is continued only after the signal was sent:
+ * whatever the process does with the signal, each accepted message has one final outcome, a
+ * non-idempotent message is called once, and no request on an open connection lacks its response.
  */
 @Tag("crossings")
 @Timeout(120)
 final class SignalDuringDeliveryTest {
-  /** A process that is told to end has ended by then: its own 3.1 s, and a busy machine. */
+  /** A process ends within 3.1 s of SIGTERM; more is allowed for on a busy machine. */
   private static final long SHUTDOWN_TIMEOUT_S = 10;
 
   private static final String MESSAGE_ID = "m1";
 
-  /** May not be repeated. */
+  /** A message of this class may be called once only. */
   private static final String NON_IDEMPOTENT_CLASS = "once";
 
   private static final long SHORT_DEADLINE_MS = 600;
@@ -47,44 +47,44 @@
     KILL
   }
 
-  /** What is under way when the signal comes. */
+  /** What is under way when the signal arrives. */
   private enum Step {
-    /** A client's connection rests. */
+    /** A client's connection is open without a request. */
     IDLE_CONNECTION,
-    /** Half of a request's head has come. */
+    /** Half of a request's headers was received. */
     PARTIAL_HEADERS,
-    /** Its head has come, and half of its body. */
+    /** All of its headers were received, and half of its body. */
     PARTIAL_BODY,
-    /** Its message was taken on and called, and the endpoint has not answered. */
+    /** Its message was accepted and called, and the endpoint has not responded. */
     CALL_IN_FLIGHT,
-    /** Half of the answer's first line has come. */
+    /** Half of the response's status line was received. */
     PARTIAL_RESPONSE,
-    /** Half of a line of the watch has come. */
+    /** Half of a watch event's line was received. */
     PARTIAL_WATCH_EVENT,
-    /** A notice is told and not confirmed. */
+    /** An outcome report was sent and is not confirmed. */
     UNCONFIRMED_NOTIFICATION
   }
 
   @TempDir private Path folder;
-  private CourierHarness rig;
+  private CourierHarness harness;
   private Socket client;
 
-  /** Ids that endpoints were called with; the first call is held. */
+  /** The message ids of the calls that the first endpoint received. */
   private final List<String> calls = new CopyOnWriteArrayList<>();
 
   private volatile FakeHttpServer.Connection heldCall;
   private volatile FakeHttpServer.Connection unconfirmedNotification;
   private volatile boolean holdsNextCall;
 
-  static Stream<Arguments> crossings() {
+  static Stream<Arguments> stepsAndSignals() {
     return Arrays.stream(Step.values())
         .flatMap(step -> Arrays.stream(Signal.values()).map(signal -> Arguments.of(step, signal)));
   }
 
   @BeforeEach
   void start() throws IOException {
-    rig = new CourierHarness(folder);
-    rig.firstEndpoint.script(
+    harness = new CourierHarness(folder);
+    harness.firstEndpoint.script(
         (request, connection) -> {
           calls.add(request.header("X-Request-ID"));
           if (holdsNextCall) {
@@ -93,18 +93,18 @@
             connection.respond(200, "");
           }
         });
-    rig.start();
-    rig.await("the watch", () -> !rig.watchConnections.isEmpty());
-    client = rig.connect();
+    harness.start();
+    harness.await("the watch", () -> !harness.watchConnections.isEmpty());
+    client = harness.connect();
   }
 
   @AfterEach
   void end() throws IOException {
     client.close();
-    rig.close();
+    harness.close();
   }
 
-  private void say(final String text) throws IOException {
+  private void write(final String text) throws IOException {
     client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
@@ -112,59 +112,61 @@
     return CourierHarness.readResponse(client.getInputStream()).status();
   }
 
-  /** Sends it; a killed process is gone when this returns. */
+  /** Sends a signal; a killed process has ended when this returns. Returns one that is ending. */
   private Process send(final Signal signal) throws IOException, InterruptedException {
     switch (signal) {
-      case HUP -> rig.sendHangupSignal();
-      case KILL -> rig.kill();
+      case HUP -> harness.sendHangupSignal();
+      case KILL -> harness.kill();
       default -> {
-        return rig.terminate();
+        return harness.terminate();
       }
     }
     return null;
   }
 
   /**
-   * What was under way is over: a process that was told to end ends, and the next one works,
-   * whoever follows.
+   * Waits for what the signal requested, and checks that the process that runs afterwards delivers
+   * a message.
    */
-  private void awaitRecovery(final Signal signal, final Process ending)
+  private void awaitRecovery(final Signal signal, final Process endingProcess)
       throws IOException, InterruptedException {
     if (signal == Signal.HUP) {
-      rig.await(
+      harness.await(
           "the reload",
-          () -> rig.logLines.stream().anyMatch(line -> line.contains("SIGHUP: discovery is at")));
+          () ->
+              harness.logLines.stream().anyMatch(line -> line.contains("SIGHUP: discovery is at")));
     } else {
       assertTrue(
-          ending == null || ending.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS),
+          endingProcess == null || endingProcess.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS),
           "it does not end");
-      rig.start();
+      harness.start();
     }
-    assertEquals(202, rig.submit("next", NON_IDEMPOTENT_CLASS).status());
-    rig.await(
-        "the next call", () -> calls.contains("next") || !rig.secondEndpoint.requests.isEmpty());
+    assertEquals(202, harness.submit("next", NON_IDEMPOTENT_CLASS).status());
+    harness.await(
+        "the next call",
+        () -> calls.contains("next") || !harness.secondEndpoint.requests.isEmpty());
   }
 
-  /** A message that was taken on is called once at most, and ends by that call or by one notice. */
+  /** Checks that the message was called once at most, and ended by that call or by one report. */
   private void assertOneOutcome(final boolean delivered) {
-    final List<String> notices =
-        rig.outcomeReports.stream()
+    final List<String> reports =
+        harness.outcomeReports.stream()
             .filter(line -> line.contains('"' + MESSAGE_ID + '"'))
             .distinct()
             .toList();
     assertTrue(calls.stream().filter(MESSAGE_ID::equals).count() <= 1, "calls " + calls);
-    assertEquals(delivered ? 0 : 1, notices.size(), "calls " + calls + ", notices " + notices);
+    assertEquals(delivered ? 0 : 1, reports.size(), "calls " + calls + ", reports " + reports);
   }
 
   private void submitAndHoldCall() throws IOException {
     holdsNextCall = true;
-    assertEquals(202, rig.submit(MESSAGE_ID, NON_IDEMPOTENT_CLASS).status());
-    rig.await("the call", () -> heldCall != null);
+    assertEquals(202, harness.submit(MESSAGE_ID, NON_IDEMPOTENT_CLASS).status());
+    harness.await("the call", () -> heldCall != null);
     holdsNextCall = false;
   }
 
   @ParameterizedTest
-  @MethodSource("crossings")
+  @MethodSource("stepsAndSignals")
   void signalAtStep_losesAndDuplicatesNothing(final Step step, final Signal signal)
       throws Exception {
     switch (step) {
@@ -178,91 +180,93 @@
   }
 
   private void signalOnIdleConnection(final Signal signal) throws Exception {
-    say("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     assertEquals(200, readStatus());
-    final Process ending = send(signal);
+    final Process endingProcess = send(signal);
     if (signal == Signal.TERM) {
-      assertEquals(-1, client.getInputStream().read(), "it is ended in order");
+      assertEquals(-1, client.getInputStream().read(), "it is closed in order");
     }
-    awaitRecovery(signal, ending);
+    awaitRecovery(signal, endingProcess);
   }
 
   private void signalDuringRequest(final Step step, final Signal signal) throws Exception {
     final String request = CourierHarness.submitRequest(MESSAGE_ID, NON_IDEMPOTENT_CLASS);
     final int half = step == Step.PARTIAL_HEADERS ? request.length() / 3 : request.length() - 2;
-    say(request.substring(0, half));
-    // Another connection is answered behind it: the half has been read.
-    assertEquals(404, rig.send("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status());
-    final Process ending = send(signal);
-    boolean taken = false;
+    write(request.substring(0, half));
+    // The response on another connection shows that the first half has been read.
+    assertEquals(404, harness.send("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status());
+    final Process endingProcess = send(signal);
+    boolean accepted = false;
     if (signal != Signal.KILL) {
-      say(request.substring(half));
+      write(request.substring(half));
       final int status = readStatus();
-      taken = status == 202;
-      assertTrue(taken || status == 503, "status " + status);
+      accepted = status == 202;
+      assertTrue(accepted || status == 503, "status " + status);
     }
-    awaitRecovery(signal, ending);
-    if (taken) {
-      rig.await(
-          "its end", () -> calls.contains(MESSAGE_ID) || rig.hasOutcomeReport(MESSAGE_ID, ""));
+    awaitRecovery(signal, endingProcess);
+    if (accepted) {
+      harness.await(
+          "its outcome",
+          () -> calls.contains(MESSAGE_ID) || harness.hasOutcomeReport(MESSAGE_ID, ""));
       assertOneOutcome(calls.contains(MESSAGE_ID));
     } else {
       assertTrue(
-          !calls.contains(MESSAGE_ID) && !rig.hasOutcomeReport(MESSAGE_ID, ""),
-          "calls " + calls + ", notices " + rig.outcomeReports);
+          !calls.contains(MESSAGE_ID) && !harness.hasOutcomeReport(MESSAGE_ID, ""),
+          "calls " + calls + ", reports " + harness.outcomeReports);
     }
   }
 
   private void signalDuringCall(final String half, final Signal signal) throws Exception {
     submitAndHoldCall();
     heldCall.write(half);
-    final Process ending = send(signal);
+    final Process endingProcess = send(signal);
     if (signal != Signal.KILL) {
       heldCall.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".substring(half.length()));
     }
-    awaitRecovery(signal, ending);
+    awaitRecovery(signal, endingProcess);
     if (signal == Signal.KILL) {
-      // It may have run: it ends by a notice of its failure, and does not go again.
-      rig.await("the notice", () -> rig.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
+      // The call may have run: the message's failure is reported, and it is not retried.
+      harness.await(
+          "the outcome report", () -> harness.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
     }
     assertOneOutcome(signal != Signal.KILL);
   }
 
   private void signalDuringWatchEvent(final Signal signal) throws Exception {
-    final FakeHttpServer.Connection watch = rig.watchConnections.get(0);
+    final FakeHttpServer.Connection watch = harness.watchConnections.get(0);
     final String change =
         "{\"seq\":42,\"whole\":false,\"hosts\":["
-            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready")
+            + CourierHarness.hostEntry("e2", harness.secondEndpoint, "Ready")
             + ","
-            + CourierHarness.hostEntry("e1", rig.firstEndpoint, "Gone")
+            + CourierHarness.hostEntry("e1", harness.firstEndpoint, "Gone")
             + "]}\n";
     watch.writeChunk(change.substring(0, change.length() / 2));
-    final Process ending = send(signal);
+    final Process endingProcess = send(signal);
     watch.writeChunk(change.substring(change.length() / 2));
     if (signal == Signal.HUP) {
-      rig.await(
-          "what the whole line says",
+      harness.await(
+          "what the complete line says",
           () -> {
             try {
-              return rig.submit("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
-                  && !rig.secondEndpoint.requests.isEmpty();
+              return harness.submit("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
+                  && !harness.secondEndpoint.requests.isEmpty();
             } catch (final IOException e) {
               throw new IllegalStateException(e);
             }
           });
     }
-    awaitRecovery(signal, ending);
+    awaitRecovery(signal, endingProcess);
   }
 
   private void signalDuringNotification(final Signal signal) throws Exception {
-    final List<String> told = new ArrayList<>();
-    rig.platform.script(
+    final List<String> unconfirmedReports = new ArrayList<>();
+    harness.platform.script(
         (request, connection) -> {
           if (request.requestLine().startsWith("POST") && unconfirmedNotification == null) {
-            told.add(request.text());
+            unconfirmedReports.add(request.text());
             unconfirmedNotification = connection;
           } else if (request.requestLine().startsWith("POST")) {
-            rig.outcomeReports.addAll(request.text().lines().toList());
+            harness.outcomeReports.addAll(request.text().lines().toList());
             connection.respond(204, "");
           } else {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -272,18 +276,19 @@
     holdsNextCall = true;
     assertEquals(
         202,
-        rig.send(
+        harness
+            .send(
                 CourierHarness.submitRequest(MESSAGE_ID, NON_IDEMPOTENT_CLASS)
                     .replace("20000", Long.toString(SHORT_DEADLINE_MS)))
             .status());
-    rig.await("the notice", () -> unconfirmedNotification != null);
+    harness.await("the outcome report", () -> unconfirmedNotification != null);
     holdsNextCall = false;
-    final Process ending = send(signal);
-    awaitRecovery(signal, ending);
-    // Not confirmed, it is told again, by this process or by the next; the same, and no call
-    // besides.
-    rig.await("the notice again", () -> rig.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
-    assertTrue(told.get(0).contains("undeliverable"), told.toString());
+    final Process endingProcess = send(signal);
+    awaitRecovery(signal, endingProcess);
+    // Unconfirmed, it is reported again by this process or the next, with no call besides.
+    harness.await(
+        "the outcome report again", () -> harness.hasOutcomeReport(MESSAGE_ID, "undeliverable"));
+    assertTrue(unconfirmedReports.get(0).contains("undeliverable"), unconfirmedReports.toString());
     assertOneOutcome(false);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
@@ -25,7 +25,8 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * A start that fails at any of its steps says why in a line, and leaves nothing of those before it.
+ * A start that fails at any of its steps reports why in one line, and releases what the steps
+ * before it opened.
  */
 @Tag("decisions")
 final class StartupFailureTest {
@@ -49,31 +50,31 @@
 
   private String startAndGetFailure(final CourierExtension extension) {
     try {
-      final CourierServer process = CourierServer.start(environment, extension);
+      final CourierServer server = CourierServer.start(environment, extension);
       final ExecutionException failure =
           assertThrows(
-              ExecutionException.class, () -> process.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
-      assertTrue(process.eventLoop().isTerminated(), "its loop has ended");
+              ExecutionException.class, () -> server.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
+      assertTrue(server.eventLoop().isTerminated(), "its loop has ended");
       return String.valueOf(failure.getCause().getMessage());
     } catch (final IOException | ConfigurationException e) {
       return e.getMessage();
     }
   }
 
-  /** What was in the way is gone: a start on the same folder serves. */
+  /** Checks that a start on the same folder succeeds once the cause of the failure is removed. */
   private void assertStartsAndReleasesFolder() throws Exception {
-    final CourierServer process = CourierServer.start(environment);
-    world.client.courier(process.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
-    process.kill();
-    try (StateLock free = StateLock.tryLock(folder.resolve("state"))) {
-      assertTrue(free != null, "the folder is free");
+    final CourierServer server = CourierServer.start(environment);
+    world.client.courier(server.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
+    server.kill();
+    try (StateLock lock = StateLock.tryLock(folder.resolve("state"))) {
+      assertTrue(lock != null, "the folder is free");
     }
   }
 
   @Test
   void folderLockedByAnotherCourier_startFails() throws Exception {
-    try (StateLock other = StateLock.tryLock(folder.resolve("state"))) {
-      assertTrue(other != null);
+    try (StateLock otherLock = StateLock.tryLock(folder.resolve("state"))) {
+      assertTrue(otherLock != null);
       assertTrue(startAndGetFailure(null).contains("another courier"));
     }
     assertStartsAndReleasesFolder();
@@ -98,8 +99,8 @@
 
   @Test
   void operatorAddressInUse_startFails() throws Exception {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      environment.put("PROXY_OPERATOR", "127.0.0.1:" + taken.getLocalPort());
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      environment.put("PROXY_OPERATOR", "127.0.0.1:" + occupied.getLocalPort());
       assertTrue(startAndGetFailure(null).contains("cannot listen on operator"));
     }
     environment.remove("PROXY_OPERATOR");
@@ -114,19 +115,19 @@
 
   @Test
   void clientAddressInUse_startFails() throws Exception {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      environment.put("PROXY_LISTEN", "127.0.0.1:" + taken.getLocalPort());
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      environment.put("PROXY_LISTEN", "127.0.0.1:" + occupied.getLocalPort());
       assertTrue(startAndGetFailure(null).contains("cannot listen on"));
     }
     environment.remove("PROXY_LISTEN");
     assertStartsAndReleasesFolder();
   }
 
-  /** A subsystem that throws when it is asked for its directory. */
+  /** An extension that throws when it is asked for its directory. */
   private static final class FailingExtension implements CourierExtension {
     @Override
     public EndpointDirectory createDirectory(
-        final EndpointDirectory own, final ExtensionContext surroundings) {
+        final EndpointDirectory platformDirectory, final ExtensionContext context) {
       throw new IllegalStateException("no registry");
     }
 
