--- a/eureka/src/main/java/thistleturn/eureka/AnswerSplitter.java
+++ b/eureka/src/main/java/thistleturn/eureka/AnswerSplitter.java
@@ -7,226 +7,260 @@
 import java.util.zip.CRC32C;
 
 /**
- * Cuts a registry's answer into its instances and what stands round them, as it comes. It only
- * matches braces and strings; whether that is JSON, and what it says, is the readers' to find out.
- * A text that is expected at its place, by length and digest, is taken for the same without being
- * looked at further.
+ * Splits a registry's response, as its bytes arrive, into the texts of its instances and the frame
+ * around them. It only matches brackets and strings; whether the parts are JSON, and what they
+ * mean, is left to their parsers. An instance whose text has the length and digest of the expected
+ * one is taken for the same and not scanned.
  */
 final class AnswerSplitter {
   private static final byte[] INSTANCE = {'i', 'n', 's', 't', 'a', 'n', 'c', 'e'};
 
-  /** An instance's text is no longer than this. */
-  private static final int MOST_INSTANCE_BYTES = 1 << 18;
+  /** The longest text of an instance that is accepted. */
+  private static final int MAX_INSTANCE_BYTES = 1 << 18;
 
-  private static final int FIRST_BYTES = 1 << 15;
-  private static final int MOST_DEPTH = 24;
+  private static final int INITIAL_BUFFER_BYTES = 1 << 15;
+  private static final int MAX_DEPTH = 24;
   private static final byte[] PLACEHOLDER = {'{', '}'};
+  private static final int NONE = -1;
 
-  private final Reader reader;
-  private byte[] bytes = new byte[FIRST_BYTES];
+  private final Handler handler;
+
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+
+  /** The end of the bytes in the buffer. */
   private int end;
 
-  /** What was looked at up to here; what lies before {@code kept} was handed on. */
-  private int at;
+  /** The first byte that was not scanned yet. */
+  private int position;
+
+  /** The first byte that was not passed to the handler yet. */
+  private int pendingStart;
 
-  private int kept;
   private int depth;
-  private final boolean[] array = new boolean[MOST_DEPTH + 1];
-  private final boolean[] named = new boolean[MOST_DEPTH + 1];
+
+  /** By depth: whether the open bracket is that of an array. */
+  private final boolean[] isArray = new boolean[MAX_DEPTH + 1];
+
+  /** By depth: whether the open bracket is the value of an {@code instance} field. */
+  private final boolean[] isInstanceValue = new boolean[MAX_DEPTH + 1];
+
   private boolean inString;
   private boolean escaped;
-  private int stringFrom;
-  private boolean lastIsInstance;
+  private int stringStart;
+
+  /** Whether the string that was scanned last is {@code instance}. */
+  private boolean lastStringIsInstance;
+
+  /** Whether the value that comes next is that of an {@code instance} field. */
   private boolean keyIsInstance;
 
-  /** Where an instance begins that is not here whole; -1 outside one. */
-  private int instanceFrom = -1;
+  /** Where an instance begins that has not arrived completely, or {@link #NONE}. */
+  private int instanceStart = NONE;
 
-  /** Who is given the parts, in order. */
-  interface Reader {
-    /** The length of the text that is expected next, or 0. */
+  /** Receives the parts of a response in order. */
+  interface Handler {
+    /** The length of the instance text that is expected next, or 0 if none is. */
     int expectedLength();
 
-    /** True if this is the text that was expected; then it was taken. */
-    boolean isExpected(byte[] bytes, int from, int length);
+    /** Takes an instance text if it is the expected one; returns whether it is. */
+    boolean acceptExpected(byte[] bytes, int from, int length);
 
-    /** Another instance's text. */
-    void instance(byte[] bytes, int from, int length) throws IOException;
+    /** Takes the text of another instance. */
+    void onInstance(byte[] bytes, int from, int length) throws IOException;
 
-    /** What stands round instances, with {@code {}} in place of each. */
-    void frame(byte[] bytes, int from, int length) throws IOException;
+    /** Takes a piece of the frame, in which {@code {}} stands for each instance. */
+    void onFrame(byte[] bytes, int from, int length) throws IOException;
   }
 
-  AnswerSplitter(final Reader reader) {
-    this.reader = reader;
+  AnswerSplitter(final Handler handler) {
+    this.handler = handler;
   }
 
-  /** A digest by which a text is known again: two checksums of different polynomials. */
+  /** A digest that identifies a text: two checksums with different polynomials. */
   static long digest(final byte[] bytes, final int from, final int length) {
-    final CRC32C one = new CRC32C();
-    one.update(bytes, from, length);
-    final CRC32 two = new CRC32();
-    two.update(bytes, from, length);
-    return one.getValue() << Integer.SIZE | two.getValue();
-  }
-
-  void feed(final ByteBuf more) throws IOException {
-    while (more.isReadable()) {
-      makeRoom();
-      final int some = Math.min(more.readableBytes(), bytes.length - end);
-      more.readBytes(bytes, end, some);
-      end += some;
+    final CRC32C castagnoli = new CRC32C();
+    castagnoli.update(bytes, from, length);
+    final CRC32 ieee = new CRC32();
+    ieee.update(bytes, from, length);
+    return castagnoli.getValue() << Integer.SIZE | ieee.getValue();
+  }
+
+  /** Reads all readable bytes of a piece of the response. */
+  void feed(final ByteBuf piece) throws IOException {
+    while (piece.isReadable()) {
+      ensureSpace();
+      final int length = Math.min(piece.readableBytes(), buffer.length - end);
+      piece.readBytes(buffer, end, length);
+      end += length;
       split();
     }
   }
 
-  /** Nothing more comes. */
+  /** Ends the response; an error if it is incomplete. */
   void end() throws IOException {
-    if (instanceFrom >= 0 || inString || depth != 0) {
+    if (instanceStart != NONE || inString || depth != 0) {
       throw new IOException("the answer is cut off");
     }
-    reader.frame(bytes, kept, end - kept);
-    kept = end;
+    flushFrame(end);
   }
 
-  private void makeRoom() throws IOException {
-    if (end < bytes.length) {
+  /** Moves pending bytes to the start of a full buffer, or enlarges it. */
+  private void ensureSpace() throws IOException {
+    if (end < buffer.length) {
       return;
     }
-    if (kept > 0) {
-      System.arraycopy(bytes, kept, bytes, 0, end - kept);
-      at -= kept;
-      end -= kept;
-      stringFrom -= kept;
-      instanceFrom = instanceFrom < 0 ? -1 : instanceFrom - kept;
-      kept = 0;
+    if (pendingStart > 0) {
+      discardHandled();
     }
-    if (end == bytes.length) {
-      if (bytes.length >= MOST_INSTANCE_BYTES) {
+    if (end == buffer.length) {
+      if (buffer.length >= MAX_INSTANCE_BYTES) {
         throw new IOException(
-            "an instance, or a text round it, is longer than " + MOST_INSTANCE_BYTES + " bytes");
+            "an instance, or a text round it, is longer than " + MAX_INSTANCE_BYTES + " bytes");
       }
-      bytes = Arrays.copyOf(bytes, 2 * bytes.length);
+      buffer = Arrays.copyOf(buffer, 2 * buffer.length);
     }
   }
 
+  private void discardHandled() {
+    System.arraycopy(buffer, pendingStart, buffer, 0, end - pendingStart);
+    position -= pendingStart;
+    end -= pendingStart;
+    stringStart -= pendingStart;
+    instanceStart = instanceStart == NONE ? NONE : instanceStart - pendingStart;
+    pendingStart = 0;
+  }
+
   private void split() throws IOException {
-    while (at < end) {
-      if (instanceFrom >= 0 && !instance()) {
+    while (position < end) {
+      if (instanceStart != NONE && !takeInstance()) {
         return;
       }
-      if (at < end) {
-        step(bytes[at]);
+      if (position < end) {
+        scanFrame(buffer[position]);
       }
     }
-    // What stands round instances need not be kept.
-    if (instanceFrom < 0) {
-      final int safe = inString ? Math.min(stringFrom, end) : end;
-      if (safe > kept) {
-        reader.frame(bytes, kept, safe - kept);
-        kept = safe;
-      }
+    if (instanceStart == NONE) {
+      // Only an open string has to stay in the buffer: it may be the name of an instance field.
+      flushFrame(inString ? Math.min(stringStart, end) : end);
+    }
+  }
+
+  private void flushFrame(final int to) throws IOException {
+    if (to > pendingStart) {
+      handler.onFrame(buffer, pendingStart, to - pendingStart);
+      pendingStart = to;
     }
   }
 
-  /** One byte of what stands round instances. */
-  private void step(final byte next) throws IOException {
+  /** Scans one byte of the frame; the brace that opens an instance is not consumed. */
+  private void scanFrame(final byte next) throws IOException {
     if (inString) {
-      if (escaped) {
-        escaped = false;
-      } else if (next == '\\') {
-        escaped = true;
-      } else if (next == '"') {
-        inString = false;
-        lastIsInstance =
-            at - stringFrom == INSTANCE.length
-                && Arrays.equals(bytes, stringFrom, at, INSTANCE, 0, INSTANCE.length);
-      }
-      at++;
+      scanString(next);
       return;
     }
     switch (next) {
       case '"' -> {
         inString = true;
-        stringFrom = at + 1;
+        stringStart = position + 1;
       }
-      case ':' -> keyIsInstance = lastIsInstance;
+      case ':' -> keyIsInstance = lastStringIsInstance;
       case ',' -> keyIsInstance = false;
       case '{', '[' -> {
-        final boolean isInstance = array[depth] ? named[depth] : keyIsInstance;
-        if (next == '{' && isInstance) {
-          instanceFrom = at;
-          reader.frame(bytes, kept, at - kept);
-          kept = at;
+        final boolean instanceValue = isArray[depth] ? isInstanceValue[depth] : keyIsInstance;
+        if (next == '{' && instanceValue) {
+          flushFrame(position);
+          instanceStart = position;
           return;
         }
-        if (depth == MOST_DEPTH) {
-          throw new IOException("nested too deeply");
-        }
-        depth++;
-        array[depth] = next == '[';
-        named[depth] = isInstance;
-        keyIsInstance = false;
-      }
-      case '}', ']' -> {
-        if (depth == 0) {
-          throw new IOException("a bracket closes nothing");
-        }
-        depth--;
-        keyIsInstance = false;
+        openBracket(next == '[', instanceValue);
       }
+      case '}', ']' -> closeBracket();
       default -> {}
     }
-    at++;
+    position++;
   }
 
-  /** Takes the instance that begins here; false if it is not here whole. */
-  private boolean instance() throws IOException {
-    final int expected = reader.expectedLength();
-    if (expected > 0) {
-      if (end - instanceFrom >= expected && reader.isExpected(bytes, instanceFrom, expected)) {
-        taken(instanceFrom + expected);
-        return true;
-      }
+  private void scanString(final byte next) {
+    if (escaped) {
+      escaped = false;
+    } else if (next == '\\') {
+      escaped = true;
+    } else if (next == '"') {
+      inString = false;
+      lastStringIsInstance =
+          position - stringStart == INSTANCE.length
+              && Arrays.equals(buffer, stringStart, position, INSTANCE, 0, INSTANCE.length);
     }
-    final int close = close(instanceFrom);
-    if (close < 0) {
-      at = end;
+    position++;
+  }
+
+  private void openBracket(final boolean array, final boolean instanceValue) throws IOException {
+    if (depth == MAX_DEPTH) {
+      throw new IOException("nested too deeply");
+    }
+    depth++;
+    isArray[depth] = array;
+    isInstanceValue[depth] = instanceValue;
+    keyIsInstance = false;
+  }
+
+  private void closeBracket() throws IOException {
+    if (depth == 0) {
+      throw new IOException("a bracket closes nothing");
+    }
+    depth--;
+    keyIsInstance = false;
+  }
+
+  /** Takes the instance that begins here; returns false if it has not arrived completely. */
+  private boolean takeInstance() throws IOException {
+    final int expectedLength = handler.expectedLength();
+    if (expectedLength > 0
+        && end - instanceStart >= expectedLength
+        && handler.acceptExpected(buffer, instanceStart, expectedLength)) {
+      finishInstance(instanceStart + expectedLength);
+      return true;
+    }
+    final int instanceEnd = findObjectEnd(instanceStart);
+    if (instanceEnd == NONE) {
+      position = end;
       return false;
     }
-    reader.instance(bytes, instanceFrom, close - instanceFrom);
-    taken(close);
+    handler.onInstance(buffer, instanceStart, instanceEnd - instanceStart);
+    finishInstance(instanceEnd);
     return true;
   }
 
-  private void taken(final int after) throws IOException {
-    reader.frame(PLACEHOLDER, 0, PLACEHOLDER.length);
-    at = after;
-    kept = after;
-    instanceFrom = -1;
+  private void finishInstance(final int instanceEnd) throws IOException {
+    handler.onFrame(PLACEHOLDER, 0, PLACEHOLDER.length);
+    position = instanceEnd;
+    pendingStart = instanceEnd;
+    instanceStart = NONE;
     keyIsInstance = false;
   }
 
-  /** Behind the brace that closes the one here; -1 if that has not come. */
-  private int close(final int from) {
-    int level = 0;
-    int position = from;
-    while (position < end) {
-      final byte next = bytes[position++];
+  /**
+   * The position after the brace that closes the object here, or {@link #NONE} if it is missing.
+   */
+  private int findObjectEnd(final int from) {
+    int openBraces = 0;
+    int index = from;
+    while (index < end) {
+      final byte next = buffer[index++];
       if (next == '"') {
-        while (position < end && bytes[position] != '"') {
-          position += bytes[position] == '\\' ? 2 : 1;
+        while (index < end && buffer[index] != '"') {
+          index += buffer[index] == '\\' ? 2 : 1;
         }
-        position++;
+        index++;
       } else if (next == '{') {
-        level++;
+        openBraces++;
       } else if (next == '}') {
-        level--;
-        if (level == 0) {
-          return position;
+        openBraces--;
+        if (openBraces == 0) {
+          return index;
         }
       }
     }
-    return -1;
+    return NONE;
   }
 }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
@@ -11,38 +11,48 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * One answer of a registry, read as it comes, on the ground of what the registry told before: an
- * instance whose text is the same as last time is known by its digest and not read again.
+ * One response of a registry, parsed as its bytes arrive. What the registry sent earlier is
+ * remembered: an instance whose text has not changed is recognized by its digest and not parsed
+ * again.
  */
 public final class EurekaAnswer {
+  private static final String DELETED = "DELETED";
+  private static final long NO_DIGEST = 0;
+  private static final int NO_LENGTH = 0;
+
   private final EurekaMapping mapping;
-  private final Instances before;
-  private final boolean delta;
-  private final AnswerSplitter splitter = new AnswerSplitter(new Parts());
-  private final InstanceParser instances;
-  private final FrameParser frame;
-  private final Instances after;
-
-  /** Of a delta: what is put in, and what goes. */
+  private final Instances previous;
+  private final boolean isDelta;
+  private final AnswerSplitter splitter = new AnswerSplitter(new PartHandler());
+  private final InstanceParser instanceParser;
+  private final FrameParser frameParser;
+  private final Instances current;
+
+  /** Of a delta: the instances in it, in order. */
   private final List<EurekaInstance> changes = new ArrayList<>();
 
   private final Map<String, SourceReport> reports = new LinkedHashMap<>();
   private final Set<String> deleted = new LinkedHashSet<>();
-  private final List<SourceReport> known = new ArrayList<>();
+
+  /** Reports of instances whose text has not changed. */
+  private final List<SourceReport> unchanged = new ArrayList<>();
+
+  /** The position among the previous instances of the one that is expected next. */
   private int expected;
-  private long readAnew;
 
-  /** What a registry has told so far, to be handed from one answer to the next. */
+  private long parsedInstances;
+
+  /** The instances that a registry has, kept from one response to the next. */
   public static final class Memory {
     private Instances instances = new Instances();
 
-    /** How many instances it has, usable or not. */
+    /** The number of instances, usable or not. */
     public int count() {
       return instances.count();
     }
   }
 
-  /** An answer with everything, or a delta, to a registry of which this is remembered. */
+  /** A response, complete or a delta, of the registry whose instances are in the memory. */
   public EurekaAnswer(
       final MetadataNames names,
       final EurekaMapping mapping,
@@ -50,120 +60,122 @@
       final boolean delta)
       throws IOException {
     this.mapping = mapping;
-    this.before = memory.instances;
-    this.delta = delta;
-    this.after = delta ? memory.instances : new Instances();
-    this.instances = new InstanceParser(names);
-    this.frame = new FrameParser();
+    this.previous = memory.instances;
+    this.isDelta = delta;
+    this.current = delta ? memory.instances : new Instances();
+    this.instanceParser = new InstanceParser(names);
+    this.frameParser = new FrameParser();
   }
 
-  /** Some more of its text. */
+  /** Parses the next piece. */
   public void feed(final ByteBuf bytes) throws IOException {
     splitter.feed(bytes);
   }
 
-  /** Its text has ended; an error if it is not whole. */
+  /** Ends the response; an error if it is incomplete. */
   public void end() throws IOException {
     splitter.end();
-    frame.end();
+    frameParser.end();
   }
 
-  /** All of it goes into the memory; true if the hash that it told fits what is remembered then. */
+  /** Updates the memory; returns whether its content then matches the hash in the response. */
   public boolean remember(final Memory memory) {
-    if (delta) {
+    if (isDelta) {
       for (final EurekaInstance change : changes) {
-        // A text that came in a delta is not the one that a whole answer has.
-        after.find(change.key());
-        if (change.action().equals("DELETED")) {
-          after.remove(change.key());
+        // The text in a delta differs from that in a complete response: it gets no digest.
+        current.find(change.key());
+        if (change.action().equals(DELETED)) {
+          current.remove(change.key());
         } else {
-          after.put(change.key(), change.status(), reports.get(change.key()), 0, 0);
+          current.put(
+              change.key(), change.status(), reports.get(change.key()), NO_DIGEST, NO_LENGTH);
         }
       }
     } else {
-      after.trim();
+      current.trim();
     }
-    memory.instances = after;
-    // An answer without a hash cannot be checked; a whole one is as good as its word.
-    return frame.hash().equals(after.hash()) || (frame.hash().isEmpty() && !delta);
+    memory.instances = current;
+    // Without a hash a complete response is trusted, but a delta cannot be verified.
+    return frameParser.hash().equals(current.hash()) || (frameParser.hash().isEmpty() && !isDelta);
   }
 
-  /** Instances that are of use, with their state. */
+  /** The reports of usable instances. */
   public List<SourceReport> reports() {
-    final List<SourceReport> all = new ArrayList<>(known.size() + reports.size());
-    all.addAll(known);
+    final List<SourceReport> all = new ArrayList<>(unchanged.size() + reports.size());
+    all.addAll(unchanged);
     all.addAll(reports.values());
     return all;
   }
 
-  /** Instances that the registry deleted, or that are of no use. */
+  /** The keys of instances that the registry deleted, or that are unusable. */
   public Set<String> deleted() {
     return deleted;
   }
 
-  /** How many instances were read, and not known by their digest. */
+  /** The number of instances that were parsed, as their digest was not known. */
   public long readAnew() {
-    return readAnew;
+    return parsedInstances;
   }
 
-  private void take(final EurekaInstance instance, final long digest, final int length) {
-    readAnew++;
+  private void add(final EurekaInstance instance, final long digest, final int length) {
+    parsedInstances++;
     final String key = instance.key();
     final SourceReport report =
-        instance.action().equals("DELETED") && delta ? null : mapping.report(instance);
+        instance.action().equals(DELETED) && isDelta ? null : mapping.report(instance);
     if (report == null) {
-      // It may have been of use before.
+      // It may have been usable earlier in this response.
       deleted.add(key);
       reports.remove(key);
     } else {
       deleted.remove(key);
       reports.put(key, report);
     }
-    if (delta) {
+    if (isDelta) {
       changes.add(instance);
       return;
     }
-    after.put(key, instance.status(), report, digest, length);
-    if (before.places() > 0) {
-      expected = before.find(key) + 1;
+    current.put(key, instance.status(), report, digest, length);
+    if (previous.positions() > 0) {
+      expected = previous.find(key) + 1;
     }
   }
 
-  private final class Parts implements AnswerSplitter.Reader {
+  private final class PartHandler implements AnswerSplitter.Handler {
     @Override
     public int expectedLength() {
-      return delta ? 0 : before.length(expected);
+      return isDelta ? NO_LENGTH : previous.length(expected);
     }
 
     @Override
-    public boolean isExpected(final byte[] bytes, final int from, final int length) {
-      if (AnswerSplitter.digest(bytes, from, length) != before.digest(expected)
-          || !before.isThere(expected)) {
+    public boolean acceptExpected(final byte[] bytes, final int from, final int length) {
+      final long digest = AnswerSplitter.digest(bytes, from, length);
+      if (digest != previous.digest(expected) || previous.isRemoved(expected)) {
         return false;
       }
-      final SourceReport report = before.report(expected);
-      after.put(
-          before.key(expected), before.state(expected), report, before.digest(expected), length);
+      final String key = previous.key(expected);
+      final SourceReport report = previous.report(expected);
+      current.put(key, previous.status(expected), report, digest, length);
       if (report == null) {
-        deleted.add(before.key(expected));
+        deleted.add(key);
       } else {
-        known.add(report);
+        unchanged.add(report);
       }
       expected++;
       return true;
     }
 
     @Override
-    public void instance(final byte[] bytes, final int from, final int length) throws IOException {
-      take(
-          instances.parse(bytes, from, length),
-          delta ? 0 : AnswerSplitter.digest(bytes, from, length),
+    public void onInstance(final byte[] bytes, final int from, final int length)
+        throws IOException {
+      add(
+          instanceParser.parse(bytes, from, length),
+          isDelta ? NO_DIGEST : AnswerSplitter.digest(bytes, from, length),
           length);
     }
 
     @Override
-    public void frame(final byte[] bytes, final int from, final int length) throws IOException {
-      frame.feed(bytes, from, length);
+    public void onFrame(final byte[] bytes, final int from, final int length) throws IOException {
+      frameParser.feed(bytes, from, length);
     }
   }
 }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaInstance.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaInstance.java
@@ -1,10 +1,23 @@
 package thistleturn.eureka;
 
 /**
- * What is read of an instance in a registry's answer; everything else in it is passed over. Texts
- * are empty, and numbers -1, where the answer has none. {@code key} is unlike that of any other
- * instance in the registry. {@code versionMs} is the later of its {@code lastDirtyTimestamp} and 0;
- * {@code action} is {@code ADDED}, {@code MODIFIED} or {@code DELETED} in a delta.
+ * The fields of a registry's instance that a courier uses; all others are skipped. A text is empty,
+ * and a number -1, if the response has no such field.
+ *
+ * @param app the application
+ * @param id its id, or its host name if it has no id
+ * @param key application and id together, which are unique in the registry
+ * @param status as the instance reported it
+ * @param overridden the status that an operator set in its place
+ * @param address its IP address
+ * @param port its plain HTTP port
+ * @param portEnabled whether that port is in use
+ * @param versionMs its {@code lastDirtyTimestamp}; 0 if it has none
+ * @param action in a delta, {@code ADDED}, {@code MODIFIED} or {@code DELETED}
+ * @param destination metadata: the number of the destination
+ * @param kind metadata: the kind of endpoint
+ * @param zone metadata: the zone
+ * @param rate metadata: calls per second
  */
 public record EurekaInstance(
     String app,
--- a/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
@@ -8,110 +8,120 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * What an instance of a registry means as an endpoint. One whose metadata cannot be used is left
- * out and counted, and never guessed. Statuses: UP is up; STARTING, UNKNOWN and any other word are
- * not yet; DOWN and OUT_OF_SERVICE drain. Where an operator's override says something more cautious
- * than the status, that counts.
+ * Maps an instance of a registry to a report of an endpoint. An instance whose metadata is unusable
+ * is skipped and counted; nothing is guessed. The status UP is up, DOWN and OUT_OF_SERVICE drain,
+ * and STARTING, UNKNOWN and all others are pending. An operator's override replaces the status if
+ * it is more cautious.
  */
 public final class EurekaMapping {
-  private static final int MOST_PORT = 65_535;
-  private static final int MOST_NAME_CHARS = 64;
-  private static final double MOST_RATE = 1e6;
+  private static final int MAX_PORT = 65_535;
+  private static final int MAX_NAME_CHARS = 64;
+  private static final int MAX_KEY_CHARS = 8 * MAX_NAME_CHARS;
+  private static final int MAX_INTERNED_TEXTS = 1024;
+  private static final double MAX_RATE = 1e6;
 
   private final Map<Unusable, Long> unusable = new EnumMap<>(Unusable.class);
 
-  /**
-   * One copy of each zone and kind, however many instances name it; bounded by what is remembered
-   * at all.
-   */
-  private final Map<String, String> texts = new HashMap<>();
+  /** One copy of each zone and kind, which many instances share. */
+  private final Map<String, String> internedTexts = new HashMap<>();
 
-  /** Why an instance is left out. */
+  /** Why an instance is skipped. */
   public enum Unusable {
     /** It has no id, or no application. */
     NO_ID,
-    /** Its destination is absent, or no number. */
+    /** Its destination is absent, or not a number. */
     NO_DESTINATION,
-    /** Its address is not in figures. */
+    /** Its address is not an IP address. */
     NO_ADDRESS,
-    /** Its plain port is absent, off or out of range. */
+    /** Its plain port is absent, disabled or out of range. */
     NO_PORT,
-    /** Its rate is no number from 0 to a million. */
+    /** Its rate is not a number from 0 to a million. */
     BAD_RATE,
-    /** Its zone, kind or id is longer than any that makes sense. */
+    /** Its zone, kind or key is too long. */
     TOO_LONG
   }
 
-  /** The report of an instance, or null if it is left out. */
+  /** The report of an instance, or null if it is skipped. */
   public SourceReport report(final EurekaInstance instance) {
-    final long destination = InstanceParser.whole(instance.destination());
+    final long destination = InstanceParser.parseUnsigned(instance.destination());
     final double rate = rate(instance.rate());
-    final Unusable why =
-        instance.id().isEmpty() || instance.app().isEmpty()
-            ? Unusable.NO_ID
-            : destination < 0
-                ? Unusable.NO_DESTINATION
-                : !isFigures(instance.address())
-                    ? Unusable.NO_ADDRESS
-                    : !instance.portEnabled() || instance.port() < 1 || instance.port() > MOST_PORT
-                        ? Unusable.NO_PORT
-                        : rate < 0
-                            ? Unusable.BAD_RATE
-                            : isTooLong(instance) ? Unusable.TOO_LONG : null;
-    if (why != null) {
-      unusable.merge(why, 1L, Long::sum);
+    final Unusable reason = unusableReason(instance, destination, rate);
+    if (reason != null) {
+      unusable.merge(reason, 1L, Long::sum);
       return null;
     }
     return new SourceReport(
         instance.key(),
         instance.address() + ":" + instance.port(),
         destination,
-        one(instance.zone()),
-        one(instance.kind()),
+        intern(instance.zone()),
+        intern(instance.kind()),
         rate,
-        word(instance),
+        status(instance),
         instance.versionMs());
   }
 
+  /** Why an instance is skipped, or null if it is usable; a negative number is an invalid one. */
+  private static Unusable unusableReason(
+      final EurekaInstance instance, final long destination, final double rate) {
+    if (instance.id().isEmpty() || instance.app().isEmpty()) {
+      return Unusable.NO_ID;
+    }
+    if (destination < 0) {
+      return Unusable.NO_DESTINATION;
+    }
+    if (!isIpAddress(instance.address())) {
+      return Unusable.NO_ADDRESS;
+    }
+    if (!instance.portEnabled() || instance.port() < 1 || instance.port() > MAX_PORT) {
+      return Unusable.NO_PORT;
+    }
+    if (rate < 0) {
+      return Unusable.BAD_RATE;
+    }
+    return isTooLong(instance) ? Unusable.TOO_LONG : null;
+  }
+
   private static boolean isTooLong(final EurekaInstance instance) {
-    return instance.zone().length() > MOST_NAME_CHARS
-        || instance.kind().length() > MOST_NAME_CHARS
-        || instance.key().length() > 8 * MOST_NAME_CHARS;
+    return instance.zone().length() > MAX_NAME_CHARS
+        || instance.kind().length() > MAX_NAME_CHARS
+        || instance.key().length() > MAX_KEY_CHARS;
   }
 
-  private static boolean isFigures(final String address) {
+  private static boolean isIpAddress(final String address) {
     return NetUtil.isValidIpV4Address(address) || NetUtil.isValidIpV6Address(address);
   }
 
-  private String one(final String text) {
-    if (texts.size() > 1024) {
-      texts.clear();
+  private String intern(final String text) {
+    if (internedTexts.size() > MAX_INTERNED_TEXTS) {
+      internedTexts.clear();
     }
-    return texts.computeIfAbsent(text, unused -> text);
+    return internedTexts.computeIfAbsent(text, unused -> text);
   }
 
+  /** Calls per second; 0 if there is no text, -1 if it is invalid. */
   private static double rate(final String text) {
     if (text.isEmpty()) {
       return 0;
     }
     try {
       final double rate = Double.parseDouble(text);
-      return rate >= 0 && rate <= MOST_RATE ? rate : -1;
+      return rate >= 0 && rate <= MAX_RATE ? rate : -1;
     } catch (final NumberFormatException e) {
       return -1;
     }
   }
 
-  private static ReportedStatus word(final EurekaInstance instance) {
-    final ReportedStatus own = word(instance.status());
+  private static ReportedStatus status(final EurekaInstance instance) {
+    final ReportedStatus reported = status(instance.status());
     if (instance.overridden().isEmpty() || instance.overridden().equals("UNKNOWN")) {
-      return own;
+      return reported;
     }
-    final ReportedStatus override = word(instance.overridden());
-    return override.compareTo(own) > 0 ? override : own;
+    final ReportedStatus override = status(instance.overridden());
+    return override.compareTo(reported) > 0 ? override : reported;
   }
 
-  private static ReportedStatus word(final String status) {
+  private static ReportedStatus status(final String status) {
     return switch (status) {
       case "UP" -> ReportedStatus.UP;
       case "DOWN", "OUT_OF_SERVICE" -> ReportedStatus.DRAIN;
@@ -119,7 +129,7 @@
     };
   }
 
-  /** How often instances were left out so far, by why. */
+  /** How many instances were skipped so far, by reason. */
   public Map<Unusable, Long> unusable() {
     return new EnumMap<>(unusable);
   }
--- a/eureka/src/main/java/thistleturn/eureka/FrameParser.java
+++ b/eureka/src/main/java/thistleturn/eureka/FrameParser.java
@@ -3,18 +3,21 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.json.async.NonBlockingJsonParser;
 import java.io.IOException;
+import java.util.Set;
 
 /**
- * Reads what stands round a registry's instances, as it comes: that it is JSON, that {@code
- * applications}, {@code application} or {@code instance} is at its root, and the hash that it
- * tells.
+ * Parses the frame of a registry's response as its bytes arrive: it has to be JSON with {@code
+ * applications}, {@code application} or {@code instance} at its root, and may contain the hash of
+ * all instances.
  */
 final class FrameParser {
-  private static final int MOST_DEPTH = 24;
+  private static final int MAX_DEPTH = 24;
+  private static final Set<String> ROOT_FIELDS = Set.of("applications", "application", "instance");
+
   private final NonBlockingJsonParser parser;
 
-  /** The names of the fields that are open, by depth. */
-  private final String[] path = new String[MOST_DEPTH + 2];
+  /** The name of the current field at each depth. */
+  private final String[] path = new String[MAX_DEPTH + 2];
 
   private int depth;
   private boolean ended;
@@ -25,40 +28,33 @@
     this.parser = (NonBlockingJsonParser) InstanceParser.FACTORY.createNonBlockingByteArrayParser();
   }
 
+  /** Parses the next piece. */
   void feed(final byte[] bytes, final int from, final int length) throws IOException {
     if (length > 0) {
       parser.feedInput(bytes, from, from + length);
-      read();
+      parseAvailable();
     }
   }
 
-  /** It has ended; an error if it is not whole, or none of a registry's. */
+  /** Ends the frame; an error if it is incomplete or not that of a registry. */
   void end() throws IOException {
     parser.endOfInput();
-    read();
+    parseAvailable();
     if (!ended || !hasRoot) {
       throw new IOException("the answer is cut off, or not a registry's");
     }
   }
 
-  /** The hash that was told; empty if none was. */
+  /** The hash in the frame; empty if there is none. */
   String hash() {
     return hash;
   }
 
-  private void read() throws IOException {
+  private void parseAvailable() throws IOException {
     JsonToken token = parser.nextToken();
     while (token != null && token != JsonToken.NOT_AVAILABLE) {
       switch (token) {
-        case START_OBJECT, START_ARRAY -> {
-          hasRoot |=
-              depth == 1
-                  && ("applications".equals(path[1])
-                      || "application".equals(path[1])
-                      || "instance".equals(path[1]));
-          depth++;
-          path[depth] = null;
-        }
+        case START_OBJECT, START_ARRAY -> open();
         case END_OBJECT, END_ARRAY -> {
           depth--;
           ended = depth == 0;
@@ -73,4 +69,10 @@
       token = parser.nextToken();
     }
   }
+
+  private void open() {
+    hasRoot |= depth == 1 && path[1] != null && ROOT_FIELDS.contains(path[1]);
+    depth++;
+    path[depth] = null;
+  }
 }
--- a/eureka/src/main/java/thistleturn/eureka/InstanceParser.java
+++ b/eureka/src/main/java/thistleturn/eureka/InstanceParser.java
@@ -6,9 +6,7 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import java.io.IOException;
 
-/**
- * Reads one instance's text. Nesting and lengths are bounded; what is not asked for is passed over.
- */
+/** Parses the text of one instance. Nesting and lengths are bounded; unknown fields are skipped. */
 final class InstanceParser {
   static final JsonFactory FACTORY =
       JsonFactory.builder()
@@ -22,40 +20,52 @@
           .build();
 
   private final MetadataNames names;
-  private String app;
-  private String id;
-  private String host;
-  private String status;
-  private String overridden;
-  private String address;
-  private int port;
-  private boolean portEnabled;
-  private long dirtyMs;
-  private String action;
-  private String destination;
-  private String kind;
-  private String zone;
-  private String rate;
+
+  /** The fields of the instance that is being parsed, as far as they were found. */
+  private Fields fields = new Fields();
+
+  private static final class Fields {
+    private String app = "";
+    private String id = "";
+    private String host = "";
+    private String status = "";
+    private String overridden = "";
+    private String address = "";
+    private int port = -1;
+    private boolean portEnabled = true;
+    private long dirtyMs;
+    private String action = "";
+    private String destination = "";
+    private String kind = "";
+    private String zone = "";
+    private String rate = "";
+
+    private EurekaInstance toInstance() {
+      final String effectiveId = id.isEmpty() ? host : id;
+      return new EurekaInstance(
+          app,
+          effectiveId,
+          app + "/" + effectiveId,
+          status,
+          overridden,
+          address,
+          port,
+          portEnabled,
+          dirtyMs,
+          action,
+          destination,
+          kind,
+          zone,
+          rate);
+    }
+  }
 
   InstanceParser(final MetadataNames names) {
     this.names = names;
   }
 
   EurekaInstance parse(final byte[] bytes, final int from, final int length) throws IOException {
-    app = "";
-    id = "";
-    host = "";
-    status = "";
-    overridden = "";
-    address = "";
-    port = -1;
-    portEnabled = true;
-    dirtyMs = 0;
-    action = "";
-    destination = "";
-    kind = "";
-    zone = "";
-    rate = "";
+    fields = new Fields();
     try (JsonParser parser = FACTORY.createParser(bytes, from, length)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new IOException("an instance is no object");
@@ -63,84 +73,79 @@
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         final String name = parser.currentName();
         final JsonToken value = parser.nextToken();
-        if (value == JsonToken.START_OBJECT && (name.equals("port") || name.equals("metadata"))) {
-          section(parser, name.equals("port"));
+        if (value == JsonToken.START_OBJECT && name.equals("port")) {
+          parseSection(parser, this::parsePortField);
+        } else if (value == JsonToken.START_OBJECT && name.equals("metadata")) {
+          parseSection(parser, this::parseMetadataField);
         } else if (value.isStructStart()) {
           parser.skipChildren();
         } else {
-          own(parser, name);
+          parseField(parser, name);
         }
       }
     }
-    final String own = id.isEmpty() ? host : id;
-    return new EurekaInstance(
-        app,
-        own,
-        app + "/" + own,
-        status,
-        overridden,
-        address,
-        port,
-        portEnabled,
-        dirtyMs,
-        action,
-        destination,
-        kind,
-        zone,
-        rate);
+    return fields.toInstance();
   }
 
-  private void section(final JsonParser parser, final boolean isPort) throws IOException {
+  @FunctionalInterface
+  private interface FieldParser {
+    void parse(JsonParser parser, String name) throws IOException;
+  }
+
+  private static void parseSection(final JsonParser parser, final FieldParser fieldParser)
+      throws IOException {
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       final String name = parser.currentName();
       if (parser.nextToken().isStructStart()) {
         parser.skipChildren();
-      } else if (isPort) {
-        port(parser, name);
       } else {
-        metadata(parser, name);
+        fieldParser.parse(parser, name);
       }
     }
   }
 
-  private void own(final JsonParser parser, final String name) throws IOException {
+  private void parseField(final JsonParser parser, final String name) throws IOException {
     switch (name) {
-      case "app" -> app = parser.getText();
-      case "instanceId" -> id = parser.getText();
-      case "hostName" -> host = parser.getText();
-      case "status" -> status = parser.getText();
-      case "overriddenstatus", "overriddenStatus" -> overridden = parser.getText();
-      case "ipAddr" -> address = parser.getText();
-      case "lastDirtyTimestamp" -> dirtyMs = whole(parser.getText());
-      case "actionType" -> action = parser.getText();
-      // An older spelling: the port as a plain number.
-      case "port" -> port = (int) Math.min(whole(parser.getText()), Integer.MAX_VALUE);
+      case "app" -> fields.app = parser.getText();
+      case "instanceId" -> fields.id = parser.getText();
+      case "hostName" -> fields.host = parser.getText();
+      case "status" -> fields.status = parser.getText();
+      case "overriddenstatus", "overriddenStatus" -> fields.overridden = parser.getText();
+      case "ipAddr" -> fields.address = parser.getText();
+      case "lastDirtyTimestamp" -> fields.dirtyMs = parseUnsigned(parser.getText());
+      case "actionType" -> fields.action = parser.getText();
+      // Older registries write the port as a plain number.
+      case "port" -> fields.port = parsePort(parser.getText());
       default -> {}
     }
   }
 
-  private void port(final JsonParser parser, final String name) throws IOException {
+  private void parsePortField(final JsonParser parser, final String name) throws IOException {
     if (name.equals("$")) {
-      port = (int) Math.min(whole(parser.getText()), Integer.MAX_VALUE);
+      fields.port = parsePort(parser.getText());
     } else if (name.equals("@enabled")) {
-      portEnabled = parser.getText().equals("true");
+      fields.portEnabled = parser.getText().equals("true");
     }
   }
 
-  private void metadata(final JsonParser parser, final String name) throws IOException {
+  private void parseMetadataField(final JsonParser parser, final String name) throws IOException {
     if (name.equals(names.destination())) {
-      destination = parser.getText();
+      fields.destination = parser.getText();
     } else if (name.equals(names.kind())) {
-      kind = parser.getText();
+      fields.kind = parser.getText();
     } else if (name.equals(names.zone())) {
-      zone = parser.getText();
+      fields.zone = parser.getText();
     } else if (name.equals(names.rate())) {
-      rate = parser.getText();
+      fields.rate = parser.getText();
     }
   }
 
-  /** A whole number that is not negative, or -1. */
-  static long whole(final String text) {
+  private static int parsePort(final String text) {
+    return (int) Math.min(parseUnsigned(text), Integer.MAX_VALUE);
+  }
+
+  /** An integer that is not negative, or -1. */
+  static long parseUnsigned(final String text) {
     try {
       return Math.max(-1, Long.parseLong(text));
     } catch (final NumberFormatException e) {
--- a/eureka/src/main/java/thistleturn/eureka/Instances.java
+++ b/eureka/src/main/java/thistleturn/eureka/Instances.java
@@ -8,112 +8,118 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * All that a registry has, in the order in which it tells it: for each instance its key, status and
- * report, with the length and a digest of the text that told it, by which the same text is known
- * again without being read. Kept in parallel arrays with an index of their own: some 30 bytes an
- * instance beside key and report.
+ * The instances of a registry in the order of its responses: of each its key, status and report,
+ * and the length and digest of its text, by which an unchanged text is recognized without being
+ * parsed. They are in parallel arrays with a hash index, which take some 30 bytes for each instance
+ * beside its key and report.
  */
 final class Instances {
   private static final int NONE = -1;
-  private static final int LEAST_PLACES = 16;
+  private static final int MIN_CAPACITY = 16;
 
-  /** Spreads the hash codes of keys that differ in their last figures only. */
-  private static final int SPREAD = 0x9E3779B9;
+  /** Spreads the hash codes of keys that differ in their last characters only. */
+  private static final int HASH_MULTIPLIER = 0x9E3779B9;
 
+  /** The statuses that instances have, by their number. */
   private final List<String> statuses = new ArrayList<>();
-  private String[] keys = new String[LEAST_PLACES];
-  private SourceReport[] reports = new SourceReport[LEAST_PLACES];
-  private byte[] status = new byte[LEAST_PLACES];
-  private long[] digests = new long[LEAST_PLACES];
-  private int[] lengths = new int[LEAST_PLACES];
+
+  private String[] keys = new String[MIN_CAPACITY];
+  private SourceReport[] reports = new SourceReport[MIN_CAPACITY];
+
+  /** The number of each instance's status, or {@link #NONE} if the instance was removed. */
+  private byte[] statusNumbers = new byte[MIN_CAPACITY];
+
+  private long[] digests = new long[MIN_CAPACITY];
+  private int[] lengths = new int[MIN_CAPACITY];
   private int size;
   private int removed;
 
-  /** Positions by the hash of their key, open addressing; made when it is first asked for. */
+  /** Positions by the hash of their key, with open addressing; null until it is needed. */
   private int[] index;
 
-  /** Instances, and places of such as were taken out. */
-  int places() {
+  /** The number of positions, including those of removed instances. */
+  int positions() {
     return size;
   }
 
+  /** The number of instances. */
   int count() {
     return size - removed;
   }
 
-  /** Adds one that is not in yet, or puts it in the place of the one with its key. */
+  /** Appends an instance, or replaces the one with its key. */
   void put(
       final String key,
-      final String state,
+      final String status,
       final SourceReport report,
       final long digest,
       final int length) {
-    final int at = index == null ? NONE : find(key);
-    if (at != NONE) {
-      set(at, key, state, report, digest, length);
+    final int position = index == null ? NONE : find(key);
+    if (position != NONE) {
+      set(position, key, status, report, digest, length);
       return;
     }
     if (size == keys.length) {
-      resize(Math.max(LEAST_PLACES, size + (size >> 1)));
+      resize(Math.max(MIN_CAPACITY, size + (size >> 1)));
     }
-    set(size, key, state, report, digest, length);
+    set(size, key, status, report, digest, length);
     size++;
     if (index != null) {
       if (2 * size > index.length) {
         index = null;
       } else {
-        enter(size - 1);
+        addToIndex(size - 1);
       }
     }
   }
 
   private void set(
-      final int at,
+      final int position,
       final String key,
-      final String state,
+      final String status,
       final SourceReport report,
       final long digest,
       final int length) {
-    keys[at] = key;
-    status[at] = number(state);
-    reports[at] = report;
-    digests[at] = digest;
-    lengths[at] = length;
+    keys[position] = key;
+    statusNumbers[position] = statusNumber(status);
+    reports[position] = report;
+    digests[position] = digest;
+    lengths[position] = length;
   }
 
-  private byte number(final String state) {
-    int number = statuses.indexOf(state);
+  private byte statusNumber(final String status) {
+    int number = statuses.indexOf(status);
     if (number < 0) {
-      // A registry has a handful of statuses; one that tells hundreds gets them counted as one.
+      // A registry has a handful of statuses; if it has too many, the rest share one number.
       number = statuses.size() < Byte.MAX_VALUE ? statuses.size() : Byte.MAX_VALUE - 1;
       if (number == statuses.size()) {
-        statuses.add(state);
+        statuses.add(status);
       }
     }
     return (byte) number;
   }
 
-  /** Takes one out, if it is in. */
+  /** Removes an instance, if it is there. */
   void remove(final String key) {
-    final int at = find(key);
-    if (at != NONE) {
-      // Its place stays, so that the index finds its way past it; no key is empty.
-      status[at] = NONE;
-      reports[at] = null;
-      digests[at] = 0;
-      lengths[at] = 0;
-      keys[at] = "";
+    final int position = find(key);
+    if (position != NONE) {
+      // Its position remains, as the index has to find those behind it; no key is empty.
+      statusNumbers[position] = NONE;
+      reports[position] = null;
+      digests[position] = 0;
+      lengths[position] = 0;
+      keys[position] = "";
       removed++;
     }
   }
 
-  /** Where a key is, or -1. */
+  /** The position of a key, or -1. */
   int find(final String key) {
     if (index == null) {
-      index = new int[Integer.highestOneBit(Math.max(LEAST_PLACES, 2 * size)) << 1];
+      index = new int[Integer.highestOneBit(Math.max(MIN_CAPACITY, 2 * size)) << 1];
       Arrays.fill(index, NONE);
-      for (int at = 0; at < size; at++) {
-        enter(at);
+      for (int position = 0; position < size; position++) {
+        addToIndex(position);
       }
     }
     int slot = slot(key);
@@ -127,61 +133,62 @@
   }
 
   private int slot(final String key) {
-    return ((key.hashCode() * SPREAD) >>> 7) & index.length - 1;
+    return ((key.hashCode() * HASH_MULTIPLIER) >>> 7) & index.length - 1;
   }
 
-  private void enter(final int at) {
-    int slot = slot(keys[at]);
+  private void addToIndex(final int position) {
+    int slot = slot(keys[position]);
     while (index[slot] != NONE) {
       slot = slot + 1 & index.length - 1;
     }
-    index[slot] = at;
+    index[slot] = position;
   }
 
-  String key(final int at) {
-    return keys[at];
+  String key(final int position) {
+    return keys[position];
   }
 
-  String state(final int at) {
-    return statuses.get(status[at]);
+  String status(final int position) {
+    return statuses.get(statusNumbers[position]);
   }
 
-  SourceReport report(final int at) {
-    return reports[at];
+  SourceReport report(final int position) {
+    return reports[position];
   }
 
-  long digest(final int at) {
-    return digests[at];
+  long digest(final int position) {
+    return digests[position];
   }
 
-  /** The length of the text that told it, or 0 if that is not known. */
-  int length(final int at) {
-    return at >= 0 && at < size ? lengths[at] : 0;
+  /** The length of an instance's text, or 0 if it is not known. */
+  int length(final int position) {
+    return position >= 0 && position < size ? lengths[position] : 0;
   }
 
-  boolean isThere(final int at) {
-    return status[at] != NONE;
+  /** Whether the instance at this position was removed. */
+  boolean isRemoved(final int position) {
+    return statusNumbers[position] == NONE;
   }
 
-  /** Gives back what it holds beyond its size. */
+  /** Releases unused capacity. */
   void trim() {
     resize(Math.max(1, size));
   }
 
-  private void resize(final int to) {
-    keys = Arrays.copyOf(keys, to);
-    reports = Arrays.copyOf(reports, to);
-    status = Arrays.copyOf(status, to);
-    digests = Arrays.copyOf(digests, to);
-    lengths = Arrays.copyOf(lengths, to);
+  private void resize(final int capacity) {
+    keys = Arrays.copyOf(keys, capacity);
+    reports = Arrays.copyOf(reports, capacity);
+    statusNumbers = Arrays.copyOf(statusNumbers, capacity);
+    digests = Arrays.copyOf(digests, capacity);
+    lengths = Arrays.copyOf(lengths, capacity);
   }
 
-  /** How many there are of each status, as registries write it: "DOWN_1_UP_7_". */
+  /** The number of instances by status, in the format of registries: "DOWN_1_UP_7_". */
   String hash() {
     final int[] counts = new int[statuses.size()];
-    for (int at = 0; at < size; at++) {
-      if (status[at] != NONE) {
-        counts[status[at]]++;
+    for (int position = 0; position < size; position++) {
+      if (statusNumbers[position] != NONE) {
+        counts[statusNumbers[position]]++;
       }
     }
     final Map<String, Integer> byStatus = new TreeMap<>();
@@ -191,7 +198,7 @@
       }
     }
     final StringBuilder hash = new StringBuilder();
-    byStatus.forEach((state, count) -> hash.append(state).append('_').append(count).append('_'));
+    byStatus.forEach((status, count) -> hash.append(status).append('_').append(count).append('_'));
     return hash.toString();
   }
 }
