--- a/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
@@ -11,6 +11,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpMethod;
@@ -27,125 +28,144 @@
 import thistleturn.courier.transport.SocketUnavailableException;
 
 /**
- * One call to a registry, on a connection of its own: it ends once, within its time, and reads no
- * more than its bound. The answer's body goes to the listener as it comes, at the pace of the event
- * loop.
+ * One HTTP request to a registry on a connection of its own. It ends exactly once, within its
+ * timeout, and reads no more than its limit. The response's body goes to the listener piece by
+ * piece, at most one piece in each turn of the event loop.
  */
 final class EurekaCall {
-  private static final int CONNECT_MS = 2000;
+  private static final int CONNECT_TIMEOUT_MS = 2000;
 
-  /** Read in one turn of the event loop, so that a long answer stalls nobody. */
+  /** Read in one turn of the event loop, so that a long response delays nothing else on it. */
   private static final int READ_BYTES = 1 << 14;
 
   private static final long US_PER_MS = 1000;
 
-  /** Who is told. */
+  /** Receives the response. */
   interface Listener {
-    /** Bytes of the answer's body, with the answer's status; an error ends the call as failed. */
-    void body(int status, ByteBuf bytes) throws IOException;
+    /** A piece of the body; an exception fails the call. */
+    void onBody(int status, ByteBuf piece) throws IOException;
 
-    /** The answer has come whole; an error makes it a failed one. */
-    void answered(int status) throws IOException;
+    /** The response is complete; an exception makes it a failure. */
+    void onCompleted(int status) throws IOException;
 
-    /** It failed, for this reason. */
-    void failed(String reason);
+    /** The call failed; the reason is one line. */
+    void onFailed(String reason);
   }
 
+  /**
+   * What to request.
+   *
+   * @param address of the registry
+   * @param path below the registry's path
+   * @param json the body, or null for none
+   * @param timeoutUs until the response has to be complete
+   * @param maxResponseBytes the longest body that is accepted
+   */
+  record Request(
+      HttpMethod method,
+      RegistrySettings.Address address,
+      String path,
+      String json,
+      long timeoutUs,
+      long maxResponseBytes) {
+
+    private FullHttpRequest toHttp() {
+      final ByteBuf body =
+          json == null
+              ? Unpooled.EMPTY_BUFFER
+              : Unpooled.copiedBuffer(json, StandardCharsets.UTF_8);
+      final FullHttpRequest http =
+          new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, address.path() + path, body);
+      http.headers()
+          .set("Host", address.at().getHostString() + ":" + address.at().getPort())
+          .set("Accept", "application/json")
+          .set("Connection", "close")
+          .set("User-Agent", "thistleturn")
+          .set("Content-Length", body.readableBytes());
+      if (json != null) {
+        http.headers().set("Content-Type", "application/json");
+      }
+      return http;
+    }
+  }
+
+  private final Request request;
   private final Listener listener;
-  private final long mostBytes;
   private Channel channel;
-  private Future<?> limit;
-  private boolean over;
+  private Future<?> timeout;
+  private boolean ended;
 
-  private EurekaCall(final long mostBytes, final Listener listener) {
-    this.mostBytes = mostBytes;
+  private EurekaCall(final Request request, final Listener listener) {
+    this.request = request;
     this.listener = listener;
   }
 
-  /** Begins a call; {@code json} is the request's body, or null. Runs on the event loop. */
-  static EurekaCall begin(
-      final EventLoop loop,
-      final HttpMethod method,
-      final RegistrySettings.Address address,
-      final String path,
-      final String json,
-      final long timeUs,
-      final long mostBytes,
-      final Listener listener) {
-    final EurekaCall call = new EurekaCall(mostBytes, listener);
-    final var request =
-        new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1,
-            method,
-            address.path() + path,
-            json == null
-                ? Unpooled.EMPTY_BUFFER
-                : Unpooled.copiedBuffer(json, StandardCharsets.UTF_8));
-    request
-        .headers()
-        .set("Host", address.at().getHostString() + ":" + address.at().getPort())
-        .set("Accept", "application/json")
-        .set("Connection", "close")
-        .set("User-Agent", "thistleturn")
-        .set("Content-Length", request.content().readableBytes());
-    if (json != null) {
-      request.headers().set("Content-Type", "application/json");
-    }
-    final Bootstrap template =
-        new Bootstrap()
-            .option(
-                ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) Math.min(CONNECT_MS, timeUs / US_PER_MS + 1))
-            .option(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator(READ_BYTES, READ_BYTES, READ_BYTES)
-                    .maxMessagesPerRead(1))
-            .handler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(final Channel opened) {
-                    opened.pipeline().addLast(new HttpClientCodec(), call.new Answer());
-                  }
-                });
+  /** Sends a request. Has to run on the event loop. */
+  static EurekaCall start(final EventLoop loop, final Request request, final Listener listener) {
+    final EurekaCall call = new EurekaCall(request, listener);
+    call.connect(loop);
+    call.timeout =
+        loop.schedule(
+            () -> call.fail("no whole answer in " + request.timeoutUs() / US_PER_MS + " ms"),
+            request.timeoutUs(),
+            TimeUnit.MICROSECONDS);
+    return call;
+  }
+
+  private void connect(final EventLoop loop) {
+    final FullHttpRequest http = request.toHttp();
     try {
-      call.channel =
+      channel =
           Connector.connect(
                   loop,
-                  template,
-                  address.at(),
-                  done -> {
-                    if (done.isSuccess() && !call.over) {
-                      call.channel.writeAndFlush(request);
+                  bootstrap(),
+                  request.address().at(),
+                  connected -> {
+                    if (connected.isSuccess() && !ended) {
+                      channel.writeAndFlush(http);
                     } else {
-                      request.release();
-                      call.fail("no connection to " + address.at() + ": " + done.cause());
+                      http.release();
+                      fail("no connection to " + request.address().at() + ": " + connected.cause());
                     }
                   })
               .channel();
     } catch (final SocketUnavailableException e) {
-      request.release();
-      loop.execute(() -> call.fail(e.getMessage()));
+      http.release();
+      loop.execute(() -> fail(e.getMessage()));
     }
-    call.limit =
-        loop.schedule(
-            () -> call.fail("no whole answer in " + timeUs / US_PER_MS + " ms"),
-            timeUs,
-            TimeUnit.MICROSECONDS);
-    return call;
   }
 
-  /** Gives it up; nothing is told any more. */
-  void abandon() {
-    finish();
+  private Bootstrap bootstrap() {
+    return new Bootstrap()
+        .option(
+            ChannelOption.CONNECT_TIMEOUT_MILLIS,
+            (int) Math.min(CONNECT_TIMEOUT_MS, request.timeoutUs() / US_PER_MS + 1))
+        .option(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new AdaptiveRecvByteBufAllocator(READ_BYTES, READ_BYTES, READ_BYTES)
+                .maxMessagesPerRead(1))
+        .handler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(final Channel opened) {
+                opened.pipeline().addLast(new HttpClientCodec(), new ResponseHandler());
+              }
+            });
+  }
+
+  /** Cancels the call; the listener is not called any more. */
+  void cancel() {
+    end();
   }
 
-  private boolean finish() {
-    if (over) {
+  /** Releases what the call uses; returns false if it has ended before. */
+  private boolean end() {
+    if (ended) {
       return false;
     }
-    over = true;
-    if (limit != null) {
-      limit.cancel(false);
+    ended = true;
+    if (timeout != null) {
+      timeout.cancel(false);
     }
     if (channel != null) {
       channel.close();
@@ -154,19 +174,33 @@
   }
 
   private void fail(final String reason) {
-    if (finish()) {
-      listener.failed(reason);
+    if (end()) {
+      listener.onFailed(reason);
+    }
+  }
+
+  private void complete(final int status) {
+    // Whatever the listener makes of the response, the call itself has ended.
+    end();
+    try {
+      listener.onCompleted(status);
+    } catch (final IOException e) {
+      listener.onFailed(firstLine(e));
+    } catch (final RuntimeException e) {
+      // The listener has to hear of any failure, or it would never make its next call.
+      Log.failure("an answer of a registry", e);
+      listener.onFailed(firstLine(e));
     }
   }
 
-  private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+  private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     private int status;
-    private long bytes;
+    private long receivedBytes;
 
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpObject part)
         throws IOException {
-      if (over) {
+      if (ended) {
         return;
       }
       if (part.decoderResult().isFailure()) {
@@ -177,26 +211,19 @@
         status = response.status().code();
       }
       if (part instanceof HttpContent content) {
-        bytes += content.content().readableBytes();
-        if (bytes > mostBytes) {
-          fail("the answer is longer than " + mostBytes + " bytes");
-          return;
-        }
-        listener.body(status, content.content());
-        if (part instanceof LastHttpContent) {
-          // Whatever the listener says of it, the call itself has ended.
-          final int answered = status;
-          finish();
-          try {
-            listener.answered(answered);
-          } catch (final IOException e) {
-            listener.failed(firstLine(e));
-          } catch (final RuntimeException e) {
-            // Whatever it was: the next call must come all the same.
-            Log.failure("an answer of a registry", e);
-            listener.failed(firstLine(e));
-          }
-        }
+        onContent(content);
+      }
+    }
+
+    private void onContent(final HttpContent content) throws IOException {
+      receivedBytes += content.content().readableBytes();
+      if (receivedBytes > request.maxResponseBytes()) {
+        fail("the answer is longer than " + request.maxResponseBytes() + " bytes");
+        return;
+      }
+      listener.onBody(status, content.content());
+      if (content instanceof LastHttpContent) {
+        complete(status);
       }
     }
 
--- a/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
@@ -18,13 +18,14 @@
 import thistleturn.decisions.membership.RegistrationLease.Action;
 
 /**
- * Keeps this courier's own entry in a registry, as {@link RegistrationLease} decides. The entry's
- * id is made of the courier's name and port, so that a restart on the same address renews or
- * replaces what a killed process left. Runs on the event loop.
+ * Keeps this courier registered as an instance in a registry, as {@link RegistrationLease} decides.
+ * The instance's id consists of the courier's name and port, so that a process that is restarted on
+ * the same address renews or replaces the instance that a killed one left. Runs on the event loop.
  */
 public final class EurekaRegistration {
-  private static final long CALL_US = 2_000_000;
-  private static final long MOST_BYTES = 1 << 20;
+  private static final long CALL_TIMEOUT_US = 2_000_000;
+  private static final long MAX_RESPONSE_BYTES = 1 << 20;
+  private static final int NO_STATUS = 0;
   private static final long US_PER_MS = 1000;
   private static final long US_PER_SECOND = 1_000_000;
 
@@ -34,13 +35,16 @@
   private final String id;
   private final String host;
   private final int port;
+
+  /** When this process began to register; distinguishes its instance from an earlier process's. */
   private final long dirtyMs;
+
   private final RegistrationLease lease;
-  private final Map<Action, Long> acts = new TreeMap<>();
-  private Future<?> due;
-  private boolean busy;
+  private final Map<Action, Long> callsByAction = new TreeMap<>();
+  private Future<?> scheduledStep;
+  private boolean callInFlight;
 
-  /** Begins at once; {@code address} is where the courier serves. */
+  /** Registers at once; {@code address} is where the courier serves. */
   public EurekaRegistration(
       final RegistrationSettings settings,
       final EventLoop loop,
@@ -56,39 +60,41 @@
     this.id = name + ":" + settings.app().toLowerCase(Locale.ROOT) + ":" + port;
     this.dirtyMs = clock.wallClockUs() / US_PER_MS;
     this.lease =
-        new RegistrationLease(clock.nowUs(), settings.addresses().size(), settings.renewUs());
+        new RegistrationLease(
+            clock.nowUs(), settings.addresses().size(), settings.renewalIntervalUs());
     step();
   }
 
-  /** The process ends soon. */
+  /** Marks the instance as out of service, because the courier drains before it stops. */
   public void leave() {
-    lease.beginDraining(clock.nowUs(), busy);
+    lease.beginDraining(clock.nowUs(), callInFlight);
     step();
   }
 
-  /** The process ends now; true once nothing more is to be done for that. */
+  /** Removes the instance; returns whether that has finished. Called until it has. */
   public boolean cancel() {
-    lease.cancel(clock.nowUs(), busy);
+    lease.cancel(clock.nowUs(), callInFlight);
     step();
-    return lease.isFinished() && !busy;
+    return lease.isFinished() && !callInFlight;
   }
 
-  /** Figures for operators. */
+  /** The state and the counts that operators see. */
   public Map<String, Object> status() {
     final Map<String, Object> map = new TreeMap<>();
     map.put("id", id);
     map.put("registered", lease.mayBeRegistered());
-    acts.forEach((act, count) -> map.put(act.name().toLowerCase(Locale.ROOT), count));
+    callsByAction.forEach(
+        (action, count) -> map.put(action.name().toLowerCase(Locale.ROOT), count));
     return map;
   }
 
   private void step() {
-    if (busy) {
+    if (callInFlight) {
       return;
     }
-    if (due != null) {
-      due.cancel(false);
-      due = null;
+    if (scheduledStep != null) {
+      scheduledStep.cancel(false);
+      scheduledStep = null;
     }
     final RegistrationLease.ScheduledAction next = lease.next();
     if (next.action() == Action.NOTHING) {
@@ -96,16 +102,20 @@
     }
     final long delayUs = next.atUs() - clock.nowUs();
     if (delayUs > 0) {
-      due = loop.schedule(this::step, delayUs, TimeUnit.MICROSECONDS);
+      scheduledStep = loop.schedule(this::step, delayUs, TimeUnit.MICROSECONDS);
     } else {
       call(next);
     }
   }
 
   private void call(final RegistrationLease.ScheduledAction next) {
-    busy = true;
-    acts.merge(next.action(), 1L, Long::sum);
-    final String entry = "/apps/" + settings.app() + "/" + id;
+    callInFlight = true;
+    callsByAction.merge(next.action(), 1L, Long::sum);
+    EurekaCall.start(loop, request(next), new CallListener(next.action()));
+  }
+
+  private EurekaCall.Request request(final RegistrationLease.ScheduledAction next) {
+    final String instancePath = "/apps/" + settings.app() + "/" + id;
     final HttpMethod method =
         switch (next.action()) {
           case REGISTER -> HttpMethod.POST;
@@ -115,47 +125,53 @@
     final String path =
         switch (next.action()) {
           case REGISTER -> "/apps/" + settings.app();
-          case RENEW -> entry + "?status=UP&lastDirtyTimestamp=" + dirtyMs;
-          case WARN -> entry + "/status?value=OUT_OF_SERVICE&lastDirtyTimestamp=" + dirtyMs;
-          default -> entry;
+          case RENEW -> instancePath + "?status=UP&lastDirtyTimestamp=" + dirtyMs;
+          case WARN -> instancePath + "/status?value=OUT_OF_SERVICE&lastDirtyTimestamp=" + dirtyMs;
+          default -> instancePath;
         };
-    EurekaCall.begin(
-        loop,
+    return new EurekaCall.Request(
         method,
         settings.addresses().get(next.address()),
         path,
-        next.action() == Action.REGISTER ? instance() : null,
-        CALL_US,
-        MOST_BYTES,
-        new EurekaCall.Listener() {
-          @Override
-          public void body(final int status, final ByteBuf bytes) {
-            // Only the status tells.
-          }
-
-          @Override
-          public void answered(final int status) {
-            done(next.action(), status);
-          }
-
-          @Override
-          public void failed(final String reason) {
-            done(next.action(), 0);
-          }
-        });
+        next.action() == Action.REGISTER ? instanceJson() : null,
+        CALL_TIMEOUT_US,
+        MAX_RESPONSE_BYTES);
+  }
+
+  private final class CallListener implements EurekaCall.Listener {
+    private final Action action;
+
+    CallListener(final Action action) {
+      this.action = action;
+    }
+
+    @Override
+    public void onBody(final int status, final ByteBuf piece) {
+      // Only the status matters.
+    }
+
+    @Override
+    public void onCompleted(final int status) {
+      onCallEnded(action, status);
+    }
+
+    @Override
+    public void onFailed(final String reason) {
+      onCallEnded(action, NO_STATUS);
+    }
   }
 
-  private void done(final Action act, final int status) {
-    busy = false;
-    final boolean before = lease.mayBeRegistered();
-    lease.onCompleted(clock.nowUs(), act, status);
-    if (before != lease.mayBeRegistered()) {
+  private void onCallEnded(final Action action, final int status) {
+    callInFlight = false;
+    final boolean wasRegistered = lease.mayBeRegistered();
+    lease.onCompleted(clock.nowUs(), action, status);
+    if (wasRegistered != lease.mayBeRegistered()) {
       Log.info(
           "registry: this courier's entry "
               + id
               + (lease.mayBeRegistered() ? " is there" : " is not there")
               + " ("
-              + act.name().toLowerCase(Locale.ROOT)
+              + action.name().toLowerCase(Locale.ROOT)
               + " was answered "
               + status
               + ")");
@@ -163,8 +179,8 @@
     step();
   }
 
-  /** The entry, as a registration holds it. */
-  private String instance() {
+  /** The body of a registration. */
+  private String instanceJson() {
     final ObjectNode root = JsonNodeFactory.instance.objectNode();
     final ObjectNode instance =
         root.putObject("instance")
@@ -191,8 +207,8 @@
         .put("name", "MyOwn");
     instance
         .putObject("leaseInfo")
-        .put("renewalIntervalInSecs", Math.max(1, settings.renewUs() / US_PER_SECOND))
-        .put("durationInSecs", Math.max(1, settings.leaseUs() / US_PER_SECOND));
+        .put("renewalIntervalInSecs", Math.max(1, settings.renewalIntervalUs() / US_PER_SECOND))
+        .put("durationInSecs", Math.max(1, settings.leaseDurationUs() / US_PER_SECOND));
     instance.putObject("metadata").put("thistleturn.role", "courier");
     return root.toString();
   }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
@@ -20,14 +20,14 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * Asks one registry for its instances: all of them first, then changes, and all again where the
- * changes do not lead to what the registry has (its hash tells). It decides nothing: when and where
- * to ask is {@link RegistryPollSchedule}'s, and what to make of the answers the membership's. Runs
- * on the event loop.
+ * Polls one registry for its instances: all of them first, then deltas, and all of them again if
+ * the registry's hash shows that the deltas do not add up. When and at which address to poll is
+ * decided by {@link RegistryPollSchedule}, and what the instances mean for the pool by {@link
+ * thistleturn.decisions.membership.Membership}. Runs on the event loop.
  */
 public final class EurekaSource {
-  private static final int OK = 200;
-  private static final int NOT_FOUND = 404;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_NOT_FOUND = 404;
 
   private final RegistrySettings settings;
   private final EventLoop loop;
@@ -35,55 +35,55 @@
   private final DoubleSupplier random;
   private final Listener listener;
   private final EurekaMapping mapping = new EurekaMapping();
-  private final RegistryPollSchedule poll;
+  private final RegistryPollSchedule schedule;
   private final Counts counts = new Counts();
   private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
-  private Future<?> due;
-  private EurekaCall call;
+  private Future<?> scheduledPoll;
+  private EurekaCall callInFlight;
   private boolean closed;
 
-  /** Who is told what a registry says. */
+  /** Receives what the registry has. */
   public interface Listener {
     /**
-     * Everything that it has; {@code deleted} are instances that it has and that are of no use any
-     * more.
+     * All usable instances of the registry, and the keys of those that it has but that are
+     * unusable.
      */
-    void whole(Collection<SourceReport> reports, Collection<String> deleted);
+    void onSnapshot(Collection<SourceReport> reports, Collection<String> deleted);
 
     /**
-     * Some of what it has: instances with their state, and ids that it deleted. Nothing means: all
-     * as before.
+     * The instances that changed, and the keys of those that were deleted or became unusable. Both
+     * are empty if the registry confirmed that nothing changed.
      */
-    void changes(Collection<SourceReport> reports, Collection<String> deleted);
+    void onChanges(Collection<SourceReport> reports, Collection<String> deleted);
 
-    /** It cannot be heard. */
-    void lost(String reason);
+    /** The registry is unreachable at all of its addresses. */
+    void onUnreachable(String reason);
   }
 
-  /** What operators are told of a registry. */
+  /** The counts that operators see. */
   private static final class Counts {
-    private long whole;
+    private long snapshots;
     private long deltas;
     private long mismatches;
     private long failures;
     private long bytes;
-    private long readAnew;
+    private long parsedInstances;
     private String lastFailure = "";
 
     private Map<String, Object> asMap() {
       final Map<String, Object> map = new TreeMap<>();
-      map.put("whole", whole);
+      map.put("whole", snapshots);
       map.put("deltas", deltas);
       map.put("mismatches", mismatches);
       map.put("failures", failures);
       map.put("bytes", bytes);
-      map.put("read_anew", readAnew);
+      map.put("read_anew", parsedInstances);
       map.put("last_failure", lastFailure);
       return map;
     }
   }
 
-  /** Does not ask before {@link #start}; {@code random} gives numbers drawn evenly from [0, 1). */
+  /** Does not poll before {@link #start}; {@code random} returns uniform numbers in [0, 1). */
   public EurekaSource(
       final RegistrySettings settings,
       final EventLoop loop,
@@ -95,168 +95,174 @@
     this.clock = clock;
     this.random = random;
     this.listener = listener;
-    this.poll =
+    this.schedule =
         new RegistryPollSchedule(
             clock.nowUs(),
             settings.addresses().size(),
-            settings.periodUs(),
-            settings.mostBackOffUs(),
+            settings.pollIntervalUs(),
+            settings.maxBackoffUs(),
             settings.deltas() && settings.scope().isEmpty());
   }
 
-  /** What it is asked by. */
+  /** The settings that it polls by. */
   public RegistrySettings settings() {
     return settings;
   }
 
-  /** Figures for operators. */
+  /** The counts and the current address, for operators. */
   public Map<String, Object> status() {
     final Map<String, Object> map = counts.asMap();
     map.put("instances", memory.count());
     map.put("unusable", mapping.unusable());
-    map.put("address", settings.addresses().get(poll.next().address()).at().toString());
+    map.put("address", settings.addresses().get(schedule.next().address()).at().toString());
     return map;
   }
 
-  /** Begins to ask. */
+  /** Starts to poll. */
   public void start() {
-    later();
+    scheduleNextPoll();
   }
 
-  /** Asks no more; an answer that is still coming counts for nothing. */
+  /** Stops polling; a response that is still being received is discarded. */
   public void close() {
     closed = true;
-    if (due != null) {
-      due.cancel(false);
+    if (scheduledPoll != null) {
+      scheduledPoll.cancel(false);
     }
-    if (call != null) {
-      call.abandon();
+    if (callInFlight != null) {
+      callInFlight.cancel();
     }
   }
 
-  private void later() {
+  private void scheduleNextPoll() {
     if (!closed) {
-      due =
+      scheduledPoll =
           loop.schedule(
-              this::ask, Math.max(0, poll.next().atUs() - clock.nowUs()), TimeUnit.MICROSECONDS);
+              this::poll,
+              Math.max(0, schedule.next().atUs() - clock.nowUs()),
+              TimeUnit.MICROSECONDS);
     }
   }
 
-  private void ask() {
-    final RegistryPollSchedule.ScheduledPoll next = poll.next();
-    final List<String> paths =
-        next.scope() == Scope.DELTA
-            ? List.of("/apps/delta")
-            : settings.scope().isEmpty()
-                ? List.of("/apps")
-                : settings.scope().stream().map(scope -> "/" + scope).toList();
-    new Round(next, paths).call();
+  private void poll() {
+    final RegistryPollSchedule.ScheduledPoll next = schedule.next();
+    new Poll(next, paths(next.scope())).requestNextPath();
   }
 
-  /** One question, for which several calls may be needed. */
-  private final class Round implements EurekaCall.Listener {
-    private final RegistryPollSchedule.ScheduledPoll next;
+  private List<String> paths(final Scope scope) {
+    if (scope == Scope.DELTA) {
+      return List.of("/apps/delta");
+    }
+    if (settings.scope().isEmpty()) {
+      return List.of("/apps");
+    }
+    return settings.scope().stream().map(path -> "/" + path).toList();
+  }
+
+  /** One poll, which takes one call for each path of the scope. */
+  private final class Poll implements EurekaCall.Listener {
+    private final RegistryPollSchedule.ScheduledPoll scheduled;
+    private final boolean isDelta;
     private final List<String> paths;
-    private final long endsUs = clock.nowUs() + settings.answerUs();
+    private final long deadlineUs = clock.nowUs() + settings.responseTimeoutUs();
     private final List<SourceReport> reports = new ArrayList<>();
     private final Set<String> deleted = new LinkedHashSet<>();
-    private EurekaAnswer answer;
-    private int asked;
-    private long bytesLeft = settings.mostBytes();
+    private EurekaAnswer response;
+    private int pathIndex;
+    private long remainingBytes = settings.maxResponseBytes();
 
-    Round(final RegistryPollSchedule.ScheduledPoll next, final List<String> paths) {
-      this.next = next;
+    Poll(final RegistryPollSchedule.ScheduledPoll scheduled, final List<String> paths) {
+      this.scheduled = scheduled;
+      this.isDelta = scheduled.scope() == Scope.DELTA;
       this.paths = paths;
     }
 
-    private void call() {
+    private void requestNextPath() {
       try {
-        // Of several answers that are one together, none is remembered: each would displace the one
-        // before.
-        answer =
+        // The responses to several paths make up one snapshot, and remembering one of them would
+        // forget the one before: so each starts from an empty memory.
+        response =
             new EurekaAnswer(
                 settings.metadata(),
                 mapping,
                 settings.scope().isEmpty() ? memory : new EurekaAnswer.Memory(),
-                next.scope() == Scope.DELTA);
+                isDelta);
       } catch (final IOException e) {
         throw new IllegalStateException("a parser without input failed", e);
       }
-      call =
-          EurekaCall.begin(
-              loop,
+      final EurekaCall.Request request =
+          new EurekaCall.Request(
               HttpMethod.GET,
-              settings.addresses().get(next.address()),
-              paths.get(asked),
+              settings.addresses().get(scheduled.address()),
+              paths.get(pathIndex),
               null,
-              Math.max(1, endsUs - clock.nowUs()),
-              bytesLeft,
-              this);
+              Math.max(1, deadlineUs - clock.nowUs()),
+              remainingBytes);
+      callInFlight = EurekaCall.start(loop, request, this);
     }
 
     @Override
-    public void body(final int status, final ByteBuf bytes) throws IOException {
-      counts.bytes += bytes.readableBytes();
-      bytesLeft -= bytes.readableBytes();
-      if (status == OK) {
-        answer.feed(bytes);
+    public void onBody(final int status, final ByteBuf piece) throws IOException {
+      counts.bytes += piece.readableBytes();
+      remainingBytes -= piece.readableBytes();
+      if (status == STATUS_OK) {
+        response.feed(piece);
       }
     }
 
     @Override
-    public void answered(final int status) throws IOException {
-      call = null;
-      if (status == OK) {
-        answer.end();
-        reports.addAll(answer.reports());
-        deleted.addAll(answer.deleted());
-      } else if (next.scope() == Scope.DELTA) {
-        // It tells no changes, or not now; all can still be asked for.
-        poll.onMismatch(clock.nowUs());
-        later();
+    public void onCompleted(final int status) throws IOException {
+      callInFlight = null;
+      if (status == STATUS_OK) {
+        response.end();
+        reports.addAll(response.reports());
+        deleted.addAll(response.deleted());
+      } else if (isDelta) {
+        // A registry without deltas, or without them right now, can still be polled for everything.
+        schedule.onMismatch(clock.nowUs());
+        scheduleNextPoll();
         return;
-      } else if (status != NOT_FOUND || !paths.get(asked).startsWith("/apps/")) {
-        failed("it answers " + status);
+      } else if (status != STATUS_NOT_FOUND || !paths.get(pathIndex).startsWith("/apps/")) {
+        onFailed("it answers " + status);
         return;
       }
-      asked++;
-      if (asked < paths.size()) {
-        call();
+      pathIndex++;
+      if (pathIndex < paths.size()) {
+        requestNextPath();
       } else {
         complete();
       }
     }
 
     private void complete() {
-      final boolean fits = !settings.scope().isEmpty() || answer.remember(memory);
-      counts.readAnew += answer.readAnew();
-      final boolean delta = next.scope() == Scope.DELTA;
-      counts.mismatches += fits ? 0 : 1;
-      counts.deltas += fits && delta ? 1 : 0;
-      counts.whole += fits && !delta ? 1 : 0;
-      if (fits && !delta) {
-        listener.whole(reports, deleted);
+      final boolean hashMatches = !settings.scope().isEmpty() || response.remember(memory);
+      counts.parsedInstances += response.readAnew();
+      counts.mismatches += hashMatches ? 0 : 1;
+      counts.deltas += hashMatches && isDelta ? 1 : 0;
+      counts.snapshots += hashMatches && !isDelta ? 1 : 0;
+      if (hashMatches && !isDelta) {
+        listener.onSnapshot(reports, deleted);
       } else {
-        // Where it does not fit, what it says of single instances counts all the same.
-        listener.changes(reports, deleted);
+        // Despite a mismatch, the reports of single instances are valid.
+        listener.onChanges(reports, deleted);
       }
-      if (delta && !fits) {
-        poll.onMismatch(clock.nowUs());
+      if (isDelta && !hashMatches) {
+        schedule.onMismatch(clock.nowUs());
       } else {
-        poll.onSuccess(clock.nowUs(), random.getAsDouble());
+        schedule.onSuccess(clock.nowUs(), random.getAsDouble());
       }
-      later();
+      scheduleNextPoll();
     }
 
     @Override
-    public void failed(final String reason) {
-      call = null;
+    public void onFailed(final String reason) {
+      callInFlight = null;
       counts.failures++;
       counts.lastFailure = reason;
-      if (poll.onFailure(clock.nowUs(), random.getAsDouble())) {
-        listener.lost(reason);
+      if (schedule.onFailure(clock.nowUs(), random.getAsDouble())) {
+        listener.onUnreachable(reason);
       }
-      later();
+      scheduleNextPoll();
     }
   }
 }
--- a/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
+++ b/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
@@ -4,32 +4,39 @@
 import java.util.List;
 
 /**
- * One registry, at one address or several that stand for each other.
+ * One registry, which may have several addresses with equal content.
  *
- * @param name by which operators know it; unlike any other's
+ * @param name the name that operators see; unique among all sources
  * @param addresses in order of preference, at least one
- * @param scope what is asked for: {@code apps/NAME} or {@code vips/NAME} each, or nothing for all
- * @param periodUs between two questions that went well
- * @param mostBackOffUs the longest pause after all addresses failed
- * @param answerUs how long a whole answer may take
- * @param mostBytes how long it may be
- * @param deltas whether changes are asked for between whole answers (for all only)
+ * @param scope the paths to poll, {@code apps/NAME}, {@code vips/NAME} or {@code svips/NAME} each;
+ *     empty for all instances
+ * @param pollIntervalUs between successful polls
+ * @param maxBackoffUs the longest pause after all addresses failed
+ * @param responseTimeoutUs how long a complete response may take
+ * @param maxResponseBytes the longest response that is accepted
+ * @param deltas whether to poll for deltas between complete responses; ignored with a scope
+ * @param metadata the metadata fields that describe an endpoint
  */
 public record RegistrySettings(
     String name,
     List<Address> addresses,
     List<String> scope,
-    long periodUs,
-    long mostBackOffUs,
-    long answerUs,
-    long mostBytes,
+    long pollIntervalUs,
+    long maxBackoffUs,
+    long responseTimeoutUs,
+    long maxResponseBytes,
     boolean deltas,
     MetadataNames metadata) {
 
-  /** Where a registry is: {@code http://HOST:PORT/PATH}, with a host in figures. */
+  /**
+   * One address of a registry: {@code http://HOST:PORT/PATH} with a numeric host.
+   *
+   * @param at host and port
+   * @param path the prefix of all paths, without a trailing slash
+   */
   public record Address(InetSocketAddress at, String path) {}
 
-  /** Copies what could change. */
+  /** Copies the lists. */
   public RegistrySettings {
     addresses = List.copyOf(addresses);
     scope = List.copyOf(scope);
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -1,7 +1,6 @@
 package thistleturn.membership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Objects;
 import thistleturn.courier.CourierExtension;
@@ -10,32 +9,38 @@
 import thistleturn.courier.runtime.Log;
 import thistleturn.eureka.EurekaRegistration;
 
-/** Membership as a subsystem of a courier: the merged directory, and this courier's own entry. */
+/**
+ * The membership subsystem of a courier: the merged directory, and the courier's own registration.
+ */
 public final class MembershipExtension implements CourierExtension {
-  private final Reader reader;
+  private final SettingsReader reader;
   private MembershipSettings settings;
-  private ExtensionContext surroundings;
+  private ExtensionContext context;
   private MergedDirectory directory;
   private EurekaRegistration registration;
 
-  /** Reads the settings again; the reason of an {@link IllegalArgumentException} is one line. */
+  /** Reads the settings; the message of its {@link IllegalArgumentException} is one line. */
   @FunctionalInterface
-  public interface Reader {
-    /** The settings as they are now. */
+  public interface SettingsReader {
+    /** The current settings. */
     MembershipSettings read();
   }
 
-  /** Begins with what the reader reads; fails as it does. */
-  public MembershipExtension(final Reader reader) {
+  /**
+   * Reads the settings to start with.
+   *
+   * @throws IllegalArgumentException if the reader does
+   */
+  public MembershipExtension(final SettingsReader reader) {
     this.reader = reader;
     this.settings = reader.read();
   }
 
   @Override
   public EndpointDirectory createDirectory(
-      final EndpointDirectory own, final ExtensionContext given) {
-    surroundings = given;
-    directory = new MergedDirectory(own, given, settings);
+      final EndpointDirectory platformDirectory, final ExtensionContext givenContext) {
+    context = givenContext;
+    directory = new MergedDirectory(platformDirectory, givenContext, settings);
     return directory;
   }
 
@@ -45,9 +50,9 @@
       registration =
           new EurekaRegistration(
               settings.registration(),
-              surroundings.eventLoop(),
-              surroundings.clock(),
-              surroundings.config().name(),
+              context.eventLoop(),
+              context.clock(),
+              context.config().name(),
               address);
     }
   }
@@ -73,29 +78,27 @@
       Log.info("SIGHUP: the registries stay as they were: " + e.getMessage());
       return;
     }
-    surroundings
-        .eventLoop()
-        .execute(
-            () -> {
-              if (!fresh.rules().equals(settings.rules())
-                  || !Objects.equals(fresh.registration(), settings.registration())) {
-                Log.info(
-                    "SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
-              }
-              settings =
-                  new MembershipSettings(
-                      settings.rules(), fresh.registries(), settings.registration());
-              directory.registries(fresh.registries());
-            });
+    context.eventLoop().execute(() -> apply(fresh));
   }
 
-  /** Who is in the pool, told by whom and why. Called on the event loop. */
+  /** Changes the registries; everything else takes effect with the next start. */
+  private void apply(final MembershipSettings fresh) {
+    if (!fresh.rules().equals(settings.rules())
+        || !Objects.equals(fresh.registration(), settings.registration())) {
+      Log.info(
+          "SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
+    }
+    settings =
+        new MembershipSettings(settings.rules(), fresh.registries(), settings.registration());
+    directory.setRegistries(fresh.registries());
+  }
+
+  /** The page {@code /members} of the admin server. Has to run on the event loop. */
   public JsonNode status() {
-    final ObjectNode root = JsonNodeFactory.instance.objectNode();
-    root.setAll((ObjectNode) directory.status());
+    final ObjectNode page = directory.status();
     if (registration != null) {
-      root.set("registration", MergedDirectory.JSON.valueToTree(registration.status()));
+      page.set("registration", MembersPage.JSON.valueToTree(registration.status()));
     }
-    return root;
+    return page;
   }
 }
--- a/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
@@ -6,12 +6,15 @@
 import thistleturn.eureka.RegistrySettings;
 
 /**
- * The subsystem's settings: the rules of the merge, the registries, and this courier's own entry
- * (null for none).
+ * The settings of the membership subsystem.
+ *
+ * @param rules how the sources are merged
+ * @param registries the registries to poll
+ * @param registration how the courier registers itself, or null if it does not
  */
 public record MembershipSettings(
     MergeSettings rules, List<RegistrySettings> registries, RegistrationSettings registration) {
-  /** Copies what could change. */
+  /** Copies the list. */
   public MembershipSettings {
     registries = List.copyOf(registries);
   }
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -1,16 +1,11 @@
 package thistleturn.membership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.Future;
@@ -25,303 +20,268 @@
 import thistleturn.decisions.membership.MergedEndpoint;
 import thistleturn.decisions.membership.ReportedStatus;
 import thistleturn.decisions.membership.SourceReport;
-import thistleturn.decisions.membership.SourceStatus;
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.eureka.EurekaSource;
 import thistleturn.eureka.RegistrySettings;
 
 /**
- * The platform's list and any number of registries as one directory. It carries reports to {@link
- * Membership} and what that decides to the courier; it decides nothing itself. Runs on the event
- * loop.
+ * Merges the platform's endpoint list and any number of registries into one directory. It passes
+ * the sources' reports to {@link Membership}, which decides, and passes its decisions to the
+ * courier. Runs on the event loop.
  */
 final class MergedDirectory implements EndpointDirectory {
-  /** The platform's own list among the sources. */
-  static final String OWN = "discovery";
+  /** The name of the platform's own list among the sources. */
+  static final String PLATFORM_SOURCE = "discovery";
 
-  static final ObjectMapper JSON = new ObjectMapper();
-  private static final long HEARD_MS = 1000;
-  private static final long US_PER_MS = 1000;
+  private static final long REACHABILITY_CHECK_MS = 1000;
 
-  private final EndpointDirectory own;
+  private final EndpointDirectory platformDirectory;
   private final EventLoop loop;
   private final Clock clock;
   private final Membership membership;
   private final Random random;
   private final Map<String, EurekaSource> registries = new LinkedHashMap<>();
   private Listener listener;
-  private Future<?> due;
-  private boolean ownLost = true;
+  private Future<?> scheduledMerge;
+  private boolean platformUnreachable = true;
+
+  /** The rank of the next registry that is added; the platform's list has rank 0. */
   private int nextRank = 1;
 
   MergedDirectory(
-      final EndpointDirectory own,
-      final ExtensionContext surroundings,
+      final EndpointDirectory platformDirectory,
+      final ExtensionContext context,
       final MembershipSettings settings) {
-    this.own = own;
-    this.loop = surroundings.eventLoop();
-    this.clock = surroundings.clock();
+    this.platformDirectory = platformDirectory;
+    this.loop = context.eventLoop();
+    this.clock = context.clock();
     this.membership = new Membership(settings.rules());
-    this.random = new Random(surroundings.config().seed());
-    membership.addSource(clock.nowUs(), OWN, 0, true);
-    registries(settings.registries());
+    this.random = new Random(context.config().seed());
+    membership.addSource(clock.nowUs(), PLATFORM_SOURCE, 0, true);
+    setRegistries(settings.registries());
   }
 
-  /** From now on these registries are asked, and no others. */
-  void registries(final List<RegistrySettings> wanted) {
-    final Map<String, RegistrySettings> byName = new LinkedHashMap<>();
-    wanted.forEach(registry -> byName.put(registry.name(), registry));
+  /** Replaces the registries that are polled; those whose settings are equal are kept. */
+  void setRegistries(final List<RegistrySettings> wanted) {
+    removeRegistriesExcept(wanted);
+    for (final RegistrySettings registry : wanted) {
+      if (!registries.containsKey(registry.name())) {
+        addRegistry(registry);
+      }
+    }
+    if (listener != null) {
+      publishChanges();
+    }
+  }
+
+  private void removeRegistriesExcept(final List<RegistrySettings> wanted) {
+    final Map<String, RegistrySettings> wantedByName = new LinkedHashMap<>();
+    wanted.forEach(registry -> wantedByName.put(registry.name(), registry));
     for (final EurekaSource source : List.copyOf(registries.values())) {
       final String name = source.settings().name();
-      if (!source.settings().equals(byName.get(name))) {
+      if (!source.settings().equals(wantedByName.get(name))) {
         source.close();
         registries.remove(name);
-        if (!byName.containsKey(name)) {
+        if (!wantedByName.containsKey(name)) {
           Log.info("registry " + name + " is asked no more");
           membership.removeSource(name);
         }
       }
     }
-    for (final RegistrySettings registry : wanted) {
-      if (!registries.containsKey(registry.name())) {
-        if (membership.sourceStatuses().stream()
-            .noneMatch(source -> source.name().equals(registry.name()))) {
-          membership.addSource(clock.nowUs(), registry.name(), nextRank++, false);
-        }
-        final EurekaSource source =
-            new EurekaSource(
-                registry, loop, clock, random::nextDouble, new Registry(registry.name()));
-        registries.put(registry.name(), source);
-        if (listener != null) {
-          Log.info("registry " + registry.name() + " is asked from now on");
-          source.start();
-        }
-      }
+  }
+
+  private void addRegistry(final RegistrySettings registry) {
+    final String name = registry.name();
+    // A registry whose settings changed is still a source, and keeps its rank.
+    if (membership.sourceStatuses().stream().noneMatch(source -> source.name().equals(name))) {
+      membership.addSource(clock.nowUs(), name, nextRank++, false);
     }
+    final EurekaSource source =
+        new EurekaSource(registry, loop, clock, random::nextDouble, new RegistryListener(name));
+    registries.put(name, source);
     if (listener != null) {
-      tellAside();
+      Log.info("registry " + name + " is asked from now on");
+      source.start();
     }
   }
 
   @Override
-  public void start(final Listener told) {
-    listener = told;
-    own.start(this::ownTold);
+  public void start(final Listener updateListener) {
+    listener = updateListener;
+    platformDirectory.start(this::onPlatformUpdate);
     registries.values().forEach(EurekaSource::start);
     loop.scheduleWithFixedDelay(
-        GuardedTasks.guard("registries", this::hear), HEARD_MS, HEARD_MS, TimeUnit.MILLISECONDS);
+        GuardedTasks.guard("registries", this::refreshPlatformReachability),
+        REACHABILITY_CHECK_MS,
+        REACHABILITY_CHECK_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void requestUpdates() {
-    own.requestUpdates();
+    platformDirectory.requestUpdates();
   }
 
   @Override
   public boolean isCurrent() {
-    // A registry may have what the list lacks: what no source names does not exist only if all are
-    // heard.
-    return own.isCurrent()
+    // A registry may list what the platform does not: only if all sources are reachable is it
+    // certain that an endpoint that none of them lists does not exist.
+    return platformDirectory.isCurrent()
         && membership.sourceStatuses().stream().allMatch(source -> source.unreachableSinceUs() < 0);
   }
 
   @Override
-  public void reload(final CourierConfig fresh) {
-    own.reload(fresh);
+  public void reload(final CourierConfig config) {
+    platformDirectory.reload(config);
   }
 
-  /** The watch tells nothing while nothing changes, but it is heard all the same. */
-  private void hear() {
-    if (!ownLost && own.isCurrent()) {
-      membership.markSourceReachable(clock.nowUs(), OWN);
-      tellAside();
+  /** The platform's watch has no events while nothing changes, but it is reachable all the same. */
+  private void refreshPlatformReachability() {
+    if (!platformUnreachable && platformDirectory.isCurrent()) {
+      membership.markSourceReachable(clock.nowUs(), PLATFORM_SOURCE);
+      publishChanges();
     }
   }
 
-  // ---------------------------------------------------------------- the platform's own list
+  private void onPlatformUpdate(final EndpointUpdate update, final List<Entry> entries) {
+    applyPlatformUpdate(update, entries);
+    final List<Entry> changed = merge();
+    if (update == EndpointUpdate.UNAVAILABLE) {
+      listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
+      if (!changed.isEmpty()) {
+        listener.onUpdate(EndpointUpdate.SUPPLEMENT, changed);
+      }
+    } else {
+      // Whatever kind of update the platform sent, the merged directory reports its own changes.
+      listener.onUpdate(EndpointUpdate.CHANGES, changed);
+    }
+  }
 
-  private void ownTold(final EndpointUpdate update, final List<Entry> listings) {
+  private void applyPlatformUpdate(final EndpointUpdate update, final List<Entry> entries) {
     final long nowUs = clock.nowUs();
     final List<SourceReport> reports = new ArrayList<>();
     final List<String> deleted = new ArrayList<>();
-    for (final Entry listing : listings) {
-      if (listing.state() == EndpointState.GONE) {
-        deleted.add(listing.name());
+    for (final Entry entry : entries) {
+      if (entry.state() == EndpointState.GONE) {
+        deleted.add(entry.name());
       } else {
-        reports.add(report(listing));
+        reports.add(report(entry));
       }
     }
-    ownLost = update == EndpointUpdate.UNAVAILABLE || update == EndpointUpdate.RESTORED_SNAPSHOT;
+    platformUnreachable =
+        update == EndpointUpdate.UNAVAILABLE || update == EndpointUpdate.RESTORED_SNAPSHOT;
     switch (update) {
-      case COMPLETE_SNAPSHOT -> membership.applySnapshot(nowUs, OWN, reports);
-      case RESTORED_SNAPSHOT -> membership.applyRestored(nowUs, OWN, reports);
-      case UNAVAILABLE -> membership.markSourceUnreachable(nowUs, OWN);
-      default -> membership.applyChanges(nowUs, OWN, reports, deleted);
-    }
-    final List<Entry> changed = decide();
-    if (update == EndpointUpdate.UNAVAILABLE) {
-      listener.onUpdate(EndpointUpdate.UNAVAILABLE, List.of());
-      if (!changed.isEmpty()) {
-        listener.onUpdate(EndpointUpdate.SUPPLEMENT, changed);
-      }
-    } else {
-      // The merged view tells what changed in it, whatever the list told: all, or the last known,
-      // or changes.
-      listener.onUpdate(EndpointUpdate.CHANGES, changed);
+      case COMPLETE_SNAPSHOT -> membership.applySnapshot(nowUs, PLATFORM_SOURCE, reports);
+      case RESTORED_SNAPSHOT -> membership.applyRestored(nowUs, PLATFORM_SOURCE, reports);
+      case UNAVAILABLE -> membership.markSourceUnreachable(nowUs, PLATFORM_SOURCE);
+      default -> membership.applyChanges(nowUs, PLATFORM_SOURCE, reports, deleted);
     }
   }
 
-  private static SourceReport report(final Entry listing) {
+  private static SourceReport report(final Entry entry) {
     return new SourceReport(
-        listing.name(),
-        listing.address().getHostString() + ":" + listing.address().getPort(),
-        listing.destination(),
-        listing.zone(),
-        listing.kind(),
-        listing.weight(),
-        listing.state() == EndpointState.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
+        entry.name(),
+        entry.address().getHostString() + ":" + entry.address().getPort(),
+        entry.destination(),
+        entry.zone(),
+        entry.kind(),
+        entry.weight(),
+        entry.state() == EndpointState.LISTED ? ReportedStatus.UP : ReportedStatus.DRAIN,
         0);
   }
 
-  // ---------------------------------------------------------------- registries
-
-  private final class Registry implements EurekaSource.Listener {
+  /** Passes what one registry reports to the merge. */
+  private final class RegistryListener implements EurekaSource.Listener {
     private final String name;
-    private boolean lost;
+    private boolean unreachable;
 
-    Registry(final String name) {
+    RegistryListener(final String name) {
       this.name = name;
     }
 
-    private void heard() {
-      if (lost) {
-        lost = false;
-        Log.info("registry " + name + " is heard again");
-      }
-    }
-
     @Override
-    public void whole(final Collection<SourceReport> reports, final Collection<String> deleted) {
-      heard();
+    public void onSnapshot(
+        final Collection<SourceReport> reports, final Collection<String> deleted) {
+      markReachable();
       if (!deleted.isEmpty()) {
         membership.applyChanges(clock.nowUs(), name, List.of(), deleted);
       }
       membership.applySnapshot(clock.nowUs(), name, reports);
-      tellAside();
+      publishChanges();
     }
 
     @Override
-    public void changes(final Collection<SourceReport> reports, final Collection<String> deleted) {
-      heard();
+    public void onChanges(
+        final Collection<SourceReport> reports, final Collection<String> deleted) {
+      markReachable();
       membership.applyChanges(clock.nowUs(), name, reports, deleted);
-      tellAside();
+      publishChanges();
     }
 
     @Override
-    public void lost(final String reason) {
-      if (!lost) {
-        lost = true;
+    public void onUnreachable(final String reason) {
+      if (!unreachable) {
+        unreachable = true;
         Log.info("registry " + name + " cannot be heard: " + reason);
       }
       membership.markSourceUnreachable(clock.nowUs(), name);
-      tellAside();
+      publishChanges();
     }
-  }
 
-  // ---------------------------------------------------------------- what was decided
+    private void markReachable() {
+      if (unreachable) {
+        unreachable = false;
+        Log.info("registry " + name + " is heard again");
+      }
+    }
+  }
 
-  private void tellAside() {
-    final List<Entry> changed = decide();
+  /** Merges and reports what changed, outside an update of the platform's list. */
+  private void publishChanges() {
+    final List<Entry> changed = merge();
     if (!changed.isEmpty()) {
       listener.onUpdate(EndpointUpdate.SUPPLEMENT, changed);
     }
   }
 
-  private List<Entry> decide() {
+  /** Returns the entries that changed, and schedules the next merge that time alone calls for. */
+  private List<Entry> merge() {
     final List<Entry> changed =
-        membership.collectChanges(clock.nowUs()).stream().map(MergedDirectory::listing).toList();
-    if (due != null) {
-      due.cancel(false);
-      due = null;
+        membership.collectChanges(clock.nowUs()).stream().map(MergedDirectory::entry).toList();
+    if (scheduledMerge != null) {
+      scheduledMerge.cancel(false);
+      scheduledMerge = null;
     }
     if (membership.nextChangeUs() != Long.MAX_VALUE) {
-      due =
+      scheduledMerge =
           loop.schedule(
-              this::tellAside,
+              this::publishChanges,
               Math.max(1, membership.nextChangeUs() - clock.nowUs()),
               TimeUnit.MICROSECONDS);
     }
     return changed;
   }
 
-  private static Entry listing(final MergedEndpoint member) {
-    final EndpointState condition =
-        switch (member.state()) {
+  private static Entry entry(final MergedEndpoint endpoint) {
+    final EndpointState state =
+        switch (endpoint.state()) {
           case UP -> EndpointState.LISTED;
           case DRAINING -> EndpointState.DRAINING;
           case GONE -> EndpointState.GONE;
         };
     return new Entry(
-        member.name(),
-        condition,
-        CourierConfig.parseAddress("address", member.address()),
-        member.zone(),
-        member.ratePerSecond(),
-        member.kind(),
-        member.destination());
-  }
-
-  // ---------------------------------------------------------------- what operators see
-
-  /** All members and sources, as JSON; ages in milliseconds, -1 for never. */
-  JsonNode status() {
-    final long nowUs = clock.nowUs();
-    final ObjectNode root = JsonNodeFactory.instance.objectNode();
-    final Map<String, SourceStatus> byName = new LinkedHashMap<>();
-    final ArrayNode sources = root.putArray("sources");
-    for (final SourceStatus source : membership.sourceStatuses()) {
-      byName.put(source.name(), source);
-      final ObjectNode node =
-          sources
-              .addObject()
-              .put("name", source.name())
-              .put("rank", source.rank())
-              .put(
-                  "state",
-                  source.unreachableSinceUs() >= 0
-                      ? "lost"
-                      : source.implausibleSinceUs() >= 0 ? "doubted" : "heard")
-              .put("heard_ms_ago", ageMs(nowUs, source.lastResponseUs()))
-              .put("entries", source.entries())
-              .put("doubted", source.missingEntries())
-              .put("dropped", source.droppedEntries())
-              .put("implausible", source.implausibleSnapshots());
-      final EurekaSource registry = registries.get(source.name());
-      if (registry != null) {
-        node.set("registry", JSON.valueToTree(registry.status()));
-      }
-    }
-    final ArrayNode members = root.putArray("members");
-    for (final MergedEndpoint member : membership.endpoints()) {
-      final SourceStatus by = byName.get(member.decidedBy());
-      members
-          .addObject()
-          .put("destination", member.destination())
-          .put("address", member.address())
-          .put("zone", member.zone())
-          .put("kind", member.kind())
-          .put("rate", member.ratePerSecond())
-          .put("state", member.state().name().toLowerCase(Locale.ROOT))
-          .put("because", member.reason().name().toLowerCase(Locale.ROOT))
-          .put("by", member.decidedBy())
-          .put("since_ms_ago", ageMs(nowUs, member.stateSinceUs()))
-          .put("heard_ms_ago", by == null ? -1 : ageMs(nowUs, by.lastResponseUs()));
-    }
-    return root;
+        endpoint.name(),
+        state,
+        CourierConfig.parseAddress("address", endpoint.address()),
+        endpoint.zone(),
+        endpoint.ratePerSecond(),
+        endpoint.kind(),
+        endpoint.destination());
   }
 
-  private static long ageMs(final long nowUs, final long us) {
-    return us == 0 ? -1 : (nowUs - us) / US_PER_MS;
+  /** The sources and the merged endpoints, for operators. */
+  ObjectNode status() {
+    return new MembersPage(clock.nowUs()).write(membership, registries);
   }
 }
--- a/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
@@ -10,18 +10,22 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import thistleturn.eureka.RegistrySettings;
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInRegistry.Fault;
 
-/** Registries that fail in each way: the pool stays, service goes on, and the six rules hold. */
+/**
+ * Failing registries: endpoints stay in use, messages are delivered, and no delivery rule is
+ * broken.
+ */
 @Tag("membership")
 final class RegistryFaultTest {
   private static final long TIMEOUT_MS = 3000;
 
   @TempDir private Path folder;
 
-  /** Two destinations, one known only to the registry, the other to the list as well. */
+  /** Two destinations, one listed by the registry only, the other by the platform as well. */
   private StandInEndpoint[] twoDestinations(final CourierUnderTest courier) {
     final StandInEndpoint registered = courier.world.endpoint(1);
     final StandInEndpoint both = courier.world.endpoint(2);
@@ -34,22 +38,22 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void anOutageOfAnyKindEmptiesNoPool(final Fault fault) throws Exception {
+  void registryFault_keepsEndpointsUp(final Fault fault) throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, fault.ordinal())) {
       final StandInEndpoint[] endpoints = twoDestinations(courier);
       courier.start();
       courier.awaitState(endpoints[0].address(), "up");
       courier.awaitState(endpoints[1].address(), "up");
       courier.world.registry.fault(fault);
-      final int asked =
+      final int requestsBefore =
           courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum();
       courier.world.load(200, TIMEOUT_MS, 1, 2);
-      // Several rounds of questions fall into the fault.
+      // Several polls have to take place during the fault.
       courier.world.await(
-          "questions during the fault",
+          "polls during the fault",
           () ->
               courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum()
-                  >= asked + 4);
+                  >= requestsBefore + 4);
       courier.world.await(
           "deliveries", () -> courier.world.auditor.ends().getOrDefault("delivered", 0) >= 100);
       assertEquals("up", courier.member(endpoints[0].address()).path("state").asText());
@@ -64,7 +68,7 @@
   }
 
   @Test
-  void anUnreachableRegistryAndItsEmptyRestartTakeNothing() throws Exception {
+  void unreachableRegistryThenEmptyRestart_keepsEndpointsInUse() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 20)) {
       final StandInEndpoint[] endpoints = twoDestinations(courier);
       courier.start();
@@ -91,7 +95,7 @@
   }
 
   @Test
-  void anotherAddressOfTheRegistryIsAskedWhenOneFails() throws Exception {
+  void failingAddress_isReplacedByTheNext() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 21)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       final StandInRegistry second = courier.world.registry();
@@ -110,25 +114,25 @@
   }
 
   @Test
-  void aDeltaThatDoesNotFitBringsAWholeAnswer() throws Exception {
+  void deltaWithHashMismatch_causesFullPoll() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 22)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       courier.start();
       courier.world.await(
           "deltas", () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > 1);
-      final int whole = courier.world.registry.requests().get("GET apps");
+      final int fullPolls = courier.world.registry.requests().get("GET apps");
       courier.world.registry.register(
           StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
-      // So much later that the change is told no more: only the hash gives it away.
+      // Later than any delta contains the change: only the hash reveals it.
       courier.world.registry.pass(1000);
       courier.awaitState(endpoint.address(), "up");
-      assertTrue(courier.world.registry.requests().get("GET apps") > whole);
+      assertTrue(courier.world.registry.requests().get("GET apps") > fullPolls);
       assertTrue(courier.source("eureka").path("registry").path("mismatches").asInt() > 0);
     }
   }
 
   @Test
-  void aRegistryWithoutDeltasIsAskedForAll() throws Exception {
+  void registryWithoutDeltas_isPolledInFull() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 23)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       courier.world.registry.refuseDeltas(true);
@@ -142,7 +146,7 @@
   }
 
   @Test
-  void onlySomeApplicationsOrVipsCanBeAskedFor() throws Exception {
+  void scopeOfApplicationsAndVips_limitsMembers() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 24)) {
       final StandInEndpoint heat = courier.world.endpoint(1);
       final StandInEndpoint pump = courier.world.endpoint(2);
@@ -151,17 +155,17 @@
       courier.world.registry.register(StandInRegistry.endpoint("pump", "i2", pump.port(), 2, "UP"));
       courier.world.registry.register(
           StandInRegistry.endpoint("other", "i3", other.port(), 3, "UP"));
-      final var all = courier.registries.get(0);
+      final RegistrySettings all = courier.registries.get(0);
       courier.registries =
           List.of(
-              new thistleturn.eureka.RegistrySettings(
+              new RegistrySettings(
                   "eureka",
                   all.addresses(),
                   List.of("apps/HEAT", "apps/ABSENT", "vips/pump"),
-                  all.periodUs(),
-                  all.mostBackOffUs(),
-                  all.answerUs(),
-                  all.mostBytes(),
+                  all.pollIntervalUs(),
+                  all.maxBackoffUs(),
+                  all.responseTimeoutUs(),
+                  all.maxResponseBytes(),
                   true,
                   all.metadata()));
       courier.start();
@@ -174,7 +178,7 @@
   }
 
   @Test
-  void instancesWithoutUsableMetadataAreLeftOutAndCounted() throws Exception {
+  void unusableInstances_areSkippedAndCounted() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 25)) {
       final StandInEndpoint good = courier.world.endpoint(1);
       courier.world.registry.register(
@@ -205,9 +209,9 @@
       courier.awaitState(good.address(), "up");
       assertEquals(1, courier.status().path("members").size());
       final String counts = courier.source("eureka").path("registry").toString();
-      for (final String why :
+      for (final String reason :
           List.of("\"NO_DESTINATION\":2", "\"NO_ADDRESS\":1", "\"NO_PORT\":1", "\"BAD_RATE\":1")) {
-        assertTrue(counts.contains(why), counts);
+        assertTrue(counts.contains(reason), counts);
       }
     }
   }
