--- a/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
@@ -23,7 +23,7 @@
 import thistleturn.decisions.membership.SourceReport;
 import thistleturn.testkit.StandInRegistry;
 
-/** A registry's answers, cut anywhere, changed, known again and spoilt. */
+/** Parsing of a registry's responses: in pieces, with unchanged instances, and malformed ones. */
 @Tag("membership")
 final class EurekaAnswerTest {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -35,7 +35,7 @@
         "app" + number / 3, "i-\"{}[]\\-" + number, 1000 + number, number % 5, status);
   }
 
-  private static String whole(final String hash, final List<ObjectNode> instances) {
+  private static String response(final String hash, final List<ObjectNode> instances) {
     final ObjectNode root = JSON.createObjectNode();
     final ArrayNode apps =
         root.putObject("applications")
@@ -43,8 +43,11 @@
             .put("apps__hashcode", hash)
             .putArray("application");
     instances.forEach(
-        one ->
-            apps.addObject().put("name", one.path("app").asText()).putArray("instance").add(one));
+        instance ->
+            apps.addObject()
+                .put("name", instance.path("app").asText())
+                .putArray("instance")
+                .add(instance));
     return root.toString();
   }
 
@@ -56,7 +59,7 @@
     return all;
   }
 
-  /** Reads an answer in pieces of at most so many bytes. */
+  /** Parses a response in pieces of at most so many bytes. */
   private EurekaAnswer read(final String text, final boolean delta, final int piece)
       throws IOException {
     final EurekaAnswer answer =
@@ -69,26 +72,26 @@
     return answer;
   }
 
-  private static List<String> lines(final EurekaAnswer answer) {
+  private static List<String> sortedReports(final EurekaAnswer answer) {
     return answer.reports().stream().map(SourceReport::toString).sorted().toList();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 7, 64, 1000, 100_000})
-  void whereverItIsCutItSaysTheSame(final int piece) throws IOException {
-    final String text = whole("DOWN_10_UP_30_", instances(40));
+  void responseSplitAnywhere_givesTheSameReports(final int piece) throws IOException {
+    final String text = response("DOWN_10_UP_30_", instances(40));
     final EurekaAnswer first = read(text, false, 100_000);
     assertTrue(first.remember(memory));
     assertEquals(40, first.reports().size());
     assertEquals(40, first.readAnew());
     final EurekaAnswer again = read(text, false, piece);
     assertTrue(again.remember(memory));
-    assertEquals(lines(first), lines(again));
-    assertEquals(0, piece >= 1000 ? again.readAnew() : 0, "known by their digests");
+    assertEquals(sortedReports(first), sortedReports(again));
+    assertEquals(0, piece >= 1000 ? again.readAnew() : 0, "unchanged instances are not parsed");
   }
 
   @Test
-  void aRandomWalkOfWholeAnswersSaysWhatAFreshReaderReads() throws IOException {
+  void randomChangesBetweenSnapshots_giveWhatAFreshParserReads() throws IOException {
     final long seed = 11;
     final Random random = new Random(seed);
     List<ObjectNode> now = instances(60);
@@ -101,7 +104,7 @@
         case 3 -> now.set(random.nextInt(now.size()), instance(300 + round, "STARTING"));
         default -> {}
       }
-      final String text = whole("", now);
+      final String text = response("", now);
       final EurekaAnswer answer = read(text, false, 1 + random.nextInt(5000));
       answer.remember(memory);
       final EurekaAnswer fresh =
@@ -109,38 +112,40 @@
               MetadataNames.standard(), new EurekaMapping(), new EurekaAnswer.Memory(), false);
       fresh.feed(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
       fresh.end();
-      assertEquals(lines(fresh), lines(answer), "seed " + seed + ", round " + round);
+      assertEquals(
+          sortedReports(fresh), sortedReports(answer), "seed " + seed + ", round " + round);
       assertEquals(now.size(), memory.count());
     }
   }
 
   @Test
-  void aDeltaChangesWhatIsRememberedAndItsHashIsChecked() throws IOException {
-    assertTrue(read(whole("DOWN_10_UP_30_", instances(40)), false, 4096).remember(memory));
+  void delta_updatesMemoryAndChecksHash() throws IOException {
+    assertTrue(read(response("DOWN_10_UP_30_", instances(40)), false, 4096).remember(memory));
     final ObjectNode down = instance(1, "DOWN").put("actionType", "MODIFIED");
     final ObjectNode gone = instance(2, "UP").put("actionType", "DELETED");
     final ObjectNode added = instance(77, "UP").put("actionType", "ADDED");
-    final EurekaAnswer delta = read(whole("DOWN_11_UP_29_", List.of(down, gone, added)), true, 50);
+    final EurekaAnswer delta =
+        read(response("DOWN_11_UP_29_", List.of(down, gone, added)), true, 50);
     assertTrue(delta.remember(memory));
     assertEquals(
         List.of(ReportedStatus.DRAIN, ReportedStatus.UP),
         delta.reports().stream().map(SourceReport::status).toList());
     assertEquals(1, delta.deleted().size());
     assertEquals(40, memory.count());
-    assertFalse(read(whole("DOWN_11_UP_28_", List.of()), true, 50).remember(memory));
-    final EurekaAnswer all = read(whole("DOWN_10_UP_30_", instances(40)), false, 4096);
+    assertFalse(read(response("DOWN_11_UP_28_", List.of()), true, 50).remember(memory));
+    final EurekaAnswer all = read(response("DOWN_10_UP_30_", instances(40)), false, 4096);
     assertTrue(all.remember(memory));
     assertEquals(40, all.reports().size());
     assertTrue(
         all.readAnew() >= 2 && all.readAnew() < 10,
-        "only what the delta touched: " + all.readAnew());
+        "only the instances in the delta: " + all.readAnew());
   }
 
   @Test
-  void aRegistryThatEmptiesAndFillsAgainByDeltasIsRemembered() throws IOException {
-    assertTrue(read(whole("UP_1_", List.of(instance(1, "UP"))), false, 4096).remember(memory));
+  void registryEmptiedAndFilledByDeltas_matchesItsHash() throws IOException {
+    assertTrue(read(response("UP_1_", List.of(instance(1, "UP"))), false, 4096).remember(memory));
     assertTrue(
-        read(whole("", List.of(instance(1, "UP").put("actionType", "DELETED"))), true, 50)
+        read(response("", List.of(instance(1, "UP").put("actionType", "DELETED"))), true, 50)
             .remember(memory));
     assertEquals(0, memory.count());
     final StringBuilder hash = new StringBuilder();
@@ -149,7 +154,7 @@
       hash.append("UP_").append(number).append('_');
       assertTrue(
           read(
-                  whole(
+                  response(
                       hash.toString(), List.of(instance(number, "UP").put("actionType", "ADDED"))),
                   true,
                   500)
@@ -160,7 +165,7 @@
   }
 
   @Test
-  void olderRegistriesWriteSingleElementsBare() throws IOException {
+  void singleElementsWithoutArrays_areRead() throws IOException {
     final String one = instance(1, "UP").toString();
     final EurekaAnswer answer =
         read(
@@ -177,12 +182,12 @@
   }
 
   @Test
-  void anOverrideThatIsMoreCautiousThanTheStatusCounts() throws IOException {
+  void moreCautiousOverride_replacesStatus() throws IOException {
     final ObjectNode one = instance(1, "UP").put("overriddenstatus", "OUT_OF_SERVICE");
     final ObjectNode two = instance(2, "DOWN").put("overriddenstatus", "UP");
     final ObjectNode three = instance(3, "UNKNOWN");
     final List<SourceReport> reports =
-        read(whole("", List.of(one, two, three)), false, 100).reports();
+        read(response("", List.of(one, two, three)), false, 100).reports();
     assertEquals(
         List.of(ReportedStatus.DRAIN, ReportedStatus.DRAIN, ReportedStatus.PENDING),
         reports.stream().map(SourceReport::status).toList());
@@ -206,12 +211,12 @@
         "{\"applications\":{\"application\":[{\"instance\":[{\"app\":\"a\"}, {\"app\":\"",
         "\"instance\":{}"
       })
-  void whatIsNoAnswerOfARegistryIsAnError(final String text) {
+  void malformedResponse_isRejected(final String text) {
     assertThrows(IOException.class, () -> read(text, false, 5));
   }
 
   @Test
-  void nestingAndLengthsAreBounded() {
+  void excessiveNestingOrLength_isRejected() {
     assertThrows(
         IOException.class, () -> read("{\"applications\":" + "[".repeat(100), false, 1000));
     assertThrows(
--- a/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
@@ -29,14 +29,11 @@
 import thistleturn.decisions.membership.RegistrationLease;
 import thistleturn.decisions.membership.StateReason;
 
-/**
- * The exact requests by which a courier registers itself, and the names in the operators' JSON of
- * members and registries.
- */
+/** The exact requests that register a courier, and the names in the admin page of members. */
 @Tag("membership")
 @Timeout(60)
 final class RegistrationBytesTest {
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_S = 20;
   private static final String ENTRY =
       "{\"instance\":{\"instanceId\":\"n0:couriers:7070\",\"hostName\":\"127.0.0.1\","
           + "\"app\":\"COURIERS\",\"ipAddr\":\"127.0.0.1\",\"status\":\"UP\","
@@ -60,10 +57,10 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  /** Reads one request, answers it by 204, and returns it with its moments left out. */
+  /** Reads one request, responds with 204, and returns it with its timestamps replaced. */
   private static String serve(final ServerSocket registry) throws IOException {
     try (Socket connection = registry.accept()) {
-      connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+      connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
       final BufferedReader in =
           new BufferedReader(
               new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
@@ -97,25 +94,25 @@
   }
 
   @Test
-  void registrationRenewalWarningAndRemovalAreTheseRequests() throws Exception {
+  void registrationLifecycle_sendsTheseRequests() throws Exception {
     final String entry = "/eureka/apps/COURIERS/n0:couriers:7070";
     try (ServerSocket registry = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-      registry.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+      registry.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
       final RegistrySettings.Address address =
           new RegistrySettings.Address(
               new InetSocketAddress("127.0.0.1", registry.getLocalPort()), "/eureka");
       final RegistrationSettings settings =
           new RegistrationSettings(
               List.of(address), "COURIERS", "couriers.vip", 1_000_000, 90_000_000);
-      final CompletableFuture<EurekaRegistration> begun = new CompletableFuture<>();
+      final CompletableFuture<EurekaRegistration> started = new CompletableFuture<>();
       loops
           .next()
           .execute(
               () ->
-                  begun.complete(
+                  started.complete(
                       new EurekaRegistration(
                           settings, loops.next(), new Clock(), "n0", "127.0.0.1:7070")));
-      // The moments in the entry have eight characters more than their stand-ins, twice.
+      // Each of the two timestamps is longer than its replacement.
       final int entryLength = ENTRY.length() + 2 * (13 - "DIRTY".length());
       assertEquals(
           head("POST /eureka/apps/COURIERS", registry, entryLength)
@@ -125,7 +122,7 @@
       assertEquals(
           head("PUT " + entry + "?status=UP&lastDirtyTimestamp=DIRTY", registry, 0) + "\n",
           serve(registry));
-      final EurekaRegistration registration = begun.get(PATIENCE_S, TimeUnit.SECONDS);
+      final EurekaRegistration registration = started.get(TIMEOUT_S, TimeUnit.SECONDS);
       loops.next().execute(registration::leave);
       String request = serve(registry);
       while (request.startsWith("PUT " + entry + "?status=UP")) {
@@ -148,7 +145,7 @@
   }
 
   @Test
-  void reasonsForUnusableInstancesAreWrittenByTheseNames() {
+  void unusableReasons_areWrittenByTheseNames() {
     final Map<EurekaMapping.Unusable, Long> counts = new EnumMap<>(EurekaMapping.Unusable.class);
     for (final EurekaMapping.Unusable reason : EurekaMapping.Unusable.values()) {
       counts.put(reason, 1L);
@@ -159,9 +156,9 @@
         new ObjectMapper().valueToTree(counts).toString());
   }
 
-  /** The operators' JSON and the commands hold these in lower case. */
+  /** The admin page and the commands have these in lower case. */
   @Test
-  void statesAndReasonsOfMembersHaveTheseNames() {
+  void memberStatesAndReasons_haveTheseNames() {
     assertEquals("[UP, DRAINING, GONE]", Arrays.toString(MergedEndpoint.State.values()));
     assertEquals(
         "[SAID, CAUTION, WARNING_EXPIRED, DELETED, FLAPPING, STALE, STALE_SPARED, LAST_RESORT,"
@@ -169,9 +166,9 @@
         Arrays.toString(StateReason.values()));
   }
 
-  /** The operators' JSON counts these in lower case. */
+  /** The admin page has these in lower case as keys of counts. */
   @Test
-  void actsAtTheRegistryHaveTheseNames() {
+  void registrationActions_haveTheseNames() {
     assertEquals(
         "[REGISTER, RENEW, WARN, CANCEL, NOTHING]",
         Arrays.toString(RegistrationLease.Action.values()));
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -19,7 +19,7 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInWorld;
 
-/** A courier with membership on, in the midst of stand-ins. */
+/** A courier with the membership subsystem, among stand-ins for everything around it. */
 final class CourierUnderTest implements AutoCloseable {
   static final long MS = 1000;
   private static final long AWAIT_S = 30;
@@ -28,7 +28,7 @@
   MergeSettings rules = MergeSettings.defaults();
   List<RegistrySettings> registries = new ArrayList<>();
   RegistrationSettings registration;
-  private CourierServer process;
+  private CourierServer courier;
   private MembershipExtension extension;
 
   CourierUnderTest(final Path folder, final long seed) {
@@ -37,7 +37,7 @@
   }
 
   static RegistrySettings registry(
-      final String name, final long periodMs, final StandInRegistry... peers) {
+      final String name, final long pollIntervalMs, final StandInRegistry... peers) {
     final List<RegistrySettings.Address> addresses = new ArrayList<>();
     for (final StandInRegistry peer : peers) {
       addresses.add(address(peer));
@@ -46,8 +46,8 @@
         name,
         addresses,
         List.of(),
-        periodMs * MS,
-        4 * periodMs * MS,
+        pollIntervalMs * MS,
+        4 * pollIntervalMs * MS,
         400 * MS,
         1 << 22,
         true,
@@ -62,34 +62,34 @@
   CourierUnderTest start() throws IOException, ConfigurationException {
     extension =
         new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
-    process = CourierServer.start(world.environment(CourierFiles.Size.usual()), extension);
-    world.client.courier(process.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
+    courier = CourierServer.start(world.environment(CourierFiles.Size.usual()), extension);
+    world.client.courier(courier.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
     return this;
   }
 
   void reload() {
-    process.reload();
+    courier.reload();
   }
 
-  /** Ends it as a power cut would, and starts the next one on the same folder. */
+  /** Kills the courier without a shutdown and starts another on the same folder. */
   void killAndRestart() throws IOException, ConfigurationException {
     world.auditor.restarted(world.ticks.nowUs(), false);
-    process.kill();
+    courier.kill();
     world.endConnections();
-    // Its end takes a while here, and endpoints go on answering until then.
+    // The kill takes a while, in which endpoints still answer.
     world.auditor.restarted(world.ticks.nowUs(), false);
     start();
     world.auditor.restarted(world.ticks.nowUs(), true);
   }
 
-  /** SIGTERM: returns when the process would end. */
+  /** Shuts the courier down as SIGTERM does; returns when the process would exit. */
   void stop() {
-    process.shutDownGracefully();
+    courier.shutDownGracefully();
   }
 
   JsonNode status() {
     final CompletableFuture<JsonNode> status = new CompletableFuture<>();
-    process.eventLoop().execute(() -> status.complete(extension.status()));
+    courier.eventLoop().execute(() -> status.complete(extension.status()));
     return status.orTimeout(AWAIT_S, TimeUnit.SECONDS).join();
   }
 
@@ -126,8 +126,8 @@
 
   @Override
   public void close() {
-    if (process != null) {
-      process.kill();
+    if (courier != null) {
+      courier.kill();
     }
     world.close();
   }
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -36,12 +36,12 @@
 import thistleturn.testkit.StandInPlatform;
 import thistleturn.testkit.StandInWorld;
 
-/** What every directory does, whoever stands behind it. */
+/** The contract of every {@link EndpointDirectory}. */
 @Tag("membership")
 final class DirectoryContractTest {
   private static final long PATIENCE_S = 30;
 
-  /** The implementations. */
+  /** The implementations under test. */
   enum Kind {
     DISCOVERY,
     MERGED
@@ -49,10 +49,10 @@
 
   @TempDir private Path folder;
   private final Clock clock = new Clock();
-  private final PollTracker turns = new PollTracker(clock);
+  private final PollTracker pollTracker = new PollTracker(clock);
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
-          1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), pollTracker));
   private final EventLoop loop = group.next();
   private final Map<String, EndpointState> view = new ConcurrentHashMap<>();
   private final List<EndpointUpdate> updates = new CopyOnWriteArrayList<>();
@@ -62,7 +62,7 @@
   private EndpointDirectory directory;
 
   @BeforeEach
-  void world() {
+  void createWorld() {
     world = new StandInWorld(folder, 1);
     first = world.endpoint(1);
     second = world.endpoint(2);
@@ -70,7 +70,7 @@
   }
 
   @AfterEach
-  void end() {
+  void closeWorld() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     world.close();
   }
@@ -79,7 +79,7 @@
     final CourierConfig config = CourierConfig.read(world.environment(CourierFiles.Size.usual()));
     loop.submit(
             () -> {
-              directory = new DiscoveryClient(config, loop, clock, turns);
+              directory = new DiscoveryClient(config, loop, clock, pollTracker);
               if (kind == Kind.MERGED) {
                 directory =
                     new MergedDirectory(
@@ -88,49 +88,49 @@
                         new MembershipSettings(MergeSettings.defaults(), List.of(), null));
               }
               directory.start(
-                  (update, listings) -> {
+                  (update, entries) -> {
                     updates.add(update);
                     if (update == EndpointUpdate.COMPLETE_SNAPSHOT) {
-                      view.replaceAll((address, condition) -> EndpointState.GONE);
+                      view.replaceAll((address, state) -> EndpointState.GONE);
                     }
-                    listings.forEach(
-                        one ->
+                    entries.forEach(
+                        entry ->
                             view.put(
-                                one.address().getHostString() + ":" + one.address().getPort(),
-                                one.state()));
+                                entry.address().getHostString() + ":" + entry.address().getPort(),
+                                entry.state()));
                   });
             })
         .get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
-  private void follow() throws Exception {
+  private void requestUpdates() throws Exception {
     loop.submit(() -> directory.requestUpdates()).get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
-  private boolean isFresh() {
+  private boolean isCurrent() {
     return loop.submit(() -> directory.isCurrent()).awaitUninterruptibly().getNow();
   }
 
-  private void awaitState(final StandInEndpoint endpoint, final EndpointState condition) {
-    world.await(endpoint.name() + " " + condition, () -> view.get(endpoint.address()) == condition);
+  private void awaitState(final StandInEndpoint endpoint, final EndpointState state) {
+    world.await(endpoint.name() + " " + state, () -> view.get(endpoint.address()) == state);
   }
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void itBeginsWithWhatWasKnownAndIsNotFreshBeforeItHeard(final Kind kind) throws Exception {
+  void startedDirectory_reportsKnownEndpointsAndIsNotCurrent(final Kind kind) throws Exception {
     start(kind);
     assertEquals(Map.of(first.address(), EndpointState.LISTED), view);
-    assertFalse(isFresh());
-    follow();
-    world.await("fresh", this::isFresh);
+    assertFalse(isCurrent());
+    requestUpdates();
+    world.await("current", this::isCurrent);
   }
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void itTellsWhatChangesOnceItIsFollowed(final Kind kind) throws Exception {
+  void followedDirectory_reportsChanges(final Kind kind) throws Exception {
     start(kind);
-    follow();
-    world.await("fresh", this::isFresh);
+    requestUpdates();
+    world.await("current", this::isCurrent);
     world.platform.tell(second, "Ready", 10);
     awaitState(second, EndpointState.LISTED);
     world.platform.tell(first, "Terminating", 10);
@@ -143,28 +143,29 @@
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void itTellsThatNoNewsCanBeHadAndCatchesUpWhenFollowedAgain(final Kind kind) throws Exception {
+  void brokenWatch_isReportedAndCaughtUpWhenFollowedAgain(final Kind kind) throws Exception {
     start(kind);
-    follow();
-    world.await("fresh", this::isFresh);
-    // The list may have been told before the watch on it has begun.
+    requestUpdates();
+    world.await("current", this::isCurrent);
+    // The list can arrive before the watch on it is established.
     world.await("the watch", world.platform::isWatched);
     world.platform.breakWatches();
     world.await("the loss", () -> updates.contains(EndpointUpdate.UNAVAILABLE));
-    assertEquals(EndpointState.LISTED, view.get(first.address()), "a loss takes nothing");
+    assertEquals(
+        EndpointState.LISTED, view.get(first.address()), "endpoints are kept while unavailable");
     world.platform.tell(first, "Terminating", 10);
     world.platform.tell(second, "Ready", 10);
-    follow();
+    requestUpdates();
     awaitState(first, EndpointState.DRAINING);
     awaitState(second, EndpointState.LISTED);
   }
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void itMovesToWhereANewConfigurationSays(final Kind kind) throws Exception {
+  void reloadedConfiguration_movesToNewAddress(final Kind kind) throws Exception {
     start(kind);
-    follow();
-    world.await("fresh", this::isFresh);
+    requestUpdates();
+    world.await("current", this::isCurrent);
     try (StandInPlatform moved = new StandInPlatform(group, world.auditor, world.ticks)) {
       moved.tell(second, "Ready", 10);
       final Path config = folder.resolve("config.json");
--- a/eureka/src/test/java/thistleturn/membership/DrainTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DrainTest.java
@@ -15,10 +15,7 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.Violation;
 
-/**
- * Endpoints that come and go, by one source's word or another's, with calls out and messages
- * waiting.
- */
+/** Endpoints that are added, drained and removed by their sources while messages are delivered. */
 @Tag("membership")
 final class DrainTest {
   private static final long TIMEOUT_MS = 3000;
@@ -34,8 +31,8 @@
         StandInRegistry.endpoint("heat", id, endpoint.port(), endpoint.destination(), status));
   }
 
-  /** Tells the Auditor that an endpoint drains, as soon as the registry has told it to anyone. */
-  private static void drains(
+  /** Sets an endpoint to DOWN; the auditor counts it as draining once the registry reports it. */
+  private static void drain(
       final CourierUnderTest courier, final String id, final StandInEndpoint endpoint) {
     courier.world.registry.status(
         "heat",
@@ -45,7 +42,7 @@
   }
 
   @Test
-  void anEndpointThatGoesDownWithCallsOutAndMessagesWaitingGetsNothingNew() throws Exception {
+  void endpointThatGoesDownUnderLoad_getsNoNewCalls() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
       final StandInEndpoint slow = courier.world.endpoint(1);
       final StandInEndpoint other = courier.world.endpoint(1);
@@ -55,27 +52,27 @@
       courier.start();
       courier.awaitState(slow.address(), "up");
       courier.world.load(150, TIMEOUT_MS, 1);
-      courier.world.await("calls out", () -> slow.calls() > 10);
-      drains(courier, "slow", slow);
+      courier.world.await("calls in flight", () -> slow.calls() > 10);
+      drain(courier, "slow", slow);
       courier.awaitState(slow.address(), "draining");
-      final long before = other.calls();
-      courier.world.await("calls at the other", () -> other.calls() > before + 300);
+      final long callsBefore = other.calls();
+      courier.world.await("calls at the other", () -> other.calls() > callsBefore + 300);
       assertEquals(List.of(), courier.world.stopLoad());
     }
   }
 
   @Test
-  void theAuditorSeesADrainThatIsNotKept() throws Exception {
+  void callToDrainingEndpoint_isReportedByAuditor() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 2)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       register(courier, "i", endpoint, "UP");
       courier.start();
       courier.awaitState(endpoint.address(), "up");
-      // The courier is told nothing: what it goes on sending is a breach, and must be seen as one.
+      // The courier does not know of the drain: its further calls are violations.
       courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name());
       courier.world.load(50, TIMEOUT_MS, 1);
       courier.world.await(
-          "a breach",
+          "a violation",
           () ->
               courier.world.auditor.finish(courier.world.ticks.nowUs()).stream()
                   .anyMatch(violation -> violation.rule() == Violation.Rule.DRAIN));
@@ -83,7 +80,7 @@
   }
 
   @Test
-  void theMoreCautiousOfTwoSourcesCountsEitherWay() throws Exception {
+  void sourcesThatDisagree_moreCautiousStatusCounts() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 3)) {
       final StandInEndpoint first = courier.world.endpoint(1);
       final StandInEndpoint second = courier.world.endpoint(1);
@@ -96,7 +93,7 @@
       courier.start();
       courier.awaitState(second.address(), "up");
       courier.world.load(100, TIMEOUT_MS, 1);
-      drains(courier, "i1", first);
+      drain(courier, "i1", first);
       courier.awaitMember(
           first.address(),
           member ->
@@ -108,14 +105,14 @@
           member ->
               member.path("because").asText().equals("caution")
                   && member.path("by").asText().equals("discovery"));
-      final long before = steady.calls();
-      courier.world.await("calls at the steady one", () -> steady.calls() > before + 250);
+      final long callsBefore = steady.calls();
+      courier.world.await("calls at the steady one", () -> steady.calls() > callsBefore + 250);
       assertEquals(List.of(), courier.world.stopLoad());
     }
   }
 
   @Test
-  void oneThatIsTakenOutAndBackWithinASecondServesAgain() throws Exception {
+  void endpointRemovedAndAddedAgain_serves() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 4)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       register(courier, "i", endpoint, "UP");
@@ -126,18 +123,18 @@
       courier.awaitState(endpoint.address(), "gone");
       register(courier, "i", endpoint, "UP");
       courier.awaitState(endpoint.address(), "up");
-      final long before = endpoint.calls();
-      courier.world.await("calls again", () -> endpoint.calls() > before + 50);
+      final long callsBefore = endpoint.calls();
+      courier.world.await("calls again", () -> endpoint.calls() > callsBefore + 50);
       assertEquals(List.of(), courier.world.stopLoad());
     }
   }
 
   @Test
-  void aThousandThatFlapCostNeitherServiceNorMemory() throws Exception {
+  void thousandFlappingEndpoints_costNeitherServiceNorMemory() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 5)) {
       final StandInEndpoint steady = courier.world.endpoint(1);
       register(courier, "steady", steady, "UP");
-      // Addresses at which nobody listens: being tried costs a refused connection at most.
+      // Nobody listens at these addresses: an attempt costs a refused connection at most.
       for (int index = 0; index < 1000; index++) {
         courier.world.registry.register(
             StandInRegistry.endpoint("flap", "f" + index, 1, 100 + index, "UP"));
@@ -149,21 +146,24 @@
         for (int index = 0; index < 1000; index++) {
           courier.world.registry.status("flap", "f" + index, round % 2 == 0 ? "DOWN" : "UP");
         }
-        final int told = courier.world.registry.requests().getOrDefault("GET apps/delta", 0);
+        final int deltasBefore =
+            courier.world.registry.requests().getOrDefault("GET apps/delta", 0);
         courier.world.await(
             "the next delta",
-            () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > told + 1);
+            () ->
+                courier.world.registry.requests().getOrDefault("GET apps/delta", 0)
+                    > deltasBefore + 1);
       }
       assertEquals(1001, courier.source("eureka").path("entries").asInt());
-      final long before = steady.calls();
-      courier.world.await("calls after it", () -> steady.calls() > before + 50);
+      final long callsBefore = steady.calls();
+      courier.world.await("calls after it", () -> steady.calls() > callsBefore + 50);
       assertEquals(List.of(), courier.world.stopLoad());
       assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
     }
   }
 
   @Test
-  void aRegistryThatIsAddedOrTakenOutCountsAtOnce() throws Exception {
+  void registryAddedOrRemovedByReload_takesEffectAtOnce() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 6)) {
       final StandInEndpoint first = courier.world.endpoint(1);
       final StandInEndpoint second = courier.world.endpoint(1);
@@ -183,15 +183,15 @@
       courier.reload();
       courier.awaitState(first.address(), "gone");
       courier.world.auditor.closed(courier.world.ticks.nowUs(), first.name());
-      final long before = second.calls();
-      courier.world.await("calls at the other", () -> second.calls() > before + 250);
+      final long callsBefore = second.calls();
+      courier.world.await("calls at the other", () -> second.calls() > callsBefore + 250);
       assertEquals(List.of(), courier.world.stopLoad());
       assertNull(courier.source("eureka"));
     }
   }
 
   @Test
-  void twoRegistriesThatDisagreeLeaveTheMoreCautiousWord() throws Exception {
+  void registriesThatDisagree_moreCautiousStatusCounts() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 7)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       final StandInRegistry east = courier.world.registry();
@@ -210,7 +210,7 @@
   }
 
   @Test
-  void aKilledCourierKeepsTheRulesWithItsRegistryGone() throws Exception {
+  void courierKilledWithRegistryDown_keepsDeliveryRules() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 8)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       register(courier, "i", endpoint, "UP");
@@ -222,8 +222,8 @@
       courier.world.await("deliveries", () -> endpoint.calls() > 50);
       courier.world.registry.server().down();
       courier.killAndRestart();
-      final long before = endpoint.calls();
-      courier.world.await("deliveries again", () -> endpoint.calls() > before + 50);
+      final long callsBefore = endpoint.calls();
+      courier.world.await("deliveries again", () -> endpoint.calls() > callsBefore + 50);
       assertEquals(List.of(), courier.world.stopLoad(TIMEOUT_MS));
       assertTrue(
           courier.world.auditor.ends().get("delivered") > 80,
--- a/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
+++ b/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
@@ -13,15 +13,15 @@
 import thistleturn.eureka.RegistrationSettings;
 
 /**
- * The keys, in their order, of the JSON that shows operators the members and the registries.
- * Scripts read this page by its keys, so a change of one must not pass unnoticed.
+ * The keys and their order in the admin page of members and registries. Operators' scripts depend
+ * on them.
  */
 @Tag("membership")
 @Timeout(120)
 final class MembersJsonFormatTest {
   @TempDir private Path folder;
 
-  /** Keys in their order; of a list its last item; for a value its type. */
+  /** The keys of an object, the shape of an array's last element, the type of a value. */
   private static String shape(final JsonNode node) {
     if (node.isObject()) {
       final List<String> fields = new ArrayList<>();
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void pageOfMembersHasTheseKeys() throws Exception {
+  void membersPage_hasTheseKeys() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
       courier.registration =
           new RegistrationSettings(
--- a/eureka/src/test/java/thistleturn/membership/NetflixClientTest.java
+++ b/eureka/src/test/java/thistleturn/membership/NetflixClientTest.java
@@ -15,6 +15,7 @@
 import com.netflix.discovery.shared.Application;
 import com.netflix.discovery.shared.transport.jersey3.Jersey3TransportClientFactories;
 import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -23,9 +24,9 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * Netflix's own client against the stand-in registry: whatever it takes for a registry is one, as
- * far as our client is concerned. It registers, renews, fetches, applies deltas, and sees this
- * courier's own entry as any other's.
+ * Netflix's own client against the stand-in registry, which shows that the stand-in behaves like a
+ * registry: the client registers, renews, fetches, applies deltas, and finds the courier's
+ * instance.
  */
 @Tag("membership")
 final class NetflixClientTest {
@@ -65,14 +66,14 @@
   }
 
   @Test
-  void itTakesTheStandInForARegistry() {
+  void netflixClient_registersAndPollsAtStandIn() {
     try (StandInWorld world = new StandInWorld(folder, 1)) {
       final StandInRegistry registry = world.registry;
       registry.register(StandInRegistry.endpoint("PUMP", "p1", 7001, 5, "UP"));
       final DiscoveryClient client = client(registry);
       try {
         final String id = client.getApplicationInfoManager().getInfo().getId();
-        world.await("its entry", () -> registry.entry(APP, id) != null);
+        world.await("the client's instance", () -> registry.entry(APP, id) != null);
         assertEquals("9090", registry.entry(APP, id).path("port").path("$").asText());
         assertEquals(
             5,
@@ -95,12 +96,12 @@
         registry.cancel("PUMP", "p2");
         world.await("a deleted instance", () -> seen(client, "PUMP", "p2") == null);
         assertTrue(count(registry, "GET apps/delta") >= 3, registry.requests().toString());
-        assertEquals(1, count(registry, "GET apps"), "all of it came by deltas whose hash fitted");
+        assertEquals(
+            1, count(registry, "GET apps"), "all changes came by deltas with matching hashes");
 
         registry.restart();
         world.await("a new registration after 404", () -> registry.entry(APP, id) != null);
-        world.await(
-            "a whole answer after a delta that did not fit", () -> count(registry, "GET apps") > 1);
+        world.await("a full poll after a hash mismatch", () -> count(registry, "GET apps") > 1);
         client.shutdown();
         assertNull(registry.entry(APP, id));
       } finally {
@@ -110,11 +111,11 @@
   }
 
   @Test
-  void itSeesTheCouriersOwnEntryAsAnyOther() throws Exception {
+  void registeredCourier_isSeenByNetflixClient() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 2)) {
       courier.registration =
           new RegistrationSettings(
-              java.util.List.of(CourierUnderTest.address(courier.world.registry)),
+              List.of(CourierUnderTest.address(courier.world.registry)),
               "THISTLETURN",
               "thistleturn",
               500_000,
@@ -122,7 +123,7 @@
       courier.start();
       final String id = courier.status().path("registration").path("id").asText();
       courier.world.await(
-          "the entry", () -> courier.world.registry.entry("THISTLETURN", id) != null);
+          "the courier's instance", () -> courier.world.registry.entry("THISTLETURN", id) != null);
       final DiscoveryClient client = client(courier.world.registry);
       try {
         final InstanceInfo entry = seen(client, "THISTLETURN", id);
--- a/eureka/src/test/java/thistleturn/membership/RegistrationTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistrationTest.java
@@ -13,14 +13,14 @@
 import thistleturn.eureka.RegistrationSettings;
 import thistleturn.testkit.StandInRegistry.Fault;
 
-/** The courier's own entry in a registry. */
+/** The courier's registration of itself as an instance in a registry. */
 @Tag("membership")
 final class RegistrationTest {
   private static final String APP = "THISTLETURN";
 
   @TempDir private Path folder;
 
-  private CourierUnderTest registering() {
+  private CourierUnderTest registeringCourier() {
     final CourierUnderTest courier = new CourierUnderTest(folder, 1);
     courier.registration =
         new RegistrationSettings(
@@ -36,7 +36,7 @@
     return courier.status().path("registration").path("id").asText();
   }
 
-  private static JsonNode entry(final CourierUnderTest courier) {
+  private static JsonNode instance(final CourierUnderTest courier) {
     return courier.world.registry.entry(APP, id(courier));
   }
 
@@ -45,60 +45,60 @@
   }
 
   @Test
-  void itRegistersRenewsAndIsFoundWithItsAddress() throws Exception {
-    try (CourierUnderTest courier = registering().start()) {
-      courier.world.await("an entry", () -> entry(courier) != null);
-      assertEquals("UP", entry(courier).path("status").asText());
-      assertEquals("127.0.0.1", entry(courier).path("ipAddr").asText());
+  void startedCourier_registersOnceAndRenews() throws Exception {
+    try (CourierUnderTest courier = registeringCourier().start()) {
+      courier.world.await("the registration", () -> instance(courier) != null);
+      assertEquals("UP", instance(courier).path("status").asText());
+      assertEquals("127.0.0.1", instance(courier).path("ipAddr").asText());
       courier.world.await("renewals", () -> count(courier, "PUT apps/{app}/{id}") >= 3);
       assertEquals(1, count(courier, "POST apps/{app}"));
     }
   }
 
   @Test
-  void aRegistryThatForgotItGetsItAgain() throws Exception {
-    try (CourierUnderTest courier = registering().start()) {
-      courier.world.await("an entry", () -> entry(courier) != null);
+  void registryThatLostTheInstance_getsItAgain() throws Exception {
+    try (CourierUnderTest courier = registeringCourier().start()) {
+      courier.world.await("the registration", () -> instance(courier) != null);
       courier.world.registry.restart();
-      courier.world.await("the entry again", () -> entry(courier) != null);
+      courier.world.await("the registration after the restart", () -> instance(courier) != null);
       assertEquals(2, count(courier, "POST apps/{app}"));
     }
   }
 
   @Test
-  void refusedRenewalsDoNotMakeItAskMoreOften() throws Exception {
-    try (CourierUnderTest courier = registering().start()) {
-      courier.world.await("an entry", () -> entry(courier) != null);
+  void rejectedRenewals_areRetriedWithBackoff() throws Exception {
+    try (CourierUnderTest courier = registeringCourier().start()) {
+      courier.world.await("the registration", () -> instance(courier) != null);
       courier.world.registry.refuseRenewals(true);
-      final int before = count(courier, "PUT apps/{app}/{id}");
-      final long fromUs = courier.world.ticks.nowUs();
+      final int renewalsBefore = count(courier, "PUT apps/{app}/{id}");
+      final long startUs = courier.world.ticks.nowUs();
       courier.world.await(
-          "refused renewals", () -> count(courier, "PUT apps/{app}/{id}") >= before + 8);
-      // A pause of a thirtieth of the period at first, doubled each time, up to the period.
-      assertTrue(courier.world.ticks.nowUs() - fromUs >= 250 * CourierUnderTest.MS);
+          "rejected renewals", () -> count(courier, "PUT apps/{app}/{id}") >= renewalsBefore + 8);
+      // The backoff starts at a thirtieth of the interval and doubles up to the interval.
+      assertTrue(courier.world.ticks.nowUs() - startUs >= 250 * CourierUnderTest.MS);
       courier.world.registry.refuseRenewals(false);
-      final int refused = count(courier, "PUT apps/{app}/{id}");
+      final int rejected = count(courier, "PUT apps/{app}/{id}");
       courier.world.await(
           "a renewal",
           () ->
-              count(courier, "PUT apps/{app}/{id}") > refused
+              count(courier, "PUT apps/{app}/{id}") > rejected
                   && courier.status().path("registration").path("registered").asBoolean());
       assertEquals(1, count(courier, "POST apps/{app}"));
     }
   }
 
   @Test
-  void onSigtermItIsOutOfServiceAtOnceAndGoneAtTheEnd() throws Exception {
-    try (CourierUnderTest courier = registering().start()) {
-      courier.world.await("an entry", () -> entry(courier) != null);
+  void shutdown_marksOutOfServiceThenRemovesInstance() throws Exception {
+    try (CourierUnderTest courier = registeringCourier().start()) {
+      courier.world.await("the registration", () -> instance(courier) != null);
       final String id = id(courier);
       final Thread stopping = new Thread(courier::stop);
       stopping.start();
       courier.world.await(
           "out of service",
           () -> {
-            final JsonNode entry = courier.world.registry.entry(APP, id);
-            return entry == null || entry.path("status").asText().equals("OUT_OF_SERVICE");
+            final JsonNode instance = courier.world.registry.entry(APP, id);
+            return instance == null || instance.path("status").asText().equals("OUT_OF_SERVICE");
           });
       stopping.join();
       assertNull(courier.world.registry.entry(APP, id));
@@ -108,45 +108,46 @@
   }
 
   @Test
-  void sigtermInTheMiddleOfARegistrationLeavesNoEntryForLong() throws Exception {
-    try (CourierUnderTest courier = registering()) {
+  void shutdownDuringRegistration_isNotDelayed() throws Exception {
+    try (CourierUnderTest courier = registeringCourier()) {
       courier.world.registry.fault(Fault.HUNG);
       courier.start();
-      courier.world.await("a registration", () -> count(courier, "POST apps/{app}") > 0);
-      final long fromUs = courier.world.ticks.nowUs();
+      courier.world.await("a registration request", () -> count(courier, "POST apps/{app}") > 0);
+      final long startUs = courier.world.ticks.nowUs();
       courier.stop();
       assertTrue(
-          courier.world.ticks.nowUs() - fromUs < 4000 * CourierUnderTest.MS,
-          "the end waits for nobody");
+          courier.world.ticks.nowUs() - startUs < 4000 * CourierUnderTest.MS,
+          "the shutdown does not wait for the registry");
     }
   }
 
   @Test
-  void aKilledCourierReplacesItsOldEntryOrLeavesItToExpire() throws Exception {
-    try (CourierUnderTest courier = registering().start()) {
-      courier.world.await("an entry", () -> entry(courier) != null);
-      final String old = id(courier);
+  void killedCourier_replacesItsInstanceOrLetsItExpire() throws Exception {
+    try (CourierUnderTest courier = registeringCourier().start()) {
+      courier.world.await("the registration", () -> instance(courier) != null);
+      final String oldId = id(courier);
       courier.killAndRestart();
-      courier.world.await("the new entry", () -> entry(courier) != null);
+      courier.world.await("the new registration", () -> instance(courier) != null);
       courier.world.registry.pass(250);
-      courier.world.await("a renewal", () -> entry(courier) != null);
-      if (!old.equals(id(courier))) {
+      courier.world.await("a renewal", () -> instance(courier) != null);
+      if (!oldId.equals(id(courier))) {
         courier.world.registry.pass(1000);
-        assertNull(courier.world.registry.entry(APP, old));
+        assertNull(courier.world.registry.entry(APP, oldId));
       }
     }
   }
 
   @Test
-  void aCourierKilledInTheMiddleOfItsRegistrationRegistersInTheNextProcess() throws Exception {
-    try (CourierUnderTest courier = registering()) {
+  void courierKilledDuringRegistration_registersAfterRestart() throws Exception {
+    try (CourierUnderTest courier = registeringCourier()) {
       courier.world.registry.fault(Fault.HUNG);
       courier.start();
-      courier.world.await("a registration", () -> count(courier, "POST apps/{app}") > 0);
+      courier.world.await("a registration request", () -> count(courier, "POST apps/{app}") > 0);
       courier.killAndRestart();
-      courier.world.await("another", () -> count(courier, "POST apps/{app}") > 1);
+      courier.world.await(
+          "another registration request", () -> count(courier, "POST apps/{app}") > 1);
       courier.world.registry.fault(Fault.NONE);
-      courier.world.await("an entry", () -> entry(courier) != null);
+      courier.world.await("the registration", () -> instance(courier) != null);
     }
   }
 }
