--- a/cli/src/main/java/thistleturn/cli/AdminClient.java
+++ b/cli/src/main/java/thistleturn/cli/AdminClient.java
@@ -9,35 +9,43 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Asks a running courier's operators' address ({@code admin.listen}). */
+/** Fetches JSON pages from a running courier's admin address ({@code admin.listen}). */
 final class AdminClient {
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  private static final Duration TIMEOUT = Duration.ofSeconds(5);
+  private static final int STATUS_OK = 200;
 
   private AdminClient() {}
 
   /**
-   * One page; what goes wrong is told in one line, with {@code otherwise} where the courier has no
-   * such page.
+   * Fetches one page.
+   *
+   * @param address host and port of the admin address
+   * @param page the page's path, without the leading slash
+   * @param missingReason why a courier may not have this page, for the error message
+   * @throws AdminRequestException if the courier does not respond, or not with status 200
    */
-  static JsonNode ask(final String address, final String page, final String otherwise)
+  static JsonNode fetch(final String address, final String page, final String missingReason)
       throws InterruptedException {
+    final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
+    final HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + address + "/" + page))
+            .timeout(TIMEOUT)
+            .build();
     try {
-      final HttpResponse<String> answer =
-          HttpClient.newBuilder()
-              .connectTimeout(PATIENCE)
-              .build()
-              .send(
-                  HttpRequest.newBuilder(URI.create("http://" + address + "/" + page))
-                      .timeout(PATIENCE)
-                      .build(),
-                  HttpResponse.BodyHandlers.ofString());
-      if (answer.statusCode() != 200) {
-        throw new IllegalStateException(
-            "the courier at " + address + " answers " + answer.statusCode() + ": " + otherwise);
+      final HttpResponse<String> response =
+          client.send(request, HttpResponse.BodyHandlers.ofString());
+      if (response.statusCode() != STATUS_OK) {
+        throw new AdminRequestException(
+            "the courier at "
+                + address
+                + " answers "
+                + response.statusCode()
+                + ": "
+                + missingReason);
       }
-      return new ObjectMapper().readTree(answer.body());
+      return new ObjectMapper().readTree(response.body());
     } catch (final IOException e) {
-      throw new IllegalStateException(
+      throw new AdminRequestException(
           "no courier answers at " + address + " (admin.listen): " + e, e);
     }
   }
--- a/cli/src/main/java/thistleturn/cli/AdminOptions.java
+++ b/cli/src/main/java/thistleturn/cli/AdminOptions.java
@@ -3,23 +3,33 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import picocli.CommandLine.Option;
 
-/** What every question to a running courier's operators' address can be told. */
+/** Options shared by the commands that query a running courier's admin address. */
 final class AdminOptions {
   @Option(
       names = "--at",
       paramLabel = "ADDRESS",
       defaultValue = "127.0.0.1:7071",
       description = "where operators ask (admin.listen); ${DEFAULT-VALUE} unless told")
-  String address;
+  private String address;
 
   @Option(names = "--json", description = "as JSON")
-  boolean json;
+  private boolean json;
 
   @Option(names = "--destination", paramLabel = "N", description = "of one destination only")
   private Long destination;
 
-  /** True for a row of the destination that was asked for, or of any. */
-  boolean wants(final JsonNode row) {
+  /** Host and port of the courier's admin address. */
+  String address() {
+    return address;
+  }
+
+  /** Whether to print the page as JSON instead of as a table. */
+  boolean json() {
+    return json;
+  }
+
+  /** Returns whether a row passes the destination filter; without a filter every row does. */
+  boolean includes(final JsonNode row) {
     return destination == null || destination == row.path("destination").asLong();
   }
 }
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -15,6 +15,7 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.ConcurrentHistogram;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
@@ -33,7 +34,10 @@
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
 
-/** A courier in a small world of stand-ins, with trouble on the way. */
+/**
+ * Runs a courier for some seconds against stand-ins for everything around it, injects faults, and
+ * checks that no rule of delivery is broken.
+ */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
@@ -44,8 +48,14 @@
     })
 final class DemoCommand implements Callable<Integer> {
   private static final long TIMEOUT_MS = 4000;
-  private static final long US_PER_MS = 1000;
-  private static final int STARTING_S = 30;
+  private static final long US_PER_SECOND = 1_000_000;
+  private static final int START_TIMEOUT_S = 30;
+  private static final int ENDPOINTS = 6;
+  private static final long MAX_LATENCY_US = 60_000_000L;
+  private static final int MAX_VIOLATIONS_PRINTED = 20;
+
+  /** A fault, or the end of one, and how it is announced. */
+  private record Fault(String announcement, Runnable injection) {}
 
   @Option(
       names = "--seconds",
@@ -76,16 +86,45 @@
     try (StandInWorld world = new StandInWorld(folder, seed)) {
       return run(world);
     } finally {
-      try (Stream<Path> files = Files.walk(folder)) {
-        files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
-      }
+      deleteRecursively(folder);
+    }
+  }
+
+  private static void deleteRecursively(final Path folder) throws IOException {
+    try (Stream<Path> files = Files.walk(folder)) {
+      files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
     }
   }
 
   private int run(final StandInWorld world) throws IOException, ConfigurationException {
-    final PrintWriter out = spec.commandLine().getOut();
+    final List<StandInEndpoint> endpoints = startEndpoints(world);
+    final CourierServer courier = startCourier(world);
+    try {
+      world.client.courier(courier.ready().orTimeout(START_TIMEOUT_S, TimeUnit.SECONDS).join());
+      final ConcurrentHistogram latencies = new ConcurrentHistogram(MAX_LATENCY_US, 3);
+      world.client.onAnswer(us -> latencies.recordValue(Math.min(us, MAX_LATENCY_US)));
+      out()
+          .println(
+              "one courier, " + rate + " messages a second for " + seconds + " s, seed " + seed);
+      world.load(rate, TIMEOUT_MS, 1, 2, 3);
+      injectFaults(world, faults(world, endpoints));
+      final List<Violation> violations = world.stopLoad();
+      printSummary(world.auditor.ends(), latencies, violations);
+      printEndpoints(endpoints);
+      violations.stream()
+          .limit(MAX_VIOLATIONS_PRINTED)
+          .forEach(violation -> out().println("BROKEN: " + violation));
+      out().flush();
+      return violations.isEmpty() ? ExitCode.OK : ExitCode.SOFTWARE;
+    } finally {
+      courier.kill();
+    }
+  }
+
+  /** Two endpoints for each destination: four in the platform's list, two in the registry. */
+  private static List<StandInEndpoint> startEndpoints(final StandInWorld world) throws IOException {
     final List<StandInEndpoint> endpoints = new ArrayList<>();
-    for (int index = 0; index < 6; index++) {
+    for (int index = 0; index < ENDPOINTS; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
       endpoint.fare(Manner.after(5 + world.random(20)));
       endpoints.add(endpoint);
@@ -96,119 +135,120 @@
             StandInRegistry.endpoint("HEAT", "pump-" + index, endpoint.port(), 3, "UP"));
       }
     }
-    final RegistrySettings registry =
-        new RegistrySettings(
-            "registry",
-            List.of(
-                new RegistrySettings.Address(
-                    new InetSocketAddress("127.0.0.1", world.registry.server().port()), "/eureka")),
-            List.of(),
-            500_000,
-            1_000_000,
-            2_000_000,
-            1 << 22,
-            true,
-            MetadataNames.standard());
-    final CourierServer courier =
-        CourierServer.start(
-            world.environment(CourierFiles.Size.usual()),
-            new MembershipExtension(
-                () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
-    try {
-      world.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
-      final ConcurrentHistogram answers = new ConcurrentHistogram(60_000_000L, 3);
-      world.client.onAnswer(us -> answers.recordValue(Math.min(us, 60_000_000L)));
-      out.println(
-          "one courier, " + rate + " messages a second for " + seconds + " s, seed " + seed);
-      world.load(rate, TIMEOUT_MS, 1, 2, 3);
-      final long beganUs = world.ticks.nowUs();
-      final Runnable[] troubles = {
-        () -> endpoints.get(0).fare(Manner.of(Act.SILENCE)),
-        () -> world.platform.tell(endpoints.get(2), "Terminating", 2000),
-        () -> down(world, endpoints.get(4)),
-        () -> endpoints.get(0).fare(Manner.after(10))
-      };
-      final String[] words = {
-        "endpoint e0 falls silent",
-        "the list says that e2 drains",
-        "the registry says that e4 is DOWN",
-        "endpoint e0 answers again"
-      };
-      for (int second = 1; second <= seconds; second++) {
-        world.until(beganUs + second * US_PER_MS * 1000);
-        String trouble = "";
-        for (int index = 0; index < troubles.length; index++) {
-          if (second == Math.max(1, (index + 1) * seconds / (troubles.length + 2))) {
-            troubles[index].run();
-            trouble += "   <- " + words[index];
-          }
-        }
-        out.println(String.format("%4d s  %s%s", second, world.auditor.ends(), trouble));
-        out.flush();
-      }
-      final List<Violation> broken = world.stopLoad();
-      close(out, world, endpoints, answers, broken);
-      return broken.isEmpty() ? 0 : 1;
-    } finally {
-      courier.kill();
-    }
+    return endpoints;
+  }
+
+  private static CourierServer startCourier(final StandInWorld world)
+      throws IOException, ConfigurationException {
+    final RegistrySettings registry = registrySettings(world);
+    return CourierServer.start(
+        world.environment(CourierFiles.Size.usual()),
+        new MembershipExtension(
+            () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
+  }
+
+  private static RegistrySettings registrySettings(final StandInWorld world) {
+    final InetSocketAddress address =
+        new InetSocketAddress("127.0.0.1", world.registry.server().port());
+    return new RegistrySettings(
+        "registry",
+        List.of(new RegistrySettings.Address(address, "/eureka")),
+        List.of(),
+        500_000,
+        1_000_000,
+        2_000_000,
+        1 << 22,
+        true,
+        MetadataNames.standard());
   }
 
-  private static void down(final StandInWorld world, final StandInEndpoint endpoint) {
+  private static List<Fault> faults(
+      final StandInWorld world, final List<StandInEndpoint> endpoints) {
+    return List.of(
+        new Fault("endpoint e0 falls silent", () -> endpoints.get(0).fare(Manner.of(Act.SILENCE))),
+        new Fault(
+            "the list says that e2 drains",
+            () -> world.platform.tell(endpoints.get(2), "Terminating", 2000)),
+        new Fault("the registry says that e4 is DOWN", () -> markDown(world, endpoints.get(4))),
+        new Fault("endpoint e0 answers again", () -> endpoints.get(0).fare(Manner.after(10))));
+  }
+
+  private static void markDown(final StandInWorld world, final StandInEndpoint endpoint) {
     world.registry.status(
         "HEAT", "pump-4", "DOWN", () -> world.auditor.closed(world.ticks.nowUs(), endpoint.name()));
   }
 
-  private static void close(
-      final PrintWriter out,
-      final StandInWorld world,
-      final List<StandInEndpoint> endpoints,
-      final ConcurrentHistogram answers,
-      final List<Violation> broken) {
-    final Map<String, Integer> ends = world.auditor.ends();
+  /** Injects the faults at even distances and prints a line of progress each second. */
+  private void injectFaults(final StandInWorld world, final List<Fault> faults) {
+    final long startUs = world.ticks.nowUs();
+    for (int second = 1; second <= seconds; second++) {
+      world.until(startUs + second * US_PER_SECOND);
+      final StringBuilder announcements = new StringBuilder();
+      for (int index = 0; index < faults.size(); index++) {
+        if (second == Math.max(1, (index + 1) * seconds / (faults.size() + 2))) {
+          faults.get(index).injection().run();
+          announcements.append("   <- ").append(faults.get(index).announcement());
+        }
+      }
+      out().println(String.format("%4d s  %s%s", second, world.auditor.ends(), announcements));
+      out().flush();
+    }
+  }
+
+  private void printSummary(
+      final Map<String, Integer> outcomes,
+      final ConcurrentHistogram latencies,
+      final List<Violation> violations) {
+    final Table table =
+        new Table(
+            "HANDED IN",
+            "DELIVERED",
+            "REFUSED",
+            "FAILED",
+            "LOST",
+            "ANSWER P50",
+            "ANSWER P99",
+            "RULES");
     final long lost =
-        broken.stream().filter(violation -> violation.rule() == Violation.Rule.LOST).count();
-    out.println();
-    final List<String[]> rows = new ArrayList<>();
-    rows.add(
-        new String[] {
-          "HANDED IN", "DELIVERED", "REFUSED", "FAILED", "LOST", "ANSWER P50", "ANSWER P99", "RULES"
-        });
-    rows.add(
-        new String[] {
-          Integer.toString(ends.values().stream().mapToInt(Integer::intValue).sum()),
-          count(ends, "delivered"),
-          Integer.toString(
-              ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0)),
-          Integer.toString(
-              ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0)),
-          Long.toString(lost),
-          ms(answers, 50),
-          ms(answers, 99),
-          broken.isEmpty() ? "all kept" : broken.size() + " BROKEN"
-        });
-    Table.print(out, rows);
-    out.println();
-    final List<String[]> calls = new ArrayList<>();
-    calls.add(new String[] {"ENDPOINT", "DESTINATION", "CALLS"});
-    endpoints.forEach(
-        endpoint ->
-            calls.add(
-                new String[] {
-                  endpoint.name(),
-                  Long.toString(endpoint.destination()),
-                  Long.toString(endpoint.calls())
-                }));
-    Table.print(out, calls);
-    broken.stream().limit(20).forEach(violation -> out.println("BROKEN: " + violation));
-    out.flush();
+        violations.stream().filter(violation -> violation.rule() == Violation.Rule.LOST).count();
+    table.addRow(
+        Integer.toString(outcomes.values().stream().mapToInt(Integer::intValue).sum()),
+        count(outcomes, "delivered"),
+        count(outcomes, "refused at the door", "deferred"),
+        count(outcomes, "undeliverable", "failed at the door"),
+        Long.toString(lost),
+        percentileMs(latencies, 50),
+        percentileMs(latencies, 99),
+        violations.isEmpty() ? "all kept" : violations.size() + " BROKEN");
+    out().println();
+    table.print(out());
   }
 
-  private static String count(final Map<String, Integer> ends, final String how) {
-    return Integer.toString(ends.getOrDefault(how, 0));
+  private void printEndpoints(final List<StandInEndpoint> endpoints) {
+    final Table table = new Table("ENDPOINT", "DESTINATION", "CALLS");
+    for (final StandInEndpoint endpoint : endpoints) {
+      table.addRow(
+          endpoint.name(), Long.toString(endpoint.destination()), Long.toString(endpoint.calls()));
+    }
+    out().println();
+    table.print(out());
+  }
+
+  private PrintWriter out() {
+    return spec.commandLine().getOut();
+  }
+
+  /** The number of messages that ended in one of these ways. */
+  private static String count(final Map<String, Integer> outcomes, final String... counted) {
+    int sum = 0;
+    for (final String outcome : counted) {
+      sum += outcomes.getOrDefault(outcome, 0);
+    }
+    return Integer.toString(sum);
   }
 
-  private static String ms(final ConcurrentHistogram answers, final double percentile) {
-    return String.format(Locale.ROOT, "%.1f ms", answers.getValueAtPercentile(percentile) / 1000.0);
+  private static String percentileMs(final ConcurrentHistogram latencies, final double percentile) {
+    return String.format(
+        Locale.ROOT, "%.1f ms", latencies.getValueAtPercentile(percentile) / 1000.0);
   }
 }
--- a/cli/src/main/java/thistleturn/cli/HealthCommand.java
+++ b/cli/src/main/java/thistleturn/cli/HealthCommand.java
@@ -1,52 +1,40 @@
 package thistleturn.cli;
 
+import static thistleturn.cli.JsonFields.decimal;
+import static thistleturn.cli.JsonFields.text;
+
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.Locale;
-import java.util.concurrent.Callable;
+import java.io.PrintWriter;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Spec;
+import picocli.CommandLine.ExitCode;
 
-/** How a running courier itself is: whether it runs when it means to, and reaches anybody. */
+/** Prints a running courier's view of its own health: scheduling delays and connectivity. */
 @Command(
     name = "health",
     mixinStandardHelpOptions = true,
     description =
         "How a running courier itself is: well, late, away, "
             + "starved or cut off, since when, and by which evidence.")
-final class HealthCommand implements Callable<Integer> {
-  @Mixin private AdminOptions asked;
-  @Spec private CommandSpec spec;
+final class HealthCommand extends AdminPageCommand {
+  private static final String FORMAT = "%.2f";
 
-  @Override
-  public Integer call() throws InterruptedException {
-    final JsonNode health =
-        AdminClient.ask(asked.address, "health", "it is of a version without this page");
-    if (asked.json) {
-      spec.commandLine().getOut().println(health.toPrettyString());
-      return 0;
-    }
-    Table.print(
-        spec.commandLine().getOut(),
-        List.of(
-            new String[] {
-              "STATE", "FOR S", "AWAY SHARE", "LAST AWAY S", "HOLDS", "MAY HOLD", "EVIDENCE"
-            },
-            new String[] {
-              health.path("state").asText(),
-              figure(health, "for_s"),
-              figure(health, "away_share"),
-              figure(health, "last_away_s"),
-              health.path("holds").asText(),
-              health.path("may_hold").asText(),
-              health.path("evidence").asText()
-            }));
-    return 0;
+  HealthCommand() {
+    super("health", "it is of a version without this page");
   }
 
-  private static String figure(final JsonNode health, final String name) {
-    return String.format(Locale.ROOT, "%.2f", health.path(name).asDouble());
+  @Override
+  int printTable(final JsonNode health, final PrintWriter out) {
+    final Table table =
+        new Table("STATE", "FOR S", "AWAY SHARE", "LAST AWAY S", "HOLDS", "MAY HOLD", "EVIDENCE");
+    table.addRow(
+        text(health, "state"),
+        decimal(health, "for_s", FORMAT),
+        decimal(health, "away_share", FORMAT),
+        decimal(health, "last_away_s", FORMAT),
+        text(health, "holds"),
+        text(health, "may_hold"),
+        text(health, "evidence"));
+    table.print(out);
+    return ExitCode.OK;
   }
 }
--- a/cli/src/main/java/thistleturn/cli/Main.java
+++ b/cli/src/main/java/thistleturn/cli/Main.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** {@code bin/thistleturn}. */
+/** The entry point of {@code bin/thistleturn}, and its top-level command. */
 @Command(
     name = "thistleturn",
     mixinStandardHelpOptions = true,
@@ -29,11 +29,11 @@
 public final class Main {
   private Main() {}
 
-  /** All commands; what one throws is a line of its own and an exit code. */
+  /** The parser of all commands; an exception becomes one line on stderr and an exit code. */
   static CommandLine commandLine() {
-    final CommandLine line = new CommandLine(new Main());
-    return line.setExecutionExceptionHandler(
-        (failure, command, result) -> {
+    final CommandLine commandLine = new CommandLine(new Main());
+    return commandLine.setExecutionExceptionHandler(
+        (failure, command, parseResult) -> {
           command
               .getErr()
               .println(failure.getMessage() == null ? failure.toString() : failure.getMessage());
@@ -43,12 +43,12 @@
         });
   }
 
-  /** Runs one command. */
+  /** Runs one command and exits with its code. */
   public static void main(final String[] args) {
-    final int code = commandLine().execute(args);
-    // A courier serves on its own threads; every other command is done.
-    if (code != ServeCommand.SERVES) {
-      System.exit(code);
+    final int exitCode = commandLine().execute(args);
+    // A courier runs on its own threads; every other command has finished.
+    if (exitCode != ServeCommand.KEEPS_RUNNING) {
+      System.exit(exitCode);
     }
   }
 }
--- a/cli/src/main/java/thistleturn/cli/MembersCommand.java
+++ b/cli/src/main/java/thistleturn/cli/MembersCommand.java
@@ -1,16 +1,13 @@
 package thistleturn.cli;
 
+import static thistleturn.cli.JsonFields.text;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Spec;
+import picocli.CommandLine.ExitCode;
 
-/** Who is in a running courier's pool. */
+/** Prints the endpoints in a running courier's merged directory and the sources that list them. */
 @Command(
     name = "members",
     mixinStandardHelpOptions = true,
@@ -18,79 +15,81 @@
       "Who is in a running courier's pool, in which state, told by whom, how old, and why.",
       "The courier needs [admin] and [membership] in its file."
     })
-final class MembersCommand implements Callable<Integer> {
+final class MembersCommand extends AdminPageCommand {
   private static final long SECOND_MS = 1000;
   private static final long MINUTE_MS = 60 * SECOND_MS;
   private static final long HOUR_MS = 60 * MINUTE_MS;
 
-  @Mixin private AdminOptions asked;
-  @Spec private CommandSpec spec;
+  /** An age is printed in a unit only from this many of it on, to keep two significant digits. */
+  private static final long MIN_UNITS = 10;
+
+  MembersCommand() {
+    super("members", "membership is off there");
+  }
 
   @Override
-  public Integer call() throws InterruptedException {
-    final JsonNode status = AdminClient.ask(asked.address, "members", "membership is off there");
-    final PrintWriter out = spec.commandLine().getOut();
-    if (asked.json) {
-      out.println(status.toPrettyString());
-    } else {
-      print(out, status);
-    }
-    return 0;
+  int printTable(final JsonNode status, final PrintWriter out) {
+    sourceTable(status).print(out);
+    out.println();
+    memberTable(status).print(out);
+    return ExitCode.OK;
   }
 
-  private void print(final PrintWriter out, final JsonNode status) {
-    final List<String[]> sources = new ArrayList<>();
-    sources.add(
-        new String[] {"SOURCE", "RANK", "STATE", "HEARD", "ENTRIES", "DOUBTED", "LAST FAILURE"});
+  private static Table sourceTable(final JsonNode status) {
+    final Table table =
+        new Table("SOURCE", "RANK", "STATE", "HEARD", "ENTRIES", "DOUBTED", "LAST FAILURE");
     for (final JsonNode source : status.path("sources")) {
-      sources.add(
-          new String[] {
-            source.path("name").asText(),
-            source.path("rank").asText(),
-            source.path("state").asText(),
-            age(source.path("heard_ms_ago").asLong()),
-            source.path("entries").asText(),
-            source.path("doubted").asText(),
-            source.path("registry").path("last_failure").asText()
-          });
+      table.addRow(
+          text(source, "name"),
+          text(source, "rank"),
+          text(source, "state"),
+          age(source, "heard_ms_ago"),
+          text(source, "entries"),
+          text(source, "doubted"),
+          text(source.path("registry"), "last_failure"));
     }
-    Table.print(out, sources);
-    out.println();
-    final List<String[]> members = new ArrayList<>();
-    members.add(
-        new String[] {
-          "DESTINATION", "ADDRESS", "ZONE", "STATE", "SINCE", "TOLD BY", "HEARD", "WHY"
-        });
+    return table;
+  }
+
+  private Table memberTable(final JsonNode status) {
+    final Table table =
+        new Table("DESTINATION", "ADDRESS", "ZONE", "STATE", "SINCE", "TOLD BY", "HEARD", "WHY");
     for (final JsonNode member : status.path("members")) {
-      if (asked.wants(member)) {
-        members.add(
-            new String[] {
-              member.path("destination").asText(),
-              member.path("address").asText(),
-              member.path("zone").asText(),
-              member.path("state").asText(),
-              age(member.path("since_ms_ago").asLong()),
-              member.path("by").asText(),
-              age(member.path("heard_ms_ago").asLong()),
-              why(member.path("because").asText())
-            });
+      if (options().includes(member)) {
+        table.addRow(
+            text(member, "destination"),
+            text(member, "address"),
+            text(member, "zone"),
+            text(member, "state"),
+            age(member, "since_ms_ago"),
+            text(member, "by"),
+            age(member, "heard_ms_ago"),
+            explain(text(member, "because")));
       }
     }
-    Table.print(out, members);
+    return table;
   }
 
-  private static String age(final long ms) {
-    return ms < 0
-        ? "never"
-        : ms < 10 * SECOND_MS
-            ? ms + " ms"
-            : ms < 10 * MINUTE_MS
-                ? ms / SECOND_MS + " s"
-                : ms < 10 * HOUR_MS ? ms / MINUTE_MS + " min" : ms / HOUR_MS + " h";
+  private static String age(final JsonNode object, final String field) {
+    final long ageMs = object.path(field).asLong();
+    if (ageMs < 0) {
+      return "never";
+    }
+    if (ageMs < MIN_UNITS * SECOND_MS) {
+      return ageMs + " ms";
+    }
+    if (ageMs < MIN_UNITS * MINUTE_MS) {
+      return ageMs / SECOND_MS + " s";
+    }
+    if (ageMs < MIN_UNITS * HOUR_MS) {
+      return ageMs / MINUTE_MS + " min";
+    }
+    return ageMs / HOUR_MS + " h";
   }
 
-  private static String why(final String because) {
-    return switch (because) {
+  /** The sentence for a reason of {@link thistleturn.decisions.membership.Membership}. */
+  private static String explain(final String reason) {
+    return switch (reason) {
       case "said" -> "said so, and nobody says otherwise";
       case "caution" -> "sources disagree; the more cautious word counts";
       case "warning_expired" -> "a source warned and fell silent; another says it is up";
@@ -102,7 +101,7 @@
       case "doubted" -> "absent from an answer that is not plausible";
       case "contested" -> "a source of higher rank has its address for another destination";
       case "unlisted" -> "no source lists it any more";
-      default -> because;
+      default -> reason;
     };
   }
 }
--- a/cli/src/main/java/thistleturn/cli/PeersCommand.java
+++ b/cli/src/main/java/thistleturn/cli/PeersCommand.java
@@ -1,5 +1,8 @@
 package thistleturn.cli;
 
+import static thistleturn.cli.JsonFields.decimal;
+import static thistleturn.cli.JsonFields.text;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -7,15 +10,12 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** Who is in the fleet, as one courier of it knows. */
+/** Prints the members of the fleet as one of its couriers sees them. */
 @Command(
     name = "peers",
     mixinStandardHelpOptions = true,
@@ -24,10 +24,8 @@
           + "state, since when, by whose word, and how each says that it is itself.",
       "The courier needs [admin] and [peers] in its file."
     })
-final class PeersCommand implements Callable<Integer> {
-  private static final long WATCH_MS = 1000;
-
-  @Mixin private AdminOptions asked;
+final class PeersCommand extends AdminPageCommand {
+  private static final long WATCH_INTERVAL_MS = 1000;
 
   @Option(
       names = "--matrix",
@@ -37,122 +35,136 @@
   @Option(names = "--watch", description = "again each second, until it is interrupted")
   private boolean watch;
 
-  @Spec private CommandSpec spec;
+  PeersCommand() {
+    super("peers", "peers are off there");
+  }
 
   @Override
   public Integer call() throws InterruptedException {
-    final PrintWriter out = spec.commandLine().getOut();
-    while (true) {
-      final JsonNode status = AdminClient.ask(asked.address, "peers", "peers are off there");
-      if (asked.json) {
-        out.println(status.toPrettyString());
-      } else {
-        print(out, status);
-      }
-      out.flush();
-      if (!watch) {
-        return 0;
-      }
-      TimeUnit.MILLISECONDS.sleep(WATCH_MS);
-      out.println();
+    int exitCode = printOnce();
+    while (watch) {
+      TimeUnit.MILLISECONDS.sleep(WATCH_INTERVAL_MS);
+      out().println();
+      exitCode = printOnce();
     }
+    return exitCode;
   }
 
-  private void print(final PrintWriter out, final JsonNode status) {
-    final JsonNode view = status.path("view");
+  private int printOnce() throws InterruptedException {
+    final int exitCode = print(fetch());
+    out().flush();
+    return exitCode;
+  }
+
+  @Override
+  int printTable(final JsonNode status, final PrintWriter out) {
     out.println(
-        status.path("name").asText()
+        text(status, "name")
             + " at "
-            + status.path("address").asText()
+            + text(status, "address")
             + ": "
-            + status.path("standing").asText()
-            + (view.isMissingNode()
-                ? ", no view yet"
-                : ", view "
-                    + view.path("generation").asText()
-                    + "."
-                    + view.path("number").asText()
-                    + " of "
-                    + view.path("members").size()
-                    + ", hears of "
-                    + status.path("reached").asText()));
-    if (matrix) {
-      Table.print(out, matrix(status));
-      return;
+            + text(status, "standing")
+            + describeView(status));
+    final Table table = matrix ? hearingMatrix(status) : peerTable(status);
+    table.print(out);
+    return ExitCode.OK;
+  }
+
+  private static String describeView(final JsonNode status) {
+    final JsonNode view = status.path("view");
+    if (view.isMissingNode()) {
+      return ", no view yet";
     }
-    final List<String[]> rows = new ArrayList<>();
-    rows.add(
-        new String[] {
-          "NAME",
-          "STATE",
-          "FOR S",
-          "HERE",
-          "NOT HEARD BY",
-          "ROUND TRIP MS",
-          "HEALTH",
-          "AWAY MS",
-          "HOLDS",
-          "ADDRESS",
-          "INCARNATION"
-        });
+    return ", view "
+        + text(view, "generation")
+        + "."
+        + text(view, "number")
+        + " of "
+        + view.path("members").size()
+        + ", hears of "
+        + text(status, "reached");
+  }
+
+  private static Table peerTable(final JsonNode status) {
+    final Table table =
+        new Table(
+            "NAME",
+            "STATE",
+            "FOR S",
+            "HERE",
+            "NOT HEARD BY",
+            "ROUND TRIP MS",
+            "HEALTH",
+            "AWAY MS",
+            "HOLDS",
+            "ADDRESS",
+            "INCARNATION");
     for (final JsonNode peer : status.path("peers")) {
-      final List<String> by = new ArrayList<>();
-      peer.path("doubts")
-          .forEach(
-              doubt ->
-                  by.add(doubt.path("by").asText() + " (" + doubt.path("sight").asText() + ")"));
-      rows.add(
-          new String[] {
-            peer.path("name").asText(),
-            peer.path("state").asText(),
-            seconds(peer.path("for_ms").asLong()),
-            peer.path("here").asText(),
-            String.join(" ", by),
-            String.format(Locale.ROOT, "%.1f", peer.path("round_trip_ms").asDouble()),
-            peer.path("health").asText() + (peer.path("stuck").asBoolean() ? ", ends nothing" : ""),
-            peer.path("away_ms").asText(),
-            peer.path("holds").asText(),
-            peer.path("address").asText(),
-            peer.path("incarnation").asText()
-          });
+      table.addRow(
+          text(peer, "name"),
+          text(peer, "state"),
+          seconds(peer.path("for_ms").asLong()),
+          text(peer, "here"),
+          suspecters(peer),
+          decimal(peer, "round_trip_ms", "%.1f"),
+          text(peer, "health") + (peer.path("stuck").asBoolean() ? ", ends nothing" : ""),
+          text(peer, "away_ms"),
+          text(peer, "holds"),
+          text(peer, "address"),
+          text(peer, "incarnation"));
     }
-    Table.print(out, rows);
+    return table;
+  }
+
+  /** The peers that suspect this one, each with what it observed. */
+  private static String suspecters(final JsonNode peer) {
+    final List<String> suspecters = new ArrayList<>();
+    for (final JsonNode suspicion : peer.path("doubts")) {
+      suspecters.add(text(suspicion, "by") + " (" + text(suspicion, "sight") + ")");
+    }
+    return String.join(" ", suspecters);
   }
 
   private static String seconds(final long ms) {
     return String.format(Locale.ROOT, "%.1f", ms / 1000.0);
   }
 
-  /** Rows hear columns; who watches nobody says nothing. */
-  private static List<String[]> matrix(final JsonNode status) {
-    final Map<String, Map<String, String>> columns = new TreeMap<>();
-    columns.put(status.path("name").asText(), Map.of());
-    for (final JsonNode peer : status.path("peers")) {
-      final String state = peer.path("state").asText();
-      if (!state.equals("dead") && !state.equals("left")) {
-        final Map<String, String> cells = new TreeMap<>();
-        peer.path("doubts")
-            .forEach(
-                doubt ->
-                    cells.put(
-                        doubt.path("by").asText(),
-                        doubt.path("sight").asText().equals("ended") ? "E" : "s"));
-        columns.put(peer.path("name").asText(), cells);
-      }
-    }
-    final List<String[]> rows = new ArrayList<>();
-    final List<String> names = List.copyOf(columns.keySet());
-    final List<String> head = new ArrayList<>(names);
-    head.add(0, "HEARS");
-    rows.add(head.toArray(String[]::new));
+  /** Whom each peer hears: one row for each observer, one column for each observed peer. */
+  private static Table hearingMatrix(final JsonNode status) {
+    final Map<String, Map<String, String>> suspicionsBySubject = suspicionsBySubject(status);
+    final List<String> names = List.copyOf(suspicionsBySubject.keySet());
+    final List<String> headings = new ArrayList<>(names);
+    headings.add(0, "HEARS");
+    final Table table = new Table(headings.toArray(String[]::new));
     for (final String observer : names) {
       final List<String> row = new ArrayList<>();
       row.add(observer);
       for (final String subject : names) {
-        row.add(observer.equals(subject) ? "-" : columns.get(subject).getOrDefault(observer, "."));
+        row.add(
+            observer.equals(subject)
+                ? "-"
+                : suspicionsBySubject.get(subject).getOrDefault(observer, "."));
+      }
+      table.addRow(row.toArray(String[]::new));
+    }
+    return table;
+  }
+
+  /** For each peer that is not dead and has not left, the matrix cells of those suspecting it. */
+  private static Map<String, Map<String, String>> suspicionsBySubject(final JsonNode status) {
+    final Map<String, Map<String, String>> suspicionsBySubject = new TreeMap<>();
+    // Nobody reports suspicions of the courier itself.
+    suspicionsBySubject.put(text(status, "name"), Map.of());
+    for (final JsonNode peer : status.path("peers")) {
+      final String state = text(peer, "state");
+      if (!state.equals("dead") && !state.equals("left")) {
+        final Map<String, String> cells = new TreeMap<>();
+        for (final JsonNode suspicion : peer.path("doubts")) {
+          cells.put(text(suspicion, "by"), text(suspicion, "sight").equals("ended") ? "E" : "s");
+        }
+        suspicionsBySubject.put(text(peer, "name"), cells);
       }
-      rows.add(row.toArray(String[]::new));
     }
-    return rows;
+    return suspicionsBySubject;
   }
 }
--- a/cli/src/main/java/thistleturn/cli/RoutesCommand.java
+++ b/cli/src/main/java/thistleturn/cli/RoutesCommand.java
@@ -1,18 +1,17 @@
 package thistleturn.cli;
 
+import static thistleturn.cli.JsonFields.NONE;
+import static thistleturn.cli.JsonFields.decimal;
+import static thistleturn.cli.JsonFields.decimalOr;
+import static thistleturn.cli.JsonFields.text;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Locale;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** How a running courier's destinations are, and why nothing goes there now. */
+/** Prints the state of a running courier's routes, one for each destination. */
 @Command(
     name = "routes",
     aliases = "lanes",
@@ -20,82 +19,82 @@
     description =
         "How each destination is: its window, what its "
             + "refusals answer to, and what keeps the next message.")
-final class RoutesCommand implements Callable<Integer> {
-  @Mixin private AdminOptions asked;
+final class RoutesCommand extends AdminPageCommand {
+  private static final String ONE_DIGIT = "%.1f";
+  private static final String ONE_DIGIT_WITH_SIGN = "%+.1f";
+  private static final String TWO_DIGITS = "%.2f";
+  private static final String THREE_DIGITS = "%.3f";
 
   @Option(
       names = "--said",
       description = "and what binds each from outside: what, by whom, for how long")
-  private boolean said;
+  private boolean withConstraints;
 
-  @Spec private CommandSpec spec;
+  RoutesCommand() {
+    super("lanes", "it is of a version without this page");
+  }
 
   @Override
-  public Integer call() throws InterruptedException {
-    final JsonNode lanes =
-        AdminClient.ask(asked.address, "lanes", "it is of a version without this page");
-    final PrintWriter out = spec.commandLine().getOut();
-    if (asked.json) {
-      out.println(lanes.toPrettyString());
-      return 0;
+  int printTable(final JsonNode routes, final PrintWriter out) {
+    routeTable(routes).print(out);
+    if (withConstraints) {
+      out.println();
+      constraintTable(routes).print(out);
     }
-    final List<String[]> rows = new ArrayList<>();
-    rows.add(
-        new String[] {
-          "DESTINATION",
-          "PHASE",
-          "IN FLIGHT",
-          "WINDOW",
-          "WAITING",
-          "SERVED/S",
-          "SPACED/S",
-          "REFUSED",
-          "READ AS",
-          "EVIDENCE",
-          "NOW"
-        });
-    for (final JsonNode lane : lanes) {
-      if (asked.wants(lane)) {
-        rows.add(
-            new String[] {
-              lane.path("destination").asText(),
-              lane.path("phase").asText(),
-              lane.path("in_flight").asText(),
-              figure(lane, "window", "%.1f"),
-              lane.path("waiting").asText(),
-              figure(lane, "served_per_s", "%.1f"),
-              lane.has("spacing_per_s") ? figure(lane, "spacing_per_s", "%.1f") : "-",
-              figure(lane, "refused_share", "%.3f"),
-              lane.path("cause").asText(),
-              figure(lane, "evidence", "%+.1f"),
-              lane.path("why").asText()
-            });
+    return ExitCode.OK;
+  }
+
+  private Table routeTable(final JsonNode routes) {
+    final Table table =
+        new Table(
+            "DESTINATION",
+            "PHASE",
+            "IN FLIGHT",
+            "WINDOW",
+            "WAITING",
+            "SERVED/S",
+            "SPACED/S",
+            "REFUSED",
+            "READ AS",
+            "EVIDENCE",
+            "NOW");
+    for (final JsonNode route : routes) {
+      if (options().includes(route)) {
+        table.addRow(
+            text(route, "destination"),
+            text(route, "phase"),
+            text(route, "in_flight"),
+            decimal(route, "window", ONE_DIGIT),
+            text(route, "waiting"),
+            decimal(route, "served_per_s", ONE_DIGIT),
+            decimalOr(NONE, route, "spacing_per_s", ONE_DIGIT),
+            decimal(route, "refused_share", THREE_DIGITS),
+            text(route, "cause"),
+            decimal(route, "evidence", ONE_DIGIT_WITH_SIGN),
+            text(route, "why"));
       }
     }
-    Table.print(out, rows);
-    if (said) {
-      final List<String[]> words = new ArrayList<>();
-      words.add(new String[] {"DESTINATION", "ENDPOINT", "WHAT", "VALUE", "BY", "FOR S"});
-      for (final JsonNode lane : lanes) {
-        for (final JsonNode word : asked.wants(lane) ? lane.path("said") : lane.path("")) {
-          words.add(
-              new String[] {
-                lane.path("destination").asText(),
-                word.has("endpoint") ? word.path("endpoint").asText() : "-",
-                word.path("what").asText(),
-                word.path("value").asDouble() == 0 ? "-" : figure(word, "value", "%.2f"),
-                word.path("by").asText(),
-                word.has("for_s") ? figure(word, "for_s", "%.1f") : "until taken back"
-              });
+    return table;
+  }
+
+  /** What limits each route from outside: what operators, endpoints and other couriers imposed. */
+  private Table constraintTable(final JsonNode routes) {
+    final Table table = new Table("DESTINATION", "ENDPOINT", "WHAT", "VALUE", "BY", "FOR S");
+    for (final JsonNode route : routes) {
+      if (options().includes(route)) {
+        for (final JsonNode constraint : route.path("said")) {
+          table.addRow(
+              text(route, "destination"),
+              constraint.has("endpoint") ? text(constraint, "endpoint") : NONE,
+              text(constraint, "what"),
+              constraint.path("value").asDouble() == 0
+                  ? NONE
+                  : decimal(constraint, "value", TWO_DIGITS),
+              text(constraint, "by"),
+              decimalOr("until taken back", constraint, "for_s", ONE_DIGIT));
         }
       }
-      out.println();
-      Table.print(out, words);
     }
-    return 0;
-  }
-
-  private static String figure(final JsonNode lane, final String name, final String format) {
-    return String.format(Locale.ROOT, format, lane.path(name).asDouble());
+    return table;
   }
 }
--- a/cli/src/main/java/thistleturn/cli/ServeCommand.java
+++ b/cli/src/main/java/thistleturn/cli/ServeCommand.java
@@ -9,7 +9,7 @@
 import thistleturn.courier.CourierOptions;
 import thistleturn.courier.runtime.ConfigurationException;
 
-/** Runs a courier until it is ended. */
+/** Starts a courier, which runs until the process receives a signal. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
@@ -19,8 +19,8 @@
           + "PROXY_STATE)."
     })
 final class ServeCommand implements Callable<Integer> {
-  /** No exit code: the process goes on. */
-  static final int SERVES = -1;
+  /** Stands for an exit code while the courier keeps the process running. */
+  static final int KEEPS_RUNNING = -1;
 
   @Option(
       names = "--config",
@@ -33,13 +33,15 @@
   public Integer call() throws IOException, ConfigurationException {
     if (file == null) {
       thistleturn.courier.Main.serve(System.getenv(), null, CourierOptions.platformDefaults());
-      return SERVES;
+      return KEEPS_RUNNING;
     }
     final ProductConfig config = ProductConfig.read(file);
-    final boolean plain =
+    final boolean hasNoSubsystem =
         config.admin() == null && config.membership() == null && config.peers() == null;
     thistleturn.courier.Main.serve(
-        System.getenv(), plain ? null : new ProductExtension(config, file), config.tuning());
-    return SERVES;
+        System.getenv(),
+        hasNoSubsystem ? null : new ProductExtension(config, file),
+        config.tuning());
+    return KEEPS_RUNNING;
   }
 }
--- a/cli/src/main/java/thistleturn/cli/StateCommand.java
+++ b/cli/src/main/java/thistleturn/cli/StateCommand.java
@@ -1,20 +1,27 @@
 package thistleturn.cli;
 
+import static thistleturn.cli.JsonFields.NONE;
+import static thistleturn.cli.JsonFields.decimalOr;
+import static thistleturn.cli.JsonFields.joined;
+import static thistleturn.cli.JsonFields.text;
+import static thistleturn.cli.JsonFields.texts;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
-import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.Set;
+import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What the fleet holds, as one courier or two know it. */
+/** Prints and compares the state that the couriers of a fleet replicate among each other. */
 @Command(
     name = "state",
     mixinStandardHelpOptions = true,
@@ -24,72 +31,64 @@
     },
     subcommands = {StateCommand.Show.class, StateCommand.Diff.class, StateCommand.Why.class})
 final class StateCommand implements Callable<Integer> {
-  private static final String OFF = "replicas are off there";
+  private static final String PAGE = "state";
+  private static final String MISSING_REASON = "replicas are off there";
+
   @Spec private CommandSpec spec;
 
   @Override
   public Integer call() {
     spec.commandLine().usage(spec.commandLine().getErr());
-    return picocli.CommandLine.ExitCode.USAGE;
+    return ExitCode.USAGE;
   }
 
-  private static String seconds(final JsonNode of, final String name) {
-    return of.has(name) ? String.format(Locale.ROOT, "%.1f", of.path(name).asDouble()) : "-";
+  private static String seconds(final JsonNode object, final String field) {
+    return decimalOr(NONE, object, field, "%.1f");
   }
 
-  private static String joined(final JsonNode texts) {
-    final List<String> all = new ArrayList<>();
-    texts.forEach(text -> all.add(text.asText()));
-    return String.join(" ", all);
-  }
-
-  /** What counts, a line for each subject. */
+  /** Prints the effective value of each subject. */
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
       description = "What is known, from whom, how old, and what counts of it.")
-  static final class Show implements Callable<Integer> {
-    @Mixin private AdminOptions asked;
-    @Spec private CommandSpec spec;
+  static final class Show extends AdminPageCommand {
+    Show() {
+      super(PAGE, MISSING_REASON);
+    }
 
     @Override
-    public Integer call() throws InterruptedException {
-      final PrintWriter out = spec.commandLine().getOut();
-      final JsonNode state = AdminClient.ask(asked.address, "state", OFF);
-      if (asked.json) {
-        out.println(state.toPrettyString());
-        return 0;
-      }
+    int printTable(final JsonNode state, final PrintWriter out) {
       out.println(
-          state.path("writer").asText()
-              + ": "
-              + state.path("entries").asText()
-              + " entries, "
-              + (state.path("caught_up").asBoolean()
-                  ? "equal with another " + seconds(state, "together_s") + " s ago"
-                  : "old: not compared with another since its start"));
-      final List<String[]> rows = new ArrayList<>();
-      rows.add(
-          new String[] {"KIND", "SUBJECT", "STATE", "VALUE", "FOR S", "LEFT S", "WORDS", "BY"});
-      for (final JsonNode one : state.path("subjects")) {
-        rows.add(
-            new String[] {
-              one.path("kind").asText(),
-              one.path("subject").asText(),
-              one.path("state").asText() + (one.path("conflict").asBoolean() ? ", disputed" : ""),
-              one.path("value").asDouble() == 0 ? "-" : one.path("value").asText(),
-              seconds(one, "for_s"),
-              seconds(one, "left_s"),
-              String.valueOf(one.path("words").size()),
-              joined(one.path("by"))
-            });
+          text(state, "writer") + ": " + text(state, "entries") + " entries, " + freshness(state));
+      subjectTable(state).print(out);
+      return ExitCode.OK;
+    }
+
+    private static String freshness(final JsonNode state) {
+      return state.path("caught_up").asBoolean()
+          ? "equal with another " + seconds(state, "together_s") + " s ago"
+          : "old: not compared with another since its start";
+    }
+
+    private static Table subjectTable(final JsonNode state) {
+      final Table table =
+          new Table("KIND", "SUBJECT", "STATE", "VALUE", "FOR S", "LEFT S", "WORDS", "BY");
+      for (final JsonNode subject : state.path("subjects")) {
+        table.addRow(
+            text(subject, "kind"),
+            text(subject, "subject"),
+            text(subject, "state") + (subject.path("conflict").asBoolean() ? ", disputed" : ""),
+            subject.path("value").asDouble() == 0 ? NONE : text(subject, "value"),
+            seconds(subject, "for_s"),
+            seconds(subject, "left_s"),
+            Integer.toString(subject.path("words").size()),
+            joined(subject, "by"));
       }
-      Table.print(out, rows);
-      return 0;
+      return table;
     }
   }
 
-  /** Where two copies differ. */
+  /** Prints the entries in which the copies of two couriers differ. */
   @Command(
       name = "diff",
       mixinStandardHelpOptions = true,
@@ -99,107 +98,121 @@
         index = "0",
         paramLabel = "A",
         description = "where operators ask the one (admin.listen)")
-    private String one;
+    private String leftAddress;
 
     @Parameters(index = "1", paramLabel = "B", description = "and the other")
-    private String other;
+    private String rightAddress;
 
     @Spec private CommandSpec spec;
 
+    /** Identifies an entry: what it is about, and the courier that wrote it. */
+    private record EntryKey(String kind, String subject, String writer)
+        implements Comparable<EntryKey> {
+      private static final Comparator<EntryKey> ORDER =
+          Comparator.comparing(EntryKey::kind)
+              .thenComparing(EntryKey::subject)
+              .thenComparing(EntryKey::writer);
+
+      @Override
+      public int compareTo(final EntryKey other) {
+        return ORDER.compare(this, other);
+      }
+    }
+
     @Override
     public Integer call() throws InterruptedException {
       final PrintWriter out = spec.commandLine().getOut();
-      final Map<String, String> left = words(AdminClient.ask(one, "state", OFF));
-      final Map<String, String> right = words(AdminClient.ask(other, "state", OFF));
-      final List<String[]> rows = new ArrayList<>();
-      rows.add(new String[] {"KIND", "SUBJECT", "WRITER", one, other});
-      final Map<String, String> all = new TreeMap<>(left);
-      all.putAll(right);
-      for (final String word : all.keySet()) {
-        final String here = left.getOrDefault(word, "-");
-        final String there = right.getOrDefault(word, "-");
-        if (!here.equals(there)) {
-          final String[] place = word.split("\t");
-          rows.add(new String[] {place[0], place[1], place[2], here, there});
-        }
-      }
-      if (rows.size() == 1) {
+      final Map<EntryKey, String> left = fetchVersions(leftAddress);
+      final Map<EntryKey, String> right = fetchVersions(rightAddress);
+      final Table differences = differences(left, right);
+      if (differences.isEmpty()) {
         out.println("both hold the same " + left.size() + " words");
-        return 0;
+        return ExitCode.OK;
       }
-      Table.print(out, rows);
-      return 1;
+      differences.print(out);
+      return ExitCode.SOFTWARE;
     }
 
-    private static Map<String, String> words(final JsonNode state) {
-      final Map<String, String> words = new TreeMap<>();
-      state
-          .path("subjects")
-          .forEach(
-              subject ->
-                  subject
-                      .path("words")
-                      .forEach(
-                          word ->
-                              words.put(
-                                  subject.path("kind").asText()
-                                      + '\t'
-                                      + subject.path("subject").asText()
-                                      + '\t'
-                                      + word.path("writer").asText(),
-                                  word.path("version").asText())));
-      return words;
+    private Table differences(final Map<EntryKey, String> left, final Map<EntryKey, String> right) {
+      final Table table = new Table("KIND", "SUBJECT", "WRITER", leftAddress, rightAddress);
+      final Set<EntryKey> keys = new TreeSet<>(left.keySet());
+      keys.addAll(right.keySet());
+      for (final EntryKey key : keys) {
+        final String leftVersion = left.getOrDefault(key, NONE);
+        final String rightVersion = right.getOrDefault(key, NONE);
+        if (!leftVersion.equals(rightVersion)) {
+          table.addRow(key.kind(), key.subject(), key.writer(), leftVersion, rightVersion);
+        }
+      }
+      return table;
+    }
+
+    /** The version of each entry that a courier has. */
+    private static Map<EntryKey, String> fetchVersions(final String address)
+        throws InterruptedException {
+      final Map<EntryKey, String> versions = new HashMap<>();
+      for (final JsonNode subject :
+          AdminClient.fetch(address, PAGE, MISSING_REASON).path("subjects")) {
+        for (final JsonNode entry : subject.path("words")) {
+          versions.put(
+              new EntryKey(text(subject, "kind"), text(subject, "subject"), text(entry, "writer")),
+              text(entry, "version"));
+        }
+      }
+      return versions;
     }
   }
 
-  /** All words on a subject, and the rule that made of them what counts. */
+  /** Prints all entries about one subject and the rule that merged them. */
   @Command(
       name = "why",
       mixinStandardHelpOptions = true,
       description =
           "All that is said of an endpoint or destination, and what the rule makes of it.")
-  static final class Why implements Callable<Integer> {
+  static final class Why extends AdminPageCommand {
     @Parameters(paramLabel = "KEY", description = "an endpoint's name, or a destination's number")
     private String key;
 
-    @Mixin private AdminOptions asked;
-    @Spec private CommandSpec spec;
+    Why() {
+      super(PAGE, MISSING_REASON);
+    }
 
+    /** Prints text with {@code --json} as well. */
     @Override
     public Integer call() throws InterruptedException {
-      final PrintWriter out = spec.commandLine().getOut();
-      final JsonNode state = AdminClient.ask(asked.address, "state", OFF);
+      return printTable(fetch(), out());
+    }
+
+    @Override
+    int printTable(final JsonNode state, final PrintWriter out) {
       boolean found = false;
       for (final JsonNode subject : state.path("subjects")) {
-        if (subject.path("subject").asText().equals(key)) {
+        if (text(subject, "subject").equals(key)) {
           found = true;
           out.println(
-              subject.path("kind").asText()
-                  + ": "
-                  + subject.path("state").asText()
-                  + ": "
-                  + subject.path("rule").asText());
-          final List<String[]> rows = new ArrayList<>();
-          rows.add(new String[] {"WRITER", "VERSION", "AGE S", "SAYS", "COUNTS"});
-          final List<String> counts = new ArrayList<>();
-          subject.path("by").forEach(by -> counts.add(by.asText()));
-          for (final JsonNode word : subject.path("words")) {
-            rows.add(
-                new String[] {
-                  word.path("writer").asText(),
-                  word.path("version").asText(),
-                  seconds(word, "age_s"),
-                  joined(word.path("fields")),
-                  counts.contains(word.path("writer").asText()) ? "yes" : "no"
-                });
-          }
-          Table.print(out, rows);
+              text(subject, "kind") + ": " + text(subject, "state") + ": " + text(subject, "rule"));
+          entryTable(subject).print(out);
         }
       }
       if (!found) {
         out.println("nobody says anything of " + key);
       }
-      return found ? 0 : 1;
+      return found ? ExitCode.OK : ExitCode.SOFTWARE;
+    }
+
+    private static Table entryTable(final JsonNode subject) {
+      final Table table = new Table("WRITER", "VERSION", "AGE S", "SAYS", "COUNTS");
+      final List<String> effectiveWriters = texts(subject, "by");
+      for (final JsonNode entry : subject.path("words")) {
+        final String writer = text(entry, "writer");
+        table.addRow(
+            writer,
+            text(entry, "version"),
+            seconds(entry, "age_s"),
+            joined(entry, "fields"),
+            effectiveWriters.contains(writer) ? "yes" : "no");
+      }
+      return table;
     }
   }
 }
--- a/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
+++ b/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
@@ -26,24 +26,24 @@
 import thistleturn.courier.transport.AcceptRetryHandler;
 
 /**
- * Answers operators' questions of a running courier, as JSON, on a loopback address: one question a
- * connection, a few connections at a time. It reads and changes nothing. Runs on the courier's
- * event loop, so that what it tells is of one moment.
+ * Serves a running courier's state to operators as JSON pages on a loopback address: one request
+ * for each connection, a few connections at a time, and nothing can be changed through it. It runs
+ * on the courier's event loop, so that a page shows the state of one moment.
  */
 public final class AdminServer {
-  private static final int MOST_CONNECTIONS = 8;
-  private static final int MOST_REQUEST_BYTES = 1 << 10;
-  private static final int REQUEST_SECONDS = 2;
+  private static final int MAX_CONNECTIONS = 8;
+  private static final int MAX_REQUEST_BYTES = 1 << 10;
+  private static final int REQUEST_TIMEOUT_S = 2;
 
   private final Map<String, Supplier<JsonNode>> pages;
-  private int connections;
+  private int openConnections;
 
-  /** Pages by their path. */
+  /** A server of these pages, by their path. */
   public AdminServer(final Map<String, Supplier<JsonNode>> pages) {
     this.pages = Map.copyOf(pages);
   }
 
-  /** Listens; a failure is one line in the log, and the courier serves on. */
+  /** Starts to listen; a failure is logged and does not affect the courier. */
   public void listen(final EventLoop loop, final InetSocketAddress address) {
     new ServerBootstrap()
         .group(loop)
@@ -53,19 +53,7 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(final Channel channel) {
-                if (connections >= MOST_CONNECTIONS) {
-                  channel.close();
-                  return;
-                }
-                connections++;
-                channel.closeFuture().addListener(closed -> connections--);
-                channel
-                    .pipeline()
-                    .addLast(
-                        new ReadTimeoutHandler(REQUEST_SECONDS),
-                        new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_REQUEST_BYTES),
-                        new Answer());
+                accept(channel);
               }
             })
         .bind(address)
@@ -80,17 +68,29 @@
                             + bound.cause().getMessage()));
   }
 
-  private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private void accept(final Channel channel) {
+    if (openConnections >= MAX_CONNECTIONS) {
+      channel.close();
+      return;
+    }
+    openConnections++;
+    channel.closeFuture().addListener(closed -> openConnections--);
+    channel
+        .pipeline()
+        .addLast(
+            new ReadTimeoutHandler(REQUEST_TIMEOUT_S),
+            new HttpServerCodec(),
+            new HttpObjectAggregator(MAX_REQUEST_BYTES),
+            new PageHandler());
+  }
+
+  /** Responds to one request and closes the connection. */
+  private final class PageHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(
         final ChannelHandlerContext context, final FullHttpRequest request) {
       final Supplier<JsonNode> page = pages.get(request.uri());
-      final boolean good =
-          request.decoderResult().isSuccess() && request.method().equals(HttpMethod.GET);
-      final HttpResponseStatus status =
-          !good
-              ? HttpResponseStatus.BAD_REQUEST
-              : page == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK;
+      final HttpResponseStatus status = status(request, page);
       final byte[] body =
           status.equals(HttpResponseStatus.OK)
               ? page.get().toString().getBytes(StandardCharsets.UTF_8)
@@ -105,6 +105,14 @@
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
+    private static HttpResponseStatus status(
+        final FullHttpRequest request, final Supplier<JsonNode> page) {
+      if (request.decoderResult().isFailure() || !request.method().equals(HttpMethod.GET)) {
+        return HttpResponseStatus.BAD_REQUEST;
+      }
+      return page == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK;
+    }
+
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
       context.close();
--- a/cli/src/main/java/thistleturn/cli/admin/package-info.java
+++ b/cli/src/main/java/thistleturn/cli/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The product's own operators' address, which serves the pages the commands print. */
+/** The HTTP server of the admin address, whose JSON pages the commands fetch and print. */
 package thistleturn.cli.admin;
