--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import thistleturn.cli.admin.AdminServer;
+import thistleturn.cli.config.InvalidSettingException;
 import thistleturn.cli.config.ProductConfig;
 import thistleturn.courier.CourierExtension;
 import thistleturn.courier.ExtensionContext;
@@ -15,40 +16,41 @@
 import thistleturn.peers.PeersExtension;
 import thistleturn.replicas.ReplicasExtension;
 
-/** All subsystems that a file switches on, as one extension of a courier. */
+/** Combines the subsystems that a settings file enables into one extension of a courier. */
 final class ProductExtension implements CourierExtension {
   private final ProductConfig config;
   private final MembershipExtension membership;
   private final PeersExtension peers;
   private final ReplicasExtension replicas;
-  private ExtensionContext surroundings;
+  private ExtensionContext context;
 
   ProductExtension(final ProductConfig config, final Path file) {
     this.config = config;
     this.membership =
-        config.membership() == null
-            ? null
-            : new MembershipExtension(
-                () -> {
-                  final MembershipSettings fresh = ProductConfig.read(file).membership();
-                  if (fresh == null) {
-                    throw new IllegalArgumentException(
-                        file
-                            + ": membership.enabled = false: expected true: switching a "
-                            + "subsystem off counts from the next start");
-                  }
-                  return fresh;
-                });
+        config.membership() == null ? null : new MembershipExtension(() -> readMembership(file));
     this.peers = config.peers() == null ? null : new PeersExtension(config.peers());
     this.replicas =
         config.replicas() == null ? null : new ReplicasExtension(config.replicas(), peers);
   }
 
+  private static MembershipSettings readMembership(final Path file) {
+    final MembershipSettings membership = ProductConfig.read(file).membership();
+    if (membership == null) {
+      throw new InvalidSettingException(
+          file
+              + ": membership.enabled = false: expected true: switching a "
+              + "subsystem off counts from the next start");
+    }
+    return membership;
+  }
+
   @Override
   public EndpointDirectory createDirectory(
-      final EndpointDirectory own, final ExtensionContext given) {
-    surroundings = given;
-    return membership == null ? own : membership.createDirectory(own, given);
+      final EndpointDirectory platformDirectory, final ExtensionContext givenContext) {
+    context = givenContext;
+    return membership == null
+        ? platformDirectory
+        : membership.createDirectory(platformDirectory, givenContext);
   }
 
   @Override
@@ -59,17 +61,17 @@
       pages.put("/members", membership::status);
     }
     if (replicas != null) {
-      replicas.setSurroundings(surroundings);
+      replicas.setSurroundings(context);
       pages.put("/state", replicas::status);
     }
     if (peers != null) {
-      peers.join(surroundings);
+      peers.join(context);
       pages.put("/peers", peers::status);
     }
     if (config.admin() != null) {
-      pages.put("/lanes", surroundings.routeStatus());
-      pages.put("/health", surroundings.localHealth());
-      new AdminServer(pages).listen(surroundings.eventLoop(), config.admin());
+      pages.put("/lanes", context.routeStatus());
+      pages.put("/health", context.localHealth());
+      new AdminServer(pages).listen(context.eventLoop(), config.admin());
     }
   }
 
@@ -82,7 +84,7 @@
       replicas.leave();
     }
     if (peers != null) {
-      // Now, so that a newer process of this courier may listen there.
+      // Frees the port at once for the process that replaces this one.
       peers.leave();
     }
   }
--- a/cli/src/main/java/thistleturn/cli/config/StrictTable.java
+++ b/cli/src/main/java/thistleturn/cli/config/StrictTable.java
@@ -10,18 +10,26 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of the product's file, read strictly: whatever is in it must be asked for, in the form
- * that is asked for and within its bounds. Each complaint is one line that names file, key, value
- * and what was expected.
+ * Reads one table of the settings file strictly: a value of the wrong type or outside its bounds is
+ * an error, and so is every key that {@link #rejectUnknownKeys} finds unread. Each error is one
+ * line that names the file, the key, the value and what was expected.
  */
 final class StrictTable {
   private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
   private static final Pattern SIZE = Pattern.compile("(\\d{1,9})(B|KiB|MiB)");
 
+  private static final long US_PER_MS = 1000;
+  private static final long US_PER_SECOND = 1000 * US_PER_MS;
+  private static final long US_PER_MINUTE = 60 * US_PER_SECOND;
+  private static final long US_PER_HOUR = 60 * US_PER_MINUTE;
+
+  /** Below every minimum, so that a text that is no quantity is out of bounds. */
+  private static final long INVALID = -1;
+
   private final String file;
   private final String path;
   private final JsonNode table;
-  private final Set<String> known = new TreeSet<>();
+  private final Set<String> knownKeys = new TreeSet<>();
 
   StrictTable(final String file, final String path, final JsonNode table) {
     this.file = file;
@@ -29,75 +37,85 @@
     this.table = table;
   }
 
-  private String name(final String key) {
+  private String qualified(final String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  /** What is said of a value that cannot be used. */
-  IllegalArgumentException wrong(final String key, final Object value, final String expected) {
-    return new IllegalArgumentException(
-        file + ": " + name(key) + " = " + value + ": expected " + expected);
+  /** The error for a value that cannot be used. */
+  InvalidSettingException invalid(final String key, final Object value, final String expected) {
+    return new InvalidSettingException(
+        file + ": " + qualified(key) + " = " + value + ": expected " + expected);
+  }
+
+  /** A string as error messages show it. */
+  static String quoted(final String text) {
+    return '"' + text + '"';
+  }
+
+  /** A duration as error messages show it. */
+  static String milliseconds(final long durationUs) {
+    return durationUs / US_PER_MS + "ms";
   }
 
   private JsonNode get(final String key) {
-    known.add(key);
+    knownKeys.add(key);
     return table.path(key);
   }
 
-  /** A table in this one; an empty one if it is absent. */
+  /** Reads a subtable; an empty one if it is absent. */
   StrictTable table(final String key) {
     final JsonNode value = get(key);
     if (!value.isMissingNode() && !value.isObject()) {
-      throw wrong(key, value, "a table");
+      throw invalid(key, value, "a table");
     }
-    return new StrictTable(file, name(key), value);
+    return new StrictTable(file, qualified(key), value);
   }
 
-  /** A list of tables; an empty one if it is absent. */
+  /** Reads an array of tables; an empty list if it is absent. */
   List<StrictTable> tables(final String key) {
     final JsonNode value = get(key);
     if (!value.isMissingNode() && !value.isArray()) {
-      throw wrong(key, value, "a list of tables, each under [[" + name(key) + "]]");
+      throw invalid(key, value, "a list of tables, each under [[" + qualified(key) + "]]");
     }
     final List<StrictTable> tables = new ArrayList<>();
     for (final JsonNode item : value) {
       if (!item.isObject()) {
-        throw wrong(key, value, "a list of tables, each under [[" + name(key) + "]]");
+        throw invalid(key, value, "a list of tables, each under [[" + qualified(key) + "]]");
       }
-      tables.add(new StrictTable(file, name(key) + "[" + tables.size() + "]", item));
+      tables.add(new StrictTable(file, qualified(key) + "[" + tables.size() + "]", item));
     }
     return tables;
   }
 
-  /** True or false. */
-  boolean flag(final String key, final boolean absent) {
+  /** Reads a boolean. */
+  boolean flag(final String key, final boolean defaultValue) {
     final JsonNode value = get(key);
     if (value.isMissingNode()) {
-      return absent;
+      return defaultValue;
     }
     if (!value.isBoolean()) {
-      throw wrong(key, value, "true or false");
+      throw invalid(key, value, "true or false");
     }
     return value.booleanValue();
   }
 
-  /** A text that is not empty; null stands for one that must be there. */
-  String text(final String key, final String absent) {
+  /** Reads a string that is not blank; it is required if {@code defaultValue} is null. */
+  String text(final String key, final String defaultValue) {
     final JsonNode value = get(key);
-    if (value.isMissingNode() && absent != null) {
-      return absent;
+    if (value.isMissingNode() && defaultValue != null) {
+      return defaultValue;
     }
     if (!value.isTextual() || value.textValue().isBlank()) {
-      throw wrong(key, value.isMissingNode() ? "(absent)" : value, "a text");
+      throw invalid(key, value.isMissingNode() ? "(absent)" : value, "a text");
     }
     return value.textValue();
   }
 
-  /** Texts. */
-  List<String> texts(final String key, final boolean needed) {
+  /** Reads an array of strings that are not blank; an empty list if it is absent. */
+  List<String> texts(final String key, final boolean required) {
     final JsonNode value = get(key);
     final List<String> texts = new ArrayList<>();
-    if (value.isMissingNode() && !needed) {
+    if (value.isMissingNode() && !required) {
       return texts;
     }
     for (final JsonNode item : value) {
@@ -105,89 +123,89 @@
         texts.add(item.textValue());
       }
     }
-    if (!value.isArray() || texts.size() != value.size() || (needed && texts.isEmpty())) {
-      throw wrong(
+    if (!value.isArray() || texts.size() != value.size() || (required && texts.isEmpty())) {
+      throw invalid(
           key,
           value.isMissingNode() ? "(absent)" : value,
-          "a list of texts" + (needed ? ", at least one" : ""));
+          "a list of texts" + (required ? ", at least one" : ""));
     }
     return texts;
   }
 
-  /** A whole number within its bounds. */
-  int whole(final String key, final int absent, final int least, final int most) {
+  /** Reads an integer from {@code min} to {@code max}. */
+  int integer(final String key, final int defaultValue, final int min, final int max) {
     final JsonNode value = get(key);
     if (value.isMissingNode()) {
-      return absent;
+      return defaultValue;
     }
-    if (!value.isIntegralNumber() || value.longValue() < least || value.longValue() > most) {
-      throw wrong(key, value, "a whole number from " + least + " to " + most);
+    if (!value.isIntegralNumber() || value.longValue() < min || value.longValue() > max) {
+      throw invalid(key, value, "a whole number from " + min + " to " + max);
     }
     return value.intValue();
   }
 
-  /** A share, at least 0 and below 1. */
-  double share(final String key, final double absent) {
+  /** Reads a fraction, at least 0 and below 1. */
+  double fraction(final String key, final double defaultValue) {
     final JsonNode value = get(key);
     if (value.isMissingNode()) {
-      return absent;
+      return defaultValue;
     }
     if (!value.isNumber() || value.doubleValue() < 0 || value.doubleValue() >= 1) {
-      throw wrong(key, value, "a share from 0 to below 1, such as 0.15");
+      throw invalid(key, value, "a share from 0 to below 1, such as 0.15");
     }
     return value.doubleValue();
   }
 
-  /** A duration with its unit, in microseconds. */
-  long durationUs(final String key, final String absent, final String least, final String most) {
+  /** Reads a duration with a unit, in microseconds. */
+  long durationUs(final String key, final String defaultValue, final String min, final String max) {
     final JsonNode value = get(key);
-    final String text = value.isMissingNode() ? absent : value.isTextual() ? value.textValue() : "";
-    final long us = durationUs(text);
-    if (us < durationUs(least) || us > durationUs(most)) {
-      throw wrong(
+    final String text = value.isMissingNode() ? defaultValue : value.asText();
+    final long durationUs = durationUs(text);
+    if (durationUs < durationUs(min) || durationUs > durationUs(max)) {
+      throw invalid(
           key,
           value,
           "a duration from \""
-              + least
+              + min
               + "\" to \""
-              + most
+              + max
               + "\", such as \""
-              + absent
+              + defaultValue
               + "\" (units: ms, s, m, h)");
     }
-    return us;
+    return durationUs;
   }
 
   private static long durationUs(final String text) {
     final Matcher matcher = DURATION.matcher(text);
     if (!matcher.matches()) {
-      return -1;
+      return INVALID;
     }
     final long unitUs =
         switch (matcher.group(2)) {
-          case "ms" -> 1000L;
-          case "s" -> 1_000_000L;
-          case "m" -> 60_000_000L;
-          default -> 3_600_000_000L;
+          case "ms" -> US_PER_MS;
+          case "s" -> US_PER_SECOND;
+          case "m" -> US_PER_MINUTE;
+          default -> US_PER_HOUR;
         };
     return Long.parseLong(matcher.group(1)) * unitUs;
   }
 
-  /** A size with its unit, in bytes. */
-  long bytes(final String key, final String absent, final String least, final String most) {
+  /** Reads a size with a unit, in bytes. */
+  long bytes(final String key, final String defaultValue, final String min, final String max) {
     final JsonNode value = get(key);
-    final String text = value.isMissingNode() ? absent : value.isTextual() ? value.textValue() : "";
+    final String text = value.isMissingNode() ? defaultValue : value.asText();
     final long bytes = bytes(text);
-    if (bytes < bytes(least) || bytes > bytes(most)) {
-      throw wrong(
+    if (bytes < bytes(min) || bytes > bytes(max)) {
+      throw invalid(
           key,
           value,
           "a size from \""
-              + least
+              + min
               + "\" to \""
-              + most
+              + max
               + "\", such as \""
-              + absent
+              + defaultValue
               + "\" (units: B, KiB, MiB)");
     }
     return bytes;
@@ -196,7 +214,7 @@
   private static long bytes(final String text) {
     final Matcher matcher = SIZE.matcher(text);
     if (!matcher.matches()) {
-      return -1;
+      return INVALID;
     }
     final long unit =
         switch (matcher.group(2)) {
@@ -207,19 +225,19 @@
     return Long.parseLong(matcher.group(1)) * unit;
   }
 
-  /** Complains of the first key that nobody asked for. */
-  void finish() {
+  /** Fails on the first key that was never read. */
+  void rejectUnknownKeys() {
     for (final Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
       final String key = names.next();
-      if (!known.contains(key)) {
-        throw new IllegalArgumentException(
+      if (!knownKeys.contains(key)) {
+        throw new InvalidSettingException(
             file
                 + ": "
-                + name(key)
+                + qualified(key)
                 + " = "
                 + table.get(key)
                 + ": unknown key; expected one of "
-                + String.join(", ", known));
+                + String.join(", ", knownKeys));
       }
     }
   }
