--- a/cli/src/test/java/thistleturn/cli/CommandTest.java
+++ b/cli/src/test/java/thistleturn/cli/CommandTest.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import thistleturn.cli.config.ProductConfig;
 
-/** The command line, and what it says of files that cannot be used. */
+/** The command line, and its messages about invalid settings files. */
 @Tag("membership")
 final class CommandTest {
   private static final String REGISTRY =
@@ -24,24 +24,24 @@
 
   @TempDir private Path folder;
 
-  /** What a command printed, and its exit code. */
-  private record Ran(int code, String out, String err) {}
+  /** The exit code and the output of a command. */
+  private record Result(int code, String out, String err) {}
 
-  private static Ran run(final String... args) {
+  private static Result run(final String... args) {
     final StringWriter out = new StringWriter();
     final StringWriter err = new StringWriter();
-    final CommandLine line =
+    final CommandLine commandLine =
         Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
-    final int code = line.execute(args);
-    return new Ran(code, out.toString(), err.toString());
+    final int code = commandLine.execute(args);
+    return new Result(code, out.toString(), err.toString());
   }
 
-  private Path file(final String text) throws Exception {
+  private Path write(final String text) throws Exception {
     return Files.writeString(folder.resolve("t.toml"), text);
   }
 
   @Test
-  void theFileInTheRepositoryIsGoodAndSwitchesNothingOn() {
+  void deployedFile_isValidAndEnablesNothing() {
     final Path file = Path.of("../deploy/thistleturn.toml");
     assertEquals(0, run("check", file.toString()).code());
     assertEquals(ProductConfig.off(), ProductConfig.read(file));
@@ -77,14 +77,14 @@
         "[membership                                         | line 1: no TOML",
         "[[membership.registries]]\\nname = 'r'              | membership.registries[0].urls = (absent): expected a list"
       })
-  void whatCannotBeUsedIsOneLineThatNamesFileKeyValueAndWhatWasExpected(
-      final String text, final String said) throws Exception {
-    final Ran ran = run("check", file(text.strip().replace("\\n", "\n")).toString());
-    assertEquals(2, ran.code(), ran.toString());
+  void invalidSetting_isOneLineNamingFileKeyValueAndExpectation(
+      final String text, final String message) throws Exception {
+    final Result result = run("check", write(text.strip().replace("\\n", "\n")).toString());
+    assertEquals(2, result.code(), result.toString());
     assertTrue(
-        ran.err().startsWith(folder.resolve("t.toml") + ": ") && ran.err().contains(said),
-        ran.err());
-    assertEquals(1, ran.err().strip().lines().count(), ran.err());
+        result.err().startsWith(folder.resolve("t.toml") + ": ") && result.err().contains(message),
+        result.err());
+    assertEquals(1, result.err().strip().lines().count(), result.err());
   }
 
   @ParameterizedTest
@@ -99,60 +99,63 @@
         "most-bytes = '1GB'                      | most-bytes = \"1GB\": expected a size",
         "metadata = { dest = 'd' }               | metadata.dest = \"d\": unknown key"
       })
-  void soIsARegistryThatCannotBeAsked(final String line, final String said) throws Exception {
+  void invalidRegistrySetting_isReported(final String line, final String message) throws Exception {
     final String base = line.startsWith("urls") ? REGISTRY.replaceAll("urls.*\n", "") : REGISTRY;
-    final Ran ran = run("check", file(base + line + "\n").toString());
-    assertEquals(2, ran.code(), ran.toString());
-    assertTrue(ran.err().contains(said), ran.err());
+    final Result result = run("check", write(base + line + "\n").toString());
+    assertEquals(2, result.code(), result.toString());
+    assertTrue(result.err().contains(message), result.err());
   }
 
   @Test
-  void twoRegistriesOfOneNameAreRefused() throws Exception {
-    final Ran ran = run("check", file(REGISTRY + REGISTRY).toString());
+  void twoRegistriesWithOneName_areRejected() throws Exception {
+    final Result result = run("check", write(REGISTRY + REGISTRY).toString());
     assertTrue(
-        ran.err()
+        result
+            .err()
             .contains(
                 "membership.registries[1].name = \"r\": expected a name that no other source has"),
-        ran.err());
+        result.err());
   }
 
   @Test
-  void aGoodFileIsSummedUp() throws Exception {
-    final Ran ran =
+  void validFile_isSummarized() throws Exception {
+    final Result result =
         run(
             "check",
-            file("[membership]\nenabled = true\n[membership.registration]\nenabled = true\n"
-                    + REGISTRY)
+            write(
+                    "[membership]\nenabled = true\n[membership.registration]\nenabled = true\n"
+                        + REGISTRY)
                 .toString());
-    assertEquals(0, ran.code(), ran.err());
-    assertTrue(ran.out().contains("membership 1 registries, registers itself"), ran.out());
+    assertEquals(0, result.code(), result.err());
+    assertTrue(result.out().contains("membership 1 registries, registers itself"), result.out());
   }
 
   @Test
-  void everyCommandHelps() {
+  void everyCommand_printsHelp() {
     for (final String command : new String[] {"serve", "check", "demo", "members"}) {
-      final Ran ran = run(command, "--help");
-      assertEquals(0, ran.code());
-      assertTrue(ran.out().contains("Usage: thistleturn " + command), ran.out());
+      final Result result = run(command, "--help");
+      assertEquals(0, result.code());
+      assertTrue(result.out().contains("Usage: thistleturn " + command), result.out());
     }
     assertTrue(run("--help").out().contains("Exit codes"));
     assertEquals(2, run("no-such-command").code());
   }
 
   @Test
-  void membersOfACourierThatIsNotThereIsOneLine() {
-    final Ran ran = run("members", "--at", "127.0.0.1:1");
-    assertEquals(1, ran.code());
-    assertTrue(ran.err().startsWith("no courier answers at 127.0.0.1:1"), ran.err());
-    assertFalse(ran.err().contains("\tat "));
+  void membersWithoutCourier_failsWithOneLine() {
+    final Result result = run("members", "--at", "127.0.0.1:1");
+    assertEquals(1, result.code());
+    assertTrue(result.err().startsWith("no courier answers at 127.0.0.1:1"), result.err());
+    assertFalse(result.err().contains("\tat "));
   }
 
   @Test
-  void theDemonstrationKeepsTheRulesThroughItsTroubles() {
-    final Ran ran = run("demo", "--seconds", "8", "--rate", "150");
-    assertEquals(0, ran.code(), ran.out() + ran.err());
-    assertTrue(ran.out().contains("all kept"), ran.out());
-    assertTrue(ran.out().contains("falls silent") && ran.out().contains("e4 is DOWN"), ran.out());
+  void demo_keepsDeliveryRulesDespiteFaults() {
+    final Result result = run("demo", "--seconds", "8", "--rate", "150");
+    assertEquals(0, result.code(), result.out() + result.err());
+    assertTrue(result.out().contains("all kept"), result.out());
+    assertTrue(
+        result.out().contains("falls silent") && result.out().contains("e4 is DOWN"), result.out());
     assertEquals(2, run("demo", "--seconds", "1").code());
   }
 }
--- a/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
@@ -18,15 +18,15 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * A third of a real fleet stands still in turn, under load: nobody is blamed for it, and nothing is
- * lost to it.
+ * A fleet of real couriers under load, a third of which is paused in turn: no endpoint is taken for
+ * faulty because of it, and no message is lost.
  */
 @Tag("health")
 final class PausedFleetTest {
   private static final long TIMEOUT_MS = 8000;
 
   @Test
-  void aThirdStandsStillInTurn(@TempDir final Path folder) throws IOException {
+  void thirdOfFleetPausedInTurn_keepsDeliveryRules(@TempDir final Path folder) throws IOException {
     final Schedule schedule =
         Schedule.parse(
             """
@@ -60,7 +60,7 @@
         fleet.play();
         assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
         world.await(
-            "an end for all",
+            "an outcome for every message",
             () ->
                 clients.stream().allMatch(client -> client.unanswered() <= 0)
                     && world.auditor.allEnded());
@@ -71,7 +71,7 @@
         assertTrue(all > 1000 && ends.getOrDefault("delivered", 0) >= 0.98 * all, ends::toString);
         assertTrue(
             fleet.lines().stream().anyMatch(line -> line.contains("did not run for")),
-            "nobody noticed that it stood still");
+            "no courier noticed its pause");
       } finally {
         clients.forEach(StandInClient::close);
       }
--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -25,13 +25,13 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * Real couriers by {@code bin/thistleturn serve}, each pair joined by a relay in each direction,
- * under faults.
+ * Gossip among real couriers started by {@code bin/thistleturn serve}, each pair of which is
+ * connected by a relay in each direction that injects faults.
  */
 @Tag("peers")
 final class PeersFleetTest {
-  /** Rounds of strangers' datagrams at most. */
-  private static final int MOST_ROUNDS = 10;
+  /** The most rounds in which malformed datagrams are sent. */
+  private static final int MAX_ROUNDS = 10;
 
   @TempDir private Path folder;
 
@@ -44,16 +44,16 @@
       final FleetJudge judge = fleet.play();
       assertEquals(List.of(), judge.broken(), () -> fleet.tally() + fleet.lines());
       assertTrue(judge.isAgreed(), () -> "views differ at the end: " + fleet.lines());
-      check.look(fleet);
+      check.verify(fleet);
       return judge;
     }
   }
 
   private interface Check {
-    void look(RealFleet fleet) throws IOException;
+    void verify(RealFleet fleet) throws IOException;
   }
 
-  private static String asked(final RealFleet fleet, final int number, final String... more) {
+  private static String peers(final RealFleet fleet, final int number, final String... more) {
     final StringWriter out = new StringWriter();
     final List<String> args = new ArrayList<>(List.of("peers", "--at", fleet.admin(number)));
     args.addAll(Arrays.asList(more));
@@ -63,11 +63,10 @@
   }
 
   /**
-   * A kill, a pause under the limit, a cut of one way and a start again, at 5% loss; then what
-   * operators are told.
+   * A kill, a pause below the limit, a one-way cut and a restart at 5% loss; then the admin page.
    */
   @Test
-  void fiveProcessesKnowOneAnotherThroughFaults() throws IOException {
+  void fiveProcessesUnderFaults_agreeOnMembers() throws IOException {
     final FleetJudge judge =
         play(
             """
@@ -81,31 +80,31 @@
                 at 10s start 3
                 """,
             fleet -> {
-              final JsonNode status = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
+              final JsonNode status = new ObjectMapper().readTree(peers(fleet, 2, "--json"));
               assertEquals("majority", status.path("standing").asText());
               assertEquals(5, status.path("view").path("members").size());
               assertEquals(0, status.path("malformed").asInt());
               assertEquals(0, status.path("too_large").asInt());
-              assertTrue(asked(fleet, 2).contains("NOT HEARD BY"));
+              assertTrue(peers(fleet, 2).contains("NOT HEARD BY"));
               assertEquals(
                   6,
-                  asked(fleet, 2, "--matrix")
+                  peers(fleet, 2, "--matrix")
                           .lines()
                           .filter(line -> line.startsWith("n0") || line.startsWith("HEARS"))
                           .count()
                       - 1,
-                  () -> "a head and a line for each: " + asked(fleet, 2, "--matrix"));
+                  () -> "a head and a line for each: " + peers(fleet, 2, "--matrix"));
             });
     assertEquals(1, judge.timesToKnow().size());
     assertTrue(judge.timesToKnow().get(0) < 4000, () -> "known after " + judge.timesToKnow());
   }
 
   /**
-   * In two parts, then whole again: the smaller one knows it, and is let in again. What strangers
-   * send moves nothing.
+   * A split that heals: the minority knows that it is one, and joins again. Malformed datagrams
+   * from outside the fleet do not change the membership.
    */
   @Test
-  void aSplitAndStrangers() throws IOException {
+  void splitFleetAndMalformedDatagrams_membershipRecovers() throws IOException {
     play(
         """
                 members 5
@@ -123,28 +122,27 @@
               fleet.lines()::toString);
           final JsonNode before = fleet.page(2);
           final Random random = new Random(33);
-          final int strangers = 200;
+          final int datagrams = 200;
           JsonNode after = before;
           try (DatagramSocket socket = new DatagramSocket()) {
             final String[] at = before.path("address").asText().split(":");
-            // A busy process reads them later than it is asked here, and its system may drop some:
-            // so more are sent.
+            // A busy courier may read them late and its system may drop some: so more are sent.
             for (int number = 0;
-                number < MOST_ROUNDS * strangers
-                    && (number < strangers || after.path("malformed").asInt() < strangers / 2);
+                number < MAX_ROUNDS * datagrams
+                    && (number < datagrams || after.path("malformed").asInt() < datagrams / 2);
                 number++) {
               final byte[] noise = new byte[1 + random.nextInt(1500)];
               random.nextBytes(noise);
               socket.send(
                   new DatagramPacket(
                       noise, noise.length, new InetSocketAddress(at[0], Integer.parseInt(at[1]))));
-              if ((number + 1) % strangers == 0) {
-                after = new ObjectMapper().readTree(asked(fleet, 2, "--json"));
+              if ((number + 1) % datagrams == 0) {
+                after = new ObjectMapper().readTree(peers(fleet, 2, "--json"));
               }
             }
           }
           assertEquals(before.path("view").path("members"), after.path("view").path("members"));
-          assertTrue(after.path("malformed").asInt() >= strangers / 2, after.toString());
+          assertTrue(after.path("malformed").asInt() >= datagrams / 2, after.toString());
         });
   }
 }
--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -25,8 +25,8 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * Real couriers that hold one state, each pair joined by a relay in each direction, under faults
- * and load.
+ * Replication among real couriers under load, each pair of which is connected by a relay in each
+ * direction that injects faults.
  */
 @Tag("replicas")
 final class ReplicasFleetTest {
@@ -79,20 +79,21 @@
       final String what, final RealFleet of, final BooleanSupplier condition) {
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_MS);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, () -> "never came: " + what + ": " + of.lines());
+      assertTrue(
+          System.nanoTime() < untilNs, () -> "timed out waiting for: " + what + ": " + of.lines());
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
-  /** True if a courier's decisions are bound by that word on an endpoint. */
-  private boolean isLeftOut(final int number, final String endpoint) {
-    final JsonNode lanes = fleet.ask(number, "lanes");
+  /** Whether a courier excludes an endpoint because of an operator's decision. */
+  private boolean isExcluded(final int number, final String endpoint) {
+    final JsonNode routes = fleet.ask(number, "lanes");
     boolean found = false;
-    for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
-      for (final JsonNode said : lane.path("said")) {
+    for (final JsonNode route : routes == null ? List.<JsonNode>of() : routes) {
+      for (final JsonNode constraint : route.path("said")) {
         found |=
-            said.path("what").asText().equals("exclusion")
-                && said.path("endpoint").asText().equals(endpoint);
+            constraint.path("what").asText().equals("exclusion")
+                && constraint.path("endpoint").asText().equals(endpoint);
       }
     }
     return found;
@@ -104,7 +105,7 @@
     }
   }
 
-  private String asked(final int code, final String... args) {
+  private String run(final int code, final String... args) {
     final StringWriter out = new StringWriter();
     assertEquals(
         code, Main.commandLine().setOut(new PrintWriter(out)).execute(args), out::toString);
@@ -112,11 +113,11 @@
   }
 
   /**
-   * Left out at one courier: none sends there any more, not after a kill and a start either, until
-   * one lets it serve.
+   * An endpoint that an operator excludes at one courier gets no calls from any, also after a
+   * restart, until an operator lets it serve again.
    */
   @Test
-  void anEndpointLeftOutAtOneIsLeftOutByAll() throws IOException {
+  void endpointExcludedAtOneCourier_isExcludedByAll() throws IOException {
     play(
         """
                 members 4
@@ -133,8 +134,8 @@
                 final StandInEndpoint first = endpoint(0);
                 assertTrue(fleet.maintain(0, first.name(), true));
                 for (int number = 0; number < 4; number++) {
-                  final int one = number;
-                  await("left out at " + one, fleet, () -> isLeftOut(one, first.name()));
+                  final int courier = number;
+                  await("excluded at " + courier, fleet, () -> isExcluded(courier, first.name()));
                 }
                 final long before = first.calls();
                 for (int number = 0; number < 4; number++) {
@@ -146,12 +147,13 @@
           fleet.at(
               9000,
               () -> {
-                await("known again after its start", fleet, () -> isLeftOut(2, endpoint(0).name()));
+                await(
+                    "known again after its start", fleet, () -> isExcluded(2, endpoint(0).name()));
                 assertTrue(
-                    asked(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2))
+                    run(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2))
                         .contains("left out: the last word counts"));
                 await(
-                    "nothing lacks anywhere",
+                    "equal state everywhere",
                     fleet,
                     () ->
                         fleet
@@ -159,16 +161,18 @@
                             .path("sum")
                             .equals(fleet.ask(0, "state").path("sum")));
                 assertTrue(
-                    asked(0, "state", "diff", fleet.admin(0), fleet.admin(2))
+                    run(0, "state", "diff", fleet.admin(0), fleet.admin(2))
                         .startsWith("both hold the same"));
-                // Another operator, elsewhere, who knows of the word: it takes its place
-                // everywhere.
+                // The decision at another courier is based on the first one, so it replaces it.
                 assertTrue(fleet.maintain(3, endpoint(0).name(), false));
                 for (int number = 0; number < 4; number++) {
-                  final int one = number;
-                  await("may serve at " + one, fleet, () -> !isLeftOut(one, endpoint(0).name()));
+                  final int courier = number;
+                  await(
+                      "may serve at " + courier,
+                      fleet,
+                      () -> !isExcluded(courier, endpoint(0).name()));
                 }
-                assertTrue(asked(0, "state", "show", "--at", fleet.admin(1)).contains("may serve"));
+                assertTrue(run(0, "state", "show", "--at", fleet.admin(1)).contains("may serve"));
               });
         });
   }
@@ -182,9 +186,9 @@
         && world.auditor.allEnded();
   }
 
-  /** Two sides of a split say the opposite at once: it stays left out, and both sides are told. */
+  /** Concurrent opposite decisions: the endpoint stays excluded, and both sides are notified. */
   @Test
-  void bothSidesOfASplitSayTheOpposite() throws IOException {
+  void oppositeDecisionsInSplit_keepEndpointExcludedAndAreReported() throws IOException {
     play(
         """
                 members 4
@@ -197,7 +201,7 @@
           fleet.at(
               3000,
               () -> {
-                await("heard before the cut", fleet, () -> isLeftOut(3, endpoint(0).name()));
+                await("heard before the cut", fleet, () -> isExcluded(3, endpoint(0).name()));
                 assertTrue(fleet.maintain(1, endpoint(0).name(), false));
                 assertTrue(fleet.maintain(2, endpoint(0).name(), true));
               });
@@ -205,8 +209,11 @@
               14_000,
               () -> {
                 for (int number = 0; number < 4; number++) {
-                  final int one = number;
-                  await("left out at " + one, fleet, () -> isLeftOut(one, endpoint(0).name()));
+                  final int courier = number;
+                  await(
+                      "excluded at " + courier,
+                      fleet,
+                      () -> isExcluded(courier, endpoint(0).name()));
                 }
                 await(
                     "both sides are told",
@@ -219,15 +226,14 @@
                                 .count()
                             == 4);
                 assertTrue(
-                    asked(0, "state", "show", "--at", fleet.admin(0))
-                        .contains("left out, disputed"));
+                    run(0, "state", "show", "--at", fleet.admin(0)).contains("left out, disputed"));
               });
         });
   }
 
-  /** A wait told to one courier binds the others for as long as it was told for, and no longer. */
+  /** A Retry-After to one courier binds the others for its duration, and no longer. */
   @Test
-  void aWaitToldToOneBindsAll() throws IOException {
+  void retryAfterToOneCourier_bindsAll() throws IOException {
     play(
         """
                 members 4
@@ -245,12 +251,13 @@
                   final long before = third.calls();
                   deliver(0, 1, 2);
                   await("refused", fleet, () -> third.calls() == before + 1);
-                  final long toldNs = System.nanoTime();
+                  final long retryAfterNs = System.nanoTime();
                   third.fare(Manner.after(0));
-                  await("heard by all", fleet, () -> waits(1) && waits(2) && waits(3));
+                  await(
+                      "heard by all", fleet, () -> isHeldBack(1) && isHeldBack(2) && isHeldBack(3));
                   assertTrue(
-                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 1500,
-                      "heard too late to be of use");
+                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs) < 1500,
+                      "received too late to be of use");
                   for (int number = 1; number < 4; number++) {
                     deliver(number, 2, 2);
                   }
@@ -258,25 +265,26 @@
                       "its end",
                       fleet,
                       () -> {
-                        if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 2900) {
+                        if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs)
+                            < 2900) {
                           assertEquals(before + 1, third.calls(), "a call within the wait");
                         }
                         return allEnded();
                       });
                   assertTrue(
-                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldNs) < 7500,
-                      "bound for longer than told");
+                      TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs) < 7500,
+                      "bound for longer than the wait");
                 }));
   }
 
-  private boolean waits(final int number) {
-    final JsonNode lanes = fleet.ask(number, "lanes");
+  private boolean isHeldBack(final int number) {
+    final JsonNode routes = fleet.ask(number, "lanes");
     boolean found = false;
-    for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
-      for (final JsonNode said : lane.path("said")) {
+    for (final JsonNode route : routes == null ? List.<JsonNode>of() : routes) {
+      for (final JsonNode constraint : route.path("said")) {
         found |=
-            said.path("what").asText().equals("wait")
-                && said.path("by").asText().equals("fleet: n00");
+            constraint.path("what").asText().equals("wait")
+                && constraint.path("by").asText().equals("fleet: n00");
       }
     }
     return found;
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -29,19 +29,19 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInWorld;
 
-/** Couriers as processes of their own: by the platform's line, and by the product's. */
+/** Couriers as processes: started by the platform without settings, and by {@code serve}. */
 @Tag("membership")
 final class ServeTest {
-  private static final long PATIENCE_S = 30;
+  private static final long TIMEOUT_S = 30;
 
   @TempDir private Path folder;
 
-  /** A process with what it says. */
-  private static final class Started implements AutoCloseable {
+  /** A process and the lines that it prints. */
+  private static final class RunningProcess implements AutoCloseable {
     private final Process process;
     private final List<String> lines = new CopyOnWriteArrayList<>();
 
-    Started(final StandInWorld world, final String... command) throws IOException {
+    RunningProcess(final StandInWorld world, final String... command) throws IOException {
       final List<String> all =
           new ArrayList<>(
               List.of(
@@ -63,14 +63,14 @@
       reader.start();
     }
 
-    private boolean says(final String text) {
+    private boolean hasPrinted(final String text) {
       return lines.stream().anyMatch(line -> line.contains(text));
     }
 
     @Override
     public void close() {
       process.destroyForcibly();
-      process.onExit().orTimeout(PATIENCE_S, TimeUnit.SECONDS).join();
+      process.onExit().orTimeout(TIMEOUT_S, TimeUnit.SECONDS).join();
     }
   }
 
@@ -81,12 +81,13 @@
   }
 
   @Test
-  void thePlatformsProcessLoadsNothingOfAnySubsystem() throws Exception {
+  void processWithoutSettingsFile_loadsNoSubsystem() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 1);
-        Started courier = new Started(world, "-Xlog:class+load", "thistleturn.courier.Main")) {
-      world.await("ready", () -> courier.says("is ready at"));
-      assertTrue(courier.says("thistleturn.courier.DecisionLoop "), "classes are logged");
-      for (final String room :
+        RunningProcess courier =
+            new RunningProcess(world, "-Xlog:class+load", "thistleturn.courier.Main")) {
+      world.await("ready", () -> courier.hasPrinted("is ready at"));
+      assertTrue(courier.hasPrinted("thistleturn.courier.DecisionLoop "), "classes are logged");
+      for (final String packageName :
           List.of(
               "thistleturn.eureka.",
               "thistleturn.membership.",
@@ -97,13 +98,15 @@
               "thistleturn.decisions.peers.",
               "picocli.",
               "jackson.dataformat")) {
-        assertFalse(courier.says(" " + room) || courier.says(room + "To"), "loaded: " + room);
+        assertFalse(
+            courier.hasPrinted(" " + packageName) || courier.hasPrinted(packageName + "To"),
+            "loaded: " + packageName);
       }
     }
   }
 
   @Test
-  void aCourierWithAFileFollowsItsRegistryAndTellsOperators() throws Exception {
+  void courierWithSettingsFile_followsRegistryAndServesAdminPages() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 2)) {
       final StandInEndpoint endpoint = world.endpoint(7);
       world.registry.register(StandInRegistry.endpoint("heat", "i", endpoint.port(), 7, "UP"));
@@ -125,10 +128,12 @@
                     """
               .formatted(admin, world.registry.url());
       Files.writeString(file, text);
-      try (Started courier =
-          new Started(world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
-        world.await("ready", () -> courier.says("is ready at") && courier.says("operators ask at"));
-        world.await("its own entry", () -> courier.says("is there"));
+      try (RunningProcess courier =
+          new RunningProcess(world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
+        world.await(
+            "ready",
+            () -> courier.hasPrinted("is ready at") && courier.hasPrinted("operators ask at"));
+        world.await("its own entry", () -> courier.hasPrinted("is there"));
         final String ready =
             courier.lines.stream()
                 .filter(line -> line.contains("is ready at"))
@@ -147,42 +152,43 @@
                 + member.path("by").asText()
                 + " "
                 + member.path("because").asText());
-        final JsonNode lane = new ObjectMapper().readTree(asked("lanes", admin, "--json")).get(0);
+        final JsonNode route = new ObjectMapper().readTree(run("lanes", admin, "--json")).get(0);
         assertEquals(
             "WELL UNSURE nothing waits",
-            lane.path("phase").asText()
+            route.path("phase").asText()
                 + " "
-                + lane.path("cause").asText()
+                + route.path("cause").asText()
                 + " "
-                + lane.path("why").asText());
-        assertTrue(asked("lanes", admin).contains("READ AS"));
+                + route.path("why").asText());
+        assertTrue(run("lanes", admin).contains("READ AS"));
         world.registry.status("heat", "i", "DOWN");
         world.await("the drain", () -> members(admin).contains("draining"));
-        // A file that cannot be used changes nothing.
+        // An invalid file changes nothing.
         Files.writeString(file, text.replace("100ms", "100"));
-        hangUp(courier.process);
+        sendHangUp(courier.process);
         world.await(
-            "the complaint", () -> courier.says("the registries stay as they were: " + file));
+            "the error message",
+            () -> courier.hasPrinted("the registries stay as they were: " + file));
         assertTrue(members(admin).contains("installers"));
         courier.process.destroy();
-        assertTrue(courier.process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(courier.process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(1, world.registry.size(), "its own entry is gone");
       }
     }
   }
 
-  private static void hangUp(final Process process) throws Exception {
+  private static void sendHangUp(final Process process) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
   private static String members(final int port, final String... more) {
-    return asked("members", port, more);
+    return run("members", port, more);
   }
 
-  private static String asked(final String what, final int port, final String... more) {
+  private static String run(final String command, final int port, final String... more) {
     final StringWriter out = new StringWriter();
-    final List<String> args = new ArrayList<>(List.of(what, "--at", "127.0.0.1:" + port));
+    final List<String> args = new ArrayList<>(List.of(command, "--at", "127.0.0.1:" + port));
     args.addAll(Arrays.asList(more));
     final int code =
         Main.commandLine().setOut(new PrintWriter(out)).execute(args.toArray(String[]::new));
@@ -191,16 +197,17 @@
   }
 
   @Test
-  void aFileThatCannotBeUsedEndsTheStart() throws Exception {
+  void invalidSettingsFile_failsTheStart() throws Exception {
     final Path file =
         Files.writeString(folder.resolve("bad.toml"), "[membership]\nenable = true\n");
     try (StandInWorld world = new StandInWorld(folder, 3);
-        Started courier =
-            new Started(world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
-      assertTrue(courier.process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+        RunningProcess courier =
+            new RunningProcess(
+                world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
+      assertTrue(courier.process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
       assertEquals(2, courier.process.exitValue());
       world.await(
-          "the reason", () -> courier.says(file + ": membership.enable = true: unknown key"));
+          "the reason", () -> courier.hasPrinted(file + ": membership.enable = true: unknown key"));
     }
   }
 }
