--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipItem.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipItem.java
@@ -1,65 +1,70 @@
 package thistleturn.decisions.peers;
 
 /**
- * One thing that a datagram tells. Each names what wins where two of a kind disagree, so that order
- * and doubling do not matter.
+ * One piece of information in a packet. Each type states which of two items on the same topic wins,
+ * so that order and duplication do not matter.
  */
 public sealed interface GossipItem {
-  /** Bytes that it takes at most beside its names. */
-  int FIXED_BYTES = 48;
-
-  /** How many bytes it takes at most once it is written down. */
+  /** Returns how many bytes the item takes at most once it is encoded. */
   int maxBytes();
 
-  /** How a life stands. */
+  /** Whether an incarnation goes on; a later constant wins over an earlier one. */
   enum Liveness {
+    /** It neither left nor was declared dead. */
     ALIVE,
+    /** It announced that it leaves. */
     LEFT,
+    /** It was removed from the view by agreement. */
     DEAD
   }
 
-  /** A life and where it listens: the higher incarnation wins, then DEAD over LEFT over ALIVE. */
+  /**
+   * An incarnation, its address and its liveness. The higher incarnation wins, then the later
+   * {@link Liveness}.
+   */
   record MemberUpdate(PeerId id, String address, Liveness liveness) implements GossipItem {
     @Override
     public int maxBytes() {
-      return FIXED_BYTES + id.name().length() + address.length();
+      return EncodedSizes.ITEM_BYTES + id.name().length() + address.length();
     }
   }
 
   /**
-   * What an observer says of its hearing of a subject, for {@code ageUs} by now: the observer's
-   * later life, then later row, wins.
+   * What an observer reports about its reaching a subject. The observer's later incarnation wins,
+   * then the later version.
+   *
+   * @param ageUs for how long it has been so
    */
   record ReachabilityReport(
       PeerId observer, PeerId subject, long version, Reachability reachability, long ageUs)
       implements GossipItem {
     @Override
     public int maxBytes() {
-      return FIXED_BYTES + observer.name().length() + subject.name().length();
+      return EncodedSizes.ITEM_BYTES + observer.name().length() + subject.name().length();
     }
   }
 
-  /** A sign of life, counted by the life itself: the higher count wins. */
+  /** A heartbeat, counted by the incarnation itself. The higher count wins. */
   record Heartbeat(PeerId id, long count) implements GossipItem {
     @Override
     public int maxBytes() {
-      return FIXED_BYTES - 16 + id.name().length();
+      return EncodedSizes.HEARTBEAT_BYTES + id.name().length();
     }
   }
 
-  /** What a life said of itself, with its own count of such words: the higher count wins. */
+  /** What an incarnation reports about itself. The higher version, which it counts itself, wins. */
   record StatusUpdate(PeerId id, long version, PeerStatus status) implements GossipItem {
     @Override
     public int maxBytes() {
-      return FIXED_BYTES + id.name().length();
+      return EncodedSizes.ITEM_BYTES + id.name().length();
     }
   }
 
-  /** Asks for the full state: of a view of which nothing is known here. */
+  /** Requests the full state, since the sender of the request lacks the receiver's view. */
   record FullStateRequest() implements GossipItem {
     @Override
     public int maxBytes() {
-      return 4;
+      return EncodedSizes.EMPTY_BYTES;
     }
   }
 
@@ -67,47 +72,37 @@
   record ViewDecision(ViewId viewId, ViewChange change) implements GossipItem {
     @Override
     public int maxBytes() {
-      return FIXED_BYTES + maxBytesOf(change);
+      return EncodedSizes.ITEM_BYTES + EncodedSizes.of(change);
     }
   }
 
-  /** A message of the agreement on the view after {@code viewId}; what is not used is 0 or null. */
+  /**
+   * A message of the agreement on the change that follows a view; unused components are 0 or null.
+   */
   record PaxosMessage(ViewId viewId, Type type, long ballot, long acceptedBallot, ViewChange change)
       implements GossipItem {
-    /** What it says. */
+    /** The types of messages. */
     public enum Type {
-      /** Asks for a promise to heed no lower ballot. */
+      /** Requests a promise to accept no lower ballot. */
       PREPARE,
-      /** Promises it, and says what was accepted under which ballot. */
+      /** Promises it, and reports what was accepted under which ballot. */
       PROMISE,
-      /** Asks to accept a change. */
+      /** Requests to accept a change. */
       ACCEPT,
       /**
-       * The same, with a change that an earlier ballot may have chosen: nobody may turn it down for
+       * The same, with a change that an earlier ballot may have chosen: nobody may reject it for
        * its content.
        */
       ACCEPT_BOUND,
       /** Accepts it. */
       ACCEPTED,
-      /** Names the higher ballot that was promised. */
+      /** Reports the higher ballot that was promised. */
       REJECT
     }
 
     @Override
     public int maxBytes() {
-      return FIXED_BYTES + (change == null ? 0 : maxBytesOf(change));
-    }
-  }
-
-  /** How many bytes a change takes at most. */
-  static int maxBytesOf(final ViewChange change) {
-    int sum = 4;
-    for (final PeerId id : change.removed()) {
-      sum += 12 + id.name().length();
-    }
-    for (final ViewMember member : change.added()) {
-      sum += 16 + member.id().name().length() + member.address().length();
+      return EncodedSizes.ITEM_BYTES + (change == null ? 0 : EncodedSizes.of(change));
     }
-    return sum;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipSettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipSettings.java
@@ -1,18 +1,18 @@
 package thistleturn.decisions.peers;
 
 /**
- * The times and counts of the exchange, us.
+ * Intervals, timeouts and counts of the membership protocol; times are microseconds.
  *
- * @param tickIntervalUs how often {@link MembershipProtocol#tick} comes
- * @param probeIntervalUs how often a courier asks each of those that it watches
- * @param silenceTimeoutUs after which it says that it does not hear one
- * @param heartbeatFreshnessUs a sign of life that somebody passes on counts for so long
- * @param deathTimeoutUs after which silence alone, told by enough others, is an end: the longest
- *     pause that costs nobody his place is a little less
- * @param foundingDelayUs a courier that hears of no view for so long founds one
- * @param tombstoneRetentionUs how long the ended and the left are remembered
- * @param maxMonitored how many others a courier watches at most
- * @param committeeSize how many members at most agree on the next view
+ * @param tickIntervalUs how often {@link MembershipProtocol#tick} is called
+ * @param probeIntervalUs how often a courier pings each peer that it monitors
+ * @param silenceTimeoutUs after which it reports a peer as silent
+ * @param heartbeatFreshnessUs for how long a forwarded heartbeat counts as a sign of life
+ * @param deathTimeoutUs after which silence alone, reported by enough others, is a death: the
+ *     longest pause that costs no member its place is a little less
+ * @param foundingDelayUs after which a courier that hears of no view founds one
+ * @param tombstoneRetentionUs for how long peers that ended are remembered
+ * @param maxMonitored how many peers a courier monitors
+ * @param committeeSize how many members agree on the next view
  */
 public record GossipSettings(
     long tickIntervalUs,
@@ -24,15 +24,23 @@
     long tombstoneRetentionUs,
     int maxMonitored,
     int committeeSize) {
-  private static final long MS = 1000;
+  private static final long MILLI_US = 1000;
 
-  /** The usual ones. */
+  /** Returns the default settings. */
   public static GossipSettings defaults() {
     return new GossipSettings(
-        100 * MS, 500 * MS, 2000 * MS, 2500 * MS, 8000 * MS, 2000 * MS, 3_600_000 * MS, 9, 9);
+        100 * MILLI_US,
+        500 * MILLI_US,
+        2000 * MILLI_US,
+        2500 * MILLI_US,
+        8000 * MILLI_US,
+        2000 * MILLI_US,
+        3_600_000 * MILLI_US,
+        9,
+        9);
   }
 
-  /** The same with another time after which silence is an end. */
+  /** Returns the same settings with another death timeout. */
   public GossipSettings withDeathTimeoutUs(final long us) {
     return new GossipSettings(
         tickIntervalUs,
--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipStatus.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipStatus.java
@@ -1,15 +1,15 @@
 package thistleturn.decisions.peers;
 
-/** Where a courier stands in its fleet. */
+/** The status of this courier in its fleet. */
 public enum MembershipStatus {
-  /** It holds no view yet, or its view does not hold it. */
+  /** It holds no view yet, or is no member of the one that it holds. */
   FORMING,
-  /** It hears more than half of the members of its view. */
+  /** It reaches more than half of the members of its view. */
   MAJORITY,
-  /** It hears half of them or fewer: nobody is declared dead here. */
+  /** It reaches half of them or fewer: it declares no peer dead. */
   MINORITY,
-  /** It hears nobody of them. */
+  /** It reaches none of them. */
   ALONE,
-  /** Another process uses its name, and began later: it keeps out. */
+  /** Another process that started later uses its name: it keeps out of the fleet. */
   CONFLICT
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * One datagram.
+ * One datagram of the membership protocol.
  *
- * @param sender whose it is; null: somebody who only looks (a name in conflict)
- * @param address where the sender listens
- * @param sequence counted by the sender, so that a doubled or old one is known
- * @param heartbeat the sender's sign of life
- * @param viewId what the sender holds
- * @param statusVersion count of the sender's words so far
- * @param status the last of them
- * @param type what it is for
- * @param echoedSequence of a PONG: the PING's seq; else 0
- * @param items what it tells
+ * @param sender the sending incarnation; null: a process that only asks about a name
+ * @param address on which the sender listens
+ * @param sequence counted by the sender, which reveals duplicated and stale packets
+ * @param heartbeat the sender's heartbeat count
+ * @param viewId the view that the sender holds
+ * @param statusVersion the version of the sender's status
+ * @param status what the sender reports about itself
+ * @param type of the packet
+ * @param echoedSequence in a PONG the sequence of the PING; otherwise 0
+ * @param items what the packet carries
  */
 public record Packet(
     PeerId sender,
@@ -28,15 +28,18 @@
     long echoedSequence,
     List<GossipItem> items) {
   /**
-   * Bytes of all items together that a datagram carries at most; the rest of 1,200 is for its head
-   * and its seal.
+   * Bytes of all items of a packet together; the rest of 1,200 is for its head and its
+   * authentication.
    */
   public static final int MAX_ITEM_BYTES = 900;
 
-  /** What a datagram is for. */
+  /** The types of packets. */
   public enum Type {
+    /** Requests an answer. */
     PING,
+    /** Answers a PING. */
     PONG,
+    /** Requests no answer. */
     GOSSIP
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerActions.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerActions.java
@@ -1,22 +1,25 @@
 package thistleturn.decisions.peers;
 
-/** What goes out. Addresses are {@code host:port}, as their owners tell them. */
+/**
+ * What the membership protocol has its surroundings do. Addresses are {@code host:port}, as their
+ * owners report them.
+ */
 public interface PeerActions {
-  /** A datagram; it may be lost. */
+  /** Sends a packet, which may be lost. */
   void send(String to, Packet packet);
 
   /**
-   * Begins a connection there that is kept; what becomes of it is told. One that is there already
-   * is ended first.
+   * Opens a connection that is kept; its outcome is reported to {@link MembershipProtocol}. A
+   * connection to the same address is closed first.
    */
   void connect(String to);
 
-  /** Ends the connection there, if there is one; nothing more is told of it. */
+  /** Closes the connection to an address, if there is one; nothing more is reported about it. */
   void disconnect(String to);
 
-  /** All that is known, over a connection, kept or made for it; it may be lost. */
-  void sendFullState(String to, FullStateMessage full);
+  /** Sends the full state over a connection, kept or opened for it; it may be lost. */
+  void sendFullState(String to, FullStateMessage message);
 
-  /** Something for operators. */
+  /** Notifies operators. */
   void onEvent(PeerEvent event);
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerId.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerId.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 
 /**
- * One life of a courier: its name, and which of the lives of that name it is. A later life has a
- * higher incarnation, and proves that every earlier one is over.
+ * One incarnation of a courier. A later incarnation of a name has a higher number, and proves that
+ * every earlier one has ended.
  *
- * @param name at most {@link #MAX_NAME_LENGTH} letters
- * @param incarnation above 0; begins as the wall clock's microseconds at a start
+ * @param name at most {@link #MAX_NAME_LENGTH} characters
+ * @param incarnation above 0; starts as the wall clock's microseconds
  */
 public record PeerId(String name, long incarnation) implements Comparable<PeerId> {
-  /** Letters that a name may have. */
+  /** Characters that a name may have. */
   public static final int MAX_NAME_LENGTH = 64;
 
   private static final Comparator<PeerId> ORDER =
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerSnapshot.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerSnapshot.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a courier knows of another.
+ * What a courier knows of a peer.
  *
- * @param id its latest life
- * @param address where it listens
+ * @param id its latest incarnation
+ * @param address on which it listens
  * @param state what is known of it
- * @param stateAgeUs since when, us
- * @param unreachableReports who says not to hear it, by name: its column of the reach matrix, where
- *     whoever watches it and is not named hears it
- * @param localReachability what is heard here; null: it is not watched here
- * @param roundTripUs the round trip, smoothed; 0: none measured
- * @param status what it last said of itself
+ * @param stateAgeUs for how long it has been in that state
+ * @param unreachableReports who does not reach it, in the order of names; all other observers that
+ *     monitor it reach it
+ * @param localReachability this courier's own finding; null: it does not monitor the peer
+ * @param roundTripUs the smoothed round trip; 0: none was measured
+ * @param status what it last reported about itself
  */
 public record PeerSnapshot(
     PeerId id,
@@ -24,7 +24,7 @@
     Reachability localReachability,
     long roundTripUs,
     PeerStatus status) {
-  /** One observer's word, and how old it is, us. */
+  /** One observer's report that it does not reach the peer, and for how long that has been so. */
   public record UnreachableReport(String observer, Reachability reachability, long ageUs)
       implements Comparable<UnreachableReport> {
     @Override
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerState.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerState.java
@@ -1,17 +1,19 @@
 package thistleturn.decisions.peers;
 
-/** What is known of a courier. The rules are those of {@link MembershipProtocol}. */
+/** The state of a peer, as {@link MembershipTable} derives it. */
 public enum PeerState {
-  /** Known, and not yet in the agreed view. */
+  /** Known, and not yet a member of the view. */
   JOINING,
-  /** Nobody says that it is not heard. */
+  /** Every observer reaches it. */
   ALIVE,
-  /** Some do not hear it and others do, now: a cut of some ways, or of one direction. */
+  /**
+   * Some observers reach it and others do not: a partial partition, or one in a single direction.
+   */
   PARTLY,
-  /** Somebody does not hear it, and no fresh sign of it comes from anybody. */
+  /** Some observer does not reach it, and no fresh heartbeat arrives from anybody. */
   SUSPECT,
-  /** Taken out of the view by agreement. */
+  /** Removed from the view by agreement. */
   DEAD,
-  /** It said that it goes. */
+  /** It announced that it leaves. */
   LEFT
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/Reachability.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Reachability.java
@@ -1,13 +1,14 @@
 package thistleturn.decisions.peers;
 
-/** What one courier says of its own hearing of another: the cells of the reach matrix. */
+/** An observer's finding about a peer that it monitors. */
 public enum Reachability {
-  /** Heard lately. */
+  /** Packets of it were received lately. */
   HEARD,
-  /** Nothing of it came for the time that the rules name. */
+  /** No packet of it was received for the silence timeout. */
   SILENT,
   /**
-   * The system at its address says that it is over: connections end or are refused there at once.
+   * Connections to its address end or are refused at once: the operating system there shows that
+   * the process ended.
    */
   ENDED
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewChange.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewChange.java
@@ -2,16 +2,30 @@
 
 import java.util.List;
 
-/** From one view to the next: who goes and who comes, each in order. */
+/** What changes from one view to the next: who is removed and who is added, each in order. */
 public record ViewChange(List<PeerId> removed, List<ViewMember> added) {
-  /** Lists that nobody changes any more. */
+  /** Changes nothing. */
+  public static final ViewChange NONE = new ViewChange(List.of(), List.of());
+
+  /** Copies the lists, so that the change is immutable. */
   public ViewChange {
     removed = List.copyOf(removed);
     added = List.copyOf(added);
   }
 
-  /** True if nobody goes or comes. */
+  /** Returns true if nobody is removed or added. */
   public boolean isEmpty() {
     return removed.isEmpty() && added.isEmpty();
   }
+
+  /** Describes the change to operators. */
+  String describe() {
+    if (isEmpty()) {
+      return "no change";
+    }
+    final StringBuilder text = new StringBuilder();
+    removed.forEach(id -> text.append(" -").append(id.name()));
+    added.forEach(member -> text.append(" +").append(member.id().name()));
+    return text.substring(1);
+  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewId.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewId.java
@@ -1,35 +1,39 @@
 package thistleturn.decisions.peers;
 
 /**
- * Which view somebody holds. Marks are compared by {@link #isPreferredOver} only across lines.
+ * Identifies a view. Ids are compared by {@link #isPreferredOver} across lineages, and by number
+ * within one.
  *
- * @param generation of its line; 0: it holds none
- * @param founder a number drawn by whoever founded the line
- * @param number of the view in its line, from 1
- * @param size how many members it has
+ * @param generation of the lineage; 0: there is no view
+ * @param founder a random number drawn by the founder of the lineage
+ * @param number of the view within the lineage, from 1
+ * @param size how many members the view has
  */
 public record ViewId(long generation, long founder, long number, int size) {
-  /** No view. */
+  /** Stands for no view. */
   public static final ViewId NONE = new ViewId(0, 0, 0, 0);
 
-  /** True for a view at all. */
+  /** Returns true unless this stands for no view. */
   public boolean isPresent() {
     return generation > 0;
   }
 
-  /** True if both are views of one line, in which a number has one content. */
+  /** Returns true if both are of one lineage, in which views with the same number are equal. */
   public boolean isSameLineage(final ViewId other) {
     return generation == other.generation && founder == other.founder;
   }
 
   /**
-   * True if a member of the other line moves to this one: the larger one, then the later one, then
-   * by lot.
+   * Returns true if members of the other view's lineage move to this one's: the larger view is
+   * preferred, then the later generation, then the higher founder.
    */
   public boolean isPreferredOver(final ViewId other) {
     if (size != other.size) {
       return size > other.size;
     }
-    return generation != other.generation ? generation > other.generation : founder > other.founder;
+    if (generation != other.generation) {
+      return generation > other.generation;
+    }
+    return founder > other.founder;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewMember.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewMember.java
@@ -1,6 +1,11 @@
 package thistleturn.decisions.peers;
 
-/** A member of a view: which life of which courier, and where it listens ({@code address:port}). */
+/**
+ * A member of a view. Members are ordered by their ids alone.
+ *
+ * @param id which incarnation of which courier
+ * @param address on which it listens, {@code host:port}
+ */
 public record ViewMember(PeerId id, String address) implements Comparable<ViewMember> {
   @Override
   public int compareTo(final ViewMember other) {
--- a/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One number, one content: all orders of three members' messages, each lost, late or doubled as it
- * may be, to a stated depth.
+ * At most one change is decided for a view: searches all orders of the messages of three members,
+ * each lost, delayed or duplicated, to a stated depth.
  */
 @Tag("peers")
 final class PaxosInstanceTest {
@@ -25,53 +25,49 @@
       new View(1, 7, 1, IDS.stream().map(id -> new ViewMember(id, id.name())).toList(), IDS);
   private static final List<ViewChange> PROPOSALS = List.of(change("x"), change("y"), change("z"));
 
-  /**
-   * So many states are enough for every depth that is said below; beyond it the search would have
-   * changed.
-   */
+  /** Enough for every depth below; a search that needs more has changed. */
   private static final int MAX_STATES = 600_000;
 
   private static ViewChange change(final String name) {
     return new ViewChange(List.of(), List.of(new ViewMember(new PeerId(name, 1), name)));
   }
 
-  private record Envelope(int from, int to, GossipItem.PaxosMessage vote) {}
+  private record Envelope(int from, int to, GossipItem.PaxosMessage message) {}
 
-  /** All that was ever said stays on the way: it may come now, later, again, or never. */
+  /** Every message ever sent stays in flight: it may arrive now, later, again, or never. */
   private record World(
-      List<PaxosInstance> members, Set<Envelope> inFlight, int raises, int restarts) {}
+      List<PaxosInstance> members, Set<Envelope> inFlight, int higherBallots, int restarts) {}
 
   private static World applyStep(
       final World world,
       final int member,
       final UnaryOperator<PaxosInstance> step,
-      final int raises,
+      final int higherBallots,
       final int restarts) {
     final List<PaxosInstance> members = new ArrayList<>(world.members());
     final PaxosInstance changed = step.apply(new PaxosInstance(members.get(member)));
     members.set(member, changed);
-    final Set<Envelope> way = new HashSet<>(world.inFlight());
-    // What a member says to itself comes at once, as it does in the program; so it goes on until
-    // nothing is new.
-    boolean more = true;
-    while (more) {
-      more = false;
-      for (final PaxosInstance.AddressedMessage letter : changed.outstandingMessages()) {
-        final int to = IDS.indexOf(letter.to());
+    final Set<Envelope> inFlight = new HashSet<>(world.inFlight());
+    // A member delivers its messages to itself at once, as the program does, until nothing changes.
+    boolean progressed = true;
+    while (progressed) {
+      progressed = false;
+      for (final PaxosInstance.AddressedMessage outgoing : changed.outstandingMessages()) {
+        final int to = IDS.indexOf(outgoing.to());
         if (to != member) {
-          way.add(new Envelope(member, to, letter.message()));
+          inFlight.add(new Envelope(member, to, outgoing.message()));
           continue;
         }
         final PaxosInstance before = new PaxosInstance(changed);
         final GossipItem.PaxosMessage answer =
-            changed.onMessage(IDS.get(member), letter.message(), change -> true);
+            changed.onMessage(IDS.get(member), outgoing.message(), change -> true);
         if (answer != null) {
           changed.onMessage(IDS.get(member), answer, change -> true);
         }
-        more |= !changed.equals(before);
+        progressed |= !changed.equals(before);
       }
     }
-    return new World(members, way, raises, restarts);
+    return new World(members, inFlight, higherBallots, restarts);
   }
 
   private static World deliver(final World world, final Envelope envelope) {
@@ -82,13 +78,13 @@
             envelope.to(),
             member -> {
               final GossipItem.PaxosMessage answer =
-                  member.onMessage(IDS.get(envelope.from()), envelope.vote(), change -> true);
+                  member.onMessage(IDS.get(envelope.from()), envelope.message(), change -> true);
               if (answer != null) {
                 answers.add(answer);
               }
               return member;
             },
-            world.raises(),
+            world.higherBallots(),
             world.restarts());
     answers.forEach(
         answer -> next.inFlight().add(new Envelope(envelope.to(), envelope.from(), answer)));
@@ -96,11 +92,11 @@
   }
 
   /**
-   * What can happen next: proposals by two, ballots raised, one amnesia if that is planted, any
-   * message that is on its way.
+   * Returns what can happen next: two members propose or start a higher ballot, one member forgets
+   * everything if that is planted, or any message in flight arrives.
    */
   private static List<World> successors(
-      final World world, final int mostRaises, final boolean forgets) {
+      final World world, final int maxHigherBallots, final boolean forgets) {
     final List<World> all = new ArrayList<>();
     for (int member = 0; member < 2; member++) {
       final int one = member;
@@ -114,9 +110,10 @@
                   agreement.propose(PROPOSALS.get(one));
                   return agreement;
                 },
-                world.raises(),
+                world.higherBallots(),
                 world.restarts()));
-      } else if (world.raises() < mostRaises && world.members().get(member).isProposing()) {
+      } else if (world.higherBallots() < maxHigherBallots
+          && world.members().get(member).isProposing()) {
         all.add(
             applyStep(
                 world,
@@ -125,7 +122,7 @@
                   agreement.startHigherBallot(PROPOSALS.get(one));
                   return agreement;
                 },
-                world.raises() + 1,
+                world.higherBallots() + 1,
                 world.restarts()));
       }
     }
@@ -137,7 +134,7 @@
                 world,
                 member,
                 agreement -> new PaxosInstance(VIEW, IDS.get(one)),
-                world.raises(),
+                world.higherBallots(),
                 1));
       }
     }
@@ -150,22 +147,22 @@
   private record SearchResult(int states, int depth, int decisions, World violation) {}
 
   private static SearchResult search(
-      final int mostRaises, final int mostDepth, final boolean forgets) {
-    Set<World> edge = new HashSet<>();
-    edge.add(
+      final int maxHigherBallots, final int maxDepth, final boolean forgets) {
+    Set<World> frontier = new HashSet<>();
+    frontier.add(
         new World(IDS.stream().map(id -> new PaxosInstance(VIEW, id)).toList(), Set.of(), 0, 0));
-    final Set<World> seen = new HashSet<>(edge);
+    final Set<World> seen = new HashSet<>(frontier);
     int decisions = 0;
     int depth = 0;
-    while (depth < mostDepth && !edge.isEmpty() && seen.size() < MAX_STATES) {
+    while (depth < maxDepth && !frontier.isEmpty() && seen.size() < MAX_STATES) {
       depth++;
-      final Set<World> further = new HashSet<>();
-      for (final World world : edge) {
-        for (final World one : successors(world, mostRaises, forgets)) {
+      final Set<World> nextFrontier = new HashSet<>();
+      for (final World world : frontier) {
+        for (final World one : successors(world, maxHigherBallots, forgets)) {
           if (!seen.add(one)) {
             continue;
           }
-          further.add(one);
+          nextFrontier.add(one);
           final Set<ViewChange> decided = new HashSet<>();
           one.members()
               .forEach(
@@ -180,30 +177,27 @@
           }
         }
       }
-      edge = further;
+      frontier = nextFrontier;
     }
     return new SearchResult(seen.size(), depth, decisions, null);
   }
 
   @Test
   void anyMessageOrder_decidesAtMostOneChangePerView() {
-    final SearchResult found = search(1, 10, false);
+    final SearchResult result = search(1, 10, false);
     System.out.println(
         "agreement: "
-            + found.states()
+            + result.states()
             + " states to depth "
-            + found.depth()
+            + result.depth()
             + ", "
-            + found.decisions()
+            + result.decisions()
             + " decided");
-    assertNull(found.violation());
-    assertTrue(found.decisions() > 0, "decisions are within reach of the search");
+    assertNull(result.violation());
+    assertTrue(result.decisions() > 0, "the search reaches decisions");
   }
 
-  /**
-   * The search is sharp enough to see what the design rules out: a life that forgets what it
-   * promised.
-   */
+  /** The search finds what the design rules out: an incarnation that forgets what it promised. */
   @Test
   void restartedAcceptorThatForgetsPromises_violatesAgreement() {
     assertNotNull(search(0, 12, true).violation());
@@ -223,24 +217,24 @@
             members.get(0).onMessage(IDS.get(0), first, change -> true),
             change -> true);
     members.get(2).onMessage(IDS.get(0), first, change -> true);
-    // The first one's answer is lost; another one begins anew with a wish of its own, and meets the
-    // third.
+    // The answer to the first member is lost; the second starts a ballot with its own change, and
+    // reaches the third.
     members.get(1).startHigherBallot(PROPOSALS.get(1));
-    for (final PaxosInstance.AddressedMessage letter : members.get(1).outstandingMessages()) {
-      if (!letter.to().name().equals("a")) {
-        final PaxosInstance to = members.get(IDS.indexOf(letter.to()));
+    for (final PaxosInstance.AddressedMessage outgoing : members.get(1).outstandingMessages()) {
+      if (!outgoing.to().name().equals("a")) {
+        final PaxosInstance to = members.get(IDS.indexOf(outgoing.to()));
         members
             .get(1)
             .onMessage(
-                letter.to(),
-                to.onMessage(IDS.get(1), letter.message(), change -> true),
+                outgoing.to(),
+                to.onMessage(IDS.get(1), outgoing.message(), change -> true),
                 change -> true);
       }
     }
     final GossipItem.PaxosMessage second = members.get(1).outstandingMessages().get(0).message();
     assertEquals(GossipItem.PaxosMessage.Type.ACCEPT_BOUND, second.type());
     assertEquals(PROPOSALS.get(0), second.change());
-    // Nobody may turn that down for its content.
+    // No acceptor may reject that change for its content.
     assertNotNull(members.get(2).onMessage(IDS.get(1), second, change -> false));
   }
 
