--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
@@ -2,158 +2,105 @@
 
 import java.util.ArrayList;
 import java.util.Collections;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.TreeSet;
 
 /**
- * A courier's part in knowing who is in its fleet. It is told of datagrams, of what becomes of
- * connections, and of time by ticks; it says what to send, whom to connect to, and what happened.
- * Design and promises: docs/design/peers.md. Times are microseconds on a clock that goes on while
- * the process stands still.
+ * A courier's part in the membership protocol of its fleet. Packets, the outcome of connections,
+ * and ticks come in; what is to be sent, connected and published goes out through {@link
+ * PeerActions}. Design and guarantees: docs/design/peers.md.
+ *
+ * <p>Timestamps are microseconds on a clock that goes on while the process is paused. Not safe for
+ * use by several threads.
  */
 public final class MembershipProtocol {
-  /** A tick later than its time by so much, us: the process did not run meanwhile. */
+  /** A tick that comes later than planned by more than this shows that the process was paused. */
   private static final long PAUSE_THRESHOLD_US = 250_000;
 
-  private static final int GOSSIP_FANOUT = 3;
-
-  /** A piece goes out so often for each doubling of the fleet. */
-  private static final int SENDS_PER_DOUBLING = 3;
-
-  /**
-   * How often the full state goes to somebody: no sooner, and no more bytes a second where there is
-   * more to tell.
-   */
-  private static final long FULL_STATE_INTERVAL_US = 10_000_000;
-
-  private static final int PEERS_PER_FULL_STATE_INTERVAL = 100;
-
-  /** How often the same one is sent what it lacks, and asked for what this courier lacks, us. */
-  private static final long PUSH_INTERVAL_US = 300_000;
-
-  private static final long FULL_STATE_REQUEST_INTERVAL_US = 500_000;
-
-  /**
-   * Signs of life of those in doubt, or yet to be let in, are passed on so often, us, and so many
-   * in a datagram.
-   */
-  private static final long HEARTBEAT_FORWARD_INTERVAL_US = 400_000;
-
-  private static final int MAX_FORWARDED_HEARTBEATS = 8;
+  private static final long MICROS_PER_MILLI = 1000;
   private static final long PRUNE_INTERVAL_US = 10_000_000;
-  private static final long STATUS_CHANGE_INTERVAL_US = 1_000_000;
-  private static final long RIVAL_PROBE_INTERVAL_US = 5_000_000;
-  private static final long JOIN_PROBE_INTERVAL_US = 500_000;
-  private static final long SEED_PROBE_INTERVAL_US = 3_000_000;
 
-  /** How many are told of a farewell by its own datagrams. */
+  /** How many peers are sent a farewell directly. */
   private static final int MAX_FAREWELL_TARGETS = 32;
 
   private final GossipSettings settings;
-  private final String address;
-  private final List<String> seeds;
   private final SplittableRandom random;
   private final PeerActions actions;
+  private final LocalPeer local;
   private final MembershipTable table;
+  private final PacketSender sender;
   private final FailureDetector failureDetector;
   private final ViewManager views;
-  private final GossipQueue gossip;
-
-  /**
-   * Signs of life to be passed on at the next tick, to others by lot: answers alone would reach the
-   * same ones again and again.
-   */
-  private final Map<String, GossipItem> heartbeatsToForward = new LinkedHashMap<>();
-
-  private PeerId self;
-  private long sequence;
-  private long heartbeat;
-  private long statusVersion;
-  private PeerStatus ownStatus = PeerStatus.UNREPORTED;
-  private long statusChangedUs = Peer.NEVER;
+  private final FullStateExchange fullStates;
+  private final HeartbeatForwarder heartbeats;
+  private final NameConflictGuard nameConflicts;
+  private final GossipReceiver receiver;
+  private final SeedProber seedProber;
+  private final PeerStateReporter stateReporter;
   private long nextTickDueUs;
-
-  /** When it last ran. */
   private long lastRunUs;
-
-  private long nextSeedProbeUs;
-  private long lastFullStateRequestUs;
-  private long nextFullStateUs;
   private long nextPruneUs;
-  private long nextRivalProbeUs;
-  private long pauseMs;
   private boolean leaving;
-
-  /** Where the other process of this name listens; null: there is none. */
-  private String rivalAddress;
-
-  /** True once it was in a view: then a later life under its name is not its own past. */
-  private boolean hasBeenMember;
-
   private long rejectedPackets;
 
   /**
-   * Begins.
+   * Starts the protocol.
    *
-   * @param address where this courier listens
-   * @param seeds where others may listen
-   * @param seed of all chance here
+   * @param address on which this courier listens
+   * @param seeds addresses on which others may listen
+   * @param seed of all random choices
    */
   public MembershipProtocol(
-      final GossipSettings rules,
+      final GossipSettings settings,
       final PeerId self,
       final String address,
       final List<String> seeds,
       final long seed,
       final long nowUs,
-      final PeerActions out) {
-    this.settings = rules;
-    this.self = self;
-    this.address = address;
-    this.seeds = List.copyOf(seeds);
+      final PeerActions actions) {
+    this.settings = settings;
     this.random = new SplittableRandom(seed);
-    this.actions = out;
-    this.table = new MembershipTable(rules, self.incarnation(), nowUs);
-    this.failureDetector = new FailureDetector(rules, table, self, out, this::applyOwnReport);
-    final int place = seeds.indexOf(address);
+    this.actions = actions;
+    this.local = new LocalPeer(self, address);
+    this.table = new MembershipTable(settings, self.incarnation(), nowUs);
+    this.sender = new PacketSender(local, table, this::viewId, random, actions, nowUs);
+    this.failureDetector =
+        new FailureDetector(settings, table, self, actions, this::applyOwnReport);
+    final int seedIndex = seeds.contains(address) ? seeds.indexOf(address) : seeds.size();
     this.views =
         new ViewManager(
-            rules,
-            table,
-            failureDetector,
-            self,
-            address,
-            place >= 0 ? place : seeds.size(),
-            nowUs,
-            new Port());
-    this.gossip = new GossipQueue(nowUs);
+            settings, table, failureDetector, self, address, seedIndex, nowUs, new ViewContext());
+    this.fullStates = new FullStateExchange(local, table, views, sender, random, actions, nowUs);
+    this.heartbeats = new HeartbeatForwarder(views);
+    final List<String> seedAddresses = List.copyOf(seeds);
+    this.nameConflicts =
+        new NameConflictGuard(
+            local, seedAddresses, table, failureDetector, sender, actions, this::startIncarnation);
+    this.receiver =
+        new GossipReceiver(local, table, views, sender, heartbeats, fullStates, nameConflicts);
+    this.seedProber = new SeedProber(seedAddresses, local, table, sender);
+    this.stateReporter = new PeerStateReporter(local, table, views, actions);
     this.nextTickDueUs = nowUs;
     this.lastRunUs = nowUs;
-    this.nextFullStateUs = nowUs + FULL_STATE_INTERVAL_US;
   }
 
-  private final class Port implements ViewManager.Context {
+  /** What the view manager needs, on this courier's other parts. */
+  private final class ViewContext implements ViewManager.Context {
     @Override
-    public void sendPaxosMessage(final ViewMember to, final GossipItem.PaxosMessage vote) {
-      final List<GossipItem> items = new ArrayList<>(List.of(vote));
-      actions.send(to.address(), newPacket(Packet.Type.GOSSIP, 0, items));
+    public void sendPaxosMessage(final ViewMember to, final GossipItem.PaxosMessage message) {
+      sender.sendItems(to.address(), List.of(message));
     }
 
     @Override
     public void spread(final GossipItem item) {
-      MembershipProtocol.this.spread(item);
+      sender.spread(item);
     }
 
     @Override
-    public PeerId startNextIncarnation() {
-      MembershipProtocol.this.startIncarnation(self.incarnation() + 1);
-      return self;
+    public void startNextIncarnation() {
+      startIncarnation(local.id().incarnation() + 1);
     }
 
     @Override
@@ -162,83 +109,58 @@
     }
 
     @Override
-    public void publishEvent(final PeerEvent.Type kind, final String who, final String text) {
-      actions.onEvent(new PeerEvent(kind, who, text));
+    public void publishEvent(
+        final PeerEvent.Type type, final String peerName, final String message) {
+      actions.onEvent(new PeerEvent(type, peerName, message));
     }
   }
 
-  // ---------------------------------------------------------------- what is said
-
-  private Packet newPacket(final Packet.Type kind, final long echo, final List<GossipItem> items) {
-    int used = 0;
-    for (final GossipItem item : items) {
-      used += item.maxBytes();
-    }
-    gossip.drainInto(items, used, lastRunUs);
-    return new Packet(
-        self,
-        address,
-        ++sequence,
-        heartbeat,
-        views.viewId(),
-        statusVersion,
-        ownStatus,
-        kind,
-        echo,
-        List.copyOf(items));
-  }
-
-  private void spread(final GossipItem item) {
-    gossip.enqueue(
-        item,
-        SENDS_PER_DOUBLING * (Long.SIZE - Long.numberOfLeadingZeros(table.alive().size() + 1L)));
-  }
-
-  private void forward(final GossipItem item, final boolean news) {
-    if (news) {
-      spread(item);
-    } else {
-      gossip.recordReceived(item);
-    }
+  private ViewId viewId() {
+    return views.viewId();
   }
 
   private void applyOwnReport(final GossipItem.ReachabilityReport report) {
     if (table.applyReport(report, lastRunUs)) {
-      spread(report);
+      sender.spread(report);
     }
   }
 
+  /** Continues under another incarnation; what the previous one reported and promised is void. */
   private void startIncarnation(final long incarnation) {
-    self = new PeerId(self.name(), incarnation);
-    failureDetector.startIncarnation(self);
-    views.startIncarnation(self);
-    for (final Peer peer : table.all()) {
-      if (peer.unreachableReports.remove(self.name()) != null
-          && peer.unreachableReports.isEmpty()) {
-        peer.unreachableSinceUs = Peer.NEVER;
-      }
-    }
-    spread(new GossipItem.MemberUpdate(self, address, GossipItem.Liveness.ALIVE));
+    local.startIncarnation(incarnation);
+    failureDetector.startIncarnation(local.id());
+    views.startIncarnation(local.id());
+    table.dropAllReportsBy(local.name());
+    sender.spread(local.toUpdate(GossipItem.Liveness.ALIVE));
     actions.onEvent(
         new PeerEvent(
-            PeerEvent.Type.PEER_STATE, self.name(), "begins another life here: " + incarnation));
+            PeerEvent.Type.PEER_STATE, local.name(), "begins another life here: " + incarnation));
   }
 
   // ---------------------------------------------------------------- time
 
-  /** This process runs; whatever it finds late by then is its own lateness. */
+  /**
+   * Records that this process runs now. If it was paused, whatever seems late by then is its own
+   * lateness.
+   */
   private void advanceClock(final long nowUs) {
     lastRunUs = nowUs;
-    final long awayUs = nowUs - nextTickDueUs;
-    if (awayUs > PAUSE_THRESHOLD_US) {
+    sender.advanceClock(nowUs);
+    final long lateUs = nowUs - nextTickDueUs;
+    if (lateUs > PAUSE_THRESHOLD_US) {
       nextTickDueUs = nowUs;
-      table.shiftTimestamps(awayUs);
-      failureDetector.onProcessPaused(nowUs);
-      pauseMs = awayUs / 1000;
-      if (awayUs >= settings.silenceTimeoutUs()) {
-        actions.onEvent(
-            new PeerEvent(PeerEvent.Type.PROCESS_PAUSED, "", "did not run for " + pauseMs + " ms"));
-      }
+      onPause(lateUs, nowUs);
+    }
+  }
+
+  private void onPause(final long pauseUs, final long nowUs) {
+    table.shiftTimestamps(pauseUs);
+    failureDetector.onProcessPaused(nowUs);
+    final long pauseMs = pauseUs / MICROS_PER_MILLI;
+    local.recordPause(pauseMs);
+    if (pauseUs >= settings.silenceTimeoutUs()) {
+      actions.onEvent(
+          new PeerEvent(PeerEvent.Type.PROCESS_PAUSED, "", "did not run for " + pauseMs + " ms"));
     }
   }
 
@@ -249,566 +171,216 @@
     if (leaving) {
       return;
     }
-    if (rivalAddress != null) {
-      probeRival(nowUs);
+    if (nameConflicts.hasRival()) {
+      nameConflicts.probeRival(nowUs);
       return;
     }
-    heartbeat++;
-    probeSeeds(nowUs);
+    local.advanceHeartbeat();
+    seedProber.tick(views.status(), nowUs);
     for (final Peer peer : failureDetector.tick(nowUs)) {
-      peer.pingSequence = sequence + 1;
-      peer.pingSentUs = nowUs;
-      actions.send(peer.address, newPacket(Packet.Type.PING, 0, new ArrayList<>()));
+      peer.monitor().recordPing(sender.sendPing(peer.address()), nowUs);
     }
     views.tick(nowUs);
-    hasBeenMember |= views.isMember(self);
-    sendGossip();
-    sendFullStateIfDue(nowUs);
-    publishStateChanges(nowUs);
+    nameConflicts.recordMembership(views.isMember(local.id()));
+    sender.sendGossip(heartbeats.drain());
+    fullStates.tick(nowUs);
+    stateReporter.publishChanges(nowUs);
     if (nowUs >= nextPruneUs) {
       nextPruneUs = nowUs + PRUNE_INTERVAL_US;
       table.prune(nowUs);
     }
   }
 
-  /**
-   * Asks at those of the seeds' addresses at which it knows nobody: often while it has not come
-   * together with others, now and then for good, since those who begin there know of nobody else.
-   */
-  private void probeSeeds(final long nowUs) {
-    if (nowUs < nextSeedProbeUs) {
-      return;
-    }
-    final boolean together =
-        views.status() == MembershipStatus.MAJORITY && !table.alive().isEmpty();
-    nextSeedProbeUs = nowUs + (together ? SEED_PROBE_INTERVAL_US : JOIN_PROBE_INTERVAL_US);
-    final Set<String> known = new HashSet<>();
-    known.add(address);
-    table.alive().forEach(peer -> known.add(peer.address));
-    for (final String to : seeds) {
-      if (!known.contains(to)) {
-        actions.send(to, newPacket(Packet.Type.PING, 0, new ArrayList<>()));
-      }
-    }
-  }
-
-  private void sendGossip() {
-    final List<Peer> living = table.alive();
-    final List<GossipItem> passed =
-        heartbeatsToForward.values().stream().limit(MAX_FORWARDED_HEARTBEATS).toList();
-    for (int target = 0; target < Math.min(GOSSIP_FANOUT, living.size()); target++) {
-      if (passed.isEmpty() && gossip.isIdle(lastRunUs)) {
-        break;
-      }
-      actions.send(
-          living.get(random.nextInt(living.size())).address,
-          newPacket(Packet.Type.GOSSIP, 0, new ArrayList<>(passed)));
-    }
-    heartbeatsToForward.clear();
-  }
-
-  /** The full state to one of the others, now and then. */
-  private void sendFullStateIfDue(final long nowUs) {
-    final List<Peer> living = table.alive();
-    if (nowUs < nextFullStateUs || living.isEmpty()) {
-      return;
-    }
-    nextFullStateUs =
-        nowUs
-            + FULL_STATE_INTERVAL_US * Math.max(1, living.size() / PEERS_PER_FULL_STATE_INTERVAL)
-            + random.nextLong(FULL_STATE_INTERVAL_US / 4);
-    actions.sendFullState(living.get(random.nextInt(living.size())).address, fullState(nowUs));
-  }
-
-  private FullStateMessage fullState(final long nowUs) {
-    final List<GossipItem> items = new ArrayList<>();
-    for (final Peer peer : table.all()) {
-      items.add(new GossipItem.MemberUpdate(peer.id, peer.address, peer.liveness));
-      if (peer.statusVersion > 0) {
-        items.add(new GossipItem.StatusUpdate(peer.id, peer.statusVersion, peer.status));
-      }
-      for (final Peer.UnreachableReport doubt : peer.unreachableReports.values()) {
-        final Peer.ReportVersion row = peer.reportVersions.get(doubt.observer().name());
-        if (row != null) {
-          items.add(
-              new GossipItem.ReachabilityReport(
-                  doubt.observer(),
-                  peer.id,
-                  row.version(),
-                  doubt.reachability(),
-                  nowUs - doubt.sinceUs()));
-        }
-      }
-    }
-    return new FullStateMessage(self, address, views.view(), items);
-  }
-
-  /** Tells operators what has changed. */
-  private void publishStateChanges(final long nowUs) {
-    for (final Peer peer : table.all()) {
-      final PeerState state = table.stateOf(peer, views.isMember(peer.id), nowUs);
-      if (state != peer.publishedState) {
-        peer.publishedState = state;
-        peer.publishedStateSinceUs = nowUs;
-        actions.onEvent(
-            new PeerEvent(PeerEvent.Type.PEER_STATE, peer.id.name(), describe(peer, state)));
-      }
-    }
-  }
-
-  private static String describe(final Peer peer, final PeerState state) {
-    return switch (state) {
-      case JOINING -> "joins, at " + peer.address;
-      case ALIVE -> "is alive";
-      case PARTLY ->
-          "is heard by some, not by "
-              + String.join(", ", new TreeSet<>(peer.unreachableReports.keySet()));
-      case SUSPECT ->
-          "is suspect: not heard by "
-              + String.join(", ", new TreeSet<>(peer.unreachableReports.keySet()));
-      case DEAD -> "is dead by agreement";
-      case LEFT -> "has left";
-    };
-  }
-
-  // ---------------------------------------------------------------- what comes
+  // ---------------------------------------------------------------- packets
 
-  /** A datagram that was sealed by one of this fleet. */
+  /** A packet arrived that a member of this fleet authenticated. */
   public void onPacket(final Packet packet, final long nowUs) {
     advanceClock(nowUs);
     if (leaving) {
       return;
     }
     if (packet.sender() == null) {
-      onAnonymousProbe(packet);
-      return;
-    }
-    if (packet.sender().name().equals(self.name())) {
-      onOwnNameReceived(packet.sender(), packet.address(), GossipItem.Liveness.ALIVE, nowUs);
+      nameConflicts.onAnonymousProbe(packet);
       return;
     }
-    if (!table.isPlausible(packet.sender(), nowUs)) {
+    final GossipItem.MemberUpdate senderUpdate =
+        new GossipItem.MemberUpdate(packet.sender(), packet.address(), GossipItem.Liveness.ALIVE);
+    if (packet.sender().name().equals(local.name())) {
+      nameConflicts.onOwnName(senderUpdate, nowUs);
+    } else if (!table.isPlausible(packet.sender(), nowUs)) {
       rejectedPackets++;
-      return;
-    }
-    if (rivalAddress != null) {
-      packet.items().forEach(item -> onItem(item, packet, nowUs));
-      return;
+    } else if (nameConflicts.hasRival()) {
+      applyItems(packet, nowUs);
+    } else {
+      learn(senderUpdate, nowUs);
+      onPeerPacket(packet, nowUs);
     }
-    final GossipItem.MemberUpdate fact =
-        new GossipItem.MemberUpdate(packet.sender(), packet.address(), GossipItem.Liveness.ALIVE);
-    if (table.applyUpdate(fact, nowUs)) {
-      spread(fact);
+  }
+
+  private void learn(final GossipItem.MemberUpdate update, final long nowUs) {
+    if (table.applyUpdate(update, nowUs)) {
+      sender.spread(update);
     }
+  }
+
+  private void onPeerPacket(final Packet packet, final long nowUs) {
     final Peer peer = table.find(packet.sender().name());
     if (peer == null) {
       rejectedPackets++;
       return;
     }
-    if (!peer.id.equals(packet.sender()) || !peer.isAlive()) {
+    if (!peer.isAliveAs(packet.sender())) {
       onPacketFromEndedIncarnation(peer, packet);
       return;
     }
-    if (packet.sequence() > peer.lastSequence) {
-      peer.lastSequence = packet.sequence();
+    if (peer.exchange().advanceSequence(packet.sequence())) {
       failureDetector.recordReceived(peer, nowUs);
-      onHeartbeat(peer, packet.heartbeat(), nowUs);
-      onStatus(peer, packet.statusVersion(), packet.status());
+      heartbeats.onHeartbeat(peer, packet.heartbeat(), nowUs);
+      receiver.onStatus(peer, packet.statusVersion(), packet.status());
     } else {
       rejectedPackets++;
     }
-    packet.items().forEach(item -> onItem(item, packet, nowUs));
-    if (packet.type() == Packet.Type.PONG
-        && packet.echoedSequence() == peer.pingSequence
-        && peer.pingSequence > 0) {
-      final long rttUs = nowUs - peer.pingSentUs;
-      peer.roundTripUs = peer.roundTripUs == 0 ? rttUs : (7 * peer.roundTripUs + rttUs) / 8;
-      peer.pingSequence = 0;
+    applyItems(packet, nowUs);
+    if (packet.type() == Packet.Type.PONG) {
+      peer.monitor().recordPong(packet.echoedSequence(), nowUs);
     }
-    onViewId(peer, packet.viewId(), nowUs);
+    fullStates.onViewId(peer, packet.viewId(), nowUs);
     if (packet.type() == Packet.Type.PING) {
-      actions.send(peer.address, newPacket(Packet.Type.PONG, packet.sequence(), new ArrayList<>()));
+      sender.sendPong(peer.address(), packet.sequence(), List.of());
     }
   }
 
+  private void applyItems(final Packet packet, final long nowUs) {
+    final GossipReceiver.Origin origin =
+        new GossipReceiver.Origin(packet.sender(), packet.address());
+    packet.items().forEach(item -> receiver.onItem(item, origin, nowUs));
+  }
+
   /**
-   * From a life that is over by what is known here: if it still lives, it learns so and begins
-   * again.
+   * If an incarnation that has ended, as far as is known here, still runs, it learns so and starts
+   * the next one.
    */
   private void onPacketFromEndedIncarnation(final Peer peer, final Packet packet) {
     if (packet.type() == Packet.Type.PING) {
-      actions.send(
-          packet.address(),
-          newPacket(
-              Packet.Type.PONG,
-              packet.sequence(),
-              new ArrayList<>(
-                  List.of(new GossipItem.MemberUpdate(peer.id, peer.address, peer.liveness)))));
-    }
-  }
-
-  private void onHeartbeat(final Peer peer, final long count, final long nowUs) {
-    final long beforeUs = peer.heartbeatForwardedUs;
-    if (table.recordHeartbeat(peer, count, nowUs)
-        && (peer.unreachableSinceUs != Peer.NEVER || !views.isMember(peer.id))
-        && nowUs - beforeUs >= HEARTBEAT_FORWARD_INTERVAL_US) {
-      peer.heartbeatForwardedUs = nowUs;
-      heartbeatsToForward.put(peer.id.name(), new GossipItem.Heartbeat(peer.id, count));
-    }
-  }
-
-  private void onStatus(final Peer peer, final long count, final PeerStatus what) {
-    if (count > peer.statusVersion) {
-      peer.statusVersion = count;
-      peer.status = what;
-      gossip.enqueue(new GossipItem.StatusUpdate(peer.id, count, what), 2);
-    }
-  }
-
-  private void onViewId(final Peer peer, final ViewId mark, final long nowUs) {
-    if (views.wantsFullState(mark, nowUs)) {
-      if (nowUs - lastFullStateRequestUs >= FULL_STATE_REQUEST_INTERVAL_US) {
-        lastFullStateRequestUs = nowUs;
-        actions.send(
-            peer.address,
-            newPacket(
-                Packet.Type.GOSSIP,
-                0,
-                new ArrayList<>(List.of(new GossipItem.FullStateRequest()))));
-      }
-    } else if (mark.isPresent()
-        && mark.isSameLineage(views.viewId())
-        && mark.number() < views.viewId().number()
-        && nowUs - peer.decisionsSentUs >= PUSH_INTERVAL_US) {
-      peer.decisionsSentUs = nowUs;
-      final List<GossipItem> changes = views.decisionsSince(mark);
-      if (changes.isEmpty()) {
-        actions.sendFullState(peer.address, fullState(nowUs));
-      } else {
-        actions.send(peer.address, newPacket(Packet.Type.GOSSIP, 0, changes));
-      }
-    }
-  }
-
-  private void onItem(final GossipItem item, final Packet packet, final long nowUs) {
-    if (item instanceof GossipItem.MemberUpdate fact) {
-      if (fact.id().name().equals(self.name())) {
-        onOwnNameReceived(fact.id(), fact.address(), fact.liveness(), nowUs);
-      } else if (rivalAddress == null && table.isPlausible(fact.id(), nowUs)) {
-        forward(fact, table.applyUpdate(fact, nowUs));
-      }
-    } else if (rivalAddress != null) {
-      return;
-    } else if (item instanceof GossipItem.ReachabilityReport report) {
-      if (!report.observer().name().equals(self.name())) {
-        final boolean news = table.applyReport(report, nowUs);
-        forward(report, news);
-        final Peer doubted = table.find(report.subject().name());
-        if (news && report.reachability() == Reachability.SILENT && doubted.heartbeat > 0) {
-          // Whoever doubts it may have been cut off from what is known of it here.
-          heartbeatsToForward.put(
-              doubted.id.name(), new GossipItem.Heartbeat(doubted.id, doubted.heartbeat));
-        }
-      }
-    } else if (item instanceof GossipItem.Heartbeat beatOf) {
-      final Peer peer = table.find(beatOf.id().name());
-      if (peer != null && peer.id.equals(beatOf.id()) && peer.isAlive()) {
-        onHeartbeat(peer, beatOf.count(), nowUs);
-      }
-    } else if (item instanceof GossipItem.StatusUpdate saidOf) {
-      final Peer peer = table.find(saidOf.id().name());
-      if (peer != null && peer.id.equals(saidOf.id())) {
-        onStatus(peer, saidOf.version(), saidOf.status());
-      }
-    } else if (item instanceof GossipItem.FullStateRequest) {
-      final Peer peer = table.find(packet.sender().name());
-      if (peer != null && nowUs - peer.fullStateSentUs >= PUSH_INTERVAL_US) {
-        peer.fullStateSentUs = nowUs;
-        actions.sendFullState(packet.address(), fullState(nowUs));
-      }
-    } else if (item instanceof GossipItem.ViewDecision decided) {
-      if (!views.onDecision(decided, nowUs)) {
-        gossip.recordReceived(decided);
-      }
-    } else if (item instanceof GossipItem.PaxosMessage vote) {
-      final GossipItem.PaxosMessage answer = views.onPaxosMessage(packet.sender(), vote, nowUs);
-      if (answer != null) {
-        actions.send(
-            packet.address(), newPacket(Packet.Type.GOSSIP, 0, new ArrayList<>(List.of(answer))));
-      }
+      sender.sendPong(packet.address(), packet.sequence(), List.of(peer.toUpdate()));
     }
   }
 
-  /** All that another one knows. */
-  public void onFullState(final FullStateMessage full, final long nowUs) {
+  /** Another courier's full state arrived. */
+  public void onFullState(final FullStateMessage message, final long nowUs) {
     advanceClock(nowUs);
-    if (leaving || full.sender().name().equals(self.name())) {
-      return;
-    }
-    final Packet from =
-        new Packet(
-            full.sender(),
-            full.address(),
-            0,
-            0,
-            ViewId.NONE,
-            0,
-            PeerStatus.UNREPORTED,
-            Packet.Type.GOSSIP,
-            0,
-            List.of());
-    full.items()
-        .forEach(
-            item -> {
-              if (item instanceof GossipItem.MemberUpdate
-                  || item instanceof GossipItem.ReachabilityReport
-                  || item instanceof GossipItem.StatusUpdate) {
-                onItem(item, from, nowUs);
-              }
-            });
-    if (rivalAddress == null) {
-      views.onFullView(full.view(), nowUs);
-    }
-  }
-
-  // ---------------------------------------------------------------- its own name
-
-  /** Somebody says how a life of this name stands. */
-  private void onOwnNameReceived(
-      final PeerId id, final String at, final GossipItem.Liveness life, final long nowUs) {
-    if (id.incarnation() < self.incarnation() || !table.isPlausible(id, nowUs)) {
-      return;
-    }
-    if (id.incarnation() == self.incarnation()) {
-      if (life != GossipItem.Liveness.ALIVE || !at.equals(address)) {
-        startIncarnation(id.incarnation() + 1);
-      }
-    } else if (!hasBeenMember || life != GossipItem.Liveness.ALIVE || at.equals(address)) {
-      // Its own past, remembered under a clock that ran ahead of today's, or a rival that is over.
-      rivalAddress = null;
-      startIncarnation(id.incarnation() + 1);
-    } else if (rivalAddress == null) {
-      rivalAddress = at;
-      failureDetector.monitored().forEach(peer -> actions.disconnect(peer.address));
-      actions.onEvent(
-          new PeerEvent(
-              PeerEvent.Type.NAME_CONFLICT,
-              self.name(),
-              "another process of this name, begun later, listens at "
-                  + at
-                  + ": this one keeps out of the fleet"));
-    }
-  }
-
-  /** In conflict: asks now and then how the other life stands, without a name. */
-  private void probeRival(final long nowUs) {
-    if (nowUs < nextRivalProbeUs) {
+    if (leaving || message.sender().name().equals(local.name())) {
       return;
     }
-    nextRivalProbeUs = nowUs + RIVAL_PROBE_INTERVAL_US;
-    final List<String> targets = new ArrayList<>(seeds);
-    table.alive().stream().limit(GOSSIP_FANOUT).forEach(peer -> targets.add(peer.address));
-    final List<GossipItem> about =
-        List.of(new GossipItem.MemberUpdate(self, address, GossipItem.Liveness.ALIVE));
-    for (final String to : targets) {
-      actions.send(
-          to,
-          new Packet(
-              null,
-              address,
-              ++sequence,
-              0,
-              ViewId.NONE,
-              0,
-              PeerStatus.UNREPORTED,
-              Packet.Type.PING,
-              0,
-              about));
-    }
-  }
-
-  private void onAnonymousProbe(final Packet packet) {
-    for (final GossipItem item : packet.items()) {
-      if (item instanceof GossipItem.MemberUpdate fact) {
-        final Peer peer = table.find(fact.id().name());
-        if (peer != null) {
-          actions.send(
-              packet.address(),
-              newPacket(
-                  Packet.Type.GOSSIP,
-                  0,
-                  new ArrayList<>(
-                      List.of(new GossipItem.MemberUpdate(peer.id, peer.address, peer.liveness)))));
-        }
-        return;
-      }
+    final GossipReceiver.Origin origin =
+        new GossipReceiver.Origin(message.sender(), message.address());
+    message.items().forEach(item -> receiver.onFullStateItem(item, origin, nowUs));
+    if (!nameConflicts.hasRival()) {
+      views.onFullView(message.view(), nowUs);
     }
   }
 
   // ---------------------------------------------------------------- connections
 
-  private Peer findByConnection(final String to) {
-    for (final Peer peer : failureDetector.monitored()) {
-      if (to.equals(peer.connectionAddress)) {
-        return peer;
-      }
-    }
-    return null;
-  }
-
-  /** The connection there was greeted by a life. */
-  public void onConnectionGreeted(final String to, final PeerId by, final long nowUs) {
+  /** The connection to an address was greeted by an incarnation. */
+  public void onConnectionGreeted(final String address, final PeerId greeter, final long nowUs) {
     advanceClock(nowUs);
-    final Peer peer = findByConnection(to);
-    if (peer == null || leaving || rivalAddress != null || !table.isPlausible(by, nowUs)) {
+    final Peer peer = failureDetector.findByConnection(address);
+    if (peer == null || !isParticipating() || !table.isPlausible(greeter, nowUs)) {
       return;
     }
-    if (by.name().equals(peer.id.name()) && !by.equals(peer.id)) {
-      final GossipItem.MemberUpdate fact =
-          new GossipItem.MemberUpdate(by, peer.address, GossipItem.Liveness.ALIVE);
-      if (table.applyUpdate(fact, nowUs)) {
-        spread(fact);
-      }
+    if (greeter.name().equals(peer.name()) && !greeter.equals(peer.id())) {
+      learn(new GossipItem.MemberUpdate(greeter, peer.address(), GossipItem.Liveness.ALIVE), nowUs);
     }
-    failureDetector.onConnectionGreeted(peer, by, nowUs);
+    failureDetector.onConnectionGreeted(peer, greeter, nowUs);
   }
 
-  /** The connection there ended, or was refused. */
-  public void onConnectionClosed(final String to, final long nowUs) {
+  /** The connection to an address ended, or was refused. */
+  public void onConnectionClosed(final String address, final long nowUs) {
     advanceClock(nowUs);
-    final Peer peer = findByConnection(to);
-    if (peer != null && !leaving && rivalAddress == null) {
+    final Peer peer = failureDetector.findByConnection(address);
+    if (peer != null && isParticipating()) {
       failureDetector.onConnectionClosed(peer, nowUs);
     }
   }
 
-  /** Nobody answered there, in one way or the other. */
-  public void onConnectionUnanswered(final String to, final long nowUs) {
+  /** A connection to an address was neither accepted nor refused. */
+  public void onConnectionUnanswered(final String address, final long nowUs) {
     advanceClock(nowUs);
-    final Peer peer = findByConnection(to);
-    if (peer != null && !leaving && rivalAddress == null) {
+    final Peer peer = failureDetector.findByConnection(address);
+    if (peer != null && isParticipating()) {
       failureDetector.onConnectionUnanswered(peer, nowUs);
     }
   }
 
-  // ---------------------------------------------------------------- its own part
-
-  /** What is to be said of this courier. */
-  public void updateOwnStatus(final PeerStatus what, final long nowUs) {
-    final PeerStatus next =
-        new PeerStatus(
-            what.health(),
-            Math.max(what.pauseMs(), (int) Math.min(pauseMs, Integer.MAX_VALUE)),
-            what.pendingMessages(),
-            what.deliveryStalled());
-    final boolean matters =
-        next.health() != ownStatus.health()
-            || next.deliveryStalled() != ownStatus.deliveryStalled()
-            || next.pauseMs() != ownStatus.pauseMs();
-    if (matters && nowUs - statusChangedUs >= STATUS_CHANGE_INTERVAL_US) {
-      statusVersion++;
-      statusChangedUs = nowUs;
-    }
-    ownStatus = next;
-    pauseMs = 0;
+  private boolean isParticipating() {
+    return !leaving && !nameConflicts.hasRival();
   }
 
-  /** Says farewell; nothing more is said after it. */
+  // ---------------------------------------------------------------- this courier
+
+  /** Replaces what this courier reports about itself. */
+  public void updateOwnStatus(final PeerStatus status, final long nowUs) {
+    local.updateStatus(status, nowUs);
+  }
+
+  /** Notifies peers that this courier leaves; nothing is sent after that. */
   public void leave(final long nowUs) {
     if (leaving) {
       return;
     }
-    final List<Peer> living = new ArrayList<>(table.alive());
-    final GossipItem.MemberUpdate farewell =
-        new GossipItem.MemberUpdate(self, address, GossipItem.Liveness.LEFT);
-    for (int turn = living.size() - 1; turn > 0; turn--) {
-      Collections.swap(living, turn, random.nextInt(turn + 1));
-    }
-    for (final Peer peer : living.subList(0, Math.min(MAX_FAREWELL_TARGETS, living.size()))) {
-      final Packet packet =
-          new Packet(
-              self,
-              address,
-              ++sequence,
-              heartbeat,
-              views.viewId(),
-              statusVersion,
-              ownStatus,
-              Packet.Type.GOSSIP,
-              0,
-              List.of(farewell));
-      actions.send(peer.address, packet);
-      actions.send(peer.address, packet);
+    final List<Peer> targets = new ArrayList<>(table.alive());
+    for (int index = targets.size() - 1; index > 0; index--) {
+      Collections.swap(targets, index, random.nextInt(index + 1));
     }
+    targets.stream()
+        .limit(MAX_FAREWELL_TARGETS)
+        .forEach(peer -> sender.sendFarewell(peer.address()));
     leaving = true;
   }
 
-  /** This life of this courier. */
+  /** Returns the current incarnation of this courier. */
   public PeerId self() {
-    return self;
+    return local.id();
   }
 
-  /** The agreed view that it holds; null: none. */
+  /** Returns the installed view; null: none. */
   public View view() {
     return views.view();
   }
 
-  /** Where it stands. */
+  /** Returns this courier's status in its fleet. */
   public MembershipStatus status() {
-    return rivalAddress != null ? MembershipStatus.CONFLICT : views.status();
+    return nameConflicts.hasRival() ? MembershipStatus.CONFLICT : views.status();
   }
 
-  /** How many members of its view it hears of, itself among them. */
+  /** Returns how many members of the view are reachable, this courier among them. */
   public int reachableMembers() {
     return views.reachableMembers();
   }
 
-  /** Datagrams that told nothing: of lives that cannot be, old or doubled ones. */
+  /** Returns how many packets were rejected: of implausible incarnations, stale or duplicated. */
   public long rejectedPackets() {
     return rejectedPackets;
   }
 
-  /** True for a life that is known and not known to be over. */
+  // ---------------------------------------------------------------- peers
+
+  /** Returns true for an incarnation that is known and not known to have ended. */
   public boolean isAlive(final PeerId id) {
     final Peer peer = table.find(id.name());
-    return peer != null && peer.id.equals(id) && peer.isAlive();
+    return peer != null && peer.isAliveAs(id);
   }
 
-  /** Where the others listen that are not known to be over, by name. */
+  /** Returns the addresses of the peers that are not known to have ended, by name. */
   public Map<String, String> addressesByName() {
     final Map<String, String> addresses = new TreeMap<>();
-    table.alive().forEach(peer -> addresses.put(peer.id.name(), peer.address));
+    table.alive().forEach(peer -> addresses.put(peer.name(), peer.address()));
     return addresses;
   }
 
-  /** All that it knows of all others, by name. */
+  /** Returns what is known of each peer. */
   public List<PeerSnapshot> snapshots(final long nowUs) {
-    final List<PeerSnapshot> all = new ArrayList<>();
-    for (final Peer peer : table.all()) {
-      final PeerState state = table.stateOf(peer, views.isMember(peer.id), nowUs);
-      final List<PeerSnapshot.UnreachableReport> doubts = new ArrayList<>();
-      peer.unreachableReports
-          .values()
-          .forEach(
-              doubt ->
-                  doubts.add(
-                      new PeerSnapshot.UnreachableReport(
-                          doubt.observer().name(), doubt.reachability(), nowUs - doubt.sinceUs())));
-      Collections.sort(doubts);
-      final Peer.UnreachableReport own = peer.unreachableReports.get(self.name());
-      all.add(
-          new PeerSnapshot(
-              peer.id,
-              peer.address,
-              state,
-              nowUs - peer.publishedStateSinceUs,
-              doubts,
-              own != null
-                  ? own.reachability()
-                  : peer.monitored && peer.lastReceivedUs != Peer.NEVER ? Reachability.HEARD : null,
-              peer.roundTripUs,
-              peer.status));
-    }
-    return all;
+    return stateReporter.snapshots(nowUs);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipTable.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipTable.java
@@ -10,30 +10,23 @@
 import java.util.Map;
 
 /**
- * Everybody who is known, by name, and what is said of them. What it takes in is ordered by
- * incarnations, rows and beats, so that the same things learnt in any order, once or often, leave
- * the same roll.
+ * All known peers by name, and the judgement of their state from what is reported about them.
+ * Updates are ordered by incarnations, report versions and heartbeats: the same updates applied in
+ * any order, once or repeatedly, leave the same table.
  */
 final class MembershipTable {
-  /** More names than this are not taken in: what a confused fleet may cost is bounded. */
+  /** Names beyond this are not added, which bounds what a confused fleet may cost. */
   static final int MAX_PEERS = 2048;
 
   private static final int MAX_TOMBSTONES = 512;
 
-  /** A life that claims to begin later than a day from now is none. */
+  /** An incarnation that claims to start later than a day from now is implausible. */
   private static final long MAX_INCARNATION_AHEAD_US = 24 * 3_600_000_000L;
 
-  /**
-   * A sign of life so old, us, is older than what the end of a connection tells: datagrams on the
-   * way are read by then.
-   */
-  static final long IN_FLIGHT_US = 300_000;
-
-  /**
-   * So many must say that one is over, and so many that it is silent; fewer where fewer can see it.
-   */
+  /** So many observers must report that a peer ended; fewer where fewer can observe it. */
   private static final int ENDED_QUORUM = 2;
 
+  /** So many observers must report that a peer is silent; fewer where fewer can observe it. */
   private static final int UNREACHABLE_QUORUM = 3;
 
   private final GossipSettings settings;
@@ -44,12 +37,13 @@
   private boolean aliveListStale = true;
   private int version;
 
-  MembershipTable(final GossipSettings rules, final long beganIncarnation, final long nowUs) {
-    this.settings = rules;
+  MembershipTable(final GossipSettings settings, final long startIncarnation, final long nowUs) {
+    this.settings = settings;
     this.startedUs = nowUs;
-    this.startIncarnation = beganIncarnation;
+    this.startIncarnation = startIncarnation;
   }
 
+  /** Returns the peer of that name; null: unknown. */
   Peer find(final String name) {
     return peersByName.get(name);
   }
@@ -58,7 +52,9 @@
     return peersByName.values();
   }
 
-  /** Those that neither left nor died, in the order of their names. */
+  /**
+   * Returns the peers that have neither left nor been declared dead, in the order of their names.
+   */
   List<Peer> alive() {
     if (aliveListStale) {
       final List<Peer> next = new ArrayList<>();
@@ -67,181 +63,212 @@
           next.add(peer);
         }
       }
-      next.sort(Comparator.comparing((Peer peer) -> peer.id.name()));
+      next.sort(Comparator.comparing(Peer::name));
       alive = Collections.unmodifiableList(next);
       aliveListStale = false;
     }
     return alive;
   }
 
-  /** Counts up with each change of who is living. */
+  /** Returns a number that grows with each change of the set of peers that are alive. */
   int version() {
     return version;
   }
 
-  void onAliveSetChanged() {
-    aliveListStale = true;
-    version++;
-  }
+  // ---------------------------------------------------------------- updates
 
-  /** True for a life that can be one. */
+  /** Returns true for an incarnation that can exist. */
   boolean isPlausible(final PeerId id, final long nowUs) {
+    final long latest = startIncarnation + (nowUs - startedUs) + MAX_INCARNATION_AHEAD_US;
     return id.incarnation() > 0
-        && id.incarnation() <= startIncarnation + (nowUs - startedUs) + MAX_INCARNATION_AHEAD_US
+        && id.incarnation() <= latest
         && !id.name().isEmpty()
         && id.name().length() <= PeerId.MAX_NAME_LENGTH;
   }
 
-  /** Takes in how a life stands. True if that was news. */
-  boolean applyUpdate(final GossipItem.MemberUpdate fact, final long nowUs) {
-    Peer peer = peersByName.get(fact.id().name());
+  /** Applies an update of a peer's incarnation or liveness. Returns true if it was news. */
+  boolean applyUpdate(final GossipItem.MemberUpdate update, final long nowUs) {
+    final Peer peer = peersByName.get(update.id().name());
     if (peer == null) {
-      if (peersByName.size() >= MAX_PEERS) {
-        return false;
-      }
-      peer = new Peer(fact.id(), fact.address(), nowUs);
-      peer.liveness = fact.liveness();
-      peersByName.put(fact.id().name(), peer);
-      onAliveSetChanged();
-      return true;
+      return add(update, nowUs);
+    }
+    final long known = peer.id().incarnation();
+    final long updated = update.id().incarnation();
+    if (updated < known) {
+      return false;
     }
-    final long known = peer.id.incarnation();
-    if (fact.id().incarnation() < known
-        || (fact.id().incarnation() == known && fact.liveness().compareTo(peer.liveness) <= 0)) {
+    if (updated == known && update.liveness().compareTo(peer.liveness()) <= 0) {
       return false;
     }
-    if (fact.id().incarnation() > known) {
-      peer.startIncarnation(fact.id(), fact.address(), nowUs);
+    if (updated > known) {
+      peer.startIncarnation(update.id(), update.address(), nowUs);
     }
-    if (fact.liveness() != GossipItem.Liveness.ALIVE) {
-      peer.liveness = fact.liveness();
-      peer.livenessSinceUs = nowUs;
-      peer.unreachableReports.clear();
-      peer.unreachableSinceUs = Peer.NEVER;
+    if (update.liveness() != GossipItem.Liveness.ALIVE) {
+      peer.end(update.liveness(), nowUs);
     }
     dropReportsBy(peer);
     onAliveSetChanged();
     return true;
   }
 
-  /** What a life said that is over binds nobody. */
+  private boolean add(final GossipItem.MemberUpdate update, final long nowUs) {
+    if (peersByName.size() >= MAX_PEERS) {
+      return false;
+    }
+    peersByName.put(update.id().name(), new Peer(update, nowUs));
+    onAliveSetChanged();
+    return true;
+  }
+
+  private void onAliveSetChanged() {
+    aliveListStale = true;
+    version++;
+  }
+
+  /** Removes reports that an observer made in an incarnation that has ended. */
   private void dropReportsBy(final Peer observer) {
     for (final Peer subject : peersByName.values()) {
-      final Peer.UnreachableReport doubt = subject.unreachableReports.get(observer.id.name());
-      if (doubt != null && (!doubt.observer().equals(observer.id) || !observer.isAlive())) {
-        subject.unreachableReports.remove(observer.id.name());
-        updateUnreachableSince(subject, subject.unreachableSinceUs);
+      final ReachabilityReports.UnreachableReport report = subject.reports().by(observer.name());
+      if (report != null && !observer.isAliveAs(report.observer())) {
+        subject.reports().removeBy(observer.name());
       }
     }
   }
 
-  private static void updateUnreachableSince(final Peer subject, final long nowUs) {
-    if (subject.unreachableReports.isEmpty()) {
-      subject.unreachableSinceUs = Peer.NEVER;
-    } else if (subject.unreachableSinceUs == Peer.NEVER) {
-      subject.unreachableSinceUs = nowUs;
+  /** Removes all reports of one observer. */
+  void dropAllReportsBy(final String observer) {
+    for (final Peer subject : peersByName.values()) {
+      subject.reports().removeBy(observer);
     }
   }
 
-  /** Takes in what an observer says of its hearing. True if that was news. */
+  /** Applies an observer's report about a peer. Returns true if it was news. */
   boolean applyReport(final GossipItem.ReachabilityReport report, final long nowUs) {
     final Peer subject = peersByName.get(report.subject().name());
     final Peer observer = peersByName.get(report.observer().name());
-    if (subject == null
-        || !subject.id.equals(report.subject())
-        || !subject.isAlive()
-        || (observer != null && observer.id.incarnation() > report.observer().incarnation())
-        || report.observer().name().equals(report.subject().name())
-        || !subject.isNewer(report.observer(), report.version())) {
+    if (subject == null || !subject.isAliveAs(report.subject())) {
       return false;
     }
-    subject.reportVersions.put(
-        report.observer().name(),
-        new Peer.ReportVersion(report.observer().incarnation(), report.version()));
-    if (report.reachability() == Reachability.HEARD) {
-      subject.unreachableReports.remove(report.observer().name());
-    } else {
-      subject.unreachableReports.put(
-          report.observer().name(),
-          new Peer.UnreachableReport(
-              report.observer(), report.reachability(), nowUs - Math.max(0, report.ageUs())));
+    if (observer != null && observer.id().incarnation() > report.observer().incarnation()) {
+      return false;
+    }
+    if (report.observer().name().equals(report.subject().name())
+        || !subject.reports().isNewer(report.observer(), report.version())) {
+      return false;
     }
-    updateUnreachableSince(subject, nowUs);
+    subject.reports().apply(report, nowUs);
     return true;
   }
 
-  /** Takes in a sign of life. True if it was a later one than known. */
-  boolean recordHeartbeat(final Peer peer, final long beat, final long nowUs) {
-    if (beat <= peer.heartbeat) {
-      return false;
+  /** Removes peers that ended long ago, and those beyond the number of tombstones that are kept. */
+  void prune(final long nowUs) {
+    int tombstones = 0;
+    for (final Iterator<Peer> peers = peersByName.values().iterator(); peers.hasNext(); ) {
+      final Peer peer = peers.next();
+      if (!peer.isAlive()
+          && (nowUs - peer.livenessSinceUs() > settings.tombstoneRetentionUs()
+              || ++tombstones > MAX_TOMBSTONES)) {
+        peers.remove();
+      }
     }
-    peer.heartbeat = beat;
-    peer.heartbeatUs = nowUs;
-    peer.heartbeatAdvances++;
-    return true;
   }
 
-  /** True if a sign of life came lately, or nobody doubted it until lately. */
-  boolean hasFreshHeartbeat(final Peer peer, final long nowUs) {
-    return nowUs - Math.max(peer.heartbeatUs, peer.unreachableSinceUs)
+  /** Moves timestamps forward by a pause of this process. */
+  void shiftTimestamps(final long pauseUs) {
+    peersByName.values().forEach(peer -> peer.shiftTimestamps(pauseUs));
+  }
+
+  // ---------------------------------------------------------------- judgement
+
+  /**
+   * Returns true if a heartbeat advanced lately, or the peer was reachable for all until lately.
+   */
+  private boolean hasFreshHeartbeat(final Peer peer, final long nowUs) {
+    return nowUs - Math.max(peer.heartbeatUs(), peer.reports().unreachableSinceUs())
         <= settings.heartbeatFreshnessUs();
   }
 
-  /** True if it is in doubt, and nothing speaks for it. */
+  /** Returns true if the peer is reported unreachable and nothing shows that it is alive. */
   boolean isSuspect(final Peer peer, final long nowUs) {
-    return peer.unreachableSinceUs != Peer.NEVER
+    return peer.reports().isReportedUnreachable()
         && (!hasFreshHeartbeat(peer, nowUs) || isConfirmedEnded(peer, nowUs));
   }
 
-  /** What is known of one; {@code member}: its life is in the view. */
-  PeerState stateOf(final Peer peer, final boolean member, final long nowUs) {
-    return switch (peer.liveness) {
+  /** Returns true if that incarnation is the latest of its name, alive and not suspect. */
+  boolean isHealthy(final PeerId id, final long nowUs) {
+    final Peer peer = peersByName.get(id.name());
+    return peer != null && peer.isAliveAs(id) && !isSuspect(peer, nowUs);
+  }
+
+  /**
+   * Returns the state of a peer, which depends on whether its incarnation is a member of the view.
+   */
+  PeerState stateOf(final Peer peer, final boolean isMember, final long nowUs) {
+    return switch (peer.liveness()) {
       case DEAD -> PeerState.DEAD;
       case LEFT -> PeerState.LEFT;
-      case ALIVE ->
-          isSuspect(peer, nowUs)
-              ? PeerState.SUSPECT
-              : !member
-                  ? PeerState.JOINING
-                  : peer.unreachableSinceUs != Peer.NEVER ? PeerState.PARTLY : PeerState.ALIVE;
+      case ALIVE -> stateOfAlive(peer, isMember, nowUs);
     };
   }
 
+  private PeerState stateOfAlive(final Peer peer, final boolean isMember, final long nowUs) {
+    if (isSuspect(peer, nowUs)) {
+      return PeerState.SUSPECT;
+    }
+    if (!isMember) {
+      return PeerState.JOINING;
+    }
+    return peer.reports().isReportedUnreachable() ? PeerState.PARTLY : PeerState.ALIVE;
+  }
+
   /**
-   * True if enough say that the system at its address says that it is over, and nothing of it came
+   * Returns true if enough observers report that the peer's process ended, and no sign of it came
    * since.
    */
   boolean isConfirmedEnded(final Peer peer, final long nowUs) {
-    if (peer.unreachableReports.isEmpty()
-        || nowUs - Math.max(peer.heartbeatUs, peer.lastReceivedUs) <= IN_FLIGHT_US) {
+    if (!peer.reports().isReportedUnreachable()
+        || nowUs - Math.max(peer.heartbeatUs(), peer.monitor().lastReceivedUs())
+            <= PeerMonitor.MAX_IN_FLIGHT_US) {
       return false;
     }
-    int voices = 0;
-    for (final Peer.UnreachableReport doubt : peer.unreachableReports.values()) {
-      voices += doubt.reachability() == Reachability.ENDED ? 1 : 0;
+    int votes = 0;
+    for (final ReachabilityReports.UnreachableReport report : peer.reports().all()) {
+      votes += report.reachability() == Reachability.ENDED ? 1 : 0;
     }
-    return voices > 0 && voices >= Math.min(ENDED_QUORUM, countWitnesses(peer, nowUs));
+    return votes > 0 && votes >= Math.min(ENDED_QUORUM, countWitnesses(peer, nowUs));
   }
 
-  /** True if enough have not heard it for long enough, and nobody has told a sign of life since. */
+  /**
+   * Returns true if enough observers have not reached the peer for the death timeout, and no
+   * heartbeat was forwarded since.
+   */
   boolean isConfirmedUnreachable(final Peer peer, final String self, final long nowUs) {
-    if (peer.unreachableReports.isEmpty() || nowUs - peer.heartbeatUs < settings.deathTimeoutUs()) {
+    if (!peer.reports().isReportedUnreachable()
+        || nowUs - peer.heartbeatUs() < settings.deathTimeoutUs()) {
       return false;
     }
-    int voices = 0;
-    for (final Peer.UnreachableReport doubt : peer.unreachableReports.values()) {
-      final Peer observer = peersByName.get(doubt.observer().name());
-      final boolean counts =
-          doubt.observer().name().equals(self) || (observer != null && !isSuspect(observer, nowUs));
-      voices += counts && nowUs - doubt.sinceUs() >= settings.deathTimeoutUs() ? 1 : 0;
+    int votes = 0;
+    for (final ReachabilityReports.UnreachableReport report : peer.reports().all()) {
+      final boolean isOld = nowUs - report.sinceUs() >= settings.deathTimeoutUs();
+      votes += isOld && isTrusted(report.observer().name(), self, nowUs) ? 1 : 0;
+    }
+    return votes > 0 && votes >= Math.min(UNREACHABLE_QUORUM, countWitnesses(peer, nowUs));
+  }
+
+  /** Returns true for this courier, and for observers that are not suspect themselves. */
+  private boolean isTrusted(final String observerName, final String self, final long nowUs) {
+    if (observerName.equals(self)) {
+      return true;
     }
-    return voices > 0 && voices >= Math.min(UNREACHABLE_QUORUM, countWitnesses(peer, nowUs));
+    final Peer observer = peersByName.get(observerName);
+    return observer != null && !isSuspect(observer, nowUs);
   }
 
   /**
-   * How many can see one, {@link #UNREACHABLE_QUORUM} at most: this courier, and all living ones
-   * that nobody doubts or that are heard of by somebody. One that is in doubt here alone is a
-   * witness all the same, lest a courier behind a cut needs nobody.
+   * Counts who can observe a peer, up to {@link #UNREACHABLE_QUORUM}: this courier, and all alive
+   * peers that are reachable or have a fresh heartbeat. A peer that only this courier does not
+   * reach counts as well; otherwise a courier behind a network partition would need no one's
+   * agreement.
    */
   private int countWitnesses(final Peer subject, final long nowUs) {
     int count = 1;
@@ -249,31 +276,10 @@
       if (count >= UNREACHABLE_QUORUM) {
         break;
       }
-      count +=
-          other != subject
-                  && other.heartbeatAdvances > 0
-                  && (other.unreachableSinceUs == Peer.NEVER || hasFreshHeartbeat(other, nowUs))
-              ? 1
-              : 0;
+      final boolean isReachable =
+          !other.reports().isReportedUnreachable() || hasFreshHeartbeat(other, nowUs);
+      count += other != subject && other.heartbeatAdvances() > 0 && isReachable ? 1 : 0;
     }
     return count;
   }
-
-  /** Forgets those that ended long ago, and more of them than it keeps. */
-  void prune(final long nowUs) {
-    int tombs = 0;
-    for (final Iterator<Peer> peers = peersByName.values().iterator(); peers.hasNext(); ) {
-      final Peer peer = peers.next();
-      if (!peer.isAlive()
-          && (nowUs - peer.livenessSinceUs > settings.tombstoneRetentionUs()
-              || ++tombs > MAX_TOMBSTONES)) {
-        peers.remove();
-      }
-    }
-  }
-
-  /** The local clock went on while this process did not. */
-  void shiftTimestamps(final long awayUs) {
-    peersByName.values().forEach(peer -> peer.shiftTimestamps(awayUs));
-  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/MonitoringRings.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MonitoringRings.java
@@ -6,55 +6,63 @@
 import java.util.Set;
 
 /**
- * Who watches whom: each courier watches its successor on each of several rings, in which the names
- * lie by lot. In a small fleet everybody watches everybody. All that know the same names draw the
- * same rings, and one that comes or goes moves few places (after Rapid: Suresh et al., USENIX ATC
- * 2018).
+ * Determines who monitors whom: each courier monitors its successor on each of several rings, on
+ * which the names are placed by hashes. In a small fleet everybody monitors everybody. All who know
+ * the same names compute the same rings, and a change of membership moves few successors (after
+ * Rapid: Suresh et al., USENIX ATC 2018).
  */
 final class MonitoringRings {
-  private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+  /** The increment of SplitMix64, which tells the rings apart. */
+  private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
+
+  private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
+  private static final long FNV_PRIME = 0x100000001B3L;
 
   private MonitoringRings() {}
 
-  /** A lot for a name: FNV-1a over its letters, mixed. */
+  /** Returns the hash of a name: FNV-1a over its characters, mixed. */
   static long hash(final String name) {
-    long hash = 0xCBF29CE484222325L;
+    long hash = FNV_OFFSET_BASIS;
     for (int index = 0; index < name.length(); index++) {
-      hash = (hash ^ name.charAt(index)) * 0x100000001B3L;
+      hash = (hash ^ name.charAt(index)) * FNV_PRIME;
     }
     return mix(hash);
   }
 
   /** The finalizer of SplitMix64 (Steele et al. 2014). */
   static long mix(final long value) {
-    long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
-    mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
-    return mixed ^ mixed >>> 31;
+    long mixed = (value ^ (value >>> 30)) * 0xBF58476D1CE4E5B9L;
+    mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
+    return mixed ^ (mixed >>> 31);
   }
 
   /**
-   * The names that a courier watches, of those of the others: {@code most} rings' successors, or
-   * all of them if they are so few.
+   * Returns the peers that a courier monitors: its successors on {@code rings} rings, or all if
+   * there are no more than that.
    */
-  static Collection<Peer> monitoredBy(final long own, final List<Peer> others, final int most) {
-    if (others.size() <= most) {
-      return others;
+  static Collection<Peer> monitoredBy(final long ownHash, final List<Peer> peers, final int rings) {
+    if (peers.size() <= rings) {
+      return peers;
     }
     final Set<Peer> chosen = new LinkedHashSet<>();
-    for (int ring = 0; ring < most; ring++) {
-      final long turn = GOLDEN * (ring + 1);
-      final long from = mix(own ^ turn);
-      Peer next = null;
-      long least = -1;
-      for (final Peer other : others) {
-        final long way = mix(other.nameHash ^ turn) - from;
-        if (next == null || Long.compareUnsigned(way, least) < 0) {
-          next = other;
-          least = way;
-        }
-      }
-      chosen.add(next);
+    for (int ring = 0; ring < rings; ring++) {
+      chosen.add(successor(ownHash, peers, GOLDEN_GAMMA * (ring + 1)));
     }
     return chosen;
   }
+
+  /** Returns the first peer after this courier on one ring. */
+  private static Peer successor(final long ownHash, final List<Peer> peers, final long ringSalt) {
+    final long ownPosition = mix(ownHash ^ ringSalt);
+    Peer nearest = null;
+    long leastDistance = -1;
+    for (final Peer peer : peers) {
+      final long distance = mix(peer.nameHash() ^ ringSalt) - ownPosition;
+      if (nearest == null || Long.compareUnsigned(distance, leastDistance) < 0) {
+        nearest = peer;
+        leastDistance = distance;
+      }
+    }
+    return nearest;
+  }
 }
--- /dev/null
+++ b/decisions/src/main/java/thistleturn/decisions/peers/NameConflictGuard.java
@@ -0,0 +1,125 @@
+package thistleturn.decisions.peers;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.LongConsumer;
+
+/**
+ * Handles what is received about this courier's own name. Another process that uses the name and
+ * started later is a rival: while there is one, this courier keeps out of the fleet, and only asks
+ * now and then, without a name, whether the rival has ended.
+ */
+final class NameConflictGuard {
+  private static final long RIVAL_PROBE_INTERVAL_US = 5_000_000;
+
+  /** How many known peers are asked beside the seeds. */
+  private static final int PROBED_PEERS = 3;
+
+  private final LocalPeer local;
+  private final List<String> seeds;
+  private final MembershipTable table;
+  private final FailureDetector failureDetector;
+  private final PacketSender sender;
+  private final PeerActions actions;
+  private final LongConsumer startIncarnation;
+
+  /** Where the rival listens; null: there is none. */
+  private String rivalAddress;
+
+  /**
+   * True once this courier was in a view: from then on, a later incarnation of its name is not its
+   * own past.
+   */
+  private boolean hasBeenMember;
+
+  private long nextRivalProbeUs;
+
+  /**
+   * {@code startIncarnation} makes this courier continue under the incarnation that it is given.
+   */
+  NameConflictGuard(
+      final LocalPeer local,
+      final List<String> seeds,
+      final MembershipTable table,
+      final FailureDetector failureDetector,
+      final PacketSender sender,
+      final PeerActions actions,
+      final LongConsumer startIncarnation) {
+    this.local = local;
+    this.seeds = seeds;
+    this.table = table;
+    this.failureDetector = failureDetector;
+    this.sender = sender;
+    this.actions = actions;
+    this.startIncarnation = startIncarnation;
+  }
+
+  /** Returns true while another process has the name. */
+  boolean hasRival() {
+    return rivalAddress != null;
+  }
+
+  /** Records whether this courier is a member of the installed view. */
+  void recordMembership(final boolean isMember) {
+    hasBeenMember |= isMember;
+  }
+
+  /** Somebody states the liveness of an incarnation of this courier's name. */
+  void onOwnName(final GossipItem.MemberUpdate update, final long nowUs) {
+    final long incarnation = update.id().incarnation();
+    if (incarnation < local.id().incarnation() || !table.isPlausible(update.id(), nowUs)) {
+      return;
+    }
+    final boolean isAlive = update.liveness() == GossipItem.Liveness.ALIVE;
+    final boolean isHere = update.address().equals(local.address());
+    if (incarnation == local.id().incarnation()) {
+      if (!isAlive || !isHere) {
+        startIncarnation.accept(incarnation + 1);
+      }
+    } else if (!hasBeenMember || !isAlive || isHere) {
+      // Its own past, remembered under a clock that ran ahead of the present one, or a rival that
+      // has ended.
+      rivalAddress = null;
+      startIncarnation.accept(incarnation + 1);
+    } else if (rivalAddress == null) {
+      giveWayTo(update.address());
+    }
+  }
+
+  private void giveWayTo(final String address) {
+    rivalAddress = address;
+    failureDetector.disconnectAll();
+    actions.onEvent(
+        new PeerEvent(
+            PeerEvent.Type.NAME_CONFLICT,
+            local.name(),
+            "another process of this name, begun later, listens at "
+                + address
+                + ": this one keeps out of the fleet"));
+  }
+
+  /** Asks about the rival, if that is due. */
+  void probeRival(final long nowUs) {
+    if (nowUs < nextRivalProbeUs) {
+      return;
+    }
+    nextRivalProbeUs = nowUs + RIVAL_PROBE_INTERVAL_US;
+    final List<String> targets = new ArrayList<>(seeds);
+    table.alive().stream().limit(PROBED_PEERS).forEach(peer -> targets.add(peer.address()));
+    final GossipItem about = local.toUpdate(GossipItem.Liveness.ALIVE);
+    targets.forEach(target -> sender.sendAnonymousProbe(target, about));
+  }
+
+  /** Answers another process that asks, without a name, about the first name that it mentions. */
+  void onAnonymousProbe(final Packet packet) {
+    for (final GossipItem item : packet.items()) {
+      if (item instanceof GossipItem.MemberUpdate about) {
+        final Peer peer = table.find(about.id().name());
+        if (peer != null) {
+          sender.sendItems(packet.address(), List.of(peer.toUpdate()));
+        }
+        return;
+      }
+    }
+  }
+}
--- a/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
@@ -1,165 +1,217 @@
 package thistleturn.decisions.peers;
 
-import java.util.HashMap;
-import java.util.Map;
-
 /**
- * All that is known here of one name: its latest life, and what is said of it. Times are us of the
- * local clock.
+ * Everything known here about one peer name: its latest incarnation and the state gathered about
+ * it. A later incarnation replaces an earlier one through {@link #startIncarnation}, after which
+ * nothing learned about the earlier one applies. Timestamps are microseconds of the local clock.
  */
 final class Peer {
+  /**
+   * The timestamp of something that has not happened; far enough from the limits to be added to and
+   * subtracted from.
+   */
   static final long NEVER = Long.MIN_VALUE / 4;
 
-  /** Lot of the name. */
-  final long nameHash;
+  private final long nameHash;
+  private final ReachabilityReports reports = new ReachabilityReports();
+  private final PeerMonitor monitor = new PeerMonitor();
+  private final PeerExchange exchange = new PeerExchange();
+  private PeerId id;
+  private String address;
+  private GossipItem.Liveness liveness;
+  private long livenessSinceUs;
+  private long heartbeat;
+  private long heartbeatUs = NEVER;
+  private int heartbeatAdvances;
+  private long statusVersion;
+  private PeerStatus status = PeerStatus.UNREPORTED;
+  private PeerState publishedState = PeerState.JOINING;
+  private long publishedStateSinceUs;
+
+  /** Records a name that was not known before. */
+  Peer(final GossipItem.MemberUpdate update, final long nowUs) {
+    this.id = update.id();
+    this.nameHash = MonitoringRings.hash(id.name());
+    this.address = update.address();
+    this.liveness = update.liveness();
+    this.livenessSinceUs = nowUs;
+    this.publishedStateSinceUs = nowUs;
+  }
 
-  PeerId id;
-  String address;
-  GossipItem.Liveness liveness = GossipItem.Liveness.ALIVE;
+  PeerId id() {
+    return id;
+  }
 
-  /** When this life became known, or ended. */
-  long livenessSinceUs;
+  String name() {
+    return id.name();
+  }
 
-  /** The highest count of its datagrams that was read here. */
-  long lastSequence;
+  /** Returns the address on which the peer listens. */
+  String address() {
+    return address;
+  }
 
-  long heartbeat;
+  /** Returns the hash that determines the peer's place on the monitoring rings. */
+  long nameHash() {
+    return nameHash;
+  }
 
-  /** When a higher beat was learnt, from whomever. */
-  long heartbeatUs = NEVER;
+  // ---------------------------------------------------------------- incarnation and liveness
 
   /**
-   * How many times a higher beat was learnt: two are needed to be let in, so that an old datagram
-   * lets nobody in.
+   * Replaces the incarnation. Nothing that was learned about the previous one applies to the new
+   * one.
    */
-  int heartbeatAdvances;
-
-  /** When something of it was read here. */
-  long lastReceivedUs = NEVER;
-
-  /** Since when it has been heard without a gap of {@link GossipSettings#silenceTimeoutUs}. */
-  long receivingSinceUs = NEVER;
-
-  long roundTripUs;
-  long statusVersion;
-  PeerStatus status = PeerStatus.UNREPORTED;
+  void startIncarnation(final PeerId next, final String nextAddress, final long nowUs) {
+    id = next;
+    address = nextAddress;
+    liveness = GossipItem.Liveness.ALIVE;
+    livenessSinceUs = nowUs;
+    heartbeat = 0;
+    heartbeatUs = NEVER;
+    heartbeatAdvances = 0;
+    statusVersion = 0;
+    status = PeerStatus.UNREPORTED;
+    reports.reset();
+    monitor.reset(nowUs);
+    exchange.reset();
+    publishedState = PeerState.JOINING;
+    publishedStateSinceUs = nowUs;
+  }
 
   /**
-   * What others and this courier say of their hearing of it, by observer's name; those who hear it
-   * are not kept.
+   * Records that this incarnation left or was declared dead; reports about a peer that has ended
+   * are void.
    */
-  final Map<String, UnreachableReport> unreachableReports = new HashMap<>(2);
+  void end(final GossipItem.Liveness ended, final long nowUs) {
+    liveness = ended;
+    livenessSinceUs = nowUs;
+    reports.clear();
+  }
 
-  /** Since when anybody doubts it; NEVER: nobody. */
-  long unreachableSinceUs = NEVER;
+  GossipItem.Liveness liveness() {
+    return liveness;
+  }
 
-  /** Rows of observers already read, so that an older one changes nothing. */
-  final Map<String, ReportVersion> reportVersions = new HashMap<>(2);
+  /** Returns since when this courier has known the current liveness. */
+  long livenessSinceUs() {
+    return livenessSinceUs;
+  }
 
-  boolean monitored;
-  long nextProbeUs;
-  long pingSequence;
-  long pingSentUs;
+  /** Returns true if this incarnation has neither left nor been declared dead. */
+  boolean isAlive() {
+    return liveness == GossipItem.Liveness.ALIVE;
+  }
 
-  /** Ends of connections without a greeting in a row, and when the next try is due. */
-  int failedConnections;
+  /** Returns true if that incarnation is the latest one known, and it has not ended. */
+  boolean isAliveAs(final PeerId incarnation) {
+    return id.equals(incarnation) && isAlive();
+  }
 
-  /** When the first of them came. */
-  long firstFailedConnectionUs = NEVER;
+  /** Returns the update that describes this peer to others. */
+  GossipItem.MemberUpdate toUpdate() {
+    return new GossipItem.MemberUpdate(id, address, liveness);
+  }
 
-  long nextConnectUs = NEVER;
+  // ---------------------------------------------------------------- heartbeat and status
 
-  /** The address of the connection that is held or tried there; null: none. */
-  String connectionAddress;
+  /**
+   * Records a heartbeat, received directly or forwarded. Returns true if it is later than any known
+   * before.
+   */
+  boolean recordHeartbeat(final long count, final long nowUs) {
+    if (count <= heartbeat) {
+      return false;
+    }
+    heartbeat = count;
+    heartbeatUs = nowUs;
+    heartbeatAdvances++;
+    return true;
+  }
 
-  boolean connected;
+  /** Returns the highest heartbeat count known; 0: none. */
+  long heartbeat() {
+    return heartbeat;
+  }
 
-  /** Since when this courier watches this life. */
-  long monitoredSinceUs = NEVER;
+  /** Returns when the heartbeat last advanced. */
+  long heartbeatUs() {
+    return heartbeatUs;
+  }
 
-  long fullStateSentUs = NEVER;
-  long heartbeatForwardedUs = NEVER;
-  long decisionsSentUs = NEVER;
-  PeerState publishedState = PeerState.JOINING;
-  long publishedStateSinceUs;
+  /**
+   * Returns how many times the heartbeat advanced. Joining takes two advances, so that one stale
+   * packet admits nobody.
+   */
+  int heartbeatAdvances() {
+    return heartbeatAdvances;
+  }
 
-  Peer(final PeerId id, final String address, final long nowUs) {
-    this.id = id;
-    this.nameHash = MonitoringRings.hash(id.name());
-    this.address = address;
-    this.livenessSinceUs = nowUs;
-    this.publishedStateSinceUs = nowUs;
+  /**
+   * Records what the peer reported about itself. Returns true if that is newer than what was known.
+   */
+  boolean recordStatus(final long version, final PeerStatus reported) {
+    if (version <= statusVersion) {
+      return false;
+    }
+    statusVersion = version;
+    status = reported;
+    return true;
   }
 
-  /** An observer's word that it does not hear it. */
-  record UnreachableReport(PeerId observer, Reachability reachability, long sinceUs) {}
+  /** Returns the version of the last status report; 0: none was received. */
+  long statusVersion() {
+    return statusVersion;
+  }
+
+  PeerStatus status() {
+    return status;
+  }
 
-  /** How far an observer's words were read. */
-  record ReportVersion(long incarnation, long version) {}
+  // ---------------------------------------------------------------- observations
 
-  /** True if an observer's word is newer than what was read of him. */
-  boolean isNewer(final PeerId observer, final long row) {
-    final ReportVersion known = reportVersions.get(observer.name());
-    return known == null
-        || observer.incarnation() > known.incarnation()
-        || (observer.incarnation() == known.incarnation() && row > known.version());
+  /** Returns what observers report about the reachability of this peer. */
+  ReachabilityReports reports() {
+    return reports;
   }
 
-  /** Another life of the name: nothing of what was known of the earlier one holds for it. */
-  void startIncarnation(final PeerId next, final String at, final long nowUs) {
-    id = next;
-    address = at;
-    liveness = GossipItem.Liveness.ALIVE;
-    livenessSinceUs = nowUs;
-    lastSequence = 0;
-    heartbeat = 0;
-    heartbeatAdvances = 0;
-    heartbeatUs = NEVER;
-    lastReceivedUs = NEVER;
-    receivingSinceUs = NEVER;
-    roundTripUs = 0;
-    statusVersion = 0;
-    status = PeerStatus.UNREPORTED;
-    unreachableReports.clear();
-    reportVersions.clear();
-    unreachableSinceUs = NEVER;
-    pingSequence = 0;
-    failedConnections = 0;
-    nextConnectUs = NEVER;
-    firstFailedConnectionUs = NEVER;
-    connected = false;
-    monitoredSinceUs = nowUs;
-    decisionsSentUs = NEVER;
-    fullStateSentUs = NEVER;
-    nextProbeUs = nowUs;
-    publishedState = PeerState.JOINING;
-    publishedStateSinceUs = nowUs;
+  /** Returns what this courier observed of the peer by itself. */
+  PeerMonitor monitor() {
+    return monitor;
   }
 
-  boolean isAlive() {
-    return liveness == GossipItem.Liveness.ALIVE;
+  /** Returns what was last exchanged with the peer. */
+  PeerExchange exchange() {
+    return exchange;
   }
 
-  /** The local clock went on while this process did not: nobody was silent then. */
-  void shiftTimestamps(final long awayUs) {
-    if (lastReceivedUs != NEVER) {
-      lastReceivedUs += awayUs;
-    }
-    if (receivingSinceUs != NEVER) {
-      receivingSinceUs += awayUs;
-    }
-    if (heartbeatUs != NEVER) {
-      heartbeatUs += awayUs;
-    }
-    if (unreachableSinceUs != NEVER) {
-      unreachableSinceUs += awayUs;
-    }
-    if (monitoredSinceUs != NEVER) {
-      monitoredSinceUs += awayUs;
+  /** Records the state shown to operators. Returns true if it differs from the one before. */
+  boolean publish(final PeerState state, final long nowUs) {
+    if (state == publishedState) {
+      return false;
     }
-    unreachableReports.replaceAll(
-        (name, doubt) ->
-            new UnreachableReport(
-                doubt.observer(), doubt.reachability(), doubt.sinceUs() + awayUs));
+    publishedState = state;
+    publishedStateSinceUs = nowUs;
+    return true;
+  }
+
+  /** Returns since when operators have been shown the current state. */
+  long publishedStateSinceUs() {
+    return publishedStateSinceUs;
+  }
+
+  /**
+   * Moves timestamps forward by a pause of this process, so that nobody counts as silent for that
+   * time.
+   */
+  void shiftTimestamps(final long pauseUs) {
+    heartbeatUs = shifted(heartbeatUs, pauseUs);
+    monitor.shiftTimestamps(pauseUs);
+    reports.shiftTimestamps(pauseUs);
+  }
+
+  /** Returns a timestamp moved forward; {@link #NEVER} stays what it is. */
+  static long shifted(final long timestampUs, final long byUs) {
+    return timestampUs == NEVER ? NEVER : timestampUs + byUs;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewManager.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewManager.java
@@ -1,576 +1,321 @@
 package thistleturn.decisions.peers;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 
 /**
- * The numbered view: who proposes which change when, what a member agrees to, and where this
- * courier stands. A view is followed by the one change that its committee's majority accepts
- * ({@link PaxosInstance}). Where that majority is over for good, no view can follow, and a survivor
- * founds another line.
+ * Holds the agreed view of the fleet and moves it on. A view is followed by the one change that the
+ * majority of its committee accepts ({@link PaxosInstance}). Where that majority is lost for good,
+ * no view can follow, and a survivor founds another lineage.
  */
 final class ViewManager {
   /**
-   * A change waits until nothing was added to it for so long, us, but no longer than that: one
-   * trouble is one view.
+   * A courier that is no member waits this many times longer before it founds a lineage after a
+   * lost one.
    */
-  private static final long SETTLE_US = 200_000;
-
-  private static final long MAX_SETTLE_US = 600_000;
-
-  /** How much later the next of the committee proposes, us. */
-  private static final long PROPOSER_RANK_DELAY_US = 1_500_000;
-
-  private static final long RESEND_INTERVAL_US = 100_000;
-
-  /** A ballot without a decision for so long, us, is raised; by up to as much later, by lot. */
-  private static final long BALLOT_TIMEOUT_US = 1_000_000;
-
-  /** Bytes of a change: a datagram carries it beside a vote's head. */
-  private static final int MAX_CHANGE_BYTES = 700;
-
-  /** Changes that are kept for those who missed one. */
-  private static final int MAX_RECENT_DECISIONS = 64;
-
-  /**
-   * An acceptor that had a sign of one within the time of silence but for this, us, does not agree
-   * that it is silent.
-   */
-  private static final long SILENCE_TOLERANCE_US = 1_000_000;
-
-  /** So much later one founds a line after one that is over and that was never its own. */
   private static final int NON_MEMBER_FOUNDING_FACTOR = 4;
 
   /**
-   * Of those that a courier watches, so many lost are a sign that it is nearly alone in a large
-   * fleet.
+   * A member that is so many views behind requests the full state; for fewer it is sent the
+   * decisions.
    */
-  private static final double ISOLATION_RATIO = 0.75;
+  private static final int MAX_VIEWS_BEHIND = RecentDecisions.CAPACITY / 2;
 
   private final GossipSettings settings;
   private final MembershipTable table;
-  private final FailureDetector failureDetector;
   private final Context context;
-  private final Map<ViewId, ViewChange> recentDecisions = new LinkedHashMap<>();
-  private final Set<Long> lostLineages = new HashSet<>();
-  private PeerId self;
+  private final ViewChangePolicy policy;
+  private final MajorityTracker majority;
+  private final LineageTracker lineages;
+  private final RecentDecisions recentDecisions = new RecentDecisions();
   private final String address;
-  private View view;
-  private PaxosInstance paxos;
-  private Map<String, PeerId> memberIdsByName = Map.of();
-  private ViewChange desiredChange = new ViewChange(List.of(), List.of());
-  private long desiredSinceUs;
-  private long desiredChangedUs;
-  private long nextResendUs;
-  private long nextBallotUs;
-  private long quorumLostSinceUs = Peer.NEVER;
-  private long lastViewHeardUs;
-
-  /** When another line than its own was heard of, one that is not known to be over. */
-  private long otherLineageHeardUs = Peer.NEVER;
-
-  /** How long it waits to hear of a view before it founds one. */
+
+  /** How long this courier waits to hear of a view before it founds one. */
   private final long foundingDelayUs;
 
-  private long highestGeneration;
-  private MembershipStatus status = MembershipStatus.FORMING;
-  private int reachableMembers;
+  private PeerId self;
+
+  /** The installed view; null: none yet. */
+  private IndexedView current;
+
+  /** The agreement on what follows the installed view; null: there is none yet. */
+  private ViewProposer proposer;
 
-  /** What it needs of the whole. */
+  /** What the view manager needs of its surroundings. */
   interface Context {
-    /** A vote for another member. */
-    void sendPaxosMessage(ViewMember to, GossipItem.PaxosMessage vote);
+    /** Sends a message of the agreement to another member. */
+    void sendPaxosMessage(ViewMember to, GossipItem.PaxosMessage message);
 
-    /** Something that all are to know. */
+    /** Spreads something that all are to know. */
     void spread(GossipItem item);
 
-    /** This life is out of the view, or leaves its line: another one is to begin. */
-    PeerId startNextIncarnation();
+    /**
+     * Starts another incarnation of this courier, since this one is out of the view or leaves its
+     * lineage. Calls {@link ViewManager#startIncarnation}.
+     */
+    void startNextIncarnation();
 
-    /** A number below the bound, by lot. */
+    /** Returns a random number from 0 up to, and without, the bound. */
     long randomBelow(long bound);
 
-    /** For operators. */
-    void publishEvent(PeerEvent.Type kind, String who, String text);
+    /** Notifies operators. */
+    void publishEvent(PeerEvent.Type type, String peerName, String message);
   }
 
   /**
-   * {@code place}: of its address among the seeds; who stands behind others there leaves founding
-   * to them for longer.
+   * {@code seedIndex} is the place of this courier's address among the seeds: later ones leave
+   * founding to earlier ones.
    */
   ViewManager(
-      final GossipSettings rules,
-      final MembershipTable roll,
-      final FailureDetector watch,
+      final GossipSettings settings,
+      final MembershipTable table,
+      final FailureDetector failureDetector,
       final PeerId self,
       final String address,
-      final int place,
+      final int seedIndex,
       final long nowUs,
-      final Context port) {
-    this.settings = rules;
-    this.foundingDelayUs = (1 + place) * rules.foundingDelayUs();
-    this.table = roll;
-    this.failureDetector = watch;
+      final Context context) {
+    this.settings = settings;
+    this.foundingDelayUs = (1 + seedIndex) * settings.foundingDelayUs();
+    this.table = table;
     this.self = self;
     this.address = address;
-    this.context = port;
-    this.lastViewHeardUs = nowUs;
+    this.context = context;
+    this.policy = new ViewChangePolicy(settings, table, address);
+    this.majority = new MajorityTracker(settings, table, failureDetector, context);
+    this.lineages = new LineageTracker(nowUs);
   }
 
+  /** Returns the installed view; null: none. */
   View view() {
-    return view;
+    return current == null ? null : current.view();
   }
 
+  /** Returns the id of the installed view, or {@link ViewId#NONE}. */
   ViewId viewId() {
-    return view == null ? ViewId.NONE : view.viewId();
+    return current == null ? ViewId.NONE : current.id();
   }
 
   MembershipStatus status() {
-    return status;
+    return majority.status();
   }
 
-  /** How many members of the view are heard of, this courier among them. */
+  /** Returns how many members of the view are reachable, this courier among them. */
   int reachableMembers() {
-    return reachableMembers;
+    return majority.reachableMembers();
   }
 
-  /** True if that life is a member. */
+  /** Returns true if that incarnation is a member of the installed view. */
   boolean isMember(final PeerId id) {
-    return id.equals(memberIdsByName.get(id.name()));
+    return current != null && current.isMember(id);
   }
 
-  /** Another life of this courier: it has promised nothing, and belongs to no committee. */
+  /** Continues under another incarnation of this courier. */
   void startIncarnation(final PeerId next) {
     self = next;
-    paxos = view == null ? null : new PaxosInstance(view, next);
-  }
-
-  private void install(final View next, final long nowUs) {
-    view = next;
-    memberIdsByName = new HashMap<>();
-    for (final ViewMember member : next.members()) {
-      memberIdsByName.put(member.id().name(), member.id());
-      if (!member.id().name().equals(self.name())) {
-        table.applyUpdate(
-            new GossipItem.MemberUpdate(member.id(), member.address(), GossipItem.Liveness.ALIVE),
-            nowUs);
-      }
+    if (proposer != null) {
+      proposer.startIncarnation(next);
     }
-    highestGeneration = Math.max(highestGeneration, next.generation());
-    lastViewHeardUs = nowUs;
-    quorumLostSinceUs = Peer.NEVER;
-    desiredChange = new ViewChange(List.of(), List.of());
-    desiredSinceUs = nowUs;
-    desiredChangedUs = nowUs;
-    nextBallotUs = nowUs + BALLOT_TIMEOUT_US + BALLOT_TIMEOUT_US;
-    paxos = new PaxosInstance(next, self);
   }
 
-  // ---------------------------------------------------------------- what others hold
+  // ---------------------------------------------------------------- views of others
 
-  /** Somebody holds that view. True if this courier wants to know all of it. */
+  /**
+   * Records that somebody holds a view. Returns true if this courier is to request the full state.
+   */
   boolean wantsFullState(final ViewId other, final long nowUs) {
-    if (!other.isPresent()) {
-      return false;
-    }
-    highestGeneration = Math.max(highestGeneration, other.generation());
-    if (lostLineages.contains(other.founder())) {
+    if (!lineages.recordHeard(other, viewId(), nowUs)) {
       return false;
     }
-    lastViewHeardUs = nowUs;
-    if (view != null && !other.isSameLineage(view.viewId())) {
-      otherLineageHeardUs = nowUs;
+    if (current == null) {
+      return true;
     }
-    if (view == null || other.isSameLineage(view.viewId())) {
-      return view == null || other.number() > view.number() + MAX_RECENT_DECISIONS / 2;
+    if (other.isSameLineage(current.id())) {
+      return other.number() > current.id().number() + MAX_VIEWS_BEHIND;
     }
-    return quorumLostSinceUs != Peer.NEVER || other.isPreferredOver(view.viewId());
+    return lineages.isQuorumLost() || other.isPreferredOver(current.id());
   }
 
-  /** The changes that lead on from a view; empty if they are not known here any more. */
-  List<GossipItem> decisionsSince(final ViewId theirs) {
-    final List<GossipItem> changes = new ArrayList<>();
-    if (view == null || !theirs.isSameLineage(view.viewId())) {
-      return changes;
-    }
-    int bytes = 0;
-    boolean begun = false;
-    for (final Map.Entry<ViewId, ViewChange> one : recentDecisions.entrySet()) {
-      begun |= one.getKey().equals(theirs);
-      if (begun && one.getKey().isSameLineage(theirs)) {
-        final GossipItem.ViewDecision decided =
-            new GossipItem.ViewDecision(one.getKey(), one.getValue());
-        bytes += decided.maxBytes();
-        if (bytes > Packet.MAX_ITEM_BYTES) {
-          break;
-        }
-        changes.add(decided);
-      }
+  /** Returns the decisions that lead on from a view; empty if they are not known here any more. */
+  List<GossipItem> decisionsSince(final ViewId start) {
+    if (current == null || !start.isSameLineage(current.id())) {
+      return List.of();
     }
-    return changes;
+    return recentDecisions.since(start);
   }
 
-  /** A whole view: taken over if it is the same line's later one, or a better line's. */
+  /**
+   * Installs another's view if it is a later one of the same lineage, or of a preferred lineage.
+   */
   void onFullView(final View other, final long nowUs) {
-    if (other == null
-        || (!wantsFullState(other.viewId(), nowUs)
-            && !(view != null
-                && other.viewId().isSameLineage(view.viewId())
-                && other.number() > view.number()))) {
+    if (other == null) {
+      return;
+    }
+    if (!wantsFullState(other.viewId(), nowUs) && !isLaterInLineage(other.viewId())) {
       return;
     }
-    final boolean moves =
-        view != null && !other.viewId().isSameLineage(view.viewId()) && view.contains(self);
-    final boolean out =
-        view != null
-            && other.viewId().isSameLineage(view.viewId())
-            && view.contains(self)
-            && !other.contains(self);
-    final View before = view;
-    if (moves || out) {
-      // Whoever may have voted there is not the one who votes here.
-      self = context.startNextIncarnation();
+    final View before = view();
+    final boolean sameLineage = before != null && other.viewId().isSameLineage(before.viewId());
+    final boolean wasMember = before != null && before.contains(self);
+    final boolean changesLineage = wasMember && !sameLineage;
+    if (changesLineage || (wasMember && !other.contains(self))) {
+      // The incarnation that may have voted in the old lineage must not vote in the new one.
+      context.startNextIncarnation();
     }
     install(other, nowUs);
-    if (before != null && before.viewId().isSameLineage(other.viewId())) {
-      for (final ViewMember member : before.members()) {
-        if (!other.contains(member.id())) {
-          markDead(member.id(), nowUs);
-        }
+    if (sameLineage) {
+      markRemovedMembersDead(before, other, nowUs);
+    }
+    publishView(changesLineage ? ", a better line than ours" : ", told by another");
+  }
+
+  private boolean isLaterInLineage(final ViewId other) {
+    return current != null
+        && other.isSameLineage(current.id())
+        && other.number() > current.id().number();
+  }
+
+  private void markRemovedMembersDead(final View before, final View after, final long nowUs) {
+    for (final ViewMember member : before.members()) {
+      if (!after.contains(member.id())) {
+        markDead(member.id(), nowUs);
       }
     }
-    context.publishEvent(
-        PeerEvent.Type.VIEW,
-        "",
-        describe() + (moves ? ", a better line than ours" : ", told by another"));
   }
 
-  /** A decided change. True if it led on from the view that is held here. */
-  boolean onDecision(final GossipItem.ViewDecision decided, final long nowUs) {
-    if (view == null || !decided.viewId().equals(view.viewId())) {
+  /** Applies a decision. Returns true if it led on from the installed view. */
+  boolean onDecision(final GossipItem.ViewDecision decision, final long nowUs) {
+    if (current == null || !decision.viewId().equals(current.id())) {
       return false;
     }
-    recentDecisions.put(decided.viewId(), decided.change());
-    if (recentDecisions.size() > MAX_RECENT_DECISIONS) {
-      recentDecisions.remove(recentDecisions.keySet().iterator().next());
-    }
-    final View next = view.next(decided.change(), settings.committeeSize());
-    final boolean out = view.contains(self) && !next.contains(self);
-    if (out) {
-      self = context.startNextIncarnation();
+    recentDecisions.add(decision);
+    final View next = current.view().next(decision.change(), settings.committeeSize());
+    if (current.view().contains(self) && !next.contains(self)) {
+      context.startNextIncarnation();
     }
     install(next, nowUs);
-    decided.change().removed().forEach(id -> markDead(id, nowUs));
-    context.spread(decided);
-    context.publishEvent(PeerEvent.Type.VIEW, "", describe() + ": " + describe(decided.change()));
+    decision.change().removed().forEach(id -> markDead(id, nowUs));
+    context.spread(decision);
+    publishView(": " + decision.change().describe());
     return true;
   }
 
-  /** One that is out of the view by agreement. */
-  private void markDead(final PeerId id, final long nowUs) {
-    final Peer peer = table.find(id.name());
-    if (peer != null && peer.id.equals(id) && peer.isAlive()) {
-      final GossipItem.MemberUpdate fact =
-          new GossipItem.MemberUpdate(id, peer.address, GossipItem.Liveness.DEAD);
-      table.applyUpdate(fact, nowUs);
-      context.spread(fact);
+  private void install(final View next, final long nowUs) {
+    for (final ViewMember member : next.members()) {
+      if (!member.id().name().equals(self.name())) {
+        final GossipItem.MemberUpdate update =
+            new GossipItem.MemberUpdate(member.id(), member.address(), GossipItem.Liveness.ALIVE);
+        table.applyUpdate(update, nowUs);
+      }
     }
+    current = new IndexedView(next);
+    lineages.recordInstalled(next, nowUs);
+    proposer = new ViewProposer(current, self, nowUs, context);
   }
 
-  private String describe() {
-    return "view " + view.generation() + "." + view.number() + " of " + view.members().size();
+  /** Declares a peer dead that is out of the view by agreement. */
+  private void markDead(final PeerId id, final long nowUs) {
+    final Peer peer = table.find(id.name());
+    if (peer != null && peer.isAliveAs(id)) {
+      final GossipItem.MemberUpdate update =
+          new GossipItem.MemberUpdate(id, peer.address(), GossipItem.Liveness.DEAD);
+      table.applyUpdate(update, nowUs);
+      context.spread(update);
+    }
   }
 
-  private static String describe(final ViewChange change) {
-    final StringBuilder text = new StringBuilder();
-    change.removed().forEach(id -> text.append(" -").append(id.name()));
-    change.added().forEach(member -> text.append(" +").append(member.id().name()));
-    return text.length() == 0 ? "no change" : text.substring(1);
+  private void publishView(final String suffix) {
+    context.publishEvent(PeerEvent.Type.VIEW, "", current.describe() + suffix);
   }
 
   // ---------------------------------------------------------------- the agreement
 
-  /** A vote; the answer to it, or null. */
+  /** Applies a message of the agreement. Returns the answer, or null. */
   GossipItem.PaxosMessage onPaxosMessage(
-      final PeerId from, final GossipItem.PaxosMessage vote, final long nowUs) {
-    if (paxos == null) {
+      final PeerId from, final GossipItem.PaxosMessage message, final long nowUs) {
+    if (proposer == null) {
       return null;
     }
     final GossipItem.PaxosMessage answer =
-        paxos.onMessage(from, vote, change -> isAcceptable(change, nowUs));
+        proposer.onMessage(from, message, change -> isAcceptable(change, nowUs));
     applyDecision(nowUs);
     return answer;
   }
 
-  private void applyDecision(final long nowUs) {
-    final ViewChange decided = paxos.decided();
-    if (decided != null) {
-      onDecision(new GossipItem.ViewDecision(view.viewId(), decided), nowUs);
-    }
+  private boolean isAcceptable(final ViewChange change, final long nowUs) {
+    return policy.isAcceptable(change, self, nowUs);
   }
 
-  /**
-   * True unless this member knows better: it had a sign of one that is to go for silence, or sees
-   * itself out.
-   */
-  private boolean isAcceptable(final ViewChange change, final long nowUs) {
-    for (final PeerId id : change.removed()) {
-      final Peer peer = table.find(id.name());
-      final boolean knownToGo =
-          peer != null
-              && (!peer.id.equals(id) || !peer.isAlive() || table.isConfirmedEnded(peer, nowUs));
-      final boolean heard =
-          id.equals(self)
-              || (peer != null
-                  && peer.failedConnections == 0
-                  && nowUs - Math.max(peer.lastReceivedUs, peer.heartbeatUs)
-                      < settings.deathTimeoutUs() - SILENCE_TOLERANCE_US);
-      if (!knownToGo && heard) {
-        return false;
-      }
+  private void applyDecision(final long nowUs) {
+    final ViewChange decided = proposer.decided();
+    if (decided != null) {
+      onDecision(new GossipItem.ViewDecision(current.id(), decided), nowUs);
     }
-    return true;
   }
 
+  /** Moves on with time: founds a lineage, or proposes a change, as far as either is due. */
   void tick(final long nowUs) {
-    if (view == null) {
-      setStatus(MembershipStatus.FORMING, 0);
-      foundLineageIfDue(nowUs, false);
-      return;
-    }
-    updateStatus(nowUs);
-    if (isQuorumLost(nowUs)) {
-      quorumLostSinceUs = quorumLostSinceUs == Peer.NEVER ? nowUs : quorumLostSinceUs;
-      lostLineages.add(view.founder());
-      // Who is not of it leaves it to those who are, unless none of them is left.
-      if (nowUs - quorumLostSinceUs
-          >= (isMember(self) ? 1 : NON_MEMBER_FOUNDING_FACTOR) * settings.foundingDelayUs()) {
-        foundLineageIfDue(nowUs, true);
-      }
+    if (current == null) {
+      foundFirstLineageIfDue(nowUs);
       return;
     }
-    quorumLostSinceUs = Peer.NEVER;
-    if (status != MembershipStatus.MAJORITY || !paxos.isCommitteeMember()) {
+    majority.update(current, self, nowUs);
+    if (policy.isQuorumLost(current.view(), self, nowUs)) {
+      lineages.recordQuorumLost(current.view(), nowUs);
+      replaceLostLineageIfDue(nowUs);
       return;
     }
-    final ViewChange next = nextDesiredChange(nowUs);
-    if (!next.equals(desiredChange)) {
-      if (desiredChange.isEmpty()) {
-        desiredSinceUs = nowUs;
-      }
-      desiredChange = next;
-      desiredChangedUs = nowUs;
-    }
-    advanceProposal(nowUs);
-  }
-
-  private void advanceProposal(final long nowUs) {
-    if (paxos.isProposing()) {
-      if (nowUs >= nextBallotUs
-          && (paxos.isBallotSuperseded() || nowUs >= nextBallotUs + BALLOT_TIMEOUT_US)) {
-        paxos.startHigherBallot(desiredChange);
-        nextBallotUs = nowUs + BALLOT_TIMEOUT_US + context.randomBelow(BALLOT_TIMEOUT_US);
-        nextResendUs = nowUs;
-      }
-    } else if (!desiredChange.isEmpty()
-        && (nowUs - desiredChangedUs >= SETTLE_US || nowUs - desiredSinceUs >= MAX_SETTLE_US)
-        && nowUs - desiredSinceUs >= SETTLE_US + proposerRank(nowUs) * PROPOSER_RANK_DELAY_US) {
-      paxos.propose(desiredChange);
-      nextBallotUs = nowUs + BALLOT_TIMEOUT_US + context.randomBelow(BALLOT_TIMEOUT_US);
-      nextResendUs = nowUs;
-    }
-    if (paxos.isProposing() && nowUs >= nextResendUs) {
-      nextResendUs = nowUs + RESEND_INTERVAL_US;
-      sendOutstandingMessages(nowUs);
-    }
-  }
-
-  /** Says what is pending, to others by datagram and to itself at once. */
-  private void sendOutstandingMessages(final long nowUs) {
-    final PaxosInstance current = paxos;
-    for (final PaxosInstance.AddressedMessage letter : current.outstandingMessages()) {
-      if (letter.to().equals(self)) {
-        final GossipItem.PaxosMessage answer =
-            current.onMessage(self, letter.message(), change -> isAcceptable(change, nowUs));
-        if (answer != null) {
-          current.onMessage(self, answer, change -> false);
-        }
-      } else {
-        for (final ViewMember member : view.members()) {
-          if (member.id().equals(letter.to())) {
-            context.sendPaxosMessage(member, letter.message());
-          }
-        }
-      }
-    }
-    applyDecision(nowUs);
-  }
-
-  /** Its place among those of the committee that can propose. */
-  private int proposerRank(final long nowUs) {
-    int rank = 0;
-    for (final PeerId id : view.committee()) {
-      if (id.equals(self)) {
-        return rank;
-      }
-      final Peer peer = table.find(id.name());
-      rank +=
-          peer != null && peer.id.equals(id) && peer.isAlive() && !table.isSuspect(peer, nowUs)
-              ? 1
-              : 0;
-    }
-    return rank;
-  }
-
-  /** What the next view should change, by what is known now. */
-  private ViewChange nextDesiredChange(final long nowUs) {
-    final List<PeerId> removed = new ArrayList<>();
-    final List<ViewMember> added = new ArrayList<>();
-    int bytes = 0;
-    for (final ViewMember member : view.members()) {
-      final Peer peer = table.find(member.id().name());
-      if (!member.id().equals(self) && peer != null && shouldRemove(peer, member.id(), nowUs)) {
-        bytes += member.id().name().length() + 12;
-        if (bytes > MAX_CHANGE_BYTES) {
-          return new ViewChange(removed, added);
-        }
-        removed.add(member.id());
-      }
-    }
-    if (!isMember(self)) {
-      added.add(new ViewMember(self, address));
-    }
-    for (final Peer peer : table.alive()) {
-      if (!isMember(peer.id)
-          && peer.heartbeatAdvances >= 2
-          && nowUs - peer.heartbeatUs <= settings.heartbeatFreshnessUs()
-          && !table.isConfirmedEnded(peer, nowUs)) {
-        bytes += peer.id.name().length() + peer.address.length() + 16;
-        if (bytes > MAX_CHANGE_BYTES) {
-          break;
-        }
-        added.add(new ViewMember(peer.id, peer.address));
-      }
+    lineages.recordQuorumAvailable();
+    if (majority.status() == MembershipStatus.MAJORITY && proposer.mayPropose()) {
+      proposer.updateDesiredChange(policy.desiredChange(current, self, nowUs), nowUs);
+      proposer.tick(
+          () -> policy.proposerRank(current.view(), self, nowUs),
+          change -> isAcceptable(change, nowUs),
+          nowUs);
+      applyDecision(nowUs);
     }
-    return new ViewChange(removed, added);
-  }
-
-  private boolean shouldRemove(final Peer peer, final PeerId id, final long nowUs) {
-    return !peer.id.equals(id)
-        || !peer.isAlive()
-        || table.isConfirmedEnded(peer, nowUs)
-        || table.isConfirmedUnreachable(peer, self.name(), nowUs);
   }
 
-  // ---------------------------------------------------------------- standing
-
-  private void updateStatus(final long nowUs) {
-    int heard = 0;
-    for (final ViewMember member : view.members()) {
-      if (member.id().equals(self)) {
-        heard++;
-        continue;
-      }
-      final Peer peer = table.find(member.id().name());
-      heard +=
-          peer != null
-                  && peer.id.equals(member.id())
-                  && peer.isAlive()
-                  && !table.isSuspect(peer, nowUs)
-              ? 1
-              : 0;
-    }
-    int lost = 0;
-    int asked = 0;
-    for (final Peer peer : failureDetector.monitored()) {
-      if (isMember(peer.id)) {
-        asked++;
-        lost += table.isSuspect(peer, nowUs) ? 1 : 0;
-      }
-    }
-    final int size = view.members().size();
-    final boolean few =
-        2 * heard <= size || (size > settings.maxMonitored() + 1 && lost > ISOLATION_RATIO * asked);
-    if (!isMember(self)) {
-      setStatus(MembershipStatus.FORMING, heard);
-    } else if (size > 1 && (heard <= 1 || (asked > 0 && lost == asked))) {
-      setStatus(MembershipStatus.ALONE, heard);
-    } else {
-      setStatus(few ? MembershipStatus.MINORITY : MembershipStatus.MAJORITY, heard);
-    }
-  }
+  // ---------------------------------------------------------------- founding a lineage
 
-  private void setStatus(final MembershipStatus next, final int heard) {
-    reachableMembers = heard;
-    if (next != status) {
-      status = next;
-      context.publishEvent(
-          PeerEvent.Type.MEMBERSHIP_STATUS,
-          "",
-          switch (next) {
-            case FORMING -> "belongs to no view yet";
-            case MAJORITY -> "hears a majority: " + heard + " of " + view.members().size();
-            case MINORITY -> "hears no majority: " + heard + " of " + view.members().size();
-            case ALONE -> "hears nobody of " + view.members().size();
-            case CONFLICT -> "its name is another's";
-          });
+  private void foundFirstLineageIfDue(final long nowUs) {
+    if (nowUs - lineages.lastViewHeardUs() >= foundingDelayUs
+        && !hasPrecedingFounder(false, nowUs)) {
+      foundLineage(nowUs, "");
     }
   }
 
-  /** True if so many of the committee are over that no view can follow this one. */
-  private boolean isQuorumLost(final long nowUs) {
-    int over = 0;
-    for (final PeerId id : view.committee()) {
-      final Peer peer = table.find(id.name());
-      final boolean mine = id.name().equals(self.name());
-      over +=
-          mine
-              ? id.equals(self) ? 0 : 1
-              : peer == null
-                      || !peer.id.equals(id)
-                      || !peer.isAlive()
-                      || table.isConfirmedEnded(peer, nowUs)
-                  ? 1
-                  : 0;
+  /** Couriers that are not members leave it to those that are, unless none of them is left. */
+  private void replaceLostLineageIfDue(final long nowUs) {
+    final boolean isMember = current.isMember(self);
+    final long delayUs = (isMember ? 1 : NON_MEMBER_FOUNDING_FACTOR) * settings.foundingDelayUs();
+    if (nowUs - lineages.quorumLostSinceUs() >= delayUs
+        && nowUs - lineages.otherLineageHeardUs() >= settings.foundingDelayUs()
+        && !hasPrecedingFounder(isMember, nowUs)) {
+      foundLineage(nowUs, ", since the last line is over");
     }
-    return view.committee().size() - over < view.majority();
   }
 
   /**
-   * Founds a line, if it falls to this courier: nobody who can be heard holds one, and none of them
-   * has a lesser name.
+   * Returns true if a peer with a lesser name, and with a fresh heartbeat, is to found the lineage
+   * instead.
    */
-  private void foundLineageIfDue(final long nowUs, final boolean survivor) {
-    if (survivor
-        ? nowUs - otherLineageHeardUs < settings.foundingDelayUs()
-        : nowUs - lastViewHeardUs < foundingDelayUs) {
-      return;
-    }
+  private boolean hasPrecedingFounder(final boolean membersOnly, final long nowUs) {
     for (final Peer peer : table.alive()) {
-      final boolean counts = !survivor || !isMember(self) || isMember(peer.id);
-      if (counts
-          && peer.id.name().compareTo(self.name()) < 0
-          && nowUs - peer.heartbeatUs <= settings.heartbeatFreshnessUs()) {
-        return;
+      if ((!membersOnly || current.isMember(peer.id()))
+          && peer.name().compareTo(self.name()) < 0
+          && nowUs - peer.heartbeatUs() <= settings.heartbeatFreshnessUs()) {
+        return true;
       }
     }
-    if (view != null && view.contains(self)) {
-      self = context.startNextIncarnation();
+    return false;
+  }
+
+  private void foundLineage(final long nowUs, final String reason) {
+    if (current != null && current.view().contains(self)) {
+      context.startNextIncarnation();
     }
-    install(
-        View.founded(
-            highestGeneration + 1,
-            1 + context.randomBelow(Long.MAX_VALUE - 1),
-            new ViewMember(self, address)),
-        nowUs);
-    context.publishEvent(
-        PeerEvent.Type.VIEW,
-        "",
-        describe() + ": founded here" + (survivor ? ", since the last line is over" : ""));
+    final long founder = 1 + context.randomBelow(Long.MAX_VALUE - 1);
+    install(View.founded(lineages.nextGeneration(), founder, new ViewMember(self, address)), nowUs);
+    publishView(": founded here" + reason);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/package-info.java
@@ -1,7 +1,17 @@
 /**
- * Who is here, who is not, and how sure are we: the couriers of one fleet and what they say of one
- * another. Pure: datagrams, ends of connections and ticks come in, datagrams, connections and
- * events go out. {@link thistleturn.decisions.peers.MembershipProtocol} is the whole; {@link
- * thistleturn.decisions.peers.PaxosInstance} the part of it that numbers views.
+ * The membership of a fleet: which couriers exist, which are reachable, and how sure that is.
+ *
+ * <p>{@link thistleturn.decisions.peers.MembershipProtocol} is the entry point. Beneath it, {@link
+ * thistleturn.decisions.peers.MembershipTable} holds what is known of each peer, {@link
+ * thistleturn.decisions.peers.FailureDetector} observes the peers that this courier monitors,
+ * {@link thistleturn.decisions.peers.PacketSender} and {@link
+ * thistleturn.decisions.peers.GossipReceiver} exchange gossip, and {@link
+ * thistleturn.decisions.peers.ViewManager} agrees on numbered views by {@link
+ * thistleturn.decisions.peers.PaxosInstance}.
+ *
+ * <p>The package is a pure state machine of a single owner thread: packets, the outcome of
+ * connections and ticks come in; packets, connections and events go out through {@link
+ * thistleturn.decisions.peers.PeerActions}. It knows no sockets, clocks or encodings, which are the
+ * job of the module {@code peers}.
  */
 package thistleturn.decisions.peers;
--- a/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
@@ -12,8 +12,8 @@
 import thistleturn.decisions.health.LocalHealth;
 
 /**
- * One courier's part, told by hand: old, doubled and strange datagrams, its own name, and what it
- * says of itself.
+ * One courier's part in the protocol, driven by hand: stale, duplicated and implausible packets,
+ * its own name, and the status that it reports.
  */
 @Tag("peers")
 final class MembershipProtocolTest {
@@ -24,7 +24,7 @@
   private final List<Packet> sent = new ArrayList<>();
   private final List<String> sentTo = new ArrayList<>();
   private final List<PeerEvent> events = new ArrayList<>();
-  private final MembershipProtocol peers =
+  private final MembershipProtocol protocol =
       new MembershipProtocol(
           GossipSettings.defaults(),
           new PeerId("b", START_INCARNATION),
@@ -56,17 +56,17 @@
 
   private void runFor(final long us) {
     for (final long untilUs = nowUs + us; nowUs < untilUs; nowUs += TICK_US) {
-      peers.tick(nowUs);
+      protocol.tick(nowUs);
     }
   }
 
   private static Packet packetFrom(
-      final PeerId id, final String address, final long seq, final GossipItem... items) {
+      final PeerId id, final String address, final long sequence, final GossipItem... items) {
     return new Packet(
         id,
         address,
-        seq,
-        seq,
+        sequence,
+        sequence,
         ViewId.NONE,
         0,
         PeerStatus.UNREPORTED,
@@ -76,19 +76,19 @@
   }
 
   private PeerSnapshot snapshotOf(final String name) {
-    return peers.snapshots(nowUs).stream()
-        .filter(known -> known.id().name().equals(name))
+    return protocol.snapshots(nowUs).stream()
+        .filter(snapshot -> snapshot.id().name().equals(name))
         .findFirst()
         .orElse(null);
   }
 
-  /** Hears that life for so long. */
+  /** Receives packets of that incarnation for so long. */
   private void receiveFrom(
-      final PeerId id, final String address, final long us, final long firstSeq) {
-    long seq = firstSeq;
+      final PeerId id, final String address, final long us, final long firstSequence) {
+    long sequence = firstSequence;
     for (final long untilUs = nowUs + us; nowUs < untilUs; nowUs += TICK_US) {
-      peers.onPacket(packetFrom(id, address, seq++), nowUs);
-      peers.tick(nowUs);
+      protocol.onPacket(packetFrom(id, address, sequence++), nowUs);
+      protocol.tick(nowUs);
     }
   }
 
@@ -96,17 +96,18 @@
   void unansweredSeeds_areProbedAndThenViewIsFounded() {
     runFor(1_000_000);
     assertTrue(sentTo.stream().allMatch("a:1"::equals) && sent.size() >= 2);
-    assertNull(peers.view());
-    assertEquals(MembershipStatus.FORMING, peers.status());
+    assertNull(protocol.view());
+    assertEquals(MembershipStatus.FORMING, protocol.status());
     runFor(2_000_000);
     assertEquals(
-        List.of(new ViewMember(new PeerId("b", START_INCARNATION), "b:1")), peers.view().members());
-    assertEquals(MembershipStatus.MAJORITY, peers.status());
+        List.of(new ViewMember(new PeerId("b", START_INCARNATION), "b:1")),
+        protocol.view().members());
+    assertEquals(MembershipStatus.MAJORITY, protocol.status());
   }
 
   @Test
   void peerHeardDirectly_joinsViewButPeerKnownByGossipDoesNot() {
-    peers.onPacket(
+    protocol.onPacket(
         packetFrom(
             new PeerId("d", START_INCARNATION),
             "d:1",
@@ -115,25 +116,25 @@
                 new PeerId("e", START_INCARNATION), "e:1", GossipItem.Liveness.ALIVE)),
         nowUs);
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 6_000_000, 2);
-    assertTrue(peers.view().contains(new PeerId("d", START_INCARNATION)));
-    assertFalse(peers.view().contains(new PeerId("e", START_INCARNATION)));
+    assertTrue(protocol.view().contains(new PeerId("d", START_INCARNATION)));
+    assertFalse(protocol.view().contains(new PeerId("e", START_INCARNATION)));
     assertEquals(PeerState.SUSPECT, snapshotOf("e").state());
   }
 
-  /** An old or doubled datagram is no sign of life, and lets nobody in. */
+  /** A stale or duplicated packet is no sign of life, and admits nobody. */
   @Test
   void duplicatePackets_areNoSignOfLife() {
     for (int times = 0; times < 50; times++) {
-      peers.onPacket(
+      protocol.onPacket(
           packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 900), nowUs);
       runFor(TICK_US);
     }
-    assertFalse(peers.view().contains(new PeerId("d", START_INCARNATION - 86_400_000_000L)));
+    assertFalse(protocol.view().contains(new PeerId("d", START_INCARNATION - 86_400_000_000L)));
     assertEquals(Reachability.SILENT, snapshotOf("d").localReachability());
-    assertEquals(49, peers.rejectedPackets());
-    // The life that is there now has nothing to do with it, and what the old one said is over.
+    assertEquals(49, protocol.rejectedPackets());
+    // A later incarnation starts afresh, and packets of the earlier one count no more.
     receiveFrom(new PeerId("d", START_INCARNATION), "d:2", 2_000_000, 1);
-    peers.onPacket(
+    protocol.onPacket(
         packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 901), nowUs);
     assertEquals("d:2", snapshotOf("d").address());
     assertEquals(PeerState.ALIVE, snapshotOf("d").state());
@@ -141,76 +142,76 @@
 
   @Test
   void implausibleIncarnations_areIgnored() {
-    for (final long strange :
+    for (final long implausible :
         new long[] {
           0, -1, Long.MIN_VALUE, Long.MAX_VALUE, START_INCARNATION + 2 * 86_400_000_000L
         }) {
-      peers.onPacket(
+      protocol.onPacket(
           packetFrom(
-              new PeerId("d", strange),
+              new PeerId("d", implausible),
               "d:1",
               1,
               new GossipItem.MemberUpdate(
-                  new PeerId("b", strange), "b:1", GossipItem.Liveness.DEAD)),
+                  new PeerId("b", implausible), "b:1", GossipItem.Liveness.DEAD)),
           nowUs);
-      peers.onPacket(
+      protocol.onPacket(
           packetFrom(
               new PeerId("a", START_INCARNATION),
               "a:1",
               nowUs,
               new GossipItem.MemberUpdate(
-                  new PeerId("b", strange), "b:1", GossipItem.Liveness.DEAD)),
+                  new PeerId("b", implausible), "b:1", GossipItem.Liveness.DEAD)),
           nowUs);
     }
     assertNull(snapshotOf("d"));
-    assertEquals(new PeerId("b", START_INCARNATION), peers.self());
+    assertEquals(new PeerId("b", START_INCARNATION), protocol.self());
   }
 
   /**
-   * Its folder is gone and the clock went back an hour: the fleet remembers a later life of this
-   * name than this one.
+   * The state folder is lost and the clock went back an hour: the fleet remembers a later
+   * incarnation than this one.
    */
   @Test
   void rememberedLaterIncarnation_isSuperseded() {
     final PeerId past = new PeerId("b", START_INCARNATION + 3_600_000_000L);
-    peers.onPacket(
+    protocol.onPacket(
         packetFrom(
             new PeerId("a", START_INCARNATION),
             "a:1",
             1,
             new GossipItem.MemberUpdate(past, "b:9", GossipItem.Liveness.ALIVE)),
         nowUs);
-    assertEquals(past.incarnation() + 1, peers.self().incarnation());
-    assertEquals(MembershipStatus.FORMING, peers.status());
+    assertEquals(past.incarnation() + 1, protocol.self().incarnation());
+    assertEquals(MembershipStatus.FORMING, protocol.status());
   }
 
   @Test
   void declaredDead_startsNextIncarnation() {
     runFor(3_000_000);
-    peers.onPacket(
+    protocol.onPacket(
         packetFrom(
             new PeerId("a", START_INCARNATION),
             "a:1",
             1,
-            new GossipItem.MemberUpdate(peers.self(), "b:1", GossipItem.Liveness.DEAD)),
+            new GossipItem.MemberUpdate(protocol.self(), "b:1", GossipItem.Liveness.DEAD)),
         nowUs);
-    assertEquals(new PeerId("b", START_INCARNATION + 1), peers.self());
+    assertEquals(new PeerId("b", START_INCARNATION + 1), protocol.self());
     assertEquals(
         MembershipStatus.MAJORITY,
-        peers.status(),
-        "of its own fleet of one, until it is told of a better one");
+        protocol.status(),
+        "of its own fleet of one, until it hears of a preferred view");
   }
 
   /**
-   * Two processes of one name: the one that began first keeps out, looks now and then, and is back
-   * when the other is gone.
+   * Two processes have one name: the one that started first keeps out, probes its rival, and
+   * returns once that has ended.
    */
   @Test
   void laterRivalOfSameName_keepsNameUntilItEnds() {
     runFor(3_000_000);
     final PeerId rival = new PeerId("b", START_INCARNATION + 10_000_000);
-    peers.onPacket(packetFrom(rival, "x:1", 1), nowUs);
-    assertEquals(MembershipStatus.CONFLICT, peers.status());
+    protocol.onPacket(packetFrom(rival, "x:1", 1), nowUs);
+    assertEquals(MembershipStatus.CONFLICT, protocol.status());
     assertTrue(
         events.stream()
             .anyMatch(
@@ -222,23 +223,23 @@
     assertFalse(sent.isEmpty());
     assertTrue(
         sent.stream().allMatch(packet -> packet.sender() == null),
-        "it says nothing under the name");
-    peers.onPacket(
+        "it sends nothing under the name");
+    protocol.onPacket(
         packetFrom(
             new PeerId("a", START_INCARNATION),
             "a:1",
             5,
             new GossipItem.MemberUpdate(rival, "x:1", GossipItem.Liveness.DEAD)),
         nowUs);
-    assertEquals(rival.incarnation() + 1, peers.self().incarnation());
-    assertEquals(MembershipStatus.MAJORITY, peers.status());
+    assertEquals(rival.incarnation() + 1, protocol.self().incarnation());
+    assertEquals(MembershipStatus.MAJORITY, protocol.status());
   }
 
   @Test
   void anonymousProbe_isAnsweredWithRequestedName() {
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
     sent.clear();
-    peers.onPacket(
+    protocol.onPacket(
         new Packet(
             null,
             "z:1",
@@ -262,12 +263,15 @@
     assertNull(snapshotOf("z"));
   }
 
-  /** It answers, and delivers nothing: its own word says so, and travels. */
+  /**
+   * A courier answers its peers but delivers nothing: it reports that itself, and the report is
+   * forwarded.
+   */
   @Test
   void stalledDelivery_isReportedAndForwarded() {
-    final PeerStatus stuck = new PeerStatus(LocalHealth.State.WELL, 0, 40, true);
+    final PeerStatus stalled = new PeerStatus(LocalHealth.State.WELL, 0, 40, true);
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
-    peers.onPacket(
+    protocol.onPacket(
         new Packet(
             new PeerId("d", START_INCARNATION),
             "d:1",
@@ -275,12 +279,12 @@
             100,
             ViewId.NONE,
             1,
-            stuck,
+            stalled,
             Packet.Type.GOSSIP,
             0,
             List.of()),
         nowUs);
-    assertEquals(stuck, snapshotOf("d").status());
+    assertEquals(stalled, snapshotOf("d").status());
     sent.clear();
     runFor(300_000);
     assertTrue(
@@ -291,8 +295,8 @@
                         .items()
                         .contains(
                             new GossipItem.StatusUpdate(
-                                new PeerId("d", START_INCARNATION), 1, stuck))));
-    peers.updateOwnStatus(new PeerStatus(LocalHealth.State.STARVED, 5, 3, false), nowUs);
+                                new PeerId("d", START_INCARNATION), 1, stalled))));
+    protocol.updateOwnStatus(new PeerStatus(LocalHealth.State.STARVED, 5, 3, false), nowUs);
     runFor(600_000);
     assertEquals(LocalHealth.State.STARVED, sent.get(sent.size() - 1).status().health());
   }
@@ -311,7 +315,7 @@
                 packet ->
                     packet.items().stream()
                         .anyMatch(item -> item instanceof GossipItem.ReachabilityReport)));
-    peers.updateOwnStatus(PeerStatus.UNREPORTED, nowUs);
+    protocol.updateOwnStatus(PeerStatus.UNREPORTED, nowUs);
     runFor(600_000);
     assertTrue(sent.get(sent.size() - 1).status().pauseMs() > 6500);
   }
@@ -321,22 +325,22 @@
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
     runFor(60_000_000);
     assertEquals(PeerState.SUSPECT, snapshotOf("d").state());
-    assertEquals(MembershipStatus.ALONE, peers.status());
-    assertEquals(2, peers.view().members().size());
+    assertEquals(MembershipStatus.ALONE, protocol.status());
+    assertEquals(2, protocol.view().members().size());
   }
 
   /**
-   * Another courier listens where one did: that one is over there, and is found where it says that
-   * it is now.
+   * Another courier listens at a peer's address: the peer has ended there, and is found at its new
+   * address.
    */
   @Test
   void addressTakenOverByAnotherPeer_endsPreviousOwner() {
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
-    peers.onConnectionGreeted("d:1", new PeerId("d", START_INCARNATION), nowUs);
-    peers.onConnectionClosed("d:1", nowUs);
+    protocol.onConnectionGreeted("d:1", new PeerId("d", START_INCARNATION), nowUs);
+    protocol.onConnectionClosed("d:1", nowUs);
     for (int times = 0; times < 3; times++) {
       runFor(1_500_000);
-      peers.onConnectionGreeted("d:1", new PeerId("e", START_INCARNATION), nowUs);
+      protocol.onConnectionGreeted("d:1", new PeerId("e", START_INCARNATION), nowUs);
     }
     runFor(500_000);
     assertEquals(Reachability.ENDED, snapshotOf("d").localReachability());
@@ -344,14 +348,14 @@
     receiveFrom(new PeerId("d", START_INCARNATION + 1), "d:7", 2_500_000, 1);
     assertEquals("d:7", snapshotOf("d").address());
     assertEquals(Reachability.HEARD, snapshotOf("d").localReachability());
-    assertTrue(peers.view().contains(new PeerId("d", START_INCARNATION + 1)));
+    assertTrue(protocol.view().contains(new PeerId("d", START_INCARNATION + 1)));
   }
 
   @Test
   void afterLeave_sendsNothingMore() {
     receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
     sent.clear();
-    peers.leave(nowUs);
+    protocol.leave(nowUs);
     assertEquals(2, sent.size());
     assertTrue(
         sent.get(0)
@@ -363,21 +367,21 @@
     assertEquals(2, sent.size());
   }
 
-  /** Whatever the others say, what it keeps and sends is bounded. */
+  /** What is stored and sent is bounded, whatever is received. */
   @Test
   void floodOfMembers_isBoundedInMemoryAndBytes() {
-    long seq = 1;
+    long sequence = 1;
     for (int number = 0; number < 5000; number++) {
-      peers.onPacket(
+      protocol.onPacket(
           packetFrom(
               new PeerId("d", START_INCARNATION),
               "d:1",
-              seq++,
+              sequence++,
               new GossipItem.MemberUpdate(
                   new PeerId("x" + number, START_INCARNATION), "d:1", GossipItem.Liveness.ALIVE)),
           nowUs);
     }
-    assertTrue(peers.snapshots(nowUs).size() <= MembershipTable.MAX_PEERS);
+    assertTrue(protocol.snapshots(nowUs).size() <= MembershipTable.MAX_PEERS);
     sent.clear();
     runFor(10_000_000);
     final int bytes =
