--- a/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
@@ -3,14 +3,36 @@
 import java.util.List;
 
 /**
- * A writer's entries after a version, in their order: who knows all up to {@code afterVersion}
- * knows all up to {@code upToVersion} once these are taken over. Entries that another took the
- * place of, or whose time is up, are left out.
+ * Entries of one writer, in the order of their versions: who misses nothing up to {@code
+ * afterVersion} misses nothing up to {@code upToVersion} once these are merged. Entries that are
+ * superseded or have expired are left out.
  */
 public record Delta(WriterId writer, long afterVersion, long upToVersion, List<Entry> entries) {
-  /** About how many bytes it takes on its way. */
+  private static final int FIXED_BYTES = 30;
+
+  /** Returns the delta that carries one entry. */
+  static Delta single(final Entry entry) {
+    return new Delta(entry.writer(), entry.version() - 1, entry.version(), List.of(entry));
+  }
+
+  /** Returns true for a range of versions that can exist. */
+  boolean isValid() {
+    return writer.isValid()
+        && afterVersion >= 0
+        && upToVersion >= afterVersion
+        && upToVersion < Entry.VERSION_LIMIT;
+  }
+
+  /** Returns the last version that the delta describes or carries. */
+  long lastVersion() {
+    return entries.isEmpty()
+        ? upToVersion
+        : Math.max(upToVersion, entries.get(entries.size() - 1).version());
+  }
+
+  /** Returns about how many bytes the delta takes once it is encoded. */
   public int estimatedBytes() {
-    int bytes = 30 + writer.name().length();
+    int bytes = FIXED_BYTES + writer.name().length();
     for (final Entry entry : entries) {
       bytes += entry.estimatedBytes();
     }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/DisableEntry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/DisableEntry.java
@@ -8,73 +8,79 @@
 import java.util.TreeMap;
 
 /**
- * An operator's word on an endpoint. It says which words on the same endpoint were known where it
- * was given: it takes the place of these, and of no others. So "later" means "knowing of", whatever
- * any clock shows; of two words that did not know of each other both stand.
+ * An operator's decision to disable an endpoint, or to enable it. It states which decisions on the
+ * same endpoint were known where it was made: it supersedes these, and no others. So "later" means
+ * "knowing of", whatever any clock shows; of two decisions that did not know of each other, both
+ * stand.
  *
- * @param disabled true: the endpoint is left out; false: it may serve again
- * @param operator who gave it, and where
- * @param supersededVersions the words that it takes the place of: the highest version of each
- *     writer
+ * @param disabled true: the endpoint is disabled; false: it may serve again
+ * @param operator who decided, and where
+ * @param supersededVersions the decisions that it supersedes: the highest version of each writer
  */
 public record DisableEntry(
     boolean disabled, String operator, Map<WriterId, Long> supersededVersions) {
+  private static final int DISABLED_FIELD = 0;
+  private static final int OPERATOR_FIELD = 1;
   private static final int FIRST_SUPERSEDED_FIELD = 2;
   private static final int FIELDS_PER_SUPERSEDED = 3;
 
-  /** Writers' words that one can take the place of; each endpoint has few. */
+  /** Writers of whom a decision can supersede entries; each endpoint has few. */
   public static final int MAX_SUPERSEDED =
       (Entry.MAX_FIELDS - FIRST_SUPERSEDED_FIELD) / FIELDS_PER_SUPERSEDED;
 
   /**
-   * A word that takes the place of all these, and of all those of which these took the place:
-   * whoever still holds one of the latter may never hear of the former. Where that is too many,
-   * those of the stores that began first are left out.
+   * Returns a decision that supersedes all these, and all that these superseded: a courier that
+   * still holds one of the latter may never hear of the former. Where that is too many, those of
+   * the oldest stores are left out.
    */
   static DisableEntry superseding(
-      final Collection<Entry> words,
+      final Collection<Entry> entries,
       final WriterId self,
-      final boolean out,
+      final boolean disabled,
       final String operator) {
-    final Map<WriterId, Long> seen = new TreeMap<>();
-    for (final Entry word : words) {
-      fromEntry(word)
+    final Map<WriterId, Long> superseded = new TreeMap<>();
+    for (final Entry entry : entries) {
+      fromEntry(entry)
           .supersededVersions
-          .forEach((writer, version) -> seen.merge(writer, version, Math::max));
-      seen.merge(word.writer(), word.version(), Math::max);
+          .forEach((writer, version) -> superseded.merge(writer, version, Math::max));
+      superseded.merge(entry.writer(), entry.version(), Math::max);
     }
-    seen.remove(self);
-    while (seen.size() > MAX_SUPERSEDED) {
-      seen.remove(
-          seen.keySet().stream().min(Comparator.comparingLong(WriterId::epoch)).orElseThrow());
+    superseded.remove(self);
+    while (superseded.size() > MAX_SUPERSEDED) {
+      superseded.remove(
+          superseded.keySet().stream()
+              .min(Comparator.comparingLong(WriterId::epoch))
+              .orElseThrow());
     }
-    return new DisableEntry(out, operator, seen);
+    return new DisableEntry(disabled, operator, superseded);
   }
 
-  /** Reads an entry; null, if it cannot be meant. */
+  /** Returns the decision that an entry states; null if it cannot be one. */
   static DisableEntry fromEntry(final Entry entry) {
     final List<Object> fields = entry.fields();
-    if (fields.size() < FIRST_SUPERSEDED_FIELD || !(fields.get(1) instanceof String)) {
+    if (fields.size() < FIRST_SUPERSEDED_FIELD || !(fields.get(OPERATOR_FIELD) instanceof String)) {
       return null;
     }
-    final Map<WriterId, Long> seen = new TreeMap<>();
-    for (int place = FIRST_SUPERSEDED_FIELD;
-        place + FIELDS_PER_SUPERSEDED <= fields.size();
-        place += FIELDS_PER_SUPERSEDED) {
-      if (!(fields.get(place) instanceof String)
-          || !(fields.get(place + 1) instanceof Long)
-          || !(fields.get(place + 2) instanceof Long)) {
-        // Of a later version, which has something else here.
-        break;
-      }
-      seen.put(
-          new WriterId(entry.textField(place), entry.longField(place + 1)),
-          entry.longField(place + 2));
+    final Map<WriterId, Long> superseded = new TreeMap<>();
+    for (int first = FIRST_SUPERSEDED_FIELD;
+        hasSupersededAt(fields, first);
+        first += FIELDS_PER_SUPERSEDED) {
+      final WriterId writer = new WriterId(entry.textField(first), entry.longField(first + 1));
+      superseded.put(writer, entry.longField(first + 2));
     }
-    return new DisableEntry(entry.booleanField(0), entry.textField(1), seen);
+    return new DisableEntry(
+        entry.booleanField(DISABLED_FIELD), entry.textField(OPERATOR_FIELD), superseded);
   }
 
-  /** The fields of an entry that says so. */
+  /** A later version may have something else from some field on. */
+  private static boolean hasSupersededAt(final List<Object> fields, final int first) {
+    return first + FIELDS_PER_SUPERSEDED <= fields.size()
+        && fields.get(first) instanceof String
+        && fields.get(first + 1) instanceof Long
+        && fields.get(first + 2) instanceof Long;
+  }
+
+  /** Returns the fields of an entry that states this. */
   List<Object> toFields() {
     final List<Object> fields = new ArrayList<>(List.of(disabled, operator));
     supersededVersions.forEach(
@@ -82,8 +88,8 @@
     return List.copyOf(fields);
   }
 
-  /** True if it takes the place of that word. */
-  boolean supersedes(final Entry word) {
-    return supersededVersions.getOrDefault(word.writer(), 0L) >= word.version();
+  /** Returns true if this decision supersedes that entry. */
+  boolean supersedes(final Entry entry) {
+    return supersededVersions.getOrDefault(entry.writer(), 0L) >= entry.version();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * One writer's word on one subject. Of two by the same writer the higher version counts; no other
- * copy of it can differ but in when it is thought to have been made: that is as much too late as it
- * was on its way.
+ * What one writer states on one subject. Of two entries of the same writer the higher version
+ * counts. Copies of an entry differ in nothing but when it is thought to have been created: as much
+ * too late as the copy took to arrive.
  *
- * @param typeCode the number of its {@link EntryType}
+ * @param typeCode the code of its {@link EntryType}, which may be one of a later version
  * @param subject an endpoint's name, or a destination's number
  * @param writer who wrote it
  * @param version counts the writer's entries; above 0
- * @param ttlUs how long it holds; 0: until another takes its place
- * @param createdUs when it was made, on the clock of whoever keeps this copy
- * @param fields by place, each a {@link Long}, {@link Double}, {@link Boolean} or {@link String};
- *     those that are not known are kept
+ * @param ttlUs how long it is valid; 0: until it is superseded
+ * @param createdUs when it was created, on the clock of the courier that stores this copy
+ * @param fields by position, each a {@link Long}, {@link Double}, {@link Boolean} or {@link
+ *     String}; unknown ones are kept
  */
 public record Entry(
     int typeCode,
@@ -24,101 +24,126 @@
     long ttlUs,
     long createdUs,
     List<Object> fields) {
-  /** Bounds of what a copy takes over from others. */
   static final int MAX_SUBJECT_LENGTH = 200;
-
   static final int MAX_FIELDS = 64;
   static final int MAX_TEXT_LENGTH = 200;
+
+  /** Versions are below this, so that they are exact in other number formats. */
   static final long VERSION_LIMIT = 1L << 53;
+
   private static final int MAX_DESTINATION_DIGITS = 18;
+  private static final double MAX_CALLS_PER_SECOND = 1_000_000;
   private static final int FIXED_BYTES = 40;
   private static final int NUMBER_BYTES = 9;
+  private static final int TEXT_HEAD_BYTES = 2;
 
-  /** When it ends, us; never, if it is kept. */
+  /** Returns when it expires; {@link Long#MAX_VALUE}: never. */
   public long expiresUs() {
     return ttlUs == 0 ? Long.MAX_VALUE : createdUs + ttlUs;
   }
 
-  /** The same, thought to have been made at another moment. */
+  /** Returns the same entry, thought to have been created at another time. */
   Entry withCreatedUs(final long us) {
     return new Entry(typeCode, subject, writer, version, ttlUs, us, fields);
   }
 
-  /** About how many bytes it takes on its way. */
+  /** Returns about how many bytes the entry takes once it is encoded. */
   public int estimatedBytes() {
     int bytes = FIXED_BYTES + subject.length() + writer.name().length();
-    for (int place = 0; place < fields.size(); place++) {
-      bytes += fields.get(place) instanceof String text ? text.length() + 2 : NUMBER_BYTES;
+    for (int index = 0; index < fields.size(); index++) {
+      bytes +=
+          fields.get(index) instanceof String text ? text.length() + TEXT_HEAD_BYTES : NUMBER_BYTES;
     }
     return bytes;
   }
 
-  /** A field as a yes or no; no, if it is not there. */
-  boolean booleanField(final int place) {
-    return place < fields.size() && Boolean.TRUE.equals(fields.get(place));
+  // ---------------------------------------------------------------- fields
+
+  /** Returns a field as a boolean; false if there is none. */
+  boolean booleanField(final int index) {
+    return index < fields.size() && Boolean.TRUE.equals(fields.get(index));
   }
 
-  /** A field as a number; {@link Double#NaN}, if it is not there. */
-  double doubleField(final int place) {
-    return place < fields.size() && fields.get(place) instanceof Number number
+  /** Returns a field as a double; {@link Double#NaN} if there is none. */
+  double doubleField(final int index) {
+    return index < fields.size() && fields.get(index) instanceof Number number
         ? number.doubleValue()
         : Double.NaN;
   }
 
-  /** A field as a whole number; 0, if it is not there. */
-  long longField(final int place) {
-    return place < fields.size() && fields.get(place) instanceof Long number ? number : 0;
+  /** Returns a field as a long; 0 if there is none. */
+  long longField(final int index) {
+    return index < fields.size() && fields.get(index) instanceof Long number ? number : 0;
   }
 
-  /** A field as a text; empty, if it is not there. */
-  String textField(final int place) {
-    return place < fields.size() && fields.get(place) instanceof String text ? text : "";
+  /** Returns a field as a string; empty if there is none. */
+  String textField(final int index) {
+    return index < fields.size() && fields.get(index) instanceof String text ? text : "";
   }
 
+  // ---------------------------------------------------------------- validation
+
   /**
-   * True if it can be meant: a wait of centuries or a rate of nothing is somebody's mistake, and
-   * moves nothing.
+   * Returns true if the entry can be meant: a wait of centuries or a rate of zero is a mistake, and
+   * is ignored.
    */
   boolean isValid(final long nowUs) {
-    if (!writer.isValid()
-        || subject.isEmpty()
-        || subject.length() > MAX_SUBJECT_LENGTH
-        || version <= 0
-        || version >= VERSION_LIMIT
-        || fields.size() > MAX_FIELDS
-        || createdUs > nowUs
-        || ttlUs < 0) {
+    if (!hasValidHead(nowUs) || !hasValidTexts()) {
       return false;
     }
+    final EntryType type = EntryType.fromCode(typeCode);
+    if (type == null) {
+      // Of a later version: it is forwarded, but not kept for longer than the longest known.
+      return ttlUs > 0 && ttlUs <= EntryType.WAIT.maxTtlUs();
+    }
+    return hasValidTtl(type) && hasValidContent(type);
+  }
+
+  private boolean hasValidHead(final long nowUs) {
+    return writer.isValid()
+        && !subject.isEmpty()
+        && subject.length() <= MAX_SUBJECT_LENGTH
+        && version > 0
+        && version < VERSION_LIMIT
+        && fields.size() <= MAX_FIELDS
+        && createdUs <= nowUs
+        && ttlUs >= 0;
+  }
+
+  private boolean hasValidTexts() {
     for (final Object field : fields) {
       if (field instanceof String text && text.length() > MAX_TEXT_LENGTH) {
         return false;
       }
     }
-    final EntryType known = EntryType.fromCode(typeCode);
-    if (known == null) {
-      return ttlUs > 0 && ttlUs <= EntryType.WAIT.maxTtlUs();
-    }
-    return (known.maxTtlUs() == 0 ? ttlUs == 0 : ttlUs > 0 && ttlUs <= known.maxTtlUs())
-        && switch (known) {
-          case MAINTENANCE ->
-              !fields.isEmpty()
-                  && fields.get(0) instanceof Boolean
-                  && DisableEntry.fromEntry(this) != null;
-          case OUTAGE -> isDestination() && !fields.isEmpty() && fields.get(0) instanceof Boolean;
-          case LIMIT, LEARNT -> isDestination() && isRate(doubleField(0));
-          case LIST -> !fields.isEmpty() && fields.get(0) instanceof Long;
-          case WAIT -> isDestination();
-        };
+    return true;
+  }
+
+  private boolean hasValidTtl(final EntryType type) {
+    return type.isPermanent() ? ttlUs == 0 : ttlUs > 0 && ttlUs <= type.maxTtlUs();
+  }
+
+  private boolean hasValidContent(final EntryType type) {
+    return switch (type) {
+      case MAINTENANCE -> hasBooleanFirst() && DisableEntry.fromEntry(this) != null;
+      case OUTAGE -> isAboutDestination() && hasBooleanFirst();
+      case LIMIT, LEARNT -> isAboutDestination() && isValidRate(doubleField(0));
+      case LIST -> !fields.isEmpty() && fields.get(0) instanceof Long;
+      case WAIT -> isAboutDestination();
+    };
+  }
+
+  private boolean hasBooleanFirst() {
+    return !fields.isEmpty() && fields.get(0) instanceof Boolean;
   }
 
-  /** True if it is about a destination, by its number. */
-  private boolean isDestination() {
+  /** Returns true if the subject is a destination's number. */
+  private boolean isAboutDestination() {
     return subject.length() <= MAX_DESTINATION_DIGITS
-        && subject.chars().allMatch(one -> one >= '0' && one <= '9');
+        && subject.chars().allMatch(character -> character >= '0' && character <= '9');
   }
 
-  private static boolean isRate(final double perSecond) {
-    return perSecond > 0 && perSecond <= 1_000_000;
+  private static boolean isValidRate(final double callsPerSecond) {
+    return callsPerSecond > 0 && callsPerSecond <= MAX_CALLS_PER_SECOND;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryStore.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryStore.java
@@ -11,42 +11,13 @@
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * One courier's copy of all entries. Entries of a writer are ordered by version, and a copy knows
- * of each writer up to which version it lacks nothing; so what another lacks is found by one number
- * a writer (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, LADIS 2008). Taking over is a
- * maximum by writer and subject: any order and any doubling end in the same.
+ * One courier's copy of all entries. A writer's entries are ordered by version, and the store knows
+ * of each writer up to which version nothing is missing; so what another courier misses is found by
+ * one number for each writer (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, LADIS 2008).
+ * Merging is a maximum by writer and key: any order and any duplication converge to the same
+ * entries.
  */
 final class EntryStore {
-  /** An entry's place: one writer has one word on a subject. */
-  private record EntryKey(int typeCode, String subject) {}
-
-  /** An entry where it is held; due when its time is up. */
-  private static final class StoredEntry extends TimeHeap.Entry {
-    private final EntryKey key;
-    private final Entry entry;
-
-    private StoredEntry(final EntryKey place, final Entry entry) {
-      this.key = place;
-      this.entry = entry;
-    }
-  }
-
-  /** What is kept of one writer. */
-  private static final class WriterLog {
-    /** Up to here nothing is lacking. */
-    private long contiguousVersion;
-
-    /** The latest of those that are held; 0: none is. */
-    private final NavigableMap<Long, StoredEntry> entries = new TreeMap<>();
-
-    private long emptySinceUs = Long.MAX_VALUE;
-
-    private long lastVersion() {
-      return entries.isEmpty() ? 0 : entries.lastKey();
-    }
-  }
-
-  private static final int DELTA_BYTES = 30;
   private final ReplicationSettings settings;
   private final Map<EntryKey, Map<WriterId, StoredEntry>> entriesByKey = new HashMap<>();
   private final NavigableMap<WriterId, WriterLog> logs = new TreeMap<>();
@@ -55,163 +26,182 @@
   private long checksum;
   private long rejected;
 
-  EntryStore(final ReplicationSettings rules) {
-    this.settings = rules;
+  EntryStore(final ReplicationSettings settings) {
+    this.settings = settings;
   }
 
-  // ---------------------------------------------------------------- what is held
+  // ---------------------------------------------------------------- reading
 
+  /** Returns how many entries are stored. */
   int size() {
     return size;
   }
 
-  /** Equal where the same entries are held, whenever they are thought to have been made. */
+  /**
+   * Returns a checksum that is equal where the same entries are stored, whenever they are thought
+   * to have been created.
+   */
   long checksum() {
     return checksum;
   }
 
-  /** Entries that were not taken over since they cannot be meant, or there is no room for them. */
+  /**
+   * Returns how many entries and deltas were rejected, since they are invalid or exceed the
+   * capacity.
+   */
   long rejected() {
     return rejected;
   }
 
-  /** All writers of a part, and up to where each is known. */
-  Map<WriterId, Long> knownVersions(final int part, final int parts) {
+  /** Returns the version up to which nothing is missing, for each writer of a partition. */
+  Map<WriterId, Long> knownVersions(final Partition partition) {
     final Map<WriterId, Long> known = new TreeMap<>();
     logs.forEach(
-        (writer, shelf) -> {
-          if (partitionOf(writer, parts) == part && shelf.contiguousVersion > 0) {
-            known.put(writer, shelf.contiguousVersion);
+        (writer, log) -> {
+          if (partition.includes(writer) && log.contiguousVersion() > 0) {
+            known.put(writer, log.contiguousVersion());
           }
         });
     return known;
   }
 
-  /** The words on a subject, one a writer. */
-  List<Entry> entries(final EntryType kind, final String subject) {
-    return entries(new EntryKey(kind.code(), subject));
+  /** Returns the entries on a subject, one for each writer. */
+  List<Entry> entries(final EntryType type, final String subject) {
+    return entries(EntryKey.of(type, subject));
   }
 
-  private List<Entry> entries(final EntryKey place) {
-    final Map<WriterId, StoredEntry> slots = entriesByKey.get(place);
-    return slots == null ? List.of() : slots.values().stream().map(slot -> slot.entry).toList();
+  private List<Entry> entries(final EntryKey key) {
+    return entriesByKey.getOrDefault(key, Map.of()).values().stream()
+        .map(StoredEntry::entry)
+        .toList();
   }
 
-  /** A writer's own word on a subject, or null. */
-  Entry find(final EntryType kind, final String subject, final WriterId writer) {
-    final StoredEntry slot =
-        entriesByKey.getOrDefault(new EntryKey(kind.code(), subject), Map.of()).get(writer);
-    return slot == null ? null : slot.entry;
+  /** Returns one writer's entry on a subject; null: there is none. */
+  Entry find(final EntryType type, final String subject, final WriterId writer) {
+    final StoredEntry stored = find(EntryKey.of(type, subject), writer);
+    return stored == null ? null : stored.entry();
   }
 
-  /** All subjects of a kind on which there is a word. */
-  Set<String> subjects(final EntryType kind) {
+  private StoredEntry find(final EntryKey key, final WriterId writer) {
+    return entriesByKey.getOrDefault(key, Map.of()).get(writer);
+  }
+
+  /** Returns all subjects on which there are entries of a type. */
+  Set<String> subjects(final EntryType type) {
     final Set<String> subjects = new LinkedHashSet<>();
-    entriesByKey
-        .keySet()
-        .forEach(
-            place -> {
-              if (place.typeCode == kind.code()) {
-                subjects.add(place.subject);
-              }
-            });
+    for (final EntryKey key : entriesByKey.keySet()) {
+      if (key.typeCode() == type.code()) {
+        subjects.add(key.subject());
+      }
+    }
     return subjects;
   }
 
-  /** All entries, by writer and version. */
+  /** Returns all entries, by writer and version. */
   List<Entry> all() {
     final List<Entry> all = new ArrayList<>(size);
-    logs.values().forEach(shelf -> shelf.entries.values().forEach(slot -> all.add(slot.entry)));
+    logs.values().forEach(log -> log.all().forEach(stored -> all.add(stored.entry())));
     return all;
   }
 
-  /** Some entries after one, by writer and version. */
-  List<Entry> entriesAfter(final Entry after, final int most) {
+  /** Returns some entries, by writer and version, after the given one; null: from the first on. */
+  List<Entry> entriesAfter(final Entry after, final int limit) {
     final List<Entry> slice = new ArrayList<>();
-    final NavigableMap<WriterId, WriterLog> from =
+    final NavigableMap<WriterId, WriterLog> remaining =
         after == null ? logs : logs.tailMap(after.writer(), true);
-    for (final Map.Entry<WriterId, WriterLog> one : from.entrySet()) {
-      final boolean begun = after != null && one.getKey().equals(after.writer());
-      for (final StoredEntry slot :
-          (begun ? one.getValue().entries.tailMap(after.version(), false) : one.getValue().entries)
-              .values()) {
-        if (slice.size() >= most) {
+    for (final Map.Entry<WriterId, WriterLog> entry : remaining.entrySet()) {
+      final boolean isPartlyRead = after != null && entry.getKey().equals(after.writer());
+      for (final StoredEntry stored : entry.getValue().after(isPartlyRead ? after.version() : 0)) {
+        if (slice.size() >= limit) {
           return slice;
         }
-        slice.add(slot.entry);
+        slice.add(stored.entry());
       }
     }
     return slice;
   }
 
-  static int partitionOf(final WriterId writer, final int parts) {
-    return parts <= 1 ? 0 : (int) Math.floorMod(writer.stableHash(), (long) parts);
+  /**
+   * Returns what another courier misses of a partition.
+   *
+   * @param theirVersions up to which version it misses nothing of each writer
+   * @param maxBytes about how many bytes the result may take; one entry is included in any case
+   */
+  MissingEntries collectMissing(
+      final Map<WriterId, Long> theirVersions,
+      final Partition partition,
+      final int maxBytes,
+      final long nowUs) {
+    final MissingEntries.Collector collector =
+        new MissingEntries.Collector(theirVersions, maxBytes, nowUs);
+    for (final Map.Entry<WriterId, WriterLog> entry : logs.entrySet()) {
+      if (partition.includes(entry.getKey()) && !collector.add(entry.getKey(), entry.getValue())) {
+        break;
+      }
+    }
+    return collector.result();
   }
 
-  // ---------------------------------------------------------------- taking over
+  // ---------------------------------------------------------------- merging
 
-  /** Takes over what somebody tells of a writer; subjects on which something changed are added. */
+  /** Merges a delta; what changed is added to {@code changed}. */
   void merge(final Delta delta, final long nowUs, final Set<SubjectChanged> changed) {
-    if (!delta.writer().isValid()
-        || delta.afterVersion() < 0
-        || delta.upToVersion() < delta.afterVersion()
-        || delta.upToVersion() >= Entry.VERSION_LIMIT) {
+    if (!delta.isValid()) {
       rejected++;
       return;
     }
-    final WriterLog shelf = logs.computeIfAbsent(delta.writer(), unused -> new WriterLog());
+    final WriterLog log = logs.computeIfAbsent(delta.writer(), unused -> new WriterLog());
     for (final Entry entry : delta.entries()) {
       if (entry.writer().equals(delta.writer()) && entry.isValid(nowUs)) {
-        store(shelf, entry, nowUs, changed);
+        store(log, entry, nowUs, changed);
       } else {
         rejected++;
       }
     }
-    if (delta.afterVersion() <= shelf.contiguousVersion) {
-      shelf.contiguousVersion = Math.max(shelf.contiguousVersion, delta.upToVersion());
-    }
-    if (shelf.entries.isEmpty() && shelf.emptySinceUs == Long.MAX_VALUE) {
-      shelf.emptySinceUs = nowUs;
-    }
+    log.recordMerged(delta);
+    log.checkEmpty(nowUs);
   }
 
   private void store(
-      final WriterLog shelf,
-      final Entry entry,
-      final long nowUs,
-      final Set<SubjectChanged> changed) {
-    final EntryKey place = new EntryKey(entry.typeCode(), entry.subject());
-    final StoredEntry before = entriesByKey.getOrDefault(place, Map.of()).get(entry.writer());
-    if (before != null && before.entry.version() >= entry.version()) {
-      if (before.entry.version() == entry.version()
-          && entry.createdUs() < before.entry.createdUs()) {
-        // The same one, which was less long on its way: it ends as much sooner.
-        insert(shelf, place, before.entry.withCreatedUs(entry.createdUs()), before);
-      }
+      final WriterLog log, final Entry entry, final long nowUs, final Set<SubjectChanged> changed) {
+    final EntryKey key = EntryKey.of(entry);
+    final StoredEntry before = find(key, entry.writer());
+    if (before != null && before.entry().version() >= entry.version()) {
+      adoptEarlierCreation(log, before, entry);
       return;
     }
     if (entry.expiresUs() <= nowUs
-        || entry.version() <= shelf.contiguousVersion
-        || isSuperseded(entry, place)) {
+        || entry.version() <= log.contiguousVersion()
+        || isSuperseded(entry, key)) {
       return;
     }
     if (before == null
-        && (size >= settings.maxEntries()
-            || shelf.entries.size() >= settings.maxEntriesPerWriter())) {
+        && (size >= settings.maxEntries() || log.size() >= settings.maxEntriesPerWriter())) {
       rejected++;
       return;
     }
-    insert(shelf, place, entry, before);
-    changed.add(new SubjectChanged(entry.typeCode(), entry.subject()));
-    removeSuperseded(place, entry);
+    replace(log, before, new StoredEntry(key, entry));
+    changed.add(key.changed());
+    removeSuperseded(key, entry);
+  }
+
+  /** The same entry took less time to arrive: it expires as much sooner. */
+  private void adoptEarlierCreation(
+      final WriterLog log, final StoredEntry before, final Entry entry) {
+    final Entry stored = before.entry();
+    if (stored.version() == entry.version() && entry.createdUs() < stored.createdUs()) {
+      replace(log, before, new StoredEntry(before.key(), stored.withCreatedUs(entry.createdUs())));
+    }
   }
 
-  /** True if a word that is held knew of this one: it can only come from a copy that is behind. */
-  private boolean isSuperseded(final Entry entry, final EntryKey place) {
+  /**
+   * Returns true if a stored entry knew of this one, which then comes from a copy that is behind.
+   */
+  private boolean isSuperseded(final Entry entry, final EntryKey key) {
     if (entry.typeCode() != EntryType.MAINTENANCE.code()) {
       return false;
     }
-    for (final Entry other : entries(place)) {
+    for (final Entry other : entries(key)) {
       if (!other.writer().equals(entry.writer())
           && DisableEntry.fromEntry(other).supersedes(entry)) {
         return true;
@@ -220,99 +210,82 @@
     return false;
   }
 
-  private void removeSuperseded(final EntryKey place, final Entry by) {
-    if (by.typeCode() == EntryType.MAINTENANCE.code()) {
-      final DisableEntry ban = DisableEntry.fromEntry(by);
-      for (final StoredEntry other : List.copyOf(entriesByKey.get(place).values())) {
-        if (!other.entry.writer().equals(by.writer()) && ban.supersedes(other.entry)) {
-          remove(other);
-        }
+  private void removeSuperseded(final EntryKey key, final Entry by) {
+    if (by.typeCode() != EntryType.MAINTENANCE.code()) {
+      return;
+    }
+    final DisableEntry disableEntry = DisableEntry.fromEntry(by);
+    for (final StoredEntry other : List.copyOf(entriesByKey.get(key).values())) {
+      if (!other.entry().writer().equals(by.writer()) && disableEntry.supersedes(other.entry())) {
+        remove(other);
       }
     }
   }
 
-  private void insert(
-      final WriterLog shelf, final EntryKey place, final Entry entry, final StoredEntry before) {
+  private void replace(final WriterLog log, final StoredEntry before, final StoredEntry stored) {
     if (before != null) {
       remove(before);
     }
-    final StoredEntry slot = new StoredEntry(place, entry);
-    entriesByKey.computeIfAbsent(place, unused -> new TreeMap<>()).put(entry.writer(), slot);
-    shelf.entries.put(entry.version(), slot);
-    shelf.emptySinceUs = Long.MAX_VALUE;
+    final Entry entry = stored.entry();
+    entriesByKey
+        .computeIfAbsent(stored.key(), unused -> new TreeMap<>())
+        .put(entry.writer(), stored);
+    log.add(stored);
     size++;
-    checksum += checksumOf(entry);
-    expirations.schedule(slot, entry.expiresUs());
+    checksum += EntryChecksum.of(entry);
+    expirations.schedule(stored, entry.expiresUs());
   }
 
-  private void remove(final StoredEntry slot) {
-    final Map<WriterId, StoredEntry> words = entriesByKey.get(slot.key);
-    words.remove(slot.entry.writer());
-    if (words.isEmpty()) {
-      entriesByKey.remove(slot.key);
+  private void remove(final StoredEntry stored) {
+    final Entry entry = stored.entry();
+    final Map<WriterId, StoredEntry> byWriter = entriesByKey.get(stored.key());
+    byWriter.remove(entry.writer());
+    if (byWriter.isEmpty()) {
+      entriesByKey.remove(stored.key());
     }
-    logs.get(slot.entry.writer()).entries.remove(slot.entry.version());
+    logs.get(entry.writer()).remove(stored);
     size--;
-    checksum -= checksumOf(slot.entry);
-    expirations.remove(slot);
-  }
-
-  /** What an entry adds to the sum: which one it is, not when it is thought to have been made. */
-  private static long checksumOf(final Entry entry) {
-    return mix(
-        entry.version()
-            + mix(entry.writer().stableHash() + entry.subject().hashCode() + entry.typeCode()));
-  }
-
-  /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014). */
-  private static long mix(final long value) {
-    long bits = (value + 1) * 0x9E3779B97F4A7C15L;
-    bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
-    bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
-    return bits ^ bits >>> 31;
+    checksum -= EntryChecksum.of(entry);
+    expirations.remove(stored);
   }
 
   // ---------------------------------------------------------------- time
 
-  /** Drops entries whose time is up. */
+  /** Removes entries that have expired; what changed is added to {@code changed}. */
   void expire(final long nowUs, final Set<SubjectChanged> changed) {
-    for (StoredEntry slot = expirations.poll(nowUs); slot != null; slot = expirations.poll(nowUs)) {
-      remove(slot);
-      changed.add(new SubjectChanged(slot.key.typeCode, slot.key.subject));
+    StoredEntry expired = expirations.poll(nowUs);
+    while (expired != null) {
+      remove(expired);
+      changed.add(expired.key().changed());
+      expired = expirations.poll(nowUs);
     }
   }
 
   /**
-   * Drops words by which an endpoint may serve again that are so old that nobody can still lack
-   * them; and empty writers.
+   * Removes enabling entries that are so old that no courier can still miss them, and the logs of
+   * writers without entries.
    */
   void compact(final long nowUs) {
     for (final String subject : subjects(EntryType.MAINTENANCE)) {
-      final List<StoredEntry> words =
-          List.copyOf(
-              entriesByKey.get(new EntryKey(EntryType.MAINTENANCE.code(), subject)).values());
-      if (words.size() == 1
-          && !words.get(0).entry.booleanField(0)
-          && nowUs - words.get(0).entry.createdUs() > settings.tombstoneRetentionUs()) {
-        remove(words.get(0));
-      }
+      removeIfObsolete(EntryKey.of(EntryType.MAINTENANCE, subject), nowUs);
+    }
+    logs.values().forEach(log -> log.checkEmpty(nowUs));
+    logs.values().removeIf(log -> log.isEmptyForLongerThan(EntryType.WAIT.maxTtlUs(), nowUs));
+  }
+
+  private void removeIfObsolete(final EntryKey key, final long nowUs) {
+    final List<StoredEntry> stored = List.copyOf(entriesByKey.get(key).values());
+    if (stored.size() != 1) {
+      return;
+    }
+    final Entry only = stored.get(0).entry();
+    final boolean isDisabling = DisableEntry.fromEntry(only).disabled();
+    if (!isDisabling && nowUs - only.createdUs() > settings.tombstoneRetentionUs()) {
+      remove(stored.get(0));
     }
-    logs.values()
-        .forEach(
-            shelf -> {
-              if (!shelf.entries.isEmpty()) {
-                shelf.emptySinceUs = Long.MAX_VALUE;
-              } else if (shelf.emptySinceUs == Long.MAX_VALUE) {
-                shelf.emptySinceUs = nowUs;
-              }
-            });
-    logs.values()
-        .removeIf(
-            shelf ->
-                shelf.entries.isEmpty() && nowUs - shelf.emptySinceUs > EntryType.WAIT.maxTtlUs());
   }
 
-  /** Forgets all; what was told so far can be told again. */
+  /** Removes everything; what was merged before can be merged again. */
   void clear() {
     entriesByKey.clear();
     logs.clear();
@@ -320,55 +293,4 @@
     size = 0;
     checksum = 0;
   }
-
-  // ---------------------------------------------------------------- what others lack
-
-  /**
-   * What another lacks of some writers' entries, the earliest first.
-   *
-   * @param theirs up to where the other knows each writer of that part
-   * @param mostBytes about how many bytes that may be; one entry goes in any case
-   * @param into gets what is lacking
-   * @return true if there is more
-   */
-  boolean collectMissing(
-      final Map<WriterId, Long> theirs,
-      final int part,
-      final int parts,
-      final int mostBytes,
-      final long nowUs,
-      final List<Delta> into) {
-    int bytes = 0;
-    for (final Map.Entry<WriterId, WriterLog> one : logs.entrySet()) {
-      final WriterId writer = one.getKey();
-      final WriterLog shelf = one.getValue();
-      final long from = theirs.getOrDefault(writer, 0L);
-      if ((shelf.contiguousVersion <= from && shelf.lastVersion() <= from)
-          || partitionOf(writer, parts) != part) {
-        continue;
-      }
-      final List<Entry> entries = new ArrayList<>();
-      for (final StoredEntry slot : shelf.entries.tailMap(from, false).values()) {
-        if (bytes >= mostBytes) {
-          if (!entries.isEmpty()) {
-            final long to =
-                Math.min(shelf.contiguousVersion, entries.get(entries.size() - 1).version());
-            into.add(new Delta(writer, Math.min(from, to), to, entries));
-          }
-          return true;
-        }
-        if (slot.entry.expiresUs() > nowUs) {
-          entries.add(slot.entry);
-          bytes += slot.entry.estimatedBytes();
-        }
-      }
-      // One behind the gap that a lost writer left is told, too; it says nothing of what is
-      // lacking.
-      into.add(
-          new Delta(
-              writer, Math.min(from, shelf.contiguousVersion), shelf.contiguousVersion, entries));
-      bytes += DELTA_BYTES;
-    }
-    return false;
-  }
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryType.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryType.java
@@ -1,49 +1,59 @@
 package thistleturn.decisions.replicas;
 
 /**
- * What entries are about. Numbers stand for kinds on the wire; entries of kinds that are not known
- * are kept and passed on.
+ * What entries are about. Codes stand for types on the wire, and names appear in the operators'
+ * pages; entries of types that are not known here are kept and forwarded.
  */
 public enum EntryType {
   /**
-   * An endpoint is left out by hand, or may serve again: {@code out, operator, seen...}. Kept for
-   * good.
+   * An operator disabled an endpoint or enabled it: {@code disabled, operator, superseded
+   * versions...}. Permanent.
    */
   MAINTENANCE(1, 0),
   /** A destination told a courier to wait: no fields; it lasts as long as the entry. */
   WAIT(2, 3_600_000_000L),
-  /** A destination was found out, or was found to serve again: {@code out}. */
+  /** A destination was found to have failed, or to serve again: {@code isOut}. */
   OUTAGE(3, 120_000_000L),
-  /** A destination told how many calls a second it takes from all couriers: {@code perSecond}. */
+  /**
+   * A destination stated how many calls a second it accepts from all couriers: {@code perSecond}.
+   */
   LIMIT(4, 60_000_000L),
-  /** A courier was refused: calls a second that it keeps to since, {@code perSecond}. */
+  /**
+   * A courier was rejected, and learned how many calls a second it should keep to: {@code
+   * perSecond}.
+   */
   LEARNT(5, 5_000_000L),
-  /** The platform's list as a courier was last told: {@code seq}. */
+  /** The version of the platform's endpoint list that a courier received last: {@code sequence}. */
   LIST(6, 300_000_000L);
 
   private final int code;
   private final long maxTtlUs;
 
-  EntryType(final int code, final long mostUs) {
+  EntryType(final int code, final long maxTtlUs) {
     this.code = code;
-    this.maxTtlUs = mostUs;
+    this.maxTtlUs = maxTtlUs;
   }
 
-  /** The number that stands for it. */
+  /** Returns the code that stands for the type. */
   public int code() {
     return code;
   }
 
-  /** The longest life of an entry, us; 0: it is kept until another takes its place. */
+  /** Returns the longest time that entries are valid; 0: until they are superseded. */
   public long maxTtlUs() {
     return maxTtlUs;
   }
 
-  /** The kind of that number; null: one of a later version. */
+  /** Returns true if entries are valid until they are superseded. */
+  boolean isPermanent() {
+    return maxTtlUs == 0;
+  }
+
+  /** Returns the type of a code; null: one of a later version. */
   public static EntryType fromCode(final int code) {
-    for (final EntryType kind : values()) {
-      if (kind.code == code) {
-        return kind;
+    for (final EntryType type : values()) {
+      if (type.code == code) {
+        return type;
       }
     }
     return null;
--- a/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
@@ -1,161 +1,165 @@
 package thistleturn.decisions.replicas;
 
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.function.ToDoubleFunction;
 
 /**
- * What counts where writers differ: the more careful word, while it can still be true. Each rule is
- * a function of the words alone, so that whoever holds the same words reads the same.
+ * Decides what counts where writers differ: the more careful entry, while it can still be true.
+ * Each rule is a function of the entries alone, so that whoever holds the same entries reads the
+ * same value.
  */
 final class MergeRule {
   private static final Comparator<Entry> BY_CREATION =
       Comparator.comparingLong(Entry::createdUs).thenComparing(Entry::writer);
+  private static final Comparator<Entry> BY_EXPIRY =
+      Comparator.comparingLong(Entry::expiresUs).thenComparing(Entry::writer);
+  private static final Comparator<Entry> BY_LIST_VERSION =
+      Comparator.comparingLong((Entry entry) -> entry.longField(0)).thenComparing(Entry::writer);
 
   private MergeRule() {}
 
-  /** What counts on a subject. */
-  static MergedValue merge(final EntryType kind, final String subject, final List<Entry> words) {
-    if (words.isEmpty()) {
-      return MergedValue.absent(kind, subject);
+  /** Returns what counts of the entries on a subject. */
+  static MergedValue merge(final EntryType type, final String subject, final List<Entry> entries) {
+    if (entries.isEmpty()) {
+      return MergedValue.absent(type, subject);
     }
-    return switch (kind) {
-      case MAINTENANCE -> mergeMaintenance(subject, words);
+    return switch (type) {
+      case MAINTENANCE -> mergeMaintenance(subject, entries);
       case WAIT ->
-          mergeLatest(
-              kind,
-              subject,
-              words,
-              "waits",
-              Comparator.comparingLong(Entry::expiresUs).thenComparing(Entry::writer),
-              "the later end counts");
-      case OUTAGE -> mergeOutage(subject, words);
-      case LIMIT ->
-          mergeLatest(kind, subject, words, "limit", BY_CREATION, "what was told last counts");
-      case LEARNT -> mergeLearnedRate(subject, words);
-      case LIST ->
-          mergeLatest(
-              kind,
-              subject,
-              words,
-              "list",
-              Comparator.comparingLong((Entry word) -> word.longField(0))
-                  .thenComparing(Entry::writer),
-              "the highest version counts");
+          valueOf(type, latest(entries, BY_EXPIRY), MergedValue.WAITS, 0, "the later end counts");
+      case OUTAGE -> mergeOutage(entries);
+      case LIMIT -> mergeLimit(entries);
+      case LEARNT -> mergeLearnedRate(subject, entries);
+      case LIST -> mergeListVersion(entries);
     };
   }
 
-  private static MergedValue mergeLatest(
-      final EntryType kind,
-      final String subject,
-      final List<Entry> words,
+  private static Entry latest(final List<Entry> entries, final Comparator<Entry> order) {
+    return entries.stream().max(order).orElseThrow();
+  }
+
+  /** Returns the value that one entry states alone. */
+  private static MergedValue valueOf(
+      final EntryType type,
+      final Entry entry,
       final String state,
-      final Comparator<Entry> order,
-      final String rule) {
-    final Entry last = words.stream().max(order).orElseThrow();
-    final double value = kind == EntryType.WAIT ? 0 : last.doubleField(0);
+      final double value,
+      final String reason) {
     return new MergedValue(
-        kind,
-        subject,
+        type,
+        entry.subject(),
         state,
         value,
-        last.createdUs(),
-        last.expiresUs(),
-        List.of(last.writer()),
+        entry.createdUs(),
+        entry.expiresUs(),
+        List.of(entry.writer()),
         false,
-        rule);
+        reason);
   }
 
-  /** Words that no other knew of stand. One of them that leaves the endpoint out is enough. */
-  private static MergedValue mergeMaintenance(final String subject, final List<Entry> words) {
-    final List<Entry> standing = new ArrayList<>();
-    for (final Entry word : words) {
-      if (words.stream()
-          .noneMatch(
-              other ->
-                  !other.writer().equals(word.writer())
-                      && DisableEntry.fromEntry(other).supersedes(word))) {
-        standing.add(word);
-      }
-    }
-    final List<Entry> out = standing.stream().filter(word -> word.booleanField(0)).toList();
-    final List<Entry> counts = out.isEmpty() ? standing : out;
-    final boolean conflict = !out.isEmpty() && out.size() < standing.size();
-    final Entry first = counts.stream().min(BY_CREATION).orElseThrow();
+  private static MergedValue mergeLimit(final List<Entry> entries) {
+    final Entry last = latest(entries, BY_CREATION);
+    return valueOf(
+        EntryType.LIMIT, last, MergedValue.LIMIT, last.doubleField(0), "what was told last counts");
+  }
+
+  private static MergedValue mergeListVersion(final List<Entry> entries) {
+    final Entry last = latest(entries, BY_LIST_VERSION);
+    return valueOf(
+        EntryType.LIST, last, MergedValue.LIST, last.doubleField(0), "the highest version counts");
+  }
+
+  /** Decisions that no other supersedes stand. One of them that disables the endpoint is enough. */
+  private static MergedValue mergeMaintenance(final String subject, final List<Entry> entries) {
+    final List<Entry> standing =
+        entries.stream().filter(entry -> !isSuperseded(entry, entries)).toList();
+    final List<Entry> disabling = standing.stream().filter(entry -> entry.booleanField(0)).toList();
+    final boolean isDisabled = !disabling.isEmpty();
+    final boolean isConflict = isDisabled && disabling.size() < standing.size();
+    final List<Entry> counting = isDisabled ? disabling : standing;
+    final Entry first = counting.stream().min(BY_CREATION).orElseThrow();
     return new MergedValue(
         EntryType.MAINTENANCE,
         subject,
-        out.isEmpty() ? "may serve" : "left out",
+        isDisabled ? MergedValue.DISABLED : MergedValue.ENABLED,
         0,
         first.createdUs(),
         Long.MAX_VALUE,
-        counts.stream().map(Entry::writer).toList(),
-        conflict,
-        conflict
+        writersOf(counting),
+        isConflict,
+        isConflict
             ? "told on both sides at once: it stays left out until an operator who knows of both says otherwise"
             : "the last word counts");
   }
 
+  private static boolean isSuperseded(final Entry entry, final List<Entry> entries) {
+    return entries.stream()
+        .anyMatch(
+            other ->
+                !other.writer().equals(entry.writer())
+                    && DisableEntry.fromEntry(other).supersedes(entry));
+  }
+
+  private static List<WriterId> writersOf(final List<Entry> entries) {
+    return entries.stream().map(Entry::writer).toList();
+  }
+
   /**
-   * Out, if somebody found it so after anybody found it serving; else it returned when that was
+   * Out, if some courier found it so after any found it serving; otherwise back since that was
    * first found after it.
    */
-  private static MergedValue mergeOutage(final String subject, final List<Entry> words) {
-    final Entry lastOut =
-        words.stream().filter(word -> word.booleanField(0)).max(BY_CREATION).orElse(null);
-    final Entry lastServed =
-        words.stream().filter(word -> !word.booleanField(0)).max(BY_CREATION).orElse(null);
-    if (lastServed == null || (lastOut != null && lastOut.createdUs() > lastServed.createdUs())) {
-      return new MergedValue(
+  private static MergedValue mergeOutage(final List<Entry> entries) {
+    final List<Entry> outages = entries.stream().filter(entry -> entry.booleanField(0)).toList();
+    final List<Entry> recoveries =
+        entries.stream().filter(entry -> !entry.booleanField(0)).toList();
+    final Entry lastOutage = outages.stream().max(BY_CREATION).orElse(null);
+    final Entry lastRecovery = recoveries.stream().max(BY_CREATION).orElse(null);
+    if (lastRecovery == null
+        || (lastOutage != null && lastOutage.createdUs() > lastRecovery.createdUs())) {
+      return valueOf(
           EntryType.OUTAGE,
-          subject,
-          "out",
+          lastOutage,
+          MergedValue.OUT,
           0,
-          lastOut.createdUs(),
-          lastOut.expiresUs(),
-          List.of(lastOut.writer()),
-          false,
           "found out after it was last found serving");
     }
-    final long outUs = lastOut == null ? Long.MIN_VALUE : lastOut.createdUs();
-    final Entry first =
-        words.stream()
-            .filter(word -> !word.booleanField(0) && word.createdUs() > outUs)
+    final long lastOutageUs = lastOutage == null ? Long.MIN_VALUE : lastOutage.createdUs();
+    final Entry firstRecovery =
+        recoveries.stream()
+            .filter(entry -> entry.createdUs() > lastOutageUs)
             .min(BY_CREATION)
-            .orElse(lastServed);
-    return new MergedValue(
+            .orElse(lastRecovery);
+    return valueOf(
         EntryType.OUTAGE,
-        subject,
-        "returned",
+        firstRecovery,
+        MergedValue.RETURNED,
         0,
-        first.createdUs(),
-        first.expiresUs(),
-        List.of(first.writer()),
-        false,
         "one return for all: when the first found it serving again");
   }
 
-  /** The mean of what those keep to who were refused of late, weighed by how late. */
-  private static MergedValue mergeLearnedRate(final String subject, final List<Entry> words) {
-    final Entry last = words.stream().max(BY_CREATION).orElseThrow();
-    final ToDoubleFunction<Entry> weight =
-        word -> 1 - (last.createdUs() - word.createdUs()) / (double) EntryType.LEARNT.maxTtlUs();
-    double sum = 0;
+  /**
+   * The mean of the rates that couriers learned from recent rejections, each weighted by how recent
+   * it is.
+   */
+  private static MergedValue mergeLearnedRate(final String subject, final List<Entry> entries) {
+    final Entry last = latest(entries, BY_CREATION);
+    double weightedSum = 0;
     double weights = 0;
-    for (final Entry word : words) {
-      final double one = Math.max(0, weight.applyAsDouble(word));
-      sum += one * word.doubleField(0);
-      weights += one;
+    for (final Entry entry : entries) {
+      final double age =
+          (last.createdUs() - entry.createdUs()) / (double) EntryType.LEARNT.maxTtlUs();
+      final double weight = Math.max(0, 1 - age);
+      weightedSum += weight * entry.doubleField(0);
+      weights += weight;
     }
     return new MergedValue(
         EntryType.LEARNT,
         subject,
-        "learnt",
-        sum / weights,
+        MergedValue.LEARNED_RATE,
+        weightedSum / weights,
         last.createdUs(),
         last.expiresUs(),
-        words.stream().map(Entry::writer).toList(),
+        writersOf(entries),
         false,
         "the mean of those refused of late");
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationActions.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationActions.java
@@ -1,16 +1,16 @@
 package thistleturn.decisions.replicas;
 
-/** What goes out, and what is to be read anew. */
+/** What the replication protocol has its surroundings do. */
 public interface ReplicationActions {
-  /** A datagram, which may be lost. */
+  /** Sends a message as a datagram, which may be lost. */
   void send(String to, ReplicationMessage message);
 
-  /** A piece, over a connection that is there; it may be lost. */
+  /** Sends a message over an existing connection; it may be lost. */
   void sendOverConnection(String to, ReplicationMessage message);
 
-  /** What counts on that subject may be something else now. */
-  void onSubjectChanged(EntryType kind, String subject);
+  /** Notifies that the merged value of a subject may have changed. */
+  void onSubjectChanged(EntryType type, String subject);
 
-  /** Something for operators, in a line. */
-  void onEvent(String text);
+  /** Notifies operators, in one line. */
+  void onEvent(String message);
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationMessage.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationMessage.java
@@ -3,58 +3,68 @@
 import java.util.List;
 import java.util.Map;
 
-/** What copies tell each other. Each may be lost, doubled, late or out of order. */
+/** A message between stores. Each may be lost, duplicated, delayed or reordered. */
 public sealed interface ReplicationMessage {
-  /** About how many bytes it takes on its way. */
+  /** Returns about how many bytes the message takes once it is encoded. */
   int estimatedBytes();
 
-  /** Fresh entries, told at once; whoever lacks earlier ones takes them over all the same. */
+  /** New entries, sent at once; a receiver that misses earlier ones merges them all the same. */
   record EntryBroadcast(List<Delta> deltas) implements ReplicationMessage {
+    private static final int FIXED_BYTES = 8;
+
     @Override
     public int estimatedBytes() {
-      return 8 + bytesOf(deltas);
+      return FIXED_BYTES + bytesOf(deltas);
     }
   }
 
   /**
-   * A sum over all that is held, by which two copies see that they are equal; and how many entries
-   * that is.
+   * A checksum of all stored entries, which shows whether two stores are equal; and how many
+   * entries there are.
    */
   record Checksum(long value, long entryCount) implements ReplicationMessage {
+    private static final int BYTES = 24;
+
     @Override
     public int estimatedBytes() {
-      return 24;
+      return BYTES;
     }
   }
 
   /**
-   * What is known of some writers, or up to where a piece told of them: all those whose part it is.
-   * It asks for what is newer; a writer of that part which is not named is not known at all.
+   * Up to which version the sender misses nothing of each writer of a partition; writers that are
+   * not named are not known at all. It requests what is newer.
    *
    * @param partition which of {@code partitionCount}, from 0
-   * @param replyRequested the receiver is to tell in its turn what it knows, if it lacks something
+   * @param replyRequested the receiver is to send a digest in its turn, if it misses something
    */
   record Digest(
       int partition, int partitionCount, Map<WriterId, Long> knownVersions, boolean replyRequested)
       implements ReplicationMessage {
+    private static final int FIXED_BYTES = 12;
+    private static final int WRITER_BYTES = 20;
+
     @Override
     public int estimatedBytes() {
-      int bytes = 12;
+      int bytes = FIXED_BYTES;
       for (final WriterId writer : knownVersions.keySet()) {
-        bytes += 20 + writer.name().length();
+        bytes += WRITER_BYTES + writer.name().length();
       }
       return bytes;
     }
   }
 
   /**
-   * What a page showed to be lacking, or the first of it; {@code hasMore}: to be asked for again.
+   * What a digest showed to be missing, or the first of it; {@code hasMore}: the rest is to be
+   * requested.
    */
   record DeltaBatch(int partition, int partitionCount, List<Delta> deltas, boolean hasMore)
       implements ReplicationMessage {
+    private static final int FIXED_BYTES = 12;
+
     @Override
     public int estimatedBytes() {
-      return 12 + bytesOf(deltas);
+      return FIXED_BYTES + bytesOf(deltas);
     }
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/replicas/SubjectChanged.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/SubjectChanged.java
@@ -1,7 +1,9 @@
 package thistleturn.decisions.replicas;
 
 /**
- * A subject on which the words have changed; {@code typeCode} is the number of its {@link
- * EntryType}.
+ * Notifies that the entries on a subject changed.
+ *
+ * @param typeCode the code of the entries' {@link EntryType}
+ * @param subject an endpoint's name, or a destination's number
  */
 public record SubjectChanged(int typeCode, String subject) {}
--- a/decisions/src/main/java/thistleturn/decisions/replicas/WriterId.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/WriterId.java
@@ -3,14 +3,15 @@
 import java.util.Comparator;
 
 /**
- * Who writes entries: a courier, and which of its stores. A courier that lost its folder, or got an
- * older one back, begins another store, so that no version of one store ever means two things.
+ * Identifies who writes entries: a courier, and which of its stores. A courier that lost its
+ * folder, or got an older one back, starts another store, so that no version of one store ever
+ * means two things.
  *
- * @param name at most {@link #MAX_NAME_LENGTH} letters
- * @param epoch when the store began, Unix microseconds by the courier's own clock; above 0
+ * @param name at most {@link #MAX_NAME_LENGTH} characters
+ * @param epoch when the store started, Unix microseconds by the courier's own clock; above 0
  */
 public record WriterId(String name, long epoch) implements Comparable<WriterId> {
-  /** Letters that a name may have. */
+  /** Characters that a name may have. */
   public static final int MAX_NAME_LENGTH = 64;
 
   private static final Comparator<WriterId> ORDER =
@@ -21,12 +22,15 @@
     return ORDER.compare(this, other);
   }
 
-  /** True for what can be one. */
+  /** Returns true for an id that can exist. */
   boolean isValid() {
     return !name.isEmpty() && name.length() <= MAX_NAME_LENGTH && epoch > 0;
   }
 
-  /** A number that is the same for it on every machine; parts and sums are reckoned by it. */
+  /**
+   * Returns a hash that is the same on every machine and in every version; partitions and checksums
+   * depend on it.
+   */
   long stableHash() {
     return 31L * name.hashCode() + 0x9E3779B97F4A7C15L * epoch;
   }
--- a/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Copies end in the same whatever the order, however often; nothing that was taken back comes
- * again.
+ * Stores converge to the same entries in any order and with any duplication; superseded entries do
+ * not return.
  */
 @Tag("replicas")
 @org.junit.jupiter.api.Tag("replicas")
@@ -33,19 +33,19 @@
   private static Entry entry(
       final WriterId writer,
       final long version,
-      final EntryType kind,
+      final EntryType type,
       final String subject,
-      final long lifeUs,
+      final long ttlUs,
       final Object... fields) {
-    return new Entry(kind.code(), subject, writer, version, lifeUs, NOW_US, List.of(fields));
+    return new Entry(type.code(), subject, writer, version, ttlUs, NOW_US, List.of(fields));
   }
 
   private static Entry disableEntry(
       final WriterId writer,
       final long version,
       final String subject,
-      final boolean out,
-      final Map<WriterId, Long> seen) {
+      final boolean disabled,
+      final Map<WriterId, Long> superseded) {
     return new Entry(
         EntryType.MAINTENANCE.code(),
         subject,
@@ -53,18 +53,21 @@
         version,
         0,
         NOW_US,
-        new DisableEntry(out, "o", seen).toFields());
+        new DisableEntry(disabled, "o", superseded).toFields());
   }
 
   private static Delta singleEntryDelta(final Entry entry) {
     return new Delta(entry.writer(), entry.version() - 1, entry.version(), List.of(entry));
   }
 
-  private static void merge(final EntryStore copies, final Delta delta) {
-    copies.merge(delta, NOW_US, new HashSet<>());
+  private static void merge(final EntryStore store, final Delta delta) {
+    store.merge(delta, NOW_US, new HashSet<>());
   }
 
-  /** A history of three writers, in which words by hand know of those before them now and then. */
+  /**
+   * Returns a history of three writers, in which some of the operators' decisions supersede earlier
+   * ones.
+   */
   private static List<Entry> history(final Random random) {
     final List<Entry> all = new ArrayList<>();
     final long[] versions = new long[3];
@@ -75,7 +78,7 @@
       final long version = ++versions[which];
       switch (random.nextInt(4)) {
         case 0 -> {
-          // It knows of its own last word, and of some of the others'.
+          // It supersedes the writer's own last decision, and some of the others'.
           final List<Entry> known = new ArrayList<>();
           all.stream()
               .filter(entry -> entry.subject().equals("e" + subject))
@@ -139,18 +142,18 @@
     shuffled.forEach(entry -> merge(other, singleEntryDelta(entry)));
     assertEquals(entryTexts(inOrder), entryTexts(other));
     assertEquals(inOrder.checksum(), other.checksum());
-    for (final EntryType kind : EntryType.values()) {
-      for (final String subject : inOrder.subjects(kind)) {
+    for (final EntryType type : EntryType.values()) {
+      for (final String subject : inOrder.subjects(type)) {
         assertEquals(
-            MergeRule.merge(kind, subject, inOrder.entries(kind, subject)),
-            MergeRule.merge(kind, subject, other.entries(kind, subject)));
+            MergeRule.merge(type, subject, inOrder.entries(type, subject)),
+            MergeRule.merge(type, subject, other.entries(type, subject)));
       }
     }
   }
 
   /**
-   * Two copies that each know a part, and tell each other what is lacking in pieces of any size,
-   * end in the same.
+   * Two stores that each hold a part, and send each other what is missing in batches of any size,
+   * become equal.
    */
   @Property(tries = 1000)
   void exchangeOfMissingEntries_makesStoresEqual(@ForAll final long seed) {
@@ -167,58 +170,56 @@
             merge(other, singleEntryDelta(entry));
           }
         });
-    final int parts = 1 + random.nextInt(4);
-    for (int turn = 0; turn < 2; turn++) {
-      for (int part = 0; part < parts; part++) {
-        exchangeMissing(one, other, part, parts, 1 + random.nextInt(200));
-        exchangeMissing(other, one, part, parts, 1 + random.nextInt(200));
+    final int partitions = 1 + random.nextInt(4);
+    for (int round = 0; round < 2; round++) {
+      for (int index = 0; index < partitions; index++) {
+        final Partition partition = new Partition(index, partitions);
+        exchangeMissing(one, other, partition, 1 + random.nextInt(200));
+        exchangeMissing(other, one, partition, 1 + random.nextInt(200));
       }
     }
     assertEquals(entryTexts(one), entryTexts(other));
   }
 
-  /** One conversation, in pieces of so many bytes: each goes on where the one before left off. */
+  /** One exchange, in batches of so many bytes: each continues where the one before left off. */
   private static void exchangeMissing(
-      final EntryStore from,
-      final EntryStore to,
-      final int part,
-      final int parts,
-      final int bytes) {
-    final Map<WriterId, Long> upTo = new TreeMap<>(to.knownVersions(part, parts));
-    boolean more = true;
-    for (int piece = 0; more; piece++) {
-      assertTrue(piece < 1000, "it never ends");
-      final List<Delta> deltas = new ArrayList<>();
-      more = from.collectMissing(upTo, part, parts, bytes, NOW_US, deltas);
-      for (final Delta delta : deltas) {
+      final EntryStore from, final EntryStore to, final Partition partition, final int maxBytes) {
+    final Map<WriterId, Long> covered = new TreeMap<>(to.knownVersions(partition));
+    boolean hasMore = true;
+    for (int batch = 0; hasMore; batch++) {
+      assertTrue(batch < 1000, "it never ends");
+      final MissingEntries missing = from.collectMissing(covered, partition, maxBytes, NOW_US);
+      hasMore = missing.hasMore();
+      for (final Delta delta : missing.deltas()) {
         merge(to, delta);
-        delta.entries().forEach(entry -> upTo.merge(entry.writer(), entry.version(), Math::max));
-        upTo.merge(delta.writer(), delta.upToVersion(), Math::max);
+        delta.entries().forEach(entry -> covered.merge(entry.writer(), entry.version(), Math::max));
+        covered.merge(delta.writer(), delta.upToVersion(), Math::max);
       }
     }
   }
 
-  private static Set<String> entryTexts(final EntryStore copies) {
+  private static Set<String> entryTexts(final EntryStore store) {
     final Set<String> texts = new HashSet<>();
-    copies.all().forEach(entry -> texts.add(entry.toString()));
+    store.all().forEach(entry -> texts.add(entry.toString()));
     return texts;
   }
 
   @Test
   void supersededDisableEntry_isNotStoredAgain() {
-    final EntryStore copies = new EntryStore(SETTINGS);
-    final Entry out = disableEntry(A, 1, "e1", true, Map.of());
-    final Entry back = disableEntry(B, 1, "e1", false, Map.of(A, 1L));
-    merge(copies, singleEntryDelta(out));
-    merge(copies, singleEntryDelta(back));
-    assertEquals(List.of(back), copies.entries(EntryType.MAINTENANCE, "e1"));
-    merge(copies, singleEntryDelta(out));
-    merge(copies, new Delta(A, 0, 1, List.of(out)));
-    assertEquals(List.of(back), copies.entries(EntryType.MAINTENANCE, "e1"));
-    // A copy that knows nothing of A's shelf any more: the word that took its place still stands.
+    final EntryStore store = new EntryStore(SETTINGS);
+    final Entry disabled = disableEntry(A, 1, "e1", true, Map.of());
+    final Entry enabled = disableEntry(B, 1, "e1", false, Map.of(A, 1L));
+    merge(store, singleEntryDelta(disabled));
+    merge(store, singleEntryDelta(enabled));
+    assertEquals(List.of(enabled), store.entries(EntryType.MAINTENANCE, "e1"));
+    merge(store, singleEntryDelta(disabled));
+    merge(store, new Delta(A, 0, 1, List.of(disabled)));
+    assertEquals(List.of(enabled), store.entries(EntryType.MAINTENANCE, "e1"));
+    // A store that knows nothing of writer A any more: the decision that superseded A's still
+    // stands.
     final EntryStore wiped = new EntryStore(SETTINGS);
-    merge(wiped, singleEntryDelta(back));
-    merge(wiped, singleEntryDelta(out));
+    merge(wiped, singleEntryDelta(enabled));
+    merge(wiped, singleEntryDelta(disabled));
     assertEquals(
         "may serve",
         MergeRule.merge(EntryType.MAINTENANCE, "e1", wiped.entries(EntryType.MAINTENANCE, "e1"))
@@ -227,38 +228,38 @@
 
   @Test
   void expiredEntry_isNotStoredAgain() {
-    final EntryStore copies = new EntryStore(SETTINGS);
+    final EntryStore store = new EntryStore(SETTINGS);
     final Entry wait = entry(A, 1, EntryType.WAIT, "7", SECOND_US);
-    merge(copies, singleEntryDelta(wait));
+    merge(store, singleEntryDelta(wait));
     final Set<SubjectChanged> changed = new HashSet<>();
-    copies.expire(NOW_US + SECOND_US, changed);
+    store.expire(NOW_US + SECOND_US, changed);
     assertEquals(Set.of(new SubjectChanged(EntryType.WAIT.code(), "7")), changed);
-    assertEquals(0, copies.size());
-    copies.merge(singleEntryDelta(wait), NOW_US + SECOND_US / 2, new HashSet<>());
-    assertEquals(0, copies.size(), "its version is known to be past");
+    assertEquals(0, store.size());
+    store.merge(singleEntryDelta(wait), NOW_US + SECOND_US / 2, new HashSet<>());
+    assertEquals(0, store.size(), "its version is known already");
   }
 
   @Test
   void sameEntryWithEarlierCreation_expiresSooner() {
-    final EntryStore copies = new EntryStore(SETTINGS);
-    merge(copies, singleEntryDelta(entry(A, 1, EntryType.WAIT, "7", 10 * SECOND_US)));
+    final EntryStore store = new EntryStore(SETTINGS);
+    merge(store, singleEntryDelta(entry(A, 1, EntryType.WAIT, "7", 10 * SECOND_US)));
     merge(
-        copies,
+        store,
         singleEntryDelta(
             entry(A, 1, EntryType.WAIT, "7", 10 * SECOND_US).withCreatedUs(NOW_US - SECOND_US)));
-    assertEquals(NOW_US + 9 * SECOND_US, copies.entries(EntryType.WAIT, "7").get(0).expiresUs());
-    merge(copies, singleEntryDelta(entry(A, 1, EntryType.WAIT, "7", 10 * SECOND_US)));
+    assertEquals(NOW_US + 9 * SECOND_US, store.entries(EntryType.WAIT, "7").get(0).expiresUs());
+    merge(store, singleEntryDelta(entry(A, 1, EntryType.WAIT, "7", 10 * SECOND_US)));
     assertEquals(
         NOW_US + 9 * SECOND_US,
-        copies.entries(EntryType.WAIT, "7").get(0).expiresUs(),
-        "and never later again");
-    assertEquals(1, copies.size());
+        store.entries(EntryType.WAIT, "7").get(0).expiresUs(),
+        "and not later again");
+    assertEquals(1, store.size());
   }
 
   @Test
   void invalidEntries_areRejectedAndCounted() {
-    final EntryStore copies = new EntryStore(SETTINGS);
-    final List<Entry> lies =
+    final EntryStore store = new EntryStore(SETTINGS);
+    final List<Entry> invalid =
         List.of(
             entry(A, 1, EntryType.WAIT, "7", Long.MAX_VALUE),
             entry(A, 2, EntryType.WAIT, "7", -1),
@@ -272,38 +273,39 @@
             entry(A, 10, EntryType.WAIT, "n".repeat(300), SECOND_US),
             entry(A, 11, EntryType.WAIT, "7", SECOND_US).withCreatedUs(NOW_US + 1),
             entry(A, Long.MAX_VALUE, EntryType.WAIT, "7", SECOND_US));
-    lies.forEach(lie -> merge(copies, new Delta(A, 0, 1, List.of(lie))));
-    merge(copies, new Delta(A, 0, Long.MAX_VALUE, List.of()));
-    merge(copies, new Delta(A, 9, 3, List.of()));
-    merge(copies, new Delta(new WriterId("", 3), 0, 3, List.of()));
-    merge(copies, new Delta(A, 0, 3, List.of(entry(B, 1, EntryType.WAIT, "7", SECOND_US))));
-    assertEquals(0, copies.size());
-    assertEquals(lies.size() + 4, copies.rejected());
+    invalid.forEach(entry -> merge(store, new Delta(A, 0, 1, List.of(entry))));
+    merge(store, new Delta(A, 0, Long.MAX_VALUE, List.of()));
+    merge(store, new Delta(A, 9, 3, List.of()));
+    merge(store, new Delta(new WriterId("", 3), 0, 3, List.of()));
+    merge(store, new Delta(A, 0, 3, List.of(entry(B, 1, EntryType.WAIT, "7", SECOND_US))));
+    assertEquals(0, store.size());
+    assertEquals(invalid.size() + 4, store.rejected());
   }
 
   @Test
   void entriesBeyondBounds_areRejected() {
-    final ReplicationSettings few = new ReplicationSettings(1, 1, 1, 1, 1, 1000, 600, 1, 1);
-    final EntryStore copies = new EntryStore(few);
+    final ReplicationSettings smallSettings =
+        new ReplicationSettings(1, 1, 1, 1, 1, 1000, 600, 1, 1);
+    final EntryStore store = new EntryStore(smallSettings);
     for (int number = 1; number <= 5000; number++) {
       merge(
-          copies,
+          store,
           singleEntryDelta(entry(A, number, EntryType.WAIT, String.valueOf(number), SECOND_US)));
       merge(
-          copies,
+          store,
           singleEntryDelta(entry(B, number, EntryType.WAIT, String.valueOf(number), SECOND_US)));
     }
-    assertTrue(copies.size() <= 1000, "holds " + copies.size());
+    assertTrue(store.size() <= 1000, "holds " + store.size());
     assertEquals(
         600,
-        copies.entries(EntryType.WAIT, "1").size() * 600 / 2,
-        "both writers had a word on the first");
-    assertTrue(copies.rejected() >= 9000);
+        store.entries(EntryType.WAIT, "1").size() * 600 / 2,
+        "both writers had an entry on the first");
+    assertTrue(store.rejected() >= 9000);
   }
 
   @Test
   void entriesOfUnknownTypes_areStoredAndForwarded() {
-    final EntryStore copies = new EntryStore(SETTINGS);
+    final EntryStore store = new EntryStore(SETTINGS);
     final Entry later = new Entry(77, "whatever", A, 1, SECOND_US, NOW_US, List.of("x", 3L, true));
     final Entry longer =
         new Entry(
@@ -314,27 +316,26 @@
             SECOND_US,
             NOW_US,
             List.of(5.0, "of a later version"));
-    merge(copies, new Delta(A, 0, 2, List.of(later, longer)));
-    final List<Delta> told = new ArrayList<>();
-    copies.collectMissing(Map.of(), 0, 1, 10_000, NOW_US, told);
-    assertEquals(List.of(later, longer), told.get(0).entries());
+    merge(store, new Delta(A, 0, 2, List.of(later, longer)));
+    final MissingEntries missing = store.collectMissing(Map.of(), Partition.ALL, 10_000, NOW_US);
+    assertEquals(List.of(later, longer), missing.deltas().get(0).entries());
   }
 
   @Test
   void enableEntry_isCompactedOnlyAfterRetention() {
-    final EntryStore copies = new EntryStore(SETTINGS);
-    merge(copies, singleEntryDelta(disableEntry(A, 1, "e1", false, Map.of())));
-    merge(copies, singleEntryDelta(disableEntry(B, 1, "e2", true, Map.of())));
-    copies.compact(NOW_US + SETTINGS.tombstoneRetentionUs());
-    assertEquals(2, copies.size());
-    copies.compact(NOW_US + SETTINGS.tombstoneRetentionUs() + 1);
-    assertEquals(1, copies.size());
+    final EntryStore store = new EntryStore(SETTINGS);
+    merge(store, singleEntryDelta(disableEntry(A, 1, "e1", false, Map.of())));
+    merge(store, singleEntryDelta(disableEntry(B, 1, "e2", true, Map.of())));
+    store.compact(NOW_US + SETTINGS.tombstoneRetentionUs());
+    assertEquals(2, store.size());
+    store.compact(NOW_US + SETTINGS.tombstoneRetentionUs() + 1);
+    assertEquals(1, store.size());
     assertEquals(
         "left out",
-        MergeRule.merge(EntryType.MAINTENANCE, "e2", copies.entries(EntryType.MAINTENANCE, "e2"))
+        MergeRule.merge(EntryType.MAINTENANCE, "e2", store.entries(EntryType.MAINTENANCE, "e2"))
             .state());
     assertTrue(
         SETTINGS.tombstoneRetentionUs() > SETTINGS.maxSeparationUs(),
-        "whoever was apart for longer takes over what others hold");
+        "a courier that was apart for longer adopts what others hold");
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/replicas/MergeRuleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/MergeRuleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Where writers differ, the more careful word counts, while it can still be true. */
+/** Where writers differ, the more careful entry counts, while it can still be true. */
 @Tag("replicas")
 final class MergeRuleTest {
   private static final long SECOND_US = 1_000_000;
@@ -21,8 +21,8 @@
   private static Entry disableEntry(
       final WriterId writer,
       final long version,
-      final boolean out,
-      final Map<WriterId, Long> seen) {
+      final boolean disabled,
+      final Map<WriterId, Long> superseded) {
     return new Entry(
         EntryType.MAINTENANCE.code(),
         "e1",
@@ -30,46 +30,46 @@
         version,
         0,
         NOW_US,
-        new DisableEntry(out, "o", seen).toFields());
+        new DisableEntry(disabled, "o", superseded).toFields());
   }
 
   private static Entry entry(
-      final EntryType kind,
+      final EntryType type,
       final WriterId writer,
-      final long lifeUs,
-      final long madeUs,
+      final long ttlUs,
+      final long createdUs,
       final Object... fields) {
-    return new Entry(kind.code(), "7", writer, 1, lifeUs, madeUs, List.of(fields));
+    return new Entry(type.code(), "7", writer, 1, ttlUs, createdUs, List.of(fields));
   }
 
-  private static MergedValue merge(final EntryType kind, final Entry... words) {
-    return MergeRule.merge(kind, "7", List.of(words));
+  private static MergedValue merge(final EntryType type, final Entry... entries) {
+    return MergeRule.merge(type, "7", List.of(entries));
   }
 
   @Test
   void concurrentDisableAndEnable_staysDisabledWithConflict() {
-    final MergedValue verdict =
+    final MergedValue merged =
         merge(
             EntryType.MAINTENANCE,
             disableEntry(A, 1, true, Map.of()),
             disableEntry(B, 1, false, Map.of()));
-    assertEquals("left out", verdict.state());
-    assertTrue(verdict.conflict());
-    assertEquals(List.of(A), verdict.writers());
+    assertEquals("left out", merged.state());
+    assertTrue(merged.conflict());
+    assertEquals(List.of(A), merged.writers());
   }
 
   @Test
   void entryThatSupersedesBoth_resolvesConflict() {
-    final MergedValue verdict =
+    final MergedValue merged =
         merge(
             EntryType.MAINTENANCE,
             disableEntry(A, 1, true, Map.of()),
             disableEntry(B, 1, false, Map.of()),
             disableEntry(C, 1, false, Map.of(A, 1L, B, 1L)));
-    assertEquals("may serve", verdict.state());
-    assertFalse(verdict.conflict());
-    assertEquals(List.of(C), verdict.writers());
-    // Of a later word of A's nobody knew.
+    assertEquals("may serve", merged.state());
+    assertFalse(merged.conflict());
+    assertEquals(List.of(C), merged.writers());
+    // No writer knew of a later decision of A's.
     assertEquals(
         "left out",
         merge(
@@ -81,32 +81,35 @@
 
   @Test
   void twoWaits_laterEndWins() {
-    final MergedValue verdict =
+    final MergedValue merged =
         merge(
             EntryType.WAIT,
             entry(EntryType.WAIT, A, 9 * SECOND_US, NOW_US - 5 * SECOND_US),
             entry(EntryType.WAIT, B, 2 * SECOND_US, NOW_US));
-    assertEquals(NOW_US + 4 * SECOND_US, verdict.untilUs());
-    assertEquals(List.of(A), verdict.writers());
+    assertEquals(NOW_US + 4 * SECOND_US, merged.untilUs());
+    assertEquals(List.of(A), merged.writers());
   }
 
   @Test
   void recovery_isDatedByFirstObserverAfterOutage() {
-    final Entry out = entry(EntryType.OUTAGE, A, 60 * SECOND_US, NOW_US - 9 * SECOND_US, true);
-    final Entry first = entry(EntryType.OUTAGE, B, 60 * SECOND_US, NOW_US - 4 * SECOND_US, false);
-    final Entry later = entry(EntryType.OUTAGE, C, 60 * SECOND_US, NOW_US - SECOND_US, false);
-    assertEquals("out", merge(EntryType.OUTAGE, out).state());
-    final MergedValue verdict = merge(EntryType.OUTAGE, out, first, later);
-    assertEquals("returned", verdict.state());
-    assertEquals(NOW_US - 4 * SECOND_US, verdict.sinceUs());
-    // Found out again by the first after that: more careful, and it can still be true.
+    final Entry outage = entry(EntryType.OUTAGE, A, 60 * SECOND_US, NOW_US - 9 * SECOND_US, true);
+    final Entry firstRecovery =
+        entry(EntryType.OUTAGE, B, 60 * SECOND_US, NOW_US - 4 * SECOND_US, false);
+    final Entry laterRecovery =
+        entry(EntryType.OUTAGE, C, 60 * SECOND_US, NOW_US - SECOND_US, false);
+    assertEquals("out", merge(EntryType.OUTAGE, outage).state());
+    final MergedValue merged = merge(EntryType.OUTAGE, outage, firstRecovery, laterRecovery);
+    assertEquals("returned", merged.state());
+    assertEquals(NOW_US - 4 * SECOND_US, merged.sinceUs());
+    // The first observer found it out again after that: that is more careful, and can still be
+    // true.
     assertEquals(
         "out",
         merge(
                 EntryType.OUTAGE,
                 entry(EntryType.OUTAGE, A, 60 * SECOND_US, NOW_US, true),
-                first,
-                later)
+                firstRecovery,
+                laterRecovery)
             .state());
   }
 
@@ -119,14 +122,14 @@
                 entry(EntryType.LIMIT, A, 60 * SECOND_US, NOW_US - 1, 9.0),
                 entry(EntryType.LIMIT, B, 60 * SECOND_US, NOW_US, 4.0))
             .value());
-    final long life = EntryType.LEARNT.maxTtlUs();
-    final MergedValue learnt =
+    final long ttlUs = EntryType.LEARNT.maxTtlUs();
+    final MergedValue learned =
         merge(
             EntryType.LEARNT,
-            entry(EntryType.LEARNT, A, life, NOW_US, 2.0),
-            entry(EntryType.LEARNT, B, life, NOW_US, 4.0),
-            entry(EntryType.LEARNT, C, life, NOW_US - life, 900.0));
-    assertEquals(3, learnt.value(), 1e-9);
+            entry(EntryType.LEARNT, A, ttlUs, NOW_US, 2.0),
+            entry(EntryType.LEARNT, B, ttlUs, NOW_US, 4.0),
+            entry(EntryType.LEARNT, C, ttlUs, NOW_US - ttlUs, 900.0));
+    assertEquals(3, learned.value(), 1e-9);
     assertEquals("nothing", merge(EntryType.LEARNT).state());
   }
 }
