--- a/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
@@ -99,43 +99,16 @@
       final World world, final int maxHigherBallots, final boolean forgets) {
     final List<World> all = new ArrayList<>();
     for (int member = 0; member < 2; member++) {
-      final int one = member;
-      if (!world.members().get(member).isProposing()
-          && world.members().get(member).decided() == null) {
-        all.add(
-            applyStep(
-                world,
-                member,
-                agreement -> {
-                  agreement.propose(PROPOSALS.get(one));
-                  return agreement;
-                },
-                world.higherBallots(),
-                world.restarts()));
-      } else if (world.higherBallots() < maxHigherBallots
-          && world.members().get(member).isProposing()) {
-        all.add(
-            applyStep(
-                world,
-                member,
-                agreement -> {
-                  agreement.startHigherBallot(PROPOSALS.get(one));
-                  return agreement;
-                },
-                world.higherBallots() + 1,
-                world.restarts()));
+      final PaxosInstance instance = world.members().get(member);
+      if (!instance.isProposing() && instance.decided() == null) {
+        all.add(propose(world, member));
+      } else if (instance.isProposing() && world.higherBallots() < maxHigherBallots) {
+        all.add(startHigherBallot(world, member));
       }
     }
     if (forgets && world.restarts() == 0) {
       for (int member = 0; member < IDS.size(); member++) {
-        final int one = member;
-        all.add(
-            applyStep(
-                world,
-                member,
-                agreement -> new PaxosInstance(VIEW, IDS.get(one)),
-                world.higherBallots(),
-                1));
+        all.add(forgetEverything(world, member));
       }
     }
     for (final Envelope envelope : world.inFlight()) {
@@ -144,6 +117,33 @@
     return all;
   }
 
+  private static World propose(final World world, final int member) {
+    final UnaryOperator<PaxosInstance> step =
+        instance -> {
+          instance.propose(PROPOSALS.get(member));
+          return instance;
+        };
+    return applyStep(world, member, step, world.higherBallots(), world.restarts());
+  }
+
+  private static World startHigherBallot(final World world, final int member) {
+    final UnaryOperator<PaxosInstance> step =
+        instance -> {
+          instance.startHigherBallot(PROPOSALS.get(member));
+          return instance;
+        };
+    return applyStep(world, member, step, world.higherBallots() + 1, world.restarts());
+  }
+
+  private static World forgetEverything(final World world, final int member) {
+    return applyStep(
+        world,
+        member,
+        instance -> new PaxosInstance(VIEW, IDS.get(member)),
+        world.higherBallots(),
+        1);
+  }
+
   private record SearchResult(int states, int depth, int decisions, World violation) {}
 
   private static SearchResult search(
--- a/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
@@ -75,58 +75,64 @@
     for (int number = 0; number < 40; number++) {
       final int which = random.nextInt(3);
       final String subject = String.valueOf(random.nextInt(3));
-      final long version = ++versions[which];
-      switch (random.nextInt(4)) {
-        case 0 -> {
-          // It supersedes the writer's own last decision, and some of the others'.
-          final List<Entry> known = new ArrayList<>();
-          all.stream()
-              .filter(entry -> entry.subject().equals("e" + subject))
-              .forEach(
-                  entry -> {
-                    if (entry.writer().equals(writers[which]) || random.nextBoolean()) {
-                      known.add(entry);
-                    }
-                  });
-          all.add(
-              disableEntry(
-                  writers[which],
-                  version,
-                  "e" + subject,
-                  random.nextBoolean(),
-                  DisableEntry.superseding(known, writers[which], true, "o").supersededVersions()));
-        }
-        case 1 ->
-            all.add(
-                entry(
-                    writers[which],
-                    version,
-                    EntryType.WAIT,
-                    subject,
-                    SECOND_US * (1 + random.nextInt(50))));
-        case 2 ->
-            all.add(
-                entry(
-                    writers[which],
-                    version,
-                    EntryType.OUTAGE,
-                    subject,
-                    EntryType.OUTAGE.maxTtlUs(),
-                    random.nextBoolean()));
-        default ->
-            all.add(
-                entry(
-                    writers[which],
-                    version,
-                    EntryType.LIMIT,
-                    subject,
-                    EntryType.LIMIT.maxTtlUs(),
-                    1.0 + random.nextInt(9)));
-      }
+      versions[which]++;
+      all.add(randomEntry(random, writers[which], versions[which], subject, all));
     }
     return all;
   }
 
+  private static Entry randomEntry(
+      final Random random,
+      final WriterId writer,
+      final long version,
+      final String subject,
+      final List<Entry> earlier) {
+    return switch (random.nextInt(4)) {
+      case 0 -> randomDecision(random, writer, version, "e" + subject, earlier);
+      case 1 ->
+          entry(writer, version, EntryType.WAIT, subject, SECOND_US * (1 + random.nextInt(50)));
+      case 2 ->
+          entry(
+              writer,
+              version,
+              EntryType.OUTAGE,
+              subject,
+              EntryType.OUTAGE.maxTtlUs(),
+              random.nextBoolean());
+      default ->
+          entry(
+              writer,
+              version,
+              EntryType.LIMIT,
+              subject,
+              EntryType.LIMIT.maxTtlUs(),
+              1.0 + random.nextInt(9));
+    };
+  }
+
+  /** Returns a decision that supersedes the writer's own last one, and some of the others'. */
+  private static Entry randomDecision(
+      final Random random,
+      final WriterId writer,
+      final long version,
+      final String endpoint,
+      final List<Entry> earlier) {
+    final List<Entry> known = new ArrayList<>();
+    for (final Entry entry : earlier) {
+      if (entry.subject().equals(endpoint)
+          && (entry.writer().equals(writer) || random.nextBoolean())) {
+        known.add(entry);
+      }
+    }
+    final boolean disabled = random.nextBoolean();
+    return disableEntry(
+        writer,
+        version,
+        endpoint,
+        disabled,
+        DisableEntry.superseding(known, writer, true, "o").supersededVersions());
+  }
+
   @Property(tries = 2000)
   void anyOrderAndDuplication_convergesToSameEntries(@ForAll final long seed) {
     final Random random = new Random(seed);
