--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -205,11 +205,11 @@
     final Play play = new Play("members 10\nseed 7\nend 30s\nat 8s pause 3 for 12s");
     play.good();
     assertEquals(9, play.count("n003 is dead by agreement"));
-    assertEquals(1, play.count("n003: AWAY"));
+    assertEquals(1, play.count("n003: PROCESS_PAUSED"));
     assertEquals(1, play.count("begins another life"));
     assertTrue(
         play.said.stream()
-            .filter(line -> line.startsWith("n003: STATE"))
+            .filter(line -> line.startsWith("n003: PEER_STATE"))
             .noneMatch(line -> line.contains("suspect") || line.contains("not by n003")),
         "it accuses nobody");
     assertTrue(
