--- a/courier/src/main/java/thistleturn/courier/DecisionLoop.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -10,7 +10,6 @@
 import thistleturn.courier.handover.LearnedStateSource;
 import thistleturn.courier.handover.RemoteCallExecutor;
 import thistleturn.courier.handover.Successor;
-import thistleturn.courier.health.StallDetector;
 import thistleturn.courier.operator.CourierMetrics;
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.courier.port.EndpointDirectory;
@@ -28,7 +27,6 @@
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.directives.Directive;
-import thistleturn.decisions.health.LocalHealth;
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.model.Message;
@@ -91,7 +89,9 @@
       final MessageStore store,
       final Ports connector) {
     this.config = config;
-    this.context = createContext(loop, clock, store);
+    this.context =
+        LoopContext.create(
+            config.settings(), loop, clock, store, pausedUs -> role.onProcessPaused(pausedUs));
     this.scheduler = new RoundScheduler(loop, clock, connector, new Rounds());
     this.ports =
         new LoopPorts(
@@ -110,7 +110,10 @@
             config.settings(),
             config.seed(),
             new ControllerActions(context.pending(), completion, calls, ports, scheduler));
-    this.reachability = new ReachabilityTracker(context.health(), this::onConnectivityRestored);
+    this.reachability =
+        new ReachabilityTracker(
+            context.health(),
+            (nowUs, cutOffSinceUs) -> role.onConnectivityRestored(nowUs, cutOffSinceUs));
     this.outages =
         new OutageReporter(
             clock, context.health(), controller::circuitTransitions, controller::routes);
@@ -122,21 +125,6 @@
     this.role = deciding;
   }
 
-  private LoopContext createContext(
-      final EventLoop loop, final Clock clock, final MessageStore store) {
-    final LocalHealth health = new LocalHealth(clock.nowUs());
-    final MessageClasses classes = new MessageClasses(config.settings().classes());
-    return new LoopContext(
-        clock,
-        store,
-        classes,
-        new EndpointTable(config.settings().kinds(), clock::nowUs),
-        new PendingDeliveries(),
-        new DeliveryCounters(classes),
-        health,
-        new StallDetector(loop, clock, health, this::onProcessPaused));
-  }
-
   private MessageIntake createIntake(final MessageCompletion completion) {
     return new MessageIntake(
         context,
@@ -212,44 +200,6 @@
   // ---------------------------------------------------------------- the round
 
   /** A round: decide, prepare the calls, flush the journal, then act. */
-  private void runRound() {
-    // One timestamp for the whole round: a pause in the middle of it is noticed by the next one,
-    // before anything is judged by it.
-    final long nowUs = context.stallDetector().recordActivity();
-    context.stallDetector().setBusy(!context.pending().isEmpty());
-    try {
-      decide(nowUs);
-    } catch (final RuntimeException | Error e) {
-      Log.failure("decisions failed", e);
-    }
-    calls.prepareCalls();
-    effects.runAfterFlush(context.store().flush(), context.clock().nowUs());
-    retryUnwritableJournal();
-  }
-
-  /** Lets the controller decide; while the journal cannot be written, only expired messages end. */
-  private void decide(final long nowUs) {
-    if (!context.store().isWritable() && context.store().flush() != FlushResult.DURABLE) {
-      controller.onDecisionsDelayed(nowUs);
-      return;
-    }
-    controller.decide(nowUs);
-    callLimitReached |= controller.needsMoreCapacity();
-    outages.reportChanges();
-  }
-
-  private void endOverdueMessages() {
-    controller.onDecisionsDelayed(context.clock().nowUs());
-    effects.runRejectionsAndOutcomes(context.store().flush(), context.clock().nowUs());
-    retryUnwritableJournal();
-  }
-
-  private void retryUnwritableJournal() {
-    if (!context.store().isWritable()) {
-      scheduler.requestJournalRetry();
-    }
-  }
-
   private final class Rounds implements RoundScheduler.Target {
     @Override
     public boolean isDeciding() {
@@ -258,15 +208,49 @@
 
     @Override
     public void runRound() {
-      DecisionLoop.this.runRound();
+      // One timestamp for the whole round: a pause in the middle of it is noticed by the next one,
+      // before anything is judged by it.
+      final long nowUs = context.stallDetector().recordActivity();
+      context.stallDetector().setBusy(!context.pending().isEmpty());
+      try {
+        decide(nowUs);
+      } catch (final RuntimeException | Error e) {
+        Log.failure("decisions failed", e);
+      }
+      calls.prepareCalls();
+      effects.runAfterFlush(context.store().flush(), context.clock().nowUs());
+      retryUnwritableJournal();
     }
 
     @Override
     public void endOverdueMessages() {
-      DecisionLoop.this.endOverdueMessages();
+      reportDecisionsDelayed(context.clock().nowUs());
+      effects.runRejectionsAndOutcomes(context.store().flush(), context.clock().nowUs());
+      retryUnwritableJournal();
+    }
+
+    private void retryUnwritableJournal() {
+      if (!context.store().isWritable()) {
+        scheduler.requestJournalRetry();
+      }
     }
   }
 
+  /** Lets the controller decide; while the journal cannot be written, only expired messages end. */
+  private void decide(final long nowUs) {
+    if (!context.store().isWritable() && context.store().flush() != FlushResult.DURABLE) {
+      reportDecisionsDelayed(nowUs);
+      return;
+    }
+    controller.decide(nowUs);
+    callLimitReached |= controller.needsMoreCapacity();
+    outages.reportChanges();
+  }
+
+  private void reportDecisionsDelayed(final long nowUs) {
+    controller.onDecisionsDelayed(nowUs);
+  }
+
   // ---------------------------------------------------------------- events of the ports
 
   @Override
@@ -328,14 +312,6 @@
     role.onConfirmed(messages);
   }
 
-  private void onProcessPaused(final long pausedUs) {
-    role.onProcessPaused(pausedUs);
-  }
-
-  private void onConnectivityRestored(final long nowUs, final long cutOffSinceUs) {
-    role.onConnectivityRestored(nowUs, cutOffSinceUs);
-  }
-
   // ---------------------------------------------------------------- the controller
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/LoopContext.java
+++ b/courier/src/main/java/thistleturn/courier/LoopContext.java
@@ -1,9 +1,12 @@
 package thistleturn.courier;
 
+import io.netty.channel.EventLoop;
+import java.util.function.LongConsumer;
 import thistleturn.courier.health.StallDetector;
 import thistleturn.courier.port.MessageStore;
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.health.LocalHealth;
+import thistleturn.decisions.model.DeliverySettings;
 
 /**
  * What the parts of one decision loop share. All of it belongs to the loop's thread.
@@ -24,4 +27,29 @@
     PendingDeliveries pending,
     DeliveryCounters counters,
     LocalHealth health,
-    StallDetector stallDetector) {}
+    StallDetector stallDetector) {
+
+  /**
+   * Creates the context of a new loop.
+   *
+   * @param pauseListener is told for how many microseconds this process did not run
+   */
+  static LoopContext create(
+      final DeliverySettings settings,
+      final EventLoop loop,
+      final Clock clock,
+      final MessageStore store,
+      final LongConsumer pauseListener) {
+    final LocalHealth health = new LocalHealth(clock.nowUs());
+    final MessageClasses classes = new MessageClasses(settings.classes());
+    return new LoopContext(
+        clock,
+        store,
+        classes,
+        new EndpointTable(settings.kinds(), clock::nowUs),
+        new PendingDeliveries(),
+        new DeliveryCounters(classes),
+        health,
+        new StallDetector(loop, clock, health, pauseListener));
+  }
+}
--- a/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
+++ b/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
@@ -55,7 +55,7 @@
 
     @Override
     public void flush() {
-      // Nobody listens.
+      // Not needed here.
     }
 
     @Override
@@ -65,34 +65,34 @@
 
     @Override
     public void reload(final CourierConfig fresh) {
-      // It goes nowhere.
+      // Not needed here.
     }
   }
 
   private static final class IgnoringReply implements Ingress.Reply {
     @Override
     public void accepted() {
-      // Nobody listens.
+      // Not needed here.
     }
 
     @Override
-    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      // Nobody listens.
+    public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
+      // Not needed here.
     }
 
     @Override
     public void failed() {
-      // Nobody listens.
+      // Not needed here.
     }
 
     @Override
-    public void invalid(final Ingress.InvalidReason fault) {
-      // Nobody listens.
+    public void invalid(final Ingress.InvalidReason reason) {
+      // Not needed here.
     }
   }
 
-  private static StoredMessage storedMessage(final String id, final long validUntilUs) {
-    return new StoredMessage(id, "safe", null, 1, validUntilUs, new byte[0]);
+  private static StoredMessage storedMessage(final String id, final long deadlineUs) {
+    return new StoredMessage(id, "safe", null, 1, deadlineUs, new byte[0]);
   }
 
   private static PendingDelivery pendingDelivery(final String id) {
@@ -133,7 +133,7 @@
     assertEquals(List.of("refusal", "refuse m", "drop", "end due"), executed);
     executed.clear();
     effects.runAfterFlush(FlushResult.FAILED, 2 * NOW_US);
-    assertEquals(List.of("end later"), executed, "its time is up now");
+    assertEquals(List.of("end later"), executed, "it has expired now");
   }
 
   @Test
