--- a/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -58,9 +58,9 @@
   /** The submission of the current request; null if it submits nothing. */
   private SubmitReply currentSubmission;
 
-  private Phase phase = Phase.OPEN;
+  private ConnectionPhase phase = ConnectionPhase.OPEN;
 
-  /** The status of the last response, while {@link Phase#FINISHING}. */
+  /** The status of the last response, while {@link ConnectionPhase#FINISHING}. */
   private HttpResponseStatus finalStatus;
 
   private SelectorWatch selectorWatch = SelectorWatch.UNVERIFIED;
@@ -73,16 +73,6 @@
   private long requestStartedUs = NO_REQUEST;
   private long lastReceivedUs;
 
-  /** The life cycle of a connection. */
-  private enum Phase {
-    /** Requests are read and served. */
-    OPEN,
-    /** Nothing more is read; the final status follows the responses that are still due. */
-    FINISHING,
-    /** The last response is written; input is discarded until the connection closes. */
-    CLOSING
-  }
-
   /**
    * Creates the handler of an accepted channel.
    *
@@ -123,7 +113,7 @@
 
   /** True if no further request is read. */
   boolean isClosing() {
-    return phase != Phase.OPEN;
+    return phase != ConnectionPhase.OPEN;
   }
 
   private boolean isReceivingRequest() {
@@ -145,7 +135,7 @@
   }
 
   private ConnectionEvictionRanking.ConnectionState evictionState() {
-    if (phase == Phase.CLOSING) {
+    if (phase == ConnectionPhase.CLOSING) {
       return ConnectionEvictionRanking.ConnectionState.REJECTED;
     }
     if (isProcessingRequest()) {
@@ -168,7 +158,7 @@
 
   /** Removes the codecs from the pipeline until bytes are received. */
   void hibernate() {
-    if (!pipeline.isHibernating() && phase != Phase.CLOSING) {
+    if (!pipeline.isHibernating() && phase != ConnectionPhase.CLOSING) {
       pipeline.hibernate();
     }
   }
@@ -244,14 +234,16 @@
 
   @Override
   public void channelRead(final ChannelHandlerContext ctx, final Object part) {
-    if (pipeline.isHibernating() && part instanceof ByteBuf bytes && phase != Phase.CLOSING) {
+    if (pipeline.isHibernating()
+        && part instanceof ByteBuf bytes
+        && phase != ConnectionPhase.CLOSING) {
       onBytesWhileHibernating(bytes);
       return;
     }
     try {
       if (part instanceof HttpObject object && !isClosing()) {
         onHttpObject(object);
-      } else if (part instanceof ByteBuf bytes && phase == Phase.CLOSING) {
+      } else if (part instanceof ByteBuf bytes && phase == ConnectionPhase.CLOSING) {
         discard(bytes);
       }
     } finally {
@@ -298,13 +290,15 @@
 
   /** Serves one request after another, so that the responses keep the order of the requests. */
   private void serveNext() {
-    while (currentRequest == null && !queuedRequests.isEmpty() && phase != Phase.CLOSING) {
+    while (currentRequest == null
+        && !queuedRequests.isEmpty()
+        && phase != ConnectionPhase.CLOSING) {
       currentRequest = queuedRequests.poll();
       queuedBodyBytes -= currentRequest.body().length;
       ingress.bodyBudget().release(currentRequest.body().length);
       ingress.router().route(this, currentRequest);
     }
-    if (phase == Phase.FINISHING && !isProcessingRequest()) {
+    if (phase == ConnectionPhase.FINISHING && !isProcessingRequest()) {
       sendFinalResponse();
     }
     if (!queuedRequests.isEmpty()) {
@@ -332,7 +326,7 @@
         reusable
             && currentRequest.isKeepAlive()
             && !ingress.draining().getAsBoolean()
-            && phase == Phase.OPEN
+            && phase == ConnectionPhase.OPEN
             && selectorWatch != SelectorWatch.UNWATCHED;
     currentRequest = null;
     currentSubmission = null;
@@ -352,7 +346,7 @@
     if (!context.channel().isWritable()) {
       logClosed("does_not_read");
       context.close();
-    } else if (!queuedRequests.isEmpty() || phase == Phase.FINISHING) {
+    } else if (!queuedRequests.isEmpty() || phase == ConnectionPhase.FINISHING) {
       context.executor().execute(this::serveNext);
     }
     return written;
@@ -374,7 +368,7 @@
 
   private void finishWith(final HttpResponseStatus status) {
     finalStatus = status;
-    phase = Phase.FINISHING;
+    phase = ConnectionPhase.FINISHING;
   }
 
   private void sendFinalResponse() {
@@ -383,7 +377,7 @@
 
   private ChannelFuture respondAndClose(final DefaultFullHttpResponse response) {
     response.headers().set(HttpHeaderNames.CONNECTION, "close");
-    phase = Phase.CLOSING;
+    phase = ConnectionPhase.CLOSING;
     releaseQueuedRequests();
     final ChannelFuture written = context.writeAndFlush(response);
     closeOutputAfter(written);
@@ -402,7 +396,7 @@
    * repeats on another connection what was discarded.
    */
   private void closeOutputAfter(final ChannelFuture written) {
-    phase = Phase.CLOSING;
+    phase = ConnectionPhase.CLOSING;
     pipeline.removeDecoder();
     context.channel().config().setAutoRead(true);
     written.addListener(
