--- a/courier/src/test/java/thistleturn/courier/BulkResponseTest.java
+++ b/courier/src/test/java/thistleturn/courier/BulkResponseTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Answers to calls with several messages, of which some have ended while the call was out. */
+/**
+ * Responses to calls with several messages, one of which has expired while the call was in flight.
+ */
 @Tag("crossings")
 @Timeout(120)
 final class BulkResponseTest {
@@ -30,11 +32,11 @@
   private final AtomicReference<FakeHttpServer.Connection> firstConnection =
       new AtomicReference<>();
 
-  /** How the endpoint answers a call in which the time of some messages is up. */
+  /** How the endpoint responds to a call after one of its messages expired. */
   enum ResponseKind {
-    /** Whole: all of them were delivered. */
+    /** A complete response: all messages were delivered. */
     COMPLETE,
-    /** Its first lines, and then the connection breaks. */
+    /** The head and part of the body, and then a reset. */
     TRUNCATED
   }
 
@@ -65,42 +67,43 @@
   }
 
   /**
-   * Several messages share a call's fate: once the time of one is up nothing that comes of it
-   * delivers the others.
+   * The messages of a call share its fate: once one has expired, the response delivers none of
+   * them.
    */
   @ParameterizedTest
   @EnumSource(ResponseKind.class)
-  void expiryOfOneMessage_endsBulkCallForAll(final ResponseKind how) throws IOException {
-    // The one slot is taken until all three wait behind it, however long it takes them to come.
+  void expiryOfOneMessage_endsBulkCallForAll(final ResponseKind kind) throws IOException {
+    // The only call in flight keeps all three messages waiting, however long it takes to submit
+    // them.
     assertEquals(202, harness.submit("ahead", "safe").status());
     harness.await("the call ahead", () -> firstConnection.get() != null);
     assertEquals(202, harness.submit("m1", "safe").status());
     assertEquals(202, harness.submit("m2", "safe").status());
     assertEquals(202, harness.send(submitWithShortTimeout("m0")).status());
     firstConnection.get().respond(200, "");
-    harness.await("one call for what waited", () -> bulkRequests.size() == 1);
+    harness.await("one call with the waiting messages", () -> bulkRequests.size() == 1);
     final FakeHttpServer.Request call = bulkRequests.get(0);
     assertTrue(
         List.of("m0", "m1", "m2").stream().allMatch(id -> call.text().contains('"' + id + '"')),
         call.text());
     harness.await(
-        "the end of the one whose time is up", () -> harness.hasOutcomeReport("m0", "deferred"));
+        "the report of the expired message", () -> harness.hasOutcomeReport("m0", "deferred"));
     final String states =
         "[{\"id\":\"m0\",\"state\":\"accepted\"},{\"id\":\"m1\",\"state\":\"accepted\"},"
             + "{\"id\":\"m2\",\"state\":\"accepted\"}]";
-    if (how == ResponseKind.COMPLETE) {
+    if (kind == ResponseKind.COMPLETE) {
       call.connection().respond(200, states);
     } else {
       call.connection()
           .write("HTTP/1.1 200 OK\r\nContent-Length: " + states.length() + "\r\n\r\n[{");
       call.connection().reset();
     }
-    harness.await("another call for those that have time", () -> bulkRequests.size() == 2);
+    harness.await("another call with the other messages", () -> bulkRequests.size() == 2);
     final FakeHttpServer.Request again = bulkRequests.get(1);
     assertFalse(again.text().contains("\"m0\""), again.text());
     assertTrue(again.text().contains("\"m1\"") && again.text().contains("\"m2\""), again.text());
     again.connection().respond(200, states);
-    // The one slot is free again only once that call is over.
+    // This call can be sent only after the bulk call has ended.
     assertEquals(202, harness.submit("behind", "safe").status());
     harness.await("the call behind", () -> singleRequests.size() == 1);
     assertEquals("behind", singleRequests.get(0).header("X-Request-ID"));
--- a/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * More clients than the courier has room for connect while it stands still, each with a whole
+ * While the courier is paused more clients connect than its limit allows, each with a complete
  * request.
  */
 @Tag("crossings")
@@ -58,10 +58,7 @@
     harness.close();
   }
 
-  /**
-   * What waits to be accepted and read only seems to say nothing: it is read before anyone has to
-   * make room.
-   */
+  /** Connections whose requests are unread seem idle: they are read before any is evicted. */
   @Test
   void connectionsOverLimitWithUnreadRequests_areAllAnswered() throws Exception {
     final CountDownLatch standing = new CountDownLatch(1);
--- a/courier/src/test/java/thistleturn/courier/CourierHarness.java
+++ b/courier/src/test/java/thistleturn/courier/CourierHarness.java
@@ -12,12 +12,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** A real courier as a process of its own, between fakes of the platform and of its endpoints. */
+/** A courier in a process of its own, between a fake platform and fake endpoints. */
 final class CourierHarness implements AutoCloseable {
   static final long TIMEOUT_S = 20;
   private static final String MESSAGE_CLASSES =
@@ -27,16 +28,16 @@
              {"name":"brief","effect":"token","group":"all","dedup_window":300000,"target":5000000,"deadline":20000000},
              {"name":"once","effect":"side_effect","target":5000000,"deadline":20000000}]""";
 
-  /** What a client was answered. */
+  /** The response that a client received. */
   record Response(int status, String head) {}
 
-  /** The platform's notices, a line each. */
+  /** The outcome reports that the platform received, a line each. */
   final List<String> outcomeReports = new CopyOnWriteArrayList<>();
 
   final List<FakeHttpServer.Connection> watchConnections = new CopyOnWriteArrayList<>();
   final FakeHttpServer platform;
 
-  /** Where the platform is after a move. */
+  /** The platform after its address has changed. */
   final FakeHttpServer relocatedPlatform;
 
   final FakeHttpServer firstEndpoint =
@@ -47,48 +48,47 @@
   volatile int outcomeResponseStatus = 204;
   int maxOpenConnections = 50;
 
-  /** Calls that may be out at once. */
+  /** The limit of concurrent calls. */
   int maxCallsInFlight = 12;
 
-  /** How the list comes, by the settings: {@code on_request} or {@code pushed}. */
+  /** How the endpoint list is updated: {@code on_request} or {@code pushed}. */
   String discoveryMode = "on_request";
 
   int diskMb = 3;
   int socketLimit = 1024;
   String extraSetting = "\"unheard_of\":[{\"x\":1}]";
 
-  /** Endpoints that the courier knows at its start. */
+  /** The endpoints in the configuration. */
   String configuredHosts;
 
-  /** The whole list, where it is asked for. */
+  /** The endpoints in the snapshot that the relocated platform sends. */
   volatile String relocatedHosts = "";
 
   private final Path workDirectory;
 
-  /** The rig whose platform counts, where this is a further process of its courier. */
+  /** The harness whose platform is used, if this is another process of its courier. */
   private CourierHarness platformOwner;
 
   private Process process;
   private int port;
 
-  /** Whether operators have an address, and its port. */
+  /** True if the courier listens for operators. */
   boolean operatorPortEnabled;
 
   int operatorPort;
 
-  /** Where clients connect; 0: wherever the system says. */
+  /** The port for clients; 0 for any. */
   int listenPort;
 
-  CourierHarness(final Path folder) throws IOException {
-    this.workDirectory = folder;
+  CourierHarness(final Path workDirectory) throws IOException {
+    this.workDirectory = workDirectory;
     this.platform = new FakeHttpServer(this::answerPlatformRequest);
     this.relocatedPlatform = new FakeHttpServer(this::answerPlatformRequest);
     this.configuredHosts = hostEntry("e1", firstEndpoint, "Ready");
   }
 
   /**
-   * A further process of the same courier: same addresses and folder, but another one for
-   * operators.
+   * Another process of the same courier: same addresses and directory, but another operator port.
    */
   CourierHarness successor() throws IOException {
     final CourierHarness next = new CourierHarness(workDirectory);
@@ -128,14 +128,14 @@
         + "\",\"share\":100.0,\"born_ms\":0}";
   }
 
-  /** Tells a change of the list over the newest watch. */
+  /** Sends a change of the endpoint list over the latest watch. */
   void sendEndpointChange(final long seq, final String host) {
     watchConnections
         .get(watchConnections.size() - 1)
         .writeChunk("{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n");
   }
 
-  /** Starts the program and waits until it is ready. */
+  /** Starts the process and waits until it is ready. */
   CourierHarness start() throws IOException {
     launch();
     final List<String> before = List.copyOf(logLines);
@@ -143,18 +143,18 @@
     final String ready = readyLine(before.size());
     port = Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1));
     if (operatorPortEnabled) {
-      final String hears =
+      final String operatorLine =
           logLines.stream()
               .skip(before.size())
               .filter(line -> line.contains("hears operators at"))
               .findFirst()
               .orElseThrow();
-      operatorPort = Integer.parseInt(hears.substring(hears.lastIndexOf(':') + 1));
+      operatorPort = Integer.parseInt(operatorLine.substring(operatorLine.lastIndexOf(':') + 1));
     }
     return this;
   }
 
-  /** One call of an operator, and all that is answered. */
+  /** Sends a request to the operator port, and returns the complete response. */
   String sendOperatorRequest(final String method, final String path) {
     try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
       socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
@@ -177,12 +177,12 @@
         .orElse(null);
   }
 
-  /** Starts the program without waiting for anything. */
+  /** Starts the process without waiting for it. */
   Process launch() throws IOException {
     return launch(writeConfiguration(discoveryAddress()));
   }
 
-  /** The same, with a configuration that stands ready. */
+  /** Starts the process with an existing configuration. */
   Process launch(final Path config) throws IOException {
     final ProcessBuilder builder =
         new ProcessBuilder(
@@ -212,11 +212,8 @@
     return (platformOwner == null ? this : platformOwner).platform.address();
   }
 
-  /**
-   * Writes the configuration in full, with the platform at that address, in the place of the one
-   * before.
-   */
-  Path writeConfiguration(final String discovery) throws IOException {
+  /** Replaces the configuration, with the platform at this address. */
+  Path writeConfiguration(final String platformAddress) throws IOException {
     final Path config = workDirectory.resolve("config.json");
     Files.writeString(
         config,
@@ -231,11 +228,11 @@
                    "connect_timeout":1000000,"max_retry_after":2000000},%s}}"""
             .formatted(
                 listenPort,
-                discovery,
+                platformAddress,
                 socketLimit,
                 diskMb,
                 configuredHosts,
-                this.discoveryMode,
+                discoveryMode,
                 MESSAGE_CLASSES,
                 maxCallsInFlight,
                 maxOpenConnections,
@@ -243,7 +240,7 @@
     return config;
   }
 
-  /** Ends the process as a power cut would, and starts the next one on the same folder. */
+  /** Kills the process as a power failure would, and starts the next one in the same directory. */
   void killAndRestart() throws IOException, InterruptedException {
     kill();
     start();
@@ -254,7 +251,7 @@
     assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
   }
 
-  /** Sends SIGHUP to the program. */
+  /** Sends SIGHUP to the process. */
   void sendHangupSignal() throws IOException, InterruptedException {
     assertTrue(
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor() == 0);
@@ -264,23 +261,23 @@
     return process.isAlive();
   }
 
-  /** Sends SIGTERM; the result tells when it has ended. */
+  /** Sends SIGTERM; the caller may wait for the process to end. */
   Process terminate() {
     process.destroy();
     return process;
   }
 
-  static String submitRequest(final String id, final String kind) {
-    return submitRequest(id, kind, "hello");
+  static String submitRequest(final String id, final String messageClass) {
+    return submitRequest(id, messageClass, "hello");
   }
 
-  static String submitRequest(final String id, final String kind, final String body) {
+  static String submitRequest(final String id, final String messageClass, final String body) {
     return "POST /"
-        + kind
+        + messageClass
         + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: "
         + id
         + "\r\nX-Priority-Class: "
-        + kind
+        + messageClass
         + "\r\nX-Timeout-Ms: 20000\r\nIdempotency-Key: key-"
         + id
         + "\r\nX-Consignee: dest=7\r\n"
@@ -290,8 +287,8 @@
         + body;
   }
 
-  Response submit(final String id, final String kind) throws IOException {
-    return send(submitRequest(id, kind));
+  Response submit(final String id, final String messageClass) throws IOException {
+    return send(submitRequest(id, messageClass));
   }
 
   Socket connect() throws IOException {
@@ -300,7 +297,7 @@
     return socket;
   }
 
-  /** Sends some bytes on a connection of their own, and reads the answer. */
+  /** Sends bytes over a connection of their own, and reads the response. */
   Response send(final String raw) throws IOException {
     try (Socket socket = connect()) {
       return send(socket, raw);
@@ -320,14 +317,14 @@
       lines.add(line);
     }
     final int status = lines.isEmpty() ? 0 : Integer.parseInt(lines.get(0).split(" ")[1]);
-    return new Response(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
+    return new Response(status, String.join("\n", lines).toLowerCase(Locale.ROOT));
   }
 
-  /** Waits for something that must come, under a bound that only a failure reaches. */
+  /** Waits for a condition, up to a limit that is reached only on failure. */
   void await(final String what, final BooleanSupplier condition) {
     final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + logLines);
+      assertTrue(System.nanoTime() < untilNs, "not in time: " + what + "; log: " + logLines);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
     }
   }
--- a/courier/src/test/java/thistleturn/courier/DiscoveryWatchTest.java
+++ b/courier/src/test/java/thistleturn/courier/DiscoveryWatchTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The list over a watch that falls silent, trickles, breaks off or is written in an unusual way.
+ * The watch on the endpoint list when it is unresponsive, slow, truncated or formatted unusually.
  */
 @Tag("crossings")
 @Timeout(120)
@@ -27,23 +27,23 @@
   private static final String WATCH_RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** What a silent watch misses counts as told after so long. */
+  /** What an unresponsive watch misses must be known after this time. */
   private static final long MAX_STALENESS_MS = 6000;
 
-  /** An answer may wait its turn for so long. */
+  /** The discovery service may delay a response by this time. */
   private static final long MAX_RESPONSE_DELAY_MS = 2000;
 
   private static final long TRICKLE_INTERVAL_MS = 100;
   private static final long HEARTBEAT_INTERVAL_MS = 2000;
 
-  /** Enough for a wait that doubles to reach its bound. */
+  /** Enough for an exponential backoff to reach its limit. */
   private static final int REJECTED_REQUESTS = 5;
 
   @TempDir private Path workDirectory;
   private CourierHarness harness;
   private ScheduledExecutorService scheduler;
 
-  /** The connections on which the list was asked for, in order, and when. */
+  /** The requests for the list, in order. */
   private final List<FakeHttpServer.Request> listRequests = new CopyOnWriteArrayList<>();
 
   @BeforeEach
@@ -58,7 +58,7 @@
     harness.close();
   }
 
-  /** What the platform does with each further question about the list. */
+  /** How the platform responds to each request for the list. */
   private interface ListRequestScript {
     void respond(int number, FakeHttpServer.Request request, FakeHttpServer.Connection connection);
   }
@@ -92,10 +92,10 @@
     return TimeUnit.NANOSECONDS.toMillis(listRequests.get(number).receivedNs() - sinceNs);
   }
 
-  /** What the list has told counts: a message goes to the endpoint that was not there before. */
+  /** Waits until a message is sent to the endpoint that the update added. */
   private void awaitCallToSecondEndpoint() {
     harness.await(
-        "a call where the change says",
+        "a call to the added endpoint",
         () -> {
           try {
             return harness.submit("m" + System.nanoTime(), "safe").status() == 202
@@ -106,9 +106,7 @@
         });
   }
 
-  /**
-   * Finding out, connecting and an answer that waits its turn have to fit into the time together.
-   */
+  /** Detection, connecting and a delayed response have to fit into the limit together. */
   @Test
   void silentWatch_isReplacedWithinMaximumStaleness() throws IOException {
     scriptPlatform(
@@ -137,11 +135,12 @@
     final long silentNs = System.nanoTime();
     harness.await("the second watch", () -> listRequests.size() == 2);
     final long atMs = requestedAfterMs(silentNs, 1) + MAX_RESPONSE_DELAY_MS;
-    assertTrue(atMs < MAX_STALENESS_MS, "told " + atMs + " ms after the watch fell silent");
+    assertTrue(
+        atMs < MAX_STALENESS_MS, "known " + atMs + " ms after the watch became unresponsive");
     awaitCallToSecondEndpoint();
   }
 
-  /** Bytes without an end are no sign of life: a line counts once it is whole. */
+  /** Only a complete line is a heartbeat. */
   @Test
   void unfinishedLine_doesNotKeepWatchAlive() throws IOException {
     scriptPlatform(
@@ -163,11 +162,11 @@
     harness.await("another watch", () -> listRequests.size() == 2);
     assertTrue(
         requestedAfterMs(silentNs, 1) < MAX_STALENESS_MS - MAX_RESPONSE_DELAY_MS,
-        "asked after " + requestedAfterMs(silentNs, 1) + " ms");
+        "requested after " + requestedAfterMs(silentNs, 1) + " ms");
     harness.await("the end of the first", () -> listRequests.get(0).connection().closedByPeer);
   }
 
-  /** The same for a whole list, which a courier asks for at a new address. */
+  /** A courier requests a snapshot from a new address; it never ends. */
   @Test
   void unfinishedSnapshot_isRequestedAgain() throws IOException, InterruptedException {
     scriptPlatform(
@@ -193,17 +192,17 @@
     harness.await("the watch", () -> harness.watchConnections.size() == 1);
     harness.writeConfiguration(harness.relocatedPlatform.address());
     harness.sendHangupSignal();
-    harness.await("the first question", () -> listRequests.size() == 1);
-    harness.await("the second", () -> listRequests.size() >= 2);
+    harness.await("the first request", () -> listRequests.size() == 1);
+    harness.await("the second request", () -> listRequests.size() >= 2);
     final long tookMs =
         TimeUnit.NANOSECONDS.toMillis(
             listRequests.get(1).receivedNs() - listRequests.get(0).receivedNs());
-    assertTrue(tookMs < 2 * MAX_RESPONSE_DELAY_MS, "asked again after " + tookMs + " ms");
+    assertTrue(tookMs < 2 * MAX_RESPONSE_DELAY_MS, "requested again after " + tookMs + " ms");
     assertEquals(202, harness.submit("m1", "safe").status());
     harness.await("the call", () -> harness.secondEndpoint.requests.size() == 1);
   }
 
-  /** A list may come with line ends within; they are not those of what it says. */
+  /** An object may contain line ends, which are no heartbeats. */
   @Test
   void indentedList_isParsed() throws IOException {
     scriptPlatform(
@@ -228,7 +227,7 @@
     assertEquals(1, listRequests.size(), "the watch stands: " + harness.logLines);
   }
 
-  /** What was broken off is not joined to what comes behind it. */
+  /** A truncated object is not joined with what follows it. */
   @Test
   void truncatedObject_endsWatch() throws IOException {
     scriptPlatform(
@@ -250,10 +249,7 @@
         "nothing of it counts: " + listRequests.get(1).requestLine());
   }
 
-  /**
-   * Turned away again and again, it asks so often that what could be had from some moment on is
-   * known 6 s after it.
-   */
+  /** Requests are rejected repeatedly: the retries stay frequent enough for the staleness limit. */
   @Test
   void rejectedListRequest_isRetriedSoon() throws IOException {
     scriptPlatform(
@@ -273,13 +269,11 @@
       final long gapMs = requestedAfterMs(listRequests.get(number - 1).receivedNs(), number);
       assertTrue(
           gapMs <= MAX_STALENESS_MS - 2 * MAX_RESPONSE_DELAY_MS,
-          "asked after " + gapMs + " ms, the time before question " + number);
+          "request " + number + " came after " + gapMs + " ms");
     }
   }
 
-  /**
-   * On sockets nobody pushes: a list that the settings call pushed comes over a watch all the same.
-   */
+  /** Over sockets nothing is pushed: in this mode the list is watched all the same. */
   @Test
   void pushedMode_isWatched() throws IOException {
     harness.discoveryMode = "pushed";
--- a/courier/src/test/java/thistleturn/courier/FakeHttpServer.java
+++ b/courier/src/test/java/thistleturn/courier/FakeHttpServer.java
@@ -15,11 +15,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * A small HTTP server for tests, on a port of the system's choice: it records requests and answers
- * by a script.
+ * An HTTP server for tests on any free port: it records requests, and a script responds to them.
  */
 final class FakeHttpServer implements AutoCloseable {
-  /** One request that has come in whole. */
+  /** A request that was received completely. */
   record Request(
       String requestLine,
       Map<String, String> headers,
@@ -120,11 +119,11 @@
     connections.forEach(Connection::reset);
   }
 
-  /** One connection that was made to it. */
+  /** A connection that was accepted. */
   static final class Connection {
     private final Socket socket;
 
-    /** The other side has ended its sending, or the connection is gone. */
+    /** True once the peer has closed its sending side, or the connection is lost. */
     volatile boolean closedByPeer;
 
     Connection(final Socket socket) {
@@ -156,7 +155,7 @@
       write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** Breaks the connection without a word. */
+    /** Resets the connection. */
     void reset() {
       try {
         if (!socket.isClosed()) {
--- a/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
@@ -18,18 +18,12 @@
 import thistleturn.testkit.StandInEndpoint;
 import thistleturn.testkit.StandInWorld;
 
-/**
- * Connections that say nothing give back what they do not need, and are served as before once they
- * speak.
- */
+/** Idle connections hibernate, and are served as before once they receive bytes. */
 @Tag("scale")
 final class IdleClientConnectionsTest {
   private static final String HEALTH_CHECK_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  /**
-   * After so long without a request a connection rests; what is kept between requests ends after 10
-   * s.
-   */
+  /** A connection hibernates after this time without a request; it is closed after 10 s. */
   private static final long HIBERNATE_AFTER_MS = 1_000;
 
   private StandInWorld world;
@@ -71,7 +65,7 @@
     return CourierHarness.readResponse(socket.getInputStream()).status();
   }
 
-  /** Keeps one connection busy until the others have rested for certain. */
+  /** Keeps one connection busy until the others certainly hibernate. */
   private void awaitHibernation(final Socket busy) throws IOException {
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * HIBERNATE_AFTER_MS);
     while (System.nanoTime() < untilNs) {
@@ -93,8 +87,7 @@
     awaitHibernation(busy);
     int number = 0;
     for (final Socket socket : resting) {
-      // Some in two pieces, some with a second request right behind: all while others wait for
-      // their turn.
+      // Some requests arrive in two pieces, some are followed by another, while others are queued.
       final String text =
           number % 2 == 0
               ? HEALTH_CHECK_REQUEST
@@ -120,10 +113,7 @@
     }
   }
 
-  /**
-   * The beginning of a further request came with the last one: the connection rests on it and
-   * forgets nothing.
-   */
+  /** The beginning of the next request arrives together with the previous request. */
   @Test
   void partialNextRequest_survivesHibernation() throws IOException {
     final Socket busy = connect();
--- a/courier/src/test/java/thistleturn/courier/MalformedResponseTest.java
+++ b/courier/src/test/java/thistleturn/courier/MalformedResponseTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Answers of endpoints that cannot be read, do not end, or bring more than belongs to them. */
+/** Responses of endpoints that are invalid or incomplete, or are followed by surplus bytes. */
 @Timeout(120)
 final class MalformedResponseTest {
   @TempDir private Path workDirectory;
@@ -29,7 +29,10 @@
     harness.close();
   }
 
-  /** Hands in an unsafe message that gets this answer, and waits until its connection is closed. */
+  /**
+   * Submits a non-idempotent message that gets this response, and waits until its connection is
+   * closed.
+   */
   private void respondOnceWith(final String raw) throws IOException {
     harness.firstEndpoint.script((request, connection) -> connection.write(raw));
     harness.start();
@@ -42,13 +45,14 @@
   }
 
   /**
-   * A message that fails leaves a notice; so the notice of a later one shows that this one left
+   * A failed message is reported; so the report of a later message shows that an earlier one had
    * none.
    */
   private void assertNoOutcomeReportBefore(final String later) throws IOException {
     harness.firstEndpoint.script((request, connection) -> connection.reset());
     assertEquals(202, harness.submit(later, "once").status());
-    harness.await("the later one's notice", () -> harness.hasOutcomeReport(later, "undeliverable"));
+    harness.await(
+        "the report of the later message", () -> harness.hasOutcomeReport(later, "undeliverable"));
     assertEquals(1, harness.outcomeReports.size(), harness.outcomeReports.toString());
   }
 
@@ -68,7 +72,8 @@
   @Test
   void unparsableResponse_failsAttemptAndClosesConnection() throws IOException {
     respondOnceWith("\u0001\u0002 noise without end");
-    harness.await("its notice", () -> harness.hasOutcomeReport("m1", "undeliverable"));
+    harness.await(
+        "the report of the message", () -> harness.hasOutcomeReport("m1", "undeliverable"));
     assertEquals(1, harness.firstEndpoint.requests.size());
   }
 
@@ -89,7 +94,7 @@
     assertEquals(202, harness.submit("m1", "safe").status());
     harness.await("the next attempt", () -> bodies.size() == 2);
     final double seconds = (System.nanoTime() - startNs) / 1e9;
-    assertTrue(seconds < 1.9, "before a silent call's time-out of two seconds: " + seconds);
+    assertTrue(seconds < 1.9, "seconds, before the call timeout of two: " + seconds);
   }
 
   @Test
@@ -112,7 +117,7 @@
                 && harness.firstEndpoint.requests.get(0).connection().closedByPeer);
     assertEquals(202, harness.submit("m2", "once").status());
     harness.await(
-        "the notice of what failed", () -> harness.hasOutcomeReport("m2", "undeliverable"));
+        "the report of the failed message", () -> harness.hasOutcomeReport("m2", "undeliverable"));
   }
 
   @Test
@@ -128,7 +133,7 @@
       assertEquals(202, harness.submit("m" + round, "once").status());
       harness.await("call " + calls, () -> harness.firstEndpoint.requests.size() == calls);
     }
-    assertTrue(harness.firstEndpoint.connections.size() <= 2, "the connection is used again");
+    assertTrue(harness.firstEndpoint.connections.size() <= 2, "the connection is reused");
     assertNoOutcomeReportBefore("m4");
   }
 
--- a/courier/src/test/java/thistleturn/courier/MisbehavingClientTest.java
+++ b/courier/src/test/java/thistleturn/courier/MisbehavingClientTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Clients that send what cannot be used, too much of it, or nothing: each is told or left within
- * three seconds.
+ * Clients that send invalid, excessive or no input: each gets a response, or is disconnected,
+ * within three seconds.
  */
 @Timeout(120)
 final class MisbehavingClientTest {
@@ -39,7 +39,7 @@
     harness.close();
   }
 
-  /** All that a connection says until it ends. */
+  /** Reads all that the courier sends until it closes the connection. */
   private static String readUntilClosed(final Socket socket) throws IOException {
     try {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -61,7 +61,8 @@
 
   private void assertOnlyValidRequestDelivered() throws IOException {
     assertEquals(202, harness.submit("good", "safe").status());
-    harness.await("the good one", () -> harness.firstEndpoint.requests.size() == 1);
+    harness.await(
+        "the call with the valid request", () -> harness.firstEndpoint.requests.size() == 1);
     assertEquals("good", harness.firstEndpoint.requests.get(0).header("X-Request-ID"));
   }
 
@@ -143,8 +144,8 @@
       silent.add(harness.connect());
     }
     assertEquals(202, harness.submit("good", "safe").status());
-    // Clients' share of 1,024 descriptors, and half of the endpoints', which have no use for it:
-    // the rest was closed.
+    // Clients have their share of 1,024 descriptors and half of the endpoints', which is unused
+    // here; the connections above that limit are closed.
     int closed = 0;
     for (final Socket socket : silent) {
       socket.setSoTimeout(1);
@@ -171,7 +172,7 @@
     assertTrue(answers >= 1 && answers <= 40, "answers: " + answers);
   }
 
-  /** A client that has sent its request may close its sending side; it still reads. */
+  /** A client may close its sending side after its request; it still reads the response. */
   @Test
   void halfClosedClient_isAnswered() throws IOException {
     for (int count = 0; count < 20; count++) {
@@ -189,9 +190,6 @@
     }
   }
 
-  /**
-   * A message's time runs from its sending: one that waited to be read ends in time all the same.
-   */
   @Test
   void oversizedContentLength_isRejectedWith413() throws IOException {
     final String head =
--- a/courier/src/test/java/thistleturn/courier/OutcomeNotifierTest.java
+++ b/courier/src/test/java/thistleturn/courier/OutcomeNotifierTest.java
@@ -15,16 +15,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Ends that are told over a connection that has fallen silent: another try fits into the time that
- * there is.
- */
+/** Outcome reports over an unresponsive connection: a retry fits into the time limit. */
 @Tag("crossings")
 @Timeout(120)
 final class OutcomeNotifierTest {
   private static final long MESSAGE_TIMEOUT_MS = 1000;
 
-  /** How long after its message's time a notice may come. */
+  /** How long after the deadline of its message a report may arrive. */
   private static final long REPORT_GRACE_MS = 300;
 
   @TempDir private Path workDirectory;
@@ -33,7 +30,7 @@
   @BeforeEach
   void createHarness() throws IOException {
     harness = new CourierHarness(workDirectory);
-    // Nothing may be sent to it, so that a message waits until its time is up.
+    // No calls are sent to a draining endpoint, so the message waits until it expires.
     harness.configuredHosts = CourierHarness.hostEntry("e1", harness.firstEndpoint, "Terminating");
   }
 
@@ -47,31 +44,28 @@
         .replace("20000", Long.toString(MESSAGE_TIMEOUT_MS));
   }
 
-  /**
-   * The first connection takes the notice and says nothing: the message's end is told in time all
-   * the same.
-   */
+  /** The first connection receives the report and never responds. */
   @Test
   void unresponsiveConnection_isReplacedBeforeReportIsLate() throws IOException {
-    final List<FakeHttpServer.Request> told = new CopyOnWriteArrayList<>();
+    final List<FakeHttpServer.Request> reports = new CopyOnWriteArrayList<>();
     harness.platform.script(
         (request, connection) -> {
           if (!request.requestLine().startsWith("POST")) {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             connection.writeChunk("\n");
-          } else if (told.isEmpty()) {
-            told.add(request);
+          } else if (reports.isEmpty()) {
+            reports.add(request);
           } else {
-            told.add(request);
+            reports.add(request);
             connection.respond(204, "");
           }
         });
     harness.start();
     final long sentNs = System.nanoTime();
     assertEquals(202, harness.send(submitWithShortTimeout("m1")).status());
-    harness.await("two tries", () -> told.size() >= 2);
-    final long tookMs = TimeUnit.NANOSECONDS.toMillis(told.get(1).receivedNs() - sentNs);
-    assertTrue(tookMs <= MESSAGE_TIMEOUT_MS + REPORT_GRACE_MS, "told after " + tookMs + " ms");
-    assertTrue(told.get(1).text().contains("m1"), told.get(1).text());
+    harness.await("two attempts", () -> reports.size() >= 2);
+    final long tookMs = TimeUnit.NANOSECONDS.toMillis(reports.get(1).receivedNs() - sentNs);
+    assertTrue(tookMs <= MESSAGE_TIMEOUT_MS + REPORT_GRACE_MS, "reported after " + tookMs + " ms");
+    assertTrue(reports.get(1).text().contains("m1"), reports.get(1).text());
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/ReceiveTimeBoundTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/ReceiveTimeBoundTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Since when what is read may have lain unread: never later than it came. */
+/** The bound is never later than the time at which the bytes were received. */
 final class ReceiveTimeBoundTest {
   private final ReceiveTimeBound receiveTime = new ReceiveTimeBound(100);
 
@@ -18,9 +18,9 @@
   void readAfterEmptySocket_isBoundedByLastPollOrRead() {
     receiveTime.onRead(900, 800, true);
     receiveTime.onRead(2000, 1500, true);
-    assertEquals(1500, receiveTime.earliestUs(), "the loop looked at 1500 and found nothing");
+    assertEquals(1500, receiveTime.earliestUs(), "the poll at 1500 found nothing");
     receiveTime.onRead(2100, 1900, true);
-    assertEquals(2000, receiveTime.earliestUs(), "the socket was read empty at 2000");
+    assertEquals(2000, receiveTime.earliestUs(), "the read at 2000 emptied the socket");
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
@@ -15,17 +15,14 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * An endpoint behind a middlebox that drops idle connections: told by a reset at the next request
- * only.
+ * An endpoint behind a middlebox that drops idle connections, which only a reset of the next call
+ * shows.
  */
 @Tag("connections")
 final class StaleConnectionTest {
   private static final long TIMEOUT_MS = 4000;
 
-  /**
-   * Both endpoints of the destination drop all kept connections for two seconds: nobody waits for
-   * long.
-   */
+  /** Both endpoints of the destination drop all idle connections for two seconds. */
   @Test
   void staleConnections_doNotDelayDeliveries(@TempDir final Path folder) throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 5)) {
@@ -47,9 +44,8 @@
         final long tookMs = (world.ticks.nowUs() - fromUs) / 1000;
         endpoints.forEach(endpoint -> endpoint.server().resetsKept(false));
         assertEquals(List.of(), world.stopLoad());
-        // Unsafe messages over a dead connection are lost to it, the rest is served nearly as it
-        // comes: 1.2 to 1.5 s. Where
-        // a dead connection counts against its endpoint it is 7 s and more.
+        // Non-idempotent messages over a stale connection fail, the others are delivered nearly at
+        // once: 1.2 to 1.5 s. If stale connections counted as endpoint faults it would be over 7 s.
         assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
       } finally {
         courier.kill();
--- a/courier/src/test/java/thistleturn/courier/http/SubmitRequestTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/SubmitRequestTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a message that is handed in may still be delivered. */
+/** How long a submitted message may be delivered. */
 final class SubmitRequestTest {
   @Test
   void remainingTime_deductsTransitTime() {
@@ -12,11 +12,11 @@
     assertEquals(
         11_800_000,
         SubmitRequest.remainingTimeUs(99_000, 12_000_000),
-        "no longer than its class may take");
+        "limited by the deadline of the class");
     assertEquals(
         300_000,
         SubmitRequest.remainingTimeUs(400, 12_000_000),
-        "a short time is not used up by the margin");
+        "the transit time is limited for a short timeout");
     assertEquals(0, SubmitRequest.remainingTimeUs(0, 12_000_000));
   }
 }
