--- a/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
@@ -77,7 +77,9 @@
       final FullHttpRequest http =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, address.path() + path, body);
       http.headers()
-          .set("Host", address.at().getHostString() + ":" + address.at().getPort())
+          .set(
+              "Host",
+              address.socketAddress().getHostString() + ":" + address.socketAddress().getPort())
           .set("Accept", "application/json")
           .set("Connection", "close")
           .set("User-Agent", "thistleturn")
@@ -119,13 +121,17 @@
           Connector.connect(
                   loop,
                   bootstrap(),
-                  request.address().at(),
+                  request.address().socketAddress(),
                   connected -> {
                     if (connected.isSuccess() && !ended) {
                       channel.writeAndFlush(http);
                     } else {
                       http.release();
-                      fail("no connection to " + request.address().at() + ": " + connected.cause());
+                      fail(
+                          "no connection to "
+                              + request.address().socketAddress()
+                              + ": "
+                              + connected.cause());
                     }
                   })
               .channel();
--- a/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
@@ -66,7 +66,7 @@
   }
 
   /** Marks the instance as out of service, because the courier drains before it stops. */
-  public void leave() {
+  public void beginDraining() {
     lease.beginDraining(clock.nowUs(), callInFlight);
     step();
   }
@@ -88,6 +88,7 @@
     return map;
   }
 
+  /** Makes the next call of the lease if it is due, or schedules it. */
   private void step() {
     if (callInFlight) {
       return;
--- a/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
@@ -114,7 +114,8 @@
     final Map<String, Object> map = counts.asMap();
     map.put("instances", memory.count());
     map.put("unusable", mapping.unusable());
-    map.put("address", settings.addresses().get(schedule.next().address()).at().toString());
+    map.put(
+        "address", settings.addresses().get(schedule.next().address()).socketAddress().toString());
     return map;
   }
 
--- a/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
+++ b/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
@@ -31,10 +31,10 @@
   /**
    * One address of a registry: {@code http://HOST:PORT/PATH} with a numeric host.
    *
-   * @param at host and port
+   * @param socketAddress host and port
    * @param path the prefix of all paths, without a trailing slash
    */
-  public record Address(InetSocketAddress at, String path) {}
+  public record Address(InetSocketAddress socketAddress, String path) {}
 
   /** Copies the lists. */
   public RegistrySettings {
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -60,7 +60,7 @@
   @Override
   public void onShutdownStarted() {
     if (registration != null) {
-      registration.leave();
+      registration.beginDraining();
     }
   }
 
@@ -83,13 +83,13 @@
 
   /** Changes the registries; everything else takes effect with the next start. */
   private void apply(final MembershipSettings fresh) {
-    if (!fresh.rules().equals(settings.rules())
+    if (!fresh.merge().equals(settings.merge())
         || !Objects.equals(fresh.registration(), settings.registration())) {
       Log.info(
           "SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
     }
     settings =
-        new MembershipSettings(settings.rules(), fresh.registries(), settings.registration());
+        new MembershipSettings(settings.merge(), fresh.registries(), settings.registration());
     directory.setRegistries(fresh.registries());
   }
 
--- a/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipSettings.java
@@ -8,12 +8,12 @@
 /**
  * The settings of the membership subsystem.
  *
- * @param rules how the sources are merged
+ * @param merge how the sources are merged
  * @param registries the registries to poll
  * @param registration how the courier registers itself, or null if it does not
  */
 public record MembershipSettings(
-    MergeSettings rules, List<RegistrySettings> registries, RegistrationSettings registration) {
+    MergeSettings merge, List<RegistrySettings> registries, RegistrationSettings registration) {
   /** Copies the list. */
   public MembershipSettings {
     registries = List.copyOf(registries);
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -56,7 +56,7 @@
     this.platformDirectory = platformDirectory;
     this.loop = context.eventLoop();
     this.clock = context.clock();
-    this.membership = new Membership(settings.rules());
+    this.membership = new Membership(settings.merge());
     this.random = new Random(context.config().seed());
     membership.addSource(clock.nowUs(), PLATFORM_SOURCE, 0, true);
     setRegistries(settings.registries());
--- a/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
@@ -123,7 +123,7 @@
           head("PUT " + entry + "?status=UP&lastDirtyTimestamp=DIRTY", registry, 0) + "\n",
           serve(registry));
       final EurekaRegistration registration = started.get(TIMEOUT_S, TimeUnit.SECONDS);
-      loops.next().execute(registration::leave);
+      loops.next().execute(registration::beginDraining);
       String request = serve(registry);
       while (request.startsWith("PUT " + entry + "?status=UP")) {
         request = serve(registry);
