--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -30,6 +30,9 @@
  */
 @Tag("replicas")
 final class ReplicasFleetTest {
+  /** Each schedule has this many members. */
+  private static final int COURIERS = 4;
+
   private static final long AWAIT_MS = 15_000;
   private static final long TIMEOUT_MS = 8000;
   private static final String REPLICAS = "[replicas]\nenabled = true\n";
@@ -99,6 +102,20 @@
     return found;
   }
 
+  private void awaitExcludedEverywhere(final String endpoint) {
+    for (int number = 0; number < COURIERS; number++) {
+      final int courier = number;
+      await("excluded at " + courier, fleet, () -> isExcluded(courier, endpoint));
+    }
+  }
+
+  private void awaitServingEverywhere(final String endpoint) {
+    for (int number = 0; number < COURIERS; number++) {
+      final int courier = number;
+      await("may serve at " + courier, fleet, () -> !isExcluded(courier, endpoint));
+    }
+  }
+
   private void deliver(final int number, final int count, final int destination) {
     for (int message = 0; message < count; message++) {
       clients.get(number).handIn("safe", destination, TIMEOUT_MS);
@@ -133,12 +150,9 @@
               () -> {
                 final StandInEndpoint first = endpoint(0);
                 assertTrue(fleet.maintain(0, first.name(), true));
-                for (int number = 0; number < 4; number++) {
-                  final int courier = number;
-                  await("excluded at " + courier, fleet, () -> isExcluded(courier, first.name()));
-                }
+                awaitExcludedEverywhere(first.name());
                 final long before = first.calls();
-                for (int number = 0; number < 4; number++) {
+                for (int number = 0; number < COURIERS; number++) {
                   deliver(number, 10, 1);
                 }
                 await("all delivered", fleet, () -> allEnded());
@@ -165,13 +179,7 @@
                         .startsWith("both hold the same"));
                 // The decision at another courier is based on the first one, so it replaces it.
                 assertTrue(fleet.maintain(3, endpoint(0).name(), false));
-                for (int number = 0; number < 4; number++) {
-                  final int courier = number;
-                  await(
-                      "may serve at " + courier,
-                      fleet,
-                      () -> !isExcluded(courier, endpoint(0).name()));
-                }
+                awaitServingEverywhere(endpoint(0).name());
                 assertTrue(run(0, "state", "show", "--at", fleet.admin(1)).contains("may serve"));
               });
         });
@@ -208,13 +216,7 @@
           fleet.at(
               14_000,
               () -> {
-                for (int number = 0; number < 4; number++) {
-                  final int courier = number;
-                  await(
-                      "excluded at " + courier,
-                      fleet,
-                      () -> isExcluded(courier, endpoint(0).name()));
-                }
+                awaitExcludedEverywhere(endpoint(0).name());
                 await(
                     "both sides are told",
                     fleet,
@@ -258,7 +260,7 @@
                   assertTrue(
                       TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs) < 1500,
                       "received too late to be of use");
-                  for (int number = 1; number < 4; number++) {
+                  for (int number = 1; number < COURIERS; number++) {
                     deliver(number, 2, 2);
                   }
                   await(
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -11,6 +11,7 @@
 import java.io.InputStreamReader;
 import java.io.PrintWriter;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -21,6 +22,8 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -58,15 +61,30 @@
       final BufferedReader out =
           new BufferedReader(
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-      final Thread reader = new Thread(() -> out.lines().forEach(lines::add));
+      final Thread reader = new Thread(() -> collectLines(out));
       reader.setDaemon(true);
       reader.start();
     }
 
+    private void collectLines(final BufferedReader out) {
+      try {
+        out.lines().forEach(lines::add);
+      } catch (final UncheckedIOException expected) {
+        // The stream is closed when the process is killed.
+      }
+    }
+
     private boolean hasPrinted(final String text) {
       return lines.stream().anyMatch(line -> line.contains(text));
     }
 
+    /** The address that a courier prints once it is ready. */
+    private String readyAddress() {
+      final String ready =
+          lines.stream().filter(line -> line.contains("is ready at")).findFirst().orElseThrow();
+      return ready.substring(ready.lastIndexOf(' ') + 1);
+    }
+
     @Override
     public void close() {
       process.destroyForcibly();
@@ -112,21 +130,7 @@
       world.registry.register(StandInRegistry.endpoint("heat", "i", endpoint.port(), 7, "UP"));
       final int admin = freePort();
       final Path file = folder.resolve("t.toml");
-      final String text =
-          """
-                    [admin]
-                    enabled = true
-                    listen = "127.0.0.1:%d"
-                    [membership]
-                    enabled = true
-                    [membership.registration]
-                    enabled = true
-                    [[membership.registries]]
-                    name = "installers"
-                    urls = ["%s"]
-                    period = "100ms"
-                    """
-              .formatted(admin, world.registry.url());
+      final String text = settings(admin, world.registry.url());
       Files.writeString(file, text);
       try (RunningProcess courier =
           new RunningProcess(world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
@@ -134,33 +138,11 @@
             "ready",
             () -> courier.hasPrinted("is ready at") && courier.hasPrinted("operators ask at"));
         world.await("its own entry", () -> courier.hasPrinted("is there"));
-        final String ready =
-            courier.lines.stream()
-                .filter(line -> line.contains("is ready at"))
-                .findFirst()
-                .orElseThrow();
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.client.courier(courier.readyAddress());
         world.load(100, 3000, 7);
         world.await("deliveries", () -> endpoint.calls() > 50);
         assertEquals(List.of(), world.stopLoad());
-        final JsonNode member =
-            new ObjectMapper().readTree(members(admin, "--json")).path("members").get(0);
-        assertEquals(
-            "up installers said",
-            member.path("state").asText()
-                + " "
-                + member.path("by").asText()
-                + " "
-                + member.path("because").asText());
-        final JsonNode route = new ObjectMapper().readTree(run("lanes", admin, "--json")).get(0);
-        assertEquals(
-            "WELL UNSURE nothing waits",
-            route.path("phase").asText()
-                + " "
-                + route.path("cause").asText()
-                + " "
-                + route.path("why").asText());
-        assertTrue(run("lanes", admin).contains("READ AS"));
+        assertPagesShowEndpointInUse(admin);
         world.registry.status("heat", "i", "DOWN");
         world.await("the drain", () -> members(admin).contains("draining"));
         // An invalid file changes nothing.
@@ -177,6 +159,38 @@
     }
   }
 
+  private static String settings(final int adminPort, final String registryUrl) {
+    return """
+        [admin]
+        enabled = true
+        listen = "127.0.0.1:%d"
+        [membership]
+        enabled = true
+        [membership.registration]
+        enabled = true
+        [[membership.registries]]
+        name = "installers"
+        urls = ["%s"]
+        period = "100ms"
+        """
+        .formatted(adminPort, registryUrl);
+  }
+
+  private static void assertPagesShowEndpointInUse(final int admin) throws IOException {
+    final JsonNode member =
+        new ObjectMapper().readTree(members(admin, "--json")).path("members").get(0);
+    assertEquals("up installers said", joined(member, "state", "by", "because"));
+    final JsonNode route = new ObjectMapper().readTree(run("lanes", admin, "--json")).get(0);
+    assertEquals("WELL UNSURE nothing waits", joined(route, "phase", "cause", "why"));
+    assertTrue(run("lanes", admin).contains("READ AS"));
+  }
+
+  private static String joined(final JsonNode object, final String... fields) {
+    return Stream.of(fields)
+        .map(field -> object.path(field).asText())
+        .collect(Collectors.joining(" "));
+  }
+
   private static void sendHangUp(final Process process) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
