--- a/courier/src/main/java/thistleturn/courier/Startup.java
+++ b/courier/src/main/java/thistleturn/courier/Startup.java
@@ -38,7 +38,6 @@
   private final StartupProgress progress;
   private final DisabledEndpointRegistry disabledEndpoints;
   private final DirectiveBroadcaster directives;
-  private final AdminService adminService;
   private final TakeoverCoordinator takeover;
   private final ClientListeners clientListeners;
 
@@ -53,8 +52,6 @@
     this.progress = context.progress();
     this.disabledEndpoints = disabledEndpoints;
     this.directives = new DirectiveBroadcaster(shards, disabledEndpoints);
-    this.adminService =
-        new AdminService(context.lifecycle(), shards, directives, disabledEndpoints);
     this.takeover =
         new TakeoverCoordinator(context, this::startFromHandover, this::startFromJournals);
     this.clientListeners = new ClientListeners(context, takeover, this::onListening);
@@ -99,6 +96,9 @@
   }
 
   private void listenToOperators() {
+    // Created only here: where operators have no address, the service is not needed.
+    final AdminService adminService =
+        new AdminService(context.lifecycle(), shards, directives, disabledEndpoints);
     new OperatorServer(adminService)
         .listen(eventLoop, config.operatorAddress())
         .whenComplete(
