--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
@@ -68,7 +68,8 @@
     this.sender = new PacketSender(local, table, this::viewId, random, actions, nowUs);
     this.failureDetector =
         new FailureDetector(settings, table, self, actions, this::applyOwnReport);
-    final int seedIndex = seeds.contains(address) ? seeds.indexOf(address) : seeds.size();
+    final int ownIndex = seeds.indexOf(address);
+    final int seedIndex = ownIndex >= 0 ? ownIndex : seeds.size();
     this.views =
         new ViewManager(
             settings, table, failureDetector, self, address, seedIndex, nowUs, new ViewContext());
--- a/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
@@ -18,6 +18,12 @@
 @Tag("peers")
 final class MembershipProtocolTest {
   private static final long START_INCARNATION = 1_000_000_000_000L;
+  private static final PeerId SELF = new PeerId("b", START_INCARNATION);
+  private static final PeerId PEER_A = new PeerId("a", START_INCARNATION);
+  private static final PeerId PEER_D = new PeerId("d", START_INCARNATION);
+  private static final PeerId PEER_E = new PeerId("e", START_INCARNATION);
+  private static final long DAY_US = 86_400_000_000L;
+  private static final PeerId EARLIER_PEER_D = new PeerId("d", START_INCARNATION - DAY_US);
   private static final long TICK_US = GossipSettings.defaults().tickIntervalUs();
 
   private long nowUs = 50_000_000;
@@ -27,7 +33,7 @@
   private final MembershipProtocol protocol =
       new MembershipProtocol(
           GossipSettings.defaults(),
-          new PeerId("b", START_INCARNATION),
+          SELF,
           "b:1",
           List.of("b:1", "a:1"),
           7,
@@ -99,9 +105,7 @@
     assertNull(protocol.view());
     assertEquals(MembershipStatus.FORMING, protocol.status());
     runFor(2_000_000);
-    assertEquals(
-        List.of(new ViewMember(new PeerId("b", START_INCARNATION), "b:1")),
-        protocol.view().members());
+    assertEquals(List.of(new ViewMember(SELF, "b:1")), protocol.view().members());
     assertEquals(MembershipStatus.MAJORITY, protocol.status());
   }
 
@@ -109,15 +113,14 @@
   void peerHeardDirectly_joinsViewButPeerKnownByGossipDoesNot() {
     protocol.onPacket(
         packetFrom(
-            new PeerId("d", START_INCARNATION),
+            PEER_D,
             "d:1",
             1,
-            new GossipItem.MemberUpdate(
-                new PeerId("e", START_INCARNATION), "e:1", GossipItem.Liveness.ALIVE)),
+            new GossipItem.MemberUpdate(PEER_E, "e:1", GossipItem.Liveness.ALIVE)),
         nowUs);
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 6_000_000, 2);
-    assertTrue(protocol.view().contains(new PeerId("d", START_INCARNATION)));
-    assertFalse(protocol.view().contains(new PeerId("e", START_INCARNATION)));
+    receiveFrom(PEER_D, "d:1", 6_000_000, 2);
+    assertTrue(protocol.view().contains(PEER_D));
+    assertFalse(protocol.view().contains(PEER_E));
     assertEquals(PeerState.SUSPECT, snapshotOf("e").state());
   }
 
@@ -125,17 +128,15 @@
   @Test
   void duplicatePackets_areNoSignOfLife() {
     for (int times = 0; times < 50; times++) {
-      protocol.onPacket(
-          packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 900), nowUs);
+      protocol.onPacket(packetFrom(EARLIER_PEER_D, "d:1", 900), nowUs);
       runFor(TICK_US);
     }
-    assertFalse(protocol.view().contains(new PeerId("d", START_INCARNATION - 86_400_000_000L)));
+    assertFalse(protocol.view().contains(EARLIER_PEER_D));
     assertEquals(Reachability.SILENT, snapshotOf("d").localReachability());
     assertEquals(49, protocol.rejectedPackets());
     // A later incarnation starts afresh, and packets of the earlier one count no more.
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:2", 2_000_000, 1);
-    protocol.onPacket(
-        packetFrom(new PeerId("d", START_INCARNATION - 86_400_000_000L), "d:1", 901), nowUs);
+    receiveFrom(PEER_D, "d:2", 2_000_000, 1);
+    protocol.onPacket(packetFrom(EARLIER_PEER_D, "d:1", 901), nowUs);
     assertEquals("d:2", snapshotOf("d").address());
     assertEquals(PeerState.ALIVE, snapshotOf("d").state());
   }
@@ -143,9 +144,7 @@
   @Test
   void implausibleIncarnations_areIgnored() {
     for (final long implausible :
-        new long[] {
-          0, -1, Long.MIN_VALUE, Long.MAX_VALUE, START_INCARNATION + 2 * 86_400_000_000L
-        }) {
+        new long[] {0, -1, Long.MIN_VALUE, Long.MAX_VALUE, START_INCARNATION + 2 * DAY_US}) {
       protocol.onPacket(
           packetFrom(
               new PeerId("d", implausible),
@@ -156,7 +155,7 @@
           nowUs);
       protocol.onPacket(
           packetFrom(
-              new PeerId("a", START_INCARNATION),
+              PEER_A,
               "a:1",
               nowUs,
               new GossipItem.MemberUpdate(
@@ -164,7 +163,7 @@
           nowUs);
     }
     assertNull(snapshotOf("d"));
-    assertEquals(new PeerId("b", START_INCARNATION), protocol.self());
+    assertEquals(SELF, protocol.self());
   }
 
   /**
@@ -176,10 +175,7 @@
     final PeerId past = new PeerId("b", START_INCARNATION + 3_600_000_000L);
     protocol.onPacket(
         packetFrom(
-            new PeerId("a", START_INCARNATION),
-            "a:1",
-            1,
-            new GossipItem.MemberUpdate(past, "b:9", GossipItem.Liveness.ALIVE)),
+            PEER_A, "a:1", 1, new GossipItem.MemberUpdate(past, "b:9", GossipItem.Liveness.ALIVE)),
         nowUs);
     assertEquals(past.incarnation() + 1, protocol.self().incarnation());
     assertEquals(MembershipStatus.FORMING, protocol.status());
@@ -190,7 +186,7 @@
     runFor(3_000_000);
     protocol.onPacket(
         packetFrom(
-            new PeerId("a", START_INCARNATION),
+            PEER_A,
             "a:1",
             1,
             new GossipItem.MemberUpdate(protocol.self(), "b:1", GossipItem.Liveness.DEAD)),
@@ -226,10 +222,7 @@
         "it sends nothing under the name");
     protocol.onPacket(
         packetFrom(
-            new PeerId("a", START_INCARNATION),
-            "a:1",
-            5,
-            new GossipItem.MemberUpdate(rival, "x:1", GossipItem.Liveness.DEAD)),
+            PEER_A, "a:1", 5, new GossipItem.MemberUpdate(rival, "x:1", GossipItem.Liveness.DEAD)),
         nowUs);
     assertEquals(rival.incarnation() + 1, protocol.self().incarnation());
     assertEquals(MembershipStatus.MAJORITY, protocol.status());
@@ -237,7 +230,7 @@
 
   @Test
   void anonymousProbe_isAnsweredWithRequestedName() {
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
+    receiveFrom(PEER_D, "d:1", 500_000, 1);
     sent.clear();
     protocol.onPacket(
         new Packet(
@@ -257,9 +250,7 @@
     assertTrue(
         sent.get(0)
             .items()
-            .contains(
-                new GossipItem.MemberUpdate(
-                    new PeerId("d", START_INCARNATION), "d:1", GossipItem.Liveness.ALIVE)));
+            .contains(new GossipItem.MemberUpdate(PEER_D, "d:1", GossipItem.Liveness.ALIVE)));
     assertNull(snapshotOf("z"));
   }
 
@@ -270,19 +261,10 @@
   @Test
   void stalledDelivery_isReportedAndForwarded() {
     final PeerStatus stalled = new PeerStatus(LocalHealth.State.WELL, 0, 40, true);
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 500_000, 1);
+    receiveFrom(PEER_D, "d:1", 500_000, 1);
     protocol.onPacket(
         new Packet(
-            new PeerId("d", START_INCARNATION),
-            "d:1",
-            100,
-            100,
-            ViewId.NONE,
-            1,
-            stalled,
-            Packet.Type.GOSSIP,
-            0,
-            List.of()),
+            PEER_D, "d:1", 100, 100, ViewId.NONE, 1, stalled, Packet.Type.GOSSIP, 0, List.of()),
         nowUs);
     assertEquals(stalled, snapshotOf("d").status());
     sent.clear();
@@ -291,11 +273,7 @@
         sent.stream()
             .anyMatch(
                 packet ->
-                    packet
-                        .items()
-                        .contains(
-                            new GossipItem.StatusUpdate(
-                                new PeerId("d", START_INCARNATION), 1, stalled))));
+                    packet.items().contains(new GossipItem.StatusUpdate(PEER_D, 1, stalled))));
     protocol.updateOwnStatus(new PeerStatus(LocalHealth.State.STARVED, 5, 3, false), nowUs);
     runFor(600_000);
     assertEquals(LocalHealth.State.STARVED, sent.get(sent.size() - 1).status().health());
@@ -303,7 +281,7 @@
 
   @Test
   void processPause_reportsPauseAndAccusesNoPeer() {
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    receiveFrom(PEER_D, "d:1", 4_000_000, 1);
     nowUs += 7_000_000;
     sent.clear();
     runFor(1_500_000);
@@ -322,7 +300,7 @@
 
   @Test
   void silentPeerInTwoMemberFleet_isNeverDeclaredDead() {
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    receiveFrom(PEER_D, "d:1", 4_000_000, 1);
     runFor(60_000_000);
     assertEquals(PeerState.SUSPECT, snapshotOf("d").state());
     assertEquals(MembershipStatus.ALONE, protocol.status());
@@ -335,12 +313,12 @@
    */
   @Test
   void addressTakenOverByAnotherPeer_endsPreviousOwner() {
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
-    protocol.onConnectionGreeted("d:1", new PeerId("d", START_INCARNATION), nowUs);
+    receiveFrom(PEER_D, "d:1", 4_000_000, 1);
+    protocol.onConnectionGreeted("d:1", PEER_D, nowUs);
     protocol.onConnectionClosed("d:1", nowUs);
     for (int times = 0; times < 3; times++) {
       runFor(1_500_000);
-      protocol.onConnectionGreeted("d:1", new PeerId("e", START_INCARNATION), nowUs);
+      protocol.onConnectionGreeted("d:1", PEER_E, nowUs);
     }
     runFor(500_000);
     assertEquals(Reachability.ENDED, snapshotOf("d").localReachability());
@@ -353,16 +331,14 @@
 
   @Test
   void afterLeave_sendsNothingMore() {
-    receiveFrom(new PeerId("d", START_INCARNATION), "d:1", 4_000_000, 1);
+    receiveFrom(PEER_D, "d:1", 4_000_000, 1);
     sent.clear();
     protocol.leave(nowUs);
     assertEquals(2, sent.size());
     assertTrue(
         sent.get(0)
             .items()
-            .contains(
-                new GossipItem.MemberUpdate(
-                    new PeerId("b", START_INCARNATION), "b:1", GossipItem.Liveness.LEFT)));
+            .contains(new GossipItem.MemberUpdate(SELF, "b:1", GossipItem.Liveness.LEFT)));
     runFor(2_000_000);
     assertEquals(2, sent.size());
   }
@@ -374,7 +350,7 @@
     for (int number = 0; number < 5000; number++) {
       protocol.onPacket(
           packetFrom(
-              new PeerId("d", START_INCARNATION),
+              PEER_D,
               "d:1",
               sequence++,
               new GossipItem.MemberUpdate(
