--- a/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
@@ -31,6 +31,9 @@
   /** Versions are below this, so that they are exact in other number formats. */
   static final long VERSION_LIMIT = 1L << 53;
 
+  /** The field in which an entry of every known type but WAIT states its matter. */
+  private static final int STATEMENT_FIELD = 0;
+
   private static final int MAX_DESTINATION_DIGITS = 18;
   private static final double MAX_CALLS_PER_SECOND = 1_000_000;
   private static final int FIXED_BYTES = 40;
@@ -81,6 +84,26 @@
     return index < fields.size() && fields.get(index) instanceof String text ? text : "";
   }
 
+  /** Returns whether an entry of type MAINTENANCE disables its endpoint. */
+  boolean isDisabling() {
+    return booleanField(STATEMENT_FIELD);
+  }
+
+  /** Returns whether an entry of type OUTAGE states a failure; if not, it states a recovery. */
+  boolean isFailure() {
+    return booleanField(STATEMENT_FIELD);
+  }
+
+  /** Returns the calls a second that an entry of type LIMIT or LEARNT states. */
+  double callsPerSecond() {
+    return doubleField(STATEMENT_FIELD);
+  }
+
+  /** Returns the list's version that an entry of type LIST states. */
+  long listVersion() {
+    return longField(STATEMENT_FIELD);
+  }
+
   // ---------------------------------------------------------------- validation
 
   /**
@@ -127,7 +150,7 @@
     return switch (type) {
       case MAINTENANCE -> hasBooleanFirst() && DisableEntry.fromEntry(this) != null;
       case OUTAGE -> isAboutDestination() && hasBooleanFirst();
-      case LIMIT, LEARNT -> isAboutDestination() && isValidRate(doubleField(0));
+      case LIMIT, LEARNT -> isAboutDestination() && isValidRate(callsPerSecond());
       case LIST -> !fields.isEmpty() && fields.get(0) instanceof Long;
       case WAIT -> isAboutDestination();
     };
--- a/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
@@ -14,7 +14,7 @@
   private static final Comparator<Entry> BY_EXPIRY =
       Comparator.comparingLong(Entry::expiresUs).thenComparing(Entry::writer);
   private static final Comparator<Entry> BY_LIST_VERSION =
-      Comparator.comparingLong((Entry entry) -> entry.longField(0)).thenComparing(Entry::writer);
+      Comparator.comparingLong(Entry::listVersion).thenComparing(Entry::writer);
 
   private MergeRule() {}
 
@@ -60,20 +60,28 @@
   private static MergedValue mergeLimit(final List<Entry> entries) {
     final Entry last = latest(entries, BY_CREATION);
     return valueOf(
-        EntryType.LIMIT, last, MergedValue.LIMIT, last.doubleField(0), "what was told last counts");
+        EntryType.LIMIT,
+        last,
+        MergedValue.LIMIT,
+        last.callsPerSecond(),
+        "what was told last counts");
   }
 
   private static MergedValue mergeListVersion(final List<Entry> entries) {
     final Entry last = latest(entries, BY_LIST_VERSION);
     return valueOf(
-        EntryType.LIST, last, MergedValue.LIST, last.doubleField(0), "the highest version counts");
+        EntryType.LIST,
+        last,
+        MergedValue.LIST,
+        (double) last.listVersion(),
+        "the highest version counts");
   }
 
   /** Decisions that no other supersedes stand. One of them that disables the endpoint is enough. */
   private static MergedValue mergeMaintenance(final String subject, final List<Entry> entries) {
     final List<Entry> standing =
         entries.stream().filter(entry -> !isSuperseded(entry, entries)).toList();
-    final List<Entry> disabling = standing.stream().filter(entry -> entry.booleanField(0)).toList();
+    final List<Entry> disabling = standing.stream().filter(Entry::isDisabling).toList();
     final boolean isDisabled = !disabling.isEmpty();
     final boolean isConflict = isDisabled && disabling.size() < standing.size();
     final List<Entry> counting = isDisabled ? disabling : standing;
@@ -109,9 +117,8 @@
    * first found after it.
    */
   private static MergedValue mergeOutage(final List<Entry> entries) {
-    final List<Entry> outages = entries.stream().filter(entry -> entry.booleanField(0)).toList();
-    final List<Entry> recoveries =
-        entries.stream().filter(entry -> !entry.booleanField(0)).toList();
+    final List<Entry> outages = entries.stream().filter(Entry::isFailure).toList();
+    final List<Entry> recoveries = entries.stream().filter(entry -> !entry.isFailure()).toList();
     final Entry lastOutage = outages.stream().max(BY_CREATION).orElse(null);
     final Entry lastRecovery = recoveries.stream().max(BY_CREATION).orElse(null);
     if (lastRecovery == null
@@ -149,7 +156,7 @@
       final double age =
           (last.createdUs() - entry.createdUs()) / (double) EntryType.LEARNT.maxTtlUs();
       final double weight = Math.max(0, 1 - age);
-      weightedSum += weight * entry.doubleField(0);
+      weightedSum += weight * entry.callsPerSecond();
       weights += weight;
     }
     return new MergedValue(
--- a/decisions/src/main/java/thistleturn/decisions/replicas/OwnEntryWriter.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/OwnEntryWriter.java
@@ -74,7 +74,7 @@
   void writeRate(
       final EntryType type, final String destination, final double perSecond, final long nowUs) {
     final Entry before = store.find(type, destination, self);
-    if (before == null || before.doubleField(0) != perSecond || isHalfOver(before, type, nowUs)) {
+    if (before == null || before.callsPerSecond() != perSecond || isHalfOver(before, type, nowUs)) {
       write(type, destination, type.maxTtlUs(), List.of(perSecond), nowUs);
     }
   }
@@ -86,7 +86,7 @@
   void writeListVersion(final String source, final long sequence, final long nowUs) {
     final Entry before = store.find(EntryType.LIST, source, self);
     if (before == null
-        || before.longField(0) != sequence
+        || before.listVersion() != sequence
         || isHalfOver(before, EntryType.LIST, nowUs)) {
       write(EntryType.LIST, source, EntryType.LIST.maxTtlUs(), List.of(sequence), nowUs);
     }
