--- a/courier/src/main/java/thistleturn/courier/DecidingRole.java
+++ b/courier/src/main/java/thistleturn/courier/DecidingRole.java
@@ -62,8 +62,6 @@
     this.outages = outages;
   }
 
-  // ---------------------------------------------------------------- learned state
-
   /** Restores what an earlier process had learned as soon as endpoints are listed. */
   void restoreWhenListed(final LearnedStateSource source) {
     pendingLearnedState = source;
@@ -92,8 +90,6 @@
         context.endpoints().snapshot(), gateway.learnedControllerState(), calls);
   }
 
-  // ---------------------------------------------------------------- events
-
   @Override
   public boolean isDeciding() {
     return true;
@@ -219,8 +215,6 @@
     scheduler.requestRound();
   }
 
-  // ---------------------------------------------------------------- state
-
   @Override
   public int ownedMessages() {
     return context.pending().size();
--- a/courier/src/main/java/thistleturn/courier/DecisionLoop.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -148,8 +148,6 @@
         context, ports.notifier(), completion, predecessorCalls, controller, this::adoptCall);
   }
 
-  // ---------------------------------------------------------------- start
-
   /**
    * Follows the endpoint list and recovers what an earlier process left in the journal.
    *
@@ -197,8 +195,6 @@
     context.counters().continueFrom(previous.context.counters());
   }
 
-  // ---------------------------------------------------------------- the round
-
   /** A round: decide, prepare the calls, flush the journal, then act. */
   private final class Rounds implements RoundScheduler.Target {
     @Override
@@ -251,8 +247,6 @@
     controller.onDecisionsDelayed(nowUs);
   }
 
-  // ---------------------------------------------------------------- events of the ports
-
   @Override
   public MessageClass messageClass(final String className) {
     return context.classes().get(className);
@@ -312,8 +306,6 @@
     role.onConfirmed(messages);
   }
 
-  // ---------------------------------------------------------------- the controller
-
   @Override
   public void reportRetryAfter(final long endpoint, final long retryAfterUs) {
     controller.onRetryAfter(context.clock().nowUs(), endpoint, retryAfterUs);
@@ -354,8 +346,6 @@
     controller.onLearnedState(context.clock().nowUs(), state);
   }
 
-  // ---------------------------------------------------------------- an older process
-
   /** A client handed a message in at an older process. */
   void onMessageSubmitted(final StoredMessage message, final Ingress.Reply reply) {
     predecessorEvents.onMessageSubmitted(message, reply);
@@ -366,8 +356,6 @@
     predecessorEvents.onRemoteOutcome(messageId, outcome);
   }
 
-  // ---------------------------------------------------------------- a newer process
-
   /**
    * Hands over to a newer process: what this iteration brought is decided and answered here, and
    * from then on this process forwards.
@@ -413,8 +401,6 @@
     return role.hasSuccessor();
   }
 
-  // ---------------------------------------------------------------- operators and subsystems
-
   /** Returns true if an endpoint of that name was ever listed here. */
   boolean isKnownEndpoint(final String name) {
     return context.endpoints().isKnown(name);
@@ -437,12 +423,9 @@
 
   /** Returns what this process has done, and what it has now. */
   CourierMetrics metrics() {
-    return context
-        .counters()
-        .metrics(
-            role.ownedMessages(),
-            context.endpoints().size(),
-            context.endpoints().countExcluded(controller.avoidedEndpoints()));
+    final EndpointTable endpoints = context.endpoints();
+    final long excluded = endpoints.countExcluded(controller.avoidedEndpoints());
+    return context.counters().metrics(role.ownedMessages(), endpoints.size(), excluded);
   }
 
   /** Returns how each route is, as JSON for operators. */
@@ -466,8 +449,6 @@
     return controller.circuitTransitions();
   }
 
-  // ---------------------------------------------------------------- capacity among shards
-
   @Override
   public CapacityExchange.CapacityUsage capacityUsage() {
     final CapacityExchange.CapacityUsage usage =
@@ -487,8 +468,6 @@
     scheduler.requestRound();
   }
 
-  // ---------------------------------------------------------------- lifecycle
-
   /** Moves to the platform address of a new configuration; all else applies from the next start. */
   void reload(final CourierConfig fresh) {
     final boolean same =
--- a/courier/src/main/java/thistleturn/courier/EndpointTable.java
+++ b/courier/src/main/java/thistleturn/courier/EndpointTable.java
@@ -52,8 +52,6 @@
    */
   record AppliedUpdate(List<Endpoint> changed, Set<Long> removed) {}
 
-  // ---------------------------------------------------------------- updates
-
   /** Applies an update, and tells the dispatcher of the endpoints in it. */
   AppliedUpdate apply(
       final EndpointUpdate update,
@@ -138,8 +136,6 @@
     return nextId++;
   }
 
-  // ---------------------------------------------------------------- administrative state
-
   /**
    * Disables exactly these endpoints from now on.
    *
@@ -177,8 +173,6 @@
     return excluded.size();
   }
 
-  // ---------------------------------------------------------------- queries
-
   /** Returns the list as it was last received, with the ids of its entries. */
   List<NumberedEndpoint> snapshot() {
     return entries.values().stream()
--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -63,8 +63,6 @@
     this.clock = clock;
   }
 
-  // ---------------------------------------------------------------- opening
-
   /** Opens the journal of a folder, or begins it, and reads the pending messages. */
   public static Journal open(final Path folder, final long diskBytes) throws IOException {
     Files.createDirectories(folder);
@@ -116,8 +114,6 @@
     journal.file.close();
   }
 
-  // ---------------------------------------------------------------- records
-
   @Override
   public Collection<StoredMessage> pendingMessages() {
     return List.copyOf(pendingMessages.values());
@@ -188,8 +184,6 @@
     return message.body().length + (long) BYTES_PER_CHARACTER * characters + OUTCOME_RESERVE_BYTES;
   }
 
-  // ---------------------------------------------------------------- writing
-
   @Override
   public FlushResult flush() {
     try {
@@ -277,8 +271,6 @@
     return batches;
   }
 
-  // ---------------------------------------------------------------- closing
-
   @Override
   public void close() {
     if (flush() != FlushResult.DURABLE) {
--- a/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
@@ -63,8 +63,6 @@
     return folder.resolve(NAME);
   }
 
-  // ---------------------------------------------------------------- reading
-
   /**
    * Opens the file of a folder and reads its batches; returns null if there is none, or one of
    * another format.
@@ -135,8 +133,6 @@
     }
   }
 
-  // ---------------------------------------------------------------- writing
-
   /**
    * Replaces the file of a folder by one with these batches, in one step.
    *
@@ -259,8 +255,6 @@
     }
   }
 
-  // ---------------------------------------------------------------- closing
-
   @Override
   public void close() {
     closeQuietly(channel);
