--- a/decisions/src/main/java/thistleturn/decisions/DeliveryController.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeliveryController.java
@@ -8,37 +8,42 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * What a courier's decisions are told and what they may ask for. A host (a courier process, or the
- * bench's adapter) calls the inbound events in the order in which they happened, then {@link
- * #decide} once, and carries out the {@link DeliveryActions} it was given meanwhile. All times are
- * microseconds on one clock that only advances.
+ * The decisions of one courier, as its host calls them. The host (a courier process, or an adapter)
+ * reports events in the order in which they happened, then calls {@link #decide} once, and carries
+ * out the {@link DeliveryActions} that it was asked for meanwhile.
+ *
+ * <p>All times are microseconds on one clock that only advances. Implementations are not
+ * thread-safe.
  */
 public interface DeliveryController {
 
-  /** The list changed, or could not be had. */
+  /** Reports a change of the endpoint list, or that the list could not be had. */
   void onEndpointList(long nowUs, EndpointUpdate update, List<Endpoint> entries);
 
-  /** A message was taken. */
+  /** Reports a message that was accepted. */
   void onMessage(long nowUs, Message message);
 
-  /** A message that an earlier process of this courier took is held again; in the order taken. */
+  /**
+   * Reports a message that an earlier process of this courier had accepted, in the order of
+   * acceptance.
+   */
   void onMessageResumed(long nowUs, Message message, PriorAttempts past);
 
-  /** This process ends at {@code stopUs}: what it still holds then goes on in the next one. */
+  /** Reports when this process ends: the next one goes on with the messages that it has then. */
   void onStopping(long nowUs, long stopUs);
 
   /**
-   * What this courier may use has changed; it gets no further calls out while it has more than
-   * that.
+   * Reports a change of what this courier may use. No further call goes out while more calls are in
+   * flight than that.
    */
-  void onCapacityChanged(long nowUs, int slots, int maxOpen);
+  void onCapacityChanged(long nowUs, int concurrencyLimit, int maxPendingMessages);
 
-  /** An attempt ended. */
+  /** Reports how an attempt has ended. */
   void onOutcome(long nowUs, AttemptOutcome outcome);
 
-  /** Nobody wants this message any more; it is owed no answer. */
+  /** Reports that nobody wants a message any more; it is owed no answer. */
   void onMessageAbandoned(long nowUs, String messageId);
 
-  /** All that happened by now has been told, or a wake-up fell due: act on it. */
+  /** Acts on all that was reported so far; also called when a scheduled decision is due. */
   void decide(long nowUs);
 }
--- a/decisions/src/main/java/thistleturn/decisions/model/AttemptOutcome.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/AttemptOutcome.java
@@ -1,9 +1,13 @@
 package thistleturn.decisions.model;
 
 /**
- * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code
- * retryAfterUs}: the wait told with the answer, or 0. {@code loadReport}: null if nothing was told.
- * {@code durationUs} below 0: not measured, since the courier itself did not run all the while.
+ * The outcome of an attempt.
+ *
+ * @param isFinal whether the message has its final answer
+ * @param durationUs how long it took; below 0: not measured, since the courier itself did not run
+ *     all the while
+ * @param retryAfterUs the wait that the answer asked for, or 0
+ * @param loadReport what the destination reported of its load, or null
  */
 public record AttemptOutcome(
     String messageId,
--- a/decisions/src/main/java/thistleturn/decisions/model/AttemptResult.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/AttemptResult.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * How an attempt ended. {@code STALE}: reset, over a kept connection that was dead before; it may
- * have run all the same.
+ * How an attempt ended. {@code REFUSED}: rejected by the endpoint. {@code STALE}: reset over a
+ * reused connection that was dead before the call; it may have executed all the same.
  */
 public enum AttemptResult {
   DELIVERED,
@@ -15,12 +15,12 @@
   NOT_SENT,
   STALE;
 
-  /** True if the message certainly had no effect, so that another attempt is harmless. */
+  /** Returns whether the message certainly had no effect, so that another attempt is harmless. */
   public boolean neverExecuted() {
     return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
   }
 
-  /** True if the destination answered, so that the attempt no longer runs. */
+  /** Returns whether the destination has answered, so that the attempt no longer runs. */
   public boolean hasAnswer() {
     return this == DELIVERED || this == ERROR;
   }
--- a/decisions/src/main/java/thistleturn/decisions/model/DeliverySettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/DeliverySettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Everything a courier is handed at its start. */
+/** Everything that the decisions of a courier are configured with. */
 public record DeliverySettings(
     int courierCount,
     String zone,
@@ -14,7 +14,7 @@
     List<DestinationKind> kinds,
     Guarantees guarantees,
     ResourceLimits limits) {
-  /** Refuses settings that contradict themselves, so that a host learns of it at its start. */
+  /** Rejects settings that contradict themselves, so that a host learns of it at its start. */
   public DeliverySettings {
     require(courierCount >= 1, "a fleet has at least one courier, not " + courierCount);
     require(
--- a/decisions/src/main/java/thistleturn/decisions/model/EndpointState.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/EndpointState.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** An endpoint's state in the list; the list knows nothing of health. */
+/** The state of an endpoint in the endpoint list, which knows nothing of its health. */
 public enum EndpointState {
   LISTED,
   DRAINING,
--- a/decisions/src/main/java/thistleturn/decisions/model/EndpointUpdate.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/EndpointUpdate.java
@@ -1,9 +1,9 @@
 package thistleturn.decisions.model;
 
 /**
- * What an update holds: changed entries, all, the last list known, or no news at all; {@code
- * ASIDE}: changes that another source than the list told, which say nothing of the list's own
- * state.
+ * What an update of the endpoint list holds: changed entries, all entries, the last entries known,
+ * or that the list could not be had. {@code SUPPLEMENT}: changes from another source, which say
+ * nothing of the state of the list itself.
  */
 public enum EndpointUpdate {
   CHANGES,
--- a/decisions/src/main/java/thistleturn/decisions/model/Idempotence.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Idempotence.java
@@ -1,7 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * What a repeat of a message does: nothing new, nothing new while the key is remembered, or harm.
+ * What a repeat of a message does: nothing new, nothing new while its idempotency key is
+ * remembered, or harm.
  */
 public enum Idempotence {
   IDEMPOTENT,
--- a/decisions/src/main/java/thistleturn/decisions/model/LoadReport.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/LoadReport.java
@@ -1,4 +1,4 @@
 package thistleturn.decisions.model;
 
-/** What a destination told of its limit: the share left, and calls a second (0: no limit). */
+/** What a destination reported: the share of its limit left, and the limit (0: none). */
 public record LoadReport(double remainingShare, double callsPerSecond) {}
--- a/decisions/src/main/java/thistleturn/decisions/model/Message.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Message.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * A message taken; {@code classIndex} and {@code tenantIndex} index the settings, tenant -1 if
- * none.
+ * An accepted message; {@code classIndex} and {@code tenantIndex} index the settings, the latter -1
+ * if it has no tenant.
  */
 public record Message(
     String id,
--- a/decisions/src/main/java/thistleturn/decisions/model/MessageClass.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/MessageClass.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * A class of message. {@code keyScopedToZone}: only endpoints of one zone drop each other's
- * repeats.
+ * A class of message. {@code keyScopedToZone}: only endpoints of one zone recognize each other's
+ * idempotency keys.
  */
 public record MessageClass(
     String name,
--- a/decisions/src/main/java/thistleturn/decisions/model/ValueDecay.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/ValueDecay.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** How worth falls between the aim and the deadline. */
+/** How the value of a message decays between its latency objective and its deadline. */
 public enum ValueDecay {
   LINEAR,
   HALVING
--- a/decisions/src/main/java/thistleturn/decisions/model/WeightMeaning.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/WeightMeaning.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** What an endpoint's weight tells of its destination's limit. */
+/** What the weight of an endpoint says about the limit of its destination. */
 public enum WeightMeaning {
   NONE,
   NOMINAL,
