--- a/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
@@ -18,37 +18,37 @@
   private static final long SECOND = ScriptedController.SECOND;
 
   private static ScriptedController served(final int messages) {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     for (int index = 0; index < messages; index++) {
-      scene.accept("m" + index, 0);
-      scene.accept("n" + index, 0);
-      scene.accept("o" + index, 0);
-      scene.advance(20 * ScriptedController.MS);
+      scripted.accept("m" + index, 0);
+      scripted.accept("n" + index, 0);
+      scripted.accept("o" + index, 0);
+      scripted.advance(20 * ScriptedController.MS);
       for (final String name : new String[] {"m", "n", "o"}) {
-        if (scene.attempts(name + index) > scene.endedAttempts(name + index)) {
-          scene.endAttempt(name + index, AttemptResult.DELIVERED);
+        if (scripted.attempts(name + index) > scripted.endedAttempts(name + index)) {
+          scripted.endAttempt(name + index, AttemptResult.DELIVERED);
         }
       }
     }
-    return scene;
+    return scripted;
   }
 
   /** A courier that starts so long after another has died, with what that one had learnt. */
   private static ScriptedController next(final ScriptedController before, final long laterUs) {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    scene.nowUs = before.nowUs + laterUs;
-    scene.controller.onLearnedState(
-        scene.nowUs, before.controller.learnedState().aged(before.nowUs, scene.nowUs));
-    return scene;
+    scripted.nowUs = before.nowUs + laterUs;
+    scripted.controller.onLearnedState(
+        scripted.nowUs, before.controller.learnedState().aged(before.nowUs, scripted.nowUs));
+    return scripted;
   }
 
-  private static int sentAtOnce(final ScriptedController scene) {
+  private static int sentAtOnce(final ScriptedController scripted) {
     for (int index = 0; index < 20; index++) {
-      scene.accept("at once " + index, 0);
+      scripted.accept("at once " + index, 0);
     }
-    return scene.sentCalls.size();
+    return scripted.sentCalls.size();
   }
 
   @Test
@@ -74,8 +74,8 @@
 
   @Test
   void openCircuit_isRestored() {
-    final ScriptedController scene = next(out(), SECOND);
-    assertTrue(sentAtOnce(scene) <= 1, "only a trial may go: " + scene.sentCalls);
+    final ScriptedController scripted = next(out(), SECOND);
+    assertTrue(sentAtOnce(scripted) <= 1, "only a trial may go: " + scripted.sentCalls);
   }
 
   @Test
@@ -85,8 +85,8 @@
       before.accept(id, 0);
       before.endAttempt(id, AttemptResult.NO_CONNECTION);
     }
-    final ScriptedController scene = next(before, SECOND);
-    assertTrue(sentAtOnce(scene) <= 1, "a returning one is paced: " + scene.sentCalls);
+    final ScriptedController scripted = next(before, SECOND);
+    assertTrue(sentAtOnce(scripted) <= 1, "a returning one is paced: " + scripted.sentCalls);
   }
 
   @Test
@@ -94,41 +94,41 @@
     final ScriptedController before = served(5);
     before.accept("told", 0);
     before.endAttempt("told", AttemptResult.REFUSED, 10 * SECOND);
-    final ScriptedController scene = next(before, SECOND);
-    assertEquals(0, sentAtOnce(scene));
-    scene.advance(8 * SECOND);
-    assertEquals(0, scene.sentCalls.size());
-    scene.advance(10 * SECOND);
-    assertTrue(scene.sentCalls.size() > 0);
+    final ScriptedController scripted = next(before, SECOND);
+    assertEquals(0, sentAtOnce(scripted));
+    scripted.advance(8 * SECOND);
+    assertEquals(0, scripted.sentCalls.size());
+    scripted.advance(10 * SECOND);
+    assertTrue(scripted.sentCalls.size() > 0);
   }
 
   @Test
   void outageBegunMeanwhile_isDetected() {
-    final ScriptedController scene = next(served(60), 3 * SECOND);
+    final ScriptedController scripted = next(served(60), 3 * SECOND);
     for (int index = 0; index < 8; index++) {
       final String id = "late " + index;
-      scene.accept(id, 0);
-      if (scene.attempts(id) > scene.endedAttempts(id)) {
-        scene.endAttempt(id, AttemptResult.NO_CONNECTION);
+      scripted.accept(id, 0);
+      if (scripted.attempts(id) > scripted.endedAttempts(id)) {
+        scripted.endAttempt(id, AttemptResult.NO_CONNECTION);
       }
     }
-    final int before = scene.sentCalls.size();
-    sentAtOnce(scene);
-    assertTrue(scene.sentCalls.size() - before <= 1, "sends after the outage was seen");
+    final int before = scripted.sentCalls.size();
+    sentAtOnce(scripted);
+    assertTrue(scripted.sentCalls.size() - before <= 1, "sends after the outage was seen");
   }
 
   @Test
   void unlistedEndpoints_areNotRestored() {
     final ScriptedController before = served(10);
-    final ScriptedController scene = new ScriptedController(ScriptedController.settings());
-    scene.nowUs = before.nowUs + SECOND;
-    scene.applyEndpointList(
+    final ScriptedController scripted = new ScriptedController(ScriptedController.settings());
+    scripted.nowUs = before.nowUs + SECOND;
+    scripted.applyEndpointList(
         EndpointUpdate.RESTORED_SNAPSHOT,
         ScriptedController.endpoint(9, ScriptedController.DESTINATION, "a"));
-    scene.controller.onLearnedState(
-        scene.nowUs, before.controller.learnedState().aged(before.nowUs, scene.nowUs));
-    scene.accept("m", 0);
-    assertEquals(9, scene.lastCall("m").endpoint());
+    scripted.controller.onLearnedState(
+        scripted.nowUs, before.controller.learnedState().aged(before.nowUs, scripted.nowUs));
+    scripted.accept("m", 0);
+    assertEquals(9, scripted.lastCall("m").endpoint());
   }
 
   /** A process that ends before its first step of a second knows what it has served so far. */
--- a/decisions/src/test/java/thistleturn/decisions/OverloadControllerTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/OverloadControllerTest.java
@@ -26,7 +26,7 @@
   private static final int TURN = 3;
   private static final int ZONED = 4;
 
-  private final ScriptedController scene =
+  private final ScriptedController scripted =
       ScriptedController.withTwoEndpoints(ScriptedController.settings());
 
   @ParameterizedTest
@@ -59,15 +59,15 @@
   @Test
   void window_boundsCallsInFlightAndGrowsWithSuccessfulSteps() {
     for (int index = 0; index < 10; index++) {
-      scene.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    assertEquals(2, scene.sentCalls.size(), "a new lane's window");
+    assertEquals(2, scripted.sentCalls.size(), "a new lane's window");
     serveFor(10);
-    final long before = scene.sentCalls.size();
+    final long before = scripted.sentCalls.size();
     for (int index = 0; index < 30; index++) {
-      scene.accept("late" + index, SAFE);
+      scripted.accept("late" + index, SAFE);
     }
-    final long inFlight = scene.sentCalls.size() - before;
+    final long inFlight = scripted.sentCalls.size() - before;
     assertTrue(
         inFlight > 2 && inFlight <= 12, "grown, at most three quarters of 16 slots: " + inFlight);
   }
@@ -75,13 +75,13 @@
   @Test
   void rejections_shrinkWindowToMinimumButNotBelow() {
     for (int round = 0; round < 12; round++) {
-      scene.accept("m" + round, SAFE);
-      scene.advance(SECOND);
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.REFUSED));
+      scripted.accept("m" + round, SAFE);
+      scripted.advance(SECOND);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.REFUSED));
     }
-    scene.advance(20 * SECOND);
+    scripted.advance(20 * SECOND);
     assertTrue(outstanding().size() <= 1, "one call at a time at the floor");
-    assertTrue(scene.sentCalls.size() > 3, "and still trying");
+    assertTrue(scripted.sentCalls.size() > 3, "and still trying");
   }
 
   @Test
@@ -98,10 +98,10 @@
 
   @Test
   void idempotentMessage_isRetriedAfterReset() {
-    scene.accept("m", SAFE);
-    scene.endAttempt("m", AttemptResult.RESET);
-    scene.advance(3 * SECOND);
-    assertEquals(2, scene.attempts("m"));
+    scripted.accept("m", SAFE);
+    scripted.endAttempt("m", AttemptResult.RESET);
+    scripted.advance(3 * SECOND);
+    assertEquals(2, scripted.attempts("m"));
   }
 
   /**
@@ -111,112 +111,112 @@
   @Test
   void staleConnections_doNotMakeEndpointAvoided() {
     for (int index = 0; index < 12; index++) {
-      scene.accept("m" + index, SAFE);
-      scene.endAttempt("m" + index, AttemptResult.STALE);
-      assertEquals(2, scene.attempts("m" + index), "goes again at once");
-      scene.endAttempt("m" + index, AttemptResult.DELIVERED);
+      scripted.accept("m" + index, SAFE);
+      scripted.endAttempt("m" + index, AttemptResult.STALE);
+      assertEquals(2, scripted.attempts("m" + index), "goes again at once");
+      scripted.endAttempt("m" + index, AttemptResult.DELIVERED);
     }
-    assertEquals("WELL", scene.controller.routes().get(0).circuitState());
+    assertEquals("WELL", scripted.controller.routes().get(0).circuitState());
     assertTrue(
-        scene.endpointsClosedIdle.size() >= 12,
-        "those like it are closed: " + scene.endpointsClosedIdle);
+        scripted.endpointsClosedIdle.size() >= 12,
+        "those like it are closed: " + scripted.endpointsClosedIdle);
   }
 
   @Test
   void nonIdempotentMessageOnStaleConnection_mayHaveExecuted() {
-    scene.accept("pay", UNSAFE);
-    scene.endAttempt("pay", AttemptResult.STALE);
-    assertEquals(List.of("pay"), scene.failedMessages);
-    assertEquals(1, scene.attempts("pay"));
+    scripted.accept("pay", UNSAFE);
+    scripted.endAttempt("pay", AttemptResult.STALE);
+    assertEquals(List.of("pay"), scripted.failedMessages);
+    assertEquals(1, scripted.attempts("pay"));
   }
 
   @Test
   void nonIdempotentMessageThatMayHaveExecuted_isNeitherRetriedNorShed() {
-    scene.accept("pay", UNSAFE);
-    scene.endAttempt("pay", AttemptResult.RESET);
-    assertEquals(List.of("pay"), scene.failedMessages);
-    scene.advance(20 * SECOND);
-    assertEquals(1, scene.attempts("pay"));
-    assertTrue(scene.shedMessages.isEmpty());
+    scripted.accept("pay", UNSAFE);
+    scripted.endAttempt("pay", AttemptResult.RESET);
+    assertEquals(List.of("pay"), scripted.failedMessages);
+    scripted.advance(20 * SECOND);
+    assertEquals(1, scripted.attempts("pay"));
+    assertTrue(scripted.shedMessages.isEmpty());
   }
 
   @Test
   void nonIdempotentMessageThatNeverExecuted_isRetried() {
-    scene.accept("pay", UNSAFE);
-    scene.endAttempt("pay", AttemptResult.NO_CONNECTION);
-    scene.advance(2 * SECOND);
-    assertEquals(2, scene.attempts("pay"));
+    scripted.accept("pay", UNSAFE);
+    scripted.endAttempt("pay", AttemptResult.NO_CONNECTION);
+    scripted.advance(2 * SECOND);
+    assertEquals(2, scripted.attempts("pay"));
   }
 
   @Test
   void nonIdempotentAttempt_mayTakeUntilMessageDeadline() {
-    scene.accept("pay", UNSAFE);
-    assertEquals(16 * SECOND, scene.lastCall("pay").timeoutUs());
+    scripted.accept("pay", UNSAFE);
+    assertEquals(16 * SECOND, scripted.lastCall("pay").timeoutUs());
   }
 
   @Test
   void keyedMessage_isRetriedOnlyWithinIdempotencyWindow() {
-    scene.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.COMPLETE_SNAPSHOT, ScriptedController.endpoint(1, DESTINATION, "a"));
-    scene.accept("m", KEYED);
-    final long first = scene.nowUs;
-    scene.endAttempt("m", AttemptResult.ERROR);
-    assertEquals(2, scene.attempts("m"));
-    scene.endAttempt("m", AttemptResult.REFUSED, 10 * SECOND);
-    scene.advance(8 * SECOND);
-    assertEquals(2, scene.attempts("m"), "the wait ends after the window");
-    assertEquals(List.of("m"), scene.shedMessages);
-    assertTrue(scene.lastCall("m").atUs() - first <= 6 * SECOND);
+    scripted.accept("m", KEYED);
+    final long first = scripted.nowUs;
+    scripted.endAttempt("m", AttemptResult.ERROR);
+    assertEquals(2, scripted.attempts("m"));
+    scripted.endAttempt("m", AttemptResult.REFUSED, 10 * SECOND);
+    scripted.advance(8 * SECOND);
+    assertEquals(2, scripted.attempts("m"), "the wait ends after the window");
+    assertEquals(List.of("m"), scripted.shedMessages);
+    assertTrue(scripted.lastCall("m").atUs() - first <= 6 * SECOND);
   }
 
   @Test
   void keyedAttempt_timesOutEarlyEnoughForRetry() {
-    scene.accept("m", KEYED);
-    assertTrue(scene.lastCall("m").timeoutUs() <= 5500 * MS, "inside the window of six seconds");
+    scripted.accept("m", KEYED);
+    assertTrue(scripted.lastCall("m").timeoutUs() <= 5500 * MS, "inside the window of six seconds");
   }
 
   @Test
   void zoneKeyedMessageThatMayHaveExecuted_staysInItsZoneAndIsNeverShed() {
-    scene.accept("m", ZONED);
-    final long endpoint = scene.lastCall("m").endpoint();
-    scene.endAttempt("m", AttemptResult.RESET);
-    scene.advance(20 * SECOND);
-    assertTrue(scene.sentCalls.stream().allMatch(sent -> sent.endpoint() == endpoint));
-    assertTrue(scene.shedMessages.isEmpty());
+    scripted.accept("m", ZONED);
+    final long endpoint = scripted.lastCall("m").endpoint();
+    scripted.endAttempt("m", AttemptResult.RESET);
+    scripted.advance(20 * SECOND);
+    assertTrue(scripted.sentCalls.stream().allMatch(sent -> sent.endpoint() == endpoint));
+    assertTrue(scripted.shedMessages.isEmpty());
   }
 
   @Test
   void message_neverHasTwoConcurrentAttempts() {
-    scene.accept("m", SAFE);
-    scene.advance(10 * SECOND);
-    assertEquals(1, scene.attempts("m"), "overdue, but not over");
+    scripted.accept("m", SAFE);
+    scripted.advance(10 * SECOND);
+    assertEquals(1, scripted.attempts("m"), "overdue, but not over");
   }
 
   @Test
   void drainingOrRemovedEndpoint_getsNoNewCalls() {
-    scene.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.CHANGES, ScriptedController.endpointInState(EndpointState.DRAINING, 1));
     for (int index = 0; index < 4; index++) {
-      scene.accept("m" + index, SAFE);
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
+      scripted.accept("m" + index, SAFE);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     }
-    assertTrue(scene.sentCalls.stream().allMatch(sent -> sent.endpoint() == 2));
-    scene.applyEndpointList(
+    assertTrue(scripted.sentCalls.stream().allMatch(sent -> sent.endpoint() == 2));
+    scripted.applyEndpointList(
         EndpointUpdate.COMPLETE_SNAPSHOT, ScriptedController.endpoint(3, DESTINATION, "a"));
-    final int before = scene.sentCalls.size();
-    scene.accept("after", SAFE);
-    assertEquals(3, scene.sentCalls.get(before).endpoint(), "missing from a whole list is gone");
+    final int before = scripted.sentCalls.size();
+    scripted.accept("after", SAFE);
+    assertEquals(3, scripted.sentCalls.get(before).endpoint(), "missing from a whole list is gone");
   }
 
   @Test
   void retryAfter_holdsBackWholeDestination() {
-    scene.accept("m", SAFE);
-    scene.reportOutcome("m", AttemptResult.REFUSED, 1500 * MS);
-    scene.accept("other", KEYED);
-    scene.advance(1499 * MS);
-    assertEquals(1, scene.sentCalls.size());
-    scene.advance(2500 * MS);
-    assertTrue(scene.sentCalls.size() > 1);
+    scripted.accept("m", SAFE);
+    scripted.reportOutcome("m", AttemptResult.REFUSED, 1500 * MS);
+    scripted.accept("other", KEYED);
+    scripted.advance(1499 * MS);
+    assertEquals(1, scripted.sentCalls.size());
+    scripted.advance(2500 * MS);
+    assertTrue(scripted.sentCalls.size() > 1);
   }
 
   @Test
@@ -249,41 +249,42 @@
 
   @Test
   void emptiedKey_startsAfresh() {
-    scene.accept("first", TURN, "k", 16 * SECOND);
-    scene.endAttempt("first", AttemptResult.DELIVERED);
-    scene.advance(3 * SECOND);
-    scene.accept("second", TURN, "k", 16 * SECOND);
-    assertEquals(1, scene.attempts("second"));
+    scripted.accept("first", TURN, "k", 16 * SECOND);
+    scripted.endAttempt("first", AttemptResult.DELIVERED);
+    scripted.advance(3 * SECOND);
+    scripted.accept("second", TURN, "k", 16 * SECOND);
+    assertEquals(1, scripted.attempts("second"));
   }
 
   @Test
   void messagesOfOneKey_goInOrderWithSettleDelayAfterUnansweredAttempt() {
-    scene.accept("first", TURN, "k", 16 * SECOND);
-    scene.accept("second", TURN, "k", 16 * SECOND);
-    assertEquals(0, scene.attempts("second"));
-    scene.endAttempt("first", AttemptResult.TIMED_OUT);
-    scene.advance(2 * SECOND);
-    assertTrue(scene.attempts("first") >= 2, "the one whose turn it is does not rest");
-    assertEquals(0, scene.attempts("second"));
-    scene.endAttempt("first", AttemptResult.DELIVERED);
-    assertEquals(0, scene.attempts("second"), "the key rests for three seconds from the time-out");
-    scene.advance(1100 * MS);
-    assertEquals(1, scene.attempts("second"));
+    scripted.accept("first", TURN, "k", 16 * SECOND);
+    scripted.accept("second", TURN, "k", 16 * SECOND);
+    assertEquals(0, scripted.attempts("second"));
+    scripted.endAttempt("first", AttemptResult.TIMED_OUT);
+    scripted.advance(2 * SECOND);
+    assertTrue(scripted.attempts("first") >= 2, "the one whose turn it is does not rest");
+    assertEquals(0, scripted.attempts("second"));
+    scripted.endAttempt("first", AttemptResult.DELIVERED);
+    assertEquals(
+        0, scripted.attempts("second"), "the key rests for three seconds from the time-out");
+    scripted.advance(1100 * MS);
+    assertEquals(1, scripted.attempts("second"));
   }
 
   @Test
   void failedDestination_getsSpacedTrialsAndRecoveryRamp() {
     for (int index = 0; index < 30; index++) {
-      scene.accept("m" + index, SAFE, null, 60 * SECOND);
+      scripted.accept("m" + index, SAFE, null, 60 * SECOND);
     }
     failFor(20);
-    final int before = scene.sentCalls.size();
+    final int before = scripted.sentCalls.size();
     failFor(20);
-    final int trials = scene.sentCalls.size() - before;
+    final int trials = scripted.sentCalls.size() - before;
     assertTrue(trials >= 3 && trials <= 12, "trials in 20 s: " + trials);
-    final int returned = scene.sentCalls.size();
+    final int returned = scripted.sentCalls.size();
     serveFor(2);
-    assertTrue(scene.sentCalls.size() - returned <= 3, "no rush at a cold destination");
+    assertTrue(scripted.sentCalls.size() - returned <= 3, "no rush at a cold destination");
   }
 
   /** A route apart, and a destination that a message made up, are not kept for good. */
@@ -315,14 +316,14 @@
   @Test
   void newEndpointOfOpenCircuit_isTriedAtOnce() {
     for (int index = 0; index < 10; index++) {
-      scene.accept("m" + index, SAFE, null, 60 * SECOND);
+      scripted.accept("m" + index, SAFE, null, 60 * SECOND);
     }
     failFor(30);
-    scene.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.COMPLETE_SNAPSHOT, ScriptedController.endpoint(3, DESTINATION, "a"));
     assertTrue(
-        scene.sentCalls.stream()
-            .anyMatch(send -> send.endpoint() == 3 && send.atUs() == scene.nowUs));
+        scripted.sentCalls.stream()
+            .anyMatch(send -> send.endpoint() == 3 && send.atUs() == scripted.nowUs));
   }
 
   /**
@@ -411,34 +412,34 @@
   @Test
   void trial_usesNonIdempotentMessageLast() {
     for (int index = 0; index < 4; index++) {
-      scene.accept("m" + index, KEYED);
+      scripted.accept("m" + index, KEYED);
     }
     failFor(1);
-    scene.accept("pay", UNSAFE);
-    scene.accept("other", KEYED);
-    final int before = scene.sentCalls.size();
+    scripted.accept("pay", UNSAFE);
+    scripted.accept("other", KEYED);
+    final int before = scripted.sentCalls.size();
     failFor(10);
-    assertTrue(scene.sentCalls.size() > before, "trials were made");
-    assertEquals(0, scene.attempts("pay"));
+    assertTrue(scripted.sentCalls.size() > before, "trials were made");
+    assertEquals(0, scripted.attempts("pay"));
   }
 
   @Test
   void oneFaultyEndpoint_isAvoidedWhileDestinationContinues() {
     for (int round = 0; round < 40; round++) {
-      scene.accept("m" + round, SAFE);
+      scripted.accept("m" + round, SAFE);
       outstanding()
           .forEach(
               id ->
-                  scene.endAttempt(
+                  scripted.endAttempt(
                       id,
-                      scene.lastCall(id).endpoint() == 1
+                      scripted.lastCall(id).endpoint() == 1
                           ? AttemptResult.NO_CONNECTION
                           : AttemptResult.DELIVERED));
-      scene.advance(200 * MS);
+      scripted.advance(200 * MS);
     }
-    final long sick = scene.sentCalls.stream().filter(sent -> sent.endpoint() == 1).count();
+    final long sick = scripted.sentCalls.stream().filter(sent -> sent.endpoint() == 1).count();
     assertTrue(sick <= 6, "sends to the sick endpoint: " + sick);
-    assertTrue(scene.sentCalls.size() >= 40);
+    assertTrue(scripted.sentCalls.size() >= 40);
   }
 
   /**
@@ -468,27 +469,28 @@
    */
   @Test
   void idleConnections_areClosedBeforeUseAfterUnansweredCalls() {
-    scene.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.COMPLETE_SNAPSHOT, ScriptedController.endpoint(1, DESTINATION, "a"));
     for (int round = 0; round < 12; round++) {
-      scene.accept("warm" + round, SAFE);
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
+      scripted.accept("warm" + round, SAFE);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     }
-    assertTrue(scene.endpointsClosedIdle.isEmpty());
+    assertTrue(scripted.endpointsClosedIdle.isEmpty());
     for (int round = 0; round < 6; round++) {
-      final int closed = scene.endpointsClosedIdle.size();
-      scene.advance(4 * SECOND);
-      scene.accept("idle" + round, SAFE);
-      final boolean fresh = scene.endpointsClosedIdle.size() > closed;
-      scene.advance(2 * SECOND);
+      final int closed = scripted.endpointsClosedIdle.size();
+      scripted.advance(4 * SECOND);
+      scripted.accept("idle" + round, SAFE);
+      final boolean fresh = scripted.endpointsClosedIdle.size() > closed;
+      scripted.advance(2 * SECOND);
       outstanding()
           .forEach(
               id ->
-                  scene.endAttempt(id, fresh ? AttemptResult.DELIVERED : AttemptResult.TIMED_OUT));
-      scene.advance(1500 * MS);
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
+                  scripted.endAttempt(
+                      id, fresh ? AttemptResult.DELIVERED : AttemptResult.TIMED_OUT));
+      scripted.advance(1500 * MS);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     }
-    assertTrue(scene.endpointsClosedIdle.size() >= 2, "closed: " + scene.endpointsClosedIdle);
+    assertTrue(scripted.endpointsClosedIdle.size() >= 2, "closed: " + scripted.endpointsClosedIdle);
   }
 
   /**
@@ -503,10 +505,10 @@
     many.advance(200 * MS);
     many.endAttempt("m", AttemptResult.DELIVERED);
     assertEquals(List.of(many.lastCall("m").endpoint()), many.endpointsClosedIdle);
-    scene.accept("m", SAFE);
-    scene.advance(200 * MS);
-    scene.endAttempt("m", AttemptResult.DELIVERED);
-    assertEquals(List.of(), scene.endpointsClosedIdle, "a small fleet keeps them");
+    scripted.accept("m", SAFE);
+    scripted.advance(200 * MS);
+    scripted.endAttempt("m", AttemptResult.DELIVERED);
+    assertEquals(List.of(), scripted.endpointsClosedIdle, "a small fleet keeps them");
   }
 
   /**
@@ -549,10 +551,10 @@
         ScriptedController.withTwoEndpoints(ScriptedController.fleetOf(50));
     for (int index = 0; index < 10; index++) {
       many.accept("m" + index, SAFE);
-      scene.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
     assertEquals(4, many.sentCalls.size());
-    assertEquals(2, scene.sentCalls.size());
+    assertEquals(2, scripted.sentCalls.size());
   }
 
   /** Incident i6a814b: trials of hundreds of couriers pushed returning destinations over. */
@@ -632,25 +634,25 @@
   @Test
   void endpointFailingOneClass_keepsServingOthers() {
     for (int round = 0; round < 30; round++) {
-      scene.accept("keyed" + round, KEYED);
-      scene.accept("safe" + round, SAFE);
-      scene.advance(300 * MS);
+      scripted.accept("keyed" + round, KEYED);
+      scripted.accept("safe" + round, SAFE);
+      scripted.advance(300 * MS);
       outstanding()
           .forEach(
               id ->
-                  scene.endAttempt(
+                  scripted.endAttempt(
                       id,
-                      id.startsWith("keyed") && scene.lastCall(id).endpoint() == 1
+                      id.startsWith("keyed") && scripted.lastCall(id).endpoint() == 1
                           ? AttemptResult.RESET
                           : AttemptResult.DELIVERED));
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     }
     final long sick =
-        scene.sentCalls.stream()
+        scripted.sentCalls.stream()
             .filter(s -> s.endpoint() == 1 && s.id().startsWith("keyed"))
             .count();
     final long well =
-        scene.sentCalls.stream()
+        scripted.sentCalls.stream()
             .filter(s -> s.endpoint() == 1 && s.id().startsWith("safe"))
             .count();
     assertTrue(sick <= 6, "sparing tries of the failing class: " + sick);
@@ -662,13 +664,13 @@
   void unresponsiveDestination_opensCircuit() {
     serveFor(1);
     for (int index = 0; index < 20; index++) {
-      scene.accept("m" + index, SAFE, null, 60 * SECOND);
+      scripted.accept("m" + index, SAFE, null, 60 * SECOND);
     }
-    final int before = scene.sentCalls.size();
-    scene.advance(12 * SECOND);
+    final int before = scripted.sentCalls.size();
+    scripted.advance(12 * SECOND);
     assertTrue(
-        scene.sentCalls.size() - before <= 4,
-        "sends into silence: " + (scene.sentCalls.size() - before));
+        scripted.sentCalls.size() - before <= 4,
+        "sends into silence: " + (scripted.sentCalls.size() - before));
   }
 
   /** Couriers share nothing: after refusals, bursts into one counted span are spread out. */
@@ -676,16 +678,16 @@
   void sends_arePacedAfterStepWithRejections() {
     serveFor(5);
     for (int index = 0; index < 30; index++) {
-      scene.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.REFUSED));
-    scene.advance(2 * SECOND);
-    final int before = scene.sentCalls.size();
+    outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.REFUSED));
+    scripted.advance(2 * SECOND);
+    final int before = scripted.sentCalls.size();
     for (int tenth = 0; tenth < 5; tenth++) {
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
-      scene.advance(100 * MS);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
+      scripted.advance(100 * MS);
     }
-    final int sent = scene.sentCalls.size() - before;
+    final int sent = scripted.sentCalls.size() - before;
     assertTrue(sent <= 8, "no burst: " + sent);
   }
 
@@ -743,30 +745,30 @@
 
   @Test
   void abandonedMessageAndItsLateOutcome_areIgnored() {
-    scene.accept("m", SAFE);
-    scene.controller.onMessageAbandoned(scene.nowUs, "m");
-    scene.endAttempt("m", AttemptResult.TIMED_OUT);
-    scene.controller.onMessageAbandoned(scene.nowUs, "m");
-    scene.advance(20 * SECOND);
-    assertEquals(1, scene.attempts("m"));
-    assertTrue(scene.shedMessages.isEmpty() && scene.failedMessages.isEmpty());
+    scripted.accept("m", SAFE);
+    scripted.controller.onMessageAbandoned(scripted.nowUs, "m");
+    scripted.endAttempt("m", AttemptResult.TIMED_OUT);
+    scripted.controller.onMessageAbandoned(scripted.nowUs, "m");
+    scripted.advance(20 * SECOND);
+    assertEquals(1, scripted.attempts("m"));
+    assertTrue(scripted.shedMessages.isEmpty() && scripted.failedMessages.isEmpty());
   }
 
   @Test
   void sameEvents_giveSameActions() {
     final ScriptedController twin =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    for (final ScriptedController one : List.of(scene, twin)) {
+    for (final ScriptedController one : List.of(scripted, twin)) {
       for (int index = 0; index < 10; index++) {
         one.accept("m" + index, SAFE);
       }
       one.advance(5 * SECOND);
     }
-    assertEquals(scene.sentCalls, twin.sentCalls);
+    assertEquals(scripted.sentCalls, twin.sentCalls);
   }
 
   private List<String> outstanding() {
-    return outstandingOf(scene);
+    return outstandingOf(scripted);
   }
 
   private final List<ScriptedController.SentCall> ended = new ArrayList<>();
@@ -793,75 +795,81 @@
 
   private void failFor(final int seconds) {
     for (int tenth = 0; tenth < 10 * seconds; tenth++) {
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.NO_CONNECTION));
-      scene.advance(100 * MS);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.NO_CONNECTION));
+      scripted.advance(100 * MS);
     }
   }
 
   private void serveFor(final int seconds) {
     for (int tenth = 0; tenth < 10 * seconds; tenth++) {
-      scene.accept("served" + scene.nowUs, SAFE);
-      scene.advance(100 * MS);
-      outstanding().forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
+      scripted.accept("served" + scripted.nowUs, SAFE);
+      scripted.advance(100 * MS);
+      outstanding().forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     }
   }
 
   private static void resume(
-      final ScriptedController scene, final String id, final int kind, final PriorAttempts past) {
-    scene.controller.onMessageResumed(
-        scene.nowUs,
+      final ScriptedController scripted,
+      final String id,
+      final int kind,
+      final PriorAttempts past) {
+    scripted.controller.onMessageResumed(
+        scripted.nowUs,
         new Message(
             id,
             kind,
             -1,
             null,
-            scene.nowUs + 16 * ScriptedController.SECOND,
+            scripted.nowUs + 16 * ScriptedController.SECOND,
             ScriptedController.DESTINATION),
         past);
-    scene.controller.decide(scene.nowUs);
+    scripted.controller.decide(scripted.nowUs);
   }
 
   @Test
   void resumedMessage_keepsItsPriorAttempts() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     resume(
-        scene, "safe", 0, new PriorAttempts(1, true, scene.nowUs - ScriptedController.SECOND, "a"));
-    assertEquals(1, scene.attempts("safe"), "a safe one may go again");
+        scripted,
+        "safe",
+        0,
+        new PriorAttempts(1, true, scripted.nowUs - ScriptedController.SECOND, "a"));
+    assertEquals(1, scripted.attempts("safe"), "a safe one may go again");
     resume(
-        scene,
+        scripted,
         "spent",
         0,
-        new PriorAttempts(8, true, scene.nowUs - ScriptedController.SECOND, "a"));
-    assertEquals(0, scene.attempts("spent"), "its attempts are used up");
+        new PriorAttempts(8, true, scripted.nowUs - ScriptedController.SECOND, "a"));
+    assertEquals(0, scripted.attempts("spent"), "its attempts are used up");
     resume(
-        scene,
+        scripted,
         "forgotten",
         1,
-        new PriorAttempts(1, true, scene.nowUs - 6 * ScriptedController.SECOND, "a"));
-    assertEquals(0, scene.attempts("forgotten"), "its key may be forgotten");
+        new PriorAttempts(1, true, scripted.nowUs - 6 * ScriptedController.SECOND, "a"));
+    assertEquals(0, scripted.attempts("forgotten"), "its key may be forgotten");
     resume(
-        scene,
+        scripted,
         "unsafe",
         2,
-        new PriorAttempts(1, true, scene.nowUs - ScriptedController.SECOND, "a"));
-    assertEquals(0, scene.attempts("unsafe"), "it may have run");
-    assertEquals(List.of("unsafe"), scene.failedMessages);
-    assertEquals(List.of("spent", "forgotten"), scene.shedMessages);
+        new PriorAttempts(1, true, scripted.nowUs - ScriptedController.SECOND, "a"));
+    assertEquals(0, scripted.attempts("unsafe"), "it may have run");
+    assertEquals(List.of("unsafe"), scripted.failedMessages);
+    assertEquals(List.of("spent", "forgotten"), scripted.shedMessages);
   }
 
   @Test
   void stopping_beginsNoCallItWouldCutOff() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    scene.controller.onStopping(scene.nowUs, scene.nowUs + ScriptedController.MS);
-    scene.accept("late", 0);
-    assertEquals(0, scene.attempts("late"));
+    scripted.controller.onStopping(scripted.nowUs, scripted.nowUs + ScriptedController.MS);
+    scripted.accept("late", 0);
+    assertEquals(0, scripted.attempts("late"));
     assertTrue(
-        scene.shedMessages.isEmpty() && scene.failedMessages.isEmpty(),
+        scripted.shedMessages.isEmpty() && scripted.failedMessages.isEmpty(),
         "the next process goes on with it");
-    scene.controller.onStopping(scene.nowUs, scene.nowUs + 10 * ScriptedController.SECOND);
-    scene.advance(ScriptedController.SECOND);
-    assertEquals(1, scene.attempts("late"));
+    scripted.controller.onStopping(scripted.nowUs, scripted.nowUs + 10 * ScriptedController.SECOND);
+    scripted.advance(ScriptedController.SECOND);
+    assertEquals(1, scripted.attempts("late"));
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
@@ -10,69 +10,71 @@
 /** What operators are told keeps the next message is what keeps it. */
 @Tag("noise")
 final class RouteStatusTest {
-  private static RouteStatus of(final ScriptedController scene) {
-    return scene.controller.routes().get(0);
+  private static RouteStatus of(final ScriptedController scripted) {
+    return scripted.controller.routes().get(0);
   }
 
   @Test
   void fullWindow_isReported() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    assertEquals("nothing waits", of(scene).blockedReason());
+    assertEquals("nothing waits", of(scripted).blockedReason());
     for (int index = 0; index < 5; index++) {
-      scene.accept("m" + index, 0);
+      scripted.accept("m" + index, 0);
     }
-    assertEquals("its window is full: 2 of 2 calls are in flight", of(scene).blockedReason());
-    assertEquals(3, of(scene).waitingMessages());
+    assertEquals("its window is full: 2 of 2 calls are in flight", of(scripted).blockedReason());
+    assertEquals(3, of(scripted).waitingMessages());
   }
 
   @Test
   void retryAfter_isReported() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    scene.accept("m", 0);
-    scene.endAttempt("m", AttemptResult.REFUSED, 2 * ScriptedController.SECOND);
-    assertEquals("it told to wait: 2000 ms are left", of(scene).blockedReason());
+    scripted.accept("m", 0);
+    scripted.endAttempt("m", AttemptResult.REFUSED, 2 * ScriptedController.SECOND);
+    assertEquals("it told to wait: 2000 ms are left", of(scripted).blockedReason());
   }
 
   @Test
   void backoff_isReported() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    scene.accept("m", 0);
-    scene.endAttempt("m", AttemptResult.REFUSED);
+    scripted.accept("m", 0);
+    scripted.endAttempt("m", AttemptResult.REFUSED);
     assertTrue(
-        of(scene).blockedReason().startsWith("it pauses after a refusal: "),
-        of(scene).blockedReason());
-    assertEquals("UNSURE", of(scene).rejectionCause());
+        of(scripted).blockedReason().startsWith("it pauses after a refusal: "),
+        of(scripted).blockedReason());
+    assertEquals("UNSURE", of(scripted).rejectionCause());
   }
 
   /** One of fourteen couriers has used its part up: nothing was refused, and yet nothing goes. */
   @Test
   void exhaustedRateShare_isReported() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.fleetWithReportedLimit(14));
-    scene.accept("m0", 0);
-    scene.accept("m1", 0);
+    scripted.accept("m0", 0);
+    scripted.accept("m1", 0);
     assertTrue(
-        of(scene).blockedReason().startsWith("this courier's part of the rate told is used up: "),
-        of(scene).blockedReason());
-    assertEquals(0.9 / 14, of(scene).permittedPerSecond(), 1e-9);
+        of(scripted)
+            .blockedReason()
+            .startsWith("this courier's part of the rate told is used up: "),
+        of(scripted).blockedReason());
+    assertEquals(0.9 / 14, of(scripted).permittedPerSecond(), 1e-9);
   }
 
   @Test
   void openCircuit_isReported() {
-    final ScriptedController scene =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    for (int index = 0; index < 6 && !of(scene).circuitState().equals("OUT"); index++) {
-      scene.accept("m" + index, 0);
-      scene.advance(2 * ScriptedController.SECOND);
+    for (int index = 0; index < 6 && !of(scripted).circuitState().equals("OUT"); index++) {
+      scripted.accept("m" + index, 0);
+      scripted.advance(2 * ScriptedController.SECOND);
       for (int one = 0; one <= index; one++) {
-        if (scene.attempts("m" + one) > scene.endedAttempts("m" + one)) {
-          scene.endAttempt("m" + one, AttemptResult.NO_CONNECTION);
+        if (scripted.attempts("m" + one) > scripted.endedAttempts("m" + one)) {
+          scripted.endAttempt("m" + one, AttemptResult.NO_CONNECTION);
         }
       }
     }
-    assertTrue(of(scene).blockedReason().startsWith("it is out"), of(scene).blockedReason());
+    assertTrue(of(scripted).blockedReason().startsWith("it is out"), of(scripted).blockedReason());
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/ScriptedController.java
+++ b/decisions/src/test/java/thistleturn/decisions/ScriptedController.java
@@ -20,7 +20,7 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * A scripted courier for tests: a made-up clock, recorded actions, and short words for the events.
+ * A controller under a scripted clock that records its actions, with short methods for the events.
  */
 final class ScriptedController implements DeliveryActions {
   static final long MS = 1000;
@@ -56,12 +56,12 @@
 
   /** Two endpoints of one destination, listed from the start. */
   static ScriptedController withTwoEndpoints(final DeliverySettings settings) {
-    final ScriptedController scene = new ScriptedController(settings);
-    scene.applyEndpointList(
+    final ScriptedController scripted = new ScriptedController(settings);
+    scripted.applyEndpointList(
         EndpointUpdate.RESTORED_SNAPSHOT,
         endpoint(1, DESTINATION, "a"),
         endpoint(2, DESTINATION, "b"));
-    return scene;
+    return scripted;
   }
 
   static Endpoint endpoint(final long id, final long destination, final String zone) {
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Settings in which all classes of the tests occur: 0 safe, 1 keyed, 2 unsafe, 3 in turn, 4 keyed
-   * by zone.
+   * Settings in which all classes of the tests occur: 0 idempotent, 1 idempotent by key, 2
+   * non-idempotent, 3 ordered by key, 4 with a key scoped to its zone.
    */
   static DeliverySettings settings(
       final int slots, final int perCall, final boolean apart, final boolean ask) {
--- a/decisions/src/test/java/thistleturn/decisions/TakeoverTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/TakeoverTest.java
@@ -80,23 +80,23 @@
     assertTrue(after.sentCalls.size() <= 1, "paced: " + after.sentCalls.size());
   }
 
-  private static void openCircuitOf(final ScriptedController scene) {
+  private static void openCircuitOf(final ScriptedController scripted) {
     for (int round = 0; round < 8; round++) {
-      scene.accept("m" + round, SAFE);
-      scene.advance(SECOND / 2);
+      scripted.accept("m" + round, SAFE);
+      scripted.advance(SECOND / 2);
       final AttemptResult result =
           round < 7 ? AttemptResult.NO_CONNECTION : AttemptResult.DELIVERED;
       for (int left = 20;
-          left > 0 && (round == 7 ? scene.endedAttempts("done") == 0 : left == 20);
+          left > 0 && (round == 7 ? scripted.endedAttempts("done") == 0 : left == 20);
           left--) {
-        scene.advance(round == 7 ? SECOND : 0);
+        scripted.advance(round == 7 ? SECOND : 0);
         final List<String> out =
-            scene.sentCalls.stream()
+            scripted.sentCalls.stream()
                 .map(ScriptedController.SentCall::id)
                 .distinct()
-                .filter(id -> scene.attempts(id) > scene.endedAttempts(id))
+                .filter(id -> scripted.attempts(id) > scripted.endedAttempts(id))
                 .toList();
-        out.forEach(id -> scene.endAttempt(id, result));
+        out.forEach(id -> scripted.endAttempt(id, result));
         left = out.isEmpty() ? left : 1;
       }
     }
@@ -129,28 +129,28 @@
 
   @Test
   void lastEndpointEnabledByOperator_isPaced() {
-    final ScriptedController scene = new ScriptedController(ScriptedController.settings());
-    scene.applyEndpointList(
+    final ScriptedController scripted = new ScriptedController(ScriptedController.settings());
+    scripted.applyEndpointList(
         EndpointUpdate.RESTORED_SNAPSHOT, ScriptedController.endpoint(1, DESTINATION, "a"));
-    scene.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.SUPPLEMENT, ScriptedController.endpointInState(EndpointState.DRAINING, 1));
     for (int index = 0; index < 6; index++) {
-      scene.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    assertEquals(0, scene.sentCalls.size());
-    scene.controller.onEndpointList(
-        scene.nowUs,
+    assertEquals(0, scripted.sentCalls.size());
+    scripted.controller.onEndpointList(
+        scripted.nowUs,
         EndpointUpdate.SUPPLEMENT,
         List.of(ScriptedController.endpointInState(EndpointState.LISTED, 1)));
-    scene.controller.onEndpointEnabled(scene.nowUs, 1);
-    scene.controller.decide(scene.nowUs);
-    scene.advance(200 * MS);
-    scene.sentCalls.stream()
+    scripted.controller.onEndpointEnabled(scripted.nowUs, 1);
+    scripted.controller.decide(scripted.nowUs);
+    scripted.advance(200 * MS);
+    scripted.sentCalls.stream()
         .map(ScriptedController.SentCall::id)
         .toList()
-        .forEach(id -> scene.endAttempt(id, AttemptResult.DELIVERED));
-    scene.advance(200 * MS);
-    assertEquals(1, scene.sentCalls.size(), "single calls, as many as a cold one bears");
-    assertEquals(0, scene.controller.avoidedEndpoints().size());
+        .forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
+    scripted.advance(200 * MS);
+    assertEquals(1, scripted.sentCalls.size(), "single calls, as many as a cold one bears");
+    assertEquals(0, scripted.controller.avoidedEndpoints().size());
   }
 }
