--- a/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -13,6 +13,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
+import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Optional;
@@ -216,8 +217,7 @@
     lastReceivedUs = ingress.clock().nowUs();
     if (selectorWatch == SelectorWatch.READING_DIRECTLY) {
       selectorWatch = SelectorWatch.UNWATCHED;
-      ClientConnectionLog.unwatched(
-          context.channel().remoteAddress(), lastReceivedUs - idleSinceUs);
+      ClientConnectionLog.unwatched(client(), lastReceivedUs - idleSinceUs);
     }
     receiveTime.onRead(lastReceivedUs, ingress.polls().previousPollUs(), bytes.isWritable());
     if (hasSentRequest && isIdle()) {
@@ -355,10 +355,7 @@
   /** Reads no further request, and sends this status once the earlier requests are answered. */
   void reject(final HttpResponseStatus status) {
     ClientConnectionLog.rejected(
-        context.channel().remoteAddress(),
-        status.code(),
-        currentMessageId(),
-        queuedRequests.size());
+        client(), status.code(), currentMessageId(), queuedRequests.size());
     finishWith(status);
     assembler.discard();
     if (!isProcessingRequest()) {
@@ -436,14 +433,14 @@
   private void logClosed(final String reason) {
     if (isProcessingRequest() || isReceivingRequest()) {
       ClientConnectionLog.closed(
-          context.channel().remoteAddress(),
-          reason,
-          currentMessageId(),
-          queuedRequests.size(),
-          isReceivingRequest());
+          client(), reason, currentMessageId(), queuedRequests.size(), isReceivingRequest());
     }
   }
 
+  private SocketAddress client() {
+    return context.channel().remoteAddress();
+  }
+
   private String currentMessageId() {
     return currentSubmission == null ? null : currentSubmission.messageId();
   }
@@ -458,7 +455,7 @@
     releaseQueuedRequests();
     if (currentSubmission != null) {
       ClientConnectionLog.unanswered(
-          ctx.channel().remoteAddress(),
+          client(),
           currentSubmission.messageId(),
           ingress.clock().nowUs() - currentRequest.completedUs());
       withdraw(currentSubmission);
--- a/courier/src/main/java/thistleturn/courier/http/RequestAssembler.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestAssembler.java
@@ -17,12 +17,13 @@
  */
 final class RequestAssembler {
   private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final byte[] NO_BODY = {};
 
   private final RequestBodyBudget bodyBudget;
   private HttpRequest head;
 
-  /** Replaced after each request, so that an idle connection keeps no buffer. */
-  private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
+  /** Null while nothing of a body has been received, so that an idle connection keeps no buffer. */
+  private ByteArrayOutputStream body;
 
   private Progress progress = Progress.AWAITING_HEAD;
 
@@ -64,21 +65,28 @@
 
   private Optional<HttpResponseStatus> append(final HttpContent content) {
     final int size = content.content().readableBytes();
-    if (body.size() + size > MAX_BODY_BYTES) {
+    if (bodySize() + size > MAX_BODY_BYTES) {
       return Optional.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
     }
     if (!bodyBudget.tryReserve(size)) {
       return Optional.of(HttpResponseStatus.SERVICE_UNAVAILABLE);
     }
-    final byte[] bytes = new byte[size];
-    content.content().readBytes(bytes);
-    body.writeBytes(bytes);
+    if (size > 0) {
+      final byte[] bytes = new byte[size];
+      content.content().readBytes(bytes);
+      body = body == null ? new ByteArrayOutputStream(size) : body;
+      body.writeBytes(bytes);
+    }
     if (content instanceof LastHttpContent) {
       progress = Progress.COMPLETE;
     }
     return Optional.empty();
   }
 
+  private int bodySize() {
+    return body == null ? 0 : body.size();
+  }
+
   private static HttpResponseStatus rejectionOf(final Throwable decoderFailure) {
     if (decoderFailure instanceof TooLongHttpLineException) {
       return HttpResponseStatus.REQUEST_URI_TOO_LONG;
@@ -99,21 +107,22 @@
    * took it.
    */
   QueuedRequest take(final long receivedUs, final long firstByteUs, final long completedUs) {
+    final byte[] bytes = body == null ? NO_BODY : body.toByteArray();
     final QueuedRequest request =
-        new QueuedRequest(head, body.toByteArray(), receivedUs, firstByteUs, completedUs);
+        new QueuedRequest(head, bytes, receivedUs, firstByteUs, completedUs);
     clear();
     return request;
   }
 
   /** Drops what has been received of the present request, and releases its bytes. */
   void discard() {
-    bodyBudget.release(body.size());
+    bodyBudget.release(bodySize());
     clear();
   }
 
   private void clear() {
     progress = Progress.AWAITING_HEAD;
     head = null;
-    body = new ByteArrayOutputStream(0);
+    body = null;
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/SelectorWatch.java
+++ b/courier/src/main/java/thistleturn/courier/http/SelectorWatch.java
@@ -2,7 +2,7 @@
 
 /**
  * Whether the selector reports the readiness of a connection. Java does not tell when the system
- * refuses to watch a descriptor, so a connection of which nothing is heard is read directly once.
+ * refuses to watch a descriptor, so a connection that is never reported is read directly once.
  */
 enum SelectorWatch {
   /** Nothing is known yet. */
--- a/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
+++ b/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
@@ -22,7 +22,7 @@
   /** The time that a request may spend in transit, including the differences of clocks. */
   private static final long MAX_TRANSIT_US = 200_000;
 
-  /** A client waits no longer for its response; what lay unread for longer has been given up. */
+  /** A client abandons a request that is not answered within this time. */
   static final long CLIENT_TIMEOUT_US = 400_000;
 
   /** Parses the headers; returns null if they are incomplete or contradict the message class. */
--- a/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
@@ -61,20 +61,20 @@
   /** Connections whose requests are unread seem idle: they are read before any is evicted. */
   @Test
   void connectionsOverLimitWithUnreadRequests_areAllAnswered() throws Exception {
-    final CountDownLatch standing = new CountDownLatch(1);
-    final CountDownLatch goOn = new CountDownLatch(1);
+    final CountDownLatch paused = new CountDownLatch(1);
+    final CountDownLatch resume = new CountDownLatch(1);
     courier
         .eventLoop()
         .execute(
             () -> {
-              standing.countDown();
+              paused.countDown();
               try {
-                goOn.await();
+                resume.await();
               } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-    standing.await();
+    paused.await();
     for (int number = 0; number < CLIENT_COUNT; number++) {
       final Socket client = new Socket("127.0.0.1", port);
       client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
@@ -85,7 +85,7 @@
                   .getBytes(StandardCharsets.US_ASCII));
       clients.add(client);
     }
-    goOn.countDown();
+    resume.countDown();
     for (int number = 0; number < CLIENT_COUNT; number++) {
       assertEquals(
           202,
--- a/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
@@ -77,42 +77,38 @@
   @Test
   void simultaneousWakeUp_servesEveryConnection() throws IOException {
     final Socket busy = connect();
-    final List<Socket> resting = new ArrayList<>();
+    final List<Socket> hibernating = new ArrayList<>();
     for (int index = 0; index < 150; index++) {
       final Socket socket = connect();
       write(socket, HEALTH_CHECK_REQUEST);
       assertEquals(200, readStatus(socket));
-      resting.add(socket);
+      hibernating.add(socket);
     }
     awaitHibernation(busy);
-    int number = 0;
-    for (final Socket socket : resting) {
-      // Some requests arrive in two pieces, some are followed by another, while others are queued.
-      final String text =
-          number % 2 == 0
-              ? HEALTH_CHECK_REQUEST
-              : CourierHarness.submitRequest("m" + number, "safe");
-      write(socket, number % 3 == 0 ? text.substring(0, 9) : text);
-      number++;
+    // Some requests arrive in two pieces, some are followed by another, while others are queued.
+    for (int index = 0; index < hibernating.size(); index++) {
+      final String request = request(index);
+      write(hibernating.get(index), index % 3 == 0 ? request.substring(0, 9) : request);
     }
-    for (int index = 0; index < resting.size(); index += 3) {
-      write(
-          resting.get(index),
-          (index % 2 == 0
-                      ? HEALTH_CHECK_REQUEST
-                      : CourierHarness.submitRequest("m" + index, "safe"))
-                  .substring(9)
-              + HEALTH_CHECK_REQUEST);
+    for (int index = 0; index < hibernating.size(); index += 3) {
+      write(hibernating.get(index), request(index).substring(9) + HEALTH_CHECK_REQUEST);
     }
-    for (int index = 0; index < resting.size(); index++) {
-      assertEquals(
-          index % 2 == 0 ? 200 : 202, readStatus(resting.get(index)), "connection " + index);
+    for (int index = 0; index < hibernating.size(); index++) {
+      final Socket socket = hibernating.get(index);
+      assertEquals(index % 2 == 0 ? 200 : 202, readStatus(socket), "connection " + index);
       if (index % 3 == 0) {
-        assertEquals(200, readStatus(resting.get(index)), "second on connection " + index);
+        assertEquals(200, readStatus(socket), "second on connection " + index);
       }
     }
   }
 
+  /** Alternates between health checks and submissions. */
+  private static String request(final int index) {
+    return index % 2 == 0
+        ? HEALTH_CHECK_REQUEST
+        : CourierHarness.submitRequest("m" + index, "safe");
+  }
+
   /** The beginning of the next request arrives together with the previous request. */
   @Test
   void partialNextRequest_survivesHibernation() throws IOException {
