--- a/peers/src/main/java/thistleturn/peers/DatagramTransport.java
+++ b/peers/src/main/java/thistleturn/peers/DatagramTransport.java
@@ -19,15 +19,15 @@
 import thistleturn.decisions.peers.Packet;
 
 /**
- * Sealed datagrams of at most {@link #MAX_DATAGRAM_BYTES}. What cannot be read is counted and moves
- * nothing. Lives on the event loop.
+ * Sends and receives authenticated datagrams. What cannot be read is counted and has no other
+ * effect. Lives on the event loop.
  */
 final class DatagramTransport extends SimpleChannelInboundHandler<DatagramPacket> {
-  /** Bytes of a datagram at most. */
+  /** Fits the path of any network without fragments. */
   static final int MAX_DATAGRAM_BYTES = 1200;
 
   /**
-   * What comes beyond so many in a second is not even looked at: strangers cost a bounded share of
+   * Further datagrams within a second are dropped unread, so that strangers cost a bounded share of
    * the loop.
    */
   private static final int MAX_DATAGRAMS_PER_S = 4000;
@@ -50,18 +50,18 @@
 
   DatagramTransport(
       final PeerCodec codec,
-      final MessageAuthenticator seal,
+      final MessageAuthenticator authenticator,
       final Clock clock,
-      final Consumer<Packet> consumer,
-      final Consumer<PiggybackMessage> cargoes) {
+      final Consumer<Packet> packetConsumer,
+      final Consumer<PiggybackMessage> piggybackConsumer) {
     this.codec = codec;
-    this.authenticator = seal;
+    this.authenticator = authenticator;
     this.clock = clock;
-    this.packetConsumer = consumer;
-    this.piggybackConsumer = cargoes;
+    this.packetConsumer = packetConsumer;
+    this.piggybackConsumer = piggybackConsumer;
   }
 
-  /** Listens there. */
+  /** Receives datagrams at this address from now on. */
   ChannelFuture bind(final EventLoop loop, final InetSocketAddress listen) {
     final ChannelFuture bound =
         new Bootstrap()
@@ -76,69 +76,87 @@
     return bound;
   }
 
-  /** Sends, or loses, one. */
+  /** Sends a datagram, which may be lost. */
   void send(final InetSocketAddress to, final Packet packet) {
     send(to, codec.write(packet));
   }
 
-  /** Sends, or loses, what a passenger has. */
-  void send(final InetSocketAddress to, final PiggybackMessage cargo) {
-    send(to, codec.write(cargo));
+  /** Sends a message of another subsystem, which may be lost. */
+  void send(final InetSocketAddress to, final PiggybackMessage message) {
+    send(to, codec.write(message));
   }
 
-  private void send(final InetSocketAddress to, final byte[] text) {
-    final byte[] sealed = authenticator.sign(text);
-    if (sealed.length > MAX_DATAGRAM_BYTES) {
+  private void send(final InetSocketAddress to, final byte[] payload) {
+    final byte[] signed = authenticator.sign(payload);
+    if (signed.length > MAX_DATAGRAM_BYTES) {
       oversizedCount++;
       return;
     }
     if (channel != null && channel.isActive()) {
       sentCount++;
-      sentBytes += sealed.length;
+      sentBytes += signed.length;
       channel.writeAndFlush(
-          new DatagramPacket(Unpooled.wrappedBuffer(sealed), to), channel.voidPromise());
+          new DatagramPacket(Unpooled.wrappedBuffer(signed), to), channel.voidPromise());
     }
   }
 
   @Override
   protected void channelRead0(final ChannelHandlerContext context, final DatagramPacket datagram) {
+    final ByteBuf content = datagram.content();
+    if (!tryAcquire() || content.readableBytes() > MAX_DATAGRAM_BYTES) {
+      malformedCount++;
+      return;
+    }
+    final byte[] signed = new byte[content.readableBytes()];
+    content.readBytes(signed);
+    final byte[] payload = authenticator.verify(signed);
+    if (payload == null) {
+      malformedCount++;
+    } else if (PeerCodec.isPiggyback(payload)) {
+      readPiggyback(payload);
+    } else {
+      readPacket(payload);
+    }
+  }
+
+  /** Counts a datagram against the rate limit; returns false if it must be dropped. */
+  private boolean tryAcquire() {
     final long nowUs = clock.nowUs();
     if (nowUs - rateWindowStartUs >= US_PER_S) {
       rateWindowStartUs = nowUs;
       receivedInWindow = 0;
     }
-    final ByteBuf content = datagram.content();
-    if (++receivedInWindow > MAX_DATAGRAMS_PER_S || content.readableBytes() > MAX_DATAGRAM_BYTES) {
-      malformedCount++;
-      return;
-    }
-    final byte[] sealed = new byte[content.readableBytes()];
-    content.readBytes(sealed);
-    final byte[] text = authenticator.verify(sealed);
-    if (text == null) {
+    receivedInWindow++;
+    return receivedInWindow <= MAX_DATAGRAMS_PER_S;
+  }
+
+  private void readPiggyback(final byte[] payload) {
+    final PiggybackMessage message;
+    try {
+      message = codec.readPiggyback(payload);
+    } catch (final IOException e) {
       malformedCount++;
       return;
     }
+    readCount++;
+    piggybackConsumer.accept(message);
+  }
+
+  private void readPacket(final byte[] payload) {
     final Packet packet;
-    final PiggybackMessage cargo;
     try {
-      final boolean isCargo = PeerCodec.isPiggyback(text);
-      cargo = isCargo ? codec.readPiggyback(text) : null;
-      packet = isCargo ? null : codec.readPacket(text);
+      packet = codec.readPacket(payload);
     } catch (final IOException e) {
       malformedCount++;
       return;
     }
     readCount++;
-    if (cargo != null) {
-      piggybackConsumer.accept(cargo);
-    } else {
-      packetConsumer.accept(packet);
-    }
+    packetConsumer.accept(packet);
   }
 
   /**
-   * An address at which nobody listens says so on the next send: the connections tell that better.
+   * The system reports an address at which nobody listens on the next send. That is ignored here:
+   * the connections tell it better.
    */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
@@ -163,10 +181,7 @@
     return readCount;
   }
 
-  /**
-   * Datagrams that were not sent since they would have been too large: 0 unless an estimate of
-   * bytes is wrong.
-   */
+  /** Returns how many datagrams were too large to be sent: 0 unless an estimate is wrong. */
   long oversizedCount() {
     return oversizedCount;
   }
--- a/peers/src/main/java/thistleturn/peers/FrameHandler.java
+++ b/peers/src/main/java/thistleturn/peers/FrameHandler.java
@@ -11,11 +11,12 @@
 import thistleturn.peers.cbor.MalformedMessageException;
 
 /**
- * A connection's bytes: frames of a length (4 bytes), a seal, a kind (1 byte) and a text. The first
- * frame in either direction is a greeting. One that cannot be read ends the connection.
+ * Reads and writes the frames of a connection. A frame consists of its length (4 bytes), an
+ * authentication tag, its type (1 byte) and a payload. The first frame in either direction is a
+ * greeting. A frame that cannot be read closes the connection.
  */
 abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
-  /** Bytes of a frame at most: the full state of some thousand couriers. */
+  /** Enough for the full state of some thousand couriers. */
   static final int MAX_FRAME_BYTES = 1 << 20;
 
   static final byte GREETING = 1;
@@ -25,42 +26,48 @@
 
   private final MessageAuthenticator authenticator;
 
-  FrameHandler(final MessageAuthenticator seal) {
-    this.authenticator = seal;
+  FrameHandler(final MessageAuthenticator authenticator) {
+    this.authenticator = authenticator;
   }
 
-  /** Adds what reads frames to a connection's pipeline. */
+  /** Makes this the handler of a new connection. */
   final void addTo(final ChannelPipeline pipeline) {
     pipeline.addLast(
         new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES), this);
   }
 
-  /** A frame as it goes out. */
-  static ByteBuf encodeFrame(final MessageAuthenticator seal, final byte kind, final byte[] text) {
-    final byte[] named = new byte[text.length + 1];
-    named[0] = kind;
-    System.arraycopy(text, 0, named, 1, text.length);
-    final byte[] sealed = seal.sign(named);
+  /** Returns the bytes of a frame. */
+  static ByteBuf encodeFrame(
+      final MessageAuthenticator authenticator, final byte type, final byte[] payload) {
+    final byte[] typed = new byte[payload.length + 1];
+    typed[0] = type;
+    System.arraycopy(payload, 0, typed, 1, payload.length);
+    final byte[] signed = authenticator.sign(typed);
     return Unpooled.wrappedBuffer(
-        Unpooled.buffer(LENGTH_BYTES).writeInt(sealed.length), Unpooled.wrappedBuffer(sealed));
+        Unpooled.buffer(LENGTH_BYTES).writeInt(signed.length), Unpooled.wrappedBuffer(signed));
   }
 
-  /** A frame came; one that cannot be read is an {@link IOException}. */
-  abstract void onFrame(ChannelHandlerContext context, byte kind, byte[] text) throws IOException;
+  /**
+   * A frame was received.
+   *
+   * @throws IOException if it cannot be read
+   */
+  abstract void onFrame(ChannelHandlerContext context, byte type, byte[] payload)
+      throws IOException;
 
-  /** One came that is not this fleet's, or not whole. */
+  /** A frame was received that is of another fleet, damaged, or cannot be read. */
   abstract void onMalformedFrame();
 
   @Override
   protected void channelRead0(final ChannelHandlerContext context, final ByteBuf frame) {
-    final byte[] sealed = new byte[frame.readableBytes()];
-    frame.readBytes(sealed);
-    final byte[] named = authenticator.verify(sealed);
+    final byte[] signed = new byte[frame.readableBytes()];
+    frame.readBytes(signed);
+    final byte[] typed = authenticator.verify(signed);
     try {
-      if (named == null) {
-        throw new MalformedMessageException("a seal of another fleet");
+      if (typed == null) {
+        throw new MalformedMessageException("the authentication tag does not match");
       }
-      onFrame(context, named[0], Arrays.copyOfRange(named, 1, named.length));
+      onFrame(context, typed[0], Arrays.copyOfRange(typed, 1, typed.length));
     } catch (final IOException e) {
       onMalformedFrame();
       context.close();
--- a/peers/src/main/java/thistleturn/peers/MessageAuthenticator.java
+++ b/peers/src/main/java/thistleturn/peers/MessageAuthenticator.java
@@ -8,12 +8,12 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * A keyed checksum before each datagram and frame (HMAC-SHA-256, RFC 2104, cut to 128 bits), so
- * that what another fleet says, or what was damaged, moves nothing. It keeps nothing secret. For
- * one thread.
+ * Authenticates datagrams and frames by a keyed checksum before them (HMAC-SHA-256, RFC 2104,
+ * truncated to 128 bits), so that messages of another fleet, or damaged ones, have no effect. It
+ * encrypts nothing. For one thread.
  */
 final class MessageAuthenticator {
-  /** Bytes that it takes. */
+  /** The length of the authentication tag. */
   static final int TAG_BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
@@ -29,22 +29,22 @@
     }
   }
 
-  /** The text with its seal before it. */
-  byte[] sign(final byte[] text) {
-    final byte[] sealed = Arrays.copyOf(mac.doFinal(text), TAG_BYTES + text.length);
-    System.arraycopy(text, 0, sealed, TAG_BYTES, text.length);
-    return sealed;
+  /** Returns a payload with its tag before it. */
+  byte[] sign(final byte[] payload) {
+    final byte[] signed = Arrays.copyOf(mac.doFinal(payload), TAG_BYTES + payload.length);
+    System.arraycopy(payload, 0, signed, TAG_BYTES, payload.length);
+    return signed;
   }
 
-  /** The text behind a seal; null: it is not this fleet's, or not whole. */
-  byte[] verify(final byte[] sealed) {
-    if (sealed.length <= TAG_BYTES) {
+  /** Returns the payload behind a tag, or null if the tag does not match. */
+  byte[] verify(final byte[] signed) {
+    if (signed.length <= TAG_BYTES) {
       return null;
     }
-    mac.update(sealed, TAG_BYTES, sealed.length - TAG_BYTES);
-    final byte[] wanted = Arrays.copyOf(mac.doFinal(), TAG_BYTES);
-    return MessageDigest.isEqual(wanted, Arrays.copyOf(sealed, TAG_BYTES))
-        ? Arrays.copyOfRange(sealed, TAG_BYTES, sealed.length)
+    mac.update(signed, TAG_BYTES, signed.length - TAG_BYTES);
+    final byte[] expected = Arrays.copyOf(mac.doFinal(), TAG_BYTES);
+    return MessageDigest.isEqual(expected, Arrays.copyOf(signed, TAG_BYTES))
+        ? Arrays.copyOfRange(signed, TAG_BYTES, signed.length)
         : null;
   }
 }
--- a/peers/src/main/java/thistleturn/peers/PeerConnections.java
+++ b/peers/src/main/java/thistleturn/peers/PeerConnections.java
@@ -31,24 +31,30 @@
 import thistleturn.decisions.peers.PeerId;
 
 /**
- * Connections that are kept to tell of ends, and that carry full states. Whoever accepts greets
- * first and at once, so that a connection which ends before its greeting says that nobody of the
- * fleet listens there; one that is full greets, too, and closes then. Lives on the event loop.
+ * Connections between peers. Persistent ones show when a peer ends; they, and short-lived ones,
+ * carry frames that are too large for a datagram, or must not be lost.
+ *
+ * <p>The accepting side greets first and at once, so a connection that ends before its greeting
+ * shows that no courier of the fleet listens there. A peer that has no capacity for a connection
+ * greets as well, and closes it then. Lives on the event loop.
  */
 final class PeerConnections {
-  /** For so long a greeting is waited for. */
+  /** How long a connection may take to come up, and how long the greeting then may take. */
   private static final int GREETING_TIMEOUT_MS = 1000;
 
-  /** Connections of others at most: each is watched by few. */
+  /** Enough, since each peer is monitored by few others. */
   private static final int MAX_ACCEPTED = 96;
 
-  /** What becomes of a connection that was asked for. */
+  /** Receives what becomes of persistent connections. */
   interface Listener {
-    void onGreeted(String to, PeerId by);
+    /** The peer at this address has greeted. */
+    void onGreeted(String address, PeerId peer);
 
-    void onClosed(String to);
+    /** The system at this address has refused or closed the connection. */
+    void onClosed(String address);
 
-    void onUnanswered(String to);
+    /** The connection failed or timed out, which shows nothing about the system at this address. */
+    void onUnanswered(String address);
   }
 
   private final EventLoop loop;
@@ -68,23 +74,23 @@
   PeerConnections(
       final EventLoop loop,
       final PeerCodec codec,
-      final MessageAuthenticator seal,
+      final MessageAuthenticator authenticator,
       final Supplier<PeerId> self,
-      final Function<String, InetSocketAddress> way,
-      final Listener told,
-      final Consumer<FullStateMessage> fulls,
-      final Consumer<PiggybackMessage> cargoes) {
+      final Function<String, InetSocketAddress> addressResolver,
+      final Listener listener,
+      final Consumer<FullStateMessage> fullStateConsumer,
+      final Consumer<PiggybackMessage> piggybackConsumer) {
     this.loop = loop;
     this.codec = codec;
-    this.authenticator = seal;
+    this.authenticator = authenticator;
     this.self = self;
-    this.addressResolver = way;
-    this.listener = told;
-    this.fullStateConsumer = fulls;
-    this.piggybackConsumer = cargoes;
+    this.addressResolver = addressResolver;
+    this.listener = listener;
+    this.fullStateConsumer = fullStateConsumer;
+    this.piggybackConsumer = piggybackConsumer;
   }
 
-  /** Listens there. */
+  /** Accepts connections at this address from now on. */
   ChannelFuture bind(final InetSocketAddress listen) {
     final ChannelFuture bound =
         new ServerBootstrap()
@@ -104,7 +110,7 @@
     return bound;
   }
 
-  /** Somebody else's connection. */
+  /** A connection that a peer has made. */
   private final class IncomingConnection extends FrameHandler {
     private boolean greeted;
 
@@ -114,10 +120,10 @@
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-      final ChannelFuture said =
+      final ChannelFuture greeting =
           context.writeAndFlush(encodeFrame(authenticator, GREETING, codec.write(self.get())));
       if (accepted.size() >= MAX_ACCEPTED) {
-        said.addListener(ChannelFutureListener.CLOSE);
+        greeting.addListener(ChannelFutureListener.CLOSE);
         return;
       }
       accepted.add(context.channel());
@@ -137,15 +143,15 @@
     }
 
     @Override
-    void onFrame(final ChannelHandlerContext context, final byte kind, final byte[] text)
+    void onFrame(final ChannelHandlerContext context, final byte type, final byte[] payload)
         throws IOException {
-      if (kind == GREETING) {
-        codec.readGreeting(text);
+      if (type == GREETING) {
+        codec.readGreeting(payload);
         greeted = true;
-      } else if (kind == FULL_STATE) {
-        fullStateConsumer.accept(codec.readFullState(text));
-      } else if (kind == PIGGYBACK) {
-        piggybackConsumer.accept(codec.readPiggyback(text));
+      } else if (type == FULL_STATE) {
+        fullStateConsumer.accept(codec.readFullState(payload));
+      } else if (type == PIGGYBACK) {
+        piggybackConsumer.accept(codec.readPiggyback(payload));
       }
     }
 
@@ -155,23 +161,24 @@
     }
   }
 
-  /** A connection of our own: kept, or for one full state. */
+  /** A connection to a peer: persistent, or for one frame. */
   private final class OutgoingConnection extends FrameHandler {
     private final String remoteAddress;
     private final boolean persistent;
 
-    /** What goes out as soon as it is greeted, and ends it; null for one that is kept. */
+    /** The one frame, which is sent after the greeting; null for a persistent connection. */
     private ByteBuf pendingFrame;
 
     private Channel channel;
     private boolean greeted;
     private boolean ended;
 
-    OutgoingConnection(final String to, final boolean kept, final ByteBuf burden) {
+    OutgoingConnection(
+        final String remoteAddress, final boolean persistent, final ByteBuf pendingFrame) {
       super(authenticator);
-      this.remoteAddress = to;
-      this.persistent = kept;
-      this.pendingFrame = burden;
+      this.remoteAddress = remoteAddress;
+      this.persistent = persistent;
+      this.pendingFrame = pendingFrame;
     }
 
     private void connect() {
@@ -182,8 +189,8 @@
               .handler(
                   new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(final Channel made) {
-                      addTo(made.pipeline());
+                    protected void initChannel(final Channel newChannel) {
+                      addTo(newChannel.pipeline());
                     }
                   });
       try {
@@ -192,18 +199,14 @@
                     loop,
                     template,
                     addressResolver.apply(remoteAddress),
-                    done -> {
-                      if (!done.isSuccess()) {
-                        // Only a refusal is the word of the system there; all else may be the way's
-                        // doing, or our own.
-                        endAndReport(
-                            done.cause() instanceof ConnectException
-                                && !(done.cause() instanceof ConnectTimeoutException));
+                    connecting -> {
+                      if (!connecting.isSuccess()) {
+                        endAndReport(isRefused(connecting.cause()));
                       }
                     })
                 .channel();
       } catch (final SocketUnavailableException e) {
-        // Our own doing: nothing is said of the other side.
+        // A fault of this system shows nothing about the peer.
         loop.execute(() -> endAndReport(false));
       }
       loop.schedule(
@@ -216,14 +219,19 @@
           TimeUnit.MILLISECONDS);
     }
 
+    /** True if the peer's system refused the connection; other failures may be the network's. */
+    private static boolean isRefused(final Throwable failure) {
+      return failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
+    }
+
     private void close() {
       if (channel != null) {
         channel.close();
       }
     }
 
-    /** It is over, by the word of the other side or by nobody's. */
-    private void endAndReport(final boolean byWord) {
+    /** Ends the connection, and reports whether the peer's side has closed or refused it. */
+    private void endAndReport(final boolean closedByPeer) {
       if (ended) {
         return;
       }
@@ -234,7 +242,7 @@
       }
       close();
       if (persistent && outgoing.remove(remoteAddress, this) && !closing) {
-        if (byWord) {
+        if (closedByPeer) {
           listener.onClosed(remoteAddress);
         } else {
           listener.onUnanswered(remoteAddress);
@@ -253,11 +261,11 @@
     }
 
     @Override
-    void onFrame(final ChannelHandlerContext context, final byte kind, final byte[] text)
+    void onFrame(final ChannelHandlerContext context, final byte type, final byte[] payload)
         throws IOException {
-      if (kind == GREETING && !greeted) {
+      if (type == GREETING && !greeted) {
         greeted = true;
-        final PeerId by = codec.readGreeting(text);
+        final PeerId peer = codec.readGreeting(payload);
         if (pendingFrame != null) {
           context.writeAndFlush(pendingFrame);
           pendingFrame = null;
@@ -266,7 +274,7 @@
           ended = true;
           context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         } else if (!ended) {
-          listener.onGreeted(remoteAddress, by);
+          listener.onGreeted(remoteAddress, peer);
         }
       }
     }
@@ -277,7 +285,9 @@
     }
   }
 
-  /** Begins a connection that is kept; one that is there ends, and nothing more is told of it. */
+  /**
+   * Makes a persistent connection, in place of the one there is; nothing more is reported of that.
+   */
   void connect(final String to) {
     disconnect(to);
     if (!closing) {
@@ -287,7 +297,7 @@
     }
   }
 
-  /** Ends the kept connection there, if there is one. */
+  /** Ends the persistent connection to an address, if there is one, without a report. */
   void disconnect(final String to) {
     final OutgoingConnection before = outgoing.remove(to);
     if (before != null) {
@@ -296,32 +306,32 @@
     }
   }
 
-  /** Sends a full state. */
-  void sendFullState(final String to, final FullStateMessage full) {
-    sendFrame(to, FrameHandler.FULL_STATE, codec.write(full));
+  /** Sends all that this courier knows of its fleet. */
+  void sendFullState(final String to, final FullStateMessage message) {
+    sendFrame(to, FrameHandler.FULL_STATE, codec.write(message));
   }
 
-  /** Sends what a passenger has. */
-  void sendPiggyback(final String to, final PiggybackMessage cargo) {
-    sendFrame(to, FrameHandler.PIGGYBACK, codec.write(cargo));
+  /** Sends a message of another subsystem. */
+  void sendPiggyback(final String to, final PiggybackMessage message) {
+    sendFrame(to, FrameHandler.PIGGYBACK, codec.write(message));
   }
 
   /**
-   * Over the kept connection, or over one that is made for it; what is too long for a frame is
-   * lost.
+   * Sends a frame over the persistent connection, or over one that is made for it. What is too
+   * large for a frame is dropped.
    */
-  private void sendFrame(final String to, final byte kind, final byte[] text) {
-    if (closing || text.length >= FrameHandler.MAX_FRAME_BYTES / 2) {
+  private void sendFrame(final String to, final byte type, final byte[] payload) {
+    if (closing || payload.length >= FrameHandler.MAX_FRAME_BYTES / 2) {
       return;
     }
-    final OutgoingConnection kept = outgoing.get(to);
-    final ByteBuf frame = FrameHandler.encodeFrame(authenticator, kind, text);
-    if (kept == null || !kept.greeted) {
+    final OutgoingConnection persistent = outgoing.get(to);
+    final ByteBuf frame = FrameHandler.encodeFrame(authenticator, type, payload);
+    if (persistent == null || !persistent.greeted) {
       new OutgoingConnection(to, false, frame).connect();
-    } else if (kept.channel.isWritable()) {
-      kept.channel.writeAndFlush(frame);
+    } else if (persistent.channel.isWritable()) {
+      persistent.channel.writeAndFlush(frame);
     } else {
-      // Whoever reads so slowly is told again later.
+      // The peer reads too slowly: it will get a later message.
       frame.release();
     }
   }
@@ -330,7 +340,7 @@
     return malformedCount;
   }
 
-  /** Connections that are open, of others and our own. */
+  /** Returns how many connections there are, in both directions. */
   int openCount() {
     return accepted.size() + outgoing.size();
   }
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -1,9 +1,6 @@
 package thistleturn.peers;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.Locale;
@@ -19,61 +16,68 @@
 import thistleturn.decisions.peers.PeerActions;
 import thistleturn.decisions.peers.PeerEvent;
 import thistleturn.decisions.peers.PeerId;
-import thistleturn.decisions.peers.PeerSnapshot;
 import thistleturn.decisions.peers.PeerStatus;
-import thistleturn.decisions.peers.View;
 
 /**
- * Peers as a subsystem of a courier. It lives on the courier's first event loop, and is on no
- * message's path. A newer process that takes over waits here until the older one has let go of the
- * address.
+ * The exchange with peers as a subsystem of a courier. It lives on the courier's first event loop,
+ * and is on no message's path. A newer process that takes over waits here until the older one has
+ * released the address.
  */
 public final class PeersExtension {
-  private static final long MS = 1000;
+  private static final long MS_PER_S = 1000;
   private static final long BIND_RETRY_MS = 500;
   private static final long HEALTH_REPORT_PERIOD_US = 1_000_000;
 
   private final PeersSettings settings;
-  private ExtensionContext surroundings;
+  private final ReplayWindow replayWindow = new ReplayWindow();
+  private ExtensionContext context;
   private IncarnationFile incarnationFile;
-  private MembershipProtocol peers;
+
+  /** Null until both sockets are bound, like the three fields below. */
+  private MembershipProtocol protocol;
+
   private DatagramTransport datagrams;
   private PeerConnections connections;
+
+  /** The incarnation that is stored in the file. */
   private PeerId storedSelf;
+
   private long nextHealthReportUs;
-  private long lastEndedCount;
+
+  /** How many messages had been completed when the delivery last made progress. */
+  private long lastCompletedCount;
+
   private long lastProgressUs;
   private boolean bindFailureLogged;
-  private final ReplayWindow replayWindow = new ReplayWindow();
   private PiggybackChannel piggybackChannel;
   private long piggybackSequence;
   private boolean stopped;
 
-  /** With settings that hold until the next start. */
+  /** Makes an extension with settings that are fixed until the next start. */
   public PeersExtension(final PeersSettings settings) {
     this.settings = settings;
   }
 
   /**
-   * Begins to take part; a courier that takes up again after its successor takes part already.
+   * Joins the fleet. A courier that resumes after its successor has ended is a member already.
    * Called on the event loop.
    */
-  public void join(final ExtensionContext given) {
-    if (surroundings != null) {
+  public void join(final ExtensionContext newContext) {
+    if (context != null) {
       return;
     }
-    surroundings = given;
-    if (given.config().name().length() > PeerId.MAX_NAME_LENGTH) {
+    context = newContext;
+    if (newContext.config().name().length() > PeerId.MAX_NAME_LENGTH) {
       Log.info(
           "peers: off: the name "
-              + given.config().name()
+              + newContext.config().name()
               + " has more than "
               + PeerId.MAX_NAME_LENGTH
               + " letters");
       stopped = true;
       return;
     }
-    incarnationFile = new IncarnationFile(given.config().stateFolder());
+    incarnationFile = new IncarnationFile(newContext.config().stateFolder());
     bind();
   }
 
@@ -82,21 +86,22 @@
       return;
     }
     final PeerCodec codec = new PeerCodec();
-    final MessageAuthenticator seal = new MessageAuthenticator(settings.fleetKey());
+    final MessageAuthenticator authenticator = new MessageAuthenticator(settings.fleetKey());
     final DatagramTransport nextDatagrams =
-        new DatagramTransport(codec, seal, surroundings.clock(), this::onPacket, this::onPiggyback);
+        new DatagramTransport(
+            codec, authenticator, context.clock(), this::onPacket, this::onPiggyback);
     final PeerConnections nextConnections =
         new PeerConnections(
-            surroundings.eventLoop(),
+            context.eventLoop(),
             codec,
-            seal,
-            () -> peers.self(),
+            authenticator,
+            () -> protocol.self(),
             this::resolve,
             new ConnectionEvents(),
             this::onFullState,
             this::onPiggyback);
     nextDatagrams
-        .bind(surroundings.eventLoop(), settings.listenAddress())
+        .bind(context.eventLoop(), settings.listenAddress())
         .addListener(
             first -> {
               if (!first.isSuccess()) {
@@ -118,19 +123,19 @@
             });
   }
 
-  /** An older process of this courier may still listen there. */
+  /** Tries again later: an older process of this courier may still use the address. */
   private void retryBind(
       final Future<?> failed,
-      final DatagramTransport madeDatagrams,
-      final PeerConnections madeConnections) {
-    madeDatagrams.close();
-    madeConnections.close();
+      final DatagramTransport unusedDatagrams,
+      final PeerConnections unusedConnections) {
+    unusedDatagrams.close();
+    unusedConnections.close();
     if (!bindFailureLogged && !stopped) {
       bindFailureLogged = true;
       Log.info(
           "peers: cannot listen at " + listenAddress() + " yet: " + failed.cause().getMessage());
     }
-    surroundings.eventLoop().schedule(this::bind, BIND_RETRY_MS, TimeUnit.MILLISECONDS);
+    context.eventLoop().schedule(this::bind, BIND_RETRY_MS, TimeUnit.MILLISECONDS);
   }
 
   private String listenAddress() {
@@ -145,10 +150,10 @@
   }
 
   private void start() {
-    final long nowUs = surroundings.clock().nowUs();
-    final String name = surroundings.config().name();
-    storedSelf = new PeerId(name, incarnationFile.next(surroundings.clock().wallClockUs()));
-    peers =
+    final long nowUs = context.clock().nowUs();
+    final String name = context.config().name();
+    storedSelf = new PeerId(name, incarnationFile.next(context.clock().wallClockUs()));
+    protocol =
         new MembershipProtocol(
             settings.gossipSettings(),
             storedSelf,
@@ -182,8 +187,8 @@
     }
 
     @Override
-    public void sendFullState(final String to, final FullStateMessage full) {
-      connections.sendFullState(to, full);
+    public void sendFullState(final String to, final FullStateMessage message) {
+      connections.sendFullState(to, message);
     }
 
     @Override
@@ -195,190 +200,130 @@
 
   private final class ConnectionEvents implements PeerConnections.Listener {
     @Override
-    public void onGreeted(final String to, final PeerId by) {
-      peers.onConnectionGreeted(to, by, surroundings.clock().nowUs());
+    public void onGreeted(final String address, final PeerId peer) {
+      protocol.onConnectionGreeted(address, peer, context.clock().nowUs());
     }
 
     @Override
-    public void onClosed(final String to) {
-      peers.onConnectionClosed(to, surroundings.clock().nowUs());
+    public void onClosed(final String address) {
+      protocol.onConnectionClosed(address, context.clock().nowUs());
     }
 
     @Override
-    public void onUnanswered(final String to) {
-      peers.onConnectionUnanswered(to, surroundings.clock().nowUs());
+    public void onUnanswered(final String address) {
+      protocol.onConnectionUnanswered(address, context.clock().nowUs());
     }
   }
 
   private void onPacket(final Packet packet) {
-    if (peers != null && !stopped) {
-      peers.onPacket(packet, surroundings.clock().nowUs());
+    if (protocol != null && !stopped) {
+      protocol.onPacket(packet, context.clock().nowUs());
     }
   }
 
-  private void onFullState(final FullStateMessage full) {
-    if (peers != null && !stopped) {
-      peers.onFullState(full, surroundings.clock().nowUs());
+  private void onFullState(final FullStateMessage message) {
+    if (protocol != null && !stopped) {
+      protocol.onFullState(message, context.clock().nowUs());
     }
   }
 
-  /** What travels with the exchange from now on; one at most. To be told before {@link #join}. */
-  public void attach(final PiggybackChannel with) {
-    piggybackChannel = with;
+  /**
+   * Sends and receives for a channel as well; for one at most. To be called before {@link #join}.
+   */
+  public void attach(final PiggybackChannel channel) {
+    piggybackChannel = channel;
   }
 
-  private void onPiggyback(final PiggybackMessage cargo) {
-    if (peers != null
+  private void onPiggyback(final PiggybackMessage message) {
+    if (protocol != null
         && !stopped
         && piggybackChannel != null
-        && peers.isAlive(cargo.sender())
-        && replayWindow.recordIfNew(cargo.sender(), cargo.sequence())) {
-      piggybackChannel.onReceived(cargo.address(), cargo.payload());
+        && protocol.isAlive(message.sender())
+        && replayWindow.recordIfNew(message.sender(), message.sequence())) {
+      piggybackChannel.onReceived(message.address(), message.payload());
     }
   }
 
-  /** Sends a datagram of a passenger's, which may be lost. */
-  public void send(final String to, final byte[] text) {
-    if (peers != null && !stopped) {
-      datagrams.send(resolve(to), piggybackMessage(text));
+  /** Sends a message of the channel as a datagram, which may be lost. */
+  public void send(final String to, final byte[] payload) {
+    if (protocol != null && !stopped) {
+      datagrams.send(resolve(to), piggybackMessage(payload));
     }
   }
 
-  /** Sends it over a connection; it is lost if that ends before. */
-  public void sendOverConnection(final String to, final byte[] text) {
-    if (peers != null && !stopped) {
-      connections.sendPiggyback(to, piggybackMessage(text));
+  /** Sends a message of the channel over a connection; it is lost if the connection ends first. */
+  public void sendOverConnection(final String to, final byte[] payload) {
+    if (protocol != null && !stopped) {
+      connections.sendPiggyback(to, piggybackMessage(payload));
     }
   }
 
-  private PiggybackMessage piggybackMessage(final byte[] text) {
-    return new PiggybackMessage(peers.self(), listenAddress(), ++piggybackSequence, text);
+  private PiggybackMessage piggybackMessage(final byte[] payload) {
+    piggybackSequence++;
+    return new PiggybackMessage(protocol.self(), listenAddress(), piggybackSequence, payload);
   }
 
-  /** Where the others are who live, as far as is known, by name. */
+  /** Returns the addresses of the peers that are alive, as far as is known, by their names. */
   public Map<String, String> livingPeerAddresses() {
-    return peers == null ? Map.of() : peers.addressesByName();
+    return protocol == null ? Map.of() : protocol.addressesByName();
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    final long nowUs = surroundings.clock().nowUs();
-    surroundings
+    final long nowUs = context.clock().nowUs();
+    context
         .eventLoop()
         .schedule(this::tick, settings.gossipSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (nowUs >= nextHealthReportUs) {
       nextHealthReportUs = nowUs + HEALTH_REPORT_PERIOD_US;
-      peers.updateOwnStatus(localStatus(nowUs), nowUs);
+      protocol.updateOwnStatus(localStatus(nowUs), nowUs);
     }
-    peers.tick(nowUs);
-    if (!storedSelf.equals(peers.self())) {
-      storedSelf = peers.self();
+    protocol.tick(nowUs);
+    if (!storedSelf.equals(protocol.self())) {
+      storedSelf = protocol.self();
       incarnationFile.store(storedSelf.incarnation());
     }
   }
 
-  /** How this courier itself is, and whether it ends any of what it holds. */
+  /** Returns how healthy this courier is, and whether it completes any of its pending messages. */
   private PeerStatus localStatus(final long nowUs) {
-    final JsonNode health = surroundings.localHealth().get();
-    final long ended = health.path("ended").asLong();
-    final int holds = health.path("holds").asInt();
-    if (ended != lastEndedCount || holds == 0) {
-      lastEndedCount = ended;
+    final JsonNode health = context.localHealth().get();
+    final long completed = health.path("ended").asLong();
+    final int pending = health.path("holds").asInt();
+    if (completed != lastCompletedCount || pending == 0) {
+      lastCompletedCount = completed;
       lastProgressUs = nowUs;
     }
-    final double lastAwayS = health.path("last_away_s").asDouble();
+    final double lastPauseS = health.path("last_away_s").asDouble();
     return new PeerStatus(
         LocalHealth.State.valueOf(health.path("state").asText().toUpperCase(Locale.ROOT)),
-        (int) (lastAwayS * MS),
-        holds,
+        (int) (lastPauseS * MS_PER_S),
+        pending,
         nowUs - lastProgressUs >= PeerStatus.DELIVERY_STALL_US);
   }
 
-  /** Says farewell, and lets go of the address. Called on the event loop. */
+  /** Leaves the fleet and releases the address. Called on the event loop. */
   public void leave() {
     if (stopped) {
       return;
     }
     stopped = true;
-    if (peers != null) {
-      peers.leave(surroundings.clock().nowUs());
+    if (protocol != null) {
+      protocol.leave(context.clock().nowUs());
       connections.close();
-      // Behind what was just written there.
-      surroundings.eventLoop().execute(datagrams::close);
+      // After the farewell that was just written.
+      context.eventLoop().execute(datagrams::close);
     }
   }
 
-  /** Who is here, as operators are told. Called on the event loop. */
+  /** Returns the members, and what is known of them, for operators. Called on the event loop. */
   public JsonNode status() {
-    final ObjectNode root = JsonNodeFactory.instance.objectNode();
-    if (peers == null) {
-      return root.put("standing", "waits").put("address", listenAddress());
-    }
-    final long nowUs = surroundings.clock().nowUs();
-    root.put("name", peers.self().name())
-        .put("incarnation", peers.self().incarnation())
-        .put("address", listenAddress())
-        .put("standing", peers.status().name().toLowerCase(Locale.ROOT))
-        .put("reached", peers.reachableMembers())
-        .put("sent", datagrams.sentCount())
-        .put("sent_bytes", datagrams.sentBytes())
-        .put("read", datagrams.readCount())
-        .put("malformed", datagrams.malformedCount() + connections.malformedCount())
-        .put("too_large", datagrams.oversizedCount())
-        .put("turned_down", peers.rejectedPackets())
-        .put("connections", connections.openCount());
-    final View view = peers.view();
-    if (view != null) {
-      final ObjectNode told =
-          root.putObject("view")
-              .put("generation", view.generation())
-              .put("founder", view.founder())
-              .put("number", view.number());
-      final ArrayNode members = told.putArray("members");
-      view.members()
-          .forEach(
-              member ->
-                  members
-                      .addObject()
-                      .put("name", member.id().name())
-                      .put("incarnation", member.id().incarnation())
-                      .put("address", member.address()));
-      final ArrayNode committee = told.putArray("committee");
-      view.committee().forEach(id -> committee.add(id.name()));
-    }
-    final ArrayNode others = root.putArray("peers");
-    for (final PeerSnapshot known : peers.snapshots(nowUs)) {
-      final ObjectNode other =
-          others
-              .addObject()
-              .put("name", known.id().name())
-              .put("incarnation", known.id().incarnation())
-              .put("address", known.address())
-              .put("state", known.state().name().toLowerCase(Locale.ROOT))
-              .put("for_ms", known.stateAgeUs() / MS)
-              .put(
-                  "here",
-                  known.localReachability() == null
-                      ? ""
-                      : known.localReachability().name().toLowerCase(Locale.ROOT))
-              .put("round_trip_ms", known.roundTripUs() / (double) MS)
-              .put("health", known.status().health().name().toLowerCase(Locale.ROOT))
-              .put("away_ms", known.status().pauseMs())
-              .put("holds", known.status().pendingMessages())
-              .put("stuck", known.status().deliveryStalled());
-      final ArrayNode doubts = other.putArray("doubts");
-      known
-          .unreachableReports()
-          .forEach(
-              cell ->
-                  doubts
-                      .addObject()
-                      .put("by", cell.observer())
-                      .put("sight", cell.reachability().name().toLowerCase(Locale.ROOT))
-                      .put("for_ms", cell.ageUs() / MS));
+    if (protocol == null) {
+      return PeersStatusReport.waiting(listenAddress());
     }
-    return root;
+    return PeersStatusReport.of(
+        protocol, listenAddress(), datagrams, connections, context.clock().nowUs());
   }
 }
--- a/peers/src/main/java/thistleturn/peers/PeersSettings.java
+++ b/peers/src/main/java/thistleturn/peers/PeersSettings.java
@@ -8,12 +8,11 @@
 /**
  * How a courier takes part in its fleet.
  *
- * @param listenAddress where, by datagrams and by connections alike
- * @param seeds addresses at which others may listen
- * @param fleetKey what seals all that is said: another fleet has another one
- * @param gossipSettings times and counts
- * @param addressOverrides where an address of another is to be reached instead, if it is not
- *     reached at itself
+ * @param listenAddress where it receives datagrams and accepts connections
+ * @param seeds addresses at which other couriers may listen
+ * @param fleetKey authenticates all messages; each fleet has its own
+ * @param gossipSettings durations and limits of the protocol
+ * @param addressOverrides where to send what is meant for an address, by that address
  */
 public record PeersSettings(
     InetSocketAddress listenAddress,
@@ -21,10 +20,10 @@
     String fleetKey,
     GossipSettings gossipSettings,
     Map<String, String> addressOverrides) {
-  /** Letters that a key has at least. */
+  /** The least length of a key, in characters. */
   public static final int MIN_KEY_LENGTH = 8;
 
-  /** Collections that nobody changes any more. */
+  /** Copies the collections. */
   public PeersSettings {
     seeds = List.copyOf(seeds);
     addressOverrides = Map.copyOf(addressOverrides);
--- a/peers/src/main/java/thistleturn/peers/PiggybackChannel.java
+++ b/peers/src/main/java/thistleturn/peers/PiggybackChannel.java
@@ -1,16 +1,18 @@
 package thistleturn.peers;
 
 /**
- * A subsystem whose bytes travel with the exchange of peers: sealed, over the same sockets, between
- * members alone.
+ * A subsystem whose messages are sent along with the exchange of peers: over the same sockets,
+ * authenticated, and between members alone. Called on the event loop.
  */
 public interface PiggybackChannel {
-  /** The exchange goes on from now on. Called on the event loop. */
+  /** The exchange has started: messages can be sent from now on. */
   void onStarted();
 
   /**
-   * Something came from a member that lives; {@code from} is its address. It may have come late,
-   * twice or out of order.
+   * A message was received from a member that is alive. Messages may arrive late or out of order,
+   * and may be lost.
+   *
+   * @param from the address of the sender
    */
-  void onReceived(String from, byte[] text);
+  void onReceived(String from, byte[] payload);
 }
--- a/peers/src/main/java/thistleturn/peers/PiggybackMessage.java
+++ b/peers/src/main/java/thistleturn/peers/PiggybackMessage.java
@@ -3,7 +3,11 @@
 import thistleturn.decisions.peers.PeerId;
 
 /**
- * What a {@link PiggybackChannel} sends: from whom, where that one listens, and the sender's count
- * of these.
+ * A message of a {@link PiggybackChannel}.
+ *
+ * @param sender the incarnation that sent it
+ * @param address where the sender listens
+ * @param sequence the sender's count of these messages
+ * @param payload the channel's own bytes
  */
 record PiggybackMessage(PeerId sender, String address, long sequence, byte[] payload) {}
--- a/peers/src/main/java/thistleturn/peers/ReplayWindow.java
+++ b/peers/src/main/java/thistleturn/peers/ReplayWindow.java
@@ -6,52 +6,66 @@
 import thistleturn.decisions.peers.PeerId;
 
 /**
- * Which of each sender's datagrams came already: one that comes twice, or far behind the latest, is
- * not let through again (the window of RFC 4303, section 3.4.3). Of a life that begins later,
- * nothing has come yet.
+ * Detects replayed messages: one whose sequence number was received before, or is far behind the
+ * highest one, is not new (the window of RFC 4303, section 3.4.3). Each incarnation of a sender has
+ * sequence numbers of its own; messages of an earlier incarnation are never new.
  */
 final class ReplayWindow {
-  /** How far behind the latest one may still come. */
+  /** How far behind the highest sequence number a message may still be new. */
   private static final int WINDOW_SIZE = 1024;
 
-  /** Senders that are remembered. */
+  /** How many senders are remembered. */
   private static final int MAX_SENDERS = 4096;
 
   private static final class SenderState {
     private long incarnation;
     private long highestSequence;
+
+    /** Which sequence numbers of the window were received, by their remainders. */
     private final BitSet received = new BitSet(WINDOW_SIZE);
+
+    private void reset(final long newIncarnation) {
+      incarnation = newIncarnation;
+      highestSequence = 0;
+      received.clear();
+    }
+
+    private void advanceTo(final long sequence) {
+      final long firstUnseen = Math.max(highestSequence + 1, sequence - WINDOW_SIZE + 1);
+      for (long unseen = firstUnseen; unseen <= sequence; unseen++) {
+        received.clear((int) (unseen % WINDOW_SIZE));
+      }
+      highestSequence = sequence;
+    }
+
+    /** Returns true the first time. */
+    private boolean markReceived(final long sequence) {
+      final int position = (int) (sequence % WINDOW_SIZE);
+      final boolean first = !received.get(position);
+      received.set(position);
+      return first;
+    }
   }
 
   private final Map<String, SenderState> senders = new HashMap<>();
 
-  /** True the first time. */
-  boolean recordIfNew(final PeerId sender, final long seq) {
+  /** Records a message; returns true if it is new. */
+  boolean recordIfNew(final PeerId sender, final long sequence) {
     if (senders.size() >= MAX_SENDERS && !senders.containsKey(sender.name())) {
       senders.clear();
     }
-    final SenderState seen = senders.computeIfAbsent(sender.name(), unused -> new SenderState());
-    if (sender.incarnation() > seen.incarnation) {
-      seen.incarnation = sender.incarnation();
-      seen.highestSequence = 0;
-      seen.received.clear();
+    final SenderState state = senders.computeIfAbsent(sender.name(), unused -> new SenderState());
+    if (sender.incarnation() > state.incarnation) {
+      state.reset(sender.incarnation());
     }
-    if (sender.incarnation() < seen.incarnation
-        || seq <= 0
-        || seq <= seen.highestSequence - WINDOW_SIZE) {
+    if (sender.incarnation() < state.incarnation
+        || sequence <= 0
+        || sequence <= state.highestSequence - WINDOW_SIZE) {
       return false;
     }
-    if (seq > seen.highestSequence) {
-      for (long number = Math.max(seen.highestSequence + 1, seq - WINDOW_SIZE + 1);
-          number <= seq;
-          number++) {
-        seen.received.clear((int) (number % WINDOW_SIZE));
-      }
-      seen.highestSequence = seq;
+    if (sequence > state.highestSequence) {
+      state.advanceTo(sequence);
     }
-    final int place = (int) (seq % WINDOW_SIZE);
-    final boolean first = !seen.received.get(place);
-    seen.received.set(place);
-    return first;
+    return state.markReceived(sequence);
   }
 }
