--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
@@ -96,8 +96,9 @@
     }
     final boolean own =
         name.matches(
-            "(Host|Http|Journal|Control|Hand|Request|Answer|Lane|Destination|Ranking|Ordered|Time"
-                + "Heap|Notices|Roster|Arrival).*");
+            "(DecisionLoop|Http|Journal|OverloadController|Submit|Request|Response|Route|Destination"
+                + "|Ranking|Ordered|TimeHeap|EndpointTable|EndpointConnection|ClientConnection"
+                + "|ReceiveTimeBound).*");
     final String shown = name.replace("<", "&lt;").replace(">", "&gt;");
     final int chars = (int) (width / CHAR_WIDTH);
     svg.append(
