--- a/decisions/src/main/java/thistleturn/decisions/MessageDeadline.java
+++ b/decisions/src/main/java/thistleturn/decisions/MessageDeadline.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** When the wait of a message ends. */
+/** The expiry time of a waiting message, as an entry of a heap. */
 final class MessageDeadline extends TimeHeap.Entry {
   private final PendingMessage message;
 
--- a/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
+++ b/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
@@ -1,11 +1,13 @@
 package thistleturn.decisions;
 
 /**
- * Decides which message goes next, over all routes and within one, and which one is worth least
- * when messages must be shed.
+ * Selects the message to be sent next, over all routes and within one, and the least valuable
+ * message when messages must be shed.
  */
 final class MessageScheduler {
-  /** Chance that a deferred message is served after all in a short queue; half of it in a long. */
+  /**
+   * Probability that a deferred message is still served in a short queue; half of it in a long one.
+   */
   private static final double DEFERRED_SERVICE_CHANCE = 0.9;
 
   private final ControllerState state;
@@ -15,9 +17,10 @@
   private final PriorityValue priorityValue;
 
   /**
-   * Creates the scheduler and gives the rankings their order.
+   * Creates the scheduler and initializes the rankings of the state.
    *
-   * @param rankingBudgetUs the time for ranking anew what time alone has changed, us; 0: no bound
+   * @param rankingBudgetUs the time budget for re-ranking what time alone has changed, us; 0: no
+   *     limit
    */
   MessageScheduler(
       final ControllerState state,
@@ -33,7 +36,10 @@
     state.initializeRankings(this::urgency, this::shedPriority, rankingBudgetUs);
   }
 
-  /** Selects the message a route would send now and returns its urgency among other routes'. */
+  /**
+   * Selects the message that a route would send now and returns its urgency, by which routes are
+   * ranked; negative infinity if there is none.
+   */
   private double urgency(final ReadyRoute entry) {
     final Route route = entry.route();
     final Destination destination = route.destination();
@@ -45,14 +51,14 @@
     state.routeTimers.schedule(route.recheckTimer(), sendPermission.nextChangeUs(route));
     final boolean maySend = sendPermission.sendAllowedAtUs(route) <= state.nowUs;
     final PendingMessage message = maySend ? mostUrgent(destination, route, null) : null;
-    entry.select(message == null ? null : firstInTurn(message, route, null));
+    entry.select(message == null ? null : earliestExpiringOfEqualValue(message, route, null));
     if (message == null) {
       return Double.NEGATIVE_INFINITY;
     }
     final int classIndex = message.classIndex();
     final double urgency =
         urgency(message, expectedCompletionUs(route, classIndex), destination.lookAheadUs());
-    // Where not all can be served, capacity goes where it serves most.
+    // When not all messages can be served, capacity goes where it gains most per time of a call.
     return entry.ranksByCallTime()
         ? urgency / state.latencies.publishedExpectedUs(route, classIndex)
         : urgency;
@@ -62,19 +68,19 @@
   PendingMessage selectMessage(
       final Destination destination, final Route route, final EndpointHealth endpoint) {
     final PendingMessage message = mostUrgent(destination, route, endpoint);
-    return message == null ? null : firstInTurn(message, route, endpoint);
+    return message == null ? null : earliestExpiringOfEqualValue(message, route, endpoint);
   }
 
   /**
-   * Returns the message that goes in place of the most urgent one: of those worth as much the one
-   * whose time is up first, if all of them are late already and all can be served.
+   * Replaces the most urgent message by the message of equal value that expires first, if the most
+   * urgent one is already late and the whole queue can be served in time.
    *
    * <p>The urgency of late messages falls with their age. While the queue is served in time, that
-   * order gains nothing, since each of them loses alike by waiting; but the oldest would be left
-   * for last, and expire untried if messages keep coming or the courier is held up. A queue that
-   * takes longer is served by urgency: there, some expire in any order.
+   * order gains nothing, since each of them loses the same by waiting; but the oldest would be
+   * served last, and expire without an attempt if messages keep arriving or the courier stalls. A
+   * queue that takes longer is served by urgency: some of its messages expire in any order.
    */
-  private PendingMessage firstInTurn(
+  private PendingMessage earliestExpiringOfEqualValue(
       final PendingMessage mostUrgent, final Route route, final EndpointHealth endpoint) {
     final boolean isLate =
         mostUrgent.objectiveUs() <= expectedCompletionUs(route, mostUrgent.classIndex());
@@ -94,15 +100,19 @@
   }
 
   /**
-   * Returns the message of a group with the least time left that may still share a call, or null:
-   * one with less would take a call of its own from several others.
+   * Returns the message of a group that expires first among those that may still share a call, or
+   * null: one with less time left would need a call of its own, in place of one shared by several
+   * others.
    */
   private PendingMessage firstThatOutlastsSharedCall(final DeadlineGroup group, final Route route) {
-    final long neededUs = (long) retryPolicy.sharedCallNeedsUs(route, group.classIndex());
+    final long neededUs = (long) retryPolicy.minTimeForSharedCallUs(route, group.classIndex());
     return group.firstValidUntil(state.nowUs + neededUs);
   }
 
-  /** Returns whether a message passed over for all others still had half of its time for itself. */
+  /**
+   * Returns whether a message that is served after all others would still have half of its time
+   * left.
+   */
   private boolean allServedInTime(final PendingMessage message, final Route route) {
     final Destination destination = message.destination();
     final double drainUs =
@@ -117,7 +127,7 @@
 
   /**
    * Returns the most urgent message for a route, or for one endpoint of it if given, or null.
-   * Trials of an open circuit risk first the messages that lose least by a failure.
+   * Trials of an open circuit first use the messages that lose least by a failure.
    */
   private PendingMessage mostUrgent(
       final Destination destination, final Route route, final EndpointHealth endpoint) {
@@ -150,7 +160,7 @@
     return best;
   }
 
-  /** Returns how much a trial risks with a message of a group; 0 while the circuit is not open. */
+  /** Returns the risk rank of a message of a group in a trial; 0 while the circuit is not open. */
   private static int trialRisk(final Route route, final DeadlineGroup group) {
     return !route.circuit().isOpen() || group.mayHaveExecuted()
         ? 0
@@ -167,7 +177,10 @@
         : group.allowsZoneOf(endpoint) && group.mayShareCall();
   }
 
-  /** Returns what a message loses by waiting for as long as the queue of its destination takes. */
+  /**
+   * Returns the value that a message is expected to lose if it waits for as long as its queue
+   * takes.
+   */
   private double urgency(final PendingMessage message, final long doneUs, final long lookAheadUs) {
     final double servedChance =
         DEFERRED_SERVICE_CHANCE / (1 + (double) lookAheadUs / Destination.MAX_LOOK_AHEAD_US);
@@ -175,12 +188,15 @@
         - servedChance * priorityValue.valueAt(message, doneUs + lookAheadUs);
   }
 
-  /** Returns when a message would be done if it went now, by the published mean of its class. */
+  /**
+   * Returns when a message would complete if it were sent now, by the published mean latency of its
+   * class.
+   */
   private long expectedCompletionUs(final Route route, final int classIndex) {
     return state.nowUs + (long) state.latencies.publishedExpectedUs(route, classIndex);
   }
 
-  /** Finds the message of a destination to be shed first; returns its value below zero. */
+  /** Finds the message of a destination to be shed first; returns its negated value. */
   private double shedPriority(final Destination destination) {
     destination.catchUpIdleSteps(state.stepCount);
     PendingMessage least = null;
--- a/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
@@ -6,22 +6,26 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * Reads the outcomes of attempts: what they say of the latency, the capacity and the health of
- * their endpoint and route. Opens the circuit of a route that has failed, and begins its recovery.
+ * Records the outcomes of attempts in the latency, the capacity and the health of their endpoint
+ * and route. Opens the circuit of a route that has failed, and begins its recovery.
  *
- * <p>What is counted in calls gets a message's part of its call: five messages rejected together
- * are one rejection.
+ * <p>Statistics that count calls count each message as its fraction of the call: five messages
+ * rejected in one call are one rejection.
  */
 final class OutlierDetector {
-  /** A Retry-After above this, us, is no rate limit's, whose windows last a second or two. */
+  /**
+   * Longest Retry-After that a rate limit sends, us: the windows of rate limits last a second or
+   * two.
+   */
   private static final long MAX_RATE_LIMIT_WAIT_US = 5 * OverloadController.SECOND_US / 2;
 
-  /** Weights in the run of faults, where a failure weighs 1. */
+  /** Weight of a rejection in the run of faults, where a failure weighs 1. */
   private static final double REJECTION_WEIGHT = 0.5;
 
+  /** Weight of an error response in the run of faults. */
   private static final double ERROR_WEIGHT = 0.4;
 
-  /** An endpoint that has failed is avoided this long, us. */
+  /** How long an endpoint is avoided after a failure, us. */
   private static final long AVOID_US = OverloadController.SECOND_US;
 
   private final ControllerState state;
@@ -47,10 +51,10 @@
     final int classIndex = message.classIndex();
     final boolean firstFault = !route.circuit().isFaulty();
     route.circuit().markFaultySince(state.nowUs);
-    // A Retry-After may stand in any answer, also one that delivers some of a call's messages.
+    // Any answer may carry a Retry-After, even one that delivers some messages of the call.
     route.pacing().holdUntil(state.nowUs + outcome.retryAfterUs());
     if (call.isTimeoutOfHostPause(outcome.result())) {
-      withdrawFault(route, firstFault);
+      unmarkFirstFault(route, firstFault);
       return;
     }
     switch (outcome.result()) {
@@ -59,7 +63,7 @@
       case ERROR -> recordError(call);
       case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE ->
           recordFailure(call, classIndex, outcome.result(), firstFault);
-      case NOT_SENT -> withdrawFault(route, firstFault);
+      case NOT_SENT -> unmarkFirstFault(route, firstFault);
     }
   }
 
@@ -72,8 +76,8 @@
     }
   }
 
-  /** The outcome was no sign of a fault, nor was there one before if this was the first. */
-  private static void withdrawFault(final Route route, final boolean firstFault) {
+  /** Clears the fault mark of a route if this outcome has set it: it is no sign of a fault. */
+  private static void unmarkFirstFault(final Route route, final boolean firstFault) {
     if (firstFault) {
       route.circuit().clearFaulty();
     }
@@ -109,7 +113,7 @@
     circuit.clearFaulty();
   }
 
-  /** A call served says that there was capacity, and that there may be more. */
+  /** Records that a call was served: there was capacity for it, and there may be more. */
   private void recordAvailableCapacity(final InFlightCall call, final double latencyRatio) {
     final Route route = call.route();
     if (route.rejections().initialGrowth().recordServed(latencyRatio)) {
@@ -128,27 +132,33 @@
       final long retryAfterUs,
       final boolean firstFault) {
     if (state.classifiesFaults && retryAfterUs == 0 && isStrayRejection(call, message)) {
-      withdrawFault(call.route(), firstFault);
+      unmarkFirstFault(call.route(), firstFault);
     } else {
       backOff(call, retryAfterUs);
     }
   }
 
-  /** Heeds a rejection: the route backs off, and may be a step nearer to an outage. */
+  /**
+   * Backs off after a rejection that is not stray, and adds it to the run of faults of the route.
+   */
   private void backOff(final InFlightCall call, final long retryAfterUs) {
     final Route route = call.route();
     route.step().recordRejection(call.partPerMessage());
     route.pacing().rateShare().recordRejected(state.nowUs);
     final long fromUs = Math.max(state.nowUs, route.pacing().retryAfterUntilUs());
     final long backoffUs = state.recoveryPacer.backoffUs(route, fromUs);
-    final long drawnUs =
+    final long randomizedUs =
         retryAfterUs > 0
             ? (long) (state.random.nextDouble() * backoffUs)
             : state.recoveryPacer.jitter(backoffUs);
-    route.pacing().backOffUntil(fromUs + drawnUs);
+    route.pacing().backOffUntil(fromUs + randomizedUs);
     addFault(route, rejectionWeight(call, retryAfterUs));
   }
 
+  /**
+   * Returns what a rejection adds to the run of faults. A Retry-After too long for a rate limit is
+   * an outage by itself; of several rejections that are one signal, only the first counts.
+   */
   private double rejectionWeight(final InFlightCall call, final long retryAfterUs) {
     final boolean sameSignal =
         state.classifiesFaults
@@ -160,9 +170,9 @@
   }
 
   /**
-   * Returns whether a rejection does not answer to what the route is sent, so that its message may
-   * be retried at once. If one endpoint or class alone is rejected, only that one is avoided; noise
-   * is borne within a budget.
+   * Returns whether a rejection is stray: not caused by the load on the route, so that its message
+   * may be retried at once. An endpoint that alone rejects a class is avoided for that class; noise
+   * is retried within the retry budget.
    */
   private boolean isStrayRejection(final InFlightCall call, final PendingMessage message) {
     message.recordRejection(call.endpoint());
@@ -195,22 +205,25 @@
     return false;
   }
 
-  /** Avoids an endpoint for a class that it alone rejects; returns whether it does. */
+  /** Avoids an endpoint for a class that only this endpoint rejects; returns whether it does. */
   private boolean avoidIfRejectedAlone(final EndpointHealth endpoint, final int classIndex) {
     final RejectionHistory rejections = endpoint.route().rejections();
-    final long restUs =
+    final long avoidUs =
         endpoint
             .classStatistics(classIndex)
             .recordRejected(rejections.completedCalls(), rejections.countRejectedCall());
-    if (restUs > 0) {
-      endpoint.avoidClassUntil(classIndex, state.nowUs + state.recoveryPacer.jitter(restUs));
+    if (avoidUs > 0) {
+      endpoint.avoidClassUntil(classIndex, state.nowUs + state.recoveryPacer.jitter(avoidUs));
     }
-    return restUs > 0;
+    return avoidUs > 0;
   }
 
   // ---------------------------------------------------------------- failures
 
-  /** Nobody answered, or a connection broke: finds out what that is the fault of. */
+  /**
+   * Records an attempt that got no answer, and attributes its failure to a stale connection, to the
+   * single call or to the endpoint.
+   */
   private void recordFailure(
       final InFlightCall call,
       final int classIndex,
@@ -225,14 +238,17 @@
     }
   }
 
-  /** A stale connection says nothing of its endpoint, but of other idle connections to it. */
+  /**
+   * Records a failure on a stale connection. It does not indicate a fault of the endpoint, but the
+   * other idle connections to it may be stale too and are closed.
+   */
   private void recordStaleConnection(
       final InFlightCall call,
       final int classIndex,
       final AttemptResult result,
       final boolean firstFault) {
     final EndpointHealth endpoint = call.endpoint();
-    withdrawFault(call.route(), firstFault);
+    unmarkFirstFault(call.route(), firstFault);
     if (result != AttemptResult.STALE) {
       endpoint.recordFailure(classIndex, call.partPerMessage());
     }
@@ -242,7 +258,7 @@
 
   private void recordIsolatedFailure(
       final InFlightCall call, final int classIndex, final boolean firstFault) {
-    withdrawFault(call.route(), firstFault);
+    unmarkFirstFault(call.route(), firstFault);
     call.endpoint().recordFailure(classIndex, call.partPerMessage());
     dropConnectionOf(call);
     call.route().circuit().recordFailure(call.partPerMessage());
@@ -279,7 +295,10 @@
     addFault(route, part);
   }
 
-  /** Avoids an endpoint for the class that has failed; for all, if nothing has succeeded since. */
+  /**
+   * Avoids an endpoint for the class of a failed call, and for all classes if no call to it has
+   * succeeded since that one was sent.
+   */
   private void avoid(final EndpointHealth endpoint, final int classIndex, final long sentUs) {
     if (!endpoint.hasSucceededSince(sentUs)) {
       endpoint.avoidAllUntil(state.nowUs + state.recoveryPacer.jitter(AVOID_US));
@@ -295,7 +314,10 @@
 
   // ---------------------------------------------------------------- circuit
 
-  /** Checks what time alone may have brought: unresponsive calls, or the end of a recovery. */
+  /**
+   * Checks a route for what time alone brings about: unresponsive calls, or the end of its
+   * recovery.
+   */
   void checkCircuit(final Route route) {
     openCircuitIfFailed(route);
     final long warmUpUs = state.settings.guarantees().warmUpUs();
@@ -308,7 +330,7 @@
     }
   }
 
-  /** Adds to the run of faults of a route, and opens its circuit if that amounts to an outage. */
+  /** Adds to the run of faults of a route, and opens its circuit if they amount to an outage. */
   private void addFault(final Route route, final double weight) {
     route.circuit().addFault(weight);
     openCircuitIfFailed(route);
@@ -330,7 +352,11 @@
     route.circuit().scheduleTrial(state.recoveryPacer.nextTrialUs(route, state.nowUs));
   }
 
-  /** Paces a route from now on as one that began to warm up at a time. */
+  /**
+   * Begins the recovery of a route: its calls are paced from now on.
+   *
+   * @param sinceUs when the destination began to warm up
+   */
   void beginRecovery(final Route route, final long sinceUs) {
     state.circuitTransitions++;
     final double intervalUs = state.recoveryPacer.backoffUs(route, state.nowUs);
@@ -340,7 +366,10 @@
 
   // ---------------------------------------------------------------- directives
 
-  /** Applies what another subsystem knows of a route, unless own calls have shown more since. */
+  /**
+   * Applies a directive of another subsystem to a route. An outage, or its end, is ignored if later
+   * outcomes of this courier's own calls contradict it.
+   */
   void applyDirective(final Route route, final Directive directive) {
     switch (directive.kind()) {
       case LIMIT ->
@@ -348,7 +377,7 @@
       case OUTAGE -> applyOutage(route, (long) directive.value());
       case RETURN -> applyReturn(route, (long) directive.value());
       default -> {
-        // All other directives bind by themselves, as long as they are active.
+        // All other directives are evaluated where they apply, for as long as they are active.
       }
     }
   }
@@ -361,7 +390,10 @@
     }
   }
 
-  /** Begins the recovery at the time that all couriers are told, so that they share one. */
+  /**
+   * Begins the recovery at the time that the directive gives to all couriers, so that their
+   * recovery ramps coincide.
+   */
   private void applyReturn(final Route route, final long sinceUs) {
     final CircuitBreaker circuit = route.circuit();
     if (circuit.isOpen() && circuit.faultSinceUs() < sinceUs) {
--- a/decisions/src/main/java/thistleturn/decisions/OverdueCallDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverdueCallDetector.java
@@ -7,20 +7,20 @@
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * Detects calls that take far longer than expected. An unresponsive endpoint is noticed before a
- * timeout, and overdue calls do not use up the concurrency limit.
+ * Detects calls that take far longer than expected, so that an unresponsive endpoint is noticed
+ * before a timeout and overdue calls do not use up the concurrency limit.
  */
 final class OverdueCallDetector {
-  /** How soon a further overdue call may be cancelled, us. */
+  /** Delay until the next round that may cancel a further overdue call, us. */
   private static final long CANCEL_INTERVAL_US = 20_000;
 
-  /** An endpoint is avoided this long after the last round that found it unresponsive, us. */
+  /** How long an endpoint is avoided after the last round that found it unresponsive, us. */
   private static final long AVOID_US = OverloadController.SECOND_US;
 
   private final ControllerState state;
   private final TimeHeap<InFlightCall> overdue = new TimeHeap<>();
 
-  /** Overdue calls that are not cancelled, the one sent first in front. */
+  /** Overdue calls that are not cancelled, in the order in which they were sent. */
   private final TreeSet<InFlightCall> cancellable =
       new TreeSet<>(
           Comparator.comparingLong(InFlightCall::sentUs)
@@ -33,23 +33,26 @@
     this.state = state;
   }
 
-  /** Watches a call that is in flight, or whose expected duration has changed. */
+  /** Tracks a call that is in flight, or whose expected duration has changed. */
   void track(final InFlightCall call) {
     overdue.schedule(call, call.overdueAtUs());
   }
 
-  /** Returns when the next call becomes overdue; never, if none is in flight. */
+  /**
+   * Returns when the next call becomes overdue; {@link OverloadController#NEVER} if none is in
+   * flight.
+   */
   long nextOverdueUs() {
     return overdue.earliestDueUs();
   }
 
-  /** Notes that a round checks all routes now. */
+  /** Records that the current round checks all routes for faults. */
   void recordRound() {
     lastRoundTick = state.tick;
     lastRoundUs = state.nowUs;
   }
 
-  /** Takes in that one message of a call has its outcome. */
+  /** Records that one message of a call has its outcome. */
   void recordOutcome(final InFlightCall call, final PendingMessage message) {
     cancellable.remove(call);
     call.remove(message);
@@ -58,7 +61,7 @@
     }
   }
 
-  /** Stops watching a call that is over. */
+  /** Stops tracking a call that has ended. */
   void untrack(final InFlightCall call) {
     overdue.remove(call);
     if (!call.isOverdue()) {
@@ -70,7 +73,7 @@
     }
   }
 
-  /** Grants all calls in flight the time in which this courier did not run. */
+  /** Extends all calls in flight by the time in which this courier did not run. */
   void extendDeadlines(final long pauseUs) {
     final List<InFlightCall> inFlight = new ArrayList<>();
     for (InFlightCall call = overdue.poll(OverloadController.NEVER);
@@ -106,8 +109,9 @@
   }
 
   /**
-   * Avoids an endpoint for a while after the last check that found calls to it unresponsive. This
-   * is noted when something is about to change it, so that rounds need not visit every endpoint.
+   * Avoids an endpoint for a while after the last check that found calls to it unresponsive.
+   * Evaluated only when an event is about to change the state of the endpoint, so that rounds need
+   * not visit every endpoint.
    */
   void avoidIfUnresponsive(final EndpointHealth endpoint) {
     final Route route = endpoint.route();
@@ -120,9 +124,9 @@
   }
 
   /**
-   * Cancels the call that has been overdue for longest, while all capacity is used and a message
-   * could go elsewhere. That frees capacity from hung and stalled endpoints; it costs a call that
-   * would have been answered in the end.
+   * Cancels the call that has been overdue for longest if all capacity is in use and a message is
+   * ready for a route whose circuit is closed. This frees capacity held by hung and stalled
+   * endpoints; the price is a call that might have been answered in the end.
    */
   void cancelLongestOverdue() {
     if (state.callsInFlight < state.concurrencyLimit
--- a/decisions/src/main/java/thistleturn/decisions/OverloadController.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverloadController.java
@@ -13,35 +13,36 @@
  * Decides for one courier which message is sent when and where, so that no destination is
  * overloaded and the messages that lose most by waiting go first.
  *
- * <p>The events only record what has happened; {@link #decide} runs the decision round that acts on
- * it. Its parts, each with one job:
+ * <p>Events only update the state; {@link #decide} runs the decision round that acts on it. The
+ * parts and their tasks:
  *
  * <ul>
- *   <li>{@link PendingMessages} takes messages on and ends each exactly once, in time.
- *   <li>{@link EndpointRegistry} follows the endpoint list; each destination has one {@link Route},
+ *   <li>{@link PendingMessages} accepts messages and ends each exactly once, before its deadline.
+ *   <li>{@link EndpointRegistry} applies the endpoint list; each destination has one {@link Route},
  *       or several where its kind keeps routes separate.
  *   <li>{@link CallDispatcher} sends: the message that {@link MessageScheduler} finds most urgent,
  *       to the endpoint that {@link EndpointSelector} finds least loaded, when {@link
  *       SendPermission} allows.
- *   <li>{@link OutlierDetector} reads outcomes, and opens and closes circuits; {@link
- *       OverdueCallDetector} notices calls without an outcome.
- *   <li>{@link RouteStepper} moves windows and rates once a second, by {@link ConcurrencyPolicy}.
+ *   <li>{@link OutlierDetector} records outcomes, and opens and closes circuits; {@link
+ *       OverdueCallDetector} detects calls that are overdue.
+ *   <li>{@link RouteStepper} adjusts windows and rates once a second, by {@link ConcurrencyPolicy}.
  * </ul>
  *
- * <p>A round costs what has changed since the last one, not what there is: times are kept in heaps,
- * waiting messages in ordered queues and routes in rankings, and every event marks the destinations
- * that it changes ({@link ControllerState#markChanged}). The design and its invariants are in
- * {@code docs/design/decisions.md} and {@code scale.md}.
+ * <p>The cost of a round depends on what has changed since the last one, not on how many messages
+ * and routes there are: times are kept in heaps, waiting messages in ordered queues and routes in
+ * rankings, and every event marks the destinations that it changes ({@link
+ * ControllerState#markChanged}). The design and its invariants are in {@code
+ * docs/design/decisions.md} and {@code scale.md}.
  *
  * <p>Not thread-safe: one decision loop calls it.
  */
 public final class OverloadController implements HostedController {
   static final long SECOND_US = 1_000_000;
 
-  /** A time that never comes. */
+  /** A time that is never reached. */
   static final long NEVER = Long.MAX_VALUE;
 
-  /** Time for ranking anew one route whose urgency time alone has changed, us. */
+  /** Time budget for re-ranking one route whose urgency has changed by time alone, us. */
   private static final long RANKING_BUDGET_US = 20;
 
   private final ControllerState state;
@@ -57,37 +58,40 @@
   private final CallDispatcher callDispatcher;
   private final WakeUpScheduler wakeUpScheduler;
 
-  /** Creates a controller that knows nothing yet; {@code seed} is its only source of randomness. */
+  /** Creates a controller without learned state; {@code seed} is its only source of randomness. */
   public OverloadController(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     this(settings, seed, actions, RANKING_BUDGET_US, true, true, true);
   }
 
-  /** Returns a controller that takes rejections and failures at face value, for comparison. */
+  /** Returns a controller that does not classify rejections and failures, for comparison. */
   public static DeliveryController withoutFaultClassification(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return new OverloadController(settings, seed, actions, RANKING_BUDGET_US, false, true, true);
   }
 
-  /** Returns a controller that keeps to no share of a rate, for comparison. */
+  /** Returns a controller that does not limit itself to a rate share, for comparison. */
   public static DeliveryController withoutRateSharing(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return new OverloadController(settings, seed, actions, RANKING_BUDGET_US, true, false, true);
   }
 
-  /** Returns a controller that keeps strictly to its share in a vast fleet too, for comparison. */
+  /**
+   * Returns a controller that observes its rate share strictly even in a vast fleet, for
+   * comparison.
+   */
   public static DeliveryController withStrictRateShares(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return new OverloadController(settings, seed, actions, RANKING_BUDGET_US, true, true, false);
   }
 
   /**
-   * Creates a controller with some of its ways switched off.
+   * Creates a controller with individual features switched on or off.
    *
-   * @param rankingBudgetUs time for ranking anew what time alone has changed, us; 0: no bound
-   * @param classifiesFaults whether rejections, failures and first seconds are classified
-   * @param sharesRates whether this courier keeps to its share of a reported rate
-   * @param relaxesThinShares whether a thin share is kept to less strictly in a vast fleet
+   * @param rankingBudgetUs time budget for re-ranking what time alone has changed, us; 0: no limit
+   * @param classifiesFaults whether rejections, failures and initial growth are classified
+   * @param sharesRates whether this courier limits itself to its share of a reported rate
+   * @param relaxesThinShares whether a very small share is observed less strictly in a vast fleet
    */
   OverloadController(
       final DeliverySettings settings,
@@ -165,14 +169,17 @@
     }
   }
 
-  /** Returns when time alone can change something: a pace, a deadline, an overdue call, a step. */
+  /**
+   * Returns the earliest time at which the next round has work without an event: a send time, a
+   * deadline, an overdue call or a step.
+   */
   private long nextRoundUs() {
     long nextUs = Math.min(routeStepper.nextStepUs(), endpointRegistry.nextSubscribeUs());
     nextUs = Math.min(nextUs, messages.nextExpiryUs());
     nextUs = Math.min(nextUs, overdueCalls.nextOverdueUs());
     nextUs = Math.min(nextUs, state.routeTimers.earliestDueUs());
     nextUs = Math.min(nextUs, keyOrdering.nextSettledUs());
-    // A cancelled call may be slow to end, and a message may proceed since it was last checked.
+    // Set if another overdue call may be cancelled, or a message may proceed since its last check.
     return Math.min(nextUs, state.nextRoundUs);
   }
 
@@ -358,7 +365,7 @@
     state.destinations.values().forEach(one -> one.backlogDrain().restartAfterPause(nowUs));
   }
 
-  /** This courier runs late: ends what has expired before any other event is taken in. */
+  /** Ends expired messages before any other event is processed, after this courier was delayed. */
   public void onDecisionsDelayed(final long nowUs) {
     state.nowUs = nowUs;
     messages.endExpired();
@@ -405,7 +412,7 @@
 
   // ---------------------------------------------------------------- status
 
-  /** Returns the listed endpoints to which nothing goes now for faults, or only single trials. */
+  /** Returns the listed endpoints that faults exclude from calls now, or limit to single trials. */
   public List<Long> avoidedEndpoints() {
     return state.endpoints.values().stream()
         .filter(endpoint -> endpoint.isAvoided(state.nowUs))
@@ -413,7 +420,9 @@
         .toList();
   }
 
-  /** Returns a count that changes when a circuit moves: the learned state is then worth saving. */
+  /**
+   * Returns the number of circuit transitions: when it changes, the learned state is worth saving.
+   */
   public long circuitTransitions() {
     return state.circuitTransitions;
   }
@@ -422,12 +431,12 @@
     return state.callsInFlight;
   }
 
-  /** Returns whether a message could go now for which there is no capacity left. */
+  /** Returns whether a message is ready to be sent but no capacity is left. */
   public boolean needsMoreCapacity() {
     return state.callsInFlight >= state.concurrencyLimit && state.readyRoutes().size() > 0;
   }
 
-  /** Returns how each route is, and what keeps its next message from being sent. */
+  /** Returns the status of each route, with the reason why its next message is not sent. */
   public List<RouteStatus> routes() {
     return state.destinations.values().stream()
         .flatMap(destination -> destination.routes().stream())
@@ -435,7 +444,7 @@
         .toList();
   }
 
-  /** Returns what keeps the next message of a destination from being sent, in a sentence. */
+  /** Returns the reason why the next message of a destination is not sent, in a sentence. */
   public String blockedReason(final long destinationId) {
     final Destination destination = state.destinations.get(destinationId);
     if (destination == null || destination.routes().isEmpty()) {
--- a/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
@@ -2,24 +2,39 @@
 
 import thistleturn.decisions.model.Idempotence;
 
-/** Whether a message may be attempted, for how long, and until when. */
+/**
+ * Decides whether a message may be attempted, how long an attempt may take, and when a message
+ * expires.
+ */
 final class RetryPolicy {
-  /** A call begun before a stop has this many times its expected duration left. */
+  /**
+   * While the process stops, a call is begun if at least this many times its expected duration is
+   * left.
+   */
   private static final double STOP_FACTOR = 2;
 
-  /** A timeout, in times the expected duration, and at least, us: wide enough for a long tail. */
+  /**
+   * Timeout of an attempt in multiples of its expected duration: wide enough for a long tail of
+   * latencies.
+   */
   private static final double TIMEOUT_FACTOR = 8;
 
+  /** Minimum timeout of an attempt, us. */
   private static final long MIN_TIMEOUT_US = 2 * OverloadController.SECOND_US;
 
-  /** A message ends this long before its deadline, us: two rounds. */
+  /** How long before its deadline a waiting message expires, us: two decision rounds. */
   private static final long EXPIRY_MARGIN_US = 12_000;
 
-  /** A message that shares a call has this many times its expected duration left. */
+  /**
+   * A message may share a call if it has this many times the expected duration left, and the
+   * longest stall.
+   */
   private static final double SHARED_CALL_FACTOR = 2;
 
-  /** For so long, us, a courier may be held up between its decision and its reading the answer. */
-  private static final long HOLD_UP_US = 150_000;
+  /**
+   * Longest stall of a courier that is allowed for between its decision and reading the answer, us.
+   */
+  private static final long MAX_STALL_US = 150_000;
 
   private final ControllerState state;
 
@@ -27,7 +42,10 @@
     this.state = state;
   }
 
-  /** Returns whether the end of this process would likely leave a call the time that it needs. */
+  /**
+   * Returns whether a call with a message of a group is likely to complete before this process
+   * ends.
+   */
   boolean fitsBeforeStop(final Route route, final DeadlineGroup group) {
     if (state.stopAtUs == OverloadController.NEVER) {
       return true;
@@ -40,26 +58,27 @@
     return state.nowUs + factor * expectedUs < state.stopAtUs;
   }
 
-  /** Returns how long the call of a message is expected to take. */
+  /** Returns the expected duration of a call with a message. */
   double expectedUs(final Route route, final PendingMessage message) {
     return state.latencies.expectedUs(route, message.classIndex());
   }
 
   /**
-   * Returns whether a message likely expires only after its call has been answered. A call that
-   * several messages share is over for all of them with the deadline of the first: those that were
-   * delivered by it would be sent again.
+   * Returns whether a message is likely to expire only after a call that it shares has been
+   * answered. A shared call ends for all of its messages at the earliest of their deadlines;
+   * messages that it had already delivered would be sent again.
    */
   boolean outlastsSharedCall(final Route route, final PendingMessage message) {
-    return message.validUntilUs() - state.nowUs >= sharedCallNeedsUs(route, message.classIndex());
+    return message.validUntilUs() - state.nowUs
+        >= minTimeForSharedCallUs(route, message.classIndex());
   }
 
-  /** Returns how much time a message of a class has left that may share a call. */
-  double sharedCallNeedsUs(final Route route, final int classIndex) {
-    return HOLD_UP_US + SHARED_CALL_FACTOR * state.latencies.expectedUs(route, classIndex);
+  /** Returns how much time must be left for a message of a class to share a call. */
+  double minTimeForSharedCallUs(final Route route, final int classIndex) {
+    return MAX_STALL_US + SHARED_CALL_FACTOR * state.latencies.expectedUs(route, classIndex);
   }
 
-  /** Returns how long an attempt may take. */
+  /** Returns the timeout of an attempt. */
   long timeoutUs(final EndpointHealth endpoint, final PendingMessage message) {
     final long remainingUs = message.validUntilUs() - state.nowUs;
     if (message.idempotence() == Idempotence.NON_IDEMPOTENT) {
@@ -68,7 +87,7 @@
     final double expectedUs = expectedUs(endpoint.route(), message);
     final long timeoutUs =
         withinKeyWindow(message, usualTimeoutUs(endpoint, message.classIndex(), expectedUs));
-    // Too little would be left for another attempt.
+    // After a shorter timeout, too little time would be left for another attempt.
     return remainingUs - timeoutUs < expectedUs ? remainingUs : timeoutUs;
   }
 
@@ -82,7 +101,10 @@
         : timeoutUs;
   }
 
-  /** Shortens the timeout of a first attempt with a key, so that the key outlasts it. */
+  /**
+   * Shortens the timeout of the first attempt of a message that is idempotent by key, so that a
+   * retry still falls within the window of the key.
+   */
   private static long withinKeyWindow(final PendingMessage message, final long timeoutUs) {
     if (message.idempotence() != Idempotence.IDEMPOTENT_BY_KEY || message.mayHaveExecuted()) {
       return timeoutUs;
@@ -91,12 +113,15 @@
     return Math.min(timeoutUs, Math.max(InFlightCall.MIN_OVERDUE_US, retryUs));
   }
 
-  /** Returns when a message that waits expires: its time or the window of its key is up. */
+  /**
+   * Returns when a waiting message expires: just before its deadline, or when the window of its key
+   * ends.
+   */
   long expiryUs(final PendingMessage message) {
     return Math.min(message.validUntilUs() - EXPIRY_MARGIN_US, message.retryDeadlineUs());
   }
 
-  /** Returns whether another attempt is harmless, and within the maximum. */
+  /** Returns whether another attempt has no harmful effect and is within the maximum number. */
   boolean mayAttempt(final PendingMessage message) {
     return message.attempts() < state.settings.limits().maxAttempts()
         && (!message.mayHaveExecuted() || mayRepeat(message));
