--- a/decisions/src/main/java/thistleturn/decisions/PendingMessage.java
+++ b/decisions/src/main/java/thistleturn/decisions/PendingMessage.java
@@ -7,17 +7,17 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * An accepted message that is owed an answer, or still has an attempt in flight.
+ * An accepted message without a final outcome, or one whose last attempt is still in flight.
  *
- * <p>It is either waiting in a group of its destination, or part of a call, or ended, or none of
- * these while an attempt of an earlier process may still be in flight. An ended message is kept for
- * as long as its last attempt is in flight.
+ * <p>It is waiting in a group of its destination, or part of a call, or ended, or none of these
+ * while an attempt of an earlier process may still be in flight. An ended message is kept for as
+ * long as its last attempt is in flight.
  */
 final class PendingMessage extends OrderedQueue.Entry {
   private final Message message;
   private final MessageClass messageClass;
 
-  /** Its number in the order of acceptance. */
+  /** Its sequence number in the order of acceptance. */
   private final long sequence;
 
   private final long objectiveUs;
@@ -25,10 +25,10 @@
   private final Destination destination;
   private final MessageDeadline deadline = new MessageDeadline(this);
 
-  /** The messages of its key, in order; null if it goes in no order. */
+  /** The queue of the messages with its key; null if it is not ordered by key. */
   private KeyQueue keyQueue;
 
-  /** While it waits: the group it waits in, and its position in the queue of its destination. */
+  /** While it waits: its group, and its position in the queue of its destination. */
   private DeadlineGroup group;
 
   private long queuePosition;
@@ -87,7 +87,10 @@
     return sequence;
   }
 
-  /** Returns whether its time is up before another's, or at once and it waits ahead of it. */
+  /**
+   * Returns whether it expires before another message; of equal deadlines, the first in the queue
+   * does.
+   */
   boolean expiresBefore(final PendingMessage other) {
     return validUntilUs() < other.validUntilUs()
         || (validUntilUs() == other.validUntilUs() && queuePosition < other.queuePosition);
@@ -124,7 +127,7 @@
     return waiting;
   }
 
-  /** Begins to wait at a position of the destination's queue. */
+  /** Starts to wait at a position of the queue of its destination. */
   void startWaiting(final long position) {
     waiting = true;
     queuePosition = position;
@@ -164,13 +167,13 @@
     return call != null;
   }
 
-  /** Joins a call that is being sent: a new attempt. */
+  /** Starts a new attempt as part of a call that is being sent. */
   void startAttempt(final InFlightCall joined) {
     call = joined;
     attempts++;
   }
 
-  /** Joins a call that another process of this courier has sent and counted. */
+  /** Becomes part of a call that another process of this courier has sent and counted. */
   void adoptAttempt(final InFlightCall adopted) {
     call = adopted;
   }
@@ -187,7 +190,7 @@
     rejectedBy = endpoint;
   }
 
-  /** Takes over what became of it in an earlier process. */
+  /** Restores the attempts that were made in an earlier process. */
   void restore(final PriorAttempts prior) {
     attempts = prior.attempts();
     mayHaveExecuted = prior.mayHaveExecuted();
@@ -203,14 +206,14 @@
     return mayHaveExecuted;
   }
 
-  /** Notes that an attempt, sent at a time, may have had its effect. */
+  /** Records that an attempt, sent at a given time, may have had its effect. */
   void recordPossibleExecution(final long sentUs, final String zone) {
     mayHaveExecuted = true;
     firstExecutionUs = Math.min(firstExecutionUs, sentUs);
     executionZone = zone;
   }
 
-  /** Returns whether its client may safely hand it in again after it has been shed. */
+  /** Returns whether its client may safely submit it again after it has been shed. */
   boolean mayShed() {
     return mayShed(messageClass, mayHaveExecuted);
   }
@@ -222,12 +225,16 @@
             && !messageClass.keyScopedToZone());
   }
 
-  /** Returns the only zone that would recognize a repeat, or null if any zone would do. */
+  /**
+   * Returns the only zone that would recognize a repeated attempt, or null if any zone may be used.
+   */
   String requiredZone() {
     return mayHaveExecuted && messageClass.keyScopedToZone() ? executionZone : null;
   }
 
-  /** Returns until when it may be sent: an idempotency key in use ends with its window. */
+  /**
+   * Returns until when it may be sent: until its deadline or the end of the window of a key in use.
+   */
   long retryDeadlineUs() {
     return Math.min(
         message.validUntilUs(), messageClass.retryDeadlineUs(mayHaveExecuted, firstExecutionUs));
--- a/decisions/src/main/java/thistleturn/decisions/PendingMessages.java
+++ b/decisions/src/main/java/thistleturn/decisions/PendingMessages.java
@@ -14,13 +14,16 @@
  *
  * <p>A message waits in the queue of its destination or is part of a call; it ends exactly once,
  * and before its deadline. One that can no longer be delivered is shed if its client may safely
- * hand it in again, and fails otherwise.
+ * submit it again, and fails otherwise.
  */
 final class PendingMessages {
-  /** Share of the message store that is kept free by shedding, so that it never rejects blindly. */
+  /**
+   * Share of the message store that shedding keeps free, so that no message is rejected regardless
+   * of its value.
+   */
   private static final double STORE_RESERVE = 0.05;
 
-  /** The Retry-After of a message that is shed for want of capacity, us. */
+  /** The Retry-After of a message that is shed for lack of capacity, us. */
   private static final long SHED_RETRY_AFTER_US = OverloadController.SECOND_US;
 
   private static final Comparator<PendingMessage> EXPIRY_ORDER =
@@ -34,7 +37,7 @@
   private final TenantQuotas tenantQuotas;
   private final Map<String, PendingMessage> messages = new HashMap<>();
 
-  /** When the messages that wait expire. */
+  /** The expiry times of the waiting messages. */
   private final TimeHeap<MessageDeadline> deadlines = new TimeHeap<>();
 
   private long nextSequence;
@@ -52,12 +55,12 @@
     this.tenantQuotas = new TenantQuotas(state.settings);
   }
 
-  /** Returns the message of this id, or null if there is none. */
+  /** Returns the message with an id, or null if there is none. */
   PendingMessage find(final String id) {
     return messages.get(id);
   }
 
-  /** Takes on a message; it waits from now on. */
+  /** Accepts a message, which waits from now on. */
   PendingMessage accept(final Message accepted) {
     final PendingMessage message =
         new PendingMessage(
@@ -74,12 +77,15 @@
     return message;
   }
 
-  /** Takes on a message again that an earlier process of this courier had accepted. */
+  /** Accepts a message that an earlier process of this courier had already accepted. */
   void resume(final Message accepted, final PriorAttempts priorAttempts) {
     continueResumed(resumeInterrupted(accepted, priorAttempts));
   }
 
-  /** Does the same for one whose last attempt may be in flight; it does not wait to be sent yet. */
+  /**
+   * Accepts such a message while its last attempt may still be in flight: it does not wait to be
+   * sent yet.
+   */
   PendingMessage resumeInterrupted(final Message accepted, final PriorAttempts priorAttempts) {
     final PendingMessage message = accept(accepted);
     dequeue(message);
@@ -87,7 +93,7 @@
     return message;
   }
 
-  /** A resumed message waits to be sent from now on. */
+  /** Lets a resumed message wait to be sent. */
   void continueResumed(final PendingMessage message) {
     if (message.mayHaveExecuted()) {
       keyOrdering.beginSettleDelay(message);
@@ -96,7 +102,7 @@
     enqueue(message);
   }
 
-  /** Lets a message wait; one that may not be attempted again ends in the next round. */
+  /** Starts the wait of a message; one that may not be attempted again ends in the next round. */
   void enqueue(final PendingMessage message) {
     final Destination destination = message.destination();
     state.markChanged(destination);
@@ -108,7 +114,7 @@
     keyOrdering.refreshHead(message.keyQueue());
   }
 
-  /** Ends the wait of a message, if it waits. */
+  /** Ends the wait of a message, if it is waiting. */
   void dequeue(final PendingMessage message) {
     if (!message.isWaiting()) {
       return;
@@ -121,12 +127,12 @@
     destination.dequeue(message);
   }
 
-  /** Returns when the next message that waits expires. */
+  /** Returns when the next waiting message expires. */
   long nextExpiryUs() {
     return deadlines.earliestDueUs();
   }
 
-  /** Ends the messages that wait and have expired, by destination and position. */
+  /** Ends the waiting messages that have expired, in the order of destination and position. */
   void endExpired() {
     final List<PendingMessage> expired = new ArrayList<>();
     for (MessageDeadline due = deadlines.poll(state.nowUs);
@@ -136,7 +142,7 @@
     }
     expired.sort(EXPIRY_ORDER);
     for (final PendingMessage message : expired) {
-      // A client should come back when the queue that is there now has drained, and no sooner.
+      // The client should not retry before the present queue has drained.
       message.destination().catchUpIdleSteps(state.stepCount);
       endUndelivered(
           message, Math.max(RecoveryPacer.MIN_BACKOFF_US, message.destination().queueDrainUs()));
@@ -155,7 +161,7 @@
     }
   }
 
-  /** Gives the final answer: sheds the message where that is harmless, and fails it otherwise. */
+  /** Ends a message with its final outcome: sheds it where that is safe, and fails it otherwise. */
   private void endUndelivered(final PendingMessage message, final long retryAfterUs) {
     if (message.mayShed()) {
       final long maxRetryAfterUs = state.settings.limits().maxRetryAfterUs();
@@ -166,7 +172,7 @@
     end(message);
   }
 
-  /** Ends a message; it is kept until its attempt, if one is in flight, has its outcome. */
+  /** Ends a message; it is kept until its attempt in flight, if any, has its outcome. */
   void end(final PendingMessage message) {
     if (!message.hasEnded()) {
       state.pendingMessages--;
--- a/decisions/src/main/java/thistleturn/decisions/PriorityValue.java
+++ b/decisions/src/main/java/thistleturn/decisions/PriorityValue.java
@@ -5,9 +5,12 @@
 import thistleturn.decisions.model.MessageClass;
 import thistleturn.decisions.model.ValueDecay;
 
-/** What a message is worth when it is delivered at a given time, and where that changes course. */
+/**
+ * Computes the priority value of a message by its time of delivery, and the times at which its
+ * course changes.
+ */
 final class PriorityValue {
-  /** Share of its value that a message beyond the quota of its tenant keeps. */
+  /** Share of its value that a message over the quota of its tenant keeps. */
   private static final double OVER_QUOTA_SHARE = 0.25;
 
   private final ValueDecay valueDecay;
@@ -24,7 +27,9 @@
     return Math.max(least, Math.min(most, value));
   }
 
-  /** Returns the value of a message that is delivered at a time; 0 once it may not be sent. */
+  /**
+   * Returns the value of a message that is delivered at a given time; 0 once it may not be sent.
+   */
   double valueAt(final PendingMessage message, final long atUs) {
     if (atUs >= message.retryDeadlineUs()) {
       return 0;
@@ -35,7 +40,10 @@
         * remainingShare(messageClass, Math.max(0, atUs - message.objectiveUs()));
   }
 
-  /** Returns the share of its value that is left of a message so late, before it ends. */
+  /**
+   * Returns the share of its value that a message keeps when it is late by a given time, before it
+   * expires.
+   */
   private double remainingShare(final MessageClass messageClass, final long lateUs) {
     return switch (valueDecay) {
       case HALVING -> halvedShare(messageClass, lateUs);
@@ -53,7 +61,7 @@
     return 1 - (1 - messageClass.lateWeight()) * lateUs / Math.max(1, decayUs);
   }
 
-  /** Finds how long after its objective a value has decayed as far as it does. */
+  /** Finds by bisection how long after its latency objective a value reaches its floor. */
   private long floorReachedUs(final MessageClass messageClass) {
     long aboveUs = -1;
     long reachedUs = messageClass.deadlineUs() - messageClass.latencyObjectiveUs();
@@ -69,9 +77,10 @@
   }
 
   /**
-   * Returns the latency objectives at which the urgency of messages of a group changes course.
-   * Between these it only rises, only falls or stays the same: they are where the value changes
-   * course when a message is done, and when it is done after the queue.
+   * Returns the latency objectives at which the course of the urgency of a group's messages
+   * changes. Between two of them, the urgency only rises, only falls or stays the same. They are
+   * the breakpoints of the value of a message that completes now, and of one that completes after
+   * the queue.
    */
   long[] urgencyBreakpoints(final DeadlineGroup group, final long doneUs, final long lookAheadUs) {
     final long decayUs = decayUs(group);
@@ -88,7 +97,10 @@
     return breakpoints;
   }
 
-  /** Returns the same for the value of a message that is done at a time, or just before its end. */
+  /**
+   * Returns the same for the value of a message that completes at a given time, or just before it
+   * expires.
+   */
   long[] valueBreakpoints(final DeadlineGroup group, final long atUs) {
     final long flatUs =
         Math.max(0, Math.min(floorReachedUs[group.classIndex()], decayUs(group) - 1));
--- a/decisions/src/main/java/thistleturn/decisions/ReadyRoute.java
+++ b/decisions/src/main/java/thistleturn/decisions/ReadyRoute.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import thistleturn.decisions.index.Ranking;
 
-/** A route that may have something to send, as an entry of one of the two rankings of routes. */
+/** A route that may have a message to send, as an entry of one of the two rankings of routes. */
 final class ReadyRoute extends Ranking.Entry {
   static final Comparator<ReadyRoute> ORDER =
       Comparator.comparing((ReadyRoute entry) -> entry.route.destination(), Destination.ORDER)
@@ -12,7 +12,7 @@
   private final Route route;
   private final boolean byCallTime;
 
-  /** The message that goes next, as of the last ranking; null: none. */
+  /** The message to be sent next, as of the last ranking; null if there is none. */
   private PendingMessage selected;
 
   ReadyRoute(final Route route, final boolean byCallTime) {
@@ -28,7 +28,7 @@
     return route.destination().routes().indexOf(route);
   }
 
-  /** Returns whether its ranking divides the urgency by the time that the call takes. */
+  /** Returns whether its ranking divides the urgency by the expected duration of the call. */
   boolean ranksByCallTime() {
     return byCallTime;
   }
--- a/decisions/src/main/java/thistleturn/decisions/RejectionHistory.java
+++ b/decisions/src/main/java/thistleturn/decisions/RejectionHistory.java
@@ -5,7 +5,9 @@
 import thistleturn.decisions.rejections.RejectionClassifier.Cause;
 import thistleturn.decisions.rejections.RetryBudget;
 
-/** What the rejections of one route have shown so far, and what may be retried on their account. */
+/**
+ * The evidence that the rejections of one route have given so far, and the retries that it permits.
+ */
 final class RejectionHistory {
   private final RejectionClassifier classifier = new RejectionClassifier();
   private final RetryBudget retryBudget = new RetryBudget();
@@ -14,10 +16,10 @@
   private long completedCalls;
   private long rejectedCalls;
 
-  /** When the first of the rejections came that are one signal. */
+  /** When the first rejection of the current signal came; one signal may be several rejections. */
   private long signalUs;
 
-  /** Whether one call may go in spite of the backoff, to learn what the rejection answered to. */
+  /** Whether one call may be sent in spite of the backoff, to learn the cause of the rejection. */
   private boolean probeAllowed;
 
   RejectionClassifier classifier() {
@@ -36,12 +38,12 @@
     return completedCalls;
   }
 
-  /** Counts a rejected call; returns how many there were in all. */
+  /** Counts a rejected call; returns the total of rejected calls. */
   long countRejectedCall() {
     return ++rejectedCalls;
   }
 
-  /** Takes in a call that was answered for all of its messages. */
+  /** Records a call that was answered for all of its messages. */
   void recordCompletedCall(final long sentUs, final long nowUs) {
     completedCalls++;
     classifier.recordServed(sentUs, nowUs);
@@ -53,8 +55,8 @@
   }
 
   /**
-   * Returns whether a rejected call was sent before the last rejection came, so that both are one
-   * signal; begins a new signal if not.
+   * Returns whether a rejected call was sent before the current signal came, so that its rejection
+   * is part of that signal; begins a new signal if not.
    */
   boolean isSameSignal(final long sentUs, final long nowUs) {
     final boolean same = sentUs < signalUs;
--- a/decisions/src/main/java/thistleturn/decisions/Route.java
+++ b/decisions/src/main/java/thistleturn/decisions/Route.java
@@ -9,20 +9,23 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * A route to a destination: the unit that has a window, a pace and a circuit breaker of its own. A
- * destination has one route, unless its kind keeps routes separate.
+ * A route to a destination: the unit that has its own concurrency window, pacing and circuit
+ * breaker. A destination has one route, unless its kind keeps routes separate.
  *
- * <p>The route owns its parts, each of which changes its own state only, and the counts of its
- * calls. Of the calls in flight some are overdue, and of these some are unresponsive: nothing has
- * succeeded on their endpoint since they were sent.
+ * <p>The route owns its parts, each of which changes only its own state, and the counts of its
+ * calls. Some calls in flight are overdue, and some overdue calls are unresponsive: no call to
+ * their endpoint has succeeded since they were sent.
  */
 final class Route {
-  /** Idle steps that are taken one by one; after more, the averages are taken for zero. */
+  /** Up to this many idle steps are taken one by one; after more, the averages are set to zero. */
   private static final long MAX_SINGLE_STEPS = 201;
 
-  /** Messages, the rejected one among them, that must wait for a probe to be worth a rejection. */
+  /**
+   * Messages, including the rejected one, that must wait for a probe to be worth another rejection.
+   */
   private static final int MIN_WAITING_FOR_PROBE = 3;
 
+  /** Number of waiting messages from which a queue is long. */
   private static final int LONG_QUEUE = 10;
 
   private final Destination destination;
@@ -42,17 +45,20 @@
   private final LatencyProfile latency = new LatencyProfile();
   private final RejectionHistory rejections = new RejectionHistory();
 
-  /** Whether this courier's share of a rate may be thin, as one of very many. */
+  /** Whether the fleet is so large that this courier's share of a rate may be very small. */
   private final boolean inVastFleet;
 
-  /** Drawn once: this courier may keep an idle connection while the share that may is above it. */
+  /**
+   * Drawn once: this courier may keep an idle connection while the share of couriers that may is
+   * above it.
+   */
   private final double idleConnectionDraw;
 
   private int callsInFlight;
   private int overdueCalls;
   private int unresponsiveCalls;
 
-  /** Whether the last step with calls was a slow one, or had many failures. */
+  /** Whether the last step with calls had high latency or many failures. */
   private boolean degraded;
 
   private boolean active;
@@ -151,9 +157,9 @@
   }
 
   /**
-   * Returns whether this courier is one of those that keep a connection of this route open, and
-   * this endpoint is the one to keep it to. In a vast fleet nobody does: a kept connection is
-   * hardly ever used again, and those in use need the capacity.
+   * Returns whether this courier is one of those that keep an idle connection of this route open,
+   * and this endpoint is the one to keep it to. In a vast fleet no courier does: a kept connection
+   * is hardly ever used again, and those in use need the capacity.
    */
   boolean mayKeepIdleConnection(final EndpointHealth endpoint) {
     return !inVastFleet
@@ -183,7 +189,7 @@
     return unresponsiveCalls;
   }
 
-  /** Counts a call that goes out now. */
+  /** Counts a call that is sent now. */
   void startCall() {
     callsInFlight++;
     step.recordCallsInFlight(callsInFlight);
@@ -214,7 +220,9 @@
     unresponsiveCalls -= count;
   }
 
-  /** Takes in a call that was answered for all of its messages: what it says of rejections. */
+  /**
+   * Records a call that was answered for all of its messages, as evidence for the rejection cause.
+   */
   void recordCompletedCall(final InFlightCall call, final long nowUs) {
     if (circuit.isClosed()) {
       serviceRate.recordCallBeforeFirstStep();
@@ -229,35 +237,41 @@
     }
   }
 
-  /** Returns the calls served a second as far as they are known for certain. */
+  /** Returns the number of calls served a second that is known for certain. */
   double callsPerSecond() {
     return serviceRate.knownCallsPerSecond(step.calls());
   }
 
   // ---------------------------------------------------------------- rejections and outages
 
-  /** There was capacity after all: lifts the backoff and whatever else rejections have brought. */
+  /**
+   * Lifts the backoff and all other restrictions that rejections have caused: there was capacity
+   * after all.
+   */
   private void treatRejectionsAsNoise(final long nowUs) {
     window.markBeforeNoise();
     pacing.beginNoise(nowUs);
     rejections.initialGrowth().restart();
   }
 
-  /** The rejections answered to load after all: returns to what was known before. */
+  /**
+   * Returns to the window and the rate from before the noise: the rejections were caused by load
+   * after all.
+   */
   void treatRejectionsAsLoad(final long nowUs) {
     rejections.classifier().onRetryBudgetExhausted(nowUs);
     window.revertToBeforeNoise();
     pacing.revertToBeforeNoise();
   }
 
-  /** Returns when the backoff ends; earlier where a probe may go and enough messages wait. */
+  /** Returns when the backoff ends; earlier if a probe is allowed and enough messages wait. */
   long effectiveBackoffUntilUs() {
     return rejections.isProbeAllowed() && destination.waitingMessages() >= MIN_WAITING_FOR_PROBE
         ? Math.min(pacing.backoffUntilUs(), rejections.classifier().nextProbeUs())
         : pacing.backoffUntilUs();
   }
 
-  /** Returns whether the call that goes now is a probe; if so, no other one may be. */
+  /** Returns whether the call that is sent now is a probe; if so, no other probe is allowed. */
   boolean tryTakeProbe(final long nowUs) {
     if (pacing.backoffUntilUs() <= nowUs) {
       return false;
@@ -267,8 +281,8 @@
   }
 
   /**
-   * Takes the route for warmed up. What its rejections answered to is past; the queue that has
-   * grown meanwhile goes at the known rate only, since it could still overload the destination.
+   * Resumes normal operation after a recovery. The rejection cause is reset; the queue that has
+   * grown meanwhile is sent at the known rate only, since it could still overload the destination.
    */
   void resumeAfterRecovery(final long cautiousUntilUs) {
     pacing.stayCautiousUntil(cautiousUntilUs);
@@ -278,8 +292,8 @@
   }
 
   /**
-   * Undoes an outage that was found while this courier itself had no connectivity: the route is as
-   * it was before, at the rate that it had.
+   * Undoes an outage that was detected while this courier itself had no connectivity: the route is
+   * as it was before, at its previous rate.
    *
    * @param sinceUs since when this courier had no connectivity
    * @return whether there was such an outage
@@ -296,14 +310,14 @@
     return true;
   }
 
-  /** Returns whether the rate may grow faster: a long queue waits and nothing was rejected. */
+  /** Returns whether the rate may grow faster: a long queue waits and the step had no rejection. */
   boolean mayRegainRate(final long nowUs) {
     return step.rejections() == 0
         && destination.waitingMessages() >= LONG_QUEUE
         && !pacing.isCautious(nowUs);
   }
 
-  /** Notes that the circuit breaker has been checked for an outage. */
+  /** Records that the circuit breaker has been checked for an outage. */
   void recordFaultCheck(final long tick, final long nowUs) {
     faultCheckTick = tick;
     faultCheckUs = nowUs;
@@ -319,30 +333,30 @@
 
   // ---------------------------------------------------------------- steps
 
-  /** Marks the route as one whose next step must be taken; returns whether it was not before. */
+  /** Marks the route as active, so that its next step is taken; returns whether it was inactive. */
   boolean activate() {
     final boolean wasInactive = !active;
     active = true;
     return wasInactive;
   }
 
-  /** Begins the step with this number, up to which nothing is left to catch up. */
+  /** Begins the step with this number; all earlier steps count as taken. */
   void beginStep(final long stepNumber) {
     active = false;
     stepsTaken = stepNumber;
   }
 
-  /** Makes up for the steps in which the route was idle: nothing was served or in the way. */
+  /** Catches up on the steps in which the route was idle. */
   void catchUpIdleSteps(final long stepNumber) {
-    final long missed = stepNumber - stepsTaken;
-    if (missed == 0) {
+    final long idleSteps = stepNumber - stepsTaken;
+    if (idleSteps == 0) {
       return;
     }
     stepsTaken = stepNumber;
-    if (missed > MAX_SINGLE_STEPS) {
-      skipIdleSteps(missed);
+    if (idleSteps > MAX_SINGLE_STEPS) {
+      skipIdleSteps(idleSteps);
     } else {
-      takeIdleSteps(missed);
+      takeIdleSteps(idleSteps);
     }
     step.resetPeak(callsInFlight);
   }
--- a/decisions/src/main/java/thistleturn/decisions/RouteStatus.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteStatus.java
@@ -6,26 +6,27 @@
 import thistleturn.decisions.directives.Directives;
 
 /**
- * One route of a destination as operators see it.
+ * The status of one route of a destination, as shown to operators.
  *
- * @param destinationId the number of its destination
- * @param endpoints the numbers of its endpoints
+ * @param destinationId the id of its destination
+ * @param endpoints the ids of its endpoints
  * @param circuitState the state of its circuit: {@code WELL}, {@code OUT} or {@code RAMP}
- * @param window the calls in flight that it may have
- * @param callsInFlight the calls in flight that it has
- * @param overdueCalls those of them that are overdue
- * @param waitingMessages the messages of the destination that wait
+ * @param window the number of calls that its window allows in flight
+ * @param callsInFlight the number of its calls in flight
+ * @param overdueCalls the number of these calls that are overdue
+ * @param waitingMessages the number of waiting messages of the destination
  * @param callsPerSecond the calls served a second, a slow average
- * @param permittedPerSecond the calls allowed a second, after rejections or as this courier's share
- *     of a reported rate; infinite: any number
- * @param rejectionCause what its rejections are taken to answer to: {@code UNSURE}, {@code LOAD} or
- *     {@code NOISE}
- * @param noiseEvidence the evidence for noise (above 0) or load (below), nats; 3 settle it
+ * @param permittedPerSecond the calls permitted a second, after rejections or as this courier's
+ *     share of a reported rate; infinite if unlimited
+ * @param rejectionCause the cause that its rejections are attributed to: {@code UNSURE}, {@code
+ *     LOAD} or {@code NOISE}
+ * @param noiseEvidence the evidence for noise (above 0) or load (below), nats; 3 decide
  * @param rejectedShare the share of recent calls that were rejected
  * @param retryBudget the retries that may be made at once
- * @param inInitialGrowth whether it is in its first seconds, until the first sign of crowding
- * @param blockedReason what keeps the next message, in a sentence
- * @param constraints what binds it from outside: the reported limit, this courier's share of it,
+ * @param inInitialGrowth whether its window is in its initial growth, until the first sign of
+ *     overload
+ * @param blockedReason why its next message is not sent, in a sentence
+ * @param constraints the constraints from outside: the reported limit, this courier's share of it,
  *     and the directives of other subsystems
  */
 public record RouteStatus(
@@ -46,23 +47,23 @@
     String blockedReason,
     List<Constraint> constraints) {
 
-  /** What the limit of all couriers together is called among the constraints. */
+  /** The type of the constraint that is the reported limit of all couriers together. */
   private static final String LIMIT_CONSTRAINT = "LIMIT";
 
   /** The source of the constraint that is this courier's share of a reported rate. */
   private static final String RATE_SHARE_SOURCE = "even part";
 
-  /** The endpoint of a constraint that binds the whole destination. */
+  /** The endpoint of a constraint that applies to the whole destination. */
   private static final long WHOLE_DESTINATION = -1;
 
   /**
-   * One constraint from outside.
+   * A constraint from outside the route.
    *
-   * @param endpointId the endpoint that is bound; below 0: the whole destination
+   * @param endpointId the endpoint that it applies to; below 0: the whole destination
    * @param type the type of the constraint
    * @param value its value
    * @param source who set it
-   * @param untilUs until when it binds, us; {@link Long#MAX_VALUE}: until it is revoked
+   * @param untilUs until when it applies, us; {@link Long#MAX_VALUE}: until it is revoked
    */
   public record Constraint(
       long endpointId, String type, double value, String source, long untilUs) {
@@ -84,8 +85,8 @@
   /**
    * Describes a route.
    *
-   * @param sendAllowedAtUs when its next call may go
-   * @param limit the calls that it may have in flight now
+   * @param sendAllowedAtUs when its next call may be sent
+   * @param limit the number of calls that it may have in flight now
    */
   static RouteStatus of(
       final Route route, final long nowUs, final long sendAllowedAtUs, final int limit) {
--- a/decisions/src/main/java/thistleturn/decisions/RouteStepper.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteStepper.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Takes the step of each route on which something happened, once a second. */
+/** Takes a step once a second for each route that was active since the last one. */
 final class RouteStepper {
   static final long STEP_US = OverloadController.SECOND_US;
 
-  /** The mean latency of a class is published anew when it has changed by this share. */
+  /** Relative change from which the mean latency of a class is published again. */
   private static final double LATENCY_PUBLISH_THRESHOLD = 0.25;
 
   private final ControllerState state;
@@ -28,13 +28,13 @@
     return nextStepUs - STEP_US;
   }
 
-  /** Returns whether a step is due; the first one is, a second after the first round. */
+  /** Returns whether a step is due; the first is due a second after the first round. */
   boolean isDue() {
     nextStepUs = nextStepUs == 0 ? state.nowUs + STEP_US : nextStepUs;
     return state.nowUs >= nextStepUs;
   }
 
-  /** Takes the step; routes without activity catch up when they are used again. */
+  /** Takes the step; inactive routes catch up when they are used again. */
   void takeStep() {
     final List<Route> stepping = state.beginStep();
     for (final Route route : stepping) {
@@ -52,7 +52,7 @@
     nextStepUs += STEP_US * ((state.nowUs - nextStepUs) / STEP_US + 1);
   }
 
-  /** Returns whether the rate of a route, or the spacing of its calls, still changes. */
+  /** Returns whether the rate of a route, or the spacing of its calls, still changes with time. */
   private boolean changesByTime(final Route route) {
     final Destination destination = route.destination();
     if (destination.waitingMessages() == 0) {
@@ -62,7 +62,10 @@
     return queueRate >= Destination.MIN_RATE || route.pacing().isSpaced(state.nowUs);
   }
 
-  /** Publishes the mean latencies that have changed by more than a share; ranks anew if any has. */
+  /**
+   * Publishes the mean latencies that have changed by more than a ratio, and re-ranks all routes if
+   * there are any.
+   */
   void publishLatencies(final double threshold) {
     if (state.latencies.publishMeans(threshold)) {
       state.rerankAll();
--- a/decisions/src/main/java/thistleturn/decisions/RouteTimer.java
+++ b/decisions/src/main/java/thistleturn/decisions/RouteTimer.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** When a route is to be ranked and checked again. */
+/** The time at which a route is to be ranked and checked again, as an entry of a heap. */
 final class RouteTimer extends TimeHeap.Entry {
   private final Route route;
 
--- a/decisions/src/main/java/thistleturn/decisions/SendPacing.java
+++ b/decisions/src/main/java/thistleturn/decisions/SendPacing.java
@@ -3,20 +3,25 @@
 import thistleturn.decisions.fleet.FairShare;
 
 /**
- * What holds back the calls of one route in time: the rate it may be sent at, the limit that was
- * reported for it, the Retry-After it has asked for, and the backoff after a rejection.
+ * What delays the calls of one route: its permitted rate, the limit that was reported for it, the
+ * Retry-After that it sent, and the backoff after a rejection.
  */
 final class SendPacing {
-  /** After rejections, calls go at this many times the rate served, so that capacity is found. */
+  /**
+   * After rejections, the permitted rate is this multiple of the rate served, so that further
+   * capacity is found.
+   */
   static final double RATE_GROWTH = 1.2;
 
-  /** What the permitted rate is raised by besides, calls a second: a rate of nothing must grow. */
+  /** Added to that rate, calls a second: a rate of zero must be able to grow. */
   private static final double RATE_INCREMENT = 0.5;
 
-  /** Growth of the permitted rate where a long queue waits after a step without a rejection. */
+  /** Growth of the permitted rate while a long queue waits, after a step without a rejection. */
   private static final double REGAIN_FACTOR = 2;
 
-  /** Who reported a limit: the endpoint list, the destination itself, or the learned state. */
+  /**
+   * Sources of a reported limit: the endpoint list, the destination itself, or the learned state.
+   */
   static final String SOURCE_ENDPOINT_LIST = "list";
 
   static final String SOURCE_DESTINATION = "partner";
@@ -34,12 +39,12 @@
   private long retryAfterUntilUs;
   private long backoffUntilUs;
 
-  /** Until when the rate known before the last outage grows slowly only. */
+  /** Until when the rate known before the last outage grows only slowly. */
   private long cautiousUntilUs;
 
   private long lastSendUs;
 
-  /** What the last call weighs on a cold destination, in calls. */
+  /** The weight of the last call on a cold destination, in calls. */
   private double lastCallWeight = 1;
 
   SendPacing(final FairShare rateShare, final int rateSharers) {
@@ -49,7 +54,9 @@
 
   // ---------------------------------------------------------------- limits and rates
 
-  /** Takes over the rate that the destination accepts from all couriers; the last report counts. */
+  /**
+   * Sets the rate that the destination accepts from all couriers together; the last report applies.
+   */
   void setReportedLimit(final double ratePerSecond, final String source, final long nowUs) {
     reportedLimit = ratePerSecond;
     limitSource = source;
@@ -76,17 +83,17 @@
     return permittedRate;
   }
 
-  /** Returns the permitted rate, kept under the reported limit. */
+  /** Returns the permitted rate, at most the reported limit. */
   double permittedRateWithinLimit() {
     return Math.min(reportedLimit, permittedRate);
   }
 
-  /** Returns what is shown to operators as the rate of calls allowed a second. */
+  /** Returns the permitted rate of calls a second that is shown to operators. */
   double effectiveRate() {
     return rateShare.isLimited() ? rateShare.ratePerSecond() : permittedRate;
   }
 
-  /** Restricts the rate to a little more than was served: the last step saw rejections. */
+  /** Restricts the rate to a little more than was served, after a step with rejections. */
   void restrictRate(final double servedCalls) {
     permittedRate = RATE_INCREMENT + RATE_GROWTH * servedCalls;
   }
@@ -101,12 +108,12 @@
     permittedRate = RATE_GROWTH * permittedRate;
   }
 
-  /** Raises the permitted rate faster: a long queue waits and nothing was rejected. */
+  /** Raises the permitted rate faster: a long queue waits and the step had no rejection. */
   void regainRate() {
     permittedRate = REGAIN_FACTOR * permittedRate;
   }
 
-  /** Lifts the permitted rate: the route has long been idle. */
+  /** Removes the bound of the permitted rate, after the route has long been idle. */
   void liftRate() {
     permittedRate = Double.POSITIVE_INFINITY;
   }
@@ -117,7 +124,7 @@
     return retryAfterUntilUs;
   }
 
-  /** Heeds a Retry-After; the latest one counts. */
+  /** Applies a Retry-After; of several, the one that ends last applies. */
   void holdUntil(final long untilUs) {
     retryAfterUntilUs = Math.max(retryAfterUntilUs, untilUs);
   }
@@ -136,19 +143,19 @@
 
   // ---------------------------------------------------------------- noise and outages
 
-  /** Lifts what rejections have brought: they are taken for noise from now on. */
+  /** Lifts the restrictions that rejections have caused: they are treated as noise from now on. */
   void beginNoise(final long nowUs) {
     permittedRateBeforeNoise = permittedRate;
     backoffUntilUs = nowUs;
     permittedRate = isCautious(nowUs) ? permittedRate : Double.POSITIVE_INFINITY;
   }
 
-  /** Returns to the rate that was permitted before rejections were taken for noise. */
+  /** Returns to the rate that was permitted before rejections were treated as noise. */
   void revertToBeforeNoise() {
     permittedRate = Math.min(permittedRate, permittedRateBeforeNoise);
   }
 
-  /** Grows the rate known before an outage slowly until a time. */
+  /** Lets the rate known before an outage grow only slowly until a given time. */
   void stayCautiousUntil(final long untilUs) {
     cautiousUntilUs = untilUs;
   }
@@ -171,20 +178,25 @@
     return lastCallWeight;
   }
 
-  /** Notes a call that has gone out whole, with its weight on a cold destination. */
+  /**
+   * Records a call that was sent with all of its messages, and its weight on a cold destination.
+   */
   void recordCall(final double weight, final long nowUs) {
     lastCallWeight = weight;
     rateShare.recordCall(nowUs);
   }
 
-  /** Returns when a rate a second, and this courier's share of the limit, let the next call go. */
+  /**
+   * Returns when the next call may be sent by this courier's rate share or, if it has none, by a
+   * given rate.
+   */
   long nextPacedSendUs(final double ratePerSecond, final long atUs) {
     return rateShare.isLimited()
         ? rateShare.earliestCallUs(atUs)
         : lastSendUs + (long) (OverloadController.SECOND_US / ratePerSecond);
   }
 
-  /** Returns whether the permitted rate still holds back the next call. */
+  /** Returns whether the permitted rate still delays the next call. */
   boolean isSpaced(final long nowUs) {
     return lastSendUs + (long) (OverloadController.SECOND_US / permittedRate) > nowUs;
   }
@@ -200,7 +212,7 @@
     permittedRate = restoredPermittedRate;
   }
 
-  /** Restores the times that another process of this courier had noted. */
+  /** Restores the times that another process of this courier had recorded. */
   void restoreTimes(
       final long restoredRetryAfterUntilUs,
       final long restoredBackoffUntilUs,
--- a/decisions/src/main/java/thistleturn/decisions/SendPermission.java
+++ b/decisions/src/main/java/thistleturn/decisions/SendPermission.java
@@ -3,8 +3,9 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * When a route may send its next call: as its window, its waits, the rate it is kept to, the trials
- * of an open circuit, the pace of a recovery and the directives of other subsystems allow.
+ * Determines when a route may send its next call, as its window, Retry-After, backoff, permitted
+ * rate, the trials of an open circuit, the recovery ramp and the directives of other subsystems
+ * allow.
  */
 final class SendPermission {
   private final ControllerState state;
@@ -15,12 +16,18 @@
     this.concurrencyPolicy = concurrencyPolicy;
   }
 
-  /** Returns when the next call may go; never, while the window is full. */
+  /**
+   * Returns when the next call may be sent; {@link OverloadController#NEVER} while the window is
+   * full.
+   */
   long sendAllowedAtUs(final Route route) {
     return sendAllowedAtUs(route, state.nowUs);
   }
 
-  /** Returns the same as reckoned at a time: during a recovery the interval shrinks with time. */
+  /**
+   * Returns the same as of a given time: during a recovery, the interval of calls shrinks with
+   * time.
+   */
   private long sendAllowedAtUs(final Route route, final long atUs) {
     if (isWindowFull(route)) {
       return OverloadController.NEVER;
@@ -33,10 +40,10 @@
   }
 
   private boolean isWindowFull(final Route route) {
-    // Single calls that are overdue while others are served use capacity, but not the window.
-    final int straying =
+    // Overdue calls to an endpoint that serves others use capacity, but not the window.
+    final int isolatedOverdue =
         state.classifiesFaults ? route.overdueCalls() - route.unresponsiveCalls() : 0;
-    return route.callsInFlight() - straying >= concurrencyPolicy.limit(route)
+    return route.callsInFlight() - isolatedOverdue >= concurrencyPolicy.limit(route)
         || route.callsInFlight() >= concurrencyPolicy.maxLimit(route);
   }
 
@@ -63,7 +70,7 @@
         + (long) (circuit.recoveryIntervalUs() * route.pacing().lastCallWeight() / overloadShare);
   }
 
-  /** Returns when a route may be able to send more than now by the passing of time alone. */
+  /** Returns when the passing of time alone may allow a route to send more than now. */
   long nextChangeUs(final Route route) {
     final long allowedAtUs = sendAllowedAtUs(route);
     return allowedAtUs > state.nowUs
@@ -72,7 +79,8 @@
   }
 
   /**
-   * Finds when the call may go that may go by a time: in a recovery that comes nearer by itself.
+   * Finds by bisection when the next call may be sent, at the latest at a given time: during a
+   * recovery, the interval of calls shrinks as time passes.
    */
   private long earliestSendUs(final Route route, final long allowedAtUs) {
     if (!route.circuit().isRecovering() || allowedAtUs == OverloadController.NEVER) {
--- a/decisions/src/main/java/thistleturn/decisions/ServiceRate.java
+++ b/decisions/src/main/java/thistleturn/decisions/ServiceRate.java
@@ -1,37 +1,37 @@
 package thistleturn.decisions;
 
-/** Slow averages of how many messages and calls a route serves a second. */
+/** Slow averages of the number of messages and calls that a route serves a second. */
 final class ServiceRate {
-  /** Least weight of a step in the averages: a memory of about ten steps. */
+  /** Minimum weight of a step in the averages: a memory of about ten steps. */
   private static final double STEP_WEIGHT = 0.1;
 
   private int steps;
   private double messagesPerSecond;
   private double averageCallsPerSecond;
 
-  /** Calls served before the first step: until then, all that is known of the rate. */
+  /** Calls served before the first step: until then, the only evidence of the rate. */
   private int callsBeforeFirstStep;
 
-  /** Takes in a step of a second. */
+  /** Records a step of one second. */
   void recordStep(final int deliveries, final double calls) {
     final double weight = Math.max(STEP_WEIGHT, 1.0 / ++steps);
     messagesPerSecond += weight * (deliveries - messagesPerSecond);
     averageCallsPerSecond += weight * (calls - averageCallsPerSecond);
   }
 
-  /** Takes in a step in which nothing was served. */
+  /** Records a step in which nothing was served. */
   void recordIdleStep() {
     recordStep(0, 0);
   }
 
-  /** Takes in so many idle steps at once that nothing is left of the averages. */
+  /** Records so many idle steps at once that the averages drop to zero. */
   void recordLongIdleness(final long idleSteps) {
     steps = (int) (steps + idleSteps);
     messagesPerSecond = 0;
     averageCallsPerSecond = 0;
   }
 
-  /** Counts a served call that the first step will be the first to average. */
+  /** Counts a served call if no step has been taken yet. */
   void recordCallBeforeFirstStep() {
     if (steps == 0) {
       callsBeforeFirstStep++;
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Returns the calls served a second as far as they are known for certain.
+   * Returns the number of calls served a second that is known for certain.
    *
-   * @param callsThisStep what the current step has served so far
+   * @param callsThisStep the calls served in the current step so far
    */
   double knownCallsPerSecond(final double callsThisStep) {
     return Math.max(
@@ -60,7 +60,7 @@
     return steps;
   }
 
-  /** Restores what another process of this courier had learned. */
+  /** Restores the averages that another process of this courier had learned. */
   void restore(final int restoredSteps, final double messageRate, final double callRate) {
     steps = restoredSteps;
     messagesPerSecond = messageRate;
--- a/decisions/src/main/java/thistleturn/decisions/StepStatistics.java
+++ b/decisions/src/main/java/thistleturn/decisions/StepStatistics.java
@@ -3,10 +3,10 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * What happened on one route within the current step of a second: the input of the rule table.
+ * The events of one route within the current step of a second: the input of the rule table.
  *
- * <p>A call may carry several messages. What is counted in calls grows by each message's part of
- * its call.
+ * <p>A call may carry several messages. Statistics that count calls grow by each message's fraction
+ * of its call.
  */
 final class StepStatistics {
   private int peakCallsInFlight;
@@ -18,7 +18,7 @@
   private double latencyRatioSum;
   private LoadReport loadReport;
 
-  /** Begins a new step with so many calls in flight. */
+  /** Begins a new step with a given number of calls in flight. */
   void begin(final int callsInFlight) {
     peakCallsInFlight = callsInFlight;
     latencyRatioSum = 0;
@@ -30,12 +30,12 @@
     loadReport = null;
   }
 
-  /** Notes how many calls are in flight now. */
+  /** Records the number of calls in flight now. */
   void recordCallsInFlight(final int callsInFlight) {
     peakCallsInFlight = Math.max(peakCallsInFlight, callsInFlight);
   }
 
-  /** Takes the calls in flight now for the peak: the steps before were idle. */
+  /** Resets the peak to the calls in flight now, after idle steps. */
   void resetPeak(final int callsInFlight) {
     peakCallsInFlight = callsInFlight;
   }
@@ -43,8 +43,8 @@
   /**
    * Records a delivered message.
    *
-   * @param part the message's part of its call
-   * @param latencyRatio how long it took, as a multiple of the usual
+   * @param part the message's fraction of its call
+   * @param latencyRatio its latency as a multiple of the usual latency
    */
   void recordDelivery(final double part, final double latencyRatio) {
     latencyRatioSum += latencyRatio;
--- a/decisions/src/main/java/thistleturn/decisions/TenantQuotas.java
+++ b/decisions/src/main/java/thistleturn/decisions/TenantQuotas.java
@@ -4,15 +4,15 @@
 import thistleturn.decisions.model.DeliverySettings;
 import thistleturn.decisions.model.Tenant;
 
-/** Meters the messages of tenants at this courier's even part of their quotas. */
+/** Meters the messages of tenants against this courier's even share of their quotas. */
 final class TenantQuotas {
-  /** Messages in a burst that chance may bring. */
+  /** Messages by which a tenant may exceed its quota in a burst, since bursts occur by chance. */
   private static final double BURST_MESSAGES = 10;
 
   private final List<Tenant> tenants;
   private final int courierCount;
 
-  /** By tenant: when the next message is within the quota. */
+  /** By tenant: the time from which the next message is within the quota. */
   private final long[] nextWithinQuotaUs;
 
   TenantQuotas(final DeliverySettings settings) {
@@ -24,7 +24,7 @@
   /**
    * Counts a message and returns whether it exceeds the quota of its tenant.
    *
-   * @param tenant the tenant's index; below 0: none
+   * @param tenant the tenant's index; below 0 if the message has none
    */
   boolean recordAndCheckExceeded(final int tenant, final long nowUs) {
     if (tenant < 0) {
--- a/decisions/src/main/java/thistleturn/decisions/WakeUpScheduler.java
+++ b/decisions/src/main/java/thistleturn/decisions/WakeUpScheduler.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeSet;
 
-/** Asks the host for the next decision round, unless it has been asked for one as early. */
+/** Schedules the next decision round at the host, unless one is already scheduled as early. */
 final class WakeUpScheduler {
   private final ControllerState state;
   private final TreeSet<Long> scheduledUs = new TreeSet<>();
@@ -11,7 +11,7 @@
     this.state = state;
   }
 
-  /** Asks for a round at a time, or right after this one if that time has come. */
+  /** Schedules a round at a given time, or right after this one if that time has passed. */
   void wakeAt(final long atUs) {
     scheduledUs.headSet(state.nowUs + 1).clear();
     if (scheduledUs.isEmpty() || scheduledUs.first() > atUs) {
--- a/decisions/src/main/java/thistleturn/decisions/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/package-info.java
@@ -1,13 +1,13 @@
 /**
- * The decisions of one courier: which message is sent when and to which endpoint, and which
- * messages are shed.
+ * Decides for one courier which message is sent when and to which endpoint, and which messages are
+ * shed.
  *
  * <p>Entry point: {@link thistleturn.decisions.OverloadController}, an implementation of {@link
  * thistleturn.decisions.DeliveryController}. The host reports events in the order in which they
  * happened, then calls {@code decide} once and carries out the {@link
  * thistleturn.decisions.DeliveryActions} that it was asked for meanwhile.
  *
- * <p>Owner: one decision loop; nothing here is thread-safe. Nothing here knows sockets, files,
+ * <p>Owner: one decision loop; nothing here is thread-safe. Nothing here depends on sockets, files,
  * threads, clocks or logging: time, events and the seed of all randomness come in as arguments, so
  * that the same events always give the same actions.
  *
