--- a/decisions/src/main/java/thistleturn/decisions/Route.java
+++ b/decisions/src/main/java/thistleturn/decisions/Route.java
@@ -346,7 +346,7 @@
     stepsTaken = stepNumber;
   }
 
-  /** Catches up on the steps in which the route was idle. */
+  /** Catches up on the steps in which the route was idle, without a delivery or a rejection. */
   void catchUpIdleSteps(final long stepNumber) {
     final long idleSteps = stepNumber - stepsTaken;
     if (idleSteps == 0) {
--- a/decisions/src/test/java/thistleturn/decisions/OverloadControllerAccess.java
+++ b/decisions/src/test/java/thistleturn/decisions/OverloadControllerAccess.java
@@ -2,17 +2,20 @@
 
 import thistleturn.decisions.model.DeliverySettings;
 
-/** Opens to other packages of tests what only tests need. */
+/** Makes controllers that only tests need accessible to other test packages. */
 public final class OverloadControllerAccess {
   private OverloadControllerAccess() {}
 
-  /** One that looks at all lanes whenever time has passed, as the frozen module does. */
+  /**
+   * Returns a controller that re-ranks all routes whenever time has passed, as the reference
+   * controller does.
+   */
   public static DeliveryController withExhaustiveRanking(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return new OverloadController(settings, seed, actions, 0, true, true, true);
   }
 
-  /** The same, which takes refusals, failures and first seconds as they come. */
+  /** Returns such a controller that does not classify rejections, failures and initial growth. */
   public static DeliveryController withoutFaultClassification(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return new OverloadController(settings, seed, actions, 0, false, true, true);
--- a/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.model.AttemptResult;
 
-/** What operators are told keeps the next message is what keeps it. */
+/** The reason that operators are shown for an unsent message is the reason why it is not sent. */
 @Tag("noise")
 final class RouteStatusTest {
-  private static RouteStatus of(final ScriptedController scripted) {
+  private static RouteStatus statusOf(final ScriptedController scripted) {
     return scripted.controller.routes().get(0);
   }
 
@@ -18,12 +18,13 @@
   void fullWindow_isReported() {
     final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    assertEquals("nothing waits", of(scripted).blockedReason());
+    assertEquals("nothing waits", statusOf(scripted).blockedReason());
     for (int index = 0; index < 5; index++) {
       scripted.accept("m" + index, 0);
     }
-    assertEquals("its window is full: 2 of 2 calls are in flight", of(scripted).blockedReason());
-    assertEquals(3, of(scripted).waitingMessages());
+    assertEquals(
+        "its window is full: 2 of 2 calls are in flight", statusOf(scripted).blockedReason());
+    assertEquals(3, statusOf(scripted).waitingMessages());
   }
 
   @Test
@@ -32,7 +33,7 @@
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     scripted.accept("m", 0);
     scripted.endAttempt("m", AttemptResult.REFUSED, 2 * ScriptedController.SECOND);
-    assertEquals("it told to wait: 2000 ms are left", of(scripted).blockedReason());
+    assertEquals("it told to wait: 2000 ms are left", statusOf(scripted).blockedReason());
   }
 
   @Test
@@ -42,12 +43,14 @@
     scripted.accept("m", 0);
     scripted.endAttempt("m", AttemptResult.REFUSED);
     assertTrue(
-        of(scripted).blockedReason().startsWith("it pauses after a refusal: "),
-        of(scripted).blockedReason());
-    assertEquals("UNSURE", of(scripted).rejectionCause());
+        statusOf(scripted).blockedReason().startsWith("it pauses after a refusal: "),
+        statusOf(scripted).blockedReason());
+    assertEquals("UNSURE", statusOf(scripted).rejectionCause());
   }
 
-  /** One of fourteen couriers has used its part up: nothing was refused, and yet nothing goes. */
+  /**
+   * One of fourteen couriers has used up its rate share: nothing was rejected, yet nothing is sent.
+   */
   @Test
   void exhaustedRateShare_isReported() {
     final ScriptedController scripted =
@@ -55,18 +58,18 @@
     scripted.accept("m0", 0);
     scripted.accept("m1", 0);
     assertTrue(
-        of(scripted)
+        statusOf(scripted)
             .blockedReason()
             .startsWith("this courier's part of the rate told is used up: "),
-        of(scripted).blockedReason());
-    assertEquals(0.9 / 14, of(scripted).permittedPerSecond(), 1e-9);
+        statusOf(scripted).blockedReason());
+    assertEquals(0.9 / 14, statusOf(scripted).permittedPerSecond(), 1e-9);
   }
 
   @Test
   void openCircuit_isReported() {
     final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    for (int index = 0; index < 6 && !of(scripted).circuitState().equals("OUT"); index++) {
+    for (int index = 0; index < 6 && !statusOf(scripted).circuitState().equals("OUT"); index++) {
       scripted.accept("m" + index, 0);
       scripted.advance(2 * ScriptedController.SECOND);
       for (int one = 0; one <= index; one++) {
@@ -75,6 +78,8 @@
         }
       }
     }
-    assertTrue(of(scripted).blockedReason().startsWith("it is out"), of(scripted).blockedReason());
+    assertTrue(
+        statusOf(scripted).blockedReason().startsWith("it is out"),
+        statusOf(scripted).blockedReason());
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/ScaleTest.java
@@ -26,48 +26,68 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * What large sizes bring, in virtual time. The bound on real time is wide: all of this takes a few
- * seconds where a pass costs what has changed.
+ * Behaviour at large sizes, in virtual time. The limit on real time is wide: all tests take a few
+ * seconds as long as the cost of a round depends on what has changed.
  */
 @Tag("scale")
 @Timeout(60)
 final class ScaleTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
-  private static final long SILENT = -1;
+  private static final long UNRESPONSIVE = -1;
 
-  /** An outcome on its way, or a wake-up (no message). */
-  private record Due(long atUs, long number, String messageId, long endpoint, long sentUs) {}
+  /** An outcome that is yet to be reported, or a wake-up (without a message). */
+  private record ScheduledEvent(
+      long atUs, long sequence, String messageId, long endpoint, long sentUs) {}
 
-  /** Endpoints that answer after a while, or never; what is asked for is kept by message. */
-  private static final class World implements DeliveryActions {
-    private final Map<Long, Long> delaysUs = new HashMap<>();
-    private final Map<Long, Long> waitsUs = new HashMap<>();
-    private final PriorityQueue<Due> due =
+  /**
+   * A host in virtual time whose endpoints answer after a delay or never; it keeps the state of
+   * each message.
+   */
+  private static final class SimulatedHost implements DeliveryActions {
+    private final Map<Long, Long> responseDelaysUs = new HashMap<>();
+    private final Map<Long, Long> retryAfterUntilUs = new HashMap<>();
+    private final PriorityQueue<ScheduledEvent> scheduled =
         new PriorityQueue<>(
-            (one, other) ->
-                one.atUs() != other.atUs()
-                    ? Long.compare(one.atUs(), other.atUs())
-                    : Long.compare(one.number(), other.number()));
-    private final Map<String, Long> openUntilUs = new HashMap<>();
+            (first, second) ->
+                first.atUs() != second.atUs()
+                    ? Long.compare(first.atUs(), second.atUs())
+                    : Long.compare(first.sequence(), second.sequence()));
+    private final Map<String, Long> deadlinesUs = new HashMap<>();
     private final Map<Long, Integer> calls = new HashMap<>();
-    private final Map<String, Long> outAt = new HashMap<>();
-    private final OverloadController control;
+    private final Map<String, Long> outstanding = new HashMap<>();
+    private final OverloadController controller;
     private long nowUs = 1000 * SECOND;
-    private long numbers;
-    private int delivered;
-    private int refused;
-    private int late;
-    private int passes;
+    private long nextSequence;
+    private int deliveredCount;
+    private int shedCount;
+    private int lateCount;
+    private int rounds;
 
-    private World(final int slots, final int maxOpen) {
+    private SimulatedHost(final int concurrencyLimit, final int maxPendingMessages) {
       final List<MessageClass> classes =
           List.of(
               new MessageClass(
-                  "safe", Idempotence.IDEMPOTENT, false, false, 1, 0, SECOND, 20 * SECOND, 0),
+                  "low-priority",
+                  Idempotence.IDEMPOTENT,
+                  false,
+                  false,
+                  1,
+                  0,
+                  SECOND,
+                  20 * SECOND,
+                  0),
               new MessageClass(
-                  "dear", Idempotence.IDEMPOTENT, false, false, 5, 0, SECOND, 20 * SECOND, 0));
-      control =
+                  "high-priority",
+                  Idempotence.IDEMPOTENT,
+                  false,
+                  false,
+                  5,
+                  0,
+                  SECOND,
+                  20 * SECOND,
+                  0));
+      controller =
           new OverloadController(
               new DeliverySettings(
                   1,
@@ -79,42 +99,44 @@
                   List.of(),
                   List.of(new DestinationKind("std", false, 1)),
                   new Guarantees(10 * SECOND, 0.2, 5 * SECOND, 2, 0),
-                  new ResourceLimits(slots, maxOpen, 8, true, 10 * SECOND, 1, 2 * SECOND)),
+                  new ResourceLimits(
+                      concurrencyLimit, maxPendingMessages, 8, true, 10 * SECOND, 1, 2 * SECOND)),
               7,
               this);
     }
 
-    private void endpoint(final long destination, final long delayUs) {
-      delaysUs.put(destination, delayUs);
-      list(destination, EndpointState.LISTED);
+    private void addEndpoint(final long destination, final long delayUs) {
+      responseDelaysUs.put(destination, delayUs);
+      updateEndpoint(destination, EndpointState.LISTED);
     }
 
-    private void list(final long destination, final EndpointState condition) {
-      control.onEndpointList(
+    private void updateEndpoint(final long destination, final EndpointState state) {
+      controller.onEndpointList(
           nowUs,
           EndpointUpdate.CHANGES,
-          List.of(new Endpoint(destination, condition, "a", 0, 0, destination)));
+          List.of(new Endpoint(destination, state, "a", 0, 0, destination)));
     }
 
-    private String take(final int kind, final long destination, final long lifeUs) {
-      final String id = "m" + numbers++;
-      openUntilUs.put(id, nowUs + lifeUs);
-      control.onMessage(nowUs, new Message(id, kind, -1, null, nowUs + lifeUs, destination));
+    private String accept(final int classIndex, final long destination, final long timeToLiveUs) {
+      final String id = "m" + nextSequence++;
+      deadlinesUs.put(id, nowUs + timeToLiveUs);
+      controller.onMessage(
+          nowUs, new Message(id, classIndex, -1, null, nowUs + timeToLiveUs, destination));
       return id;
     }
 
     private void decide() {
-      passes++;
-      control.decide(nowUs);
+      rounds++;
+      controller.decide(nowUs);
     }
 
-    /** Plays until then. */
-    private void until(final long untilUs) {
+    /** Advances the clock to a given time, with all events that are due by then. */
+    private void runUntil(final long untilUs) {
       decide();
-      while (!due.isEmpty() && due.peek().atUs() <= untilUs) {
-        nowUs = Math.max(nowUs, due.peek().atUs());
-        while (!due.isEmpty() && due.peek().atUs() <= nowUs) {
-          arrive(due.poll());
+      while (!scheduled.isEmpty() && scheduled.peek().atUs() <= untilUs) {
+        nowUs = Math.max(nowUs, scheduled.peek().atUs());
+        while (!scheduled.isEmpty() && scheduled.peek().atUs() <= nowUs) {
+          process(scheduled.poll());
         }
         decide();
       }
@@ -122,30 +144,30 @@
       decide();
     }
 
-    private void arrive(final Due one) {
-      if (one.messageId() == null
-          || !Long.valueOf(one.number()).equals(outAt.get(one.messageId()))) {
+    private void process(final ScheduledEvent event) {
+      if (event.messageId() == null
+          || !Long.valueOf(event.sequence()).equals(outstanding.get(event.messageId()))) {
         return;
       }
-      outAt.remove(one.messageId());
-      final boolean silent = delaysUs.get(one.endpoint()) == SILENT;
-      final long waitUs = waitsUs.getOrDefault(one.endpoint(), 0L) - nowUs;
+      outstanding.remove(event.messageId());
+      final boolean unresponsive = responseDelaysUs.get(event.endpoint()) == UNRESPONSIVE;
+      final long waitUs = retryAfterUntilUs.getOrDefault(event.endpoint(), 0L) - nowUs;
       final AttemptResult result =
-          silent
+          unresponsive
               ? AttemptResult.TIMED_OUT
               : waitUs > 0 ? AttemptResult.REFUSED : AttemptResult.DELIVERED;
       if (result == AttemptResult.DELIVERED) {
-        openUntilUs.remove(one.messageId());
-        delivered++;
+        deadlinesUs.remove(event.messageId());
+        deliveredCount++;
       }
-      control.onOutcome(
+      controller.onOutcome(
           nowUs,
           new AttemptOutcome(
-              one.messageId(),
+              event.messageId(),
               result,
-              result == AttemptResult.DELIVERED || !openUntilUs.containsKey(one.messageId()),
-              one.endpoint(),
-              nowUs - one.sentUs(),
+              result == AttemptResult.DELIVERED || !deadlinesUs.containsKey(event.messageId()),
+              event.endpoint(),
+              nowUs - event.sentUs(),
               Math.max(0, waitUs),
               null));
     }
@@ -153,29 +175,34 @@
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
       calls.merge(endpoint, 1, Integer::sum);
-      final long delayUs = delaysUs.get(endpoint) == SILENT ? timeoutUs : delaysUs.get(endpoint);
-      final Due answer = new Due(nowUs + delayUs, numbers++, messageId, endpoint, nowUs);
-      outAt.put(messageId, answer.number());
-      due.add(answer);
+      final long delayUs =
+          responseDelaysUs.get(endpoint) == UNRESPONSIVE
+              ? timeoutUs
+              : responseDelaysUs.get(endpoint);
+      final ScheduledEvent answer =
+          new ScheduledEvent(nowUs + delayUs, nextSequence++, messageId, endpoint, nowUs);
+      outstanding.put(messageId, answer.sequence());
+      scheduled.add(answer);
     }
 
     @Override
     public void shed(final String messageId, final long retryAfterUs) {
-      refused++;
-      final Long untilUs = openUntilUs.remove(messageId);
+      shedCount++;
+      final Long untilUs = deadlinesUs.remove(messageId);
       assertTrue(untilUs != null, "ended twice: " + messageId);
-      late += nowUs > untilUs ? 1 : 0;
+      lateCount += nowUs > untilUs ? 1 : 0;
     }
 
     @Override
     public void fail(final String messageId) {
-      throw new AssertionError("all of these may be refused");
+      throw new AssertionError("all messages of these tests may be shed");
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
-      due.add(new Due(nowUs, outAt.get(messageId), messageId, SILENT, nowUs));
-      delaysUs.put(SILENT, SILENT);
+      scheduled.add(
+          new ScheduledEvent(nowUs, outstanding.get(messageId), messageId, UNRESPONSIVE, nowUs));
+      responseDelaysUs.put(UNRESPONSIVE, UNRESPONSIVE);
     }
 
     @Override
@@ -185,138 +212,144 @@
 
     @Override
     public void subscribeToEndpointList() {
-      throw new AssertionError("the list comes by itself here");
+      throw new AssertionError("the endpoint list is pushed in these tests");
     }
 
     @Override
     public void scheduleDecision(final long delayUs) {
-      due.add(new Due(nowUs + delayUs, numbers++, null, 0, 0));
+      scheduled.add(new ScheduledEvent(nowUs + delayUs, nextSequence++, null, 0, 0));
     }
   }
 
   @Test
   void unresponsiveDestinationWith100000Messages_doesNotDelayOthers() {
-    final World world = new World(200, 300_000);
-    world.endpoint(1, SILENT);
+    final SimulatedHost host = new SimulatedHost(200, 300_000);
+    host.addEndpoint(1, UNRESPONSIVE);
     for (long destination = 2; destination <= 21; destination++) {
-      world.endpoint(destination, 5 * MS);
+      host.addEndpoint(destination, 5 * MS);
     }
     for (int count = 0; count < 100_000; count++) {
-      world.take(0, 1, 20 * SECOND);
+      host.accept(0, 1, 20 * SECOND);
     }
-    world.decide();
-    int handed = 0;
+    host.decide();
+    int accepted = 0;
     for (int tick = 0; tick < 4_000; tick++) {
-      world.take(0, 2 + tick % 20, 10 * SECOND);
-      handed++;
-      world.until(world.nowUs + 5 * MS);
+      host.accept(0, 2 + tick % 20, 10 * SECOND);
+      accepted++;
+      host.runUntil(host.nowUs + 5 * MS);
     }
-    world.until(world.nowUs + 12 * SECOND);
-    assertEquals(handed, world.delivered, "all that went to others");
-    assertEquals(100_000, world.refused);
-    assertEquals(0, world.late);
-    assertTrue(world.calls.get(1L) < 400, "calls into silence: " + world.calls.get(1L));
+    host.runUntil(host.nowUs + 12 * SECOND);
+    assertEquals(accepted, host.deliveredCount, "all messages to the other destinations");
+    assertEquals(100_000, host.shedCount);
+    assertEquals(0, host.lateCount);
+    assertTrue(
+        host.calls.get(1L) < 400, "calls to the unresponsive destination: " + host.calls.get(1L));
   }
 
   @Test
   void deadlines100000InOneMillisecond_areMet() {
-    final World world = new World(50, 300_000);
-    world.endpoint(1, SILENT);
+    final SimulatedHost host = new SimulatedHost(50, 300_000);
+    host.addEndpoint(1, UNRESPONSIVE);
     for (int count = 0; count < 100_000; count++) {
-      world.take(0, 1, 15 * SECOND + count % 1000);
+      host.accept(0, 1, 15 * SECOND + count % 1000);
     }
-    world.until(world.nowUs + 16 * SECOND);
-    assertEquals(100_000, world.refused);
-    assertEquals(0, world.late);
+    host.runUntil(host.nowUs + 16 * SECOND);
+    assertEquals(100_000, host.shedCount);
+    assertEquals(0, host.lateCount);
   }
 
   @Test
   void allRetryAftersEndTogether_areHandled() {
-    final World world = new World(2_000, 300_000);
-    final long endUs = world.nowUs + 3 * SECOND;
+    final SimulatedHost host = new SimulatedHost(2_000, 300_000);
+    final long endUs = host.nowUs + 3 * SECOND;
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.endpoint(destination, MS);
-      world.waitsUs.put(destination, endUs);
-      world.take(0, destination, 15 * SECOND);
+      host.addEndpoint(destination, MS);
+      host.retryAfterUntilUs.put(destination, endUs);
+      host.accept(0, destination, 15 * SECOND);
     }
-    world.until(endUs - 1);
-    assertEquals(0, world.delivered);
+    host.runUntil(endUs - 1);
+    assertEquals(0, host.deliveredCount);
     for (long destination = 1; destination <= 10_000; destination++) {
       assertEquals(
-          1, world.calls.getOrDefault(destination, 0), "a told wait is heeded at " + destination);
+          1,
+          host.calls.getOrDefault(destination, 0),
+          "the Retry-After is observed by destination " + destination);
     }
-    world.until(endUs + 8 * SECOND);
-    assertEquals(10_000, world.delivered);
-    assertTrue(world.passes < 60_000, "passes: " + world.passes);
+    host.runUntil(endUs + 8 * SECOND);
+    assertEquals(10_000, host.deliveredCount);
+    assertTrue(host.rounds < 60_000, "rounds: " + host.rounds);
   }
 
   @Test
   void destinations10000_areAddedDrainedAndRemovedWithinOneSecond() {
-    final World world = new World(500, 100_000);
+    final SimulatedHost host = new SimulatedHost(500, 100_000);
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.endpoint(destination, 2 * MS);
-      world.take(0, destination, 18 * SECOND);
+      host.addEndpoint(destination, 2 * MS);
+      host.accept(0, destination, 18 * SECOND);
       if (destination % 100 == 0) {
-        world.until(world.nowUs + MS);
+        host.runUntil(host.nowUs + MS);
       }
     }
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.list(destination, EndpointState.DRAINING);
+      host.updateEndpoint(destination, EndpointState.DRAINING);
     }
-    world.decide();
-    final Map<Long, Integer> before = Map.copyOf(world.calls);
+    host.decide();
+    final Map<Long, Integer> before = Map.copyOf(host.calls);
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.list(destination, EndpointState.GONE);
+      host.updateEndpoint(destination, EndpointState.GONE);
     }
     for (long destination = 1; destination <= 10_000; destination++) {
-      world.take(0, destination, 5 * SECOND);
+      host.accept(0, destination, 5 * SECOND);
     }
-    world.until(world.nowUs + 20 * SECOND);
-    assertEquals(before, world.calls, "nothing new to what drains or is gone");
-    assertEquals(20_000, world.delivered + world.refused);
-    assertEquals(0, world.late);
-    world.until(world.nowUs + 62 * SECOND);
-    assertEquals(0, world.control.destinationCount(), "nothing is kept of them");
+    host.runUntil(host.nowUs + 20 * SECOND);
+    assertEquals(before, host.calls, "no new call to a draining or gone endpoint");
+    assertEquals(20_000, host.deliveredCount + host.shedCount);
+    assertEquals(0, host.lateCount);
+    host.runUntil(host.nowUs + 62 * SECOND);
+    assertEquals(0, host.controller.destinationCount(), "no destination is kept");
   }
 
   /**
-   * Full for two minutes: what is worth least goes, what is worth most is served, nothing is late.
+   * The message store is full for two minutes: the least valuable messages are shed, the most
+   * valuable are delivered, and none ends late.
    */
   @Test
   void fullStore_servesHighestPriorityFirst() {
-    final World world = new World(20, 20_000);
+    final SimulatedHost host = new SimulatedHost(20, 20_000);
     for (long destination = 1; destination <= 10; destination++) {
-      world.endpoint(destination, 20 * MS);
+      host.addEndpoint(destination, 20 * MS);
     }
-    int dear = 0;
+    int highPriority = 0;
     for (int tick = 0; tick < 2_400; tick++) {
       for (int count = 0; count < 100; count++) {
-        dear += count % 10 == 0 ? 1 : 0;
-        world.take(count % 10 == 0 ? 1 : 0, 1 + count % 7, 20 * SECOND);
+        highPriority += count % 10 == 0 ? 1 : 0;
+        host.accept(count % 10 == 0 ? 1 : 0, 1 + count % 7, 20 * SECOND);
       }
-      world.until(world.nowUs + 50 * MS);
+      host.runUntil(host.nowUs + 50 * MS);
     }
-    assertEquals(0, world.late);
-    assertTrue(world.openUntilUs.size() <= 20_000, "held: " + world.openUntilUs.size());
-    assertTrue(dear > 20_000 && world.delivered > 60_000, "delivered: " + world.delivered);
+    assertEquals(0, host.lateCount);
+    assertTrue(host.deadlinesUs.size() <= 20_000, "pending: " + host.deadlinesUs.size());
+    assertTrue(
+        highPriority > 20_000 && host.deliveredCount > 60_000, "delivered: " + host.deliveredCount);
   }
 
   /**
-   * Nothing to do costs nothing: no poll, however many destinations are known and messages wait.
+   * Nothing is polled while there is nothing to do, however many destinations are known and
+   * messages wait.
    */
   @Test
   void idleDestinations_areNotPolled() {
-    final World world = new World(100, 300_000);
+    final SimulatedHost host = new SimulatedHost(100, 300_000);
     for (long destination = 1; destination <= 1_000; destination++) {
-      world.endpoint(destination, MS);
-      world.list(destination, EndpointState.DRAINING);
+      host.addEndpoint(destination, MS);
+      host.updateEndpoint(destination, EndpointState.DRAINING);
       for (int count = 0; count < 20; count++) {
-        world.take(0, destination, 19 * SECOND);
+        host.accept(0, destination, 19 * SECOND);
       }
     }
-    final int before = world.passes;
-    world.until(world.nowUs + 18 * SECOND);
-    assertTrue(world.passes - before < 25, "passes in 18 s: " + (world.passes - before));
-    assertEquals(0, world.refused);
+    final int before = host.rounds;
+    host.runUntil(host.nowUs + 18 * SECOND);
+    assertTrue(host.rounds - before < 25, "rounds in 18 s: " + (host.rounds - before));
+    assertEquals(0, host.shedCount);
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/ScriptedController.java
+++ b/decisions/src/test/java/thistleturn/decisions/ScriptedController.java
@@ -27,7 +27,7 @@
   static final long SECOND = 1_000_000;
   static final long DESTINATION = 57;
 
-  /** A send that was recorded. */
+  /** A recorded {@link #send}. */
   record SentCall(String id, long endpoint, long timeoutUs, long atUs) {}
 
   final List<SentCall> sentCalls = new ArrayList<>();
@@ -49,12 +49,15 @@
     this.controller = new OverloadController(settings, seed, this);
   }
 
-  /** Well-mixed seeds for a fleet: neighbouring ones would begin alike. */
+  /**
+   * Returns a well-mixed seed for a courier of a fleet: adjacent seeds would give similar first
+   * draws.
+   */
   static long seed(final int courier) {
     return (courier + 1) * 0x9E3779B97F4A7C15L;
   }
 
-  /** Two endpoints of one destination, listed from the start. */
+  /** Returns a controller with two endpoints of one destination, listed from the start. */
   static ScriptedController withTwoEndpoints(final DeliverySettings settings) {
     final ScriptedController scripted = new ScriptedController(settings);
     scripted.applyEndpointList(
@@ -68,8 +71,8 @@
     return new Endpoint(id, EndpointState.LISTED, zone, 1, 0, destination);
   }
 
-  static Endpoint endpointInState(final EndpointState condition, final long id) {
-    return new Endpoint(id, condition, "a", 1, 0, DESTINATION);
+  static Endpoint endpointInState(final EndpointState state, final long id) {
+    return new Endpoint(id, state, "a", 1, 0, DESTINATION);
   }
 
   /**
@@ -77,38 +80,42 @@
    * non-idempotent, 3 ordered by key, 4 with a key scoped to its zone.
    */
   static DeliverySettings settings(
-      final int slots, final int perCall, final boolean apart, final boolean ask) {
+      final int concurrencyLimit,
+      final int maxBatchSize,
+      final boolean separateRoutes,
+      final boolean subscribes) {
     final List<MessageClass> classes =
         List.of(
             messageClass("safe", Idempotence.IDEMPOTENT, false, false, 2),
             messageClass("keyed", Idempotence.IDEMPOTENT_BY_KEY, false, false, 1),
             messageClass("unsafe", Idempotence.NON_IDEMPOTENT, false, false, 1),
-            messageClass("turn", Idempotence.IDEMPOTENT, false, true, 1),
+            messageClass("ordered", Idempotence.IDEMPOTENT, false, true, 1),
             messageClass("zoned", Idempotence.IDEMPOTENT_BY_KEY, true, false, 1));
-    return settings(slots, perCall, apart, ask, WeightMeaning.NONE, classes);
+    return settings(
+        concurrencyLimit, maxBatchSize, separateRoutes, subscribes, WeightMeaning.NONE, classes);
   }
 
   private static DeliverySettings settings(
-      final int slots,
-      final int perCall,
-      final boolean apart,
-      final boolean ask,
-      final WeightMeaning weights,
+      final int concurrencyLimit,
+      final int maxBatchSize,
+      final boolean separateRoutes,
+      final boolean subscribes,
+      final WeightMeaning weightMeaning,
       final List<MessageClass> classes) {
     return new DeliverySettings(
         2,
         "a",
-        ask,
-        weights,
+        subscribes,
+        weightMeaning,
         ValueDecay.LINEAR,
         classes,
         List.of(),
-        List.of(new DestinationKind("std", apart, perCall)),
+        List.of(new DestinationKind("std", separateRoutes, maxBatchSize)),
         new Guarantees(10 * SECOND, 0.2, 10 * SECOND, 2, 3 * SECOND),
-        new ResourceLimits(slots, 40, 8, true, 10 * SECOND, 1, 2 * SECOND));
+        new ResourceLimits(concurrencyLimit, 40, 8, true, 10 * SECOND, 1, 2 * SECOND));
   }
 
-  /** As {@link #settings()}, with the limit told exactly. */
+  /** As {@link #settings()}, where the reported limit is exact. */
   static DeliverySettings withReportedLimit() {
     return settings(16, 1, false, false, WeightMeaning.NOMINAL, settings().classes());
   }
@@ -117,38 +124,46 @@
     return settings(16, 1, false, false);
   }
 
-  /** As {@link #settings()}, in a fleet of so many couriers. */
+  /** As {@link #settings()}, in a fleet of the given number of couriers. */
   static DeliverySettings fleetOf(final int couriers) {
     return fleetOf(couriers, settings());
   }
 
-  /** As {@link #withReportedLimit()}, in a fleet of so many couriers. */
+  /** As {@link #withReportedLimit()}, in a fleet of the given number of couriers. */
   static DeliverySettings fleetWithReportedLimit(final int couriers) {
     return fleetOf(couriers, withReportedLimit());
   }
 
-  private static DeliverySettings fleetOf(final int couriers, final DeliverySettings few) {
+  private static DeliverySettings fleetOf(final int couriers, final DeliverySettings base) {
     return new DeliverySettings(
         couriers,
-        few.zone(),
-        few.subscribesToEndpointList(),
-        few.weightMeaning(),
-        few.valueDecay(),
-        few.classes(),
-        few.tenants(),
-        few.kinds(),
-        few.guarantees(),
-        few.limits());
+        base.zone(),
+        base.subscribesToEndpointList(),
+        base.weightMeaning(),
+        base.valueDecay(),
+        base.classes(),
+        base.tenants(),
+        base.kinds(),
+        base.guarantees(),
+        base.limits());
   }
 
   private static MessageClass messageClass(
       final String name,
-      final Idempotence effect,
-      final boolean zoneKeyed,
-      final boolean inTurn,
-      final double worth) {
+      final Idempotence idempotence,
+      final boolean keyScopedToZone,
+      final boolean orderedByKey,
+      final double priorityWeight) {
     return new MessageClass(
-        name, effect, zoneKeyed, inTurn, worth, 0.5, 2 * SECOND, 16 * SECOND, 6 * SECOND);
+        name,
+        idempotence,
+        keyScopedToZone,
+        orderedByKey,
+        priorityWeight,
+        0.5,
+        2 * SECOND,
+        16 * SECOND,
+        6 * SECOND);
   }
 
   void applyEndpointList(final EndpointUpdate update, final Endpoint... entries) {
@@ -156,33 +171,35 @@
     controller.decide(nowUs);
   }
 
-  void accept(final String id, final int kind) {
-    accept(id, kind, null, 16 * SECOND);
+  void accept(final String id, final int classIndex) {
+    accept(id, classIndex, null, 16 * SECOND);
   }
 
-  void accept(final String id, final int kind, final String key, final long lifeUs) {
-    controller.onMessage(nowUs, new Message(id, kind, -1, key, nowUs + lifeUs, DESTINATION));
+  void accept(final String id, final int classIndex, final String key, final long timeToLiveUs) {
+    controller.onMessage(
+        nowUs, new Message(id, classIndex, -1, key, nowUs + timeToLiveUs, DESTINATION));
     controller.decide(nowUs);
   }
 
-  /** Takes a message for another destination. */
-  void acceptFor(final String id, final int kind, final long destination) {
-    controller.onMessage(nowUs, new Message(id, kind, -1, null, nowUs + 16 * SECOND, destination));
+  /** Accepts a message for a given destination. */
+  void acceptFor(final String id, final int classIndex, final long destination) {
+    controller.onMessage(
+        nowUs, new Message(id, classIndex, -1, null, nowUs + 16 * SECOND, destination));
     controller.decide(nowUs);
   }
 
-  /** Ends the last attempt of a message. */
+  /** Reports the outcome of the last attempt of a message, and runs a decision round. */
   void endAttempt(final String id, final AttemptResult result) {
     endAttempt(id, result, 0);
   }
 
-  void endAttempt(final String id, final AttemptResult result, final long waitUs) {
-    reportOutcome(id, result, waitUs);
+  void endAttempt(final String id, final AttemptResult result, final long retryAfterUs) {
+    reportOutcome(id, result, retryAfterUs);
     controller.decide(nowUs);
   }
 
-  /** As {@link #endAttempt}, without letting the courier decide yet. */
-  void reportOutcome(final String id, final AttemptResult result, final long waitUs) {
+  /** As {@link #endAttempt}, without a decision round. */
+  void reportOutcome(final String id, final AttemptResult result, final long retryAfterUs) {
     final SentCall last = lastCall(id);
     outcomes.merge(id, 1, Integer::sum);
     controller.onOutcome(
@@ -193,11 +210,11 @@
             result == AttemptResult.DELIVERED,
             last.endpoint(),
             nowUs - last.atUs(),
-            waitUs,
+            retryAfterUs,
             null));
   }
 
-  /** Lets time pass, with the reminders that were asked for. */
+  /** Advances the clock, with the decision rounds that were scheduled meanwhile. */
   void advance(final long us) {
     final long until = nowUs + us;
     while (true) {
@@ -220,7 +237,7 @@
         .orElseThrow();
   }
 
-  /** Attempts of a message that have their outcome. */
+  /** Returns the number of attempts of a message that have their outcome. */
   long endedAttempts(final String id) {
     return outcomes.getOrDefault(id, 0);
   }
--- a/decisions/src/test/java/thistleturn/decisions/SharedCallDeadlineTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/SharedCallDeadlineTest.java
@@ -8,12 +8,12 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * A call with several messages is over for all of them with the deadline of the first. A message
- * whose time was nearly up was put into a call with others: its deadline passed while the response
- * was on its way, the call counted for none, and the others, which had been delivered, were sent
- * again.
+ * A call with several messages ends for all of them at the earliest of their deadlines. A message
+ * close to its deadline was put into a call with others: its deadline passed before the response
+ * was read, the call counted as delivering none of them, and the others, although delivered, were
+ * sent again.
  *
- * <p>Seen in {@code PausedCourierTest} on two busy cores. The log told {@code shared_call_expired
+ * <p>Seen in {@code PausedCourierTest} on two busy cores: the log showed {@code shared_call_expired
  * messages=5 had_us=19577 answered=false}, {@code messages=5 had_us=11428 answered=true}, and so on
  * up to 104 ms, where a call takes 40 ms at the endpoint; each time the other messages of the call
  * were sent again 50 to 200 ms after their delivery.
@@ -22,65 +22,69 @@
 final class SharedCallDeadlineTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
-  private static final int SAFE = 0;
+  private static final int IDEMPOTENT = 0;
   private static final long CALL_US = 50 * MS;
 
-  /** Up to this time left a courier may be held up between reading its clock and writing. */
-  private static final long HOLD_UP_US = 150 * MS;
+  /** Longest stall of a courier that is allowed for between reading its clock and writing. */
+  private static final long MAX_STALL_US = 150 * MS;
 
-  /** One call at a time with up to five messages; it has learned how long calls take. */
-  private static ScriptedController oneCallAtATime() {
-    final ScriptedController one =
+  /**
+   * A controller that allows one call in flight, of up to five messages, and has learned how long
+   * calls take.
+   */
+  private static ScriptedController withOneCallAtATime() {
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings(1, 5, false, false));
     for (int index = 0; index < 80; index++) {
-      one.accept("t" + index, SAFE);
-      one.advance(CALL_US);
-      one.endAttempt("t" + index, AttemptResult.DELIVERED);
+      scripted.accept("t" + index, IDEMPOTENT);
+      scripted.advance(CALL_US);
+      scripted.endAttempt("t" + index, AttemptResult.DELIVERED);
     }
-    return one;
+    return scripted;
   }
 
-  /** Two patient messages and one with so much time left wait until a call ends. */
-  private static ScriptedController afterWaitWith(final long briefLeftUs) {
-    final ScriptedController one = oneCallAtATime();
-    one.accept("first", SAFE);
-    one.accept("patient-0", SAFE);
-    one.accept("brief", SAFE, null, CALL_US + briefLeftUs);
-    one.accept("patient-1", SAFE);
-    one.advance(CALL_US);
-    one.endAttempt("first", AttemptResult.DELIVERED);
-    return one;
+  /** Two messages with ample time left and one with the given time left wait until a call ends. */
+  private static ScriptedController afterWaitWithExpiringMessage(final long expiringLeftUs) {
+    final ScriptedController scripted = withOneCallAtATime();
+    scripted.accept("first", IDEMPOTENT);
+    scripted.accept("ample-0", IDEMPOTENT);
+    scripted.accept("expiring", IDEMPOTENT, null, CALL_US + expiringLeftUs);
+    scripted.accept("ample-1", IDEMPOTENT);
+    scripted.advance(CALL_US);
+    scripted.endAttempt("first", AttemptResult.DELIVERED);
+    return scripted;
   }
 
   @Test
-  void messageAboutToExpire_doesNotShareACall() {
-    for (final long leftUs : new long[] {20 * MS, 60 * MS, 120 * MS, HOLD_UP_US + CALL_US}) {
-      final ScriptedController one = afterWaitWith(leftUs);
+  void messageAboutToExpire_doesNotShareCall() {
+    for (final long leftUs : new long[] {20 * MS, 60 * MS, 120 * MS, MAX_STALL_US + CALL_US}) {
+      final ScriptedController scripted = afterWaitWithExpiringMessage(leftUs);
       assertTrue(
-          one.attempts("brief") == 0 || one.attempts("patient-0") == 0,
-          "in one call with " + leftUs + " us left");
-      assertEquals(one.attempts("patient-0"), one.attempts("patient-1"), "these two share a call");
+          scripted.attempts("expiring") == 0 || scripted.attempts("ample-0") == 0,
+          "shares a call with " + leftUs + " us left");
+      assertEquals(
+          scripted.attempts("ample-0"), scripted.attempts("ample-1"), "these two share a call");
     }
   }
 
   @Test
-  void messageAboutToExpire_stillGoesByItself() {
-    final ScriptedController one = afterWaitWith(3 * CALL_US);
-    one.advance(CALL_US);
-    final String other = one.attempts("brief") == 0 ? "patient-0" : "brief";
-    one.endAttempt(other, AttemptResult.DELIVERED);
-    if (other.equals("patient-0")) {
-      one.endAttempt("patient-1", AttemptResult.DELIVERED);
+  void messageAboutToExpire_isSentInItsOwnCall() {
+    final ScriptedController scripted = afterWaitWithExpiringMessage(3 * CALL_US);
+    scripted.advance(CALL_US);
+    final String other = scripted.attempts("expiring") == 0 ? "ample-0" : "expiring";
+    scripted.endAttempt(other, AttemptResult.DELIVERED);
+    if (other.equals("ample-0")) {
+      scripted.endAttempt("ample-1", AttemptResult.DELIVERED);
     }
-    assertEquals(1, one.attempts("brief"));
-    assertEquals(1, one.attempts("patient-0"));
+    assertEquals(1, scripted.attempts("expiring"));
+    assertEquals(1, scripted.attempts("ample-0"));
   }
 
   @Test
-  void messageWithTimeLeft_sharesTheCall() {
-    final ScriptedController one = afterWaitWith(SECOND);
-    assertEquals(1, one.attempts("brief"));
-    assertEquals(1, one.attempts("patient-0"));
-    assertEquals(1, one.attempts("patient-1"));
+  void messageWithTimeLeft_sharesCall() {
+    final ScriptedController scripted = afterWaitWithExpiringMessage(SECOND);
+    assertEquals(1, scripted.attempts("expiring"));
+    assertEquals(1, scripted.attempts("ample-0"));
+    assertEquals(1, scripted.attempts("ample-1"));
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/SourceSizeTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/SourceSizeTest.java
@@ -9,10 +9,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The operators read the whole module at night: its size is part of what is promised. */
+/**
+ * Limits the size of the controller's source, because operators must be able to read all of it
+ * during an incident at night.
+ */
 final class SourceSizeTest {
-  private static final int MOST_LINES = 900;
-  private static final int MOST_CHARACTERS = 110;
+  private static final int MAX_LINES = 900;
+  private static final int MAX_LINE_LENGTH = 110;
 
   @Test
   void controllerSource_staysWithinLineLimits() throws IOException {
@@ -20,7 +23,7 @@
         Files.readAllLines(Path.of("src/main/java/thistleturn/decisions/OverloadController.java"));
     assertFalse(lines.isEmpty());
     final long filled = lines.stream().filter(line -> !line.isBlank()).count();
-    assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
-    lines.forEach(line -> assertTrue(line.length() <= MOST_CHARACTERS, line));
+    assertTrue(filled <= MAX_LINES, "non-blank lines: " + filled);
+    lines.forEach(line -> assertTrue(line.length() <= MAX_LINE_LENGTH, line));
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/TakeoverTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/TakeoverTest.java
@@ -16,74 +16,73 @@
 import thistleturn.decisions.model.Message;
 import thistleturn.decisions.model.PriorAttempts;
 
-/** What one process's decisions have learnt binds those of the process that takes over from it. */
+/** The state that the decisions of a process have learned applies to those of its successor. */
 @Tag("operators")
 final class TakeoverTest {
-  private static final int SAFE = 0;
-  private static final int UNSAFE = 2;
-  private static final int ORDERED = 3;
+  private static final int IDEMPOTENT = 0;
+  private static final int NON_IDEMPOTENT = 2;
+  private static final int ORDERED_BY_KEY = 3;
 
-  private final ScriptedController before =
+  private final ScriptedController predecessor =
       ScriptedController.withTwoEndpoints(ScriptedController.settings());
 
-  /**
-   * The process that takes over, at the same moment; it has been told the list and what was learnt.
-   */
-  private ScriptedController after() {
-    final ScriptedController after =
+  /** Returns the successor at the same time; it has the endpoint list and the learned state. */
+  private ScriptedController successor() {
+    final ScriptedController successor =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
-    after.nowUs = before.nowUs;
-    after.controller.onLearnedState(after.nowUs, before.controller.learnedState());
-    return after;
+    successor.nowUs = predecessor.nowUs;
+    successor.controller.onLearnedState(successor.nowUs, predecessor.controller.learnedState());
+    return successor;
   }
 
   @Test
   void retryAfter_survivesTakeover() {
-    before.accept("m1", SAFE);
-    before.endAttempt("m1", AttemptResult.REFUSED, 2 * SECOND);
-    before.advance(SECOND);
-    final ScriptedController after = after();
-    after.accept("m2", SAFE);
-    after.advance(SECOND - MS);
-    assertEquals(0, after.sentCalls.size(), "it was told to wait");
-    after.advance(5 * SECOND);
-    assertEquals(1, after.sentCalls.size());
+    predecessor.accept("m1", IDEMPOTENT);
+    predecessor.endAttempt("m1", AttemptResult.REFUSED, 2 * SECOND);
+    predecessor.advance(SECOND);
+    final ScriptedController successor = successor();
+    successor.accept("m2", IDEMPOTENT);
+    successor.advance(SECOND - MS);
+    assertEquals(0, successor.sentCalls.size(), "the Retry-After still applies");
+    successor.advance(5 * SECOND);
+    assertEquals(1, successor.sentCalls.size());
   }
 
   @Test
   void openCircuit_survivesTakeoverWithSingleTrials() {
     for (int round = 0; round < 8; round++) {
-      before.accept("m" + round, SAFE);
-      before.advance(SECOND / 2);
-      before.sentCalls.stream()
+      predecessor.accept("m" + round, IDEMPOTENT);
+      predecessor.advance(SECOND / 2);
+      predecessor.sentCalls.stream()
           .map(ScriptedController.SentCall::id)
           .distinct()
-          .filter(id -> before.attempts(id) > before.endedAttempts(id))
+          .filter(id -> predecessor.attempts(id) > predecessor.endedAttempts(id))
           .toList()
-          .forEach(id -> before.endAttempt(id, AttemptResult.NO_CONNECTION));
+          .forEach(id -> predecessor.endAttempt(id, AttemptResult.NO_CONNECTION));
     }
-    final ScriptedController after = after();
+    final ScriptedController successor = successor();
     for (int index = 0; index < 10; index++) {
-      after.accept("n" + index, SAFE);
+      successor.accept("n" + index, IDEMPOTENT);
     }
-    after.advance(10 * SECOND);
-    assertEquals(1, after.sentCalls.size(), "one trial, and nothing beside it");
+    successor.advance(10 * SECOND);
+    assertEquals(1, successor.sentCalls.size(), "a single trial");
   }
 
   @Test
   void recovery_survivesTakeover() {
-    openCircuitOf(before);
-    final ScriptedController after = after();
+    beginRecoveryOf(predecessor);
+    final ScriptedController successor = successor();
     for (int index = 0; index < 12; index++) {
-      after.accept("n" + index, SAFE);
+      successor.accept("n" + index, IDEMPOTENT);
     }
-    after.advance(100 * MS);
-    assertTrue(after.sentCalls.size() <= 1, "paced: " + after.sentCalls.size());
+    successor.advance(100 * MS);
+    assertTrue(successor.sentCalls.size() <= 1, "paced: " + successor.sentCalls.size());
   }
 
-  private static void openCircuitOf(final ScriptedController scripted) {
+  /** Opens the circuit by failures, then delivers a trial. */
+  private static void beginRecoveryOf(final ScriptedController scripted) {
     for (int round = 0; round < 8; round++) {
-      scripted.accept("m" + round, SAFE);
+      scripted.accept("m" + round, IDEMPOTENT);
       scripted.advance(SECOND / 2);
       final AttemptResult result =
           round < 7 ? AttemptResult.NO_CONNECTION : AttemptResult.DELIVERED;
@@ -105,70 +104,73 @@
 
   @Test
   void adoptedCall_countsInFlightAndItsOutcomeIsRecorded() {
-    before.accept("out", UNSAFE);
-    final ScriptedController.SentCall sent = before.lastCall("out");
-    final ScriptedController after = after();
-    after.controller.onCallAdopted(
-        after.nowUs,
-        new Message("out", UNSAFE, -1, null, after.nowUs + 16 * SECOND, DESTINATION),
+    predecessor.accept("out", NON_IDEMPOTENT);
+    final ScriptedController.SentCall sent = predecessor.lastCall("out");
+    final ScriptedController successor = successor();
+    successor.controller.onCallAdopted(
+        successor.nowUs,
+        new Message("out", NON_IDEMPOTENT, -1, null, successor.nowUs + 16 * SECOND, DESTINATION),
         new PriorAttempts(1, false, 0, ""),
         sent.endpoint(),
         sent.atUs(),
         false);
-    after.controller.decide(after.nowUs);
-    assertEquals(1, after.controller.callsInFlight());
-    after.advance(2 * SECOND);
-    assertEquals(0, after.sentCalls.size(), "never two copies out");
-    after.controller.onOutcome(
-        after.nowUs,
+    successor.controller.decide(successor.nowUs);
+    assertEquals(1, successor.controller.callsInFlight());
+    successor.advance(2 * SECOND);
+    assertEquals(0, successor.sentCalls.size(), "no second attempt while the first is in flight");
+    successor.controller.onOutcome(
+        successor.nowUs,
         new AttemptOutcome(
             "out", AttemptResult.RESET, false, sent.endpoint(), 2 * SECOND, 0, null));
-    after.controller.decide(after.nowUs);
-    assertEquals(0, after.controller.callsInFlight());
-    assertEquals(List.of("out"), after.failedMessages, "it may have run");
+    successor.controller.decide(successor.nowUs);
+    assertEquals(0, successor.controller.callsInFlight());
+    assertEquals(List.of("out"), successor.failedMessages, "it may have been executed");
   }
 
-  // Guards against a second copy while a call of a process that is being killed is still open.
+  // Guards against a second attempt while a call of a process that is being killed is in flight.
   @Test
   void interruptedAttempt_isNotRepeatedBeforeItsEnd() {
-    final ScriptedController after = after();
-    resumeInterrupted(after, "safe", SAFE, null);
-    resumeInterrupted(after, "unsafe", UNSAFE, null);
-    after.accept("new", SAFE);
-    after.advance(SECOND);
-    assertEquals(1, after.sentCalls.size(), "what was in no call goes at once");
-    assertEquals(List.of(), after.failedMessages);
-    after.controller.onInterruptionEnded(after.nowUs, "safe");
-    after.controller.onInterruptionEnded(after.nowUs, "unsafe");
-    after.controller.decide(after.nowUs);
-    assertEquals(1, after.attempts("safe"));
-    assertEquals(List.of("unsafe"), after.failedMessages, "it may have run");
+    final ScriptedController successor = successor();
+    resumeInterrupted(successor, "safe", IDEMPOTENT, null);
+    resumeInterrupted(successor, "unsafe", NON_IDEMPOTENT, null);
+    successor.accept("new", IDEMPOTENT);
+    successor.advance(SECOND);
+    assertEquals(
+        1,
+        successor.sentCalls.size(),
+        "the message without an interrupted attempt is sent at once");
+    assertEquals(List.of(), successor.failedMessages);
+    successor.controller.onInterruptionEnded(successor.nowUs, "safe");
+    successor.controller.onInterruptionEnded(successor.nowUs, "unsafe");
+    successor.controller.decide(successor.nowUs);
+    assertEquals(1, successor.attempts("safe"));
+    assertEquals(List.of("unsafe"), successor.failedMessages, "it may have been executed");
   }
 
-  // Guards against overtaking: the messages of a key wait behind one whose attempt is interrupted.
+  // Guards against reordering: messages of a key wait behind one with an interrupted attempt.
   @Test
   void interruptedAttempt_keepsItsPlaceAmongMessagesOfItsKey() {
-    final ScriptedController after = after();
-    resumeInterrupted(after, "first", ORDERED, "k");
-    after.accept("second", ORDERED, "k", 16 * SECOND);
-    after.advance(SECOND);
-    assertEquals(0, after.sentCalls.size());
-    after.controller.onInterruptionEnded(after.nowUs, "first");
-    after.controller.decide(after.nowUs);
-    assertEquals("first", after.sentCalls.get(0).id());
-    assertEquals(1, after.sentCalls.size());
+    final ScriptedController successor = successor();
+    resumeInterrupted(successor, "first", ORDERED_BY_KEY, "k");
+    successor.accept("second", ORDERED_BY_KEY, "k", 16 * SECOND);
+    successor.advance(SECOND);
+    assertEquals(0, successor.sentCalls.size());
+    successor.controller.onInterruptionEnded(successor.nowUs, "first");
+    successor.controller.decide(successor.nowUs);
+    assertEquals("first", successor.sentCalls.get(0).id());
+    assertEquals(1, successor.sentCalls.size());
   }
 
-  // Guards against a message that is sent, or never ends, after its time.
+  // Guards against a message that is sent after its deadline, or never ends.
   @Test
   void interruptedAttemptThatEndsAtDeadline_endsItsMessage() {
-    final ScriptedController after = after();
-    resumeInterrupted(after, "late", SAFE, null);
-    after.advance(16 * SECOND);
-    after.controller.onInterruptionEnded(after.nowUs, "late");
-    after.controller.decide(after.nowUs);
-    assertEquals(0, after.sentCalls.size());
-    assertEquals(List.of("late"), after.shedMessages);
+    final ScriptedController successor = successor();
+    resumeInterrupted(successor, "late", IDEMPOTENT, null);
+    successor.advance(16 * SECOND);
+    successor.controller.onInterruptionEnded(successor.nowUs, "late");
+    successor.controller.decide(successor.nowUs);
+    assertEquals(0, successor.sentCalls.size());
+    assertEquals(List.of("late"), successor.shedMessages);
   }
 
   private static void resumeInterrupted(
@@ -191,7 +193,7 @@
     scripted.applyEndpointList(
         EndpointUpdate.SUPPLEMENT, ScriptedController.endpointInState(EndpointState.DRAINING, 1));
     for (int index = 0; index < 6; index++) {
-      scripted.accept("m" + index, SAFE);
+      scripted.accept("m" + index, IDEMPOTENT);
     }
     assertEquals(0, scripted.sentCalls.size());
     scripted.controller.onEndpointList(
@@ -206,7 +208,7 @@
         .toList()
         .forEach(id -> scripted.endAttempt(id, AttemptResult.DELIVERED));
     scripted.advance(200 * MS);
-    assertEquals(1, scripted.sentCalls.size(), "single calls, as many as a cold one bears");
+    assertEquals(1, scripted.sentCalls.size(), "single calls until the destination has warmed up");
     assertEquals(0, scripted.controller.avoidedEndpoints().size());
   }
 }
