--- a/decisions/src/main/java/thistleturn/decisions/RecoveryPacer.java
+++ b/decisions/src/main/java/thistleturn/decisions/RecoveryPacer.java
@@ -6,8 +6,8 @@
 /**
  * Determines how far apart the calls to a failing route are, and when a route whose circuit is open
  * is tried again. Both depend on the rate of its calls, or on this courier's even share of its
- * limit, and on how long it has been failing. Intervals are randomized so that couriers do not act
- * in lockstep.
+ * limit, and on how long it has been failing. Trial times and backoffs are randomized so that
+ * couriers do not act in lockstep.
  */
 final class RecoveryPacer {
   /** Minimum backoff after a rejection, us: limits are counted over windows of about a second. */
--- a/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/RetryPolicy.java
@@ -26,8 +26,8 @@
   private static final long EXPIRY_MARGIN_US = 12_000;
 
   /**
-   * A message may share a call if it has this many times the expected duration left, and the
-   * longest stall.
+   * A message may share a call if it has this many times the expected duration left, in addition to
+   * {@link #MAX_STALL_US}.
    */
   private static final double SHARED_CALL_FACTOR = 2;
 
