--- a/decisions/src/main/java/thistleturn/decisions/ControllerState.java
+++ b/decisions/src/main/java/thistleturn/decisions/ControllerState.java
@@ -31,7 +31,7 @@
   final boolean sharesRates;
 
   /** Whether a thin share is kept to less strictly in a vast fleet. */
-  final boolean relaxesThinShares;
+  final boolean relaxesSmallShares;
 
   final Map<Long, Destination> destinations = new HashMap<>();
   final Map<Long, EndpointHealth> endpoints = new HashMap<>();
@@ -86,7 +86,7 @@
       final DeliveryActions actions,
       final boolean classifiesFaults,
       final boolean sharesRates,
-      final boolean relaxesThinShares) {
+      final boolean relaxesSmallShares) {
     this.settings = settings;
     this.actions = actions;
     this.random = new Random(seed);
@@ -94,7 +94,7 @@
     this.latencies = new LatencyEstimator(settings.classes());
     this.classifiesFaults = classifiesFaults;
     this.sharesRates = sharesRates;
-    this.relaxesThinShares = relaxesThinShares;
+    this.relaxesSmallShares = relaxesSmallShares;
     this.concurrencyLimit = settings.limits().concurrencyLimit();
     this.maxPendingMessages = settings.limits().maxPendingMessages();
   }
--- a/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
@@ -130,7 +130,7 @@
   }
 
   /** Returns whether messages of the same age are worth the same here and in another group. */
-  boolean isWorthAsMuchAs(final DeadlineGroup other) {
+  boolean hasSameValueAs(final DeadlineGroup other) {
     final MessageClass otherClass = other.messageClass;
     return overQuota == other.overQuota
         && messageClass.priorityWeight() == otherClass.priorityWeight()
--- a/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
@@ -253,7 +253,7 @@
     return unresponsiveSinceTick;
   }
 
-  void restartUnresponsiveness(final long tick) {
+  void restartUnresponsivePeriod(final long tick) {
     unresponsiveSinceTick = tick;
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
+++ b/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
@@ -53,7 +53,7 @@
   private enum RejectionMeaning {
     UNCLASSIFIED,
     LOAD,
-    STRAY
+    UNRELATED_TO_LOAD
   }
 
   InFlightCall(final EndpointHealth endpoint, final long sentUs) {
@@ -222,12 +222,12 @@
     return rejection != RejectionMeaning.UNCLASSIFIED;
   }
 
-  void classifyRejection(final boolean stray) {
-    rejection = stray ? RejectionMeaning.STRAY : RejectionMeaning.LOAD;
+  void classifyRejection(final boolean unrelatedToLoad) {
+    rejection = unrelatedToLoad ? RejectionMeaning.UNRELATED_TO_LOAD : RejectionMeaning.LOAD;
   }
 
   /** Returns whether its rejection was found not to answer to what the route is sent. */
-  boolean isRejectionStray() {
-    return rejection == RejectionMeaning.STRAY;
+  boolean isRejectionUnrelatedToLoad() {
+    return rejection == RejectionMeaning.UNRELATED_TO_LOAD;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
+++ b/decisions/src/main/java/thistleturn/decisions/MessageScheduler.java
@@ -84,7 +84,7 @@
     PendingMessage first = mostUrgent;
     for (final DeadlineGroup group : mostUrgent.destination().groups()) {
       if (!group.isBlocked()
-          && group.isWorthAsMuchAs(mostUrgent.group())
+          && group.hasSameValueAs(mostUrgent.group())
           && maySend(group, route, endpoint)) {
         final PendingMessage candidate = firstThatOutlastsSharedCall(group, route);
         first = candidate != null && candidate.expiresBefore(first) ? candidate : first;
--- a/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/OutlierDetector.java
@@ -169,7 +169,7 @@
     if (!call.isRejectionClassified() && call.route().circuit().isClosed()) {
       call.classifyRejection(isStrayRejection(call, message.classIndex()));
     }
-    return call.isRejectionStray();
+    return call.isRejectionUnrelatedToLoad();
   }
 
   private boolean isStrayRejection(final InFlightCall call, final int classIndex) {
--- a/decisions/src/main/java/thistleturn/decisions/OverdueCallDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverdueCallDetector.java
@@ -115,7 +115,7 @@
     final long checkTick = byRound ? lastRoundTick : route.faultCheckTick();
     if (endpoint.isUnresponsive() && checkTick >= endpoint.unresponsiveSinceTick()) {
       endpoint.avoidAllUntil((byRound ? lastRoundUs : route.faultCheckUs()) + AVOID_US);
-      endpoint.restartUnresponsiveness(state.tick);
+      endpoint.restartUnresponsivePeriod(state.tick);
     }
   }
 
--- a/decisions/src/main/java/thistleturn/decisions/OverloadController.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverloadController.java
@@ -87,7 +87,7 @@
    * @param rankingBudgetUs time for ranking anew what time alone has changed, us; 0: no bound
    * @param classifiesFaults whether rejections, failures and first seconds are classified
    * @param sharesRates whether this courier keeps to its share of a reported rate
-   * @param relaxesThinShares whether a thin share is kept to less strictly in a vast fleet
+   * @param relaxesSmallShares whether a thin share is kept to less strictly in a vast fleet
    */
   OverloadController(
       final DeliverySettings settings,
@@ -96,10 +96,10 @@
       final long rankingBudgetUs,
       final boolean classifiesFaults,
       final boolean sharesRates,
-      final boolean relaxesThinShares) {
+      final boolean relaxesSmallShares) {
     state =
         new ControllerState(
-            settings, seed, actions, classifiesFaults, sharesRates, relaxesThinShares);
+            settings, seed, actions, classifiesFaults, sharesRates, relaxesSmallShares);
     final RetryPolicy retryPolicy = new RetryPolicy(state);
     final EndpointSelector endpointSelector = new EndpointSelector(state);
     endpointRegistry = new EndpointRegistry(state);
--- a/decisions/src/main/java/thistleturn/decisions/Route.java
+++ b/decisions/src/main/java/thistleturn/decisions/Route.java
@@ -69,7 +69,7 @@
     this.idleConnectionDraw = sharing ? state.random.nextDouble() : Double.POSITIVE_INFINITY;
     final int rateSharers =
         sharing && settings.weightMeaning() == WeightMeaning.NOMINAL ? settings.courierCount() : 0;
-    this.inVastFleet = state.relaxesThinShares && FleetSize.isVast(settings.courierCount());
+    this.inVastFleet = state.relaxesSmallShares && FleetSize.isVast(settings.courierCount());
     this.pacing = new SendPacing(new FairShare(inVastFleet), rateSharers);
     this.window = new ConcurrencyWindow(largeFleet);
     this.stepsTaken = state.stepCount;
