--- a/decisions/src/main/java/thistleturn/decisions/BlockedReason.java
+++ b/decisions/src/main/java/thistleturn/decisions/BlockedReason.java
@@ -4,7 +4,7 @@
 import java.util.stream.Stream;
 import thistleturn.decisions.directives.Directive;
 
-/** Says in a sentence what keeps the next message of a route; the texts are shown to operators. */
+/** Describes in a sentence why the next message of a route is not sent; operators see the texts. */
 final class BlockedReason {
   private static final long US_PER_MS = 1000;
 
@@ -14,10 +14,10 @@
   private final int limit;
 
   /**
-   * Looks at a route.
+   * Creates the description of one route.
    *
-   * @param sendAllowedAtUs when its next call may go
-   * @param limit the calls that it may have in flight now
+   * @param sendAllowedAtUs when its next call may be sent
+   * @param limit its concurrency limit now
    */
   BlockedReason(final Route route, final long nowUs, final long sendAllowedAtUs, final int limit) {
     this.route = route;
@@ -26,7 +26,7 @@
     this.limit = limit;
   }
 
-  /** Returns the first reason that holds. */
+  /** Returns the first reason that applies. */
   String describe() {
     if (route.destination().waitingMessages() == 0) {
       return "nothing waits";
@@ -35,11 +35,11 @@
       return "none of its endpoints is listed for use";
     }
     if (route.endpoints().stream().noneMatch(endpoint -> endpoint.acceptsCalls(nowUs))) {
-      return "its endpoints are left out: " + sources(endpointDirectives());
+      return "its endpoints are excluded by " + sources(endpointDirectives());
     }
     if (nowUs < route.pacing().retryAfterUntilUs()) {
       final long remainingUs = route.pacing().retryAfterUntilUs() - nowUs;
-      return "it told to wait: " + inMillis(remainingUs) + " are left";
+      return "its Retry-After applies for another " + inMillis(remainingUs);
     }
     if (route.circuit().isOpen()) {
       return describeOpenCircuit();
@@ -59,15 +59,15 @@
       return describePacing(inMillis(sendAllowedAtUs - nowUs));
     }
     if (route.endpoints().stream().allMatch(endpoint -> endpoint.isAvoided(nowUs))) {
-      return "all of its endpoints are avoided for trouble with them";
+      return "all of its endpoints are avoided after recent faults";
     }
     return "the next message may go as soon as a slot is free, unless its class is avoided or"
-        + " another of its key is out";
+        + " another message of its key is in flight";
   }
 
   private String describeOpenCircuit() {
     return route.callsInFlight() > 0
-        ? "it is out, and a trial is under way"
+        ? "it is out, and a trial is in flight"
         : "it is out: the next trial goes in " + inMillis(route.circuit().nextTrialUs() - nowUs);
   }
 
@@ -78,15 +78,16 @@
 
   private String describePacing(final String remaining) {
     if (route.circuit().isRecovering()) {
-      return "it returns from an outage: the next call goes in " + remaining;
+      return "it recovers from an outage: the next call goes in " + remaining;
     }
     if (nowUs < route.effectiveBackoffUntilUs()) {
-      return "it pauses after a refusal: " + remaining + " are left";
+      return "it backs off after a rejection: " + remaining + " are left";
     }
     if (route.pacing().rateShare().isLimited()) {
-      return "this courier's part of the rate told is used up: the next one goes in " + remaining;
+      return "this courier's share of the reported rate is used up: the next call goes in "
+          + remaining;
     }
-    return "its sends are spaced after refusals: the next one goes in " + remaining;
+    return "its calls are paced after rejections: the next call goes in " + remaining;
   }
 
   private Stream<Directive> endpointDirectives() {
