--- a/decisions/src/main/java/thistleturn/decisions/BacklogDrain.java
+++ b/decisions/src/main/java/thistleturn/decisions/BacklogDrain.java
@@ -1,41 +1,53 @@
 package thistleturn.decisions;
 
 /**
- * How fast a destination serves messages while others wait for it, and how long its queue takes at
- * that rate. Deliveries while nothing waits say how much was asked for, not how much can be served,
- * and are not counted.
+ * Measures how fast a destination serves messages while others wait for it, and estimates how long
+ * its queue takes to drain. Deliveries made while no message waits show the demand, not the
+ * capacity, and are not counted.
  */
 final class BacklogDrain {
-  /** For so long, us, a rate is not known: the calls of a queue that has just formed are out. */
+  /**
+   * Time, us, that a queue must have existed, beyond two calls, before its rate is known: at first
+   * its calls are still in flight.
+   */
   private static final long MIN_MEASURED_US = OverloadController.SECOND_US / 2;
 
-  /** What was measured longer ago than this, us, weighs half. */
+  /**
+   * Length of a measurement, us, at which what was counted so far is halved, so that older
+   * deliveries weigh less.
+   */
   private static final long MEMORY_US = 4 * OverloadController.SECOND_US;
 
-  /** Since when messages wait, moved forward as older deliveries are forgotten; NEVER: none do. */
+  /**
+   * Start of the measurement, moved forward as older deliveries are discounted; NEVER while no
+   * message waits.
+   */
   private long sinceUs = OverloadController.NEVER;
 
   private double delivered;
 
-  /** The first message waits: what an earlier queue has shown no longer counts. */
+  /** Starts a new measurement when the first message waits; that of an earlier queue is dropped. */
   void begin(final long nowUs) {
     sinceUs = nowUs;
     delivered = 0;
   }
 
-  /** No message waits any more. */
+  /** Ends the measurement: no message waits any more. */
   void end() {
     sinceUs = OverloadController.NEVER;
   }
 
-  /** This courier did not run for a while: what it served meanwhile says nothing. */
+  /**
+   * Restarts a measurement under way after a pause of this process, whose deliveries do not show
+   * the rate of the destination.
+   */
   void restartAfterPause(final long nowUs) {
     if (sinceUs != OverloadController.NEVER) {
       begin(nowUs);
     }
   }
 
-  /** Counts a delivery, if others wait. */
+  /** Counts a delivery if other messages wait. */
   void recordDelivery(final long nowUs) {
     if (sinceUs == OverloadController.NEVER) {
       return;
@@ -49,9 +61,9 @@
   }
 
   /**
-   * Returns how long so many messages take, us; 0 while the queue is too young to tell.
+   * Returns how long it takes to serve a number of messages, us; 0 while the rate is not known.
    *
-   * @param callUs how long a call takes: no delivery can be expected earlier
+   * @param callUs expected duration of a call, us: no delivery can be expected earlier
    */
   double drainUs(final int messages, final long nowUs, final double callUs) {
     if (sinceUs == OverloadController.NEVER || nowUs - sinceUs < MIN_MEASURED_US + 2 * callUs) {
--- a/decisions/src/main/java/thistleturn/decisions/CallDispatcher.java
+++ b/decisions/src/main/java/thistleturn/decisions/CallDispatcher.java
@@ -3,9 +3,9 @@
 import thistleturn.decisions.index.Ranking;
 import thistleturn.decisions.model.Idempotence;
 
-/** Sends the messages that may go, the most urgent first, while the concurrency limit allows. */
+/** Sends the messages that may be sent, the most urgent first, within the concurrency limit. */
 final class CallDispatcher {
-  /** What each further message of a call weighs on a cold destination, in calls. */
+  /** Load that each message after the first adds to a call on a cold destination, in calls. */
   private static final double BATCHED_MESSAGE_WEIGHT = 0.2;
 
   private final ControllerState state;
@@ -34,7 +34,7 @@
     this.messages = messages;
   }
 
-  /** Sends until the concurrency limit is reached or no message may go. */
+  /** Sends until the concurrency limit is reached or no message may be sent. */
   void sendMostUrgent() {
     state.nextRoundUs = OverloadController.NEVER;
     while (state.callsInFlight < state.concurrencyLimit) {
@@ -51,7 +51,9 @@
     }
   }
 
-  /** Calls an endpoint with a message and, where calls are shared, with those that wait with it. */
+  /**
+   * Calls an endpoint with a message and, where a call may carry several, with others that wait.
+   */
   private void startCall(final PendingMessage first, final Route route) {
     final EndpointHealth endpoint =
         endpointSelector.select(route, first.group(), first.rejectedBy());
@@ -114,9 +116,9 @@
   }
 
   /**
-   * Takes on a message whose call another process of this courier has sent.
+   * Adopts a message whose call was sent by another process of this courier.
    *
-   * @param sameCall whether it belongs to the call of the message adopted before it
+   * @param sameCall whether the message belongs to the call of the one adopted before it
    */
   void adopt(
       final PendingMessage message,
@@ -134,7 +136,7 @@
     overdueCalls.track(lastAdoptedCall);
   }
 
-  /** Ends a call all of whose messages have their outcome. */
+  /** Ends a call once each of its messages has an outcome. */
   void endCall(final InFlightCall call) {
     final EndpointHealth endpoint = call.endpoint();
     state.callsInFlight--;
--- a/decisions/src/main/java/thistleturn/decisions/CircuitBreaker.java
+++ b/decisions/src/main/java/thistleturn/decisions/CircuitBreaker.java
@@ -5,12 +5,12 @@
 
 /**
  * The circuit breaker of one route: decides from the outcomes of its calls whether the route has
- * failed, and carries what the pacing of trials and of the recovery is reckoned from.
+ * failed, and holds the times and intervals by which trials and the recovery are paced.
  *
- * <p>The state moves only by {@link #open}, {@link #beginRecovery}, {@link #completeRecovery} and
- * {@link #cancelOutage}; a move that the current state does not allow is an error. Two measures say
- * that a route has failed: a run of weighted faults without a success, and the ratio of failures
- * among recent calls.
+ * <p>The state changes only by {@link #open}, {@link #beginRecovery}, {@link #completeRecovery} and
+ * {@link #cancelOutage}; a transition that the current state does not allow is an error. Either of
+ * two measures opens the circuit: a run of weighted faults without a success, or the ratio of
+ * failures among recent calls.
  */
 final class CircuitBreaker {
   /** Weight of faults without a success that opens the circuit. */
@@ -19,7 +19,7 @@
   /** Ratio of failures among recent calls that opens the circuit. */
   private static final double OUTAGE_FAILURE_RATIO = 0.6;
 
-  /** Weight of one call in the failure ratio: a memory of about eight calls. */
+  /** Weight of one call in the failure ratio, an average over about the last eight calls. */
   private static final double FAILURE_SAMPLE_WEIGHT = 0.12;
 
   private static final Set<CircuitState> CLOSED_OR_RECOVERING =
@@ -33,7 +33,10 @@
   private double faultRun;
   private double failureRatio;
 
-  /** Since when nothing has succeeded; {@link OverloadController#NEVER} while nothing is wrong. */
+  /**
+   * Since when no call has succeeded; {@link OverloadController#NEVER} while the route has no
+   * fault.
+   */
   private long faultSinceUs = OverloadController.NEVER;
 
   private long nextTrialUs;
@@ -58,13 +61,13 @@
 
   // ---------------------------------------------------------------- transitions
 
-  /** Opens the circuit: from now on only single trials go. */
+  /** Opens the circuit: from now on only single trials are sent. */
   void open() {
     moveTo(CircuitState.OPEN, CLOSED_OR_RECOVERING);
   }
 
   /**
-   * Begins the recovery: calls are paced from now on.
+   * Begins the recovery, during which calls are paced.
    *
    * @param sinceUs when the destination began to warm up
    * @param intervalUs the interval of calls at the overload threshold
@@ -81,7 +84,7 @@
     moveTo(CircuitState.CLOSED, ONLY_RECOVERING);
   }
 
-  /** Closes a circuit that was opened for faults that were not the destination's. */
+  /** Closes a circuit that was opened because of faults outside the destination. */
   void cancelOutage() {
     moveTo(CircuitState.CLOSED, ONLY_OPEN);
     faultRun = 0;
@@ -107,7 +110,7 @@
     faultRun += weight;
   }
 
-  /** Forgets the run of faults: a call has succeeded. */
+  /** Clears the run of faults after a successful call. */
   void endFaultRun() {
     faultRun = 0;
   }
@@ -117,17 +120,25 @@
     return faultRun != 0;
   }
 
-  /** Returns whether the evidence, with so many calls unresponsive, amounts to an outage. */
+  /** Returns whether the recorded faults and the unresponsive calls amount to an outage. */
   boolean isOutage(final int unresponsiveCalls) {
     return faultRun + unresponsiveCalls >= OUTAGE_FAULT_RUN || failureRatio > OUTAGE_FAILURE_RATIO;
   }
 
-  /** Counts a failed part of a call in the failure ratio. */
+  /**
+   * Counts a failure in the failure ratio.
+   *
+   * @param part the fraction of a call that failed
+   */
   void recordFailure(final double part) {
     failureRatio += part * FAILURE_SAMPLE_WEIGHT * (1 - failureRatio);
   }
 
-  /** Counts a successful part of a call in the failure ratio. */
+  /**
+   * Counts a success in the failure ratio.
+   *
+   * @param part the fraction of a call that succeeded
+   */
   void recordSuccess(final double part) {
     failureRatio -= part * FAILURE_SAMPLE_WEIGHT * failureRatio;
   }
@@ -136,7 +147,7 @@
     return failureRatio;
   }
 
-  // ---------------------------------------------------------------- since when it fails
+  // ---------------------------------------------------------------- start of the fault
 
   boolean isFaulty() {
     return faultSinceUs != OverloadController.NEVER;
@@ -146,7 +157,7 @@
     return faultSinceUs;
   }
 
-  /** Notes that the route has been failing since a time, unless it has been for longer. */
+  /** Records that the route has been failing since a time, unless an earlier one is recorded. */
   void markFaultySince(final long sinceUs) {
     faultSinceUs = Math.min(faultSinceUs, sinceUs);
   }
@@ -165,7 +176,7 @@
     nextTrialUs = atUs;
   }
 
-  /** Lets the next trial go now, if it was to go later. */
+  /** Moves the next trial forward to a time, if it is scheduled later. */
   void allowTrialBy(final long atUs) {
     nextTrialUs = Math.min(nextTrialUs, atUs);
   }
@@ -190,7 +201,7 @@
     return faultRun;
   }
 
-  /** Restores what another process of this courier had learned. */
+  /** Restores the state learned by another process of this courier. */
   void restore(
       final CircuitState restoredState,
       final double restoredFaultRun,
@@ -202,7 +213,7 @@
     recoveryIntervalUs = restoredRecoveryIntervalUs;
   }
 
-  /** Restores the times that another process of this courier had noted. */
+  /** Restores the times recorded by another process of this courier. */
   void restoreTimes(
       final long restoredFaultSinceUs,
       final long restoredNextTrialUs,
--- a/decisions/src/main/java/thistleturn/decisions/CircuitState.java
+++ b/decisions/src/main/java/thistleturn/decisions/CircuitState.java
@@ -7,11 +7,11 @@
  * ordinals.
  */
 enum CircuitState {
-  /** Calls go as the route's window and pacing allow. */
+  /** Calls are sent as the route's window and pacing allow. */
   CLOSED("WELL"),
-  /** The route fails: only single trial calls go. */
+  /** The route fails: only single trial calls are sent. */
   OPEN("OUT"),
-  /** The route has answered again and is paced until it has surely warmed up. */
+  /** The route answers again; its calls are paced until the warm-up time has passed. */
   RECOVERING("RAMP");
 
   private final String reportedName;
@@ -20,12 +20,12 @@
     this.reportedName = reportedName;
   }
 
-  /** Returns the name under which operators see this state; it is part of the status output. */
+  /** Returns the name of this state in the status output. */
   String reportedName() {
     return reportedName;
   }
 
-  /** Returns the state that a stored ordinal stands for. */
+  /** Returns the state for a stored ordinal. */
   static CircuitState ofOrdinal(final int ordinal) {
     return values()[ordinal];
   }
--- a/decisions/src/main/java/thistleturn/decisions/ConcurrencyPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/ConcurrencyPolicy.java
@@ -3,22 +3,32 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * Bounds the calls in flight of each route and, once a second, moves its window by the rule table
- * of the paper (section V) from latency and rejections.
+ * Limits the calls in flight of each route. Once a second it adjusts the route's window to latency
+ * and rejections by the rule table of the paper (section V).
  */
 final class ConcurrencyPolicy {
-  /** Shares of the concurrency limit that one route may use, healthy and degraded. */
+  /** Share of the concurrency limit that a healthy route may use. */
   private static final double HEALTHY_CAPACITY_SHARE = 0.75;
 
+  /** Share of the concurrency limit that a degraded route may use. */
   private static final double DEGRADED_CAPACITY_SHARE = 0.5;
 
-  /** An input of the rule table above this is nearer High than Medium: the route is degraded. */
+  /**
+   * A route is degraded if an input of the rule table exceeds this value, which is closer to High
+   * than to Medium.
+   */
   private static final double DEGRADED_INPUT = 0.75;
 
-  /** Share of a window that must be used for it to grow: unused capacity proves nothing. */
+  /**
+   * Share of a window that must be in use for it to grow: unused calls give no evidence of
+   * capacity.
+   */
   private static final double MIN_UTILIZATION_TO_GROW = 0.5;
 
-  /** Rejections under this ratio of a step's calls would be as many with a restricted rate. */
+  /**
+   * Ratio of a step's calls up to which rejections do not restrict the rate: a restricted rate
+   * would not reduce them.
+   */
   private static final double TOLERATED_REJECTION_RATIO = 0.05;
 
   private final ControllerState state;
@@ -27,25 +37,27 @@
     this.state = state;
   }
 
-  /** Returns the calls that a route may have in flight now; directives may lower its window. */
+  /**
+   * Returns the concurrency limit of a route now: its window, or less where a directive says so.
+   */
   int limit(final Route route) {
     final double ceiling = route.destination().directives().concurrencyLimit(state.nowUs);
     return route.window().limit(ceiling, maxLimit(route));
   }
 
-  /** Returns the calls that a route may have in flight at all: its share of the capacity. */
+  /** Returns the upper bound of a route's concurrency limit: its share of the capacity. */
   int maxLimit(final Route route) {
     final boolean healthy = route.circuit().isClosed() && !route.isDegraded();
     final double share = healthy ? HEALTHY_CAPACITY_SHARE : DEGRADED_CAPACITY_SHARE;
     return (int) Math.max(1, Math.floor(share * state.concurrencyLimit));
   }
 
-  /** Returns what a window can grow to, calls. */
+  /** Returns the largest size of a window, in calls. */
   private double maxWindow() {
     return Math.max(1, Math.floor(HEALTHY_CAPACITY_SHARE * state.concurrencyLimit));
   }
 
-  /** Grows a window that holds up a queue: a call served has proved capacity (RFC 7661). */
+  /** Grows a window that limits a queue: a served call is evidence of capacity (RFC 7661). */
   void growOnSuccess(final Route route, final double calls) {
     if (route.circuit().isClosed()
         && route.destination().waitingMessages() > 0
@@ -54,7 +66,7 @@
     }
   }
 
-  /** Ends the step of a route: moves its averages, its window and its permitted rate. */
+  /** Ends the step of a route: updates its averages, its window and its permitted rate. */
   void step(final Route route) {
     final StepStatistics step = route.step();
     route.pacing().rateShare().advance(route.destination().waitingMessages(), state.nowUs);
@@ -90,7 +102,7 @@
         : route.latency().recordStep(step.meanLatencyRatio(), step.deliveries());
   }
 
-  /** Returns the ratio of failures, or the used share of a reported limit where that is more. */
+  /** Returns the ratio of failures or, if larger, the used share of a reported limit. */
   private static double rejectionInput(final StepStatistics step, final double failureRatio) {
     final LoadReport report = step.limitingReport();
     return report == null ? failureRatio : Math.max(failureRatio, 1 - report.remainingShare());
--- a/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
+++ b/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
@@ -1,20 +1,22 @@
 package thistleturn.decisions;
 
 /**
- * The window of one route: how many calls it may have in flight, as learned from latency and
- * rejections (section V of the paper).
+ * The concurrency window of one route: the number of calls that it may have in flight, learned from
+ * latency and rejections (section V of the paper).
  */
 final class ConcurrencyWindow {
-  /** The smallest window, calls: a route must always be able to learn. */
+  /** The smallest window, in calls: without a call in flight a route cannot learn. */
   static final double MIN = 1;
 
-  /** The window of a new route, calls: one slow answer must not block it. */
+  /** The window of a new route, in calls: one slow response must not block it. */
   static final double INITIAL = 2;
 
-  /** The window of a new route in a large fleet, calls, where arrivals come in clumps. */
+  /** The window of a new route in a large fleet, in calls: messages arrive there in bursts. */
   private static final double INITIAL_IN_LARGE_FLEET = 4;
 
   private double calls;
+
+  /** The window before rejections were classified as noise. */
   private double callsBeforeNoise;
 
   ConcurrencyWindow(final boolean largeFleet) {
@@ -25,37 +27,39 @@
     return calls;
   }
 
-  /** Returns the calls that may be in flight under two further bounds; at least one. */
+  /**
+   * Returns the calls that may be in flight: the window, bounded by both arguments; at least one.
+   */
   int limit(final double ceiling, final int maxLimit) {
     return (int) Math.max(1, Math.min(Math.floor(Math.min(calls, ceiling)), maxLimit));
   }
 
-  /** Returns whether so many calls in flight use enough of the window to let it grow. */
+  /** Returns whether a number of calls in flight uses enough of the window to let it grow. */
   boolean isUsed(final int callsInFlight, final double minUtilization) {
     return callsInFlight >= minUtilization * Math.floor(calls);
   }
 
-  /** Returns whether so many calls in flight leave no room for another one after the next. */
+  /** Returns whether at most one more call fits into the window. */
   boolean isNearlyFull(final int callsInFlight) {
     return callsInFlight + 1 >= Math.floor(calls);
   }
 
-  /** Moves the window by a share of itself, within its bounds. */
+  /** Changes the window by a fraction of itself, within its bounds. */
   void scale(final double change, final double max) {
     calls = PriorityValue.clamp(calls * (1 + change), MIN, max);
   }
 
-  /** Grows the window by so many calls, up to a bound. */
+  /** Grows the window by a number of calls, up to a bound. */
   void grow(final double by, final double max) {
     calls = Math.min(calls + by, max);
   }
 
-  /** Takes back half of what the window has grown to. */
+  /** Halves the window, but not below that of a new route. */
   void halve() {
     calls = Math.max(Math.min(calls, INITIAL), calls / 2);
   }
 
-  /** Shrinks the window as far as it goes: the circuit has opened. */
+  /** Shrinks the window to its minimum when the circuit opens. */
   void collapse() {
     calls = MIN;
   }
@@ -65,17 +69,19 @@
     calls = Math.max(calls, INITIAL);
   }
 
-  /** Remembers the window: from now on rejections are taken for noise. */
+  /** Saves the window when rejections begin to be classified as noise. */
   void markBeforeNoise() {
     callsBeforeNoise = calls;
   }
 
-  /** Returns to the window before rejections were taken for noise, if it has grown since. */
+  /**
+   * Restores the window saved before rejections were classified as noise, if it has grown since.
+   */
   void revertToBeforeNoise() {
     calls = Math.min(calls, callsBeforeNoise);
   }
 
-  /** Restores the window that another process of this courier had learned. */
+  /** Restores the window learned by another process of this courier. */
   void restore(final double restoredCalls) {
     calls = restoredCalls;
   }
--- a/decisions/src/main/java/thistleturn/decisions/ControllerState.java
+++ b/decisions/src/main/java/thistleturn/decisions/ControllerState.java
@@ -11,70 +11,79 @@
 import thistleturn.decisions.model.DeliverySettings;
 
 /**
- * What the parts of the controller share: the settings, the current time, who is known, the
- * capacity in use, and what has changed since the last round. It decides nothing.
+ * The state shared by the parts of the controller: settings, current time, known destinations and
+ * endpoints, capacity in use, and changes since the last round. It makes no decisions.
  */
 final class ControllerState {
   final DeliverySettings settings;
   final DeliveryActions actions;
 
-  /** The courier's only source of randomness: all draw from it, in the order of the events. */
+  /**
+   * The courier's only source of randomness; all components draw from it in the order of events.
+   */
   final Random random;
 
   final RecoveryPacer recoveryPacer;
   final LatencyEstimator latencies;
 
-  /** Whether rejections, failures and first seconds are classified. */
+  /**
+   * Whether rejections and failures are classified by cause, and the first seconds of a route
+   * handled separately.
+   */
   final boolean classifiesFaults;
 
-  /** Whether this courier keeps to its share of a reported rate. */
+  /** Whether this courier limits its calls to its share of a reported rate. */
   final boolean sharesRates;
 
-  /** Whether a thin share is kept to less strictly in a vast fleet. */
+  /** Whether a small rate share is enforced less strictly in a vast fleet. */
   final boolean relaxesSmallShares;
 
   final Map<Long, Destination> destinations = new HashMap<>();
   final Map<Long, EndpointHealth> endpoints = new HashMap<>();
 
-  /** When routes are to be ranked and checked again. */
+  /** The times at which routes are to be ranked and checked again. */
   final TimeHeap<RouteTimer> routeTimers = new TimeHeap<>();
 
   /** The time of the current event or round. */
   long nowUs;
 
-  /** When this process ends; {@link OverloadController#NEVER} while it goes on. */
+  /** When this process stops; {@link OverloadController#NEVER} if no stop is planned. */
   long stopAtUs = OverloadController.NEVER;
 
-  /** Counts the events and rounds so far. */
+  /** Number of events and rounds so far. */
   long tick;
 
-  /** Counts the steps taken so far. */
+  /** Number of steps so far. */
   long stepCount;
 
-  /** Counts the moves of circuits so far. */
+  /** Number of circuit transitions so far. */
   long circuitTransitions;
 
-  /** When a round is wanted that no event and no timer would bring. */
+  /** When a round is needed that neither an event nor a timer would start. */
   long nextRoundUs = OverloadController.NEVER;
 
-  /** What this courier may use now, and what it uses. */
+  /** Calls that this courier may have in flight now. */
   int concurrencyLimit;
 
+  /** Messages that this courier may hold now. */
   int maxPendingMessages;
+
   int callsInFlight;
   int pendingMessages;
 
-  /** Routes on which a step is more than the passing of time. */
+  /** Routes whose next step has more to do than to let time pass. */
   List<Route> activeRoutes = new ArrayList<>();
 
-  /** Destinations that have changed since the last round, and the list of the round before. */
+  /** Destinations that have changed since the last round. */
   private List<Destination> changedDestinations = new ArrayList<>();
 
+  /** The changed destinations of the last round; the list is reused for the next one. */
   private List<Destination> checkedDestinations = new ArrayList<>();
 
-  /** Routes by the urgency of what they would send: as it is, and for each call's time. */
+  /** Routes by the urgency of the messages that they would send. */
   private Ranking<ReadyRoute> byUrgency;
 
+  /** Routes by urgency per unit of call duration. */
   private Ranking<ReadyRoute> byUrgencyPerCallTime;
 
   /** Destinations by the value of the message that would be shed first. */
@@ -99,14 +108,14 @@
     this.maxPendingMessages = settings.limits().maxPendingMessages();
   }
 
-  /** Returns the destination of this number, a new one if it is not known yet. */
+  /** Returns the destination with an id, created if it is not known yet. */
   Destination destination(final long id) {
     return destinations.computeIfAbsent(id, Destination::new);
   }
 
   // ---------------------------------------------------------------- rankings
 
-  /** Sets by what routes and destinations are ranked; once, before the first event. */
+  /** Sets the ranking functions of routes and destinations; called once, before the first event. */
   void initializeRankings(
       final ToDoubleFunction<ReadyRoute> urgency,
       final ToDoubleFunction<Destination> shedPriority,
@@ -117,19 +126,23 @@
   }
 
   /**
-   * Returns the routes by the urgency of what they would send. With the message store over half
-   * full some messages will not be served: then by the urgency for each call's time.
+   * Returns the routes by the urgency of the messages that they would send. If the message store is
+   * more than half full, some messages will not be served, and the ranking is by urgency per unit
+   * of call duration.
    */
   Ranking<ReadyRoute> readyRoutes() {
     return 2 * pendingMessages > maxPendingMessages ? byUrgencyPerCallTime : byUrgency;
   }
 
-  /** Returns the destinations by what would be shed first. */
+  /** Returns the destinations by the value of the message that would be shed first. */
   Ranking<Destination> shedCandidates() {
     return shedCandidates;
   }
 
-  /** Has the routes and the queue of a destination ranked anew before the next choice. */
+  /**
+   * Invalidates the ranking of a destination and its routes; they are ranked again before the next
+   * choice.
+   */
   void rerank(final Destination destination) {
     shedCandidates.invalidate(destination);
     for (final Route route : destination.routes()) {
@@ -138,7 +151,7 @@
     }
   }
 
-  /** Has all routes ranked anew before the next choice. */
+  /** Invalidates the ranking of all routes; they are ranked again before the next choice. */
   void rerankAll() {
     byUrgency.invalidateAll();
     byUrgencyPerCallTime.invalidateAll();
@@ -146,7 +159,9 @@
 
   // ---------------------------------------------------------------- changes
 
-  /** Notes that an event or time has changed a destination: it is checked and ranked again. */
+  /**
+   * Marks a destination as changed by an event or by time, so that it is checked and ranked again.
+   */
   void markChanged(final Destination destination) {
     if (!destination.isChanged()) {
       destination.markChanged();
@@ -179,13 +194,13 @@
     return taken;
   }
 
-  /** Has a route checked again when its recovery ends. */
+  /** Schedules a check of a route for the end of its recovery. */
   void scheduleRecoveryEnd(final Route route) {
     final long endUs = route.circuit().recoverySinceUs() + settings.guarantees().warmUpUs();
     routeTimers.schedule(route.recoveryEndTimer(), endUs + 1);
   }
 
-  /** Begins a step; returns the routes that take it, which become active again by events only. */
+  /** Begins a step. Returns the routes to be stepped; only an event makes them active again. */
   List<Route> beginStep() {
     stepCount++;
     final List<Route> stepping = activeRoutes;
--- a/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
@@ -8,8 +8,8 @@
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * Messages that wait for one destination and differ in their times alone, so that the most urgent
- * of them is found without looking at each.
+ * Messages that wait for one destination and differ only in their deadlines and ages, so that the
+ * most urgent is found without examining each of them.
  */
 final class DeadlineGroup {
   private final int classIndex;
@@ -17,16 +17,16 @@
   private final boolean overQuota;
   private final boolean mayHaveExecuted;
 
-  /** Whether another message of the same key goes first. */
+  /** Whether another message of the same key must be sent first. */
   private final boolean blocked;
 
-  /** The only zone that would recognize a repeat; null: any zone would do. */
+  /** The only zone whose endpoints would recognize a repeat; null if any zone may be used. */
   private final String requiredZone;
 
-  /** The messages by their latency objectives; null in an unordered group. */
+  /** The messages by latency objective; null in an unordered group. */
   private final OrderedQueue<PendingMessage> ordered;
 
-  /** The messages whose idempotency windows end each by itself; null in an ordered group. */
+  /** The messages whose idempotency windows end at different times; null in an ordered group. */
   private final Set<PendingMessage> unordered;
 
   DeadlineGroup(final PendingMessage first, final boolean blocked, final boolean endsWithItsKey) {
@@ -60,7 +60,7 @@
     return blocked;
   }
 
-  /** Returns whether a message belongs here. */
+  /** Returns whether a message belongs to this group. */
   boolean matches(
       final PendingMessage message, final boolean isBlocked, final boolean endsWithItsKey) {
     return classIndex == message.classIndex()
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Returns the message of greatest value, the first in the queue among equals.
+   * Returns the message of greatest value; the first in the queue among equals.
    *
    * @param breakpoints the latency objectives between which the value only rises or only falls
    */
@@ -107,20 +107,20 @@
     PendingMessage best = null;
     double bestValue = 0;
     for (final PendingMessage message : unordered) {
-      final double itsValue = value.applyAsDouble(message);
+      final double messageValue = value.applyAsDouble(message);
       if (best == null
-          || itsValue > bestValue
-          || (itsValue == bestValue && message.queuePosition() < best.queuePosition())) {
+          || messageValue > bestValue
+          || (messageValue == bestValue && message.queuePosition() < best.queuePosition())) {
         best = message;
-        bestValue = itsValue;
+        bestValue = messageValue;
       }
     }
     return best;
   }
 
   /**
-   * Returns the message with the least time left of those that are valid until a time or longer;
-   * null if there is none, or if idempotency windows end the messages before.
+   * Returns the message that expires first among those that are valid at least until a time; null
+   * if there is none, or in an unordered group, whose messages end with their idempotency windows.
    */
   PendingMessage firstValidUntil(final long untilUs) {
     return ordered == null
@@ -129,7 +129,7 @@
             untilUs - messageClass.deadlineUs() + messageClass.latencyObjectiveUs());
   }
 
-  /** Returns whether messages of the same age are worth the same here and in another group. */
+  /** Returns whether messages of equal age have equal value in this group and another. */
   boolean hasSameValueAs(final DeadlineGroup other) {
     final MessageClass otherClass = other.messageClass;
     return overQuota == other.overQuota
@@ -139,17 +139,20 @@
         && messageClass.deadlineUs() == otherClass.deadlineUs();
   }
 
-  /** Returns whether the clients of these messages may safely hand them in again. */
+  /** Returns whether the clients of these messages may safely submit them again. */
   boolean mayShed() {
     return PendingMessage.mayShed(messageClass, mayHaveExecuted);
   }
 
-  /** Returns whether one of these may be sent in a call that others share. */
+  /** Returns whether a message of this group may share a call with others. */
   boolean mayShareCall() {
     return idempotence() != Idempotence.NON_IDEMPOTENT;
   }
 
-  /** Returns whether an endpoint would recognize a repeat, if one of these may have executed. */
+  /**
+   * Returns whether the zone of an endpoint is allowed: where a message may have been executed, the
+   * endpoint must recognize a repeat.
+   */
   boolean allowsZoneOf(final EndpointHealth endpoint) {
     return requiredZone == null || endpoint.zone().equals(requiredZone);
   }
--- a/decisions/src/main/java/thistleturn/decisions/DeliveryActions.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeliveryActions.java
@@ -1,28 +1,28 @@
 package thistleturn.decisions;
 
-/** What the decisions of a courier ask of its host. */
+/** The actions that a controller requests from its host. */
 public interface DeliveryActions {
   /** Sends a message to an endpoint; the attempt may take until the timeout. */
   void send(String messageId, long endpoint, long timeoutUs);
 
-  /** Ends a message undelivered; its client may safely hand it in again after a time. */
+  /** Ends a message undelivered; its client may safely submit it again after a delay. */
   void shed(String messageId, long retryAfterUs);
 
-  /** Ends a message as failed; nothing is promised about its effect. */
+  /** Ends a message as failed; it may or may not have been executed. */
   void fail(String messageId);
 
   /** Stops waiting for an attempt. */
   void cancel(String messageId, int attempt);
 
-  /** Closes this courier's idle connections to an endpoint, before the actions that follow. */
+  /** Closes this courier's idle connections to an endpoint, before any later action. */
   void closeIdleConnections(long endpoint);
 
-  /** Asks for changes of the endpoint list from now on. */
+  /** Subscribes to changes of the endpoint list. */
   void subscribeToEndpointList();
 
   /**
-   * Asks for {@link DeliveryController#decide} to be called after a delay, unless it is called
-   * earlier.
+   * Schedules a call of {@link DeliveryController#decide} after a delay; an earlier call replaces
+   * it.
    */
   void scheduleDecision(long delayUs);
 }
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -7,36 +7,41 @@
 import thistleturn.decisions.directives.Directives;
 import thistleturn.decisions.index.Ranking;
 
-/** A destination: the messages that wait for it, and its routes. */
+/** A destination, its waiting messages and its routes. */
 final class Destination extends Ranking.Entry {
   static final Comparator<Destination> ORDER =
       Comparator.comparingLong(destination -> destination.id);
 
-  /** The least rate at which a queue is taken to drain, messages a second. */
+  /** The lowest rate assumed for the drain of a queue, messages per second. */
   static final double MIN_RATE = 0.25;
 
-  /** How far ahead the loss by waiting is reckoned, us: the next call at least. */
+  /**
+   * Shortest time ahead for which the loss of value by waiting is computed, us; it covers the next
+   * call.
+   */
   static final long MIN_LOOK_AHEAD_US = OverloadController.SECOND_US;
 
+  /** Longest time ahead for which the loss of value by waiting is computed, us. */
   static final long MAX_LOOK_AHEAD_US = 10 * OverloadController.SECOND_US;
 
   private final long id;
 
-  /** The messages that wait, like with like. */
+  /** The waiting messages, grouped by {@link DeadlineGroup#matches}. */
   private final List<DeadlineGroup> groups = new ArrayList<>();
 
   private final List<Route> routes = new ArrayList<>();
   private Directives directives = Directives.NONE;
 
-  /** Its messages, waiting or in flight, and those of them that wait. */
+  /** Messages waiting or in flight. */
   private int openMessages;
 
+  /** Messages waiting. */
   private int waitingMessages;
 
-  /** How fast those that wait are served. */
+  /** Measures how fast the waiting messages are served. */
   private final BacklogDrain backlogDrain = new BacklogDrain();
 
-  /** Whether it is among the changed destinations of the round. */
+  /** Whether this is one of the changed destinations of the current round. */
   private boolean changed;
 
   /** The message that would be shed first, as of the last ranking. */
@@ -102,7 +107,11 @@
     }
   }
 
-  /** Puts a waiting message among those like it; {@code blocked}: another of its key goes first. */
+  /**
+   * Adds a waiting message to its group.
+   *
+   * @param blocked whether another message of its key must be sent first
+   */
   void enqueue(final PendingMessage message, final boolean blocked) {
     final boolean endsWithItsKey = message.retryDeadlineUs() < message.validUntilUs();
     DeadlineGroup matching = null;
@@ -116,7 +125,7 @@
     matching.add(message);
   }
 
-  /** Takes a message out from among those like it. */
+  /** Removes a message from its group. */
   void dequeue(final PendingMessage message) {
     final DeadlineGroup group = message.group();
     group.remove(message);
@@ -125,7 +134,7 @@
     }
   }
 
-  /** Returns how long its queue takes to drain at the rate at which it was served. */
+  /** Returns how long the queue takes to drain at the rate at which it has been served. */
   long queueDrainUs() {
     double rate = 0;
     for (final Route route : routes) {
@@ -134,7 +143,7 @@
     return (long) (waitingMessages / Math.max(MIN_RATE, rate) * OverloadController.SECOND_US);
   }
 
-  /** Returns how far ahead the loss by waiting is reckoned. */
+  /** Returns the time ahead for which the loss of value by waiting is computed. */
   long lookAheadUs() {
     return (long)
         PriorityValue.clamp((double) queueDrainUs(), MIN_LOOK_AHEAD_US, MAX_LOOK_AHEAD_US);
@@ -162,7 +171,7 @@
     leastValuable = message;
   }
 
-  /** Makes up for the steps for which its routes were idle. */
+  /** Applies to the routes the steps during which they were idle. */
   void catchUpIdleSteps(final long stepNumber) {
     for (final Route route : routes) {
       route.catchUpIdleSteps(stepNumber);
--- a/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointHealth.java
@@ -8,10 +8,13 @@
 import thistleturn.decisions.rejections.EndpointClassStatistics;
 
 /**
- * One endpoint of a route: its calls and connections, and how it has answered each message class.
+ * One endpoint of a route: its calls and connections, and the outcomes of its calls by message
+ * class.
  */
 final class EndpointHealth {
-  /** What the endpoint that has just rejected a message weighs more for it, in calls. */
+  /**
+   * Extra load, in calls, of an endpoint in the selection for a message that it has just rejected.
+   */
   private static final double REJECTED_MESSAGE_LOAD = 2;
 
   private final Endpoint descriptor;
@@ -23,13 +26,15 @@
   private int connections;
   private int unresponsiveCalls;
 
-  /** Since which event or round its unresponsive calls count. */
+  /** Tick (event or round) at which the first of its unresponsive calls was counted. */
   private long unresponsiveSinceTick;
 
-  /** By class: failures in a row, and until when calls of the class go elsewhere. */
+  /** Consecutive failures by message class. */
   private final double[] failureRuns;
 
+  /** By message class: until when its messages are sent to other endpoints. */
   private final long[] avoidUntilUs;
+
   private final EndpointClassStatistics[] classStatistics;
 
   private long lastUseUs;
@@ -79,12 +84,12 @@
     return state == EndpointState.LISTED;
   }
 
-  /** Returns whether the endpoint list and the directives let new calls go here. */
+  /** Returns whether the endpoint list and the directives allow new calls to this endpoint. */
   boolean acceptsCalls(final long nowUs) {
     return isListed() && directives.earliestCallUs(lastSendUs, nowUs) <= nowUs;
   }
 
-  /** Returns whether calls go elsewhere, or only as trials, although the endpoint is listed. */
+  /** Returns whether a listed endpoint gets no calls, or only trials. */
   boolean isAvoided(final long nowUs) {
     return isListed()
         && (route.circuit().isOpen()
@@ -92,12 +97,15 @@
             || Arrays.stream(avoidUntilUs).allMatch(untilUs -> nowUs < untilUs));
   }
 
-  /** Returns whether messages of a class go elsewhere for now. */
+  /** Returns whether messages of a class are sent to other endpoints now. */
   boolean isAvoidedBy(final int classIndex, final long nowUs) {
     return unresponsiveCalls > 0 || nowUs < avoidUntilUs[classIndex];
   }
 
-  /** Returns when the first class that is avoided may come back; never, if none is avoided. */
+  /**
+   * Returns when the endpoint may first be used again for an avoided class; {@link
+   * OverloadController#NEVER} if no class is avoided.
+   */
   long nextClassReturnUs(final long nowUs) {
     long nextUs = OverloadController.NEVER;
     for (final long untilUs : avoidUntilUs) {
@@ -149,9 +157,9 @@
   }
 
   /**
-   * Gives the call that has just started a connection.
+   * Assigns a connection to the call that has just started.
    *
-   * @return whether there was one already
+   * @return whether the connection existed already
    */
   boolean occupyConnection(final int streamsPerConnection) {
     final boolean reused = connections * streamsPerConnection >= callsInFlight;
@@ -160,7 +168,7 @@
     return reused;
   }
 
-  /** Returns whether the next call would open a connection. */
+  /** Returns whether the next call would open a new connection. */
   boolean needsHandshake(
       final int streamsPerConnection, final long idleTimeoutUs, final long nowUs) {
     return callsInFlight >= connections * streamsPerConnection
@@ -184,21 +192,21 @@
   /** Records a delivered message; a duration below 0 was not measured. */
   void recordSuccess(final int classIndex, final long nowUs, final long durationUs) {
     lastSuccessUs = nowUs;
-    forgetUnresponsiveCalls();
+    clearUnresponsiveCalls();
     failureRuns[classIndex] = 0;
     avoidUntilUs[classIndex] = 0;
     classStatistics[classIndex].recordServed(Math.max(0, durationUs));
   }
 
-  /** Forgets all faults: they were due to this courier's own connectivity. */
+  /** Clears all faults, which were due to this courier's own connectivity. */
   void clearFaults(final long nowUs) {
     lastSuccessUs = nowUs;
     Arrays.fill(failureRuns, 0);
     Arrays.fill(avoidUntilUs, 0);
-    forgetUnresponsiveCalls();
+    clearUnresponsiveCalls();
   }
 
-  private void forgetUnresponsiveCalls() {
+  private void clearUnresponsiveCalls() {
     route.removeUnresponsiveCalls(unresponsiveCalls);
     unresponsiveCalls = 0;
   }
@@ -211,7 +219,7 @@
     return failureRuns[classIndex];
   }
 
-  /** Returns whether a call was delivered here at or after a time. */
+  /** Returns whether a call to this endpoint has succeeded at or after a time. */
   boolean hasSucceededSince(final long sinceUs) {
     return lastSuccessUs >= sinceUs;
   }
@@ -224,7 +232,9 @@
     return classStatistics[classIndex];
   }
 
-  /** Returns what its rejections weigh in the choice for a message, in calls in flight. */
+  /**
+   * Returns the load, in calls in flight, that its rejections add in the selection for a message.
+   */
   double rejectionLoad(final int classIndex, final EndpointHealth rejectedBy) {
     return classStatistics[classIndex].consecutiveRejections()
         + (this == rejectedBy ? REJECTED_MESSAGE_LOAD : 0);
@@ -236,7 +246,7 @@
     return unresponsiveCalls > 0;
   }
 
-  /** Counts an overdue call since which nothing has succeeded here. */
+  /** Counts an overdue call after which no other call has succeeded at this endpoint. */
   void addUnresponsiveCall(final long tick) {
     route.addUnresponsiveCall();
     if (unresponsiveCalls++ == 0) {
@@ -271,7 +281,7 @@
     return avoidUntilUs.clone();
   }
 
-  /** Restores what another process of this courier had learned. */
+  /** Restores the state learned by another process of this courier. */
   void restore(
       final double[] restoredFailureRuns,
       final long[] restoredAvoidUntilUs,
--- a/decisions/src/main/java/thistleturn/decisions/EndpointRegistry.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointRegistry.java
@@ -10,25 +10,27 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * Follows the endpoint list: which endpoints there are, when the list must be asked for, and what
- * may be removed of those that have left it.
+ * Follows the endpoint list: keeps the known endpoints, subscribes to the list, and removes
+ * endpoints, routes and destinations that are no longer in use.
  */
 final class EndpointRegistry {
-  /** First and longest backoff of asking for the list again, us. */
+  /** First backoff before the list is requested again, us. */
   private static final long MIN_SUBSCRIBE_BACKOFF_US = OverloadController.SECOND_US / 2;
 
+  /** Longest backoff before the list is requested again, us. */
   private static final long MAX_SUBSCRIBE_BACKOFF_US = 3 * OverloadController.SECOND_US;
 
-  /** A destination or route without an endpoint is kept this long after its last use, us. */
+  /** Time after its last use for which a destination or route without endpoints is kept, us. */
   private static final long UNUSED_RETENTION_US = 60 * OverloadController.SECOND_US;
 
   private static final DestinationKind UNKNOWN_KIND = new DestinationKind("", false, 1);
 
   private final ControllerState state;
 
-  /** Endpoints that have left the list, and destinations without messages or endpoints. */
+  /** Endpoints that have left the list. */
   private final Set<EndpointHealth> removed = new LinkedHashSet<>();
 
+  /** Destinations without messages or without endpoints. */
   private final Set<Destination> vacant = new LinkedHashSet<>();
 
   private boolean subscribed;
@@ -41,12 +43,15 @@
 
   // ---------------------------------------------------------------- subscription
 
-  /** Returns when the list must be asked for again; never, while it is followed. */
+  /**
+   * Returns when the list must be requested again; {@link OverloadController#NEVER} while
+   * subscribed.
+   */
   long nextSubscribeUs() {
     return nextSubscribeUs;
   }
 
-  /** Asks for the list where that is needed: once at the start, and again after a loss. */
+  /** Requests the list if due: once at the start, and again whenever it was unavailable. */
   void subscribeIfDue() {
     if (!state.settings.subscribesToEndpointList() || !isSubscribeDue()) {
       return;
@@ -76,7 +81,7 @@
 
   // ---------------------------------------------------------------- updates
 
-  /** Takes in an update of the list, or that it could not be had. */
+  /** Applies an update of the list, or a report that the list is unavailable. */
   void applyUpdate(final EndpointUpdate update, final List<Endpoint> entries) {
     switch (update) {
       case UNAVAILABLE -> {
@@ -89,11 +94,12 @@
       }
       case CHANGES -> confirmSubscription();
       case SUPPLEMENT -> {
-        // Another source says nothing of the state of the subscription.
+        // A supplement comes from another source and does not confirm the subscription.
       }
     }
     entries.forEach(this::applyEntry);
-    // A separate route is not removed soon: listed again, it still has its wait and its outage.
+    // A separate route is kept for a while, so that its Retry-After and its outage still apply if
+    // it is listed again.
     removed.removeIf(
         endpoint ->
             endpoint.callsInFlight() == 0
@@ -130,7 +136,7 @@
     final EndpointHealth endpoint =
         new EndpointHealth(entry, route, state.settings.classes().size());
     route.endpoints().add(endpoint);
-    // A new endpoint has no part in an outage of those before it: it may be tried at once.
+    // An outage of the earlier endpoints does not concern a new one: a trial may be sent at once.
     route.circuit().allowTrialBy(state.nowUs);
     state.endpoints.put(entry.id(), endpoint);
     return endpoint;
@@ -149,12 +155,14 @@
 
   // ---------------------------------------------------------------- removal
 
-  /** Notes a destination without messages. */
+  /** Records a destination without messages. */
   void markVacant(final Destination destination) {
     vacant.add(destination);
   }
 
-  /** Removes the endpoints, routes and destinations that have long been of no use. */
+  /**
+   * Removes the endpoints, routes and destinations that have not been used for the retention time.
+   */
   void removeUnused() {
     final long unusedSinceUs = state.nowUs - UNUSED_RETENTION_US;
     removed.removeIf(
@@ -165,7 +173,10 @@
     vacant.removeIf(destination -> removeIfUnused(destination, unusedSinceUs));
   }
 
-  /** Removes what is unused of a destination; returns whether there is nothing left to watch. */
+  /**
+   * Removes the unused routes of a destination, or the destination itself; returns whether it need
+   * not be checked again.
+   */
   private boolean removeIfUnused(final Destination destination, final long unusedSinceUs) {
     if (destination.hasMessages()) {
       return true;
--- a/decisions/src/main/java/thistleturn/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/thistleturn/decisions/EndpointSelector.java
@@ -3,13 +3,14 @@
 import thistleturn.decisions.model.ResourceLimits;
 
 /**
- * Selects the endpoint of a route for a message: the one with the least load of calls in flight,
- * recent failures, handshakes and zones to cross.
+ * Selects the endpoint of a route for a message: the one with the least load, which counts calls in
+ * flight, recent failures and rejections, a handshake and a zone crossing.
  */
 final class EndpointSelector {
-  /** What a handshake and the crossing of a zone weigh, in calls in flight. */
+  /** Load of a handshake, in calls in flight. */
   private static final double HANDSHAKE_LOAD = 0.8;
 
+  /** Load of a call to another zone, in calls in flight. */
   private static final double CROSS_ZONE_LOAD = 0.6;
 
   private final ControllerState state;
--- a/decisions/src/main/java/thistleturn/decisions/FuzzyRuleTable.java
+++ b/decisions/src/main/java/thistleturn/decisions/FuzzyRuleTable.java
@@ -5,19 +5,21 @@
  * maximum over the rules of an output.
  */
 final class FuzzyRuleTable {
-  /** The changes of a window that rules give, as shares of it. */
+  /** The changes of a window that the rules give, as fractions of the window. */
   private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
 
-  /** Rows by latency, columns by rejections, each Low, Medium, High: places in the outputs. */
+  /**
+   * Index into {@link #OUTPUTS}: rows by latency, columns by rejections, each Low, Medium, High.
+   */
   private static final int[][] RULE_OUTPUT_INDEX = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
 
   private FuzzyRuleTable() {}
 
   /**
-   * Returns the change of a window as a share of it, defuzzified by the central average.
+   * Returns the change of a window as a fraction of it, defuzzified by the center average.
    *
    * @param latency how far latency lies above the baseline, from 0 to 1
-   * @param rejection the ratio of rejections; taken for 0 or 1 beyond these
+   * @param rejection the ratio of rejections; clamped to the range from 0 to 1
    */
   static double windowChange(final double latency, final double rejection) {
     final double[] union = new double[OUTPUTS.length];
@@ -30,10 +32,10 @@
         union[output] = Math.max(union[output], both);
       }
     }
-    return centralAverage(union);
+    return centerAverage(union);
   }
 
-  private static double centralAverage(final double[] union) {
+  private static double centerAverage(final double[] union) {
     double sum = 0;
     double weights = 0;
     for (int output = 0; output < OUTPUTS.length; output++) {
@@ -43,7 +45,10 @@
     return sum / weights;
   }
 
-  /** Returns how Low, Medium or High an input is: triangles with their peaks at 0, 0.5 and 1. */
+  /**
+   * Returns the degree to which an input is Low, Medium or High: triangular sets with peaks at 0,
+   * 0.5 and 1.
+   */
   private static double membership(final int set, final double input) {
     return Math.max(0, 1 - Math.abs(2 * input - set));
   }
--- a/decisions/src/main/java/thistleturn/decisions/HostedController.java
+++ b/decisions/src/main/java/thistleturn/decisions/HostedController.java
@@ -5,15 +5,18 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * A controller in a real process, which pauses, loses its connectivity, takes over from an earlier
- * process, and has operators and subsystems that direct it. Not thread-safe.
+ * A controller in a courier process, which may be paused, lose its connectivity, take over from an
+ * earlier process, and receive directives from operators and subsystems. Not thread-safe.
  */
 public interface HostedController extends DeliveryController {
 
-  /** Heeds a Retry-After of an endpoint whose answer is no call's outcome any more. */
+  /** Applies a Retry-After from a response that arrived after its call had ended. */
   void onRetryAfter(long nowUs, long endpointId, long retryAfterUs);
 
-  /** An endpoint that was disabled by an operator comes back cold, and so may its destination. */
+  /**
+   * Reports that an operator has enabled an endpoint again: the endpoint may be cold, and so may
+   * its destination.
+   */
   void onEndpointEnabled(long nowUs, long endpointId);
 
   /** Applies a directive for an endpoint; returns whether the endpoint is known. */
@@ -23,34 +26,34 @@
   boolean onDestinationDirective(long nowUs, long destinationId, Directive directive);
 
   /**
-   * This courier did not run for so long before now. That is no call's fault: what would have been
-   * overdue becomes so later by as much.
+   * Reports that this process did not run for a time before now. The pause is not the fault of any
+   * endpoint: calls become overdue later by its length.
    */
   void onHostPaused(long nowUs, long pauseUs);
 
   /**
-   * This courier had no connectivity since a time, and has it again: undoes outages due to that.
+   * Reports that connectivity, lost since a time, is restored: cancels the outages due to the loss.
    */
   void onConnectivityRestored(long nowUs, long sinceUs);
 
   /**
-   * Takes on a message again whose last attempt may still be in flight, by an earlier process of
-   * this courier: it keeps its place among the messages of its key, and waits until {@link
+   * Accepts a message again whose last attempt, by an earlier process of this courier, may still be
+   * in flight. The message keeps its place among the messages of its key and waits until {@link
    * #onInterruptionEnded}.
    *
-   * @param priorAttempts the attempts so far, the interrupted one included
+   * @param priorAttempts the attempts so far, including the interrupted one
    */
   void onMessageInterrupted(long nowUs, Message message, PriorAttempts priorAttempts);
 
-  /** The interrupted attempt of a message is over; it may have been executed. */
+  /** Reports that the interrupted attempt of a message has ended; it may have been executed. */
   void onInterruptionEnded(long nowUs, String messageId);
 
   /**
-   * Takes on a message with a call that another process of this courier has in flight; the outcome
-   * is reported here. The messages of one call come one after the other.
+   * Adopts a message with the call that another process of this courier has in flight; the outcome
+   * is reported to this controller. The messages of one call are reported consecutively.
    *
    * @param priorAttempts the attempts before that call
-   * @param sameCall whether the message belongs to the call of the one before it
+   * @param sameCall whether the message belongs to the call of the previous one
    */
   void onCallAdopted(
       long nowUs,
@@ -60,9 +63,11 @@
       long sentUs,
       boolean sameCall);
 
-  /** Returns what this courier has learned so far. */
+  /** Returns the state learned so far. */
   LearnedState learnedState();
 
-  /** Takes over what another process of this courier had learned, after the endpoint list. */
+  /**
+   * Restores the state learned by another process of this courier; called after the endpoint list.
+   */
   void onLearnedState(long nowUs, LearnedState learned);
 }
--- a/decisions/src/main/java/thistleturn/decisions/IdleConnectionPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/IdleConnectionPolicy.java
@@ -3,17 +3,24 @@
 import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.decisions.model.Idempotence;
 
-/** Decides which idle connections are closed: for lack of trust, or for the sake of others. */
+/**
+ * Decides which idle connections are closed: those that may be stale, and those that take capacity
+ * from other couriers.
+ */
 final class IdleConnectionPolicy {
   /**
-   * Growth a second of the idle time that connections are trusted to survive: threefold a minute.
+   * Growth per second of the idle time that connections are trusted to survive: threefold in a
+   * minute.
    */
   private static final double TRUST_GROWTH = 1.02;
 
-  /** A connection that was idle for less, us, has died of something else. */
+  /**
+   * The shortest trusted idle time, us: a connection that was idle for less was lost for another
+   * reason.
+   */
   private static final long MIN_TRUST_US = OverloadController.SECOND_US;
 
-  /** Durations of a call within which a kept connection waits for its next use. */
+  /** Time within which a kept connection should be used again, in call durations. */
   private static final double REUSE_CALLS = 2;
 
   private final ControllerState state;
@@ -26,7 +33,7 @@
     this.trustedIdleUs = state.settings.limits().idleTimeoutUs();
   }
 
-  /** Returns for how long idle connections are trusted. */
+  /** Returns the idle time that connections are trusted to survive. */
   double trustedIdleUs() {
     return trustedIdleUs;
   }
@@ -35,13 +42,16 @@
     trustedIdleUs = restoredTrustUs;
   }
 
-  /** Extends the trust: a second has passed. */
+  /** Extends the trusted idle time; called once a second. */
   void extendTrust() {
     trustedIdleUs =
         Math.min((double) state.settings.limits().idleTimeoutUs(), TRUST_GROWTH * trustedIdleUs);
   }
 
-  /** Reduces the trust: a call over an idle connection has failed where all was well. */
+  /**
+   * Reduces the trusted idle time after a call over an idle connection to a healthy endpoint
+   * failed.
+   */
   void recordStaleConnection(final InFlightCall call) {
     if (call.connectionIdleUs() >= MIN_TRUST_US) {
       final long halfUs = call.connectionIdleUs() / 2;
@@ -51,8 +61,8 @@
 
   /**
    * Closes the idle connections of an endpoint before a call, if they have been idle for longer
-   * than they are trusted. An idle connection may be stale without a sign; a non-idempotent message
-   * trusts it half as long.
+   * than the trusted time. A stale connection cannot be recognized before it is used; for a
+   * non-idempotent message the trusted time is half as long.
    */
   void closeIfUntrusted(final InFlightCall call, final PendingMessage message) {
     final EndpointHealth endpoint = call.endpoint();
@@ -71,20 +81,21 @@
   }
 
   /**
-   * Closes the idle connections of an endpoint after a call in a large fleet, where they take the
-   * place of other couriers', unless they are used again soon or few couriers keep one.
+   * Closes the idle connections of an endpoint after a call in a large fleet, where they occupy the
+   * endpoint's capacity for other couriers' connections. They are kept if the next use is near or
+   * this courier is one of the few that keep one.
    */
   void closeIfNotReused(final EndpointHealth endpoint, final InFlightCall call) {
     if (!FleetSize.isLarge(state.settings.courierCount())) {
       return;
     }
     final Route route = endpoint.route();
-    final double usesSoon =
+    final double expectedUses =
         route.serviceRate().averageCallsPerSecond()
             * REUSE_CALLS
             * call.expectedUs()
             / OverloadController.SECOND_US;
-    if (usesSoon < route.endpoints().size()
+    if (expectedUses < route.endpoints().size()
         && !isNextUseNear(route, call.expectedUs())
         && !route.mayKeepIdleConnection(endpoint)) {
       endpoint.dropIdleConnections();
--- a/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
+++ b/decisions/src/main/java/thistleturn/decisions/InFlightCall.java
@@ -6,50 +6,59 @@
 import thistleturn.decisions.index.TimeHeap;
 import thistleturn.decisions.model.AttemptResult;
 
-/** A call in flight to one endpoint, with one or more messages; due when it becomes overdue. */
+/**
+ * A call in flight to one endpoint, with one or more messages; its timer is due when it becomes
+ * overdue.
+ */
 final class InFlightCall extends TimeHeap.Entry {
-  /** A call is overdue after this many times its expected duration: one in 150, by chance. */
+  /**
+   * A call is overdue after this many times its expected duration; by chance, one call in 150 takes
+   * so long.
+   */
   static final double OVERDUE_FACTOR = 5;
 
-  /** A call is not overdue before it has taken this long, us. */
+  /** Shortest duration after which a call is overdue, us. */
   static final long MIN_OVERDUE_US = OverloadController.SECOND_US;
 
-  /** A failure is isolated while less than this ratio of the route's calls fails. */
+  /** A failure is isolated if the failure ratio of the route is less than this. */
   private static final double MAX_ISOLATED_FAILURE_RATIO = 0.3;
 
   private final EndpointHealth endpoint;
   private final long sentUs;
 
-  /** The messages without an outcome. */
+  /** The messages that have no attempt result yet. */
   private final List<PendingMessage> pendingMessages = new ArrayList<>(1);
 
   private int batchSize;
   private long expectedUs;
   private long connectionIdleUs;
 
-  /** How long this courier did not run while the call was in flight. */
+  /** Time for which this process was paused while the call was in flight, us. */
   private long hostPauseUs;
 
-  /** When the first of its messages expires: the call is over for all of them then. */
+  /** When the first of its messages expires, which ends the call for all of them. */
   private long expiryUs = OverloadController.NEVER;
 
-  /** Whether that was while this courier did not run: a response in time was read too late. */
+  /**
+   * Whether the first message expired during a pause of this process, so that a response may have
+   * arrived in time but was read too late.
+   */
   private boolean expiredDuringHostPause;
 
-  /** Whether it went over a connection that was there already, as far as is known here. */
+  /** Whether the call used an existing connection, as far as the controller knows. */
   private boolean reusedConnection;
 
-  /** Whether a stale connection alone made it fail. */
+  /** Whether the call failed only because its connection was stale. */
   private boolean staleConnection;
 
   private boolean cancelled;
   private boolean overdue;
   private boolean probe;
 
-  /** What its rejection was found to mean. */
+  /** The classification of its rejection. */
   private RejectionMeaning rejection = RejectionMeaning.UNCLASSIFIED;
 
-  /** What the rejection of a call was found to mean. */
+  /** Classifications of the rejection of a call. */
   private enum RejectionMeaning {
     UNCLASSIFIED,
     LOAD,
@@ -75,7 +84,11 @@
 
   // ---------------------------------------------------------------- messages
 
-  /** Adds a message to the call, which is expected to take at least so long with it. */
+  /**
+   * Adds a message to the call.
+   *
+   * @param messageExpectedUs expected duration of a call with this message
+   */
   void add(final PendingMessage message, final long messageExpectedUs) {
     pendingMessages.add(message);
     batchSize++;
@@ -83,12 +96,12 @@
     expectedUs = Math.max(expectedUs, messageExpectedUs);
   }
 
-  /** Puts the messages into the order in which they were accepted: all of them are sent. */
+  /** Sorts the messages in the order of acceptance, once all of them are sent. */
   void completeBatch() {
     pendingMessages.sort(Comparator.comparingLong(PendingMessage::sequence));
   }
 
-  /** Removes a message that has its outcome. */
+  /** Removes a message that has an outcome. */
   void remove(final PendingMessage message) {
     pendingMessages.remove(message);
   }
@@ -97,17 +110,17 @@
     return pendingMessages;
   }
 
-  /** Returns whether all messages have their outcome. */
+  /** Returns whether all messages have an outcome. */
   boolean isComplete() {
     return pendingMessages.isEmpty();
   }
 
-  /** Returns the number of messages it was sent with. */
+  /** Returns the number of messages with which the call was sent. */
   int batchSize() {
     return batchSize;
   }
 
-  /** Returns the part that one message is of the call. */
+  /** Returns the fraction of the call that one message accounts for. */
   double partPerMessage() {
     return 1.0 / batchSize;
   }
@@ -131,9 +144,9 @@
   }
 
   /**
-   * Decides whether a failure is that of a connection that was stale before the call: as the host
-   * tells or, where hosts cannot tell, as it seems from a reset of what may have been a reused
-   * connection of an endpoint without failures. Once stale, it stays so for all of its messages.
+   * Returns whether the call failed because its connection was stale before the call. The host
+   * reports that or, where it cannot, a reset of a possibly reused connection to an endpoint
+   * without failures is taken as the sign. The result then applies to all messages of the call.
    */
   boolean failedOnStaleConnection(final AttemptResult result, final double failureRun) {
     staleConnection |=
@@ -142,10 +155,11 @@
     return staleConnection;
   }
 
-  /** Returns whether it alone was lost while others came through. */
+  /** Returns whether only this call failed while others succeeded. */
   boolean isIsolatedFailure(final int classIndex, final AttemptResult result) {
     final CircuitBreaker circuit = route().circuit();
-    // A reset comes at once, before another call can have been served.
+    // A reset is reported at once, before another call can have been served: earlier successes
+    // count.
     final boolean othersSucceed =
         endpoint.hasSucceededSince(sentUs)
             || (result != AttemptResult.TIMED_OUT
@@ -157,7 +171,7 @@
         && circuit.failureRatio() < MAX_ISOLATED_FAILURE_RATIO;
   }
 
-  /** Returns whether failures of the route are too many to be isolated ones. */
+  /** Returns whether the failure ratio of a route is too high for isolated failures. */
   static boolean isCommonFailure(final double failureRatio) {
     return failureRatio > MAX_ISOLATED_FAILURE_RATIO;
   }
@@ -172,15 +186,15 @@
     return sentUs + hostPauseUs + Math.max(MIN_OVERDUE_US, (long) (OVERDUE_FACTOR * expectedUs));
   }
 
-  /** Grants the call the time in which this courier did not run, until now. */
+  /** Extends the time before the call is overdue by a pause of this process that ends now. */
   void extendBy(final long pauseUs, final long nowUs) {
     hostPauseUs += pauseUs;
     expiredDuringHostPause |= expiryUs <= nowUs;
   }
 
   /**
-   * Returns whether a time-out says nothing about the endpoint: the time of a message was up while
-   * this courier did not run, and a response that lies unread since may have come before.
+   * Returns whether a time-out is no evidence against the endpoint: a message expired while this
+   * process was paused, and a response that arrived in time may still be unread.
    */
   boolean isTimeoutOfHostPause(final AttemptResult result) {
     return result == AttemptResult.TIMED_OUT && expiredDuringHostPause;
@@ -202,7 +216,7 @@
     cancelled = true;
   }
 
-  /** Returns whether it is overdue and still worth cancelling. */
+  /** Returns whether the call is overdue and not yet cancelled. */
   boolean isCancellable() {
     return overdue && !cancelled;
   }
@@ -213,7 +227,9 @@
     return probe;
   }
 
-  /** Marks the call as one that is sent to learn what a rejection answered to. */
+  /**
+   * Sets whether the call is a probe, which is sent to learn whether rejections are due to load.
+   */
   void setProbe(final boolean isProbe) {
     probe = isProbe;
   }
@@ -226,7 +242,7 @@
     rejection = unrelatedToLoad ? RejectionMeaning.UNRELATED_TO_LOAD : RejectionMeaning.LOAD;
   }
 
-  /** Returns whether its rejection was found not to answer to what the route is sent. */
+  /** Returns whether its rejection was found to be unrelated to the load on the route. */
   boolean isRejectionUnrelatedToLoad() {
     return rejection == RejectionMeaning.UNRELATED_TO_LOAD;
   }
--- a/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
@@ -7,8 +7,8 @@
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * Keeps the messages of one key in order: each goes after the one before it has ended, and after
- * the settle delay that an unanswered attempt asks for.
+ * Keeps the messages of one key in order: each is sent after the previous one has ended, and after
+ * the settle delay that follows an unanswered attempt.
  */
 final class KeyOrdering {
   private final ControllerState state;
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Takes out a message that has ended; the next of its key may go. */
+  /** Removes a message that has ended; the next one of its key may be sent. */
   void remove(final PendingMessage message) {
     final KeyQueue queue = message.keyQueue();
     if (queue != null) {
@@ -42,19 +42,19 @@
     }
   }
 
-  /** Begins the settle delay of a key: an attempt of this message may still run. */
+  /** Begins the settle delay of a key: an attempt of this message may still be executed. */
   void beginSettleDelay(final PendingMessage message) {
     if (message.keyQueue() != null) {
       message.keyQueue().settleUntil(state.nowUs + state.settings.guarantees().settleDelayUs());
     }
   }
 
-  /** Returns when the next settle delay ends; never, if none is under way. */
+  /** Returns when the next settle delay ends; {@link OverloadController#NEVER} if there is none. */
   long nextSettledUs() {
     return settleTimers.earliestDueUs();
   }
 
-  /** Lets the keys go on whose settle delay has ended. */
+  /** Releases the first message of each key whose settle delay has ended. */
   void releaseSettled() {
     for (KeyQueue settled = settleTimers.poll(state.nowUs);
         settled != null;
@@ -79,7 +79,10 @@
             && (message.mayHaveExecuted() || queue.isSettled(state.nowUs)));
   }
 
-  /** Refiles the first message of a key, which may go now or must wait again; null: nothing. */
+  /**
+   * Moves the first message of a key to the group that matches whether it may be sent now; does
+   * nothing if {@code queue} is null.
+   */
   void refreshHead(final KeyQueue queue) {
     final PendingMessage first = queue == null ? null : queue.first();
     if (first == null || !first.isWaiting()) {
--- a/decisions/src/main/java/thistleturn/decisions/KeyQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/KeyQueue.java
@@ -4,7 +4,9 @@
 import java.util.Set;
 import thistleturn.decisions.index.TimeHeap;
 
-/** The messages of one key in the order accepted; due when its settle delay ends. */
+/**
+ * The messages of one key in the order of acceptance; its timer is due when the settle delay ends.
+ */
 final class KeyQueue extends TimeHeap.Entry {
   private final String key;
   private final Set<PendingMessage> messages = new LinkedHashSet<>();
@@ -30,7 +32,7 @@
     return messages.isEmpty();
   }
 
-  /** Returns the message that goes first, or null. */
+  /** Returns the message to be sent first, or null if there is none. */
   PendingMessage first() {
     return messages.isEmpty() ? null : messages.iterator().next();
   }
@@ -39,7 +41,7 @@
     return settledAtUs;
   }
 
-  /** Begins a settle delay: an attempt of this key may still run until then. */
+  /** Begins a settle delay, during which an attempt of this key may still be executed. */
   void settleUntil(final long untilUs) {
     settledAtUs = untilUs;
   }
--- a/decisions/src/main/java/thistleturn/decisions/LatencyEstimator.java
+++ b/decisions/src/main/java/thistleturn/decisions/LatencyEstimator.java
@@ -3,21 +3,30 @@
 import java.util.List;
 import thistleturn.decisions.model.MessageClass;
 
-/** How long the calls of each class take over all destinations, and of each route beside that. */
+/**
+ * Estimates the latency of each message class over all destinations, and that of each route
+ * relative to it.
+ */
 final class LatencyEstimator {
-  /** The latency of a class before any was seen, as a share of its objective. */
+  /**
+   * The assumed latency of a class before the first measurement, as a share of its latency
+   * objective.
+   */
   private static final double INITIAL_OBJECTIVE_SHARE = 0.25;
 
-  /** The least latency factor of a route: no answer is so quick that the next must be quicker. */
+  /**
+   * Lower bound of a route's latency factor: one very fast response does not make the next calls
+   * look slow.
+   */
   private static final double MIN_LATENCY_FACTOR = 0.1;
 
-  /** Least weight of a sample in a mean: a memory of about ten samples. */
+  /** Least weight of a sample, which makes a mean an average over about the last ten samples. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   private final double[] meanUs;
   private final int[] samples;
 
-  /** The means as last published, by which messages are compared. */
+  /** The means as last published, which are used to compare messages. */
   private final double[] publishedMeanUs;
 
   LatencyEstimator(final List<MessageClass> classes) {
@@ -30,10 +39,10 @@
   }
 
   /**
-   * Takes in the latency of a delivery; nothing is learned from one that was not measured.
+   * Records the latency of a delivery; one that was not measured is ignored.
    *
-   * @param durationUs how long it took; below 0: not measured
-   * @return how long it took, as a multiple of the usual latency of its class
+   * @param durationUs its duration; negative if it was not measured
+   * @return its duration as a multiple of the mean latency of its class
    */
   double recordLatency(final Route route, final int classIndex, final long durationUs) {
     final LatencyProfile profile = route.latency();
@@ -47,7 +56,10 @@
     return ratio;
   }
 
-  /** Publishes the means that have changed by more than a share; returns whether any has. */
+  /**
+   * Publishes the means that have changed by more than a threshold, as a fraction of the published
+   * value; returns whether any has.
+   */
   boolean publishMeans(final double threshold) {
     boolean published = false;
     for (int index = 0; index < publishedMeanUs.length; index++) {
@@ -60,12 +72,12 @@
     return published;
   }
 
-  /** Returns how long a call of a class is expected to take on a route. */
+  /** Returns the expected duration of a call of a class on a route. */
   double expectedUs(final Route route, final int classIndex) {
     return meanUs[classIndex] * boundedFactor(route);
   }
 
-  /** Returns the same by the mean of the class as last published. */
+  /** Returns the expected duration by the published mean of the class. */
   double publishedExpectedUs(final Route route, final int classIndex) {
     return publishedMeanUs[classIndex] * boundedFactor(route);
   }
@@ -84,7 +96,7 @@
     return samples.clone();
   }
 
-  /** Restores what another process of this courier had learned of the same classes. */
+  /** Restores the figures that another process of this courier has learned for the same classes. */
   void restore(final double[] restoredMeanUs, final int[] restoredSamples) {
     System.arraycopy(restoredMeanUs, 0, meanUs, 0, meanUs.length);
     System.arraycopy(restoredSamples, 0, samples, 0, samples.length);
--- a/decisions/src/main/java/thistleturn/decisions/LatencyProfile.java
+++ b/decisions/src/main/java/thistleturn/decisions/LatencyProfile.java
@@ -1,14 +1,20 @@
 package thistleturn.decisions;
 
-/** How long the calls of one route take beside the usual time of their class. */
+/** The latency of one route relative to the mean latency of the message classes. */
 final class LatencyProfile {
-  /** After a timeout, the next ones are this many times as wide: it may have been slowness. */
+  /**
+   * Factor by which timeouts are widened after one has expired: the endpoint may only have been
+   * slow.
+   */
   private static final double WIDENED_TIMEOUT = 3;
 
-  /** Least weight of a sample in the averages: a memory of about ten samples. */
+  /** Least weight of a sample, which makes the averages cover about the last ten samples. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
-  /** Samples at the baseline mixed into the mean of a step: a few answers say little. */
+  /**
+   * Number of assumed samples at the baseline in the mean of a step: a few responses are weak
+   * evidence.
+   */
   private static final double PRIOR_SAMPLES = 2;
 
   private double factor = 1;
@@ -16,12 +22,12 @@
   private double timeoutMultiplier = 1;
   private double baselineRatio = 1;
 
-  /** Returns the latency of this route as a multiple of the usual latency of a class. */
+  /** Returns the latency of this route as a multiple of the mean latency of a class. */
   double factor() {
     return factor;
   }
 
-  /** Takes in the latency of one call, as a multiple of the usual latency of its class. */
+  /** Records the latency of one call, as a multiple of the mean latency of its class. */
   void recordRatio(final double ratio) {
     factor += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++factorSamples)) * (ratio - factor);
   }
@@ -41,12 +47,12 @@
     return timeoutMultiplier;
   }
 
-  /** Widens the timeouts: one has just expired. */
+  /** Widens the timeouts after one has expired. */
   void widenTimeouts() {
     timeoutMultiplier = WIDENED_TIMEOUT;
   }
 
-  /** Narrows the timeouts a little: a call has been answered in time. */
+  /** Narrows the timeouts by a step after a call has been answered in time. */
   void narrowTimeouts() {
     timeoutMultiplier = Math.max(1, timeoutMultiplier - WIDENED_TIMEOUT * SAMPLE_WEIGHT);
   }
@@ -59,7 +65,7 @@
     return baselineRatio;
   }
 
-  /** Restores what another process of this courier had learned. */
+  /** Restores the figures learned by another process of this courier. */
   void restore(
       final int samples,
       final double restoredBaselineRatio,
--- a/decisions/src/main/java/thistleturn/decisions/LearnedEndpointFormat.java
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedEndpointFormat.java
@@ -3,14 +3,15 @@
 import java.util.Arrays;
 
 /**
- * How the figures and moments of an endpoint stand in {@link LearnedState}; part of its format.
+ * The layout of the figures and moments (times) of an endpoint in {@link LearnedState}; part of its
+ * format.
  *
- * <p>The figures are the failures in a row of each class; then, for each class, the longest of
- * recent latencies and the number of samples. The moments are until when each class goes elsewhere;
- * then the last call and the last success.
+ * <p>The figures are the consecutive failures of each message class; then, for each class, the
+ * longest recent latency and the number of samples. The moments are the times until which the
+ * endpoint is avoided for each class; then those of the last call and the last success.
  */
 final class LearnedEndpointFormat {
-  /** Figures of a class besides its failures in a row. */
+  /** Number of latency figures of a class. */
   private static final int FIGURES_OF_LATENCY = 2;
 
   private LearnedEndpointFormat() {}
@@ -36,7 +37,7 @@
     return moments;
   }
 
-  /** Gives an endpoint what was learned. */
+  /** Restores the learned figures and moments of an endpoint. */
   static void restore(final EndpointHealth endpoint, final double[] figures, final long[] moments) {
     final int classes = endpoint.classCount();
     endpoint.restore(figures, moments, moments[classes], moments[classes + 1]);
--- a/decisions/src/main/java/thistleturn/decisions/LearnedRouteFormat.java
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedRouteFormat.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Where the figures and moments of a route stand in {@link LearnedState}; part of its format. */
+/**
+ * The positions of the figures and moments (times) of a route in {@link LearnedState}; part of its
+ * format.
+ */
 final class LearnedRouteFormat {
   static final int WINDOW = 0;
   private static final int STEPS = 1;
@@ -71,7 +74,7 @@
     return moments;
   }
 
-  /** Gives a route what was learned. */
+  /** Restores the learned figures and moments of a route. */
   static void restore(
       final Route route, final double[] figures, final long[] moments, final long nowUs) {
     route.window().restore(figures[WINDOW]);
@@ -104,7 +107,7 @@
         .restoreTimes(moments[RETRY_AFTER_UNTIL], moments[BACKOFF_UNTIL], moments[LAST_SEND]);
   }
 
-  /** A rate that is known is one of at least a step. */
+  /** Returns the number of steps behind the rates; a known rate rests on at least one step. */
   private static int restoredSteps(final double[] figures) {
     final int steps = (int) figures[STEPS];
     return figures[CALL_RATE] > 0 ? Math.max(1, steps) : steps;
--- a/decisions/src/main/java/thistleturn/decisions/LearnedState.java
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedState.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * What the decisions of one courier have learned, as another process of the same courier takes it
- * over. Figures are handed on as they are, and so are times, by the clock that both processes share
- * (0 and {@link Long#MAX_VALUE} stand for long ago and never). It only means something to a module
- * of the same {@link #VERSION}.
+ * What the controller of one courier has learned, as passed to another process of the same courier.
+ * Figures are passed on unchanged, and so are moments, which are times on the clock that both
+ * processes share (0 and {@link Long#MAX_VALUE} stand for long ago and never). Only code of the
+ * same {@link #VERSION} can interpret it.
  *
- * @param classMeanUs the mean latency of each class, us, in the order of the settings
- * @param classSamples the samples that each of them rests on
- * @param trustedIdleUs how long idle connections are trusted, us
- * @param routes what was learned of routes
- * @param endpoints what was learned of endpoints
+ * @param classMeanUs the mean latency of each message class, us, in the order of the settings
+ * @param classSamples the number of samples behind each mean latency
+ * @param trustedIdleUs the idle time that connections are trusted to survive, us
+ * @param routes the learned state of routes
+ * @param endpoints the learned state of endpoints
  */
 public record LearnedState(
     double[] classMeanUs,
@@ -24,31 +24,34 @@
     double trustedIdleUs,
     List<LearnedRoute> routes,
     List<LearnedEndpoint> endpoints) {
-  /** The version of the format; raised when what the figures mean changes. */
+  /** The version of the format; raised when the meaning of a figure changes. */
   public static final int VERSION = 3;
 
-  /** What is older, us, is not worth trusting: destinations change within minutes. */
+  /** Age up to which learned state is used, us: destinations change within minutes. */
   public static final long MAX_AGE_US = 60_000_000;
 
-  /** Time in which a learned window loses half of its value, us. */
+  /** Half-life of a learned window, us. */
   private static final double HALF_LIFE_US = 10_000_000;
 
-  /** How far ahead backoffs may reach that this courier has set itself, us. */
+  /** Longest remaining time of a restored backoff that this courier has set itself, us. */
   private static final long MAX_BACKOFF_AHEAD_US = 20_000_000;
 
-  /** A run of faults short of an outage by one makes a route a failing one. */
+  /** Run of faults from which a route counts as failing: one less than opens the circuit. */
   private static final double FAILING_FAULT_RUN = 2;
 
-  /** A gap between two processes that is too short for an outage, us. */
+  /** Gap between two processes, us, that is too short for another outage. */
   private static final long SHORT_GAP_US = 3_000_000;
 
-  /** What was learned of a route, which is known by one of its endpoints. */
+  /** The learned state of a route, which is identified by one of its endpoints. */
   public record LearnedRoute(long endpointId, double[] figures, long[] moments) {}
 
-  /** What was learned of an endpoint. */
+  /** The learned state of an endpoint. */
   public record LearnedEndpoint(long endpointId, double[] figures, long[] moments) {}
 
-  /** Returns what is known of these endpoints and their routes, if anything was ever heard. */
+  /**
+   * Returns the learned state of endpoints and their routes; routes without a call and without a
+   * fault are omitted.
+   */
   static LearnedState of(
       final LatencyEstimator latencies,
       final double trustedIdleUs,
@@ -79,27 +82,27 @@
   }
 
   /**
-   * Returns the same as a process takes it over that starts after another has died, with times on
-   * the clock of {@code nowUs}. A learned window decays; a failing route is taken for one that
-   * recovers, since it may have come back cold meanwhile; an open circuit stays open, and a
-   * Retry-After stands.
+   * Returns this state as restored by a process that starts after the previous one has died, with
+   * times on the clock of {@code nowUs}. A learned window decays; a failing route is restored as
+   * recovering, since it may have come back cold meanwhile; an open circuit stays open, and a
+   * Retry-After still applies.
    *
-   * @param takenUs when it was saved
+   * @param savedUs when this state was saved
    */
-  public LearnedState aged(final long takenUs, final long nowUs) {
+  public LearnedState aged(final long savedUs, final long nowUs) {
     final List<LearnedRoute> agedRoutes =
-        routes.stream().map(route -> aged(route, takenUs, nowUs)).toList();
+        routes.stream().map(route -> aged(route, savedUs, nowUs)).toList();
     final List<LearnedEndpoint> agedEndpoints =
         endpoints.stream().map(endpoint -> aged(endpoint, nowUs)).toList();
     return new LearnedState(classMeanUs, classSamples, trustedIdleUs, agedRoutes, agedEndpoints);
   }
 
-  private static LearnedRoute aged(final LearnedRoute route, final long takenUs, final long nowUs) {
+  private static LearnedRoute aged(final LearnedRoute route, final long savedUs, final long nowUs) {
     final double[] figures = route.figures.clone();
     final long[] moments = route.moments.clone();
-    ageWindow(figures, nowUs - takenUs);
+    ageWindow(figures, nowUs - savedUs);
     agePermittedRate(figures, nowUs - moments[LearnedRouteFormat.LAST_STEP]);
-    if (mayHaveComeBackCold(figures, nowUs - takenUs)) {
+    if (mayHaveComeBackCold(figures, nowUs - savedUs)) {
       beginRecovery(figures, moments, nowUs);
     }
     moments[LearnedRouteFormat.BACKOFF_UNTIL] =
@@ -110,12 +113,12 @@
   private static void ageWindow(final double[] figures, final long ageUs) {
     final double kept = Math.pow(0.5, Math.max(0, ageUs) / HALF_LIFE_US);
     final double window = figures[LearnedRouteFormat.WINDOW];
-    // Knowing something is no reason to begin with less than a process that knows nothing.
+    // Aging does not shrink a window below that of a route of which nothing is known.
     figures[LearnedRouteFormat.WINDOW] =
         Math.max(Math.min(ConcurrencyWindow.INITIAL, window), kept * window);
   }
 
-  /** Grows the permitted rate for the steps that no process was there to take. */
+  /** Grows the permitted rate for the steps missed while no process ran. */
   private static void agePermittedRate(final double[] figures, final long sinceStepUs) {
     final double steps = sinceStepUs / (double) RouteStepper.STEP_US;
     figures[LearnedRouteFormat.PERMITTED_RATE] *=
@@ -130,7 +133,7 @@
     return switch (circuit) {
       case CLOSED -> figures[LearnedRouteFormat.FAULT_RUN] >= FAILING_FAULT_RUN;
       case OPEN -> false;
-      // A recovery goes on, unless there was time for another outage.
+      // A recovery continues, unless the gap was long enough for another outage.
       case RECOVERING -> gapUs > SHORT_GAP_US;
     };
   }
@@ -139,7 +142,7 @@
       final double[] figures, final long[] moments, final long nowUs) {
     figures[LearnedRouteFormat.CIRCUIT_STATE] = CircuitState.RECOVERING.ordinal();
     moments[LearnedRouteFormat.RECOVERY_SINCE] = nowUs;
-    // As far apart as its calls were, if it was never paced so far.
+    // A route that was never paced is paced at the interval of its calls so far.
     final double callIntervalUs =
         OverloadController.SECOND_US
             / Math.max(Destination.MIN_RATE, figures[LearnedRouteFormat.CALL_RATE]);
@@ -156,7 +159,7 @@
     return new LearnedEndpoint(endpoint.endpointId, endpoint.figures, moments);
   }
 
-  /** Gives the endpoints that are known here, their routes and the classes what was learned. */
+  /** Restores the learned state of the message classes, the known endpoints and their routes. */
   void restore(
       final Map<Long, EndpointHealth> known, final LatencyEstimator latencies, final long nowUs) {
     latencies.restore(classMeanUs, classSamples);
