--- a/decisions/src/test/java/thistleturn/decisions/CircuitBreakerTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/CircuitBreakerTest.java
@@ -8,15 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** The moves of a circuit breaker, the illegal ones among them, and what opens it. */
+/** The transitions of a circuit breaker, legal and illegal, and the faults that open it. */
 final class CircuitBreakerTest {
   private static final long SINCE_US = 7;
   private static final double INTERVAL_US = 1000;
 
   private final CircuitBreaker circuit = new CircuitBreaker();
 
-  private static void assertIllegal(final String from, final String to, final Executable move) {
-    final IllegalStateException error = assertThrows(IllegalStateException.class, move);
+  private static void assertIllegal(
+      final String from, final String to, final Executable transition) {
+    final IllegalStateException error = assertThrows(IllegalStateException.class, transition);
     assertEquals("illegal circuit transition: " + from + " to " + to, error.getMessage());
   }
 
@@ -39,7 +40,7 @@
   }
 
   @Test
-  void recoveringCircuit_mayOpenAgain() {
+  void recoveringCircuit_canOpenAgain() {
     circuit.open();
     circuit.beginRecovery(SINCE_US, INTERVAL_US);
     circuit.open();
@@ -47,14 +48,14 @@
   }
 
   @Test
-  void closedCircuit_neitherCompletesARecoveryNorCancelsAnOutage() {
+  void completeRecoveryOrCancelOutageOfClosedCircuit_isIllegal() {
     assertIllegal("CLOSED", "CLOSED", circuit::completeRecovery);
     assertIllegal("CLOSED", "CLOSED", circuit::cancelOutage);
     assertTrue(circuit.isClosed());
   }
 
   @Test
-  void openCircuit_neitherOpensAgainNorClosesWithoutRecovery() {
+  void openOrCompleteRecoveryOfOpenCircuit_isIllegal() {
     circuit.open();
     assertIllegal("OPEN", "OPEN", circuit::open);
     assertIllegal("OPEN", "CLOSED", circuit::completeRecovery);
@@ -62,7 +63,7 @@
   }
 
   @Test
-  void recoveringCircuit_neitherBeginsAnotherRecoveryNorCancelsAnOutage() {
+  void beginRecoveryOrCancelOutageOfRecoveringCircuit_isIllegal() {
     circuit.open();
     circuit.beginRecovery(SINCE_US, INTERVAL_US);
     assertIllegal(
@@ -72,7 +73,7 @@
   }
 
   @Test
-  void cancelledOutage_leavesNoEvidenceBehind() {
+  void cancelOutage_clearsFaults() {
     circuit.markFaultySince(SINCE_US);
     circuit.addFault(CircuitBreaker.OUTAGE_FAULT_RUN);
     circuit.recordFailure(1);
@@ -85,7 +86,7 @@
   }
 
   @Test
-  void runOfFaults_isAnOutageTogetherWithUnresponsiveCalls() {
+  void faultRunPlusUnresponsiveCalls_isOutage() {
     circuit.addFault(CircuitBreaker.OUTAGE_FAULT_RUN - 1);
     assertFalse(circuit.isOutage(0));
     assertTrue(circuit.isOutage(1));
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void highRatioOfFailures_isAnOutageWithoutARun() {
+  void highFailureRatio_isOutageWithoutFaultRun() {
     int failures = 0;
     while (!circuit.isOutage(0) && failures < 100) {
       circuit.recordFailure(1);
@@ -106,7 +107,7 @@
   }
 
   @Test
-  void laterFault_doesNotMoveTheBeginOfTheFirst() {
+  void laterFault_keepsStartOfFirstFault() {
     circuit.markFaultySince(SINCE_US);
     circuit.markFaultySince(SINCE_US + 1);
     assertEquals(SINCE_US, circuit.faultSinceUs());
@@ -115,7 +116,7 @@
   }
 
   @Test
-  void reportedNamesAndOrder_areThoseOfTheOutputAndTheLearnedState() {
+  void reportedNamesAndOrder_matchStatusOutputAndLearnedState() {
     assertEquals("WELL", CircuitState.ofOrdinal(0).reportedName());
     assertEquals("OUT", CircuitState.ofOrdinal(1).reportedName());
     assertEquals("RAMP", CircuitState.ofOrdinal(2).reportedName());
--- a/decisions/src/test/java/thistleturn/decisions/DeadlineOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/DeadlineOrderTest.java
@@ -24,14 +24,15 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
+ * Guards against messages that expire unsent although the endpoints could serve all of them.
  * Clients give their messages 4 s where the class allows 16 s, so that each message is past its
- * latency objective when it comes. A courier that was stopped found hundreds of them, sent the
- * youngest first, and let the oldest expire untried, though its endpoints could serve all of them.
+ * latency objective on arrival. After a pause of its process a courier found hundreds of such
+ * messages and sent the youngest first, so the oldest expired.
  *
- * <p>Seen in {@code PausedCourierTest} with stops of 2.5 s: 74 to 200 of some 1,600 messages
- * deferred with {@code attempts=0}, their {@code kept_by} "the next message may go as soon as a
- * slot is free", while younger ones were delivered by the hundred. Here the same is played in
- * virtual time and judged by what became of the messages, not by their order.
+ * <p>Seen in {@code PausedCourierTest} with pauses of 2.5 s: 74 to 200 of some 1,600 messages were
+ * deferred with {@code attempts=0} and a {@code kept_by} of "the next message may go as soon as a
+ * slot is free", while hundreds of younger ones were delivered. These tests run the scenario in
+ * virtual time and check the outcomes of the messages, not their order.
  */
 @Tag("health")
 final class DeadlineOrderTest {
@@ -39,53 +40,57 @@
   private static final long SECOND = 1_000_000;
   private static final long TICK_US = MS;
 
-  /** What a client allows its message, and what the class would. */
-  private static final long TIME_US = 4 * SECOND;
+  /** The deadline that clients set for their messages, relative to the hand-in. */
+  private static final long CLIENT_DEADLINE_US = 4 * SECOND;
 
+  /** The longer deadline that the class allows. */
   private static final long CLASS_DEADLINE_US = 16 * SECOND;
+
   private static final long OBJECTIVE_US = 4 * SECOND;
   private static final long RATE_PER_SECOND = 75;
   private static final long CALL_US = 40 * MS;
   private static final int SLOTS = 8;
   private static final int MESSAGES_PER_CALL = 5;
 
-  /** Three quarters of the slots, with five messages in each call. */
+  /** The capacity: three quarters of the slots, with five messages in each call. */
   private static final long SERVED_PER_SECOND = 750;
 
-  /** The share that a courier with enough capacity delivers, as {@code PausedCourierTest} asks. */
+  /**
+   * The share that a courier with enough capacity must deliver, as in {@code PausedCourierTest}.
+   */
   private static final double DELIVERED_SHARE = 0.98;
 
-  /** One destination that serves every call in the same time, and a clock of ticks. */
-  private static final class Playback {
+  /** Simulates, tick by tick, one destination that serves every call in the same time. */
+  private static final class Simulation {
     private final ScriptedController courier;
-    private final int kinds;
+    private final int classes;
     private final Map<String, Long> answersDue = new LinkedHashMap<>();
     private final Set<String> delivered = new HashSet<>();
     private final List<Long> deliveryDelaysUs = new ArrayList<>();
     private final Map<String, Long> handedInUs = new LinkedHashMap<>();
-    private final long lifeUs;
+    private final long lifetimeUs;
     private int sentSoFar;
     private long nextArrivalUs;
     private long gapUs;
 
-    Playback(final long lifeUs) {
-      this(lifeUs, kind(Idempotence.IDEMPOTENT));
+    Simulation(final long lifetimeUs) {
+      this(lifetimeUs, messageClass(Idempotence.IDEMPOTENT));
     }
 
-    /** Messages of several classes come in turn. */
-    Playback(final long lifeUs, final MessageClass... kinds) {
-      this.courier = new ScriptedController(settings(kinds));
-      this.kinds = kinds.length;
-      this.lifeUs = lifeUs;
+    /** Creates a simulation in which the messages belong to the classes in turn. */
+    Simulation(final long lifetimeUs, final MessageClass... classes) {
+      this.courier = new ScriptedController(settings(classes));
+      this.classes = classes.length;
+      this.lifetimeUs = lifetimeUs;
       courier.applyEndpointList(
           EndpointUpdate.RESTORED_SNAPSHOT,
           ScriptedController.endpoint(1, ScriptedController.DESTINATION, "a"));
       nextArrivalUs = courier.nowUs;
-      arrive(RATE_PER_SECOND);
+      setArrivalRate(RATE_PER_SECOND);
     }
 
-    /** From now on so many messages come in a second. */
-    void arrive(final long perSecond) {
+    /** Sets the number of messages that arrive per second from now on. */
+    void setArrivalRate(final long perSecond) {
       gapUs = perSecond == 0 ? OverloadController.NEVER / 2 : SECOND / perSecond;
       nextArrivalUs =
           perSecond == 0 ? OverloadController.NEVER : Math.max(nextArrivalUs, courier.nowUs);
@@ -98,18 +103,20 @@
       }
     }
 
-    /** Stops the courier for 2.5 s, so many times, and lets it run so long behind each stop. */
-    void stopRepeatedly(final int stops, final long gapUs) {
+    /** Pauses the courier several times for 2.5 s and runs it for a while after each pause. */
+    void pauseRepeatedly(final int pauses, final long runUs) {
       run(2 * SECOND);
-      for (int stop = 0; stop < stops; stop++) {
-        stop(2500 * MS);
-        run(gapUs);
+      for (int index = 0; index < pauses; index++) {
+        pause(2500 * MS);
+        run(runUs);
       }
       finish();
     }
 
-    /** Stops the courier; what arrives and is answered meanwhile is read when it wakes. */
-    void stop(final long us) {
+    /**
+     * Pauses the courier; messages and responses that arrive meanwhile are read when it resumes.
+     */
+    void pause(final long us) {
       courier.nowUs += us;
       courier.controller.onHostPaused(courier.nowUs, us);
       tick();
@@ -147,18 +154,18 @@
             courier.nowUs,
             new Message(
                 id,
-                (handedInUs.size() - 1) % kinds,
+                (handedInUs.size() - 1) % classes,
                 -1,
                 null,
-                nextArrivalUs + lifeUs,
+                nextArrivalUs + lifetimeUs,
                 ScriptedController.DESTINATION));
       }
     }
 
-    /** Hands in no more, and waits until all messages have ended. */
+    /** Stops the arrivals and runs until all messages have ended. */
     void finish() {
-      arrive(0);
-      run(lifeUs + SECOND);
+      setArrivalRate(0);
+      run(lifetimeUs + SECOND);
       assertEquals(
           handedInUs.size(),
           delivered.size() + courier.shedMessages.size() + courier.failedMessages.size());
@@ -177,71 +184,79 @@
           + " deferred";
     }
 
-    /** The mean time from hand-in to delivery. */
+    /** Returns the mean time from hand-in to delivery. */
     double meanDelayUs() {
       return deliveryDelaysUs.stream().mapToLong(Long::longValue).average().orElseThrow();
     }
   }
 
-  private static MessageClass kind(final Idempotence effect) {
+  private static MessageClass messageClass(final Idempotence effect) {
     return new MessageClass(
         effect.name(), effect, false, false, 1, 0, OBJECTIVE_US, CLASS_DEADLINE_US, 0);
   }
 
-  private static DeliverySettings settings(final MessageClass... kinds) {
+  private static DeliverySettings settings(final MessageClass... classes) {
     return new DeliverySettings(
         2,
         "a",
         false,
         WeightMeaning.NONE,
         ValueDecay.LINEAR,
-        List.of(kinds),
+        List.of(classes),
         List.of(),
         List.of(new DestinationKind("std", false, MESSAGES_PER_CALL)),
         new Guarantees(10 * SECOND, 0.2, 10 * SECOND, 2, 3 * SECOND),
         new ResourceLimits(SLOTS, 5000, 8, true, 10 * SECOND, 1, 2 * SECOND));
   }
 
-  /** Three stops of 2.5 s, 0.3 s apart, in which 150 messages can be served. */
+  /** Three pauses of 2.5 s, 0.3 s apart; 150 messages can be served between two of them. */
   @Test
-  void messagesOfAStop_areDeliveredBeforeTheNextOneLetsThemExpire() {
-    final Playback playback = new Playback(TIME_US);
-    playback.stopRepeatedly(3, 300 * MS);
-    assertTrue(playback.deliveredShare() >= DELIVERED_SHARE, playback.summary());
+  void messagesThatArriveDuringPause_areDeliveredBeforeTheyExpire() {
+    final Simulation simulation = new Simulation(CLIENT_DEADLINE_US);
+    simulation.pauseRepeatedly(3, 300 * MS);
+    assertTrue(simulation.deliveredShare() >= DELIVERED_SHARE, simulation.summary());
   }
 
   /**
-   * Every second message shares no call. These were left behind those that go five in a call: all
-   * deferred messages of such a play were theirs.
+   * Every second message may not share a call. Such messages were sent after those that go five in
+   * a call: all deferred messages of such a run were among them.
    */
   @Test
-  void messagesThatShareNoCall_areNotLeftForLast() {
-    final Playback playback =
-        new Playback(TIME_US, kind(Idempotence.IDEMPOTENT), kind(Idempotence.NON_IDEMPOTENT));
-    playback.stopRepeatedly(2, 800 * MS);
-    assertTrue(playback.deliveredShare() >= DELIVERED_SHARE, playback.summary());
+  void messagesThatMayNotShareCalls_areNotSentLast() {
+    final Simulation simulation =
+        new Simulation(
+            CLIENT_DEADLINE_US,
+            messageClass(Idempotence.IDEMPOTENT),
+            messageClass(Idempotence.NON_IDEMPOTENT));
+    simulation.pauseRepeatedly(2, 800 * MS);
+    assertTrue(simulation.deliveredShare() >= DELIVERED_SHARE, simulation.summary());
   }
 
-  /** A little more comes than can be served: the queue grows, and shrinks once less comes. */
+  /**
+   * Slightly more messages arrive than can be served: the queue grows, and drains once the arrivals
+   * end.
+   */
   @Test
-  void messagesOfALittleOverload_areAllDelivered() {
-    final Playback playback = new Playback(TIME_US);
-    playback.run(2 * SECOND);
-    playback.arrive(SERVED_PER_SECOND * 105 / 100);
-    playback.run(20 * SECOND);
-    playback.finish();
-    assertEquals(1, playback.deliveredShare(), playback.summary());
+  void messagesOfSlightOverload_areAllDelivered() {
+    final Simulation simulation = new Simulation(CLIENT_DEADLINE_US);
+    simulation.run(2 * SECOND);
+    simulation.setArrivalRate(SERVED_PER_SECOND * 105 / 100);
+    simulation.run(20 * SECOND);
+    simulation.finish();
+    assertEquals(1, simulation.deliveredShare(), simulation.summary());
   }
 
-  /** Twice as much comes as can be served: who is served at all is served soon. */
+  /** Twice as many messages arrive as can be served: those that are served are served soon. */
   @Test
-  void messagesOfALongOverload_areServedNewestFirst() {
-    final Playback playback = new Playback(TIME_US);
-    playback.run(2 * SECOND);
-    playback.arrive(2 * SERVED_PER_SECOND);
-    playback.run(20 * SECOND);
-    playback.finish();
-    assertTrue(playback.delivered.size() >= 20 * SERVED_PER_SECOND, playback.summary());
-    assertTrue(playback.meanDelayUs() <= TIME_US / 10.0, () -> "mean " + playback.meanDelayUs());
+  void messagesOfLongOverload_areServedNewestFirst() {
+    final Simulation simulation = new Simulation(CLIENT_DEADLINE_US);
+    simulation.run(2 * SECOND);
+    simulation.setArrivalRate(2 * SERVED_PER_SECOND);
+    simulation.run(20 * SECOND);
+    simulation.finish();
+    assertTrue(simulation.delivered.size() >= 20 * SERVED_PER_SECOND, simulation.summary());
+    assertTrue(
+        simulation.meanDelayUs() <= CLIENT_DEADLINE_US / 10.0,
+        () -> "mean " + simulation.meanDelayUs());
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/HostPauseTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/HostPauseTest.java
@@ -8,228 +8,249 @@
 import thistleturn.decisions.model.AttemptOutcome;
 import thistleturn.decisions.model.AttemptResult;
 
-/** Decisions of a courier that did not run for a while: its own lateness is nobody's silence. */
+/**
+ * Decisions of a courier whose process was paused: its own lateness is not evidence against
+ * endpoints.
+ */
 @Tag("health")
 final class HostPauseTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
   private static final int SAFE = 0;
 
-  private static int silent(final ScriptedController one) {
-    return one.controller.routes().get(0).overdueCalls();
+  private static int overdueCalls(final ScriptedController scripted) {
+    return scripted.controller.routes().get(0).overdueCalls();
   }
 
-  /** Calls out on one destination, taught what they take; then nothing is heard for so long. */
-  private static ScriptedController busy() {
-    final ScriptedController one =
+  /**
+   * Returns a courier that has learned the latency of one destination and has calls in flight to
+   * it.
+   */
+  private static ScriptedController withCallsInFlight() {
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     for (int index = 0; index < 80; index++) {
-      one.accept("t" + index, SAFE);
-      one.advance(50 * MS);
-      one.endAttempt("t" + index, AttemptResult.DELIVERED);
+      scripted.accept("t" + index, SAFE);
+      scripted.advance(50 * MS);
+      scripted.endAttempt("t" + index, AttemptResult.DELIVERED);
     }
     for (int index = 0; index < 4; index++) {
-      one.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    return one;
+    return scripted;
   }
 
-  private static void resume(final ScriptedController one, final long pauseUs, final boolean told) {
-    one.nowUs += pauseUs;
-    if (told) {
-      one.controller.onHostPaused(one.nowUs, pauseUs);
+  private static void resume(
+      final ScriptedController scripted, final long pauseUs, final boolean reported) {
+    scripted.nowUs += pauseUs;
+    if (reported) {
+      scripted.controller.onHostPaused(scripted.nowUs, pauseUs);
     }
-    one.controller.decide(one.nowUs);
+    scripted.controller.decide(scripted.nowUs);
   }
 
   @Test
   void callsInFlightDuringHostPause_areNotOverdue() {
-    final ScriptedController untold = busy();
-    resume(untold, 3 * SECOND, false);
-    assertTrue(silent(untold) > 0, "without a word its partner is silent");
-    final ScriptedController told = busy();
-    resume(told, 3 * SECOND, true);
-    assertEquals(0, silent(told));
+    final ScriptedController unreported = withCallsInFlight();
+    resume(unreported, 3 * SECOND, false);
+    assertTrue(overdueCalls(unreported) > 0, "after an unreported pause calls are overdue");
+    final ScriptedController reported = withCallsInFlight();
+    resume(reported, 3 * SECOND, true);
+    assertEquals(0, overdueCalls(reported));
     for (int index = 0; index < 4; index++) {
-      if (told.attempts("m" + index) > 0) {
-        told.endAttempt("m" + index, AttemptResult.DELIVERED);
+      if (reported.attempts("m" + index) > 0) {
+        reported.endAttempt("m" + index, AttemptResult.DELIVERED);
       }
     }
-    told.accept("next", SAFE);
-    assertEquals(1, told.attempts("next"), "as before, at once");
+    reported.accept("next", SAFE);
+    assertEquals(1, reported.attempts("next"), "sent at once, as before the pause");
   }
 
   /**
-   * Both are found: the stop, and a partner that fell silent in the same moment, by as much later.
+   * A destination that becomes unresponsive at the start of a pause is detected too, later by the
+   * length of the pause.
    */
   @Test
   void destinationUnresponsiveDuringHostPause_isStillDetected() {
-    final ScriptedController one = busy();
-    resume(one, 3 * SECOND, true);
-    one.advance(2 * SECOND);
-    assertTrue(silent(one) > 0, "not found");
+    final ScriptedController scripted = withCallsInFlight();
+    resume(scripted, 3 * SECOND, true);
+    scripted.advance(2 * SECOND);
+    assertTrue(overdueCalls(scripted) > 0, "unresponsive destination not detected");
   }
 
-  /** What was not measured is not learnt: windows, times and time-outs are as before. */
+  /**
+   * Durations that were not measured are not learned: latencies and time-outs are as before the
+   * pause.
+   */
   @Test
   void latenciesMeasuredDuringHostPause_areIgnored() {
-    final ScriptedController one = busy();
-    final double before = one.controller.learnedState().classMeanUs()[SAFE];
-    resume(one, 3 * SECOND, true);
-    for (int index = 0; index < 4 && one.attempts("m" + index) > 0; index++) {
-      one.controller.onOutcome(
-          one.nowUs,
+    final ScriptedController scripted = withCallsInFlight();
+    final double before = scripted.controller.learnedState().classMeanUs()[SAFE];
+    resume(scripted, 3 * SECOND, true);
+    for (int index = 0; index < 4 && scripted.attempts("m" + index) > 0; index++) {
+      scripted.controller.onOutcome(
+          scripted.nowUs,
           new AttemptOutcome(
               "m" + index,
               AttemptResult.DELIVERED,
               true,
-              one.lastCall("m" + index).endpoint(),
+              scripted.lastCall("m" + index).endpoint(),
               -1,
               0,
               null));
     }
-    one.controller.decide(one.nowUs);
-    assertEquals(before, one.controller.learnedState().classMeanUs()[SAFE]);
-    one.advance(2 * SECOND);
-    one.accept("next", SAFE);
+    scripted.controller.decide(scripted.nowUs);
+    assertEquals(before, scripted.controller.learnedState().classMeanUs()[SAFE]);
+    scripted.advance(2 * SECOND);
+    scripted.accept("next", SAFE);
     assertTrue(
-        one.lastCall("next").timeoutUs() < 3 * SECOND,
-        "time-out " + one.lastCall("next").timeoutUs());
+        scripted.lastCall("next").timeoutUs() < 3 * SECOND,
+        "time-out " + scripted.lastCall("next").timeoutUs());
   }
 
   /**
-   * The time of messages in flight is up while the courier is stopped. Their responses lie unread
-   * when it wakes; it cannot tell when they were written, and counts them as time-outs. These said
-   * that the destination was out: it was left with single trials and a ramp, and what had come
-   * during the stop expired untried.
+   * Messages in flight expire while the courier is paused. Their responses are unread when it
+   * resumes; it cannot know when they were written, and counts them as time-outs. These opened the
+   * circuit: the destination got only single trials and then paced calls, and the messages that had
+   * arrived during the pause expired unsent.
    *
-   * <p>Seen in {@code PausedCourierTest}, stops of 2.5 s beside three busy loops: {@code
+   * <p>Seen in {@code PausedCourierTest}, pauses of 2.5 s beside three busy loops: {@code
    * shared_call_expired messages=5 had_us=2322643 overdue_us=384515 answered=true}, then {@code
    * attempt_failed result=TIMED_OUT} for each, {@code kept_by="it is out: the next trial goes in 0
    * ms"}, and 40 messages a second instead of 500.
    */
   @Test
-  void timeoutsOfMessagesThatExpiredDuringHostPause_sayNothingOfTheDestination() {
-    final ScriptedController one = beforeStopWithBriefMessages();
-    final double window = one.controller.routes().get(0).window();
-    resume(one, 3 * SECOND, true);
-    endBriefMessages(one);
-    assertEquals("WELL", one.controller.routes().get(0).circuitState());
-    assertTrue(one.controller.routes().get(0).window() >= window, "the window has shrunk");
+  void timeoutsOfMessagesThatExpiredDuringHostPause_doNotOpenTheCircuit() {
+    final ScriptedController scripted = beforePauseWithBriefMessages();
+    final double window = scripted.controller.routes().get(0).window();
+    resume(scripted, 3 * SECOND, true);
+    endBriefMessages(scripted);
+    assertEquals("WELL", scripted.controller.routes().get(0).circuitState());
+    assertTrue(scripted.controller.routes().get(0).window() >= window, "the window has shrunk");
     for (int index = 0; index < 4; index++) {
-      one.accept("next" + index, SAFE);
-      assertEquals(1, one.attempts("next" + index), "as before, at once");
+      scripted.accept("next" + index, SAFE);
+      assertEquals(1, scripted.attempts("next" + index), "sent at once, as before the pause");
     }
   }
 
-  /** The same time-outs without a stop: nobody answered, and the destination is out. */
+  /** The same time-outs without a pause are an outage of the destination. */
   @Test
   void timeoutsOfMessagesThatExpiredWithoutHostPause_openTheCircuit() {
-    final ScriptedController one = beforeStopWithBriefMessages();
-    resume(one, 3 * SECOND, false);
-    endBriefMessages(one);
-    assertEquals("OUT", one.controller.routes().get(0).circuitState());
+    final ScriptedController scripted = beforePauseWithBriefMessages();
+    resume(scripted, 3 * SECOND, false);
+    endBriefMessages(scripted);
+    assertEquals("OUT", scripted.controller.routes().get(0).circuitState());
   }
 
-  /** Who does not answer behind the stop either is found as before. */
+  /** A destination that does not respond after the pause either is detected as before. */
   @Test
   void timeoutsOfMessagesThatExpireAfterHostPause_openTheCircuit() {
-    final ScriptedController one = beforeStopWithBriefMessages();
-    resume(one, SECOND, true);
-    one.nowUs += 2 * SECOND;
-    endBriefMessages(one);
-    assertEquals("OUT", one.controller.routes().get(0).circuitState());
+    final ScriptedController scripted = beforePauseWithBriefMessages();
+    resume(scripted, SECOND, true);
+    scripted.nowUs += 2 * SECOND;
+    endBriefMessages(scripted);
+    assertEquals("OUT", scripted.controller.routes().get(0).circuitState());
   }
 
-  /** Four messages in flight, each with two seconds left. */
-  private static ScriptedController beforeStopWithBriefMessages() {
-    final ScriptedController one = cut();
+  /** Returns a courier with four messages in flight, each with two seconds left. */
+  private static ScriptedController beforePauseWithBriefMessages() {
+    final ScriptedController scripted = idle();
     for (int index = 0; index < 4; index++) {
-      one.accept("brief" + index, SAFE, null, 2 * SECOND);
-      assertEquals(1, one.attempts("brief" + index));
+      scripted.accept("brief" + index, SAFE, null, 2 * SECOND);
+      assertEquals(1, scripted.attempts("brief" + index));
     }
-    return one;
+    return scripted;
   }
 
-  private static void endBriefMessages(final ScriptedController one) {
+  private static void endBriefMessages(final ScriptedController scripted) {
     for (int index = 0; index < 4; index++) {
-      one.reportOutcome("brief" + index, AttemptResult.TIMED_OUT, 0);
+      scripted.reportOutcome("brief" + index, AttemptResult.TIMED_OUT, 0);
     }
-    one.controller.decide(one.nowUs);
+    scripted.controller.decide(scripted.nowUs);
   }
 
-  private static ScriptedController cut() {
-    final ScriptedController one = busy();
+  /**
+   * Returns a courier that has learned the latency of one destination and has no calls in flight.
+   */
+  private static ScriptedController idle() {
+    final ScriptedController scripted = withCallsInFlight();
     for (int index = 0; index < 4; index++) {
-      if (one.attempts("m" + index) > 0) {
-        one.endAttempt("m" + index, AttemptResult.DELIVERED);
+      if (scripted.attempts("m" + index) > 0) {
+        scripted.endAttempt("m" + index, AttemptResult.DELIVERED);
       }
     }
-    return one;
+    return scripted;
   }
 
-  /** All calls of a few seconds fail: for want of a way out, or for the destination's outage. */
-  private static void fail(final ScriptedController one, final String prefix) {
+  /**
+   * Makes all calls of a few seconds fail, as lost connectivity or an outage of the destination
+   * does.
+   */
+  private static void failAllCalls(final ScriptedController scripted, final String prefix) {
     for (int index = 0; index < 12; index++) {
       final String id = prefix + index;
-      one.accept(id, SAFE);
-      if (one.attempts(id) > 0) {
-        one.endAttempt(id, AttemptResult.NO_CONNECTION);
+      scripted.accept(id, SAFE);
+      if (scripted.attempts(id) > 0) {
+        scripted.endAttempt(id, AttemptResult.NO_CONNECTION);
       }
-      one.advance(200 * MS);
+      scripted.advance(200 * MS);
     }
-    assertEquals("OUT", one.controller.routes().get(0).circuitState());
+    assertEquals("OUT", scripted.controller.routes().get(0).circuitState());
   }
 
-  /** Cut off, it had sent everybody out; back, it goes on as before, without a trial or a ramp. */
+  /**
+   * Circuits opened while the courier had no connectivity close when it is restored, without trial
+   * and recovery.
+   */
   @Test
   void circuitOpenedByLostConnectivity_closesAtOnce() {
-    final ScriptedController one = cut();
-    final long sinceUs = one.nowUs;
-    one.advance(10 * MS);
-    fail(one, "f");
-    one.controller.onConnectivityRestored(one.nowUs, sinceUs);
-    one.controller.decide(one.nowUs);
-    assertEquals("WELL", one.controller.routes().get(0).circuitState());
-    one.advance(SECOND);
+    final ScriptedController scripted = idle();
+    final long sinceUs = scripted.nowUs;
+    scripted.advance(10 * MS);
+    failAllCalls(scripted, "f");
+    scripted.controller.onConnectivityRestored(scripted.nowUs, sinceUs);
+    scripted.controller.decide(scripted.nowUs);
+    assertEquals("WELL", scripted.controller.routes().get(0).circuitState());
+    scripted.advance(SECOND);
     assertTrue(
-        one.sentCalls.stream().anyMatch(send -> send.atUs() >= one.nowUs - SECOND), "nothing goes");
+        scripted.sentCalls.stream().anyMatch(send -> send.atUs() >= scripted.nowUs - SECOND),
+        "no call is sent");
   }
 
-  /** A destination whose outage is older than that stays out, and returns by trial and ramp. */
+  /** An outage that began before connectivity was lost goes on; it ends by trial and recovery. */
   @Test
   void earlierOutage_outlastsRestoredConnectivity() {
-    final ScriptedController one = cut();
-    fail(one, "f");
-    final long sinceUs = one.nowUs;
-    one.advance(SECOND);
-    one.controller.onConnectivityRestored(one.nowUs, sinceUs);
-    one.controller.decide(one.nowUs);
-    assertEquals("OUT", one.controller.routes().get(0).circuitState());
+    final ScriptedController scripted = idle();
+    failAllCalls(scripted, "f");
+    final long sinceUs = scripted.nowUs;
+    scripted.advance(SECOND);
+    scripted.controller.onConnectivityRestored(scripted.nowUs, sinceUs);
+    scripted.controller.decide(scripted.nowUs);
+    assertEquals("OUT", scripted.controller.routes().get(0).circuitState());
   }
 
   /**
-   * Late, it ends what waits and is out of time before it reads anything; what is out may have its
-   * answer lying there.
+   * After a delay, expired messages that wait are ended before anything is read. Those in flight
+   * are not: their responses may be unread.
    */
   @Test
   void expiredMessages_endBeforeDecisionRound() {
-    final ScriptedController one =
+    final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     for (int index = 0; index < 5; index++) {
-      one.accept("m" + index, SAFE, null, SECOND);
+      scripted.accept("m" + index, SAFE, null, SECOND);
     }
-    final long out = one.sentCalls.size();
-    assertTrue(out > 0 && out < 5, "out: " + out);
-    // The process stands still: nobody calls.
-    one.nowUs += 3 * SECOND;
-    one.controller.onDecisionsDelayed(one.nowUs);
-    assertEquals(5 - out, one.shedMessages.size());
+    final long inFlight = scripted.sentCalls.size();
+    assertTrue(inFlight > 0 && inFlight < 5, "in flight: " + inFlight);
+    // The process is paused: no event and no round is reported.
+    scripted.nowUs += 3 * SECOND;
+    scripted.controller.onDecisionsDelayed(scripted.nowUs);
+    assertEquals(5 - inFlight, scripted.shedMessages.size());
     assertTrue(
-        one.sentCalls.stream().noneMatch(send -> one.shedMessages.contains(send.id())),
-        "one whose call is out");
-    one.controller.onDecisionsDelayed(one.nowUs);
-    assertEquals(5 - out, one.shedMessages.size(), "each has one end");
-    assertEquals(out, one.sentCalls.size(), "nothing is sent by it");
+        scripted.sentCalls.stream().noneMatch(send -> scripted.shedMessages.contains(send.id())),
+        "a message in flight was ended");
+    scripted.controller.onDecisionsDelayed(scripted.nowUs);
+    assertEquals(5 - inFlight, scripted.shedMessages.size(), "each message has one final outcome");
+    assertEquals(inFlight, scripted.sentCalls.size(), "no call is sent");
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/LargeFleetTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LargeFleetTest.java
@@ -14,8 +14,8 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * What is harmless in one courier and harmful when all of a fleet do it: several, each with a seed
- * of its own.
+ * Behaviour that is harmless in one courier but harmful if all couriers of a fleet share it. Each
+ * test runs several couriers, each with its own seed.
  */
 @Tag("fleet")
 final class LargeFleetTest {
@@ -23,32 +23,38 @@
   private static final long SECOND = 1_000_000;
   private static final int SAFE = 0;
 
-  /** Of so many couriers that have each had one call served, those that keep its connection. */
-  private static List<ScriptedController> keepers(final int couriers) {
-    final List<ScriptedController> keepers = new ArrayList<>();
+  /**
+   * Returns, of a number of couriers that have each had one call served, those that keep its
+   * connection.
+   */
+  private static List<ScriptedController> keepingCouriers(final int couriers) {
+    final List<ScriptedController> keepingCouriers = new ArrayList<>();
     for (int index = 0; index < couriers; index++) {
-      final ScriptedController one =
+      final ScriptedController scripted =
           new ScriptedController(
               ScriptedController.fleetOf(couriers), ScriptedController.seed(index));
-      one.applyEndpointList(
+      scripted.applyEndpointList(
           EndpointUpdate.RESTORED_SNAPSHOT,
           ScriptedController.endpoint(1, ScriptedController.DESTINATION, "b"),
           ScriptedController.endpoint(2, ScriptedController.DESTINATION, "a"));
-      one.accept("m0", SAFE);
-      one.advance(200 * MS);
-      one.endAttempt("m0", AttemptResult.DELIVERED);
-      if (one.endpointsClosedIdle.isEmpty()) {
-        keepers.add(one);
+      scripted.accept("m0", SAFE);
+      scripted.advance(200 * MS);
+      scripted.endAttempt("m0", AttemptResult.DELIVERED);
+      if (scripted.endpointsClosedIdle.isEmpty()) {
+        keepingCouriers.add(scripted);
       }
     }
-    return keepers;
+    return keepingCouriers;
   }
 
-  /** Fleet days: each call of fourteen couriers paid a handshake, since none kept a connection. */
+  /**
+   * In fleet scenarios each call of fourteen couriers needed a handshake, since none kept a
+   * connection.
+   */
   @Test
   void largeFleet_keepsNoMoreConnectionsThanEndpointAllows() {
     for (final int couriers : List.of(8, 14, 25)) {
-      final int most = keepers(couriers).size();
+      final int most = keepingCouriers(couriers).size();
       assertTrue(
           most >= 3 && most <= 14,
           couriers + " couriers keep " + most + " connections to two endpoints");
@@ -56,112 +62,125 @@
   }
 
   /**
-   * Days of a hundred couriers: idle connections took a fifth of the endpoints' places, and one
-   * call in ten met none.
+   * In scenarios of a hundred couriers idle connections occupied a fifth of the endpoints'
+   * connection capacity, and one call in ten could not connect.
    */
   @Test
   void vastFleet_keepsNoUnneededConnections() {
     for (final int couriers : List.of(26, 100)) {
-      assertEquals(0, keepers(couriers).size());
+      assertEquals(0, keepingCouriers(couriers).size());
     }
-    final ScriptedController one = new ScriptedController(ScriptedController.fleetOf(100), 1);
-    one.applyEndpointList(
+    final ScriptedController scripted = new ScriptedController(ScriptedController.fleetOf(100), 1);
+    scripted.applyEndpointList(
         EndpointUpdate.RESTORED_SNAPSHOT,
         ScriptedController.endpoint(1, ScriptedController.DESTINATION, "a"));
     for (int index = 0; index < 16; index++) {
-      one.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    final int atOnce = one.sentCalls.size();
-    assertTrue(atOnce < 16, "all go at once");
-    one.advance(200 * MS);
-    one.endAttempt("m0", AttemptResult.DELIVERED);
-    assertEquals(List.of(), one.endpointsClosedIdle, "the next message is there already");
-    assertTrue(one.sentCalls.size() > atOnce, "sent " + one.sentCalls.size());
+    final int atOnce = scripted.sentCalls.size();
+    assertTrue(atOnce < 16, "all are sent at once");
+    scripted.advance(200 * MS);
+    scripted.endAttempt("m0", AttemptResult.DELIVERED);
+    assertEquals(
+        List.of(),
+        scripted.endpointsClosedIdle,
+        "kept for the next message, which is already waiting");
+    assertTrue(scripted.sentCalls.size() > atOnce, "sent " + scripted.sentCalls.size());
   }
 
-  /** Of a lane's endpoints one is kept open, a near one: the next message goes there again. */
+  /**
+   * A courier keeps the connection to one endpoint of a route, in its own zone, and sends the next
+   * message there again.
+   */
   @Test
   void keptConnection_isReused() {
-    final List<ScriptedController> keepers = keepers(14);
-    assertTrue(keepers.size() >= 2, "keepers: " + keepers.size());
-    for (final ScriptedController one : keepers) {
-      assertEquals(2, one.lastCall("m0").endpoint(), "the near one");
-      one.advance(SECOND);
-      one.accept("m1", SAFE);
-      one.accept("m2", SAFE);
-      assertEquals(2, one.lastCall("m1").endpoint());
-      one.advance(200 * MS);
-      one.endAttempt("m1", AttemptResult.DELIVERED);
-      one.endAttempt("m2", AttemptResult.DELIVERED);
+    final List<ScriptedController> keepingCouriers = keepingCouriers(14);
+    assertTrue(
+        keepingCouriers.size() >= 2, "couriers that keep a connection: " + keepingCouriers.size());
+    for (final ScriptedController scripted : keepingCouriers) {
+      assertEquals(2, scripted.lastCall("m0").endpoint(), "the endpoint in the local zone");
+      scripted.advance(SECOND);
+      scripted.accept("m1", SAFE);
+      scripted.accept("m2", SAFE);
+      assertEquals(2, scripted.lastCall("m1").endpoint());
+      scripted.advance(200 * MS);
+      scripted.endAttempt("m1", AttemptResult.DELIVERED);
+      scripted.endAttempt("m2", AttemptResult.DELIVERED);
       assertEquals(
           1,
-          one.endpointsClosedIdle.size(),
-          "of two that were open at once one is closed: " + one.endpointsClosedIdle);
+          scripted.endpointsClosedIdle.size(),
+          "one of two open connections is closed: " + scripted.endpointsClosedIdle);
     }
   }
 
   /**
-   * A list that is refused a hundred times in a row is asked for ever more rarely, and by each in
-   * its own moments.
+   * An endpoint list that is unavailable a hundred times in a row is requested at growing
+   * intervals, and by each courier at different times.
    */
   @Test
   void unavailableEndpointList_isRequestedWithinBoundsAndWithJitter() {
-    final List<Long> lastAsked = new ArrayList<>();
+    final List<Long> lastRequestsUs = new ArrayList<>();
     for (int index = 0; index < 14; index++) {
-      final ScriptedController one =
+      final ScriptedController scripted =
           new ScriptedController(
               ScriptedController.settings(16, 1, false, true), ScriptedController.seed(index));
-      one.applyEndpointList(
+      scripted.applyEndpointList(
           EndpointUpdate.RESTORED_SNAPSHOT,
           ScriptedController.endpoint(1, ScriptedController.DESTINATION, "a"));
-      int lost = 0;
-      while (lost < 100) {
-        if (one.subscriptions > lost) {
-          lost = one.subscriptions;
-          one.applyEndpointList(EndpointUpdate.UNAVAILABLE);
+      int failures = 0;
+      while (failures < 100) {
+        if (scripted.subscriptions > failures) {
+          failures = scripted.subscriptions;
+          scripted.applyEndpointList(EndpointUpdate.UNAVAILABLE);
         }
-        one.advance(10 * MS);
+        scripted.advance(10 * MS);
       }
       assertTrue(
-          one.nowUs - 5 * SECOND > 100 * SECOND,
-          "a hundred calls within " + one.nowUs / SECOND + " s");
-      lastAsked.add(one.nowUs);
-      one.accept("m", SAFE);
-      assertEquals(1, one.attempts("m"), "it serves from the list that it knows");
+          scripted.nowUs - 5 * SECOND > 100 * SECOND,
+          "a hundred requests within " + scripted.nowUs / SECOND + " s");
+      lastRequestsUs.add(scripted.nowUs);
+      scripted.accept("m", SAFE);
+      assertEquals(1, scripted.attempts("m"), "the courier serves from the list that it knows");
     }
-    assertTrue(lastAsked.stream().distinct().count() > 10, "in step: " + lastAsked);
+    assertTrue(
+        lastRequestsUs.stream().distinct().count() > 10,
+        "couriers request the list at the same times: " + lastRequestsUs);
   }
 
-  /** A rate of 0 is none told: there is no part to keep to, and none to divide by. */
+  /**
+   * A reported rate of 0 means that none is reported: there is no rate share to keep to or to
+   * divide by.
+   */
   @Test
   void reportedRateOfZero_isNoLimit() {
-    final ScriptedController one =
+    final ScriptedController scripted =
         new ScriptedController(ScriptedController.fleetWithReportedLimit(14), 1);
-    one.applyEndpointList(
+    scripted.applyEndpointList(
         EndpointUpdate.RESTORED_SNAPSHOT,
         new Endpoint(1, EndpointState.LISTED, "a", 0, 0, ScriptedController.DESTINATION));
     for (int index = 0; index < 4; index++) {
-      one.accept("m" + index, SAFE);
+      scripted.accept("m" + index, SAFE);
     }
-    assertEquals(4, one.sentCalls.size());
-    // With a rate told, a fourteenth of it: one call now, the next in half a minute.
-    one.applyEndpointList(
+    assertEquals(4, scripted.sentCalls.size());
+    // With a reported rate of 0.5 the share is a fourteenth: one call now, the next in half a
+    // minute.
+    scripted.applyEndpointList(
         EndpointUpdate.CHANGES,
         new Endpoint(1, EndpointState.LISTED, "a", 0.5, 0, ScriptedController.DESTINATION));
     for (int index = 0; index < 4; index++) {
-      one.endAttempt("m" + index, AttemptResult.DELIVERED);
-      one.accept("n" + index, SAFE);
+      scripted.endAttempt("m" + index, AttemptResult.DELIVERED);
+      scripted.accept("n" + index, SAFE);
     }
-    assertEquals(5, one.sentCalls.size());
-    one.advance(10 * SECOND);
-    assertEquals(5, one.sentCalls.size());
+    assertEquals(5, scripted.sentCalls.size());
+    scripted.advance(10 * SECOND);
+    assertEquals(5, scripted.sentCalls.size());
   }
 
-  /** A fleet of no courier is refused in one line, where the settings are read. */
+  /** Settings of a fleet without couriers are rejected with a message when they are read. */
   @Test
   void fleetWithoutCouriers_isRejected() {
-    final IllegalArgumentException refused =
+    final IllegalArgumentException rejected =
         assertThrows(IllegalArgumentException.class, () -> ScriptedController.fleetOf(0));
-    assertEquals("a fleet has at least one courier, not 0", refused.getMessage());
+    assertEquals("a fleet has at least one courier, not 0", rejected.getMessage());
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedFiguresOrderTest.java
@@ -13,9 +13,9 @@
 import thistleturn.decisions.rejections.RejectionClassifier;
 
 /**
- * The places of figures and moments in what a courier hands to its next process and writes to its
- * file of learned state, and the names that operators see. Another version reads them by place, so
- * none may move while {@link LearnedState#VERSION} stays.
+ * Pins the positions of figures and moments in the learned state that a courier passes to its
+ * successor and writes to its file, and the names that operators see. Other versions read the
+ * figures by position, so none may move unless {@link LearnedState#VERSION} changes.
  */
 @Tag("decisions")
 final class LearnedFiguresOrderTest {
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void learnedFigures_areWrittenInThesePlaces() {
+  void learnedFigures_areWrittenAtTheirPositions() {
     route.endpoints().add(endpoint);
     route.window().restore(9);
     route.serviceRate().restore(10, 12, 13);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void learnedFigures_areReadFromThesePlaces() {
+  void learnedFigures_areReadFromTheirPositions() {
     route.endpoints().add(endpoint);
     learnedState().restore(Map.of(4L, endpoint), latencies, 1);
     assertEquals(1e7, learnedState().trustedIdleUs());
@@ -142,9 +142,9 @@
             CircuitState.RECOVERING.ordinal()));
   }
 
-  /** The operators' JSON of routes holds these names, the latter in lower case. */
+  /** The operators' JSON of routes holds these names, those of directive kinds in lower case. */
   @Test
-  void rejectionCausesAndDirectiveKinds_haveTheseNames() {
+  void rejectionCausesAndDirectiveKinds_keepTheirNames() {
     assertEquals("[UNSURE, LOAD, NOISE]", Arrays.toString(RejectionClassifier.Cause.values()));
     assertEquals(
         "[LIMIT, RATE, CEILING, EXCLUSION, WAIT, OUTAGE, RETURN, WEIGHT]",
--- a/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LearnedStateTest.java
@@ -10,14 +10,14 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * What a process that died had learnt, taken up by the next one: it serves at once, and no rule
- * hangs on it.
+ * Learned state of a process that died, restored by the next one. It speeds up the start; no rule
+ * depends on it.
  */
 @Tag("noise")
 final class LearnedStateTest {
   private static final long SECOND = ScriptedController.SECOND;
 
-  private static ScriptedController served(final int messages) {
+  private static ScriptedController withDeliveries(final int messages) {
     final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     for (int index = 0; index < messages; index++) {
@@ -34,7 +34,10 @@
     return scripted;
   }
 
-  /** A courier that starts so long after another has died, with what that one had learnt. */
+  /**
+   * Returns a courier that starts some time after another has died, with the learned state of that
+   * one.
+   */
   private static ScriptedController next(final ScriptedController before, final long laterUs) {
     final ScriptedController scripted =
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
@@ -44,29 +47,29 @@
     return scripted;
   }
 
-  private static int sentAtOnce(final ScriptedController scripted) {
+  private static int callsAtOnce(final ScriptedController scripted) {
     for (int index = 0; index < 20; index++) {
-      scripted.accept("at once " + index, 0);
+      scripted.accept("new" + index, 0);
     }
     return scripted.sentCalls.size();
   }
 
   @Test
   void window_isRestoredAndDecaysWithAge() {
-    final ScriptedController before = served(60);
-    final int soon = sentAtOnce(next(before, SECOND / 2));
-    final int late = sentAtOnce(next(before, 50 * SECOND));
-    assertTrue(soon > 2, "calls at once, soon after: " + soon);
+    final ScriptedController before = withDeliveries(60);
+    final int soon = callsAtOnce(next(before, SECOND / 2));
+    final int late = callsAtOnce(next(before, 50 * SECOND));
+    assertTrue(soon > 2, "calls at once, 0.5 s after: " + soon);
     assertTrue(late < soon, "after 50 s: " + late);
   }
 
-  private static ScriptedController out() {
-    final ScriptedController before = served(5);
+  private static ScriptedController withOpenCircuit() {
+    final ScriptedController before = withDeliveries(5);
     for (int index = 0; index < 6; index++) {
-      before.accept("lost " + index, 0);
+      before.accept("lost" + index, 0);
       before.advance(3 * SECOND);
-      if (before.attempts("lost " + index) > before.endedAttempts("lost " + index)) {
-        before.endAttempt("lost " + index, AttemptResult.NO_CONNECTION);
+      if (before.attempts("lost" + index) > before.endedAttempts("lost" + index)) {
+        before.endAttempt("lost" + index, AttemptResult.NO_CONNECTION);
       }
     }
     return before;
@@ -74,28 +77,29 @@
 
   @Test
   void openCircuit_isRestored() {
-    final ScriptedController scripted = next(out(), SECOND);
-    assertTrue(sentAtOnce(scripted) <= 1, "only a trial may go: " + scripted.sentCalls);
+    final ScriptedController scripted = next(withOpenCircuit(), SECOND);
+    assertTrue(callsAtOnce(scripted) <= 1, "only a trial may be sent: " + scripted.sentCalls);
   }
 
   @Test
   void faultyRoute_isRestoredAsRecovering() {
-    final ScriptedController before = served(60);
+    final ScriptedController before = withDeliveries(60);
     for (final String id : new String[] {"lost", "lost too"}) {
       before.accept(id, 0);
       before.endAttempt(id, AttemptResult.NO_CONNECTION);
     }
     final ScriptedController scripted = next(before, SECOND);
-    assertTrue(sentAtOnce(scripted) <= 1, "a returning one is paced: " + scripted.sentCalls);
+    assertTrue(
+        callsAtOnce(scripted) <= 1, "calls of a recovering route are paced: " + scripted.sentCalls);
   }
 
   @Test
   void retryAfter_isRestored() {
-    final ScriptedController before = served(5);
-    before.accept("told", 0);
-    before.endAttempt("told", AttemptResult.REFUSED, 10 * SECOND);
+    final ScriptedController before = withDeliveries(5);
+    before.accept("rejected", 0);
+    before.endAttempt("rejected", AttemptResult.REFUSED, 10 * SECOND);
     final ScriptedController scripted = next(before, SECOND);
-    assertEquals(0, sentAtOnce(scripted));
+    assertEquals(0, callsAtOnce(scripted));
     scripted.advance(8 * SECOND);
     assertEquals(0, scripted.sentCalls.size());
     scripted.advance(10 * SECOND);
@@ -103,23 +107,23 @@
   }
 
   @Test
-  void outageBegunMeanwhile_isDetected() {
-    final ScriptedController scripted = next(served(60), 3 * SECOND);
+  void outageBegunBetweenProcesses_isDetected() {
+    final ScriptedController scripted = next(withDeliveries(60), 3 * SECOND);
     for (int index = 0; index < 8; index++) {
-      final String id = "late " + index;
+      final String id = "failed" + index;
       scripted.accept(id, 0);
       if (scripted.attempts(id) > scripted.endedAttempts(id)) {
         scripted.endAttempt(id, AttemptResult.NO_CONNECTION);
       }
     }
     final int before = scripted.sentCalls.size();
-    sentAtOnce(scripted);
-    assertTrue(scripted.sentCalls.size() - before <= 1, "sends after the outage was seen");
+    callsAtOnce(scripted);
+    assertTrue(scripted.sentCalls.size() - before <= 1, "calls after the outage was detected");
   }
 
   @Test
   void unlistedEndpoints_areNotRestored() {
-    final ScriptedController before = served(10);
+    final ScriptedController before = withDeliveries(10);
     final ScriptedController scripted = new ScriptedController(ScriptedController.settings());
     scripted.nowUs = before.nowUs + SECOND;
     scripted.applyEndpointList(
@@ -131,32 +135,35 @@
     assertEquals(9, scripted.lastCall("m").endpoint());
   }
 
-  /** A process that ends before its first step of a second knows what it has served so far. */
+  /** A process that ends before its first one-second step passes on the rate served so far. */
   @Test
-  void rate_isKnownBeforeFirstStep() {
-    final LearnedState memory = served(20).controller.learnedState();
-    assertEquals(60, memory.routes().get(0).figures()[LearnedRouteFormat.CALL_RATE]);
+  void callRate_isKnownBeforeFirstStep() {
+    final LearnedState learned = withDeliveries(20).controller.learnedState();
+    assertEquals(60, learned.routes().get(0).figures()[LearnedRouteFormat.CALL_RATE]);
   }
 
-  /** Steps that no process lived to take are reckoned with, but for one that was refused in. */
+  /**
+   * Steps missed between two processes grow the rate, except on a route that was rejected in its
+   * last step.
+   */
   @Test
   void permittedRate_growsWithTimeSinceLastStep() {
-    final LearnedState memory = served(20).controller.learnedState();
-    final LearnedState.LearnedRoute lane = memory.routes().get(0);
-    final double[] paced = lane.figures().clone();
-    paced[LearnedRouteFormat.PERMITTED_RATE] = 10;
-    final double[] refused = paced.clone();
-    refused[LearnedRouteFormat.STEP_REJECTIONS] = 1;
-    final long[] stepped = lane.moments().clone();
-    stepped[stepped.length - 1] = 100 * SECOND;
+    final LearnedState learned = withDeliveries(20).controller.learnedState();
+    final LearnedState.LearnedRoute route = learned.routes().get(0);
+    final double[] pacedFigures = route.figures().clone();
+    pacedFigures[LearnedRouteFormat.PERMITTED_RATE] = 10;
+    final double[] rejectedFigures = pacedFigures.clone();
+    rejectedFigures[LearnedRouteFormat.STEP_REJECTIONS] = 1;
+    final long[] moments = route.moments().clone();
+    moments[moments.length - 1] = 100 * SECOND;
     final LearnedState aged =
         new LearnedState(
-                memory.classMeanUs(),
-                memory.classSamples(),
-                memory.trustedIdleUs(),
+                learned.classMeanUs(),
+                learned.classSamples(),
+                learned.trustedIdleUs(),
                 List.of(
-                    new LearnedState.LearnedRoute(1, paced, stepped),
-                    new LearnedState.LearnedRoute(2, refused, stepped)),
+                    new LearnedState.LearnedRoute(1, pacedFigures, moments),
+                    new LearnedState.LearnedRoute(2, rejectedFigures, moments)),
                 List.of())
             .aged(101 * SECOND, 103 * SECOND);
     assertEquals(
--- a/decisions/src/test/java/thistleturn/decisions/LibraryUseTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/LibraryUseTest.java
@@ -11,7 +11,7 @@
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.model.Message;
 
-/** The README's example as a host would write it, and what misuse does. */
+/** Runs the README's example as a host would write it, and checks the results of misuse. */
 final class LibraryUseTest {
   private final ScriptedController transport =
       new ScriptedController(ScriptedController.settings());
@@ -19,14 +19,14 @@
   @Test
   void readmeExample_deliversMessage() {
     final DeliveryActions actions = transport;
-    final DeliveryController control =
+    final DeliveryController controller =
         new OverloadController(ScriptedController.settings(), 7, actions);
     final long nowUs = transport.nowUs;
-    control.onEndpointList(
+    controller.onEndpointList(
         nowUs,
         EndpointUpdate.COMPLETE_SNAPSHOT,
         List.of(ScriptedController.endpoint(1, ScriptedController.DESTINATION, "a")));
-    control.onMessage(
+    controller.onMessage(
         nowUs,
         new Message(
             "m",
@@ -35,21 +35,21 @@
             null,
             nowUs + 16 * ScriptedController.SECOND,
             ScriptedController.DESTINATION));
-    control.decide(nowUs);
+    controller.decide(nowUs);
     assertEquals(1, transport.attempts("m"));
-    control.onOutcome(
+    controller.onOutcome(
         nowUs + 1, new AttemptOutcome("m", AttemptResult.DELIVERED, true, 1, 1, 0, null));
-    control.decide(nowUs + 1);
+    controller.decide(nowUs + 1);
     assertTrue(
         transport.shedMessages.isEmpty() && transport.failedMessages.isEmpty(),
-        "delivered: no other answer");
+        "a delivered message has no other outcome");
   }
 
   @Test
   void contradictorySettings_areRejectedWithReason() {
-    final var none =
+    final var rejected =
         assertThrows(IllegalArgumentException.class, () -> ScriptedController.fleetOf(0));
-    assertTrue(none.getMessage().contains("at least one courier"), none.getMessage());
+    assertTrue(rejected.getMessage().contains("at least one courier"), rejected.getMessage());
     assertThrows(
         IllegalArgumentException.class, () -> ScriptedController.settings(0, 1, false, false));
   }
