--- a/decisions/src/main/java/thistleturn/decisions/BlockedReason.java
+++ b/decisions/src/main/java/thistleturn/decisions/BlockedReason.java
@@ -39,7 +39,7 @@
     }
     if (nowUs < route.pacing().retryAfterUntilUs()) {
       final long remainingUs = route.pacing().retryAfterUntilUs() - nowUs;
-      return "its Retry-After applies for another " + inMillis(remainingUs);
+      return "its Retry-After has not expired: " + inMillis(remainingUs) + " are left";
     }
     if (route.circuit().isOpen()) {
       return describeOpenCircuit();
--- a/decisions/src/main/java/thistleturn/decisions/ConcurrencyPolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/ConcurrencyPolicy.java
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Returns the concurrency limit of a route now: its window, or less where a directive says so.
+   * Returns the concurrency limit of a route now: its window, or less if a directive or its share
+   * of the capacity requires it.
    */
   int limit(final Route route) {
     final double ceiling = route.destination().directives().concurrencyLimit(state.nowUs);
--- a/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
+++ b/decisions/src/main/java/thistleturn/decisions/DeadlineGroup.java
@@ -29,15 +29,16 @@
   /** The messages whose idempotency windows end at different times; null in an ordered group. */
   private final Set<PendingMessage> unordered;
 
-  DeadlineGroup(final PendingMessage first, final boolean blocked, final boolean endsWithItsKey) {
+  DeadlineGroup(
+      final PendingMessage first, final boolean blocked, final boolean endsWithIdempotencyWindow) {
     this.classIndex = first.classIndex();
     this.messageClass = first.messageClass();
     this.overQuota = first.isOverQuota();
     this.mayHaveExecuted = first.mayHaveExecuted();
     this.blocked = blocked;
     this.requiredZone = first.requiredZone();
-    this.ordered = endsWithItsKey ? null : new OrderedQueue<>();
-    this.unordered = endsWithItsKey ? new HashSet<>() : null;
+    this.ordered = endsWithIdempotencyWindow ? null : new OrderedQueue<>();
+    this.unordered = endsWithIdempotencyWindow ? new HashSet<>() : null;
   }
 
   int classIndex() {
@@ -62,12 +63,14 @@
 
   /** Returns whether a message belongs to this group. */
   boolean matches(
-      final PendingMessage message, final boolean isBlocked, final boolean endsWithItsKey) {
+      final PendingMessage message,
+      final boolean isBlocked,
+      final boolean endsWithIdempotencyWindow) {
     return classIndex == message.classIndex()
         && overQuota == message.isOverQuota()
         && mayHaveExecuted == message.mayHaveExecuted()
         && blocked == isBlocked
-        && endsWithItsKey == (unordered != null)
+        && endsWithIdempotencyWindow == (unordered != null)
         && (requiredZone == null
             ? message.requiredZone() == null
             : requiredZone.equals(message.requiredZone()));
--- a/decisions/src/main/java/thistleturn/decisions/Destination.java
+++ b/decisions/src/main/java/thistleturn/decisions/Destination.java
@@ -113,13 +113,13 @@
    * @param blocked whether another message of its key must be sent first
    */
   void enqueue(final PendingMessage message, final boolean blocked) {
-    final boolean endsWithItsKey = message.retryDeadlineUs() < message.validUntilUs();
+    final boolean endsWithIdempotencyWindow = message.retryDeadlineUs() < message.validUntilUs();
     DeadlineGroup matching = null;
     for (final DeadlineGroup group : groups) {
-      matching = group.matches(message, blocked, endsWithItsKey) ? group : matching;
+      matching = group.matches(message, blocked, endsWithIdempotencyWindow) ? group : matching;
     }
     if (matching == null) {
-      matching = new DeadlineGroup(message, blocked, endsWithItsKey);
+      matching = new DeadlineGroup(message, blocked, endsWithIdempotencyWindow);
       groups.add(matching);
     }
     matching.add(message);
--- a/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/thistleturn/decisions/KeyOrdering.java
@@ -80,8 +80,9 @@
   }
 
   /**
-   * Moves the first message of a key to the group that matches whether it may be sent now; does
-   * nothing if {@code queue} is null.
+   * Moves the first message of a key to another group if it has become blocked or unblocked.
+   *
+   * @param queue the messages of the key; null to do nothing
    */
   void refreshHead(final KeyQueue queue) {
     final PendingMessage first = queue == null ? null : queue.first();
--- a/decisions/src/main/java/thistleturn/decisions/LearnedRouteFormat.java
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedRouteFormat.java
@@ -7,6 +7,7 @@
  * format.
  */
 final class LearnedRouteFormat {
+  // Positions of the figures.
   static final int WINDOW = 0;
   private static final int STEPS = 1;
   private static final int LATENCY_SAMPLES = 2;
@@ -26,6 +27,7 @@
   static final int STEP_REJECTIONS = 16;
   private static final int REJECTION_CLASSIFIER = 17;
 
+  // Positions of the moments.
   private static final int FAULT_SINCE = 0;
   private static final int RETRY_AFTER_UNTIL = 1;
   static final int BACKOFF_UNTIL = 2;
@@ -33,6 +35,8 @@
   static final int RECOVERY_SINCE = 4;
   private static final int LAST_SEND = 5;
   static final int LAST_STEP = 6;
+
+  /** Number of moments. */
   private static final int MOMENTS = 7;
 
   private LearnedRouteFormat() {}
--- a/decisions/src/test/java/thistleturn/decisions/DeadlineOrderTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/DeadlineOrderTest.java
@@ -40,7 +40,7 @@
   private static final long SECOND = 1_000_000;
   private static final long TICK_US = MS;
 
-  /** The deadline that clients set for their messages, relative to the hand-in. */
+  /** The deadline that clients set for their messages, relative to the arrival. */
   private static final long CLIENT_DEADLINE_US = 4 * SECOND;
 
   /** The longer deadline that the class allows. */
@@ -64,10 +64,10 @@
   private static final class Simulation {
     private final ScriptedController courier;
     private final int classes;
-    private final Map<String, Long> answersDue = new LinkedHashMap<>();
+    private final Map<String, Long> responsesDueUs = new LinkedHashMap<>();
     private final Set<String> delivered = new HashSet<>();
     private final List<Long> deliveryDelaysUs = new ArrayList<>();
-    private final Map<String, Long> handedInUs = new LinkedHashMap<>();
+    private final Map<String, Long> arrivalsUs = new LinkedHashMap<>();
     private final long lifetimeUs;
     private int sentSoFar;
     private long nextArrivalUs;
@@ -124,37 +124,37 @@
 
     private void tick() {
       courier.nowUs += TICK_US;
-      readAnswers();
+      readResponses();
       readMessages();
       courier.controller.decide(courier.nowUs);
       for (; sentSoFar < courier.sentCalls.size(); sentSoFar++) {
-        answersDue.put(courier.sentCalls.get(sentSoFar).id(), courier.nowUs + CALL_US);
+        responsesDueUs.put(courier.sentCalls.get(sentSoFar).id(), courier.nowUs + CALL_US);
       }
     }
 
-    private void readAnswers() {
+    private void readResponses() {
       final List<String> due =
-          answersDue.entrySet().stream()
+          responsesDueUs.entrySet().stream()
               .takeWhile(entry -> entry.getValue() <= courier.nowUs)
               .map(Map.Entry::getKey)
               .toList();
       for (final String id : due) {
-        answersDue.remove(id);
+        responsesDueUs.remove(id);
         delivered.add(id);
-        deliveryDelaysUs.add(courier.nowUs - handedInUs.get(id));
+        deliveryDelaysUs.add(courier.nowUs - arrivalsUs.get(id));
         courier.reportOutcome(id, AttemptResult.DELIVERED, 0);
       }
     }
 
     private void readMessages() {
       for (; nextArrivalUs <= courier.nowUs; nextArrivalUs += gapUs) {
-        final String id = "m" + handedInUs.size();
-        handedInUs.put(id, nextArrivalUs);
+        final String id = "m" + arrivalsUs.size();
+        arrivalsUs.put(id, nextArrivalUs);
         courier.controller.onMessage(
             courier.nowUs,
             new Message(
                 id,
-                (handedInUs.size() - 1) % classes,
+                (arrivalsUs.size() - 1) % classes,
                 -1,
                 null,
                 nextArrivalUs + lifetimeUs,
@@ -167,24 +167,24 @@
       setArrivalRate(0);
       run(lifetimeUs + SECOND);
       assertEquals(
-          handedInUs.size(),
+          arrivalsUs.size(),
           delivered.size() + courier.shedMessages.size() + courier.failedMessages.size());
     }
 
     double deliveredShare() {
-      return (double) delivered.size() / handedInUs.size();
+      return (double) delivered.size() / arrivalsUs.size();
     }
 
     String summary() {
       return delivered.size()
           + " of "
-          + handedInUs.size()
+          + arrivalsUs.size()
           + " delivered, "
           + courier.shedMessages.size()
           + " deferred";
     }
 
-    /** Returns the mean time from hand-in to delivery. */
+    /** Returns the mean time from arrival to delivery. */
     double meanDelayUs() {
       return deliveryDelaysUs.stream().mapToLong(Long::longValue).average().orElseThrow();
     }
--- a/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
@@ -32,7 +32,7 @@
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     scripted.accept("m", 0);
     scripted.endAttempt("m", AttemptResult.REFUSED, 2 * ScriptedController.SECOND);
-    assertEquals("its Retry-After applies for another 2000 ms", of(scripted).blockedReason());
+    assertEquals("its Retry-After has not expired: 2000 ms are left", of(scripted).blockedReason());
   }
 
   @Test
