--- a/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
+++ b/decisions/src/main/java/thistleturn/decisions/ConcurrencyWindow.java
@@ -54,7 +54,7 @@
     calls = Math.min(calls + by, max);
   }
 
-  /** Halves the window, but not below that of a new route. */
+  /** Halves the window, but not below that of a new route; a smaller window stays. */
   void halve() {
     calls = Math.max(Math.min(calls, INITIAL), calls / 2);
   }
--- a/decisions/src/main/java/thistleturn/decisions/LearnedState.java
+++ b/decisions/src/main/java/thistleturn/decisions/LearnedState.java
@@ -49,8 +49,8 @@
   public record LearnedEndpoint(long endpointId, double[] figures, long[] moments) {}
 
   /**
-   * Returns the learned state of endpoints and their routes; routes without a call and without a
-   * fault are omitted.
+   * Returns the learned state of endpoints and their routes; routes that were never called and
+   * whose circuit is closed are omitted.
    */
   static LearnedState of(
       final LatencyEstimator latencies,
