--- a/decisions/src/main/java/thistleturn/decisions/OverloadController.java
+++ b/decisions/src/main/java/thistleturn/decisions/OverloadController.java
@@ -91,7 +91,7 @@
    * @param rankingBudgetUs time budget for re-ranking what time alone has changed, us; 0: no limit
    * @param classifiesFaults whether rejections, failures and initial growth are classified
    * @param sharesRates whether this courier limits itself to its share of a reported rate
-   * @param relaxesThinShares whether a very small share is observed less strictly in a vast fleet
+   * @param relaxesSmallShares whether a very small share is observed less strictly in a vast fleet
    */
   OverloadController(
       final DeliverySettings settings,
@@ -100,10 +100,10 @@
       final long rankingBudgetUs,
       final boolean classifiesFaults,
       final boolean sharesRates,
-      final boolean relaxesThinShares) {
+      final boolean relaxesSmallShares) {
     state =
         new ControllerState(
-            settings, seed, actions, classifiesFaults, sharesRates, relaxesThinShares);
+            settings, seed, actions, classifiesFaults, sharesRates, relaxesSmallShares);
     final RetryPolicy retryPolicy = new RetryPolicy(state);
     final EndpointSelector endpointSelector = new EndpointSelector(state);
     endpointRegistry = new EndpointRegistry(state);
--- a/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/RouteStatusTest.java
@@ -33,7 +33,8 @@
         ScriptedController.withTwoEndpoints(ScriptedController.settings());
     scripted.accept("m", 0);
     scripted.endAttempt("m", AttemptResult.REFUSED, 2 * ScriptedController.SECOND);
-    assertEquals("it told to wait: 2000 ms are left", statusOf(scripted).blockedReason());
+    assertEquals(
+        "its Retry-After has not expired: 2000 ms are left", statusOf(scripted).blockedReason());
   }
 
   @Test
@@ -43,7 +44,7 @@
     scripted.accept("m", 0);
     scripted.endAttempt("m", AttemptResult.REFUSED);
     assertTrue(
-        statusOf(scripted).blockedReason().startsWith("it pauses after a refusal: "),
+        statusOf(scripted).blockedReason().startsWith("it backs off after a rejection: "),
         statusOf(scripted).blockedReason());
     assertEquals("UNSURE", statusOf(scripted).rejectionCause());
   }
@@ -60,7 +61,7 @@
     assertTrue(
         statusOf(scripted)
             .blockedReason()
-            .startsWith("this courier's part of the rate told is used up: "),
+            .startsWith("this courier's share of the reported rate is used up: "),
         statusOf(scripted).blockedReason());
     assertEquals(0.9 / 14, statusOf(scripted).permittedPerSecond(), 1e-9);
   }
