--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -61,7 +61,7 @@
       pages.put("/members", membership::status);
     }
     if (replicas != null) {
-      replicas.setSurroundings(context);
+      replicas.setContext(context);
       pages.put("/state", replicas::status);
     }
     if (peers != null) {
@@ -81,7 +81,7 @@
       membership.onShutdownStarted();
     }
     if (replicas != null) {
-      replicas.leave();
+      replicas.stop();
     }
     if (peers != null) {
       // Frees the port at once for the process that replaces this one.
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -55,7 +55,7 @@
   private final Set<Subject> directedSubjects = new LinkedHashSet<>();
 
   private final Set<String> conflicts = new LinkedHashSet<>();
-  private ExtensionContext surroundings;
+  private ExtensionContext context;
   private ReplicaStorage storage;
   private ReplicationProtocol replicas;
   private boolean applyScheduled;
@@ -72,9 +72,9 @@
   }
 
   /** What the courier is; to be told before the peers begin. */
-  public void setSurroundings(final ExtensionContext given) {
-    surroundings = given;
-    storage = new ReplicaStorage(given.config().stateFolder(), given.clock());
+  public void setContext(final ExtensionContext newContext) {
+    context = newContext;
+    storage = new ReplicaStorage(newContext.config().stateFolder(), newContext.clock());
   }
 
   @Override
@@ -86,7 +86,7 @@
       Log.info("replicas: off: the folder cannot be written: " + e.getMessage());
       return;
     }
-    final String name = surroundings.config().name();
+    final String name = context.config().name();
     replicas =
         new ReplicationProtocol(
             settings.exchangeSettings(),
@@ -96,8 +96,8 @@
             this);
     replicas.restore(found.deltas(), found.lastInSyncUs(), nowUs());
     Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
-    surroundings.directives().observe(this);
-    for (final String endpoint : surroundings.directives().disabledEndpoints()) {
+    context.directives().observe(this);
+    for (final String endpoint : context.directives().disabledEndpoints()) {
       if (settings.sharesDisabledEndpoints()
           && replicas.entries(EntryType.MAINTENANCE, endpoint).isEmpty()) {
         replicas.setEndpointDisabled(endpoint, true, operator(), nowUs());
@@ -107,18 +107,18 @@
   }
 
   private long nowUs() {
-    return surroundings.clock().nowUs();
+    return context.clock().nowUs();
   }
 
   private String operator() {
-    return "operator at " + surroundings.config().name();
+    return "operator at " + context.config().name();
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    surroundings
+    context
         .eventLoop()
         .schedule(this::tick, settings.exchangeSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % PEER_REFRESH_TICKS == 0) {
@@ -141,7 +141,7 @@
   }
 
   /** The process ends soon. */
-  public void leave() {
+  public void stop() {
     stopped = true;
   }
 
@@ -225,7 +225,7 @@
     changedSubjects.add(subject);
     if (!applyScheduled) {
       applyScheduled = true;
-      surroundings.eventLoop().execute(this::apply);
+      context.eventLoop().execute(this::apply);
     }
   }
 
@@ -270,7 +270,7 @@
       final Directive.Kind kind,
       final double value) {
     if (wanted && verdict.isPresent() && !verdict.writers().contains(replicas.self())) {
-      surroundings
+      context
           .directives()
           .applyDirective(
               Long.parseLong(verdict.subject()),
@@ -285,14 +285,14 @@
       return;
     }
     final boolean out = verdict.state().equals("left out");
-    if (out != surroundings.directives().disabledEndpoints().contains(verdict.subject())) {
+    if (out != context.directives().disabledEndpoints().contains(verdict.subject())) {
       Log.info(
           "replicas: "
               + verdict.subject()
               + (out ? " is left out" : " may serve again")
               + " by the word of "
               + verdict.writers().get(0).name());
-      surroundings.directives().setDisabled(verdict.subject(), out);
+      context.directives().setDisabled(verdict.subject(), out);
     }
     if (!verdict.conflict()) {
       conflicts.remove(verdict.subject());
