--- a/decisions/src/main/java/thistleturn/decisions/health/CompletionRate.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/CompletionRate.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.health;
 
-/** Counts completed messages, and measures how many complete a second over the last interval. */
+/** Counts completed messages, and measures their rate per second over the last interval. */
 final class CompletionRate {
   private static final long INTERVAL_US = LocalHealth.SECOND_US;
 
@@ -17,7 +17,7 @@
     completed++;
   }
 
-  /** Measures the rate anew if an interval has passed since the last measurement. */
+  /** Updates the rate if an interval has passed since the last measurement. */
   void update(final long nowUs) {
     final long elapsedUs = nowUs - measuredUs;
     if (elapsedUs >= INTERVAL_US) {
--- a/decisions/src/main/java/thistleturn/decisions/health/ConnectivityMonitor.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/ConnectivityMonitor.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 
 /**
- * Decides whether a courier has lost its own network. A single endpoint that does not answer is
- * that endpoint's fault. If nobody has answered since the last response, calls to several
+ * Decides whether this courier has lost its network connection. A single endpoint that does not
+ * answer is that endpoint's fault. If no response has arrived for a while, calls to several
  * destinations failed, and the platform cannot be reached either, the fault is this courier's.
- * Times are microseconds.
+ * Times are in microseconds.
  */
 final class ConnectivityMonitor {
-  /** How many destinations must have failed: a single one proves nothing. */
+  /** How many destinations must have failed: one may itself be unavailable. */
   private static final int MIN_DESTINATIONS = 2;
 
   /**
-   * For how long nobody must have answered: the longest gap that is usual for a healthy courier.
+   * Minimum time without any response: the longest such gap that is usual for a healthy courier.
    */
   private static final long MIN_SILENCE_US = 1_000_000;
 
-  /** How many destinations are remembered as unreached, which is enough for any decision. */
+  /** Maximum number of unreached destinations remembered, which is enough for any decision. */
   private static final int MAX_DESTINATIONS = 64;
 
   private static final long NEVER = Long.MIN_VALUE;
@@ -29,7 +29,7 @@
   private boolean cutOff;
   private long cutOffSinceUs;
 
-  /** Somebody beyond this machine answered, whatever the answer. */
+  /** Records a response from another machine, whatever its content. */
   void recordResponse(final long nowUs) {
     lastResponseUs = nowUs;
     unreached.clear();
@@ -37,7 +37,7 @@
     cutOff = false;
   }
 
-  /** A call that was begun at {@code sentUs} was not answered, or could not connect. */
+  /** Records that a call begun at {@code sentUs} was not answered, or could not connect. */
   void recordNoResponse(final long destination, final long sentUs, final long nowUs) {
     if (sentUs < lastResponseUs) {
       return;
@@ -48,7 +48,9 @@
     update(nowUs);
   }
 
-  /** The platform's endpoint list could not be read, or outcomes could not be reported to it. */
+  /**
+   * Records that the platform's endpoint list could not be read, or outcomes not reported to it.
+   */
   void recordPlatformFailure(final long nowUs) {
     platformFailureUs = nowUs;
     update(nowUs);
@@ -56,8 +58,8 @@
 
   private void update(final long nowUs) {
     final boolean platformUnreached = platformFailureUs > lastResponseUs;
-    final boolean silent = nowUs - lastResponseUs >= MIN_SILENCE_US;
-    if (!cutOff && unreached.size() >= MIN_DESTINATIONS && platformUnreached && silent) {
+    final boolean noRecentResponse = nowUs - lastResponseUs >= MIN_SILENCE_US;
+    if (!cutOff && unreached.size() >= MIN_DESTINATIONS && platformUnreached && noRecentResponse) {
       cutOff = true;
       cutOffSinceUs = lastResponseUs;
     }
@@ -67,12 +69,12 @@
     return cutOff;
   }
 
-  /** Since when nobody has answered, us; only meaningful while the courier is cut off. */
+  /** Returns the time of the last response, us; only meaningful while the courier is cut off. */
   long cutOffSinceUs() {
     return cutOffSinceUs;
   }
 
-  /** How many destinations failed since the last response. */
+  /** Returns how many destinations failed since the last response. */
   int unreachedDestinations() {
     return unreached.size();
   }
--- a/decisions/src/main/java/thistleturn/decisions/health/LocalHealth.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/LocalHealth.java
@@ -3,34 +3,34 @@
 import java.util.Locale;
 
 /**
- * A courier's own health: whether it runs when it means to, gets enough of a core, and reaches
- * anybody. What it observes late, or not at all, by its own fault must not be blamed on an
- * endpoint. The state is the worst that applies:
+ * A courier's own health: whether it runs when scheduled, gets enough processor time, and has a
+ * working network. What it observes late, or not at all, by its own fault must not be attributed to
+ * an endpoint. The state is the worst that applies:
  *
  * <table>
  * <caption>states</caption>
- * <tr><td>CUT_OFF</td><td>nobody answered for 1 s, and two destinations and the platform are among
- * those tried; until anybody answers</td></tr>
- * <tr><td>STARVED</td><td>paused for 0.25 of the last 4 s, in 4 pauses or more and not counting the
- * longest of them; until it is under 0.1 of 4 s</td></tr>
+ * <tr><td>CUT_OFF</td><td>no response for 1 s, while calls to two destinations and to the platform
+ * failed; until any response arrives</td></tr>
+ * <tr><td>STARVED</td><td>paused for 0.25 of the last 4 s or more, in 4 pauses or more, not counting
+ * the longest of them; until that share is below 0.1</td></tr>
  * <tr><td>AWAY</td><td>until 1 s after a pause of 0.5 s or more</td></tr>
  * <tr><td>LATE</td><td>until 1 s after a pause of 0.1 s or more</td></tr>
  * <tr><td>WELL</td><td>otherwise</td></tr>
  * </table>
  *
- * <p>It is driven by the times at which the courier runs; times are microseconds on one clock that
- * only advances.
+ * <p>The owner reports the times at which the courier runs. Times are in microseconds on one
+ * monotonic clock.
  */
 public final class LocalHealth {
-  /** How often a courier with something to do means to run, us: the tick that its host keeps. */
+  /** The tick interval at which a courier with work to do is scheduled to run, us. */
   public static final long TICK_INTERVAL_US = 100_000;
 
   static final long SECOND_US = 1_000_000;
 
-  /** The shortest pause after which the courier counts as away and not just as late. */
+  /** Minimum length of a pause for the state AWAY; shorter ones give LATE. */
   private static final long AWAY_PAUSE_US = 500_000;
 
-  /** How long the state shows a pause after its end. */
+  /** How long after its end a pause determines the state. */
   private static final long RECENT_US = SECOND_US;
 
   /** The period over which starvation is measured. */
@@ -40,29 +40,29 @@
   private static final double RECOVERED_SHARE = 0.1;
   private static final int STARVED_PAUSES = 4;
 
-  /** A starved courier accepts as many messages as it completes in this time. */
+  /** A starved courier holds at most as many pending messages as it completes in this time. */
   private static final long STARVED_BACKLOG_US = 2 * SECOND_US;
 
-  /** A starved courier accepts this many messages in any case: so few are no burden. */
+  /** A starved courier may hold this many pending messages in any case: so few are no burden. */
   private static final int STARVED_MIN_MESSAGES = 64;
 
   /** Share of a measured time that a pause may take without making the measurement unreliable. */
   private static final double TOLERATED_PAUSED_SHARE = 0.25;
 
   /**
-   * A courier's state, best first. The names are part of the operators' JSON, and the order of the
-   * messages between couriers.
+   * A courier's state, best first. The names are part of the operators' JSON, and the ordinals of
+   * the messages between couriers.
    */
   public enum State {
-    /** It runs when it means to and reaches others. */
+    /** It runs when scheduled, and its network works. */
     WELL,
-    /** It paused briefly a short while ago. */
+    /** It had a short pause (0.1 s or more) within the last second. */
     LATE,
-    /** It paused for longer a short while ago. */
+    /** It had a long pause (0.5 s or more) within the last second. */
     AWAY,
-    /** It gets too little of a core. */
+    /** It gets too little processor time. */
     STARVED,
-    /** It reaches nobody. */
+    /** It has lost its network connection. */
     CUT_OFF
   }
 
@@ -70,10 +70,10 @@
    * The state with its evidence.
    *
    * @param state the worst state that applies
-   * @param sinceUs since when the courier has been in that state
-   * @param evidence in words, with figures
+   * @param sinceUs when the courier entered that state
+   * @param evidence an explanation with figures, for operators
    * @param pausedShare share of the last 4 s in which the courier was paused
-   * @param lastPauseUs how long the last pause took; 0 if there was none of late
+   * @param lastPauseUs duration of the last remembered pause; 0 if there is none
    */
   public record Report(
       State state, long sinceUs, String evidence, double pausedShare, long lastPauseUs) {}
@@ -85,7 +85,7 @@
   private long stateSinceUs;
   private boolean starved;
 
-  /** A courier that starts now, and counts as running and connected so far. */
+  /** Creates the health of a courier that starts now: running on time and connected. */
   public LocalHealth(final long nowUs) {
     stateSinceUs = nowUs;
     completions = new CompletionRate(nowUs);
@@ -94,15 +94,15 @@
 
   // ---------------------------------------------------------------- observations
 
-  /** The courier will run by that time, whatever happens. */
+  /** Announces that the courier is scheduled to run by that time at the latest. */
   public void expectRunBy(final long atUs) {
     pauses.expectRunBy(atUs);
   }
 
   /**
-   * The courier runs now.
+   * Records that the courier runs now.
    *
-   * @return for how long before now it was paused though it meant to run, us; 0 if it was not
+   * @return for how long before now it was paused though scheduled to run, us; 0 if it was not
    */
   public long recordRun(final long nowUs) {
     final long pausedUs = pauses.recordRun(nowUs);
@@ -113,23 +113,25 @@
     return pausedUs;
   }
 
-  /** A message was completed here, whatever the outcome. */
+  /** Records that a message was completed here, whatever its outcome. */
   public void recordMessageCompleted() {
     completions.recordCompleted();
   }
 
-  /** An endpoint or the platform answered, whatever the answer. */
+  /** Records a response from an endpoint or the platform, whatever its content. */
   public void recordResponse(final long nowUs) {
     connectivity.recordResponse(nowUs);
   }
 
-  /** A call that was begun at {@code sentUs} was not answered, and not because of a pause here. */
+  /** Records that a call begun at {@code sentUs} was not answered, without a pause here. */
   public void recordNoResponse(final long destination, final long sentUs, final long nowUs) {
     connectivity.recordNoResponse(destination, sentUs, nowUs);
     updateState(nowUs);
   }
 
-  /** The platform's endpoint list could not be read, or outcomes could not be reported to it. */
+  /**
+   * Records that the platform's endpoint list could not be read, or outcomes not reported to it.
+   */
   public void recordPlatformFailure(final long nowUs) {
     connectivity.recordPlatformFailure(nowUs);
     updateState(nowUs);
@@ -137,31 +139,31 @@
 
   // ---------------------------------------------------------------- conclusions
 
-  /** True if the courier was running in that period but for a small share of it. */
+  /** Returns true if the courier was running in that period except for a small share of it. */
   public boolean wasRunningBetween(final long fromUs, final long toUs) {
     return pauses.pausedUs(fromUs, toUs) <= TOLERATED_PAUSED_SHARE * (toUs - fromUs);
   }
 
-  /** True while the courier reaches nobody; failures then say nothing of the endpoints. */
+  /** Returns true while the network is lost; failures then give no evidence about endpoints. */
   public boolean isCutOff() {
     return connectivity.isCutOff();
   }
 
-  /** Since when nobody has answered, us; only meaningful while the courier is cut off. */
+  /** Returns the time of the last response, us; only meaningful while the courier is cut off. */
   public long cutOffSinceUs() {
     return connectivity.cutOffSinceUs();
   }
 
-  /** How many messages were completed here so far. */
+  /** Returns how many messages were completed here so far. */
   public long completedMessages() {
     return completions.completed();
   }
 
   /**
-   * How many pending messages the courier may hold: while starved, no more than it completes in
-   * time.
+   * Returns how many pending messages the courier may hold: while starved, no more than it
+   * completes in 2 s, but at least 64.
    *
-   * @param configured the bound that applies otherwise
+   * @param configured the limit that applies otherwise, and is never exceeded
    */
   public int maxPendingMessages(final int configured) {
     if (!starved) {
@@ -171,13 +173,13 @@
     return (int) Math.min(configured, Math.max(STARVED_MIN_MESSAGES, affordable));
   }
 
-  /** The state now. */
+  /** Returns the state now. */
   public State state(final long nowUs) {
     updateState(nowUs);
     return state;
   }
 
-  /** The state now, with its evidence. */
+  /** Returns the state now, with its evidence. */
   public Report report(final long nowUs) {
     updateState(nowUs);
     final double pausedShare = (double) pauses.pausedUs(nowUs - WINDOW_US, nowUs) / WINDOW_US;
@@ -238,8 +240,8 @@
   }
 
   /**
-   * Share of the window in which the courier was paused, without the longest pause: one long pause
-   * with a few late timers after it is no starvation.
+   * Returns the share of the window in which the courier was paused, without the longest pause: one
+   * long pause with a few late timers after it is not starvation.
    */
   private double starvationShare(final long nowUs) {
     final long fromUs = nowUs - WINDOW_US;
--- a/decisions/src/main/java/thistleturn/decisions/health/PauseDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/health/PauseDetector.java
@@ -4,16 +4,16 @@
 import java.util.Deque;
 
 /**
- * Detects the periods in which a process with something to do did not run: it was stopped, had no
- * core, or waited for the garbage collector. The process announces by when it will run again
- * ({@link #expectRunBy}); where it runs later than that ({@link #recordRun}), it was paused from
- * the announced time on. The true beginning lies between its last run and that time, so a pause is
- * never found too long. Times are microseconds on a clock that goes on during a pause.
+ * Detects the periods in which a process with work to do did not run: it was stopped, got no
+ * processor, or waited for the garbage collector. The process announces by when it will run again
+ * ({@link #expectRunBy}); if it runs later than that ({@link #recordRun}), it was paused from the
+ * announced time on. The true start lies between its last run and that time, so the length of a
+ * pause is never overestimated. Times are in microseconds on a clock that advances during a pause.
  */
 final class PauseDetector {
   /**
-   * The shortest pause. A timer that is late by less is usual: time slices, code that is not yet
-   * compiled, or another callback of the same loop iteration.
+   * The shortest delay that counts as a pause. Timers are often late by less: because of time
+   * slices, code that is not yet compiled, or another callback of the same loop iteration.
    */
   static final long MIN_PAUSE_US = 100_000;
 
@@ -28,7 +28,7 @@
       return toUs - fromUs;
     }
 
-    /** How much of a period it covers, us. */
+    /** Returns how much of a period the pause covers, us. */
     long overlapUs(final long periodFromUs, final long periodToUs) {
       return Math.max(0, Math.min(periodToUs, toUs) - Math.max(periodFromUs, fromUs));
     }
@@ -37,13 +37,13 @@
   private final Deque<Pause> pauses = new ArrayDeque<>();
   private long expectedRunUs = Long.MAX_VALUE;
 
-  /** The process will run by that time, since a timer is set. An earlier expectation stands. */
+  /** Announces that a timer is set for that time. An earlier announced time remains in force. */
   void expectRunBy(final long atUs) {
     expectedRunUs = Math.min(expectedRunUs, atUs);
   }
 
   /**
-   * The process runs now.
+   * Records that the process runs now.
    *
    * @return for how long before now it was certainly paused, us; 0 if it was not
    */
@@ -65,7 +65,7 @@
     }
   }
 
-  /** How much of a period the process was paused, us. */
+  /** Returns for how much of a period the process was paused, us. */
   long pausedUs(final long fromUs, final long toUs) {
     long sumUs = 0;
     for (final Pause pause : pauses) {
@@ -74,7 +74,7 @@
     return sumUs;
   }
 
-  /** The longest continuous part of a period in which the process was paused, us. */
+  /** Returns the longest continuous part of a period in which the process was paused, us. */
   long longestPauseUs(final long fromUs, final long toUs) {
     long longestUs = 0;
     for (final Pause pause : pauses) {
@@ -83,7 +83,7 @@
     return longestUs;
   }
 
-  /** How many pauses ended since that time. */
+  /** Returns how many pauses ended since that time. */
   int pausesSince(final long sinceUs) {
     int count = 0;
     for (final Pause pause : pauses) {
@@ -92,7 +92,7 @@
     return count;
   }
 
-  /** The last pause; null if none is remembered. */
+  /** Returns the last pause; null if none is remembered. */
   Pause lastPause() {
     return pauses.peekLast();
   }
--- a/decisions/src/test/java/thistleturn/decisions/health/LocalHealthMutationTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthMutationTest.java
@@ -21,7 +21,7 @@
   private static final long SECOND = 1_000_000;
   private static final int MAX_PENDING = 1000;
 
-  /** What the mutated class does wrong. */
+  /** The fault that the mutated class has. */
   enum Mutation {
     PAUSE_TOO_LONG,
     PAUSE_UNDETECTED,
@@ -99,9 +99,9 @@
   private MutatedHealth mutated;
   private final List<String> violations = new ArrayList<>();
 
-  private void check(final boolean holds, final String what) {
+  private void check(final boolean holds, final String invariant) {
     if (!holds) {
-      violations.add(what + " at " + nowUs / MS + " ms");
+      violations.add(invariant + " at " + nowUs / MS + " ms");
     }
   }
 
@@ -140,7 +140,7 @@
     run(SECOND);
     pause(3 * SECOND);
     check(mutated.state(nowUs) == State.AWAY, "away");
-    check(mutated.maxPendingMessages(nowUs) == MAX_PENDING, "one pause is no starvation");
+    check(mutated.maxPendingMessages(nowUs) == MAX_PENDING, "one pause is not starvation");
     run(2 * SECOND);
     check(mutated.state(nowUs) == State.WELL, "well after a pause");
     for (int slice = 0; slice < 20; slice++) {
@@ -159,7 +159,7 @@
     run(2 * SECOND);
     mutated.health.recordPlatformFailure(nowUs);
     mutated.health.recordNoResponse(1, nowUs - SECOND, nowUs);
-    check(!mutated.isCutOff(1), "one destination proves nothing");
+    check(!mutated.isCutOff(1), "one destination is not enough for cut off");
     mutated.health.recordNoResponse(2, nowUs - SECOND, nowUs);
     check(mutated.isCutOff(2), "cut off");
     mutated.health.recordResponse(nowUs);
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void unchangedModule_keepsItsInvariants() {
+  void unmutatedClass_keepsItsInvariants() {
     assertEquals(List.of(), findViolations(null));
   }
 
--- a/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.decisions.health.LocalHealth.State;
 
-/** A courier's own health from the times at which it runs, in virtual time. */
+/** The health that a courier derives from the times at which it runs, in virtual time. */
 @Tag("health")
 final class LocalHealthTest {
   private static final long MS = 1000;
@@ -47,7 +47,7 @@
     assertEquals("runs when it means to", health.report(nowUs).evidence());
   }
 
-  /** An idle courier expects no run: a quiet minute is no pause. */
+  /** An idle courier has announced no run, so a minute without one is not a pause. */
   @Test
   void idleProcess_isNotPaused() {
     run(SECOND);
@@ -57,7 +57,7 @@
     assertEquals(State.WELL, health.state(nowUs));
   }
 
-  /** Whatever its length, and wherever between two ticks it begins. */
+  /** Covers pauses of several lengths that begin at any point between two ticks. */
   @ParameterizedTest
   @ValueSource(longs = {50, 150, 300, 1000, 3000, 8000})
   void pause_isMeasuredToATickAndNeverTooLong(final long pauseMs) {
@@ -87,7 +87,7 @@
     assertEquals(State.WELL, health.state(nowUs));
   }
 
-  /** What was measured across a pause says nothing of an endpoint; what lies beside it does. */
+  /** A duration is reliable only if it does not include a pause of the courier. */
   @Test
   void durationsMeasuredAcrossAPause_areUnreliable() {
     run(SECOND);
@@ -97,17 +97,17 @@
     assertTrue(health.wasRunningBetween(beforeUs - 500 * MS, beforeUs));
     run(SECOND);
     assertTrue(health.wasRunningBetween(nowUs - 300 * MS, nowUs));
-    // A slow call is still measured by a courier that is a little late.
+    // A slow call is still measured if the courier is late by only a small share of it.
     run(2 * SECOND);
     pause(250 * MS);
     assertTrue(
         health.wasRunningBetween(nowUs - 2 * SECOND, nowUs),
-        "a truly slow endpoint while the courier is a little late");
+        "a slow endpoint measured by a courier that is slightly late");
   }
 
   /**
-   * A twentieth of a core: many short pauses. The courier accepts what it can complete, and
-   * recovers without flapping.
+   * A process with a twentieth of a core has many short pauses. It accepts only what it can
+   * complete, and its state changes at most twice until it recovers.
    */
   @Test
   void starvedProcess_acceptsFewerMessagesUntilItRecovers() {
@@ -133,13 +133,13 @@
     assertEquals(1000, health.maxPendingMessages(1000));
   }
 
-  /** What was accepted before one long pause can still be delivered at once. */
+  /** After one long pause the limit on pending messages remains the configured one. */
   @Test
   void oneLongPause_isNotStarvation() {
     run(5 * SECOND);
     pause(3 * SECOND);
     assertEquals(500, health.maxPendingMessages(500));
-    // Nor is one with some late timers after it, as a process has that wakes to a backlog.
+    // The same holds with some late timers after it: a process that resumes has a backlog.
     for (int late = 0; late < 6; late++) {
       pause(130 * MS);
       run(60 * MS);
@@ -185,7 +185,7 @@
     assertFalse(health.isCutOff(), "calls from before the last response");
   }
 
-  /** What is detected is never more than the truth, nor less by more than a tick each. */
+  /** The detected total never exceeds the true one, and is short by a bounded amount per pause. */
   @Test
   void randomPausesOverAnHour_addUp() {
     final Random random = new Random(11);
