--- a/decisions/src/main/java/thistleturn/decisions/membership/DestinationReview.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/DestinationReview.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Decides at one time which endpoints of one destination are used: each by what its sources report,
- * and then in view of the others, so that stale or flapping endpoints are spared only where the
- * destination has something better.
+ * Decides at one time which endpoints of one destination are used. Each endpoint is first assessed
+ * by what its sources report, then compared with the others, so that stale or flapping endpoints
+ * are taken out of use only if the destination has better ones.
  */
 final class DestinationReview {
   private final long nowUs;
@@ -15,13 +15,13 @@
   private long reassessUs = EndpointRecord.NEVER;
   private boolean awaitsConfirmation;
 
-  /** The endpoint that is used though it flaps, since all that are up do; null if none is. */
+  /** The endpoint that is used although it flaps, since all that are up do; null if none is. */
   private EndpointRecord exemptFromHoldDown;
 
-  /** The best freshness among the endpoints that may be used; null if there is none. */
+  /** The best freshness among the endpoints that are up and not held down; null if none is. */
   private Freshness bestFreshness;
 
-  /** The first rate that an owner reports for the destination; 0 if none does. */
+  /** The first rate that an endpoint's owning entry reports for the destination; 0 if none does. */
   private double destinationRate;
 
   /** An endpoint with what its sources report of it. */
@@ -31,7 +31,7 @@
     }
   }
 
-  /** A review of a destination with about that many endpoints. */
+  /** Creates a review of a destination with about that many endpoints. */
   DestinationReview(final long nowUs, final MergeSettings settings, final int endpoints) {
     this.nowUs = nowUs;
     this.settings = settings;
@@ -66,12 +66,12 @@
     }
   }
 
-  /** True if a deletion counts until any source responds again. */
+  /** Returns true if a deletion counts until any source responds again. */
   boolean awaitsConfirmation() {
     return awaitsConfirmation;
   }
 
-  /** When the passing of time alone changes a decision. */
+  /** Returns when the passing of time alone changes a decision. */
   long reassessUs() {
     return reassessUs;
   }
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Where all endpoints that are up are held down for flapping, the one whose hold-down ends first:
-   * a destination must not be left without any. Otherwise null.
+   * Returns the endpoint whose hold-down ends first if all endpoints that are up are held down for
+   * flapping, since a destination must not be left without any; otherwise null.
    */
   private EndpointRecord findExemptFromHoldDown() {
     EndpointRecord first = null;
@@ -100,7 +100,7 @@
     return first;
   }
 
-  /** Takes account of what an endpoint means for the others of its destination. */
+  /** Updates the destination's best freshness and its rate by one endpoint. */
   private void consider(final Candidate candidate) {
     if (candidate.isUp() && !isHeldDown(candidate.endpoint())) {
       final Freshness freshness = candidate.assessment().freshness();
--- a/decisions/src/main/java/thistleturn/decisions/membership/EndpointIndex.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/EndpointIndex.java
@@ -8,14 +8,14 @@
 import java.util.function.Predicate;
 
 /**
- * All endpoint records, by destination and by address. Records of one address for several
- * destinations are linked, the latest first; only one of them may be used at a time.
+ * Indexes all endpoint records by destination and by address. Records of one address for several
+ * destinations (claims) are linked, the latest first; only one of them may be used at a time.
  */
 final class EndpointIndex {
   private final Map<Long, List<EndpointRecord>> byDestination = new HashMap<>();
   private final Map<String, EndpointRecord> byAddress = new HashMap<>();
 
-  /** The record of a report's address and destination, which is added if there is none yet. */
+  /** Returns the record of a report's address and destination; adds it if there is none yet. */
   EndpointRecord findOrAdd(final SourceReport report) {
     final EndpointRecord firstClaim = byAddress.get(report.address());
     for (EndpointRecord claim = firstClaim; claim != null; claim = claim.nextClaim()) {
@@ -30,29 +30,29 @@
     return added;
   }
 
-  /** The records of a destination. */
+  /** Returns the records of a destination. */
   List<EndpointRecord> ofDestination(final long destination) {
     return byDestination.getOrDefault(destination, List.of());
   }
 
-  /** Passes every record on. */
+  /** Performs the action for every record. */
   void forEach(final Consumer<EndpointRecord> action) {
     byDestination.values().forEach(endpoints -> endpoints.forEach(action));
   }
 
-  /** Passes every record with that address on. */
+  /** Performs the action for every record with that address. */
   void forEachClaim(final String address, final Consumer<EndpointRecord> action) {
     for (EndpointRecord claim = byAddress.get(address); claim != null; claim = claim.nextClaim()) {
       action.accept(claim);
     }
   }
 
-  /** How many addresses there are. */
+  /** Returns how many addresses there are. */
   int addressCount() {
     return byAddress.size();
   }
 
-  /** True if a better-ranked source claims the address for another destination. */
+  /** Returns true if a better-ranked source claims the address for another destination. */
   boolean isContested(final EndpointRecord endpoint) {
     final EndpointRecord firstClaim = byAddress.get(endpoint.address());
     final SourceEntry owner = endpoint.owner();
@@ -73,14 +73,14 @@
     if (one.source() != other.source()) {
       return one.source().rank() < other.source().rank();
     }
-    // One source that claims an address twice: the later version counts, and among equal ones the
+    // If one source claims an address twice, the later version counts, and among equal versions the
     // lower instance id.
     final int byVersion = Long.compare(one.report().version(), other.report().version());
     final int byId = one.report().instanceId().compareTo(other.report().instanceId());
     return byVersion > 0 || (byVersion == 0 && byId < 0);
   }
 
-  /** Removes the obsolete records of a destination. */
+  /** Removes the records of a destination that match the predicate. */
   void removeIf(final long destination, final Predicate<EndpointRecord> isObsolete) {
     final List<EndpointRecord> endpoints = byDestination.get(destination);
     endpoints.removeIf(
--- a/decisions/src/main/java/thistleturn/decisions/membership/EndpointRecord.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/EndpointRecord.java
@@ -8,13 +8,14 @@
 import java.util.OptionalLong;
 
 /**
- * One address of one destination: what the sources list there, and what was last published of it.
+ * One address of one destination: the entries of the sources for it, and the state last published.
  *
- * <p>There is one record for each endpoint of a large registry, so its state is kept in plain
- * fields and its entries in a linked list: most endpoints have exactly one entry and no deletions.
+ * <p>To save memory with large registries, which need one record for each endpoint, the state is
+ * kept in plain fields and the entries in a linked list: most endpoints have exactly one entry and
+ * no deletions.
  */
 final class EndpointRecord {
-  /** The time of what never happens. */
+  /** Stands for a time that is never reached. */
   static final long NEVER = Long.MAX_VALUE;
 
   private final String address;
@@ -24,10 +25,10 @@
   /** Another record with the same address, for another destination; null if there is none. */
   private EndpointRecord nextClaim;
 
-  /** Until when a source's deletion outweighs other sources' listing, by source. */
+  /** By source, until when its deletion outweighs the listings of other sources. */
   private Map<EndpointSource, Long> deletions = Map.of();
 
-  /** What was published last; a null state if nothing ever was. */
+  /** The state published last; null if none ever was. */
   private MergedEndpoint.State state;
 
   private StateReason reason;
@@ -37,10 +38,10 @@
   private double ratePerSecond;
   private long stateSinceUs;
 
-  /** How often the endpoint went down in a row without being stable in between. */
-  private int consecutiveFalls;
+  /** How often in a row the endpoint went down without being stable in between. */
+  private int consecutiveFlaps;
 
-  /** Since when the sources have reported the endpoint up; {@link #NEVER} while they do not. */
+  /** When the sources began to report the endpoint up; {@link #NEVER} while they do not. */
   private long reportedUpSinceUs = NEVER;
 
   EndpointRecord(final String address, final long destination) {
@@ -48,7 +49,7 @@
     this.destination = destination;
   }
 
-  /** The state that an endpoint is to have, and why. */
+  /** The new state of an endpoint, and the reason. */
   record Decision(
       MergedEndpoint.State state,
       StateReason reason,
@@ -63,7 +64,7 @@
     return destination;
   }
 
-  /** True if a report is about this address and destination. */
+  /** Returns true if a report is about this address and destination. */
   boolean matches(final SourceReport report) {
     return destination == report.destination() && address.equals(report.address());
   }
@@ -103,7 +104,7 @@
     }
   }
 
-  /** True if no source lists the endpoint. */
+  /** Returns true if no source lists the endpoint. */
   boolean isUnlisted() {
     return firstEntry == null;
   }
@@ -117,7 +118,7 @@
     return false;
   }
 
-  /** The latest entry of each source, by rank. */
+  /** Returns the latest entry of each source, ordered by rank. */
   List<SourceEntry> latestBySource() {
     if (firstEntry == null) {
       return List.of();
@@ -134,12 +135,12 @@
     return entries;
   }
 
-  /** Of several instances of one source at one address the one that changed last counts. */
+  /** Of several instances of one source at one address, the one that changed last counts. */
   private static SourceEntry later(final SourceEntry one, final SourceEntry other) {
     return other.report().version() >= one.report().version() ? other : one;
   }
 
-  /** The entry that describes the endpoint, which is the one of the best-ranked source; or null. */
+  /** Returns the entry of the best-ranked source, which describes the endpoint; null if none. */
   SourceEntry owner() {
     final List<SourceEntry> entries = latestBySource();
     return entries.isEmpty() ? null : entries.get(0);
@@ -148,8 +149,8 @@
   // ---------------------------------------------------------------- warnings and deletions
 
   /**
-   * Until when the warnings of a source count against other sources' statuses; empty if all of them
-   * were overruled.
+   * Returns until when the warnings of a source count against other sources' statuses; empty if all
+   * of them were overruled.
    */
   OptionalLong warningEndsUs(final EndpointSource source, final MergeSettings settings) {
     OptionalLong endsUs = OptionalLong.empty();
@@ -162,6 +163,7 @@
     return endsUs;
   }
 
+  /** Marks the warnings of a source as overruled by another source's status. */
   void overruleWarnings(final EndpointSource source) {
     for (SourceEntry entry = firstEntry; entry != null; entry = entry.next()) {
       if (entry.source() == source) {
@@ -170,7 +172,7 @@
     }
   }
 
-  /** A source deleted the endpoint; that outweighs other sources' listing until then. */
+  /** Records that a source deleted the endpoint, which outweighs other listings until then. */
   void recordDeletion(final EndpointSource source, final long untilUs) {
     if (deletions.isEmpty()) {
       deletions = new HashMap<>();
@@ -178,7 +180,7 @@
     deletions.put(source, untilUs);
   }
 
-  /** The source lists the endpoint again, or is no longer polled. */
+  /** Removes a source's deletion: it lists the endpoint again, or was itself removed. */
   void clearDeletion(final EndpointSource source) {
     if (!deletions.isEmpty()) {
       deletions.remove(source);
@@ -191,26 +193,26 @@
 
   // ---------------------------------------------------------------- flapping
 
-  /** Notes whether the sources report the endpoint up now. */
+  /** Records whether the sources report the endpoint up now. */
   void recordReportedUp(final long nowUs, final boolean up) {
     reportedUpSinceUs = up ? Math.min(reportedUpSinceUs, nowUs) : NEVER;
   }
 
-  /** Until when the endpoint is held down for flapping though the sources report it up. */
+  /** Returns until when the endpoint is held down for flapping although it is reported up. */
   long heldDownUntilUs(final MergeSettings settings) {
     return reportedUpSinceUs == NEVER
         ? NEVER
-        : reportedUpSinceUs + settings.holdDownUs(consecutiveFalls);
+        : reportedUpSinceUs + settings.holdDownUs(consecutiveFlaps);
   }
 
-  /** True if the endpoint is reported up and not used for flapping. */
+  /** Returns true if the endpoint is reported up but not used because it flaps. */
   boolean isHeldDown(final long nowUs, final MergeSettings settings) {
     return state != MergedEndpoint.State.UP && heldDownUntilUs(settings) > nowUs;
   }
 
-  private void recordFall(final long nowUs, final MergeSettings settings) {
+  private void recordFlap(final long nowUs, final MergeSettings settings) {
     final boolean wasStable = nowUs - stateSinceUs >= settings.stableAfterUs();
-    consecutiveFalls = wasStable ? 1 : consecutiveFalls + 1;
+    consecutiveFlaps = wasStable ? 1 : consecutiveFlaps + 1;
   }
 
   // ---------------------------------------------------------------- publication
@@ -219,7 +221,7 @@
     return state != null;
   }
 
-  /** The endpoint as it was published last; only after something was. */
+  /** Returns the endpoint as last published; must not be called before the first publication. */
   MergedEndpoint published() {
     return new MergedEndpoint(
         address,
@@ -235,10 +237,10 @@
   }
 
   /**
-   * Takes over a decision.
+   * Publishes a decision.
    *
-   * @param destinationRate the rate that the destination takes, where this endpoint's owner does
-   *     not report one
+   * @param destinationRate the rate that the destination takes, used if this endpoint's owning
+   *     entry reports none
    * @return true if the state or the attributes changed; a new reason alone concerns only operators
    */
   boolean publish(
@@ -253,7 +255,7 @@
     final MergedEndpoint.State before = state;
     final boolean stateChanged = before != decision.state();
     if (before == MergedEndpoint.State.UP && stateChanged && decision.reportedDown()) {
-      recordFall(nowUs, settings);
+      recordFlap(nowUs, settings);
     }
     state = decision.state();
     stateSinceUs = stateChanged ? nowUs : stateSinceUs;
@@ -267,7 +269,7 @@
     return stateChanged || attributesChanged;
   }
 
-  /** Takes zone, kind and rate over; true if any of them changed. */
+  /** Adopts zone, kind and rate from a report; returns true if any of them changed. */
   private boolean adoptAttributes(final SourceReport report, final double destinationRate) {
     final double rate = report.ratePerSecond() > 0 ? report.ratePerSecond() : destinationRate;
     final boolean changed =
@@ -278,7 +280,7 @@
     return changed;
   }
 
-  /** From when on the record may be removed; {@link #NEVER} while a source lists the endpoint. */
+  /** Returns when the record may be removed; {@link #NEVER} while a source lists the endpoint. */
   long removableUs(final MergeSettings settings) {
     if (!isUnlisted()) {
       return NEVER;
--- a/decisions/src/main/java/thistleturn/decisions/membership/EndpointSource.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/EndpointSource.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One source of endpoints: what it lists, and how far that can be believed now. */
+/** One source of endpoints: its entries, its reachability and the plausibility of its snapshots. */
 final class EndpointSource {
   private static final long UNSET = -1;
 
@@ -12,8 +12,8 @@
   private final int rank;
 
   /**
-   * True if whatever a snapshot lacks is gone. The platform's protocol guarantees that of its list;
-   * a registry that restarts may lack instances for a while.
+   * True if every instance that a snapshot lacks is gone. The platform's protocol guarantees this
+   * for its list; a registry that restarts may lack instances for a while.
    */
   private final boolean snapshotsAuthoritative;
 
@@ -22,7 +22,7 @@
   private long unreachableSinceUs;
   private long implausibleSinceUs = UNSET;
 
-  /** The most instances in a plausible snapshot of late, and when that was seen. */
+  /** The most instances in a recent plausible snapshot, and when that snapshot arrived. */
   private int peakInstances;
 
   private long peakUs;
@@ -30,7 +30,7 @@
   private long snapshots;
   private long implausibleSnapshots;
 
-  /** A source that has not responded yet, and so counts as unreachable. */
+  /** Creates a source that has not responded yet, and so counts as unreachable. */
   EndpointSource(
       final String name, final int rank, final boolean snapshotsAuthoritative, final long nowUs) {
     this.name = name;
@@ -43,19 +43,19 @@
     return name;
   }
 
-  /** The lower, the more the source counts where sources describe an endpoint differently. */
+  /** Returns the rank; where descriptions of an endpoint differ, the lowest rank counts. */
   int rank() {
     return rank;
   }
 
   // ---------------------------------------------------------------- entries
 
-  /** The entry of an instance, or null. */
+  /** Returns the entry of an instance, or null. */
   SourceEntry entry(final String instanceId) {
     return entries.get(instanceId);
   }
 
-  /** All entries, in a copy that stays as it is while entries come and go. */
+  /** Returns a copy of all entries, which later additions and removals do not change. */
   List<SourceEntry> entries() {
     return List.copyOf(entries.values());
   }
@@ -72,7 +72,7 @@
     entries.remove(entry.report().instanceId());
   }
 
-  /** An instance was not taken in because the source lists too many. */
+  /** Records that an instance was dropped because the source lists too many. */
   void recordDropped() {
     droppedEntries++;
   }
@@ -85,7 +85,7 @@
   }
 
   /**
-   * The source cannot be reached.
+   * Marks the source as unreachable.
    *
    * @return true if it was reachable until now
    */
@@ -101,7 +101,7 @@
     return unreachableSinceUs != UNSET;
   }
 
-  /** Since when the source has been unreachable; only meaningful while it is. */
+  /** Returns when the source became unreachable; only meaningful while it is. */
   long unreachableSinceUs() {
     return unreachableSinceUs;
   }
@@ -113,10 +113,12 @@
   // ---------------------------------------------------------------- plausibility
 
   /**
-   * Judges a snapshot by its size. What an implausible one lacks is not believed to be gone: an
-   * empty one, or one that lacks more than the usual loss of what was known of late.
+   * Records a snapshot and checks its plausibility by its size. A snapshot is implausible if it is
+   * empty or lacks more than the tolerated share of the instances known recently; instances that an
+   * implausible snapshot lacks do not count as deleted.
    *
    * @param instances how many instances the snapshot has
+   * @return true if the snapshot is plausible, or the source's snapshots are authoritative
    */
   boolean recordSnapshot(final long nowUs, final int instances, final MergeSettings settings) {
     snapshots++;
--- a/decisions/src/main/java/thistleturn/decisions/membership/Freshness.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Freshness.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.membership;
 
-/** How current the report is by which an endpoint is considered up, best first. */
+/** How current the report is on which an endpoint's state UP is based, best first. */
 enum Freshness {
   /** The source is reachable and lists the endpoint. */
   CONFIRMED,
--- a/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/Membership.java
@@ -9,25 +9,26 @@
 import java.util.Set;
 
 /**
- * Merges what several sources report of endpoints into one view. Reports come in with their time
- * (microseconds on one clock that only advances), {@link #collectChanges} yields what changed, and
- * {@link #nextChangeUs} tells when time alone will change something.
+ * Merges the reports of several sources on endpoints into one view. Reports are passed in with
+ * their time (microseconds on one monotonic clock), {@link #collectChanges} returns what changed,
+ * and {@link #nextChangeUs} returns when the passing of time alone will change something.
  *
- * <p>What it guarantees, whatever the sources do:
+ * <p>Guarantees, whatever the sources report:
  *
  * <ul>
- *   <li>A warning (draining, not yet up) by a reachable source counts at once, whoever disagrees.
+ *   <li>A warning (draining, not yet up) by a reachable source counts at once, even if other
+ *       sources disagree.
  *   <li>A source's own deletion counts at once; absence from a snapshot counts as a deletion only
  *       if the snapshot is plausible.
- *   <li>No outage, silence or implausible snapshot of sources takes the last endpoint that is up of
- *       a destination.
+ *   <li>No outage or implausible snapshot of a source, and no time without responses, removes the
+ *       last endpoint of a destination that is up.
  *   <li>An address serves one destination only.
- *   <li>Holding a flapping endpoint down delays only its return, and never where that would leave a
- *       destination without any.
+ *   <li>Holding a flapping endpoint down only delays its return to use, and never leaves a
+ *       destination without any endpoint.
  * </ul>
  */
 public final class Membership {
-  /** Endpoints that are gone and still remembered, beyond twice those that are listed. */
+  /** Allowed number of remembered addresses beyond twice the number of listed entries. */
   private static final int MIN_REMEMBERED_RECORDS = 1024;
 
   private final MergeSettings settings;
@@ -36,7 +37,7 @@
   private final ReassessmentQueue reassessments = new ReassessmentQueue();
   private int entryCount;
 
-  /** An empty view. */
+  /** Creates an empty view. */
   public Membership(final MergeSettings settings) {
     this.settings = settings;
   }
@@ -46,21 +47,22 @@
   /**
    * Adds a source; until it responds it counts as unreachable.
    *
-   * @param rank the lower, the more the source counts where sources describe an endpoint
-   *     differently; no two sources have the same
-   * @param snapshotsAuthoritative true if whatever its snapshots lack is gone, plausible or not
+   * @param rank where sources describe an endpoint differently, the one with the lowest rank
+   *     counts; must be unique
+   * @param snapshotsAuthoritative true if instances that its snapshots lack are gone, whether the
+   *     snapshot is plausible or not
    */
   public void addSource(
       final long nowUs, final String name, final int rank, final boolean snapshotsAuthoritative) {
     if (sources.values().stream().anyMatch(other -> other.rank() == rank)
         || sources.containsKey(name)) {
       throw new IllegalArgumentException(
-          "a source of the name " + name + " or the rank " + rank + " is there");
+          "a source with name " + name + " or rank " + rank + " already exists");
     }
     sources.put(name, new EndpointSource(name, rank, snapshotsAuthoritative, nowUs));
   }
 
-  /** Removes a source at the operator's request: what only it lists is gone. */
+  /** Removes a source at the operator's request: endpoints that only it lists are gone. */
   public void removeSource(final String name) {
     final EndpointSource source = source(name);
     source.entries().forEach(this::remove);
@@ -75,7 +77,7 @@
   private EndpointSource source(final String name) {
     final EndpointSource source = sources.get(name);
     if (source == null) {
-      throw new IllegalArgumentException("no source is called " + name);
+      throw new IllegalArgumentException("unknown source: " + name);
     }
     return source;
   }
@@ -103,7 +105,7 @@
     }
   }
 
-  /** Applies what a source had reported before this process began, without a response of it. */
+  /** Applies reports stored by an earlier process, which do not count as a response. */
   public void applyRestored(
       final long nowUs, final String name, final Collection<SourceReport> reports) {
     final EndpointSource source = source(name);
@@ -127,12 +129,12 @@
     }
   }
 
-  /** A source responded, and has nothing new. */
+  /** Records that a source responded without changes. */
   public void markSourceReachable(final long nowUs, final String name) {
     confirmEntries(nowUs, source(name));
   }
 
-  /** A source cannot be reached. */
+  /** Records that a source cannot be reached. */
   public void markSourceUnreachable(final long nowUs, final String name) {
     final EndpointSource source = source(name);
     if (source.markUnreachable(nowUs)) {
@@ -140,7 +142,7 @@
     }
   }
 
-  /** A source responded, and so confirms everything that it has not withdrawn. */
+  /** Records a response, which confirms every entry that the source has not withdrawn. */
   private void confirmEntries(final long nowUs, final EndpointSource source) {
     if (source.isUnreachable()) {
       source.entries().forEach(SourceEntry::reinstateWarning);
@@ -183,8 +185,8 @@
   }
 
   /**
-   * An older report may warn, but it does not clear a warning: a registry that lags must not undo a
-   * drain.
+   * Returns true if a report is older than the known one and would clear its recent warning: a
+   * registry that lags must not undo a drain. An older report may still warn.
    */
   private boolean isOutdated(final long nowUs, final SourceEntry entry, final SourceReport report) {
     return report.version() < entry.report().version()
@@ -202,7 +204,7 @@
     return entry;
   }
 
-  /** A source deleted an instance, which outweighs other sources' listing for a while. */
+  /** Removes an entry that its source deleted, which outweighs other listings for a while. */
   private void delete(final long nowUs, final SourceEntry entry) {
     remove(entry);
     if (!entry.endpoint().isListedBy(entry.source())) {
@@ -221,7 +223,7 @@
     source.entries().forEach(entry -> reassessments.markDirty(entry.endpoint().destination()));
   }
 
-  /** Marks every claim of the endpoint's address: the contest between them may turn out anew. */
+  /** Marks every claim of the endpoint's address: another claim may now outrank the others. */
   private void markDirty(final EndpointRecord endpoint) {
     endpoints.forEachClaim(
         endpoint.address(), claim -> reassessments.markDirty(claim.destination()));
@@ -229,7 +231,7 @@
 
   // ---------------------------------------------------------------- decisions
 
-  /** Returns what changed for sending since the last call, by all that was reported until now. */
+  /** Returns the endpoints whose state or attributes changed since the last call. */
   public List<MergedEndpoint> collectChanges(final long nowUs) {
     final List<MergedEndpoint> changed = new ArrayList<>();
     for (final long destination : reassessments.drain(nowUs)) {
@@ -239,8 +241,8 @@
   }
 
   /**
-   * When {@link #collectChanges} must be called again though nothing is reported, us; {@code
-   * Long.MAX_VALUE} for never.
+   * Returns when {@link #collectChanges} must be called again even if nothing is reported, us;
+   * {@code Long.MAX_VALUE} for never.
    */
   public long nextChangeUs() {
     return reassessments.nextUs();
@@ -269,8 +271,8 @@
   }
 
   /**
-   * Removes records that need not be remembered. Endpoints that are gone are remembered for a
-   * while, lest they flap unseen, but not many more of them than there are listed ones.
+   * Removes records that are no longer needed. Endpoints that are gone are remembered for a while
+   * so that flapping is detected, but their number is limited relative to that of listed ones.
    */
   private void removeObsolete(final long nowUs, final long destination) {
     final boolean tooMany = endpoints.addressCount() > MIN_REMEMBERED_RECORDS + 2 * entryCount;
@@ -279,9 +281,9 @@
         endpoint -> endpoint.removableUs(settings) <= nowUs || (tooMany && endpoint.isUnlisted()));
   }
 
-  // ---------------------------------------------------------------- what operators see
+  // ---------------------------------------------------------------- operators
 
-  /** All endpoints in the view, including those that were removed a short while ago. */
+  /** Returns all endpoints in the view, including recently removed ones. */
   public List<MergedEndpoint> endpoints() {
     final List<MergedEndpoint> published = new ArrayList<>();
     endpoints.forEach(
@@ -293,7 +295,7 @@
     return published;
   }
 
-  /** The status of each source. */
+  /** Returns the status of each source. */
   public List<SourceStatus> sourceStatuses() {
     return sources.values().stream().map(EndpointSource::status).toList();
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/MergeSettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/MergeSettings.java
@@ -1,20 +1,20 @@
 package thistleturn.decisions.membership;
 
 /**
- * The settings of the merge; times in microseconds.
+ * Settings of the merge of endpoint sources; times in microseconds.
  *
  * @param conflictWindowUs how long a warning still counts after its source became unreachable while
  *     another, reachable source reports the endpoint up; and how long a deletion by one source
  *     outweighs another's listing
- * @param staleAfterUs how long an endpoint is used like any other though no source that reports it
- *     up is reachable; later it is used only where its destination has nothing better
+ * @param staleAfterUs how long an endpoint is used like any other although no source that reports
+ *     it up is reachable; later it is used only if its destination has nothing better
  * @param absenceGraceUs how long an instance that implausible snapshots lack is still used like any
  *     other
  * @param plausibleLossRatio share of the known instances that a snapshot may lack and still be
- *     plausible; one may always be lacking, but never all
- * @param stableAfterUs an endpoint that was up for so long does not flap
- * @param initialHoldDownUs for how long an endpoint that went down twice is held down after it is
- *     up again; doubled each further time
+ *     plausible; one may always be absent, but never all
+ * @param stableAfterUs an endpoint that kept its state for this long is not considered flapping
+ * @param initialHoldDownUs how long an endpoint that went down twice is held down after it is up
+ *     again; doubled each further time
  * @param maxHoldDownUs the longest such hold-down
  * @param maxEntriesPerSource how many instances are taken from one source at most
  */
@@ -31,28 +31,28 @@
   private static final int MAX_DOUBLINGS = 30;
 
   /** The number of times an endpoint has to go down without being stable before it is held down. */
-  private static final int FALLS_BEFORE_HOLD_DOWN = 2;
+  private static final int FLAPS_BEFORE_HOLD_DOWN = 2;
 
-  /** Rejects settings that contradict each other. */
+  /** Rejects settings that are out of range or contradict each other. */
   public MergeSettings {
     require(
         conflictWindowUs >= 0 && staleAfterUs >= conflictWindowUs,
-        "a stale entry is used for at least as long as a disagreement lasts");
+        "the time until stale is at least the conflict window, which is not negative");
     require(
         absenceGraceUs >= 0
             && stableAfterUs >= 0
             && initialHoldDownUs >= 0
             && maxHoldDownUs >= initialHoldDownUs,
-        "the longest hold is at least the first");
+        "times are not negative, and the longest hold-down is at least the first");
     require(
         plausibleLossRatio >= 0 && plausibleLossRatio < 1,
-        "the share that may be lacking is at least 0 and below 1");
-    require(maxEntriesPerSource >= 1, "a source has at least one entry");
+        "the plausible loss ratio is at least 0 and below 1");
+    require(maxEntriesPerSource >= 1, "the limit of entries per source is at least 1");
   }
 
   /**
-   * A conflict window of one minute, 15 minutes until stale, 10 of grace for absent instances; 15%
-   * may be lacking, as in Eureka's self-preservation.
+   * Returns the defaults: a conflict window of one minute, 15 minutes until stale, 10 minutes of
+   * grace for absent instances; 15% may be absent, as in Eureka's self-preservation.
    */
   public static MergeSettings defaults() {
     return new MergeSettings(
@@ -72,16 +72,16 @@
     }
   }
 
-  /** How long an endpoint that went down so often in a row is held down, us. */
-  long holdDownUs(final int consecutiveFalls) {
-    if (consecutiveFalls < FALLS_BEFORE_HOLD_DOWN) {
+  /** Returns how long an endpoint that went down so often in a row is held down, us. */
+  long holdDownUs(final int consecutiveFlaps) {
+    if (consecutiveFlaps < FLAPS_BEFORE_HOLD_DOWN) {
       return 0;
     }
-    final int doublings = Math.min(consecutiveFalls - FALLS_BEFORE_HOLD_DOWN, MAX_DOUBLINGS);
+    final int doublings = Math.min(consecutiveFlaps - FLAPS_BEFORE_HOLD_DOWN, MAX_DOUBLINGS);
     return Math.min(maxHoldDownUs, initialHoldDownUs << doublings);
   }
 
-  /** How many of the known instances a plausible snapshot may lack. */
+  /** Returns how many of the known instances a plausible snapshot may lack. */
   int plausibleLoss(final int known) {
     return Math.max(1, (int) (plausibleLossRatio * known));
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/MergedEndpoint.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/MergedEndpoint.java
@@ -1,18 +1,18 @@
 package thistleturn.decisions.membership;
 
 /**
- * An endpoint as all sources together describe it.
+ * An endpoint as merged from the reports of all sources.
  *
- * @param address where it is called
+ * @param address the address at which it is called
  * @param destination the destination that it serves
  * @param zone its zone; empty if unknown
  * @param kind its kind, by name; empty if unknown
  * @param ratePerSecond the calls a second that its destination takes; 0 if unknown
- * @param state what it means for sending
+ * @param state whether new calls may be sent to it
  * @param reason why it is in that state
  * @param decidedBy the source whose report decided; empty if none did
  * @param lastResponseUs when that source last responded
- * @param stateSinceUs since when the endpoint has been in that state
+ * @param stateSinceUs when the endpoint entered that state
  */
 public record MergedEndpoint(
     String address,
@@ -26,17 +26,17 @@
     long lastResponseUs,
     long stateSinceUs) {
 
-  /** What an endpoint's state means for sending. The names are part of the operators' JSON. */
+  /** Whether calls may be sent to an endpoint. The names are part of the operators' JSON. */
   public enum State {
-    /** New messages may be sent. */
+    /** New calls may be sent. */
     UP,
-    /** Nothing new may be sent; calls in flight complete. */
+    /** No new calls may be sent; calls in flight complete. */
     DRAINING,
     /** The endpoint is no longer there. */
     GONE
   }
 
-  /** The endpoint's name, the same for as long as it is in the view. */
+  /** Returns the endpoint's name, which is constant as long as it is in the view. */
   public String name() {
     return destination + "@" + address;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/ReassessmentQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/ReassessmentQueue.java
@@ -9,34 +9,34 @@
 import java.util.TreeMap;
 
 /**
- * The destinations that must be reviewed again: at once because something was reported, at a time
- * because time alone will change a decision, or once any source responds.
+ * The destinations that must be reviewed again: immediately, because something was reported; at a
+ * given time, because the passing of time alone changes a decision; or once any source responds.
  */
 final class ReassessmentQueue {
-  /** Destinations to be reviewed at once, in the order in which that became known. */
+  /** Destinations to be reviewed immediately, in the order in which they were marked. */
   private final Set<Long> dirty = new LinkedHashSet<>();
 
   private final TreeMap<Long, Set<Long>> destinationsByTime = new TreeMap<>();
   private final Map<Long, Long> timeByDestination = new HashMap<>();
   private final Set<Long> awaitingResponse = new HashSet<>();
 
-  /** The destination must be reviewed at once. */
+  /** Marks a destination that must be reviewed immediately. */
   void markDirty(final long destination) {
     dirty.add(destination);
   }
 
-  /** The destination must be reviewed as soon as any source responds. */
+  /** Marks a destination that must be reviewed as soon as any source responds. */
   void awaitResponse(final long destination) {
     awaitingResponse.add(destination);
   }
 
-  /** A source responded. */
+  /** Marks the destinations that awaited a response, as a source responded. */
   void onResponse() {
     dirty.addAll(awaitingResponse);
     awaitingResponse.clear();
   }
 
-  /** Sets when a destination must be reviewed next, in place of any time set before. */
+  /** Schedules the next review of a destination, replacing any time set before. */
   void schedule(final long destination, final long atUs) {
     final Long before = timeByDestination.remove(destination);
     if (before != null) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** When the next destination is due by time alone. */
+  /** Returns the earliest scheduled time; {@code NEVER} if there is none. */
   long nextUs() {
     return destinationsByTime.isEmpty() ? EndpointRecord.NEVER : destinationsByTime.firstKey();
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistrationLease.java
@@ -1,15 +1,15 @@
 package thistleturn.decisions.membership;
 
 /**
- * This courier's own entry in a registry: when to register, renew, announce draining and cancel. At
- * most one call is in flight at a time. A lease that is never cancelled, because the process was
- * killed, expires at the registry by itself.
+ * Schedules the calls for this courier's own entry in a registry: when to register, renew, announce
+ * draining and cancel. At most one call is in flight at a time. A lease that is never cancelled,
+ * because the process was killed, expires at the registry by itself.
  *
- * <p>The caller asks {@link #next} what to do, makes the call at its time, and reports the result
- * to {@link #onCompleted}. Times are microseconds on one clock that only advances.
+ * <p>The caller reads the next call from {@link #next}, makes it at its time, and reports the
+ * result to {@link #onCompleted}. Times are in microseconds on one monotonic clock.
  */
 public final class RegistrationLease {
-  /** The status to report for a call that was not answered. */
+  /** Reported as the status of a call that was not answered. */
   public static final int NO_ANSWER = 0;
 
   private static final int OK = 200;
@@ -37,13 +37,17 @@
     CANCELLING
   }
 
-  /** What is to be done at the registry. */
+  /** A call to the registry. */
   public enum Action {
+    /** Create the entry. */
     REGISTER,
+    /** Renew the entry before its lease expires. */
     RENEW,
-    /** Announce that nothing new shall be sent here. */
+    /** Announce that nothing new should be sent here. */
     WARN,
+    /** Remove the entry. */
     CANCEL,
+    /** No call is due. */
     NOTHING
   }
 
@@ -55,31 +59,32 @@
   public record ScheduledAction(Action action, long atUs, int address) {}
 
   /**
-   * A lease whose registration is due at once.
+   * Creates a lease whose registration is due immediately.
    *
    * @param addresses how many addresses the registry has
    * @param renewalIntervalUs time between two renewals, us
    */
   public RegistrationLease(final long nowUs, final int addresses, final long renewalIntervalUs) {
     if (addresses < 1 || renewalIntervalUs < 1) {
-      throw new IllegalArgumentException("a registry has an address, and a lease an interval");
+      throw new IllegalArgumentException(
+          "a registry needs an address, and a lease a positive renewal interval");
     }
     this.addresses = addresses;
     this.renewalIntervalUs = renewalIntervalUs;
     this.nextActionUs = nowUs;
   }
 
-  /** What is due next. */
+  /** Returns the next call. */
   public ScheduledAction next() {
     final long atUs = nextAction == Action.NOTHING ? Long.MAX_VALUE : nextActionUs;
     return new ScheduledAction(nextAction, atUs, address);
   }
 
   /**
-   * A call has completed.
+   * Records that a call has completed, and schedules the next one.
    *
-   * @param status the HTTP status of the answer, or {@link #NO_ANSWER}, where the registry may have
-   *     carried out the call or not
+   * @param status the HTTP status of the answer, or {@link #NO_ANSWER} if it is unknown whether the
+   *     registry carried out the call
    */
   public void onCompleted(final long nowUs, final Action action, final int status) {
     final boolean succeeded = status == OK || status == NO_CONTENT;
@@ -101,8 +106,8 @@
 
   private void updateRegistered(final Action action, final int status, final boolean succeeded) {
     if (action == Action.REGISTER || action == Action.RENEW) {
-      // An unanswered call may have registered us all the same, and a failed renewal removes
-      // nothing.
+      // An unanswered registration may have succeeded, and a failed renewal does not remove the
+      // entry.
       final boolean maybeRegisteredNow = action == Action.REGISTER && status == NO_ANSWER;
       mayBeRegistered =
           succeeded || (status != NOT_FOUND && (mayBeRegistered || maybeRegisteredNow));
@@ -131,7 +136,8 @@
   }
 
   /**
-   * The other addresses are tried at once; after each round in which all failed, backoff doubles.
+   * Returns the time until the next attempt: 0 while other addresses remain to be tried; after each
+   * round in which all of them failed, the backoff doubles.
    */
   private long backoffUs() {
     if (consecutiveFailures % addresses != 0) {
@@ -148,7 +154,7 @@
   }
 
   /**
-   * The process is shutting down gracefully: the registry is asked to route nothing new here.
+   * Starts draining for a graceful shutdown: the registry is asked to route nothing new here.
    *
    * @param callInFlight true if a call has not completed yet; its completion decides what follows
    */
@@ -163,7 +169,7 @@
   }
 
   /**
-   * The process ends now: the entry is removed.
+   * Cancels the lease, as the process ends now: the entry is removed.
    *
    * @param callInFlight true if a call has not completed yet; its completion decides what follows
    */
@@ -177,12 +183,12 @@
     }
   }
 
-  /** True if the lease was cancelled and nothing more is to be done. */
+  /** Returns true if the lease was cancelled and no further call is due. */
   public boolean isFinished() {
     return phase == Phase.CANCELLING && nextAction == Action.NOTHING;
   }
 
-  /** True while the registry has, or may have, our entry. */
+  /** Returns true while the registry has, or may have, this courier's entry. */
   public boolean mayBeRegistered() {
     return mayBeRegistered;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/RegistryPollSchedule.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/RegistryPollSchedule.java
@@ -1,9 +1,9 @@
 package thistleturn.decisions.membership;
 
 /**
- * When a registry is polled next, at which of its addresses, and for what. At most one call is in
- * flight at a time. Times come in as arguments, as do random numbers drawn evenly from [0, 1),
- * which spread the polls of many couriers.
+ * Schedules the polls of a registry: when, at which of its addresses, and for which scope. At most
+ * one call is in flight at a time. Times are passed in as arguments, as are random numbers
+ * distributed uniformly over [0, 1), which spread the polls of many couriers.
  */
 public final class RegistryPollSchedule {
   /** Share of an interval by which it is lengthened or shortened at random. */
@@ -23,11 +23,11 @@
   private boolean needsFull = true;
   private long nextPollUs;
 
-  /** What a poll asks for. */
+  /** What a poll requests. */
   public enum Scope {
     /** All instances. */
     FULL,
-    /** What changed of late. */
+    /** Recent changes. */
     DELTA
   }
 
@@ -39,13 +39,13 @@
   public record ScheduledPoll(long atUs, int address, Scope scope) {}
 
   /**
-   * A schedule whose first poll is due at once.
+   * Creates a schedule whose first poll is due immediately.
    *
    * @param addresses how many addresses the registry has; the next one is tried when one fails
    * @param periodUs time between two polls that succeed, us
    * @param maxBackoffUs the longest backoff after a round in which all addresses failed; the first
    *     one is a tenth of the period
-   * @param deltas false where every poll asks for all instances
+   * @param deltas false if every poll requests all instances
    */
   public RegistryPollSchedule(
       final long nowUs,
@@ -54,7 +54,8 @@
       final long maxBackoffUs,
       final boolean deltas) {
     if (addresses < 1 || periodUs < 1 || maxBackoffUs < 1) {
-      throw new IllegalArgumentException("a registry has an address, a period and a back-off");
+      throw new IllegalArgumentException(
+          "a registry needs an address, a positive period and a positive backoff");
     }
     this.addresses = addresses;
     this.periodUs = periodUs;
@@ -63,12 +64,12 @@
     this.nextPollUs = nowUs;
   }
 
-  /** The poll that is due next. */
+  /** Returns the next poll. */
   public ScheduledPoll next() {
     return new ScheduledPoll(nextPollUs, address, needsFull || !deltas ? Scope.FULL : Scope.DELTA);
   }
 
-  /** The poll succeeded, and what was received until now is complete. */
+  /** Records that the poll succeeded, and that the instances received until now are complete. */
   public void onSuccess(final long nowUs, final double random) {
     consecutiveFailures = 0;
     needsFull = false;
@@ -76,8 +77,8 @@
   }
 
   /**
-   * A delta does not lead to what the registry has, or the registry has no deltas: a full poll
-   * follows at once.
+   * Records that the view after a delta differs from the registry's, or that the registry has no
+   * deltas: a full poll follows immediately.
    */
   public void onMismatch(final long nowUs) {
     consecutiveFailures = 0;
@@ -86,13 +87,13 @@
   }
 
   /**
-   * The poll failed. The other addresses are tried at once; after a round in which all of them
-   * failed, the schedule backs off exponentially.
+   * Records that the poll failed. The other addresses are tried immediately; after a round in which
+   * all of them failed, the schedule backs off exponentially.
    *
    * @return true if this ended a round: the registry is unreachable
    */
   public boolean onFailure(final long nowUs, final double random) {
-    // Another address may be ahead or behind, so that a delta would not fit.
+    // The view at another address may be newer or older, so that a delta would not match.
     needsFull = true;
     address = (address + 1) % addresses;
     consecutiveFailures++;
--- a/decisions/src/main/java/thistleturn/decisions/membership/ReportedStatus.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/ReportedStatus.java
@@ -9,7 +9,7 @@
   /** It completes the messages that it has and takes no new ones. */
   DRAIN;
 
-  /** True where nothing new may be sent to the instance. */
+  /** Returns true if nothing new may be sent to the instance. */
   public boolean blocksNewCalls() {
     return this != UP;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/SourceEntry.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/SourceEntry.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.membership;
 
 /**
- * One instance as one source lists it. An entry belongs to exactly one source and one endpoint, and
- * leaves both when the source deletes the instance or moves it to another address.
+ * One instance as listed by one source. An entry belongs to exactly one source and one endpoint,
+ * and is removed from both when the source deletes the instance or moves it to another address.
  */
 final class SourceEntry {
   private static final long NEVER = EndpointRecord.NEVER;
@@ -12,16 +12,16 @@
   private final EndpointRecord endpoint;
   private SourceReport report;
 
-  /** The next entry of the same endpoint, in order of arrival; null for the last. */
+  /** The next entry of the same endpoint, in order of addition; null for the last. */
   private SourceEntry next;
 
   private long missingSinceUs = NOT_MISSING;
   private long lastWarningUs = Long.MIN_VALUE;
 
   /**
-   * True once the warning of this entry outlived its unreachable source and another source's status
-   * was used instead. It stays so until the source reports the instance again, so that a further
-   * outage of the source cannot bring an old warning back.
+   * True once the warning of this entry expired, as its source was unreachable, and another
+   * source's status was used instead. It remains true until the source reports the instance again,
+   * so that a further outage of the source cannot restore an old warning.
    */
   private boolean overruled;
 
@@ -53,22 +53,22 @@
     next = following;
   }
 
-  /** True if the source reports that nothing new may be sent to the endpoint. */
+  /** Returns true if the source reports that nothing new may be sent to the endpoint. */
   boolean warns() {
     return report.status().blocksNewCalls();
   }
 
-  /** True if a warning of this entry still counts against the statuses of other sources. */
+  /** Returns true if a warning of this entry still counts against other sources' statuses. */
   boolean warnsAgainstOthers() {
     return warns() && !overruled;
   }
 
-  /** True if implausible snapshots of the source lack the instance. */
+  /** Returns true if an implausible snapshot of the source lacks the instance. */
   boolean isMissing() {
     return missingSinceUs != NOT_MISSING;
   }
 
-  /** True if the source is reachable and its last snapshot had the instance. */
+  /** Returns true if the source is reachable and its last snapshot had the instance. */
   boolean isConfirmed() {
     return !source.isUnreachable() && !isMissing();
   }
@@ -76,7 +76,7 @@
   /**
    * Replaces the report.
    *
-   * @return true if this changes what the source has to say of the endpoint
+   * @return true if this changes the information that the source provides on the endpoint
    */
   boolean update(final SourceReport latest) {
     if (report.equals(latest) && !isMissing() && !overruled) {
@@ -88,20 +88,20 @@
     return true;
   }
 
-  /** The source warned of the endpoint now. */
+  /** Records that the source warned of the endpoint now. */
   void recordWarning(final long nowUs) {
     lastWarningUs = nowUs;
   }
 
-  /** True if the last warning is at most this old. */
+  /** Returns true if the last warning is less than this old. */
   boolean hasWarnedWithin(final long windowUs, final long nowUs) {
     return lastWarningUs != Long.MIN_VALUE && nowUs < lastWarningUs + windowUs;
   }
 
   /**
-   * An implausible snapshot lacks the instance.
+   * Marks the instance as missing from an implausible snapshot.
    *
-   * @return true if the snapshot before had it
+   * @return true if the previous snapshot had it
    */
   boolean markMissing(final long nowUs) {
     if (isMissing()) {
@@ -111,21 +111,22 @@
     return true;
   }
 
-  /** Another source's status is used in spite of this entry's warning. */
+  /** Marks this entry's warning, if any, as overruled by another source's status. */
   void overruleWarning() {
     overruled |= warns();
   }
 
   /**
-   * The source is reachable again and has not withdrawn its warning, which therefore counts anew.
+   * Makes an overruled warning count again, as the source is reachable again and has not withdrawn
+   * it.
    */
   void reinstateWarning() {
     overruled &= isMissing();
   }
 
   /**
-   * Until when a warning of this entry counts against another source's status: forever while the
-   * source still confirms it, and for the conflict window after that.
+   * Returns until when a warning of this entry counts against another source's status: without
+   * limit while the source still confirms it, and for the conflict window after that.
    */
   long warningEndsUs(final MergeSettings settings) {
     long unconfirmedSinceUs = NEVER;
@@ -138,7 +139,7 @@
     return unconfirmedSinceUs == NEVER ? NEVER : unconfirmedSinceUs + settings.conflictWindowUs();
   }
 
-  /** How current the report is. */
+  /** Returns how current the report is. */
   Freshness freshness(final long nowUs, final MergeSettings settings) {
     if (isConfirmed()) {
       return Freshness.CONFIRMED;
@@ -150,7 +151,7 @@
     return unreachableTooLong || missingTooLong ? Freshness.STALE : Freshness.UNCONFIRMED;
   }
 
-  /** When {@link #freshness} decreases by the passing of time alone, or {@code NEVER}. */
+  /** Returns when {@link #freshness} next decreases by the passing of time alone, or NEVER. */
   long freshnessEndsUs(final long nowUs, final MergeSettings settings) {
     long endsUs = NEVER;
     if (source.isUnreachable()) {
--- a/decisions/src/main/java/thistleturn/decisions/membership/StateReason.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/StateReason.java
@@ -2,17 +2,17 @@
 
 /** Why an endpoint is in its state. The names are part of the operators' JSON. */
 public enum StateReason {
-  /** A reachable source reports it, and none reports otherwise. */
+  /** A reachable source reports this state, and no source contradicts it. */
   SAID,
-  /** Sources disagree: the more cautious status counts. */
+  /** Sources disagree, and the more cautious status counts. */
   CAUTION,
   /** A source warned and became unreachable; another, reachable one reports that it is up. */
   WARNING_EXPIRED,
-  /** A source deleted it a short while ago; another still lists it. */
+  /** A source deleted it recently; another still lists it. */
   DELETED,
-  /** It is up again, but went down too often of late. */
+  /** It is up again, but recently went down too often. */
   FLAPPING,
-  /** No source that reports it up has been reachable for a while; it is used all the same. */
+  /** The sources that report it up are unreachable, but not yet for too long; it is still used. */
   STALE,
   /** Its report is stale, and its destination has endpoints with a more current one. */
   STALE_SPARED,
--- a/decisions/src/main/java/thistleturn/decisions/membership/StatusAssessment.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/StatusAssessment.java
@@ -1,11 +1,11 @@
 package thistleturn.decisions.membership;
 
 /**
- * What the sources' reports of one endpoint amount to, before the other endpoints of its
- * destination are considered.
+ * The state of one endpoint by its sources' reports, before the other endpoints of its destination
+ * are considered.
  *
  * @param state the state by these reports alone
- * @param reason why
+ * @param reason why the endpoint is in that state
  * @param decidedBy the source whose report decided; null if none did
  * @param freshness for an endpoint that is up, how current the deciding report is; else null
  * @param reassessUs when the passing of time alone changes the assessment
@@ -17,7 +17,7 @@
     Freshness freshness,
     long reassessUs) {
 
-  /** The endpoint is up by a source's report. */
+  /** Returns the assessment of an endpoint that is up by a source's report. */
   static StatusAssessment up(
       final StateReason reason,
       final EndpointSource decidedBy,
@@ -26,13 +26,13 @@
     return new StatusAssessment(MergedEndpoint.State.UP, reason, decidedBy, freshness, reassessUs);
   }
 
-  /** Nothing new may be sent to the endpoint. */
+  /** Returns the assessment of an endpoint to which nothing new may be sent. */
   static StatusAssessment draining(
       final StateReason reason, final EndpointSource decidedBy, final long reassessUs) {
     return new StatusAssessment(MergedEndpoint.State.DRAINING, reason, decidedBy, null, reassessUs);
   }
 
-  /** The endpoint is not to be used for this destination, for as long as nothing is reported. */
+  /** Returns the assessment of an endpoint that is not used until there is a new report. */
   static StatusAssessment gone(final StateReason reason) {
     return new StatusAssessment(
         MergedEndpoint.State.GONE, reason, null, null, EndpointRecord.NEVER);
@@ -42,12 +42,12 @@
     return state == MergedEndpoint.State.UP;
   }
 
-  /** True if the endpoint is up only by a report that was unconfirmed for too long. */
+  /** Returns true if the endpoint is up only by a report that was unconfirmed for too long. */
   boolean isStale() {
     return isUp() && freshness == Freshness.STALE;
   }
 
-  /** True if a deletion counts until another source confirms the endpoint. */
+  /** Returns true if a deletion counts until another source confirms the endpoint. */
   boolean awaitsConfirmation() {
     return reason == StateReason.DELETED && reassessUs == EndpointRecord.NEVER;
   }
--- a/decisions/src/main/java/thistleturn/decisions/membership/StatusAssessor.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/StatusAssessor.java
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The assessment if the warnings of a source count; null if they have expired. */
+  /** Returns the assessment if the warnings of a source count; null if they have expired. */
   private StatusAssessment assessWarning(final EndpointSource source) {
     if (bestUp == null) {
       return StatusAssessment.draining(StateReason.SAID, source, NEVER);
@@ -94,14 +94,14 @@
         : null;
   }
 
-  /** The assessment if a source's deletion outweighs the listing of others; else null. */
+  /** Returns the assessment if a source's deletion outweighs other listings; otherwise null. */
   private StatusAssessment assessDeletions() {
     for (final Map.Entry<EndpointSource, Long> deletion : endpoint.deletions().entrySet()) {
       final long untilUs = deletion.getValue();
       if (untilUs > nowUs) {
         return StatusAssessment.draining(StateReason.DELETED, deletion.getKey(), untilUs);
       }
-      // A report from before the deletion may simply be older than it.
+      // A listing last confirmed before the deletion does not contradict it.
       final long deletedUs = untilUs - settings.conflictWindowUs();
       if (lastUpResponseUs < deletedUs) {
         return StatusAssessment.draining(StateReason.DELETED, deletion.getKey(), NEVER);
--- a/decisions/src/main/java/thistleturn/decisions/membership/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/membership/package-info.java
@@ -6,8 +6,8 @@
  * thistleturn.decisions.membership.RegistryPollSchedule} decides when a registry is polled, and
  * {@link thistleturn.decisions.membership.RegistrationLease} when this courier registers, renews
  * and cancels its own entry. All of them are plain state machines that are confined to their
- * caller's thread: time and random numbers come in as arguments, and none of them performs I/O or
- * knows how a registry is called. The rules of the merge are explained in {@code
+ * caller's thread: time and random numbers are passed in as arguments, and none of them performs
+ * I/O or depends on the protocol of a registry. The rules of the merge are explained in {@code
  * docs/design/membership.md}.
  */
 package thistleturn.decisions.membership;
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipPropertyTest.java
@@ -16,10 +16,10 @@
 import net.jqwik.api.Tag;
 
 /**
- * Random sequences of reports, outages, restarts and time by three sources on a few addresses. The
- * guarantees of the merge are checked after each step against what the sources have reported, which
- * is kept here independently of the merge. jqwik prints the seed of a failure and shrinks the
- * sequence.
+ * Random sequences of reports, outages, restarts and elapsed time, with three sources and a few
+ * addresses. After each step the guarantees of the merge are checked against what the sources have
+ * reported, which the test records independently of the merge. jqwik prints the seed of a failure
+ * and shrinks the sequence.
  */
 @Tag("membership")
 final class MembershipPropertyTest {
@@ -50,7 +50,7 @@
   }
 
   /**
-   * One event. {@code number} picks the instance, or how long to wait; {@code place} the address
+   * One event. {@code number} selects the instance or the time to wait, {@code place} the address
    * and the destination.
    */
   record Step(Kind kind, int source, int number, int place) {
@@ -76,19 +76,20 @@
   }
 
   @Property(tries = SEQUENCES, shrinking = ShrinkingMode.BOUNDED)
-  void mergedViewKeepsItsInvariants(@ForAll("sequences") final List<Step> steps) {
+  void randomSequence_keepsTheInvariantsOfTheMergedView(
+      @ForAll("sequences") final List<Step> steps) {
     final Simulation simulation = new Simulation();
     steps.forEach(simulation::perform);
   }
 
-  /** The true state of the sources, the view as a courier has it, and the guarantees. */
+  /** The sources' true state, a courier's view by the collected changes, and the checks. */
   private static final class Simulation {
     private final Membership membership = new Membership(SETTINGS);
     private final List<Map<String, SourceReport>> reportedBySource = new ArrayList<>();
     private final boolean[] unreachable = {true, true, true};
     private final Map<String, MergedEndpoint> view = new TreeMap<>();
 
-    /** Instances that their source's last snapshot lacked though the source has them. */
+    /** Instances that their source has but its last snapshot lacked. */
     private final Set<String> missing = new HashSet<>();
 
     private long nowUs = SECOND;
@@ -153,7 +154,10 @@
       return false;
     }
 
-    /** A registry after its restart; the platform's list is authoritative, also if it is empty. */
+    /**
+     * Sends an empty snapshot: of a registry after its restart, or of the platform, whose list is
+     * authoritative even if it is empty.
+     */
     private boolean sendEmptySnapshot(final Step step) {
       final boolean isOutage = step.source() != LIST;
       if (!isOutage) {
@@ -164,7 +168,7 @@
       return isOutage;
     }
 
-    /** Half a snapshot of a registry, where that is implausibly little. */
+    /** Sends half of the instances of a registry, if that is implausible. */
     private boolean sendShortSnapshot(final Step step, final Set<Long> upBefore) {
       final Map<String, SourceReport> all = reported(step);
       final boolean isOutage = step.source() != LIST && all.size() >= 4;
@@ -172,7 +176,7 @@
         final List<SourceReport> half = all.values().stream().limit(all.size() / 2).toList();
         missing.addAll(all.keySet());
         half.forEach(report -> missing.remove(report.instanceId()));
-        // A warning that the snapshot contains is a report and no outage.
+        // A warning contained in the snapshot is a report, not an outage.
         half.stream()
             .filter(report -> report.status().blocksNewCalls())
             .forEach(report -> upBefore.remove(report.destination()));
@@ -231,7 +235,10 @@
       }
     }
 
-    /** Every endpoint that is up is reported so, not warned of, and alone at its address. */
+    /**
+     * Checks that every endpoint that is up is reported up, not warned of, and alone at its
+     * address.
+     */
     private void checkEndpoints() {
       final Set<String> addresses = new HashSet<>();
       for (final MergedEndpoint endpoint : view.values()) {
@@ -239,13 +246,13 @@
           require(
               addresses.add(endpoint.address()),
               endpoint.address() + " serves two destinations: " + view);
-          require(isReportedUp(endpoint), "no source reports that it is up: " + endpoint);
+          require(isReportedUp(endpoint), "no source reports it up: " + endpoint);
           require(!isWarnedOf(endpoint), "a reachable source warns of it: " + endpoint);
         }
       }
     }
 
-    /** The changes that were collected amount to the view that the merge has. */
+    /** Checks that the collected changes add up to the view of the merge. */
     private void checkView() {
       final Map<String, MergedEndpoint> merged = new TreeMap<>();
       membership.endpoints().forEach(endpoint -> merged.put(endpoint.name(), endpoint));
@@ -261,21 +268,21 @@
       require(membership.nextChangeUs() > nowUs, "the next change is due at once");
     }
 
-    /** True if a source reported the endpoint up, and has not reported otherwise since. */
+    /** Returns true if a source reported the endpoint up and has not withdrawn that since. */
     private boolean isReportedUp(final MergedEndpoint endpoint) {
       return reportedBySource.stream()
           .flatMap(reports -> reports.values().stream())
           .anyMatch(report -> describes(report, endpoint) && report.status() == ReportedStatus.UP);
     }
 
-    /** True if a reachable source reports nothing but warnings of the endpoint. */
+    /** Returns true if a reachable source reports only warnings of the endpoint. */
     private boolean isWarnedOf(final MergedEndpoint endpoint) {
       for (int index = 0; index < SOURCES.length; index++) {
         final List<SourceReport> reports =
             reportedBySource.get(index).values().stream()
                 .filter(report -> describes(report, endpoint))
                 .toList();
-        // An instance that replaced a draining one outweighs it, also while a snapshot lacks it.
+        // An instance that replaced a draining one outweighs it, even if a snapshot lacks it.
         if (!unreachable[index]
             && reports.stream().allMatch(report -> report.status().blocksNewCalls())
             && reports.stream().anyMatch(report -> !missing.contains(report.instanceId()))) {
--- a/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/MembershipTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** The rules of the merge, one by one: {@code docs/design/membership.md}. */
+/** The rules of the merge, which {@code docs/design/membership.md} explains, one by one. */
 @Tag("membership")
 final class MembershipTest {
   private static final long SECOND = 1_000_000;
@@ -52,7 +52,7 @@
   private MergedEndpoint endpoint(final int port) {
     membership.collectChanges(nowUs);
     return membership.endpoints().stream()
-        .filter(member -> member.address().endsWith(":" + port))
+        .filter(merged -> merged.address().endsWith(":" + port))
         .findFirst()
         .orElseThrow();
   }
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void singleSource_isBelieved() {
+  void reportsOfASingleSource_determineTheStates() {
     registrySnapshot(
         report("i", 1, ReportedStatus.UP),
         report("j", 2, ReportedStatus.PENDING),
@@ -134,7 +134,7 @@
     assertEquals(MergedEndpoint.State.GONE, membership.collectChanges(nowUs).get(0).state());
     nowUs += SETTINGS.stableAfterUs();
     membership.collectChanges(nowUs);
-    assertTrue(membership.endpoints().isEmpty(), "it is forgotten in the end");
+    assertTrue(membership.endpoints().isEmpty(), "its record is removed after the stable period");
     assertEquals(Long.MAX_VALUE, membership.nextChangeUs());
   }
 
@@ -154,9 +154,9 @@
             .toArray(SourceReport[]::new);
     registrySnapshot(ten);
     membership.collectChanges(nowUs);
-    for (final int left : new int[] {0, 5, 8}) {
-      registrySnapshot(List.of(ten).subList(0, left).toArray(SourceReport[]::new));
-      assertTrue(membership.collectChanges(nowUs).isEmpty(), "with " + left + " of 10");
+    for (final int size : new int[] {0, 5, 8}) {
+      registrySnapshot(List.of(ten).subList(0, size).toArray(SourceReport[]::new));
+      assertTrue(membership.collectChanges(nowUs).isEmpty(), "with " + size + " of 10");
     }
     assertState(9, MergedEndpoint.State.UP, StateReason.DOUBTED);
     registrySnapshot(List.of(ten).subList(0, 9).toArray(SourceReport[]::new));
@@ -166,22 +166,22 @@
 
   @Test
   void slowlyShrinkingSnapshots_areImplausibleToo() {
-    final List<SourceReport> left =
+    final List<SourceReport> remaining =
         new ArrayList<>(
             IntStream.range(0, 40)
                 .mapToObj(port -> report("i" + port, port, port, ReportedStatus.UP, 0))
                 .toList());
-    registrySnapshot(left.toArray(SourceReport[]::new));
+    registrySnapshot(remaining.toArray(SourceReport[]::new));
     membership.collectChanges(nowUs);
-    while (left.size() > 10) {
+    while (remaining.size() > 10) {
       nowUs += 30 * SECOND;
-      left.subList(0, 5).clear();
-      registrySnapshot(left.toArray(SourceReport[]::new));
+      remaining.subList(0, 5).clear();
+      registrySnapshot(remaining.toArray(SourceReport[]::new));
       membership.collectChanges(nowUs);
     }
     final long up =
         membership.endpoints().stream()
-            .filter(member -> member.state() == MergedEndpoint.State.UP)
+            .filter(merged -> merged.state() == MergedEndpoint.State.UP)
             .count();
     assertTrue(up >= 34, "still up: " + up);
   }
@@ -244,7 +244,7 @@
     membership.collectChanges(nowUs);
     final List<MergedEndpoint> up =
         membership.endpoints().stream()
-            .filter(one -> one.state() == MergedEndpoint.State.UP)
+            .filter(endpoint -> endpoint.state() == MergedEndpoint.State.UP)
             .toList();
     assertEquals(List.of(7L), up.stream().map(MergedEndpoint::destination).toList());
     platformSnapshot();
@@ -252,7 +252,7 @@
     assertEquals(
         List.of(8L),
         membership.endpoints().stream()
-            .filter(one -> one.state() == MergedEndpoint.State.UP)
+            .filter(endpoint -> endpoint.state() == MergedEndpoint.State.UP)
             .map(MergedEndpoint::destination)
             .toList());
   }
@@ -275,7 +275,7 @@
   void flapping_delaysTheReturnIncreasinglyAndNeverTheDrain() {
     platformSnapshot(report("steady", 2, ReportedStatus.UP));
     long longestUs = 0;
-    for (int fall = 1; fall <= 8; fall++) {
+    for (int flap = 1; flap <= 8; flap++) {
       registrySnapshot(report("i", 1, ReportedStatus.UP));
       long heldDownUs = 0;
       while (endpoint(1).state() != MergedEndpoint.State.UP) {
@@ -305,7 +305,7 @@
 
   @Test
   void onlyEndpointOfADestination_isNotHeldDownForFlapping() {
-    for (int fall = 0; fall < 5; fall++) {
+    for (int flap = 0; flap < 5; flap++) {
       registrySnapshot(report("i", 1, ReportedStatus.UP));
       assertState(1, MergedEndpoint.State.UP, StateReason.SAID);
       registrySnapshot(report("i", 1, ReportedStatus.DRAIN));
@@ -314,7 +314,7 @@
   }
 
   @Test
-  void removedSource_takesItsEndpointsAlong() {
+  void removedSource_removesItsEndpoints() {
     registrySnapshot(report("i", 1, ReportedStatus.UP));
     platformSnapshot(report("e", 2, ReportedStatus.UP));
     membership.collectChanges(nowUs);
--- a/decisions/src/test/java/thistleturn/decisions/membership/RegistrationLeaseTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/RegistrationLeaseTest.java
@@ -8,21 +8,21 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.membership.RegistrationLease.Action;
 
-/** When a courier registers, renews, warns and cancels its own entry in a registry. */
+/** The schedule of calls for a courier's own entry in a registry. */
 @Tag("membership")
 final class RegistrationLeaseTest {
   private static final long SECOND = 1_000_000;
   private final RegistrationLease lease = new RegistrationLease(0, 2, 30 * SECOND);
 
-  private void assertNext(final Action act, final long atS, final int address) {
+  private void assertNext(final Action action, final long atS, final int address) {
     assertEquals(
         new RegistrationLease.ScheduledAction(
-            act, act == Action.NOTHING ? Long.MAX_VALUE : atS * SECOND, address),
+            action, action == Action.NOTHING ? Long.MAX_VALUE : atS * SECOND, address),
         lease.next());
   }
 
   @Test
-  void registersAtOnceThenRenewsEachInterval() {
+  void newLease_registersAtOnceThenRenewsEachInterval() {
     assertNext(Action.REGISTER, 0, 0);
     lease.onCompleted(SECOND, Action.REGISTER, 204);
     assertNext(Action.RENEW, 31, 0);
@@ -59,7 +59,7 @@
       assertEquals(
           Action.RENEW,
           lease.next().action(),
-          "a failed renewal does not say that the entry is gone");
+          "a failed renewal does not mean that the entry is gone");
     }
   }
 
@@ -87,7 +87,7 @@
     lease.onCompleted(4 * SECOND, Action.WARN, 0);
     assertNext(Action.CANCEL, 4, 0);
     lease.onCompleted(5 * SECOND, Action.CANCEL, 0);
-    assertTrue(lease.isFinished(), "a lease that cannot be cancelled expires");
+    assertTrue(lease.isFinished(), "a failed cancellation is not repeated, as the lease expires");
   }
 
   @Test
--- a/decisions/src/test/java/thistleturn/decisions/membership/RegistryPollScheduleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/membership/RegistryPollScheduleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.membership.RegistryPollSchedule.Scope;
 
-/** When a registry is polled, at which address, and for what. */
+/** The schedule of polls of a registry: times, addresses and scopes. */
 @Tag("membership")
 final class RegistryPollScheduleTest {
   private static final long SECOND = 1_000_000;
