--- a/decisions/src/main/java/thistleturn/decisions/replicas/AntiEntropy.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/AntiEntropy.java
@@ -6,21 +6,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Finds and closes differences between this courier's store and others': checksums show that two
- * stores differ, digests which versions each of them knows, and batches carry what is missing, in
- * bounded pieces.
+ * Finds and removes differences between this courier's store and those of others. Checksums show
+ * that two stores differ, digests show which versions each of them knows, and batches of bounded
+ * size carry the missing entries.
  */
 final class AntiEntropy {
-  /** How many couriers are asked for a part each, by one that is far behind. */
+  /** How many couriers are asked for a partition each if this one is far behind. */
   private static final int MAX_PARALLEL_REQUESTS = 3;
 
-  /** Couriers for each interval between checksums; in larger fleets it grows. */
+  /** In fleets with more couriers than this, the checksum interval grows with their number. */
   private static final int MEMBERS_PER_CHECKSUM_INTERVAL = 10;
 
-  /** Writers in a digest, so that it fits into one datagram. */
+  /** Target number of writers in a digest, so that it fits into one datagram. */
   private static final int WRITERS_PER_DIGEST = 12;
 
-  /** A request is not repeated sooner than this, unless a batch has arrived. */
+  /** Minimum time between two requests, unless a batch has arrived. */
   private static final long REQUEST_INTERVAL_US = 200_000;
 
   private final ReplicationSettings settings;
@@ -31,7 +31,7 @@
   private long nextChecksumUs;
   private long lastRequestUs = Long.MIN_VALUE / 2;
 
-  /** When this store was last found equal with another; 0: never. */
+  /** When this store was last found equal to another, or caught up; 0: never. */
   private long lastSyncedUs;
 
   private boolean caughtUp;
@@ -51,17 +51,17 @@
     this.nextChecksumUs = nowUs;
   }
 
-  // ---------------------------------------------------------------- being in sync
+  // ---------------------------------------------------------------- synchronization state
 
   /**
-   * Returns true once this store was found equal with another, or received all that it missed,
-   * since the start.
+   * Returns true once this store was found equal to another since the start, or received everything
+   * that it was missing.
    */
   boolean isCaughtUp() {
     return caughtUp;
   }
 
-  /** Returns when this store was last found equal with another, or caught up; 0: never. */
+  /** Returns when this store was last found equal to another, or caught up; 0: never. */
   long lastSyncedUs() {
     return lastSyncedUs;
   }
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Returns true if this store was apart from all others for so long that their state counts, not
-   * its own.
+   * Returns true if this store was separated from all others for so long that it must adopt their
+   * state instead of merging it with its own.
    */
   boolean isSeparated(final long nowUs) {
     return lastSyncedUs != 0 && nowUs - lastSyncedUs > settings.maxSeparationUs();
@@ -87,13 +87,14 @@
   // ---------------------------------------------------------------- comparing
 
   /**
-   * Compares checksums with the next tick: a new courier may miss everything, and have everything.
+   * Sends the checksum with the next tick, as a newly reachable courier may lack any entry, and
+   * have any that this one lacks.
    */
   void compareSoon() {
     nextChecksumUs = Long.MIN_VALUE;
   }
 
-  /** Sends the checksum to a random courier, if that is due. There must be one. */
+  /** Sends the checksum to a random courier if that is due; there must be a reachable one. */
   void tick(final long nowUs) {
     if (nowUs < nextChecksumUs) {
       return;
@@ -104,7 +105,7 @@
     sender.send(peers.pick(), new ReplicationMessage.Checksum(store.checksum(), store.size()));
   }
 
-  /** Another courier's checksum arrived: if it differs, what is missing is requested. */
+  /** Handles another courier's checksum: if it differs, requests the missing entries. */
   void onChecksum(final String from, final ReplicationMessage.Checksum theirs, final long nowUs) {
     if (theirs.value() == store.checksum()) {
       markSynced(nowUs);
@@ -116,7 +117,7 @@
 
   // ---------------------------------------------------------------- requesting
 
-  /** Requests what is missing here: from one courier, or from several for a part each. */
+  /** Requests the entries missing here from one courier, or a partition each from several. */
   private void requestMissing(final String first, final int count, final long nowUs) {
     if (nowUs - lastRequestUs < REQUEST_INTERVAL_US) {
       return;
@@ -154,8 +155,8 @@
   }
 
   /**
-   * A batch arrived and was merged: what remains is requested from a random courier, so that
-   * serving is shared.
+   * Handles a batch that was merged: if it was not the last, requests the rest from a random
+   * courier, which spreads the load of serving.
    */
   void onBatchMerged(
       final String from, final ReplicationMessage.DeltaBatch batch, final long nowUs) {
@@ -169,9 +170,9 @@
   }
 
   /**
-   * Returns where a batch left off: what is known by now and, of writers in the batch, the end of
-   * what it carried. Otherwise what lies behind a gap that nobody can fill any more would be sent
-   * again and again.
+   * Returns from which versions the request after a batch continues: the known versions and, for
+   * writers in the batch, the last version that it carried. Without the latter, entries after a gap
+   * that no courier can fill any more would be sent over and over.
    */
   private Map<WriterId, Long> versionsCoveredBy(
       final ReplicationMessage.DeltaBatch batch, final Partition partition) {
@@ -185,7 +186,7 @@
   // ---------------------------------------------------------------- serving
 
   /**
-   * Another courier's digest arrived: it is sent what it misses, and asked back if it knows more.
+   * Handles another courier's digest: sends it what it is missing, and requests what it has more.
    */
   void onDigest(final String from, final ReplicationMessage.Digest digest, final long nowUs) {
     final Partition partition = new Partition(digest.partition(), digest.partitionCount());
--- a/decisions/src/main/java/thistleturn/decisions/replicas/BroadcastQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/BroadcastQueue.java
@@ -8,27 +8,29 @@
 import java.util.TreeMap;
 
 /**
- * Entries to be broadcast: in small fleets to every courier, in large ones to some at random, who
- * forward them. What is lost is made up for by {@link AntiEntropy}.
+ * Queues entries to be broadcast: in small fleets to every courier, in large ones to some at
+ * random, which forward them. Lost messages are compensated by {@link AntiEntropy}.
  */
 final class BroadcastQueue {
-  /** Own entries are sent to each courier so often, a tick apart. */
+  /** Number of rounds, a tick apart, in which own entries are sent to every courier. */
   private static final int DIRECT_ROUNDS = 2;
 
-  /** Entries of others are forwarded once, to so many. */
+  /** Number of rounds in which entries of others are forwarded in a small fleet. */
   private static final int FORWARD_ROUNDS = 1;
 
+  /** Number of couriers to which an entry of another courier is forwarded in a small fleet. */
   private static final int FORWARD_FANOUT = 2;
 
-  /** In large fleets, entries are sent in so many rounds to so many. */
+  /** Number of rounds in which entries are sent in a large fleet. */
   private static final int GOSSIP_ROUNDS = 3;
 
+  /** Number of couriers to which an entry is sent in each round in a large fleet. */
   private static final int GOSSIP_FANOUT = 4;
 
-  /** Stands for all reachable couriers. */
+  /** The fan-out that stands for all reachable couriers. */
   private static final int TO_ALL = -1;
 
-  /** Entries of a type that are queued; those beyond are found by comparing checksums. */
+  /** Maximum number of queued entries of a type; further ones spread by anti-entropy only. */
   private static final int MAX_PENDING_PER_TYPE = 2048;
 
   private final ReplicationSettings settings;
@@ -36,11 +38,12 @@
   private final ReplicationSender sender;
 
   /**
-   * By type code, in its order: an operator's entry never waits behind what is merely good to know.
+   * Queued entries by type code, in ascending order, so that an operator's decision (type 1) never
+   * waits for entries of less importance.
    */
   private final Map<Integer, Map<Entry, Pending>> pendingByType = new TreeMap<>();
 
-  /** In how many rounds an entry is still sent, and to how many couriers in each. */
+  /** In how many more rounds an entry is sent, and to how many couriers in each. */
   private static final class Pending {
     private int remainingRounds;
     private final int fanout;
@@ -69,7 +72,7 @@
             : new Pending(GOSSIP_ROUNDS, GOSSIP_FANOUT));
   }
 
-  /** Queues an entry that was received and was news here. */
+  /** Queues an entry that was received and was new here. */
   void enqueueReceived(final Entry entry) {
     enqueue(
         entry,
@@ -94,7 +97,7 @@
     pendingByType.clear();
   }
 
-  /** Sends one round of as many entries as the allowance permits. */
+  /** Sends one round of as many entries as the byte allowance permits. */
   void sendRound(final long nowUs) {
     takeRound(nowUs)
         .forEach(
@@ -106,7 +109,7 @@
             });
   }
 
-  /** Takes entries off the queue for one round, by their fan-outs. */
+  /** Takes entries for one round from the queue, grouped by fan-out. */
   private Map<Integer, List<Entry>> takeRound(final long nowUs) {
     final Map<Integer, List<Entry>> entriesByFanout = new TreeMap<>();
     double budget = sender.availableMessageBytes();
@@ -139,7 +142,7 @@
     List<Delta> deltas = new ArrayList<>();
     int bytes = 0;
     for (final Entry entry : entries) {
-      // The receiver may miss the version before it: that is found by comparing checksums.
+      // The receiver may lack the previous version, which is detected by comparing checksums.
       final Delta delta = Delta.single(entry);
       if (bytes + delta.estimatedBytes() > ReplicationProtocol.MAX_DATAGRAM_BYTES
           && !deltas.isEmpty()) {
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ByteAllowance.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ByteAllowance.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.replicas;
 
 /**
- * A token bucket of bytes: filled at a rate, and able to hold what the rate yields in one second.
+ * A token bucket for bytes, refilled at a given rate, with the capacity of one second at that rate.
  */
 final class ByteAllowance {
   private final int bytesPerSecond;
@@ -12,12 +12,12 @@
     this.available = bytesPerSecond;
   }
 
-  /** Adds what the rate yields in that time. */
+  /** Refills the bucket for the elapsed time. */
   void refill(final double seconds) {
     available = Math.min(bytesPerSecond, available + seconds * bytesPerSecond);
   }
 
-  /** Records bytes that were sent; they may exceed what was available, and are then waited for. */
+  /** Takes the bytes of a sent message; the balance may become negative until it is refilled. */
   void spend(final int bytes) {
     available -= bytes;
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ChangeNotifier.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ChangeNotifier.java
@@ -3,7 +3,8 @@
 import java.util.Set;
 
 /**
- * Notifies of subjects whose merged value may have changed; types of later versions have none here.
+ * Notifies the owner of subjects whose merged value may have changed. Entries of types unknown in
+ * this version have no merged value.
  */
 final class ChangeNotifier {
   private final ReplicationActions actions;
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Delta.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Entries of one writer, in the order of their versions: who misses nothing up to {@code
- * afterVersion} misses nothing up to {@code upToVersion} once these are merged. Entries that are
- * superseded or have expired are left out.
+ * Entries of one writer, in the order of their versions. A store that lacks nothing up to {@code
+ * afterVersion} lacks nothing up to {@code upToVersion} once it has merged them. Entries that are
+ * superseded or have expired are omitted.
  */
 public record Delta(WriterId writer, long afterVersion, long upToVersion, List<Entry> entries) {
   private static final int FIXED_BYTES = 30;
@@ -15,7 +15,7 @@
     return new Delta(entry.writer(), entry.version() - 1, entry.version(), List.of(entry));
   }
 
-  /** Returns true for a range of versions that can exist. */
+  /** Returns true if the writer and the range of versions are valid. */
   boolean isValid() {
     return writer.isValid()
         && afterVersion >= 0
--- a/decisions/src/main/java/thistleturn/decisions/replicas/DisableEntry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/DisableEntry.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * An operator's decision to disable an endpoint, or to enable it. It states which decisions on the
- * same endpoint were known where it was made: it supersedes these, and no others. So "later" means
- * "knowing of", whatever any clock shows; of two decisions that did not know of each other, both
- * stand.
+ * An operator's decision to disable or enable an endpoint. It lists the decisions on the same
+ * endpoint that were known where it was made, and supersedes exactly these. The order of decisions
+ * is thus causal and does not depend on clocks; two decisions made without knowledge of each other
+ * are both in force.
  *
  * @param disabled true: the endpoint is disabled; false: it may serve again
- * @param operator who decided, and where
- * @param supersededVersions the decisions that it supersedes: the highest version of each writer
+ * @param operator who made the decision, and at which courier
+ * @param supersededVersions the superseded decisions, as the highest version of each writer
  */
 public record DisableEntry(
     boolean disabled, String operator, Map<WriterId, Long> supersededVersions) {
@@ -24,14 +24,14 @@
   private static final int FIRST_SUPERSEDED_FIELD = 2;
   private static final int FIELDS_PER_SUPERSEDED = 3;
 
-  /** Writers of whom a decision can supersede entries; each endpoint has few. */
+  /** Maximum number of writers whose entries a decision can supersede; each endpoint has few. */
   public static final int MAX_SUPERSEDED =
       (Entry.MAX_FIELDS - FIRST_SUPERSEDED_FIELD) / FIELDS_PER_SUPERSEDED;
 
   /**
-   * Returns a decision that supersedes all these, and all that these superseded: a courier that
-   * still holds one of the latter may never hear of the former. Where that is too many, those of
-   * the oldest stores are left out.
+   * Returns a decision that supersedes the given entries and all that these superseded, since a
+   * courier that still stores one of the latter may never receive the former. If there are too
+   * many, those with the oldest epochs are omitted.
    */
   static DisableEntry superseding(
       final Collection<Entry> entries,
@@ -55,7 +55,7 @@
     return new DisableEntry(disabled, operator, superseded);
   }
 
-  /** Returns the decision that an entry states; null if it cannot be one. */
+  /** Returns the decision in an entry; null if its fields are not those of a decision. */
   static DisableEntry fromEntry(final Entry entry) {
     final List<Object> fields = entry.fields();
     if (fields.size() < FIRST_SUPERSEDED_FIELD || !(fields.get(OPERATOR_FIELD) instanceof String)) {
@@ -72,7 +72,7 @@
         entry.booleanField(DISABLED_FIELD), entry.textField(OPERATOR_FIELD), superseded);
   }
 
-  /** A later version may have something else from some field on. */
+  /** Returns true if a superseded version follows; a later version may append other fields. */
   private static boolean hasSupersededAt(final List<Object> fields, final int first) {
     return first + FIELDS_PER_SUPERSEDED <= fields.size()
         && fields.get(first) instanceof String
@@ -80,7 +80,7 @@
         && fields.get(first + 2) instanceof Long;
   }
 
-  /** Returns the fields of an entry that states this. */
+  /** Returns the fields of an entry with this decision. */
   List<Object> toFields() {
     final List<Object> fields = new ArrayList<>(List.of(disabled, operator));
     supersededVersions.forEach(
--- a/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/Entry.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What one writer states on one subject. Of two entries of the same writer the higher version
- * counts. Copies of an entry differ in nothing but when it is thought to have been created: as much
- * too late as the copy took to arrive.
+ * One writer's statement on one subject. Of two entries of the same writer the one with the higher
+ * version counts. Copies of an entry differ only in their creation time, which is too late by the
+ * time that the copy took to arrive.
  *
  * @param typeCode the code of its {@link EntryType}, which may be one of a later version
  * @param subject an endpoint's name, or a destination's number
- * @param writer who wrote it
- * @param version counts the writer's entries; above 0
- * @param ttlUs how long it is valid; 0: until it is superseded
+ * @param writer the id of its writer
+ * @param version the number of the entry among those of its writer, from 1
+ * @param ttlUs how long it is valid; 0: until superseded
  * @param createdUs when it was created, on the clock of the courier that stores this copy
  * @param fields by position, each a {@link Long}, {@link Double}, {@link Boolean} or {@link
  *     String}; unknown ones are kept
@@ -28,11 +28,11 @@
   static final int MAX_FIELDS = 64;
   static final int MAX_TEXT_LENGTH = 200;
 
-  /** Versions are below this, so that they are exact in other number formats. */
+  /** Versions are below this, so that they are exact as double-precision numbers. */
   static final long VERSION_LIMIT = 1L << 53;
 
-  /** The field in which an entry of every known type but WAIT states its matter. */
-  private static final int STATEMENT_FIELD = 0;
+  /** The field with the value of an entry, in all known types except WAIT. */
+  private static final int VALUE_FIELD = 0;
 
   private static final int MAX_DESTINATION_DIGITS = 18;
   private static final double MAX_CALLS_PER_SECOND = 1_000_000;
@@ -45,7 +45,7 @@
     return ttlUs == 0 ? Long.MAX_VALUE : createdUs + ttlUs;
   }
 
-  /** Returns the same entry, thought to have been created at another time. */
+  /** Returns the same entry with another creation time. */
   Entry withCreatedUs(final long us) {
     return new Entry(typeCode, subject, writer, version, ttlUs, us, fields);
   }
@@ -86,43 +86,43 @@
 
   /** Returns whether an entry of type MAINTENANCE disables its endpoint. */
   boolean isDisabling() {
-    return booleanField(STATEMENT_FIELD);
+    return booleanField(VALUE_FIELD);
   }
 
-  /** Returns whether an entry of type OUTAGE states a failure; if not, it states a recovery. */
+  /** Returns whether an entry of type OUTAGE reports an outage; otherwise it reports a recovery. */
   boolean isFailure() {
-    return booleanField(STATEMENT_FIELD);
+    return booleanField(VALUE_FIELD);
   }
 
-  /** Returns the calls a second that an entry of type LIMIT or LEARNT states. */
+  /** Returns the calls per second of an entry of type LIMIT or LEARNT. */
   double callsPerSecond() {
-    return doubleField(STATEMENT_FIELD);
+    return doubleField(VALUE_FIELD);
   }
 
-  /** Returns the list's version that an entry of type LIST states. */
+  /** Returns the list version of an entry of type LIST. */
   long listVersion() {
-    return longField(STATEMENT_FIELD);
+    return longField(VALUE_FIELD);
   }
 
   // ---------------------------------------------------------------- validation
 
   /**
-   * Returns true if the entry can be meant: a wait of centuries or a rate of zero is a mistake, and
-   * is ignored.
+   * Returns true if the entry is plausible. Others are rejected, for example a wait of centuries or
+   * a rate of zero.
    */
   boolean isValid(final long nowUs) {
-    if (!hasValidHead(nowUs) || !hasValidTexts()) {
+    if (!hasValidHeader(nowUs) || !hasValidTexts()) {
       return false;
     }
     final EntryType type = EntryType.fromCode(typeCode);
     if (type == null) {
-      // Of a later version: it is forwarded, but not kept for longer than the longest known.
+      // A type of a later version is forwarded, but not kept longer than the longest known type.
       return ttlUs > 0 && ttlUs <= EntryType.WAIT.maxTtlUs();
     }
     return hasValidTtl(type) && hasValidContent(type);
   }
 
-  private boolean hasValidHead(final long nowUs) {
+  private boolean hasValidHeader(final long nowUs) {
     return writer.isValid()
         && !subject.isEmpty()
         && subject.length() <= MAX_SUBJECT_LENGTH
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryChecksum.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryChecksum.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.replicas;
 
 /**
- * What an entry adds to the checksum of a store: which entry it is, not when it is thought to have
- * been created.
+ * An entry's contribution to the checksum of a store. It identifies the entry and its version, and
+ * does not depend on the creation time, which differs between copies.
  */
 final class EntryChecksum {
   private EntryChecksum() {}
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryKey.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryKey.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.replicas;
 
-/** Identifies what an entry is about: each writer has one entry for a key. */
+/** The type and subject of an entry; each writer has at most one entry for a key. */
 record EntryKey(int typeCode, String subject) {
   static EntryKey of(final Entry entry) {
     return new EntryKey(entry.typeCode(), entry.subject());
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryStore.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryStore.java
@@ -11,11 +11,11 @@
 import thistleturn.decisions.index.TimeHeap;
 
 /**
- * One courier's copy of all entries. A writer's entries are ordered by version, and the store knows
- * of each writer up to which version nothing is missing; so what another courier misses is found by
- * one number for each writer (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, LADIS 2008).
- * Merging is a maximum by writer and key: any order and any duplication converge to the same
- * entries.
+ * One courier's copy of all entries. A writer's entries are ordered by version, and for each writer
+ * the store knows the version up to which no entry is missing. One number for each writer thus
+ * determines what another courier is missing (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas,
+ * LADIS 2008). Merging takes the maximum version for each writer and key, so entries converge
+ * whatever their order and duplication.
  */
 final class EntryStore {
   private final ReplicationSettings settings;
@@ -38,15 +38,15 @@
   }
 
   /**
-   * Returns a checksum that is equal where the same entries are stored, whenever they are thought
-   * to have been created.
+   * Returns a checksum that is equal for stores with the same entries, whatever the creation times
+   * of their copies.
    */
   long checksum() {
     return checksum;
   }
 
   /**
-   * Returns how many entries and deltas were rejected, since they are invalid or exceed the
+   * Returns how many entries and deltas were rejected because they were invalid or exceeded the
    * capacity.
    */
   long rejected() {
@@ -122,9 +122,9 @@
   }
 
   /**
-   * Returns what another courier misses of a partition.
+   * Returns the entries of a partition that another courier is missing.
    *
-   * @param theirVersions up to which version it misses nothing of each writer
+   * @param theirVersions for each writer the version up to which it is missing nothing
    * @param maxBytes about how many bytes the result may take; one entry is included in any case
    */
   MissingEntries collectMissing(
@@ -144,7 +144,7 @@
 
   // ---------------------------------------------------------------- merging
 
-  /** Merges a delta; what changed is added to {@code changed}. */
+  /** Merges a delta; adds the subjects that changed to {@code changed}. */
   void merge(final Delta delta, final long nowUs, final Set<SubjectChanged> changed) {
     if (!delta.isValid()) {
       rejected++;
@@ -185,7 +185,7 @@
     removeSuperseded(key, entry);
   }
 
-  /** The same entry took less time to arrive: it expires as much sooner. */
+  /** Adopts an earlier creation time of the same entry, from a copy that arrived faster. */
   private void adoptEarlierCreation(
       final WriterLog log, final StoredEntry before, final Entry entry) {
     final Entry stored = before.entry();
@@ -195,7 +195,7 @@
   }
 
   /**
-   * Returns true if a stored entry knew of this one, which then comes from a copy that is behind.
+   * Returns true if a stored entry supersedes this one, which was then sent by an outdated store.
    */
   private boolean isSuperseded(final Entry entry, final EntryKey key) {
     if (entry.typeCode() != EntryType.MAINTENANCE.code()) {
@@ -251,7 +251,7 @@
 
   // ---------------------------------------------------------------- time
 
-  /** Removes entries that have expired; what changed is added to {@code changed}. */
+  /** Removes expired entries; adds their subjects to {@code changed}. */
   void expire(final long nowUs, final Set<SubjectChanged> changed) {
     StoredEntry expired = expirations.poll(nowUs);
     while (expired != null) {
@@ -262,7 +262,7 @@
   }
 
   /**
-   * Removes enabling entries that are so old that no courier can still miss them, and the logs of
+   * Removes enabling entries that are so old that no courier can still lack them, and the logs of
    * writers without entries.
    */
   void compact(final long nowUs) {
@@ -285,7 +285,7 @@
     }
   }
 
-  /** Removes everything; what was merged before can be merged again. */
+  /** Removes all entries and known versions, so that entries can be merged again. */
   void clear() {
     entriesByKey.clear();
     logs.clear();
--- a/decisions/src/main/java/thistleturn/decisions/replicas/EntryType.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/EntryType.java
@@ -1,29 +1,30 @@
 package thistleturn.decisions.replicas;
 
 /**
- * What entries are about. Codes stand for types on the wire, and names appear in the operators'
- * pages; entries of types that are not known here are kept and forwarded.
+ * The types of entries. Codes identify them on the wire, and names appear in the operators' pages.
+ * Entries of types that are unknown in this version are kept and forwarded.
  */
 public enum EntryType {
   /**
-   * An operator disabled an endpoint or enabled it: {@code disabled, operator, superseded
+   * An operator disabled or enabled an endpoint. Fields: {@code disabled, operator, superseded
    * versions...}. Permanent.
    */
   MAINTENANCE(1, 0),
-  /** A destination told a courier to wait: no fields; it lasts as long as the entry. */
+  /** A destination asked a courier to wait until the entry expires. No fields. */
   WAIT(2, 3_600_000_000L),
-  /** A destination was found to have failed, or to serve again: {@code isOut}. */
+  /** A destination was found to have failed, or to serve again. Field: {@code isOut}. */
   OUTAGE(3, 120_000_000L),
   /**
-   * A destination stated how many calls a second it accepts from all couriers: {@code perSecond}.
+   * A destination reported how many calls per second it accepts from all couriers. Field: {@code
+   * perSecond}.
    */
   LIMIT(4, 60_000_000L),
   /**
-   * A courier was rejected, and learned how many calls a second it should keep to: {@code
+   * A courier was rejected, and learned how many calls per second it may make. Field: {@code
    * perSecond}.
    */
   LEARNT(5, 5_000_000L),
-  /** The version of the platform's endpoint list that a courier received last: {@code sequence}. */
+  /** A courier's latest version of the platform's endpoint list. Field: {@code sequence}. */
   LIST(6, 300_000_000L);
 
   private final int code;
@@ -34,22 +35,22 @@
     this.maxTtlUs = maxTtlUs;
   }
 
-  /** Returns the code that stands for the type. */
+  /** Returns the code of the type on the wire. */
   public int code() {
     return code;
   }
 
-  /** Returns the longest time that entries are valid; 0: until they are superseded. */
+  /** Returns the maximum time to live of entries; 0: valid until superseded. */
   public long maxTtlUs() {
     return maxTtlUs;
   }
 
-  /** Returns true if entries are valid until they are superseded. */
+  /** Returns true if entries are valid until superseded. */
   boolean isPermanent() {
     return maxTtlUs == 0;
   }
 
-  /** Returns the type of a code; null: one of a later version. */
+  /** Returns the type with a code; null for a type of a later version. */
   public static EntryType fromCode(final int code) {
     for (final EntryType type : values()) {
       if (type.code == code) {
--- a/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/MergeRule.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Decides what counts where writers differ: the more careful entry, while it can still be true.
- * Each rule is a function of the entries alone, so that whoever holds the same entries reads the
- * same value.
+ * Derives one value from the entries of all writers on a subject. Where they differ, the more
+ * cautious entry counts as long as it may still hold. Each rule is a function of the entries alone,
+ * so stores with the same entries derive the same value.
  */
 final class MergeRule {
   private static final Comparator<Entry> BY_CREATION =
@@ -18,7 +18,7 @@
 
   private MergeRule() {}
 
-  /** Returns what counts of the entries on a subject. */
+  /** Returns the merged value of the entries on a subject. */
   static MergedValue merge(final EntryType type, final String subject, final List<Entry> entries) {
     if (entries.isEmpty()) {
       return MergedValue.absent(type, subject);
@@ -38,7 +38,7 @@
     return entries.stream().max(order).orElseThrow();
   }
 
-  /** Returns the value that one entry states alone. */
+  /** Returns a merged value that is determined by one entry. */
   private static MergedValue valueOf(
       final EntryType type,
       final Entry entry,
@@ -77,14 +77,14 @@
         "the highest version counts");
   }
 
-  /** Decisions that no other supersedes stand. One of them that disables the endpoint is enough. */
+  /** Considers decisions that no other one supersedes; any of them can disable the endpoint. */
   private static MergedValue mergeMaintenance(final String subject, final List<Entry> entries) {
-    final List<Entry> standing =
+    final List<Entry> inForce =
         entries.stream().filter(entry -> !isSuperseded(entry, entries)).toList();
-    final List<Entry> disabling = standing.stream().filter(Entry::isDisabling).toList();
+    final List<Entry> disabling = inForce.stream().filter(Entry::isDisabling).toList();
     final boolean isDisabled = !disabling.isEmpty();
-    final boolean isConflict = isDisabled && disabling.size() < standing.size();
-    final List<Entry> counting = isDisabled ? disabling : standing;
+    final boolean isConflict = isDisabled && disabling.size() < inForce.size();
+    final List<Entry> counting = isDisabled ? disabling : inForce;
     final Entry first = counting.stream().min(BY_CREATION).orElseThrow();
     return new MergedValue(
         EntryType.MAINTENANCE,
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Out, if some courier found it so after any found it serving; otherwise back since that was
-   * first found after it.
+   * The destination is out if the last outage was found after the last recovery. Otherwise it has
+   * recovered, at the time of the first recovery found after the last outage.
    */
   private static MergedValue mergeOutage(final List<Entry> entries) {
     final List<Entry> outages = entries.stream().filter(Entry::isFailure).toList();
@@ -145,8 +145,8 @@
   }
 
   /**
-   * The mean of the rates that couriers learned from recent rejections, each weighted by how recent
-   * it is.
+   * Returns the mean of the rates that couriers learned from recent rejections, weighted by
+   * recency.
    */
   private static MergedValue mergeLearnedRate(final String subject, final List<Entry> entries) {
     final Entry last = latest(entries, BY_CREATION);
--- a/decisions/src/main/java/thistleturn/decisions/replicas/MergedValue.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/MergedValue.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * What counts of all that writers state on a subject. The states and reasons are shown to
- * operators, who may rely on their spelling.
+ * The value derived from the entries of all writers on a subject. The states and reasons are shown
+ * to operators, who may rely on their spelling.
  *
  * @param type of the entries
  * @param subject an endpoint's name, or a destination's number
  * @param state one of the constants here
- * @param value calls a second, a version, or 0
- * @param sinceUs when what counts was created
- * @param untilUs until when it counts; {@link Long#MAX_VALUE}: until it is superseded
- * @param writers whose entries count
- * @param conflict several entries stand that contradict each other, and did not know of each other
- * @param reason why these entries count, in a sentence
+ * @param value calls per second, a list version, or 0
+ * @param sinceUs when the entry that determines the value was created
+ * @param untilUs until when the value holds; {@link Long#MAX_VALUE}: until superseded
+ * @param writers the writers whose entries determine the value
+ * @param conflict true if contradicting decisions, made without knowledge of each other, are in
+ *     force
+ * @param reason why these entries determine the value, in a sentence
  */
 public record MergedValue(
     EntryType type,
@@ -26,7 +27,7 @@
     List<WriterId> writers,
     boolean conflict,
     String reason) {
-  /** No writer states anything. */
+  /** There are no entries. */
   public static final String ABSENT = "nothing";
 
   /** An operator disabled the endpoint. */
@@ -35,7 +36,7 @@
   /** An operator enabled the endpoint. */
   public static final String ENABLED = "may serve";
 
-  /** The destination is to be waited for. */
+  /** The destination asked couriers to wait. */
   public static final String WAITS = "waits";
 
   /** The destination failed. */
@@ -44,7 +45,7 @@
   /** The destination serves again. */
   public static final String RETURNED = "returned";
 
-  /** The destination stated its rate limit. */
+  /** The destination reported its rate limit. */
   public static final String LIMIT = "limit";
 
   /** A rate was learned from rejections. */
@@ -59,7 +60,7 @@
         type, subject, ABSENT, 0, 0, 0, List.of(), false, "nobody says anything");
   }
 
-  /** Returns true if some writer states something. */
+  /** Returns true if there is an entry on the subject. */
   public boolean isPresent() {
     return !writers.isEmpty();
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/MissingEntries.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/MissingEntries.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * What another courier is missing, as far as it fits into a number of bytes.
+ * The entries that another courier is missing, limited to a number of bytes.
  *
  * @param deltas the missing entries, the earliest of each writer first
- * @param hasMore true if not everything fitted
+ * @param hasMore true if not all of them fit
  */
 record MissingEntries(List<Delta> deltas, boolean hasMore) {
   private static final int DELTA_BYTES = 30;
@@ -23,8 +23,10 @@
     private boolean isFull;
 
     /**
-     * {@code theirVersions} is the version up to which the other misses nothing of each writer;
-     * absent: 0.
+     * Creates a collector.
+     *
+     * @param theirVersions for each writer the version up to which the other courier is missing
+     *     nothing; 0 if absent
      */
     Collector(final Map<WriterId, Long> theirVersions, final int maxBytes, final long nowUs) {
       this.theirVersions = theirVersions;
@@ -32,7 +34,7 @@
       this.nowUs = nowUs;
     }
 
-    /** Adds what the other misses of a log. Returns false once nothing more fits. */
+    /** Adds the missing entries of a log. Returns false once nothing more fits. */
     boolean add(final WriterId writer, final WriterLog log) {
       final long theirs = theirVersions.getOrDefault(writer, 0L);
       if (log.contiguousVersion() <= theirs && log.lastVersion() <= theirs) {
@@ -50,8 +52,8 @@
         }
       }
       if (!isFull) {
-        // Entries behind the gap that a lost writer left are included; they say nothing about what
-        // is missing.
+        // Entries after a gap that a lost writer left are included, but do not raise the version up
+        // to which nothing is missing.
         addDelta(writer, theirs, log.contiguousVersion(), entries);
         bytes += DELTA_BYTES;
       } else if (!entries.isEmpty()) {
--- a/decisions/src/main/java/thistleturn/decisions/replicas/OwnEntryWriter.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/OwnEntryWriter.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * Writes this courier's own entries. Versions grow by one; they start anew with another writer id
- * where others hold entries that this store did not write.
+ * Writes this courier's own entries. Versions increase by one. If other couriers have entries under
+ * its writer id that this store did not write, it continues under a new id, from version 1.
  */
 final class OwnEntryWriter {
   private final EntryStore store;
@@ -37,18 +37,18 @@
     return version;
   }
 
-  /** Returns how many entries were rejected, since they are invalid. */
+  /** Returns how many entries were rejected as invalid. */
   long rejected() {
     return rejected;
   }
 
-  /** Continues under the id of a new store, which has written nothing. */
+  /** Continues under a new writer id, which has no entries yet. */
   void startNewStore() {
     self = new WriterId(self.name(), self.epoch() + 1);
     version = 0;
   }
 
-  /** Writes an operator's decision on an endpoint, which supersedes all that are known here. */
+  /** Writes an operator's decision on an endpoint, which supersedes all known ones. */
   void writeDisabled(
       final String endpoint, final boolean disabled, final String operator, final long nowUs) {
     final List<Entry> known = store.entries(EntryType.MAINTENANCE, endpoint);
@@ -56,7 +56,7 @@
     write(EntryType.MAINTENANCE, endpoint, 0, entry.toFields(), nowUs);
   }
 
-  /** Writes until when a destination is to be waited for, unless a known wait lasts as long. */
+  /** Writes until when a destination asked to wait, unless the own entry lasts as long. */
   void writeWait(final String destination, final long untilUs, final long nowUs) {
     final long ttlUs = Math.min(EntryType.WAIT.maxTtlUs(), untilUs - nowUs);
     final Entry before = store.find(EntryType.WAIT, destination, self);
@@ -70,7 +70,7 @@
     write(EntryType.OUTAGE, destination, EntryType.OUTAGE.maxTtlUs(), List.of(isOut), nowUs);
   }
 
-  /** Writes a rate of calls, if it changed or half of the last entry's time is over. */
+  /** Writes a rate of calls if it changed or half of the last entry's time to live is over. */
   void writeRate(
       final EntryType type, final String destination, final double perSecond, final long nowUs) {
     final Entry before = store.find(type, destination, self);
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Writes the version of the endpoint list, if it changed or half of the last entry's time is
-   * over.
+   * Writes the version of the endpoint list if it changed or half of the last entry's time to live
+   * is over.
    */
   void writeListVersion(final String source, final long sequence, final long nowUs) {
     final Entry before = store.find(EntryType.LIST, source, self);
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReachablePeers.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReachablePeers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The addresses of the couriers that can be reached now, and random choices among them. */
+/** The addresses of the couriers that are reachable now, with random selection among them. */
 final class ReachablePeers {
   private final SplittableRandom random;
   private List<String> addresses = List.of();
@@ -37,12 +37,12 @@
     return addresses.isEmpty();
   }
 
-  /** Returns a random one; there must be one. */
+  /** Returns a random address; there must be one. */
   String pick() {
     return addresses.get(random.nextInt(addresses.size()));
   }
 
-  /** Returns some at random, or all if there are no more than that. */
+  /** Returns {@code count} random addresses, or all if there are no more than that. */
   List<String> pick(final int count) {
     final List<String> remaining = new ArrayList<>(addresses);
     final List<String> picked = new ArrayList<>();
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationActions.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationActions.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.replicas;
 
-/** What the replication protocol has its surroundings do. */
+/** The actions that the replication protocol requests of its owner. */
 public interface ReplicationActions {
   /** Sends a message as a datagram, which may be lost. */
   void send(String to, ReplicationMessage message);
@@ -11,6 +11,6 @@
   /** Notifies that the merged value of a subject may have changed. */
   void onSubjectChanged(EntryType type, String subject);
 
-  /** Notifies operators, in one line. */
+  /** Reports an event to operators, in one line of text. */
   void onEvent(String message);
 }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationMessage.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationMessage.java
@@ -8,7 +8,7 @@
   /** Returns about how many bytes the message takes once it is encoded. */
   int estimatedBytes();
 
-  /** New entries, sent at once; a receiver that misses earlier ones merges them all the same. */
+  /** New entries, sent immediately; a receiver merges them even if it lacks earlier ones. */
   record EntryBroadcast(List<Delta> deltas) implements ReplicationMessage {
     private static final int FIXED_BYTES = 8;
 
@@ -19,8 +19,8 @@
   }
 
   /**
-   * A checksum of all stored entries, which shows whether two stores are equal; and how many
-   * entries there are.
+   * A checksum of all stored entries, which shows whether two stores are equal, and the number of
+   * entries.
    */
   record Checksum(long value, long entryCount) implements ReplicationMessage {
     private static final int BYTES = 24;
@@ -32,11 +32,12 @@
   }
 
   /**
-   * Up to which version the sender misses nothing of each writer of a partition; writers that are
-   * not named are not known at all. It requests what is newer.
+   * For each writer of a partition, the version up to which the sender is missing nothing; writers
+   * that are absent are unknown to it. A digest requests all newer entries.
    *
-   * @param partition which of {@code partitionCount}, from 0
-   * @param replyRequested the receiver is to send a digest in its turn, if it misses something
+   * @param partition index of the partition, below {@code partitionCount}
+   * @param replyRequested true if the receiver should send a digest in return if it is missing
+   *     entries
    */
   record Digest(
       int partition, int partitionCount, Map<WriterId, Long> knownVersions, boolean replyRequested)
@@ -55,8 +56,8 @@
   }
 
   /**
-   * What a digest showed to be missing, or the first of it; {@code hasMore}: the rest is to be
-   * requested.
+   * The entries that a digest showed to be missing, or the first of them; {@code hasMore} is true
+   * if the rest must be requested.
    */
   record DeltaBatch(int partition, int partitionCount, List<Delta> deltas, boolean hasMore)
       implements ReplicationMessage {
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationProtocol.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationProtocol.java
@@ -10,20 +10,19 @@
 import java.util.TreeMap;
 
 /**
- * One courier's part in replicating the state of its fleet. Messages, own entries and ticks come
- * in; what is to be sent, and which subjects changed, goes out through {@link ReplicationActions}.
- * Timestamps are microseconds on a clock that goes on while the process is paused. Not safe for use
- * by several threads.
+ * One courier's replica of the state of its fleet. Messages, own entries and ticks are passed in;
+ * messages to be sent and changed subjects are passed to {@link ReplicationActions}. Timestamps are
+ * in microseconds on a clock that advances while the process is paused. Not thread-safe.
  *
- * <p>New entries are broadcast ({@link BroadcastQueue}); what is lost is made up for by comparing
- * checksums with another courier now and then, and by requesting what is missing ({@link
+ * <p>New entries are broadcast ({@link BroadcastQueue}). Lost messages are compensated by periodic
+ * comparison of checksums with another courier, and by requests for missing entries ({@link
  * AntiEntropy}).
  */
 public final class ReplicationProtocol {
-  /** Bytes of a datagram's content. */
+  /** Maximum estimated size of a datagram's payload. */
   public static final int MAX_DATAGRAM_BYTES = 900;
 
-  /** Bytes of a batch. */
+  /** Size of a batch's entries; only the last entry may exceed it. */
   public static final int MAX_BATCH_BYTES = 32_000;
 
   private static final long SECOND_US = 1_000_000;
@@ -41,11 +40,11 @@
   private long invalidDigests;
 
   /**
-   * Starts the protocol.
+   * Creates the protocol with an empty store.
    *
-   * @param self under which entries are written here; no other store of this courier may have
-   *     written under it
-   * @param seed of all random choices
+   * @param self the id under which entries are written here; no other store of this courier may
+   *     have written under it
+   * @param seed the seed of all random choices
    */
   public ReplicationProtocol(
       final ReplicationSettings settings,
@@ -68,10 +67,11 @@
   // ---------------------------------------------------------------- own entries
 
   /**
-   * Restores what an earlier process of this courier stored; to be called before anything else.
+   * Restores the entries of an earlier process of this courier; must be called before anything
+   * else.
    *
-   * @param lastSyncedUs when it was last found equal with another, on the present clock, perhaps
-   *     before its start
+   * @param lastSyncedUs when its store was last found equal to another, on the present clock,
+   *     perhaps before the start of this process; 0: never
    */
   public void restore(final Collection<Delta> deltas, final long lastSyncedUs, final long nowUs) {
     final Set<SubjectChanged> changed = new LinkedHashSet<>();
@@ -81,36 +81,36 @@
   }
 
   /**
-   * An operator disables an endpoint here, or enables it; that supersedes all entries on it that
-   * are known here.
+   * Records that an operator disabled or enabled an endpoint here, which supersedes all entries on
+   * it that are known here.
    */
   public void setEndpointDisabled(
       final String endpoint, final boolean disabled, final String operator, final long nowUs) {
     writer.writeDisabled(endpoint, disabled, operator, nowUs);
   }
 
-  /** A destination told this courier to wait until then. */
+  /** Records that a destination asked this courier to wait until that time. */
   public void recordWait(final String destination, final long untilUs, final long nowUs) {
     writer.writeWait(destination, untilUs, nowUs);
   }
 
-  /** This courier found that a destination failed, or that it serves again after it failed. */
+  /** Records that this courier found a destination to have failed, or to serve again. */
   public void recordOutage(final String destination, final boolean isOut, final long nowUs) {
     writer.writeOutage(destination, isOut, nowUs);
   }
 
-  /** A destination stated how many calls a second it accepts from all couriers. */
+  /** Records how many calls per second a destination accepts from all couriers. */
   public void recordRateLimit(final String destination, final double perSecond, final long nowUs) {
     writer.writeRate(EntryType.LIMIT, destination, perSecond, nowUs);
   }
 
-  /** This courier was rejected there, and keeps to so many calls a second since. */
+  /** Records the calls per second to which this courier limits itself after a rejection. */
   public void recordLearnedRate(
       final String destination, final double perSecond, final long nowUs) {
     writer.writeRate(EntryType.LEARNT, destination, perSecond, nowUs);
   }
 
-  /** This courier received that version of the endpoint list. */
+  /** Records that this courier received a version of the endpoint list. */
   public void recordListVersion(final String source, final long sequence, final long nowUs) {
     writer.writeListVersion(source, sequence, nowUs);
   }
@@ -118,8 +118,8 @@
   // ---------------------------------------------------------------- time
 
   /**
-   * Replaces the addresses that can be reached now, as {@link ReplicationActions} takes them,
-   * without this courier's own.
+   * Replaces the addresses of the couriers that are reachable now, in the form that {@link
+   * ReplicationActions} takes, without this courier's own.
    */
   public void setReachablePeers(final Collection<String> reachable) {
     if (peers.replace(reachable)) {
@@ -127,7 +127,7 @@
     }
   }
 
-  /** To be called every {@link ReplicationSettings#tickIntervalUs}. */
+  /** Must be called every {@link ReplicationSettings#tickIntervalUs}. */
   public void tick(final long nowUs) {
     sender.refill(nowUs);
     final Set<SubjectChanged> changed = new LinkedHashSet<>();
@@ -145,7 +145,7 @@
 
   // ---------------------------------------------------------------- messages
 
-  /** A message arrived from a courier that can be answered at that address. */
+  /** Handles a message from a courier, which can be answered at that address. */
   public void onMessage(final String from, final ReplicationMessage message, final long nowUs) {
     if (antiEntropy.isSeparated(nowUs)) {
       rejoinAfterSeparation(nowUs);
@@ -163,9 +163,9 @@
   }
 
   /**
-   * This courier was apart from all others for so long that they may have forgotten why an entry
-   * was superseded: what they hold counts, and of what is stored here only what operators decided
-   * here meanwhile.
+   * Rejoins after a separation so long that the other couriers may have dropped the entries that
+   * superseded some of those stored here. Their state is adopted; of the entries stored here, only
+   * the decisions that operators made here during the separation are written again.
    */
   private void rejoinAfterSeparation(final long nowUs) {
     final long separatedUs = antiEntropy.lastSyncedUs();
@@ -204,8 +204,8 @@
   }
 
   /**
-   * If others hold more of this writer's entries than it wrote, someone else wrote under its id:
-   * this one takes another id.
+   * Checks whether another courier knows a higher version of this writer than it wrote. Then
+   * another process wrote under its id, and it continues under a new one.
    */
   private void detectForeignWrites(final long theirVersion) {
     if (theirVersion > writer.version()) {
@@ -221,10 +221,10 @@
     }
   }
 
-  /** Merges deltas of others. Returns the entries of those that changed something. */
+  /** Merges deltas of other writers. Returns the entries of those that changed the store. */
   private List<Entry> merge(final List<Delta> deltas, final long nowUs) {
     final Set<SubjectChanged> changed = new LinkedHashSet<>();
-    final List<Entry> news = new ArrayList<>();
+    final List<Entry> newEntries = new ArrayList<>();
     for (final Delta delta : deltas) {
       if (delta.writer().equals(writer.self())) {
         detectForeignWrites(delta.upToVersion());
@@ -233,16 +233,16 @@
       final int changedBefore = changed.size();
       store.merge(delta, nowUs, changed);
       if (changed.size() > changedBefore) {
-        news.addAll(delta.entries());
+        newEntries.addAll(delta.entries());
       }
     }
     notifier.notifyChanged(changed);
-    return news;
+    return newEntries;
   }
 
   // ---------------------------------------------------------------- reading
 
-  /** Returns what counts on a subject. */
+  /** Returns the merged value of a subject. */
   public MergedValue mergedValue(final EntryType type, final String subject) {
     return MergeRule.merge(type, subject, store.entries(type, subject));
   }
@@ -263,17 +263,17 @@
   }
 
   /**
-   * Returns some of the stored entries, by writer and version. What is added or removed between two
+   * Returns some of the stored entries, by writer and version. Entries added or removed between two
    * calls may or may not be included.
    *
-   * @param after the last entry of the previous call; null: from the first on
+   * @param after the last entry of the previous call; null to start from the first
    * @return empty when there are no more
    */
   public List<Entry> entriesAfter(final Entry after, final int limit) {
     return store.entriesAfter(after, limit);
   }
 
-  /** Returns all stored entries by writers, for a snapshot or a comparison. */
+  /** Returns all stored entries as one delta for each writer. */
   public List<Delta> allDeltas() {
     final Map<WriterId, List<Entry>> entriesByWriter = new TreeMap<>();
     store
@@ -310,14 +310,14 @@
   }
 
   /**
-   * Returns true once this store was found equal with another, or received all that it missed,
-   * since the start.
+   * Returns true once this store was found equal to another since the start, or received everything
+   * that it was missing.
    */
   public boolean isCaughtUp() {
     return antiEntropy.isCaughtUp();
   }
 
-  /** Returns when this store was last found equal with another, or caught up; 0: never. */
+  /** Returns when this store was last found equal to another, or caught up; 0: never. */
   public long lastSyncedUs() {
     return antiEntropy.lastSyncedUs();
   }
@@ -328,8 +328,8 @@
   }
 
   /**
-   * Returns how many entries, deltas and digests were rejected, since they are invalid or exceed
-   * the capacity.
+   * Returns how many entries, deltas and digests were rejected because they were invalid or
+   * exceeded the capacity.
    */
   public long rejectedInputs() {
     return store.rejected() + writer.rejected() + invalidDigests;
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationSender.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationSender.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.replicas;
 
 /**
- * Sends messages, and limits their bytes a second: one allowance for messages, and one for the
- * batches that others request.
+ * Sends messages and limits their bytes per second, with one allowance for messages sent as
+ * datagrams and one for the batches that others request.
  */
 final class ReplicationSender {
   private static final long SECOND_US = 1_000_000;
@@ -21,7 +21,7 @@
     this.refilledUs = nowUs;
   }
 
-  /** Refills the allowances for the time that passed. */
+  /** Refills the allowances for the elapsed time, at most one second. */
   void refill(final long nowUs) {
     final double seconds =
         Math.max(0, Math.min(SECOND_US, nowUs - refilledUs)) / (double) SECOND_US;
@@ -48,7 +48,7 @@
     actions.send(to, message);
   }
 
-  /** Sends a batch: as a datagram if it fits into one, over a connection if not. */
+  /** Sends a batch as a datagram if it fits into one, otherwise over a connection. */
   void sendBatch(final String to, final ReplicationMessage.DeltaBatch batch) {
     final int bytes = batch.estimatedBytes();
     batchAllowance.spend(bytes);
--- a/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationSettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/ReplicationSettings.java
@@ -4,15 +4,15 @@
  * Intervals and bounds of the replication protocol; times are microseconds.
  *
  * @param tickIntervalUs how often {@link ReplicationProtocol#tick} is called
- * @param checksumIntervalUs how often checksums are compared; more seldom in larger fleets
- * @param maxDirectPeers fleets of up to so many others are sent new entries one by one
- * @param messageBytesPerSecond the rate of broadcasts, checksums and digests
- * @param batchBytesPerSecond the rate at which missing entries are served
- * @param maxEntries how many entries are stored
+ * @param checksumIntervalUs time between two checksums that are sent; longer in larger fleets
+ * @param maxDirectPeers up to this many others, new entries are sent to each of them directly
+ * @param messageBytesPerSecond the maximum rate of broadcasts, checksums and digests
+ * @param batchBytesPerSecond the maximum rate at which missing entries are served
+ * @param maxEntries the maximum number of stored entries
  * @param maxEntriesPerWriter how many of them may be of one writer
- * @param maxSeparationUs a courier that was apart from all others for longer adopts what they hold
- * @param tombstoneRetentionUs for how long an enabling entry is kept: longer than {@code
- *     maxSeparationUs}
+ * @param maxSeparationUs a courier that was separated from all others for longer adopts their state
+ * @param tombstoneRetentionUs how long an enabling entry is kept; must be longer than {@code
+ *     maxSeparationUs}, so that no disabling entry that it superseded can return
  */
 public record ReplicationSettings(
     long tickIntervalUs,
--- a/decisions/src/main/java/thistleturn/decisions/replicas/StoredEntry.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/StoredEntry.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** An entry in the store; due in the heap of expirations when it expires. */
+/** An entry in the store, scheduled in the heap of expirations. */
 final class StoredEntry extends TimeHeap.Entry {
   private final EntryKey key;
   private final Entry entry;
--- a/decisions/src/main/java/thistleturn/decisions/replicas/SubjectChanged.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/SubjectChanged.java
@@ -1,7 +1,7 @@
 package thistleturn.decisions.replicas;
 
 /**
- * Notifies that the entries on a subject changed.
+ * A notification that the entries on a subject changed.
  *
  * @param typeCode the code of the entries' {@link EntryType}
  * @param subject an endpoint's name, or a destination's number
--- a/decisions/src/main/java/thistleturn/decisions/replicas/WriterId.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/WriterId.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * Identifies who writes entries: a courier, and which of its stores. A courier that lost its
- * folder, or got an older one back, starts another store, so that no version of one store ever
- * means two things.
+ * Identifies a writer of entries: a courier and one of its successive stores. A courier that lost
+ * its state folder, or had an older one restored, starts a new store, so that a version of a store
+ * never identifies two different entries.
  *
  * @param name at most {@link #MAX_NAME_LENGTH} characters
  * @param epoch when the store started, Unix microseconds by the courier's own clock; above 0
  */
 public record WriterId(String name, long epoch) implements Comparable<WriterId> {
-  /** Characters that a name may have. */
+  /** Maximum number of characters in a name. */
   public static final int MAX_NAME_LENGTH = 64;
 
   private static final Comparator<WriterId> ORDER =
@@ -22,7 +22,7 @@
     return ORDER.compare(this, other);
   }
 
-  /** Returns true for an id that can exist. */
+  /** Returns true if name and epoch are valid. */
   boolean isValid() {
     return !name.isEmpty() && name.length() <= MAX_NAME_LENGTH && epoch > 0;
   }
--- a/decisions/src/main/java/thistleturn/decisions/replicas/WriterLog.java
+++ b/decisions/src/main/java/thistleturn/decisions/replicas/WriterLog.java
@@ -4,9 +4,9 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** The entries of one writer by version, and up to which version none of them is missing. */
+/** The entries of one writer by version, and the version up to which none is missing. */
 final class WriterLog {
-  /** Stands for a log that holds entries, or was not checked since it lost its last. */
+  /** Stands for a log with entries, or one not checked since its last entry was removed. */
   private static final long NOT_EMPTY = Long.MAX_VALUE;
 
   private final NavigableMap<Long, StoredEntry> entriesByVersion = new TreeMap<>();
@@ -49,14 +49,14 @@
     entriesByVersion.remove(stored.entry().version());
   }
 
-  /** Records that a delta was merged: if it leaves no gap, nothing is missing up to its end. */
+  /** Records a merged delta: if it leaves no gap, nothing is missing up to its end. */
   void recordMerged(final Delta delta) {
     if (delta.afterVersion() <= contiguousVersion) {
       contiguousVersion = Math.max(contiguousVersion, delta.upToVersion());
     }
   }
 
-  /** Notes since when the log has been empty. */
+  /** Records when the log was first found empty. */
   void checkEmpty(final long nowUs) {
     if (!entriesByVersion.isEmpty()) {
       emptySinceUs = NOT_EMPTY;
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Returns true if the log was found empty, and has been for longer than that. */
+  /** Returns true if the log was found empty longer ago than {@code us}. */
   boolean isEmptyForLongerThan(final long us, final long nowUs) {
     return entriesByVersion.isEmpty() && nowUs - emptySinceUs > us;
   }
--- a/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/EntryStoreTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stores converge to the same entries in any order and with any duplication; superseded entries do
- * not return.
+ * Stores converge to the same entries whatever the order and duplication of what they merge;
+ * superseded and expired entries do not return.
  */
 @Tag("replicas")
 @org.junit.jupiter.api.Tag("replicas")
@@ -73,10 +73,10 @@
     final long[] versions = new long[3];
     final WriterId[] writers = {A, B, C};
     for (int number = 0; number < 40; number++) {
-      final int which = random.nextInt(3);
+      final int writer = random.nextInt(3);
       final String subject = String.valueOf(random.nextInt(3));
-      versions[which]++;
-      all.add(randomEntry(random, writers[which], versions[which], subject, all));
+      versions[writer]++;
+      all.add(randomEntry(random, writers[writer], versions[writer], subject, all));
     }
     return all;
   }
@@ -158,8 +158,8 @@
   }
 
   /**
-   * Two stores that each hold a part, and send each other what is missing in batches of any size,
-   * become equal.
+   * Two stores that each have some of the entries, and send each other the missing ones in batches
+   * of any size, become equal.
    */
   @Property(tries = 1000)
   void exchangeOfMissingEntries_makesStoresEqual(@ForAll final long seed) {
@@ -187,13 +187,13 @@
     assertEquals(entryTexts(one), entryTexts(other));
   }
 
-  /** One exchange, in batches of so many bytes: each continues where the one before left off. */
+  /** Sends all missing entries in batches; each continues where the previous one ended. */
   private static void exchangeMissing(
       final EntryStore from, final EntryStore to, final Partition partition, final int maxBytes) {
     final Map<WriterId, Long> covered = new TreeMap<>(to.knownVersions(partition));
     boolean hasMore = true;
     for (int batch = 0; hasMore; batch++) {
-      assertTrue(batch < 1000, "it never ends");
+      assertTrue(batch < 1000, "the exchange does not end");
       final MissingEntries missing = from.collectMissing(covered, partition, maxBytes, NOW_US);
       hasMore = missing.hasMore();
       for (final Delta delta : missing.deltas()) {
@@ -221,8 +221,7 @@
     merge(store, singleEntryDelta(disabled));
     merge(store, new Delta(A, 0, 1, List.of(disabled)));
     assertEquals(List.of(enabled), store.entries(EntryType.MAINTENANCE, "e1"));
-    // A store that knows nothing of writer A any more: the decision that superseded A's still
-    // stands.
+    // In a store that no longer knows writer A, the decision that superseded A's still counts.
     final EntryStore wiped = new EntryStore(SETTINGS);
     merge(wiped, singleEntryDelta(enabled));
     merge(wiped, singleEntryDelta(disabled));
@@ -242,7 +241,7 @@
     assertEquals(Set.of(new SubjectChanged(EntryType.WAIT.code(), "7")), changed);
     assertEquals(0, store.size());
     store.merge(singleEntryDelta(wait), NOW_US + SECOND_US / 2, new HashSet<>());
-    assertEquals(0, store.size(), "its version is known already");
+    assertEquals(0, store.size(), "its version is already known");
   }
 
   @Test
@@ -258,7 +257,7 @@
     assertEquals(
         NOW_US + 9 * SECOND_US,
         store.entries(EntryType.WAIT, "7").get(0).expiresUs(),
-        "and not later again");
+        "a later copy does not postpone it");
     assertEquals(1, store.size());
   }
 
@@ -301,11 +300,11 @@
           store,
           singleEntryDelta(entry(B, number, EntryType.WAIT, String.valueOf(number), SECOND_US)));
     }
-    assertTrue(store.size() <= 1000, "holds " + store.size());
+    assertTrue(store.size() <= 1000, "stored entries: " + store.size());
     assertEquals(
         600,
         store.entries(EntryType.WAIT, "1").size() * 600 / 2,
-        "both writers had an entry on the first");
+        "both writers have an entry on the first subject");
     assertTrue(store.rejected() >= 9000);
   }
 
@@ -342,6 +341,6 @@
             .state());
     assertTrue(
         SETTINGS.tombstoneRetentionUs() > SETTINGS.maxSeparationUs(),
-        "a courier that was apart for longer adopts what others hold");
+        "a courier that was separated for longer adopts the state of others");
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/replicas/MergeRuleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/MergeRuleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Where writers differ, the more careful entry counts, while it can still be true. */
+/** Where writers differ, the more cautious entry counts as long as it may still hold. */
 @Tag("replicas")
 final class MergeRuleTest {
   private static final long SECOND_US = 1_000_000;
@@ -69,7 +69,7 @@
     assertEquals("may serve", merged.state());
     assertFalse(merged.conflict());
     assertEquals(List.of(C), merged.writers());
-    // No writer knew of a later decision of A's.
+    // C's decision does not supersede a later one of A's.
     assertEquals(
         "left out",
         merge(
@@ -101,8 +101,8 @@
     final MergedValue merged = merge(EntryType.OUTAGE, outage, firstRecovery, laterRecovery);
     assertEquals("returned", merged.state());
     assertEquals(NOW_US - 4 * SECOND_US, merged.sinceUs());
-    // The first observer found it out again after that: that is more careful, and can still be
-    // true.
+    // An outage found after the recoveries counts again: it is the more cautious entry, and may
+    // still hold.
     assertEquals(
         "out",
         merge(
--- a/decisions/src/test/java/thistleturn/decisions/replicas/ReplicationProtocolTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/replicas/ReplicationProtocolTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One courier's part in the protocol: what it sends when, and how it handles what it cannot trust.
+ * The protocol at one courier: which messages it sends when, and how it handles invalid, excessive
+ * or contradicting input.
  */
 @Tag("replicas")
 final class ReplicationProtocolTest {
@@ -96,7 +97,7 @@
                       sentMessage.to().equals(to)
                           && sentMessage.message() instanceof ReplicationMessage.EntryBroadcast)
               .count(),
-          "twice, since one may be lost");
+          "sent twice, since one may be lost");
     }
     advance(2 * SECOND_US);
     assertEquals(
@@ -105,15 +106,15 @@
             .filter(
                 sentMessage -> sentMessage.message() instanceof ReplicationMessage.EntryBroadcast)
             .count(),
-        "and no more");
+        "sent no more often");
     assertTrue(
         sent.stream()
             .anyMatch(sentMessage -> sentMessage.message() instanceof ReplicationMessage.Checksum),
-        "what is lost is found by comparing checksums");
+        "lost entries are detected by comparing checksums");
   }
 
   @Test
-  void informedOperator_supersedesEarlierEntry() {
+  void decisionMadeWithKnowledgeOfAnother_supersedesIt() {
     receive(disableEntry(OTHER, 1, true, nowUs));
     protocol.setEndpointDisabled("e1", false, "o", nowUs);
     assertEquals("may serve", protocol.mergedValue(EntryType.MAINTENANCE, "e1").state());
@@ -122,7 +123,7 @@
     assertEquals(
         "may serve",
         protocol.mergedValue(EntryType.MAINTENANCE, "e1").state(),
-        "received again, it is still superseded");
+        "an entry received again is still superseded");
     receive(disableEntry(OTHER, 2, true, nowUs));
     assertEquals("left out", protocol.mergedValue(EntryType.MAINTENANCE, "e1").state());
     assertTrue(
@@ -142,7 +143,7 @@
     assertEquals(
         nowUs + EntryType.WAIT.maxTtlUs(),
         protocol.mergedValue(EntryType.WAIT, "8").untilUs(),
-        "a wait of centuries is an hour");
+        "waits are limited to an hour");
     advance(7 * SECOND_US);
     assertEquals("nothing", protocol.mergedValue(EntryType.WAIT, "7").state());
   }
@@ -208,17 +209,17 @@
     assertEquals(
         "left out",
         protocol.mergedValue(EntryType.MAINTENANCE, "e1").state(),
-        "as long as no other courier is heard");
+        "until a message of another courier arrives");
     protocol.setEndpointDisabled("e2", true, "o", nowUs);
     protocol.onMessage("n1", new ReplicationMessage.Checksum(0, 0), nowUs);
     assertEquals(
         "nothing",
         protocol.mergedValue(EntryType.MAINTENANCE, "e1").state(),
-        "others may have forgotten why that was superseded");
+        "others may have dropped the entry that superseded it");
     assertEquals(
         "left out",
         protocol.mergedValue(EntryType.MAINTENANCE, "e2").state(),
-        "what an operator decided here meanwhile stands");
+        "a decision made here during the separation is kept");
     assertNotEquals(SELF, protocol.self());
     assertEquals(1, events.size());
   }
