--- a/replicas/src/main/java/thistleturn/replicas/EntryReader.java
+++ b/replicas/src/main/java/thistleturn/replicas/EntryReader.java
@@ -13,8 +13,8 @@
 import thistleturn.peers.cbor.MalformedMessageException;
 
 /**
- * Reads the values that {@link EntryWriter} writes. Ages become times on this process's clock.
- * Fields of an entry are kept as they are, whether they are known here or not.
+ * Reads the values that {@link EntryWriter} writes. Ages are converted to times on this process's
+ * clock. All fields of an entry are kept, including those unknown in this version.
  */
 final class EntryReader extends CborReader {
   private static final int MAX_WRITERS = 10_000;
@@ -24,13 +24,13 @@
 
   private final long nowUs;
 
-  /** Makes a reader to which an entry of age 0 was created now. */
+  /** Creates a reader for which an entry of age 0 was created at {@code nowUs}. */
   EntryReader(final byte[] bytes, final long nowUs) throws IOException {
     super(bytes);
     this.nowUs = nowUs;
   }
 
-  /** Takes up to which version the entries of each writer are known. */
+  /** Reads for each writer the version up to which no entry is missing. */
   Map<WriterId, Long> knownVersions() throws IOException {
     final Map<WriterId, Long> knownVersions = new TreeMap<>();
     beginArray();
@@ -43,6 +43,7 @@
     return knownVersions;
   }
 
+  /** Reads a list of deltas. */
   List<Delta> deltas() throws IOException {
     final List<Delta> deltas = new ArrayList<>();
     beginArray();
@@ -63,7 +64,7 @@
     return new Delta(writer, afterVersion, upToVersion, entries);
   }
 
-  /** Takes writers with their entries, to the end of the list. */
+  /** Reads a list of writers, each with its entries. */
   Map<WriterId, List<Entry>> entriesByWriter() throws IOException {
     final Map<WriterId, List<Entry>> entriesByWriter = new TreeMap<>();
     beginArray();
@@ -94,7 +95,7 @@
     final long ageUs = number();
     final List<Object> fields = restOfFields();
     if (ageUs < 0) {
-      throw new MalformedMessageException("an entry of the future");
+      throw new MalformedMessageException("an entry with a negative age");
     }
     return new Entry(typeCode, subject, writer, version, ttlUs, nowUs - ageUs, fields);
   }
--- a/replicas/src/main/java/thistleturn/replicas/EntryWriter.java
+++ b/replicas/src/main/java/thistleturn/replicas/EntryWriter.java
@@ -9,13 +9,13 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * Writes entries, for messages and for files. An entry has its age in place of its time, so that no
- * two clocks need agree.
+ * Writes entries as CBOR, for messages and files. An entry is written with its age instead of its
+ * creation time, so that the clocks of two couriers need not agree.
  */
 final class EntryWriter {
   private EntryWriter() {}
 
-  /** Writes up to which version the entries of each writer are known. */
+  /** Writes for each writer the version up to which no entry is missing. */
   static void writeKnownVersions(final CBORGenerator out, final Map<WriterId, Long> knownVersions)
       throws IOException {
     out.writeStartArray();
@@ -32,6 +32,7 @@
     out.writeNumber(writer.epoch());
   }
 
+  /** Writes a list of deltas. */
   static void writeDeltas(final CBORGenerator out, final List<Delta> deltas, final long nowUs)
       throws IOException {
     out.writeStartArray();
@@ -46,14 +47,14 @@
     out.writeEndArray();
   }
 
-  /** Writes each writer with its entries. */
+  /** Writes a list of writers, each with its entries. */
   static void writeEntriesByWriter(
       final CBORGenerator out, final Map<WriterId, List<Entry>> entriesByWriter, final long nowUs)
       throws IOException {
     out.writeStartArray();
-    for (final Map.Entry<WriterId, List<Entry>> one : entriesByWriter.entrySet()) {
-      writeWriterId(out, one.getKey());
-      writeEntries(out, one.getValue(), nowUs);
+    for (final Map.Entry<WriterId, List<Entry>> each : entriesByWriter.entrySet()) {
+      writeWriterId(out, each.getKey());
+      writeEntries(out, each.getValue(), nowUs);
     }
     out.writeEndArray();
   }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicaCodec.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicaCodec.java
@@ -6,8 +6,8 @@
 import thistleturn.peers.cbor.Cbor;
 
 /**
- * Messages between replicas as CBOR: arrays by place, each with its version first. A reader skips
- * what a later version has appended to the values that it knows.
+ * Encodes messages between replicas as CBOR arrays of positional values, each with its version
+ * first. A reader skips values that a later version appended.
  */
 final class ReplicaCodec {
   /** The version that is written. A reader rejects only versions below {@link #MIN_VERSION}. */
@@ -16,14 +16,14 @@
   private static final int MIN_VERSION = 1;
   private static final int INITIAL_BUFFER_BYTES = 1024;
 
-  /** The types of messages on the wire. */
+  /** Type codes of messages on the wire. */
   private static final int ENTRY_BROADCAST = 1;
 
   private static final int CHECKSUM = 2;
   private static final int DIGEST = 3;
   private static final int DELTA_BATCH = 4;
 
-  /** Returns the bytes of a message that is sent now. */
+  /** Encodes a message that is sent now. */
   byte[] write(final ReplicationMessage message, final long nowUs) {
     return Cbor.encode(
         INITIAL_BUFFER_BYTES,
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Reads a message that was received now.
+   * Decodes a message that was received now.
    *
-   * @return the message, or null if it is of a type that is not known here
+   * @return the message, or null if its type is unknown in this version
    */
   ReplicationMessage read(final byte[] bytes, final long nowUs) throws IOException {
     try (EntryReader in = new EntryReader(bytes, nowUs)) {
--- a/replicas/src/main/java/thistleturn/replicas/ReplicaStorage.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicaStorage.java
@@ -16,10 +16,11 @@
 import thistleturn.decisions.replicas.ReplicationProtocol;
 
 /**
- * Two files of a courier's copy. Words by hand are few and precious: they are put down before the
- * operator is answered. All else can be had from others again, and is put down now and then,
- * collected in slices on the loop and written by a thread of its own; what comes while that writes
- * takes the place of what waits.
+ * Stores a courier's entries in two files. Operators' decisions on endpoints are few and must not
+ * be lost, so they are written before the operator's request is answered. All other entries can be
+ * received from other couriers again. They are written from time to time: collected in slices on
+ * the event loop, and written by a thread of its own. A snapshot that is completed while another
+ * one waits to be written replaces it.
  */
 final class ReplicaStorage {
   private static final String DISABLED_ENDPOINTS_FILE = "replicas.words";
@@ -37,7 +38,7 @@
   private final AtomicBoolean failureLogged = new AtomicBoolean();
   private long writerEpoch;
 
-  /** What is being collected; null: nothing is. */
+  /** The entries collected for the next snapshot; null if none is being collected. */
   private List<Entry> collected;
 
   private long nextSaveUs;
@@ -50,65 +51,74 @@
   }
 
   /**
-   * How long the machine has been up, us: the clock that is not set, and begins anew with the
-   * machine.
+   * Returns the machine's uptime, us: a clock that is never set, and that starts again with
+   * the machine.
    */
   private static long uptimeUs() {
     return System.nanoTime() / NS_PER_US;
   }
 
-  /** What was found in both files; its birth is a further one, and put down as used. */
+  /**
+   * Returns the contents of both files with a new epoch for the writer. The epoch is stored before
+   * it is used, so that no later process uses it again.
+   */
   SnapshotFile.StoredSnapshot load() throws IOException {
     final long nowUs = clock.nowUs();
-    final SnapshotFile.StoredSnapshot byHand =
+    final SnapshotFile.StoredSnapshot disabledEndpoints =
         disabledEndpointsFile.read(nowUs, clock.wallClockUs(), uptimeUs());
-    final SnapshotFile.StoredSnapshot rest =
+    final SnapshotFile.StoredSnapshot allEntries =
         allEntriesFile.read(nowUs, clock.wallClockUs(), uptimeUs());
     final List<Delta> deltas = new ArrayList<>();
-    long last = 0;
-    long togetherUs = 0;
-    // The words first: nothing in the other file, which may be older, can take their place.
+    long lastEpoch = 0;
+    long lastInSyncUs = 0;
+    // Operators' decisions first: nothing in the other file, which may be older, can replace them.
     for (final SnapshotFile.StoredSnapshot found :
-        new SnapshotFile.StoredSnapshot[] {byHand, rest}) {
+        new SnapshotFile.StoredSnapshot[] {disabledEndpoints, allEntries}) {
       if (found != null) {
         deltas.addAll(found.deltas());
-        last = Math.max(last, found.epoch());
-        togetherUs = found.lastInSyncUs() == 0 ? togetherUs : found.lastInSyncUs();
+        lastEpoch = Math.max(lastEpoch, found.epoch());
+        lastInSyncUs = found.lastInSyncUs() == 0 ? lastInSyncUs : found.lastInSyncUs();
       }
     }
-    writerEpoch = Math.max(clock.wallClockUs(), last + 1);
-    final List<Entry> held = new ArrayList<>();
+    writerEpoch = Math.max(clock.wallClockUs(), lastEpoch + 1);
+    final List<Entry> decisions = new ArrayList<>();
     deltas.forEach(
         delta ->
             delta.entries().stream()
                 .filter(entry -> entry.typeCode() == EntryType.MAINTENANCE.code())
-                .forEach(held::add));
+                .forEach(decisions::add));
     disabledEndpointsFile.replace(
         disabledEndpointsFile.encode(
             new SnapshotFile.Snapshot(
-                writerEpoch, Map.of(), held, togetherUs, nowUs, clock.wallClockUs(), uptimeUs())));
-    return new SnapshotFile.StoredSnapshot(writerEpoch, deltas, togetherUs);
+                writerEpoch,
+                Map.of(),
+                decisions,
+                lastInSyncUs,
+                nowUs,
+                clock.wallClockUs(),
+                uptimeUs())));
+    return new SnapshotFile.StoredSnapshot(writerEpoch, deltas, lastInSyncUs);
   }
 
-  /** Puts the words by hand down now. */
+  /** Writes the operators' decisions on endpoints now. */
   void saveDisabledEndpoints(final ReplicationProtocol replicas) throws IOException {
-    final List<Entry> held = new ArrayList<>();
+    final List<Entry> decisions = new ArrayList<>();
     replicas
         .subjects(EntryType.MAINTENANCE)
-        .forEach(subject -> held.addAll(replicas.entries(EntryType.MAINTENANCE, subject)));
+        .forEach(subject -> decisions.addAll(replicas.entries(EntryType.MAINTENANCE, subject)));
     disabledEndpointsFile.replace(
         disabledEndpointsFile.encode(
             new SnapshotFile.Snapshot(
                 writerEpoch,
                 Map.of(),
-                held,
+                decisions,
                 replicas.lastSyncedUs(),
                 clock.nowUs(),
                 clock.wallClockUs(),
                 uptimeUs())));
   }
 
-  /** Goes on collecting, or begins to when it is time and something has changed. */
+  /** Continues collecting a snapshot, or starts one if that is due and an entry has changed. */
   void tick(final ReplicationProtocol replicas) {
     final long nowUs = clock.nowUs();
     if (collected == null) {
@@ -137,8 +147,8 @@
     }
   }
 
-  private void scheduleSave(final SnapshotFile.Snapshot taken) {
-    if (pendingSnapshot.getAndSet(taken) == null) {
+  private void scheduleSave(final SnapshotFile.Snapshot snapshot) {
+    if (pendingSnapshot.getAndSet(snapshot) == null) {
       WRITER.execute(this::write);
     }
   }
@@ -149,7 +159,7 @@
       failureLogged.set(false);
     } catch (final IOException e) {
       if (!failureLogged.getAndSet(true)) {
-        Log.info("replicas: what is held is not put down: " + e);
+        Log.info("replicas: the entries cannot be stored: " + e);
       }
     }
   }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -26,32 +26,37 @@
 import thistleturn.peers.PiggybackChannel;
 
 /**
- * Replicas as a subsystem of a courier: it tells the others what this courier is told and finds
- * out, and says to its decisions what counts of what others tell. It lives on the courier's first
- * event loop, travels with {@code peers}, and is on no message's path.
+ * The replicated state of a fleet as a subsystem of a courier. It shares what this courier learns
+ * (disabled endpoints, waits, outages, rate limits) with the other couriers, and applies the merged
+ * values of all couriers to the local overload controllers as directives. It runs on the courier's
+ * first event loop, sends its messages through {@code peers}, and is not involved in the delivery
+ * of any message.
  */
 public final class ReplicasExtension
     implements PiggybackChannel, StateObserver, ReplicationActions {
   private static final double US_PER_S = 1_000_000;
 
-  /** Ticks after which it is looked who the others are. */
+  /** Ticks between two updates of the addresses of reachable peers. */
   private static final int PEER_REFRESH_TICKS = 4;
 
-  /** Words that operators are shown at most. */
+  /** Maximum number of entries on the status page. */
   private static final int MAX_ENTRIES_SHOWN = 5000;
 
-  /** How a word of the fleet's is signed. */
+  /** Precedes the name of the writing courier in the source of a directive. */
   private static final String SOURCE_PREFIX = "fleet: ";
 
-  /** A subject on which something is to be read anew, or stands. */
-  private record Subject(EntryType kind, String name) {}
+  /** Identifies a merged value: the type of its entries and what they are about. */
+  private record Subject(EntryType type, String name) {}
 
   private final ReplicasSettings settings;
   private final PeersExtension peers;
   private final ReplicaCodec codec = new ReplicaCodec();
   private final Set<Subject> changedSubjects = new LinkedHashSet<>();
 
-  /** What was said to the decisions, and is said again whenever the list names something new. */
+  /**
+   * Subjects of all types but MAINTENANCE that have a merged value. They are applied again whenever
+   * the endpoint list was received, since it may name a destination for the first time.
+   */
   private final Set<Subject> directedSubjects = new LinkedHashSet<>();
 
   private final Set<String> conflicts = new LinkedHashSet<>();
@@ -64,14 +69,14 @@
   private long malformedCount;
   private int ticks;
 
-  /** One that travels with these peers. */
+  /** Creates the subsystem, which exchanges its messages through these peers. */
   public ReplicasExtension(final ReplicasSettings settings, final PeersExtension peers) {
     this.settings = settings;
     this.peers = peers;
     peers.attach(this);
   }
 
-  /** What the courier is; to be told before the peers begin. */
+  /** Sets the courier that this subsystem belongs to; must be called before the peers start. */
   public void setContext(final ExtensionContext newContext) {
     context = newContext;
     storage = new ReplicaStorage(newContext.config().stateFolder(), newContext.clock());
@@ -79,23 +84,23 @@
 
   @Override
   public void onStarted() {
-    final SnapshotFile.StoredSnapshot found;
+    final SnapshotFile.StoredSnapshot loaded;
     try {
-      found = storage.load();
+      loaded = storage.load();
     } catch (final IOException e) {
-      Log.info("replicas: off: the folder cannot be written: " + e.getMessage());
+      Log.info("replicas: off: the state folder cannot be written: " + e.getMessage());
       return;
     }
     final String name = context.config().name();
     replicas =
         new ReplicationProtocol(
-            settings.exchangeSettings(),
-            new WriterId(name, found.epoch()),
-            name.hashCode() * 31L + found.epoch(),
+            settings.replicationSettings(),
+            new WriterId(name, loaded.epoch()),
+            name.hashCode() * 31L + loaded.epoch(),
             nowUs(),
             this);
-    replicas.restore(found.deltas(), found.lastInSyncUs(), nowUs());
-    Log.info("replicas: " + replicas.self() + " begins with " + replicas.entryCount() + " entries");
+    replicas.restore(loaded.deltas(), loaded.lastInSyncUs(), nowUs());
+    Log.info("replicas: " + replicas.self() + " starts with " + replicas.entryCount() + " entries");
     context.directives().observe(this);
     for (final String endpoint : context.directives().disabledEndpoints()) {
       if (settings.sharesDisabledEndpoints()
@@ -120,7 +125,8 @@
     }
     context
         .eventLoop()
-        .schedule(this::tick, settings.exchangeSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
+        .schedule(
+            this::tick, settings.replicationSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % PEER_REFRESH_TICKS == 0) {
       replicas.setReachablePeers(peers.livingPeerAddresses().values());
     }
@@ -140,20 +146,20 @@
     }
   }
 
-  /** The process ends soon. */
+  /** Stops writing, exchanging and applying entries, as the process is about to end. */
   public void stop() {
     stopped = true;
   }
 
-  // ---------------------------------------------------------------- the wire
+  // ---------------------------------------------------------------- messages
 
   @Override
-  public void onReceived(final String from, final byte[] text) {
+  public void onReceived(final String from, final byte[] payload) {
     if (replicas == null || stopped) {
       return;
     }
     try {
-      final ReplicationMessage message = codec.read(text, nowUs());
+      final ReplicationMessage message = codec.read(payload, nowUs());
       if (message != null) {
         replicas.onMessage(from, message, nowUs());
       }
@@ -173,16 +179,15 @@
   }
 
   @Override
-  public void onEvent(final String text) {
-    Log.info("replicas: " + text);
+  public void onEvent(final String message) {
+    Log.info("replicas: " + message);
   }
 
-  // ---------------------------------------------------------------- what this courier is told and
-  // finds out
+  // ---------------------------------------------------------------- local observations
 
   @Override
   public void onEndpointsListed() {
-    directedSubjects.forEach(this::changed);
+    directedSubjects.forEach(this::markChanged);
   }
 
   @Override
@@ -207,21 +212,21 @@
   }
 
   @Override
-  public void onEndpointDisabled(final String endpoint, final boolean leaveOut) throws IOException {
+  public void onEndpointDisabled(final String endpoint, final boolean disabled) throws IOException {
     if (settings.sharesDisabledEndpoints() && !stopped) {
-      replicas.setEndpointDisabled(endpoint, leaveOut, operator(), nowUs());
+      replicas.setEndpointDisabled(endpoint, disabled, operator(), nowUs());
       storage.saveDisabledEndpoints(replicas);
     }
   }
 
-  // ---------------------------------------------------------------- what counts
+  // ---------------------------------------------------------------- applying merged values
 
   @Override
-  public void onSubjectChanged(final EntryType kind, final String subject) {
-    changed(new Subject(kind, subject));
+  public void onSubjectChanged(final EntryType type, final String subject) {
+    markChanged(new Subject(type, subject));
   }
 
-  private void changed(final Subject subject) {
+  private void markChanged(final Subject subject) {
     changedSubjects.add(subject);
     if (!applyScheduled) {
       applyScheduled = true;
@@ -229,86 +234,88 @@
     }
   }
 
-  /** Says to the decisions what counts now, once for all that a turn of the loop has brought. */
+  /** Applies the merged values that changed, once for all changes in one iteration of the loop. */
   private void apply() {
     applyScheduled = false;
     final List<Subject> due = List.copyOf(changedSubjects);
     changedSubjects.clear();
     for (final Subject subject : due) {
-      final MergedValue verdict = replicas.mergedValue(subject.kind, subject.name);
-      if (verdict.isPresent() && subject.kind != EntryType.MAINTENANCE) {
+      final MergedValue merged = replicas.mergedValue(subject.type, subject.name);
+      if (merged.isPresent() && subject.type != EntryType.MAINTENANCE) {
         directedSubjects.add(subject);
       } else {
         directedSubjects.remove(subject);
       }
-      apply(verdict);
+      apply(merged);
     }
   }
 
-  private void apply(final MergedValue verdict) {
-    switch (verdict.type()) {
-      case MAINTENANCE -> applyMaintenance(verdict);
-      case WAIT -> issueDirective(settings.sharesRetryAfter(), verdict, Directive.Kind.WAIT, 0);
+  private void apply(final MergedValue merged) {
+    switch (merged.type()) {
+      case MAINTENANCE -> applyMaintenance(merged);
+      case WAIT -> issueDirective(settings.sharesRetryAfter(), merged, Directive.Kind.WAIT, 0);
       case OUTAGE ->
           issueDirective(
               settings.sharesOutages(),
-              verdict,
-              verdict.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
-              (double) Math.max(0, verdict.sinceUs()));
+              merged,
+              merged.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
+              (double) Math.max(0, merged.sinceUs()));
       case LIMIT ->
-          issueDirective(
-              settings.sharesRateLimits(), verdict, Directive.Kind.LIMIT, verdict.value());
-      // Of these nothing is said: they are there to be looked at.
+          issueDirective(settings.sharesRateLimits(), merged, Directive.Kind.LIMIT, merged.value());
+      // These are only shown to operators.
       case LEARNT, LIST -> {}
     }
   }
 
-  /** What this courier said itself its decisions know already. */
+  /** Applies a directive, unless its value includes what this courier wrote itself. */
   private void issueDirective(
-      final boolean wanted,
-      final MergedValue verdict,
+      final boolean shared,
+      final MergedValue merged,
       final Directive.Kind kind,
       final double value) {
-    if (wanted && verdict.isPresent() && !verdict.writers().contains(replicas.self())) {
+    if (shared && merged.isPresent() && !merged.writers().contains(replicas.self())) {
       context
           .directives()
           .applyDirective(
-              Long.parseLong(verdict.subject()),
+              Long.parseLong(merged.subject()),
               new Directive(
-                  kind, value, SOURCE_PREFIX + verdict.writers().get(0).name(), verdict.untilUs()));
+                  kind, value, SOURCE_PREFIX + merged.writers().get(0).name(), merged.untilUs()));
     }
   }
 
-  private void applyMaintenance(final MergedValue verdict) {
+  private void applyMaintenance(final MergedValue merged) {
     saveDue = true;
-    if (!settings.sharesDisabledEndpoints() || !verdict.isPresent()) {
+    if (!settings.sharesDisabledEndpoints() || !merged.isPresent()) {
       return;
     }
-    final boolean out = verdict.state().equals("left out");
-    if (out != context.directives().disabledEndpoints().contains(verdict.subject())) {
+    final boolean disabled = merged.state().equals("left out");
+    if (disabled != context.directives().disabledEndpoints().contains(merged.subject())) {
       Log.info(
           "replicas: "
-              + verdict.subject()
-              + (out ? " is left out" : " may serve again")
-              + " by the word of "
-              + verdict.writers().get(0).name());
-      context.directives().setDisabled(verdict.subject(), out);
+              + merged.subject()
+              + (disabled ? " is left out" : " may serve again")
+              + ", as decided at "
+              + merged.writers().get(0).name());
+      context.directives().setDisabled(merged.subject(), disabled);
     }
-    if (!verdict.conflict()) {
-      conflicts.remove(verdict.subject());
-    } else if (conflicts.add(verdict.subject())) {
+    if (!merged.conflict()) {
+      conflicts.remove(merged.subject());
+    } else if (conflicts.add(merged.subject())) {
       Log.info(
           "replicas: "
-              + verdict.subject()
+              + merged.subject()
               + " was left out by "
-              + verdict.writers().get(0).name()
+              + merged.writers().get(0).name()
               + " and let serve elsewhere, neither knowing of the other: it stays left out; say again what is meant");
     }
   }
 
   // ---------------------------------------------------------------- operators
 
-  /** What is held, from whom, how old, and what counts of it. Called on the event loop. */
+  /**
+   * Returns the stored entries, their writers and ages, and the merged values, as JSON for
+   * operators. Must be called on the event loop.
+   */
   public JsonNode status() {
     final ObjectNode root = JsonNodeFactory.instance.objectNode();
     if (replicas == null) {
@@ -326,49 +333,50 @@
         .put("malformed", malformedCount)
         .put("sent_bytes", replicas.sentBytes());
     final ObjectNode known = root.putObject("known");
-    for (final Map.Entry<WriterId, Long> one : replicas.knownVersions().entrySet()) {
-      known.put(one.getKey().toString(), one.getValue());
+    for (final Map.Entry<WriterId, Long> entry : replicas.knownVersions().entrySet()) {
+      known.put(entry.getKey().toString(), entry.getValue());
     }
     final ArrayNode subjects = root.putArray("subjects");
     int shown = 0;
-    for (final EntryType kind : EntryType.values()) {
-      for (final String name : replicas.subjects(kind)) {
+    for (final EntryType type : EntryType.values()) {
+      for (final String name : replicas.subjects(type)) {
         if (shown > MAX_ENTRIES_SHOWN) {
           root.put("cut_off", true);
           return root;
         }
-        shown += subject(subjects.addObject(), kind, name, nowUs);
+        shown += writeSubject(subjects.addObject(), type, name, nowUs);
       }
     }
     return root;
   }
 
-  private int subject(
-      final ObjectNode to, final EntryType kind, final String name, final long nowUs) {
-    final MergedValue verdict = replicas.mergedValue(kind, name);
-    to.put("kind", kind.name().toLowerCase(Locale.ROOT))
+  /** Writes the merged value and the entries on a subject. Returns how many entries there are. */
+  private int writeSubject(
+      final ObjectNode to, final EntryType type, final String name, final long nowUs) {
+    final MergedValue merged = replicas.mergedValue(type, name);
+    to.put("kind", type.name().toLowerCase(Locale.ROOT))
         .put("subject", name)
-        .put("state", verdict.state())
-        .put("value", verdict.value())
-        .put("for_s", (nowUs - verdict.sinceUs()) / US_PER_S)
-        .put("conflict", verdict.conflict())
-        .put("rule", verdict.reason());
-    if (verdict.untilUs() != Long.MAX_VALUE) {
-      to.put("left_s", (verdict.untilUs() - nowUs) / US_PER_S);
+        .put("state", merged.state())
+        .put("value", merged.value())
+        .put("for_s", (nowUs - merged.sinceUs()) / US_PER_S)
+        .put("conflict", merged.conflict())
+        .put("rule", merged.reason());
+    if (merged.untilUs() != Long.MAX_VALUE) {
+      to.put("left_s", (merged.untilUs() - nowUs) / US_PER_S);
     }
     final ArrayNode by = to.putArray("by");
-    verdict.writers().forEach(writer -> by.add(writer.toString()));
-    final ArrayNode words = to.putArray("words");
-    for (final Entry word : replicas.entries(kind, name)) {
-      final ObjectNode one =
-          words
+    merged.writers().forEach(writer -> by.add(writer.toString()));
+    final ArrayNode entries = to.putArray("words");
+    for (final Entry entry : replicas.entries(type, name)) {
+      final ObjectNode node =
+          entries
               .addObject()
-              .put("writer", word.writer().toString())
-              .put("version", word.version())
-              .put("age_s", (nowUs - word.createdUs()) / US_PER_S);
-      final ArrayNode fields = one.putArray("fields");
-      word.fields().forEach(field -> fields.addPOJO(field));
+              .put("writer", entry.writer().toString())
+              .put("version", entry.version())
+              .put("age_s", (nowUs - entry.createdUs()) / US_PER_S);
+      final ArrayNode fields = node.putArray("fields");
+      entry.fields().forEach(field -> fields.addPOJO(field));
     }
-    return words.size();
+    return entries.size();
   }
 }
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasSettings.java
@@ -3,16 +3,18 @@
 import thistleturn.decisions.replicas.ReplicationSettings;
 
 /**
- * How a courier takes part in holding the fleet's state.
+ * What a courier shares with the other couriers of its fleet.
  *
- * @param exchangeSettings times and bounds
- * @param sharesDisabledEndpoints endpoints that are left out by hand here are left out by all
- * @param sharesRetryAfter a wait that was told to one courier binds all
- * @param sharesOutages destinations found out by one are out for all, and return once for all
- * @param sharesRateLimits rates that were told to one count for all
+ * @param replicationSettings intervals and bounds of the replication protocol
+ * @param sharesDisabledEndpoints an endpoint that an operator disables at one courier is disabled
+ *     at all
+ * @param sharesRetryAfter a wait that a destination asks of one courier applies to all
+ * @param sharesOutages a destination that one courier finds unavailable is so for all, and its
+ *     recovery has one time for all
+ * @param sharesRateLimits a rate limit that a destination reports to one courier applies to all
  */
 public record ReplicasSettings(
-    ReplicationSettings exchangeSettings,
+    ReplicationSettings replicationSettings,
     boolean sharesDisabledEndpoints,
     boolean sharesRetryAfter,
     boolean sharesOutages,
--- a/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
+++ b/replicas/src/main/java/thistleturn/replicas/SnapshotFile.java
@@ -20,14 +20,16 @@
 import thistleturn.peers.cbor.Cbor;
 
 /**
- * Entries in the state folder: a magic number, a checksum of all bytes behind it, and CBOR.
+ * A file of entries in the state folder: a magic number, a checksum of all bytes after the header,
+ * and CBOR.
  *
  * <p>The file is replaced by a rename, so a reader finds either the new file or the previous one. A
- * file that is torn, of another kind or of a later version is ignored, which is logged.
+ * file that is truncated, corrupted, of another format or of another version is ignored, which is
+ * logged.
  *
- * <p>Entries are stored with their age. How much time has passed between two processes is read from
- * the wall clock, provided that the machine's uptime agrees. If it does not, entries with a time to
- * live are left out: nobody knows whether they are still valid.
+ * <p>Entries are stored with their age. The time between two processes is read from the wall clock,
+ * provided that the machine's uptime agrees. If it does not, entries with a time to live are
+ * dropped: it is unknown whether they are still valid.
  */
 final class SnapshotFile {
   private static final int MAGIC = 0x54545231;
@@ -35,16 +37,16 @@
   private static final int VERSION = 1;
   private static final int INITIAL_BUFFER_BYTES = 1024;
 
-  /** Enough for the entries that a replica may hold. */
+  /** Enough for the maximum number of entries of a replica. */
   private static final long MAX_BYTES = 64L << 20;
 
   /**
-   * How far the two clocks may disagree, us. Beyond that one of them was set, or the machine was
-   * rebooted.
+   * Maximum difference between the two clocks, us. If it is larger, the wall clock was set or the
+   * machine was rebooted.
    */
   private static final long MAX_CLOCK_SKEW_US = 1_000_000;
 
-  /** Stands for the time since the replica was last in sync if it never was. */
+  /** Written in place of the time since the replica was last in sync if it never was. */
   private static final long NEVER_IN_SYNC = -1;
 
   private final Path file;
@@ -54,12 +56,15 @@
   }
 
   /**
-   * What is stored.
+   * The contents to be stored.
    *
-   * @param epoch the writer's latest
-   * @param knownVersions up to which version each writer's entries are known
-   * @param entries as they are at {@code nowUs}
+   * @param epoch the latest epoch of this courier's writer id
+   * @param knownVersions for each writer the version up to which no entry is missing
+   * @param entries the entries at {@code nowUs}
    * @param lastInSyncUs when the replica was last found equal with another one; 0: never
+   * @param nowUs the time of the snapshot on the process's clock
+   * @param wallClockUs the same time on the wall clock
+   * @param uptimeUs the same time as the machine's uptime
    */
   record Snapshot(
       long epoch,
@@ -71,10 +76,12 @@
       long uptimeUs) {}
 
   /**
-   * What was read.
+   * The contents that were read.
    *
+   * @param epoch the latest epoch of this courier's writer id
    * @param deltas entries with times on the present process's clock
-   * @param lastInSyncUs on that clock, perhaps before the process's start; 0: never
+   * @param lastInSyncUs when the replica was last found equal with another one, on that clock and
+   *     perhaps before the process's start; 0: never
    */
   record StoredSnapshot(long epoch, List<Delta> deltas, long lastInSyncUs) {}
 
@@ -115,7 +122,7 @@
     return crc.getValue();
   }
 
-  /** Replaces the file. */
+  /** Replaces the file atomically. */
   void replace(final byte[] bytes) throws IOException {
     final Path replacement = file.resolveSibling(file.getFileName() + ".new");
     Files.write(replacement, bytes);
@@ -124,7 +131,7 @@
   }
 
   /**
-   * Reads what an earlier process has stored.
+   * Reads what an earlier process stored.
    *
    * @return the snapshot, or null if there is no file or it cannot be used; the latter is logged
    */
@@ -142,7 +149,7 @@
     }
   }
 
-  /** Returns the bytes behind the header, which must match them. */
+  /** Returns the bytes after the header, whose checksum must match. */
   private static byte[] checkedBody(final byte[] bytes) throws IOException {
     if (bytes.length >= HEADER_BYTES) {
       final ByteBuffer header = ByteBuffer.wrap(bytes);
@@ -151,18 +158,18 @@
         return body;
       }
     }
-    throw new IOException("torn, or something else");
+    throw new IOException("truncated, corrupted or of another format");
   }
 
   private static StoredSnapshot parse(
       final byte[] body, final long nowUs, final long wallClockUs, final long uptimeUs)
       throws IOException {
-    // Ages count back from now first, as if no time had passed, and are corrected afterwards.
+    // Ages are first read as if no time had passed since the file was written, then corrected.
     try (EntryReader in = new EntryReader(body, nowUs)) {
       in.beginArray();
       final long version = in.number();
       if (version != VERSION) {
-        throw new IOException("of version " + version + ", not " + VERSION);
+        throw new IOException("version " + version + ", expected " + VERSION);
       }
       final long epoch = in.number();
       final long passedUs = wallClockUs - in.number();
@@ -179,8 +186,9 @@
   }
 
   /**
-   * Returns a delta for each writer: its entries, created earlier by the time that has passed. Only
-   * those without a time to live are kept unless the clocks agree.
+   * Returns a delta for each writer, with the creation times of its entries shifted into the past
+   * by the time that has passed. Unless the clocks agree, only entries without a time to live are
+   * kept.
    */
   private static List<Delta> deltas(
       final Map<WriterId, Long> knownVersions,
--- a/replicas/src/main/java/thistleturn/replicas/package-info.java
+++ b/replicas/src/main/java/thistleturn/replicas/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What couriers are told and have learnt is held by the fleet: the wire, the folder and the words
- * of {@code decisions.replicas}.
+ * Connects the replication protocol of {@code decisions.replicas} to a courier: encodes its
+ * messages as CBOR, stores its entries in the state folder, and applies merged values as
+ * directives.
  */
 package thistleturn.replicas;
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCborBytesTest.java
@@ -20,9 +20,8 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * The exact bytes that replicas send each other and of the files that they keep. Couriers of
- * different versions exchange them during an upgrade, so a change that alters any of these bytes
- * must not pass unnoticed.
+ * Pins the exact bytes of messages between replicas and of the files that they store. Couriers of
+ * different versions exchange them during an upgrade, so any change to these bytes must be noticed.
  */
 @Tag("replicas")
 final class ReplicaCborBytesTest {
@@ -49,8 +48,8 @@
 
   private final ReplicaCodec codec = new ReplicaCodec();
 
-  private static Entry entry(final EntryType kind, final long lifeUs, final Object... fields) {
-    return new Entry(kind.code(), "7", ALPHA, 8, lifeUs, NOW_US - 250_000, List.of(fields));
+  private static Entry entry(final EntryType type, final long ttlUs, final Object... fields) {
+    return new Entry(type.code(), "7", ALPHA, 8, ttlUs, NOW_US - 250_000, List.of(fields));
   }
 
   private static String joined(final String hexLines) {
@@ -68,7 +67,7 @@
   }
 
   @Test
-  void newsMessageHasTheseBytes() throws IOException {
+  void entryBroadcast_hasTheseBytes() throws IOException {
     assertMessageBytes(
         """
         9f01019f9f65616c7068611b00060a24181e400103099f9f01613708001a0003d090f5716f706572
@@ -79,7 +78,7 @@
   }
 
   @Test
-  void markMessageHasTheseBytes() throws IOException {
+  void checksumMessage_hasTheseBytes() throws IOException {
     assertMessageBytes(
         """
         9f0102384c0cff
@@ -88,7 +87,7 @@
   }
 
   @Test
-  void pageMessageHasTheseBytes() throws IOException {
+  void digest_hasTheseBytes() throws IOException {
     final Map<WriterId, Long> known = new LinkedHashMap<>();
     known.put(ALPHA, 4L);
     known.put(BETA, 300L);
@@ -100,7 +99,7 @@
   }
 
   @Test
-  void pieceMessageHasTheseBytes() throws IOException {
+  void deltaBatch_hasTheseBytes() throws IOException {
     assertMessageBytes(
         """
         9f01040103f49f9f65616c7068611b00060a24181e400103099f9f01613708001a0003d090f5716f
@@ -110,20 +109,20 @@
         new ReplicationMessage.DeltaBatch(1, 3, DELTAS, false));
   }
 
-  /** Kinds of entries are numbers on the wire; operators' JSON holds their names in lower case. */
+  /** Entry types are numbers on the wire; operators' JSON contains their names in lower case. */
   @Test
-  void kindsOfEntriesHaveTheseNumbersAndNames() {
+  void entryTypes_haveTheseCodesAndNames() {
     assertEquals(
         "[MAINTENANCE=1, WAIT=2, OUTAGE=3, LIMIT=4, LEARNT=5, LIST=6]",
         Arrays.stream(EntryType.values())
-            .map(kind -> kind + "=" + kind.code())
+            .map(type -> type + "=" + type.code())
             .toList()
             .toString());
   }
 
-  /** The log and operators' JSON hold it in this form. */
+  /** The log and operators' JSON contain writer ids in this form. */
   @Test
-  void identityOfWriterIsWrittenAsNameAndBirth() {
+  void writerId_isWrittenAsNameAndEpoch() {
     assertEquals("alpha#1700000000000001", ALPHA.toString());
   }
 
@@ -141,15 +140,15 @@
         900_000_000);
   }
 
-  /** A mark, a checksum and CBOR. */
+  /** A magic number, a checksum and CBOR. */
   @Test
-  void snapshotFileHasTheseBytes(@TempDir final Path folder) throws IOException {
+  void snapshotFile_hasTheseBytes(@TempDir final Path folder) throws IOException {
     final byte[] written = new SnapshotFile(folder, "replicas.all").encode(snapshot());
     assertEquals(joined(SNAPSHOT_HEX), HexFormat.of().formatHex(written));
   }
 
   @Test
-  void snapshotFileWithTheseBytesIsReadBack(@TempDir final Path folder) throws IOException {
+  void snapshotFileWithTheseBytes_isReadBack(@TempDir final Path folder) throws IOException {
     Files.write(folder.resolve("replicas.all"), bytes(SNAPSHOT_HEX));
     final SnapshotFile.StoredSnapshot found =
         new SnapshotFile(folder, "replicas.all").read(NOW_US, 1_700_000_100_000_000L, 900_000_000);
--- a/replicas/src/test/java/thistleturn/replicas/ReplicaCodecTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/ReplicaCodecTest.java
@@ -24,8 +24,8 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * What is written is read as it was, by its age; what is damaged or strange is an error, what is
- * later is passed over or kept.
+ * Messages are read back as they were written, with entries dated by their age. Malformed messages
+ * are errors; unknown message types are ignored, and unknown fields are skipped or kept.
  */
 @Tag("replicas")
 final class ReplicaCodecTest {
@@ -36,8 +36,8 @@
 
   private final ReplicaCodec codec = new ReplicaCodec();
 
-  private static Entry entry(final int kind, final Object... fields) {
-    return new Entry(kind, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
+  private static Entry entry(final int typeCode, final Object... fields) {
+    return new Entry(typeCode, "e1", WRITER, 7, 1_000_000, NOW - 250_000, List.of(fields));
   }
 
   private static List<ReplicationMessage> everyMessage() {
@@ -99,21 +99,21 @@
     }
     final int written =
         codec.write(new ReplicationMessage.EntryBroadcast(deltas), Long.MAX_VALUE / 2).length;
-    assertTrue(written <= bytes + 40, written + " bytes, reckoned with " + bytes);
+    assertTrue(written <= bytes + 40, written + " bytes, estimated as " + bytes);
   }
 
   @Test
   void damagedMessage_isErrorOrAnotherValidMessage() {
     final Random random = new Random(7);
     int errors = 0;
-    for (int turn = 0; turn < 20_000; turn++) {
-      final byte[] text = codec.write(everyMessage().get(turn % 4), NOW);
-      final int kind = random.nextInt(3);
-      byte[] damaged = text.clone();
-      if (kind == 0) {
-        damaged = Arrays.copyOf(text, random.nextInt(text.length));
-      } else if (kind == 1) {
-        damaged[random.nextInt(text.length)] = (byte) random.nextInt(256);
+    for (int round = 0; round < 20_000; round++) {
+      final byte[] payload = codec.write(everyMessage().get(round % 4), NOW);
+      final int damage = random.nextInt(3);
+      byte[] damaged = payload.clone();
+      if (damage == 0) {
+        damaged = Arrays.copyOf(payload, random.nextInt(payload.length));
+      } else if (damage == 1) {
+        damaged[random.nextInt(payload.length)] = (byte) random.nextInt(256);
       } else {
         damaged = new byte[random.nextInt(200)];
         random.nextBytes(damaged);
@@ -133,7 +133,7 @@
     assertEquals(
         new ReplicationMessage.Checksum(5, 6), codec.read(array(2, 2, 5, 6, "new", 7), NOW));
     assertThrows(
-        IOException.class, () -> codec.read(array(0, 2, 5, 6), NOW), "a version before the first");
+        IOException.class, () -> codec.read(array(0, 2, 5, 6), NOW), "a version below the minimum");
   }
 
   private static byte[] array(final Object... values) throws IOException {
--- a/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
+++ b/replicas/src/test/java/thistleturn/replicas/SnapshotFileTest.java
@@ -20,8 +20,8 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * What was put down is found again, older by what passed; torn, old and foreign files are read as
- * what they are.
+ * Stored entries are read back, older by the time that passed; truncated and corrupted files are
+ * ignored, and a partly written replacement does not affect the previous file.
  */
 @Tag("replicas")
 final class SnapshotFileTest {
@@ -33,9 +33,9 @@
 
   @TempDir private Path folder;
 
-  private static SnapshotFile.Snapshot taken() {
+  private static SnapshotFile.Snapshot snapshot() {
     final long now = 50 * SECOND;
-    final Entry ban =
+    final Entry disabled =
         new Entry(
             EntryType.MAINTENANCE.code(),
             "e1",
@@ -47,17 +47,19 @@
     final Entry wait =
         new Entry(EntryType.WAIT.code(), "7", A, 5, 60 * SECOND, now - SECOND, List.of());
     return new SnapshotFile.Snapshot(
-        9, Map.of(A, 5L, B, 11L), List.of(ban, wait), now - 2 * SECOND, now, WALL, UP);
+        9, Map.of(A, 5L, B, 11L), List.of(disabled, wait), now - 2 * SECOND, now, WALL, UP);
   }
 
-  private SnapshotFile.StoredSnapshot read(final long passedUs, final long upPassedUs) {
-    return new SnapshotFile(folder, "s").read(SECOND, WALL + passedUs, UP + upPassedUs);
+  private SnapshotFile.StoredSnapshot read(
+      final long wallClockPassedUs, final long uptimePassedUs) {
+    return new SnapshotFile(folder, "s")
+        .read(SECOND, WALL + wallClockPassedUs, UP + uptimePassedUs);
   }
 
   @Test
   void storedEntries_ageByElapsedTime() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    file.replace(file.encode(taken()));
+    file.replace(file.encode(snapshot()));
     final SnapshotFile.StoredSnapshot found = read(10 * SECOND, 10 * SECOND);
     assertEquals(9, found.epoch());
     assertEquals(SECOND - 12 * SECOND, found.lastInSyncUs());
@@ -89,13 +91,13 @@
   }
 
   /**
-   * A clock an hour ahead, one that steps back, a machine that began anew: nobody knows what
-   * passed, and waits are left out.
+   * If the wall clock was set an hour forward or back, or the machine was rebooted, the elapsed
+   * time is unknown, and entries with a time to live are dropped.
    */
   @Test
   void disagreeingClocks_keepOnlyPermanentEntries() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    file.replace(file.encode(taken()));
+    file.replace(file.encode(snapshot()));
     for (final long[] passed :
         new long[][] {
           {3600 * SECOND, 10 * SECOND}, {-3600 * SECOND, 10 * SECOND}, {10 * SECOND, -UP + SECOND}
@@ -109,15 +111,15 @@
   @Test
   void tornOrCorruptedFile_isIgnored() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    assertNull(read(0, 0), "there is none");
-    final byte[] bytes = file.encode(taken());
+    assertNull(read(0, 0), "the file does not exist");
+    final byte[] bytes = file.encode(snapshot());
     final Path path = folder.resolve("s");
     for (int length = 0; length < bytes.length; length += 3) {
       Files.write(path, Arrays.copyOf(bytes, length));
-      assertNull(read(0, 0), "torn at " + length);
+      assertNull(read(0, 0), "truncated at " + length);
     }
     final Random random = new Random(3);
-    for (int turn = 0; turn < 100; turn++) {
+    for (int round = 0; round < 100; round++) {
       final byte[] changed = bytes.clone();
       changed[random.nextInt(changed.length)] ^= (byte) (1 + random.nextInt(255));
       Files.write(path, changed);
@@ -128,13 +130,13 @@
   }
 
   /**
-   * A kill before the rename leaves the file before, and a half-written one beside it that nobody
-   * reads.
+   * A kill before the rename leaves the previous file, and a partly written replacement that is
+   * never read.
    */
   @Test
   void killDuringWrite_leavesPreviousFile() throws IOException {
     final SnapshotFile file = new SnapshotFile(folder, "s");
-    final byte[] bytes = file.encode(taken());
+    final byte[] bytes = file.encode(snapshot());
     file.replace(bytes);
     for (int length = 0; length <= bytes.length; length += 13) {
       Files.write(folder.resolve("s.new"), Arrays.copyOf(bytes, length));
