--- a/replicas/src/main/java/thistleturn/replicas/ReplicaStorage.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicaStorage.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns the machine's uptime, us: a clock that is never set, and that starts again with
-   * the machine.
+   * Returns the machine's uptime, us: a clock that is never set, and that starts again with the
+   * machine.
    */
   private static long uptimeUs() {
     return System.nanoTime() / NS_PER_US;
