--- a/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/health/LocalHealthTest.java
@@ -133,7 +133,10 @@
     assertEquals(1000, health.maxPendingMessages(1000));
   }
 
-  /** After one long pause the limit on pending messages remains the configured one. */
+  /**
+   * After one long pause the limit on pending messages remains the configured one: messages
+   * accepted before the pause can still be delivered at once.
+   */
   @Test
   void oneLongPause_isNotStarvation() {
     run(5 * SECOND);
