--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -264,7 +264,7 @@
   }
 
   /** Returns the addresses of the peers that are alive, as far as is known, by their names. */
-  public Map<String, String> livingPeerAddresses() {
+  public Map<String, String> alivePeerAddresses() {
     return protocol == null ? Map.of() : protocol.addressesByName();
   }
 
--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -122,7 +122,7 @@
         .eventLoop()
         .schedule(this::tick, settings.exchangeSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % PEER_REFRESH_TICKS == 0) {
-      replicas.setReachablePeers(peers.livingPeerAddresses().values());
+      replicas.setReachablePeers(peers.alivePeerAddresses().values());
     }
     replicas.tick(nowUs());
     if (saveDue) {
