--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -118,7 +118,7 @@
                   .anyMatch(
                       line ->
                           line.startsWith("n01: ")
-                              && line.contains(" peers: hears no majority: 2 of 5")),
+                              && line.contains(" peers: reaches no majority: 2 of 5")),
               fleet.lines()::toString);
           final JsonNode before = fleet.page(2);
           final Random random = new Random(33);
--- a/decisions/src/main/java/thistleturn/decisions/peers/EncodedSizes.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/EncodedSizes.java
@@ -1,17 +1,17 @@
 package thistleturn.decisions.peers;
 
 /**
- * How many bytes parts of a packet take at most once they are encoded. Names and addresses are
+ * Upper bounds for the encoded sizes of the parts of a packet, in bytes. Names and addresses are
  * ASCII.
  */
 final class EncodedSizes {
-  /** An item beside its names and addresses. */
+  /** An item without its names and addresses. */
   static final int ITEM_BYTES = 48;
 
-  /** A heartbeat beside its name. */
+  /** A heartbeat without its name. */
   static final int HEARTBEAT_BYTES = 32;
 
-  /** An item, or a change, without content. */
+  /** An empty item or change. */
   static final int EMPTY_BYTES = 4;
 
   private static final int REMOVED_MEMBER_BYTES = 12;
@@ -19,7 +19,7 @@
 
   private EncodedSizes() {}
 
-  /** Returns the size of a change of the view. */
+  /** Returns the size of a view change. */
   static int of(final ViewChange change) {
     int bytes = EMPTY_BYTES;
     for (final PeerId id : change.removed()) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/FailureDetector.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/FailureDetector.java
@@ -8,26 +8,26 @@
 
 /**
  * This courier's own failure detection for the peers that it monitors: it probes them, holds a
- * connection to each, and reports which it does not reach. Two kinds of evidence are kept apart.
- * Silence proves little and is given time. A connection that ends without farewell, followed by
- * another that ends before its greeting, is the statement of the operating system at that address
- * that the process ended: a paused process keeps its connections, and the system goes on accepting
- * new ones for it.
+ * connection to each, and reports those that it cannot reach. It distinguishes two kinds of
+ * evidence. Silence, that is, no packet received, proves little and is subject to a timeout. A
+ * connection that closes although the peer did not announce that it leaves, followed by another
+ * that closes before its greeting, shows that the operating system at that address has ended the
+ * process: a paused process keeps its connections, and its system still accepts new ones for it.
  */
 final class FailureDetector {
   /**
-   * A peer is reported reachable again once it was received for so long without a gap, so that a
-   * lossy network does not flap.
+   * A peer is reported as reachable again after packets of it arrived for this long without a gap,
+   * so that reports do not flap on a lossy network.
    */
   private static final long STABLE_RECEPTION_US = 1_000_000;
 
   /**
-   * Own pauses extend the silence timeout, by half of it for each point (after Lifeguard: Dadgar et
-   * al., DSN 2018).
+   * The highest delay score. Each pause of this process adds one point, which extends the silence
+   * timeout by half of itself (after Lifeguard: Dadgar et al., DSN 2018).
    */
   private static final int MAX_DELAY_SCORE = 4;
 
-  /** After so long without a pause the delay score falls by one. */
+  /** The delay score falls by one after each such interval without a pause. */
   private static final long DELAY_SCORE_DECAY_US = 2_000_000;
 
   private final GossipSettings settings;
@@ -57,19 +57,19 @@
   }
 
   /**
-   * Continues under another incarnation of this courier; what the previous one reported is void
-   * with it.
+   * Continues under another incarnation of this courier, which invalidates the reports of the
+   * previous one.
    */
   void startIncarnation(final PeerId next) {
     self = next;
   }
 
-  /** Returns the peers that are monitored now. */
+  /** Returns the peers that this courier monitors. */
   Set<Peer> monitored() {
     return monitored;
   }
 
-  /** Returns the monitored peer whose connection goes to that address; null: none. */
+  /** Returns the monitored peer with a connection to that address, or null if there is none. */
   Peer findByConnection(final String address) {
     for (final Peer peer : monitored) {
       if (address.equals(peer.monitor().connectionAddress())) {
@@ -84,11 +84,11 @@
     monitored.forEach(peer -> actions.disconnect(peer.address()));
   }
 
-  // ---------------------------------------------------------------- time
+  // ---------------------------------------------------------------- periodic work
 
   /**
-   * This process did not run for a while: it accuses no peer on waking, and allows for more silence
-   * until it runs steadily.
+   * Handles a pause of this process: it withdraws its own silence reports when it resumes, and
+   * extends the silence timeout until it runs without pauses.
    */
   void onProcessPaused(final long nowUs) {
     delayScore = Math.min(MAX_DELAY_SCORE, delayScore + 1);
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Reports changes, connects where no connection is held, and returns the peers that are to be
+   * Reports changes, connects to peers without a connection, and returns the peers that are to be
    * probed now.
    */
   List<Peer> tick(final long nowUs) {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Reports a peer if this courier's finding about it changed. */
+  /** Reports a peer if its reachability from this courier changed. */
   private void evaluate(final Peer peer, final long silenceTimeoutUs, final long nowUs) {
     final ReachabilityReports.UnreachableReport own = ownReport(peer);
     final PeerMonitor monitor = peer.monitor();
@@ -168,7 +168,7 @@
             self, peer.id(), reportVersion, reachability, nowUs - sinceUs));
   }
 
-  /** Applies a change of the monitoring rings. */
+  /** Updates the set of monitored peers after a change of the monitoring rings. */
   private void updateMonitored(final long nowUs) {
     final Set<Peer> next =
         new LinkedHashSet<>(
@@ -180,7 +180,7 @@
         disconnect(peer);
       }
       if (!peer.monitor().isMonitored()) {
-        // First probes are spread over the interval.
+        // Spreads the first probes over the interval.
         final long offsetUs = started * settings.tickIntervalUs() % settings.probeIntervalUs();
         peer.monitor().start(nowUs, nowUs + offsetUs);
         started++;
@@ -205,12 +205,12 @@
 
   // ---------------------------------------------------------------- packets and connections
 
-  /** Records a packet of a peer that was sent after all that were received before. */
+  /** Records a packet of a peer with a higher sequence than all received before. */
   void recordReceived(final Peer peer, final long nowUs) {
     peer.monitor().recordReceived(settings.silenceTimeoutUs(), nowUs);
   }
 
-  /** The connection to a peer was greeted. */
+  /** Handles the greeting on the connection to a peer. */
   void onConnectionGreeted(final Peer peer, final PeerId greeter, final long nowUs) {
     if (greeter.name().equals(peer.name())) {
       peer.monitor().recordGreeting();
@@ -221,12 +221,12 @@
     }
   }
 
-  /** The connection to a peer ended, or was refused. */
+  /** Handles a connection to a peer that was closed or refused. */
   void onConnectionClosed(final Peer peer, final long nowUs) {
     peer.monitor().recordClosed(nowUs);
   }
 
-  /** A connection to a peer was neither accepted nor refused. */
+  /** Handles a connection to a peer that was neither accepted nor refused. */
   void onConnectionUnanswered(final Peer peer, final long nowUs) {
     peer.monitor().recordUnanswered(nowUs);
   }
--- a/decisions/src/main/java/thistleturn/decisions/peers/FullStateExchange.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/FullStateExchange.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Exchanges the full state over connections: now and then with a random peer, and with those whose
- * view shows that they, or this courier, lack something. It makes up for gossip that was lost.
+ * Exchanges the full state over connections: periodically with a random peer, and with peers whose
+ * view id shows that they or this courier lack view changes. It compensates for lost gossip.
  */
 final class FullStateExchange {
   /**
-   * How often the full state goes to a random peer; more seldom in larger fleets, where there is
-   * more to send.
+   * The interval of sending the full state to a random peer; longer in larger fleets, where the
+   * state is larger.
    */
   private static final long FULL_STATE_INTERVAL_US = 10_000_000;
 
@@ -44,7 +44,7 @@
     this.nextFullStateUs = nowUs + FULL_STATE_INTERVAL_US;
   }
 
-  /** Sends the full state to a random peer, if that is due. */
+  /** Sends the full state to a random peer if that is due. */
   void tick(final long nowUs) {
     final List<Peer> alive = table.alive();
     if (nowUs < nextFullStateUs || alive.isEmpty()) {
@@ -56,14 +56,17 @@
     send(alive.get(random.nextInt(alive.size())).address(), nowUs);
   }
 
-  /** A peer requests the full state. */
+  /** Handles a peer's request for the full state. */
   void onRequest(final Peer peer, final String address, final long nowUs) {
     if (peer.exchange().takeFullStateTurn(nowUs)) {
       send(address, nowUs);
     }
   }
 
-  /** A peer states which view it holds: whoever is behind is sent, or requests, what it lacks. */
+  /**
+   * Handles the id of the view that a peer holds: requests the full state if this courier is
+   * behind, and sends the missing decisions if the peer is.
+   */
   void onViewId(final Peer peer, final ViewId theirs, final long nowUs) {
     if (views.wantsFullState(theirs, nowUs)) {
       requestFullState(peer, nowUs);
--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipItem.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipItem.java
@@ -1,25 +1,25 @@
 package thistleturn.decisions.peers;
 
 /**
- * One piece of information in a packet. Each type states which of two items on the same topic wins,
- * so that order and duplication do not matter.
+ * One piece of information in a packet. Each type defines which of two items on the same topic
+ * wins, so that the order of arrival and duplicates do not matter.
  */
 public sealed interface GossipItem {
-  /** Returns how many bytes the item takes at most once it is encoded. */
+  /** Returns an upper bound for the encoded size of the item, in bytes. */
   int maxBytes();
 
-  /** Whether an incarnation goes on; a later constant wins over an earlier one. */
+  /** Whether an incarnation is still running; a later constant wins over an earlier one. */
   enum Liveness {
-    /** It neither left nor was declared dead. */
+    /** It has neither left nor been declared dead. */
     ALIVE,
-    /** It announced that it leaves. */
+    /** It announced that it is leaving. */
     LEFT,
     /** It was removed from the view by agreement. */
     DEAD
   }
 
   /**
-   * An incarnation, its address and its liveness. The higher incarnation wins, then the later
+   * The address and the liveness of an incarnation. The higher incarnation wins, then the later
    * {@link Liveness}.
    */
   record MemberUpdate(PeerId id, String address, Liveness liveness) implements GossipItem {
@@ -30,10 +30,10 @@
   }
 
   /**
-   * What an observer reports about its reaching a subject. The observer's later incarnation wins,
+   * An observer's report on whether it can reach a subject. The observer's later incarnation wins,
    * then the later version.
    *
-   * @param ageUs for how long it has been so
+   * @param ageUs how long the subject has been in that state for the observer
    */
   record ReachabilityReport(
       PeerId observer, PeerId subject, long version, Reachability reachability, long ageUs)
@@ -52,7 +52,7 @@
     }
   }
 
-  /** What an incarnation reports about itself. The higher version, which it counts itself, wins. */
+  /** An incarnation's report about itself. The higher version, counted by the incarnation, wins. */
   record StatusUpdate(PeerId id, long version, PeerStatus status) implements GossipItem {
     @Override
     public int maxBytes() {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Requests the full state, since the sender of the request lacks the receiver's view. */
+  /** Requests the full state, since the sender of the request does not have the receiver's view. */
   record FullStateRequest() implements GossipItem {
     @Override
     public int maxBytes() {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** The change by which a view became the next one. Idempotent. */
+  /** The decided change from a view to the next one. Idempotent. */
   record ViewDecision(ViewId viewId, ViewChange change) implements GossipItem {
     @Override
     public int maxBytes() {
@@ -77,7 +77,8 @@
   }
 
   /**
-   * A message of the agreement on the change that follows a view; unused components are 0 or null.
+   * A Paxos message of the agreement on the change that follows a view; unused components are 0 or
+   * null.
    */
   record PaxosMessage(ViewId viewId, Type type, long ballot, long acceptedBallot, ViewChange change)
       implements GossipItem {
@@ -85,18 +86,18 @@
     public enum Type {
       /** Requests a promise to accept no lower ballot. */
       PREPARE,
-      /** Promises it, and reports what was accepted under which ballot. */
+      /** Promises that, and reports the change accepted last and its ballot. */
       PROMISE,
       /** Requests to accept a change. */
       ACCEPT,
       /**
-       * The same, with a change that an earlier ballot may have chosen: nobody may reject it for
-       * its content.
+       * Like ACCEPT, for a change that an earlier ballot may have chosen: no acceptor may reject it
+       * for its content.
        */
       ACCEPT_BOUND,
-      /** Accepts it. */
+      /** Accepts the change. */
       ACCEPTED,
-      /** Reports the higher ballot that was promised. */
+      /** Rejects a request, and reports the higher ballot that was promised. */
       REJECT
     }
 
--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipQueue.java
@@ -7,31 +7,29 @@
 import java.util.Map;
 
 /**
- * Items to be spread: each is sent a number of times that grows with the logarithm of the fleet,
- * those sent least first (SWIM: Das et al., DSN 2002). A newer item on the same topic replaces the
- * older one. Bounded in items, and in bytes a second by an allowance: where there is too much, what
- * was sent most often is dropped or waits, and the full state makes up for it.
+ * Gossip items that are to be disseminated. Each is sent a number of times that grows with the
+ * logarithm of the fleet size, and items sent least often go first (SWIM: Das et al., DSN 2002). A
+ * newer item on the same topic replaces the older one. The number of items is bounded, and so are
+ * the bytes per second, by a token bucket: when the queue overflows, the item sent most often is
+ * dropped; when the bucket is empty, items wait. The full-state exchange delivers what was dropped.
  */
 final class GossipQueue {
   private static final int MAX_ITEMS = 2048;
 
-  /** An item with more sends than this left is among the first all the same. */
+  /** The cap on the remaining sends of an item; items at the cap go first. */
   private static final int MAX_SENDS = 64;
 
-  /** By how much the sends left fall when somebody else sends the same item. */
+  /** The reduction of the remaining sends when the same item is received from another courier. */
   private static final int RECEIVED_SENDS_REDUCTION = 2;
 
   private static final long BYTES_PER_SECOND = 16_000;
 
-  /** Bytes that may be sent at once after a pause. */
+  /** The capacity of the token bucket, in bytes. */
   private static final long BURST_BYTES = 8_000;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /**
-   * Items by topic, by the number of sends left; within one number in the order of their arrival
-   * there.
-   */
+  /** Items by topic, grouped by their remaining sends; within one group in insertion order. */
   private final List<Map<Topic, GossipItem>> itemsByRemainingSends = new ArrayList<>();
 
   private final Map<Topic, Integer> remainingSends = new HashMap<>();
@@ -45,15 +43,15 @@
     }
   }
 
-  /** What an item is about: of two items on one topic only the later is kept. */
+  /** The topic of an item; only the latest item on a topic is kept. */
   private sealed interface Topic {
-    /** The liveness of a name. */
+    /** The liveness of the peer of that name. */
     record Member(String name) implements Topic {}
 
     /** An observer's report about a subject. */
     record Report(String observer, String subject) implements Topic {}
 
-    /** The status that a name reports. */
+    /** The status that the peer of that name reports. */
     record Status(String name) implements Topic {}
 
     /** The change that followed a view. */
@@ -73,7 +71,7 @@
     if (item instanceof GossipItem.ViewDecision decision) {
       return new Topic.Decision(decision.viewId());
     }
-    throw new IllegalArgumentException("not an item to be spread: " + item);
+    throw new IllegalArgumentException("gossip items of this type are not disseminated: " + item);
   }
 
   // ---------------------------------------------------------------- adding and removing
@@ -103,8 +101,8 @@
   }
 
   /**
-   * An item was received that may be queued here: it is sent less often, since it has spread
-   * (Demers et al., PODC 1987).
+   * Records that an item was received: if it is queued here, its remaining sends are reduced, since
+   * others are disseminating it already (Demers et al., PODC 1987).
    */
   void recordReceived(final GossipItem item) {
     final Topic topic = topicOf(item);
@@ -137,7 +135,7 @@
 
   // ---------------------------------------------------------------- sending
 
-  /** Returns true if there is nothing to send, or no allowance for it. */
+  /** Returns true if there is nothing to send, or the token bucket is empty. */
   boolean isIdle(final long nowUs) {
     refillAllowance(nowUs);
     return remainingSends.isEmpty() || allowanceBytes <= 0;
@@ -151,7 +149,10 @@
     }
   }
 
-  /** Adds the items that fit into one packet beside {@code usedBytes}, and counts them as sent. */
+  /**
+   * Adds the items that fit into a packet that already holds {@code usedBytes}, and counts them as
+   * sent.
+   */
   void drainInto(final List<GossipItem> items, final int usedBytes, final long nowUs) {
     if (isIdle(nowUs)) {
       return;
@@ -165,7 +166,7 @@
     }
   }
 
-  /** Adds items, those with the most sends left first, until one does not fit. */
+  /** Adds items, in descending order of remaining sends, until one does not fit. */
   private void addFitting(final List<GossipItem> items, final int usedBytes) {
     int bytes = usedBytes;
     for (int sends = MAX_SENDS; sends > 0; sends--) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipReceiver.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipReceiver.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Applies received gossip items, each to the part of the state that it is about. */
+/** Applies received gossip items to the parts of the state that they concern. */
 final class GossipReceiver {
   private final LocalPeer local;
   private final MembershipTable table;
@@ -12,7 +12,7 @@
   private final FullStateExchange fullStates;
   private final NameConflictGuard nameConflicts;
 
-  /** Who sent an item, and where it listens. */
+  /** The sender of an item, and the address on which it listens. */
   record Origin(PeerId sender, String address) {}
 
   GossipReceiver(
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Applies an item of a packet. While another process has this courier's name, only updates of
-   * that name count.
+   * Applies an item of a packet. While another process uses this courier's name, only updates of
+   * that name are applied.
    */
   void onItem(final GossipItem item, final Origin origin, final long nowUs) {
     if (item instanceof GossipItem.MemberUpdate update) {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Applies an item of a full state, which consists of what is known of peers. */
+  /** Applies an item of a full state, which holds only updates, reports and statuses of peers. */
   void onFullStateItem(final GossipItem item, final Origin origin, final long nowUs) {
     if (item instanceof GossipItem.MemberUpdate
         || item instanceof GossipItem.ReachabilityReport
@@ -77,12 +77,12 @@
     if (report.observer().name().equals(local.name())) {
       return;
     }
-    final boolean isNews = table.applyReport(report, nowUs);
-    sender.forward(report, isNews);
-    if (isNews && report.reachability() == Reachability.SILENT) {
+    final boolean isNew = table.applyReport(report, nowUs);
+    sender.forward(report, isNew);
+    if (isNew && report.reachability() == Reachability.SILENT) {
       final Peer subject = table.find(report.subject().name());
       if (subject.heartbeat() > 0) {
-        // The observer may have been cut off from the heartbeat that is known here.
+        // The observer may not have received the heartbeat that is known here.
         heartbeats.forward(subject);
       }
     }
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Records what a peer reports about itself, and forwards it if it is news. */
+  /** Records a peer's report about itself, and forwards it if it is new. */
   void onStatus(final Peer peer, final long version, final PeerStatus status) {
     if (peer.recordStatus(version, status)) {
       sender.forwardStatus(new GossipItem.StatusUpdate(peer.id(), version, status));
--- a/decisions/src/main/java/thistleturn/decisions/peers/GossipSettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/GossipSettings.java
@@ -1,16 +1,17 @@
 package thistleturn.decisions.peers;
 
 /**
- * Intervals, timeouts and counts of the membership protocol; times are microseconds.
+ * Intervals, timeouts and sizes of the membership protocol. Times are in microseconds.
  *
  * @param tickIntervalUs how often {@link MembershipProtocol#tick} is called
  * @param probeIntervalUs how often a courier pings each peer that it monitors
- * @param silenceTimeoutUs after which it reports a peer as silent
- * @param heartbeatFreshnessUs for how long a forwarded heartbeat counts as a sign of life
- * @param deathTimeoutUs after which silence alone, reported by enough others, is a death: the
- *     longest pause that costs no member its place is a little less
- * @param foundingDelayUs after which a courier that hears of no view founds one
- * @param tombstoneRetentionUs for how long peers that ended are remembered
+ * @param silenceTimeoutUs how long no packet of a peer may arrive before it is reported as silent
+ * @param heartbeatFreshnessUs for how long a forwarded heartbeat shows that a peer is running
+ * @param deathTimeoutUs how long enough observers must report silence before a peer is declared
+ *     dead on that evidence alone. The longest pause after which a process is still a member is a
+ *     little shorter
+ * @param foundingDelayUs after which a courier that receives no view id founds a view
+ * @param tombstoneRetentionUs for how long ended peers are kept in the table
  * @param maxMonitored how many peers a courier monitors
  * @param committeeSize how many members agree on the next view
  */
--- a/decisions/src/main/java/thistleturn/decisions/peers/HeartbeatForwarder.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/HeartbeatForwarder.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Forwards heartbeats of peers that somebody does not reach, or that are yet to join. They go to
- * random peers with the next tick; answers alone would reach the same ones again and again.
+ * Forwards heartbeats of peers that some observer cannot reach, or that have not joined yet. They
+ * go to random peers with the next tick, since answers to pings would only reach the same few peers
+ * repeatedly.
  */
 final class HeartbeatForwarder {
   private static final int MAX_FORWARDED_HEARTBEATS = 8;
@@ -27,12 +28,12 @@
     }
   }
 
-  /** Forwards the latest heartbeat known of a peer. */
+  /** Schedules the latest known heartbeat of a peer for forwarding. */
   void forward(final Peer peer) {
     pendingByName.put(peer.name(), new GossipItem.Heartbeat(peer.id(), peer.heartbeat()));
   }
 
-  /** Returns the heartbeats to send now; the rest is dropped, since later ones follow. */
+  /** Returns the heartbeats to send now; the others are dropped, since later heartbeats follow. */
   List<GossipItem.Heartbeat> drain() {
     final List<GossipItem.Heartbeat> due =
         pendingByName.values().stream().limit(MAX_FORWARDED_HEARTBEATS).toList();
--- a/decisions/src/main/java/thistleturn/decisions/peers/LineageTracker.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/LineageTracker.java
@@ -4,49 +4,50 @@
 import java.util.Set;
 
 /**
- * What this courier has heard of view lineages. A lineage whose committee lost its majority for
- * good is lost: no view can follow in it, and a survivor founds another one.
+ * Tracks the view lineages that this courier has received ids of. A lineage is lost once its
+ * committee has lost its majority permanently: no view can follow in it, and a remaining courier
+ * founds another lineage.
  */
 final class LineageTracker {
   private final Set<Long> lostFounders = new HashSet<>();
   private long highestGeneration;
-  private long lastViewHeardUs;
+  private long lastViewSeenUs;
 
-  /** When a lineage other than the installed one was heard of that is not known to be lost. */
-  private long otherLineageHeardUs = Peer.NEVER;
+  /** When another lineage than the installed one, not known to be lost, was last seen. */
+  private long otherLineageSeenUs = Peer.NEVER;
 
-  /** Since when the installed lineage is lost; {@link Peer#NEVER}: it is not. */
+  /** When the installed lineage was lost; {@link Peer#NEVER} if it is not lost. */
   private long quorumLostSinceUs = Peer.NEVER;
 
   LineageTracker(final long nowUs) {
-    lastViewHeardUs = nowUs;
+    lastViewSeenUs = nowUs;
   }
 
   /**
-   * Records that somebody holds a view.
+   * Records that another courier holds a view.
    *
-   * @param installed the view held here; {@link ViewId#NONE}: none
-   * @return false if that view is none, or of a lost lineage
+   * @param installed the view installed here, or {@link ViewId#NONE}
+   * @return false if the id stands for no view, or the view belongs to a lost lineage
    */
-  boolean recordHeard(final ViewId heard, final ViewId installed, final long nowUs) {
-    if (!heard.isPresent()) {
+  boolean recordSeen(final ViewId seen, final ViewId installed, final long nowUs) {
+    if (!seen.isPresent()) {
       return false;
     }
-    highestGeneration = Math.max(highestGeneration, heard.generation());
-    if (lostFounders.contains(heard.founder())) {
+    highestGeneration = Math.max(highestGeneration, seen.generation());
+    if (lostFounders.contains(seen.founder())) {
       return false;
     }
-    lastViewHeardUs = nowUs;
-    if (installed.isPresent() && !heard.isSameLineage(installed)) {
-      otherLineageHeardUs = nowUs;
+    lastViewSeenUs = nowUs;
+    if (installed.isPresent() && !seen.isSameLineage(installed)) {
+      otherLineageSeenUs = nowUs;
     }
     return true;
   }
 
-  /** Records the view that is installed here now. */
+  /** Records that a view was installed here. */
   void recordInstalled(final View view, final long nowUs) {
     highestGeneration = Math.max(highestGeneration, view.generation());
-    lastViewHeardUs = nowUs;
+    lastViewSeenUs = nowUs;
     quorumLostSinceUs = Peer.NEVER;
   }
 
@@ -58,7 +59,7 @@
     lostFounders.add(view.founder());
   }
 
-  /** Records that the installed lineage can go on. */
+  /** Records that the installed lineage has a quorum. */
   void recordQuorumAvailable() {
     quorumLostSinceUs = Peer.NEVER;
   }
@@ -68,19 +69,19 @@
     return quorumLostSinceUs != Peer.NEVER;
   }
 
-  /** Returns since when the installed lineage is lost. */
+  /** Returns when the installed lineage was lost. */
   long quorumLostSinceUs() {
     return quorumLostSinceUs;
   }
 
-  /** Returns when any view was last heard of, from the start on. */
-  long lastViewHeardUs() {
-    return lastViewHeardUs;
+  /** Returns when any view was last seen; initially the start time. */
+  long lastViewSeenUs() {
+    return lastViewSeenUs;
   }
 
-  /** Returns when a lineage other than the installed one was last heard of. */
-  long otherLineageHeardUs() {
-    return otherLineageHeardUs;
+  /** Returns when another lineage than the installed one was last seen. */
+  long otherLineageSeenUs() {
+    return otherLineageSeenUs;
   }
 
   /** Returns the generation for a lineage founded now. */
--- a/decisions/src/main/java/thistleturn/decisions/peers/LocalPeer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/LocalPeer.java
@@ -1,11 +1,11 @@
 package thistleturn.decisions.peers;
 
 /**
- * This courier as its peers see it: its incarnation, heartbeat and reported status, and the
- * sequence of its packets.
+ * The state that this courier sends to its peers about itself: its incarnation, heartbeat and
+ * status, and the sequence of its packets.
  */
 final class LocalPeer {
-  /** A change of the reported status counts as a new version at most this often. */
+  /** The minimum interval between two versions of the reported status. */
   private static final long STATUS_CHANGE_INTERVAL_US = 1_000_000;
 
   private final String address;
@@ -16,7 +16,7 @@
   private PeerStatus status = PeerStatus.UNREPORTED;
   private long statusChangedUs = Peer.NEVER;
 
-  /** The last pause of this process that was not reported yet; 0: none. */
+  /** The last pause of this process that is not reported yet; 0 if there is none. */
   private long pauseMs;
 
   LocalPeer(final PeerId id, final String address) {
@@ -47,7 +47,7 @@
     return new GossipItem.MemberUpdate(id, address, liveness);
   }
 
-  /** Returns the sequence for another packet. */
+  /** Returns the sequence of the next packet. */
   long nextSequence() {
     sequence++;
     return sequence;
@@ -61,12 +61,12 @@
     heartbeat++;
   }
 
-  /** Records that this process did not run for a while; the next status reports it. */
+  /** Records a pause of this process, which the next status reports. */
   void recordPause(final long ms) {
     pauseMs = ms;
   }
 
-  /** Replaces the status that every packet carries. */
+  /** Replaces the status that is sent with every packet. */
   void updateStatus(final PeerStatus reported, final long nowUs) {
     final int reportedPauseMs =
         Math.max(reported.pauseMs(), (int) Math.min(pauseMs, Integer.MAX_VALUE));
--- a/decisions/src/main/java/thistleturn/decisions/peers/MajorityTracker.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MajorityTracker.java
@@ -1,11 +1,14 @@
 package thistleturn.decisions.peers;
 
 /**
- * Tracks how many members of its view this courier reaches, and publishes its membership status
- * when that changes.
+ * Tracks how many members of its view this courier reaches, and publishes changes of its membership
+ * status.
  */
 final class MajorityTracker {
-  /** Losing more than this share of the monitored peers is a sign of isolation in a large fleet. */
+  /**
+   * In a large fleet, a courier that loses more than this share of its monitored peers counts as
+   * isolated.
+   */
   private static final double ISOLATION_RATIO = 0.75;
 
   private final GossipSettings settings;
@@ -30,15 +33,15 @@
     return status;
   }
 
-  /** Returns how many members of the view are reachable, this courier among them. */
+  /** Returns how many members of the view are reachable, including this courier. */
   int reachableMembers() {
     return reachableMembers;
   }
 
-  /** Measures anew. */
+  /** Updates the count and the status. */
   void update(final IndexedView view, final PeerId self, final long nowUs) {
     reachableMembers = countReachable(view, self, nowUs);
-    final MembershipStatus next = measure(view, self, nowUs);
+    final MembershipStatus next = determineStatus(view, self, nowUs);
     if (next != status) {
       status = next;
       context.publishEvent(PeerEvent.Type.MEMBERSHIP_STATUS, "", describe(view.size()));
@@ -53,7 +56,8 @@
     return reachable;
   }
 
-  private MembershipStatus measure(final IndexedView view, final PeerId self, final long nowUs) {
+  private MembershipStatus determineStatus(
+      final IndexedView view, final PeerId self, final long nowUs) {
     if (!view.isMember(self)) {
       return MembershipStatus.FORMING;
     }
@@ -78,10 +82,10 @@
   private String describe(final int viewSize) {
     return switch (status) {
       case FORMING -> "belongs to no view yet";
-      case MAJORITY -> "hears a majority: " + reachableMembers + " of " + viewSize;
-      case MINORITY -> "hears no majority: " + reachableMembers + " of " + viewSize;
-      case ALONE -> "hears nobody of " + viewSize;
-      case CONFLICT -> "its name is another's";
+      case MAJORITY -> "reaches a majority: " + reachableMembers + " of " + viewSize;
+      case MINORITY -> "reaches no majority: " + reachableMembers + " of " + viewSize;
+      case ALONE -> "reaches no other member of its view of " + viewSize;
+      case CONFLICT -> "another process uses its name";
     };
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipProtocol.java
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * A courier's part in the membership protocol of its fleet. Packets, the outcome of connections,
- * and ticks come in; what is to be sent, connected and published goes out through {@link
- * PeerActions}. Design and guarantees: docs/design/peers.md.
+ * The membership protocol of a fleet, as one courier runs it. The inputs are packets, the outcomes
+ * of connections, and ticks; sends, connections and events are output through {@link PeerActions}.
+ * Design and guarantees: docs/design/peers.md.
  *
- * <p>Timestamps are microseconds on a clock that goes on while the process is paused. Not safe for
- * use by several threads.
+ * <p>Timestamps are microseconds of a clock that continues while the process is paused. Not
+ * thread-safe.
  */
 public final class MembershipProtocol {
-  /** A tick that comes later than planned by more than this shows that the process was paused. */
+  /** A tick that is late by more than this shows that the process was paused. */
   private static final long PAUSE_THRESHOLD_US = 250_000;
 
   private static final long MICROS_PER_MILLI = 1000;
   private static final long PRUNE_INTERVAL_US = 10_000_000;
 
-  /** How many peers are sent a farewell directly. */
-  private static final int MAX_FAREWELL_TARGETS = 32;
+  /** How many peers are notified directly when this courier leaves. */
+  private static final int MAX_LEAVE_TARGETS = 32;
 
   private final GossipSettings settings;
   private final SplittableRandom random;
@@ -48,9 +48,9 @@
   /**
    * Starts the protocol.
    *
-   * @param address on which this courier listens
-   * @param seeds addresses on which others may listen
-   * @param seed of all random choices
+   * @param address the address on which this courier listens
+   * @param seeds addresses on which other couriers may listen
+   * @param seed seed of all random choices
    */
   public MembershipProtocol(
       final GossipSettings settings,
@@ -87,7 +87,7 @@
     this.lastRunUs = nowUs;
   }
 
-  /** What the view manager needs, on this courier's other parts. */
+  /** Gives the view manager access to the other components of the protocol. */
   private final class ViewContext implements ViewManager.Context {
     @Override
     public void sendPaxosMessage(final ViewMember to, final GossipItem.PaxosMessage message) {
@@ -126,7 +126,10 @@
     }
   }
 
-  /** Continues under another incarnation; what the previous one reported and promised is void. */
+  /**
+   * Continues under another incarnation; the reports and promises of the previous one become
+   * invalid.
+   */
   private void startIncarnation(final long incarnation) {
     local.startIncarnation(incarnation);
     failureDetector.startIncarnation(local.id());
@@ -135,14 +138,14 @@
     sender.spread(local.toUpdate(GossipItem.Liveness.ALIVE));
     actions.onEvent(
         new PeerEvent(
-            PeerEvent.Type.PEER_STATE, local.name(), "begins another life here: " + incarnation));
+            PeerEvent.Type.PEER_STATE, local.name(), "starts another incarnation: " + incarnation));
   }
 
-  // ---------------------------------------------------------------- time
+  // ---------------------------------------------------------------- periodic work
 
   /**
-   * Records that this process runs now. If it was paused, whatever seems late by then is its own
-   * lateness.
+   * Records that this process is running at this time. If it was paused, the delay is not
+   * attributed to peers.
    */
   private void advanceClock(final long nowUs) {
     lastRunUs = nowUs;
@@ -165,7 +168,7 @@
     }
   }
 
-  /** To be called every {@link GossipSettings#tickIntervalUs}. */
+  /** Performs periodic work; to be called every {@link GossipSettings#tickIntervalUs}. */
   public void tick(final long nowUs) {
     advanceClock(nowUs);
     nextTickDueUs = nowUs + settings.tickIntervalUs();
@@ -194,7 +197,7 @@
 
   // ---------------------------------------------------------------- packets
 
-  /** A packet arrived that a member of this fleet authenticated. */
+  /** Handles a packet that was authenticated with the fleet's key. */
   public void onPacket(final Packet packet, final long nowUs) {
     advanceClock(nowUs);
     if (leaving) {
@@ -213,12 +216,12 @@
     } else if (nameConflicts.hasRival()) {
       applyItems(packet, nowUs);
     } else {
-      learn(senderUpdate, nowUs);
+      applyDirectUpdate(senderUpdate, nowUs);
       onPeerPacket(packet, nowUs);
     }
   }
 
-  private void learn(final GossipItem.MemberUpdate update, final long nowUs) {
+  private void applyDirectUpdate(final GossipItem.MemberUpdate update, final long nowUs) {
     if (table.applyUpdate(update, nowUs)) {
       sender.spread(update);
     }
@@ -258,8 +261,8 @@
   }
 
   /**
-   * If an incarnation that has ended, as far as is known here, still runs, it learns so and starts
-   * the next one.
+   * Answers a ping of an incarnation that is recorded as ended here. The answer carries that
+   * record, on which the sender, which still runs, starts its next incarnation.
    */
   private void onPacketFromEndedIncarnation(final Peer peer, final Packet packet) {
     if (packet.type() == Packet.Type.PING) {
@@ -267,7 +270,7 @@
     }
   }
 
-  /** Another courier's full state arrived. */
+  /** Handles another courier's full state. */
   public void onFullState(final FullStateMessage message, final long nowUs) {
     advanceClock(nowUs);
     if (leaving || message.sender().name().equals(local.name())) {
@@ -283,7 +286,7 @@
 
   // ---------------------------------------------------------------- connections
 
-  /** The connection to an address was greeted by an incarnation. */
+  /** Handles the greeting of an incarnation on the connection to an address. */
   public void onConnectionGreeted(final String address, final PeerId greeter, final long nowUs) {
     advanceClock(nowUs);
     final Peer peer = failureDetector.findByConnection(address);
@@ -291,12 +294,13 @@
       return;
     }
     if (greeter.name().equals(peer.name()) && !greeter.equals(peer.id())) {
-      learn(new GossipItem.MemberUpdate(greeter, peer.address(), GossipItem.Liveness.ALIVE), nowUs);
+      applyDirectUpdate(
+          new GossipItem.MemberUpdate(greeter, peer.address(), GossipItem.Liveness.ALIVE), nowUs);
     }
     failureDetector.onConnectionGreeted(peer, greeter, nowUs);
   }
 
-  /** The connection to an address ended, or was refused. */
+  /** Handles a connection to an address that was closed or refused. */
   public void onConnectionClosed(final String address, final long nowUs) {
     advanceClock(nowUs);
     final Peer peer = failureDetector.findByConnection(address);
@@ -305,7 +309,7 @@
     }
   }
 
-  /** A connection to an address was neither accepted nor refused. */
+  /** Handles a connection to an address that was neither accepted nor refused. */
   public void onConnectionUnanswered(final String address, final long nowUs) {
     advanceClock(nowUs);
     final Peer peer = failureDetector.findByConnection(address);
@@ -320,12 +324,12 @@
 
   // ---------------------------------------------------------------- this courier
 
-  /** Replaces what this courier reports about itself. */
+  /** Replaces the status that this courier reports about itself. */
   public void updateOwnStatus(final PeerStatus status, final long nowUs) {
     local.updateStatus(status, nowUs);
   }
 
-  /** Notifies peers that this courier leaves; nothing is sent after that. */
+  /** Notifies peers that this courier is leaving; nothing is sent after that. */
   public void leave(final long nowUs) {
     if (leaving) {
       return;
@@ -334,9 +338,7 @@
     for (int index = targets.size() - 1; index > 0; index--) {
       Collections.swap(targets, index, random.nextInt(index + 1));
     }
-    targets.stream()
-        .limit(MAX_FAREWELL_TARGETS)
-        .forEach(peer -> sender.sendFarewell(peer.address()));
+    targets.stream().limit(MAX_LEAVE_TARGETS).forEach(peer -> sender.sendLeave(peer.address()));
     leaving = true;
   }
 
@@ -345,7 +347,7 @@
     return local.id();
   }
 
-  /** Returns the installed view; null: none. */
+  /** Returns the installed view, or null if there is none. */
   public View view() {
     return views.view();
   }
@@ -355,19 +357,21 @@
     return nameConflicts.hasRival() ? MembershipStatus.CONFLICT : views.status();
   }
 
-  /** Returns how many members of the view are reachable, this courier among them. */
+  /** Returns how many members of the view are reachable, including this courier. */
   public int reachableMembers() {
     return views.reachableMembers();
   }
 
-  /** Returns how many packets were rejected: of implausible incarnations, stale or duplicated. */
+  /**
+   * Returns how many packets were rejected as stale, duplicated or from an implausible incarnation.
+   */
   public long rejectedPackets() {
     return rejectedPackets;
   }
 
   // ---------------------------------------------------------------- peers
 
-  /** Returns true for an incarnation that is known and not known to have ended. */
+  /** Returns true for a known incarnation that is not known to have ended. */
   public boolean isAlive(final PeerId id) {
     final Peer peer = table.find(id.name());
     return peer != null && peer.isAliveAs(id);
--- a/decisions/src/main/java/thistleturn/decisions/peers/MembershipTable.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MembershipTable.java
@@ -10,23 +10,23 @@
 import java.util.Map;
 
 /**
- * All known peers by name, and the judgement of their state from what is reported about them.
- * Updates are ordered by incarnations, report versions and heartbeats: the same updates applied in
- * any order, once or repeatedly, leave the same table.
+ * Holds all known peers by name, and derives their states from the reports about them. Updates are
+ * ordered by incarnations, report versions and heartbeats: the same updates applied in any order,
+ * once or repeatedly, result in the same table.
  */
 final class MembershipTable {
-  /** Names beyond this are not added, which bounds what a confused fleet may cost. */
+  /** The maximum number of names, which bounds memory when a faulty fleet reports ever new ones. */
   static final int MAX_PEERS = 2048;
 
   private static final int MAX_TOMBSTONES = 512;
 
-  /** An incarnation that claims to start later than a day from now is implausible. */
+  /** An incarnation that is more than a day ahead of the clock is implausible. */
   private static final long MAX_INCARNATION_AHEAD_US = 24 * 3_600_000_000L;
 
-  /** So many observers must report that a peer ended; fewer where fewer can observe it. */
+  /** How many observers must report that a peer ended; fewer if fewer can observe it. */
   private static final int ENDED_QUORUM = 2;
 
-  /** So many observers must report that a peer is silent; fewer where fewer can observe it. */
+  /** How many observers must report that a peer is silent; fewer if fewer can observe it. */
   private static final int UNREACHABLE_QUORUM = 3;
 
   private final GossipSettings settings;
@@ -43,7 +43,7 @@
     this.startIncarnation = startIncarnation;
   }
 
-  /** Returns the peer of that name; null: unknown. */
+  /** Returns the peer of that name, or null if it is unknown. */
   Peer find(final String name) {
     return peersByName.get(name);
   }
@@ -52,9 +52,7 @@
     return peersByName.values();
   }
 
-  /**
-   * Returns the peers that have neither left nor been declared dead, in the order of their names.
-   */
+  /** Returns the peers that have neither left nor been declared dead, in name order. */
   List<Peer> alive() {
     if (aliveListStale) {
       final List<Peer> next = new ArrayList<>();
@@ -70,14 +68,14 @@
     return alive;
   }
 
-  /** Returns a number that grows with each change of the set of peers that are alive. */
+  /** Returns a number that increases with each change of the set of alive peers. */
   int version() {
     return version;
   }
 
   // ---------------------------------------------------------------- updates
 
-  /** Returns true for an incarnation that can exist. */
+  /** Returns true if the name and the incarnation number are within their valid ranges. */
   boolean isPlausible(final PeerId id, final long nowUs) {
     final long latest = startIncarnation + (nowUs - startedUs) + MAX_INCARNATION_AHEAD_US;
     return id.incarnation() > 0
@@ -86,7 +84,9 @@
         && id.name().length() <= PeerId.MAX_NAME_LENGTH;
   }
 
-  /** Applies an update of a peer's incarnation or liveness. Returns true if it was news. */
+  /**
+   * Applies an update of a peer's incarnation or liveness. Returns true if it changed the table.
+   */
   boolean applyUpdate(final GossipItem.MemberUpdate update, final long nowUs) {
     final Peer peer = peersByName.get(update.id().name());
     if (peer == null) {
@@ -125,7 +125,7 @@
     version++;
   }
 
-  /** Removes reports that an observer made in an incarnation that has ended. */
+  /** Removes the reports of an observer's ended incarnations. */
   private void dropReportsBy(final Peer observer) {
     for (final Peer subject : peersByName.values()) {
       final ReachabilityReports.UnreachableReport report = subject.reports().by(observer.name());
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Applies an observer's report about a peer. Returns true if it was news. */
+  /** Applies an observer's report about a peer. Returns true if it changed the table. */
   boolean applyReport(final GossipItem.ReachabilityReport report, final long nowUs) {
     final Peer subject = peersByName.get(report.subject().name());
     final Peer observer = peersByName.get(report.observer().name());
@@ -160,7 +160,9 @@
     return true;
   }
 
-  /** Removes peers that ended long ago, and those beyond the number of tombstones that are kept. */
+  /**
+   * Removes peers whose tombstone expired, and those that exceed the maximum number of tombstones.
+   */
   void prune(final long nowUs) {
     int tombstones = 0;
     for (final Iterator<Peer> peers = peersByName.values().iterator(); peers.hasNext(); ) {
@@ -173,28 +175,32 @@
     }
   }
 
-  /** Moves timestamps forward by a pause of this process. */
+  /** Shifts timestamps forward by a pause of this process. */
   void shiftTimestamps(final long pauseUs) {
     peersByName.values().forEach(peer -> peer.shiftTimestamps(pauseUs));
   }
 
-  // ---------------------------------------------------------------- judgement
+  // ---------------------------------------------------------------- derived state
 
   /**
-   * Returns true if a heartbeat advanced lately, or the peer was reachable for all until lately.
+   * Returns true if, within the freshness interval, the heartbeat advanced or the first report of
+   * unreachability arrived.
    */
   private boolean hasFreshHeartbeat(final Peer peer, final long nowUs) {
     return nowUs - Math.max(peer.heartbeatUs(), peer.reports().unreachableSinceUs())
         <= settings.heartbeatFreshnessUs();
   }
 
-  /** Returns true if the peer is reported unreachable and nothing shows that it is alive. */
+  /**
+   * Returns true if the peer is reported unreachable and either has no fresh heartbeat or is
+   * confirmed as ended.
+   */
   boolean isSuspect(final Peer peer, final long nowUs) {
     return peer.reports().isReportedUnreachable()
         && (!hasFreshHeartbeat(peer, nowUs) || isConfirmedEnded(peer, nowUs));
   }
 
-  /** Returns true if that incarnation is the latest of its name, alive and not suspect. */
+  /** Returns true if that incarnation is the latest one of its name, alive and not suspect. */
   boolean isHealthy(final PeerId id, final long nowUs) {
     final Peer peer = peersByName.get(id.name());
     return peer != null && peer.isAliveAs(id) && !isSuspect(peer, nowUs);
@@ -222,8 +228,8 @@
   }
 
   /**
-   * Returns true if enough observers report that the peer's process ended, and no sign of it came
-   * since.
+   * Returns true if enough observers report that the peer's process ended, and neither a packet nor
+   * a heartbeat of it arrived within {@link PeerMonitor#MAX_IN_FLIGHT_US}.
    */
   boolean isConfirmedEnded(final Peer peer, final long nowUs) {
     if (!peer.reports().isReportedUnreachable()
@@ -235,12 +241,12 @@
     for (final ReachabilityReports.UnreachableReport report : peer.reports().all()) {
       votes += report.reachability() == Reachability.ENDED ? 1 : 0;
     }
-    return votes > 0 && votes >= Math.min(ENDED_QUORUM, countWitnesses(peer, nowUs));
+    return votes > 0 && votes >= Math.min(ENDED_QUORUM, countPossibleObservers(peer, nowUs));
   }
 
   /**
    * Returns true if enough observers have not reached the peer for the death timeout, and no
-   * heartbeat was forwarded since.
+   * heartbeat of it arrived in that time.
    */
   boolean isConfirmedUnreachable(final Peer peer, final String self, final long nowUs) {
     if (!peer.reports().isReportedUnreachable()
@@ -252,10 +258,10 @@
       final boolean isOld = nowUs - report.sinceUs() >= settings.deathTimeoutUs();
       votes += isOld && isTrusted(report.observer().name(), self, nowUs) ? 1 : 0;
     }
-    return votes > 0 && votes >= Math.min(UNREACHABLE_QUORUM, countWitnesses(peer, nowUs));
+    return votes > 0 && votes >= Math.min(UNREACHABLE_QUORUM, countPossibleObservers(peer, nowUs));
   }
 
-  /** Returns true for this courier, and for observers that are not suspect themselves. */
+  /** Returns true for this courier, and for observers that are not suspect. */
   private boolean isTrusted(final String observerName, final String self, final long nowUs) {
     if (observerName.equals(self)) {
       return true;
@@ -265,12 +271,12 @@
   }
 
   /**
-   * Counts who can observe a peer, up to {@link #UNREACHABLE_QUORUM}: this courier, and all alive
-   * peers that are reachable or have a fresh heartbeat. A peer that only this courier does not
-   * reach counts as well; otherwise a courier behind a network partition would need no one's
-   * agreement.
+   * Counts the couriers that can observe a peer, up to {@link #UNREACHABLE_QUORUM}: this courier,
+   * and all alive peers that are reachable or have a fresh heartbeat. A peer that only this courier
+   * cannot reach counts as well; otherwise a courier behind a network partition would need no
+   * other's agreement.
    */
-  private int countWitnesses(final Peer subject, final long nowUs) {
+  private int countPossibleObservers(final Peer subject, final long nowUs) {
     int count = 1;
     for (final Peer other : alive()) {
       if (count >= UNREACHABLE_QUORUM) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/MonitoringRings.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/MonitoringRings.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * Determines who monitors whom: each courier monitors its successor on each of several rings, on
- * which the names are placed by hashes. In a small fleet everybody monitors everybody. All who know
- * the same names compute the same rings, and a change of membership moves few successors (after
- * Rapid: Suresh et al., USENIX ATC 2018).
+ * Determines which peers a courier monitors: its successor on each of several hash rings of the
+ * names. In a small fleet each courier monitors all others. Couriers that know the same names
+ * compute the same rings, and a membership change moves few successors (after Rapid: Suresh et al.,
+ * USENIX ATC 2018).
  */
 final class MonitoringRings {
-  /** The increment of SplitMix64, which tells the rings apart. */
+  /** The increment of SplitMix64; its multiples are the salts of the rings. */
   private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
   private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
@@ -20,7 +20,7 @@
 
   private MonitoringRings() {}
 
-  /** Returns the hash of a name: FNV-1a over its characters, mixed. */
+  /** Returns the hash of a name: FNV-1a over its characters, then {@link #mix}. */
   static long hash(final String name) {
     long hash = FNV_OFFSET_BASIS;
     for (int index = 0; index < name.length(); index++) {
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the peers that a courier monitors: its successors on {@code rings} rings, or all if
-   * there are no more than that.
+   * Returns the peers that a courier monitors: its successors on {@code rings} rings, or all peers
+   * if there are no more than {@code rings}.
    */
   static Collection<Peer> monitoredBy(final long ownHash, final List<Peer> peers, final int rings) {
     if (peers.size() <= rings) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/NameConflictGuard.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/NameConflictGuard.java
@@ -5,14 +5,14 @@
 import java.util.function.LongConsumer;
 
 /**
- * Handles what is received about this courier's own name. Another process that uses the name and
- * started later is a rival: while there is one, this courier keeps out of the fleet, and only asks
- * now and then, without a name, whether the rival has ended.
+ * Handles updates about this courier's own name. Another process that uses the name and started
+ * later is a rival: while there is one, this courier stays out of the fleet, and only probes
+ * periodically, without stating a name, whether the rival has ended.
  */
 final class NameConflictGuard {
   private static final long RIVAL_PROBE_INTERVAL_US = 5_000_000;
 
-  /** How many known peers are asked beside the seeds. */
+  /** How many known peers are probed besides the seeds. */
   private static final int PROBED_PEERS = 3;
 
   private final LocalPeer local;
@@ -23,19 +23,20 @@
   private final PeerActions actions;
   private final LongConsumer startIncarnation;
 
-  /** Where the rival listens; null: there is none. */
+  /** The address on which the rival listens, or null if there is none. */
   private String rivalAddress;
 
   /**
-   * True once this courier was in a view: from then on, a later incarnation of its name is not its
-   * own past.
+   * True once this courier was in a view: from then on, a later incarnation of its name cannot be
+   * an earlier run of its own.
    */
   private boolean hasBeenMember;
 
   private long nextRivalProbeUs;
 
   /**
-   * {@code startIncarnation} makes this courier continue under the incarnation that it is given.
+   * Creates a guard; {@code startIncarnation} makes this courier continue under the given
+   * incarnation.
    */
   NameConflictGuard(
       final LocalPeer local,
@@ -54,7 +55,7 @@
     this.startIncarnation = startIncarnation;
   }
 
-  /** Returns true while another process has the name. */
+  /** Returns true while another process that started later uses the name. */
   boolean hasRival() {
     return rivalAddress != null;
   }
@@ -64,7 +65,7 @@
     hasBeenMember |= isMember;
   }
 
-  /** Somebody states the liveness of an incarnation of this courier's name. */
+  /** Handles an update about an incarnation of this courier's name. */
   void onOwnName(final GossipItem.MemberUpdate update, final long nowUs) {
     final long incarnation = update.id().incarnation();
     if (incarnation < local.id().incarnation() || !table.isPlausible(update.id(), nowUs)) {
@@ -77,28 +78,28 @@
         startIncarnation.accept(incarnation + 1);
       }
     } else if (!hasBeenMember || !isAlive || isHere) {
-      // Its own past, remembered under a clock that ran ahead of the present one, or a rival that
+      // An earlier run of this courier whose clock was ahead of the present one, or a rival that
       // has ended.
       rivalAddress = null;
       startIncarnation.accept(incarnation + 1);
     } else if (rivalAddress == null) {
-      giveWayTo(update.address());
+      enterConflict(update.address());
     }
   }
 
-  private void giveWayTo(final String address) {
+  private void enterConflict(final String address) {
     rivalAddress = address;
     failureDetector.disconnectAll();
     actions.onEvent(
         new PeerEvent(
             PeerEvent.Type.NAME_CONFLICT,
             local.name(),
-            "another process of this name, begun later, listens at "
+            "another process that started later uses this name, at "
                 + address
-                + ": this one keeps out of the fleet"));
+                + ": this one stays out of the fleet"));
   }
 
-  /** Asks about the rival, if that is due. */
+  /** Probes whether the rival has ended, if that is due. */
   void probeRival(final long nowUs) {
     if (nowUs < nextRivalProbeUs) {
       return;
@@ -110,7 +111,7 @@
     targets.forEach(target -> sender.sendAnonymousProbe(target, about));
   }
 
-  /** Answers another process that asks, without a name, about the first name that it mentions. */
+  /** Answers an anonymous probe about the first name that it contains. */
   void onAnonymousProbe(final Packet packet) {
     for (final GossipItem item : packet.items()) {
       if (item instanceof GossipItem.MemberUpdate about) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
@@ -5,16 +5,16 @@
 /**
  * One datagram of the membership protocol.
  *
- * @param sender the sending incarnation; null: a process that only asks about a name
- * @param address on which the sender listens
+ * @param sender the sending incarnation, or null in an anonymous probe about a name
+ * @param address the address on which the sender listens
  * @param sequence counted by the sender, which reveals duplicated and stale packets
  * @param heartbeat the sender's heartbeat count
  * @param viewId the view that the sender holds
  * @param statusVersion the version of the sender's status
- * @param status what the sender reports about itself
- * @param type of the packet
- * @param echoedSequence in a PONG the sequence of the PING; otherwise 0
- * @param items what the packet carries
+ * @param status the status that the sender reports about itself
+ * @param type the type of the packet
+ * @param echoedSequence in a PONG the sequence of the answered PING, otherwise 0
+ * @param items the gossip items that the packet carries
  */
 public record Packet(
     PeerId sender,
@@ -28,8 +28,8 @@
     long echoedSequence,
     List<GossipItem> items) {
   /**
-   * Bytes of all items of a packet together; the rest of 1,200 is for its head and its
-   * authentication.
+   * The maximum size of all items of a packet together; the rest of a datagram's 1,200 bytes is for
+   * the header and the authentication tag.
    */
   public static final int MAX_ITEM_BYTES = 900;
 
--- a/decisions/src/main/java/thistleturn/decisions/peers/PacketSender.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PacketSender.java
@@ -6,17 +6,20 @@
 import java.util.function.Supplier;
 
 /**
- * Sends packets of this courier. Each carries the head that {@link LocalPeer} describes and the
+ * Sends packets of this courier. Each has a header with the state of {@link LocalPeer} and the
  * installed view's id, and is filled up with queued gossip.
  */
 final class PacketSender {
-  /** To how many peers gossip goes with each tick. */
+  /** How many peers are sent gossip with each tick. */
   private static final int GOSSIP_FANOUT = 3;
 
-  /** How often an item is sent for each doubling of the fleet. */
+  /** How many times an item is sent for each doubling of the fleet size. */
   private static final int SENDS_PER_DOUBLING = 3;
 
-  /** Status updates of others are sent so often: each packet of their own carries them as well. */
+  /**
+   * How many times a status update of another courier is sent; few, since that courier's own
+   * packets carry its status as well.
+   */
   private static final int STATUS_SENDS = 2;
 
   private final LocalPeer local;
@@ -43,7 +46,7 @@
     this.nowUs = nowUs;
   }
 
-  /** Moves the clock on which the rate of gossip is limited. */
+  /** Advances the clock of the gossip rate limit. */
   void advanceClock(final long us) {
     nowUs = us;
   }
@@ -62,12 +65,12 @@
     actions.send(to, newPacket(Packet.Type.PONG, echoedSequence, items));
   }
 
-  /** Sends items that are meant for one peer. */
+  /** Sends items to one peer. */
   void sendItems(final String to, final List<? extends GossipItem> items) {
     actions.send(to, newPacket(Packet.Type.GOSSIP, 0, items));
   }
 
-  /** Asks about a name without stating who asks. */
+  /** Asks about a name without identifying this courier. */
   void sendAnonymousProbe(final String to, final GossipItem about) {
     actions.send(
         to,
@@ -84,12 +87,12 @@
             List.of(about)));
   }
 
-  /** Sends a farewell twice, since one packet may be lost. */
-  void sendFarewell(final String to) {
-    final Packet farewell =
-        head(Packet.Type.GOSSIP, 0, List.of(local.toUpdate(GossipItem.Liveness.LEFT)));
-    actions.send(to, farewell);
-    actions.send(to, farewell);
+  /** Announces that this courier is leaving; the packet is sent twice, since one may be lost. */
+  void sendLeave(final String to) {
+    final Packet leave =
+        withHeader(Packet.Type.GOSSIP, 0, List.of(local.toUpdate(GossipItem.Liveness.LEFT)));
+    actions.send(to, leave);
+    actions.send(to, leave);
   }
 
   private Packet newPacket(
@@ -100,10 +103,10 @@
     }
     final List<GossipItem> filled = new ArrayList<>(items);
     queue.drainInto(filled, usedBytes, nowUs);
-    return head(type, echoedSequence, List.copyOf(filled));
+    return withHeader(type, echoedSequence, List.copyOf(filled));
   }
 
-  private Packet head(
+  private Packet withHeader(
       final Packet.Type type, final long echoedSequence, final List<GossipItem> items) {
     return new Packet(
         local.id(),
@@ -127,22 +130,23 @@
   }
 
   /**
-   * Spreads a received item if it was news; if not, it has spread already and is sent less often.
+   * Spreads a received item if it was new; if not, others are spreading it already and its
+   * remaining sends are reduced.
    */
-  void forward(final GossipItem item, final boolean wasNews) {
-    if (wasNews) {
+  void forward(final GossipItem item, final boolean wasNew) {
+    if (wasNew) {
       spread(item);
     } else {
       queue.recordReceived(item);
     }
   }
 
-  /** Queues what a peer reports about itself. */
+  /** Queues a peer's report about itself. */
   void forwardStatus(final GossipItem.StatusUpdate update) {
     queue.enqueue(update, STATUS_SENDS);
   }
 
-  /** Sends queued gossip, and forwarded heartbeats, to some peers at random. */
+  /** Sends queued gossip and forwarded heartbeats to random peers. */
   void sendGossip(final List<GossipItem.Heartbeat> heartbeats) {
     final List<Peer> alive = table.alive();
     for (int target = 0; target < Math.min(GOSSIP_FANOUT, alive.size()); target++) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/PaxosAcceptor.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PaxosAcceptor.java
@@ -3,9 +3,7 @@
 import java.util.Objects;
 import java.util.function.Predicate;
 
-/**
- * The acceptor of one Paxos instance: what it promised, and what it accepted under which ballot.
- */
+/** The acceptor of one Paxos instance: its promised ballot, and its accepted ballot and change. */
 final class PaxosAcceptor {
   private final ViewId viewId;
   private long promisedBallot = PaxosInstance.NO_BALLOT;
@@ -16,7 +14,7 @@
     this.viewId = viewId;
   }
 
-  /** Copies another one's state. */
+  /** Copies the state of another acceptor. */
   PaxosAcceptor(final PaxosAcceptor other) {
     viewId = other.viewId;
     promisedBallot = other.promisedBallot;
@@ -35,7 +33,8 @@
   }
 
   /**
-   * Accepts a change. Returns null if it does not agree with one that it had not accepted before.
+   * Accepts a change. Returns null, without a vote, for a change that it has not accepted before
+   * and that is not acceptable.
    */
   GossipItem.PaxosMessage onAccept(
       final long ballot, final ViewChange change, final Predicate<ViewChange> acceptable) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/PaxosInstance.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PaxosInstance.java
@@ -6,16 +6,16 @@
 import java.util.function.Predicate;
 
 /**
- * One courier's part in the agreement on what follows one view: Paxos for a single value (Lamport,
- * "Paxos made simple", 2001) among the view's committee. A member of the committee is an
- * incarnation of a courier, never a name: a process that starts again has forgotten what it
- * promised, and is another incarnation.
+ * One courier's state in the agreement on the change that follows a view: single-decree Paxos
+ * (Lamport, "Paxos made simple", 2001) among the view's committee. A member of the committee is an
+ * incarnation of a courier, never a name: a restarted process has lost its promises, and is another
+ * incarnation.
  *
  * <p>It has no timers: the caller sends {@link #outstandingMessages} repeatedly until there is a
- * decision, and calls {@link #startHigherBallot} when another ballot stands in the way.
+ * decision, and calls {@link #startHigherBallot} when another ballot supersedes its own.
  */
 public final class PaxosInstance {
-  /** Stands for no ballot; below all others. */
+  /** Stands for no ballot; lower than all ballots. */
   static final long NO_BALLOT = -1;
 
   private final View view;
@@ -24,12 +24,12 @@
   private final PaxosAcceptor acceptor;
   private final PaxosProposer proposer;
 
-  /** A message, and the member of the committee to which it goes. */
+  /** A message and its addressee in the committee. */
   public record AddressedMessage(PeerId to, GossipItem.PaxosMessage message) {}
 
   /**
-   * An incarnation's part in what follows that view; outside the committee it neither proposes nor
-   * votes.
+   * Creates the state of an incarnation for the change that follows a view. An incarnation outside
+   * the committee neither proposes nor votes.
    */
   public PaxosInstance(final View view, final PeerId self) {
     this.view = view;
@@ -39,7 +39,7 @@
     this.proposer = new PaxosProposer(view, committeeIndex);
   }
 
-  /** Copies another one's state, to go on apart from it. */
+  /** Copies the state of another instance. */
   public PaxosInstance(final PaxosInstance other) {
     this.view = other.view;
     this.self = other.self;
@@ -53,12 +53,12 @@
     return view;
   }
 
-  /** Returns the decided change, as far as is known here; null: none. */
+  /** Returns the decided change, or null if none is known here. */
   public ViewChange decided() {
     return proposer.decided();
   }
 
-  /** Returns true while a ballot of this courier is under way. */
+  /** Returns true while a ballot of this courier is in progress. */
   public boolean isProposing() {
     return proposer.isProposing();
   }
@@ -79,13 +79,16 @@
     proposer.propose(change);
   }
 
-  /** Starts a ballot higher than any seen, with that change if the choice is still free. */
+  /**
+   * Starts a ballot higher than any seen, with that change if no earlier ballot may have chosen
+   * one.
+   */
   public void startHigherBallot(final ViewChange change) {
     proposer.startHigherBallot(change);
   }
 
   /**
-   * Returns true if a higher ballot than the own one is known, under which the own one cannot
+   * Returns true if a ballot higher than this courier's own is known, so that the own ballot cannot
    * succeed.
    */
   public boolean isBallotSuperseded() {
@@ -93,8 +96,8 @@
   }
 
   /**
-   * Returns what is to be sent to whom now, and repeated until {@link #decided}; also to this
-   * courier itself.
+   * Returns the messages that are to be sent now, and resent until there is a {@link #decided}
+   * change; some may be addressed to this courier itself.
    */
   public List<AddressedMessage> outstandingMessages() {
     final List<AddressedMessage> outstanding = new ArrayList<>();
@@ -108,11 +111,11 @@
   }
 
   /**
-   * Applies a message of a member of the committee.
+   * Applies a message from a member of the committee.
    *
-   * @param acceptable tells whether this courier agrees with a change while the choice is free; it
-   *     may say no at any time
-   * @return the answer; null: none
+   * @param acceptable returns whether this courier agrees with a change that no earlier ballot may
+   *     have chosen; it may return false at any time
+   * @return the answer, or null if there is none
    */
   public GossipItem.PaxosMessage onMessage(
       final PeerId from,
--- a/decisions/src/main/java/thistleturn/decisions/peers/PaxosProposer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PaxosProposer.java
@@ -6,20 +6,20 @@
 
 /**
  * The proposer of one Paxos instance. Ballot {@code round * committee + index} belongs to the
- * member at that index of the committee, and ballot 0 to the first: nobody can have accepted
- * anything under a lower one, so it needs no promises.
+ * member at that index of the committee, and ballot 0 to the first: no acceptor can have accepted a
+ * lower ballot, so ballot 0 needs no promises.
  */
 final class PaxosProposer {
   /**
-   * How far the proposer got; it moves downwards, and from either of the middle two back to {@code
-   * PREPARING}.
+   * The phase of the proposer; it advances in this order, and returns from {@code PREPARING} or
+   * {@code ACCEPTING} to {@code PREPARING} with each higher ballot.
    */
   private enum Phase {
     /** Nothing was proposed. */
     IDLE,
     /** A ballot is waiting for promises. */
     PREPARING,
-    /** A change was chosen for the ballot, and is waiting to be accepted. */
+    /** A change was determined for the ballot, which is waiting for acceptances. */
     ACCEPTING,
     /** A majority accepted the change. */
     DECIDED
@@ -32,10 +32,10 @@
   private Phase phase = Phase.IDLE;
   private long ballot = PaxosInstance.NO_BALLOT;
 
-  /** What is proposed if no promise reports a change that an earlier ballot may have chosen. */
+  /** The change to propose if no promise reports one that an earlier ballot may have chosen. */
   private ViewChange preferredChange;
 
-  /** What the ballot proposes; null before it is chosen. */
+  /** The change that the ballot proposes, or null before it is determined. */
   private ViewChange proposedChange;
 
   /** True if an earlier ballot may have chosen the proposed change. */
@@ -52,7 +52,7 @@
     this.committeeIndex = committeeIndex;
   }
 
-  /** Copies another one's state. */
+  /** Copies the state of another proposer. */
   PaxosProposer(final PaxosProposer other) {
     this(other.view, other.committeeIndex);
     promisers.addAll(other.promisers);
@@ -66,12 +66,12 @@
     highestReportedBallot = other.highestReportedBallot;
   }
 
-  /** Returns true while a ballot is under way. */
+  /** Returns true while a ballot is in progress. */
   boolean isProposing() {
     return phase == Phase.PREPARING || phase == Phase.ACCEPTING;
   }
 
-  /** Returns the decided change; null: none yet. */
+  /** Returns the decided change, or null if there is none yet. */
   ViewChange decided() {
     return phase == Phase.DECIDED ? proposedChange : null;
   }
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Returns true if a ballot higher than the own one is known, under which the own one cannot
+   * Returns true if a ballot higher than the own one is known, so that the own ballot cannot
    * succeed.
    */
   boolean isBallotSuperseded() {
@@ -106,7 +106,10 @@
     }
   }
 
-  /** Starts a ballot higher than any seen, with that change if the choice is still free. */
+  /**
+   * Starts a ballot higher than any seen, with that change if no earlier ballot may have chosen
+   * one.
+   */
   void startHigherBallot(final ViewChange change) {
     if (phase == Phase.DECIDED) {
       throw new IllegalStateException(
@@ -125,7 +128,7 @@
     acceptors.clear();
   }
 
-  /** Returns what a member of the committee is to be sent now; null: nothing. */
+  /** Returns the message that a member of the committee is to be sent now, or null if none. */
   GossipItem.PaxosMessage outstandingFor(final PeerId member) {
     if (phase == Phase.PREPARING && !promisers.contains(member)) {
       return message(GossipItem.PaxosMessage.Type.PREPARE, null);
@@ -149,8 +152,8 @@
   // ---------------------------------------------------------------- answers
 
   /**
-   * A member promised. With a majority of promises the change is chosen: that of the highest
-   * accepted ballot, if there is one.
+   * Records a promise. With a majority of promises the change to propose is determined: that of the
+   * highest accepted ballot, if there is one.
    */
   void onPromise(final PeerId from, final GossipItem.PaxosMessage promise) {
     if (phase != Phase.PREPARING || promise.ballot() != ballot) {
@@ -168,7 +171,7 @@
     }
   }
 
-  /** A member accepted. With a majority the change is decided. */
+  /** Records an acceptance. With a majority of acceptances the change is decided. */
   void onAccepted(final PeerId from, final long acceptedBallot) {
     if (acceptedBallot != ballot || proposedChange == null) {
       return;
--- a/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
@@ -1,14 +1,14 @@
 package thistleturn.decisions.peers;
 
 /**
- * Everything known here about one peer name: its latest incarnation and the state gathered about
- * it. A later incarnation replaces an earlier one through {@link #startIncarnation}, after which
- * nothing learned about the earlier one applies. Timestamps are microseconds of the local clock.
+ * All that is known here about the peer of one name: its latest incarnation and that incarnation's
+ * state. A later incarnation replaces an earlier one through {@link #startIncarnation}, which
+ * discards the state of the earlier one. Timestamps are microseconds of the local clock.
  */
 final class Peer {
   /**
-   * The timestamp of something that has not happened; far enough from the limits to be added to and
-   * subtracted from.
+   * The timestamp of something that has not happened; far enough from the limits of {@code long}
+   * for additions and subtractions.
    */
   static final long NEVER = Long.MIN_VALUE / 4;
 
@@ -28,7 +28,7 @@
   private PeerState publishedState = PeerState.JOINING;
   private long publishedStateSinceUs;
 
-  /** Records a name that was not known before. */
+  /** Creates the peer of a name that was not known before. */
   Peer(final GossipItem.MemberUpdate update, final long nowUs) {
     this.id = update.id();
     this.nameHash = MonitoringRings.hash(id.name());
@@ -51,17 +51,14 @@
     return address;
   }
 
-  /** Returns the hash that determines the peer's place on the monitoring rings. */
+  /** Returns the hash that determines the peer's position on the monitoring rings. */
   long nameHash() {
     return nameHash;
   }
 
   // ---------------------------------------------------------------- incarnation and liveness
 
-  /**
-   * Replaces the incarnation. Nothing that was learned about the previous one applies to the new
-   * one.
-   */
+  /** Replaces the incarnation and discards the state of the previous one. */
   void startIncarnation(final PeerId next, final String nextAddress, final long nowUs) {
     id = next;
     address = nextAddress;
@@ -79,10 +76,7 @@
     publishedStateSinceUs = nowUs;
   }
 
-  /**
-   * Records that this incarnation left or was declared dead; reports about a peer that has ended
-   * are void.
-   */
+  /** Records that this incarnation left or was declared dead, and discards the reports about it. */
   void end(final GossipItem.Liveness ended, final long nowUs) {
     liveness = ended;
     livenessSinceUs = nowUs;
@@ -93,7 +87,7 @@
     return liveness;
   }
 
-  /** Returns since when this courier has known the current liveness. */
+  /** Returns when this courier received the current liveness. */
   long livenessSinceUs() {
     return livenessSinceUs;
   }
@@ -103,7 +97,7 @@
     return liveness == GossipItem.Liveness.ALIVE;
   }
 
-  /** Returns true if that incarnation is the latest one known, and it has not ended. */
+  /** Returns true if that incarnation is the latest known one and has not ended. */
   boolean isAliveAs(final PeerId incarnation) {
     return id.equals(incarnation) && isAlive();
   }
@@ -129,7 +123,7 @@
     return true;
   }
 
-  /** Returns the highest heartbeat count known; 0: none. */
+  /** Returns the highest known heartbeat count; 0 if none was received. */
   long heartbeat() {
     return heartbeat;
   }
@@ -140,16 +134,14 @@
   }
 
   /**
-   * Returns how many times the heartbeat advanced. Joining takes two advances, so that one stale
-   * packet admits nobody.
+   * Returns how many times the heartbeat advanced. Joining takes two advances, so that a single
+   * stale packet admits no peer.
    */
   int heartbeatAdvances() {
     return heartbeatAdvances;
   }
 
-  /**
-   * Records what the peer reported about itself. Returns true if that is newer than what was known.
-   */
+  /** Records the peer's report about itself. Returns true if it is newer than the known one. */
   boolean recordStatus(final long version, final PeerStatus reported) {
     if (version <= statusVersion) {
       return false;
@@ -159,7 +151,7 @@
     return true;
   }
 
-  /** Returns the version of the last status report; 0: none was received. */
+  /** Returns the version of the last status report; 0 if none was received. */
   long statusVersion() {
     return statusVersion;
   }
@@ -175,12 +167,12 @@
     return reports;
   }
 
-  /** Returns what this courier observed of the peer by itself. */
+  /** Returns this courier's own observations of the peer. */
   PeerMonitor monitor() {
     return monitor;
   }
 
-  /** Returns what was last exchanged with the peer. */
+  /** Returns the state of the message exchange with the peer. */
   PeerExchange exchange() {
     return exchange;
   }
@@ -195,14 +187,14 @@
     return true;
   }
 
-  /** Returns since when operators have been shown the current state. */
+  /** Returns when the state shown to operators last changed. */
   long publishedStateSinceUs() {
     return publishedStateSinceUs;
   }
 
   /**
-   * Moves timestamps forward by a pause of this process, so that nobody counts as silent for that
-   * time.
+   * Shifts timestamps forward by a pause of this process, so that the pause does not count as
+   * silence of the peer.
    */
   void shiftTimestamps(final long pauseUs) {
     heartbeatUs = shifted(heartbeatUs, pauseUs);
@@ -210,7 +202,7 @@
     reports.shiftTimestamps(pauseUs);
   }
 
-  /** Returns a timestamp moved forward; {@link #NEVER} stays what it is. */
+  /** Returns a timestamp shifted forward; {@link #NEVER} is unchanged. */
   static long shifted(final long timestampUs, final long byUs) {
     return timestampUs == NEVER ? NEVER : timestampUs + byUs;
   }
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerEvent.java
@@ -1,11 +1,11 @@
 package thistleturn.decisions.peers;
 
 /**
- * Something that operators are notified of, one line each.
+ * An event that is shown to operators as one log line.
  *
- * @param type what happened
- * @param peerName to whom; empty: to this courier or its view
- * @param message what happened, in words
+ * @param type the type of the event
+ * @param peerName the peer concerned; empty if the event concerns this courier or its view
+ * @param message the description of the event
  */
 public record PeerEvent(Type type, String peerName, String message) {
   /** The types of events. */
@@ -16,7 +16,7 @@
     VIEW,
     /** The status of this courier in its fleet changed. */
     MEMBERSHIP_STATUS,
-    /** This process did not run for a while. */
+    /** This process was paused. */
     PROCESS_PAUSED,
     /** Another process uses this courier's name. */
     NAME_CONFLICT
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerExchange.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerExchange.java
@@ -1,14 +1,14 @@
 package thistleturn.decisions.peers;
 
 /**
- * How far the exchange of messages with one peer went: the sequence read last, and when what was
- * last sent to it.
+ * The state of the message exchange with one peer: the last sequence received, and the times of the
+ * last sends, which limit their rate.
  */
 final class PeerExchange {
-  /** How long after one push of missing state to a peer the next one may follow. */
+  /** The minimum interval between two pushes of missing state to a peer. */
   private static final long PUSH_INTERVAL_US = 300_000;
 
-  /** How often a heartbeat of one peer is forwarded to others. */
+  /** The minimum interval between two forwarded heartbeats of a peer. */
   private static final long HEARTBEAT_FORWARD_INTERVAL_US = 400_000;
 
   private long lastSequence;
@@ -16,14 +16,16 @@
   private long decisionsSentUs = Peer.NEVER;
   private long heartbeatForwardedUs = Peer.NEVER;
 
-  /** Starts over with another incarnation of the peer. */
+  /** Resets the state for another incarnation of the peer. */
   void reset() {
     lastSequence = 0;
     fullStateSentUs = Peer.NEVER;
     decisionsSentUs = Peer.NEVER;
   }
 
-  /** Records a packet's sequence. Returns false if that packet, or a later one, was read before. */
+  /**
+   * Records a packet's sequence. Returns false if that packet or a later one was received before.
+   */
   boolean advanceSequence(final long sequence) {
     if (sequence <= lastSequence) {
       return false;
@@ -33,7 +35,7 @@
   }
 
   /**
-   * Returns true, and starts the interval anew, if the peer may be sent the full state that it
+   * Returns true, and restarts the interval, if the peer may be sent the full state that it
    * requested.
    */
   boolean takeFullStateTurn(final long nowUs) {
@@ -45,8 +47,7 @@
   }
 
   /**
-   * Returns true, and starts the interval anew, if the peer may be sent the decisions that it
-   * lacks.
+   * Returns true, and restarts the interval, if the peer may be sent the decisions that it lacks.
    */
   boolean takeDecisionsTurn(final long nowUs) {
     if (nowUs - decisionsSentUs < PUSH_INTERVAL_US) {
@@ -56,7 +57,7 @@
     return true;
   }
 
-  /** Returns true, and starts the interval anew, if a heartbeat of the peer may be forwarded. */
+  /** Returns true, and restarts the interval, if a heartbeat of the peer may be forwarded. */
   boolean takeHeartbeatTurn(final long nowUs) {
     if (nowUs - heartbeatForwardedUs < HEARTBEAT_FORWARD_INTERVAL_US) {
       return false;
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerMonitor.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerMonitor.java
@@ -1,26 +1,26 @@
 package thistleturn.decisions.peers;
 
 /**
- * What this courier observed of one peer by itself: packets received, pings, and the connection
- * that it holds to the peer while it monitors it. Two kinds of evidence are kept apart: silence,
- * and connections that end before their greeting.
+ * This courier's own observations of one peer: packets received, pings, and the connection that it
+ * keeps to the peer while it monitors it. Two kinds of evidence are distinguished: silence, and
+ * connections that close before their greeting.
  */
 final class PeerMonitor {
-  /** Data on the way may arrive so much later than the end of a connection. */
+  /** Packets in flight may arrive this much later than the close of a connection. */
   static final long MAX_IN_FLIGHT_US = 300_000;
 
-  /** How long a connection attempt that nobody answers is waited for before the next one. */
+  /** The delay before the next attempt if a connection attempt is not answered. */
   private static final long CONNECT_RETRY_US = 1_000_000;
 
   /**
-   * How long after the end of a connection the next one is attempted, multiplied by the failures in
-   * a row.
+   * The delay from the close of a connection to the next attempt, multiplied by the number of
+   * consecutive failures.
    */
   private static final long RECONNECT_DELAY_US = 100_000;
 
   /**
-   * So many failed connections in a row prove that the process ended: the second cannot be a reset
-   * under way.
+   * How many consecutive failed connections prove that the process ended. One is not enough, since
+   * it may be a reset that was still in flight.
    */
   private static final int ENDED_CONNECTION_FAILURES = 2;
 
@@ -33,20 +33,20 @@
   private long pingSentUs;
   private long roundTripUs;
 
-  /** Connections in a row that ended without a greeting. */
+  /** The number of consecutive connections that closed without a greeting. */
   private int failedConnections;
 
   private long firstFailedConnectionUs = Peer.NEVER;
   private long nextConnectUs = Peer.NEVER;
 
-  /** The address of the connection that is held or attempted; null: none. */
+  /** The address of the open or attempted connection, or null if there is none. */
   private String connectionAddress;
 
   private boolean connected;
 
   /**
-   * Starts over with another incarnation of the peer; whether it is monitored, and its connection,
-   * stay.
+   * Resets the observations for another incarnation of the peer; keeps whether the peer is
+   * monitored, and the connection.
    */
   void reset(final long nowUs) {
     lastReceivedUs = Peer.NEVER;
@@ -67,7 +67,7 @@
     return monitored;
   }
 
-  /** Starts monitoring: probes from a first moment on, and a connection at once. */
+  /** Starts monitoring, with the first probe at the given time and a connection attempt at once. */
   void start(final long nowUs, final long firstProbeUs) {
     monitored = true;
     monitoredSinceUs = nowUs;
@@ -75,7 +75,7 @@
     nextConnectUs = Peer.NEVER;
   }
 
-  /** Stops monitoring. The connection is to be released separately. */
+  /** Stops monitoring. The caller releases the connection separately. */
   void stop() {
     monitored = false;
     failedConnections = 0;
@@ -92,19 +92,19 @@
 
   // ---------------------------------------------------------------- packets
 
-  /** Records a packet that was sent after all that were received before. */
+  /** Records a packet with a higher sequence than all received before. */
   void recordReceived(final long silenceTimeoutUs, final long nowUs) {
     if (nowUs - lastReceivedUs > silenceTimeoutUs) {
       receivingSinceUs = nowUs;
     }
     lastReceivedUs = nowUs;
     if (failedConnections > 0 && nowUs - firstFailedConnectionUs > MAX_IN_FLIGHT_US) {
-      // Its connections end, and it is alive all the same.
+      // The peer is alive although its connections close.
       failedConnections = 0;
     }
   }
 
-  /** Returns true if any packet of the incarnation was received. */
+  /** Returns true if a packet of this incarnation was received. */
   boolean hasReceived() {
     return lastReceivedUs != Peer.NEVER;
   }
@@ -115,16 +115,16 @@
   }
 
   /**
-   * Returns since when the peer has been silent, counted from the start of monitoring at the
-   * earliest.
+   * Returns when the silence of the peer began: at its last packet, or at the start of monitoring
+   * if that is later.
    */
   long silentSinceUs() {
     return Math.max(lastReceivedUs, monitoredSinceUs);
   }
 
   /**
-   * Returns since when the peer has been received without a gap, counted from the start of
-   * monitoring at the earliest.
+   * Returns when the current reception without a gap began, or the start of monitoring if that is
+   * later.
    */
   long stableSinceUs() {
     return Math.max(receivingSinceUs, monitoredSinceUs);
@@ -136,7 +136,7 @@
     pingSentUs = nowUs;
   }
 
-  /** Records an answer; only the one to the latest ping counts towards the round trip. */
+  /** Records a pong; only the one that answers the latest ping updates the round trip. */
   void recordPong(final long echoedSequence, final long nowUs) {
     if (echoedSequence != pingSequence || pingSequence <= 0) {
       return;
@@ -146,7 +146,7 @@
     pingSequence = 0;
   }
 
-  /** Returns the smoothed round trip; 0: none was measured. */
+  /** Returns the smoothed round-trip time; 0 if none was measured. */
   long roundTripUs() {
     return roundTripUs;
   }
@@ -164,12 +164,12 @@
     connectionAddress = address;
   }
 
-  /** Returns the address of the connection that is held or attempted; null: none. */
+  /** Returns the address of the open or attempted connection, or null if there is none. */
   String connectionAddress() {
     return connectionAddress;
   }
 
-  /** Forgets the connection. */
+  /** Clears the connection's state. */
   void releaseConnection() {
     connectionAddress = null;
     connected = false;
@@ -188,10 +188,10 @@
     nextConnectUs = nowUs + CONNECT_RETRY_US;
   }
 
-  /** Records that the connection ended, or was refused. */
+  /** Records that the connection was closed or refused. */
   void recordClosed(final long nowUs) {
     if (connected) {
-      // The network may have broken it; the next connection shows.
+      // The network may have broken it; the next connection attempt tells the causes apart.
       connected = false;
       failedConnections = 0;
       firstFailedConnectionUs = nowUs;
@@ -203,7 +203,7 @@
         nowUs + RECONNECT_DELAY_US * Math.min(maxFactor, Math.max(1, failedConnections));
   }
 
-  /** Records a connection attempt that nobody accepted or refused: it proves nothing. */
+  /** Records a connection attempt that was neither accepted nor refused, which proves nothing. */
   void recordUnanswered(final long nowUs) {
     failedConnections = 0;
     connected = false;
@@ -217,7 +217,7 @@
     failedConnections++;
   }
 
-  /** Returns true if the last connection ended without a greeting. */
+  /** Returns true if the last connection closed without a greeting. */
   boolean hasFailedConnections() {
     return failedConnections > 0;
   }
@@ -227,7 +227,7 @@
     return failedConnections >= ENDED_CONNECTION_FAILURES && !connected;
   }
 
-  /** Moves timestamps forward by a pause of this process. */
+  /** Shifts timestamps forward by a pause of this process. */
   void shiftTimestamps(final long pauseUs) {
     lastReceivedUs = Peer.shifted(lastReceivedUs, pauseUs);
     receivingSinceUs = Peer.shifted(receivingSinceUs, pauseUs);
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerSnapshot.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerSnapshot.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a courier knows of a peer.
+ * A courier's knowledge of a peer at one time.
  *
  * @param id its latest incarnation
- * @param address on which it listens
- * @param state what is known of it
+ * @param address the address on which it listens
+ * @param state the derived state
  * @param stateAgeUs for how long it has been in that state
- * @param unreachableReports who does not reach it, in the order of names; all other observers that
- *     monitor it reach it
- * @param localReachability this courier's own finding; null: it does not monitor the peer
- * @param roundTripUs the smoothed round trip; 0: none was measured
- * @param status what it last reported about itself
+ * @param unreachableReports the reports of observers that cannot reach it, in name order; all other
+ *     observers that monitor it reach it
+ * @param localReachability this courier's own observation, or null if it does not monitor the peer
+ * @param roundTripUs the smoothed round-trip time; 0 if none was measured
+ * @param status the status that it last reported about itself
  */
 public record PeerSnapshot(
     PeerId id,
@@ -24,7 +24,7 @@
     Reachability localReachability,
     long roundTripUs,
     PeerStatus status) {
-  /** One observer's report that it does not reach the peer, and for how long that has been so. */
+  /** One observer's report that it cannot reach the peer, and for how long. */
   public record UnreachableReport(String observer, Reachability reachability, long ageUs)
       implements Comparable<UnreachableReport> {
     @Override
--- a/decisions/src/main/java/thistleturn/decisions/peers/PeerStateReporter.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PeerStateReporter.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Shows operators the state of all peers: changes as events, and snapshots on request. */
+/** Reports the state of all peers to operators: changes as events, and snapshots on request. */
 final class PeerStateReporter {
   private final LocalPeer local;
   private final MembershipTable table;
@@ -41,14 +41,14 @@
     return switch (state) {
       case JOINING -> "joins, at " + peer.address();
       case ALIVE -> "is alive";
-      case PARTLY -> "is heard by some, not by " + String.join(", ", peer.reports().observers());
-      case SUSPECT -> "is suspect: not heard by " + String.join(", ", peer.reports().observers());
+      case PARTLY -> "is reached by some, not by " + String.join(", ", peer.reports().observers());
+      case SUSPECT -> "is suspect: not reached by " + String.join(", ", peer.reports().observers());
       case DEAD -> "is dead by agreement";
       case LEFT -> "has left";
     };
   }
 
-  /** Returns what is known of each peer. */
+  /** Returns a snapshot of each peer. */
   List<PeerSnapshot> snapshots(final long nowUs) {
     final List<PeerSnapshot> snapshots = new ArrayList<>();
     for (final Peer peer : table.all()) {
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Returns this courier's own finding; null: it does not monitor the peer, or has received nothing
-   * yet.
+   * Returns this courier's own observation, or null if it does not monitor the peer or has received
+   * nothing from it.
    */
   private Reachability localReachability(final Peer peer) {
     final ReachabilityReports.UnreachableReport own = peer.reports().by(local.name());
--- a/decisions/src/main/java/thistleturn/decisions/peers/Reachability.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Reachability.java
@@ -1,14 +1,14 @@
 package thistleturn.decisions.peers;
 
-/** An observer's finding about a peer that it monitors. */
+/** An observer's result for a peer that it monitors. */
 public enum Reachability {
-  /** Packets of it were received lately. */
+  /** Packets of the peer were received lately. */
   HEARD,
-  /** No packet of it was received for the silence timeout. */
+  /** No packet of the peer was received for the silence timeout. */
   SILENT,
   /**
-   * Connections to its address end or are refused at once: the operating system there shows that
-   * the process ended.
+   * Connections to the peer's address are closed or refused at once, which shows that the process
+   * ended.
    */
   ENDED
 }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ReachabilityReports.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ReachabilityReports.java
@@ -7,22 +7,22 @@
 import java.util.TreeSet;
 
 /**
- * What observers report about the reachability of one peer. Only reports of unreachability are
- * kept; an observer without one reaches the peer, as far as is known. {@link #unreachableSinceUs}
- * is {@link Peer#NEVER} exactly while there is no report.
+ * The observers' reports about the reachability of one peer. Only reports of unreachability are
+ * kept; an observer without one is assumed to reach the peer. {@link #unreachableSinceUs} is {@link
+ * Peer#NEVER} exactly while there is no report.
  */
 final class ReachabilityReports {
-  /** One observer's report that it does not reach the peer. */
+  /** One observer's report that it cannot reach the peer. */
   record UnreachableReport(PeerId observer, Reachability reachability, long sinceUs) {}
 
-  /** The latest report that was applied of an observer. */
+  /** The incarnation and version of an observer's latest applied report. */
   private record ReportVersion(long incarnation, long version) {}
 
   private final Map<String, UnreachableReport> unreachableByObserver = new HashMap<>(2);
   private final Map<String, ReportVersion> versionsByObserver = new HashMap<>(2);
   private long unreachableSinceUs = Peer.NEVER;
 
-  /** Returns true if a report is newer than all that were applied of its observer. */
+  /** Returns true if a report is newer than all applied reports of its observer. */
   boolean isNewer(final PeerId observer, final long version) {
     final ReportVersion known = versionsByObserver.get(observer.name());
     return known == null
@@ -30,7 +30,7 @@
         || (observer.incarnation() == known.incarnation() && version > known.version());
   }
 
-  /** Applies a report that {@link #isNewer}. */
+  /** Applies a report, for which {@link #isNewer} must be true. */
   void apply(final GossipItem.ReachabilityReport report, final long nowUs) {
     final PeerId observer = report.observer();
     versionsByObserver.put(
@@ -55,37 +55,35 @@
     }
   }
 
-  /** Removes all reports, but not the knowledge of how far each observer's reports were read. */
+  /** Removes all reports, but keeps the version of each observer's latest report. */
   void clear() {
     unreachableByObserver.clear();
     unreachableSinceUs = Peer.NEVER;
   }
 
-  /** Forgets everything: the reports were about another incarnation. */
+  /** Removes all reports and versions, which belong to an earlier incarnation of the peer. */
   void reset() {
     clear();
     versionsByObserver.clear();
   }
 
-  /** Returns an observer's report; null: it reports none. */
+  /** Returns an observer's report, or null if there is none. */
   UnreachableReport by(final String observer) {
     return unreachableByObserver.get(observer);
   }
 
-  /** Returns the version of an observer's latest report; null: none was applied. */
+  /** Returns the version of an observer's latest report, or null if none was applied. */
   Long versionBy(final String observer) {
     final ReportVersion version = versionsByObserver.get(observer);
     return version == null ? null : version.version();
   }
 
-  /** Returns true if some observer does not reach the peer. */
+  /** Returns true if an observer reports that it cannot reach the peer. */
   boolean isReportedUnreachable() {
     return unreachableSinceUs != Peer.NEVER;
   }
 
-  /**
-   * Returns since when some observer has not reached the peer; {@link Peer#NEVER}: all reach it.
-   */
+  /** Returns since when at least one report has existed; {@link Peer#NEVER} if there is none. */
   long unreachableSinceUs() {
     return unreachableSinceUs;
   }
@@ -95,12 +93,12 @@
     return unreachableByObserver.values();
   }
 
-  /** Returns the names of the observers that do not reach the peer, in order. */
+  /** Returns the names of the observers that cannot reach the peer, in order. */
   Set<String> observers() {
     return new TreeSet<>(unreachableByObserver.keySet());
   }
 
-  /** Moves timestamps forward by a pause of this process. */
+  /** Shifts timestamps forward by a pause of this process. */
   void shiftTimestamps(final long pauseUs) {
     unreachableSinceUs = Peer.shifted(unreachableSinceUs, pauseUs);
     unreachableByObserver.replaceAll(
--- a/decisions/src/main/java/thistleturn/decisions/peers/RecentDecisions.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/RecentDecisions.java
@@ -12,7 +12,7 @@
 
   private final Map<ViewId, ViewChange> changesByView = new LinkedHashMap<>();
 
-  /** Records the change that followed a view; the oldest one makes room. */
+  /** Records the change that followed a view; drops the oldest one beyond the capacity. */
   void add(final GossipItem.ViewDecision decision) {
     changesByView.put(decision.viewId(), decision.change());
     if (changesByView.size() > CAPACITY) {
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Returns the changes that lead on from a view, as many as fit into one packet; empty if that
-   * view's change is not kept.
+   * Returns the changes from a view onwards, as many as fit into one packet; empty if that view's
+   * change is not kept.
    */
   List<GossipItem> since(final ViewId start) {
     final List<GossipItem> decisions = new ArrayList<>();
--- a/decisions/src/main/java/thistleturn/decisions/peers/SeedProber.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/SeedProber.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * Probes the seed addresses at which no peer is known: often until this courier has joined others,
- * and now and then for good, since a courier that starts there knows of nobody else.
+ * Probes the seed addresses at which no peer is known: frequently until this courier has joined
+ * others, and at a longer interval permanently, since a courier that starts at such an address may
+ * know no other courier.
  */
 final class SeedProber {
   private static final long JOIN_PROBE_INTERVAL_US = 500_000;
@@ -29,7 +30,7 @@
     this.sender = sender;
   }
 
-  /** Probes if that is due. */
+  /** Probes the seeds if that is due. */
   void tick(final MembershipStatus status, final long nowUs) {
     if (nowUs < nextProbeUs) {
       return;
--- a/decisions/src/main/java/thistleturn/decisions/peers/View.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/View.java
@@ -9,15 +9,15 @@
 import java.util.TreeSet;
 
 /**
- * The agreed members of a fleet under a number. Two views of one lineage with the same number never
- * differ (docs/design/peers.md); views of different lineages guarantee each other nothing.
+ * The agreed members of a fleet under a number. Two views of one lineage with the same number are
+ * always equal (docs/design/peers.md); there are no guarantees between views of different lineages.
  *
- * @param generation of the lineage
+ * @param generation the generation of the lineage
  * @param founder identifies the lineage, together with its generation
- * @param number within the lineage, from 1
- * @param members in order
- * @param committee the members whose majority agrees on the next view, in the order of their right
- *     to propose
+ * @param number the number within the lineage, from 1
+ * @param members the members, in order
+ * @param committee the members whose majority agrees on the next view, in the order in which they
+ *     propose
  */
 public record View(
     long generation, long founder, long number, List<ViewMember> members, List<PeerId> committee) {
@@ -27,14 +27,14 @@
     committee = List.copyOf(committee);
   }
 
-  /** Returns the first view of a lineage: its founder alone. */
+  /** Returns the first view of a lineage, with its founder as the only member. */
   public static View founded(final long generation, final long founder, final ViewMember first) {
     return new View(generation, founder, 1, List.of(first), List.of(first.id()));
   }
 
   /**
-   * Returns the view that follows by a change. Members of the committee that stay keep their
-   * places; free places go to other members by a hash that all compute alike.
+   * Returns the view that follows by a change. Remaining members of the committee keep their
+   * positions; free positions go to other members by a hash that is the same for all couriers.
    */
   public View next(final ViewChange change, final int committeeSize) {
     final Set<PeerId> removed = new HashSet<>(change.removed());
@@ -80,7 +80,7 @@
     return Collections.binarySearch(members, new ViewMember(id, "")) >= 0;
   }
 
-  /** Returns how many members of the committee must agree. */
+  /** Returns how many members of the committee form a majority. */
   public int majority() {
     return committee.size() / 2 + 1;
   }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewChange.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewChange.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** What changes from one view to the next: who is removed and who is added, each in order. */
+/** The change from one view to the next: the removed and the added members, each in order. */
 public record ViewChange(List<PeerId> removed, List<ViewMember> added) {
-  /** Changes nothing. */
+  /** The empty change. */
   public static final ViewChange NONE = new ViewChange(List.of(), List.of());
 
   /** Copies the lists, so that the change is immutable. */
@@ -13,7 +13,7 @@
     added = List.copyOf(added);
   }
 
-  /** Returns true if nobody is removed or added. */
+  /** Returns true if no member is removed or added. */
   public boolean isEmpty() {
     return removed.isEmpty() && added.isEmpty();
   }
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewChangePolicy.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewChangePolicy.java
@@ -3,21 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Decides, from what the membership table shows, which changes of a view this courier proposes and
- * accepts.
- */
+/** Decides, from the membership table, which view changes this courier proposes and accepts. */
 final class ViewChangePolicy {
-  /** Bytes of a change: a packet carries it beside the head of a Paxos message. */
+  /** The maximum size of a change in bytes, so that a packet can carry it with a Paxos message. */
   private static final int MAX_CHANGE_BYTES = 700;
 
   /**
-   * An acceptor with a sign of life within the death timeout, less this, does not agree that a peer
-   * is silent.
+   * An acceptor does not agree to remove a silent peer that it received from within the death
+   * timeout minus this tolerance.
    */
   private static final long SILENCE_TOLERANCE_US = 1_000_000;
 
-  /** Heartbeat advances that a peer needs to join, so that one stale packet admits nobody. */
+  /**
+   * How many heartbeat advances a peer needs to join, so that a single stale packet admits no peer.
+   */
   private static final int MIN_HEARTBEAT_ADVANCES = 2;
 
   private final GossipSettings settings;
@@ -33,7 +32,7 @@
 
   // ---------------------------------------------------------------- proposing
 
-  /** Returns how the view should change by what is known now. */
+  /** Returns the view change that the current knowledge calls for. */
   ViewChange desiredChange(final IndexedView view, final PeerId self, final long nowUs) {
     final List<PeerId> removed = new ArrayList<>();
     int bytes = 0;
@@ -82,12 +81,12 @@
         && (hasEnded(peer, id, nowUs) || table.isConfirmedUnreachable(peer, self.name(), nowUs));
   }
 
-  /** Returns true if that incarnation is known to be over. */
+  /** Returns true if that incarnation is known to have ended. */
   private boolean hasEnded(final Peer peer, final PeerId id, final long nowUs) {
     return !peer.isAliveAs(id) || table.isConfirmedEnded(peer, nowUs);
   }
 
-  /** Returns how many members of the committee may propose before this courier does. */
+  /** Returns how many healthy members of the committee precede this courier in proposing. */
   int proposerRank(final View view, final PeerId self, final long nowUs) {
     int rank = 0;
     for (final PeerId id : view.committee()) {
@@ -102,31 +101,33 @@
   // ---------------------------------------------------------------- accepting
 
   /**
-   * Returns true unless this courier knows better: it is to be removed itself, or had a sign of
-   * life of one that is.
+   * Returns true unless the change removes this courier itself, or a member that this courier
+   * received packets or heartbeats of recently.
    */
   boolean isAcceptable(final ViewChange change, final PeerId self, final long nowUs) {
     for (final PeerId id : change.removed()) {
       final Peer peer = table.find(id.name());
       final boolean isKnownToHaveEnded = peer != null && hasEnded(peer, id, nowUs);
-      if (!isKnownToHaveEnded && (id.equals(self) || hasSignOfLife(peer, nowUs))) {
+      if (!isKnownToHaveEnded && (id.equals(self) || isRecentlyActive(peer, nowUs))) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean hasSignOfLife(final Peer peer, final long nowUs) {
+  private boolean isRecentlyActive(final Peer peer, final long nowUs) {
     if (peer == null || peer.monitor().hasFailedConnections()) {
       return false;
     }
-    final long lastSignUs = Math.max(peer.monitor().lastReceivedUs(), peer.heartbeatUs());
-    return nowUs - lastSignUs < settings.deathTimeoutUs() - SILENCE_TOLERANCE_US;
+    final long lastActivityUs = Math.max(peer.monitor().lastReceivedUs(), peer.heartbeatUs());
+    return nowUs - lastActivityUs < settings.deathTimeoutUs() - SILENCE_TOLERANCE_US;
   }
 
   // ---------------------------------------------------------------- the lineage
 
-  /** Returns true if so many members of the committee ended that no view can follow this one. */
+  /**
+   * Returns true if so many members of the committee have ended that no view can follow this one.
+   */
   boolean isQuorumLost(final View view, final PeerId self, final long nowUs) {
     int ended = 0;
     for (final PeerId id : view.committee()) {
@@ -135,7 +136,10 @@
     return view.committee().size() - ended < view.majority();
   }
 
-  /** An earlier incarnation of this courier has ended: it forgot what it promised. */
+  /**
+   * Returns true if a member of the committee has ended. An earlier incarnation of this courier
+   * has, since its promises are lost.
+   */
   private boolean hasCommitteeMemberEnded(final PeerId id, final PeerId self, final long nowUs) {
     if (id.name().equals(self.name())) {
       return !id.equals(self);
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewId.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewId.java
@@ -4,10 +4,10 @@
  * Identifies a view. Ids are compared by {@link #isPreferredOver} across lineages, and by number
  * within one.
  *
- * @param generation of the lineage; 0: there is no view
+ * @param generation the generation of the lineage; 0 if there is no view
  * @param founder a random number drawn by the founder of the lineage
- * @param number of the view within the lineage, from 1
- * @param size how many members the view has
+ * @param number the number of the view within the lineage, from 1
+ * @param size the number of members of the view
  */
 public record ViewId(long generation, long founder, long number, int size) {
   /** Stands for no view. */
@@ -18,14 +18,17 @@
     return generation > 0;
   }
 
-  /** Returns true if both are of one lineage, in which views with the same number are equal. */
+  /**
+   * Returns true if both views belong to one lineage, in which views with the same number are
+   * equal.
+   */
   public boolean isSameLineage(final ViewId other) {
     return generation == other.generation && founder == other.founder;
   }
 
   /**
-   * Returns true if members of the other view's lineage move to this one's: the larger view is
-   * preferred, then the later generation, then the higher founder.
+   * Returns true if members of the other view's lineage are to move to this view's lineage: the
+   * larger view is preferred, then the later generation, then the higher founder.
    */
   public boolean isPreferredOver(final ViewId other) {
     if (size != other.size) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewManager.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewManager.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Holds the agreed view of the fleet and moves it on. A view is followed by the one change that the
- * majority of its committee accepts ({@link PaxosInstance}). Where that majority is lost for good,
- * no view can follow, and a survivor founds another lineage.
+ * Holds the agreed view of the fleet and installs its successors. A view is followed by the one
+ * change that the majority of its committee accepts ({@link PaxosInstance}). If that majority is
+ * lost permanently, no view can follow, and a remaining courier founds another lineage.
  */
 final class ViewManager {
   /**
-   * A courier that is no member waits this many times longer before it founds a lineage after a
+   * A courier that is not a member waits this many times longer before it founds a lineage after a
    * lost one.
    */
   private static final int NON_MEMBER_FOUNDING_FACTOR = 4;
 
   /**
-   * A member that is so many views behind requests the full state; for fewer it is sent the
-   * decisions.
+   * A member that is more views behind than this requests the full state; one that is fewer views
+   * behind is sent the decisions.
    */
   private static final int MAX_VIEWS_BEHIND = RecentDecisions.CAPACITY / 2;
 
@@ -29,32 +29,34 @@
   private final RecentDecisions recentDecisions = new RecentDecisions();
   private final String address;
 
-  /** How long this courier waits to hear of a view before it founds one. */
+  /** How long this courier waits without seeing a view before it founds one. */
   private final long foundingDelayUs;
 
   private PeerId self;
 
-  /** The installed view; null: none yet. */
+  /** The installed view, or null if there is none yet. */
   private IndexedView current;
 
-  /** The agreement on what follows the installed view; null: there is none yet. */
+  /**
+   * The agreement on the change that follows the installed view, or null if there is no view yet.
+   */
   private ViewProposer proposer;
 
-  /** What the view manager needs of its surroundings. */
+  /** The services of the membership protocol that the view manager uses. */
   interface Context {
-    /** Sends a message of the agreement to another member. */
+    /** Sends a Paxos message to another member. */
     void sendPaxosMessage(ViewMember to, GossipItem.PaxosMessage message);
 
-    /** Spreads something that all are to know. */
+    /** Spreads an item to the whole fleet by gossip. */
     void spread(GossipItem item);
 
     /**
-     * Starts another incarnation of this courier, since this one is out of the view or leaves its
-     * lineage. Calls {@link ViewManager#startIncarnation}.
+     * Starts another incarnation of this courier when the current one was removed from the view or
+     * leaves its lineage. Calls {@link ViewManager#startIncarnation}.
      */
     void startNextIncarnation();
 
-    /** Returns a random number from 0 up to, and without, the bound. */
+    /** Returns a random number from 0 (inclusive) to the bound (exclusive). */
     long randomBelow(long bound);
 
     /** Notifies operators. */
@@ -62,8 +64,8 @@
   }
 
   /**
-   * {@code seedIndex} is the place of this courier's address among the seeds: later ones leave
-   * founding to earlier ones.
+   * Creates a view manager without a view. {@code seedIndex} is the index of this courier's address
+   * among the seeds: couriers at later seeds wait longer before they found a view.
    */
   ViewManager(
       final GossipSettings settings,
@@ -85,7 +87,7 @@
     this.lineages = new LineageTracker(nowUs);
   }
 
-  /** Returns the installed view; null: none. */
+  /** Returns the installed view, or null if there is none. */
   View view() {
     return current == null ? null : current.view();
   }
@@ -99,7 +101,7 @@
     return majority.status();
   }
 
-  /** Returns how many members of the view are reachable, this courier among them. */
+  /** Returns how many members of the view are reachable, including this courier. */
   int reachableMembers() {
     return majority.reachableMembers();
   }
@@ -120,10 +122,11 @@
   // ---------------------------------------------------------------- views of others
 
   /**
-   * Records that somebody holds a view. Returns true if this courier is to request the full state.
+   * Records that another courier holds a view. Returns true if this courier is to request its full
+   * state.
    */
   boolean wantsFullState(final ViewId other, final long nowUs) {
-    if (!lineages.recordHeard(other, viewId(), nowUs)) {
+    if (!lineages.recordSeen(other, viewId(), nowUs)) {
       return false;
     }
     if (current == null) {
@@ -135,7 +138,7 @@
     return lineages.isQuorumLost() || other.isPreferredOver(current.id());
   }
 
-  /** Returns the decisions that lead on from a view; empty if they are not known here any more. */
+  /** Returns the decisions from a view onwards; empty if they are no longer kept here. */
   List<GossipItem> decisionsSince(final ViewId start) {
     if (current == null || !start.isSameLineage(current.id())) {
       return List.of();
@@ -144,7 +147,8 @@
   }
 
   /**
-   * Installs another's view if it is a later one of the same lineage, or of a preferred lineage.
+   * Installs another courier's view if it is a later one of the same lineage, or of a lineage that
+   * this courier is to adopt.
    */
   void onFullView(final View other, final long nowUs) {
     if (other == null) {
@@ -158,14 +162,14 @@
     final boolean wasMember = before != null && before.contains(self);
     final boolean changesLineage = wasMember && !sameLineage;
     if (changesLineage || (wasMember && !other.contains(self))) {
-      // The incarnation that may have voted in the old lineage must not vote in the new one.
+      // An incarnation that may have voted in the old lineage must not vote in the new one.
       context.startNextIncarnation();
     }
     install(other, nowUs);
     if (sameLineage) {
       markRemovedMembersDead(before, other, nowUs);
     }
-    publishView(changesLineage ? ", a better line than ours" : ", told by another");
+    publishView(changesLineage ? ", of a preferred lineage" : ", received from a peer");
   }
 
   private boolean isLaterInLineage(final ViewId other) {
@@ -182,7 +186,7 @@
     }
   }
 
-  /** Applies a decision. Returns true if it led on from the installed view. */
+  /** Applies a decision. Returns true if it followed the installed view. */
   boolean onDecision(final GossipItem.ViewDecision decision, final long nowUs) {
     if (current == null || !decision.viewId().equals(current.id())) {
       return false;
@@ -212,7 +216,7 @@
     proposer = new ViewProposer(current, self, nowUs, context);
   }
 
-  /** Declares a peer dead that is out of the view by agreement. */
+  /** Declares a peer dead that was removed from the view by agreement. */
   private void markDead(final PeerId id, final long nowUs) {
     final Peer peer = table.find(id.name());
     if (peer != null && peer.isAliveAs(id)) {
@@ -229,7 +233,7 @@
 
   // ---------------------------------------------------------------- the agreement
 
-  /** Applies a message of the agreement. Returns the answer, or null. */
+  /** Applies a Paxos message. Returns the answer, or null if there is none. */
   GossipItem.PaxosMessage onPaxosMessage(
       final PeerId from, final GossipItem.PaxosMessage message, final long nowUs) {
     if (proposer == null) {
@@ -252,7 +256,7 @@
     }
   }
 
-  /** Moves on with time: founds a lineage, or proposes a change, as far as either is due. */
+  /** Founds a lineage or proposes a change if that is due. */
   void tick(final long nowUs) {
     if (current == null) {
       foundFirstLineageIfDue(nowUs);
@@ -278,26 +282,28 @@
   // ---------------------------------------------------------------- founding a lineage
 
   private void foundFirstLineageIfDue(final long nowUs) {
-    if (nowUs - lineages.lastViewHeardUs() >= foundingDelayUs
+    if (nowUs - lineages.lastViewSeenUs() >= foundingDelayUs
         && !hasPrecedingFounder(false, nowUs)) {
       foundLineage(nowUs, "");
     }
   }
 
-  /** Couriers that are not members leave it to those that are, unless none of them is left. */
+  /**
+   * Couriers that are not members wait longer, so that remaining members found the lineage first.
+   */
   private void replaceLostLineageIfDue(final long nowUs) {
     final boolean isMember = current.isMember(self);
     final long delayUs = (isMember ? 1 : NON_MEMBER_FOUNDING_FACTOR) * settings.foundingDelayUs();
     if (nowUs - lineages.quorumLostSinceUs() >= delayUs
-        && nowUs - lineages.otherLineageHeardUs() >= settings.foundingDelayUs()
+        && nowUs - lineages.otherLineageSeenUs() >= settings.foundingDelayUs()
         && !hasPrecedingFounder(isMember, nowUs)) {
-      foundLineage(nowUs, ", since the last line is over");
+      foundLineage(nowUs, ", since the previous lineage lost its quorum");
     }
   }
 
   /**
-   * Returns true if a peer with a lesser name, and with a fresh heartbeat, is to found the lineage
-   * instead.
+   * Returns true if a peer with a fresh heartbeat and a name that sorts before this courier's is to
+   * found the lineage instead.
    */
   private boolean hasPrecedingFounder(final boolean membersOnly, final long nowUs) {
     for (final Peer peer : table.alive()) {
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewMember.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewMember.java
@@ -1,10 +1,10 @@
 package thistleturn.decisions.peers;
 
 /**
- * A member of a view. Members are ordered by their ids alone.
+ * A member of a view. Members are ordered by their ids only.
  *
- * @param id which incarnation of which courier
- * @param address on which it listens, {@code host:port}
+ * @param id the incarnation of the courier
+ * @param address the address on which it listens, {@code host:port}
  */
 public record ViewMember(PeerId id, String address) implements Comparable<ViewMember> {
   @Override
--- a/decisions/src/main/java/thistleturn/decisions/peers/ViewProposer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/ViewProposer.java
@@ -4,27 +4,27 @@
 import java.util.function.Predicate;
 
 /**
- * This courier's part in the agreement on the change that follows the installed view: when it
- * proposes which change, and when it sends again or starts a higher ballot.
+ * Drives this courier's Paxos instance for the change that follows the installed view: determines
+ * when it proposes, resends or starts a higher ballot.
  */
 final class ViewProposer {
   /**
-   * A change is proposed once nothing was added to it for so long, so that one fault makes one
+   * A change is proposed once it has not changed for this long, so that one fault leads to one new
    * view.
    */
   private static final long SETTLE_US = 200_000;
 
-  /** A change that keeps growing is proposed after this time all the same. */
+  /** A change that keeps changing is proposed after this time nevertheless. */
   private static final long MAX_SETTLE_US = 600_000;
 
-  /** How much later than its predecessor in the committee each member proposes. */
+  /** The delay between the proposals of successive members of the committee. */
   private static final long PROPOSER_RANK_DELAY_US = 1_500_000;
 
   private static final long RESEND_INTERVAL_US = 100_000;
 
   /**
-   * A ballot without a decision is superseded after this time, and a random delay of up to as much
-   * again.
+   * A ballot without a decision may be superseded after this time plus a random delay of up to the
+   * same length.
    */
   private static final long BALLOT_TIMEOUT_US = 1_000_000;
 
@@ -38,7 +38,7 @@
   private long nextResendUs;
   private long nextBallotUs;
 
-  /** Starts the agreement on what follows a view that was just installed. */
+  /** Starts the agreement on the change that follows a newly installed view. */
   ViewProposer(
       final IndexedView view,
       final PeerId self,
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Continues under another incarnation of this courier, which has promised nothing and belongs to
+   * Continues under another incarnation of this courier, which has made no promises and belongs to
    * no committee.
    */
   void startIncarnation(final PeerId next) {
@@ -67,12 +67,12 @@
     return paxos.isCommitteeMember();
   }
 
-  /** Returns the decided change; null: none yet. */
+  /** Returns the decided change, or null if there is none yet. */
   ViewChange decided() {
     return paxos.decided();
   }
 
-  /** Applies a message of another member. Returns the answer, or null. */
+  /** Applies a message of another member. Returns the answer, or null if there is none. */
   GossipItem.PaxosMessage onMessage(
       final PeerId from,
       final GossipItem.PaxosMessage message,
@@ -80,7 +80,7 @@
     return paxos.onMessage(from, message, acceptable);
   }
 
-  /** Records how the view should change by what is known now. */
+  /** Records the view change that the current knowledge calls for. */
   void updateDesiredChange(final ViewChange next, final long nowUs) {
     if (next.equals(desiredChange)) {
       return;
@@ -92,7 +92,7 @@
     desiredChangedUs = nowUs;
   }
 
-  /** Proposes, starts a higher ballot and sends, as far as each is due. */
+  /** Proposes, starts a higher ballot and sends messages, each if due. */
   void tick(
       final IntSupplier proposerRank, final Predicate<ViewChange> acceptable, final long nowUs) {
     if (paxos.isProposing()) {
@@ -129,7 +129,7 @@
     nextResendUs = nowUs;
   }
 
-  /** Sends what is outstanding: to others by packets, to itself at once. */
+  /** Sends outstanding messages, to other members in packets and to itself directly. */
   private void sendOutstandingMessages(final Predicate<ViewChange> acceptable) {
     for (final PaxosInstance.AddressedMessage outgoing : paxos.outstandingMessages()) {
       if (outgoing.to().equals(self)) {
--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -144,7 +144,7 @@
           assertEquals(PeerState.ALIVE, play.known(0, 4).state(), "the other direction is open");
         });
     play.good();
-    assertEquals(9, play.count("n000 is heard by some"), "each says it once");
+    assertEquals(9, play.count("n000 is reached by some"), "each says it once");
     assertEquals(0, play.count("is suspect"));
     assertEquals(
         1, play.world.judge().changes() - 1, "no view beyond the founding and the whole one");
@@ -179,7 +179,7 @@
     final Play play = new Play("members 10\nseed 6\nend 30s\nat 0s loss 0.3\nat 8s pause " + pause);
     play.good();
     assertEquals(0, play.count("is dead"));
-    assertEquals(0, play.count("begins another life"));
+    assertEquals(0, play.count("starts another incarnation"));
   }
 
   /**
@@ -206,7 +206,7 @@
     play.good();
     assertEquals(9, play.count("n003 is dead by agreement"));
     assertEquals(1, play.count("n003: PROCESS_PAUSED"));
-    assertEquals(1, play.count("begins another life"));
+    assertEquals(1, play.count("starts another incarnation"));
     assertTrue(
         play.said.stream()
             .filter(line -> line.startsWith("n003: PEER_STATE"))
@@ -460,6 +460,6 @@
             .anyMatch(
                 event ->
                     event.peerName().equals("n001")
-                        && event.message().startsWith("is suspect: not heard by")));
+                        && event.message().startsWith("is suspect: not reached by")));
   }
 }
