--- a/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/MembershipProtocolTest.java
@@ -12,8 +12,8 @@
 import thistleturn.decisions.health.LocalHealth;
 
 /**
- * One courier's part in the protocol, driven by hand: stale, duplicated and implausible packets,
- * its own name, and the status that it reports.
+ * Feeds packets and ticks to the protocol of one courier: stale, duplicated and implausible
+ * packets, conflicts over its own name, and the status that it reports.
  */
 @Tag("peers")
 final class MembershipProtocolTest {
@@ -88,7 +88,7 @@
         .orElse(null);
   }
 
-  /** Receives packets of that incarnation for so long. */
+  /** Receives a packet of an incarnation with each tick for that duration. */
   private void receiveFrom(
       final PeerId id, final String address, final long us, final long firstSequence) {
     long sequence = firstSequence;
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void peerHeardDirectly_joinsViewButPeerKnownByGossipDoesNot() {
+  void peerReceivedDirectly_joinsViewButPeerKnownByGossipDoesNot() {
     protocol.onPacket(
         packetFrom(
             PEER_D,
@@ -124,9 +124,9 @@
     assertEquals(PeerState.SUSPECT, snapshotOf("e").state());
   }
 
-  /** A stale or duplicated packet is no sign of life, and admits nobody. */
+  /** Stale and duplicated packets do not show that a peer is alive, and do not let it join. */
   @Test
-  void duplicatePackets_areNoSignOfLife() {
+  void duplicatePackets_doNotShowThatPeerIsAlive() {
     for (int times = 0; times < 50; times++) {
       protocol.onPacket(packetFrom(EARLIER_PEER_D, "d:1", 900), nowUs);
       runFor(TICK_US);
@@ -134,7 +134,7 @@
     assertFalse(protocol.view().contains(EARLIER_PEER_D));
     assertEquals(Reachability.SILENT, snapshotOf("d").localReachability());
     assertEquals(49, protocol.rejectedPackets());
-    // A later incarnation starts afresh, and packets of the earlier one count no more.
+    // A later incarnation starts with a new state, and packets of the earlier one are ignored.
     receiveFrom(PEER_D, "d:2", 2_000_000, 1);
     protocol.onPacket(packetFrom(EARLIER_PEER_D, "d:1", 901), nowUs);
     assertEquals("d:2", snapshotOf("d").address());
@@ -167,17 +167,20 @@
   }
 
   /**
-   * The state folder is lost and the clock went back an hour: the fleet remembers a later
+   * The state folder is lost and the clock was set back an hour: the fleet knows a later
    * incarnation than this one.
    */
   @Test
   void rememberedLaterIncarnation_isSuperseded() {
-    final PeerId past = new PeerId("b", START_INCARNATION + 3_600_000_000L);
+    final PeerId earlierRun = new PeerId("b", START_INCARNATION + 3_600_000_000L);
     protocol.onPacket(
         packetFrom(
-            PEER_A, "a:1", 1, new GossipItem.MemberUpdate(past, "b:9", GossipItem.Liveness.ALIVE)),
+            PEER_A,
+            "a:1",
+            1,
+            new GossipItem.MemberUpdate(earlierRun, "b:9", GossipItem.Liveness.ALIVE)),
         nowUs);
-    assertEquals(past.incarnation() + 1, protocol.self().incarnation());
+    assertEquals(earlierRun.incarnation() + 1, protocol.self().incarnation());
     assertEquals(MembershipStatus.FORMING, protocol.status());
   }
 
@@ -195,12 +198,12 @@
     assertEquals(
         MembershipStatus.MAJORITY,
         protocol.status(),
-        "of its own fleet of one, until it hears of a preferred view");
+        "in its own view of one member, until it receives a preferred view");
   }
 
   /**
-   * Two processes have one name: the one that started first keeps out, probes its rival, and
-   * returns once that has ended.
+   * Two processes use one name: the one that started first stays out of the fleet, probes its
+   * rival, and rejoins once the rival has ended.
    */
   @Test
   void laterRivalOfSameName_keepsNameUntilItEnds() {
@@ -219,7 +222,7 @@
     assertFalse(sent.isEmpty());
     assertTrue(
         sent.stream().allMatch(packet -> packet.sender() == null),
-        "it sends nothing under the name");
+        "sends no packet under the name");
     protocol.onPacket(
         packetFrom(
             PEER_A, "a:1", 5, new GossipItem.MemberUpdate(rival, "x:1", GossipItem.Liveness.DEAD)),
@@ -255,8 +258,8 @@
   }
 
   /**
-   * A courier answers its peers but delivers nothing: it reports that itself, and the report is
-   * forwarded.
+   * A courier that answers its peers but delivers no messages reports that itself, and the report
+   * is forwarded.
    */
   @Test
   void stalledDelivery_isReportedAndForwarded() {
@@ -308,7 +311,7 @@
   }
 
   /**
-   * Another courier listens at a peer's address: the peer has ended there, and is found at its new
+   * Another courier listens at a peer's address, so the peer has ended there; it rejoins at its new
    * address.
    */
   @Test
@@ -343,7 +346,7 @@
     assertEquals(2, sent.size());
   }
 
-  /** What is stored and sent is bounded, whatever is received. */
+  /** Memory and sent bytes are bounded, regardless of what is received. */
   @Test
   void floodOfMembers_isBoundedInMemoryAndBytes() {
     long sequence = 1;
--- a/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/peers/PaxosInstanceTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * At most one change is decided for a view: searches all orders of the messages of three members,
- * each lost, delayed or duplicated, to a stated depth.
+ * Checks that at most one change is decided for a view: searches, up to a given depth, all orders
+ * of the messages between three members, with each message lost, delayed or duplicated.
  */
 @Tag("peers")
 final class PaxosInstanceTest {
@@ -25,7 +25,7 @@
       new View(1, 7, 1, IDS.stream().map(id -> new ViewMember(id, id.name())).toList(), IDS);
   private static final List<ViewChange> PROPOSALS = List.of(change("x"), change("y"), change("z"));
 
-  /** Enough for every depth below; a search that needs more has changed. */
+  /** The maximum number of states; the searches below need fewer. */
   private static final int MAX_STATES = 600_000;
 
   private static ViewChange change(final String name) {
@@ -34,21 +34,25 @@
 
   private record Envelope(int from, int to, GossipItem.PaxosMessage message) {}
 
-  /** Every message ever sent stays in flight: it may arrive now, later, again, or never. */
-  private record World(
+  /**
+   * The states of all members. Each message sent stays in flight: it may arrive at any time,
+   * repeatedly, or never.
+   */
+  private record SystemState(
       List<PaxosInstance> members, Set<Envelope> inFlight, int higherBallots, int restarts) {}
 
-  private static World applyStep(
-      final World world,
+  private static SystemState applyStep(
+      final SystemState state,
       final int member,
       final UnaryOperator<PaxosInstance> step,
       final int higherBallots,
       final int restarts) {
-    final List<PaxosInstance> members = new ArrayList<>(world.members());
+    final List<PaxosInstance> members = new ArrayList<>(state.members());
     final PaxosInstance changed = step.apply(new PaxosInstance(members.get(member)));
     members.set(member, changed);
-    final Set<Envelope> inFlight = new HashSet<>(world.inFlight());
-    // A member delivers its messages to itself at once, as the program does, until nothing changes.
+    final Set<Envelope> inFlight = new HashSet<>(state.inFlight());
+    // A member delivers messages to itself immediately, as ViewProposer does, until nothing
+    // changes.
     boolean progressed = true;
     while (progressed) {
       progressed = false;
@@ -67,14 +71,14 @@
         progressed |= !changed.equals(before);
       }
     }
-    return new World(members, inFlight, higherBallots, restarts);
+    return new SystemState(members, inFlight, higherBallots, restarts);
   }
 
-  private static World deliver(final World world, final Envelope envelope) {
+  private static SystemState deliver(final SystemState state, final Envelope envelope) {
     final List<GossipItem.PaxosMessage> answers = new ArrayList<>();
-    final World next =
+    final SystemState next =
         applyStep(
-            world,
+            state,
             envelope.to(),
             member -> {
               final GossipItem.PaxosMessage answer =
@@ -84,87 +88,88 @@
               }
               return member;
             },
-            world.higherBallots(),
-            world.restarts());
+            state.higherBallots(),
+            state.restarts());
     answers.forEach(
         answer -> next.inFlight().add(new Envelope(envelope.to(), envelope.from(), answer)));
     return next;
   }
 
   /**
-   * Returns what can happen next: two members propose or start a higher ballot, one member forgets
-   * everything if that is planted, or any message in flight arrives.
+   * Returns the possible next states: one of two members proposes or starts a higher ballot, one
+   * member restarts without its state if {@code losesState}, or a message in flight arrives.
    */
-  private static List<World> successors(
-      final World world, final int maxHigherBallots, final boolean forgets) {
-    final List<World> all = new ArrayList<>();
+  private static List<SystemState> successors(
+      final SystemState state, final int maxHigherBallots, final boolean losesState) {
+    final List<SystemState> all = new ArrayList<>();
     for (int member = 0; member < 2; member++) {
-      final PaxosInstance instance = world.members().get(member);
+      final PaxosInstance instance = state.members().get(member);
       if (!instance.isProposing() && instance.decided() == null) {
-        all.add(propose(world, member));
-      } else if (instance.isProposing() && world.higherBallots() < maxHigherBallots) {
-        all.add(startHigherBallot(world, member));
+        all.add(propose(state, member));
+      } else if (instance.isProposing() && state.higherBallots() < maxHigherBallots) {
+        all.add(startHigherBallot(state, member));
       }
     }
-    if (forgets && world.restarts() == 0) {
+    if (losesState && state.restarts() == 0) {
       for (int member = 0; member < IDS.size(); member++) {
-        all.add(forgetEverything(world, member));
+        all.add(restartWithoutState(state, member));
       }
     }
-    for (final Envelope envelope : world.inFlight()) {
-      all.add(deliver(world, envelope));
+    for (final Envelope envelope : state.inFlight()) {
+      all.add(deliver(state, envelope));
     }
     return all;
   }
 
-  private static World propose(final World world, final int member) {
+  private static SystemState propose(final SystemState state, final int member) {
     final UnaryOperator<PaxosInstance> step =
         instance -> {
           instance.propose(PROPOSALS.get(member));
           return instance;
         };
-    return applyStep(world, member, step, world.higherBallots(), world.restarts());
+    return applyStep(state, member, step, state.higherBallots(), state.restarts());
   }
 
-  private static World startHigherBallot(final World world, final int member) {
+  private static SystemState startHigherBallot(final SystemState state, final int member) {
     final UnaryOperator<PaxosInstance> step =
         instance -> {
           instance.startHigherBallot(PROPOSALS.get(member));
           return instance;
         };
-    return applyStep(world, member, step, world.higherBallots() + 1, world.restarts());
+    return applyStep(state, member, step, state.higherBallots() + 1, state.restarts());
   }
 
-  private static World forgetEverything(final World world, final int member) {
+  private static SystemState restartWithoutState(final SystemState state, final int member) {
     return applyStep(
-        world,
+        state,
         member,
         instance -> new PaxosInstance(VIEW, IDS.get(member)),
-        world.higherBallots(),
+        state.higherBallots(),
         1);
   }
 
-  private record SearchResult(int states, int depth, int decisions, World violation) {}
+  private record SearchResult(int states, int depth, int decisions, SystemState violation) {}
 
   private static SearchResult search(
-      final int maxHigherBallots, final int maxDepth, final boolean forgets) {
-    Set<World> frontier = new HashSet<>();
+      final int maxHigherBallots, final int maxDepth, final boolean losesState) {
+    Set<SystemState> frontier = new HashSet<>();
     frontier.add(
-        new World(IDS.stream().map(id -> new PaxosInstance(VIEW, id)).toList(), Set.of(), 0, 0));
-    final Set<World> seen = new HashSet<>(frontier);
+        new SystemState(
+            IDS.stream().map(id -> new PaxosInstance(VIEW, id)).toList(), Set.of(), 0, 0));
+    final Set<SystemState> seen = new HashSet<>(frontier);
     int decisions = 0;
     int depth = 0;
     while (depth < maxDepth && !frontier.isEmpty() && seen.size() < MAX_STATES) {
       depth++;
-      final Set<World> nextFrontier = new HashSet<>();
-      for (final World world : frontier) {
-        for (final World one : successors(world, maxHigherBallots, forgets)) {
-          if (!seen.add(one)) {
+      final Set<SystemState> nextFrontier = new HashSet<>();
+      for (final SystemState state : frontier) {
+        for (final SystemState next : successors(state, maxHigherBallots, losesState)) {
+          if (!seen.add(next)) {
             continue;
           }
-          nextFrontier.add(one);
+          nextFrontier.add(next);
           final Set<ViewChange> decided = new HashSet<>();
-          one.members()
+          next.members()
               .forEach(
                   member -> {
                     if (member.decided() != null) {
@@ -173,7 +178,7 @@
                   });
           decisions += decided.size();
           if (decided.size() > 1) {
-            return new SearchResult(seen.size(), depth, decisions, one);
+            return new SearchResult(seen.size(), depth, decisions, next);
           }
         }
       }
@@ -194,12 +199,15 @@
             + result.decisions()
             + " decided");
     assertNull(result.violation());
-    assertTrue(result.decisions() > 0, "the search reaches decisions");
+    assertTrue(result.decisions() > 0, "the search reaches no decision");
   }
 
-  /** The search finds what the design rules out: an incarnation that forgets what it promised. */
+  /**
+   * The search detects the violation that the design rules out: an incarnation that restarts
+   * without the promises that it made.
+   */
   @Test
-  void restartedAcceptorThatForgetsPromises_violatesAgreement() {
+  void restartedAcceptorThatLostPromises_violatesAgreement() {
     assertNotNull(search(0, 12, true).violation());
   }
 
@@ -217,8 +225,8 @@
             members.get(0).onMessage(IDS.get(0), first, change -> true),
             change -> true);
     members.get(2).onMessage(IDS.get(0), first, change -> true);
-    // The answer to the first member is lost; the second starts a ballot with its own change, and
-    // reaches the third.
+    // The answer to the first member is lost; the second member starts a ballot with its own
+    // change, and its messages reach the third.
     members.get(1).startHigherBallot(PROPOSALS.get(1));
     for (final PaxosInstance.AddressedMessage outgoing : members.get(1).outstandingMessages()) {
       if (!outgoing.to().name().equals("a")) {
@@ -240,13 +248,13 @@
 
   @Test
   void nonCommitteeMember_neitherVotesNorIsAnswered() {
-    final PaxosInstance outside = new PaxosInstance(VIEW, new PeerId("a", 2));
-    assertTrue(!outside.isCommitteeMember());
+    final PaxosInstance nonMember = new PaxosInstance(VIEW, new PeerId("a", 2));
+    assertTrue(!nonMember.isCommitteeMember());
     final PaxosInstance member = new PaxosInstance(VIEW, IDS.get(1));
     final GossipItem.PaxosMessage accept =
         new GossipItem.PaxosMessage(
             VIEW.viewId(), GossipItem.PaxosMessage.Type.ACCEPT, 0, -1, PROPOSALS.get(0));
-    assertNull(outside.onMessage(IDS.get(0), accept, change -> true));
+    assertNull(nonMember.onMessage(IDS.get(0), accept, change -> true));
     assertNull(member.onMessage(new PeerId("a", 2), accept, change -> true));
     assertNotNull(member.onMessage(IDS.get(0), accept, change -> true));
     assertNull(
--- a/peers/src/main/java/thistleturn/peers/DatagramTransport.java
+++ b/peers/src/main/java/thistleturn/peers/DatagramTransport.java
@@ -19,16 +19,16 @@
 import thistleturn.decisions.peers.Packet;
 
 /**
- * Sends and receives authenticated datagrams. What cannot be read is counted and has no other
- * effect. Lives on the event loop.
+ * Sends and receives authenticated datagrams. Malformed datagrams are counted and otherwise
+ * ignored. Confined to the event loop.
  */
 final class DatagramTransport extends SimpleChannelInboundHandler<DatagramPacket> {
-  /** Fits the path of any network without fragments. */
+  /** Small enough to pass any network path without fragmentation. */
   static final int MAX_DATAGRAM_BYTES = 1200;
 
   /**
-   * Further datagrams within a second are dropped unread, so that strangers cost a bounded share of
-   * the loop.
+   * Further datagrams within a second are dropped unread, so that datagrams from outside the fleet
+   * take a bounded share of the event loop.
    */
   private static final int MAX_DATAGRAMS_PER_S = 4000;
 
@@ -61,7 +61,7 @@
     this.piggybackConsumer = piggybackConsumer;
   }
 
-  /** Receives datagrams at this address from now on. */
+  /** Starts to receive datagrams at this address. */
   ChannelFuture bind(final EventLoop loop, final InetSocketAddress listen) {
     final ChannelFuture bound =
         new Bootstrap()
@@ -155,8 +155,8 @@
   }
 
   /**
-   * The system reports an address at which nobody listens on the next send. That is ignored here:
-   * the connections tell it better.
+   * Ignores the error by which the operating system reports, on the next send, an address without a
+   * listener: the connections are better evidence of that.
    */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
@@ -181,7 +181,7 @@
     return readCount;
   }
 
-  /** Returns how many datagrams were too large to be sent: 0 unless an estimate is wrong. */
+  /** Returns how many datagrams were too large to send; 0 unless a size estimate is wrong. */
   long oversizedCount() {
     return oversizedCount;
   }
--- a/peers/src/main/java/thistleturn/peers/FrameHandler.java
+++ b/peers/src/main/java/thistleturn/peers/FrameHandler.java
@@ -13,11 +13,11 @@
 
 /**
  * Reads and writes the frames of a connection. A frame consists of its length (4 bytes), an
- * authentication tag, its type (1 byte) and a payload. The first frame in either direction is a
- * greeting. A frame that cannot be read closes the connection.
+ * authentication tag, its type (1 byte) and a payload. The first frame in each direction is a
+ * greeting. A malformed frame closes the connection.
  */
 abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
-  /** Enough for the full state of some thousand couriers. */
+  /** Large enough for the full state of a few thousand couriers. */
   static final int MAX_FRAME_BYTES = 1 << 20;
 
   static final byte GREETING = 1;
@@ -31,7 +31,7 @@
     this.authenticator = authenticator;
   }
 
-  /** Makes this the handler of a new connection. */
+  /** Installs this handler in the pipeline of a new connection. */
   final void addTo(final ChannelPipeline pipeline) {
     pipeline.addLast(
         new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES), this);
@@ -49,14 +49,14 @@
   }
 
   /**
-   * A frame was received.
+   * Handles a received frame.
    *
-   * @throws IOException if it cannot be read
+   * @throws IOException if the payload cannot be read
    */
   abstract void onFrame(ChannelHandlerContext context, byte type, byte[] payload)
       throws IOException;
 
-  /** A frame was received that is of another fleet, damaged, or cannot be read. */
+  /** Handles a frame that fails authentication or cannot be read. */
   abstract void onMalformedFrame();
 
   @Override
--- a/peers/src/main/java/thistleturn/peers/GossipItemType.java
+++ b/peers/src/main/java/thistleturn/peers/GossipItemType.java
@@ -1,6 +1,6 @@
 package thistleturn.peers;
 
-/** The types of gossip items. Their places are on the wire: new ones come last. */
+/** The types of gossip items. Their ordinals are sent on the wire, so new types are appended. */
 enum GossipItemType {
   MEMBER_UPDATE,
   REACHABILITY_REPORT,
--- a/peers/src/main/java/thistleturn/peers/GossipItemWriter.java
+++ b/peers/src/main/java/thistleturn/peers/GossipItemWriter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import thistleturn.decisions.peers.GossipItem;
 
-/** Writes gossip items, each an array with its {@link GossipItemType} first. */
+/** Writes gossip items, each as an array that starts with its {@link GossipItemType}. */
 final class GossipItemWriter {
   private GossipItemWriter() {}
 
--- a/peers/src/main/java/thistleturn/peers/PeerCodec.java
+++ b/peers/src/main/java/thistleturn/peers/PeerCodec.java
@@ -7,9 +7,9 @@
 import thistleturn.peers.cbor.Cbor;
 
 /**
- * Datagrams and frames of the exchange between peers as CBOR: arrays by place, each with its
- * version first. A reader takes the values that it knows from the front of an array, skips what a
- * later version has appended, and skips items of types that it does not know.
+ * Encodes and decodes the datagrams and frames between peers as CBOR: arrays with fixed positions,
+ * each with its version first. A reader reads the values that it knows from the start of an array,
+ * skips values appended by a later version, and skips items of unknown types.
  */
 final class PeerCodec {
   /** The version that is written. A reader rejects only versions below {@link #MIN_VERSION}. */
@@ -19,10 +19,10 @@
   private static final int INITIAL_BUFFER_BYTES = 512;
 
   /**
-   * Precedes a piggyback message. No array begins with it: it is a stop code (RFC 8949, table 5). A
-   * reader that does not know it takes the datagram for malformed.
+   * Precedes a piggyback message. No array starts with this byte, which is a stop code (RFC 8949,
+   * table 5). A reader that does not know it rejects the datagram as malformed.
    */
-  private static final byte PIGGYBACK_MARK = (byte) 0xFF;
+  private static final byte PIGGYBACK_PREFIX = (byte) 0xFF;
 
   /** Returns the payload of a datagram. */
   byte[] write(final Packet packet) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Returns the payload of a frame with all that a peer knows. */
+  /** Returns the payload of a full-state frame. */
   byte[] write(final FullStateMessage message) {
     return Cbor.encode(
         INITIAL_BUFFER_BYTES,
@@ -82,7 +82,7 @@
         });
   }
 
-  /** Reads the payload of a frame with all that a peer knows. */
+  /** Reads the payload of a full-state frame. */
   FullStateMessage readFullState(final byte[] payload) throws IOException {
     try (PeerReader in = new PeerReader(payload)) {
       in.beginArray();
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Returns the payload of a datagram, or of a frame, that carries another subsystem's bytes. */
+  /** Returns the payload of a datagram or frame that carries another subsystem's bytes. */
   byte[] write(final PiggybackMessage message) {
     final byte[] array =
         Cbor.encode(
@@ -108,15 +108,15 @@
               out.writeBinary(message.payload());
               out.writeEndArray();
             });
-    final byte[] marked = new byte[array.length + 1];
-    marked[0] = PIGGYBACK_MARK;
-    System.arraycopy(array, 0, marked, 1, array.length);
-    return marked;
+    final byte[] prefixed = new byte[array.length + 1];
+    prefixed[0] = PIGGYBACK_PREFIX;
+    System.arraycopy(array, 0, prefixed, 1, array.length);
+    return prefixed;
   }
 
-  /** True for a payload that carries another subsystem's bytes. */
+  /** Returns true for a payload that carries another subsystem's bytes. */
   static boolean isPiggyback(final byte[] payload) {
-    return payload.length > 0 && payload[0] == PIGGYBACK_MARK;
+    return payload.length > 0 && payload[0] == PIGGYBACK_PREFIX;
   }
 
   /** Reads a payload that carries another subsystem's bytes. */
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Returns the payload of a frame with a greeting. */
+  /** Returns the payload of a greeting frame. */
   byte[] write(final PeerId greeting) {
     return Cbor.encode(
         INITIAL_BUFFER_BYTES,
@@ -143,7 +143,7 @@
         });
   }
 
-  /** Reads the payload of a frame with a greeting. */
+  /** Reads the payload of a greeting frame. */
   PeerId readGreeting(final byte[] payload) throws IOException {
     try (PeerReader in = new PeerReader(payload)) {
       in.beginArray();
--- a/peers/src/main/java/thistleturn/peers/PeerConnections.java
+++ b/peers/src/main/java/thistleturn/peers/PeerConnections.java
@@ -31,26 +31,29 @@
 import thistleturn.decisions.peers.PeerId;
 
 /**
- * Connections between peers. Persistent ones show when a peer ends; they, and short-lived ones,
- * carry frames that are too large for a datagram, or must not be lost.
+ * Connections between peers. Persistent connections show when a peer's process ends. Both
+ * persistent and short-lived connections carry frames that are too large for a datagram or need
+ * reliable delivery.
  *
- * <p>The accepting side greets first and at once, so a connection that ends before its greeting
- * shows that no courier of the fleet listens there. A peer that has no capacity for a connection
- * greets as well, and closes it then. Lives on the event loop.
+ * <p>The accepting side sends its greeting immediately, so a connection that closes before its
+ * greeting shows that no courier of the fleet listens there. A peer without capacity for a
+ * connection also sends its greeting before it closes the connection. Confined to the event loop.
  */
 final class PeerConnections {
-  /** How long a connection may take to come up, and how long the greeting then may take. */
+  /** The timeout for connecting, and for the greeting. */
   private static final int GREETING_TIMEOUT_MS = 1000;
 
-  /** Enough, since each peer is monitored by few others. */
+  /**
+   * The maximum number of accepted connections; few are needed, since few peers monitor each peer.
+   */
   private static final int MAX_ACCEPTED = 96;
 
-  /** Receives what becomes of persistent connections. */
+  /** Receives the outcomes of persistent connections. */
   interface Listener {
-    /** The peer at this address has greeted. */
+    /** The peer at this address sent its greeting. */
     void onGreeted(String address, PeerId peer);
 
-    /** The system at this address has refused or closed the connection. */
+    /** The system at this address refused or closed the connection. */
     void onClosed(String address);
 
     /** The connection failed or timed out, which shows nothing about the system at this address. */
@@ -90,7 +93,7 @@
     this.piggybackConsumer = piggybackConsumer;
   }
 
-  /** Accepts connections at this address from now on. */
+  /** Starts to accept connections at this address. */
   ChannelFuture bind(final InetSocketAddress listen) {
     final ChannelFuture bound =
         new ServerBootstrap()
@@ -110,7 +113,7 @@
     return bound;
   }
 
-  /** A connection that a peer has made. */
+  /** A connection opened by a peer. */
   private final class IncomingConnection extends FrameHandler {
     private boolean greeted;
 
@@ -161,12 +164,12 @@
     }
   }
 
-  /** A connection to a peer: persistent, or for one frame. */
+  /** A connection to a peer, either persistent or for a single frame. */
   private final class OutgoingConnection extends FrameHandler {
     private final String remoteAddress;
     private final boolean persistent;
 
-    /** The one frame, which is sent after the greeting; null for a persistent connection. */
+    /** The single frame, sent after the greeting; null for a persistent connection. */
     private ByteBuf pendingFrame;
 
     private Channel channel;
@@ -206,7 +209,7 @@
                     })
                 .channel();
       } catch (final SocketUnavailableException e) {
-        // A fault of this system shows nothing about the peer.
+        // A local fault shows nothing about the peer.
         loop.execute(() -> endAndReport(false));
       }
       loop.schedule(
@@ -219,7 +222,10 @@
           TimeUnit.MILLISECONDS);
     }
 
-    /** True if the peer's system refused the connection; other failures may be the network's. */
+    /**
+     * Returns true if the peer's system refused the connection; the network may cause other
+     * failures.
+     */
     private static boolean isRefused(final Throwable failure) {
       return failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
     }
@@ -230,7 +236,7 @@
       }
     }
 
-    /** Ends the connection, and reports whether the peer's side has closed or refused it. */
+    /** Closes the connection, and reports whether the peer's side closed or refused it. */
     private void endAndReport(final boolean closedByPeer) {
       if (ended) {
         return;
@@ -286,7 +292,8 @@
   }
 
   /**
-   * Makes a persistent connection, in place of the one there is; nothing more is reported of that.
+   * Opens a persistent connection that replaces an existing one; the outcome of the existing one is
+   * not reported.
    */
   void connect(final String to) {
     disconnect(to);
@@ -297,16 +304,16 @@
     }
   }
 
-  /** Ends the persistent connection to an address, if there is one, without a report. */
+  /** Closes the persistent connection to an address, if there is one, without a report. */
   void disconnect(final String to) {
-    final OutgoingConnection before = outgoing.remove(to);
-    if (before != null) {
-      before.ended = true;
-      before.close();
+    final OutgoingConnection removed = outgoing.remove(to);
+    if (removed != null) {
+      removed.ended = true;
+      removed.close();
     }
   }
 
-  /** Sends all that this courier knows of its fleet. */
+  /** Sends this courier's full state of the fleet. */
   void sendFullState(final String to, final FullStateMessage message) {
     sendFrame(to, FrameHandler.FULL_STATE, codec.write(message));
   }
@@ -317,7 +324,7 @@
   }
 
   /**
-   * Sends a frame over the persistent connection, or over one that is made for it. What is too
+   * Sends a frame over the persistent connection, or over one opened for it. A payload that is too
    * large for a frame is dropped.
    */
   private void sendFrame(final String to, final byte type, final byte[] payload) {
@@ -331,7 +338,7 @@
     } else if (persistent.channel.isWritable()) {
       persistent.channel.writeAndFlush(frame);
     } else {
-      // The peer reads too slowly: it will get a later message.
+      // The peer reads too slowly; a later message replaces this one.
       frame.release();
     }
   }
@@ -340,7 +347,7 @@
     return malformedCount;
   }
 
-  /** Returns how many connections there are, in both directions. */
+  /** Returns the number of incoming and outgoing connections. */
   int openCount() {
     return accepted.size() + outgoing.size();
   }
--- a/peers/src/main/java/thistleturn/peers/PeerReader.java
+++ b/peers/src/main/java/thistleturn/peers/PeerReader.java
@@ -34,7 +34,9 @@
     super(payload, offset, length);
   }
 
-  /** Takes a numeric address: a host name would be looked up because anybody names it. */
+  /**
+   * Reads a numeric address. Host names are rejected, since any sender could cause a name lookup.
+   */
   String address() throws IOException {
     final String address = text(MAX_ADDRESS_LENGTH);
     if (!NUMERIC_ADDRESS.matcher(address).matches()) {
@@ -55,12 +57,12 @@
     return nextToken() == JsonToken.VALUE_NULL ? null : restOfId();
   }
 
-  /** Takes the rest of an id whose first token has been taken. */
+  /** Reads the rest of an id whose first token was already read. */
   private PeerId restOfId() throws IOException {
     requireCurrent(JsonToken.START_ARRAY, "an incarnation");
     final PeerId id = new PeerId(text(PeerId.MAX_NAME_LENGTH), number());
     if (id.name().isEmpty() || id.incarnation() <= 0) {
-      throw new MalformedMessageException("no incarnation: " + id);
+      throw new MalformedMessageException("invalid incarnation: " + id);
     }
     endArray();
     return id;
@@ -93,7 +95,7 @@
         || view.number() < 1
         || view.members().isEmpty()
         || view.committee().isEmpty()) {
-      throw new MalformedMessageException("no view: " + view.viewId());
+      throw new MalformedMessageException("invalid view: " + view.viewId());
     }
     return view;
   }
@@ -135,7 +137,7 @@
     return members;
   }
 
-  /** Takes a list of gossip items; those of types that are not known here are skipped. */
+  /** Reads a list of gossip items; items of unknown types are skipped. */
   List<GossipItem> items() throws IOException {
     final List<GossipItem> items = new ArrayList<>();
     final GossipItemType[] types = GossipItemType.values();
--- a/peers/src/main/java/thistleturn/peers/PeerWriter.java
+++ b/peers/src/main/java/thistleturn/peers/PeerWriter.java
@@ -10,11 +10,11 @@
 import thistleturn.decisions.peers.ViewId;
 import thistleturn.decisions.peers.ViewMember;
 
-/** Writes the values that messages of peers have in common; a {@link PeerReader} reads them. */
+/** Writes the values that the messages of peers have in common; {@link PeerReader} reads them. */
 final class PeerWriter {
   private PeerWriter() {}
 
-  /** Writes an incarnation of a peer; null for none. */
+  /** Writes the id of a peer, which may be null. */
   static void writeId(final CBORGenerator out, final PeerId id) throws IOException {
     if (id == null) {
       out.writeNull();
@@ -44,7 +44,7 @@
     out.writeEndArray();
   }
 
-  /** Writes a view; null for none. */
+  /** Writes a view, which may be null. */
   static void writeView(final CBORGenerator out, final View view) throws IOException {
     if (view == null) {
       out.writeNull();
@@ -59,7 +59,7 @@
     out.writeEndArray();
   }
 
-  /** Writes a change of a view; null for none. */
+  /** Writes a view change, which may be null. */
   static void writeChange(final CBORGenerator out, final ViewChange change) throws IOException {
     if (change == null) {
       out.writeNull();
--- a/peers/src/main/java/thistleturn/peers/PeersExtension.java
+++ b/peers/src/main/java/thistleturn/peers/PeersExtension.java
@@ -19,9 +19,9 @@
 import thistleturn.decisions.peers.PeerStatus;
 
 /**
- * The exchange with peers as a subsystem of a courier. It lives on the courier's first event loop,
- * and is on no message's path. A newer process that takes over waits here until the older one has
- * released the address.
+ * Runs the membership protocol as a subsystem of a courier. It is confined to the courier's first
+ * event loop, and takes no part in the delivery of messages. In a takeover, the successor retries
+ * to bind until the predecessor has released the address.
  */
 public final class PeersExtension {
   private static final long MS_PER_S = 1000;
@@ -33,18 +33,18 @@
   private ExtensionContext context;
   private IncarnationFile incarnationFile;
 
-  /** Null until both sockets are bound, like the three fields below. */
+  /** Null until both sockets are bound, like the next three fields. */
   private MembershipProtocol protocol;
 
   private DatagramTransport datagrams;
   private PeerConnections connections;
 
-  /** The incarnation that is stored in the file. */
+  /** The incarnation that is stored in {@link #incarnationFile}. */
   private PeerId storedSelf;
 
   private long nextHealthReportUs;
 
-  /** How many messages had been completed when the delivery last made progress. */
+  /** The number of completed messages when the delivery last made progress. */
   private long lastCompletedCount;
 
   private long lastProgressUs;
@@ -53,14 +53,14 @@
   private long piggybackSequence;
   private boolean stopped;
 
-  /** Makes an extension with settings that are fixed until the next start. */
+  /** Creates an extension; its settings are fixed until the next start. */
   public PeersExtension(final PeersSettings settings) {
     this.settings = settings;
   }
 
   /**
-   * Joins the fleet. A courier that resumes after its successor has ended is a member already.
-   * Called on the event loop.
+   * Joins the fleet. Does nothing in a courier that resumes after its successor has ended, which
+   * has joined already. Called on the event loop.
    */
   public void join(final ExtensionContext newContext) {
     if (context != null) {
@@ -73,7 +73,7 @@
               + newContext.config().name()
               + " has more than "
               + PeerId.MAX_NAME_LENGTH
-              + " letters");
+              + " characters");
       stopped = true;
       return;
     }
@@ -123,7 +123,7 @@
             });
   }
 
-  /** Tries again later: an older process of this courier may still use the address. */
+  /** Retries later, since the predecessor process of this courier may still use the address. */
   private void retryBind(
       final Future<?> failed,
       final DatagramTransport unusedDatagrams,
@@ -228,7 +228,8 @@
   }
 
   /**
-   * Sends and receives for a channel as well; for one at most. To be called before {@link #join}.
+   * Attaches the channel whose messages are sent and received as well; there is at most one. To be
+   * called before {@link #join}.
    */
   public void attach(final PiggybackChannel channel) {
     piggybackChannel = channel;
@@ -251,7 +252,9 @@
     }
   }
 
-  /** Sends a message of the channel over a connection; it is lost if the connection ends first. */
+  /**
+   * Sends a message of the channel over a connection; it is lost if the connection closes first.
+   */
   public void sendOverConnection(final String to, final byte[] payload) {
     if (protocol != null && !stopped) {
       connections.sendPiggyback(to, piggybackMessage(payload));
@@ -263,7 +266,7 @@
     return new PiggybackMessage(protocol.self(), listenAddress(), piggybackSequence, payload);
   }
 
-  /** Returns the addresses of the peers that are alive, as far as is known, by their names. */
+  /** Returns the addresses, by name, of the peers that are not known to have ended. */
   public Map<String, String> alivePeerAddresses() {
     return protocol == null ? Map.of() : protocol.addressesByName();
   }
@@ -287,7 +290,7 @@
     }
   }
 
-  /** Returns how healthy this courier is, and whether it completes any of its pending messages. */
+  /** Returns this courier's health, and whether it completes any of its pending messages. */
   private PeerStatus localStatus(final long nowUs) {
     final JsonNode health = context.localHealth().get();
     final long completed = health.path("ended").asLong();
@@ -313,12 +316,12 @@
     if (protocol != null) {
       protocol.leave(context.clock().nowUs());
       connections.close();
-      // After the farewell that was just written.
+      // Closes the socket after the leave packets that were just written.
       context.eventLoop().execute(datagrams::close);
     }
   }
 
-  /** Returns the members, and what is known of them, for operators. Called on the event loop. */
+  /** Returns the status of the protocol and its peers for operators. Called on the event loop. */
   public JsonNode status() {
     if (protocol == null) {
       return PeersStatusReport.waiting(listenAddress());
--- a/peers/src/main/java/thistleturn/peers/PeersSettings.java
+++ b/peers/src/main/java/thistleturn/peers/PeersSettings.java
@@ -6,13 +6,13 @@
 import thistleturn.decisions.peers.GossipSettings;
 
 /**
- * How a courier takes part in its fleet.
+ * Settings of a courier's participation in its fleet.
  *
- * @param listenAddress where it receives datagrams and accepts connections
+ * @param listenAddress the address at which it receives datagrams and accepts connections
  * @param seeds addresses at which other couriers may listen
- * @param fleetKey authenticates all messages; each fleet has its own
- * @param gossipSettings durations and limits of the protocol
- * @param addressOverrides where to send what is meant for an address, by that address
+ * @param fleetKey the key that authenticates all messages; each fleet has its own
+ * @param gossipSettings intervals, timeouts and sizes of the membership protocol
+ * @param addressOverrides the addresses to send to instead of the addresses that are the keys
  */
 public record PeersSettings(
     InetSocketAddress listenAddress,
@@ -20,7 +20,7 @@
     String fleetKey,
     GossipSettings gossipSettings,
     Map<String, String> addressOverrides) {
-  /** The least length of a key, in characters. */
+  /** The minimum length of a key, in characters. */
   public static final int MIN_KEY_LENGTH = 8;
 
   /** Copies the collections. */
--- a/peers/src/main/java/thistleturn/peers/PeersStatusReport.java
+++ b/peers/src/main/java/thistleturn/peers/PeersStatusReport.java
@@ -9,7 +9,10 @@
 import thistleturn.decisions.peers.PeerSnapshot;
 import thistleturn.decisions.peers.View;
 
-/** The state of the exchange as JSON for operators, whose keys they know. */
+/**
+ * The status of the membership protocol and its transport as JSON for operators. The keys are part
+ * of the operators' interface.
+ */
 final class PeersStatusReport {
   private static final long US_PER_MS = 1000;
 
@@ -23,7 +26,7 @@
         .put("address", listenAddress);
   }
 
-  /** Returns the report of a courier that takes part. */
+  /** Returns the report of a courier that has joined. */
   static JsonNode of(
       final MembershipProtocol protocol,
       final String listenAddress,
--- a/peers/src/main/java/thistleturn/peers/PiggybackChannel.java
+++ b/peers/src/main/java/thistleturn/peers/PiggybackChannel.java
@@ -1,16 +1,16 @@
 package thistleturn.peers;
 
 /**
- * A subsystem whose messages are sent along with the exchange of peers: over the same sockets,
- * authenticated, and between members alone. Called on the event loop.
+ * A subsystem whose messages are sent over the sockets of the peer transport: authenticated, and
+ * accepted only from peers that are known to be alive. Called on the event loop.
  */
 public interface PiggybackChannel {
-  /** The exchange has started: messages can be sent from now on. */
+  /** Notifies the channel that the transport has started and messages can be sent. */
   void onStarted();
 
   /**
-   * A message was received from a member that is alive. Messages may arrive late or out of order,
-   * and may be lost.
+   * Handles a message from a peer that is known to be alive. Messages may arrive late or out of
+   * order, and may be lost.
    *
    * @param from the address of the sender
    */
--- a/peers/src/main/java/thistleturn/peers/PiggybackMessage.java
+++ b/peers/src/main/java/thistleturn/peers/PiggybackMessage.java
@@ -6,8 +6,8 @@
  * A message of a {@link PiggybackChannel}.
  *
  * @param sender the incarnation that sent it
- * @param address where the sender listens
+ * @param address the address on which the sender listens
  * @param sequence the sender's count of these messages
- * @param payload the channel's own bytes
+ * @param payload the bytes of the channel's message
  */
 record PiggybackMessage(PeerId sender, String address, long sequence, byte[] payload) {}
--- a/peers/src/main/java/thistleturn/peers/ReplayWindow.java
+++ b/peers/src/main/java/thistleturn/peers/ReplayWindow.java
@@ -6,22 +6,22 @@
 import thistleturn.decisions.peers.PeerId;
 
 /**
- * Detects replayed messages: one whose sequence number was received before, or is far behind the
- * highest one, is not new (the window of RFC 4303, section 3.4.3). Each incarnation of a sender has
- * sequence numbers of its own; messages of an earlier incarnation are never new.
+ * Detects replayed messages: a message is not new if its sequence number was received before, or is
+ * behind the window that ends at the highest one (RFC 4303, section 3.4.3). Each incarnation of a
+ * sender has its own sequence numbers; messages of an earlier incarnation are never new.
  */
 final class ReplayWindow {
-  /** How far behind the highest sequence number a message may still be new. */
+  /** How far behind the highest sequence number a new message may be. */
   private static final int WINDOW_SIZE = 1024;
 
-  /** How many senders are remembered. */
+  /** The maximum number of senders that are tracked. */
   private static final int MAX_SENDERS = 4096;
 
   private static final class SenderState {
     private long incarnation;
     private long highestSequence;
 
-    /** Which sequence numbers of the window were received, by their remainders. */
+    /** The received sequence numbers of the window, indexed modulo {@link #WINDOW_SIZE}. */
     private final BitSet received = new BitSet(WINDOW_SIZE);
 
     private void reset(final long newIncarnation) {
@@ -38,7 +38,7 @@
       highestSequence = sequence;
     }
 
-    /** Returns true the first time. */
+    /** Marks a sequence number as received; returns true the first time. */
     private boolean markReceived(final long sequence) {
       final int position = (int) (sequence % WINDOW_SIZE);
       final boolean first = !received.get(position);
--- a/peers/src/main/java/thistleturn/peers/cbor/Cbor.java
+++ b/peers/src/main/java/thistleturn/peers/cbor/Cbor.java
@@ -5,23 +5,23 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Makes writers and parsers of CBOR. May be used from any thread. */
+/** Encodes values as CBOR. Thread-safe. */
 public final class Cbor {
   private static final CBORFactory FACTORY = new CBORFactory();
 
   /** Writes the values of one message. */
   @FunctionalInterface
   public interface Encoder {
-    /** Writes to a generator. */
+    /** Writes the values to a generator. */
     void encode(CBORGenerator out) throws IOException;
   }
 
   private Cbor() {}
 
   /**
-   * Returns what an encoder writes.
+   * Returns the bytes that an encoder writes.
    *
-   * @param initialBytes how many bytes to begin with; the buffer grows as needed
+   * @param initialBytes the initial size of the buffer, which grows as needed
    */
   public static byte[] encode(final int initialBytes, final Encoder encoder) {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream(initialBytes);
--- a/peers/src/main/java/thistleturn/peers/cbor/CborReader.java
+++ b/peers/src/main/java/thistleturn/peers/cbor/CborReader.java
@@ -6,58 +6,61 @@
 import java.io.IOException;
 
 /**
- * Reads the values of a CBOR array one by one. Each method takes the next value and throws a {@link
- * MalformedMessageException}, or another {@link IOException}, if it is of another type or missing.
- * Subclasses add the values of a protocol. For one thread.
+ * Reads the values of a CBOR array one by one. Each method reads the next value, and throws a
+ * {@link MalformedMessageException} or another {@link IOException} if the value has another type or
+ * is missing. Subclasses add the values of a protocol. Not thread-safe.
  */
 public abstract class CborReader implements AutoCloseable {
   private static final CBORFactory FACTORY = new CBORFactory();
 
   private final CBORParser parser;
 
-  /** Makes a reader of all bytes of an array. */
+  /** Creates a reader of all bytes of an array. */
   protected CborReader(final byte[] bytes) throws IOException {
     this(bytes, 0, bytes.length);
   }
 
-  /** Makes a reader of a part of an array. */
+  /** Creates a reader of a part of an array. */
   protected CborReader(final byte[] bytes, final int offset, final int length) throws IOException {
     this.parser = FACTORY.createParser(bytes, offset, length);
   }
 
-  /** Takes the next token, whatever it is. */
+  /** Reads the next token of any type. */
   protected final JsonToken nextToken() throws IOException {
     final JsonToken token = parser.nextToken();
     if (token == null) {
-      throw new MalformedMessageException("it ends too early");
+      throw new MalformedMessageException("unexpected end of input");
     }
     return token;
   }
 
-  /** Returns the token that was taken last. */
+  /** Returns the token that was read last. */
   protected final JsonToken currentToken() {
     return parser.currentToken();
   }
 
-  /** Takes the beginning of an array. */
+  /** Reads the start of an array. */
   public final void beginArray() throws IOException {
     nextToken();
     requireCurrent(JsonToken.START_ARRAY, "an array");
   }
 
-  /** Skips what a later version has appended to the present array, and takes its end. */
+  /** Skips the values that a later version appended to the current array, and reads its end. */
   public final void endArray() throws IOException {
     while (nextToken() != JsonToken.END_ARRAY) {
       parser.skipChildren();
     }
   }
 
-  /** Takes the first token of a further element of a list and returns true, or takes its end. */
+  /**
+   * Reads the first token of the next element of a list and returns true, or reads the end of the
+   * list and returns false.
+   */
   protected final boolean nextElement() throws IOException {
     return nextToken() != JsonToken.END_ARRAY;
   }
 
-  /** Checks what kind of token was taken last. */
+  /** Checks the type of the token that was read last. */
   protected final void requireCurrent(final JsonToken expected, final String what)
       throws IOException {
     if (currentToken() != expected) {
@@ -66,9 +69,9 @@
   }
 
   /**
-   * Takes the version of a message.
+   * Reads the version of a message.
    *
-   * @param minVersion the lowest that can be read; a higher one can be read as far as it is known
+   * @param minVersion the lowest supported version; of a higher one, the known values are read
    */
   public final void version(final int minVersion) throws IOException {
     final long version = number();
@@ -77,28 +80,28 @@
     }
   }
 
-  /** Takes an integer; the parser itself rejects what takes more than 64 bits. */
+  /** Reads an integer; the parser itself rejects integers of more than 64 bits. */
   public final long number() throws IOException {
     nextToken();
     requireCurrent(JsonToken.VALUE_NUMBER_INT, "a number");
     return currentLong();
   }
 
-  /** Takes an integer, of which larger ones stand for the largest. */
+  /** Reads an integer; larger ones are reduced to {@link Integer#MAX_VALUE}. */
   public final int numberUpToMaxInt() throws IOException {
     return (int) Math.min(Integer.MAX_VALUE, number());
   }
 
-  /** Takes an integer from 0 to {@link Integer#MAX_VALUE}. */
+  /** Reads an integer from 0 to {@link Integer#MAX_VALUE}. */
   public final int nonNegativeInt() throws IOException {
     final long number = number();
     if (number < 0 || number > Integer.MAX_VALUE) {
-      throw new MalformedMessageException("expected a small number, not " + number);
+      throw new MalformedMessageException("expected a number from 0 to 2147483647, not " + number);
     }
     return (int) number;
   }
 
-  /** Takes the place of one of these values. */
+  /** Reads the index of one of these values, and returns the value. */
   public final <T> T oneOf(final T[] values) throws IOException {
     final long index = number();
     if (index < 0 || index >= values.length) {
@@ -108,7 +111,7 @@
     return values[(int) index];
   }
 
-  /** Takes a truth value. */
+  /** Reads a boolean. */
   public final boolean flag() throws IOException {
     if (!nextToken().isBoolean()) {
       throw new MalformedMessageException("expected true or false, not " + currentToken());
@@ -116,7 +119,7 @@
     return currentToken() == JsonToken.VALUE_TRUE;
   }
 
-  /** Takes a text of at most so many characters. */
+  /** Reads a text of at most {@code maxLength} characters. */
   public final String text(final int maxLength) throws IOException {
     nextToken();
     requireCurrent(JsonToken.VALUE_STRING, "a text");
@@ -127,24 +130,24 @@
     return currentText();
   }
 
-  /** Takes bytes. */
+  /** Reads a byte string. */
   public final byte[] binary() throws IOException {
     nextToken();
     requireCurrent(JsonToken.VALUE_EMBEDDED_OBJECT, "bytes");
     return parser.getBinaryValue();
   }
 
-  /** Returns the integer that was taken last. */
+  /** Returns the integer that was read last. */
   protected final long currentLong() throws IOException {
     return parser.getLongValue();
   }
 
-  /** Returns the floating-point number that was taken last. */
+  /** Returns the floating-point number that was read last. */
   protected final double currentDouble() throws IOException {
     return parser.getDoubleValue();
   }
 
-  /** Returns the text that was taken last. */
+  /** Returns the text that was read last. */
   protected final String currentText() throws IOException {
     return parser.getText();
   }
--- a/peers/src/main/java/thistleturn/peers/cbor/MalformedMessageException.java
+++ b/peers/src/main/java/thistleturn/peers/cbor/MalformedMessageException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Bytes from another process, or from a file, are not what they should be. */
+/** Signals that bytes from another process or a file do not have the expected format. */
 public final class MalformedMessageException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** One line that says what is wrong. */
+  /** Creates an exception with a reason of one line. */
   public MalformedMessageException(final String reason) {
     super(reason);
   }
--- a/peers/src/main/java/thistleturn/peers/package-info.java
+++ b/peers/src/main/java/thistleturn/peers/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The exchange between the couriers of a fleet: it carries what {@code decisions.peers} decides, by
- * datagrams ({@link thistleturn.peers.DatagramTransport}) and connections ({@link
- * thistleturn.peers.PeerConnections}), each message authenticated with the fleet's key. {@link
- * thistleturn.peers.PeersExtension} is the entry point. It lives on the courier's first event loop,
- * is on no message's path, and is off unless {@code [peers]} says otherwise. Other subsystems send
- * along with it as a {@link thistleturn.peers.PiggybackChannel}. The package does not decide who is
- * a member.
+ * The transport of the membership protocol between the couriers of a fleet. It carries the messages
+ * of {@code decisions.peers} in datagrams ({@link thistleturn.peers.DatagramTransport}) and over
+ * connections ({@link thistleturn.peers.PeerConnections}), and authenticates each message with the
+ * fleet's key. {@link thistleturn.peers.PeersExtension} is the entry point. The transport runs on
+ * the courier's first event loop, takes no part in the delivery of messages, and is disabled unless
+ * {@code [peers]} enables it. Other subsystems use it through a {@link
+ * thistleturn.peers.PiggybackChannel}. The package does not decide which couriers are members.
  */
 package thistleturn.peers;
--- a/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCborBytesTest.java
@@ -29,18 +29,17 @@
 import thistleturn.decisions.peers.ViewMember;
 
 /**
- * The exact bytes that couriers of one fleet send each other, and of the incarnation file. Couriers
- * of different versions talk to each other during an upgrade, so a change that alters any of these
- * bytes must not pass unnoticed.
+ * Pins the exact bytes of the messages between couriers of a fleet, and of the incarnation file.
+ * Couriers of different versions exchange messages during an upgrade, so this test fails if a
+ * change alters any of these bytes.
  */
 @Tag("peers")
 final class PeerCborBytesTest {
   private static final PeerId ALPHA = new PeerId("alpha", 1_700_000_000_000_001L);
   private static final PeerId BETA = new PeerId("beta", 2);
   private static final String ADDRESS = "127.0.0.1:7081";
-  private static final ViewId MARK = new ViewId(3, 4, 5, 6);
-  private static final PeerStatus SELF_REPORT =
-      new PeerStatus(LocalHealth.State.STARVED, 700, 8, true);
+  private static final ViewId VIEW_ID = new ViewId(3, 4, 5, 6);
+  private static final PeerStatus STATUS = new PeerStatus(LocalHealth.State.STARVED, 700, 8, true);
   private static final ViewChange CHANGE =
       new ViewChange(List.of(BETA), List.of(new ViewMember(ALPHA, ADDRESS)));
 
@@ -59,8 +58,8 @@
   }
 
   private static Packet packet(
-      final PeerId sender, final Packet.Type kind, final GossipItem... items) {
-    return new Packet(sender, ADDRESS, 9, 10, MARK, 11, SELF_REPORT, kind, 12, List.of(items));
+      final PeerId sender, final Packet.Type type, final GossipItem... items) {
+    return new Packet(sender, ADDRESS, 9, 10, VIEW_ID, 11, STATUS, type, 12, List.of(items));
   }
 
   private void assertPacketBytes(final String hexLines, final Packet packet) throws IOException {
@@ -68,7 +67,7 @@
     assertEquals(packet, codec.readPacket(bytes(hexLines)));
   }
 
-  private static Packet of(final GossipItem item) {
+  private static Packet packetWith(final GossipItem item) {
     return new Packet(
         null,
         ADDRESS,
@@ -83,7 +82,7 @@
   }
 
   @Test
-  void datagramWithoutItemsHasTheseBytes() throws IOException {
+  void datagramWithoutItems_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831090a9f030405
@@ -93,91 +92,94 @@
   }
 
   @Test
-  void factItemHasTheseBytes() throws IOException {
+  void memberUpdateItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f009f65
         616c7068611b00060a24181e4001ff6e3132372e302e302e313a3730383102ffffff
         """,
-        of(new GossipItem.MemberUpdate(ALPHA, ADDRESS, GossipItem.Liveness.DEAD)));
+        packetWith(new GossipItem.MemberUpdate(ALPHA, ADDRESS, GossipItem.Liveness.DEAD)));
   }
 
   @Test
-  void reportItemHasTheseBytes() throws IOException {
+  void reachabilityReportItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f019f65
         616c7068611b00060a24181e4001ff9f646265746102ff15021a0016e360ffffff
         """,
-        of(new GossipItem.ReachabilityReport(ALPHA, BETA, 21, Reachability.ENDED, 1_500_000)));
+        packetWith(
+            new GossipItem.ReachabilityReport(ALPHA, BETA, 21, Reachability.ENDED, 1_500_000)));
   }
 
   @Test
-  void beatItemHasTheseBytes() throws IOException {
+  void heartbeatItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f029f64
         6265746102ff16ffffff
         """,
-        of(new GossipItem.Heartbeat(BETA, 22)));
+        packetWith(new GossipItem.Heartbeat(BETA, 22)));
   }
 
   @Test
-  void saidItemHasTheseBytes() throws IOException {
+  void statusUpdateItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f039f64
         6265746102ff179f031902bc08f5ffffffff
         """,
-        of(new GossipItem.StatusUpdate(BETA, 23, SELF_REPORT)));
+        packetWith(new GossipItem.StatusUpdate(BETA, 23, STATUS)));
   }
 
   @Test
-  void askItemHasTheseBytes() throws IOException {
+  void fullStateRequestItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f04ffff
         ff
         """,
-        of(new GossipItem.FullStateRequest()));
+        packetWith(new GossipItem.FullStateRequest()));
   }
 
   @Test
-  void decidedItemHasTheseBytes() throws IOException {
+  void viewDecisionItem_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f059f03
         040506ff9f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e3132372e30
         2e302e313a37303831ffffffffffff
         """,
-        of(new GossipItem.ViewDecision(MARK, CHANGE)));
+        packetWith(new GossipItem.ViewDecision(VIEW_ID, CHANGE)));
   }
 
   @Test
-  void voteItemWithChangeHasTheseBytes() throws IOException {
+  void paxosMessageItemWithChange_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
         040506ff03181f18209f9f9f646265746102ffff9f9f9f65616c7068611b00060a24181e4001ff6e
         3132372e302e302e313a37303831ffffffffffff
         """,
-        of(
+        packetWith(
             new GossipItem.PaxosMessage(
-                MARK, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, 31, 32, CHANGE)));
+                VIEW_ID, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, 31, 32, CHANGE)));
   }
 
   @Test
-  void voteItemWithoutChangeHasTheseBytes() throws IOException {
+  void paxosMessageItemWithoutChange_matchesRecordedBytes() throws IOException {
     assertPacketBytes(
         """
         9f01f66e3132372e302e302e313a3730383100009f00000000ff009f000000f4ff02009f9f069f03
         040506ff00182120f6ffffff
         """,
-        of(new GossipItem.PaxosMessage(MARK, GossipItem.PaxosMessage.Type.PREPARE, 33, -1, null)));
+        packetWith(
+            new GossipItem.PaxosMessage(
+                VIEW_ID, GossipItem.PaxosMessage.Type.PREPARE, 33, -1, null)));
   }
 
   @Test
-  void fullStateFrameHasTheseBytes() throws IOException {
+  void fullStateFrame_matchesRecordedBytes() throws IOException {
     final View view =
         new View(
             3,
@@ -199,7 +201,7 @@
   }
 
   @Test
-  void fullStateFrameWithoutViewHasTheseBytes() throws IOException {
+  void fullStateFrameWithoutView_matchesRecordedBytes() throws IOException {
     final String hexLines =
         """
         9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a37303831f69fffff
@@ -210,7 +212,7 @@
   }
 
   @Test
-  void greetingFrameHasTheseBytes() throws IOException {
+  void greetingFrame_matchesRecordedBytes() throws IOException {
     final String hexLines =
         """
         9f019f65616c7068611b00060a24181e4001ffff
@@ -220,50 +222,53 @@
   }
 
   @Test
-  void passengerDatagramHasTheseBytes() throws IOException {
+  void piggybackDatagram_matchesRecordedBytes() throws IOException {
     final String hexLines =
         """
         ff9f019f65616c7068611b00060a24181e4001ff6e3132372e302e302e313a373038310d430102ff
         ff
         """;
-    final byte[] text = {1, 2, (byte) 0xFF};
+    final byte[] payload = {1, 2, (byte) 0xFF};
     assertEquals(
-        joined(hexLines), hex(codec.write(new PiggybackMessage(ALPHA, ADDRESS, 13, text))));
+        joined(hexLines), hex(codec.write(new PiggybackMessage(ALPHA, ADDRESS, 13, payload))));
     final PiggybackMessage read = codec.readPiggyback(bytes(hexLines));
     assertEquals(ALPHA, read.sender());
     assertEquals(ADDRESS, read.address());
     assertEquals(13, read.sequence());
-    assertArrayEquals(text, read.payload());
+    assertArrayEquals(payload, read.payload());
   }
 
-  /** Length, checksum keyed by the fleet's key, kind of frame and text. */
+  /** A frame: length, HMAC tag keyed with the fleet's key, type and payload. */
   @Test
-  void sealedFrameHasTheseBytes() {
+  void signedFrame_matchesRecordedBytes() {
     final String hexLines =
         """
         00000015ada65b8c9c863c15077016be8ed5f1fd0274657874
         """;
-    final byte[] text = "text".getBytes(StandardCharsets.US_ASCII);
+    final byte[] payload = "text".getBytes(StandardCharsets.US_ASCII);
     assertEquals(
         joined(hexLines),
         ByteBufUtil.hexDump(
             FrameHandler.encodeFrame(
-                new MessageAuthenticator("fleet key"), FrameHandler.FULL_STATE, text)));
+                new MessageAuthenticator("fleet key"), FrameHandler.FULL_STATE, payload)));
     assertEquals(
         "0274657874",
         hex(new MessageAuthenticator("fleet key").verify(bytes(joined(hexLines).substring(8)))));
   }
 
   @Test
-  void kindsOfFramesHaveTheseNumbers() {
+  void frameTypes_matchRecordedNumbers() {
     assertEquals(
         List.of((byte) 1, (byte) 2, (byte) 3),
         List.of(FrameHandler.GREETING, FrameHandler.FULL_STATE, FrameHandler.PIGGYBACK));
   }
 
-  /** These are written as numbers, so their order is fixed, and new ones come last. */
+  /**
+   * These constants are written by their ordinals, so their order is fixed and new ones are
+   * appended.
+   */
   @Test
-  void enumsWrittenAsNumbersKeepTheirOrder() {
+  void enumsWrittenByOrdinal_keepTheirOrder() {
     assertEquals(
         List.of(Packet.Type.PING, Packet.Type.PONG, Packet.Type.GOSSIP),
         List.of(Packet.Type.values()));
@@ -292,9 +297,9 @@
         List.of(LocalHealth.State.values()));
   }
 
-  /** The operators' JSON holds these in lower case. */
+  /** The operators' JSON contains these names in lower case. */
   @Test
-  void enumsWrittenByNameHaveTheseNames() {
+  void enumsWrittenByName_keepTheirNames() {
     assertEquals(
         "[FORMING, MAJORITY, MINORITY, ALONE, CONFLICT]",
         List.of(MembershipStatus.values()).toString());
@@ -305,14 +310,14 @@
         "[WELL, LATE, AWAY, STARVED, CUT_OFF]", List.of(LocalHealth.State.values()).toString());
   }
 
-  /** The log and operators' JSON hold it in this form. */
+  /** The log and the operators' JSON contain a peer's id in this form. */
   @Test
-  void identityOfPeerIsWrittenAsNameAndIncarnation() {
+  void peerId_isFormattedAsNameAndIncarnation() {
     assertEquals("alpha#1700000000000001", ALPHA.toString());
   }
 
   @Test
-  void incarnationFileHoldsTheNumberAsText(@TempDir final Path folder) throws IOException {
+  void incarnationFile_storesNumberAsText(@TempDir final Path folder) throws IOException {
     final Path path = folder.resolve("peers.incarnation");
     final IncarnationFile file = new IncarnationFile(folder);
     assertEquals(1_700_000_000_000_001L, file.next(1_700_000_000_000_001L));
--- a/peers/src/test/java/thistleturn/peers/PeerCodecTest.java
+++ b/peers/src/test/java/thistleturn/peers/PeerCodecTest.java
@@ -31,8 +31,8 @@
 import thistleturn.decisions.peers.ViewMember;
 
 /**
- * What is written is read as it was; what is damaged, strange or later is an error or passed over,
- * never anything else.
+ * Written messages are read back equal. Damaged and invalid input is an {@link IOException}; the
+ * additions of later versions are skipped.
  */
 @Tag("peers")
 final class PeerCodecTest {
@@ -40,8 +40,8 @@
   private static final PeerId ID = new PeerId(NAME, Long.MAX_VALUE);
   private static final PeerId OTHER = new PeerId("b", 2);
   private static final String ADDRESS = "127.100.100.100:65535";
-  private static final ViewId MARK = new ViewId(3, Long.MAX_VALUE, 9, 4);
-  private static final PeerStatus WORD = new PeerStatus(LocalHealth.State.STARVED, 7, 8, true);
+  private static final ViewId VIEW_ID = new ViewId(3, Long.MAX_VALUE, 9, 4);
+  private static final PeerStatus STATUS = new PeerStatus(LocalHealth.State.STARVED, 7, 8, true);
   private static final ViewChange CHANGE =
       new ViewChange(
           List.of(ID, OTHER), List.of(new ViewMember(ID, ADDRESS), new ViewMember(OTHER, ADDRESS)));
@@ -54,22 +54,22 @@
         new GossipItem.ReachabilityReport(
             ID, OTHER, Long.MAX_VALUE, Reachability.ENDED, 123_456_789),
         new GossipItem.Heartbeat(ID, Long.MAX_VALUE),
-        new GossipItem.StatusUpdate(ID, Long.MAX_VALUE, WORD),
+        new GossipItem.StatusUpdate(ID, Long.MAX_VALUE, STATUS),
         new GossipItem.FullStateRequest(),
-        new GossipItem.ViewDecision(MARK, CHANGE),
+        new GossipItem.ViewDecision(VIEW_ID, CHANGE),
         new GossipItem.PaxosMessage(
-            MARK, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
-        new GossipItem.PaxosMessage(MARK, GossipItem.PaxosMessage.Type.PREPARE, 17, -1, null));
+            VIEW_ID, GossipItem.PaxosMessage.Type.ACCEPT_BOUND, Long.MAX_VALUE, -1, CHANGE),
+        new GossipItem.PaxosMessage(VIEW_ID, GossipItem.PaxosMessage.Type.PREPARE, 17, -1, null));
   }
 
   private static Packet packet(final List<GossipItem> items) {
-    return new Packet(ID, ADDRESS, 5, 6, MARK, 7, WORD, Packet.Type.PONG, 8, items);
+    return new Packet(ID, ADDRESS, 5, 6, VIEW_ID, 7, STATUS, Packet.Type.PONG, 8, items);
   }
 
   @Test
   void writtenMessages_areReadBackEqual() throws IOException {
     assertEquals(packet(everyItem()), codec.readPacket(codec.write(packet(everyItem()))));
-    final Packet look =
+    final Packet anonymousProbe =
         new Packet(
             null,
             ADDRESS,
@@ -81,7 +81,7 @@
             Packet.Type.PING,
             0,
             List.of());
-    assertEquals(look, codec.readPacket(codec.write(look)));
+    assertEquals(anonymousProbe, codec.readPacket(codec.write(anonymousProbe)));
     final View view =
         new View(
             3,
@@ -99,36 +99,39 @@
   }
 
   /**
-   * What the decisions reckon with is more than what it takes, so that a datagram that they fill
-   * stays within its bound.
+   * The size estimates of {@code decisions.peers} are upper bounds of the encoded sizes, so that a
+   * datagram filled by them stays within its limit.
    */
   @Test
   void everyItem_fitsItsEstimatedSize() {
     final int empty = codec.write(packet(List.of())).length;
     for (final GossipItem item : everyItem()) {
-      final int taken = codec.write(packet(List.of(item))).length - empty;
+      final int encodedSize = codec.write(packet(List.of(item))).length - empty;
       assertTrue(
-          taken <= item.maxBytes(),
-          () -> item + " takes " + taken + " bytes, not " + item.maxBytes());
+          encodedSize <= item.maxBytes(),
+          () -> item + " takes " + encodedSize + " bytes, more than " + item.maxBytes());
     }
     assertTrue(
         empty + Packet.MAX_ITEM_BYTES + MessageAuthenticator.TAG_BYTES
             <= DatagramTransport.MAX_DATAGRAM_BYTES,
-        () -> "a head of " + empty + " bytes");
+        () -> "header of " + empty + " bytes");
   }
 
   @Test
   void truncatedOrDamagedPacket_isError() throws IOException {
-    final byte[] whole = codec.write(packet(everyItem()));
-    for (int length = 0; length < whole.length; length++) {
-      final byte[] cut = Arrays.copyOf(whole, length);
-      assertThrows(IOException.class, () -> codec.readPacket(cut), () -> "cut to " + cut.length);
+    final byte[] encoded = codec.write(packet(everyItem()));
+    for (int length = 0; length < encoded.length; length++) {
+      final byte[] truncated = Arrays.copyOf(encoded, length);
+      assertThrows(
+          IOException.class,
+          () -> codec.readPacket(truncated),
+          () -> "truncated to " + truncated.length);
     }
     final Random random = new Random(7);
     int read = 0;
-    for (int turn = 0; turn < 20_000; turn++) {
-      final byte[] damaged = whole.clone();
-      damaged[random.nextInt(whole.length)] = (byte) random.nextInt();
+    for (int trial = 0; trial < 20_000; trial++) {
+      final byte[] damaged = encoded.clone();
+      damaged[random.nextInt(encoded.length)] = (byte) random.nextInt();
       try {
         assertNotNull(codec.readPacket(damaged));
         read++;
@@ -136,8 +139,8 @@
         assertNotNull(e.getMessage());
       }
     }
-    // Most of a datagram are letters and numbers, any of which can be another one: the seal is what
-    // tells.
+    // Most bytes of a datagram are letters and numbers, and a changed one is still valid: only the
+    // authentication tag detects such damage.
     assertTrue(read > 0);
   }
 
@@ -152,8 +155,8 @@
   private static void write(final CBORGenerator out, final Object value) throws IOException {
     if (value instanceof List<?> list) {
       out.writeStartArray();
-      for (final Object one : list) {
-        write(out, one);
+      for (final Object element : list) {
+        write(out, element);
       }
       out.writeEndArray();
     } else if (value instanceof BigInteger number) {
@@ -168,7 +171,7 @@
   }
 
   private static byte[] ofVersion(
-      final long version, final Object incarnation, final String address, final Object... more)
+      final long version, final Object incarnation, final String address, final Object... appended)
       throws IOException {
     final List<Object> all =
         new ArrayList<>(
@@ -184,8 +187,9 @@
                 1L,
                 8L,
                 List.of(
-                    List.of(99L, "of a kind to come", List.of()), List.of(4L, "more to come"))));
-    all.addAll(List.of(more));
+                    List.of(99L, "item of a later type", List.of()),
+                    List.of(4L, "field of a later version"))));
+    all.addAll(List.of(appended));
     return cbor(all.toArray());
   }
 
@@ -199,7 +203,7 @@
 
   @Test
   void invalidValues_areRejected() throws IOException {
-    for (final byte[] strange :
+    for (final byte[] invalid :
         List.of(
             ofVersion(0, 5L, "127.0.0.1:1"),
             ofVersion(1, BigInteger.ONE.shiftLeft(63), "127.0.0.1:1"),
@@ -209,9 +213,9 @@
             ofVersion(1, 5L, "somewhere.example:1"),
             ofVersion(1, 5L, "127.0.0.1:65536"),
             ofVersion(1, 5L, "127.0.0.256:1"),
-            cbor("no datagram"),
+            cbor("not a datagram"),
             new byte[0])) {
-      assertThrows(IOException.class, () -> codec.readPacket(strange));
+      assertThrows(IOException.class, () -> codec.readPacket(invalid));
     }
     assertThrows(
         IOException.class,
@@ -219,18 +223,18 @@
   }
 
   @Test
-  void authenticationTag_matchesOneKeyAndOneText() {
-    final MessageAuthenticator seal = new MessageAuthenticator("one fleet's key");
-    final byte[] text = {1, 2, 3};
-    final byte[] sealed = seal.sign(text);
-    assertArrayEquals(text, seal.verify(sealed));
-    assertNull(new MessageAuthenticator("another fleet's").verify(sealed));
-    for (int at = 0; at < sealed.length; at++) {
-      final byte[] damaged = sealed.clone();
-      damaged[at] ^= 1;
-      assertNull(seal.verify(damaged));
+  void authenticationTag_matchesOnlyItsKeyAndPayload() {
+    final MessageAuthenticator authenticator = new MessageAuthenticator("one fleet's key");
+    final byte[] payload = {1, 2, 3};
+    final byte[] signed = authenticator.sign(payload);
+    assertArrayEquals(payload, authenticator.verify(signed));
+    assertNull(new MessageAuthenticator("another fleet's").verify(signed));
+    for (int index = 0; index < signed.length; index++) {
+      final byte[] damaged = signed.clone();
+      damaged[index] ^= 1;
+      assertNull(authenticator.verify(damaged));
     }
-    assertNull(seal.verify(Arrays.copyOf(sealed, MessageAuthenticator.TAG_BYTES)));
-    assertNull(seal.verify(new byte[0]));
+    assertNull(authenticator.verify(Arrays.copyOf(signed, MessageAuthenticator.TAG_BYTES)));
+    assertNull(authenticator.verify(new byte[0]));
   }
 }
--- a/peers/src/test/java/thistleturn/peers/ReplayWindowTest.java
+++ b/peers/src/test/java/thistleturn/peers/ReplayWindowTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.peers.PeerId;
 
-/** Each datagram is let through once; what is far behind, or of an earlier life, not at all. */
+/**
+ * Each message is accepted once; messages behind the window or of an earlier incarnation are
+ * rejected.
+ */
 @Tag("replicas")
 final class ReplayWindowTest {
   private static final PeerId FIRST = new PeerId("n1", 10);
