--- a/decisions/src/main/java/thistleturn/decisions/peers/NameConflictGuard.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/NameConflictGuard.java
@@ -6,8 +6,8 @@
 
 /**
  * Handles updates about this courier's own name. Another process that uses the name and started
- * later is a rival: while there is one, this courier stays out of the fleet, and only probes
- * periodically, without stating a name, whether the rival has ended.
+ * later is a rival: while there is one, this courier stays out of the fleet, and only sends
+ * periodic anonymous probes to find out whether the rival has ended.
  */
 final class NameConflictGuard {
   private static final long RIVAL_PROBE_INTERVAL_US = 5_000_000;
--- a/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Packet.java
@@ -7,7 +7,7 @@
  *
  * @param sender the sending incarnation, or null in an anonymous probe about a name
  * @param address the address on which the sender listens
- * @param sequence counted by the sender, which reveals duplicated and stale packets
+ * @param sequence the sender's packet count, by which duplicated and stale packets are detected
  * @param heartbeat the sender's heartbeat count
  * @param viewId the view that the sender holds
  * @param statusVersion the version of the sender's status
--- a/decisions/src/main/java/thistleturn/decisions/peers/PaxosProposer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PaxosProposer.java
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Returns true if a ballot higher than the own one is known, so that the own ballot cannot
+   * Returns true if a ballot higher than this proposer's is known, so that its ballot cannot
    * succeed.
    */
   boolean isBallotSuperseded() {
