--- a/decisions/src/main/java/thistleturn/decisions/peers/PaxosInstance.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/PaxosInstance.java
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Returns true if a ballot higher than this courier's own is known, so that the courier's
-   * ballot cannot succeed.
+   * Returns true if a ballot higher than this courier's own is known, so that the courier's ballot
+   * cannot succeed.
    */
   public boolean isBallotSuperseded() {
     return proposer.isBallotSuperseded();
--- a/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
+++ b/decisions/src/main/java/thistleturn/decisions/peers/Peer.java
@@ -76,7 +76,10 @@
     publishedStateSinceUs = nowUs;
   }
 
-  /** Records that this incarnation left or was declared dead, and discards the reports about it. */
+  /**
+   * Records that this incarnation left or was declared dead, and discards the reports about it,
+   * since reports about an ended incarnation are invalid.
+   */
   void end(final GossipItem.Liveness ended, final long nowUs) {
     liveness = ended;
     livenessSinceUs = nowUs;
