--- a/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
+++ b/replicas/src/main/java/thistleturn/replicas/ReplicasExtension.java
@@ -128,7 +128,7 @@
         .schedule(
             this::tick, settings.replicationSettings().tickIntervalUs(), TimeUnit.MICROSECONDS);
     if (ticks++ % PEER_REFRESH_TICKS == 0) {
-      replicas.setReachablePeers(peers.livingPeerAddresses().values());
+      replicas.setReachablePeers(peers.alivePeerAddresses().values());
     }
     replicas.tick(nowUs());
     if (saveDue) {
