--- a/decisions/src/main/java/thistleturn/decisions/admission/ConnectionEvictionRanking.java
+++ b/decisions/src/main/java/thistleturn/decisions/admission/ConnectionEvictionRanking.java
@@ -1,20 +1,20 @@
 package thistleturn.decisions.admission;
 
 /**
- * Ranks client connections by how little is lost if one of them is closed, and learns whether
- * clients here reuse the connections that they keep open. Times are microseconds on a clock that
- * only advances.
+ * Ranks client connections for eviction, the least costly to close first, and learns whether
+ * clients reuse the connections that they keep open. Times are microseconds on a monotonic clock.
  */
 public final class ConnectionEvictionRanking {
   /**
-   * A client that writes a request in pieces writes again within this; otherwise it has stalled.
+   * A client that writes a request in several parts writes again within this time; otherwise it has
+   * stalled.
    */
   public static final long STALLED_AFTER_US = 700_000;
 
-  /** A client that means to send a request does so sooner than this after it connected. */
+  /** A client with a request to send sends it within this time after it connected. */
   public static final long FIRST_REQUEST_GRACE_US = 200_000;
 
-  /** The rank of what is never closed to make room for another connection. */
+  /** The rank of connections that are never closed in favour of another one. */
   public static final int NEVER_EVICT = 6;
 
   private static final int RANK_REJECTED = 0;
@@ -27,43 +27,43 @@
   /** Weight of a single connection in the share that is reused. */
   private static final double REUSE_WEIGHT = 0.05;
 
-  /** Below this share of reused connections, keeping one open is of no use. */
+  /** Below this share of reused connections, it is not worth keeping one open. */
   private static final double MIN_REUSE_SHARE = 0.1;
 
   private final long idleUs;
   private double reuseShare = 1;
 
-  /** What a connection is doing. */
+  /** The state of a client connection. */
   public enum ConnectionState {
-    /** It has got its last response. */
+    /** Its last response, a rejection, has been sent. */
     REJECTED,
     /** It has not sent a request yet. */
     NO_REQUEST_YET,
     /** A request is being received. */
     RECEIVING_REQUEST,
-    /** It got a response and is kept open. */
+    /** It has received a response and is kept open. */
     IDLE_AFTER_RESPONSE,
     /** A request is being processed. */
     PROCESSING_REQUEST
   }
 
   /**
-   * A ranking.
+   * Creates a ranking.
    *
-   * @param idleUs a connection that has been idle for so long may be closed even where clients
-   *     reuse connections
+   * @param idleUs idle time after which a connection may be closed even where clients reuse
+   *     connections
    */
   public ConnectionEvictionRanking(final long idleUs) {
     this.idleUs = idleUs;
   }
 
-  /** An idle connection was reused for another request, or was closed without. */
+  /** Records whether an idle connection was reused for another request before it was closed. */
   public void recordReuse(final boolean reused) {
     reuseShare += REUSE_WEIGHT * ((reused ? 1 : 0) - reuseShare);
   }
 
   /**
-   * The rank of a connection: the lowest is closed first, {@link #NEVER_EVICT} never.
+   * Returns the rank of a connection: the lowest is closed first, {@link #NEVER_EVICT} never.
    *
    * @param sinceUs since when the connection has been in that state
    * @param lastByteUs when it last received a byte
--- a/decisions/src/main/java/thistleturn/decisions/admission/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/admission/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which client connection is closed where there are too many.
+ * Selects the client connections to close when there are too many.
  *
  * <p>Entry point: {@link thistleturn.decisions.admission.ConnectionEvictionRanking}, which belongs
- * to the ingress and runs on its thread. Times and states come in, a rank comes out; sockets are
- * the ingress's own. Design: {@code docs/design/operators.md}.
+ * to the ingress and runs on its thread. It computes a rank from times and states and does not
+ * access sockets. Design: {@code docs/design/operators.md}.
  */
 package thistleturn.decisions.admission;
--- a/decisions/src/main/java/thistleturn/decisions/directives/Directive.java
+++ b/decisions/src/main/java/thistleturn/decisions/directives/Directive.java
@@ -3,65 +3,70 @@
 import java.util.Objects;
 
 /**
- * What a subsystem orders for an endpoint or a destination. A later directive of the same source
- * and kind replaces the one before; one that has expired already withdraws it.
+ * An instruction of a subsystem for an endpoint or a destination. A later directive of the same
+ * source and kind replaces the earlier one; one that has already expired withdraws it.
  *
- * @param kind what is ordered
- * @param value how much, in the unit of the kind; without meaning for an exclusion and a wait
- * @param source who orders it: a subsystem's name, and on whose behalf
- * @param expiresUs until when it holds, us on the clock of the events; {@link Long#MAX_VALUE} if
+ * @param kind the kind of instruction
+ * @param value its value, in the unit of the kind; ignored for an exclusion and a wait
+ * @param source the issuer: a subsystem's name, and on whose behalf
+ * @param expiresUs its expiry, us on the clock of the events; {@link Long#MAX_VALUE} if it holds
  *     until it is withdrawn
  */
 public record Directive(Kind kind, double value, String source, long expiresUs) {
-  /** The longest name of a source. */
+  /** Maximum length of a source, in characters. */
   public static final int MAX_SOURCE_LENGTH = 80;
 
   /**
-   * What can be ordered, and which of several sources' directives wins. The names are part of the
-   * operators' JSON.
+   * The kinds of directive, and which of several sources' directives takes effect. The names are
+   * part of the operators' JSON.
    */
   public enum Kind {
     /**
-     * Calls a second that a destination takes from all couriers together; above 0. The latest
-     * counts, whoever it is from.
+     * Calls a second that a destination accepts from all couriers together; above 0. The latest
+     * takes effect, whatever its source.
      */
     LIMIT,
-    /** Calls a second of this courier to a destination; above 0. The least wins. */
+    /** Calls a second of this courier to a destination; above 0. The lowest takes effect. */
     RATE,
-    /** Calls of this courier in flight to a destination; 1 or more. The least wins. */
+    /** Calls of this courier in flight to a destination; at least 1. The lowest takes effect. */
     CEILING,
-    /** Nothing new is sent there. One source is enough. */
+    /** No new calls are sent there. One source suffices. */
     EXCLUSION,
-    /** Nothing is sent there before the directive expires, as by a Retry-After. The latest wins. */
+    /**
+     * No calls are sent there before the directive expires, as after a Retry-After. The latest
+     * expiry takes effect.
+     */
     WAIT,
     /**
-     * It does not serve: single trial calls only, until one succeeds. One source is enough. Value:
-     * since when, us.
+     * It is in an outage: single trial calls only, until one succeeds. One source suffices. Value:
+     * start of the outage, us.
      */
     OUTAGE,
     /**
-     * It has begun to serve again, and is ramped up slowly. The latest wins. Value: since when, us.
+     * It serves again and its load is ramped up slowly. The latest takes effect. Value: start of
+     * the recovery, us.
      */
     RETURN,
     /**
-     * Its weight among endpoints that are otherwise alike, above 0 and at most 1. The least wins.
+     * Its weight among otherwise equal endpoints, above 0 and at most 1. The lowest takes effect.
      */
     WEIGHT
   }
 
-  /** Rejects what cannot be meant. */
+  /** Rejects an invalid source or value. */
   public Directive {
     Objects.requireNonNull(kind, "kind");
     if (source.isBlank() || source.length() > MAX_SOURCE_LENGTH) {
       throw new IllegalArgumentException(
-          "a directive has a source of 1 to "
+          "the source of a directive must have 1 to "
               + MAX_SOURCE_LENGTH
               + " characters, not '"
               + source
               + "'");
     }
     if (!isValid(kind, value)) {
-      throw new IllegalArgumentException(kind + ": " + value + " cannot be meant (" + source + ")");
+      throw new IllegalArgumentException(
+          kind + ": " + value + " is out of range (source " + source + ")");
     }
   }
 
@@ -75,22 +80,22 @@
     };
   }
 
-  /** A directive of a kind that has no value. */
+  /** Returns a directive of a kind without a value. */
   public static Directive of(final Kind kind, final String source, final long expiresUs) {
     return new Directive(kind, 0, source, expiresUs);
   }
 
-  /** The directive that withdraws this one. */
+  /** Returns the directive that withdraws this one. */
   public Directive withdrawn() {
     return new Directive(kind, value, source, Long.MIN_VALUE);
   }
 
-  /** True while the directive holds. */
+  /** Returns true while the directive is in effect. */
   public boolean isActive(final long nowUs) {
     return nowUs < expiresUs;
   }
 
-  /** True if the other directive is of the same source and kind, and so replaces this one. */
+  /** Returns whether the other directive has the same source and kind and so replaces this one. */
   boolean isReplacedBy(final Directive other) {
     return kind == other.kind && source.equals(other.source);
   }
--- a/decisions/src/main/java/thistleturn/decisions/directives/Directives.java
+++ b/decisions/src/main/java/thistleturn/decisions/directives/Directives.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * The directives for one endpoint or destination, and what they amount to. A set never changes:
- * {@link #with} returns another one, so that all endpoints without directives share {@link #NONE}.
- * Beyond {@link #MAX_DIRECTIVES}, those that expire first are dropped.
+ * An immutable set of the directives for one endpoint or destination, and their combined effect.
+ * {@link #with} returns another set, so that all endpoints without directives share {@link #NONE}.
+ * Beyond {@link #MAX_DIRECTIVES}, the directives that expire first are dropped.
  */
 public final class Directives {
   /** No directives. */
   public static final Directives NONE = new Directives(List.of());
 
-  /** The most directives in a set. */
+  /** Maximum number of directives in a set. */
   public static final int MAX_DIRECTIVES = 64;
 
   private static final double SECOND_US = 1_000_000;
@@ -24,7 +24,7 @@
     this.directives = directives;
   }
 
-  /** This set with one directive added, and without those that it replaces or that have expired. */
+  /** Returns this set with a directive added, without those it replaces and expired ones. */
   public Directives with(final Directive added, final long nowUs) {
     final List<Directive> next = new ArrayList<>(directives.size() + 1);
     for (final Directive directive : directives) {
@@ -42,12 +42,12 @@
   }
 
   /**
-   * The earliest time at which the next call may be sent if the last one was sent at {@code
+   * Returns the earliest time at which the next call may be sent if the last one was sent at {@code
    * lastCallUs}; {@link Long#MIN_VALUE} if nothing delays it.
    */
   public long earliestCallUs(final long lastCallUs, final long atUs) {
     long earliestUs = Long.MIN_VALUE;
-    // Runs for each call that is considered: no iterator is allocated.
+    // Runs for each call that is considered, so it avoids allocating an iterator.
     for (int index = 0; index < directives.size(); index++) {
       final Directive directive = directives.get(index);
       if (directive.isActive(atUs)) {
@@ -68,12 +68,12 @@
     };
   }
 
-  /** The most calls in flight; infinite if no directive bounds them. */
+  /** Returns the maximum number of calls in flight; infinite if no directive limits them. */
   public double concurrencyLimit(final long nowUs) {
     return minimum(Directive.Kind.CEILING, Double.POSITIVE_INFINITY, nowUs);
   }
 
-  /** The weight among endpoints that are otherwise alike; 1 if no directive sets it. */
+  /** Returns the weight among otherwise equal endpoints; 1 if no directive sets it. */
   public double weight(final long nowUs) {
     return minimum(Directive.Kind.WEIGHT, 1, nowUs);
   }
@@ -89,7 +89,7 @@
     return minimum;
   }
 
-  /** When the first directive that is active now expires; {@link Long#MAX_VALUE} for never. */
+  /** Returns the earliest expiry of the active directives; {@link Long#MAX_VALUE} for never. */
   public long nextExpiryUs(final long nowUs) {
     long nextUs = Long.MAX_VALUE;
     for (int index = 0; index < directives.size(); index++) {
@@ -101,7 +101,7 @@
     return nextUs;
   }
 
-  /** The directives that are active now, in the order in which they came. */
+  /** Returns the directives that are active now, in the order in which they were added. */
   public List<Directive> active(final long nowUs) {
     return directives.stream().filter(directive -> directive.isActive(nowUs)).toList();
   }
--- a/decisions/src/main/java/thistleturn/decisions/fleet/FairShare.java
+++ b/decisions/src/main/java/thistleturn/decisions/fleet/FairShare.java
@@ -1,85 +1,85 @@
 package thistleturn.decisions.fleet;
 
 /**
- * One courier's share of the rate that a destination takes from all couriers, as a token bucket.
+ * One courier's share of the rate that a destination accepts from all couriers, as a token bucket.
  *
- * <p>Many couriers that each stay under the whole rate exceed it together; and where rejected calls
- * count against the rate too, a fleet that calls at just that rate is rejected for as long as it
- * goes on. So the bucket fills at this courier's even share, a little less than all of it. It is
- * deep enough for the chance of single arrivals, which differs from courier to courier, and so
- * evens out. What the even share does not say is learned: a rejection lowers the rate by a factor,
- * quiet seconds raise it, quickly up to the even share and from there on slowly, only while
- * messages wait for it, and slowest near the rate that was rejected last.
+ * <p>Many couriers that each stay below the total rate exceed it together; and where rejected calls
+ * count against the rate too, a fleet that keeps calling at just that rate is rejected permanently.
+ * The bucket therefore fills at slightly less than this courier's even share. It is deep enough for
+ * random variation of arrivals, which is independent between couriers and so averages out. The rate
+ * adapts from there: a rejection lowers it by a factor, and seconds without a rejection raise it,
+ * quickly up to the even share, above that slowly and only while messages wait, and slowest near
+ * the last rejected rate.
  *
- * <p>In a vast fleet a share can be so thin that chance alone decides what a courier has to send in
- * a second, and what it accepts may be several times the mean for as long as it runs. Enforced
- * strictly, such a share makes messages wait for ten seconds while the sum stays far under the
- * rate. So a thin share has a deep bucket and grows by a share of itself where messages wait, and a
- * rejection leaves a share of the current rate. The sum is then limited by rejections, of which
- * each courier sees its part.
+ * <p>In a very large fleet a share can be so small that the number of messages a courier has to
+ * send in a second is mostly random, and a courier may accept several times the mean for as long as
+ * it runs. Strict enforcement of such a share makes messages wait for ten seconds while the sum of
+ * all couriers stays far below the rate. A small share therefore has a deep bucket and grows by a
+ * part of itself while messages wait, and a rejection reduces the current rate by a factor. The sum
+ * is then limited by rejections, which are distributed over the couriers.
  */
 public final class FairShare {
   private static final double SECOND_US = 1_000_000;
 
-  /** Share of the even share that is used, so that the sum stays off the limit. */
+  /** Part of the even share that is used, so that the sum stays below the limit. */
   private static final double UTILIZATION = 0.9;
 
-  /** The depth of the bucket in seconds of the rate, and in calls at least. */
+  /** Depth of the bucket in seconds of the rate, and its minimum in calls. */
   private static final double DEPTH_S = 1;
 
   private static final double MIN_DEPTH = 2;
 
-  /** Tokens at first: many couriers may start at the same time with messages that wait. */
+  /** Initial tokens: many couriers may start at the same time with waiting messages. */
   private static final double INITIAL_TOKENS = 1;
 
-  /** What a rejection leaves of the rate. */
+  /** Factor that a rejection applies to the rate. */
   private static final double REJECTION_FACTOR = 0.7;
 
-  /** Rejections within this time of one that lowered the rate say the same, us. */
+  /** Rejections within this time after one that lowered the rate are not counted again, us. */
   private static final long REJECTION_WINDOW_US = 500_000;
 
-  /** The lowest rate, as a share of the even one. */
+  /** Lowest rate, as a part of the even rate. */
   private static final double MIN_SHARE = 0.1;
 
-  /** Growth a second below the even rate, as a share of that. */
+  /** Growth a second below the even rate, as a part of it. */
   private static final double RECOVERY_GROWTH = 0.2;
 
-  /** Growth a second above the even rate while messages wait, as a factor; and while many do. */
+  /** Factors of growth a second above the even rate while messages wait, and while many do. */
   private static final double GROWTH_FACTOR = 1.03;
 
   private static final double LONG_QUEUE_GROWTH_FACTOR = 1.1;
   private static final int LONG_QUEUE = 10;
 
-  /** A share of so many calls a second is not thin at all; one of none is entirely. */
-  private static final double THICK_RATE = 2;
+  /** Calls a second from which a share is not small; adjustments grow as it falls below this. */
+  private static final double SMALL_SHARE_RATE = 2;
 
-  /** Additional growth a second of an entirely thin share while messages wait. */
-  private static final double THIN_GROWTH = 1;
+  /** Additional growth a second of a share near zero while messages wait. */
+  private static final double SMALL_SHARE_GROWTH = 1;
 
-  /** Additional depth of an entirely thin share's bucket. */
-  private static final double THIN_DEPTH = 6;
+  /** Additional depth of the bucket of a share near zero. */
+  private static final double SMALL_SHARE_DEPTH = 6;
 
-  /** From this share of the rate that was rejected last on, the rate grows carefully. */
+  /** Part of the last rejected rate from which the rate grows carefully. */
   private static final double NEAR_CEILING = 0.9;
 
-  /** Careful growth a second, by which the ceiling is forgotten too. */
+  /** Factor of careful growth a second, which also raises the last rejected rate over time. */
   private static final double CAREFUL_GROWTH_FACTOR = 1.01;
 
-  /** The rate grows only after so long without a rejection, us. */
+  /** Time without a rejection after which the rate may grow, us. */
   private static final long QUIET_US = 1_000_000;
 
-  /** The most seconds that are made up for at once: fewer bring a rate back to the even one. */
+  /** Most seconds applied at once; fewer suffice to bring a rate back to the even one. */
   private static final long MAX_CATCH_UP_S = 20;
 
   private final boolean vastFleet;
 
-  /** Calls a second without anything learned; 0 if there is no limit. */
+  /** Calls a second before any adaptation; 0 if there is no limit. */
   private double evenRate;
 
   /** Calls a second that may be made now. */
   private double rate;
 
-  /** The rate at which the last rejection came. */
+  /** The rate at the last rejection. */
   private double rejectedRate = Double.POSITIVE_INFINITY;
 
   /** Calls that may be made at once, as of {@link #filledUs}. */
@@ -89,14 +89,18 @@
   private long advancedUs;
   private long rejectedUs = Long.MIN_VALUE / 2;
 
-  /** A share that is not limited yet; {@code vastFleet}: one of so many that it may be thin. */
+  /**
+   * Creates a share without a limit.
+   *
+   * @param vastFleet true if there are so many couriers that the share may be small
+   */
   public FairShare(final boolean vastFleet) {
     this.vastFleet = vastFleet;
   }
 
   /**
-   * Sets this courier's even share of what the destination takes, calls a second; 0 if the rate is
-   * not known, and nothing limited.
+   * Sets this courier's even share of the rate of the destination, calls a second; 0 if the rate is
+   * unknown and calls are not limited.
    */
   public void setEvenRate(final double ratePerSecond, final long nowUs) {
     final double next = UTILIZATION * ratePerSecond;
@@ -115,33 +119,33 @@
     evenRate = next;
   }
 
-  /** True where there is a rate to share. */
+  /** Returns whether there is a rate to share. */
   public boolean isLimited() {
     return evenRate > 0;
   }
 
-  /** When the next call may be made: at that time, or later. */
+  /** Returns the earliest time from {@code atUs} on at which the next call may be made. */
   public long earliestCallUs(final long atUs) {
     final double available = Math.min(depth(rate), tokens + rate * (atUs - filledUs) / SECOND_US);
     return available >= 1 ? atUs : atUs + (long) Math.ceil((1 - available) / rate * SECOND_US);
   }
 
-  /** A call is made, whether the share allowed it or not. */
+  /** Records a call, whether the share allowed it or not. */
   public void recordCall(final long nowUs) {
     fill(nowUs);
     tokens -= 1;
   }
 
-  /** A call was rejected. */
+  /** Records a rejected call. */
   public void recordRejected(final long nowUs) {
     if (nowUs - rejectedUs < REJECTION_WINDOW_US) {
       return;
     }
     fill(nowUs);
     rejectedRate = rate;
-    // A share that is not thin gives up all that it has above the full even share as well.
-    final double kept = thinness() > 0 ? rate : Math.min(rate, evenRate / UTILIZATION);
-    rate = Math.max(MIN_SHARE * evenRate, REJECTION_FACTOR * kept);
+    // A share that is not small also gives up everything above the full even share.
+    final double current = smallness() > 0 ? rate : Math.min(rate, evenRate / UTILIZATION);
+    rate = Math.max(MIN_SHARE * evenRate, REJECTION_FACTOR * current);
     tokens = Math.min(tokens, 0);
     rejectedUs = nowUs;
   }
@@ -160,7 +164,7 @@
       return;
     }
     for (long second = 1; second <= seconds; second++) {
-      // How many messages waited is known of the last second only.
+      // The number of waiting messages is known for the last second only.
       grow(second == seconds ? waiting : 0);
     }
   }
@@ -171,14 +175,14 @@
       rate = Math.min(evenRate, rate + RECOVERY_GROWTH * evenRate);
     } else if (waiting > 0) {
       final double factor = waiting >= LONG_QUEUE ? LONG_QUEUE_GROWTH_FACTOR : GROWTH_FACTOR;
-      final double next = rate * factor + THIN_GROWTH * thinness() * evenRate;
+      final double next = rate * factor + SMALL_SHARE_GROWTH * smallness() * evenRate;
       rate = next < NEAR_CEILING * rejectedRate ? next : rate * CAREFUL_GROWTH_FACTOR;
     } else {
       rate = Math.max(evenRate, rate / GROWTH_FACTOR);
     }
   }
 
-  /** Calls a second that may be made now, in the long run. */
+  /** Returns the sustained rate allowed now, calls a second. */
   public double ratePerSecond() {
     return rate;
   }
@@ -190,14 +194,14 @@
   }
 
   /**
-   * How much of the share chance decides: 1 for a share of next to nothing, 0 where a second holds
-   * several calls.
+   * Returns how small the share is: near 1 for a share near zero, 0 from {@link #SMALL_SHARE_RATE}
+   * on or in a smaller fleet.
    */
-  private double thinness() {
-    return vastFleet ? Math.max(0, 1 - evenRate / THICK_RATE) : 0;
+  private double smallness() {
+    return vastFleet ? Math.max(0, 1 - evenRate / SMALL_SHARE_RATE) : 0;
   }
 
   private double depth(final double ratePerSecond) {
-    return Math.max(MIN_DEPTH, DEPTH_S * ratePerSecond) + THIN_DEPTH * thinness();
+    return Math.max(MIN_DEPTH, DEPTH_S * ratePerSecond) + SMALL_SHARE_DEPTH * smallness();
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/index/OrderedQueue.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/OrderedQueue.java
@@ -4,15 +4,15 @@
 
 /**
  * A queue whose members have a key and a sequence number. In logarithmic time it finds the first
- * and the last member of a range of keys, and the one with the lowest sequence number: a treap
- * (Seidel and Aragon 1996) ordered by key, then sequence number, in which each node knows the
- * lowest sequence number of its subtree. The heap priorities are hashes of the sequence numbers, so
- * that equal queues have equal shapes.
+ * and the last member of a range of keys, and the one with the lowest sequence number. It is a
+ * treap (Seidel and Aragon 1996) ordered by key, then sequence number, in which each node refers to
+ * the node with the lowest sequence number of its subtree. The heap priorities are hashes of the
+ * sequence numbers, so that equal queues have equal tree shapes.
  *
- * @param <E> the members; a member is in at most one queue at a time
+ * @param <E> the type of the members; a member is in at most one queue at a time
  */
 public final class OrderedQueue<E extends OrderedQueue.Entry> {
-  /** In each interval of keys: the first member, the last, and the earliest. */
+  /** Candidates in each interval of keys: the first member, the last, and the earliest. */
   private static final int CANDIDATES_PER_INTERVAL = 3;
 
   private Entry root;
@@ -61,14 +61,14 @@
     size--;
   }
 
-  /** How many members there are. */
+  /** Returns the number of members. */
   public int size() {
     return size;
   }
 
   /**
-   * The member with the least key of at least {@code fromKey}, the earliest one among equals; null
-   * if there is none.
+   * Returns the member with the least key of at least {@code fromKey}, the earliest one among
+   * equals; null if there is none.
    */
   @SuppressWarnings("unchecked")
   public E firstAtOrAbove(final long fromKey) {
@@ -86,8 +86,8 @@
   }
 
   /**
-   * The member with the greatest key below {@code belowKey}, the earliest one among equals; null if
-   * there is none.
+   * Returns the member with the greatest key below {@code belowKey}, the earliest one among equals;
+   * null if there is none.
    */
   public E lastBelow(final long belowKey) {
     Entry last = null;
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Of the members with {@code fromKey <= key < belowKey} the one with the lowest sequence number;
+   * Returns the member with {@code fromKey <= key < belowKey} that has the lowest sequence number;
    * null if there is none.
    */
   @SuppressWarnings("unchecked")
@@ -113,10 +113,10 @@
   }
 
   /**
-   * The member of the greatest value, the earliest one among equals. The value must follow from the
-   * key, and be monotonic within each interval between two neighbouring {@code breakpoints}, before
-   * the first and after the last: so the greatest value of an interval is that of its first or last
-   * member, or, where the value is constant, of its earliest.
+   * Returns the member with the greatest value, the earliest one among equals. The value must be a
+   * function of the key that is monotonic before the first of the {@code breakpoints}, between each
+   * two neighbouring ones and after the last. The greatest value of an interval is therefore that
+   * of its first or last member, or, where the value is constant, of its earliest.
    *
    * @param breakpoints keys in ascending order
    * @return null if there is no member
@@ -136,11 +136,12 @@
       }
       for (int index = 0; index < CANDIDATES_PER_INTERVAL; index++) {
         final E candidate = candidate(index, first, belowKey);
-        final double its = candidate == best ? bestValue : value.applyAsDouble(candidate);
+        final double candidateValue =
+            candidate == best ? bestValue : value.applyAsDouble(candidate);
         final boolean isEarlier = candidate.sequence() < best.sequence();
-        if (its > bestValue || (its == bestValue && isEarlier)) {
+        if (candidateValue > bestValue || (candidateValue == bestValue && isEarlier)) {
           best = candidate;
-          bestValue = its;
+          bestValue = candidateValue;
         }
       }
       first = isLast ? null : firstAtOrAbove(belowKey);
@@ -148,7 +149,7 @@
     return best;
   }
 
-  /** One of the members of an interval that can have its greatest value. */
+  /** Returns one of the members of an interval that can have its greatest value. */
   private E candidate(final int index, final E first, final long belowKey) {
     return switch (index) {
       case 0 -> first;
@@ -163,7 +164,8 @@
       return null;
     }
     Entry best = fork;
-    // Left of the fork all keys are below the upper bound, right of it all are above the lower one.
+    // All keys left of the fork are below the upper bound, all keys right of it above the lower
+    // one.
     for (Entry node = fork.left; node != null; ) {
       if (node.key >= fromKey) {
         best = earlier(best, earlierWithSubtree(node, node.right));
@@ -183,7 +185,7 @@
     return best;
   }
 
-  /** The topmost node in a range of keys; null if the range has no member. */
+  /** Returns the topmost node in a range of keys; null if the range has no member. */
   private static Entry fork(final Entry root, final long fromKey, final long belowKey) {
     Entry node = root;
     while (node != null && (node.key < fromKey || node.key >= belowKey)) {
@@ -260,13 +262,13 @@
     return update(high);
   }
 
-  /** Finds the earliest node of a subtree from its children's. */
+  /** Recomputes the earliest node of a subtree from those of its children. */
   private static Entry update(final Entry node) {
     node.earliest = earlierWithSubtree(earlierWithSubtree(node, node.left), node.right);
     return node;
   }
 
-  /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014): consecutive numbers look random. */
+  /** The finalizer of SplitMix64 (Steele, Lea, Flood 2014), which scatters consecutive numbers. */
   private static long priorityOf(final long sequence) {
     long bits = (sequence + 1) * 0x9E3779B97F4A7C15L;
     bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/Ranking.java
@@ -8,12 +8,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Finds the entry of the greatest value where values change with time by themselves, and by events.
- * An entry that an event changes is invalidated ({@link #invalidate}) and its value computed anew
- * before the next answer. To follow time, each entry's value is computed anew in turn, once in a
- * period that is proportional to the number of entries: so the cost of that takes the same share of
- * the time however many entries there are, and the order is at most that period out of date. Among
- * equal values the entry that comes first in the given order wins.
+ * Finds the entry with the greatest value where values change both with time and by events. An
+ * entry that an event changes is invalidated ({@link #invalidate}) and its value recomputed before
+ * the next query. To follow time, the values of all entries are recomputed in turn, each once in a
+ * period that is proportional to the number of entries. The share of time spent on that is
+ * therefore independent of the number of entries, and the order is at most that period out of date.
+ * Among equal values the entry that comes first in the given order wins.
  *
  * @param <E> the entries; an entry is in one ranking
  */
@@ -25,15 +25,18 @@
   private final long refreshUs;
   private final List<E> invalidated = new ArrayList<>();
 
-  /** The entries with a value, by when that was computed. */
+  /** The entries with a value, ordered by the time of its last computation. */
   private final TimeHeap<Entry> refreshes = new TimeHeap<>();
 
-  /** A binary heap of the entries with a value, the greatest first. */
+  /** A binary max-heap of the entries with a value. */
   private Entry[] heap = new Entry[INITIAL_CAPACITY];
 
   private int size;
 
-  /** Something with a value. As a {@link TimeHeap.Entry} it is due when that was last computed. */
+  /**
+   * An entry with a value. As a {@link TimeHeap.Entry} its due time is that of the last computation
+   * of the value.
+   */
   public abstract static class Entry extends TimeHeap.Entry {
     private static final int NOT_RANKED = -1;
 
@@ -43,12 +46,12 @@
   }
 
   /**
-   * A ranking without entries.
+   * Creates a ranking without entries.
    *
    * @param value the value of an entry now, or {@link Double#NEGATIVE_INFINITY} if it has none
    *     until it is invalidated again
    * @param tieBreaker the order among entries of equal value
-   * @param refreshUs how much time is given to the refresh of one entry, us; 0 if all are refreshed
+   * @param refreshUs time budgeted for the refresh of one entry, us; 0 if all are refreshed
    *     whenever time has passed
    */
   public Ranking(
@@ -58,7 +61,7 @@
     this.refreshUs = refreshUs;
   }
 
-  /** The entry's value may have changed, or it has one now. */
+  /** Marks an entry whose value may have changed, or that may now have one. */
   public void invalidate(final E entry) {
     final Entry changed = entry;
     if (!changed.isInvalidated) {
@@ -67,7 +70,7 @@
     }
   }
 
-  /** All values may have changed. */
+  /** Marks all entries as possibly changed. */
   @SuppressWarnings("unchecked")
   public void invalidateAll() {
     for (int position = 0; position < size; position++) {
@@ -75,19 +78,19 @@
     }
   }
 
-  /** How many entries had a value when that was last computed. */
+  /** Returns how many entries had a value at its last computation. */
   public int size() {
     return size;
   }
 
-  /** The entry of the greatest value, or null if none has one. */
+  /** Returns the entry with the greatest value, or null if none has one. */
   @SuppressWarnings("unchecked")
   public E best(final long nowUs) {
     refreshDue(nowUs);
     return size == 0 ? null : (E) heap[0];
   }
 
-  /** True if an entry has a value and passes the test. */
+  /** Returns whether any entry with a value passes the test. */
   @SuppressWarnings("unchecked")
   public boolean anyOf(final Predicate<E> test, final long nowUs) {
     refreshDue(nowUs);
@@ -99,7 +102,7 @@
     return false;
   }
 
-  /** Computes the values anew that were invalidated or are too old. */
+  /** Recomputes the values that were invalidated or are too old. */
   @SuppressWarnings("unchecked")
   private void refreshDue(final long nowUs) {
     for (final E entry : invalidated) {
--- a/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
+++ b/decisions/src/main/java/thistleturn/decisions/index/TimeHeap.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * A priority queue of entries that fall due at a time, earliest first: a binary heap (Williams
- * 1964) whose entries know their position, so that one can be rescheduled or removed in logarithmic
- * time. Entries that fall due at the same time come in any order.
+ * A priority queue of entries with a due time, earliest first: a binary heap (Williams 1964) whose
+ * entries store their position, so that one can be rescheduled or removed in logarithmic time. The
+ * order of entries with the same due time is unspecified.
  *
- * @param <E> the entries; an entry is in at most one heap at a time
+ * @param <E> the type of the entries; an entry is in at most one heap at a time
  */
 public final class TimeHeap<E extends TimeHeap.Entry> {
   private static final int INITIAL_CAPACITY = 16;
@@ -15,25 +15,25 @@
   private Entry[] heap = new Entry[INITIAL_CAPACITY];
   private int size;
 
-  /** Something that can fall due. */
+  /** An entry with a due time. */
   public abstract static class Entry {
     private static final int NOT_IN_HEAP = -1;
 
     private long dueUs;
     private int position = NOT_IN_HEAP;
 
-    /** When the entry falls due, us; only meaningful while it is scheduled. */
+    /** Returns the due time, us; only meaningful while the entry is scheduled. */
     public final long dueUs() {
       return dueUs;
     }
 
-    /** True while the entry is in a heap. */
+    /** Returns true while the entry is in a heap. */
     public final boolean isScheduled() {
       return position != NOT_IN_HEAP;
     }
   }
 
-  /** Adds an entry, or moves it to another time; {@link Long#MAX_VALUE} removes it. */
+  /** Adds an entry, or changes its due time; {@link Long#MAX_VALUE} removes it. */
   public void schedule(final E entry, final long dueUs) {
     final Entry scheduled = entry;
     if (dueUs == Long.MAX_VALUE) {
@@ -79,12 +79,12 @@
     }
   }
 
-  /** When the first entry falls due; {@link Long#MAX_VALUE} if there is none. */
+  /** Returns the earliest due time; {@link Long#MAX_VALUE} if there is no entry. */
   public long earliestDueUs() {
     return size == 0 ? Long.MAX_VALUE : heap[0].dueUs;
   }
 
-  /** Removes and returns the first entry if it is due by then, else null. */
+  /** Removes and returns the first entry if it is due; returns null otherwise. */
   @SuppressWarnings("unchecked")
   public E poll(final long nowUs) {
     if (size == 0 || heap[0].dueUs > nowUs) {
@@ -95,7 +95,7 @@
     return first;
   }
 
-  /** How many entries there are. */
+  /** Returns the number of entries. */
   public int size() {
     return size;
   }
--- a/decisions/src/main/java/thistleturn/decisions/maintenance/DisabledEndpoints.java
+++ b/decisions/src/main/java/thistleturn/decisions/maintenance/DisabledEndpoints.java
@@ -6,28 +6,28 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints that operators have disabled. An endpoint stays disabled whatever the endpoint list
- * says, until it is enabled again; that takes one call, however often it was disabled. Only an
- * endpoint that was listed at some time can be disabled.
+ * The endpoints that operators have disabled. An endpoint stays disabled until it is enabled again,
+ * whatever the endpoint list contains; a single call enables it, however often it was disabled.
+ * Only an endpoint that has been listed at some time can be disabled.
  */
 public final class DisabledEndpoints {
-  /** How many names are remembered, listed or not; those listed longest ago are forgotten first. */
+  /** Maximum number of known names; beyond it, the least recently listed one is dropped. */
   private final int maxNames;
 
   private final Set<String> knownNames = new LinkedHashSet<>();
   private final Set<String> disabled = new TreeSet<>();
 
-  /** Nothing is known yet; at most {@code maxNames} (1 or more) are remembered. */
+  /** Creates an empty set that keeps at most {@code maxNames} (1 or more) known names. */
   public DisabledEndpoints(final int maxNames) {
     if (maxNames < 1) {
-      throw new IllegalArgumentException("at least one name is remembered, not " + maxNames);
+      throw new IllegalArgumentException("maxNames must be at least 1, not " + maxNames);
     }
     this.maxNames = maxNames;
   }
 
-  /** The endpoint list names an endpoint. */
+  /** Records that the endpoint list contains an endpoint. */
   public void recordListed(final String name) {
-    // Moves the name to the end: it is now the last to be forgotten.
+    // Moves the name to the end: it is now the last to be dropped.
     knownNames.remove(name);
     knownNames.add(name);
     if (knownNames.size() > maxNames) {
@@ -35,20 +35,20 @@
     }
   }
 
-  /** True if an endpoint of that name was ever listed, as far as remembered, or is disabled. */
+  /** Returns whether the name is among the known listed names or is disabled. */
   public boolean isKnown(final String name) {
     return knownNames.contains(name) || disabled.contains(name);
   }
 
-  /** True while the endpoint is disabled. */
+  /** Returns true while the endpoint is disabled. */
   public boolean isDisabled(final String name) {
     return disabled.contains(name);
   }
 
   /**
-   * Disables exactly these endpoints from now on.
+   * Disables exactly these endpoints and enables all others.
    *
-   * @return the names that were disabled or enabled by this, in order
+   * @return the names that this call disabled or enabled, sorted
    */
   public Set<String> replaceAll(final Collection<String> names) {
     final Set<String> changed = new TreeSet<>(names);
@@ -59,7 +59,7 @@
     return changed;
   }
 
-  /** The names of the disabled endpoints. */
+  /** Returns the names of the disabled endpoints. */
   public Set<String> disabledNames() {
     return Set.copyOf(disabled);
   }
--- a/decisions/src/main/java/thistleturn/decisions/model/AttemptOutcome.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/AttemptOutcome.java
@@ -3,11 +3,11 @@
 /**
  * The outcome of an attempt.
  *
- * @param isFinal whether the message has its final answer
- * @param durationUs how long it took; below 0: not measured, since the courier itself did not run
- *     all the while
- * @param retryAfterUs the wait that the answer asked for, or 0
- * @param loadReport what the destination reported of its load, or null
+ * @param isFinal whether the message has its final outcome
+ * @param durationUs its duration; negative if not measured, because the courier itself was paused
+ *     during the attempt
+ * @param retryAfterUs the Retry-After of the response, or 0
+ * @param loadReport the load report of the destination, or null
  */
 public record AttemptOutcome(
     String messageId,
--- a/decisions/src/main/java/thistleturn/decisions/model/AttemptResult.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/AttemptResult.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * How an attempt ended. {@code REFUSED}: rejected by the endpoint. {@code STALE}: reset over a
- * reused connection that was dead before the call; it may have executed all the same.
+ * The result of an attempt. {@code REFUSED}: rejected by the endpoint. {@code STALE}: reset on a
+ * reused connection that was already closed before the call; it may still have been executed.
  */
 public enum AttemptResult {
   DELIVERED,
@@ -15,7 +15,7 @@
   NOT_SENT,
   STALE;
 
-  /** Returns whether the message certainly had no effect, so that another attempt is harmless. */
+  /** Returns whether the message certainly had no effect, so that a retry is safe. */
   public boolean neverExecuted() {
     return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
   }
--- a/decisions/src/main/java/thistleturn/decisions/model/DeliverySettings.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/DeliverySettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Everything that the decisions of a courier are configured with. */
+/** The complete configuration of the decisions of a courier. */
 public record DeliverySettings(
     int courierCount,
     String zone,
@@ -14,30 +14,30 @@
     List<DestinationKind> kinds,
     Guarantees guarantees,
     ResourceLimits limits) {
-  /** Rejects settings that contradict themselves, so that a host learns of it at its start. */
+  /** Rejects inconsistent settings, so that they are reported at the start of the process. */
   public DeliverySettings {
     require(courierCount >= 1, "a fleet has at least one courier, not " + courierCount);
     require(
         limits.concurrencyLimit() >= 1,
-        "a courier needs at least one slot, not " + limits.concurrencyLimit());
+        "the concurrency limit must be at least 1, not " + limits.concurrencyLimit());
     require(
         limits.maxPendingMessages() >= 1,
-        "a store holds at least one message, not " + limits.maxPendingMessages());
+        "the maximum of pending messages must be at least 1, not " + limits.maxPendingMessages());
     require(
         limits.maxAttempts() >= 1,
-        "a message needs at least one attempt, not " + limits.maxAttempts());
+        "the maximum of attempts must be at least 1, not " + limits.maxAttempts());
     require(
         guarantees.overloadMultiple() > 0,
-        "a tipping multiple is above 0, not " + guarantees.overloadMultiple());
-    for (final MessageClass kind : classes) {
+        "the overload multiple must be above 0, not " + guarantees.overloadMultiple());
+    for (final MessageClass messageClass : classes) {
       require(
-          kind.latencyObjectiveUs() <= kind.deadlineUs(),
-          kind.name() + ": its aim is later than its deadline");
+          messageClass.latencyObjectiveUs() <= messageClass.deadlineUs(),
+          messageClass.name() + ": the latency objective is after the deadline");
     }
   }
 
-  private static void require(final boolean kept, final String problem) {
-    if (!kept) {
+  private static void require(final boolean condition, final String problem) {
+    if (!condition) {
       throw new IllegalArgumentException(problem);
     }
   }
--- a/decisions/src/main/java/thistleturn/decisions/model/DestinationKind.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/DestinationKind.java
@@ -1,4 +1,4 @@
 package thistleturn.decisions.model;
 
-/** A kind of destination, with the messages that one call to it may carry. */
+/** A kind of destination, and the number of messages that one call to it may carry. */
 public record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
--- a/decisions/src/main/java/thistleturn/decisions/model/EndpointState.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/EndpointState.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** The state of an endpoint in the endpoint list, which knows nothing of its health. */
+/** The state of an endpoint in the endpoint list, independent of its health. */
 public enum EndpointState {
   LISTED,
   DRAINING,
--- a/decisions/src/main/java/thistleturn/decisions/model/EndpointUpdate.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/EndpointUpdate.java
@@ -1,9 +1,9 @@
 package thistleturn.decisions.model;
 
 /**
- * What an update of the endpoint list holds: changed entries, all entries, the last entries known,
- * or that the list could not be had. {@code SUPPLEMENT}: changes from another source, which say
- * nothing of the state of the list itself.
+ * The content of an update of the endpoint list: changed entries, all entries, the last known
+ * entries, or none because the list is unavailable. {@code SUPPLEMENT}: changes from another
+ * source, which imply nothing about the state of the list itself.
  */
 public enum EndpointUpdate {
   CHANGES,
--- a/decisions/src/main/java/thistleturn/decisions/model/Guarantees.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Guarantees.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** The figures of the rules that the courier keeps towards destinations. */
+/** Parameters of the rules that the courier observes towards destinations. */
 public record Guarantees(
     long subscriptionDeadlineUs,
     double coldCapacityShare,
@@ -8,8 +8,8 @@
     double overloadMultiple,
     long settleDelayUs) {
   /**
-   * Returns the load that overloads a destination that has warmed up for so long, as a share of its
-   * whole capacity.
+   * Returns the load that overloads a destination that has warmed up for that time, as a share of
+   * its full capacity.
    */
   public double overloadShare(final long warmingUs) {
     final double warm = (double) warmingUs / Math.max(1, warmUpUs);
--- a/decisions/src/main/java/thistleturn/decisions/model/Idempotence.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Idempotence.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * What a repeat of a message does: nothing new, nothing new while its idempotency key is
- * remembered, or harm.
+ * The effect of repeating a message: none, none while its idempotency key is recognized, or a
+ * second effect.
  */
 public enum Idempotence {
   IDEMPOTENT,
--- a/decisions/src/main/java/thistleturn/decisions/model/LoadReport.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/LoadReport.java
@@ -1,4 +1,4 @@
 package thistleturn.decisions.model;
 
-/** What a destination reported: the share of its limit left, and the limit (0: none). */
+/** A load report of a destination: the remaining share of its limit, and the limit (0: none). */
 public record LoadReport(double remainingShare, double callsPerSecond) {}
--- a/decisions/src/main/java/thistleturn/decisions/model/Message.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Message.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * An accepted message; {@code classIndex} and {@code tenantIndex} index the settings, the latter -1
- * if it has no tenant.
+ * An accepted message. {@code classIndex} and {@code tenantIndex} refer to the settings; the latter
+ * is -1 for a message without a tenant.
  */
 public record Message(
     String id,
--- a/decisions/src/main/java/thistleturn/decisions/model/MessageClass.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/MessageClass.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * A class of message. {@code keyScopedToZone}: only endpoints of one zone recognize each other's
- * idempotency keys.
+ * A class of messages. If {@code keyScopedToZone} is set, only endpoints of the same zone recognize
+ * each other's idempotency keys.
  */
 public record MessageClass(
     String name,
@@ -14,21 +14,21 @@
     long latencyObjectiveUs,
     long deadlineUs,
     long idempotencyWindowUs) {
-  /** Share of a key's window that is not used: clocks, and bytes on their way. */
+  /** Unused share of a key's window, for clock differences and transmission delays. */
   private static final double KEY_MARGIN = 0.05;
 
-  /** How long after the first attempt that may have run its key surely holds, us. */
+  /** Returns how long a key is safely recognized after its first possible execution, us. */
   public long safeKeyWindowUs() {
     return (long) ((1 - KEY_MARGIN) * idempotencyWindowUs);
   }
 
   /**
-   * Until when a message may go again that may have run first at that moment, us: while its key
-   * surely holds.
+   * Returns the time until which a message may be retried, us: if it may already have been executed
+   * and is idempotent by key, while its key is safely recognized.
    */
-  public long retryDeadlineUs(final boolean mayHaveRun, final long firstRunUs) {
-    return mayHaveRun && idempotence == Idempotence.IDEMPOTENT_BY_KEY
-        ? firstRunUs + safeKeyWindowUs()
+  public long retryDeadlineUs(final boolean mayHaveExecuted, final long firstExecutionUs) {
+    return mayHaveExecuted && idempotence == Idempotence.IDEMPOTENT_BY_KEY
+        ? firstExecutionUs + safeKeyWindowUs()
         : Long.MAX_VALUE;
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/model/PriorAttempts.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/PriorAttempts.java
@@ -1,8 +1,8 @@
 package thistleturn.decisions.model;
 
 /**
- * What became of a message before this process had it. {@code mayHaveExecuted}: an attempt may have
- * had its effect, the first one at {@code firstExecutionUs} (on the clock of the events, perhaps
+ * The attempts for a message by earlier processes. If {@code mayHaveExecuted} is set, an attempt
+ * may have had its effect, first at {@code firstExecutionUs} (on the clock of the events, possibly
  * before its start), in {@code executionZone}.
  */
 public record PriorAttempts(
--- a/decisions/src/main/java/thistleturn/decisions/model/ResourceLimits.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/ResourceLimits.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** What this courier may use. */
+/** Limits on the resources that this courier uses and the attempts that it makes. */
 public record ResourceLimits(
     int concurrencyLimit,
     int maxPendingMessages,
--- a/decisions/src/main/java/thistleturn/decisions/model/Tenant.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/Tenant.java
@@ -1,4 +1,4 @@
 package thistleturn.decisions.model;
 
-/** A tenant and the messages a second, over all couriers, that keep their whole priority. */
+/** A tenant, and its quota of messages a second over all couriers that keep full priority. */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/decisions/src/main/java/thistleturn/decisions/model/WeightMeaning.java
+++ b/decisions/src/main/java/thistleturn/decisions/model/WeightMeaning.java
@@ -1,6 +1,6 @@
 package thistleturn.decisions.model;
 
-/** What the weight of an endpoint says about the limit of its destination. */
+/** How the weight of an endpoint relates to the rate limit of its destination. */
 public enum WeightMeaning {
   NONE,
   NOMINAL,
--- a/decisions/src/main/java/thistleturn/decisions/pools/ConnectionLoss.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/ConnectionLoss.java
@@ -7,9 +7,9 @@
  *
  * @param requestWritten true if the last byte of the request was written
  * @param connectionReused true if the connection had carried a call before
- * @param responseStarted true if any byte of a response came
- * @param sinceWriteUs time from the writing to the loss, us
- * @param handshakeUs how long a handshake with that endpoint takes, smoothed, us; 0 if unknown
+ * @param responseStarted true if any byte of a response was received
+ * @param sinceWriteUs time from the write to the loss, us
+ * @param handshakeUs smoothed duration of a handshake with that endpoint, us; 0 if unknown
  */
 public record ConnectionLoss(
     boolean requestWritten,
@@ -17,26 +17,26 @@
     boolean responseStarted,
     long sinceWriteUs,
     double handshakeUs) {
-  /** A connection that is dead already is reported so within this many round trips. */
+  /** The loss of an already closed connection is reported within this many round trips. */
   static final double STALE_WINDOW_ROUND_TRIPS = 4;
 
-  /** Event loops and machines take a while, too. */
+  /** Least such window, us: allows for delays of the event loop and the machine. */
   static final long MIN_STALE_WINDOW_US = 20_000;
 
   /**
-   * The outcome of the call. It is {@link AttemptResult#STALE} only where the connection was dead
-   * before the call: it was reused, and lost as fast as a round trip allows. Any later, the
-   * endpoint may have failed while it processed the request.
+   * Returns the result of the call. It is {@link AttemptResult#STALE} only if the connection was
+   * already closed before the call: it was reused, and the loss was reported within a few round
+   * trips. After that, the endpoint may have failed while it processed the request.
    */
   public AttemptResult result() {
     if (!requestWritten) {
       return AttemptResult.NO_CONNECTION;
     }
-    final boolean wasDeadBefore = connectionReused && !responseStarted && isLostAtOnce();
-    return wasDeadBefore ? AttemptResult.STALE : AttemptResult.RESET;
+    final boolean wasClosedBefore = connectionReused && !responseStarted && isWithinStaleWindow();
+    return wasClosedBefore ? AttemptResult.STALE : AttemptResult.RESET;
   }
 
-  private boolean isLostAtOnce() {
+  private boolean isWithinStaleWindow() {
     return sinceWriteUs <= Math.max(MIN_STALE_WINDOW_US, STALE_WINDOW_ROUND_TRIPS * handshakeUs);
   }
 }
--- a/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
+++ b/decisions/src/main/java/thistleturn/decisions/pools/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What dispatchers conclude from the loss of a connection.
+ * Determines the result of a call whose connection was lost.
  *
- * <p>Entry point: {@link thistleturn.decisions.pools.ConnectionLoss}, an immutable value. It knows
- * no sockets: what was written, received and measured comes in as arguments.
+ * <p>Entry point: {@link thistleturn.decisions.pools.ConnectionLoss}, an immutable value. It does
+ * not access sockets: what was written, received and measured is passed in as arguments.
  */
 package thistleturn.decisions.pools;
--- a/decisions/src/main/java/thistleturn/decisions/rejections/InitialWindowGrowth.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/InitialWindowGrowth.java
@@ -1,24 +1,24 @@
 package thistleturn.decisions.rejections;
 
 /**
- * Decides how long a concurrency window is in slow start (TCP's, RFC 5681 section 3.1): it grows by
- * one call for each call served, and so doubles in a round trip, until a rejection that answers to
- * load, a failure, or service times well over the usual point to congestion. After that the regular
- * control of the window takes over.
+ * Decides how long a concurrency window stays in slow start (as in TCP, RFC 5681 section 3.1): it
+ * grows by one call for each call served, and so doubles in a round trip, until a rejection caused
+ * by load, a failure, or service times well above the usual ones indicate congestion. After that
+ * the regular control of the window takes over.
  */
 public final class InitialWindowGrowth {
-  /** Recent service times over their long-term average that point to a queue. */
+  /** Ratio of recent service times to their long-term average that indicates a queue. */
   private static final double CONGESTED_RATIO = 2;
 
-  /** Calls that must have been served before service times are judged. */
+  /** Calls that must have been served before service times are evaluated. */
   private static final int MIN_CALLS = 24;
 
   private static final double FAST_WEIGHT = 0.1;
   private static final double SLOW_WEIGHT = 0.02;
 
   /**
-   * Rejections for each call served that are too few to point to congestion. A first rejection is,
-   * in any case.
+   * Rejections for each call served that do not indicate congestion yet. The first rejection never
+   * does.
    */
   private static final double TOLERATED_REJECTED_SHARE = 0.05;
 
@@ -29,7 +29,7 @@
   private double slowAverage;
 
   /**
-   * A call was served.
+   * Records a served call.
    *
    * @param ratio its service time as a multiple of the usual one
    * @return true if the window may grow for it
@@ -42,7 +42,7 @@
     return growing;
   }
 
-  /** A call was rejected; true if that ends the growth. */
+  /** Records a rejected call; returns whether that ends the growth. */
   public boolean recordRejected() {
     rejected++;
     final boolean ends = growing && rejected > Math.max(1, TOLERATED_REJECTED_SHARE * served);
@@ -50,17 +50,17 @@
     return ends;
   }
 
-  /** Something else pointed to congestion. */
+  /** Ends the growth because of another sign of congestion. */
   public void stop() {
     growing = false;
   }
 
-  /** What was taken for congestion was none, or the endpoints are new. */
+  /** Restarts the growth after a false sign of congestion, or with new endpoints. */
   public void restart() {
     growing = true;
   }
 
-  /** True until the first sign of congestion. */
+  /** Returns true until the first sign of congestion. */
   public boolean isGrowing() {
     return growing;
   }
--- a/decisions/src/main/java/thistleturn/decisions/rejections/RejectionClassifier.java
+++ b/decisions/src/main/java/thistleturn/decisions/rejections/RejectionClassifier.java
@@ -3,35 +3,36 @@
 import java.util.Arrays;
 
 /**
- * Classifies the rejections without a Retry-After of one destination: they answer to load (a rate
- * limit, a full queue), or strike at random. It is a sequential probability ratio test (Wald 1945)
+ * Classifies the rejections without a Retry-After of one destination as caused by load (a rate
+ * limit, a full queue) or as random noise. It is a sequential probability ratio test (Wald 1945)
  * over the calls that were sent soon after a rejected one: where rejections are random, such a call
- * is served as likely as any other; where a limit counts calls in windows of a second, it is likely
- * rejected too. Evidence decays, so that a limit that turns into noise, or noise into a limit, is
- * classified anew.
+ * is as likely to be served as any other; where a limit counts calls in windows of a second, it is
+ * likely to be rejected too. Evidence decays, so that the classification follows a limit that turns
+ * into noise, or noise that turns into a limit.
  *
  * <p>The outcome of a call is reported once, with the time at which the call was sent.
  */
 public final class RejectionClassifier {
-  /** What rejections are taken to answer to. The names are part of the operators' JSON. */
+  /** The presumed cause of rejections. The names are part of the operators' JSON. */
   public enum Cause {
-    /** Too little is known: rejections are heeded, and now and then one call probes for more. */
+    /** Too little evidence: calls slow down on rejections, and an occasional probe gathers more. */
     UNSURE,
-    /** The load that is sent: rejections are heeded. */
+    /** The load on the destination: calls slow down on rejections. */
     LOAD,
-    /** Nothing of ours: the call is retried at once. */
+    /** Independent of the load: the call is retried at once. */
     NOISE
   }
 
   /**
-   * The largest share of rejections that is ever taken for noise: more may be load that is shed.
+   * The largest share of rejected calls that is ever classified as noise: a larger one may be a
+   * destination that sheds load.
    */
   public static final double MAX_NOISE_SHARE = 0.35;
 
-  /** Evidence, in nats, at which a cause is settled. */
+  /** Evidence, in nats, that suffices to settle on a cause. */
   static final double SETTLED = 3;
 
-  /** Evidence beyond this is not kept, so that the classification stays able to change. */
+  /** Bound on the evidence in either direction, so that the classification can still change. */
   private static final double MAX_EVIDENCE = 6;
 
   /** The smallest share of rejections that noise is assumed to have. */
@@ -40,12 +41,12 @@
   /** The window over which limits are assumed to count calls, us. */
   private static final double LIMIT_WINDOW_US = 1_000_000;
 
-  /** How soon after a rejection a call must be sent to distinguish the causes, us. */
+  /** Longest time after a rejection at which a call still distinguishes the causes, us. */
   private static final long MAX_DISTANCE_US = 300_000;
 
   /**
-   * Probability that a call right after a rejection is served where a limit holds: other couriers'
-   * calls end, and windows may be short.
+   * Probability that a call right after a rejection is served although there is a limit: calls of
+   * other couriers end, and the windows of the limit may be short.
    */
   private static final double SERVED_AT_ONCE_UNDER_LIMIT = 0.08;
 
@@ -55,7 +56,7 @@
   /** Time in which evidence decays by a factor of e, us. */
   private static final double EVIDENCE_DECAY_US = 30_000_000;
 
-  /** How many rejections are remembered until a later call's outcome is known. */
+  /** How many rejections are kept until the outcome of a later call is known. */
   private static final int MAX_PENDING_REJECTIONS = 8;
 
   private static final long NO_REJECTION = Long.MAX_VALUE;
@@ -63,17 +64,17 @@
   private static final long MIN_PROBE_INTERVAL_US = 100_000;
   private static final long MAX_PROBE_INTERVAL_US = 64_000_000;
 
-  /** Factors by which a probe that was rejected lengthens the interval to the next one. */
+  /** Factors by which a rejected probe lengthens the interval to the next one. */
   private static final long PROBE_BACKOFF = 2;
 
   private static final long PROBE_BACKOFF_UNDER_LOAD = 8;
 
-  /** How long rejections count as load once retries exhausted their budget, us. */
+  /** How long rejections count as load once retries have exhausted their budget, us. */
   private static final long MIN_LOAD_HOLD_US = 5_000_000;
 
   private static final long MAX_LOAD_HOLD_US = 80_000_000;
 
-  /** When the calls were sent of which the rejection has not been compared with a later call. */
+  /** Send times of the rejected calls that have not been compared with a later call yet. */
   private final long[] pendingRejectionsUs = new long[MAX_PENDING_REJECTIONS];
 
   private int rejections;
@@ -90,14 +91,14 @@
   private boolean classifiedNoise;
   private boolean justSettledOnNoise;
 
-  /** A classifier of a destination of which nothing is known. */
+  /** Creates a classifier without evidence. */
   public RejectionClassifier() {
     Arrays.fill(pendingRejectionsUs, NO_REJECTION);
   }
 
   // ---------------------------------------------------------------- observations
 
-  /** A call sent at that time was served. */
+  /** Records that a call sent at that time was served. */
   public void recordServed(final long sentUs, final long nowUs) {
     final double underLimit = servedProbabilityUnderLimit(sentUs);
     if (underLimit < 1) {
@@ -106,7 +107,7 @@
     rejectedShare -= SHARE_WEIGHT * rejectedShare;
   }
 
-  /** A call sent at that time was rejected, without a Retry-After. */
+  /** Records that a call sent at that time was rejected without a Retry-After. */
   public void recordRejected(final long sentUs, final long nowUs) {
     final double underLimit = servedProbabilityUnderLimit(sentUs);
     if (underLimit < 1) {
@@ -117,10 +118,10 @@
   }
 
   /**
-   * How likely a call sent at that time is served where a limit holds and an earlier call was
-   * rejected; 1 if the call does not distinguish the causes. Each rejection is compared only once,
-   * with the first call sent after it of which the outcome is known: once a limit has capacity
-   * again, all later calls are served in any case.
+   * Returns the probability that a call sent at that time is served under a limit that rejected an
+   * earlier call; 1 if the call does not distinguish the causes. Each rejection is compared only
+   * once, with the first later call whose outcome is known: once a limit has capacity again, all
+   * later calls are served in any case.
    */
   private double servedProbabilityUnderLimit(final long sentUs) {
     long lastRejectedUs = Long.MIN_VALUE;
@@ -154,8 +155,9 @@
   }
 
   /**
-   * Retries of what was classified as noise exhausted their budget: so rejections rise with what is
-   * sent, and answer to load. For a while, twice as long each time, nothing counts as noise again.
+   * Records that retries of calls rejected by presumed noise exhausted their budget: rejections
+   * rise with the calls sent, so load causes them. For a while, twice as long each time, no
+   * rejection is classified as noise.
    */
   public void onRetryBudgetExhausted(final long nowUs) {
     if (nowUs > heldAsLoadUntilUs + MAX_LOAD_HOLD_US) {
@@ -170,7 +172,7 @@
 
   // ---------------------------------------------------------------- conclusions
 
-  /** What rejections are taken to answer to now. */
+  /** Returns the presumed cause of rejections now. */
   public Cause cause(final long nowUs) {
     final boolean tooManyForNoise = rejectedShare > MAX_NOISE_SHARE;
     if (classifiedNoise && !tooManyForNoise) {
@@ -182,32 +184,33 @@
   }
 
   /**
-   * True if the last outcome settled that rejections are noise: reactions to them may be undone.
+   * Returns whether the last outcome changed the classification to noise, so that the reactions to
+   * earlier rejections may be undone.
    */
   public boolean hasJustSettledOnNoise() {
     return justSettledOnNoise;
   }
 
-  /** Nats in favour of noise (above 0) or load (below). */
+  /** Returns the evidence, nats in favour of noise (above 0) or load (below). */
   public double evidence(final long nowUs) {
     return evidence * Math.exp(-(nowUs - evidenceUs) / EVIDENCE_DECAY_US);
   }
 
-  /** Share of recent calls that were rejected. */
+  /** Returns the share of recent calls that were rejected. */
   public double rejectedShare() {
     return rejectedShare;
   }
 
   // ---------------------------------------------------------------- probes
 
-  /** When one more call is worth what can be learned from it. */
+  /** Returns the earliest time of the next probe, a call sent only to gather evidence. */
   public long nextProbeUs() {
     return nextProbeUs;
   }
 
   /**
-   * A call that was made to learn has ended. The more probes are rejected the rarer they become,
-   * the more so once load is settled.
+   * Records the outcome of a probe. Each rejected probe lengthens the interval to the next one, by
+   * a larger factor once the cause is settled as load.
    */
   public void recordProbe(final boolean served, final long nowUs) {
     final long backoff = evidence(nowUs) <= -SETTLED ? PROBE_BACKOFF_UNDER_LOAD : PROBE_BACKOFF;
@@ -218,19 +221,19 @@
 
   // ---------------------------------------------------------------- learned state
 
-  /** Nothing that was learned so far holds any longer. */
+  /** Discards what was learned so far. */
   public void reset() {
     evidence = 0;
     rejectedShare = INITIAL_REJECTED_SHARE;
     classifiedNoise = false;
   }
 
-  /** What is learned, to be handed on: see {@link #restore}. */
+  /** Returns the learned state in the form that {@link #restore} accepts. */
   public double[] learnedValues() {
     return new double[] {evidence, rejectedShare, classifiedNoise ? 1 : 0, probeIntervalUs};
   }
 
-  /** Takes over the {@link #learnedValues} of another classifier of the same destination. */
+  /** Restores the {@link #learnedValues} of another classifier of the same destination. */
   public void restore(final double[] learned, final long nowUs) {
     evidence = clampEvidence(learned[0]);
     rejectedShare = Math.max(0, Math.min(1, learned[1]));
--- a/decisions/src/main/java/thistleturn/settings/Fields.java
+++ b/decisions/src/main/java/thistleturn/settings/Fields.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Named values of one line, or of a file of settings. A value that is absent reads as the default
- * that the reader gives; a value that nobody reads is ignored. Values that cannot be read raise a
- * {@link MalformedLineException} that names the line.
+ * Named values of one line, or of a settings file. An absent value reads as the default that the
+ * caller passes; unused values are ignored. Values that cannot be parsed cause a {@link
+ * MalformedLineException} that names the source.
  */
 public final class Fields {
   private static final char FIELD_SEPARATOR = '\t';
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Values that come from elsewhere than a line.
+   * Returns values that do not come from a line.
    *
    * @param source where they come from, for messages about malformed ones
    */
@@ -63,17 +63,17 @@
     values.put(line.substring(start, separator), line.substring(separator + 1, end));
   }
 
-  /** The tag of the line; the source of values that come from elsewhere. */
+  /** Returns the tag of the line, or the source of values that do not come from a line. */
   public String tag() {
     return tag;
   }
 
-  /** The value as text, or {@code absent}. */
-  public String text(final String name, final String absent) {
-    return values.getOrDefault(name, absent);
+  /** Returns the value as text, or {@code defaultValue} if it is absent. */
+  public String text(final String name, final String defaultValue) {
+    return values.getOrDefault(name, defaultValue);
   }
 
-  /** The value as text; malformed without it. */
+  /** Returns the value as text; throws if it is absent. */
   public String text(final String name) {
     final String value = values.get(name);
     if (value == null) {
@@ -82,11 +82,11 @@
     return value;
   }
 
-  /** The value as a whole number, or {@code absent}. */
-  public long integer(final String name, final long absent) {
+  /** Returns the value as an integer, or {@code defaultValue} if it is absent. */
+  public long integer(final String name, final long defaultValue) {
     final String value = values.get(name);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     try {
       return Long.parseLong(value);
@@ -95,40 +95,40 @@
     }
   }
 
-  /** The value as a whole number; malformed without it. */
+  /** Returns the value as an integer; throws if it is absent. */
   public long integer(final String name) {
     text(name);
     return integer(name, 0);
   }
 
-  /** The value as a decimal number, or {@code absent}. */
-  public double decimal(final String name, final double absent) {
+  /** Returns the value as a decimal number, or {@code defaultValue} if it is absent. */
+  public double decimal(final String name, final double defaultValue) {
     final String value = values.get(name);
-    return value == null ? absent : decimal(value);
+    return value == null ? defaultValue : decimal(value);
   }
 
-  /** Reads a decimal number that is part of a value. */
+  /** Parses a decimal number that is part of a value. */
   public double decimal(final String value) {
     try {
       return Double.parseDouble(value);
     } catch (final NumberFormatException e) {
-      throw malformed("no number: '" + value + "'", e);
+      throw malformed("not a number: '" + value + "'", e);
     }
   }
 
-  /** The value as a flag, which is set by {@code 1} or {@code true}; false if it is absent. */
+  /** Returns the value as a flag: true for {@code 1} or {@code true}, false if it is absent. */
   public boolean flag(final String name) {
     final String value = values.getOrDefault(name, "0");
     return value.equals("1") || value.equals("true");
   }
 
-  /** The value as a list of texts joined by commas; an empty list if it is absent or empty. */
+  /** Returns the value as a comma-separated list; an empty list if it is absent or empty. */
   public String[] list(final String name) {
     final String value = values.getOrDefault(name, "");
     return value.isEmpty() ? new String[0] : value.split(LIST_SEPARATOR, -1);
   }
 
-  /** The exception to throw for a value that cannot be used. */
+  /** Returns the exception to throw for an invalid value. */
   public MalformedLineException malformed(final String problem) {
     return new MalformedLineException(source, problem);
   }
--- a/decisions/src/main/java/thistleturn/settings/MalformedLineException.java
+++ b/decisions/src/main/java/thistleturn/settings/MalformedLineException.java
@@ -1,8 +1,8 @@
 package thistleturn.settings;
 
 /**
- * A line or a setting that cannot be read. The message names where it stands, and what is wrong
- * with it.
+ * Thrown for a line or a setting that cannot be parsed. The message names its source and the
+ * problem.
  */
 public final class MalformedLineException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/decisions/src/main/java/thistleturn/settings/SettingsReader.java
+++ b/decisions/src/main/java/thistleturn/settings/SettingsReader.java
@@ -13,12 +13,12 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * Reads the settings of the decisions from the {@code enlist} line of the simulator's wire, or from
- * a courier's configuration. Absent settings restrict nothing.
+ * Reads the settings of the decisions from the {@code enlist} line of the simulator's protocol, or
+ * from a courier's configuration. Absent settings restrict nothing.
  */
 public final class SettingsReader {
-  /** One hour, which is longer than any message is of use. */
-  private static final long FOREVER_US = 3_600_000_000L;
+  /** Stands for no limit: one hour, longer than the deadline of any message. */
+  private static final long UNLIMITED_US = 3_600_000_000L;
 
   private SettingsReader() {}
 
@@ -60,7 +60,7 @@
 
   private static MessageClass messageClass(final Fields fields, final String path) {
     final boolean keyScopedToZone = !fields.text(path + "group", "all").equals("all");
-    final long deadlineUs = fields.integer(path + "deadline", FOREVER_US);
+    final long deadlineUs = fields.integer(path + "deadline", UNLIMITED_US);
     return new MessageClass(
         fields.text(path + "name", ""),
         idempotence(fields, path),
@@ -91,7 +91,7 @@
     return tenants;
   }
 
-  /** Kinds come as lists side by side, of which the later ones may be shorter. */
+  /** Reads the kinds from parallel lists, of which those after the names may be shorter. */
   private static List<DestinationKind> kinds(final Fields fields) {
     final String[] names = fields.list("flavors");
     final String[] separateRoutes = fields.list("extra.routes_apart");
@@ -109,7 +109,7 @@
 
   private static Guarantees guarantees(final Fields fields) {
     return new Guarantees(
-        fields.integer("guarantees.must_ask_in", FOREVER_US),
+        fields.integer("guarantees.must_ask_in", UNLIMITED_US),
         fields.decimal("guarantees.cold_from", 1),
         fields.integer("guarantees.cold", 0),
         fields.decimal("guarantees.tip_multiple", 1),
@@ -123,7 +123,7 @@
         (int) fields.integer("limits.max_open", Integer.MAX_VALUE),
         (int) fields.integer("limits.most_tries", Integer.MAX_VALUE),
         fields.flag("limits.cancel"),
-        fields.integer("limits.idle_close", FOREVER_US),
+        fields.integer("limits.idle_close", UNLIMITED_US),
         (int) fields.integer("limits.multiplex", 1),
         mayAnswerRetryAfter ? fields.integer("limits.max_retry_after", 0) : 0);
   }
