--- a/decisions/src/test/java/thistleturn/decisions/admission/ConnectionEvictionRankingTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/admission/ConnectionEvictionRankingTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.admission.ConnectionEvictionRanking.ConnectionState;
 
-/** Which connections are closed to make room for others, and which are not. */
+/** Which connections may be evicted, and in which order. */
 @Tag("operators")
 final class ConnectionEvictionRankingTest {
   private static final long IDLE_US = 2_100_000;
@@ -30,11 +30,11 @@
             ConnectionState.RECEIVING_REQUEST,
             IDLE_US,
             ConnectionEvictionRanking.STALLED_AFTER_US / 2),
-        "old, but it goes on writing");
+        "old, but still receiving the request");
   }
 
   @Test
-  void evictionOrder_isRejectedSilentStalledIdleThenNew() {
+  void evictionOrder_isRejectedNoRequestStalledIdleThenNew() {
     final int[] ranks = {
       rank(ConnectionState.REJECTED, 0, 0),
       rank(ConnectionState.NO_REQUEST_YET, ConnectionEvictionRanking.FIRST_REQUEST_GRACE_US, 0),
@@ -42,19 +42,20 @@
       rank(ConnectionState.IDLE_AFTER_RESPONSE, IDLE_US, 0),
       rank(ConnectionState.NO_REQUEST_YET, ConnectionEvictionRanking.FIRST_REQUEST_GRACE_US - 1, 0)
     };
-    for (int place = 1; place < ranks.length; place++) {
+    for (int position = 1; position < ranks.length; position++) {
       assertTrue(
-          ranks[place - 1] < ranks[place] && ranks[place] < ConnectionEvictionRanking.NEVER_EVICT,
-          "place " + place);
+          ranks[position - 1] < ranks[position]
+              && ranks[position] < ConnectionEvictionRanking.NEVER_EVICT,
+          "position " + position);
     }
   }
 
   @Test
-  void idleConnection_isEvictedOnlyWhereClientsDoNotReuseThem() {
+  void idleConnection_isEvictedOnlyIfClientsDoNotReuseConnections() {
     assertEquals(
         ConnectionEvictionRanking.NEVER_EVICT,
         rank(ConnectionState.IDLE_AFTER_RESPONSE, 0, 0),
-        "nothing is known yet");
+        "before anything is learned");
     for (int count = 0; count < 60; count++) {
       ranking.recordReuse(false);
     }
--- a/decisions/src/test/java/thistleturn/decisions/directives/DirectivesTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/directives/DirectivesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.directives.Directive.Kind;
 
-/** Of several sources' directives the strictest counts, each until it expires. */
+/** The strictest of several sources' directives takes effect, each until it expires. */
 @Tag("decisions")
 final class DirectivesTest {
   private static final long NEVER = Long.MAX_VALUE;
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void conflictingDirectives_theStricterWins() {
+  void conflictingDirectives_strictestTakesEffect() {
     final Directives directives =
         Directives.NONE
             .with(new Directive(Kind.RATE, 10, "a", NEVER), 0)
@@ -33,10 +33,10 @@
             .with(new Directive(Kind.CEILING, 7, "b", NEVER), 0)
             .with(new Directive(Kind.WEIGHT, 0.5, "a", NEVER), 0)
             .with(new Directive(Kind.WEIGHT, 0.2, "b", 100), 0);
-    assertEquals(500_000, directives.earliestCallUs(0, 0), "two a second");
+    assertEquals(500_000, directives.earliestCallUs(0, 0), "two calls a second");
     assertEquals(
         900_000, directives.earliestCallUs(800_000, 800_000), "until that directive expires");
-    assertEquals(1_050_000, directives.earliestCallUs(950_000, 950_000), "then ten");
+    assertEquals(1_050_000, directives.earliestCallUs(950_000, 950_000), "then ten calls a second");
     assertEquals(3, directives.concurrencyLimit(50));
     assertEquals(0.2, directives.weight(50));
     assertEquals(0.5, directives.weight(100));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void laterDirectiveOfOneSource_replacesOrWithdrawsTheEarlier() {
+  void laterDirectiveOfSameSource_replacesOrWithdrawsTheEarlier() {
     final Directives first = Directives.NONE.with(new Directive(Kind.CEILING, 3, "a", NEVER), 0);
     final Directives second = first.with(new Directive(Kind.CEILING, 8, "a", NEVER), 1);
     assertEquals(8, second.concurrencyLimit(1));
@@ -64,7 +64,7 @@
     assertEquals(
         NEVER,
         directives.with(Directive.of(Kind.EXCLUSION, "operator", NEVER), 0).earliestCallUs(0, 10));
-    assertEquals(Long.MIN_VALUE, directives.earliestCallUs(0, 700), "both are over");
+    assertEquals(Long.MIN_VALUE, directives.earliestCallUs(0, 700), "both have expired");
     assertEquals(List.of(), directives.active(700));
   }
 
@@ -78,16 +78,16 @@
     assertEquals(
         1000 + 10 * Directives.MAX_DIRECTIVES - 1,
         directives.earliestCallUs(0, 0),
-        "those that expire first are dropped");
+        "the directives that expire first are dropped");
   }
 
   @Test
-  void invalidDirective_isRejectedWithItsReason() {
+  void invalidDirective_isRejectedWithReason() {
     for (final double value : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-      final var wrong =
+      final var rejected =
           assertThrows(
               IllegalArgumentException.class, () -> new Directive(Kind.RATE, value, "a", 1));
-      assertTrue(wrong.getMessage().contains("RATE"), wrong.getMessage());
+      assertTrue(rejected.getMessage().contains("RATE"), rejected.getMessage());
       assertThrows(IllegalArgumentException.class, () -> new Directive(Kind.LIMIT, value, "a", 1));
     }
     assertThrows(IllegalArgumentException.class, () -> new Directive(Kind.CEILING, 0.5, "a", 1));
--- a/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/fleet/FairShareTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A courier's share of a rate, alone and with thirteen others against one destination that counts
- * rejected calls too.
+ * A courier's share of a rate, alone and with thirteen other couriers that call one destination
+ * whose limit also counts rejected calls.
  */
 @Tag("fleet")
 final class FairShareTest {
@@ -24,8 +24,8 @@
   private static final double LIMIT = 28;
 
   /**
-   * A destination that serves a call if fewer than its limit came in the second before, rejected
-   * ones included.
+   * Serves a call if the number of calls in the preceding second, including rejected ones, is below
+   * the limit.
    */
   private static final class SimulatedDestination {
     private final ArrayDeque<Long> callsUs = new ArrayDeque<>();
@@ -50,7 +50,7 @@
     return share;
   }
 
-  /** Runs couriers that together accept that many messages a second, each its share of them. */
+  /** Simulates couriers that together accept that many messages a second, split by share. */
   private static SimulatedDestination simulate(
       final double messagesPerSecond, final double[] trafficShares, final int seconds) {
     final Random random = new Random(7);
@@ -81,39 +81,39 @@
     return destination;
   }
 
-  private static double[] even() {
+  private static double[] evenShares() {
     final double[] trafficShares = new double[COURIERS];
     Arrays.fill(trafficShares, 1.0 / COURIERS);
     return trafficShares;
   }
 
   /**
-   * In simulations of a fleet, fourteen couriers that each stayed under the whole rate overloaded a
-   * destination so that it served nobody.
+   * Guards against a fault found in simulations of a fleet: fourteen couriers that each stayed
+   * below the total rate overloaded a destination until it served no calls.
    */
   @Test
-  void overloadedDestination_servesNearlyItsRateAndRejectsFew() {
+  void overloadedDestination_servesNearlyItsRateAndRejectsFewCalls() {
     final int seconds = 120;
-    final SimulatedDestination destination = simulate(2 * LIMIT, even(), seconds);
+    final SimulatedDestination destination = simulate(2 * LIMIT, evenShares(), seconds);
     assertTrue(destination.served > 0.75 * LIMIT * seconds, "served " + destination.served);
     assertTrue(destination.rejected < 0.1 * destination.served, "rejected " + destination.rejected);
   }
 
   @Test
-  void arrivalsWellUnderTheRate_areServedWithoutRejections() {
+  void arrivalsWellBelowRate_areServedWithoutRejections() {
     final int seconds = 120;
-    final SimulatedDestination destination = simulate(0.5 * LIMIT, even(), seconds);
+    final SimulatedDestination destination = simulate(0.5 * LIMIT, evenShares(), seconds);
     assertTrue(destination.served > 0.45 * LIMIT * seconds, "served " + destination.served);
     assertTrue(
         destination.rejected < 0.01 * destination.served, "rejected " + destination.rejected);
   }
 
   /**
-   * A courier that accepts most of the traffic uses what the others leave, though it knows nothing
-   * of them.
+   * A courier that accepts most of the traffic uses what the others leave unused, without any
+   * information about them.
    */
   @Test
-  void courierWithMostOfTheTraffic_usesWhatOthersLeave() {
+  void courierWithMostTraffic_usesShareLeftByOthers() {
     final double[] trafficShares = new double[COURIERS];
     Arrays.fill(trafficShares, 0.2 / (COURIERS - 1));
     trafficShares[0] = 0.8;
@@ -124,11 +124,11 @@
   }
 
   /**
-   * After a crash of most couriers all started with a second's calls at once, and the destination
-   * rejected calls for a second.
+   * Guards against a fault seen after a crash of most couriers: all restarted with a burst of a
+   * second's calls, and the destination rejected calls for a second.
    */
   @Test
-  void couriersThatStartTogether_makeNoBurst() {
+  void couriersThatStartTogether_sendNoBurst() {
     final SimulatedDestination destination = new SimulatedDestination();
     final List<FairShare> shares = new ArrayList<>();
     for (int index = 0; index < COURIERS; index++) {
@@ -143,11 +143,11 @@
       }
     }
     assertEquals(0, destination.rejected);
-    assertTrue(destination.served >= COURIERS, "one each: " + destination.served);
+    assertTrue(destination.served >= COURIERS, "at least one call each: " + destination.served);
   }
 
   @Test
-  void unknownRate_limitsNothing() {
+  void unknownRate_isNotLimited() {
     assertFalse(new FairShare(false).isLimited());
     final FairShare share = shareOf(2);
     assertTrue(share.isLimited());
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void shortBurst_isAllowedThenTheRateHolds() {
+  void shortBurst_isAllowedThenRateIsEnforced() {
     final FairShare share = shareOf(2);
     long nowUs = 10 * SECOND_US;
     int calls = 0;
@@ -165,18 +165,19 @@
       share.recordCall(nowUs);
       calls++;
     }
-    assertEquals(20, calls, 1, "two at once, then 1.8 a second for ten seconds");
+    assertEquals(20, calls, 1, "two at once, then 1.8 calls a second for ten seconds");
   }
 
   @Test
-  void rejection_lowersTheRateOnceAndQuietSecondsRestoreIt() {
+  void rejection_lowersRateOnceAndSecondsWithoutRejectionRestoreIt() {
     final FairShare share = shareOf(10);
     share.advance(0, SECOND_US);
     final double before = share.ratePerSecond();
     share.recordRejected(2 * SECOND_US);
     final double after = share.ratePerSecond();
     share.recordRejected(2 * SECOND_US + 1000);
-    assertEquals(after, share.ratePerSecond(), "those in flight say the same");
+    assertEquals(
+        after, share.ratePerSecond(), "rejections of other calls in flight are not counted again");
     assertTrue(after < 0.8 * before, after + " after " + before);
     assertTrue(
         share.earliestCallUs(2 * SECOND_US + 1000) > 2 * SECOND_US + 1000, "no token is left");
@@ -187,16 +188,16 @@
   }
 
   @Test
-  void endlessRejections_leaveAProbingRate() {
+  void permanentRejections_leaveMinimumRate() {
     final FairShare share = shareOf(1);
     for (int second = 1; second < 1000; second++) {
       share.recordRejected(second * SECOND_US);
     }
-    assertTrue(share.ratePerSecond() >= 0.05, "it would never learn that there is capacity again");
+    assertTrue(share.ratePerSecond() >= 0.05, "the rate must stay high enough to detect capacity");
   }
 
   @Test
-  void changedEvenRate_countsAtOnceAndKeepsWhatWasLearned() {
+  void changedEvenRate_scalesLearnedRateAtOnce() {
     final FairShare share = shareOf(10);
     share.recordRejected(SECOND_US);
     final double learned = share.ratePerSecond();
@@ -204,9 +205,9 @@
     assertEquals(learned / 2, share.ratePerSecond(), 1e-9);
   }
 
-  /** An hour without calls does not allow a burst of an hour's calls. */
+  /** An hour without calls allows a burst of two calls, not of an hour's calls. */
   @Test
-  void idleTime_isNotAccumulated() {
+  void idleTime_doesNotAccumulateTokens() {
     final FairShare share = shareOf(2);
     final long nowUs = 3600 * SECOND_US;
     share.advance(0, nowUs);
@@ -218,11 +219,11 @@
     assertEquals(2, calls);
   }
 
-  /** How many messages waited at most for a share where that many were accepted a second. */
-  private static int mostWaiting(final FairShare share, final double perSecond, final int seconds) {
+  /** Returns the longest queue for a share if that many messages are accepted a second. */
+  private static int maxWaiting(final FairShare share, final double perSecond, final int seconds) {
     final Random random = new Random(3);
     int waiting = 0;
-    int most = 0;
+    int max = 0;
     for (long nowUs = 0; nowUs < seconds * SECOND_US; nowUs += STEP_US) {
       if (nowUs % SECOND_US == 0) {
         share.advance(waiting, nowUs);
@@ -232,46 +233,51 @@
         share.recordCall(nowUs);
         waiting--;
       }
-      most = Math.max(most, waiting);
+      max = Math.max(max, waiting);
     }
-    return most;
+    return max;
   }
 
   /**
-   * In simulations of 100 couriers, messages of the busier ones waited 9 s for a share of one call
-   * in 3 s, and nothing was rejected.
+   * Guards against a fault found in simulations of 100 couriers: messages of the busier couriers
+   * waited 9 s for a share of one call in 3 s, although no call was rejected.
    */
   @Test
-  void thinShare_doesNotDelayMessagesForLong() {
-    final double even = 0.35;
-    final FairShare strictShare = shareOf(even);
-    final FairShare thinShare = new FairShare(true);
-    thinShare.setEvenRate(even, 0);
-    final int strictly = mostWaiting(strictShare, 3 * even, 60);
-    final int thinly = mostWaiting(thinShare, 3 * even, 60);
-    assertTrue(strictly > 10, "enforced strictly, " + strictly + " wait");
-    assertTrue(2 * thinly <= strictly, "three times the mean: " + thinly + " wait");
+  void smallShare_delaysMessagesLessThanStrictEnforcement() {
+    final double evenRate = 0.35;
+    final FairShare strictShare = shareOf(evenRate);
+    final FairShare smallShare = new FairShare(true);
+    smallShare.setEvenRate(evenRate, 0);
+    final int strictWaiting = maxWaiting(strictShare, 3 * evenRate, 60);
+    final int smallWaiting = maxWaiting(smallShare, 3 * evenRate, 60);
+    assertTrue(strictWaiting > 10, "enforced strictly, " + strictWaiting + " messages wait");
+    assertTrue(
+        2 * smallWaiting <= strictWaiting, "small share: " + smallWaiting + " messages wait");
   }
 
-  /** A busy courier gives up a share of its current rate, not all that is above an even share. */
+  /** A rejection of a small share does not reset the rate to the even share first. */
   @Test
-  void rejectionOfAThinShare_scalesTheCurrentRate() {
-    final FairShare thinShare = new FairShare(true);
-    thinShare.setEvenRate(0.5, 0);
+  void rejectionOfSmallShare_scalesCurrentRate() {
+    final FairShare smallShare = new FairShare(true);
+    smallShare.setEvenRate(0.5, 0);
     for (long second = 1; second <= 10; second++) {
-      thinShare.advance(3, second * SECOND_US);
+      smallShare.advance(3, second * SECOND_US);
     }
-    final double before = thinShare.ratePerSecond();
-    assertTrue(before > 1.5, "grown to " + before);
-    thinShare.recordRejected(10 * SECOND_US);
-    assertEquals(0.7 * before, thinShare.ratePerSecond(), 1e-9);
-    thinShare.recordRejected(10 * SECOND_US + 1);
-    assertEquals(0.7 * before, thinShare.ratePerSecond(), 1e-9, "those in flight say the same");
+    final double before = smallShare.ratePerSecond();
+    assertTrue(before > 1.5, "rate after growth: " + before);
+    smallShare.recordRejected(10 * SECOND_US);
+    assertEquals(0.7 * before, smallShare.ratePerSecond(), 1e-9);
+    smallShare.recordRejected(10 * SECOND_US + 1);
+    assertEquals(
+        0.7 * before,
+        smallShare.ratePerSecond(),
+        1e-9,
+        "rejections of other calls in flight are not counted again");
   }
 
-  /** A share of several calls a second is enforced in a vast fleet as in any other. */
+  /** A share of several calls a second is treated in a very large fleet as in any other. */
   @Test
-  void thickShare_isEnforcedInAnyFleet() {
+  void shareOfSeveralCallsPerSecond_isSameInAnyFleet() {
     final FairShare vastFleet = new FairShare(true);
     vastFleet.setEvenRate(5, 0);
     final FairShare other = shareOf(5);
--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -14,12 +14,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Tag;
 
-/** The indexes find what a linear search of a list finds. */
+/** The indexes give the same results as a linear search of a list. */
 @Tag("scale")
 final class IndexPropertyTest {
   private static final int STEPS = 300;
 
-  private static final class Due extends TimeHeap.Entry {}
+  private static final class DueEntry extends TimeHeap.Entry {}
 
   private static final class Member extends OrderedQueue.Entry {}
 
@@ -41,13 +41,15 @@
   @Property(tries = 200)
   void timeHeap_pollsDueEntriesInOrder(@ForAll final long seed) {
     final Random random = new Random(seed);
-    final TimeHeap<Due> heap = new TimeHeap<>();
-    final List<Due> members = new ArrayList<>();
-    final List<Due> all = new ArrayList<>();
+    final TimeHeap<DueEntry> heap = new TimeHeap<>();
+    final List<DueEntry> members = new ArrayList<>();
+    final List<DueEntry> all = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(4) > 0) {
-        final Due entry =
-            all.isEmpty() || random.nextBoolean() ? new Due() : all.get(random.nextInt(all.size()));
+        final DueEntry entry =
+            all.isEmpty() || random.nextBoolean()
+                ? new DueEntry()
+                : all.get(random.nextInt(all.size()));
         all.add(entry);
         final long dueUs = random.nextInt(10) == 0 ? Long.MAX_VALUE : random.nextInt(40);
         heap.schedule(entry, dueUs);
@@ -60,20 +62,21 @@
         heap.remove(members.remove(random.nextInt(members.size())));
       } else {
         final long nowUs = random.nextInt(40);
-        final long leastUs = members.stream().mapToLong(Due::dueUs).min().orElse(Long.MAX_VALUE);
+        final long leastUs =
+            members.stream().mapToLong(DueEntry::dueUs).min().orElse(Long.MAX_VALUE);
         assertEquals(leastUs, heap.earliestDueUs());
-        final Due polled = heap.poll(nowUs);
+        final DueEntry polled = heap.poll(nowUs);
         assertEquals(leastUs <= nowUs, polled != null);
         assertTrue(polled == null || (polled.dueUs() == leastUs && !polled.isScheduled()));
         members.remove(polled);
       }
       assertEquals(members.size(), heap.size());
-      assertTrue(members.stream().allMatch(Due::isScheduled));
+      assertTrue(members.stream().allMatch(DueEntry::isScheduled));
     }
   }
 
   @Property(tries = 200)
-  void orderedQueue_findsWhatALinearSearchFinds(@ForAll final long seed) {
+  void orderedQueue_matchesLinearSearch(@ForAll final long seed) {
     final Random random = new Random(seed);
     final OrderedQueue<Member> queue = new OrderedQueue<>();
     final List<Member> members = new ArrayList<>();
@@ -112,9 +115,9 @@
     }
   }
 
-  /** The greatest key that there is lies above the last interval's bound. */
+  /** {@link Long#MAX_VALUE} as a key is not below the upper bound of the last interval. */
   @Example
-  void orderedQueue_findsTheGreatestAmongMembersOfTheGreatestKey() {
+  void membersWithMaximumKey_greatestReturnsTheEarliest() {
     final OrderedQueue<Member> queue = new OrderedQueue<>();
     final Member first = new Member();
     queue.add(first, Long.MAX_VALUE, 0);
@@ -122,7 +125,7 @@
     assertSame(first, queue.greatest(new long[] {5}, one -> 1));
   }
 
-  /** Values that rise, fall or stay between breakpoints drawn at random. */
+  /** Checks values that rise, fall or are constant between random breakpoints. */
   private static void checkGreatest(
       final Random random, final OrderedQueue<Member> queue, final List<Member> members) {
     final long[] breakpoints = random.longs(3, 0, 30).sorted().toArray();
@@ -146,17 +149,17 @@
   }
 
   @Property(tries = 100)
-  void rankingThatRefreshesAll_findsTheGreatest(@ForAll final long seed) {
-    checkAgainstSearch(seed, 0);
+  void rankingThatRefreshesAll_returnsTheGreatest(@ForAll final long seed) {
+    checkAgainstLinearSearch(seed, 0);
   }
 
-  /** The ranking may be out of date, but by no more than the refresh of all its entries takes. */
+  /** The ranking is out of date by at most the time that the refresh of all entries takes. */
   @Property(tries = 100)
-  void rankingThatRefreshesInTurn_isStaleByABoundedTime(@ForAll final long seed) {
-    checkAgainstSearch(seed, 100);
+  void rankingThatRefreshesInTurn_isStaleForBoundedTime(@ForAll final long seed) {
+    checkAgainstLinearSearch(seed, 100);
   }
 
-  private static void checkAgainstSearch(final long seed, final long refreshUs) {
+  private static void checkAgainstLinearSearch(final long seed, final long refreshUs) {
     final Random random = new Random(seed);
     final long[] nowUs = {0};
     final Ranking<Ranked> ranking =
@@ -171,11 +174,11 @@
     for (int step = 0; step < STEPS; step++) {
       nowUs[0] += 1 + random.nextInt(2_000);
       for (int change = random.nextInt(4); change > 0; change--) {
-        final Ranked one = all.get(random.nextInt(all.size()));
-        one.hasValue = random.nextInt(4) > 0;
-        one.slope = random.nextInt(3) - 1;
-        one.valueAtZero = random.nextInt(20) * 1e3 - one.slope * nowUs[0];
-        ranking.invalidate(one);
+        final Ranked changed = all.get(random.nextInt(all.size()));
+        changed.hasValue = random.nextInt(4) > 0;
+        changed.slope = random.nextInt(3) - 1;
+        changed.valueAtZero = random.nextInt(20) * 1e3 - changed.slope * nowUs[0];
+        ranking.invalidate(changed);
       }
       final Ranked greatest =
           all.stream()
@@ -189,15 +192,15 @@
       if (refreshUs == 0 || greatest == null) {
         assertSame(greatest, found);
       } else {
-        // Since their last refresh one may have risen and the other fallen, by one a microsecond.
-        final long behindUs = refreshUs * ranking.size();
+        // Since the last refresh one value may have risen and the other fallen, by 1 each us.
+        final long stalenessUs = refreshUs * ranking.size();
         assertTrue(
-            found.valueAt(nowUs[0]) >= greatest.valueAt(nowUs[0]) - 2 * behindUs,
+            found.valueAt(nowUs[0]) >= greatest.valueAt(nowUs[0]) - 2 * stalenessUs,
             found.valueAt(nowUs[0])
                 + " of "
                 + greatest.valueAt(nowUs[0])
-                + ", behind by "
-                + behindUs);
+                + ", out of date by us "
+                + stalenessUs);
       }
       assertEquals(
           all.stream().anyMatch(one -> one.hasValue && one.number % 7 == 0),
--- a/decisions/src/test/java/thistleturn/decisions/maintenance/DisabledEndpointsTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/maintenance/DisabledEndpointsTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints may be disabled, and for how long their names are remembered. */
+/** Which endpoints may be disabled, and when their names are dropped. */
 @Tag("operators")
 final class DisabledEndpointsTest {
   private final DisabledEndpoints disabledEndpoints = new DisabledEndpoints(3);
 
   @Test
-  void onlyListedNamesAreKnown_andDisabledOnesAreNotForgotten() {
+  void namesBeyondTheBound_leastRecentlyListedIsDroppedUnlessDisabled() {
     assertFalse(disabledEndpoints.isKnown("a"));
     List.of("a", "b", "c").forEach(disabledEndpoints::recordListed);
     assertEquals(Set.of("a"), disabledEndpoints.replaceAll(Set.of("a")));
     List.of("b", "d", "e").forEach(disabledEndpoints::recordListed);
-    assertTrue(disabledEndpoints.isKnown("a"), "forgotten as listed, but it is disabled");
-    assertFalse(disabledEndpoints.isKnown("c"), "listed longest ago");
+    assertTrue(disabledEndpoints.isKnown("a"), "no longer kept as listed, but disabled");
+    assertFalse(disabledEndpoints.isKnown("c"), "least recently listed");
     assertTrue(
         disabledEndpoints.isKnown("b")
             && disabledEndpoints.isKnown("d")
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void replaceAll_returnsTheNamesThatChanged() {
+  void replaceAll_returnsChangedNames() {
     disabledEndpoints.replaceAll(Set.of("a", "b"));
     assertEquals(Set.of("a", "c"), disabledEndpoints.replaceAll(Set.of("b", "c")));
     assertTrue(disabledEndpoints.isDisabled("c") && !disabledEndpoints.isDisabled("a"));
--- a/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/DecideBench.java
@@ -40,74 +40,75 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * What a message costs the decisions, the frozen module beside the present one in one run: so many
- * messages are held, and for each that is delivered another comes. Played on demand, with {@code
- * -DargLine=-Dbench=true}.
+ * Measures the cost of decisions per message, for the reference controller and the current one in
+ * the same run, at a constant number of pending messages: each delivered message is replaced by a
+ * new one. Runs only on demand, with {@code -DargLine=-Dbench=true}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class DecideBench {
   private static final long SECOND = 1_000_000;
-  private static final int TOGETHER = 4;
-  private static final long PASS_US = 50;
+  private static final int MESSAGES_PER_ROUND = 4;
+  private static final long ROUND_INTERVAL_US = 50;
 
+  /** The reference controller ({@code frozen}) or the current one ({@code present}). */
   @Param({"frozen", "present"})
   public String module;
 
-  /** Destinations, and messages held. */
+  /** Number of destinations, and of pending messages. */
   @Param({"10x100", "10x10000", "10x100000", "1000x10000", "10000x10000", "100000x100000"})
   public String size;
 
-  private ArrayDeque<String> out;
+  private ArrayDeque<String> inFlight;
   private ArrayDeque<Long> endpoints;
   private Random random;
   private int destinations;
-  private DeliveryController courier;
+  private DeliveryController controller;
   private long nowUs;
   private int messages;
 
-  /** Lists the destinations and takes what is held. */
+  /** Adds the destinations to the endpoint list and accepts the pending messages. */
   @Setup(Level.Trial)
   public void begin() {
-    out = new ArrayDeque<>();
+    inFlight = new ArrayDeque<>();
     endpoints = new ArrayDeque<>();
     random = new Random(1);
     nowUs = 1000 * SECOND;
     messages = 0;
     destinations = Integer.parseInt(size.substring(0, size.indexOf('x')));
-    final RandomScenario.ControllerFactory maker =
+    final RandomScenario.ControllerFactory factory =
         module.equals("frozen") ? ReferenceController::new : OverloadController::new;
-    courier = maker.make(settings(), 1, new Answering());
+    controller = factory.create(settings(), 1, new QueueingActions());
     final List<Endpoint> list = new ArrayList<>();
     for (int id = 1; id <= destinations; id++) {
       list.add(new Endpoint(id, EndpointState.LISTED, "a", 0, 0, id));
     }
-    courier.onEndpointList(nowUs, EndpointUpdate.COMPLETE_SNAPSHOT, list);
-    final int held = Integer.parseInt(size.substring(size.indexOf('x') + 1));
-    for (int index = 0; index < held; index++) {
-      take();
+    controller.onEndpointList(nowUs, EndpointUpdate.COMPLETE_SNAPSHOT, list);
+    final int pending = Integer.parseInt(size.substring(size.indexOf('x') + 1));
+    for (int index = 0; index < pending; index++) {
+      acceptMessage();
     }
-    courier.decide(nowUs);
+    controller.decide(nowUs);
   }
 
-  /** Four messages are delivered, four others come, and one pass decides. */
+  /** Delivers four messages, accepts four others, and runs a decision round. */
   @Benchmark
-  @OperationsPerInvocation(TOGETHER)
+  @OperationsPerInvocation(MESSAGES_PER_ROUND)
   public int pass() {
     int delivered = 0;
-    // Where windows or spacing leave nothing out, time alone brings the next.
+    // While windows or spacing leave no call in flight, only the time advances.
     while (delivered == 0) {
-      nowUs += PASS_US;
-      for (int index = 0; index < TOGETHER && !out.isEmpty(); index++) {
-        courier.onOutcome(
+      nowUs += ROUND_INTERVAL_US;
+      for (int index = 0; index < MESSAGES_PER_ROUND && !inFlight.isEmpty(); index++) {
+        controller.onOutcome(
             nowUs,
             new AttemptOutcome(
-                out.poll(), AttemptResult.DELIVERED, true, endpoints.poll(), 1000, 0, null));
-        take();
+                inFlight.poll(), AttemptResult.DELIVERED, true, endpoints.poll(), 1000, 0, null));
+        acceptMessage();
         delivered++;
       }
-      courier.decide(nowUs);
+      controller.decide(nowUs);
     }
     return delivered;
   }
@@ -144,46 +145,46 @@
         new ResourceLimits(64, 1_000_000, 8, true, 10 * SECOND, 1, 0));
   }
 
-  private final class Answering implements DeliveryActions {
+  private final class QueueingActions implements DeliveryActions {
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
-      out.add(messageId);
+      inFlight.add(messageId);
       endpoints.add(endpoint);
     }
 
     @Override
     public void shed(final String messageId, final long retryAfterUs) {
-      throw new IllegalStateException("nothing is refused here");
+      throw new IllegalStateException("no message is shed in this benchmark");
     }
 
     @Override
     public void fail(final String messageId) {
-      throw new IllegalStateException("nothing fails here");
+      throw new IllegalStateException("no message fails in this benchmark");
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
-      // Nothing is overdue here.
+      // No call is overdue in this benchmark.
     }
 
     @Override
     public void closeIdleConnections(final long endpoint) {
-      // There are no connections.
+      // The benchmark has no connections.
     }
 
     @Override
     public void subscribeToEndpointList() {
-      // The list stays as it is.
+      // The endpoint list does not change.
     }
 
     @Override
     public void scheduleDecision(final long delayUs) {
-      // The next pass comes anyway.
+      // The benchmark runs the next round in any case.
     }
   }
 
-  private void take() {
-    courier.onMessage(
+  private void acceptMessage() {
+    controller.onMessage(
         nowUs,
         new Message(
             "m" + messages++,
--- a/decisions/src/test/java/thistleturn/decisions/oracle/OracleTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/OracleTest.java
@@ -12,15 +12,16 @@
 import thistleturn.decisions.model.ResourceLimits;
 
 /**
- * {@link Control} decides as the frozen one does, on random days of all kinds of event. A failing
- * seed is the report; {@code -Doracle.days=10000} plays more of them.
+ * The overload controller requests the same actions as the frozen {@link ReferenceController} in
+ * random scenarios of all kinds of event. A failure reports its seed; {@code -Doracle.days=10000}
+ * runs more scenarios.
  */
 @Tag("scale")
 final class OracleTest {
   private static final int SCENARIOS = Integer.getInteger("oracle.days", 400);
   private static final int EVENTS = 400;
 
-  private static DeliveryController exact(
+  private static DeliveryController withExhaustiveRanking(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     return OverloadControllerAccess.withExhaustiveRanking(settings, seed, actions);
   }
@@ -31,34 +32,36 @@
     for (long seed = 1; seed <= SCENARIOS; seed++) {
       try {
         actions +=
-            new RandomScenario(seed, OracleTest::exact, ReferenceController::new).play(EVENTS);
+            new RandomScenario(seed, OracleTest::withExhaustiveRanking, ReferenceController::new)
+                .run(EVENTS);
       } catch (final AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
     }
-    // Days on which nothing is asked for would compare nothing.
+    // Scenarios in which no actions are requested would compare nothing.
     assertTrue(actions > 200L * SCENARIOS, "actions compared: " + actions);
   }
 
-  /** Without reading, all is as it was before there was any. */
+  /** Without the classification of rejections, decisions are as before its introduction. */
   @Test
   void randomScenariosWithoutFaultClassification_giveSameActionsAsReference() {
-    final RandomScenario.ControllerFactory frozen =
+    final RandomScenario.ControllerFactory reference =
         (settings, seed, actions) -> new ReferenceController(settings, seed, actions, false);
     for (long seed = 1; seed <= SCENARIOS / 4; seed++) {
       assertTrue(
-          new RandomScenario(seed, OverloadControllerAccess::withoutFaultClassification, frozen)
-                  .play(EVENTS)
+          new RandomScenario(seed, OverloadControllerAccess::withoutFaultClassification, reference)
+                  .run(EVENTS)
               > 0);
     }
   }
 
   /**
-   * A courier that decides otherwise is caught: here one whose settings allow it one attempt less.
+   * The comparison detects a controller that decides differently: here one whose settings allow one
+   * more call in flight.
    */
   @Test
   void differingController_isDetected() {
-    final RandomScenario.ControllerFactory other =
+    final RandomScenario.ControllerFactory differing =
         (settings, seed, actions) ->
             new ReferenceController(
                 new DeliverySettings(
@@ -85,7 +88,7 @@
         AssertionError.class,
         () -> {
           for (long seed = 1; seed <= SCENARIOS; seed++) {
-            new RandomScenario(seed, OracleTest::exact, other).play(EVENTS);
+            new RandomScenario(seed, OracleTest::withExhaustiveRanking, differing).run(EVENTS);
           }
         });
   }
--- a/decisions/src/test/java/thistleturn/decisions/oracle/RandomScenario.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/RandomScenario.java
@@ -25,9 +25,9 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * A day of events drawn from a seed, played to two couriers in lock-step: whatever one asks for,
- * the other must ask for, in the same order, before the next event. Calls that are asked for are
- * answered later, in any of the ways there are.
+ * A scenario of random events, reproducible from a seed, that runs two delivery controllers in
+ * lockstep: both must request the same actions in the same order before the next event. Requested
+ * calls end later with a random result.
  */
 final class RandomScenario {
   private static final long MS = 1000;
@@ -37,96 +37,100 @@
   private final DeliverySettings settings;
 
   /**
-   * On half of the days refusals without a wait come at random, so that there is noise to be read.
+   * True in half of the scenarios: calls are rejected at random without a Retry-After, so that
+   * there is noise to classify.
    */
   private final boolean noisy;
 
-  private final RecordedActions ours = new RecordedActions();
-  private final RecordedActions oracle = new RecordedActions();
-  private final DeliveryController first;
-  private final DeliveryController second;
+  private final RecordedActions actualActions = new RecordedActions();
+  private final RecordedActions referenceActions = new RecordedActions();
+  private final DeliveryController actual;
+  private final DeliveryController reference;
   private final List<Endpoint> endpoints = new ArrayList<>();
-  private final List<String> open = new ArrayList<>();
-  private final List<Sent> out = new ArrayList<>();
-  private final TreeSet<Long> ourWakes = new TreeSet<>();
-  private final TreeSet<Long> oraclesWakes = new TreeSet<>();
+  private final List<String> pending = new ArrayList<>();
+  private final List<Sent> inFlight = new ArrayList<>();
+  private final TreeSet<Long> actualRoundsUs = new TreeSet<>();
+  private final TreeSet<Long> referenceRoundsUs = new TreeSet<>();
   private long nowUs = 1000 * SECOND;
   private int messages;
   private int actions;
-  private List<String> last = List.of();
-  private boolean woken;
-  private boolean wokenByUs;
+  private List<String> lastActions = List.of();
+  private boolean roundDue;
+  private boolean actualRoundDue;
 
-  /** Makes the couriers that are compared. */
+  /** Creates the controllers to compare. */
   interface ControllerFactory {
-    /** A courier that asks the actions. */
-    DeliveryController make(DeliverySettings settings, long seed, DeliveryActions actions);
+    /** Creates a controller that requests the given actions. */
+    DeliveryController create(DeliverySettings settings, long seed, DeliveryActions actions);
   }
 
   private record Sent(String messageId, long endpoint, long atUs) {}
 
-  /** What one courier asked for since the last look. */
+  /** Records what one controller requested since the last comparison. */
   private static final class RecordedActions implements DeliveryActions {
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> requested = new ArrayList<>();
     private final List<Sent> sent = new ArrayList<>();
     private final List<String> ended = new ArrayList<>();
-    private final List<Long> wakes = new ArrayList<>();
+    private final List<Long> roundDelaysUs = new ArrayList<>();
 
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
-      asked.add("send " + messageId + " to " + endpoint + " for " + timeoutUs);
+      requested.add("send " + messageId + " to " + endpoint + " for " + timeoutUs);
       sent.add(new Sent(messageId, endpoint, 0));
     }
 
     @Override
     public void shed(final String messageId, final long retryAfterUs) {
-      asked.add("refuse " + messageId + " for " + retryAfterUs);
+      requested.add("shed " + messageId + " for " + retryAfterUs);
       ended.add(messageId);
     }
 
     @Override
     public void fail(final String messageId) {
-      asked.add("fail " + messageId);
+      requested.add("fail " + messageId);
       ended.add(messageId);
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
-      asked.add("cancel " + messageId + " attempt " + attempt);
+      requested.add("cancel " + messageId + " attempt " + attempt);
     }
 
     @Override
     public void closeIdleConnections(final long endpoint) {
-      asked.add("close idle " + endpoint);
+      requested.add("close idle " + endpoint);
     }
 
     @Override
     public void subscribeToEndpointList() {
-      asked.add("follow");
+      requested.add("subscribe");
     }
 
     @Override
     public void scheduleDecision(final long delayUs) {
-      // Not compared: the oracle polls what stands still, and is woken later where a ramp gets
-      // steeper.
-      wakes.add(delayUs);
+      // Not compared: the reference controller polls messages that cannot be sent yet, and
+      // schedules
+      // a later round where the recovery ramp gets steeper.
+      roundDelaysUs.add(delayUs);
     }
 
     private void clear() {
-      asked.clear();
+      requested.clear();
       sent.clear();
       ended.clear();
-      wakes.clear();
+      roundDelaysUs.clear();
     }
   }
 
   RandomScenario(
-      final long seed, final ControllerFactory ourMaker, final ControllerFactory oracleMaker) {
+      final long seed,
+      final ControllerFactory actualFactory,
+      final ControllerFactory referenceFactory) {
     this.random = new Random(seed);
     this.settings = settings();
     this.noisy = chance(0.5);
-    this.first = ourMaker.make(settings, seed, ours);
-    this.second = oracleMaker.make(settings, seed, oracle);
+    this.actual = actualFactory.create(settings, seed, actualActions);
+    this.reference = referenceFactory.create(settings, seed, referenceActions);
   }
 
   private boolean chance(final double share) {
@@ -136,7 +140,7 @@
   private DeliverySettings settings() {
     final List<MessageClass> classes = new ArrayList<>();
     for (int index = 0; index < 4; index++) {
-      final long aimUs = (1 + random.nextInt(4)) * SECOND;
+      final long objectiveUs = (1 + random.nextInt(4)) * SECOND;
       classes.add(
           new MessageClass(
               "c" + index,
@@ -145,11 +149,11 @@
               chance(0.3),
               1 + random.nextInt(3),
               random.nextInt(2) * 0.5,
-              aimUs,
-              aimUs + random.nextInt(12) * SECOND,
+              objectiveUs,
+              objectiveUs + random.nextInt(12) * SECOND,
               (1 + random.nextInt(10)) * SECOND));
     }
-    // The oracle is older than what a large fleet does otherwise.
+    // At most 6 couriers: the reference controller predates the behaviour of a large fleet.
     return new DeliverySettings(
         1 + random.nextInt(6),
         "a",
@@ -172,25 +176,27 @@
             random.nextInt(2) * 2L * SECOND));
   }
 
-  /** Plays so many events; the result is how many actions were asked for and were the same. */
-  int play(final int events) {
-    list(EndpointUpdate.COMPLETE_SNAPSHOT);
+  /** Runs that many events; returns how many actions were requested and compared as equal. */
+  int run(final int events) {
+    updateEndpointList(EndpointUpdate.COMPLETE_SNAPSHOT);
     for (int event = 0; event < events; event++) {
       advance();
-      // A pass that only the oracle asked for, and to which nothing has come, finds nothing to do.
-      final boolean poll = woken && !wokenByUs;
-      final int together = woken && chance(0.7) ? 0 : 1 + random.nextInt(6);
-      for (int index = 0; index < together; index++) {
-        event();
+      // A round that only the reference controller scheduled, without new events, requests nothing.
+      final boolean referenceOnly = roundDue && !actualRoundDue;
+      final int eventsAtOnce = roundDue && chance(0.7) ? 0 : 1 + random.nextInt(6);
+      for (int index = 0; index < eventsAtOnce; index++) {
+        applyRandomEvent();
       }
       final int before = actions;
       decide();
-      // But for calling off one more silent call: the oracle does that whenever it polls.
-      if (poll
-          && together == 0
+      // Except for the cancellation of one more overdue call, which the reference controller
+      // requests whenever it polls.
+      if (referenceOnly
+          && eventsAtOnce == 0
           && actions > before
-          && last.stream().noneMatch(one -> one.startsWith("cancel"))) {
-        throw new AssertionError("at " + nowUs + " us: nobody asked to be woken for " + last);
+          && lastActions.stream().noneMatch(one -> one.startsWith("cancel"))) {
+        throw new AssertionError(
+            "at " + nowUs + " us: the actual controller scheduled no round for " + lastActions);
       }
     }
     return actions;
@@ -198,27 +204,29 @@
 
   private void advance() {
     final long nextUs = nowUs + (long) Math.pow(10, 2 + 4 * random.nextDouble());
-    final long oursUs = ourWakes.isEmpty() ? Long.MAX_VALUE : ourWakes.first();
-    final long wakeUs =
-        Math.min(oursUs, oraclesWakes.isEmpty() ? Long.MAX_VALUE : oraclesWakes.first());
-    woken = wakeUs < nextUs;
-    nowUs = woken ? Math.max(nowUs + 1, wakeUs) : nextUs;
-    wokenByUs = oursUs <= nowUs;
-    ourWakes.headSet(nowUs, true).clear();
-    oraclesWakes.headSet(nowUs, true).clear();
+    final long actualRoundUs = actualRoundsUs.isEmpty() ? Long.MAX_VALUE : actualRoundsUs.first();
+    final long roundUs =
+        Math.min(
+            actualRoundUs,
+            referenceRoundsUs.isEmpty() ? Long.MAX_VALUE : referenceRoundsUs.first());
+    roundDue = roundUs < nextUs;
+    nowUs = roundDue ? Math.max(nowUs + 1, roundUs) : nextUs;
+    actualRoundDue = actualRoundUs <= nowUs;
+    actualRoundsUs.headSet(nowUs, true).clear();
+    referenceRoundsUs.headSet(nowUs, true).clear();
   }
 
   private void decide() {
-    first.decide(nowUs);
-    second.decide(nowUs);
+    actual.decide(nowUs);
+    reference.decide(nowUs);
     compare("decide");
   }
 
   private void compare(final String after) {
-    if (!ours.asked.equals(oracle.asked)) {
+    if (!actualActions.requested.equals(referenceActions.requested)) {
       int index = 0;
-      while (index < Math.min(ours.asked.size(), oracle.asked.size())
-          && ours.asked.get(index).equals(oracle.asked.get(index))) {
+      while (index < Math.min(actualActions.requested.size(), referenceActions.requested.size())
+          && actualActions.requested.get(index).equals(referenceActions.requested.get(index))) {
         index++;
       }
       throw new AssertionError(
@@ -228,31 +236,32 @@
               + nowUs
               + " us, action "
               + index
-              + ": asked "
-              + ours.asked.subList(index, ours.asked.size())
-              + ", the oracle "
-              + oracle.asked.subList(index, oracle.asked.size())
+              + ": requested "
+              + actualActions.requested.subList(index, actualActions.requested.size())
+              + ", the reference "
+              + referenceActions.requested.subList(index, referenceActions.requested.size())
               + "; "
               + settings);
     }
-    actions += ours.asked.size();
-    last = List.copyOf(ours.asked);
-    ours.sent.forEach(sent -> out.add(new Sent(sent.messageId(), sent.endpoint(), nowUs)));
-    open.removeAll(ours.ended);
-    ours.wakes.forEach(delayUs -> ourWakes.add(nowUs + delayUs));
-    oracle.wakes.forEach(delayUs -> oraclesWakes.add(nowUs + delayUs));
-    ours.clear();
-    oracle.clear();
+    actions += actualActions.requested.size();
+    lastActions = List.copyOf(actualActions.requested);
+    actualActions.sent.forEach(
+        sent -> inFlight.add(new Sent(sent.messageId(), sent.endpoint(), nowUs)));
+    pending.removeAll(actualActions.ended);
+    actualActions.roundDelaysUs.forEach(delayUs -> actualRoundsUs.add(nowUs + delayUs));
+    referenceActions.roundDelaysUs.forEach(delayUs -> referenceRoundsUs.add(nowUs + delayUs));
+    actualActions.clear();
+    referenceActions.clear();
   }
 
-  private void event() {
+  private void applyRandomEvent() {
     final double kind = random.nextDouble();
     if (kind < 0.45) {
-      message();
+      acceptMessage();
     } else if (kind < 0.9) {
-      outcome();
+      completeAttempt();
     } else if (kind < 0.97) {
-      list(
+      updateEndpointList(
           chance(0.1)
               ? EndpointUpdate.COMPLETE_SNAPSHOT
               : chance(0.1)
@@ -261,19 +270,19 @@
                       ? EndpointUpdate.RESTORED_SNAPSHOT
                       : chance(0.3) ? EndpointUpdate.SUPPLEMENT : EndpointUpdate.CHANGES);
     } else if (kind < 0.995) {
-      expire();
+      abandonMessage();
     } else if (chance(0.1)) {
-      first.onStopping(nowUs, nowUs + 3 * SECOND);
-      second.onStopping(nowUs, nowUs + 3 * SECOND);
+      actual.onStopping(nowUs, nowUs + 3 * SECOND);
+      reference.onStopping(nowUs, nowUs + 3 * SECOND);
     }
   }
 
-  private void message() {
-    if (open.size() >= settings.limits().maxPendingMessages() || endpoints.isEmpty()) {
+  private void acceptMessage() {
+    if (pending.size() >= settings.limits().maxPendingMessages() || endpoints.isEmpty()) {
       return;
     }
     final int index = random.nextInt(settings.classes().size());
-    final MessageClass kind = settings.classes().get(index);
+    final MessageClass messageClass = settings.classes().get(index);
     final long destination = chance(0.5) ? 1 : 1 + random.nextInt(8);
     final Message message =
         new Message(
@@ -281,66 +290,66 @@
             index,
             chance(0.3) ? 0 : -1,
             chance(0.4) ? "k" + random.nextInt(4) : null,
-            nowUs + (long) (random.nextDouble() * kind.deadlineUs()),
+            nowUs + (long) (random.nextDouble() * messageClass.deadlineUs()),
             destination);
-    open.add(message.id());
+    pending.add(message.id());
     if (chance(0.05)) {
-      final PriorAttempts past =
+      final PriorAttempts priorAttempts =
           new PriorAttempts(
               random.nextInt(3),
               chance(0.5),
               nowUs - random.nextInt(5) * SECOND,
               chance(0.5) ? "a" : "b");
-      first.onMessageResumed(nowUs, message, past);
-      second.onMessageResumed(nowUs, message, past);
+      actual.onMessageResumed(nowUs, message, priorAttempts);
+      reference.onMessageResumed(nowUs, message, priorAttempts);
     } else {
-      first.onMessage(nowUs, message);
-      second.onMessage(nowUs, message);
+      actual.onMessage(nowUs, message);
+      reference.onMessage(nowUs, message);
     }
   }
 
-  private void outcome() {
-    if (out.isEmpty()) {
+  private void completeAttempt() {
+    if (inFlight.isEmpty()) {
       return;
     }
-    final Sent sent = out.remove(random.nextInt(out.size()));
-    final boolean well = (sent.endpoint() + nowUs / (20 * SECOND)) % 4 != 0;
+    final Sent sent = inFlight.remove(random.nextInt(inFlight.size()));
+    final boolean endpointServes = (sent.endpoint() + nowUs / (20 * SECOND)) % 4 != 0;
     final AttemptResult result =
         noisy && chance(0.15)
             ? AttemptResult.REFUSED
-            : chance(well ? 0.85 : 0.1)
+            : chance(endpointServes ? 0.85 : 0.1)
                 ? AttemptResult.DELIVERED
                 : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
-    final boolean over =
-        result == AttemptResult.DELIVERED || !open.contains(sent.messageId()) || chance(0.01);
-    if (over) {
-      open.remove(sent.messageId());
+    final boolean isFinal =
+        result == AttemptResult.DELIVERED || !pending.contains(sent.messageId()) || chance(0.01);
+    if (isFinal) {
+      pending.remove(sent.messageId());
     }
     final AttemptOutcome outcome =
         new AttemptOutcome(
             sent.messageId(),
             result,
-            over,
+            isFinal,
             sent.endpoint(),
             nowUs - sent.atUs(),
             result == AttemptResult.REFUSED && chance(noisy ? 0.1 : 0.5)
                 ? random.nextInt(2000) * MS
                 : 0,
             chance(0.05) ? new LoadReport(random.nextDouble(), random.nextInt(20)) : null);
-    first.onOutcome(nowUs, outcome);
-    second.onOutcome(nowUs, outcome);
+    actual.onOutcome(nowUs, outcome);
+    reference.onOutcome(nowUs, outcome);
   }
 
-  private void expire() {
-    if (!open.isEmpty()) {
-      final String id = open.remove(random.nextInt(open.size()));
-      first.onMessageAbandoned(nowUs, id);
-      second.onMessageAbandoned(nowUs, id);
+  private void abandonMessage() {
+    if (!pending.isEmpty()) {
+      final String id = pending.remove(random.nextInt(pending.size()));
+      actual.onMessageAbandoned(nowUs, id);
+      reference.onMessageAbandoned(nowUs, id);
     }
   }
 
-  private void list(final EndpointUpdate update) {
-    final List<Endpoint> told = new ArrayList<>();
+  private void updateEndpointList(final EndpointUpdate update) {
+    final List<Endpoint> entries = new ArrayList<>();
     if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
       if (endpoints.isEmpty() || chance(0.5)) {
         endpoints.clear();
@@ -349,7 +358,7 @@
           endpoints.add(endpoint(1 + random.nextInt(30), EndpointState.LISTED));
         }
       }
-      told.addAll(endpoints);
+      entries.addAll(endpoints);
     } else if (update != EndpointUpdate.UNAVAILABLE) {
       final Endpoint changed =
           endpoint(1 + random.nextInt(30), EndpointState.values()[random.nextInt(3)]);
@@ -357,17 +366,17 @@
       if (changed.state() != EndpointState.GONE) {
         endpoints.add(changed);
       }
-      told.add(changed);
+      entries.add(changed);
     }
-    first.onEndpointList(nowUs, update, told);
-    second.onEndpointList(nowUs, update, told);
+    actual.onEndpointList(nowUs, update, entries);
+    reference.onEndpointList(nowUs, update, entries);
   }
 
-  /** An endpoint's place, kind and destination follow from its number, as they do in service. */
-  private static Endpoint endpoint(final long id, final EndpointState condition) {
+  /** The zone, kind and destination of an endpoint depend only on its id, as in production. */
+  private static Endpoint endpoint(final long id, final EndpointState state) {
     return new Endpoint(
         id,
-        condition,
+        state,
         id % 2 == 0 ? "a" : "b",
         5 + id % 7,
         id % 3 == 0 ? -1 : (int) (id % 2),
--- a/decisions/src/test/java/thistleturn/decisions/oracle/ReferenceController.java
+++ b/decisions/src/test/java/thistleturn/decisions/oracle/ReferenceController.java
@@ -32,147 +32,150 @@
 import thistleturn.decisions.rejections.RetryBudget;
 
 /**
- * The decisions as they were on 2026-12-01, but for changes made on purpose: three that {@code
- * docs/design/scale.md} names (class means are noted once a second where messages are compared; a
- * route's pick keeps its own urgency; rates are added up plainly), and what {@code
- * docs/design/noise.md} names, where it {@code learns}: the oracle for every later {@link
- * thistleturn.decisions.OverloadController} that is to decide the same with less work. It is not
- * changed; when decisions are changed on purpose, that change is made here too and named in the
- * commit.
+ * The decisions as of 2026-12-01, the reference that every later {@link
+ * thistleturn.decisions.OverloadController} must match with less work. It differs from that state
+ * only by intended changes: three that {@code docs/design/scale.md} names (class means are sampled
+ * once a second for comparisons between messages; the message selected for a route keeps its own
+ * urgency; rates are summed without corrections), and those that {@code docs/design/noise.md}
+ * names, which apply if {@code classifiesRejections} is set. It stays frozen: an intended change of
+ * decisions is also made here and named in the commit.
  */
 final class ReferenceController implements DeliveryController {
 
   private static final long SECOND_US = 1_000_000;
 
-  // The window (DESIGN; the paper's section V).
-  /** Floor of a window, calls: a lane must always be able to learn. */
+  // Concurrency window (design documents; section V of the paper).
+  /** Minimum window, calls: a route must always be able to gather observations. */
   private static final double WINDOW_FLOOR = 1;
 
   /**
-   * A new lane's window, calls: one slow answer may not block it; in a large fleet clumps come
-   * first.
+   * Window of a new route, calls: one slow response must not block it. The larger value is for a
+   * large fleet, where the first messages arrive in bursts.
    */
   private static final double WINDOW_START = 2;
 
   private static final double WINDOW_RARE = 4;
 
-  /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
+  /** Shares of the concurrency limit that one route may use, healthy and unhealthy, by design. */
   private static final double HEALTHY_SHARE = 0.75;
 
-  private static final double SICK_SHARE = 0.5;
+  private static final double UNHEALTHY_SHARE = 0.5;
 
-  /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
+  /** An input above this, nearer High than Medium, makes a route unhealthy for a step. */
   private static final double SLOW_INPUT = 0.75;
 
-  /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
+  /** Weight of the average in a step's mean latency, in samples: few responses are unreliable. */
   private static final double LATENCY_PRIOR = 2;
 
-  /** Share of a window that must be used for it to grow: unused room has proved nothing. */
+  /** Share of a window that must be used for it to grow: unused capacity is untested. */
   private static final double USED_SHARE = 0.5;
 
   // Service times.
-  /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
+  /** Least weight of a new sample or step in a slow average, which spans about ten of them. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   /**
-   * Service time of a class before any was seen, as a share of its aim: the aim was set to be met.
+   * Initial service time of a class as a share of its latency objective, which is assumed to be
+   * achievable.
    */
   private static final double UNSEEN_SHARE = 0.25;
 
   /**
-   * Least pace of a lane, times the usual: no answer is so quick that the next must be quicker
-   * still.
+   * Least pace of a route relative to the class mean: a very quick response must not make the
+   * expectation for the next one unrealistic.
    */
   private static final double PACE_LEAST = 0.1;
 
   /**
-   * A call is overdue after so many times what is expected (one in 150, by chance), and so long,
-   * us.
+   * A call is overdue after this multiple of its expected time (by chance, one in 150 is), and
+   * after at least this time, us.
    */
   private static final double OVERDUE_TIMES = 5;
 
   private static final long OVERDUE_LEAST_US = SECOND_US;
 
   /**
-   * A call begun before a stop has so many times what is expected left (chance cuts off one in
-   * seven).
+   * A call before a shutdown must have this multiple of its expected time left (by chance, one in
+   * seven is cut off).
    */
   private static final double STOP_TIMES = 2;
 
-  /** What shares a call has so many times what is expected left, and what a hold-up takes, us. */
+  /**
+   * A message that shares a call must have this multiple of its expected time left, plus this
+   * delay, us.
+   */
   private static final double SHARE_TIMES = 2;
 
-  private static final long HOLD_UP_US = 150_000;
+  private static final long SHARED_CALL_DELAY_US = 150_000;
 
-  /**
-   * A time-out, in times what is expected, and at least so long, us: wide enough for a long tail.
-   */
+  /** A timeout as a multiple of the expected time, and its minimum, us: allows for a long tail. */
   private static final double TIMEOUT_TIMES = 8;
 
   private static final long TIMEOUT_LEAST_US = 2 * SECOND_US;
 
   /**
-   * After a time-out, the next ones are so many times as wide: it may have been slowness, not
-   * silence.
+   * Factor by which the timeouts after a timeout are longer: the endpoint may have been slow rather
+   * than unresponsive.
    */
   private static final double STRETCH = 3;
 
-  // Refusals and outages.
-  /** Least pause of a lane after a refusal, us: limits are counted over spans of about a second. */
+  // Rejections and outages.
+  /** Least backoff of a route after a rejection, us: limits count calls over about a second. */
   private static final long PAUSE_US = SECOND_US / 2;
 
   /**
-   * After refusals, sends go at so many times the rate served and so many a second more: room may
-   * come.
+   * After rejections, the permitted rate is this multiple of the rate served plus this many calls a
+   * second, to detect returning capacity.
    */
   private static final double SPACING = 1.2;
 
   private static final double SPACING_LEAST = 0.5;
 
-  /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
+  /** A Retry-After above this, us, means an outage: rate limits span a second or two. */
   private static final long LIMIT_WAIT_US = 5 * SECOND_US / 2;
 
   /**
-   * Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix.
+   * Weights in the sequence of bad outcomes, where a failure weighs 1: overload rejects calls too,
+   * and errors have various causes.
    */
   private static final double REFUSED_WEIGHT = 0.5;
 
   private static final double ERROR_WEIGHT = 0.4;
 
   /**
-   * A run of this weight without success is an outage; so is this share of failures: most, and
-   * chance.
+   * A sequence of this weight without success is an outage; so is this share of failures, a
+   * majority with a margin for chance.
    */
   private static final double OUT_WEIGHT = 3;
 
   private static final double OUT_SHARE = 0.6;
 
-  /** Weight of a call in that share: about eight calls of memory. */
+  /** Weight of a call in that share, which spans about eight calls. */
   private static final double FAIL_WEIGHT = 0.12;
 
   /**
-   * Messages a second: a limit where none is told (a default); least rate at which a line is
-   * reckoned.
+   * Messages a second: the assumed limit where none is reported; the least rate at which the time
+   * for a queue is computed.
    */
-  private static final double UNTOLD_LIMIT = 1;
+  private static final double ASSUMED_LIMIT = 1;
 
   private static final double LEAST_RATE = 0.25;
 
-  /** What each further message in a call weighs on a cold destination, in calls. A default. */
+  /** Load of each further message in a call on a cold destination, in calls. */
   private static final double FURTHER_WEIGHT = 0.2;
 
   /**
-   * An endpoint that failed is left alone so long, us; after that its failures in a row count as
-   * calls.
+   * Time for which a failed endpoint is excluded, us; after that its consecutive failures count as
+   * calls in flight.
    */
-  private static final long AVOID_US = SECOND_US;
+  private static final long EXCLUSION_US = SECOND_US;
 
-  /** Share by which gaps are drawn longer or shorter, so that couriers do not keep step. */
+  /** Random variation of intervals, as a share, so that couriers do not synchronize. */
   private static final double JITTER = 0.2;
 
-  // Choice.
+  // Endpoint selection.
   /**
-   * What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in
+   * Costs of a handshake and of a call to another zone in the selection of an endpoint, in calls in
    * flight.
    */
   private static final double HANDSHAKE_LOAD = 0.8;
@@ -181,108 +184,103 @@
   private static final double REFUSED_LOAD = 2;
   private static final double SINGLE_SHARE = 0.3;
   private static final double FEW_REFUSED = 0.05;
-  private static final int LEAST_LINE = 3;
-  private static final int LONG_LINE = 10;
-  private static final double REGAIN = 2;
+  private static final int LEAST_QUEUE = 3;
+  private static final int LONG_QUEUE = 10;
+  private static final double RATE_RECOVERY = 2;
 
   /**
-   * Chance that a message put off is served after all, in a short line; half of it in a long one.
+   * Probability that a postponed message is still served, with a short queue; half with a long one.
    */
-  private static final double KEPT = 0.9;
+  private static final double SERVED_LATER = 0.9;
 
-  /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
+  /** Bounds of the horizon for the queue, us: from the next call to the decay of the value. */
   private static final long HORIZON_LEAST_US = SECOND_US;
 
   private static final long HORIZON_MOST_US = 10 * SECOND_US;
 
-  /** A line that stands for less, us, tells no rate; what it told longer ago weighs half. */
+  /** Least age of a queue that yields a rate, us; older observations have half the weight. */
   private static final long BACKLOG_LEAST_US = SECOND_US / 2;
 
   private static final long BACKLOG_MEMORY_US = 4 * SECOND_US;
 
   /**
-   * Share of worth beyond a quota, of which we see a part; messages in a burst that chance may
-   * bring.
+   * Share of the value of messages beyond a quota, of which a courier sees a part; messages in a
+   * burst that may occur by chance.
    */
   private static final double OVER_QUOTA = 0.25;
 
   private static final double QUOTA_BURST = 10;
 
   /**
-   * Share of the store that is kept free by refusing what has least to gain: the door refuses
-   * blindly.
+   * Share of the store that is kept free by shedding the messages of least value, because the
+   * ingress rejects regardless of value.
    */
   private static final double STORE_RESERVE = 0.05;
 
   /**
-   * A message ends so long before its time, us: two rounds; share of a key's window not used:
-   * clocks.
+   * A message ends this long before its deadline, us: two rounds. Share of a key's window that is
+   * not used, for clock differences.
    */
   private static final long END_MARGIN_US = 12_000;
 
   private static final double KEY_MARGIN = 0.05;
 
-  /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
+  /** Growth a second of the trusted idle time of connections: it triples in a minute. */
   private static final double TRUST_GROWTH = 1.02;
 
-  /** Idle for less, us, a connection dies of something else than its idleness. */
+  /** A connection idle for less, us, is lost for other reasons than its idleness. */
   private static final long TRUST_LEAST_US = SECOND_US;
 
   /**
-   * Couriers that each meet all destinations often, and may all keep idle connections. A default.
+   * Number of couriers up to which each calls all destinations often, and all may keep idle
+   * connections.
    */
   private static final int FEW_COURIERS = 6;
 
-  /**
-   * Calls' time within which a connection waits for its next use: a few for each call in flight.
-   */
+  /** Time for which an idle connection is kept for its next use, in expected call times. */
   private static final double REUSE_CALLS = 2;
 
   /**
-   * First and longest back-off of asking for the list again, us: soon, but without burdening it.
+   * First and longest backoff before the next subscription to the endpoint list, us: soon, but
+   * without overloading its source.
    */
-  private static final long ASK_LEAST_US = SECOND_US / 2;
+  private static final long SUBSCRIBE_LEAST_US = SECOND_US / 2;
 
-  private static final long ASK_MOST_US = 3 * SECOND_US;
+  private static final long SUBSCRIBE_MOST_US = 3 * SECOND_US;
 
-  /** How soon a message that an endpoint or a key holds back is looked at again, us. */
+  /** Interval of polls for a message that an endpoint or its key holds back, us. */
   private static final long POLL_US = 20_000;
 
-  /**
-   * A destination or route without an endpoint is forgotten so long after its last use, us. A
-   * default.
-   */
-  private static final long FORGET_US = 60 * SECOND_US;
+  /** A destination or route without an endpoint is removed this long after its last use, us. */
+  private static final long RETENTION_US = 60 * SECOND_US;
 
   private static final long NEVER = Long.MAX_VALUE;
 
   private final DeliverySettings settings;
   private final DeliveryActions actions;
   private final Random random;
-  private final boolean learns;
+  private final boolean classifiesRejections;
   private final Map<Long, Destination> destinations = new LinkedHashMap<>();
 
-  /** Destinations with messages: all that a decision looks at, however long the list is. */
+  /** Destinations with messages: the only ones that a decision considers. */
   private final Map<Long, Destination> busy = new TreeMap<>();
 
   private final Map<Long, Node> nodes = new LinkedHashMap<>();
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Map<String, KeyLine> keys = new LinkedHashMap<>();
+  private final Map<String, KeyQueue> keys = new LinkedHashMap<>();
   private final double[] classMeanUs;
   private final double[] notedMeanUs;
-  private Lane bestLane;
+  private Route bestRoute;
   private final int[] classSamples;
   private final long[] quotaUs;
-  private final TreeSet<Long> wakes = new TreeSet<>();
-  private int callsOut, open;
-  private double trustUs;
+  private final TreeSet<Long> scheduledRoundsUs = new TreeSet<>();
+  private int callsInFlight, open;
+  private double trustedIdleUs;
   private long nowUs, nextStepUs, stopUs = NEVER;
   private boolean subscribed;
-  private long askAgainUs = NEVER, askBackOffUs = ASK_LEAST_US;
+  private long subscribeAgainUs = NEVER, subscribeBackoffUs = SUBSCRIBE_LEAST_US;
 
-  /**
-   * A courier that knows nothing yet but its settings; {@code seed} is its only source of chance.
-   */
+  /** Creates a controller without observations; {@code seed} is its only source of randomness. */
   ReferenceController(
       final DeliverySettings settings, final long seed, final DeliveryActions actions) {
     this(settings, seed, actions, true);
@@ -292,8 +290,8 @@
       final DeliverySettings settings,
       final long seed,
       final DeliveryActions actions,
-      final boolean learns) {
-    this.learns = learns;
+      final boolean classifiesRejections) {
+    this.classifiesRejections = classifiesRejections;
     this.settings = settings;
     this.actions = actions;
     this.random = new Random(seed);
@@ -303,7 +301,7 @@
             .toArray();
     this.notedMeanUs = classMeanUs.clone();
     this.classSamples = new int[classMeanUs.length];
-    this.trustUs = settings.limits().idleTimeoutUs();
+    this.trustedIdleUs = settings.limits().idleTimeoutUs();
     this.quotaUs = new long[settings.tenants().size()];
   }
 
@@ -321,22 +319,23 @@
     job.destination.jobs++;
     busy.put(message.destinationId(), job.destination);
     if (job.kind.orderedByKey() && message.key() != null) {
-      job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
-      job.line.jobs.add(job);
+      job.keyQueue = keys.computeIfAbsent(message.key(), key -> new KeyQueue());
+      job.keyQueue.jobs.add(job);
     }
   }
 
   @Override
-  public void onMessageResumed(final long now, final Message message, final PriorAttempts past) {
+  public void onMessageResumed(
+      final long now, final Message message, final PriorAttempts priorAttempts) {
     onMessage(now, message);
     final Job job = jobs.get(message.id());
-    job.attempts = past.attempts();
-    job.mayHaveRun = past.mayHaveExecuted();
-    if (job.mayHaveRun) {
-      job.firstRunUs = past.firstExecutionUs();
-      job.runZone = past.executionZone();
-      if (job.line != null) {
-        job.line.restUntilUs = nowUs + settings.guarantees().settleDelayUs();
+    job.attempts = priorAttempts.attempts();
+    job.mayHaveExecuted = priorAttempts.mayHaveExecuted();
+    if (job.mayHaveExecuted) {
+      job.firstExecutionUs = priorAttempts.firstExecutionUs();
+      job.executionZone = priorAttempts.executionZone();
+      if (job.keyQueue != null) {
+        job.keyQueue.settledFromUs = nowUs + settings.guarantees().settleDelayUs();
       }
     }
   }
@@ -350,7 +349,7 @@
 
   @Override
   public void onCapacityChanged(final long now, final int slotsNow, final int maxOpenNow) {
-    throw new UnsupportedOperationException("it was decided before couriers were divided");
+    throw new UnsupportedOperationException("the reference controller predates sharding");
   }
 
   @Override
@@ -364,21 +363,21 @@
     final Node node = call.node;
     job.call = null;
     if (!outcome.result().neverExecuted()) {
-      job.mayHaveRun = true;
-      job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
-      job.runZone = node.entry.zone();
-      if (job.line != null && !outcome.result().hasAnswer()) {
-        job.line.restUntilUs = nowUs + settings.guarantees().settleDelayUs();
+      job.mayHaveExecuted = true;
+      job.firstExecutionUs = Math.min(job.firstExecutionUs, call.sentUs);
+      job.executionZone = node.entry.zone();
+      if (job.keyQueue != null && !outcome.result().hasAnswer()) {
+        job.keyQueue.settledFromUs = nowUs + settings.guarantees().settleDelayUs();
       }
     }
     if (--call.messages == 0) {
-      callsOut--;
+      callsInFlight--;
       node.inFlight--;
-      node.lane.calls.remove(call);
+      node.route.calls.remove(call);
       node.lastUseUs = nowUs;
       shareConnections(node, call);
     }
-    judge(node, call, job, outcome);
+    recordOutcome(node, call, job, outcome);
     if (outcome.isFinal() || job.over) {
       end(job);
     } else {
@@ -397,149 +396,158 @@
     nowUs = now;
     nextStepUs = nextStepUs == 0 ? nowUs + SECOND_US : nextStepUs;
     if (nowUs >= nextStepUs) {
-      destinations.values().forEach(d -> d.lanes.forEach(this::step));
+      destinations.values().forEach(d -> d.routes.forEach(this::step));
       for (int kind = 0; kind < notedMeanUs.length; kind++) {
         if (Math.abs(classMeanUs[kind] - notedMeanUs[kind]) > 0.25 * notedMeanUs[kind]) {
           notedMeanUs[kind] = classMeanUs[kind];
         }
       }
-      trustUs = Math.min((double) settings.limits().idleTimeoutUs(), TRUST_GROWTH * trustUs);
-      forget();
-      keys.values().removeIf(line -> line.jobs.isEmpty() && line.restUntilUs <= nowUs);
+      trustedIdleUs =
+          Math.min((double) settings.limits().idleTimeoutUs(), TRUST_GROWTH * trustedIdleUs);
+      removeUnused();
+      keys.values()
+          .removeIf(keyQueue -> keyQueue.jobs.isEmpty() && keyQueue.settledFromUs <= nowUs);
       nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
     }
-    keepList();
-    watch();
+    subscribeIfDue();
+    checkHealthAndDeadlines();
     dispatch();
     reclaimSlot();
-    makeRoom();
-    sleep();
+    shedLeastValuable();
+    scheduleNextRound();
   }
 
   // ---------------------------------------------------------------- dispatch
 
-  /** Sends, best first, until no slot is free or no message may go. */
+  /** Sends messages, best first, until the concurrency limit is reached or none may be sent. */
   private void dispatch() {
-    while (callsOut < settings.limits().concurrencyLimit()) {
+    while (callsInFlight < settings.limits().concurrencyLimit()) {
       final Job best = best(true);
       if (best == null) {
         return;
       }
-      send(best, bestLane);
+      send(best, bestRoute);
     }
   }
 
   /**
-   * Of the messages that windows and guards let go (with trials or without), the most urgent, or
-   * null.
+   * Returns the most urgent message that windows and waits allow to send (with or without trials),
+   * or null.
    */
   private Job best(final boolean trials) {
     Job best = null;
     double bestUrgency = 0;
     for (final Destination destination : busy.values()) {
-      for (final Lane lane : destination.lanes) {
-        final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.WELL);
-        final Job job = open ? pick(destination, lane, null) : null;
+      for (final Route route : destination.routes) {
+        final boolean open = openAtUs(route) <= nowUs && (trials || route.phase == Phase.WELL);
+        final Job job = open ? pick(destination, route, null) : null;
         if (job != null && (best == null || job.urgency > bestUrgency)) {
           best = job;
           bestUrgency = job.urgency;
-          bestLane = lane;
+          bestRoute = route;
         }
       }
     }
     return best;
   }
 
-  /** When a lane's waits and guards let a call go; never, while its window is full. */
-  private long openAtUs(final Lane lane) {
-    final long stray =
-        learns
-            ? lane.calls.stream()
+  /** Returns when the waits of a route permit a call; never while its window is full. */
+  private long openAtUs(final Route route) {
+    final long overtakenCalls =
+        classifiesRejections
+            ? route.calls.stream()
                 .filter(call -> nowUs >= call.overdueUs() && call.node.lastServedUs >= call.sentUs)
                 .count()
             : 0;
-    if (lane.calls.size() - stray >= cap(lane) || lane.calls.size() >= most(lane)) {
+    if (route.calls.size() - overtakenCalls >= cap(route) || route.calls.size() >= most(route)) {
       return NEVER;
     }
-    final boolean exact = settings.weightMeaning() == WeightMeaning.NOMINAL && lane.told > 0;
-    final double rate = exact ? Math.min(lane.told, lane.spacing) : lane.spacing;
+    final boolean exact =
+        settings.weightMeaning() == WeightMeaning.NOMINAL && route.reportedLimit > 0;
+    final double rate = exact ? Math.min(route.reportedLimit, route.spacing) : route.spacing;
     final long guardUs =
-        switch (lane.phase) {
-          case WELL -> lane.lastSendUs + (long) (SECOND_US / rate);
-          case OUT -> lane.calls.isEmpty() ? lane.nextTrialUs : NEVER;
+        switch (route.phase) {
+          case WELL -> route.lastSendUs + (long) (SECOND_US / rate);
+          case OUT -> route.calls.isEmpty() ? route.nextTrialUs : NEVER;
           case RAMP ->
-              lane.lastSendUs
+              route.lastSendUs
                   + (long)
-                      (lane.rampSpanUs * lane.lastWeight / tippingShare(nowUs - lane.rampFromUs));
+                      (route.rampSpanUs
+                          * route.lastWeight
+                          / tippingShare(nowUs - route.rampFromUs));
         };
     final long pausedUntilUs =
-        lane.mayProbe && destinations.get(lane.destination).waiting.size() >= LEAST_LINE
-            ? Math.min(lane.pauseUntilUs, lane.reading.nextProbeUs())
-            : lane.pauseUntilUs;
-    return Math.max(guardUs, Math.max(lane.waitUntilUs, pausedUntilUs));
+        route.mayProbe && destinations.get(route.destination).waiting.size() >= LEAST_QUEUE
+            ? Math.min(route.pauseUntilUs, route.classifier.nextProbeUs())
+            : route.pauseUntilUs;
+    return Math.max(guardUs, Math.max(route.waitUntilUs, pausedUntilUs));
   }
 
-  /** Calls that a lane may have in flight now: its window, within its share of the slots. */
-  private int cap(final Lane lane) {
-    return (int) Math.max(1, Math.min(Math.floor(lane.window), most(lane)));
+  /** Calls that a route may have in flight now: its window, within its share of the limit. */
+  private int cap(final Route route) {
+    return (int) Math.max(1, Math.min(Math.floor(route.window), most(route)));
   }
 
-  private int most(final Lane lane) {
-    final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
+  private int most(final Route route) {
+    final double share = route.phase == Phase.WELL && !route.slow ? HEALTHY_SHARE : UNHEALTHY_SHARE;
     return (int) Math.max(1, Math.floor(share * settings.limits().concurrencyLimit()));
   }
 
   /**
-   * The most urgent message for a lane (a node, if given); trials risk first what is lost anyway.
+   * Returns the most urgent message for a route (for a node, if given); trials prefer messages for
+   * which a failure costs least.
    */
-  private Job pick(final Destination destination, final Lane lane, final Node node) {
+  private Job pick(final Destination destination, final Route route, final Node node) {
     Job best = null;
     int bestRisk = 0;
     double bestUrgency = 0;
-    final long lineUs = destination.lineUs();
+    final long queueUs = destination.queueUs();
     for (final Job job : destination.waiting) {
-      if (!mayGo(lane, node, job)) {
+      if (!mayGo(route, node, job)) {
         continue;
       }
-      final double urgency = urgency(lane, job, lineUs);
+      final double urgency = urgency(route, job, queueUs);
       final int risk =
-          lane.phase != Phase.OUT || job.mayHaveRun ? 0 : 1 + job.kind.idempotence().ordinal();
+          route.phase != Phase.OUT || job.mayHaveExecuted
+              ? 0
+              : 1 + job.kind.idempotence().ordinal();
       if (best == null || risk < bestRisk || (risk == bestRisk && urgency > bestUrgency)) {
         best = job;
         bestRisk = risk;
         bestUrgency = urgency;
-        // With the store over half full some will not be served: slots go where they serve most.
+        // With the store over half full some messages will expire: prefer those that take least
+        // time.
         job.urgency =
-            urgency / (2 * open > settings.limits().maxPendingMessages() ? notedUs(lane, job) : 1);
+            urgency / (2 * open > settings.limits().maxPendingMessages() ? notedUs(route, job) : 1);
       }
     }
     if (best == null) {
       return null;
     }
-    final Job first = firstInTurn(destination, lane, node, best);
+    final Job first = firstToExpire(destination, route, node, best);
     first.urgency = best.urgency;
     return first;
   }
 
   /**
-   * Of late messages worth as much as the most urgent one, the first whose time is up and that may
-   * share a call, where all that waits is served before half of the most urgent one's time is over.
+   * If the most urgent message is late and the queue is served within half of its remaining time,
+   * returns the message of equal value that expires first and may share a call.
    */
-  private Job firstInTurn(
-      final Destination destination, final Lane lane, final Node node, final Job urgent) {
-    final boolean late = urgent.aimUs <= nowUs + (long) notedUs(lane, urgent);
+  private Job firstToExpire(
+      final Destination destination, final Route route, final Node node, final Job urgent) {
+    final boolean late = urgent.objectiveUs <= nowUs + (long) notedUs(route, urgent);
     final double drainUs =
-        destination.backlog.drainUs(destination.waiting.size(), notedUs(lane, urgent));
-    if (!late || lane.phase != Phase.WELL || 2 * drainUs > urgent.keyEndUs() - nowUs) {
+        destination.backlog.drainUs(destination.waiting.size(), notedUs(route, urgent));
+    if (!late || route.phase != Phase.WELL || 2 * drainUs > urgent.keyEndUs() - nowUs) {
       return urgent;
     }
     Job first = urgent;
     for (final Job job : destination.waiting) {
-      if (worthAsMuch(job, urgent)
+      if (hasEqualValue(job, urgent)
           && job.keyEndUs() == job.message.validUntilUs()
-          && mayGo(lane, node, job)
+          && mayGo(route, node, job)
           && job.message.validUntilUs()
-              >= nowUs + (long) (HOLD_UP_US + SHARE_TIMES * expectedUs(lane, job))
+              >= nowUs + (long) (SHARED_CALL_DELAY_US + SHARE_TIMES * expectedUs(route, job))
           && endsBefore(destination, job, first)) {
         first = job;
       }
@@ -555,7 +563,7 @@
             && destination.waiting.indexOf(job) < destination.waiting.indexOf(other));
   }
 
-  private static boolean worthAsMuch(final Job job, final Job other) {
+  private static boolean hasEqualValue(final Job job, final Job other) {
     return job.overQuota == other.overQuota
         && job.kind.priorityWeight() == other.kind.priorityWeight()
         && job.kind.lateWeight() == other.kind.lateWeight()
@@ -563,33 +571,33 @@
         && job.kind.deadlineUs() == other.kind.deadlineUs();
   }
 
-  private boolean mayGo(final Lane lane, final Node node, final Job job) {
-    return inTurn(job)
-        && endsInTime(lane, job)
-        && (node != null || choose(lane, job, null) != null)
+  private boolean mayGo(final Route route, final Node node, final Job job) {
+    return isFirstOfKey(job)
+        && endsInTime(route, job)
+        && (node != null || choose(route, job, null) != null)
         && (node == null
             || (zoneAllows(job, node) && job.kind.idempotence() != Idempotence.NON_IDEMPOTENT));
   }
 
-  /** What a message loses by waiting for as long as its destination's line takes. */
-  private double urgency(final Lane lane, final Job job, final long lineUs) {
-    final long horizonUs = (long) clamp((double) lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
-    final long doneUs = nowUs + (long) notedUs(lane, job);
-    final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
-    return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
+  /** Returns the value that a message loses by waiting for its destination's queue. */
+  private double urgency(final Route route, final Job job, final long queueUs) {
+    final long horizonUs = (long) clamp((double) queueUs, HORIZON_LEAST_US, HORIZON_MOST_US);
+    final long doneUs = nowUs + (long) notedUs(route, job);
+    final double servedLater = SERVED_LATER / (1 + (double) horizonUs / HORIZON_MOST_US);
+    return value(job, doneUs) - servedLater * value(job, doneUs + horizonUs);
   }
 
   /**
-   * The worth of a message delivered at a given time; a key's window ends it like the deadline
-   * does.
+   * Returns the value of a message delivered at a given time; the end of a key's window ends it
+   * like the deadline.
    */
-  private double worth(final Job job, final long atUs) {
+  private double value(final Job job, final long atUs) {
     final MessageClass kind = job.kind;
     if (atUs >= job.keyEndUs()) {
       return 0;
     }
     final double full = kind.priorityWeight() * (job.overQuota ? OVER_QUOTA : 1);
-    final long lateUs = Math.max(0, atUs - job.aimUs);
+    final long lateUs = Math.max(0, atUs - job.objectiveUs);
     return full
         * (settings.valueDecay() == ValueDecay.HALVING
             ? Math.max(
@@ -601,15 +609,15 @@
                     / Math.max(1, kind.deadlineUs() - kind.latencyObjectiveUs()));
   }
 
-  /** The best endpoint of a lane for a message now, or null. */
-  private Node choose(final Lane lane, final Job job, final Node refusedBy) {
+  /** Returns the best endpoint of a route for a message now, or null. */
+  private Node choose(final Route route, final Job job, final Node refusedBy) {
     Node best = null;
     double bestLoad = 0;
     final int kind = job.message.classIndex();
-    for (final Node node : lane.nodes) {
-      if (node.condition != EndpointState.LISTED
+    for (final Node node : route.nodes) {
+      if (node.state != EndpointState.LISTED
           || !zoneAllows(job, node)
-          || (lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind])) {
+          || (route.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind])) {
         continue;
       }
       final boolean handshake =
@@ -618,14 +626,14 @@
                   && nowUs - node.lastUseUs >= settings.limits().idleTimeoutUs());
       final boolean cross = !node.entry.zone().equals(settings.zone());
       final double load =
-          lane.phase == Phase.OUT
+          route.phase == Phase.OUT
               ? node.lastSendUs
               : node.inFlight
                   + node.badRun[kind]
                   + (handshake ? HANDSHAKE_LOAD : 0)
                   + (cross ? CROSS_LOAD : 0)
                   + (node == refusedBy ? REFUSED_LOAD : 0)
-                  + (learns ? node.cells[kind].consecutiveRejections() : 0);
+                  + (classifiesRejections ? node.statistics[kind].consecutiveRejections() : 0);
       if (best == null || load < bestLoad) {
         best = node;
         bestLoad = load;
@@ -634,84 +642,89 @@
     return best;
   }
 
-  /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
+  /** Returns false if this endpoint would not recognize the repeat of an executed attempt. */
   private static boolean zoneAllows(final Job job, final Node node) {
-    return !job.mayHaveRun || !job.kind.keyScopedToZone() || node.entry.zone().equals(job.runZone);
+    return !job.mayHaveExecuted
+        || !job.kind.keyScopedToZone()
+        || node.entry.zone().equals(job.executionZone);
   }
 
   /**
-   * Rule on order: the first of its key goes, and only after the rest that an open attempt asks
-   * for.
+   * Ordering rule: the first message of its key may be sent, and only after the settle delay of an
+   * unanswered attempt.
    */
-  private boolean inTurn(final Job job) {
-    return job.line == null
-        || (job.line.jobs.get(0) == job && (job.mayHaveRun || job.line.restUntilUs <= nowUs));
+  private boolean isFirstOfKey(final Job job) {
+    return job.keyQueue == null
+        || (job.keyQueue.jobs.get(0) == job
+            && (job.mayHaveExecuted || job.keyQueue.settledFromUs <= nowUs));
   }
 
   /**
-   * False for a call that the end of this process would likely cut off: the next one may send it.
+   * Returns false for a call that the shutdown of this process would likely cut off: the next
+   * process may send it.
    */
-  private boolean endsInTime(final Lane lane, final Job job) {
+  private boolean endsInTime(final Route route, final Job job) {
     return stopUs == NEVER
         || nowUs
                 + (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT
                         ? OVERDUE_TIMES
                         : STOP_TIMES)
-                    * notedUs(lane, job)
+                    * notedUs(route, job)
             < stopUs;
   }
 
-  /** Sends a message and, where calls are shared, those that wait with it. */
-  private void send(final Job first, final Lane lane) {
-    final Node node = choose(lane, first, first.refusedBy);
+  /** Sends a message and, where calls carry several, other waiting messages with it. */
+  private void send(final Job first, final Route route) {
+    final Node node = choose(route, first, first.refusedBy);
     final Call call = new Call();
     call.node = node;
     call.sentUs = nowUs;
-    call.probe = lane.pauseUntilUs > nowUs;
-    lane.mayProbe &= !call.probe;
-    callsOut++;
-    lane.calls.add(call);
-    lane.peak = Math.max(lane.peak, lane.calls.size());
+    call.probe = route.pauseUntilUs > nowUs;
+    route.mayProbe &= !call.probe;
+    callsInFlight++;
+    route.calls.add(call);
+    route.peak = Math.max(route.peak, route.calls.size());
     if (node.inFlight++ == 0) {
       checkIdle(call, node, first);
     }
     final int streams = settings.limits().streamsPerConnection();
     call.reused = node.connections * streams >= node.inFlight;
     node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
-    node.lastSendUs = lane.lastSendUs = nowUs;
-    if (lane.phase == Phase.OUT) {
-      lane.nextTrialUs = trialUs(lane);
+    node.lastSendUs = route.lastSendUs = nowUs;
+    if (route.phase == Phase.OUT) {
+      route.nextTrialUs = trialUs(route);
     }
     Job job = first;
     final boolean alone =
-        lane.phase == Phase.OUT
+        route.phase == Phase.OUT
             || first.kind.idempotence() == Idempotence.NON_IDEMPOTENT
-            || endsSoon(lane, first);
+            || endsSoon(route, first);
     while (job != null) {
       call.messages++;
-      call.expectedUs = Math.max(call.expectedUs, (long) expectedUs(lane, job));
+      call.expectedUs = Math.max(call.expectedUs, (long) expectedUs(route, job));
       job.call = call;
       job.attempts++;
       job.destination.waiting.remove(job);
       job.destination.backlog.endIfEmpty(job.destination);
-      actions.send(job.message.id(), node.entry.id(), timeoutUs(lane, node, job));
-      final boolean full = alone || call.messages >= lane.kind.messagesPerCall();
-      job = full ? null : pick(job.destination, lane, node);
-      job = job == null || endsSoon(lane, job) ? null : job;
+      actions.send(job.message.id(), node.entry.id(), timeoutUs(route, node, job));
+      final boolean full = alone || call.messages >= route.kind.messagesPerCall();
+      job = full ? null : pick(job.destination, route, node);
+      job = job == null || endsSoon(route, job) ? null : job;
     }
     call.size = call.messages;
-    lane.lastWeight = 1 + FURTHER_WEIGHT * (call.size - 1);
+    route.lastWeight = 1 + FURTHER_WEIGHT * (call.size - 1);
   }
 
   /**
-   * An idle connection may be dead without a sign, wherever it died: when a call over one fails
-   * where all was well, none idle half as long is used for a while (a quarter, for unsafe ones).
-   * Costs handshakes.
+   * Avoids idle connections that may be closed without notice: after a call on one fails without
+   * other faults, connections that were idle for half that time (a quarter, for non-idempotent
+   * messages) are not used for a while. This costs handshakes.
    */
   private void checkIdle(final Call call, final Node node, final Job job) {
     final long idleUs = nowUs - node.lastUseUs;
     if (node.connections > 0
-        && idleUs >= trustUs / (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT ? 2 : 1)) {
+        && idleUs
+            >= trustedIdleUs / (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT ? 2 : 1)) {
       node.connections = 0;
       actions.closeIdleConnections(node.entry.id());
     } else if (node.connections > 0) {
@@ -720,79 +733,81 @@
   }
 
   /**
-   * An idle connection takes the place of another courier's: where they are many, it is closed
-   * unless its next use is near. Guards against refused connections at well endpoints; costs a
-   * handshake a call.
+   * In a large fleet, closes an idle connection unless its next use is near, because it occupies a
+   * connection that another courier may need. Prevents refused connections at healthy endpoints;
+   * costs a handshake for each call.
    */
   private void shareConnections(final Node node, final Call call) {
-    final double usesInReach = node.lane.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
-    if (settings.courierCount() > FEW_COURIERS && usesInReach < node.lane.nodes.size()) {
+    final double usesInReach = node.route.callRate * REUSE_CALLS * call.expectedUs / SECOND_US;
+    if (settings.courierCount() > FEW_COURIERS && usesInReach < node.route.nodes.size()) {
       node.connections = 0;
       actions.closeIdleConnections(node.entry.id());
     }
   }
 
-  // ---------------------------------------------------------------- the fuzzy step
+  // ---------------------------------------------------------------- fuzzy window control
 
-  /** Moves a lane's window by Table I. */
-  private void step(final Lane lane) {
-    final double bad = lane.bad + overdue(lane);
-    final double read = lane.served + lane.errors + bad;
-    if (lane.phase == Phase.WELL) {
-      final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps);
-      lane.rate += weight * (lane.delivered - lane.rate);
-      lane.callRate += weight * (lane.served - lane.callRate);
+  /** Adjusts the window of a route by Table I. */
+  private void step(final Route route) {
+    final double bad = route.bad + overdue(route);
+    final double read = route.served + route.errors + bad;
+    if (route.phase == Phase.WELL) {
+      final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++route.steps);
+      route.rate += weight * (route.delivered - route.rate);
+      route.callRate += weight * (route.served - route.callRate);
     }
     if (read > 0) {
       double latency = 0;
-      if (lane.delivered > 0) {
-        final double mean = lane.ratioSum / lane.delivered;
-        final double trust = lane.delivered / (lane.delivered + LATENCY_PRIOR);
-        latency = clamp(trust * (mean / lane.slowRatio - 1), 0, 1);
-        lane.slowRatio += SAMPLE_WEIGHT * trust * (mean - lane.slowRatio);
+      if (route.delivered > 0) {
+        final double mean = route.ratioSum / route.delivered;
+        final double trust = route.delivered / (route.delivered + LATENCY_PRIOR);
+        latency = clamp(trust * (mean / route.slowRatio - 1), 0, 1);
+        route.slowRatio += SAMPLE_WEIGHT * trust * (mean - route.slowRatio);
       }
       double refusal = bad / read;
-      if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
-        refusal = Math.max(refusal, 1 - lane.allowance.remainingShare());
+      if (route.allowance != null && route.allowance.callsPerSecond() > 0) {
+        refusal = Math.max(refusal, 1 - route.allowance.remainingShare());
       }
-      final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
-      if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
-        lane.window =
+      final double change =
+          Math.max(bad == 0 ? 0 : -1, windowChange(latency, clamp(refusal, 0, 1)));
+      if (change < 0 || route.peak >= USED_SHARE * Math.floor(route.window)) {
+        route.window =
             clamp(
-                lane.window * (1 + change),
+                route.window * (1 + change),
                 WINDOW_FLOOR,
                 Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().concurrencyLimit())));
       }
-      lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
-    }
-    final double refusing = SPACING_LEAST + SPACING * Math.max(lane.served, lane.callRate);
-    final boolean heeded =
-        lane.refused > (learns ? FEW_REFUSED * read : 0)
-            && lane.reading.cause(nowUs) != RejectionClassifier.Cause.NOISE;
-    final boolean regains =
-        learns
-            && lane.refused == 0
-            && nowUs >= lane.freeFromUs
-            && destinations.get(lane.destination).waiting.size() >= LONG_LINE;
-    lane.spacing = heeded ? refusing : (regains ? REGAIN : SPACING) * lane.spacing;
-    lane.peak = lane.calls.size();
-    lane.ratioSum = lane.refused = lane.delivered = 0;
-    lane.served = lane.bad = lane.errors = 0;
-    lane.allowance = null;
+      route.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
+    }
+    final double refusing = SPACING_LEAST + SPACING * Math.max(route.served, route.callRate);
+    final boolean limitsRate =
+        route.refused > (classifiesRejections ? FEW_REFUSED * read : 0)
+            && route.classifier.cause(nowUs) != RejectionClassifier.Cause.NOISE;
+    final boolean raisesRate =
+        classifiesRejections
+            && route.refused == 0
+            && nowUs >= route.freeFromUs
+            && destinations.get(route.destination).waiting.size() >= LONG_QUEUE;
+    route.spacing = limitsRate ? refusing : (raisesRate ? RATE_RECOVERY : SPACING) * route.spacing;
+    route.peak = route.calls.size();
+    route.ratioSum = route.refused = route.delivered = 0;
+    route.served = route.bad = route.errors = 0;
+    route.allowance = null;
   }
 
   /**
-   * Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs.
+   * Table I: rows by latency, columns by rejections, each Low, Medium, High; indexes of the
+   * outputs.
    */
   private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
 
   private static final int[][] TABLE_ONE = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
 
   /**
-   * The paper's Mamdani controller: triangles, min for AND, max for an output's rules, central
-   * average.
+   * The Mamdani controller of the paper: triangular membership functions, minimum for AND, maximum
+   * over the rules of an output, and the weighted average of the outputs' centres.
    */
-  static double tableOne(final double latency, final double refusal) {
+  static double windowChange(final double latency, final double refusal) {
     final double[] union = new double[OUTPUTS.length];
     for (int row = 0; row < TABLE_ONE.length; row++) {
       for (int column = 0; column < TABLE_ONE.length; column++) {
@@ -814,83 +829,87 @@
     return Math.max(0, 1 - Math.abs(2 * input - set));
   }
 
-  // ---------------------------------------------------------------- health and return from outage
+  // ---------------------------------------------------------------- health and recovery
 
   /**
-   * Reads one outcome: service times, the step's inputs, waits, health of endpoint and lane. What
-   * is counted in calls gets a message's part of its call: five messages turned away together are
-   * one refusal.
+   * Records one outcome: service times, the inputs of the step, waits, health of endpoint and
+   * route. Counts of calls get a message's part of its call: five messages rejected together are
+   * one rejection.
    */
-  private void judge(
+  private void recordOutcome(
       final Node node, final Call call, final Job job, final AttemptOutcome outcome) {
-    final Lane lane = node.lane;
+    final Route route = node.route;
     if (outcome.loadReport() != null) {
-      lane.allowance = outcome.loadReport();
-      lane.told = lane.allowance.callsPerSecond();
+      route.allowance = outcome.loadReport();
+      route.reportedLimit = route.allowance.callsPerSecond();
     }
     final int kind = job.message.classIndex();
     final double part = 1.0 / call.size;
-    final boolean first = lane.troubleFromUs == NEVER;
-    lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-    // A wait may stand in any answer, also one that delivers some of a call's messages.
-    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.retryAfterUs());
+    final boolean first = route.failingSinceUs == NEVER;
+    route.failingSinceUs = Math.min(route.failingSinceUs, nowUs);
+    // Any response may contain a wait, also one that delivers some messages of a call.
+    route.waitUntilUs = Math.max(route.waitUntilUs, nowUs + outcome.retryAfterUs());
     switch (outcome.result()) {
       case DELIVERED -> {
-        final double ratio = learn(lane, job, outcome.durationUs());
-        lane.delivered++;
-        lane.served += part;
-        destinations.get(lane.destination).backlog.served();
+        final double ratio = learn(route, job, outcome.durationUs());
+        route.delivered++;
+        route.served += part;
+        destinations.get(route.destination).backlog.served();
         node.lastServedUs = nowUs;
         node.badRun[kind] = 0;
         node.avoidUntilUs[kind] = 0;
-        node.cells[kind].recordServed(outcome.durationUs());
-        if (learns) {
-          readServed(lane, call, part, ratio);
+        node.statistics[kind].recordServed(outcome.durationUs());
+        if (classifiesRejections) {
+          recordServedCall(route, call, part, ratio);
         }
-        lane.badRun = 0;
-        lane.stretch = Math.max(1, lane.stretch - STRETCH * SAMPLE_WEIGHT);
-        lane.failShare -= part * FAIL_WEIGHT * lane.failShare;
-        if (lane.phase == Phase.OUT) {
-          lane.phase = Phase.RAMP;
-          lane.rampFromUs = nowUs;
-          lane.rampSpanUs = patienceUs(lane, nowUs);
-          lane.failShare = 0;
+        route.badRun = 0;
+        route.stretch = Math.max(1, route.stretch - STRETCH * SAMPLE_WEIGHT);
+        route.failShare -= part * FAIL_WEIGHT * route.failShare;
+        if (route.phase == Phase.OUT) {
+          route.phase = Phase.RAMP;
+          route.rampFromUs = nowUs;
+          route.rampSpanUs = backoffUs(route, nowUs);
+          route.failShare = 0;
         }
-        lane.troubleFromUs = NEVER;
+        route.failingSinceUs = NEVER;
       }
       case REFUSED -> {
-        if (learns && outcome.retryAfterUs() == 0 && isStray(lane, node, job, call)) {
-          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+        if (classifiesRejections
+            && outcome.retryAfterUs() == 0
+            && isIsolatedRejection(route, node, job, call)) {
+          route.failingSinceUs = first ? NEVER : route.failingSinceUs;
           return;
         }
-        lane.bad += part;
-        lane.refused++;
-        final long fromUs = Math.max(nowUs, lane.waitUntilUs);
-        final long gapUs = patienceUs(lane, fromUs);
-        final boolean told = outcome.retryAfterUs() > 0;
-        lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
-        final boolean same = learns && call.sentUs < lane.refusedUs;
-        lane.refusedUs = same ? lane.refusedUs : nowUs;
-        suspect(
-            lane,
+        route.bad += part;
+        route.refused++;
+        final long fromUs = Math.max(nowUs, route.waitUntilUs);
+        final long gapUs = backoffUs(route, fromUs);
+        final boolean hasRetryAfter = outcome.retryAfterUs() > 0;
+        route.pauseUntilUs =
+            fromUs + (hasRetryAfter ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
+        final boolean same = classifiesRejections && call.sentUs < route.refusedUs;
+        route.refusedUs = same ? route.refusedUs : nowUs;
+        addBadOutcome(
+            route,
             outcome.retryAfterUs() > LIMIT_WAIT_US ? OUT_WEIGHT : same ? 0 : part * REFUSED_WEIGHT);
       }
       case ERROR -> {
-        lane.errors += part;
-        lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-        suspect(lane, part * ERROR_WEIGHT);
+        route.errors += part;
+        route.failShare += part * FAIL_WEIGHT * (1 - route.failShare);
+        addBadOutcome(route, part * ERROR_WEIGHT);
       }
       case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED, STALE -> {
-        final boolean told = outcome.result() == AttemptResult.STALE;
+        final boolean isStale = outcome.result() == AttemptResult.STALE;
         call.stale |=
-            told
+            isStale
                 || (outcome.result() == AttemptResult.RESET
                     && call.reused
                     && node.badRun[kind] == 0);
         if (call.stale) {
-          // A kept connection was dead: that says nothing of its endpoint, but of others like it.
-          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
-          node.badRun[kind] += told ? 0 : part;
+          // An idle connection was closed: no sign of a fault of its endpoint, but of its other
+          // idle ones.
+          route.failingSinceUs = first ? NEVER : route.failingSinceUs;
+          node.badRun[kind] += isStale ? 0 : part;
           node.connections = 0;
           actions.closeIdleConnections(node.entry.id());
           return;
@@ -898,134 +917,139 @@
         final boolean among =
             node.lastServedUs >= call.sentUs
                 || (outcome.result() != AttemptResult.TIMED_OUT
-                    && lane.badRun == 0
+                    && route.badRun == 0
                     && node.lastServedUs > 0);
-        if (learns
+        if (classifiesRejections
             && among
-            && lane.phase == Phase.WELL
+            && route.phase == Phase.WELL
             && node.badRun[kind] == 0
-            && lane.failShare < SINGLE_SHARE) {
-          lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+            && route.failShare < SINGLE_SHARE) {
+          route.failingSinceUs = first ? NEVER : route.failingSinceUs;
           node.badRun[kind] += part;
           node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
-          lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-          suspect(lane, part);
+          route.failShare += part * FAIL_WEIGHT * (1 - route.failShare);
+          addBadOutcome(route, part);
           return;
         }
-        lane.bad += part;
+        route.bad += part;
         if (outcome.result() == AttemptResult.TIMED_OUT
             || outcome.result() == AttemptResult.CANCELLED) {
-          lane.stretch = STRETCH;
+          route.stretch = STRETCH;
         }
         if (first
             && call.idleUs >= TRUST_LEAST_US
-            && !call.calledOff
+            && !call.cancelled
             && outcome.result() != AttemptResult.NO_CONNECTION) {
           final long halfUs = call.idleUs / 2;
-          trustUs = Math.max(TRUST_LEAST_US, Math.min(trustUs, (double) halfUs));
+          trustedIdleUs = Math.max(TRUST_LEAST_US, Math.min(trustedIdleUs, (double) halfUs));
         }
         node.badRun[kind] += part;
         if (node.lastServedUs < call.sentUs) {
-          Arrays.fill(node.avoidUntilUs, nowUs + jitter(AVOID_US));
+          Arrays.fill(node.avoidUntilUs, nowUs + jitter(EXCLUSION_US));
         }
-        node.avoidUntilUs[kind] = nowUs + jitter(AVOID_US);
+        node.avoidUntilUs[kind] = nowUs + jitter(EXCLUSION_US);
         node.connections -= call.messages == 0 ? Math.min(1, node.connections) : 0;
         if (outcome.result() != AttemptResult.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
-          lane.failShare += part * FAIL_WEIGHT * (1 - lane.failShare);
-          if (lane.failShare > SINGLE_SHARE) {
-            lane.growth.stop();
+          route.failShare += part * FAIL_WEIGHT * (1 - route.failShare);
+          if (route.failShare > SINGLE_SHARE) {
+            route.growth.stop();
           }
-          suspect(lane, part);
+          addBadOutcome(route, part);
         }
       }
-      case NOT_SENT -> lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+      case NOT_SENT -> route.failingSinceUs = first ? NEVER : route.failingSinceUs;
     }
   }
 
-  private void readServed(final Lane lane, final Call call, final double part, final double ratio) {
-    if (lane.growth.recordServed(ratio)
-        && lane.phase == Phase.WELL
-        && !destinations.get(lane.destination).waiting.isEmpty()
-        && lane.calls.size() + 1 >= Math.floor(lane.window)) {
-      lane.window =
+  private void recordServedCall(
+      final Route route, final Call call, final double part, final double ratio) {
+    if (route.growth.recordServed(ratio)
+        && route.phase == Phase.WELL
+        && !destinations.get(route.destination).waiting.isEmpty()
+        && route.calls.size() + 1 >= Math.floor(route.window)) {
+      route.window =
           Math.min(
-              lane.window + part,
+              route.window + part,
               Math.max(1, Math.floor(HEALTHY_SHARE * settings.limits().concurrencyLimit())));
     }
     if (call.messages > 0) {
       return;
     }
-    lane.servedCalls++;
-    lane.firstCalls += lane.steps == 0 && lane.phase == Phase.WELL ? 1 : 0;
-    lane.reading.recordServed(call.sentUs, nowUs);
-    lane.budget.recordServed();
+    route.servedCalls++;
+    route.firstCalls += route.steps == 0 && route.phase == Phase.WELL ? 1 : 0;
+    route.classifier.recordServed(call.sentUs, nowUs);
+    route.budget.recordServed();
     if (call.probe) {
-      lane.reading.recordProbe(true, nowUs);
-      lane.pauseUntilUs = nowUs;
+      route.classifier.recordProbe(true, nowUs);
+      route.pauseUntilUs = nowUs;
     }
-    if (lane.reading.hasJustSettledOnNoise()) {
-      lane.windowBefore = lane.window;
-      lane.spacingBefore = lane.spacing;
-      lane.pauseUntilUs = nowUs;
-      lane.spacing = nowUs < lane.freeFromUs ? lane.spacing : Double.POSITIVE_INFINITY;
-      lane.growth.restart();
+    if (route.classifier.hasJustSettledOnNoise()) {
+      route.windowBefore = route.window;
+      route.spacingBefore = route.spacing;
+      route.pauseUntilUs = nowUs;
+      route.spacing = nowUs < route.freeFromUs ? route.spacing : Double.POSITIVE_INFINITY;
+      route.growth.restart();
     }
   }
 
-  private boolean isStray(final Lane lane, final Node node, final Job job, final Call call) {
+  private boolean isIsolatedRejection(
+      final Route route, final Node node, final Job job, final Call call) {
     job.refusedBy = node;
-    if (!call.refused && lane.phase == Phase.WELL) {
+    if (!call.refused && route.phase == Phase.WELL) {
       call.refused = true;
-      call.stray = reads(lane, node, job.message.classIndex(), call);
+      call.isolated = classifyRejection(route, node, job.message.classIndex(), call);
     }
-    return call.stray;
+    return call.isolated;
   }
 
-  private boolean reads(final Lane lane, final Node node, final int kind, final Call call) {
-    final long restUs = node.cells[kind].recordRejected(lane.servedCalls, ++lane.refusedCalls);
+  private boolean classifyRejection(
+      final Route route, final Node node, final int kind, final Call call) {
+    final long restUs =
+        node.statistics[kind].recordRejected(route.servedCalls, ++route.refusedCalls);
     if (restUs > 0) {
       node.avoidUntilUs[kind] = nowUs + jitter(restUs);
       return true;
     }
-    lane.reading.recordRejected(call.sentUs, nowUs);
-    if (lane.reading.cause(nowUs) == RejectionClassifier.Cause.NOISE) {
-      if (lane.budget.tryAcquire()) {
+    route.classifier.recordRejected(call.sentUs, nowUs);
+    if (route.classifier.cause(nowUs) == RejectionClassifier.Cause.NOISE) {
+      if (route.budget.tryAcquire()) {
         return true;
       }
-      lane.reading.onRetryBudgetExhausted(nowUs);
-      lane.window = Math.min(lane.window, lane.windowBefore);
-      lane.spacing = Math.min(lane.spacing, lane.spacingBefore);
+      route.classifier.onRetryBudgetExhausted(nowUs);
+      route.window = Math.min(route.window, route.windowBefore);
+      route.spacing = Math.min(route.spacing, route.spacingBefore);
     }
-    if (lane.growth.recordRejected()) {
-      lane.window = Math.max(Math.min(lane.window, WINDOW_START), lane.window / 2);
+    if (route.growth.recordRejected()) {
+      route.window = Math.max(Math.min(route.window, WINDOW_START), route.window / 2);
     }
     if (call.probe) {
-      lane.reading.recordProbe(false, nowUs);
+      route.classifier.recordProbe(false, nowUs);
     }
-    lane.mayProbe = true;
+    route.mayProbe = true;
     return false;
   }
 
   /**
-   * Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage.
+   * Adds to the sequence of bad outcomes of a route; a long one, or a high share of failures, is an
+   * outage.
    */
-  private void suspect(final Lane lane, final double weight) {
-    lane.badRun += weight;
-    final boolean out = lane.badRun + overdue(lane) >= OUT_WEIGHT || lane.failShare > OUT_SHARE;
-    if (out && lane.phase != Phase.OUT) {
-      lane.phase = Phase.OUT;
-      lane.window = WINDOW_FLOOR;
-      lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-      lane.nextTrialUs = trialUs(lane);
+  private void addBadOutcome(final Route route, final double weight) {
+    route.badRun += weight;
+    final boolean out = route.badRun + overdue(route) >= OUT_WEIGHT || route.failShare > OUT_SHARE;
+    if (out && route.phase != Phase.OUT) {
+      route.phase = Phase.OUT;
+      route.window = WINDOW_FLOOR;
+      route.failingSinceUs = Math.min(route.failingSinceUs, nowUs);
+      route.nextTrialUs = trialUs(route);
     }
   }
 
-  /** Attempts out far longer than expected with no success on their endpoint since: silence. */
-  private int overdue(final Lane lane) {
+  /** Counts overdue calls whose endpoint has served none since: it is unresponsive. */
+  private int overdue(final Route route) {
     int count = 0;
-    for (final Call call : lane.calls) {
+    for (final Call call : route.calls) {
       if (nowUs >= call.overdueUs() && call.node.lastServedUs < call.sentUs) {
-        Arrays.fill(call.node.avoidUntilUs, nowUs + AVOID_US);
+        Arrays.fill(call.node.avoidUntilUs, nowUs + EXCLUSION_US);
         count++;
       }
     }
@@ -1033,22 +1057,22 @@
   }
 
   /**
-   * Silence may not eat the slots: while all are taken and a message could go elsewhere, the call
-   * longest overdue is called off. Covers hung, stalled and very slow ones; hurts where one would
-   * have answered.
+   * Frees capacity from unresponsive endpoints: at the concurrency limit, while a message could be
+   * sent elsewhere, the call that is overdue longest is cancelled. Covers hung, stalled and very
+   * slow endpoints, at the cost of calls that would still have been answered.
    */
   private void reclaimSlot() {
-    if (callsOut < settings.limits().concurrencyLimit()
+    if (callsInFlight < settings.limits().concurrencyLimit()
         || !settings.limits().cancellationAllowed()) {
       return;
     }
     final Job worst =
         jobs.values().stream()
-            .filter(job -> job.call != null && !job.call.calledOff && nowUs >= job.call.overdueUs())
+            .filter(job -> job.call != null && !job.call.cancelled && nowUs >= job.call.overdueUs())
             .min(Comparator.comparingLong(job -> job.call.sentUs))
             .orElse(null);
     if (worst != null && best(false) != null) {
-      worst.call.calledOff = true;
+      worst.call.cancelled = true;
       jobs.values().stream()
           .filter(job -> job.call == worst.call)
           .forEach(job -> actions.cancel(job.message.id(), job.attempts - 1));
@@ -1056,28 +1080,30 @@
   }
 
   /**
-   * A lane in trouble looks again after as long as its trouble has lasted, but no longer than its
-   * messages (or this courier's even part of the limit) are apart. So all couriers, however many,
-   * come no more often than messages do; it hurts a message whose wait outlasts the trouble.
+   * Returns the backoff of a failing route: the duration of the fault so far, but at most the
+   * interval between its messages (or between calls at this courier's even part of the limit). So
+   * all couriers, however many, call no more often than messages arrive; the cost is a message
+   * whose wait outlasts the fault.
    */
-  private long patienceUs(final Lane lane, final long atUs) {
-    return (long) Math.min((double) Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
+  private long backoffUs(final Route route, final long atUs) {
+    return (long)
+        Math.min((double) Math.max(PAUSE_US, atUs - route.failingSinceUs), callIntervalUs(route));
   }
 
-  /** How far apart this courier's calls to a lane are, or calls at its even part of the limit. */
-  private double apartUs(final Lane lane) {
-    final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
-    return SECOND_US / Math.max(lane.callRate, limit / settings.courierCount());
+  /** Interval between this courier's calls to a route, or of calls at its part of the limit. */
+  private double callIntervalUs(final Route route) {
+    final double limit = route.reportedLimit > 0 ? route.reportedLimit : ASSUMED_LIMIT;
+    return SECOND_US / Math.max(route.callRate, limit / settings.courierCount());
   }
 
   /**
-   * When a lane that is out is tried again: at any moment as likely as the share that tips a cold
-   * one, over the outage's age. So the trials of all couriers stay near that share of the messages,
-   * however many.
+   * Returns the time of the next trial of a route in an outage. The probability at any moment is
+   * the share that overloads a cold destination, divided by the age of the outage. So the trials of
+   * all couriers, however many, stay near that share of the messages.
    */
-  private long trialUs(final Lane lane) {
-    final long fromUs = Math.max(nowUs, lane.waitUntilUs);
-    final double ageUs = Math.max(PAUSE_US, fromUs - lane.troubleFromUs);
+  private long trialUs(final Route route) {
+    final long fromUs = Math.max(nowUs, route.waitUntilUs);
+    final double ageUs = Math.max(PAUSE_US, fromUs - route.failingSinceUs);
     final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / tippingShare(0)) - 1);
     return fromUs
         + (long)
@@ -1087,10 +1113,11 @@
                     jitter(
                         (long)
                             Math.max(
-                                learns ? SECOND_US / 10.0 : 0, apartUs(lane) / tippingShare(0))));
+                                classifiesRejections ? SECOND_US / 10.0 : 0,
+                                callIntervalUs(route) / tippingShare(0))));
   }
 
-  /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
+  /** Load that overloads a destination warmed up for that time, as a share of full capacity. */
   private double tippingShare(final long warmingUs) {
     final double coldFrom = settings.guarantees().coldCapacityShare();
     final double warm = (double) warmingUs / Math.max(1, settings.guarantees().warmUpUs());
@@ -1098,28 +1125,29 @@
         * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
   }
 
-  private double learn(final Lane lane, final Job job, final long durationUs) {
+  private double learn(final Route route, final Job job, final long durationUs) {
     final int kind = job.message.classIndex();
     final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
-    lane.ratioSum += ratio;
+    route.ratioSum += ratio;
     final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
     classMeanUs[kind] +=
-        weight * (durationUs / Math.max(PACE_LEAST, lane.pace) - classMeanUs[kind]);
-    lane.pace += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.paceSamples)) * (ratio - lane.pace);
+        weight * (durationUs / Math.max(PACE_LEAST, route.pace) - classMeanUs[kind]);
+    route.pace += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++route.paceSamples)) * (ratio - route.pace);
     return ratio;
   }
 
-  private double notedUs(final Lane lane, final Job job) {
-    return notedMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, lane.pace);
+  private double notedUs(final Route route, final Job job) {
+    return notedMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, route.pace);
   }
 
-  private double expectedUs(final Lane lane, final Job job) {
-    return classMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, lane.pace);
+  private double expectedUs(final Route route, final Job job) {
+    return classMeanUs[job.message.classIndex()] * Math.max(PACE_LEAST, route.pace);
   }
 
-  /** Its end would likely be the end of a call that it shares, for all messages in it. */
-  private boolean endsSoon(final Lane lane, final Job job) {
-    return job.message.validUntilUs() - nowUs < HOLD_UP_US + SHARE_TIMES * expectedUs(lane, job);
+  /** Returns true if its deadline would likely cut off a call that it shares with others. */
+  private boolean endsSoon(final Route route, final Job job) {
+    return job.message.validUntilUs() - nowUs
+        < SHARED_CALL_DELAY_US + SHARE_TIMES * expectedUs(route, job);
   }
 
   private long jitter(final long us) {
@@ -1130,21 +1158,21 @@
     return Math.max(least, Math.min(most, value));
   }
 
-  // ---------------------------------------------------------------- deadlines and further attempts
+  // ---------------------------------------------------------------- deadlines and retries
 
-  /** How long an attempt may take. */
-  private long timeoutUs(final Lane lane, final Node node, final Job job) {
-    final double expectedUs = expectedUs(lane, job);
+  /** Returns the timeout of an attempt. */
+  private long timeoutUs(final Route route, final Node node, final Job job) {
+    final double expectedUs = expectedUs(route, job);
     final long leftUs = job.message.validUntilUs() - nowUs;
-    long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * lane.stretch * expectedUs);
+    long timeoutUs = (long) Math.max(TIMEOUT_LEAST_US, TIMEOUT_TIMES * route.stretch * expectedUs);
     if (job.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
       return leftUs;
     }
     timeoutUs =
-        learns
-            ? node.cells[job.message.classIndex()].timeoutUs(timeoutUs, lane.stretch)
+        classifiesRejections
+            ? node.statistics[job.message.classIndex()].timeoutUs(timeoutUs, route.stretch)
             : timeoutUs;
-    if (job.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.mayHaveRun) {
+    if (job.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.mayHaveExecuted) {
       final long againUs =
           (long) ((1 - KEY_MARGIN) * job.kind.idempotencyWindowUs()) - OVERDUE_LEAST_US / 2;
       timeoutUs = Math.min(timeoutUs, Math.max(OVERDUE_LEAST_US, againUs));
@@ -1153,58 +1181,58 @@
   }
 
   /**
-   * Looks for silence and ramps that are over; ends what may not be sent again, or has no time
-   * left.
+   * Detects unresponsive endpoints and completed ramps; ends messages that must not be sent again
+   * or have no time left.
    */
-  private void watch() {
+  private void checkHealthAndDeadlines() {
     for (final Destination destination : List.copyOf(busy.values())) {
-      for (final Lane lane : destination.lanes) {
-        suspect(lane, 0);
-        if (lane.phase == Phase.RAMP
-            && nowUs - lane.rampFromUs > settings.guarantees().warmUpUs()) {
-          lane.phase = Phase.WELL;
-          if (learns) {
-            lane.freeFromUs = nowUs + settings.guarantees().warmUpUs();
-            lane.reading.reset();
-            lane.spacing =
+      for (final Route route : destination.routes) {
+        addBadOutcome(route, 0);
+        if (route.phase == Phase.RAMP
+            && nowUs - route.rampFromUs > settings.guarantees().warmUpUs()) {
+          route.phase = Phase.WELL;
+          if (classifiesRejections) {
+            route.freeFromUs = nowUs + settings.guarantees().warmUpUs();
+            route.classifier.reset();
+            route.spacing =
                 SPACING
                     * Math.max(
-                        Math.max(1, lane.served),
-                        Math.max(lane.callRate, lane.steps == 0 ? lane.firstCalls : 0));
-            lane.growth.restart();
+                        Math.max(1, route.served),
+                        Math.max(route.callRate, route.steps == 0 ? route.firstCalls : 0));
+            route.growth.restart();
           }
         }
       }
       for (final Job job : List.copyOf(destination.waiting)) {
         if (nowUs >= endUs(job) || !maySend(job)) {
-          // Given up: come again when the line that stands there now has gone, and no sooner.
-          finish(job, Math.max(PAUSE_US, destination.lineUs()));
+          // Clients are to retry once the present queue is served, and no sooner.
+          finish(job, Math.max(PAUSE_US, destination.queueUs()));
         }
       }
     }
   }
 
-  /** When a message that waits is ended: its time or its key's window is up. */
+  /** Returns when a waiting message is ended: at its deadline or the end of its key's window. */
   private long endUs(final Job job) {
     return Math.min(job.message.validUntilUs() - END_MARGIN_US, job.keyEndUs());
   }
 
-  /** Rule on effects, and the most attempts. */
+  /** Rule on repeated effects, and the maximum of attempts. */
   private boolean maySend(final Job job) {
     final Idempotence effect = job.kind.idempotence();
     return job.attempts < settings.limits().maxAttempts()
-        && (!job.mayHaveRun
+        && (!job.mayHaveExecuted
             || effect == Idempotence.IDEMPOTENT
             || (effect == Idempotence.IDEMPOTENT_BY_KEY && nowUs < job.keyEndUs()));
   }
 
   private static boolean mayRefuse(final Job job) {
-    return !job.mayHaveRun
+    return !job.mayHaveExecuted
         || job.kind.idempotence() == Idempotence.IDEMPOTENT
         || (job.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY && !job.kind.keyScopedToZone());
   }
 
-  /** Gives the final answer: a refusal where that is harmless, or a failure. */
+  /** Ends a message: shed where that is safe, otherwise failed. */
   private void finish(final Job job, final long retryAfterUs) {
     if (mayRefuse(job)) {
       actions.shed(job.message.id(), Math.min(retryAfterUs, settings.limits().maxRetryAfterUs()));
@@ -1220,8 +1248,8 @@
     job.destination.waiting.remove(job);
     job.destination.backlog.endIfEmpty(job.destination);
     if (job.call == null) {
-      if (job.line != null) {
-        job.line.jobs.remove(job);
+      if (job.keyQueue != null) {
+        job.keyQueue.jobs.remove(job);
       }
       jobs.remove(job.message.id());
       if (--job.destination.jobs == 0) {
@@ -1231,9 +1259,9 @@
   }
 
   /**
-   * Refuses what has least to gain before the store is full: nothing is turned away at the door.
+   * Sheds the messages of least value before the store is full, so that the ingress rejects none.
    */
-  private void makeRoom() {
+  private void shedLeastValuable() {
     final int reserve = (int) Math.max(1, STORE_RESERVE * settings.limits().maxPendingMessages());
     while (open > settings.limits().maxPendingMessages() - reserve) {
       final Job least =
@@ -1243,8 +1271,9 @@
               .min(
                   Comparator.comparingDouble(
                       job ->
-                          worth(
-                              job, Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1))))
+                          value(
+                              job,
+                              Math.min(nowUs + job.destination.queueUs(), job.keyEndUs() - 1))))
               .orElse(null);
       if (least == null) {
         return;
@@ -1265,28 +1294,28 @@
   }
 
   /**
-   * Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a
-   * step.
+   * Schedules the next decision round for when something can change by time alone: a wait, a
+   * deadline, an overdue call, a step.
    */
-  private void sleep() {
-    long next = Math.min(nextStepUs, askAgainUs);
+  private void scheduleNextRound() {
+    long next = Math.min(nextStepUs, subscribeAgainUs);
     for (final Destination destination : busy.values()) {
-      for (final Lane lane : destination.lanes) {
-        for (final Call call : lane.calls) {
+      for (final Route route : destination.routes) {
+        for (final Call call : route.calls) {
           next = Math.min(next, call.overdueUs() > nowUs ? call.overdueUs() : NEVER);
         }
         if (!destination.waiting.isEmpty()) {
-          next = Math.min(next, Math.max(openAtUs(lane), nowUs + POLL_US));
+          next = Math.min(next, Math.max(openAtUs(route), nowUs + POLL_US));
         }
       }
       for (final Job job : destination.waiting) {
         next = Math.min(next, endUs(job));
       }
     }
-    wakes.headSet(nowUs + 1).clear();
-    if (wakes.isEmpty() || wakes.first() > next) {
-      wakes.add(Math.max(nowUs + 1, next));
-      actions.scheduleDecision(wakes.first() - nowUs);
+    scheduledRoundsUs.headSet(nowUs + 1).clear();
+    if (scheduledRoundsUs.isEmpty() || scheduledRoundsUs.first() > next) {
+      scheduledRoundsUs.add(Math.max(nowUs + 1, next));
+      actions.scheduleDecision(scheduledRoundsUs.first() - nowUs);
     }
   }
 
@@ -1298,79 +1327,82 @@
     nowUs = now;
     if (update == EndpointUpdate.UNAVAILABLE) {
       subscribed = false;
-      askAgainUs = nowUs + jitter(askBackOffUs);
-      askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
+      subscribeAgainUs = nowUs + jitter(subscribeBackoffUs);
+      subscribeBackoffUs = Math.min(2 * subscribeBackoffUs, SUBSCRIBE_MOST_US);
       return;
     }
     if (update != EndpointUpdate.SUPPLEMENT) {
-      askAgainUs = NEVER;
-      askBackOffUs = ASK_LEAST_US;
+      subscribeAgainUs = NEVER;
+      subscribeBackoffUs = SUBSCRIBE_LEAST_US;
     }
     if (update == EndpointUpdate.COMPLETE_SNAPSHOT || update == EndpointUpdate.RESTORED_SNAPSHOT) {
-      nodes.values().forEach(node -> node.condition = EndpointState.GONE);
+      nodes.values().forEach(node -> node.state = EndpointState.GONE);
     }
     for (final Endpoint entry : entries) {
       Node node = nodes.get(entry.id());
       if (node == null) {
-        node = new Node(entry, lane(entry), classMeanUs.length);
-        node.lane.nodes.add(node);
-        // A new endpoint has no part in an outage of those before it: it may be tried at once.
-        node.lane.nextTrialUs = Math.min(node.lane.nextTrialUs, nowUs);
+        node = new Node(entry, route(entry), classMeanUs.length);
+        node.route.nodes.add(node);
+        // An outage of the earlier endpoints does not concern a new one: it may be tried at once.
+        node.route.nextTrialUs = Math.min(node.route.nextTrialUs, nowUs);
         nodes.put(entry.id(), node);
       }
-      node.condition = entry.state();
-      node.lane.told =
-          settings.weightMeaning() == WeightMeaning.NONE ? node.lane.told : entry.weight();
-    }
-    // A route apart is not forgotten soon: listed again, it still has its wait and its outage.
+      node.state = entry.state();
+      node.route.reportedLimit =
+          settings.weightMeaning() == WeightMeaning.NONE
+              ? node.route.reportedLimit
+              : entry.weight();
+    }
+    // A separate route is kept for a while: if it is listed again, its wait and outage still
+    // apply.
     nodes
         .values()
         .removeIf(
             node ->
-                node.condition == EndpointState.GONE
+                node.state == EndpointState.GONE
                     && node.inFlight == 0
-                    && !node.lane.kind.separateRoutes()
-                    && node.lane.nodes.remove(node));
+                    && !node.route.kind.separateRoutes()
+                    && node.route.nodes.remove(node));
   }
 
-  /** Endpoints and destinations come and go for good: what has long been of no use is not kept. */
-  private void forget() {
-    final long beforeUs = nowUs - FORGET_US;
+  /** Removes endpoints and destinations that have not been used for long. */
+  private void removeUnused() {
+    final long beforeUs = nowUs - RETENTION_US;
     nodes
         .values()
         .removeIf(
             node ->
-                node.condition == EndpointState.GONE
+                node.state == EndpointState.GONE
                     && node.inFlight == 0
-                    && node.lane.lastSendUs < beforeUs
-                    && node.lane.nodes.remove(node));
+                    && node.route.lastSendUs < beforeUs
+                    && node.route.nodes.remove(node));
     destinations
         .values()
         .removeIf(
             destination -> {
               if (destination.jobs == 0) {
-                destination.lanes.removeIf(
-                    lane -> lane.nodes.isEmpty() && lane.lastSendUs < beforeUs);
+                destination.routes.removeIf(
+                    route -> route.nodes.isEmpty() && route.lastSendUs < beforeUs);
               }
-              return destination.jobs == 0 && destination.lanes.isEmpty();
+              return destination.jobs == 0 && destination.routes.isEmpty();
             });
   }
 
-  private Lane lane(final Endpoint entry) {
+  private Route route(final Endpoint entry) {
     final Destination destination = destination(entry.destinationId());
     final DestinationKind kind =
         entry.kindIndex() < 0
             ? new DestinationKind("", false, 1)
             : settings.kinds().get(entry.kindIndex());
-    if (kind.separateRoutes() || destination.lanes.isEmpty()) {
+    if (kind.separateRoutes() || destination.routes.isEmpty()) {
       final boolean few = settings.courierCount() <= FEW_COURIERS;
-      destination.lanes.add(
-          new Lane(kind, entry.destinationId(), few ? WINDOW_START : WINDOW_RARE));
+      destination.routes.add(
+          new Route(kind, entry.destinationId(), few ? WINDOW_START : WINDOW_RARE));
     }
-    return destination.lanes.get(destination.lanes.size() - 1);
+    return destination.routes.get(destination.routes.size() - 1);
   }
 
-  /** How many destinations are kept in mind. */
+  /** Returns the number of known destinations. */
   int destinationsKnown() {
     return destinations.size();
   }
@@ -1379,13 +1411,13 @@
     return destinations.computeIfAbsent(id, unused -> new Destination());
   }
 
-  /** Where the list must be asked for: once at the start, and again after a loss. */
-  private void keepList() {
+  /** Subscribes to the endpoint list, at the start and again after a loss. */
+  private void subscribeIfDue() {
     if (settings.subscribesToEndpointList()
-        && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
+        && (subscribeAgainUs == NEVER ? !subscribed : nowUs >= subscribeAgainUs)) {
       subscribed = true;
-      askAgainUs =
-          nowUs + Math.min(ASK_MOST_US, settings.guarantees().subscriptionDeadlineUs() / 2);
+      subscribeAgainUs =
+          nowUs + Math.min(SUBSCRIBE_MOST_US, settings.guarantees().subscriptionDeadlineUs() / 2);
       actions.subscribeToEndpointList();
     }
   }
@@ -1398,13 +1430,13 @@
     RAMP
   }
 
-  /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
+  /** A destination: its waiting messages and its routes (one, unless they are separate). */
   private final class Destination {
     private final List<Job> waiting = new ArrayList<>();
     private final Backlog backlog = new Backlog();
-    private final List<Lane> lanes = new ArrayList<>();
+    private final List<Route> routes = new ArrayList<>();
 
-    /** Its messages, waiting or out. */
+    /** Number of its messages, waiting or in flight. */
     private int jobs;
 
     private void enqueue(final Job job) {
@@ -1414,18 +1446,18 @@
       waiting.add(job);
     }
 
-    /** How long its line takes at the rate that it was served, us. */
-    private long lineUs() {
+    /** Time to serve the queue at the recent rate, us. */
+    private long queueUs() {
       double sum = 0;
-      for (final Lane lane : lanes) {
-        sum += lane.rate;
+      for (final Route route : routes) {
+        sum += route.rate;
       }
       final double rate = Math.max(LEAST_RATE, sum);
       return (long) (waiting.size() / rate * SECOND_US);
     }
   }
 
-  /** What is served of a line while it stands, and how long the rest takes at that rate. */
+  /** Messages served from a nonempty queue, and the time for the rest at that rate. */
   private final class Backlog {
     private long sinceUs = NEVER;
     private double served;
@@ -1457,11 +1489,11 @@
     }
   }
 
-  /** The unit of the window: a destination, or a route of it. */
-  private static final class Lane {
+  /** The unit of a concurrency window: a destination, or one of its separate routes. */
+  private static final class Route {
     private final DestinationKind kind;
     private final long destination;
-    private final RejectionClassifier reading = new RejectionClassifier();
+    private final RejectionClassifier classifier = new RejectionClassifier();
     private final RetryBudget budget = new RetryBudget();
     private final InitialWindowGrowth growth = new InitialWindowGrowth();
     private long servedCalls, refusedCalls;
@@ -1473,7 +1505,7 @@
     private final List<Call> calls = new ArrayList<>();
     private double window;
 
-    /** This step's counts and sum of latency ratios. */
+    /** Counts of this step. */
     private int peak, refused, delivered;
 
     /** Of these, in calls. */
@@ -1482,30 +1514,28 @@
     private double ratioSum;
     private LoadReport allowance;
 
-    /**
-     * Slow averages: steps seen, messages and calls served a second, step means, pace by other
-     * lanes.
-     */
+    /** Inputs of the slow averages: steps and samples seen. */
     private int steps, paceSamples;
 
+    /** Messages and calls served a second, latency, and pace relative to other routes. */
     private double rate, callRate, slowRatio = 1, pace = 1, stretch = 1;
 
-    /** What the last call weighs on a cold destination. */
+    /** Load of the last call on a cold destination, in calls. */
     private double lastWeight = 1;
 
-    /** The limit told (0: none), and the sends allowed now, a second. */
-    private double told, spacing = Double.POSITIVE_INFINITY;
+    /** The reported limit (0: none), and the rate permitted now, calls a second. */
+    private double reportedLimit, spacing = Double.POSITIVE_INFINITY;
 
     private boolean slow;
     private Phase phase = Phase.WELL;
     private double badRun, failShare, rampSpanUs;
 
-    /** Since when nothing was served there; never, while all is well. */
-    private long troubleFromUs = NEVER;
+    /** Since when no call has been served after a fault; never while there is none. */
+    private long failingSinceUs = NEVER;
 
     private long waitUntilUs, pauseUntilUs, nextTrialUs, rampFromUs, lastSendUs;
 
-    private Lane(final DestinationKind kind, final long destination, final double window) {
+    private Route(final DestinationKind kind, final long destination, final double window) {
       this.kind = kind;
       this.destination = destination;
       this.window = window;
@@ -1515,24 +1545,24 @@
   /** An endpoint. */
   private static final class Node {
     private final Endpoint entry;
-    private final Lane lane;
-    private EndpointState condition;
+    private final Route route;
+    private EndpointState state;
     private int inFlight, connections;
 
-    /** Failures in a row of each class, and until when that class goes elsewhere. */
+    /** Consecutive failures of each class, and until when the class avoids this endpoint. */
     private final double[] badRun;
 
     private final long[] avoidUntilUs;
-    private final EndpointClassStatistics[] cells;
+    private final EndpointClassStatistics[] statistics;
     private long lastUseUs, lastSendUs, lastServedUs;
 
-    private Node(final Endpoint entry, final Lane lane, final int classes) {
+    private Node(final Endpoint entry, final Route route, final int classes) {
       this.badRun = new double[classes];
       this.avoidUntilUs = new long[classes];
-      this.cells = new EndpointClassStatistics[classes];
-      Arrays.setAll(cells, kind -> new EndpointClassStatistics());
+      this.statistics = new EndpointClassStatistics[classes];
+      Arrays.setAll(statistics, kind -> new EndpointClassStatistics());
       this.entry = entry;
-      this.lane = lane;
+      this.route = route;
     }
   }
 
@@ -1540,63 +1570,60 @@
   private static final class Call {
     private Node node;
 
-    /** Messages sent with it, and those without an outcome yet. */
+    /** Number of its messages, and of those without an outcome yet. */
     private int size, messages;
 
     private long sentUs, expectedUs, idleUs;
 
-    /**
-     * It went over a connection that was kept, as far as is known here; and that alone made it
-     * fail.
-     */
+    /** Whether it used an idle connection, as far as known, and failed because that was closed. */
     private boolean reused, stale;
 
-    private boolean calledOff, probe, refused, stray;
+    private boolean cancelled, probe, refused, isolated;
 
     private long overdueUs() {
       return sentUs + Math.max(OVERDUE_LEAST_US, (long) (OVERDUE_TIMES * expectedUs));
     }
   }
 
-  /** A message that is owed an answer, or still has an attempt out. */
+  /** A message without a final outcome, or with an attempt still in flight. */
   private static final class Job {
     private final Message message;
     private final MessageClass kind;
-    private final long aimUs;
+    private final long objectiveUs;
     private Destination destination;
-    private KeyLine line;
+    private KeyQueue keyQueue;
     private Call call;
     private Node refusedBy;
 
-    /** How urgently it may go, when last looked at. */
+    /** Its urgency when it was last evaluated. */
     private double urgency;
 
     private int attempts;
-    private boolean overQuota, mayHaveRun, over;
-    private long firstRunUs = NEVER;
-    private String runZone = "";
+    private boolean overQuota, mayHaveExecuted, over;
+    private long firstExecutionUs = NEVER;
+    private String executionZone = "";
 
     private Job(final Message message, final MessageClass kind) {
       this.message = message;
       this.kind = kind;
-      this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.latencyObjectiveUs();
+      this.objectiveUs = message.validUntilUs() - kind.deadlineUs() + kind.latencyObjectiveUs();
     }
 
     /**
-     * Until when it may be sent: a key that may be in use ends a message like its own deadline
-     * does.
+     * Until when it may be sent: after a possible execution, the end of the key's window ends it
+     * like its deadline.
      */
     private long keyEndUs() {
       final long windowUs = (long) ((1 - KEY_MARGIN) * kind.idempotencyWindowUs());
-      return !mayHaveRun || kind.idempotence() != Idempotence.IDEMPOTENT_BY_KEY
+      return !mayHaveExecuted || kind.idempotence() != Idempotence.IDEMPOTENT_BY_KEY
           ? message.validUntilUs()
-          : Math.min(message.validUntilUs(), firstRunUs + windowUs);
+          : Math.min(message.validUntilUs(), firstExecutionUs + windowUs);
     }
   }
 
-  /** The messages of one key, in the order taken. */
-  private static final class KeyLine {
+  /** The messages of one key, in the order of acceptance. */
+  private static final class KeyQueue {
     private final List<Job> jobs = new ArrayList<>();
-    private long restUntilUs;
+    private long settledFromUs;
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/pools/ConnectionLossTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.model.AttemptResult;
 
-/** The outcome of a call that lost its connection, case by case. */
+/** The result of a call that lost its connection, in each case. */
 @Tag("connections")
 final class ConnectionLossTest {
   private static final double HANDSHAKE = 2_000;
@@ -29,22 +29,30 @@
   }
 
   @Test
-  void distantEndpoint_isGivenMoreTime() {
-    final double far = 40_000;
+  void distantEndpoint_hasLongerStaleWindow() {
+    final double handshakeUs = 40_000;
     assertEquals(
         AttemptResult.STALE,
         new ConnectionLoss(
-                true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far), far)
+                true,
+                true,
+                false,
+                (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * handshakeUs),
+                handshakeUs)
             .result());
     assertEquals(
         AttemptResult.RESET,
         new ConnectionLoss(
-                true, true, false, (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * far) + 1, far)
+                true,
+                true,
+                false,
+                (long) (ConnectionLoss.STALE_WINDOW_ROUND_TRIPS * handshakeUs) + 1,
+                handshakeUs)
             .result());
   }
 
   @Test
-  void laterLossStartedResponseOrNewConnection_isAReset() {
+  void laterLossStartedResponseOrNewConnection_isReset() {
     assertEquals(
         AttemptResult.RESET,
         new ConnectionLoss(true, true, false, ConnectionLoss.MIN_STALE_WINDOW_US + 1, HANDSHAKE)
--- a/decisions/src/test/java/thistleturn/decisions/rejections/RejectionClassifierTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/rejections/RejectionClassifierTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.rejections.RejectionClassifier.Cause;
 
-/** How rejections are classified, and what bounds the harm of a wrong classification. */
+/** The classification of rejections, and the retry budget that bounds a wrong classification. */
 @Tag("noise")
 @net.jqwik.api.Tag("noise")
 final class RejectionClassifierTest {
   private static final long MS = 1000;
   private static final long SECOND = 1_000_000;
 
-  /** A classifier after rejections that strike that share of calls, at 50 calls a second. */
+  /** Returns a classifier after random rejections of that share of calls, at 50 calls a second. */
   private static RejectionClassifier classifierAfter(
       final long seed, final double share, final int calls) {
     final Random random = new Random(seed);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void rejectionsUntilTheEndOfAWindow_areLoad() {
+  void rejectionsUntilEndOfWindow_areLoad() {
     final RejectionClassifier classifier = new RejectionClassifier();
     for (int call = 0; call < 500; call++) {
       final long sentUs = SECOND + call * 20L * MS;
@@ -61,12 +61,12 @@
   }
 
   @Test
-  void tooLargeARejectedShare_isNeverNoise() {
+  void largeRejectedShare_isNeverNoise() {
     assertEquals(Cause.LOAD, classifierAfter(3, 0.6, 400).cause(9 * SECOND));
   }
 
   @Test
-  void noiseThatBecomesALimit_isReclassified() {
+  void noiseThatBecomesLimit_isReclassifiedAsLoad() {
     final RejectionClassifier classifier = classifierAfter(4, 0.1, 300);
     assertEquals(Cause.NOISE, classifier.cause(7 * SECOND));
     for (int call = 0; call < 20; call++) {
@@ -76,7 +76,7 @@
     assertEquals(Cause.LOAD, classifier.cause(9 * SECOND));
   }
 
-  /** Calls that are served once there is capacity again say nothing more. */
+  /** Once a limit has capacity again, all calls are served, which is no further evidence. */
   @Test
   void manyServedCallsAfterOneRejection_countAsOneObservation() {
     final RejectionClassifier classifier = new RejectionClassifier();
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void callsFarApart_areNoEvidence() {
+  void callsFarApart_addNoEvidence() {
     final RejectionClassifier classifier = new RejectionClassifier();
     for (int call = 0; call < 50; call++) {
       final long sentUs = SECOND + call * 10L * SECOND;
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void exhaustedRetryBudget_meansLoadForALongerTimeEachTime() {
+  void exhaustedRetryBudget_countsAsLoadForLongerEachTime() {
     final RejectionClassifier classifier = classifierAfter(1, 0.1, 300);
     assertEquals(Cause.NOISE, classifier.cause(7 * SECOND));
     classifier.onRetryBudgetExhausted(7 * SECOND);
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void failedProbes_backOff() {
+  void rejectedProbes_backOff() {
     final RejectionClassifier classifier = new RejectionClassifier();
     long probeUs = SECOND;
     long intervalUs = 0;
@@ -130,7 +130,7 @@
     assertEquals(100 * MS, classifier.nextProbeUs() - probeUs);
   }
 
-  /** Whatever happens: no more than a share of the calls served, and the burst. */
+  /** Retries are bounded by a share of the calls served plus the burst, for any events. */
   @Property(tries = 500)
   void retries_neverExceedTheBudget(
       @ForAll final long seed, @ForAll @IntRange(min = 1, max = 500) final int events) {
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void slowStart_survivesOneRejectionAndEndsAtTwo() {
+  void slowStart_continuesAfterOneRejectionAndEndsAtTwo() {
     final InitialWindowGrowth growth = new InitialWindowGrowth();
     assertTrue(growth.recordServed(1));
     assertFalse(growth.recordRejected());
@@ -168,11 +168,11 @@
     for (int call = 0; call < 50; call++) {
       assertTrue(growth.recordServed(1));
     }
-    int more = 0;
-    while (growth.recordServed(6) && more < 50) {
-      more++;
+    int moreCalls = 0;
+    while (growth.recordServed(6) && moreCalls < 50) {
+      moreCalls++;
     }
-    assertTrue(more < 20, "a queue was detected after " + more + " calls");
+    assertTrue(moreCalls < 20, "a queue was detected after " + moreCalls + " calls");
   }
 
   @Test
@@ -188,18 +188,18 @@
   }
 
   @Test
-  void classRejectedAtOneEndpointAlone_isRestedAndOneAmongOthersIsNot() {
-    final EndpointClassStatistics rejectedAlone = new EndpointClassStatistics();
+  void classRejectedAtOneEndpointOnly_isExcludedUnlessOthersAreRejectedToo() {
+    final EndpointClassStatistics onlyClassRejected = new EndpointClassStatistics();
     long served = 100;
-    long restUs = 0;
+    long exclusionUs = 0;
     for (int call = 1; call <= 4; call++) {
       served += 5;
-      restUs = rejectedAlone.recordRejected(served, call);
+      exclusionUs = onlyClassRejected.recordRejected(served, call);
     }
-    assertTrue(restUs > 0);
-    final EndpointClassStatistics rejectedAmongOthers = new EndpointClassStatistics();
+    assertTrue(exclusionUs > 0);
+    final EndpointClassStatistics othersRejectedToo = new EndpointClassStatistics();
     for (int call = 1; call <= 10; call++) {
-      assertEquals(0, rejectedAmongOthers.recordRejected(100 + call, 5L * call));
+      assertEquals(0, othersRejectedToo.recordRejected(100 + call, 5L * call));
     }
   }
 }
--- a/decisions/src/test/java/thistleturn/decisions/shards/CapacityAllocatorPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/shards/CapacityAllocatorPropertyTest.java
@@ -12,19 +12,19 @@
 import net.jqwik.api.Tag;
 
 /**
- * Shards that receive their limits late, stall and burst: together they never use more than the
- * capacity.
+ * Shards that receive their limits late, stall, and have bursts of demand never use more than the
+ * capacity together.
  */
 @Tag("scale")
 final class CapacityAllocatorPropertyTest {
   private static final int STEPS = 2_000;
 
-  /** A shard as if on a thread of its own: it keeps to the last limit that has reached it. */
+  /** Simulates a shard on its own thread, which applies the last limit that it has received. */
   private static final class Shard {
-    private int keptLimit;
+    private int appliedLimit;
     private int used;
     private int demand;
-    private boolean pressed;
+    private boolean restricted;
     private boolean stalled;
 
     private void work(final Random random) {
@@ -32,15 +32,15 @@
         demand = random.nextInt(120);
       }
       used -= used > 0 ? random.nextInt(used + 1) / 2 : 0;
-      while (used < demand && used < keptLimit) {
+      while (used < demand && used < appliedLimit) {
         used++;
       }
-      pressed |= demand > keptLimit;
+      restricted |= demand > appliedLimit;
     }
   }
 
   @Property(tries = 300)
-  void usage_neverExceedsTheTotalHoweverLateLimitsArrive(@ForAll final long seed) {
+  void limitsThatArriveLate_usageNeverExceedsCapacity(@ForAll final long seed) {
     final Random random = new Random(seed);
     final int shards = 1 + random.nextInt(8);
     final int capacity = shards + random.nextInt(200);
@@ -48,19 +48,19 @@
     final Shard[] all = new Shard[shards];
     for (int index = 0; index < shards; index++) {
       all[index] = new Shard();
-      all[index].keptLimit = allocator.limit(index);
+      all[index].appliedLimit = allocator.limit(index);
     }
     for (int step = 0; step < STEPS; step++) {
       final int index = random.nextInt(shards);
-      final Shard one = all[index];
-      one.stalled = random.nextInt(50) == 0 || (one.stalled && random.nextInt(10) > 0);
-      if (!one.stalled) {
-        one.work(random);
+      final Shard current = all[index];
+      current.stalled = random.nextInt(50) == 0 || (current.stalled && random.nextInt(10) > 0);
+      if (!current.stalled) {
+        current.work(random);
         if (random.nextBoolean()) {
-          allocator.reportUsage(index, one.keptLimit, one.used, one.pressed);
-          one.pressed = false;
+          allocator.reportUsage(index, current.appliedLimit, current.used, current.restricted);
+          current.restricted = false;
         } else {
-          one.keptLimit = allocator.limit(index);
+          current.appliedLimit = allocator.limit(index);
         }
       }
       if (random.nextInt(3) == 0) {
@@ -73,34 +73,35 @@
     }
   }
 
-  /** A shard that alone is pressed soon has nearly all, and gives it back when others need it. */
+  /** The only restricted shard soon gets most capacity, and returns it when others need it. */
   @Example
-  void capacity_movesByNeedAndBack() {
+  void capacity_movesOnDemandAndBack() {
     final CapacityAllocator allocator = new CapacityAllocator(4, 100);
     for (int round = 0; round < 20; round++) {
       for (int shard = 0; shard < 4; shard++) {
-        final int keptLimit = allocator.limit(shard);
-        allocator.reportUsage(shard, keptLimit, shard == 0 ? keptLimit : 0, shard == 0);
+        final int appliedLimit = allocator.limit(shard);
+        allocator.reportUsage(shard, appliedLimit, shard == 0 ? appliedLimit : 0, shard == 0);
       }
       allocator.rebalance();
     }
-    assertTrue(allocator.limit(0) >= 80, "pressed alone: " + allocator.limit(0));
+    assertTrue(allocator.limit(0) >= 80, "the only restricted shard: " + allocator.limit(0));
     for (int round = 0; round < 40; round++) {
       for (int shard = 0; shard < 4; shard++) {
-        final int keptLimit = allocator.limit(shard);
-        allocator.reportUsage(shard, keptLimit, keptLimit, true);
+        final int appliedLimit = allocator.limit(shard);
+        allocator.reportUsage(shard, appliedLimit, appliedLimit, true);
       }
       allocator.rebalance();
     }
     for (int shard = 0; shard < 4; shard++) {
       assertTrue(
-          Math.abs(allocator.limit(shard) - 25) <= 3, "all pressed: " + allocator.limit(shard));
+          Math.abs(allocator.limit(shard) - 25) <= 3,
+          "all shards restricted: " + allocator.limit(shard));
     }
   }
 
-  /** A stalled shard keeps what it may use; no more is moved than the others have. */
+  /** A shard that sends no reports keeps its grant, which is not moved to others. */
   @Example
-  void stalledShard_keepsItsCapacity() {
+  void shardWithoutReports_keepsItsCapacity() {
     final CapacityAllocator allocator = new CapacityAllocator(2, 10);
     for (int round = 0; round < 20; round++) {
       allocator.reportUsage(0, allocator.limit(0), allocator.limit(0), true);
@@ -110,7 +111,7 @@
   }
 
   @Example
-  void totalBelowOnePerShard_isRejected() {
+  void capacityBelowOnePerShard_isRejected() {
     assertThrows(IllegalArgumentException.class, () -> new CapacityAllocator(4, 3));
   }
 }
