--- a/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
+++ b/decisions/src/test/java/thistleturn/decisions/index/IndexPropertyTest.java
@@ -199,7 +199,7 @@
             found.valueAt(nowUs[0])
                 + " of "
                 + greatest.valueAt(nowUs[0])
-                + ", out of date by us "
+                + ", refresh period in us: "
                 + stalenessUs);
       }
       assertEquals(
