--- a/courier/src/main/java/thistleturn/courier/PendingMessageRecovery.java
+++ b/courier/src/main/java/thistleturn/courier/PendingMessageRecovery.java
@@ -163,13 +163,13 @@
     delivery.startCall(call);
     context.pending().add(delivery);
     predecessorCalls.add(message.id(), new DeliveryAttempt(delivery, 0, 0));
-    final boolean mayHaveRun = message.firstRunUs() != StoredMessage.NEVER;
+    final boolean mayHaveRun = message.firstExecutionUs() != StoredMessage.NEVER;
     final PriorAttempts prior =
         new PriorAttempts(
             message.attempts(),
             mayHaveRun,
-            mayHaveRun ? message.firstRunUs() : 0,
-            message.runZone());
+            mayHaveRun ? message.firstExecutionUs() : 0,
+            message.executionZone());
     controller.onCallAdopted(
         context.clock().nowUs(),
         toControllerMessage(delivery),
--- a/courier/src/main/java/thistleturn/courier/journal/RecordBuffer.java
+++ b/courier/src/main/java/thistleturn/courier/journal/RecordBuffer.java
@@ -87,8 +87,8 @@
     to.writeInt(message.body().length);
     to.write(message.body());
     to.writeInt(endedAttempts);
-    to.writeLong(message.firstRunUs());
-    to.writeUTF(message.runZone());
+    to.writeLong(message.firstExecutionUs());
+    to.writeUTF(message.executionZone());
   }
 
   void addAttemptStarted(final String messageId, final long nowUs, final String zone) {
--- a/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
+++ b/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
@@ -23,8 +23,8 @@
   private final long deadlineUs;
   private byte[] body;
   private int attempts;
-  private long firstRunUs = NEVER;
-  private String runZone = "";
+  private long firstExecutionUs = NEVER;
+  private String executionZone = "";
 
   /** When the attempt in flight started; {@link #NEVER} while there is none. */
   private long attemptStartedUs = NEVER;
@@ -102,8 +102,8 @@
    */
   public void endAttempt(final boolean neverRan) {
     if (!neverRan && attemptStartedUs != NEVER) {
-      firstRunUs = Math.min(firstRunUs, attemptStartedUs);
-      runZone = attemptZone;
+      firstExecutionUs = Math.min(firstExecutionUs, attemptStartedUs);
+      executionZone = attemptZone;
     }
     attemptStartedUs = NEVER;
   }
@@ -112,8 +112,8 @@
   public void restoreAttempts(
       final int attemptsUsed, final long firstPossibleRunUs, final String zone) {
     attempts = attemptsUsed;
-    firstRunUs = firstPossibleRunUs;
-    runZone = zone;
+    firstExecutionUs = firstPossibleRunUs;
+    executionZone = zone;
   }
 
   /**
@@ -144,13 +144,13 @@
    * Returns when the first of its ended attempts started that may have been executed; {@link
    * #NEVER} if none may.
    */
-  public long firstRunUs() {
-    return firstRunUs;
+  public long firstExecutionUs() {
+    return firstExecutionUs;
   }
 
   /** Returns the zone of the last ended attempt that may have been executed. */
-  public String runZone() {
-    return runZone;
+  public String executionZone() {
+    return executionZone;
   }
 
   /** Returns true while an attempt is in flight. */
@@ -173,13 +173,13 @@
    * have been executed.
    */
   public PriorAttempts priorAttempts() {
-    final long firstUs = Math.min(firstRunUs, attemptStartedUs);
+    final long firstUs = Math.min(firstExecutionUs, attemptStartedUs);
     final boolean mayHaveRun = firstUs != NEVER;
     return new PriorAttempts(
         attempts,
         mayHaveRun,
         mayHaveRun ? firstUs : 0,
-        hasAttemptInFlight() ? attemptZone : runZone);
+        hasAttemptInFlight() ? attemptZone : executionZone);
   }
 
   /** Returns its timeline in this process; null if an earlier one accepted it. */
--- a/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
@@ -98,8 +98,8 @@
     assertEquals(5_000_000, read.deadlineUs());
     assertArrayEquals(new byte[] {1, 2, (byte) 0xFF}, read.body());
     assertEquals(2, read.attempts());
-    assertEquals(4_000_000, read.firstRunUs());
-    assertEquals("zone-b", read.runZone());
+    assertEquals(4_000_000, read.firstExecutionUs());
+    assertEquals("zone-b", read.executionZone());
   }
 
   @Test
@@ -116,7 +116,7 @@
     final Map<String, StoredMessage> messages = new LinkedHashMap<>();
     apply(hexLines, messages);
     assertNull(messages.get("m2").idempotencyKey());
-    assertEquals(StoredMessage.NEVER, messages.get("m2").firstRunUs());
+    assertEquals(StoredMessage.NEVER, messages.get("m2").firstExecutionUs());
   }
 
   @Test
@@ -151,7 +151,7 @@
     message.startAttempt(3_000_000, "zone-a");
     apply(hexLines, messagesWith(message));
     assertFalse(message.hasAttemptInFlight());
-    assertEquals(StoredMessage.NEVER, message.firstRunUs());
+    assertEquals(StoredMessage.NEVER, message.firstExecutionUs());
   }
 
   @Test
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -223,7 +223,7 @@
       final StoredMessage message = reopen().get(0);
       assertEquals("old", message.id());
       assertEquals(2, message.attempts());
-      assertEquals(StoredMessage.NEVER, message.firstRunUs());
+      assertEquals(StoredMessage.NEVER, message.firstExecutionUs());
       assertEquals(
           (double) (clock.nowUs() + deadlineWallClockUs - clock.wallClockUs()),
           (double) message.deadlineUs(),
