--- a/courier/src/main/java/thistleturn/courier/port/DirectiveSink.java
+++ b/courier/src/main/java/thistleturn/courier/port/DirectiveSink.java
@@ -4,19 +4,22 @@
 import thistleturn.decisions.directives.Directive;
 
 /**
- * Accepts what a subsystem directs the decisions of all shards to. To be called on the courier's
+ * Accepts a subsystem's directives on the decisions of all shards. Must be called on the courier's
  * first event loop.
  */
 public interface DirectiveSink {
-  /** Reports what this courier learns to this observer from now on. */
+  /** Reports this courier's observations to {@code observer} from now on. */
   void observe(StateObserver observer);
 
-  /** Applies a directive on a destination; for an unknown one it has to be repeated later. */
+  /**
+   * Applies a directive to a destination; has no effect if the destination is not known yet, so the
+   * caller has to repeat it.
+   */
   void applyDirective(long destination, Directive directive);
 
   /**
-   * Disables an endpoint, or enables it again, as an operator here would; a {@link StateObserver}
-   * is not told.
+   * Disables or enables an endpoint as an operator of this courier would, but without notifying the
+   * {@link StateObserver}.
    */
   void setDisabled(String endpoint, boolean disabled);
 
--- a/courier/src/main/java/thistleturn/courier/port/Dispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/port/Dispatcher.java
@@ -7,9 +7,9 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * A way to call endpoints. It makes a call when it is told to, never by itself and never twice, and
- * reports the outcome for each message in it: above all whether the message can have been executed.
- * All methods run on the event loop's thread.
+ * Calls endpoints. It makes a call only on request and never repeats one by itself, and reports the
+ * outcome for each message in the call, above all whether the message can have been executed. All
+ * methods run on the event loop's thread.
  */
 public interface Dispatcher {
 
@@ -19,18 +19,18 @@
     StoredMessage message();
 
     /**
-     * Returns when the message expires, in microseconds of the loop's clock. Its call neither goes
-     * nor is awaited any longer than that.
+     * Returns when the message expires, in microseconds of the loop's clock. No call is started or
+     * awaited after that.
      */
     long messageDeadlineUs();
 
     /**
-     * Returns when its first byte may go at the latest, in microseconds of the loop's clock: after
-     * that its idempotency key may have been forgotten.
+     * Returns the latest time at which its first byte may be sent, in microseconds of the loop's
+     * clock: after that the destination may have forgotten the message's idempotency key.
      */
     long latestSendUs();
 
-    /** Returns how long its answer is awaited, in microseconds. */
+    /** Returns how long to wait for its answer, in microseconds. */
     long timeoutUs();
   }
 
@@ -44,7 +44,7 @@
   }
 
   /**
-   * How a message fared in a call.
+   * The outcome of a call for one message.
    *
    * @param completed true if the answer is final for the message, whatever its result
    * @param retryAfterUs how long the endpoint asked to wait, in microseconds; 0 if it did not
@@ -55,42 +55,46 @@
 
   /** Receives outcomes: exactly one for each attempt of a call. */
   interface Listener {
-    /** An attempt ended. Its connection carries nothing of it any more. */
+    /** An attempt ended; no byte of it is in transit on its connection any more. */
     void onOutcome(Attempt attempt, Call call, DispatchOutcome outcome);
 
     /**
-     * An endpoint asked for a wait, in an answer whose call had been abandoned. It binds as in any
-     * other answer.
+     * An endpoint sent a Retry-After in an answer whose call had been abandoned. It applies as in
+     * any other answer.
      */
     void onRetryAfter(long endpoint, long retryAfterUs);
 
-    /** A call with so many messages is written completely. */
+    /** A call with this many messages has been written completely. */
     void onMessagesWritten(int count);
   }
 
   /**
-   * An endpoint is new, or its address or state has changed. One that is draining gets nothing new
-   * from now on, not even calls that were prepared before.
+   * Adds an endpoint, or changes its address or state. A draining endpoint receives no new call
+   * from now on, not even one that was prepared before.
    *
-   * @param separateRoute true if the endpoint is a route of its own within its destination
+   * @param separateRoute true if the endpoint has a route of its own within its destination
    */
   void updateEndpoint(Endpoint endpoint, boolean separateRoute, InetSocketAddress address);
 
-  /** An endpoint is gone: nothing new goes there. */
+  /** Removes an endpoint that is gone: no new call is sent to it. */
   void removeEndpoint(long endpoint);
 
-  /** Prepares a call without beginning it: the journal comes before its first byte. */
+  /**
+   * Prepares a call without starting it: the journal must be flushed before its first byte is sent.
+   */
   Call prepare(long endpoint, List<? extends Attempt> attempts);
 
-  /** Makes a prepared call. */
+  /** Starts a prepared call. */
   void start(Call call);
 
-  /** Ends a call from this side; the outcomes are reported before this returns. */
+  /** Ends a call on this side; its outcomes are reported before this method returns. */
   void abandon(Call call, AttemptResult result);
 
-  /** An endpoint asked for a wait: abandons the unwritten calls that the wait binds. */
+  /**
+   * Abandons the calls to an endpoint that are not written yet and that its Retry-After applies to.
+   */
   void abandonUnwrittenCalls(long endpoint);
 
-  /** Closes the connections to an endpoint that carry no call. */
+  /** Closes the idle connections to an endpoint. */
   void closeIdleConnections(long endpoint);
 }
--- a/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/port/EndpointDirectory.java
@@ -6,18 +6,16 @@
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.decisions.model.EndpointUpdate;
 
-/**
- * Reports which endpoints there are, and their state. All methods run on the event loop's thread.
- */
+/** Reports the known endpoints and their states. All methods run on the event loop's thread. */
 public interface EndpointDirectory {
 
   /**
    * An endpoint as a directory describes it.
    *
    * @param name the same for as long as the endpoint exists
-   * @param weight calls per second that its destination takes from all couriers together; 0 if
+   * @param weight calls per second that its destination accepts from all couriers together; 0 if
    *     unknown
-   * @param kind the name of a kind in the settings, or any other text for none
+   * @param kind the name of a kind in the settings; any other text means no kind
    * @param destination the number of its destination
    */
   record Entry(
@@ -31,19 +29,19 @@
 
   /** Receives updates. */
   interface Listener {
-    /** Entries were received, or could not be; {@code update} says which of them. */
+    /** Entries were received, or the list could not be obtained; {@code update} says which. */
     void onUpdate(EndpointUpdate update, List<Entry> entries);
   }
 
-  /** Begins to report, first of all what is known from an earlier process, if anything is. */
+  /** Starts reporting, beginning with the snapshot of an earlier process if there is one. */
   void start(Listener listener);
 
-  /** Requests changes from now on; has no effect while they are being requested or received. */
+  /** Requests updates from now on; has no effect while a request or a watch is active. */
   void requestUpdates();
 
-  /** Returns true while the list is known to be complete: what it does not name does not exist. */
+  /** Returns true while the list is known to be complete: an endpoint not in it does not exist. */
   boolean isCurrent();
 
-  /** Applies a new configuration, as far as it concerns this directory. */
+  /** Applies the parts of a new configuration that concern this directory. */
   void reload(CourierConfig fresh);
 }
--- a/courier/src/main/java/thistleturn/courier/port/Ingress.java
+++ b/courier/src/main/java/thistleturn/courier/port/Ingress.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * A way for clients to hand messages in. It reads requests and gives each its one answer; whether a
- * message is accepted is decided by the {@link IngressHandler}. All methods run on the event loop's
+ * Receives messages from clients. It reads requests and answers each exactly once; the {@link
+ * IngressHandler} decides whether a message is accepted. All methods run on the event loop's
  * thread.
  */
 public interface Ingress {
 
   /**
-   * Why a message is rejected; handing it in again is harmless in each case. The names are part of
-   * the handover protocol.
+   * Why a message is rejected; in each case the client may safely submit it again. The names are
+   * part of the handover protocol.
    */
   enum RejectionReason {
     /** The store is full. */
@@ -21,29 +21,29 @@
   }
 
   /**
-   * Why a message cannot be accepted at all. The names are part of the handover protocol and of the
-   * log.
+   * Why a request is invalid, so that its message cannot be accepted at all. The names are part of
+   * the handover protocol and of the log.
    */
   enum InvalidReason {
-    /** Its destination, as far as is known now, does not exist. */
+    /** No destination of that number is known now. */
     NO_DESTINATION,
-    /** A message of that id is pending already, or its outcome is still to be reported. */
+    /** A message with that id is already pending, or its final outcome is still to be reported. */
     HELD_ALREADY
   }
 
-  /** Where the answer to a client goes; exactly one of the methods is called, once. */
+  /** Sends the answer to a client; exactly one of the methods is called, once. */
   interface Reply {
-    /** The message is accepted: from now on the courier brings it to an end. */
+    /** The message is accepted: from now on the courier is responsible for its final outcome. */
     void accepted();
 
     /**
      * The message is rejected.
      *
-     * @param retryAfterUs if above 0, after how many microseconds to retry
+     * @param retryAfterUs the Retry-After in microseconds; 0 for none
      */
     void rejected(RejectionReason reason, long retryAfterUs);
 
-    /** The message ended, and nothing is promised about it. */
+    /** The message failed; the courier guarantees nothing about it. */
     void failed();
 
     /** The message cannot be accepted, and retrying would not change that. */
@@ -51,13 +51,13 @@
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @return the address in fact listened on, or why that failed
+   * @return the address actually bound, or the failure
    */
   CompletionStage<String> listen();
 
-  /** Ends each connection with its next answer from now on, and closes idle ones. */
+  /** Closes each connection after its next answer from now on, and idle ones at once. */
   void drain();
 
   /** Accepts no further connections; established ones are still served. */
--- a/courier/src/main/java/thistleturn/courier/port/MessageStore.java
+++ b/courier/src/main/java/thistleturn/courier/port/MessageStore.java
@@ -3,38 +3,39 @@
 import java.util.Collection;
 
 /**
- * Keeps what must outlast the process. What was recorded before a {@link #flush} that returned
- * {@link FlushResult#DURABLE} outlasts it; what was recorded since then does so completely or not
- * at all. The flush precedes whatever the records promise, once for all that a decision round
- * brought. All methods run on the event loop's thread.
+ * Stores what must survive the process. Records made before a {@link #flush} that returned {@link
+ * FlushResult#DURABLE} survive it; records made since then survive all together or not at all. Each
+ * decision round flushes once, before it does anything that relies on its records. All methods run
+ * on the event loop's thread.
  */
 public interface MessageStore {
-  /** What became of the records since the last flush that was durable. */
+  /** The result for the records made since the last durable flush. */
   enum FlushResult {
-    /** They outlast the process. */
+    /** They survive the process. */
     DURABLE,
     /**
-     * None of them outlasts the process; they are kept, and written with the next flush that
+     * None of them survives the process; they stay in memory and are written by the next flush that
      * succeeds.
      */
     FAILED,
-    /** The folder does not tell whether they outlast the process; they are kept as well. */
+    /** It cannot be determined whether they survive the process; they stay in memory as well. */
     UNKNOWN
   }
 
   /**
-   * Returns the messages that are to be ended, or to be reported as ended, in the order accepted.
+   * Returns, in the order of acceptance, the messages that have not ended and those whose final
+   * outcome is still to be reported.
    */
   Collection<StoredMessage> pendingMessages();
 
-  /** Returns true while a message of that id is to be ended, or to be reported as ended. */
+  /** Returns true while a message with that id is one of {@link #pendingMessages}. */
   boolean contains(String messageId);
 
   /**
    * Records an accepted message.
    *
-   * @return false if there is no capacity for it or nothing can be written now; then nothing is
-   *     recorded
+   * @return false if there is no capacity for it or the store cannot be written now; then nothing
+   *     is recorded
    */
   boolean recordAccepted(StoredMessage message);
 
@@ -48,18 +49,18 @@
    */
   void recordAttemptOutcome(StoredMessage message, boolean neverRan);
 
-  /** Records that a message has ended and that only its outcome is still to be reported. */
+  /** Records that a message has ended and that only its final outcome is still to be reported. */
   void recordFinalOutcome(StoredMessage message, StoredMessage.FinalOutcome outcome);
 
-  /** Records that nothing is owed for a message any more. */
+  /** Records that nothing is left to do for a message. */
   void recordCompleted(StoredMessage message);
 
   /**
-   * Makes all records so far durable. Unless that succeeds, nothing may be promised on the strength
-   * of them.
+   * Makes all records so far durable. Unless that succeeds, no acceptance, call or final outcome
+   * may rely on them.
    */
   FlushResult flush();
 
-  /** Returns false from a flush that failed until one that succeeds. */
+  /** Returns false after a failed flush until one succeeds. */
   boolean isWritable();
 }
--- a/courier/src/main/java/thistleturn/courier/port/MessageTimeline.java
+++ b/courier/src/main/java/thistleturn/courier/port/MessageTimeline.java
@@ -1,9 +1,9 @@
 package thistleturn.courier.port;
 
 /**
- * When a message passed each step of its way through this process, to explain an outcome that came
- * late. Times are in microseconds of the loop's clock, 0 for a step that was not reached. It does
- * not outlast the process. Written on the event loop's thread only.
+ * The times at which a message reached each step in this process, to explain a late outcome. Times
+ * are in microseconds of the loop's clock, 0 for a step that was not reached. It is not stored.
+ * Written on the event loop's thread only.
  */
 public final class MessageTimeline {
   private static final double US_PER_MS = 1000.0;
@@ -19,7 +19,7 @@
   private long endedUs;
 
   /**
-   * A message has been read.
+   * Creates the timeline of a message that has been read.
    *
    * @param arrivedUs the earliest time at which its last byte can have arrived in the socket's
    *     buffer
@@ -35,12 +35,12 @@
     this.deadlineUs = deadlineUs;
   }
 
-  /** The message was handed to the controller. */
+  /** The message was passed to the controller. */
   public void markAccepted(final long nowUs) {
     acceptedUs = nowUs;
   }
 
-  /** The client was told that its message is accepted. */
+  /** The client's message was answered as accepted. */
   public void markAnswered(final long nowUs) {
     answeredUs = nowUs;
   }
@@ -50,7 +50,7 @@
     attemptStartedUs = nowUs;
   }
 
-  /** An attempt had its outcome. */
+  /** An attempt's outcome was received. */
   public void markAttemptEnded(final long nowUs) {
     attemptEndedUs = nowUs;
   }
@@ -60,35 +60,35 @@
     endedUs = nowUs;
   }
 
-  /** Returns by how much an outcome known now is late, in microseconds; below 0 if in time. */
+  /** Returns how far {@code nowUs} is past the deadline, in microseconds; negative before it. */
   public long latenessUs(final long nowUs) {
     return nowUs - deadlineUs;
   }
 
   /**
-   * Describes where the time went, in milliseconds after the message can have arrived, with "-" for
-   * a step that was not reached.
+   * Describes the timeline in milliseconds after the earliest time at which the message can have
+   * arrived, with "-" for a step that was not reached.
    */
   public String describe(final long confirmedUs) {
-    return "time up "
+    return "deadline "
         + sinceArrivalMs(deadlineUs)
         + ", first byte read "
         + sinceArrivalMs(firstByteUs)
-        + ", whole "
+        + ", last byte read "
         + sinceArrivalMs(completeUs)
-        + ", taken "
+        + ", accepted "
         + sinceArrivalMs(acceptedUs)
         + ", answered "
         + sinceArrivalMs(answeredUs)
-        + ", last attempt "
+        + ", last attempt started "
         + sinceArrivalMs(attemptStartedUs)
-        + ", last outcome "
+        + ", last attempt ended "
         + sinceArrivalMs(attemptEndedUs)
         + ", ended "
         + sinceArrivalMs(endedUs)
-        + ", end confirmed "
+        + ", outcome confirmed "
         + sinceArrivalMs(confirmedUs)
-        + " ms after it can have arrived";
+        + " ms after its earliest possible arrival";
   }
 
   private String sinceArrivalMs(final long us) {
--- a/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
+++ b/courier/src/main/java/thistleturn/courier/port/StoredMessage.java
@@ -3,15 +3,14 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * A message that this courier has to bring to an end, as the journal keeps it: what its client
- * handed in, and its attempts so far. Once it has ended, only its final outcome is still to be
- * reported. Times are in microseconds of the machine's monotonic clock, which all processes of one
- * boot share.
+ * A message that this courier is responsible for, as the journal stores it: the client's request,
+ * and the attempts so far. Once it has ended, only its final outcome is still to be reported. Times
+ * are in microseconds of the machine's monotonic clock, which all processes of one boot share.
  *
  * <p>At most one attempt is in flight at a time.
  */
 public final class StoredMessage {
-  /** Stands for a time that never comes. */
+  /** Represents a time that is never reached. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private static final byte[] EMPTY_BODY = {};
@@ -34,17 +33,18 @@
   private MessageTimeline timeline;
 
   /**
-   * How a message ended that was not delivered, as the platform is told.
+   * The final outcome of a message that was not delivered, as reported to the platform.
    *
-   * @param failed true if it failed; false if it is deferred, and may be handed in again
-   * @param retryAfterMs when to hand a deferred message in again, in milliseconds; 0 if unknown
+   * @param failed true if it failed; false if it is deferred and may be submitted again
+   * @param retryAfterMs after how long to submit a deferred message again, in milliseconds; 0 if
+   *     unknown
    */
   public record FinalOutcome(boolean failed, long retryAfterMs) {}
 
   /**
-   * A message that a client handed in.
+   * Creates a message that a client submitted.
    *
-   * @param idempotencyKey by which its destination recognizes a repeat; may be null
+   * @param idempotencyKey the key by which its destination recognizes a retry; may be null
    * @param destination the number of its destination
    * @param deadlineUs when it expires
    */
@@ -63,17 +63,17 @@
     this.body = body;
   }
 
-  /** Returns the message's id, as its client gave it. */
+  /** Returns the message's id, which its client chose. */
   public String id() {
     return id;
   }
 
-  /** Returns the name of its class. */
+  /** Returns the name of its message class. */
   public String className() {
     return className;
   }
 
-  /** Returns the key by which its destination recognizes a repeat, or null. */
+  /** Returns the key by which its destination recognizes a retry, or null. */
   public String idempotencyKey() {
     return idempotencyKey;
   }
@@ -88,7 +88,7 @@
     return deadlineUs;
   }
 
-  /** An attempt starts; the store has recorded it. */
+  /** Marks the start of an attempt that the store records. */
   public void startAttempt(final long nowUs, final String zone) {
     attempts++;
     attemptStartedUs = nowUs;
@@ -96,7 +96,7 @@
   }
 
   /**
-   * The attempt in flight has its outcome.
+   * Ends the attempt in flight, whose outcome is known.
    *
    * @param neverRan true if the endpoint cannot have executed the message
    */
@@ -108,24 +108,24 @@
     attemptStartedUs = NEVER;
   }
 
-  /** Restores what an earlier process recorded of its attempts. */
+  /** Restores the attempts that an earlier process recorded. */
   public void restoreAttempts(
-      final int attemptsUsed, final long firstPossibleRunUs, final String zone) {
-    attempts = attemptsUsed;
-    firstExecutionUs = firstPossibleRunUs;
+      final int earlierAttempts, final long firstPossibleExecutionUs, final String zone) {
+    attempts = earlierAttempts;
+    firstExecutionUs = firstPossibleExecutionUs;
     executionZone = zone;
   }
 
   /**
-   * Ends the message: only its outcome is to be reported from now on. That needs no body, and many
-   * may wait while the platform is unreachable.
+   * Ends the message: only its outcome is to be reported from now on. Its body is released, since
+   * the report does not need it and many messages may wait while the platform is unreachable.
    */
   public void end(final FinalOutcome outcome) {
     finalOutcome = outcome;
     body = EMPTY_BODY;
   }
 
-  /** Returns what its client handed in; empty once the message has ended. */
+  /** Returns the body that its client sent; empty once the message has ended. */
   public byte[] body() {
     return body;
   }
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Returns when the first of its ended attempts started that may have been executed; {@link
-   * #NEVER} if none may.
+   * Returns the start of the first ended attempt that may have been executed; {@link #NEVER} if
+   * there is none.
    */
   public long firstExecutionUs() {
     return firstExecutionUs;
@@ -169,20 +169,20 @@
   }
 
   /**
-   * Returns what a process may rely on that did not see the attempts: one that was in flight may
-   * have been executed.
+   * Returns the prior attempts as a process must assume them that did not observe their outcomes:
+   * an attempt that was in flight may have been executed.
    */
   public PriorAttempts priorAttempts() {
     final long firstUs = Math.min(firstExecutionUs, attemptStartedUs);
-    final boolean mayHaveRun = firstUs != NEVER;
+    final boolean mayHaveExecuted = firstUs != NEVER;
     return new PriorAttempts(
         attempts,
-        mayHaveRun,
-        mayHaveRun ? firstUs : 0,
+        mayHaveExecuted,
+        mayHaveExecuted ? firstUs : 0,
         hasAttemptInFlight() ? attemptZone : executionZone);
   }
 
-  /** Returns its timeline in this process; null if an earlier one accepted it. */
+  /** Returns its timeline in this process; null if an earlier process accepted it. */
   public MessageTimeline timeline() {
     return timeline;
   }
--- a/courier/src/main/java/thistleturn/courier/runtime/BackgroundExecutor.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/BackgroundExecutor.java
@@ -5,18 +5,18 @@
 import java.util.concurrent.Executors;
 
 /**
- * Runs tasks one after another on a daemon thread of its own, away from the event loops. What a
- * task throws is logged and counted, and an error ends the process ({@link GuardedTasks}).
+ * Runs tasks sequentially on its own daemon thread, outside the event loops. An exception thrown by
+ * a task is logged and counted, and an {@link Error} ends the process ({@link GuardedTasks}).
  */
 public final class BackgroundExecutor implements Executor {
   private final String taskName;
   private final ExecutorService executor;
 
   /**
-   * The thread starts with the first task.
+   * Creates an executor whose thread starts with the first task.
    *
-   * @param threadName names the thread
-   * @param taskName names the tasks in the log
+   * @param threadName the name of the thread
+   * @param taskName the name of its tasks in the log
    */
   public BackgroundExecutor(final String threadName, final String taskName) {
     this.taskName = taskName;
--- a/courier/src/main/java/thistleturn/courier/runtime/ConfigurationReader.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/ConfigurationReader.java
@@ -12,8 +12,8 @@
 import thistleturn.settings.SettingsReader;
 
 /**
- * Reads a {@link CourierConfig} from a JSON file and the environment. Unknown keys are ignored; a
- * value that is not valid is an error that names it.
+ * Reads a {@link CourierConfig} from a JSON file and the environment. Unknown keys are ignored; an
+ * invalid value is an error that names it.
  */
 final class ConfigurationReader {
   private static final String SOURCE = "configuration";
@@ -49,7 +49,7 @@
     if (root == null || !root.isObject()) {
       throw new ConfigurationException(SOURCE + ": not a JSON object");
     }
-    // Two name spaces: "discovery" is an address outside the settings, and a way of polling inside.
+    // Two name spaces: "discovery" is an address outside the settings and an update mode inside.
     final Fields fields = Fields.of(processValues(root, environment), SOURCE);
     final Fields settings = Fields.of(settingValues(root), SOURCE);
     try {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Returns what stands outside the settings, by paths, with the environment's overrides. */
+  /** Returns the values outside the settings by path, with the environment's overrides. */
   private static Map<String, String> processValues(
       final JsonNode root, final Map<String, String> environment) {
     final Map<String, String> values = new HashMap<>();
@@ -93,7 +93,8 @@
       case "PROXY_NAME" -> values.put("name", value);
       case "PROXY_LISTEN" -> values.put("listen", value);
       case "PROXY_OPERATOR" -> values.put("operator", value);
-      // The file can be replaced while the process runs, whose environment has the old address.
+      // Not an override: the file can be replaced while the process runs, whose environment keeps
+      // the old address.
       case "PROXY_DISCOVERY" -> values.putIfAbsent("discovery", value);
       case "PROXY_STATE" -> values.put("state", value);
       default -> {}
@@ -103,7 +104,8 @@
   private static Map<String, String> settingValues(final JsonNode root) {
     final Map<String, String> values = new HashMap<>();
     JsonFlattener.flatten("", root.path(SETTINGS), values);
-    // Nobody pushes over sockets: whatever the settings say, the courier opens the watch itself.
+    // The platform does not push over sockets: whatever the settings say, the courier opens the
+    // watch itself.
     values.put("discovery", "on_request");
     return values;
   }
@@ -116,7 +118,7 @@
   private static long atLeastOne(final Fields fields, final String name, final long defaultValue) {
     final long value = fields.integer(name, defaultValue);
     if (value < 1) {
-      throw fields.malformed("'" + name + "' is at least 1, not " + value);
+      throw fields.malformed("'" + name + "' must be at least 1, not " + value);
     }
     return value;
   }
@@ -125,7 +127,7 @@
     try {
       return Long.parseUnsignedLong(text, SEED_RADIX);
     } catch (final NumberFormatException e) {
-      throw new IllegalArgumentException("'seed' is no hexadecimal number: '" + text + "'", e);
+      throw new IllegalArgumentException("'seed' is not a hexadecimal number: '" + text + "'", e);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/runtime/CourierConfig.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/CourierConfig.java
@@ -9,17 +9,18 @@
 /**
  * The configuration of a courier.
  *
- * @param name the courier's name in its fleet and in logs
- * @param listenAddress where clients connect
- * @param operatorAddress where operators connect; null if nobody may
- * @param discoveryAddress where the platform serves the endpoint list
- * @param stateFolder the folder that outlasts the process
- * @param seed of the random numbers
- * @param maxSockets connections that may be open at a time, of clients and to endpoints together
- * @param diskBudgetBytes how much of the disk the state folder may take
- * @param initialEndpointList the endpoint list to begin with until the platform has sent one
- * @param settings of the delivery decisions
- * @param connectTimeoutUs how long a connection to an endpoint may take to come up
+ * @param name the courier's name in its fleet and in the log
+ * @param listenAddress the address for clients
+ * @param operatorAddress the address for operators; null if there is none
+ * @param discoveryAddress the address at which the platform serves the endpoint list
+ * @param stateFolder the folder that survives the process
+ * @param seed the seed of the random numbers
+ * @param maxSockets the maximum number of open connections, client and endpoint connections
+ *     together
+ * @param diskBudgetBytes the maximum size of the state folder
+ * @param initialEndpointList the endpoint list to use until the platform has sent one
+ * @param settings the settings of the delivery decisions
+ * @param connectTimeoutUs the timeout for connecting to an endpoint
  */
 public record CourierConfig(
     String name,
@@ -40,7 +41,7 @@
    * Reads the file that the environment names.
    *
    * @param environment variables; they override addresses and the state folder
-   * @throws ConfigurationException if the file cannot be read or a value in it is not valid
+   * @throws ConfigurationException if the file cannot be read or a value in it is invalid
    */
   public static CourierConfig read(final Map<String, String> environment)
       throws ConfigurationException {
@@ -48,11 +49,11 @@
   }
 
   /**
-   * Parses a numeric address with its port; names are not looked up. Port 0 lets the system choose
-   * one to listen on.
+   * Parses a numeric address with its port; names are not looked up. With port 0 the system chooses
+   * the port to listen on.
    *
-   * @param what names the address in the error
-   * @throws IllegalArgumentException if it is no such address
+   * @param what the name of the address in the error
+   * @throws IllegalArgumentException if {@code text} is not such an address
    */
   public static InetSocketAddress parseAddress(final String what, final String text) {
     final int colon = text.lastIndexOf(':');
--- a/courier/src/main/java/thistleturn/courier/runtime/DescriptorBudget.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/DescriptorBudget.java
@@ -1,10 +1,10 @@
 package thistleturn.courier.runtime;
 
 /**
- * Divides the file descriptors between connections of clients and connections to endpoints. Each
- * side has its share. What the endpoints do not use of theirs, down to {@value #RESERVED_FRACTION}
- * of it, is lent to clients, and taken back by closing the connections of least use. Used on one
- * event loop.
+ * Divides the file descriptors between client connections and endpoint connections. Each side has
+ * its share. The unused part of the endpoints' share, except a fraction of {@value
+ * #RESERVED_FRACTION}, is lent to clients and reclaimed by connection eviction. Used on one event
+ * loop.
  */
 public final class DescriptorBudget {
   /** The fraction of the endpoints' share that is never lent. */
@@ -15,38 +15,38 @@
   private int clientConnections;
   private int endpointConnections;
 
-  /** Makes a budget of two shares, each at least 1. */
+  /** Creates a budget of two shares, each at least 1. */
   public DescriptorBudget(final int clientShare, final int endpointShare) {
     this.clientShare = clientShare;
     this.endpointShare = endpointShare;
   }
 
   /**
-   * Counts connections to endpoints, open or connecting.
+   * Adjusts the number of endpoint connections, open or connecting.
    *
-   * @param change how many there are more, or fewer if below 0
+   * @param change the increase, or the decrease if negative
    */
   public void addEndpointConnections(final int change) {
     endpointConnections += change;
   }
 
-  /** Counts the connections of clients. */
+  /** Sets the number of client connections. */
   public void setClientConnections(final int connections) {
     clientConnections = connections;
   }
 
-  /** True if no further connection to an endpoint may be made now. */
+  /** Returns true if no further endpoint connection may be opened now. */
   public boolean isEndpointLimitReached() {
     return endpointConnections >= maxEndpointConnections();
   }
 
-  /** Returns how many connections of clients may be open now. */
+  /** Returns how many client connections may be open now. */
   public int maxClientConnections() {
     final int reserved = (int) (RESERVED_FRACTION * endpointShare);
     return clientShare + endpointShare - Math.max(endpointConnections, reserved);
   }
 
-  /** Returns how many connections to endpoints may be open now. */
+  /** Returns how many endpoint connections may be open now. */
   private int maxEndpointConnections() {
     final int reserved = (int) Math.max(1, RESERVED_FRACTION * endpointShare);
     final int lent = Math.max(0, clientConnections - clientShare);
--- a/courier/src/main/java/thistleturn/courier/runtime/Event.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Event.java
@@ -1,30 +1,30 @@
 package thistleturn.courier.runtime;
 
 /**
- * The events of the courier's log and counters. The label is what is written, and what operators
- * search for: it stays as it is.
+ * The events of the courier's log and counters. The label is what is written and what operators
+ * search for, so it must not change.
  */
 public enum Event {
-  /** A request was answered with a rejection of its message; submitting it again is harmless. */
+  /** A request was answered with a rejection; the client may safely submit its message again. */
   REQUEST_REFUSED("request_refused"),
   /** A request was answered as invalid. */
   REQUEST_UNUSABLE("request_unusable"),
-  /** A request was read, and its connection ended before the response. */
+  /** A request was read, and its connection was closed before the response. */
   REQUEST_UNANSWERED("request_unanswered"),
   /** This side closed a client's connection while a request was incomplete or unanswered. */
   CONNECTION_CLOSED("connection_closed"),
   /**
    * A connection has bytes that the selector did not report: it is read periodically, and closed
-   * with its response.
+   * after its response.
    */
   CONNECTION_UNWATCHED("connection_unwatched"),
-  /** An attempt ended otherwise than by a delivery. */
+  /** An attempt ended without a delivery. */
   ATTEMPT_FAILED("attempt_failed"),
-  /** An attempt was not started, since its plan was no longer valid. */
+  /** An attempt was not started, because the decision behind it was no longer valid. */
   ATTEMPT_NOT_SENT("attempt_not_sent"),
   /**
-   * A call with several messages was over with the deadline of the first of them: the others may
-   * have been executed, and are retried.
+   * A call with several messages ended at the earliest of their deadlines: the others may have been
+   * executed, and are retried.
    */
   SHARED_CALL_EXPIRED("shared_call_expired"),
   /** An accepted message was not delivered: the platform is notified of its outcome. */
@@ -33,16 +33,16 @@
   MESSAGE_ENDED_LATE("message_ended_late"),
   /**
    * Outcomes are reported though the journal cannot be written: the deadlines of their messages
-   * have passed, so that no restart sends them again.
+   * have passed, so no restart sends them again.
    */
   END_TOLD_UNWRITTEN("end_told_unwritten"),
-  /** A connection could not be accepted; it waits, and is accepted later. */
+  /** A connection could not be accepted; it stays in the backlog and is accepted later. */
   ACCEPT_FAILED("accept_failed"),
   /** Connections are accepted again. */
   ACCEPT_RECOVERED("accept_recovered"),
   /** The last connections of a listener could not be accepted. */
   ACCEPT_GIVEN_UP("accept_given_up"),
-  /** New connections could not be given to a newer process before the listener closes. */
+  /** New connections could not be steered to a newer process before the listener closes. */
   STEERING_FAILED("steering_failed"),
   /** The selector did not report a listener's connections; they are accepted directly meanwhile. */
   LISTENER_UNWATCHED("listener_unwatched"),
@@ -50,7 +50,7 @@
   SOCKET_FAILED("socket_failed"),
   /** An outgoing connection could not be made. */
   CONNECT_FAILED("connect_failed"),
-  /** A connection could not be read or written for lack of memory; that is retried. */
+  /** A connection could not be read or written for lack of memory; the transfer is retried. */
   TRANSFER_RETRIED("transfer_retried"),
   /** The journal cannot be written from now on. */
   JOURNAL_UNWRITABLE("journal_unwritable"),
@@ -58,21 +58,21 @@
   JOURNAL_WRITE_FAILED("journal_write_failed"),
   /** The journal can be written again. */
   JOURNAL_WRITABLE("journal_writable"),
-  /** A write to the journal is complete in the file though the system reported an error. */
+  /** A write to the journal is complete in the file although the system reported an error. */
   JOURNAL_WRITE_DONE_ALL_THE_SAME("journal_write_done_all_the_same"),
-  /** The rest of an interrupted write was dropped. */
+  /** The incomplete batch that an interrupted write left was dropped. */
   JOURNAL_TAIL_DROPPED("journal_tail_dropped"),
   /** A record of a later version was found. */
   JOURNAL_RECORD_UNKNOWN("journal_record_unknown"),
-  /** The machine was rebooted since the journal was written. */
+  /** The machine was rebooted after the journal was written, so its monotonic clock restarted. */
   JOURNAL_CLOCK_BEGAN_ANEW("journal_clock_began_anew"),
   /** The journal was closed with records that could not be written. */
   JOURNAL_CLOSED_UNWRITTEN("journal_closed_unwritten"),
   /** The journal was handed over without being trimmed. */
   JOURNAL_NOT_TRIMMED("journal_not_trimmed"),
   /**
-   * An earlier process is out of reach and has not ended: its calls may still be in flight, and
-   * their messages are not sent again before it has.
+   * An earlier process is unreachable and has not ended: its calls may still be in flight, and
+   * their messages are not sent again before it has ended.
    */
   CALLS_INTERRUPTED("calls_interrupted"),
   /** Such calls count as ended: the process has ended, or their messages have expired. */
@@ -81,7 +81,7 @@
   HOLDER_UNRECORDED("holder_unrecorded"),
   /** A file could not be closed. */
   FILE_CLOSE_FAILED("file_close_failed"),
-  /** A step of the start failed for a transient reason, and is retried. */
+  /** A step of the start failed with a transient failure, and is retried. */
   START_RETRIED("start_retried"),
   /** A step of a decision round could not be carried out for one message or call. */
   STEP_FAILED("step_failed"),
--- a/courier/src/main/java/thistleturn/courier/runtime/GuardedEventLoopGroup.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/GuardedEventLoopGroup.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A group of one event loop on which nothing that a task throws is lost: it is logged and counted,
- * and an error ends the process. A loop that itself ends by an error would leave a process that
- * stands and serves nobody.
+ * A group of one event loop that logs and counts every exception thrown by a task, and ends the
+ * process on an {@link Error}. If the loop itself ended with an error, the process would otherwise
+ * keep running without serving anyone.
  */
 public final class GuardedEventLoopGroup extends MultiThreadIoEventLoopGroup {
   private static final String TASK = "a task of the event loop";
   private static final String LOOP = "the event loop";
 
-  /** Creates the group with its loop, which begins to run with its first task. */
+  /** Creates the group with its loop, which starts with its first task. */
   public GuardedEventLoopGroup(final IoHandlerFactory ioHandlerFactory) {
     super(1, ioHandlerFactory);
   }
@@ -31,7 +31,7 @@
     return new GuardedEventLoop(this, executor, ioHandlerFactory);
   }
 
-  /** The loop; the executor gives it its thread. */
+  /** The event loop; the executor provides its thread. */
   private static final class GuardedEventLoop extends SingleThreadIoEventLoop {
     private GuardedEventLoop(
         final IoEventLoopGroup parent,
--- a/courier/src/main/java/thistleturn/courier/runtime/GuardedTasks.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/GuardedTasks.java
@@ -1,17 +1,17 @@
 package thistleturn.courier.runtime;
 
 /**
- * Makes tasks safe to throw. Netty keeps what a scheduled task throws in a future that nobody
- * reads, and never runs a periodic one again; an executor replaces its thread without a word.
+ * Handles what tasks throw. Netty stores an exception of a scheduled task in a future that is never
+ * read, and does not run a periodic task again after one; an executor silently replaces the thread.
  */
 public final class GuardedTasks {
   private GuardedTasks() {}
 
   /**
-   * Returns a task that logs what the given one throws, and can run again. An error ends the
-   * process, as {@link Log#failure} says.
+   * Returns a task that logs what the given task throws and returns normally, so that it can run
+   * again. An {@link Error} ends the process, as {@link Log#failure} describes.
    *
-   * @param what names the task in the log
+   * @param what the name of the task in the log
    */
   public static Runnable guard(final String what, final Runnable task) {
     return () -> {
--- a/courier/src/main/java/thistleturn/courier/runtime/Json.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Json.java
@@ -15,15 +15,14 @@
 import java.util.Map;
 
 /**
- * Reads and writes JSON trees by the library's parser and generator alone. Its object mapper would
- * do as well, but it finds out how to map classes first, which costs each start a tenth of a second
- * of a core.
+ * Reads and writes JSON trees with Jackson's parser and generator only. Its object mapper first
+ * determines how to map classes, which costs a tenth of a second of processor time at each start.
  */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
-  /** Deeper values are rejected before they can overflow the stack; none here is nested as deep. */
+  /** Deeper values are rejected before they can overflow the stack; no valid input is that deep. */
   private static final int MAX_DEPTH = 64;
 
   private Json() {}
@@ -40,7 +39,7 @@
     }
   }
 
-  /** Reads one value of a text, like {@link #read(byte[])}. */
+  /** Reads one value from a text, like {@link #read(byte[])}. */
   public static JsonNode read(final String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       return read(parser);
@@ -53,7 +52,7 @@
 
   private static JsonNode readValue(final JsonParser parser, final int depth) throws IOException {
     if (depth > MAX_DEPTH) {
-      throw new JsonParseException(parser, "nested over " + MAX_DEPTH + " deep");
+      throw new JsonParseException(parser, "nested more than " + MAX_DEPTH + " levels deep");
     }
     return switch (parser.currentToken()) {
       case START_OBJECT -> readObject(parser, depth);
--- a/courier/src/main/java/thistleturn/courier/runtime/JsonFlattener.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/JsonFlattener.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Flattens JSON to texts by paths, as the simulator's lines name settings: members are joined by
- * dots, values of a plain array by commas; objects in an array have their index in the path, and
- * {@code count} says how many they are.
+ * Flattens JSON to a map from paths to texts, with the paths by which the simulator's lines name
+ * settings: member names are joined by dots, values of a plain array by commas; an object in an
+ * array has its index in the path, and {@code count} holds their number.
  */
 final class JsonFlattener {
   private JsonFlattener() {}
 
-  /** Adds what stands at a path; the root's path is empty. */
+  /** Adds the value at a path; the root's path is empty. */
   static void flatten(final String path, final JsonNode value, final Map<String, String> into) {
     if (value.isObject()) {
       value
@@ -39,7 +39,7 @@
     return texts.toString();
   }
 
-  /** Returns a whole number as such, however it is written: 1e3 is 1000. */
+  /** Returns a value's text, with an integral number in plain form: 1e3 becomes 1000. */
   private static String text(final JsonNode value) {
     return value.isNumber() && value.canConvertToExactIntegral()
         ? value.bigIntegerValue().toString()
--- a/courier/src/main/java/thistleturn/courier/runtime/LineLimiter.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/LineLimiter.java
@@ -1,8 +1,7 @@
 package thistleturn.courier.runtime;
 
 /**
- * Limits how many lines of each kind are logged in a second. Kinds are numbered from 0. May be used
- * from any thread.
+ * Limits how many lines of each kind are logged per second. Kinds are numbered from 0. Thread-safe.
  */
 final class LineLimiter {
   /** Returned for a line that must not be logged. */
--- a/courier/src/main/java/thistleturn/courier/runtime/Log.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/Log.java
@@ -8,8 +8,8 @@
 /**
  * The courier's structured log, through SLF4J: one line for each event, with its fields as {@code
  * name=value}. Every event is counted. Lines of one event are rate-limited, and the next line says
- * how many were suppressed, so that a storm of failures costs no more than its counting. May be
- * used from any thread.
+ * how many were suppressed, so that a burst of failures costs little more than its counting.
+ * Thread-safe.
  */
 public final class Log {
   private static final int FATAL_EXIT_STATUS = 70;
@@ -18,7 +18,7 @@
   private static final AtomicLongArray COUNTS = new AtomicLongArray(EVENTS.length);
   private static final LineLimiter LIMITER = new LineLimiter(EVENTS.length);
 
-  /** What a warm-up does to itself is nobody's event. */
+  /** True during a takeover warm-up, whose calls to itself are not events of the courier. */
   private static volatile boolean muted;
 
   private Log() {}
@@ -28,7 +28,7 @@
     muted = mute;
   }
 
-  /** Logs a line of text, for what an operator should know of the process as a whole. */
+  /** Logs a line of text, for information about the process as a whole that operators need. */
   public static void info(final String text) {
     LOGGER.info(LogLine.ofText(text));
   }
@@ -43,7 +43,7 @@
   /**
    * Counts an event and logs it with its fields.
    *
-   * @param fields names and values in turn; a supplier gives its value only where a line is written
+   * @param fields names and values alternately; a supplier is evaluated only if the line is written
    */
   public static void event(final Event event, final Object... fields) {
     if (muted && event != Event.FAILURE) {
@@ -85,8 +85,8 @@
 
   /**
    * Logs an unexpected exception with its stack. An {@link Error} ends the process: memory, a class
-   * or the virtual machine itself has failed, nothing can be trusted after that, least of all that
-   * anyone is served, and the next process resumes.
+   * or the virtual machine itself has failed, so nothing can be relied on after that, not even that
+   * clients are still served; the next process resumes the messages.
    */
   public static void failure(final String what, final Throwable cause) {
     event(Event.FAILURE, "what", what, "cause", cause, "at", StackSummary.of(cause));
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Does the same for an {@link Error}, and nothing for an exception: where the other side can
-   * cause exceptions, they are no defect.
+   * Does the same for an {@link Error}, and nothing for an exception. For code in which a remote
+   * side can cause exceptions, which are then no defect of the courier.
    */
   public static void failureIfError(final String what, final Throwable cause) {
     if (cause instanceof Error) {
--- a/courier/src/main/java/thistleturn/courier/runtime/LogLine.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/LogLine.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** Formats one line of the log: its time, then text or an event with its fields. */
+/** Formats one line of the log: its time, then a text or an event with its fields. */
 final class LogLine {
   private final StringBuilder line;
 
@@ -21,7 +21,7 @@
     return "ts=" + Instant.now() + " " + text;
   }
 
-  /** Appends a field; its value is quoted if it could be misread without. */
+  /** Appends a field; its value is quoted if it would otherwise be ambiguous. */
   void field(final Object name, final Object value) {
     final String text = String.valueOf(value);
     line.append(' ').append(name).append('=');
--- a/courier/src/main/java/thistleturn/courier/runtime/PermanentFailureException.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/PermanentFailureException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The system refuses something, and will do so until somebody mends it: a retry is of no use. */
+/** A failure that lasts until an operator fixes its cause, so that a retry is useless. */
 public final class PermanentFailureException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** One line that says what is in the way. */
+  /** Takes one line that names the cause. */
   public PermanentFailureException(final String reason) {
     super(reason);
   }
--- a/courier/src/main/java/thistleturn/courier/runtime/PollTracker.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/PollTracker.java
@@ -7,11 +7,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Records when an event loop began to poll its sockets, in this iteration and in the one before.
+ * Records when an event loop started to poll its sockets, in this iteration and in the previous
+ * one.
  *
- * <p>What one poll finds and the previous one did not find arrived after that previous poll began.
- * This bounds how long it can have lain in a socket's buffer, however long the loop, or the whole
- * process, stood still. Used by one event loop, on its thread.
+ * <p>Input that one poll finds and the previous poll did not find arrived after the previous poll
+ * started. This bounds how long the input can have waited in a socket's buffer, however long the
+ * loop or the whole process was paused. Used by one event loop, on its thread.
  */
 public final class PollTracker implements SelectStrategyFactory {
   private final Clock clock;
@@ -20,7 +21,7 @@
   private long currentPollUs;
   private long previousPollUs;
 
-  /** Makes a tracker of a loop that has not polled yet. */
+  /** Creates a tracker for a loop that has not polled yet. */
   public PollTracker(final Clock clock) {
     this.clock = clock;
     this.currentPollUs = clock.nowUs();
@@ -36,19 +37,19 @@
     };
   }
 
-  /** Returns when the poll of this iteration began, us. */
+  /** Returns when the poll of this iteration started, us. */
   public long currentPollUs() {
     return currentPollUs;
   }
 
-  /** Returns when the poll before that began, us: what is found only now was not there then. */
+  /** Returns when the previous poll started, us; input found only now had not arrived by then. */
   public long previousPollUs() {
     return previousPollUs;
   }
 
   /**
-   * Runs an action on the loop after a poll that began at or after a time, at once if there was
-   * one: then all that had arrived by that time has been read.
+   * Runs an action on the loop after a poll that started at or after a time, immediately if there
+   * has been one: by then all input that had arrived by that time has been read.
    *
    * @param us the time
    */
@@ -61,8 +62,8 @@
   }
 
   /**
-   * True if a poll began at or after a time. A process that is stopped within a poll that waits
-   * does not see what arrives meanwhile, so the end of a poll proves nothing.
+   * Returns true if a poll started at or after a time. A process that is stopped during a blocking
+   * poll does not see input that arrives meanwhile, so the end of a poll proves nothing.
    */
   private boolean hasPolledSince(final long us) {
     return currentPollUs >= us;
--- a/courier/src/main/java/thistleturn/courier/runtime/ProcessIdentity.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/ProcessIdentity.java
@@ -8,49 +8,52 @@
 import java.util.stream.Stream;
 
 /**
- * A process, named so that no other one ever has the same name: numbers of processes are given
- * anew, and mean nothing in another process namespace or after a reboot.
+ * A globally unique identity of a process. A process id alone is not one: it is reused, and means
+ * nothing in another process namespace or after a reboot.
  *
- * <p>The end of a process is the one sign that its connections are closed. Its file locks and some
- * of its connections end before the others do ({@code docs/design/failures.md}).
+ * <p>Only the end of a process shows that all its connections are closed. Its file locks and some
+ * of its connections are released before the others ({@code docs/design/failures.md}).
  *
- * @param pid its number
- * @param startTicks when it started, in the system's clock ticks since the boot; 0 if the system
- *     does not tell
- * @param bootId which boot of the machine it belongs to
- * @param pidNamespace the namespace that its number belongs to
+ * @param pid the process id
+ * @param startTicks its start time, in the system's clock ticks since the boot; 0 if the system did
+ *     not report it
+ * @param bootId the boot of the machine that it belongs to
+ * @param pidNamespace the namespace that its process id belongs to
  */
 public record ProcessIdentity(long pid, long startTicks, String bootId, String pidNamespace) {
-  private static final String NOT_TOLD = "-";
+  private static final String NOT_REPORTED = "-";
 
-  /** Stands for a process that did not tell its identity; nothing can be told of it. */
-  public static final ProcessIdentity UNRECORDED = new ProcessIdentity(0, 0, NOT_TOLD, NOT_TOLD);
+  /** Represents a process that did not record its identity, so that its state is unknown. */
+  public static final ProcessIdentity UNRECORDED =
+      new ProcessIdentity(0, 0, NOT_REPORTED, NOT_REPORTED);
 
   private static final int TEXT_FIELDS = 4;
 
-  /** The field of the state in {@code /proc/PID/stat}, counted from behind the program's name. */
+  /** The index of the state in {@code /proc/PID/stat}, counted from after the program's name. */
   private static final int STATE_FIELD = 0;
 
-  /** The field of the start time in {@code /proc/PID/stat}, counted likewise. */
+  /** The index of the start time in {@code /proc/PID/stat}, counted in the same way. */
   private static final int START_FIELD = 19;
 
   private static final String ZOMBIE = "Z";
   private static final String DEAD = "X";
 
-  /** What can be told of a process now. */
+  /** What can be determined about a process now. */
   public enum State {
-    /** It runs, or it cannot be ruled out that one of its threads does. */
+    /** It is running, or it cannot be ruled out that one of its threads is. */
     RUNNING,
-    /** No thread of it is left: everything that it had open is closed. */
+    /** It has no thread left: everything that it had open is closed. */
     ENDED,
-    /** Its namespace cannot be seen from here, or its identity could not be read when it ran. */
+    /**
+     * Its namespace is not visible to this process, or its identity could not be read while it ran.
+     */
     UNKNOWN
   }
 
-  /** The identity of this process, once the system has told all of it. */
+  /** The identity of this process, once all of it could be read. */
   private static volatile ProcessIdentity completeCurrent;
 
-  /** Returns the identity of this process, as far as the system tells it now. */
+  /** Returns the identity of this process, as far as it can be read now. */
   public static ProcessIdentity current() {
     final ProcessIdentity known = completeCurrent;
     if (known != null) {
@@ -65,13 +68,13 @@
 
   private static ProcessIdentity readCurrent() {
     try {
-      // Not by the number that the JDK has: /proc may be that of an outer namespace.
+      // Not by the process id that the JDK reports: /proc may belong to an outer namespace.
       final String stat = Files.readString(Path.of("/proc/self/stat"));
       final long pid = Long.parseLong(stat.substring(0, stat.indexOf(' ')));
       final long startTicks = Long.parseLong(fieldsOf(stat)[START_FIELD]);
       return new ProcessIdentity(pid, startTicks, readBootId(), readNamespace());
     } catch (final IOException | RuntimeException e) {
-      return new ProcessIdentity(ProcessHandle.current().pid(), 0, NOT_TOLD, NOT_TOLD);
+      return new ProcessIdentity(ProcessHandle.current().pid(), 0, NOT_REPORTED, NOT_REPORTED);
     }
   }
 
@@ -79,7 +82,7 @@
     return startTicks > 0;
   }
 
-  /** Returns true for this process, also where the system did not tell all of its identity. */
+  /** Returns true for this process, even if its identity could not be read completely. */
   public boolean isCurrent() {
     final ProcessIdentity current = current();
     return equals(current) || (pid == current.pid && !(isComplete() && current.isComplete()));
@@ -95,7 +98,7 @@
     return link.substring(link.indexOf('[') + 1, link.indexOf(']'));
   }
 
-  /** Returns the fields of a process's status that follow the name of its program. */
+  /** Returns the fields of a process's status that follow the program's name. */
   private static String[] fieldsOf(final String stat) {
     return stat.substring(stat.lastIndexOf(')') + 2).split(" ");
   }
@@ -105,7 +108,7 @@
     return pid + " " + startTicks + " " + bootId + " " + pidNamespace;
   }
 
-  /** Reads what {@link #toText} wrote; empty if it is something else. */
+  /** Parses the text that {@link #toText} returned; empty if it is malformed. */
   public static Optional<ProcessIdentity> parse(final String text) {
     final String[] fields = text.split(" ");
     if (fields.length != TEXT_FIELDS) {
@@ -120,7 +123,7 @@
     }
   }
 
-  /** Returns what can be told of the process now. Reads a few files of the system. */
+  /** Returns the state of the process now. Reads a few files in {@code /proc}. */
   public State state() {
     final ProcessIdentity observer = current();
     if (!isComplete() || !observer.isComplete()) {
@@ -143,7 +146,7 @@
     } catch (final NoSuchFileException e) {
       return true;
     } catch (final IOException | RuntimeException e) {
-      // It ended while it was read, or the system is short of something: the next look tells.
+      // It ended while it was read, or the system lacks a resource: the next check will show.
       return false;
     }
   }
--- a/courier/src/main/java/thistleturn/courier/runtime/TransientFailures.java
+++ b/courier/src/main/java/thistleturn/courier/runtime/TransientFailures.java
@@ -7,25 +7,26 @@
 import java.nio.file.NoSuchFileException;
 
 /**
- * Tells which failures of a start are worth a retry: the system lacks something that may come back
- * by itself (ENOSPC, EIO, ENFILE, EMFILE, ENOBUFS, ENOMEM). What somebody has to mend (a file that
- * is missing, an address in use, a setting that is not valid) is permanent.
+ * Classifies which failures of a start are worth a retry. A failure is transient if the system
+ * lacks a resource that may become available again (ENOSPC, EIO, ENFILE, EMFILE, ENOBUFS, ENOMEM).
+ * One that an operator has to fix (a missing file, an address in use, an invalid setting) is
+ * permanent.
  */
 public final class TransientFailures {
-  /** How long a start is retried, us: a courier is to be ready within 30 s. */
+  /** How long a start is retried, us: a courier must be ready within 30 s. */
   public static final long RETRY_BUDGET_US = 22_000_000;
 
   /** The delay before a retry, ms. */
   public static final long RETRY_DELAY_MS = 25;
 
   /**
-   * What the message of an {@link OutOfMemoryError} contains if the system has no thread to give.
+   * Part of the message of an {@link OutOfMemoryError} that reports that no thread can be created.
    */
   private static final String NO_NATIVE_THREAD = "native thread";
 
   private TransientFailures() {}
 
-  /** True if the failure, or what caused it, may pass by itself. */
+  /** Returns true if the failure, or one of its causes, is transient and none is permanent. */
   public static boolean isTransient(final Throwable failure) {
     boolean systemFailure = false;
     for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
@@ -50,7 +51,7 @@
         && String.valueOf(cause.getMessage()).contains(NO_NATIVE_THREAD);
   }
 
-  /** True if the failure, or what caused it, is that another socket has the address. */
+  /** Returns true if the failure, or one of its causes, is that an address is in use. */
   public static boolean isAddressInUse(final Throwable failure) {
     for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
       if (cause instanceof BindException) {
--- a/courier/src/test/java/thistleturn/courier/runtime/EventLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/EventLineFormatTest.java
@@ -13,15 +13,15 @@
 /** The exact text of the log's event lines, which operators' tools parse. */
 final class EventLineFormatTest {
 
-  /** The line with a text that the action logs; other threads of the process may log as well. */
-  private static String logged(final String text, final Runnable action) {
-    final PrintStream before = System.err;
+  /** Returns the line containing a text that the action logs; other threads may log as well. */
+  private static String lineLoggedBy(final String text, final Runnable action) {
+    final PrintStream originalErr = System.err;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     try {
       action.run();
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
     return bytes
         .toString(StandardCharsets.UTF_8)
@@ -32,9 +32,9 @@
   }
 
   @Test
-  void eventIsOneLineWithItsFields() {
+  void event_isLoggedAsOneLineWithItsFields() {
     final String line =
-        logged(
+        lineLoggedBy(
             "id=m1-of-this-test",
             () ->
                 Log.event(
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void resultsOfAttemptsAreLoggedByTheseNames() {
+  void attemptResults_keepTheirLoggedNames() {
     assertEquals(
         "[DELIVERED, ERROR, REFUSED, TIMED_OUT, NO_CONNECTION, RESET, CANCELLED, NOT_SENT,"
             + " STALE]",
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void eventsAreLoggedByTheseNames() {
+  void events_keepTheirLabels() {
     assertEquals(
         "request_refused request_unusable request_unanswered connection_closed"
             + " connection_unwatched attempt_failed attempt_not_sent shared_call_expired"
--- a/courier/src/test/java/thistleturn/courier/runtime/GuardedEventLoopGroupTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/GuardedEventLoopGroupTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a task of an event loop throws is never lost. */
+/** Exceptions thrown by tasks of an event loop are always logged. */
 @Tag("decisions")
 final class GuardedEventLoopGroupTest {
   private static final long TIMEOUT_S = 20;
   private static final int FATAL_STATUS = 70;
 
-  /** Guards against a process that stands without its loop's work: an error went nowhere. */
+  /** Guards against an error that is dropped, which leaves a process running without its loop. */
   @ParameterizedTest
   @ValueSource(strings = {"execute", "schedule", "periodic"})
-  void taskThrowsError_processEndsAndSaysSo(final String how)
+  void taskThrowsError_processLogsItAndExits(final String submission)
       throws IOException, InterruptedException {
     final Process process =
         new ProcessBuilder(
@@ -32,15 +32,15 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 ThrowingProgram.class.getName(),
-                how)
+                submission)
             .redirectErrorStream(true)
             .start();
     try {
-      assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "it goes on");
+      assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process is still running");
       assertEquals(FATAL_STATUS, process.exitValue());
-      final String said =
+      final String output =
           new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      assertTrue(said.contains("event=failure") && said.contains("GoneClass"), said);
+      assertTrue(output.contains("event=failure") && output.contains("GoneClass"), output);
     } finally {
       process.destroyForcibly();
     }
@@ -67,11 +67,13 @@
     }
   }
 
-  /** A program whose loop has a task that throws an error, and would run on otherwise. */
+  /**
+   * A program whose event loop runs a task that throws an error; it would keep running otherwise.
+   */
   static final class ThrowingProgram {
     private ThrowingProgram() {}
 
-    /** The argument says how the task comes to run. */
+    /** The argument is the way in which the task is submitted. */
     public static void main(final String[] arguments) {
       final EventLoop loop = new GuardedEventLoopGroup(NioIoHandler.newFactory()).next();
       final Runnable task =
--- a/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/JsonTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The library's own object mapper is the judge of what is read and written without it. */
+/**
+ * Compares reading and writing without Jackson's object mapper with the object mapper's results.
+ */
 final class JsonTest {
   private static final ObjectMapper REFERENCE_MAPPER = new ObjectMapper();
 
--- a/courier/src/test/java/thistleturn/courier/runtime/ProcessIdentityTest.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/ProcessIdentityTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.api.Timeout;
 import thistleturn.courier.runtime.ProcessIdentity.State;
 
-/** Whether a process has ended is told by its threads, whatever became of its files. */
+/** Whether a process has ended depends on its threads, not on its open files. */
 @Tag("operators")
 @Timeout(60)
 final class ProcessIdentityTest {
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_S = 20;
 
   private static void awaitEnd(final ProcessIdentity process) {
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (process.state() != State.ENDED) {
-      assertTrue(System.nanoTime() < untilNs, "still there: " + process);
+      assertTrue(System.nanoTime() < untilNs, "has not ended: " + process);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
     }
   }
 
   @Test
-  void identityIsReadAsItWasWritten() {
+  void identityAsText_isParsedUnchanged() {
     final ProcessIdentity own = ProcessIdentity.current();
     assertEquals(ProcessHandle.current().pid(), own.pid());
     assertEquals(Optional.of(own), ProcessIdentity.parse(own.toText()));
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void otherTextIsNoIdentity() {
+  void malformedText_isNotParsed() {
     assertEquals(Optional.empty(), ProcessIdentity.parse(""));
     assertEquals(Optional.empty(), ProcessIdentity.parse("17 420 boot"));
     assertEquals(Optional.empty(), ProcessIdentity.parse("x 420 boot 1"));
   }
 
   @Test
-  void processRunsUntilItIsKilled() throws IOException {
+  void killedProcess_hasEnded() throws IOException {
     final Process child = new ProcessBuilder("sleep", "60").start();
     final ProcessIdentity identity = RunningProcess.identityOf(child.pid());
     assertEquals(State.RUNNING, identity.state());
@@ -57,9 +57,10 @@
     awaitEnd(identity);
   }
 
-  // Guards against waiting for a process that nobody has waited for: it stays in the table.
+  // Guards against waiting for ever for a zombie, which stays in the process table until its parent
+  // has waited for it.
   @Test
-  void zombieHasEnded() throws IOException {
+  void zombieProcess_hasEnded() throws IOException {
     final Process parent =
         new ProcessBuilder("sh", "-c", "sleep 0.2 & echo $!; exec sleep 60").start();
     try (BufferedReader out =
@@ -67,15 +68,15 @@
             new InputStreamReader(parent.getInputStream(), StandardCharsets.UTF_8))) {
       final long pid = Long.parseLong(out.readLine());
       awaitEnd(RunningProcess.identityOf(pid));
-      assertTrue(Files.exists(Path.of("/proc/" + pid)), "it is in the table");
+      assertTrue(Files.exists(Path.of("/proc/" + pid)), "the zombie is in the process table");
     } finally {
       parent.destroyForcibly();
     }
   }
 
-  // Guards against taking another process for one whose number it was given.
+  // Guards against mistaking a process for an earlier one with the same process id.
   @Test
-  void numberGivenAnew_isAnotherProcess() {
+  void reusedProcessId_isAnotherProcess() {
     final ProcessIdentity own = ProcessIdentity.current();
     assertEquals(
         State.ENDED,
--- a/courier/src/test/java/thistleturn/courier/runtime/RunningProcess.java
+++ b/courier/src/test/java/thistleturn/courier/runtime/RunningProcess.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads the identity of another process of this machine that runs. */
+/** Reads the identity of another running process on this machine. */
 public final class RunningProcess {
   private static final int START_FIELD = 19;
 
