--- a/courier/src/main/java/thistleturn/courier/AdminService.java
+++ b/courier/src/main/java/thistleturn/courier/AdminService.java
@@ -7,7 +7,7 @@
 import thistleturn.courier.operator.AdminOperations;
 import thistleturn.courier.operator.CourierMetrics;
 
-/** Answers operators on behalf of all shards. Lives on the first event loop. */
+/** Answers operators' requests on behalf of all shards. Used on the first event loop. */
 final class AdminService implements AdminOperations {
   private final Lifecycle lifecycle;
   private final ShardGroup shards;
--- a/courier/src/main/java/thistleturn/courier/CallDispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/CallDispatcher.java
@@ -12,7 +12,8 @@
 
 /**
  * Turns the attempts of a decision round into calls: collects them by endpoint, records each in the
- * journal, and has the call start once the journal is flushed. Abandons calls wherever they are.
+ * journal, and has the call start once the journal is flushed. Also abandons calls, of this process
+ * or of an older one.
  */
 final class CallDispatcher {
   private final LoopContext context;
@@ -38,14 +39,17 @@
     this.predecessorCalls = predecessorCalls;
   }
 
-  /** Collects an attempt for the end of this round. */
+  /** Collects an attempt until the end of this round. */
   void addAttempt(final PendingDelivery delivery, final long endpoint, final long timeoutUs) {
     attemptsByEndpoint
         .computeIfAbsent(endpoint, unused -> new ArrayList<>())
         .add(new DeliveryAttempt(delivery, timeoutUs, latestSendUs(delivery)));
   }
 
-  /** The first byte may go later than it was decided: a loop stands still, a connection is slow. */
+  /**
+   * Returns the latest time for the first byte, which may be sent long after the decision if the
+   * loop is blocked or the connection is slow.
+   */
   private static long latestSendUs(final PendingDelivery delivery) {
     final PriorAttempts prior = delivery.message().priorAttempts();
     return delivery
@@ -84,7 +88,7 @@
     effects.addCall(call);
   }
 
-  /** Abandons a call, in this process or in the older one that carries it out. */
+  /** Abandons a call of this process, or of the older process that makes it. */
   void abandon(final Dispatcher.Call call, final AttemptResult result) {
     if (call instanceof RemoteCall remote) {
       predecessorCalls.abandon(remote, result);
@@ -93,7 +97,7 @@
     }
   }
 
-  /** Cancels a call, unless its answer has arrived by now and is only to be read. */
+  /** Cancels a call, unless its answer has arrived by now and only has to be read. */
   void cancelAfterPoll(final Dispatcher.Call call) {
     final long decidedUs = context.clock().nowUs();
     loop.execute(() -> ports.afterPoll(decidedUs, () -> abandon(call, AttemptResult.CANCELLED)));
--- a/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
+++ b/courier/src/main/java/thistleturn/courier/ClassArchiveTraining.java
@@ -14,8 +14,8 @@
 
 /**
  * Runs a courier at build time, so that the JVM can archive the classes that it loads: a courier
- * with such a class data archive is ready in a fraction of the time. The courier is its own
- * discovery and endpoint, and knows of no others.
+ * with such a class data archive starts in a fraction of the time. The courier's configuration
+ * names the courier itself as the discovery service and as the only endpoint.
  */
 public final class ClassArchiveTraining {
   private static final String ADDRESS = "127.0.0.1";
@@ -24,7 +24,7 @@
 
   private ClassArchiveTraining() {}
 
-  /** Runs a courier in the folder that the argument names, submits one message, and exits. */
+  /** Runs a courier in the folder given as the argument, submits one message, and exits. */
   public static void main(final String[] args)
       throws IOException, InterruptedException, ConfigurationException {
     final Path folder = Files.createDirectories(Path.of(args[0]));
@@ -70,7 +70,9 @@
             .formatted(ownAddress, operatorPort, ownAddress, ownAddress));
   }
 
-  /** Sends a request and waits for the end of the response; the listener may not be open yet. */
+  /**
+   * Sends a request and reads the whole response; retries, since the listener may not be open yet.
+   */
   private static void exchange(final int port, final String request)
       throws IOException, InterruptedException {
     for (int attemptsLeft = MAX_ATTEMPTS; attemptsLeft > 0; attemptsLeft--) {
--- a/courier/src/main/java/thistleturn/courier/ClientListeners.java
+++ b/courier/src/main/java/thistleturn/courier/ClientListeners.java
@@ -8,7 +8,7 @@
 
 /**
  * Opens the listeners for clients, one shard after the other; all share the port of the first one.
- * Lives on the first event loop.
+ * Used on the first event loop.
  */
 final class ClientListeners {
   private static final String STEP_NAME = "listen";
@@ -18,7 +18,7 @@
   private final TakeoverCoordinator takeover;
   private final Consumer<String> onListening;
 
-  /** Nothing is opened yet; {@code onListening} gets the address once all listeners are open. */
+  /** Opens nothing yet; {@code onListening} receives the address once all listeners are open. */
   ClientListeners(
       final ServerContext context,
       final TakeoverCoordinator takeover,
@@ -29,13 +29,13 @@
     this.onListening = onListening;
   }
 
-  /** Opens all listeners; called again after a successor has ended before this process. */
+  /** Opens all listeners; called again if a successor ends before this process. */
   void open() {
     open(0, context.config().listenAddress());
   }
 
   private void open(final int index, final InetSocketAddress address) {
-    // Other shards, or a newer process, listen at the same address.
+    // Other shards, or a newer process, listen on the same address.
     final boolean sharesAddress = context.shards().size() > 1 || context.hasOperators();
     context
         .shards()
@@ -58,11 +58,11 @@
 
   private void onFailure(final Throwable failure, final Runnable openAgain) {
     if (progress.isDecided() && !context.lifecycle().isShuttingDown()) {
-      // The process has served before: nobody else would try again.
+      // The process has served before, so the start no longer retries this.
       progress.logAndRetry("listen again", failure, openAgain);
     } else if (TransientFailures.isAddressInUse(failure) && takeover.requestClientAddress()) {
-      // The JDK checks once whether sockets may share an address, and takes a failure of that check
-      // for a no.
+      // The JDK checks only once whether sockets may share an address, and treats a failure of that
+      // check as unsupported.
       progress.retry(STEP_NAME, openAgain);
     } else if (takeover.hasRequestedClientAddress() && progress.hasTimeLeft()) {
       progress.retry(STEP_NAME, openAgain);
--- a/courier/src/main/java/thistleturn/courier/ConfigurationReload.java
+++ b/courier/src/main/java/thistleturn/courier/ConfigurationReload.java
@@ -10,9 +10,8 @@
 import thistleturn.courier.runtime.TransientFailures;
 
 /**
- * Reads the configuration again on request, and applies it to a running courier. One reading at a
- * time, so that of two requests in a row the later one's file applies. A file that cannot be used
- * changes nothing.
+ * Reloads the configuration on request and applies it to a running courier. Reloads run one at a
+ * time, so that the file of the latest request applies. A file that cannot be used changes nothing.
  */
 final class ConfigurationReload {
   private final Map<String, String> environment;
@@ -31,7 +30,7 @@
     this.clock = context.clock();
   }
 
-  /** Reads the configuration now; a transient failure is retried for a while. */
+  /** Reloads the configuration now; retries after a transient failure, for a limited time. */
   synchronized void reload() {
     reload(clock.nowUs() + TransientFailures.RETRY_BUDGET_US);
   }
--- a/courier/src/main/java/thistleturn/courier/ControllerActions.java
+++ b/courier/src/main/java/thistleturn/courier/ControllerActions.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.DeliveryActions;
 
-/** Carries out what the controller decides. */
+/** Carries out the controller's decisions. */
 final class ControllerActions implements DeliveryActions {
   private final PendingDeliveries pending;
   private final MessageCompletion completion;
--- a/courier/src/main/java/thistleturn/courier/CourierServer.java
+++ b/courier/src/main/java/thistleturn/courier/CourierServer.java
@@ -13,19 +13,19 @@
 import thistleturn.decisions.model.ResourceLimits;
 
 /**
- * A courier as one process: one event loop for each shard, with a journal, an ingress, a dispatcher
- * and an outcome notifier, and one endpoint directory for all of them.
+ * A courier: for each shard one event loop with a journal, an ingress, a dispatcher and an outcome
+ * notifier, and one endpoint directory for all of them.
  *
- * <p>A server is started once and ended once; several can run in one Java virtual machine. What
- * happens between is described by {@link LifecycleState}. The work is done by {@link Startup},
- * {@link TakeoverCoordinator}, {@link ConfigurationReload} and {@link GracefulShutdown}.
+ * <p>A server is started once and ended once; several can run in one Java virtual machine. {@link
+ * LifecycleState} describes the states in between. The work is done by {@link Startup}, {@link
+ * TakeoverCoordinator}, {@link ConfigurationReload} and {@link GracefulShutdown}.
  */
 public final class CourierServer {
   private final ServerContext context;
   private final ConfigurationReload configurationReload;
   private final GracefulShutdown gracefulShutdown;
 
-  /** The outcome of the start, once a start that failed is undone. */
+  /** The outcome of the start; a failure is reported after the start has been undone. */
   private final CompletableFuture<String> ready = new CompletableFuture<>();
 
   private final DisabledEndpointRegistry disabledEndpoints;
@@ -45,7 +45,7 @@
                 ? new DisabledEndpointsFile(
                     context.config().stateFolder(), ProcessHandle.current().pid())
                 : null);
-    // From here on each step opens something; if one fails, those before it are undone, the last
+    // Each step from here on opens a resource; if one fails, the previous ones are undone, the last
     // one first.
     try {
       lockStateFolder();
@@ -87,17 +87,17 @@
       throw new ConfigurationException(
           "shards: "
               + shardCount
-              + " of them need at least as many slots ("
+              + " shards need at least as many concurrent calls ("
               + limits.concurrencyLimit()
-              + ") and open messages ("
+              + ") and pending messages ("
               + limits.maxPendingMessages()
               + ")");
     }
   }
 
   /**
-   * Takes the state folder, and its journals with it. A process that may take over from the one
-   * that holds the folder goes on without it.
+   * Locks the state folder and opens its journals. A process that may take over from the holder of
+   * the lock continues without it.
    */
   private void lockStateFolder() throws IOException {
     final StateFolder stateFolder = context.stateFolder();
@@ -115,11 +115,10 @@
       return;
     }
     try {
-      // Not on an event loop: they are what is ended.
-      new Thread(() -> undoStart(failure), "undo the start").start();
+      // Not on an event loop, because undoing the start ends the event loops.
+      new Thread(() -> undoStart(failure), "undo-start").start();
     } catch (final RuntimeException | Error e) {
-      // The system has no thread for it: whoever waits for the outcome must hear of it all the
-      // same.
+      // No thread can be created, but the failure must still be reported to those who wait for it.
       failure.addSuppressed(e);
       ready.completeExceptionally(failure);
     }
@@ -136,10 +135,10 @@
   }
 
   /**
-   * Starts a courier with the configuration that the environment names.
+   * Starts a courier with the configuration file that the environment names.
    *
-   * @throws ConfigurationException if the configuration cannot be used; one line that names what is
-   *     wrong
+   * @throws ConfigurationException if the configuration cannot be used; its message is one line
+   *     that names the fault
    * @throws IOException if the journal cannot be opened
    */
   public static CourierServer start(final Map<String, String> environment)
@@ -147,14 +146,14 @@
     return start(environment, null);
   }
 
-  /** Starts a courier with a subsystem beside the platform's own, or (null) without one. */
+  /** Starts a courier with an extension; null for none. */
   public static CourierServer start(
       final Map<String, String> environment, final CourierExtension extension)
       throws ConfigurationException, IOException {
     return start(environment, extension, CourierOptions.platformDefaults());
   }
 
-  /** Starts a courier of another size than the platform's. */
+  /** Starts a courier with other options than the platform's defaults. */
   public static CourierServer start(
       final Map<String, String> environment,
       final CourierExtension extension,
@@ -167,37 +166,39 @@
     return server;
   }
 
-  /** Completes with the address at which it serves, or with the reason why it cannot. */
+  /**
+   * Returns a future of the address at which the courier serves, or of the failure of the start.
+   */
   public CompletableFuture<String> ready() {
     return ready;
   }
 
-  /** Returns the first shard's event loop, which also owns what all shards share. */
+  /** Returns the first shard's event loop, which also owns the state shared by all shards. */
   public EventLoop eventLoop() {
     return context.eventLoop();
   }
 
   /**
-   * Reads the configuration again, as on SIGHUP: moves to the discovery that the file names now. Of
-   * two calls in a row the later one's file applies. A file that cannot be used changes nothing.
+   * Reloads the configuration, as on SIGHUP: moves to the discovery address in the file. The file
+   * of the latest call applies. A file that cannot be used changes nothing.
    */
   public void reload() {
     configurationReload.reload();
   }
 
   /**
-   * Shuts down as on SIGTERM: goes on for a while, and leaves what is not complete by then to the
-   * next process. Returns when done; a second call waits for the first one's end.
+   * Shuts down as on SIGTERM: completes messages for a limited time and leaves the rest to the next
+   * process. Returns when done; a second call waits for the first to end.
    */
   public void shutDownGracefully() {
     gracefulShutdown.runAndAwait();
   }
 
   /**
-   * Ends the server at once, as a power cut would: connections break, and the folder stays as it
-   * is. For couriers that share a Java virtual machine with others; a process of its own is ended
-   * by its end. What the start opened is released in reverse: the event loops with everything that
-   * lives on them, the journals, the lock of the folder.
+   * Ends the server at once, as a power failure would: connections break, and the state folder is
+   * left as it is. For couriers that share a Java virtual machine with others; a courier in its own
+   * process is ended by ending the process. Resources are released in the reverse order of the
+   * start: the event loops with everything that they own, the journals, the lock of the folder.
    */
   public void kill() {
     context.shards().terminateEventLoops();
--- a/courier/src/main/java/thistleturn/courier/DecidingRole.java
+++ b/courier/src/main/java/thistleturn/courier/DecidingRole.java
@@ -15,17 +15,17 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * This process decides. Messages are admitted, outcomes are recorded, and what bears on the next
- * decision goes to the controller.
+ * The role of a process that decides: it admits messages, records outcomes, and passes every event
+ * that affects the next decision to the controller.
  */
 final class DecidingRole implements LoopRole {
   private static final long US_PER_MS = 1000;
 
-  /** Binds an endpoint that an operator has disabled. */
+  /** Applies to an endpoint that an operator has disabled. */
   private static final Directive DISABLED_BY_OPERATOR =
       Directive.of(Directive.Kind.EXCLUSION, "operator", Long.MAX_VALUE);
 
-  /** Saving the learned state of more endpoints would block the loop for too long each second. */
+  /** Storing the learned state of more endpoints would block the loop for too long each second. */
   private static final int MAX_REMEMBERED_ENDPOINTS = 2000;
 
   private final LoopContext context;
@@ -37,7 +37,7 @@
   private final OutcomeRecorder outcomes;
   private final OutageReporter outages;
 
-  /** What an earlier process had learned, until the first endpoints are listed; then null. */
+  /** The learned state of an earlier process until the first endpoints are listed, then null. */
   private LearnedStateSource pendingLearnedState;
 
   DecidingRole(
@@ -59,15 +59,15 @@
     this.outages = outages;
   }
 
-  /** Restores what an earlier process had learned as soon as endpoints are listed. */
+  /** Restores the learned state of an earlier process as soon as endpoints are listed. */
   void restoreWhenListed(final LearnedStateSource source) {
     pendingLearnedState = source;
   }
 
   /**
-   * Restores what was learned of endpoints that are unchanged.
+   * Restores the learned state of endpoints that are unchanged.
    *
-   * @return their ids in the earlier process, and here
+   * @return a map from their ids in the earlier process to their ids here
    */
   Map<Long, Long> restoreLearnedState(final LearnedStateSource source) {
     final Map<Long, Long> endpointIds = context.endpoints().idsOfUnchanged(source.endpoints());
@@ -82,7 +82,7 @@
     return listed == 0 || listed > MAX_REMEMBERED_ENDPOINTS ? null : snapshot(List.of());
   }
 
-  /** Returns what a newer process takes over beside the journal. */
+  /** Returns the state that a newer process takes over in addition to the journal. */
   HandoverSnapshot snapshot(final List<HandoverSnapshot.InFlightRemoteCall> calls) {
     return new HandoverSnapshot(context.endpoints().snapshot(), controller.learnedState(), calls);
   }
@@ -187,7 +187,7 @@
     Log.info(
         "this courier had no way out for "
             + (nowUs - cutOffSinceUs) / US_PER_MS
-            + " ms: nobody's outage");
+            + " ms: not counted as an outage of any destination");
     controller.onConnectivityRestored(nowUs, cutOffSinceUs);
   }
 
@@ -201,7 +201,7 @@
   }
 
   private void setDisabled(final long endpoint, final boolean disabled) {
-    // Connections kept open to an endpoint in maintenance die with its restart.
+    // The restart of an endpoint in maintenance breaks the idle connections to it.
     ports.dispatcher().closeIdleConnections(endpoint);
     controller.onEndpointDirective(
         context.clock().nowUs(),
--- a/courier/src/main/java/thistleturn/courier/DecisionLoop.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoop.java
@@ -32,12 +32,13 @@
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * The loop that all messages of a shard go through. The ports report events to it; once those of an
- * iteration of the event loop have been handled, a round lets the controller decide and carries out
- * what it decided. The journal is flushed ahead of every byte that promises something.
+ * The decision loop of a shard, which handles all its messages. The ports report events to it; once
+ * the events of an iteration of the event loop have been handled, a decision round lets the
+ * controller decide and carries out its decisions. The journal is flushed before any durable
+ * effect.
  *
- * <p>What an event leads to depends on the {@link LoopRole}: this process decides, or it forwards
- * to a newer one. All of it runs on the event loop's thread.
+ * <p>How an event is handled depends on the {@link LoopRole}: this process decides, or it forwards
+ * to a newer one. Everything runs on the event loop's thread.
  */
 final class DecisionLoop
     implements IngressHandler,
@@ -63,10 +64,10 @@
   private final PredecessorEvents predecessorEvents;
   private LoopRole role;
 
-  /** Whether the concurrency limit held calls back since that was last asked. */
+  /** Whether the concurrency limit has delayed calls since the last {@link #capacityUsage}. */
   private boolean callLimitReached;
 
-  /** Connects the ports of a loop, and tells when input has been read. */
+  /** Creates the ports of a loop, and reports when input has been read. */
   interface Ports {
     Dispatcher dispatcher(Dispatcher.Listener listener);
 
@@ -74,10 +75,13 @@
 
     EndpointDirectory endpointDirectory();
 
-    /** Returns whose calls the message store may show as in flight. */
+    /** Returns the earlier processes whose calls the message store may record as in flight. */
     EarlierProcesses earlierProcesses();
 
-    /** Runs an action after a poll that began after this time, us: older input comes first. */
+    /**
+     * Runs an action after a poll that started after this time, us, so that older input comes
+     * first.
+     */
     void afterPoll(long sinceUs, Runnable action);
   }
 
@@ -168,21 +172,28 @@
   }
 
   /**
-   * Follows the endpoint list and recovers what an earlier process left in the journal.
+   * Starts the endpoint directory and recovers the messages that an earlier process left in the
+   * journal.
    *
-   * @return how many messages are delivered on
+   * @return how many messages were resumed
    */
   int start() {
     ports.directory().start(this::onEndpointUpdate);
     return recoverMessages(earlierProcesses);
   }
 
-  /** Does the same after an older process, which carries out the calls in the snapshot. */
+  /**
+   * Does the same after a takeover from an older process, which completes the calls in the
+   * snapshot.
+   */
   int start(final HandoverSnapshot snapshot, final RemoteCallExecutor predecessor) {
     return start(snapshot, predecessor, earlierProcesses.withoutPredecessor());
   }
 
-  /** Does the same after a newer process; this one itself carries out the calls in the snapshot. */
+  /**
+   * Does the same after a newer process has ended; this process completes the calls in the
+   * snapshot.
+   */
   int startAgain(final HandoverSnapshot snapshot, final RemoteCallExecutor replaced) {
     return start(snapshot, replaced, earlierProcesses);
   }
@@ -207,7 +218,7 @@
     return resumed;
   }
 
-  /** Restores what an earlier process had learned as soon as endpoints are listed. */
+  /** Restores the learned state of an earlier process as soon as endpoints are listed. */
   void restoreWhenListed(final LearnedStateSource source) {
     deciding.restoreWhenListed(source);
   }
@@ -217,7 +228,7 @@
     context.counters().continueFrom(previous.context.counters());
   }
 
-  /** A round: decide, prepare the calls, flush the journal, then act. */
+  /** A decision round: decide, prepare the calls, flush the journal, run the durable effects. */
   private final class Rounds implements RoundScheduler.Target {
     @Override
     public boolean isDeciding() {
@@ -226,14 +237,14 @@
 
     @Override
     public void runRound() {
-      // One timestamp for the whole round: a pause in the middle of it is noticed by the next one,
-      // before anything is judged by it.
+      // One timestamp for the whole round: the next round detects a pause during this one before
+      // it evaluates anything.
       final long nowUs = context.stallDetector().recordActivity();
       context.stallDetector().setBusy(!context.pending().isEmpty());
       try {
         decide(nowUs);
       } catch (final RuntimeException | Error e) {
-        Log.failure("decisions failed", e);
+        Log.failure("decision round failed", e);
       }
       calls.prepareCalls();
       effects.runAfterFlush(context.store().flush(), context.clock().nowUs());
@@ -332,14 +343,14 @@
     role.onConfirmed(messages);
   }
 
-  /** Returns what brings the reports of an older process into this loop. */
+  /** Returns the handler for events that an older process reports to this loop. */
   PredecessorEvents predecessorEvents() {
     return predecessorEvents;
   }
 
   /**
-   * Hands over to a newer process: what this iteration brought is decided and answered here, and
-   * from then on this process forwards.
+   * Hands over to a newer process: the events of this iteration are still decided and answered
+   * here, and from then on this process forwards.
    *
    * @throws IOException if the journal cannot be brought up to date; then nothing has changed
    */
@@ -355,7 +366,7 @@
     return handoverSnapshot();
   }
 
-  /** Hands over once more, after the newer process has ended; calls in flight go on here. */
+  /** Hands over again after the newer process has ended; calls in flight continue here. */
   HandoverSnapshot handOverAgain(final Successor successor) {
     forwardTo(successor);
     return handoverSnapshot();
@@ -387,45 +398,45 @@
     return context.endpoints().isKnown(name);
   }
 
-  /** Disables exactly these endpoints from now on, whatever the endpoint list says. */
+  /** Disables exactly these endpoints from now on, regardless of the endpoint list. */
   void setDisabledEndpoints(final Set<String> names) {
     role.setDisabledEndpoints(names);
   }
 
-  /** Reports what is learned of destinations to this observer from now on. */
+  /** Reports changes of destinations to this observer from now on. */
   void setObserver(final StateObserver observer) {
     outages.setObserver(observer);
   }
 
-  /** Applies a subsystem's directive on a destination. */
+  /** Applies a subsystem's directive to a destination. */
   void applyDirective(final long destination, final Directive directive) {
     role.applyDirective(destination, directive);
   }
 
-  /** Returns what this process has done, and what it has now. */
+  /** Returns this process's counters and gauges. */
   CourierMetrics metrics() {
     final EndpointTable endpoints = context.endpoints();
     final long excluded = endpoints.countExcluded(controller.avoidedEndpoints());
     return context.counters().metrics(role.ownedMessages(), endpoints.size(), excluded);
   }
 
-  /** Returns how each route is, as JSON for operators. */
+  /** Returns the status of each route as JSON for operators. */
   ArrayNode routeStatus() {
     return StatusJson.routes(controller.routes(), context.endpoints(), context.clock().nowUs());
   }
 
-  /** Returns how this courier itself is, as JSON for operators. */
+  /** Returns the health of this courier as JSON for operators. */
   ObjectNode healthStatus() {
     return StatusJson.health(
         context.health(), context.pending().size(), intake.currentLimit(), context.clock().nowUs());
   }
 
-  /** Returns what was learned so far, or null if there is nothing to be kept. */
+  /** Returns the learned state, or null if there is nothing to store. */
   HandoverSnapshot learnedState() {
     return role.learnedState();
   }
 
-  /** Returns a number that changes whenever the learned state is worth keeping. */
+  /** Returns a number that changes whenever the learned state should be stored again. */
   long learnedStateVersion() {
     return controller.circuitTransitions();
   }
@@ -449,7 +460,7 @@
     scheduler.requestRound();
   }
 
-  /** Moves to the platform address of a new configuration; all else applies from the next start. */
+  /** Moves to the platform address of a new configuration; other changes apply after a restart. */
   void reload(final CourierConfig fresh) {
     final boolean same =
         fresh.settings().equals(config.settings())
@@ -457,22 +468,22 @@
     Log.info(
         "SIGHUP: discovery is at "
             + fresh.discoveryAddress()
-            + (same ? "" : "; what else is new in the configuration counts from the next start"));
+            + (same ? "" : "; other changes of the configuration apply after a restart"));
     ports.directory().reload(fresh);
     ports.notifier().reload(fresh);
   }
 
-  /** The process ends at this time, in microseconds: nothing starts that cannot end by then. */
+  /** The process ends at this time, in microseconds: no call starts that cannot end by then. */
   void prepareToStop(final long stopUs) {
     role.prepareToStop(stopUs);
   }
 
-  /** The process ends as by a power cut: whatever is reported from now on has no effect. */
+  /** Simulates a power failure: outcomes reported from now on have no effect. */
   void halt() {
     role = new HaltedRole(role);
   }
 
-  /** Returns true if nothing is under way that the end of the process would interrupt. */
+  /** Returns true if the end of the process would interrupt nothing. */
   boolean isIdle() {
     return role.isIdle();
   }
--- a/courier/src/main/java/thistleturn/courier/DecisionLoopReplacement.java
+++ b/courier/src/main/java/thistleturn/courier/DecisionLoopReplacement.java
@@ -12,19 +12,18 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * Connects a decision loop that had handed over with the one that takes its place in the same
- * process: the new one decides, the old one completes the calls that it has in flight and reports
- * their outcomes.
+ * Connects a decision loop that had handed over with the loop that replaces it in the same process:
+ * the new loop decides, the old one completes its calls in flight and reports their outcomes.
  */
 final class DecisionLoopReplacement implements Successor, RemoteCallExecutor {
   private final DecisionLoop replaced;
   private final DecisionLoop current;
 
   /**
-   * What the new decision loop is set up with.
+   * The settings of the new decision loop.
    *
    * @param disabledEndpoints the endpoints that are administratively disabled
-   * @param observer who is notified of changes, or null
+   * @param observer the observer to notify of changes, or null
    */
   record Setup(Set<String> disabledEndpoints, StateObserver observer) {}
 
@@ -33,7 +32,7 @@
     this.current = current;
   }
 
-  /** Has {@code current} decide in place of {@code replaced}, and returns it. */
+  /** Makes {@code current} decide in place of {@code replaced}, and returns {@code current}. */
   static DecisionLoop replace(
       final DecisionLoop replaced, final DecisionLoop current, final Setup setup) {
     current.continueCountersOf(replaced);
@@ -66,7 +65,7 @@
 
   @Override
   public void setListener(final HandoverClient.Listener listener) {
-    // The listener is the current decision loop, which is known.
+    // The listener is always the current decision loop.
   }
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/DeliveryAttempt.java
+++ b/courier/src/main/java/thistleturn/courier/DeliveryAttempt.java
@@ -6,8 +6,9 @@
 /**
  * One message's attempt in a call.
  *
- * @param timeoutUs how long its answer is awaited, in microseconds
- * @param latestSendUs when its first byte may go at the latest, in microseconds of the loop's clock
+ * @param timeoutUs how long to wait for its answer, in microseconds
+ * @param latestSendUs the latest time at which its first byte may be sent, in microseconds of the
+ *     loop's clock
  */
 record DeliveryAttempt(PendingDelivery delivery, long timeoutUs, long latestSendUs)
     implements Dispatcher.Attempt {
--- a/courier/src/main/java/thistleturn/courier/DeliveryCounters.java
+++ b/courier/src/main/java/thistleturn/courier/DeliveryCounters.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import thistleturn.courier.operator.CourierMetrics;
 
-/** Counts how messages ended, by class, and how many were written to endpoints. */
+/** Counts final outcomes by message class, and messages written to endpoints. */
 final class DeliveryCounters {
   private final MessageClasses classes;
   private final long[] delivered;
@@ -18,7 +18,7 @@
     this.failed = new long[classes.size()];
   }
 
-  /** Continues the counts of another loop of this process. */
+  /** Continues from the counts of another loop of this process. */
   void continueFrom(final DeliveryCounters previous) {
     System.arraycopy(previous.delivered, 0, delivered, 0, delivered.length);
     System.arraycopy(previous.rejected, 0, rejected, 0, rejected.length);
@@ -42,7 +42,7 @@
     messagesWritten += count;
   }
 
-  /** Returns the counts together with the gauges given. */
+  /** Returns the counts together with the given gauges. */
   CourierMetrics metrics(
       final long inFlight, final long endpointsKnown, final long endpointsExcluded) {
     final List<CourierMetrics.ClassOutcomes> outcomes =
--- a/courier/src/main/java/thistleturn/courier/DirectiveBroadcaster.java
+++ b/courier/src/main/java/thistleturn/courier/DirectiveBroadcaster.java
@@ -8,14 +8,14 @@
 import thistleturn.decisions.directives.Directive;
 
 /**
- * Carries what subsystems state about destinations and endpoints to all shards, and what the shards
- * report back to one observer. Lives on the first event loop.
+ * Applies the directives of subsystems on destinations and endpoints to all shards, and relays the
+ * shards' reports to one observer. Used on the first event loop.
  */
 final class DirectiveBroadcaster implements DirectiveSink {
   private final ShardGroup shards;
   private final DisabledEndpointRegistry disabledEndpoints;
 
-  /** Null while nobody observes. */
+  /** Null while there is no observer. */
   private StateObserver observer;
 
   DirectiveBroadcaster(final ShardGroup shards, final DisabledEndpointRegistry disabledEndpoints) {
@@ -33,7 +33,7 @@
         });
   }
 
-  /** Returns the observer as a shard may notify it, or null if there is none. */
+  /** Returns the observer wrapped so that any shard may notify it, or null if there is none. */
   StateObserver observerForShards() {
     return observer == null ? null : relayTo(observer);
   }
@@ -45,7 +45,7 @@
   /**
    * Notifies the observer that an operator disables or enables an endpoint here.
    *
-   * @throws IOException if the observer cannot store that: then nothing must change
+   * @throws IOException if the observer cannot store that; then the caller must change nothing
    */
   void reportEndpointDisabled(final String endpoint, final boolean disabled) throws IOException {
     if (observer != null) {
@@ -69,7 +69,7 @@
         disabledEndpoints.setStored(endpoint, disabled);
         return;
       } catch (final IOException e) {
-        Log.info("who is left out cannot be put down: " + e.getMessage());
+        Log.info("the disabled endpoints cannot be stored: " + e.getMessage());
       }
     }
     disabledEndpoints.setUnstored(endpoint, disabled);
--- a/courier/src/main/java/thistleturn/courier/DisabledEndpointRegistry.java
+++ b/courier/src/main/java/thistleturn/courier/DisabledEndpointRegistry.java
@@ -8,14 +8,14 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * The endpoints that are administratively disabled, as all shards were last notified. Where
- * operators have an address, they are kept in a file that outlasts the process and that another
- * process of this courier may write too. Changed on the first event loop only.
+ * The administratively disabled endpoints, as last sent to all shards. If an operator address is
+ * configured, they are stored in a file that survives the process and that another process of this
+ * courier may write too. Changed on the first event loop only.
  */
 final class DisabledEndpointRegistry {
   private final ShardGroup shards;
 
-  /** Null where operators have no address: then nothing is stored. */
+  /** Null if no operator address is configured; then nothing is stored. */
   private final DisabledEndpointsFile file;
 
   private volatile Set<String> endpoints = Set.of();
@@ -25,7 +25,7 @@
     this.file = file;
   }
 
-  /** Reads what an earlier process stored; the shards are not notified yet. */
+  /** Reads the endpoints that an earlier process stored; does not notify the shards yet. */
   void load() throws IOException {
     if (file != null) {
       endpoints = file.read();
@@ -37,22 +37,22 @@
     return endpoints;
   }
 
-  /** Returns whether changes outlast the process. */
+  /** Returns whether changes survive the process. */
   boolean isStored() {
     return file != null;
   }
 
   /**
-   * Disables or enables an endpoint and stores that, together with what another process of this
-   * courier may have stored since; completes once every shard applies it.
+   * Disables or enables an endpoint and stores that, together with changes that another process of
+   * this courier may have stored since; completes once every shard has applied it.
    *
-   * @throws IOException if it could not be stored: then nothing has changed
+   * @throws IOException if it cannot be stored; then nothing has changed
    */
   CompletionStage<?> setStored(final String endpoint, final boolean disabled) throws IOException {
     final Set<String> names = file.read();
     if (change(names, endpoint, disabled)) {
       file.replace(names);
-      Log.info("operator: " + endpoint + (disabled ? " is left out" : " may serve again"));
+      Log.info("operator: " + endpoint + (disabled ? " is disabled" : " is enabled"));
     }
     return apply(names);
   }
@@ -70,7 +70,7 @@
     return disabled ? names.add(endpoint) : names.remove(endpoint);
   }
 
-  /** Applies what another process of this courier has stored. */
+  /** Applies changes that another process of this courier has stored. */
   void applyStoredChanges() {
     try {
       final Set<String> names = file.read();
@@ -78,7 +78,7 @@
         apply(names);
       }
     } catch (final IOException e) {
-      Log.info("operator: cannot read who is left out: " + e.getMessage());
+      Log.info("operator: cannot read the disabled endpoints: " + e.getMessage());
     }
   }
 
--- a/courier/src/main/java/thistleturn/courier/DurableEffects.java
+++ b/courier/src/main/java/thistleturn/courier/DurableEffects.java
@@ -11,38 +11,39 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * What a decision round promises to others: answers to clients, calls to endpoints, and final
- * outcomes to the platform. Each takes effect once the journal records it durably, or once it is
- * certain that a restart cannot contradict it:
+ * The durable effects of a decision round: answers to clients, calls to endpoints, and reports of
+ * final outcomes to the platform. Each is carried out once the journal records it durably, or once
+ * it is certain that a restart cannot contradict it:
  *
  * <ul>
- *   <li>an acceptance and a call need the record;
- *   <li>a rejection needs that the record of the acceptance is not there, or is there with its end;
- *   <li>a final outcome needs the record, or that the message has expired: no restart sends it
- *       again.
+ *   <li>an acceptance and a call require the record;
+ *   <li>a rejection requires that the journal has no record of the acceptance, or also one of its
+ *       end;
+ *   <li>a final outcome requires the record, or that the message has expired, since no restart
+ *       sends an expired message again.
  * </ul>
  *
- * One that fails does not prevent the others. Used on the event loop's thread.
+ * A failure of one effect does not prevent the others. Used on the event loop's thread.
  */
 final class DurableEffects {
   /**
-   * A client waits 400 ms for its answer; a write whose result is unknown may be looked up for so
-   * long before the client is rejected.
+   * How long the result of a write may stay unknown before the client is rejected; a client waits
+   * 400 ms for its answer.
    */
   private static final long MAX_UNCERTAIN_US = 250_000;
 
-  /** Carries the effects out. */
+  /** Carries out the effects. */
   interface Executor {
-    /** The message is accepted, and its client is told. */
+    /** Accepts a message and answers its client. */
     void accept(PendingDelivery delivery);
 
-    /** The message is not accepted, since it could not be recorded; its client is told. */
+    /** Rejects a message that could not be recorded and answers its client. */
     void rejectUnjournaled(PendingDelivery delivery);
 
-    /** The call begins. */
+    /** Starts a call. */
     void startCall(Dispatcher.Call call);
 
-    /** The call does not begin. */
+    /** Drops a call that cannot start. */
     void dropCall(Dispatcher.Call call);
   }
 
@@ -67,7 +68,10 @@
     acceptances.add(new Acceptance(delivery, nowUs));
   }
 
-  /** A message ended before its client was answered; {@code answer} tells the client why. */
+  /**
+   * A message ended before its client was answered; {@code answer} reports the reason to the
+   * client.
+   */
   void addRejection(final Runnable answer, final long nowUs) {
     rejections.add(new Rejection(answer, nowUs));
   }
@@ -87,7 +91,7 @@
     return !unreportedOutcomes.isEmpty();
   }
 
-  /** Carries out what is due after a flush of the journal with this result. */
+  /** Carries out the effects that are due after a flush of the journal with this result. */
   void runAfterFlush(final FlushResult flushed, final long nowUs) {
     runRejections(flushed, nowUs);
     runAcceptances(flushed, nowUs);
@@ -95,7 +99,7 @@
     reportOutcomes(flushed, nowUs);
   }
 
-  /** Does the same for rejections and outcomes; acceptances and calls wait for the round. */
+  /** Does the same for rejections and outcomes only; acceptances and calls wait for the round. */
   void runRejectionsAndOutcomes(final FlushResult flushed, final long nowUs) {
     runRejections(flushed, nowUs);
     reportOutcomes(flushed, nowUs);
@@ -104,7 +108,7 @@
   private void runRejections(final FlushResult flushed, final long nowUs) {
     final List<Rejection> due =
         removeDue(rejections, rejection -> isCertain(flushed, rejection.sinceUs(), nowUs));
-    due.forEach(rejection -> runGuarded("refusal", rejection.answer()));
+    due.forEach(rejection -> runGuarded("rejection", rejection.answer()));
   }
 
   private void runAcceptances(final FlushResult flushed, final long nowUs) {
@@ -137,7 +141,7 @@
       final boolean started =
           flushed == FlushResult.DURABLE && runGuarded("call", () -> executor.startCall(call));
       if (!started) {
-        runGuarded("call that does not begin", () -> executor.dropCall(call));
+        runGuarded("dropped call", () -> executor.dropCall(call));
       }
     }
   }
@@ -151,7 +155,7 @@
       Log.event(Event.END_TOLD_UNWRITTEN, "ends", due.size(), "first", due.get(0).id());
     }
     due.forEach(outcomeNotifier::enqueue);
-    runGuarded("notices", outcomeNotifier::flush);
+    runGuarded("outcome reports", outcomeNotifier::flush);
   }
 
   private static <T> List<T> removeDue(final List<T> from, final Predicate<T> isDue) {
@@ -160,7 +164,7 @@
     return due;
   }
 
-  /** Returns true if the step succeeded; a failure is logged and stops nothing else. */
+  /** Returns true if the step succeeded; a failure is logged and does not stop the other steps. */
   private static boolean runGuarded(final String step, final Runnable action) {
     try {
       action.run();
--- a/courier/src/main/java/thistleturn/courier/EffectExecutor.java
+++ b/courier/src/main/java/thistleturn/courier/EffectExecutor.java
@@ -7,14 +7,14 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.model.AttemptResult;
 
-/** Answers clients and starts calls, once the journal allows it. */
+/** Carries out durable effects: answers clients and starts calls. */
 final class EffectExecutor implements DurableEffects.Executor {
   private final Clock clock;
   private final EventLoop loop;
   private final Dispatcher dispatcher;
   private final Consumer<PendingDelivery> rejection;
 
-  /** Messages that the journal could not record go to {@code rejection}. */
+  /** Passes messages that the journal could not record to {@code rejection}. */
   EffectExecutor(
       final Clock clock,
       final EventLoop loop,
@@ -45,7 +45,7 @@
 
   @Override
   public void dropCall(final Dispatcher.Call call) {
-    // An attempt that the journal does not record would be forgotten by a restart.
+    // A restart would not know of an attempt that the journal does not record.
     loop.execute(() -> dispatcher.abandon(call, AttemptResult.NOT_SENT));
   }
 }
--- a/courier/src/main/java/thistleturn/courier/EndpointTable.java
+++ b/courier/src/main/java/thistleturn/courier/EndpointTable.java
@@ -20,14 +20,14 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * The endpoints that the directory named, under the ids by which the controller and the dispatcher
- * know them. An endpoint that is removed and named again is a new one, with a new id.
+ * The listed endpoints, with the ids that the controller and the dispatcher use for them. An
+ * endpoint that is removed and listed again is a new one with a new id.
  */
 final class EndpointTable {
   /** The kind index of an endpoint of no known kind. */
   private static final int NO_KIND = -1;
 
-  /** Names of endpoints that operators may still refer to after their removal. */
+  /** How many names are kept, so that operators may refer to endpoints after their removal. */
   private static final int MAX_REMEMBERED_NAMES = 10_000;
 
   private final List<DestinationKind> kinds;
@@ -45,14 +45,14 @@
   }
 
   /**
-   * An update as the controller is told of it.
+   * An update in the form that the controller receives.
    *
-   * @param removed ids of endpoints that are named no more; each is to be given to {@link #remove}
-   *     once the controller knows
+   * @param removed ids of endpoints that are no longer listed; each must be passed to {@link
+   *     #remove} after the controller has been notified
    */
   record AppliedUpdate(List<Endpoint> changed, Set<Long> removed) {}
 
-  /** Applies an update, and tells the dispatcher of the endpoints in it. */
+  /** Applies an update and notifies the dispatcher of the endpoints in it. */
   AppliedUpdate apply(
       final EndpointUpdate update,
       final List<EndpointDirectory.Entry> listed,
@@ -116,7 +116,7 @@
     return found;
   }
 
-  /** Removes an endpoint that is named no more. */
+  /** Removes an endpoint that is no longer listed. */
   void remove(final long id) {
     final Endpoint before = entries.remove(id);
     if (before != null) {
@@ -126,12 +126,12 @@
     ids.remove(names.remove(id));
   }
 
-  /** Forgets destinations that have had no endpoint for long. */
+  /** Removes destinations that have had no endpoint for a long time. */
   void expireVacantDestinations() {
     destinations.expireVacant();
   }
 
-  /** Returns a new id for an endpoint that the list does not name any more. */
+  /** Returns a new id for an endpoint that is no longer listed. */
   long allocateUnlistedId() {
     return nextId++;
   }
@@ -158,12 +158,12 @@
     return name != null && disabled.isDisabled(name);
   }
 
-  /** Returns true if an endpoint of that name was ever listed, as far as that is remembered. */
+  /** Returns true if an endpoint of that name was ever listed and its name is still kept. */
   boolean isKnown(final String name) {
     return disabled.isKnown(name);
   }
 
-  /** Returns how many listed endpoints are disabled, or among those given. */
+  /** Returns how many listed endpoints are disabled or in {@code avoided}. */
   long countExcluded(final List<Long> avoided) {
     final Set<Long> excluded = new HashSet<>(avoided);
     disabled.disabledNames().stream()
@@ -173,7 +173,7 @@
     return excluded.size();
   }
 
-  /** Returns the list as it was last received, with the ids of its entries. */
+  /** Returns the endpoint list as last received, with the ids of its entries. */
   List<NumberedEndpoint> snapshot() {
     return entries.values().stream()
         .map(endpoint -> new NumberedEndpoint(endpoint.id(), toEntry(endpoint)))
@@ -195,7 +195,7 @@
    * Returns the ids of endpoints that are the same here as in another process: one of the same name
    * at another address, or of another destination, is a different endpoint.
    *
-   * @return ids there, to ids here
+   * @return a map from ids there to ids here
    */
   Map<Long, Long> idsOfUnchanged(final List<NumberedEndpoint> elsewhere) {
     final Map<Long, Long> unchanged = new HashMap<>();
@@ -222,7 +222,7 @@
     return entries.size();
   }
 
-  /** Returns true for a destination that has an endpoint, or had one a short while ago. */
+  /** Returns true for a destination that has an endpoint or recently had one. */
   boolean isKnownDestination(final long destination) {
     return destinations.contains(destination);
   }
--- a/courier/src/main/java/thistleturn/courier/ForwardingRole.java
+++ b/courier/src/main/java/thistleturn/courier/ForwardingRole.java
@@ -9,8 +9,8 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * A newer process decides. This one forwards what its clients hand in, and the outcomes of the
- * calls that were in flight at the handover.
+ * The role of a process after a handover: a newer process decides, and this one forwards its
+ * clients' messages and the outcomes of the calls that were in flight at the handover.
  */
 final class ForwardingRole extends NonDecidingRole {
   private final LoopContext context;
@@ -45,7 +45,7 @@
     successor.withdraw(messageId, destination);
   }
 
-  /** The endpoint table stays current: should the newer process end, this one decides again. */
+  /** Keeps the endpoint table current: if the newer process ends, this one decides again. */
   @Override
   public void onEndpointUpdate(
       final EndpointUpdate update, final EndpointTable.AppliedUpdate applied) {
--- a/courier/src/main/java/thistleturn/courier/GracefulShutdown.java
+++ b/courier/src/main/java/thistleturn/courier/GracefulShutdown.java
@@ -8,19 +8,20 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * A shutdown that completes what it can within a bounded time, and leaves the rest to the next
- * process. Times are counted from the request, which is SIGTERM for a process of its own.
+ * A shutdown that completes as many messages as possible within a bounded time and leaves the rest
+ * to the next process. Times are counted from the request, which is SIGTERM for a courier in its
+ * own process.
  */
 final class GracefulShutdown {
   /** Clients may open connections for up to 0.4 s after SIGTERM. */
   private static final long LISTENER_DRAIN_MS = 550;
 
-  /** The process has ended by then: SIGKILL comes no sooner than 3.7 s after SIGTERM. */
+  /** The process ends by then: SIGKILL is sent no sooner than 3.7 s after SIGTERM. */
   private static final long SHUTDOWN_TIMEOUT_MS = 3100;
 
   private static final long POLL_MS = 20;
 
-  /** What an extension has at least to finish its own shutdown. */
+  /** The minimum time that an extension has for its own shutdown. */
   private static final long EXTENSION_SHUTDOWN_MS = 300;
 
   private static final long US_PER_MS = 1000;
@@ -40,7 +41,7 @@
     this.clock = context.clock();
   }
 
-  /** Shuts down, and returns when that is done. Not to be called on an event loop. */
+  /** Shuts down, and returns when that is done. Must not be called on an event loop. */
   void runAndAwait() {
     eventLoop.execute(this::begin);
     try {
@@ -58,7 +59,7 @@
       return;
     }
     if (lifecycle.isShuttingDown()) {
-      // Requested a second time: the first request's course goes on.
+      // Requested a second time: the shutdown of the first request continues.
       return;
     }
     final long stopUs = clock.nowUs() + SHUTDOWN_TIMEOUT_MS * US_PER_MS;
@@ -73,21 +74,21 @@
   }
 
   /**
-   * Completes the calls in flight on behalf of the newer process, and serves clients while they
-   * stay; the connections that they keep open are closed last of all.
+   * Completes the calls in flight on behalf of the newer process, and serves clients as long as
+   * they stay connected; idle client connections are closed last.
    */
   private void awaitHandedOverCalls(final long stopUs) {
     final Shard only = shards.first();
     eventLoop.schedule(
         only::drainIngress, SHUTDOWN_TIMEOUT_MS - EXTENSION_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
-    poll("end beside a newer process", () -> finishIfDue(only.hasNothingUnderWay(), stopUs));
+    poll("shutdown after a handover", () -> finishIfDue(only.hasNothingUnderWay(), stopUs));
   }
 
   private void finishDraining(final long stopUs) {
-    // So long before the process ends that the answers are on their way by then.
+    // Early enough before the end of the process that the answers are sent by then.
     final long rejectAtUs = stopUs - 2 * EXTENSION_SHUTDOWN_MS * US_PER_MS;
     shards.executeOnEach(shard -> shard.finishDraining(rejectAtUs));
-    poll("end in order", () -> finishIfDue(isDrained(stopUs), stopUs));
+    poll("graceful shutdown", () -> finishIfDue(isDrained(stopUs), stopUs));
   }
 
   private boolean isDrained(final long stopUs) {
--- a/courier/src/main/java/thistleturn/courier/HaltedRole.java
+++ b/courier/src/main/java/thistleturn/courier/HaltedRole.java
@@ -8,19 +8,20 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * The process is being ended as a power cut would end it. Nothing is decided and no outcome is
- * recorded any more: what breaks from now on breaks with the process. All else is as it was.
+ * The role of a process that is being ended as by a power failure. It makes no decisions and
+ * records no outcomes, since connections that break now are broken by its own end. Everything else
+ * is delegated to the previous role.
  */
 final class HaltedRole extends NonDecidingRole {
-  private final LoopRole before;
+  private final LoopRole previous;
 
-  HaltedRole(final LoopRole before) {
-    this.before = before;
+  HaltedRole(final LoopRole previous) {
+    this.previous = previous;
   }
 
   @Override
   public boolean hasSuccessor() {
-    return before.hasSuccessor();
+    return previous.hasSuccessor();
   }
 
   @Override
@@ -31,18 +32,18 @@
   @Override
   public void submit(
       final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
-    before.submit(message, deadlineUs, reply);
+    previous.submit(message, deadlineUs, reply);
   }
 
   @Override
   public void withdraw(final String messageId, final long destination) {
-    before.withdraw(messageId, destination);
+    previous.withdraw(messageId, destination);
   }
 
   @Override
   public void onEndpointUpdate(
       final EndpointUpdate update, final EndpointTable.AppliedUpdate applied) {
-    before.onEndpointUpdate(update, applied);
+    previous.onEndpointUpdate(update, applied);
   }
 
   @Override
@@ -50,31 +51,31 @@
       final PendingDelivery delivery,
       final Dispatcher.Call call,
       final Dispatcher.DispatchOutcome outcome) {
-    // The connection broke by this process's own end.
+    // The connection was broken by this process's own end.
   }
 
   @Override
   public void setDisabledEndpoints(final Set<String> names) {
-    before.setDisabledEndpoints(names);
+    previous.setDisabledEndpoints(names);
   }
 
   @Override
   public void prepareToStop(final long stopUs) {
-    before.prepareToStop(stopUs);
+    previous.prepareToStop(stopUs);
   }
 
   @Override
   public HandoverSnapshot learnedState() {
-    return before.learnedState();
+    return previous.learnedState();
   }
 
   @Override
   public int ownedMessages() {
-    return before.ownedMessages();
+    return previous.ownedMessages();
   }
 
   @Override
   public boolean isIdle() {
-    return before.isIdle();
+    return previous.isIdle();
   }
 }
--- a/courier/src/main/java/thistleturn/courier/HandedOverCalls.java
+++ b/courier/src/main/java/thistleturn/courier/HandedOverCalls.java
@@ -9,8 +9,8 @@
 import thistleturn.courier.port.Dispatcher;
 
 /**
- * The calls that were in flight when a newer process took over, under the numbers by which it knows
- * them. This process carries them out to their end.
+ * The calls that were in flight when a newer process took over, with the numbers that the newer
+ * process uses for them. This process completes them.
  */
 final class HandedOverCalls {
   private final Map<Long, Dispatcher.Call> callsByNumber = new HashMap<>();
--- a/courier/src/main/java/thistleturn/courier/InMemoryMessageStore.java
+++ b/courier/src/main/java/thistleturn/courier/InMemoryMessageStore.java
@@ -7,7 +7,7 @@
 import thistleturn.courier.port.MessageStore;
 import thistleturn.courier.port.StoredMessage;
 
-/** A message store that keeps everything in memory, and forgets it with the process. */
+/** A message store that keeps everything in memory, so that nothing survives the process. */
 final class InMemoryMessageStore implements MessageStore {
   private final Map<String, StoredMessage> pendingMessages = new LinkedHashMap<>();
 
--- a/courier/src/main/java/thistleturn/courier/InterruptedAttempts.java
+++ b/courier/src/main/java/thistleturn/courier/InterruptedAttempts.java
@@ -13,10 +13,10 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Attempts of earlier processes whose outcomes nobody reports any more. A repeat could be a second
- * copy for as long as the first one's connection is open. So an attempt counts as ended once the
- * process that made it has ended, or once the deadline of its message has come, beyond which no
- * call is awaited: then the message is not sent again. On the event loop only.
+ * Attempts of earlier processes whose outcomes will not be reported any more. While the connection
+ * of such an attempt is open, a retry could deliver a second copy. So an attempt counts as ended
+ * only once the process that made it has ended, or once the deadline of its message has passed: no
+ * call is awaited after that, and the message is not sent again. Used on the event loop only.
  */
 final class InterruptedAttempts {
   private static final String TASK_NAME = "interrupted attempts";
@@ -28,30 +28,30 @@
   private final EarlierProcesses processes;
   private final long interruptedUs;
 
-  /** Which attempts had ended when they were interrupted, by the times when they started. */
-  private final LongPredicate endedAtFirst;
+  /** Tests by an attempt's start time whether it had ended when the attempts were interrupted. */
+  private final LongPredicate endedAtInterruption;
 
   private final List<Attempt> attempts = new ArrayList<>();
 
-  /** How many attempts were awaited, and how many of them ended with their messages' deadlines. */
+  /** How many attempts were awaited, and how many of them ended at their messages' deadlines. */
   private int awaited;
 
   private int expired;
 
   private record Attempt(long startedUs, long deadlineUs, Runnable onEnded) {}
 
-  /** Collects attempts of these processes, which were interrupted just now. */
+  /** Creates a collection of attempts of these processes that were interrupted just now. */
   InterruptedAttempts(final Clock clock, final EventLoop loop, final EarlierProcesses processes) {
     this.clock = clock;
     this.loop = loop;
     this.processes = processes;
     this.interruptedUs = clock.nowUs();
-    this.endedAtFirst = processes.endedAttempts(0);
+    this.endedAtInterruption = processes.endedAttempts(0);
   }
 
   /** Returns whether the attempt that a message had in flight has ended already. */
   boolean hasEnded(final StoredMessage message) {
-    return endedAtFirst.test(message.attemptStartedUs());
+    return endedAtInterruption.test(message.attemptStartedUs());
   }
 
   /**
@@ -63,9 +63,9 @@
     attempts.add(new Attempt(message.attemptStartedUs(), message.deadlineUs(), onEnded));
   }
 
-  /** Waits for the end of all attempts that were added; it may have come. */
+  /** Waits for the end of all added attempts, some of which may have ended already. */
   void awaitEnd() {
-    endWhere(endedAtFirst);
+    endWhere(endedAtInterruption);
     if (!attempts.isEmpty()) {
       awaited = attempts.size();
       Log.event(Event.CALLS_INTERRUPTED, "attempts", awaited, "processes", processes);
@@ -108,7 +108,7 @@
     end(due);
   }
 
-  /** One that fails does not keep the others. */
+  /** Ends these attempts; a callback that fails does not prevent the others. */
   private void end(final List<Attempt> ended) {
     attempts.removeAll(ended);
     ended.forEach(attempt -> GuardedTasks.guard(TASK_NAME, attempt.onEnded()).run());
--- a/courier/src/main/java/thistleturn/courier/KnownDestinations.java
+++ b/courier/src/main/java/thistleturn/courier/KnownDestinations.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The destinations that have an endpoint, or had one a short while ago: between two endpoints a
- * destination may have none.
+ * The destinations that have an endpoint or recently had one: while its endpoints are replaced, a
+ * destination may briefly have none.
  */
 final class KnownDestinations {
   /** How long a destination without an endpoint stays known. */
@@ -17,7 +17,7 @@
   private final LongSupplier nowUs;
   private final Map<Long, Integer> endpointsPerDestination = new HashMap<>();
 
-  /** Since when destinations that had endpoints have none, the longest vacant first. */
+  /** The times since which destinations have had no endpoint, the earliest first. */
   private final Map<Long, Long> vacantSinceUs = new LinkedHashMap<>();
 
   KnownDestinations(final LongSupplier nowUs) {
@@ -43,7 +43,7 @@
         || vacantSinceUs.containsKey(destination);
   }
 
-  /** Forgets destinations that have been vacant for long. */
+  /** Removes destinations that have had no endpoint for {@link #VACANT_DESTINATION_TTL_US}. */
   void expireVacant() {
     final long expiredUs = nowUs.getAsLong() - VACANT_DESTINATION_TTL_US;
     final Iterator<Long> sinceUs = vacantSinceUs.values().iterator();
--- a/courier/src/main/java/thistleturn/courier/LatestConfig.java
+++ b/courier/src/main/java/thistleturn/courier/LatestConfig.java
@@ -3,8 +3,8 @@
 import thistleturn.courier.runtime.CourierConfig;
 
 /**
- * The configuration as it was read last, at the start or on SIGHUP. Of a later reading only the
- * platform's address applies to a running process.
+ * The configuration that was read last, at the start or on SIGHUP. Of a reloaded configuration only
+ * the platform's address applies to a running process.
  */
 final class LatestConfig {
   private final CourierConfig initial;
@@ -15,17 +15,17 @@
     this.latest = initial;
   }
 
-  /** Returns what was read last. */
+  /** Returns the configuration that was read last. */
   CourierConfig get() {
     return latest;
   }
 
-  /** Returns whether the configuration was read again since the start. */
+  /** Returns whether the configuration was reloaded since the start. */
   boolean isReloaded() {
     return latest != initial;
   }
 
-  /** Replaces what was read before. */
+  /** Replaces the configuration. */
   void replace(final CourierConfig fresh) {
     latest = fresh;
   }
--- a/courier/src/main/java/thistleturn/courier/Lifecycle.java
+++ b/courier/src/main/java/thistleturn/courier/Lifecycle.java
@@ -9,7 +9,7 @@
 final class Lifecycle {
   private volatile LifecycleState state = LifecycleState.STARTING;
 
-  /** Returns whether all shards decide, so that there is something to ask and to shut down. */
+  /** Returns whether all shards decide, so that the courier can be queried and shut down. */
   boolean hasStarted() {
     return state != LifecycleState.STARTING;
   }
@@ -31,7 +31,7 @@
 
   /**
    * Every listener accepts clients. A process that is shutting down stays in that state, and one
-   * that takes decisions back before its successor accepted clients never stopped serving.
+   * that resumes deciding before its successor accepted clients never stopped serving.
    */
   void onListening() {
     if (!isShuttingDown() && !isServing()) {
@@ -53,7 +53,7 @@
     moveTo(LifecycleState.SHUTTING_DOWN);
   }
 
-  /** Everything is released; a second call, maybe on another thread, changes nothing. */
+  /** All resources are released; a second call, possibly on another thread, changes nothing. */
   synchronized void onTerminated() {
     if (state != LifecycleState.TERMINATED) {
       moveTo(LifecycleState.TERMINATED);
--- a/courier/src/main/java/thistleturn/courier/LifecycleState.java
+++ b/courier/src/main/java/thistleturn/courier/LifecycleState.java
@@ -3,19 +3,19 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The states of a courier process, and which of them may follow each other. */
+/** The states of a courier process and the transitions between them. */
 enum LifecycleState {
-  /** The steps of the start are under way, or the process waits for a handover. */
+  /** The start is in progress, or the process waits for a handover. */
   STARTING,
   /** All shards decide; not every listener accepts clients yet. */
   OPENING_LISTENERS,
   /** Clients are accepted. */
   SERVING,
-  /** A newer process accepts clients; this one completes the calls that it has in flight. */
+  /** A newer process accepts clients; this one completes its calls in flight. */
   HANDED_OVER,
   /** A shutdown was requested. */
   SHUTTING_DOWN,
-  /** The event loops have ended, and everything that the start opened is released. */
+  /** The event loops have ended, and all resources are released. */
   TERMINATED;
 
   /** Returns whether a process in this state may move to {@code next}. */
--- a/courier/src/main/java/thistleturn/courier/LocalIngressHandler.java
+++ b/courier/src/main/java/thistleturn/courier/LocalIngressHandler.java
@@ -6,8 +6,8 @@
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * Passes requests to the decision loop that decides now for the only shard; another one may take
- * its place while the ingress stays.
+ * Passes requests to the current decision loop of the only shard; the decision loop may be replaced
+ * while the ingress stays.
  */
 record LocalIngressHandler(Shard shard) implements IngressHandler {
   @Override
--- a/courier/src/main/java/thistleturn/courier/LoopContext.java
+++ b/courier/src/main/java/thistleturn/courier/LoopContext.java
@@ -9,15 +9,15 @@
 import thistleturn.decisions.model.DeliverySettings;
 
 /**
- * What the parts of one decision loop share. All of it belongs to the loop's thread.
+ * The state shared by the parts of one decision loop, used on the loop's thread only.
  *
  * @param store the journal
  * @param classes the configured message classes
- * @param endpoints the endpoints that the directory named
+ * @param endpoints the listed endpoints
  * @param pending the messages that have not ended
- * @param counters what is reported as metrics
- * @param health how well this process runs and reaches others
- * @param stallDetector notices when this process did not run
+ * @param counters the counters reported as metrics
+ * @param health the local health: whether this process runs and is connected
+ * @param stallDetector detects that this process did not run for a while
  */
 record LoopContext(
     Clock clock,
@@ -32,7 +32,7 @@
   /**
    * Creates the context of a new loop.
    *
-   * @param pauseListener is told for how many microseconds this process did not run
+   * @param pauseListener receives the number of microseconds for which this process did not run
    */
   static LoopContext create(
       final DeliverySettings settings,
--- a/courier/src/main/java/thistleturn/courier/LoopRole.java
+++ b/courier/src/main/java/thistleturn/courier/LoopRole.java
@@ -10,8 +10,8 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * What the events of a decision loop lead to, which depends on who decides: this process, or a
- * newer one that has taken over. All methods run on the loop's thread.
+ * Handles the events of a decision loop, depending on whether this process decides or a newer one
+ * has taken over. All methods run on the loop's thread.
  */
 interface LoopRole {
   /** Returns true while this process runs decision rounds. */
@@ -20,26 +20,26 @@
   /** Returns true once a newer process decides. */
   boolean hasSuccessor();
 
-  /** Returns the role after a newer process has taken over. */
+  /** Returns the next role after a newer process has taken over. */
   LoopRole handedOverTo(ForwardingRole forwarding);
 
-  /** A client handed a message in. */
+  /** A client submitted a message. */
   void submit(StoredMessage message, long deadlineUs, Ingress.Reply reply);
 
-  /** A client went away before its message was answered. */
+  /** A client disconnected before its message was answered. */
   void withdraw(String messageId, long destination);
 
-  /** The endpoint list changed, or could not be had. */
+  /** The endpoint list changed, or is unavailable. */
   void onEndpointUpdate(EndpointUpdate update, EndpointTable.AppliedUpdate applied);
 
-  /** A message's attempt ended; its connection carries nothing of it any more. */
+  /** A message's attempt ended; no byte of it is in transit on its connection any more. */
   void onOutcome(
       PendingDelivery delivery, Dispatcher.Call call, Dispatcher.DispatchOutcome outcome);
 
-  /** The attempt of an earlier process, of which no outcome was reported, counts as ended. */
+  /** The attempt of an earlier process, whose outcome was not reported, counts as ended. */
   void onInterruptionEnded(PendingDelivery delivery);
 
-  /** An endpoint asked for a wait in an answer to a call that was given up before. */
+  /** An endpoint sent a Retry-After in an answer to a call that had been abandoned. */
   void onRetryAfter(long endpoint, long retryAfterUs);
 
   /** The platform confirmed final outcomes. */
@@ -48,7 +48,7 @@
   /** This process did not run for a while. */
   void onProcessPaused(long pausedUs);
 
-  /** This courier is connected again. */
+  /** This courier, which was cut off, is connected again. */
   void onConnectivityRestored(long nowUs, long cutOffSinceUs);
 
   /** Exactly these endpoints are administratively disabled from now on. */
@@ -57,15 +57,15 @@
   /** A subsystem issues a directive on a destination. */
   void applyDirective(long destination, Directive directive);
 
-  /** The process ends at this time: nothing is started that cannot end by then. */
+  /** The process ends at this time: no call is started that cannot end by then. */
   void prepareToStop(long stopUs);
 
-  /** Returns what has been learned so far, or null if there is nothing to be kept. */
+  /** Returns the learned state, or null if there is nothing to store. */
   HandoverSnapshot learnedState();
 
-  /** Returns how many messages this process has to bring to an end. */
+  /** Returns how many pending messages this process is responsible for. */
   int ownedMessages();
 
-  /** Returns true if nothing is under way that the end of the process would interrupt. */
+  /** Returns true if the end of the process would interrupt nothing. */
   boolean isIdle();
 }
