--- a/courier/src/main/java/thistleturn/courier/http/AcceptHandler.java
+++ b/courier/src/main/java/thistleturn/courier/http/AcceptHandler.java
@@ -6,11 +6,11 @@
 import thistleturn.courier.transport.AcceptRetryHandler;
 
 /**
- * Bounds since when an accepted connection, with a request on it, may have waited in the backlog of
- * the listener.
+ * Counts accepted connections, and bounds how long the one accepted last, possibly with a request
+ * already sent on it, may have waited in the backlog of the listener.
  */
 final class AcceptHandler extends AcceptRetryHandler {
-  /** The number of connections that are accepted in one iteration of the event loop. */
+  /** The maximum number of connections accepted in one iteration of the event loop. */
   static final int MAX_ACCEPTS_PER_POLL = 16;
 
   private final Clock clock;
@@ -39,12 +39,12 @@
   public void channelRead(final ChannelHandlerContext context, final Object connection) {
     acceptedInPoll++;
     acceptedCount++;
-    // Another connection may always be waiting; that is known only when the reading ends.
+    // More connections may be waiting; whether there are is known only once the read completes.
     acceptTime.onRead(clock.nowUs(), polls.previousPollUs(), false);
     super.channelRead(context, connection);
   }
 
-  /** Notes that more connections may wait than could be accepted. */
+  /** Records that connections which could not be accepted may still be waiting. */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
     acceptTime.setDrained(false);
--- a/courier/src/main/java/thistleturn/courier/http/BulkResponseParser.java
+++ b/courier/src/main/java/thistleturn/courier/http/BulkResponseParser.java
@@ -8,15 +8,15 @@
 import thistleturn.courier.runtime.Json;
 import thistleturn.decisions.model.AttemptResult;
 
-/** Parses the responses to calls with several messages: a JSON array with a state for each. */
+/** Parses the response to a call with several messages: a JSON array with a state for each. */
 final class BulkResponseParser {
   private final Map<String, String> statesById = new HashMap<>();
   private final DispatchOutcome callOutcome;
 
   /**
-   * Parses a body. If that fails none of the messages has a state.
+   * Parses a response body. If it cannot be parsed, no message has a state.
    *
-   * @param callOutcome has the Retry-After and the load report of the response
+   * @param callOutcome provides the Retry-After and the load report of the response
    */
   BulkResponseParser(final byte[] body, final DispatchOutcome callOutcome) {
     this.callOutcome = callOutcome;
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The outcome of one message; one without a known state may have been executed. */
+  /** The outcome of one message; a message without a known state may have been executed. */
   DispatchOutcome outcomeOf(final String messageId) {
     return switch (statesById.getOrDefault(messageId, "")) {
       case "accepted" -> outcome(AttemptResult.DELIVERED, true);
--- a/courier/src/main/java/thistleturn/courier/http/CallDeadlines.java
+++ b/courier/src/main/java/thistleturn/courier/http/CallDeadlines.java
@@ -59,7 +59,7 @@
         overdue = deadlines.poll(polledUs)) {
       expiryHandler.accept(overdue);
     }
-    // Deadlines after the beginning of that poll are judged after the next one.
+    // Calls whose deadlines fall after the start of that poll are checked after the next poll.
     armTimer();
   }
 }
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnection.java
@@ -125,7 +125,7 @@
     return currentRequest != null || !queuedRequests.isEmpty();
   }
 
-  /** True while this is the request to which a response is due next. */
+  /** True if the next response to be sent answers this request. */
   boolean isServing(final QueuedRequest request) {
     return currentRequest == request;
   }
@@ -198,7 +198,7 @@
             && !isClosing());
   }
 
-  /** Reads without having been reported as ready; bytes found so show that nobody watches. */
+  /** Reads without a readiness report; bytes found show that the selector does not watch. */
   void readDirectly() {
     selectorWatch = selectorWatch.beginDirectRead();
     DirectRead.readOnce(context.channel());
@@ -212,7 +212,7 @@
     ingress.connections().onOpened(this);
   }
 
-  /** Notes that bytes were received, perhaps too few for the head of a request. */
+  /** Records that bytes were received, possibly too few for the head of a request. */
   private void onBytesReceived(final ByteBuf bytes) {
     lastReceivedUs = ingress.clock().nowUs();
     if (selectorWatch == SelectorWatch.READING_DIRECTLY) {
@@ -251,7 +251,7 @@
     }
   }
 
-  /** Discards input, within a limit, since a reset could overtake the last response. */
+  /** Discards input, up to a limit, since a reset could destroy the last response. */
   private void discard(final ByteBuf bytes) {
     discardedBytes += bytes.readableBytes();
     if (discardedBytes > MAX_DISCARDED_BYTES) {
@@ -307,7 +307,7 @@
     context.channel().config().setAutoRead(queuedRequests.isEmpty());
   }
 
-  /** Notes that the current request is answered by this reply. */
+  /** Records the reply that will answer the current request. */
   void awaitReply(final SubmitReply reply) {
     currentSubmission = reply;
   }
@@ -352,7 +352,7 @@
     return written;
   }
 
-  /** Reads no further request, and sends this status once the earlier requests are answered. */
+  /** Stops reading requests, and sends this status once all earlier requests are answered. */
   void reject(final HttpResponseStatus status) {
     ClientConnectionLog.rejected(
         client(), status.code(), currentMessageId(), queuedRequests.size());
@@ -388,9 +388,9 @@
   }
 
   /**
-   * Ends the output once that is written, and discards further input for a while: closing with
-   * unread input would reset the connection, and destroy responses that are in flight. A client
-   * repeats on another connection what was discarded.
+   * Shuts down the output after this write, and discards further input for a while: closing with
+   * unread input would reset the connection and destroy responses in flight. A client repeats
+   * discarded requests on another connection.
    */
   private void closeOutputAfter(final ChannelFuture written) {
     phase = ConnectionPhase.CLOSING;
@@ -422,14 +422,14 @@
     }
   }
 
-  /** Closes the connection; it is not counted from now on, before its channel reports the end. */
+  /** Closes the connection, and stops counting it before its channel reports the close. */
   void closeNow() {
     logClosed("makes_room");
     ingress.connections().onClosed(this);
     context.close();
   }
 
-  /** Logs that this side closes the connection, unless it is between two requests. */
+  /** Logs that the courier closes the connection, unless it is between two requests. */
   private void logClosed(final String reason) {
     if (isProcessingRequest() || isReceivingRequest()) {
       ClientConnectionLog.closed(
@@ -465,8 +465,8 @@
   }
 
   /**
-   * Handles that the client has closed its sending side. If it is not answered yet it has most
-   * likely given up, so that its message is withdrawn; but it may still read, and is answered.
+   * Handles a client that has closed its sending side. An unanswered client has most likely given
+   * up, so its message is withdrawn; it may still be reading, so it gets a response.
    */
   @Override
   public void userEventTriggered(final ChannelHandlerContext ctx, final Object event) {
@@ -475,7 +475,7 @@
     }
     if (currentSubmission != null) {
       finishWith(HttpResponseStatus.SERVICE_UNAVAILABLE);
-      // Otherwise the reply comes from another loop, where the first attempt may have begun.
+      // On another loop the first attempt may have begun: that loop's reply is awaited instead.
       if (ingress.handler().isAnsweredOnThisLoop(currentSubmission.destination())) {
         withdraw(currentSubmission);
         respond(HttpResponseStatus.SERVICE_UNAVAILABLE, HALF_CLOSED_RETRY_AFTER_US);
@@ -490,7 +490,7 @@
   @Override
   public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.failure("a client's connection", cause);
+      Log.failure("client connection", cause);
     }
     logClosed(String.valueOf(cause));
     ctx.close();
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnectionLog.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnectionLog.java
@@ -8,7 +8,7 @@
 final class ClientConnectionLog {
   private ClientConnectionLog() {}
 
-  /** This side closes a connection that is not between two requests. */
+  /** The courier closes a connection while a request is being received, queued or served. */
   static void closed(
       final SocketAddress client,
       final String reason,
@@ -29,7 +29,7 @@
         receivingRequest);
   }
 
-  /** A request is rejected, and its connection ends with that response. */
+  /** A request is rejected, and its connection closes after that response. */
   static void rejected(
       final SocketAddress client, final int status, final String messageId, final int queued) {
     Log.event(
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnectionManager.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnectionManager.java
@@ -23,8 +23,8 @@
   /** How long a request may take to be received; some clients take two seconds to write one. */
   private static final long REQUEST_TIMEOUT_US = 2_600_000;
 
-  /** How long a connection may be idle while there are many. */
-  private static final long CROWDED_IDLE_TIMEOUT_US = 2_100_000;
+  /** How long a connection may be idle while the number of connections exceeds the soft limit. */
+  private static final long REDUCED_IDLE_TIMEOUT_US = 2_100_000;
 
   /** A connection that is idle for this long hibernates. */
   private static final long HIBERNATE_AFTER_US = 1_000_000;
@@ -32,7 +32,7 @@
   /** A connection from which nothing was received for this long is read directly once. */
   private static final long DIRECT_READ_AFTER_US = 50_000;
 
-  /** Checks that fall due at the same time are spread over tasks of this size. */
+  /** Checks that are due at the same time are spread over several tasks of this size. */
   private static final int MAX_CHECKS_PER_TASK = 256;
 
   private final EventLoop loop;
@@ -40,13 +40,13 @@
   private final PollTracker polls;
   private final long idleTimeoutUs;
   private final ConnectionEvictionRanking evictionRanking =
-      new ConnectionEvictionRanking(CROWDED_IDLE_TIMEOUT_US);
+      new ConnectionEvictionRanking(REDUCED_IDLE_TIMEOUT_US);
   private final ClientConnectionSet connections;
 
-  /** When each connection is checked next; never later than something is due for it. */
+  /** The next check of each connection, never later than the earliest action due for it. */
   private final TimeHeap<ScheduledCheck> checks = new TimeHeap<>();
 
-  private boolean crowded;
+  private boolean aboveSoftLimit;
 
   ClientConnectionManager(
       final EventLoop loop,
@@ -75,7 +75,7 @@
   }
 
   /**
-   * The output of a connection is closed: it is served no more, but still counted.
+   * The output of a connection is closed: it is no longer served, but still counted.
    *
    * @return false if the connection has ended in the meantime
    */
@@ -118,14 +118,14 @@
 
   /** Performs the checks that are due. Called at regular intervals. */
   void sweep() {
-    final boolean wasCrowded = crowded;
-    final boolean isCrowded = connections.isCrowded();
-    if (isCrowded && !wasCrowded) {
+    final boolean wasAboveSoftLimit = aboveSoftLimit;
+    final boolean isAboveSoftLimit = connections.isAboveSoftLimit();
+    if (isAboveSoftLimit && !wasAboveSoftLimit) {
       // The idle timeout is shorter now than when the checks were scheduled.
       connections.forEachOpen(
           connection -> checks.schedule(connection.scheduledCheck(), nextCheckUs(connection)));
     }
-    crowded = isCrowded;
+    aboveSoftLimit = isAboveSoftLimit;
     performDueChecks();
   }
 
@@ -144,7 +144,7 @@
   // ---------------------------------------------------------------- checks of one connection
 
   private void check(final ClientConnection connection, final long nowUs) {
-    // A poll that began after the connection was accepted reported it, if it is watched.
+    // A poll that began after the accept has reported the connection if the selector watches it.
     if (connection.mayBeUnwatched() && polls.currentPollUs() > connection.idleSinceUs()) {
       connection.readDirectly();
       if (!connections.isOpen(connection)) {
@@ -152,7 +152,7 @@
       }
     }
     if (isRequestOverdue(connection, nowUs) || isIdleTooLong(connection, nowUs)) {
-      // Pending input is read before the connection is judged, however long the process paused.
+      // Pending input must be read before this decision, however long the process was paused.
       polls.runAfterPoll(loop, nowUs, () -> closeIfStillOverdue(connection, nowUs));
       return;
     }
@@ -194,10 +194,10 @@
     if (!connection.hasSentRequest()) {
       return FIRST_REQUEST_TIMEOUT_US;
     }
-    return crowded ? Math.min(CROWDED_IDLE_TIMEOUT_US, idleTimeoutUs) : idleTimeoutUs;
+    return aboveSoftLimit ? Math.min(REDUCED_IDLE_TIMEOUT_US, idleTimeoutUs) : idleTimeoutUs;
   }
 
-  /** When something is due for the connection, unless its state changes before. */
+  /** The time of the next check, unless the state of the connection changes earlier. */
   private long nextCheckUs(final ClientConnection connection) {
     if (connection.mayBeUnwatched()) {
       return Math.max(connection.idleSinceUs() + DIRECT_READ_AFTER_US, clock.nowUs());
--- a/courier/src/main/java/thistleturn/courier/http/ClientConnectionSet.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientConnectionSet.java
@@ -11,11 +11,12 @@
 import thistleturn.decisions.admission.ConnectionEvictionRanking;
 
 /**
- * The client connections of one ingress. If there are more than the descriptor budget allows, those
- * of least use are evicted. Used on the event loop only.
+ * The client connections of one ingress. If there are more than the descriptor budget allows, the
+ * least useful ones are evicted. Used on the event loop only.
  */
 final class ClientConnectionSet {
-  private static final double CROWDED_FRACTION = 0.5;
+  /** The soft limit, as a share of the maximum number of client connections. */
+  private static final double SOFT_LIMIT_FRACTION = 0.5;
 
   private final EventLoop loop;
   private final Clock clock;
@@ -26,7 +27,7 @@
   /** The connections that are served, the newest last. */
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** The connections whose output is closed while the client's is not, the earliest first. */
+  /** The connections whose output is closed but not yet their input, the earliest first. */
   private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
   private boolean evictionScheduled;
@@ -56,7 +57,7 @@
   }
 
   /**
-   * Notes that the output of a connection is closed.
+   * Records that the output of a connection is closed.
    *
    * @return false if the connection has ended in the meantime
    */
@@ -92,8 +93,8 @@
   }
 
   /** True if so many connections are open that idle ones are kept for a shorter time. */
-  boolean isCrowded() {
-    return open.size() > CROWDED_FRACTION * descriptors.maxClientConnections();
+  boolean isAboveSoftLimit() {
+    return open.size() > SOFT_LIMIT_FRACTION * descriptors.maxClientConnections();
   }
 
   private int size() {
--- a/courier/src/main/java/thistleturn/courier/http/ClientListener.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientListener.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletionStage;
 import thistleturn.courier.transport.RetryingServerSocketChannel;
 
-/** The listening socket of an ingress. {@link ListenerClose} closes it without a loss. */
+/** The listening socket of an ingress. {@link ListenerClose} closes it without losing requests. */
 final class ClientListener {
   /** Limits one read from a connection, so that a flooding client does not delay the others. */
   private static final int MAX_READ_BYTES = 1 << 14;
@@ -104,7 +104,7 @@
             });
   }
 
-  /** Accepts what the selector may not have reported. Called at regular intervals. */
+  /** Accepts connections that the selector did not report. Called at regular intervals. */
   void sweep() {
     if (watch != null) {
       watch.sweep();
@@ -123,7 +123,7 @@
     }
   }
 
-  /** The same, for a listener whose address another process listens at as well. */
+  /** Closes a listener at whose address another process listens as well. */
   void closeForSuccessor() {
     if (channel.isOpen() && !isClosing()) {
       beginClosing().steerAndClose();
--- a/courier/src/main/java/thistleturn/courier/http/ClientResponses.java
+++ b/courier/src/main/java/thistleturn/courier/http/ClientResponses.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** The responses that clients get; none of them has a body. */
+/** The responses to clients; none of them has a body. */
 final class ClientResponses {
   private static final double US_PER_SECOND = 1_000_000;
 
@@ -51,8 +51,8 @@
   }
 
   /**
-   * True if further requests of the connection may be served after a response with this status. A
-   * client whose request was invalid is not trusted with what it sends behind it.
+   * True if the connection may serve further requests after a response with this status. After an
+   * invalid request, the later input of the client is not trusted.
    */
   static boolean allowsReuse(final HttpResponseStatus status) {
     return status.code() < HttpResponseStatus.BAD_REQUEST.code()
--- a/courier/src/main/java/thistleturn/courier/http/EndpointConnection.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnection.java
@@ -23,7 +23,7 @@
  */
 final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject>
     implements ResponseDecoder.Listener {
-  /** A response that has begun must be complete within this time: its sender has all of it. */
+  /** How long the rest of a response may take: its sender has all of it when it begins. */
   private static final long RESPONSE_COMPLETION_TIMEOUT_MS = 500;
 
   /** How long the response to an abandoned call is still read, for its Retry-After. */
@@ -35,13 +35,13 @@
   private final EndpointResponse response = new EndpointResponse();
   private ChannelHandlerContext context;
 
-  /** The call that is carried now; null while the connection is idle. */
+  /** The current call; null while the connection is idle. */
   private HttpCall call;
 
-  /** The pool of the call that was abandoned here; null if none was. No other call follows it. */
+  /** The pool of the abandoned call; null if none was abandoned. No other call follows it. */
   private EndpointConnectionPool abandonedPool;
 
-  /** The pool in which the connection was idle last; null while it carries its first call. */
+  /** The pool in which the connection was last idle; null during its first call. */
   private EndpointConnectionPool pool;
 
   private long idleSinceUs;
@@ -50,7 +50,7 @@
   /** True while a response has begun and is not complete. */
   private boolean receivingResponse;
 
-  /** Ends the wait for the rest of a response. */
+  /** Limits the wait for the rest of a response. */
   private Future<?> completionTimer;
 
   EndpointConnection(final HttpDispatcher dispatcher, final EventLoop loop, final Clock clock) {
@@ -79,7 +79,7 @@
   void send(final HttpCall next) {
     call = next;
     sentUs = clock.nowUs();
-    call.carriedBy(this, context.channel());
+    call.setConnection(this, context.channel());
     response.reset();
     context
         .writeAndFlush(CallRequestEncoder.encode(call, clock.nowUs()))
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Abandons the call by ending the output. The response may arrive at this moment, or may be
-   * unread already: it is read for a while, but only its Retry-After is used.
+   * Abandons the call by shutting down the output. Its response may be unread or still on its way:
+   * input is read for a while, but only the Retry-After is used.
    */
   void abandonCall() {
     abandonedPool = call.pool();
@@ -124,7 +124,7 @@
   }
 
   /**
-   * Holds back the unwritten calls that a Retry-After applies to.
+   * Abandons the unwritten calls to which the Retry-After of a response applies.
    *
    * @param head null if it was not received
    * @return the time to wait, us; 0 if there is none
@@ -151,7 +151,7 @@
       return;
     }
     if (call == null || !call.isWritten()) {
-      // The bytes belong to no call, or precede the call: they belong to an earlier one.
+      // No call is in flight, or it is not fully written: the bytes belong to an earlier call.
       onConnectionBroken(AttemptResult.RESET);
     } else {
       receivingResponse = true;
@@ -172,7 +172,7 @@
       return;
     }
     if (call == null || part.decoderResult().isFailure() || !response.add(part)) {
-      // The bytes belong to no call, or are invalid: this connection cannot be trusted.
+      // The response belongs to no call or is invalid: the connection cannot be reused.
       onConnectionBroken(AttemptResult.ERROR);
       return;
     }
@@ -184,7 +184,7 @@
     }
   }
 
-  /** Waits for the rest of a response; most responses arrive in one piece. */
+  /** Starts the timer for the rest of a response; most responses arrive in a single read. */
   @Override
   public void channelReadComplete(final ChannelHandlerContext ctx) {
     if (receivingResponse && completionTimer == null && call != null) {
@@ -259,8 +259,8 @@
   }
 
   /**
-   * Ends a connection that has broken or cannot be used any more. An invalid response shows that
-   * the endpoint exists and has handled the call, which is an error and not a reset.
+   * Closes a connection that is broken or cannot be used any more. An invalid response shows that
+   * the endpoint exists and has handled the call: that is an error, not a reset.
    *
    * @param cause {@link AttemptResult#RESET} if the connection was lost
    */
@@ -306,7 +306,7 @@
   @Override
   public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.failure("connection to an endpoint", cause);
+      Log.failure("endpoint connection", cause);
     }
     onConnectionBroken(AttemptResult.RESET);
   }
--- a/courier/src/main/java/thistleturn/courier/http/EndpointConnectionPool.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointConnectionPool.java
@@ -8,7 +8,7 @@
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
 
-/** The idle connections to one endpoint, and what is known of it. */
+/** The idle connections to one endpoint, its address, its state and its handshake time. */
 final class EndpointConnectionPool {
   /** The weight of one handshake in the moving average. */
   private static final double HANDSHAKE_SMOOTHING = 0.2;
@@ -58,12 +58,12 @@
     return changed;
   }
 
-  /** Notes that the endpoint list does not contain the endpoint any more. */
+  /** Records that the endpoint list no longer contains the endpoint. */
   void markRemoved() {
     availability = Availability.REMOVED;
   }
 
-  /** True if the endpoint list has the endpoint as available, and not as draining. */
+  /** True if the endpoint is listed and not draining. */
   boolean acceptsCalls() {
     return availability == Availability.ACCEPTING_CALLS;
   }
@@ -77,7 +77,7 @@
     return separateRoute ? other == this : other.destination == destination;
   }
 
-  /** Notes how long it took to establish a connection. */
+  /** Records how long it took to establish a connection. */
   void recordHandshake(final long durationUs) {
     handshakeUs += handshakeUs == 0 ? durationUs : HANDSHAKE_SMOOTHING * (durationUs - handshakeUs);
   }
@@ -87,7 +87,7 @@
     return handshakeUs;
   }
 
-  /** Adds an idle connection as the one used last. */
+  /** Adds an idle connection as the most recently used one. */
   void addIdle(final EndpointConnection connection) {
     idle.addLast(connection);
   }
@@ -96,7 +96,7 @@
     idle.remove(connection);
   }
 
-  /** The idle connections, the one used last first; the iterator removes from the pool. */
+  /** The idle connections, the most recently used first; the iterator removes from the pool. */
   Iterator<EndpointConnection> latestUsedFirst() {
     return idle.descendingIterator();
   }
--- a/courier/src/main/java/thistleturn/courier/http/EndpointResponse.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointResponse.java
@@ -29,7 +29,7 @@
 
   private boolean complete;
 
-  /** Forgets the response, before the next call. */
+  /** Clears the response before the next call. */
   void reset() {
     statusLine = null;
     head = null;
@@ -37,7 +37,7 @@
     complete = false;
   }
 
-  /** Notes the status line, before the rest of the head is received. */
+  /** Records the status line, before the rest of the head is received. */
   void onStatusLine(final HttpResponse received) {
     statusLine = received;
   }
@@ -96,7 +96,7 @@
     return statusLine != null;
   }
 
-  /** True if the status line shows a delivery, whatever becomes of the rest. */
+  /** True if the status line shows a delivery, whether or not the rest is received. */
   boolean hasDeliveredStatus() {
     return statusLine != null
         && statusLine.status().code() == EndpointResponseParser.OK
--- a/courier/src/main/java/thistleturn/courier/http/EndpointResponseParser.java
+++ b/courier/src/main/java/thistleturn/courier/http/EndpointResponseParser.java
@@ -17,7 +17,7 @@
   private static final double US_PER_SECOND = 1_000_000;
   private static final double INVALID = -1;
 
-  /** A number without sign and exponent. */
+  /** A decimal number without sign or exponent. */
   private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,18})?");
 
   /** A longer Retry-After is shortened to this. */
@@ -26,7 +26,7 @@
   /** A load report with a higher rate is ignored. */
   private static final double MAX_CALLS_PER_SECOND = 1e6;
 
-  /** A share slightly above 1 is noise; a load report with one above this limit is ignored. */
+  /** A share slightly above 1 is noise; a load report with a share above this is ignored. */
   private static final double MAX_SHARE_LEFT = 2;
 
   private EndpointResponseParser() {}
@@ -49,7 +49,7 @@
     };
   }
 
-  /** The Retry-After of a response, in decimal seconds there; 0 if it is absent or invalid. */
+  /** The Retry-After of a response, sent as decimal seconds; 0 if absent or invalid. */
   static long retryAfterUs(final HttpResponse head) {
     final double seconds = parseNumber(head.headers().get(HttpHeaderNames.RETRY_AFTER));
     return seconds >= 0
--- a/courier/src/main/java/thistleturn/courier/http/HibernatingPipeline.java
+++ b/courier/src/main/java/thistleturn/courier/http/HibernatingPipeline.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * The codecs of a client connection, which are installed only while they are needed: without them
- * very many idle connections cost little memory.
+ * The codecs of a client connection, which are installed only while they are needed: without them a
+ * large number of idle connections costs little memory.
  */
 final class HibernatingPipeline {
   private final ChannelHandlerContext context;
@@ -44,7 +44,7 @@
     encoderContext = null;
     context.pipeline().remove(HttpResponseEncoder.class);
     context.pipeline().remove(HttpServerExpectContinueHandler.class);
-    // Last: the decoder passes on what it has of a further request, which wakes the connection.
+    // Last: the decoder forwards the bytes of a partial request, which wakes the connection up.
     context.pipeline().remove(RequestDecoder.class);
   }
 
--- a/courier/src/main/java/thistleturn/courier/http/HttpCall.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpCall.java
@@ -9,9 +9,9 @@
 import thistleturn.courier.transport.DirectRead;
 import thistleturn.decisions.index.TimeHeap;
 
-/** One call: the messages in it, its progress and the connection that carries it. */
+/** One call: its messages, its progress and the connection over which it is sent. */
 final class HttpCall extends TimeHeap.Entry implements Dispatcher.Call {
-  /** How often a call is retried if this machine fails to begin its connection. */
+  /** How often connecting is retried after the local system failed to begin it. */
   private static final int MAX_LOCAL_FAILURES = 4;
 
   private final EndpointConnectionPool pool;
@@ -78,7 +78,7 @@
     return preparedUs;
   }
 
-  /** When the first of the messages expires: that ends the call for all of them. */
+  /** When the first of the messages expires, which ends the call for all of them. */
   long messageDeadlineUs() {
     return messageDeadlineUs;
   }
@@ -108,7 +108,7 @@
     return attempts.stream().filter(attempt -> attempt.latestSendUs() < nowUs).toList();
   }
 
-  /** Takes attempts out of a call that is not sent yet. */
+  /** Removes attempts from a call that has not been sent. */
   void removeAttempts(final List<Dispatcher.Attempt> removed) {
     attempts.removeAll(removed);
   }
@@ -121,7 +121,7 @@
     return progress != Progress.PREPARED;
   }
 
-  /** Notes that the last byte of the call was written, so that it may be executed. */
+  /** Records that the last byte of the call was written, so that it may be executed. */
   void markWritten() {
     progress = Progress.WRITTEN;
   }
@@ -130,7 +130,7 @@
     return progress == Progress.WRITTEN;
   }
 
-  /** Keeps a timer to be cancelled when the call ends. */
+  /** Adds a timer that is cancelled when the call ends. */
   void addTimer(final Future<?> timer) {
     timers.add(timer);
   }
@@ -140,13 +140,13 @@
     timers.clear();
   }
 
-  /** Notes the channel of a connection that is being established for this call. */
-  void connectingOver(final Channel connecting) {
+  /** Sets the channel of a connection that is being established for this call. */
+  void setConnectingChannel(final Channel connecting) {
     channel = connecting;
   }
 
-  /** Notes that this machine failed to begin the connection; true if that is to be retried. */
-  boolean retriesLocalFailure() {
+  /** Records that the local system failed to begin the connection; true if to be retried. */
+  boolean recordLocalFailure() {
     localFailures++;
     if (localFailures > MAX_LOCAL_FAILURES) {
       return false;
@@ -155,27 +155,27 @@
     return true;
   }
 
-  /** Notes the connection that carries the call. */
-  void carriedBy(final EndpointConnection carrier, final Channel carrierChannel) {
-    connection = carrier;
-    channel = carrierChannel;
+  /** Sets the connection over which the call is sent. */
+  void setConnection(final EndpointConnection endpointConnection, final Channel connectionChannel) {
+    connection = endpointConnection;
+    channel = connectionChannel;
   }
 
-  /** Reads the response without the selector having reported it, in case it does not watch. */
+  /** Reads the response directly, in case the selector does not watch the connection. */
   void readDirectly() {
     if (isAwaitingResponse()) {
       DirectRead.readOnce(channel);
     }
   }
 
-  /** The delivery that a partly received response shows already. */
+  /** The delivery that an incomplete response already shows; empty if it shows none. */
   Optional<Dispatcher.DispatchOutcome> partialDelivery() {
     return connection != null && connection.isDelivered(this)
         ? Optional.of(connection.partialDelivery())
         : Optional.empty();
   }
 
-  /** Ends the output of a connection that may have run the call; closes any other connection. */
+  /** Shuts down the output if the call may have been executed; otherwise closes the connection. */
   void releaseConnection() {
     if (isAwaitingResponse()) {
       connection.abandonCall();
--- a/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpDispatcher.java
@@ -37,15 +37,15 @@
  */
 public final class HttpDispatcher implements Dispatcher {
   /**
-   * The share of the endpoints' idle timeout after which an idle connection is closed: it must not
-   * be used while the endpoint closes it.
+   * The share of the endpoints' idle timeout after which an idle connection is closed, so that no
+   * call is sent while the endpoint closes it.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
   private static final int SWEEPS_PER_IDLE_TIMEOUT = 8;
   private static final long MIN_SWEEP_INTERVAL_US = 1000;
 
-  /** The delay until a connection is attempted again that this machine failed to begin. */
+  /** The delay before connecting is retried after a failure of the local system. */
   private static final long SOCKET_RETRY_DELAY_US = 5_000;
 
   private final Clock clock;
@@ -61,7 +61,7 @@
   private final Set<HttpCall> calls = new HashSet<>();
   private final CallDeadlines deadlines;
 
-  /** The calls that a Retry-After still holds back, since they are not written completely. */
+  /** The calls that are not written completely: a Retry-After still abandons them. */
   private final Set<HttpCall> unwritten = new LinkedHashSet<>();
 
   /** Creates a dispatcher without connections. */
@@ -84,7 +84,7 @@
     this.deadlines = new CallDeadlines(loop, clock, polls, this::expire);
     final long sweepUs = Math.max(MIN_SWEEP_INTERVAL_US, idleTimeoutUs / SWEEPS_PER_IDLE_TIMEOUT);
     loop.scheduleWithFixedDelay(
-        GuardedTasks.guard("idle connections", this::closeExpiredIdle),
+        GuardedTasks.guard("sweep of idle endpoint connections", this::closeExpiredIdle),
         sweepUs,
         sweepUs,
         TimeUnit.MICROSECONDS);
@@ -135,17 +135,20 @@
     }
   }
 
-  /** Closes idle connections before the endpoint does, which would leave a call's fate unknown. */
+  /**
+   * Closes idle connections before the endpoint does: a call sent while the endpoint closes its
+   * connection would have an unknown outcome.
+   */
   private void closeExpiredIdle() {
     idleConnections.closeIdleSince(clock.nowUs() - idleTimeoutUs);
   }
 
-  /** A connection carries no call from now on. */
+  /** A connection has become idle. */
   void addIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
     idleConnections.add(connection, pool);
   }
 
-  /** A connection is not to be used again. */
+  /** A connection must not be used again. */
   void removeIdle(final EndpointConnection connection, final EndpointConnectionPool pool) {
     idleConnections.remove(connection, pool);
   }
@@ -187,7 +190,7 @@
   }
 
   /**
-   * Logs that a call was over for all of its messages with the deadline of the first.
+   * Logs that a call with several messages ended for all of them at the earliest deadline.
    *
    * @param answered whether a response arrived, which may have been written after that deadline
    */
@@ -219,7 +222,7 @@
     call.addTimer(loop.schedule(action, delayUs, TimeUnit.MICROSECONDS));
   }
 
-  /** Forgets a call; returns false if it has ended already. */
+  /** Removes a call; returns false if it has already ended. */
   boolean removeCall(final HttpCall call) {
     call.cancelTimers();
     deadlines.remove(call);
@@ -228,9 +231,9 @@
   }
 
   /**
-   * Checks a call immediately before its first byte, and takes out the messages that may not be
-   * sent any more. The decision to send it may be outdated: a connection had to be established, or
-   * the process was paused.
+   * Checks a call immediately before its first byte is sent, and removes the messages that may no
+   * longer be sent. The decision to send may be outdated because a connection had to be established
+   * or the process was paused.
    *
    * @return false if the call has ended
    */
@@ -257,7 +260,7 @@
     return true;
   }
 
-  /** Sends a call over a reusable connection, waits for one that soon is, or establishes one. */
+  /** Sends a call over a reusable connection, waits until one is reusable, or connects. */
   private void dispatch(final HttpCall call) {
     if (!retainSendable(call)) {
       return;
@@ -305,11 +308,11 @@
         .channel()
         .closeFuture()
         .addListener(closed -> descriptors.addEndpointConnections(-1));
-    call.connectingOver(connecting.channel());
+    call.setConnectingChannel(connecting.channel());
     scheduleConnectTimeout(call, connecting, startedUs + connectTimeoutUs);
   }
 
-  /** The channel's own timer would expire before the poll that reports the connection. */
+  /** Netty's own connect timer could expire before the poll that reports the connection. */
   private void scheduleConnectTimeout(
       final HttpCall call, final ChannelFuture connecting, final long deadlineUs) {
     final Runnable abandonIfPending =
@@ -346,7 +349,7 @@
   }
 
   private void onConnectFailed(final HttpCall call, final Throwable cause) {
-    if (Connector.isLocalFailure(cause) && call.retriesLocalFailure()) {
+    if (Connector.isLocalFailure(cause) && call.recordLocalFailure()) {
       scheduleFor(call, SOCKET_RETRY_DELAY_US, () -> dispatch(call));
     } else {
       abandon(call, AttemptResult.NO_CONNECTION);
@@ -356,8 +359,8 @@
   // ---------------------------------------------------------------- abandoning
 
   /**
-   * Ends a call from this side. Its connection is closed, or its output ended, before the outcome
-   * is reported, so that a further attempt of a message cannot overlap with this one.
+   * Ends a call before its response. Its connection is closed, or its output shut down, before the
+   * outcome is reported, so that a further attempt of a message cannot overlap with this one.
    */
   @Override
   public void abandon(final Call abandoned, final AttemptResult result) {
@@ -368,15 +371,15 @@
     }
     final Optional<DispatchOutcome> delivered = call.partialDelivery();
     call.releaseConnection();
-    report(call, delivered.orElseGet(() -> failure(certainResult(call, result))));
+    report(call, delivered.orElseGet(() -> failure(resultOfAbandoned(call, result))));
   }
 
   private void abandonLater(final HttpCall call) {
     loop.execute(() -> abandon(call, AttemptResult.NOT_SENT));
   }
 
-  /** A call that was not written completely cannot have been executed. */
-  private static AttemptResult certainResult(final HttpCall call, final AttemptResult result) {
+  /** The result of an abandoned call; one not written completely cannot have been executed. */
+  private static AttemptResult resultOfAbandoned(final HttpCall call, final AttemptResult result) {
     if (call.isWritten() || result == AttemptResult.NOT_SENT) {
       return result;
     }
@@ -413,8 +416,9 @@
 
   /**
    * Reports the outcome of one message of a call. A response that is read after the deadline of the
-   * messages, because the process was paused, may have been written after it, and is not counted by
-   * the endpoint then: the message fails, which does no harm if the response counted after all.
+   * messages, because the process was paused, may have been written after that deadline, in which
+   * case the endpoint does not count it. So the message is reported as timed out, which does no
+   * harm if the endpoint did count the response.
    */
   void report(final Attempt attempt, final HttpCall call, final DispatchOutcome outcome) {
     final boolean tooLate =
@@ -428,7 +432,7 @@
             : outcome);
   }
 
-  /** A call with several messages was answered; it is logged if that was read too late to count. */
+  /** A call with several messages was answered; logs it if the answer was read too late. */
   void onBulkResponse(final HttpCall call) {
     logIfSharedAndExpired(call, true);
   }
--- a/courier/src/main/java/thistleturn/courier/http/HttpIngress.java
+++ b/courier/src/main/java/thistleturn/courier/http/HttpIngress.java
@@ -79,7 +79,7 @@
     if (sweepTask == null) {
       sweepTask =
           loop.scheduleWithFixedDelay(
-              GuardedTasks.guard("sweep of clients", this::sweep),
+              GuardedTasks.guard("sweep of client connections", this::sweep),
               SWEEP_INTERVAL_MS,
               SWEEP_INTERVAL_MS,
               TimeUnit.MILLISECONDS);
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Leaves new connections to another process. Existing ones are served until they are closed with
-   * their next response; idle ones may still send a request, and are not closed.
+   * Leaves new connections to the successor. Existing ones are served until they are closed with
+   * their next response; idle ones may still send a request and are not closed.
    */
   public void drainForHandover() {
     draining = true;
--- a/courier/src/main/java/thistleturn/courier/http/IdleEndpointConnections.java
+++ b/courier/src/main/java/thistleturn/courier/http/IdleEndpointConnections.java
@@ -5,16 +5,16 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** The connections that carry no call, over all endpoints. */
+/** The idle connections to all endpoints. */
 final class IdleEndpointConnections {
   /**
-   * Bytes that belong to no call may follow a response. So a connection is reused only after this
-   * delay, and after a poll that began when it was over; the clock alone does not show that the
-   * socket was read, since an iteration of the event loop may take longer.
+   * Unsolicited bytes may follow a response, so a connection is reused only after this delay and
+   * after a poll that began once the delay was over. The clock alone does not show that the socket
+   * was read, since an iteration of the event loop may take longer.
    */
   private static final long REUSE_DELAY_US = 5_000;
 
-  /** Ordered by time, the connection that is idle longest first. */
+  /** Ordered by idle time, longest first. */
   private final Set<EndpointConnection> longestIdleFirst = new LinkedHashSet<>();
 
   void add(final EndpointConnection connection, final EndpointConnectionPool pool) {
@@ -22,7 +22,7 @@
     longestIdleFirst.add(connection);
   }
 
-  /** Removes a connection that is not to be used again, if it is idle. */
+  /** Removes a connection that must not be used again, if it is idle. */
   void remove(final EndpointConnection connection, final EndpointConnectionPool pool) {
     if (longestIdleFirst.remove(connection)) {
       pool.removeIdle(connection);
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Takes a connection that may be reused. It is the one used last, so that the others reach their
-   * idle timeout.
+   * Takes a connection that may be reused: the most recently used one, so that the others reach
+   * their idle timeout.
    *
    * @param polledUs when the latest poll of the event loop began
    * @return null if the pool has none
@@ -52,7 +52,7 @@
     return null;
   }
 
-  /** In how long the first connection of a pool may be reused, us; empty if the pool has none. */
+  /** The delay until a connection of the pool may be reused, us; empty if the pool has none. */
   OptionalLong reusableInUs(final EndpointConnectionPool pool, final long nowUs) {
     long delayUs = Long.MAX_VALUE;
     for (final Iterator<EndpointConnection> it = pool.latestUsedFirst(); it.hasNext(); ) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Closes the connection that is idle longest, if there is any. */
+  /** Closes the connection that has been idle longest, if there is any. */
   void closeLongestIdle() {
     if (!longestIdleFirst.isEmpty()) {
       longestIdleFirst.iterator().next().close();
--- a/courier/src/main/java/thistleturn/courier/http/ListenerClose.java
+++ b/courier/src/main/java/thistleturn/courier/http/ListenerClose.java
@@ -14,19 +14,20 @@
 import thistleturn.courier.transport.RetryingSocketChannel;
 
 /**
- * Closes a listening socket without resetting connections that the system has put into its backlog:
- * they are accepted first. Lives on the event loop of the ingress.
+ * Closes a listening socket without resetting the connections in its backlog: they are accepted
+ * first. Used on the event loop of the ingress only.
  *
- * <p>Java keeps a closed socket open until the next poll of the selector that it is registered
- * with, and what comes until then is reset with it. So the socket is deregistered first, and the
- * close follows the last accept at once. Where another process listens at the same address, the
- * system is told before to give it all new connections.
+ * <p>Java keeps a closed socket open until the next poll of the selector with which it is
+ * registered, and connections that arrive until then are reset. So the socket is deregistered
+ * first, and closed immediately after the last accept. If another process listens at the same
+ * address, the operating system is first made to give it all new connections ({@link
+ * ListenerSteering}).
  */
 final class ListenerClose {
   private static final long FINAL_ACCEPT_TIMEOUT_US = 1_000_000;
   private static final long FINAL_ACCEPT_RETRY_DELAY_US = 1000;
 
-  /** Handshakes that began before the steering end at this listener; they take a round trip. */
+  /** Handshakes begun before the steering complete at this listener, within a round trip. */
   private static final long STEERING_SETTLE_MS = 100;
 
   private final IngressContext ingress;
@@ -51,7 +52,7 @@
     return done;
   }
 
-  /** Closes once all new connections go to another process that listens at the same address. */
+  /** Steers new connections to another process that listens at the same address, then closes. */
   void steerAndClose() {
     ListenerSteering.steerToNewer(((InetSocketAddress) channel.localAddress()).getPort())
         .whenCompleteAsync(
@@ -64,7 +65,7 @@
             loop);
   }
 
-  /** Accepts what is in the backlog, and closes. */
+  /** Accepts the connections in the backlog, and closes. */
   void close() {
     channel
         .deregister()
@@ -100,7 +101,7 @@
     done = true;
   }
 
-  /** Closes the system's socket at once; Netty's channel follows with all that it does besides. */
+  /** Closes the socket at once, and then Netty's channel, which does its own clean-up. */
   private void closeSocket() {
     try {
       serverSocket.close();
--- a/courier/src/main/java/thistleturn/courier/http/ListenerWatch.java
+++ b/courier/src/main/java/thistleturn/courier/http/ListenerWatch.java
@@ -10,16 +10,16 @@
 import thistleturn.courier.transport.DirectRead;
 
 /**
- * Notices that the selector does not report a listener's connections (epoll_ctl failed, and Java
- * ignores that), accepts them all the same, and has the selector watch the listener again. Lives on
- * the event loop of the ingress.
+ * Detects that the selector does not report a listener's connections (epoll_ctl failed, and Java
+ * ignores that), accepts them directly, and registers the listener with the selector again. Used on
+ * the event loop of the ingress only.
  */
 final class ListenerWatch {
-  /** A client waits 400 ms for its answer. */
+  /** Short, since a client waits only 400 ms for its response. */
   private static final long DIRECT_ACCEPT_INTERVAL_MS = 10;
 
-  /** Direct accepts in a row that find nothing, after which the selector is trusted again. */
-  private static final int MAX_IDLE_ACCEPTS = 100;
+  /** Consecutive direct accepts without a connection, after which direct accepting stops. */
+  private static final int MAX_EMPTY_ACCEPTS = 100;
 
   private final Clock clock;
   private final PollTracker polls;
@@ -27,13 +27,13 @@
   private final Channel listener;
   private final AcceptHandler acceptHandler;
 
-  /** Connections that the handler had accepted at the last look. */
+  /** The number of connections accepted at the last check. */
   private long acceptedBefore;
 
   /** True while connections are accepted at short intervals. */
   private boolean acceptingDirectly;
 
-  private int idleAccepts;
+  private int emptyAccepts;
 
   ListenerWatch(
       final IngressContext ingress,
@@ -48,8 +48,9 @@
   }
 
   /**
-   * Accepts what waits. Connections that wait although none was reported since the last sweep show
-   * that the selector does not watch; if one has only just come, having it watched does no harm.
+   * Accepts waiting connections. If any waited although none was reported since the last sweep, the
+   * selector probably does not watch the listener. If one has only just arrived, registering the
+   * listener again does no harm.
    */
   void sweep() {
     if (acceptingDirectly || !mayAccept()) {
@@ -60,8 +61,8 @@
     if (anyWaited && !anyReported) {
       Log.event(Event.LISTENER_UNWATCHED, "at", listener.localAddress());
       acceptingDirectly = true;
-      idleAccepts = 0;
-      acceptAllAndWatchAgain();
+      emptyAccepts = 0;
+      acceptAllAndReregister();
     }
     acceptedBefore = acceptHandler.acceptedCount();
   }
@@ -70,23 +71,23 @@
     return listener.isActive() && listener.isRegistered() && listener.config().isAutoRead();
   }
 
-  /** Accepts as many as in one poll; returns whether there was one. */
+  /** Accepts up to as many connections as one poll would; returns whether there were any. */
   private boolean acceptOnce() {
     final long before = acceptHandler.acceptedCount();
     DirectRead.readOnce(listener);
     return acceptHandler.acceptedCount() > before;
   }
 
-  private void acceptAllAndWatchAgain() {
+  private void acceptAllAndReregister() {
     while (mayAccept() && acceptOnce()) {
-      idleAccepts = 0;
+      emptyAccepts = 0;
     }
-    watchAgain();
+    reregister();
     loop.schedule(this::acceptAgain, DIRECT_ACCEPT_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Removes the listener from the selector, and adds it once a poll has carried that out. */
-  private void watchAgain() {
+  /** Removes the listener from the selector, and adds it again after a poll has applied that. */
+  private void reregister() {
     listener.config().setAutoRead(false);
     polls.runAfterPoll(loop, clock.nowUs(), () -> listener.config().setAutoRead(true));
   }
@@ -96,13 +97,13 @@
       return;
     }
     final boolean anyReported = acceptHandler.acceptedCount() > acceptedBefore;
-    idleAccepts++;
-    if (anyReported || idleAccepts > MAX_IDLE_ACCEPTS) {
+    emptyAccepts++;
+    if (anyReported || emptyAccepts > MAX_EMPTY_ACCEPTS) {
       acceptingDirectly = false;
       return;
     }
     if (mayAccept() && acceptOnce()) {
-      acceptAllAndWatchAgain();
+      acceptAllAndReregister();
     } else {
       loop.schedule(this::acceptAgain, DIRECT_ACCEPT_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
--- a/courier/src/main/java/thistleturn/courier/http/ReceiveTimeBound.java
+++ b/courier/src/main/java/thistleturn/courier/http/ReceiveTimeBound.java
@@ -1,11 +1,11 @@
 package thistleturn.courier.http;
 
 /**
- * Bounds from below when the bytes that are read from a socket were received. It is notified of
+ * A lower bound for the time at which the bytes read from a socket were received. It is notified of
  * each read and each pause; the bound may be too early, but never too late.
  */
 final class ReceiveTimeBound {
-  /** While false, the next bytes may have been received together with the last ones. */
+  /** False if the next bytes may have been received together with the last ones. */
   private boolean drained;
 
   private long earliestUs;
@@ -18,11 +18,11 @@
   }
 
   /**
-   * Notes that bytes were read.
+   * Records that bytes were read.
    *
-   * @param previousPollUs when the last poll began that found the socket empty, or after which it
-   *     was read
-   * @param emptied false if the read filled its buffer, so that more bytes may be there
+   * @param previousPollUs when the last poll began that found the socket empty or was followed by a
+   *     read
+   * @param emptied false if the read filled its buffer, so that more bytes may be waiting
    */
   void onRead(final long nowUs, final long previousPollUs, final boolean emptied) {
     if (drained) {
@@ -32,12 +32,12 @@
     drained = emptied;
   }
 
-  /** Notes whether the last read emptied the socket. */
+  /** Records whether the last read emptied the socket. */
   void setDrained(final boolean emptied) {
     drained = emptied;
   }
 
-  /** Notes that reading pauses: the next bytes may be received from now on. */
+  /** Records that reading pauses: the next bytes may be received from now on. */
   void onReadPaused(final long nowUs) {
     if (drained) {
       drained = false;
--- a/courier/src/main/java/thistleturn/courier/http/RequestAssembler.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestAssembler.java
@@ -22,12 +22,12 @@
   private final RequestBodyBudget bodyBudget;
   private HttpRequest head;
 
-  /** Null while nothing of a body has been received, so that an idle connection keeps no buffer. */
+  /** Null until body bytes are received, so that an idle connection holds no buffer. */
   private ByteArrayOutputStream body;
 
   private Progress progress = Progress.AWAITING_HEAD;
 
-  /** How far the present request has been received. */
+  /** How far the current request has been received. */
   private enum Progress {
     AWAITING_HEAD,
     RECEIVING_BODY,
@@ -97,14 +97,13 @@
     return HttpResponseStatus.BAD_REQUEST;
   }
 
-  /** True if the last part completed a request, which has to be taken then. */
+  /** True if the last part completed a request, which must then be taken. */
   boolean isComplete() {
     return progress == Progress.COMPLETE;
   }
 
   /**
-   * Takes the complete request. Its body stays reserved in the budget; that is released by whoever
-   * took it.
+   * Takes the complete request. Its body stays reserved in the budget until the caller releases it.
    */
   QueuedRequest take(final long receivedUs, final long firstByteUs, final long completedUs) {
     final byte[] bytes = body == null ? NO_BODY : body.toByteArray();
@@ -114,7 +113,7 @@
     return request;
   }
 
-  /** Drops what has been received of the present request, and releases its bytes. */
+  /** Drops what has been received of the current request, and releases its bytes. */
   void discard() {
     bodyBudget.release(bodySize());
     clear();
--- a/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/RequestDecoder.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes requests strictly. Netty tolerates a Content-Length beside a Transfer-Encoding by
- * ignoring one of them; two decoders that ignore different ones see different requests, so that a
- * request could be smuggled in the body of another.
+ * Decodes requests strictly. Netty accepts a request with both Content-Length and Transfer-Encoding
+ * by ignoring one of them. Two decoders that ignore different ones see different requests, which
+ * allows request smuggling.
  */
 final class RequestDecoder extends HttpRequestDecoder {
   private static final int MAX_REQUEST_LINE_BYTES = 2048;
@@ -30,7 +30,7 @@
   /**
    * Creates a decoder.
    *
-   * @param receiveListener notified of all bytes, also of those that do not complete a head
+   * @param receiveListener notified of all bytes, including those that do not complete a head
    */
   RequestDecoder(final Consumer<ByteBuf> receiveListener) {
     super(CONFIG);
@@ -48,7 +48,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-    throw new IllegalArgumentException("a length and a transfer coding");
+    throw new IllegalArgumentException("both Content-Length and Transfer-Encoding are present");
   }
 
   /** True if the end of the body follows from chunked encoding alone, or from a length alone. */
--- a/courier/src/main/java/thistleturn/courier/http/ResponseDecoder.java
+++ b/courier/src/main/java/thistleturn/courier/http/ResponseDecoder.java
@@ -10,7 +10,7 @@
 
 /**
  * Decodes responses strictly, and notifies a listener as early as possible: when a response begins,
- * and when its status line is complete, which counts whatever becomes of the rest.
+ * and when its status line is complete, which is valid whether or not the rest is received.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
   private static final int MAX_STATUS_LINE_BYTES = 1024;
@@ -56,10 +56,10 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-    throw new IllegalArgumentException("a length and a transfer coding");
+    throw new IllegalArgumentException("both Content-Length and Transfer-Encoding are present");
   }
 
-  /** No call requests another protocol, so a 101 is an informational response like others. */
+  /** No call requests a protocol upgrade, so 101 is treated as any informational response. */
   @Override
   protected boolean isSwitchingToNonHttp1Protocol(final HttpResponse response) {
     return false;
--- a/courier/src/main/java/thistleturn/courier/http/ScheduledCheck.java
+++ b/courier/src/main/java/thistleturn/courier/http/ScheduledCheck.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.index.TimeHeap;
 
-/** When the state of a client connection is checked next. */
+/** The scheduled time of the next check of a client connection. */
 final class ScheduledCheck extends TimeHeap.Entry {
   private final ClientConnection connection;
 
--- a/courier/src/main/java/thistleturn/courier/http/SelectorWatch.java
+++ b/courier/src/main/java/thistleturn/courier/http/SelectorWatch.java
@@ -1,8 +1,9 @@
 package thistleturn.courier.http;
 
 /**
- * Whether the selector reports the readiness of a connection. Java does not tell when the system
- * refuses to watch a descriptor, so a connection that is never reported is read directly once.
+ * Whether the selector reports the readiness of a connection. Java does not report that the
+ * operating system refused to watch a descriptor, so a connection that the selector never reports
+ * is read directly once.
  */
 enum SelectorWatch {
   /** Nothing is known yet. */
--- a/courier/src/main/java/thistleturn/courier/http/SubmitReply.java
+++ b/courier/src/main/java/thistleturn/courier/http/SubmitReply.java
@@ -6,8 +6,8 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Answers one submit request once it is known whether its message is accepted. The connection may
- * have ended, or answered by itself, in the meantime: then nothing is sent.
+ * Answers one submit request once it is known whether its message is accepted. If the connection
+ * has closed or has already answered the request in the meantime, nothing is sent.
  */
 final class SubmitReply implements Ingress.Reply {
   private final ClientConnection connection;
@@ -40,7 +40,7 @@
           .respond(HttpResponseStatus.ACCEPTED, 0)
           .addListener(
               written -> {
-                // A client that never receives this response relies on nothing.
+                // A client that never receives this response does not rely on its acceptance.
                 if (!written.isSuccess()) {
                   connection.withdraw(this);
                 }
--- a/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
+++ b/courier/src/main/java/thistleturn/courier/http/SubmitRequest.java
@@ -9,7 +9,7 @@
 /**
  * The headers of a request that submits a message.
  *
- * @param timeoutMs how long the message may be delivered, counted from when the client sent it
+ * @param timeoutMs the time within which to deliver the message, from when the client sent it
  * @param idempotencyKey null if none was given
  */
 record SubmitRequest(String id, long timeoutMs, long destination, String idempotencyKey) {
@@ -19,7 +19,7 @@
   private static final long US_PER_MS = 1000;
   private static final long INVALID = -1;
 
-  /** The time that a request may spend in transit, including the differences of clocks. */
+  /** The time that a request may spend in transit, including clock differences. */
   private static final long MAX_TRANSIT_US = 200_000;
 
   /** A client abandons a request that is not answered within this time. */
@@ -57,9 +57,9 @@
   }
 
   /**
-   * How long a message may still be delivered, us, from when it reached this machine. Its timeout
-   * began when it was sent. How long it lay unread here is not deducted, since that is known
-   * ({@link ReceiveTimeBound}).
+   * The time left to deliver a message, us, from when it reached this machine. Its timeout began
+   * when it was sent, so the transit time is deducted. The time that it waited here unread is not
+   * deducted, since the arrival time is known ({@link ReceiveTimeBound}).
    */
   static long remainingTimeUs(final long timeoutMs, final long classDeadlineUs) {
     final long timeoutUs = Math.min(timeoutMs, classDeadlineUs / US_PER_MS) * US_PER_MS;
@@ -89,7 +89,7 @@
     }
   }
 
-  /** The destination that a header of {@code name=value} pairs names. */
+  /** The destination in a header of {@code name=value} pairs. */
   private static long parseDestination(final String text) {
     if (text != null) {
       for (final String pair : text.split("[,;]")) {
--- a/courier/src/main/java/thistleturn/courier/http/WakeUpQueue.java
+++ b/courier/src/main/java/thistleturn/courier/http/WakeUpQueue.java
@@ -7,8 +7,8 @@
 import thistleturn.courier.runtime.PollTracker;
 
 /**
- * Spreads the wake-ups of hibernating connections over several iterations of the event loop: if
- * very many receive bytes in the same iteration, the active connections would otherwise wait for
+ * Spreads the wake-ups of hibernating connections over several iterations of the event loop: if a
+ * large number receive bytes in the same iteration, the active connections would otherwise wait for
  * all of them. Used on the event loop only.
  */
 final class WakeUpQueue {
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Counts one wake-up if there is capacity for it in this iteration; otherwise the connection has
-   * to be added to the queue.
+   * Counts one wake-up if there is capacity for it in this iteration.
+   *
+   * @return false if the connection must be added to the queue
    */
   boolean tryAcquire() {
     if (polls.currentPollUs() != countedPollUs) {
--- a/courier/src/main/java/thistleturn/courier/transport/AcceptRetryHandler.java
+++ b/courier/src/main/java/thistleturn/courier/transport/AcceptRetryHandler.java
@@ -14,8 +14,8 @@
  */
 public class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
   /**
-   * A client waits 400 ms for its response, so the delays are short; without any, the event loop
-   * would spin during a lasting failure.
+   * The delays are short, since a client waits only 400 ms for its response; without a delay, the
+   * event loop would spin during a lasting failure.
    */
   private static final long MIN_DELAY_MS = 1;
 
@@ -37,7 +37,7 @@
   /** Does not pass the exception on: the next handler would stop the listener. */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-    Log.failureIfError("a listener", cause);
+    Log.failureIfError("listener", cause);
     failing = true;
     Log.event(
         Event.ACCEPT_FAILED,
--- a/courier/src/main/java/thistleturn/courier/transport/Connector.java
+++ b/courier/src/main/java/thistleturn/courier/transport/Connector.java
@@ -16,18 +16,19 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Establishes connections whose outcome is reported on the event loop that owns them, and nowhere
- * else. If the system has no socket, Netty's bootstrap completes its future on another thread, with
- * a channel that is never closed: the state of the loop would be changed from outside, and what was
- * accounted for the channel never released.
+ * Establishes connections, and reports each outcome only on the event loop that owns the
+ * connection. If the operating system cannot create a socket, Netty's bootstrap completes its
+ * future on another thread, with a channel that is never closed: the state of the loop would then
+ * be changed from another thread, and the descriptor counted for the channel would never be
+ * released.
  */
 public final class Connector {
   private Connector() {}
 
   /**
-   * True if the local system failed (EADDRNOTAVAIL, ENOBUFS, ENETUNREACH and the like). That says
-   * nothing about the remote side, and is mostly transient. A connection that was refused or reset,
-   * found no host or timed out is no such failure.
+   * True if the local system failed (EADDRNOTAVAIL, ENOBUFS, ENETUNREACH and the like). Such a
+   * failure shows nothing about the remote host, and is mostly transient. A connection that was
+   * refused or reset, timed out or had no route to its host is not a local failure.
    */
   public static boolean isLocalFailure(final Throwable cause) {
     return cause instanceof SocketException
@@ -41,8 +42,8 @@
    *
    * @param template options and handler of the connection
    * @param callback receives the outcome on the loop, after this call has returned
-   * @throws SocketUnavailableException if the system has no socket now; then the callback is not
-   *     called
+   * @throws SocketUnavailableException if the system cannot create a socket now; the callback is
+   *     not called then
    */
   public static ChannelFuture connect(
       final EventLoop loop,
@@ -81,7 +82,7 @@
             Log.event(Event.CONNECT_FAILED, "to", address, "cause", done.cause());
           }
           final Runnable report =
-              GuardedTasks.guard("outcome of connecting", () -> callback.accept(connecting));
+              GuardedTasks.guard("connect outcome", () -> callback.accept(connecting));
           if (loop.inEventLoop()) {
             report.run();
           } else {
--- a/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
+++ b/courier/src/main/java/thistleturn/courier/transport/DirectRead.java
@@ -4,9 +4,9 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Reads from a channel whether or not the selector reports it as ready. Java ignores that the
- * system refuses to watch a descriptor (epoll_ctl: ENOMEM, ENOSPC), so a channel that is never
- * reported may be an unwatched one.
+ * Reads from a channel whether or not the selector reports it as ready. Java ignores a failure to
+ * register a descriptor with the operating system (epoll_ctl: ENOMEM, ENOSPC), so a channel that is
+ * never reported may be unwatched.
  */
 public final class DirectRead {
   private DirectRead() {}
--- a/courier/src/main/java/thistleturn/courier/transport/ListenerSteering.java
+++ b/courier/src/main/java/thistleturn/courier/transport/ListenerSteering.java
@@ -14,21 +14,22 @@
 import thistleturn.courier.runtime.BackgroundExecutor;
 
 /**
- * Has the system give all new connections of an address that two processes share (SO_REUSEPORT) to
- * the one that began to listen last. The other listener can then be closed without a loss: what is
- * in its backlog when it closes is reset, and nothing more comes.
+ * Makes the operating system give all new connections of an address that two processes share
+ * (SO_REUSEPORT) to the one that began to listen last. The other listener can then be closed
+ * without losing connections: those in its backlog are reset when it closes, but no more arrive
+ * there.
  *
- * <p>Linux counts the listeners of an address in the order in which they began to listen, and a
- * classic BPF program that is attached to any of them chooses by that count. A choice beyond the
- * end, once the older listener is gone, leaves the system's own choice in place. Java has no such
- * socket option, so Netty's native library sets it; that is loaded on a thread of its own, since
- * loading takes up to 0.1 s.
+ * <p>Linux numbers the listeners of an address in the order in which they began to listen, and a
+ * classic BPF program that is attached to any of them selects one by its number. If the number does
+ * not exist, because the older listener is closed, the system selects as it does by default. Java
+ * has no such socket option, so Netty's native library sets it; that is loaded on a thread of its
+ * own, since loading takes up to 0.1 s.
  */
 public final class ListenerSteering {
   private static final Path OWN_DESCRIPTORS = Path.of("/proc/self/fd");
   private static final String SOCKET_LINK_PREFIX = "socket:";
 
-  // From Linux' headers: asm-generic/socket.h, linux/in.h, linux/bpf_common.h, linux/filter.h.
+  // From the Linux headers: asm-generic/socket.h, linux/in.h, linux/bpf_common.h, linux/filter.h.
   private static final int SOL_SOCKET = 1;
   private static final int SO_ACCEPTCONN = 30;
   private static final int SO_PROTOCOL = 38;
@@ -48,7 +49,7 @@
 
   private ListenerSteering() {}
 
-  /** Loads the native library ahead of its use; a failure shows when it is used. */
+  /** Loads the native library ahead of its use; a failure to load is reported on use. */
   public static void prepare() {
     runOnThread(Epoll::isAvailable);
   }
@@ -56,8 +57,8 @@
   /**
    * Steers the connections of this process's listener at a port to the newer of its two listeners.
    *
-   * @return completes on another thread; exceptionally with an {@link IOException} if the system or
-   *     this machine's kind does not allow it, and then nothing has changed
+   * @return completes on another thread; exceptionally with an {@link IOException} if the operating
+   *     system or the platform does not support it, and then nothing has changed
    */
   public static CompletableFuture<Void> steerToNewer(final int port) {
     final CompletableFuture<Void> steered = new CompletableFuture<>();
@@ -71,12 +72,13 @@
           }
         };
     if (!runOnThread(steering)) {
-      steered.completeExceptionally(new IOException("no thread to steer connections on"));
+      steered.completeExceptionally(
+          new IOException("cannot start the thread that steers connections"));
     }
     return steered;
   }
 
-  /** Returns false if the system has no thread for it. */
+  /** Returns false if the system cannot start the thread. */
   private static boolean runOnThread(final Runnable task) {
     try {
       THREAD.execute(task);
@@ -88,7 +90,8 @@
 
   private static void steer(final int port) throws IOException {
     if (!Epoll.isAvailable()) {
-      throw new IOException("no native library", Epoll.unavailabilityCause());
+      throw new IOException(
+          "Netty's native epoll library is unavailable", Epoll.unavailabilityCause());
     }
     attach(ownListener(port));
   }
@@ -104,14 +107,14 @@
         }
       }
     }
-    throw new IOException("no listener of this process at port " + port);
+    throw new IOException("this process has no listener at port " + port);
   }
 
   private static boolean isSocket(final Path descriptor) {
     try {
       return Files.readSymbolicLink(descriptor).toString().startsWith(SOCKET_LINK_PREFIX);
     } catch (final IOException e) {
-      // Closed meanwhile.
+      // The descriptor was closed in the meantime.
       return false;
     }
   }
@@ -122,7 +125,7 @@
           && intOption(socket, SO_PROTOCOL) == IPPROTO_TCP
           && socket.localAddress().getPort() == port;
     } catch (final IOException e) {
-      // Closed meanwhile.
+      // The descriptor was closed in the meantime.
       return false;
     }
   }
@@ -148,7 +151,7 @@
     try {
       listener.setRawOpt(SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program);
     } finally {
-      // The system follows its address, of which the garbage collector knows nothing.
+      // The kernel reads it by its address, a use that the garbage collector does not see.
       Reference.reachabilityFence(instruction);
     }
   }
--- a/courier/src/main/java/thistleturn/courier/transport/RetryingSocketChannel.java
+++ b/courier/src/main/java/thistleturn/courier/transport/RetryingSocketChannel.java
@@ -12,18 +12,18 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * A connection that survives a transient shortage of memory in the system (ENOBUFS, ENOMEM) by
- * reading and writing again. Netty's own channel closes at any error, which would leave a client
- * without a response.
+ * A connection that survives a transient memory shortage of the operating system (ENOBUFS, ENOMEM)
+ * by retrying the read or write. Netty's own channel closes on any error, which would leave a
+ * client without a response.
  */
 public final class RetryingSocketChannel extends NioSocketChannel {
   private static final long RETRY_DELAY_MS = 1;
 
-  /** The messages of the C library. */
+  /** The C library's texts for ENOBUFS and ENOMEM. */
   private static final Set<String> MEMORY_SHORTAGE_MESSAGES =
       Set.of("No buffer space available", "Cannot allocate memory");
 
-  /** Creates a channel that is to be connected. */
+  /** Creates a channel that is not connected yet. */
   public RetryingSocketChannel() {
     super();
   }
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Writes the pending data. What was written before a shortage has been removed from the buffer,
-   * so that the next attempt continues behind it.
+   * Writes the pending data. Data written before a shortage has been removed from the buffer, so
+   * the retry continues after it.
    */
   @Override
   protected void doWrite(final ChannelOutboundBuffer pending) throws Exception {
--- a/courier/src/main/java/thistleturn/courier/transport/SocketUnavailableException.java
+++ b/courier/src/main/java/thistleturn/courier/transport/SocketUnavailableException.java
@@ -3,14 +3,16 @@
 import java.io.IOException;
 
 /**
- * The system has no socket at this moment (ENFILE, EMFILE, ENOBUFS, ENOMEM). No remote side was
- * contacted.
+ * The operating system cannot create a socket at present (ENFILE, EMFILE, ENOBUFS, ENOMEM). No
+ * remote host was contacted.
  */
 public final class SocketUnavailableException extends IOException {
   private static final long serialVersionUID = 1L;
 
   SocketUnavailableException(final Throwable cause) {
     super(
-        "no socket: " + (cause.getCause() == null ? cause : cause.getCause()).getMessage(), cause);
+        "cannot create a socket: "
+            + (cause.getCause() == null ? cause : cause.getCause()).getMessage(),
+        cause);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/DispatcherFixture.java
+++ b/courier/src/test/java/thistleturn/courier/http/DispatcherFixture.java
@@ -104,7 +104,7 @@
 
     @Override
     public void onMessagesWritten(final int messages) {
-      // The outcome follows.
+      // Not recorded: the tests wait for the outcome.
     }
   }
 
@@ -112,7 +112,7 @@
     return clock.nowUs();
   }
 
-  /** How often the event loop of the dispatcher has polled its sockets. */
+  /** The number of times that the event loop of the dispatcher has polled its sockets. */
   long pollCount() {
     return pollCount.get();
   }
@@ -126,14 +126,14 @@
     CompletableFuture.runAsync(action, loop).get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  /** Keeps the event loop, on which it is called, from polling until after the given time. */
+  /** Blocks the event loop, on which it is called, until after the given time. */
   void pauseUntil(final long untilUs) {
     while (clock.nowUs() <= untilUs) {
       Thread.onSpinWait();
     }
   }
 
-  /** Puts the endpoint into a state. Called on the event loop. */
+  /** Sets the state of the endpoint. Called on the event loop. */
   void updateEndpoint(final EndpointState state) {
     dispatcher.updateEndpoint(
         new Endpoint(ENDPOINT, state, "a", 0, 0, DESTINATION),
@@ -148,7 +148,7 @@
     return call;
   }
 
-  /** Starts a call, and returns once its first steps are done. */
+  /** Starts a call on the event loop, and returns once that is done. */
   Dispatcher.Call call(final Dispatcher.Attempt... attempts) throws Exception {
     return CompletableFuture.supplyAsync(() -> start(attempts), loop)
         .get(TIMEOUT_S, TimeUnit.SECONDS);
--- a/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/EndpointCallBytesTest.java
@@ -11,15 +11,15 @@
 import thistleturn.decisions.model.Endpoint;
 import thistleturn.decisions.model.EndpointState;
 
-/** The exact requests by which endpoints are called. */
+/** Pins the exact bytes of the requests that are sent to endpoints. */
 final class EndpointCallBytesTest {
   private static final StoredMessage KEYED =
       new StoredMessage("m1", "keyed", "key-1", 57, 9_000_000, new byte[] {'h', 'i', (byte) 0xFF});
-  private static final StoredMessage NOT_KEYED =
+  private static final StoredMessage UNKEYED =
       new StoredMessage("m2", "safe", null, 57, 9_000_000, new byte[0]);
 
-  /** One message's part in a call that gives up after two and a half seconds. */
-  private record Part(StoredMessage message) implements Dispatcher.Attempt {
+  /** The attempt of one message in a call that times out after two and a half seconds. */
+  private record MessageAttempt(StoredMessage message) implements Dispatcher.Attempt {
     @Override
     public long messageDeadlineUs() {
       return message.deadlineUs();
@@ -41,12 +41,13 @@
     final EndpointConnectionPool pool =
         new EndpointConnectionPool(endpoint, false, new InetSocketAddress("127.0.0.1", 9001));
     final HttpCall call =
-        new HttpCall(pool, 4, List.of(messages).stream().map(Part::new).toList(), 1_000_000);
+        new HttpCall(
+            pool, 4, List.of(messages).stream().map(MessageAttempt::new).toList(), 1_000_000);
     return CallRequestEncoder.encode(call, 1_500_000).toString(StandardCharsets.ISO_8859_1);
   }
 
   @Test
-  void callWithOneKeyedMessageIsThisRequest() {
+  void callWithOneKeyedMessage_hasExpectedBytes() {
     assertEquals(
         "POST /inbox HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\nX-Request-ID: m1\r\n"
             + "Idempotency-Key: key-1\r\nContent-Length: 3\r\n\r\nhi\u00ff",
@@ -54,19 +55,19 @@
   }
 
   @Test
-  void callWithOneMessageWithoutKeyIsThisRequest() {
+  void callWithOneUnkeyedMessage_hasExpectedBytes() {
     assertEquals(
         "POST /inbox HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\nX-Request-ID: m2\r\n"
             + "Content-Length: 0\r\n\r\n",
-        request(NOT_KEYED));
+        request(UNKEYED));
   }
 
   @Test
-  void callWithSeveralMessagesIsThisRequest() {
+  void callWithSeveralMessages_hasExpectedBytes() {
     assertEquals(
         "POST /inbox/bulk HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Timeout-Ms: 2000\r\n"
             + "Content-Type: application/json\r\nContent-Length: 63\r\n\r\n"
             + "[{\"id\":\"m1\",\"key\":\"key-1\",\"body\":\"aGn/\"},{\"id\":\"m2\",\"body\":\"\"}]",
-        request(KEYED, NOT_KEYED));
+        request(KEYED, UNKEYED));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/HttpDispatcherTimeoutTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/HttpDispatcherTimeoutTest.java
@@ -47,10 +47,10 @@
     fixture.close();
   }
 
-  /** Handles a call as its body, the id of the message, says; others get no response. */
+  /** Handles a call by its body, the id of the message; calls with other ids get no response. */
   private void handleCall(final HttpExchange exchange) {
     final String body = new String(exchange.body(), StandardCharsets.UTF_8);
-    if (body.startsWith("well")) {
+    if (body.startsWith("answered")) {
       exchange.answer(200, "");
     } else if (body.startsWith("held")) {
       awaitPermit();
@@ -63,7 +63,7 @@
       awaitPermit();
       exchange.answer(
           200,
-          "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"patient\",\"state\":\"accepted\"}]");
+          "[{\"id\":\"held\",\"state\":\"accepted\"},{\"id\":\"later\",\"state\":\"accepted\"}]");
     }
   }
 
@@ -88,7 +88,9 @@
   }
 
   private void awaitCall() throws InterruptedException {
-    assertTrue(callsReceived.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the endpoint has the call");
+    assertTrue(
+        callsReceived.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS),
+        "the endpoint did not receive the call");
   }
 
   private void assertOutcome(final String id, final AttemptResult expected) throws Exception {
@@ -97,11 +99,11 @@
 
   @Test
   void timerOfCompletedCall_doesNotSpinTheLoop() throws Exception {
-    fixture.call(attempt("well", SECOND_US));
-    assertOutcome("well", AttemptResult.DELIVERED);
-    fixture.call(attempt("silent", 5 * SECOND_US / 2));
+    fixture.call(attempt("answered", SECOND_US));
+    assertOutcome("answered", AttemptResult.DELIVERED);
+    fixture.call(attempt("unanswered", 5 * SECOND_US / 2));
     final long before = fixture.pollCount();
-    assertOutcome("silent", AttemptResult.TIMED_OUT);
+    assertOutcome("unanswered", AttemptResult.TIMED_OUT);
     final long polls = fixture.pollCount() - before;
     assertTrue(polls < MAX_POLLS_PER_TIMEOUT, polls + " polls for one timeout");
   }
@@ -109,8 +111,8 @@
   /** The loop is paused while the response arrives, beyond the deadline of the call. */
   @Test
   void unreadResponse_isReadBeforeTimeout() throws Exception {
-    fixture.call(attempt("well-0", 2 * SECOND_US));
-    assertOutcome("well-0", AttemptResult.DELIVERED);
+    fixture.call(attempt("answered-0", 2 * SECOND_US));
+    assertOutcome("answered-0", AttemptResult.DELIVERED);
     for (int round = 1; round <= 10; round++) {
       final String id = "held-" + round;
       fixture.call(attempt(id, 80_000));
@@ -131,7 +133,7 @@
       fixture.call(attempt("surplus", 2 * SECOND_US));
       assertOutcome("surplus", AttemptResult.DELIVERED);
       awaitCall();
-      final Dispatcher.Attempt next = attempt("silent", SECOND_US / 5);
+      final Dispatcher.Attempt next = attempt("unanswered", SECOND_US / 5);
       fixture.run(
           () -> {
             responsePermits.release();
@@ -139,7 +141,7 @@
             fixture.pauseUntil(fixture.nowUs() + 20_000);
             fixture.start(next);
           });
-      assertOutcome("silent", AttemptResult.TIMED_OUT);
+      assertOutcome("unanswered", AttemptResult.TIMED_OUT);
     }
   }
 
@@ -155,8 +157,8 @@
           });
       assertOutcome("held", AttemptResult.NOT_SENT);
       // The endpoint has one loop: a call that was sent before this one would have been counted.
-      fixture.call(attempt("well", 2 * SECOND_US));
-      assertOutcome("well", AttemptResult.DELIVERED);
+      fixture.call(attempt("answered", 2 * SECOND_US));
+      assertOutcome("answered", AttemptResult.DELIVERED);
       assertEquals(0, callsReceived.availablePermits(), "the expired call was sent");
       // The next call needs a connection of its own.
       fixture.run(() -> fixture.dispatcher().closeIdleConnections(DispatcherFixture.ENDPOINT));
@@ -175,7 +177,7 @@
     final List<TestAttempt> attempts = new ArrayList<>();
     attempts.add(TestAttempt.of("held", 5 * SECOND_US, expiryUs));
     if (bulk) {
-      attempts.add(TestAttempt.of("patient", 5 * SECOND_US, nowUs + MESSAGE_TIMEOUT_US));
+      attempts.add(TestAttempt.of("later", 5 * SECOND_US, nowUs + MESSAGE_TIMEOUT_US));
     }
     fixture.call(attempts.toArray(new TestAttempt[0]));
     awaitCall();
--- a/courier/src/test/java/thistleturn/courier/http/LateDispatchTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/LateDispatchTest.java
@@ -25,13 +25,13 @@
 import thistleturn.decisions.model.EndpointState;
 import thistleturn.testkit.HttpExchange;
 
-/** A decision that is carried out late: messages that may not be sent any more are not sent. */
+/** Messages that may no longer be sent when their call is dispatched late are not sent. */
 final class LateDispatchTest {
   private static final long CALL_TIMEOUT_US = 60 * SECOND_US;
   private static final long MESSAGE_TIMEOUT_US = 9 * SECOND_US;
 
-  /** The id of a message to which the test responds, instead of the endpoint. */
-  private static final String UNANSWERED = "open";
+  /** The id of a message to which the test itself responds, not the handler of calls. */
+  private static final String UNANSWERED = "unanswered";
 
   private final List<String> receivedBodies = new CopyOnWriteArrayList<>();
   private final CountDownLatch bulkConnectionClosed = new CountDownLatch(1);
@@ -71,7 +71,7 @@
     assertEquals(new ReportedOutcome(id, expected), fixture.awaitOutcome());
   }
 
-  private void assertNextCallIsTheOnlyOneReceived() throws Exception {
+  private void assertOnlyNextCallReceived() throws Exception {
     fixture.call(attempt("next"));
     assertOutcome("next", AttemptResult.DELIVERED);
     assertEquals(List.of("next"), receivedBodies);
@@ -80,17 +80,17 @@
   @Test
   void idempotencyKeyExpiredDuringConnect_isNotSent() throws Exception {
     final long expiryUs = fixture.nowUs() + 20_000;
-    fixture.callAndPause(expiryUs, attempt("late").sentBy(expiryUs));
+    fixture.callAndPause(expiryUs, attempt("late").withLatestSendUs(expiryUs));
     assertOutcome("late", AttemptResult.NOT_SENT);
     // Its connection is closed, or serves the next call, without a byte of the late one.
-    assertNextCallIsTheOnlyOneReceived();
+    assertOnlyNextCallReceived();
   }
 
   @Test
   void expiredCall_isNotSentOverIdleConnection() throws Exception {
     fixture.call(attempt("first"));
     assertOutcome("first", AttemptResult.DELIVERED);
-    fixture.call(attempt("late").sentBy(fixture.nowUs() - 1));
+    fixture.call(attempt("late").withLatestSendUs(fixture.nowUs() - 1));
     assertOutcome("late", AttemptResult.NOT_SENT);
     assertEquals(List.of("first"), receivedBodies);
   }
@@ -98,32 +98,34 @@
   @Test
   void expiredAttempt_doesNotBlockOthersOfItsCall() throws Exception {
     final long expiryUs = fixture.nowUs() + 20_000;
-    fixture.callAndPause(expiryUs, attempt("late").sentBy(expiryUs), attempt("free"));
+    fixture.callAndPause(expiryUs, attempt("late").withLatestSendUs(expiryUs), attempt("sendable"));
     assertOutcome("late", AttemptResult.NOT_SENT);
-    assertOutcome("free", AttemptResult.DELIVERED);
-    assertEquals(List.of("free"), receivedBodies);
+    assertOutcome("sendable", AttemptResult.DELIVERED);
+    assertEquals(List.of("sendable"), receivedBodies);
   }
 
   /**
-   * The response would count for none of the messages, and the others may be sent again at once.
+   * The response would be counted for none of the messages, and those that have not expired may be
+   * sent again at once.
    */
   @Test
   void callWithOneExpiredMessage_isNotSent() throws Exception {
     final long expiryUs = fixture.nowUs() + 20_000;
-    fixture.callAndPause(expiryUs, attempt("late", expiryUs), attempt("free"));
+    fixture.callAndPause(expiryUs, attempt("late", expiryUs), attempt("sendable"));
     assertOutcome("late", AttemptResult.NOT_SENT);
-    assertOutcome("free", AttemptResult.NOT_SENT);
-    assertNextCallIsTheOnlyOneReceived();
+    assertOutcome("sendable", AttemptResult.NOT_SENT);
+    assertOnlyNextCallReceived();
   }
 
   @Test
-  void call_timesOutWithItsFirstMessage() throws Exception {
+  void callWithSeveralMessages_timesOutAtEarliestDeadline() throws Exception {
     fixture.call(
-        attempt("brief", fixture.nowUs() + SECOND_US / 2),
-        attempt("patient", fixture.nowUs() + CALL_TIMEOUT_US));
-    assertOutcome("brief", AttemptResult.TIMED_OUT);
-    assertOutcome("patient", AttemptResult.TIMED_OUT);
-    assertTrue(bulkConnectionClosed.await(TIMEOUT_S, TimeUnit.SECONDS), "its connection is closed");
+        attempt("short-deadline", fixture.nowUs() + SECOND_US / 2),
+        attempt("long-deadline", fixture.nowUs() + CALL_TIMEOUT_US));
+    assertOutcome("short-deadline", AttemptResult.TIMED_OUT);
+    assertOutcome("long-deadline", AttemptResult.TIMED_OUT);
+    assertTrue(
+        bulkConnectionClosed.await(TIMEOUT_S, TimeUnit.SECONDS), "the connection was not closed");
   }
 
   /** The endpoint is drained, or removed, while a connection to it is established. */
@@ -141,10 +143,10 @@
         });
     assertOutcome("late", AttemptResult.NOT_SENT);
     fixture.run(() -> fixture.updateEndpoint(EndpointState.LISTED));
-    assertNextCallIsTheOnlyOneReceived();
+    assertOnlyNextCallReceived();
   }
 
-  /** The response is unread, or arrives, when the call is abandoned. */
+  /** The response is unread or still arriving when the call is abandoned. */
   @Test
   void retryAfterOfAbandonedCall_isReported() throws Exception {
     final Dispatcher.Call call = fixture.call(attempt(UNANSWERED));
--- a/courier/src/test/java/thistleturn/courier/http/ReceiveTimeBoundTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/ReceiveTimeBoundTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The bound is never later than the time at which the bytes were received. */
+/** Checks that the bound is never later than the time at which the bytes were received. */
 final class ReceiveTimeBoundTest {
   private final ReceiveTimeBound receiveTime = new ReceiveTimeBound(100);
 
--- a/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
@@ -15,8 +15,8 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * An endpoint behind a middlebox that drops idle connections, which only a reset of the next call
- * shows.
+ * Endpoints behind a middlebox that drops idle connections silently, so that only the reset of the
+ * next call reveals the loss.
  */
 @Tag("connections")
 final class StaleConnectionTest {
@@ -40,12 +40,13 @@
         endpoints.forEach(endpoint -> endpoint.server().resetsKept(true));
         final int before = delivered(world);
         final long fromUs = world.ticks.nowUs();
-        world.await("two seconds' deliveries", () -> delivered(world) > before + 400);
+        world.await("400 further deliveries", () -> delivered(world) > before + 400);
         final long tookMs = (world.ticks.nowUs() - fromUs) / 1000;
         endpoints.forEach(endpoint -> endpoint.server().resetsKept(false));
         assertEquals(List.of(), world.stopLoad());
-        // Non-idempotent messages over a stale connection fail, the others are delivered nearly at
-        // once: 1.2 to 1.5 s. If stale connections counted as endpoint faults it would be over 7 s.
+        // Non-idempotent messages sent over a stale connection fail; the others are delivered
+        // almost at once, which takes 1.2 to 1.5 s. It would take over 7 s if stale connections
+        // were counted as endpoint faults.
         assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
       } finally {
         courier.kill();
--- a/courier/src/test/java/thistleturn/courier/http/SubmitRequestTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/SubmitRequestTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a submitted message may be delivered. */
+/** The time left to deliver a submitted message. */
 final class SubmitRequestTest {
   @Test
   void remainingTime_deductsTransitTime() {
--- a/courier/src/test/java/thistleturn/courier/http/TestAttempt.java
+++ b/courier/src/test/java/thistleturn/courier/http/TestAttempt.java
@@ -21,8 +21,8 @@
     return new TestAttempt(message, timeoutUs, Long.MAX_VALUE, messageDeadlineUs);
   }
 
-  /** The same attempt with a limit for its first byte. */
-  TestAttempt sentBy(final long limitUs) {
+  /** The same attempt with a latest time for its first byte. */
+  TestAttempt withLatestSendUs(final long limitUs) {
     return new TestAttempt(message, timeoutUs, limitUs, messageDeadlineUs);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/transport/ListenerSteeringTest.java
+++ b/courier/src/test/java/thistleturn/courier/transport/ListenerSteeringTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Of two listeners at one address the newer one gets every new connection once it is steered. */
+/** Once connections are steered, the newer of two listeners at an address gets all new ones. */
 @Tag("operators")
 final class ListenerSteeringTest {
   private static final int BACKLOG = 256;
@@ -31,7 +31,9 @@
 
   @BeforeEach
   void listen() throws IOException {
-    assertTrue(Epoll.isAvailable(), () -> "no native library: " + Epoll.unavailabilityCause());
+    assertTrue(
+        Epoll.isAvailable(),
+        () -> "Netty's native epoll library is unavailable: " + Epoll.unavailabilityCause());
     older = listenAt(0);
     port = ((InetSocketAddress) older.getLocalAddress()).getPort();
     newer = listenAt(port);
@@ -74,10 +76,10 @@
   void notSteered_bothAccept() throws IOException {
     connect();
     final int atOlder = acceptAll(older);
-    assertTrue(atOlder > 0 && atOlder < CONNECTIONS, "the older one accepted " + atOlder);
+    assertTrue(atOlder > 0 && atOlder < CONNECTIONS, "the older listener accepted " + atOlder);
   }
 
-  /** Guards against requests that are reset with the older listener's backlog when it closes. */
+  /** Otherwise requests in the older listener's backlog would be reset when it closes. */
   @Test
   void steered_newerAcceptsAll() throws Exception {
     steer();
@@ -103,7 +105,7 @@
   }
 
   @Test
-  void thirdListenerAfterOlderClosed_getsAll() throws Exception {
+  void thirdListenerAfterOlderClosed_acceptsAll() throws Exception {
     steer();
     older.close();
     try (ServerSocketChannel third = listenAt(port)) {
