--- a/courier/src/main/java/thistleturn/courier/Startup.java
+++ b/courier/src/main/java/thistleturn/courier/Startup.java
@@ -106,7 +106,7 @@
                 "listen to operators",
                 (bound, failure) -> {
                   if (failure == null) {
-                    Log.info(config.name() + " hears operators at " + bound);
+                    Log.info(config.name() + " listens to operators at " + bound);
                   } else {
                     progress.retryOrFail("listen to operators", failure, this::listenToOperators);
                   }
--- a/courier/src/test/java/thistleturn/courier/CourierHarness.java
+++ b/courier/src/test/java/thistleturn/courier/CourierHarness.java
@@ -157,7 +157,7 @@
       final String operatorLine =
           logLines.stream()
               .skip(before.size())
-              .filter(line -> line.contains("hears operators at"))
+              .filter(line -> line.contains("listens to operators at"))
               .findFirst()
               .orElseThrow();
       operatorPort = Integer.parseInt(operatorLine.substring(operatorLine.lastIndexOf(':') + 1));
