--- a/courier/src/main/java/thistleturn/courier/ShardHandoverSource.java
+++ b/courier/src/main/java/thistleturn/courier/ShardHandoverSource.java
@@ -22,7 +22,7 @@
 final class ShardHandoverSource implements HandoverSource {
   private static final int SUCCESSOR_LOST_EXIT_STATUS = 75;
 
-  /** How often the lock is tried that a process which has ended may still hold. */
+  /** Attempts to get the lock, which a process that has just ended may still hold. */
   private static final int LOCK_ATTEMPTS = 100;
 
   private static final long LOCK_RETRY_MS = 20;
@@ -32,8 +32,8 @@
   private final DirectiveBroadcaster directives;
   private final Runnable reopenListeners;
 
-  /** What clients have handed in since the handover; null before it. */
-  private OpenOffers offers;
+  /** The messages that clients have submitted since the handover; null before it. */
+  private UnansweredSubmissions submissions;
 
   ShardHandoverSource(
       final ServerContext context,
@@ -48,9 +48,9 @@
   @Override
   public HandoverSnapshot handOver(final Successor successor) throws IOException {
     ListenerSteering.prepare();
-    offers = new OpenOffers(successor, context.clock());
-    final HandoverSnapshot snapshot = shard.decisionLoop().handOver(offers);
-    // From here on the successor decides: what fails now must not keep it from that.
+    submissions = new UnansweredSubmissions(successor, context.clock());
+    final HandoverSnapshot snapshot = shard.decisionLoop().handOver(submissions);
+    // From here on the successor decides, and a failure below must not prevent that.
     shard.releaseJournal();
     context.stateFolder().unlock();
     Log.info("handed over with " + snapshot.calls().size() + " calls out");
@@ -70,7 +70,7 @@
 
   @Override
   public void onSuccessorGone() {
-    offers.onLineEnded();
+    submissions.onSuccessorDisconnected();
     takeBack(LOCK_ATTEMPTS, context.clock().nowUs() + TransientFailures.RETRY_BUDGET_US);
   }
 
@@ -96,10 +96,10 @@
 
   private void onFolderTakenBack() throws IOException {
     final JournalHistory history =
-        JournalHistory.read(context.config().stateFolder(), offers.offeredIds());
+        JournalHistory.read(context.config().stateFolder(), submissions.forwardedIds());
     if (context.lifecycle().isShuttingDown()) {
       // The next process delivers what the journal holds.
-      offers.rejectRemaining(history);
+      submissions.rejectRemaining(history);
       context.stateFolder().unlock();
     } else {
       decideAgain(history);
@@ -113,7 +113,7 @@
     shard.replaceDecisionLoop(
         new DecisionLoopReplacement.Setup(
             directives.disabledEndpoints(), directives.observerForShards()));
-    offers.settleBy(history, shard.decisionLoop());
+    submissions.settleBy(history, shard.decisionLoop());
     reopenListeners.run();
   }
 
@@ -124,7 +124,7 @@
       scheduleTakeBack(LOCK_ATTEMPTS, retryUntilUs, TransientFailures.RETRY_DELAY_MS);
       return;
     }
-    offers.rejectRemaining(JournalHistory.unknown());
+    submissions.rejectRemaining(JournalHistory.unknown());
     if (context.lifecycle().isShuttingDown()) {
       return;
     }
@@ -135,7 +135,7 @@
 
   private void scheduleTakeBack(
       final int lockAttempts, final long retryUntilUs, final long delayMs) {
-    offers.rejectOverdue();
+    submissions.rejectOverdue();
     context
         .eventLoop()
         .schedule(() -> takeBack(lockAttempts, retryUntilUs), delayMs, TimeUnit.MILLISECONDS);
--- /dev/null
+++ b/courier/src/main/java/thistleturn/courier/UnansweredSubmissions.java
@@ -0,0 +1,228 @@
+package thistleturn.courier;
+
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import thistleturn.courier.handover.Successor;
+import thistleturn.courier.journal.JournalHistory;
+import thistleturn.courier.port.Dispatcher;
+import thistleturn.courier.port.Ingress;
+import thistleturn.courier.port.IngressHandler;
+import thistleturn.courier.port.StoredMessage;
+import thistleturn.courier.runtime.Clock;
+import thistleturn.courier.runtime.Event;
+import thistleturn.courier.runtime.Log;
+
+/**
+ * The messages that clients of this process have submitted since a newer process took over the
+ * decisions, until each client is answered. If the newer process ends first, the journal shows
+ * which of them it had accepted, and the process that decides next decides on the others. Each
+ * client is answered exactly once. Used on the event loop's thread.
+ */
+final class UnansweredSubmissions implements Successor {
+  /**
+   * A client waits 400 ms for its answer: a message that was not forwarded is rejected before that.
+   */
+  private static final long MAX_UNSENT_WAIT_US = 350_000;
+
+  /** The delay after which a client may resubmit a message that no process can decide on now. */
+  private static final long RETRY_AFTER_US = 1_000_000;
+
+  /** Withdrawals beyond this number are assumed to have been read by the newer process. */
+  private static final int MAX_REMEMBERED_WITHDRAWALS = 10_000;
+
+  private enum State {
+    /** Each message is forwarded to the newer process. */
+    FORWARDING,
+    /**
+     * The newer process or the connection to it has ended: messages wait until it is known which
+     * process decides next.
+     */
+    WAITING,
+    /** Each message has been decided on, and this process decides again or ends. */
+    SETTLED
+  }
+
+  private final Successor successor;
+  private final Clock clock;
+  private final Set<Submission> unanswered = new LinkedHashSet<>();
+
+  /** The destinations of withdrawn messages, by id, the latest last. */
+  private final Map<String, Long> withdrawals = new LinkedHashMap<>();
+
+  private State state = State.FORWARDING;
+
+  UnansweredSubmissions(final Successor successor, final Clock clock) {
+    this.successor = successor;
+    this.clock = clock;
+  }
+
+  @Override
+  public void submit(
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
+    final Submission submission =
+        new Submission(message, deadlineUs, reply, clock.nowUs(), state == State.FORWARDING);
+    unanswered.add(submission);
+    switch (state) {
+      case FORWARDING -> successor.submit(message, deadlineUs, submission);
+      case WAITING -> {
+        // It is submitted or rejected once it is known which process decides.
+      }
+      case SETTLED -> reject(submission);
+    }
+  }
+
+  /**
+   * Forgets the client, which expects no answer any more; its message is withdrawn from the
+   * deciding process.
+   */
+  @Override
+  public void withdraw(final String messageId, final long destination) {
+    unanswered.removeIf(submission -> submission.message.id().equals(messageId));
+    withdrawals.put(messageId, destination);
+    if (withdrawals.size() > MAX_REMEMBERED_WITHDRAWALS) {
+      withdrawals.remove(withdrawals.keySet().iterator().next());
+    }
+    if (state == State.FORWARDING) {
+      successor.withdraw(messageId, destination);
+    }
+  }
+
+  @Override
+  public void reportOutcome(
+      final long call, final String messageId, final Dispatcher.DispatchOutcome outcome) {
+    successor.reportOutcome(call, messageId, outcome);
+  }
+
+  /** Stops forwarding: the connection to the newer process has ended. */
+  void onSuccessorDisconnected() {
+    state = State.WAITING;
+  }
+
+  /** Returns the ids of the messages that the newer process may have accepted. */
+  Set<String> forwardedIds() {
+    return unanswered.stream()
+        .filter(submission -> submission.forwarded)
+        .map(submission -> submission.message.id())
+        .collect(Collectors.toSet());
+  }
+
+  /**
+   * Rejects messages that have waited too long for a deciding process and cannot have been
+   * accepted.
+   */
+  void rejectOverdue() {
+    final long nowUs = clock.nowUs();
+    List.copyOf(unanswered).stream()
+        .filter(
+            submission ->
+                !submission.forwarded && nowUs - submission.submittedUs >= MAX_UNSENT_WAIT_US)
+        .forEach(this::reject);
+  }
+
+  /**
+   * Settles all messages after this process has recovered the journal and decides again: clients
+   * whose messages were accepted are notified, and the other messages are resubmitted in the order
+   * of arrival.
+   */
+  void settleBy(final JournalHistory history, final IngressHandler deciding) {
+    state = State.SETTLED;
+    withdrawals.forEach(deciding::withdraw);
+    settle(
+        history,
+        submission -> deciding.submit(submission.message, submission.deadlineUs, submission));
+  }
+
+  /** Settles all messages when this process ends: those that were not accepted are rejected. */
+  void rejectRemaining(final JournalHistory history) {
+    state = State.SETTLED;
+    settle(history, this::reject);
+  }
+
+  private void settle(final JournalHistory history, final Consumer<Submission> undecided) {
+    final List<Submission> submissions = List.copyOf(unanswered);
+    if (!submissions.isEmpty()) {
+      Log.info("the newer process ended with " + submissions.size() + " requests unanswered");
+    }
+    for (final Submission submission : submissions) {
+      switch (acceptanceOf(submission, history)) {
+        case ACCEPTED -> submission.accepted();
+        case NOT_ACCEPTED -> undecided.accept(submission);
+        case UNKNOWN -> submission.failed();
+      }
+    }
+  }
+
+  private static JournalHistory.Acceptance acceptanceOf(
+      final Submission submission, final JournalHistory history) {
+    return submission.forwarded
+        ? history.takeAcceptance(submission.message.id(), submission.submittedUs)
+        : JournalHistory.Acceptance.NOT_ACCEPTED;
+  }
+
+  private void reject(final Submission submission) {
+    Log.event(
+        Event.REQUEST_REFUSED,
+        "id",
+        submission.message.id(),
+        "class",
+        submission.message.className(),
+        "why",
+        "nobody_decides");
+    submission.rejected(Ingress.RejectionReason.NO_ROOM, RETRY_AFTER_US);
+  }
+
+  /** A submitted message and the reply to its client; only the first answer is passed on. */
+  private final class Submission implements Ingress.Reply {
+    private final StoredMessage message;
+    private final long deadlineUs;
+    private final Ingress.Reply client;
+    private final long submittedUs;
+
+    /** True if the newer process may have read it. */
+    private final boolean forwarded;
+
+    private Submission(
+        final StoredMessage message,
+        final long deadlineUs,
+        final Ingress.Reply client,
+        final long submittedUs,
+        final boolean forwarded) {
+      this.message = message;
+      this.deadlineUs = deadlineUs;
+      this.client = client;
+      this.submittedUs = submittedUs;
+      this.forwarded = forwarded;
+    }
+
+    private void answer(final Consumer<Ingress.Reply> answer) {
+      if (unanswered.remove(this)) {
+        answer.accept(client);
+      }
+    }
+
+    @Override
+    public void accepted() {
+      answer(Ingress.Reply::accepted);
+    }
+
+    @Override
+    public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
+      answer(reply -> reply.rejected(reason, retryAfterUs));
+    }
+
+    @Override
+    public void failed() {
+      answer(Ingress.Reply::failed);
+    }
+
+    @Override
+    public void invalid(final Ingress.InvalidReason reason) {
+      answer(reply -> reply.invalid(reason));
+    }
+  }
+}
--- a/courier/src/main/java/thistleturn/courier/journal/Journal.java
+++ b/courier/src/main/java/thistleturn/courier/journal/Journal.java
@@ -40,7 +40,10 @@
   /** A compaction writes batches of about this size. */
   private static final int COMPACTION_BATCH_BYTES = 1 << 17;
 
-  /** Records kept for a disk that fails; beyond that the next write is a compaction. */
+  /**
+   * Records kept in memory while the disk fails; beyond this they are dropped, and the next write
+   * is a compaction.
+   */
   private static final int MAX_UNWRITTEN_BYTES = 1 << 19;
 
   private final Path folder;
@@ -51,7 +54,7 @@
   private JournalFile file;
   private long reservedTotalBytes;
 
-  /** True if records were given up, so that only a compaction brings the file up to date. */
+  /** True if records were dropped, so that only a compaction brings the file up to date. */
   private boolean compactionDue;
 
   private boolean writable = true;
@@ -63,7 +66,7 @@
     this.clock = clock;
   }
 
-  /** Opens the journal of a folder, or begins it, and reads the pending messages. */
+  /** Opens or creates the journal of a folder, and reads the pending messages. */
   public static Journal open(final Path folder, final long diskBytes) throws IOException {
     Files.createDirectories(folder);
     final Journal journal = new Journal(folder, diskBytes, new Clock());
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Returns what turns recorded timestamps into ones of this process's clock. Within one boot they
-   * are the same. If the machine was restarted with its folder kept, its monotonic clock began
-   * anew, and the wall clock tells how long ago the last batch was written.
+   * Returns the conversion from recorded timestamps to this process's clock. Within one boot it is
+   * the identity. If the machine was restarted and kept the folder, its monotonic clock was reset,
+   * and the wall clock shows how long ago the last batch was written.
    */
   private LongUnaryOperator clockCorrection(final List<ByteBuffer> batches) {
     if (batches.isEmpty()) {
@@ -178,7 +181,7 @@
   private static long reservedBytes(final StoredMessage message) {
     final String key = message.idempotencyKey();
     final int keyLength = key == null ? 0 : key.length();
-    // Each of the message's records names its id.
+    // Each of the message's records contains its id.
     final int characters =
         RECORDS_PER_MESSAGE * message.id().length() + keyLength + message.className().length();
     return message.body().length + (long) BYTES_PER_CHARACTER * characters + OUTCOME_RESERVE_BYTES;
@@ -240,7 +243,7 @@
           unwritten.size());
     }
     if (unwritten.size() > MAX_UNWRITTEN_BYTES) {
-      // The messages in memory say it all, in no more bytes than the file may have.
+      // A compaction writes the same state from the messages in memory, within the file's limit.
       unwritten.clear();
       compactionDue = true;
     }
@@ -280,8 +283,8 @@
   }
 
   /**
-   * Compacts the journal, if that is possible, and closes it: the process that reads it next keeps
-   * clients waiting meanwhile.
+   * Compacts the journal, if that is possible, and closes it. The smaller file shortens the next
+   * process's start, during which clients wait.
    */
   public void compactAndClose() {
     try {
--- a/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalFile.java
@@ -23,7 +23,7 @@
  * the folder as well.
  *
  * <p>A write that is reported as failed may have been done in part, or completely. The next one at
- * the same position overwrites it; and what it left meanwhile is read back, since that is what the
+ * the same position overwrites it. What the failed write left is read back, since that is what the
  * next process would find.
  */
 final class JournalFile implements Closeable {
@@ -45,12 +45,12 @@
   /** Where the next batch begins. */
   private long size = FILE_HEADER_BYTES;
 
-  /** A write failed, and the folder does not tell whether it was done all the same. */
+  /** A write failed, and it cannot be determined whether it took effect nevertheless. */
   static final class UnknownOutcomeException extends IOException {
     private static final long serialVersionUID = 1L;
 
     UnknownOutcomeException(final IOException cause) {
-      super("what a failed write has left cannot be read: " + cause.getMessage(), cause);
+      super("cannot read back the result of a failed write: " + cause.getMessage(), cause);
     }
   }
 
@@ -71,9 +71,9 @@
    */
   static JournalFile open(final Path folder, final Consumer<ByteBuffer> batches)
       throws IOException {
-    // A kill in the middle of a replacement leaves this; the old file is still complete.
+    // A process killed during a replacement leaves this file; the old one is still complete.
     Files.deleteIfExists(folder.resolve(REPLACEMENT_NAME));
-    // A file of which it cannot be told whether it exists fails when it is opened.
+    // If neither check can tell whether the file exists, opening it throws.
     if (!Files.exists(path(folder)) && Files.notExists(path(folder))) {
       return null;
     }
@@ -104,7 +104,7 @@
       content = nextBatch(all);
     }
     if (size < all.limit()) {
-      // A write that was cut off, by a kill or a full disk; nothing was promised on its strength.
+      // A write that a kill or a full disk cut off: no promise was made on the basis of it.
       Log.event(Event.JOURNAL_TAIL_DROPPED, "bytes", all.limit() - size, "at", size);
     }
   }
@@ -136,8 +136,8 @@
   /**
    * Replaces the file of a folder by one with these batches, in one step.
    *
-   * @throws UnknownOutcomeException if the folder does not tell which of the two it has now
-   * @throws IOException if that failed; then the old file stands
+   * @throws UnknownOutcomeException if it is unknown which of the two files the folder has now
+   * @throws IOException if that failed; then the old file is unchanged
    */
   static JournalFile replace(final Path folder, final Collection<ByteBuffer> batches)
       throws IOException {
@@ -176,7 +176,10 @@
     size += bytes;
   }
 
-  /** A rename that is reported as failed may have been done: then the source is gone. */
+  /**
+   * Renames a file. A rename that is reported as failed may have been done: then the source is
+   * gone.
+   */
   private static void rename(final Path from, final Path to) throws IOException {
     try {
       Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
@@ -196,7 +199,7 @@
   /**
    * Writes a batch after the last one. The buffer begins with space for the batch's header.
    *
-   * @throws UnknownOutcomeException if it may have been written, or not
+   * @throws UnknownOutcomeException if it is unknown whether it has been written
    * @throws IOException if it has certainly not been written completely
    */
   void append(final ByteBuffer batch) throws IOException {
--- a/courier/src/main/java/thistleturn/courier/journal/JournalHistory.java
+++ b/courier/src/main/java/thistleturn/courier/journal/JournalHistory.java
@@ -13,41 +13,44 @@
 import thistleturn.courier.port.StoredMessage;
 
 /**
- * Which of some messages the process that wrote a journal had taken on, as far as its file tells.
- * Messages that have ended since are among them: a compaction alone removes their records.
+ * Determines which of some messages the process that wrote a journal had accepted, as far as its
+ * file shows. That includes messages that have ended since: only a compaction removes their
+ * records.
  *
- * <p>A message that was dropped before its client was answered is completed in the journal too. It
- * never was in a call whose record was safe when its completion was recorded, and no end of it was
- * to be reported; one that was taken on is completed by the outcome of its call, or once its end
- * has been reported.
+ * <p>A message that was dropped before its client was answered is completed in the journal too.
+ * Such a message had no call whose record was flushed before its completion was recorded, and no
+ * final outcome to report. An accepted message is completed by the outcome of its call, or once its
+ * final outcome has been reported.
  */
 public final class JournalHistory {
-  /** What is known of a message. */
-  public enum Fate {
-    /** It was taken on: it is pending, or has ended since. */
-    TAKEN_ON,
-    /** It was not, and nothing was sent of it. */
-    NOT_TAKEN_ON,
-    /** The journal may have held it, and holds no trace any more. */
+  /** Whether a message was accepted. */
+  public enum Acceptance {
+    /** It was accepted: it is pending, or has ended since. */
+    ACCEPTED,
+    /** It was not accepted, and no part of it was sent. */
+    NOT_ACCEPTED,
+    /** The journal may have contained it, but holds no trace of it any more. */
     UNKNOWN
   }
 
-  private final Set<String> takenOn = new HashSet<>();
+  private final Set<String> acceptedIds = new HashSet<>();
 
-  /** When the file was begun, on the monotonic clock, us: earlier ends have left no trace. */
+  /**
+   * When the file was begun, on the monotonic clock, us: messages that ended before left no trace.
+   */
   private final long completeSinceUs;
 
   private JournalHistory(final long completeSinceUs) {
     this.completeSinceUs = completeSinceUs;
   }
 
-  /** Returns what is known where no journal can be read: nothing. */
+  /** Returns the history to use if no journal can be read: every message is unknown. */
   public static JournalHistory unknown() {
     return new JournalHistory(Long.MAX_VALUE);
   }
 
   /**
-   * Reads what became of these messages. Nobody writes the journal meanwhile.
+   * Reads which of these messages were accepted. The journal must not be written meanwhile.
    *
    * @throws IOException if it cannot be read now
    */
@@ -67,27 +70,28 @@
     }
     final JournalHistory history =
         new JournalHistory(BatchTimestamps.read(batches.get(0)).monotonicUs());
-    history.takenOn.addAll(new Reader().read(batches));
-    history.takenOn.retainAll(messageIds);
+    history.acceptedIds.addAll(new Reader().read(batches));
+    history.acceptedIds.retainAll(messageIds);
     return history;
   }
 
   /**
-   * Returns what became of a message, once: another one of its id was not taken on beside it.
+   * Returns whether a message was accepted. An acceptance is returned once: a second message with
+   * the same id was not accepted in addition.
    *
-   * @param submittedUs when its client handed it in, on the monotonic clock
+   * @param submittedUs when its client submitted it, on the monotonic clock
    */
-  public Fate takeFate(final String messageId, final long submittedUs) {
-    if (takenOn.remove(messageId)) {
-      return Fate.TAKEN_ON;
+  public Acceptance takeAcceptance(final String messageId, final long submittedUs) {
+    if (acceptedIds.remove(messageId)) {
+      return Acceptance.ACCEPTED;
     }
-    return submittedUs < completeSinceUs ? Fate.UNKNOWN : Fate.NOT_TAKEN_ON;
+    return submittedUs < completeSinceUs ? Acceptance.UNKNOWN : Acceptance.NOT_ACCEPTED;
   }
 
-  /** Follows the records of a file to its end. */
+  /** Replays the records of a file to its end. */
   private static final class Reader implements RecordReader.Observer {
     private final Map<String, StoredMessage> messages = new HashMap<>();
-    private final Set<String> takenOn = new HashSet<>();
+    private final Set<String> acceptedIds = new HashSet<>();
 
     /** The messages whose last attempt started in the batch that is being read. */
     private final Set<String> startedInBatch = new HashSet<>();
@@ -98,8 +102,8 @@
         startedInBatch.clear();
         records.applyBatch(batch);
       }
-      takenOn.addAll(messages.keySet());
-      return takenOn;
+      acceptedIds.addAll(messages.keySet());
+      return acceptedIds;
     }
 
     @Override
@@ -112,7 +116,7 @@
       final boolean wasCalled =
           message.hasAttemptInFlight() && !startedInBatch.contains(message.id());
       if (wasCalled || message.finalOutcome() != null) {
-        takenOn.add(message.id());
+        acceptedIds.add(message.id());
       }
     }
   }
--- a/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
+++ b/courier/src/main/java/thistleturn/courier/journal/LegacyJournalFormat.java
@@ -23,8 +23,8 @@
   private LegacyJournalFormat() {}
 
   /**
-   * Reads the messages in such a file, up to what a kill cut off at its end; reads nothing if there
-   * is no file.
+   * Reads the messages in such a file, up to a record that a kill cut off at the end; reads nothing
+   * if there is no file.
    */
   static void read(final Path file, final Map<String, StoredMessage> messages, final Clock clock)
       throws IOException {
--- a/courier/src/main/java/thistleturn/courier/journal/RecordBuffer.java
+++ b/courier/src/main/java/thistleturn/courier/journal/RecordBuffer.java
@@ -8,8 +8,8 @@
 import thistleturn.courier.port.StoredMessage;
 
 /**
- * Records that wait to be written, as the bytes of one batch: space for the batch's header, the
- * clocks when it is written, and the records. {@link RecordReader} reads them back.
+ * Unwritten records, as the bytes of one batch: space for the batch's header and timestamps, then
+ * the records. {@link RecordReader} reads them back.
  */
 final class RecordBuffer {
   private static final int INITIAL_BYTES = 1 << 12;
--- a/courier/src/main/java/thistleturn/courier/journal/RecordReader.java
+++ b/courier/src/main/java/thistleturn/courier/journal/RecordReader.java
@@ -26,12 +26,12 @@
   private final LongUnaryOperator clockCorrection;
   private final Observer observer;
 
-  /** Is told of records that leave no trace in the messages. */
+  /** Is notified of records that leave no trace in the messages. */
   interface Observer {
     /** An attempt started. */
     void onAttemptStarted(String messageId);
 
-    /** A message is completed, and forgotten; it is as the records before this one left it. */
+    /** A message was completed and removed; its state is that before this record. */
     void onCompleted(StoredMessage message);
   }
 
@@ -44,7 +44,7 @@
     this(messages, clockCorrection, NO_OBSERVER);
   }
 
-  /** Does the same, and tells an observer. */
+  /** Reads records into {@code messages}, and notifies an observer. */
   RecordReader(
       final Map<String, StoredMessage> messages,
       final LongUnaryOperator clockCorrection,
@@ -71,11 +71,11 @@
     }
   }
 
-  /** Applies one record, as this version and the one before it write them. */
+  /** Applies one record, as this version and the previous one write it. */
   void applyRecord(final DataInputStream in) throws IOException {
     final byte type = in.readByte();
     final String messageId = in.readUTF();
-    // The records of a message that is completed are read all the same: others stand behind them.
+    // Records of a completed message are read as well, to reach the records behind them.
     switch (type) {
       case RecordType.ACCEPTED -> messages.put(messageId, readAccepted(in, messageId));
       case RecordType.ATTEMPT_STARTED -> applyAttemptStarted(in, messages.get(messageId));
--- a/courier/src/main/java/thistleturn/courier/journal/RecordType.java
+++ b/courier/src/main/java/thistleturn/courier/journal/RecordType.java
@@ -8,13 +8,13 @@
   /** An attempt started. */
   static final byte ATTEMPT_STARTED = 2;
 
-  /** The attempt in flight had its outcome. */
+  /** The attempt in flight has ended with an outcome. */
   static final byte ATTEMPT_OUTCOME = 3;
 
   /** A message ended, and its outcome is still to be reported. */
   static final byte FINAL_OUTCOME = 4;
 
-  /** Nothing is owed for a message any more. */
+  /** A message is completed: there is nothing left to do for it. */
   static final byte COMPLETED = 5;
 
   private RecordType() {}
--- a/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalBytesTest.java
@@ -22,8 +22,8 @@
 import thistleturn.courier.port.StoredMessage;
 
 /**
- * The exact bytes of the journal. The next version of the courier reads what this one has written,
- * so a change that alters any of these bytes must not pass unnoticed.
+ * Pins the exact bytes of the journal: the next version of the courier reads what this one has
+ * written.
  */
 final class JournalBytesTest {
   private static final BatchTimestamps TIMESTAMPS =
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void acceptedRecordWithKeyHasTheseBytes() {
+  void acceptedRecordWithKey_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000100026d3100056b657965640100066b
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void acceptedRecordWithoutKeyHasTheseBytes() {
+  void acceptedRecordWithoutKey_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000100026d320004736166650000000000
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void attemptStartedRecordHasTheseBytes() {
+  void attemptStartedRecord_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000200026d3100000000002dc6c000067a
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void attemptOutcomeRecordHasTheseBytes() {
+  void attemptOutcomeRecord_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000300026d3101
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void finalOutcomeRecordHasTheseBytes() {
+  void finalOutcomeRecord_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000400026d310000000000000002bc
@@ -170,7 +170,7 @@
   }
 
   @Test
-  void completedRecordHasTheseBytes() {
+  void completedRecord_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000500026d31
@@ -184,9 +184,9 @@
     assertEquals(Map.of(), messages);
   }
 
-  /** A message with an attempt in flight and a final outcome to report is three records. */
+  /** A message with an attempt in flight and a final outcome to report takes three records. */
   @Test
-  void compactedMessageHasTheseBytes() {
+  void compactedMessage_hasPinnedBytes() {
     final String hexLines =
         """
         000000000000000000000000000f424000060a24181e40000100026d3100056b657965640100066b
@@ -207,9 +207,11 @@
     assertEquals(new StoredMessage.FinalOutcome(true, 0), messages.get("m1").finalOutcome());
   }
 
-  /** Magic number and generation; then for each batch its length, checksum, clocks and records. */
+  /**
+   * Magic number and generation; then for each batch its length, checksum, timestamps and records.
+   */
   @Test
-  void fileOfTwoBatchesHasTheseBytes() throws IOException {
+  void fileOfTwoBatches_hasPinnedBytes() throws IOException {
     Files.write(folder.resolve("journal"), bytes(GENERATION_7_HEADER_HEX));
     final List<ByteBuffer> found = new ArrayList<>();
     final JournalFile file = JournalFile.open(folder, found::add);
@@ -227,7 +229,7 @@
   }
 
   @Test
-  void fileWithTheseBytesIsReadBack() throws IOException {
+  void fileWithPinnedBytes_isReadBack() throws IOException {
     Files.write(folder.resolve("journal"), bytes(FILE_HEX));
     try (Journal journal = Journal.open(folder, 100_000)) {
       final List<StoredMessage> recovered = List.copyOf(journal.pendingMessages());
@@ -239,7 +241,7 @@
   }
 
   @Test
-  void compactionBeginsItsFileWithTheMagicNumber() throws IOException {
+  void compactedFile_beginsWithMagicNumber() throws IOException {
     Journal.open(folder, 100_000).close();
     final byte[] file = Files.readAllBytes(folder.resolve("journal"));
     assertEquals("54544a4f55524e32", HexFormat.of().formatHex(file, 0, Long.BYTES));
--- a/courier/src/test/java/thistleturn/courier/journal/JournalHistoryTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalHistoryTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistleturn.courier.journal.JournalHistory.Fate;
+import thistleturn.courier.journal.JournalHistory.Acceptance;
 import thistleturn.courier.port.MessageStore.FlushResult;
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.Clock;
 
 /**
- * What a journal tells of a message whose client may not have been answered: a wrong yes loses it,
- * and a wrong no delivers it twice.
+ * What a journal shows of a message whose client may not have been answered: reporting it as
+ * accepted by mistake loses it, and as not accepted delivers it twice.
  */
 @Tag("operators")
 final class JournalHistoryTest {
@@ -47,8 +47,8 @@
     assertEquals(FlushResult.DURABLE, journal.flush());
   }
 
-  private Fate fate() throws IOException {
-    return JournalHistory.read(folder, Set.of("m1")).takeFate("m1", submittedUs);
+  private Acceptance acceptance() throws IOException {
+    return JournalHistory.read(folder, Set.of("m1")).takeAcceptance("m1", submittedUs);
   }
 
   private void startCall() {
@@ -56,40 +56,40 @@
   }
 
   @Test
-  void messageThatIsNotThere_wasNotTakenOn() throws IOException {
+  void messageWithoutRecord_isNotAccepted() throws IOException {
     journal.recordAccepted(message("m2"));
     flush();
-    assertEquals(Fate.NOT_TAKEN_ON, fate());
+    assertEquals(Acceptance.NOT_ACCEPTED, acceptance());
   }
 
   @Test
-  void recordThatWasNotFlushed_doesNotCount() throws IOException {
+  void unflushedRecord_isNotAccepted() throws IOException {
     journal.recordAccepted(message);
-    assertEquals(Fate.NOT_TAKEN_ON, fate());
+    assertEquals(Acceptance.NOT_ACCEPTED, acceptance());
   }
 
   @Test
-  void pendingMessage_wasTakenOn() throws IOException {
+  void pendingMessage_isAccepted() throws IOException {
     journal.recordAccepted(message);
     flush();
-    assertEquals(Fate.TAKEN_ON, fate());
+    assertEquals(Acceptance.ACCEPTED, acceptance());
     startCall();
     flush();
-    assertEquals(Fate.TAKEN_ON, fate());
+    assertEquals(Acceptance.ACCEPTED, acceptance());
   }
 
   @Test
-  void deliveredMessage_wasTakenOn() throws IOException {
+  void deliveredMessage_isAccepted() throws IOException {
     journal.recordAccepted(message);
     startCall();
     flush();
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.TAKEN_ON, fate());
+    assertEquals(Acceptance.ACCEPTED, acceptance());
   }
 
   @Test
-  void messageDeliveredByASecondCall_wasTakenOn() throws IOException {
+  void messageDeliveredBySecondCall_isAccepted() throws IOException {
     journal.recordAccepted(message);
     startCall();
     flush();
@@ -98,81 +98,84 @@
     flush();
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.TAKEN_ON, fate());
+    assertEquals(Acceptance.ACCEPTED, acceptance());
   }
 
   @Test
-  void messageWhoseEndWasReported_wasTakenOn() throws IOException {
+  void messageWithReportedOutcome_isAccepted() throws IOException {
     journal.recordAccepted(message);
     flush();
     journal.recordFinalOutcome(message, new StoredMessage.FinalOutcome(true, 0));
     flush();
-    assertEquals(Fate.TAKEN_ON, fate(), "still to be reported");
+    assertEquals(Acceptance.ACCEPTED, acceptance(), "still to be reported");
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.TAKEN_ON, fate());
+    assertEquals(Acceptance.ACCEPTED, acceptance());
   }
 
-  /** Guards against an acceptance of what a round has shed: both records are in one batch. */
+  /** Guards against accepting a message that its round has shed: both records are in one batch. */
   @Test
-  void messageShedInItsRound_wasNotTakenOn() throws IOException {
+  void messageShedInSameRound_isNotAccepted() throws IOException {
     journal.recordAccepted(message);
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.NOT_TAKEN_ON, fate());
+    assertEquals(Acceptance.NOT_ACCEPTED, acceptance());
   }
 
   /** A timer that is late flushes the journal ahead of the round, which may shed the message. */
   @Test
-  void messageShedInTheRoundAfterItsFlush_wasNotTakenOn() throws IOException {
+  void messageShedInRoundAfterFlush_isNotAccepted() throws IOException {
     journal.recordAccepted(message);
     flush();
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.NOT_TAKEN_ON, fate());
+    assertEquals(Acceptance.NOT_ACCEPTED, acceptance());
   }
 
   /** A call whose record could not be written does not begin, and its client is rejected. */
   @Test
-  void messageWhoseCallCouldNotBeRecorded_wasNotTakenOn() throws IOException {
+  void messageWithUnrecordedCall_isNotAccepted() throws IOException {
     journal.recordAccepted(message);
     flush();
     startCall();
     journal.recordCompleted(message);
     flush();
-    assertEquals(Fate.NOT_TAKEN_ON, fate());
+    assertEquals(Acceptance.NOT_ACCEPTED, acceptance());
   }
 
   /** Guards against a second delivery: the message may have ended before the file was begun. */
   @Test
-  void messageOlderThanTheFile_isUnknownUnlessItIsPending() throws IOException {
+  void messageOlderThanFile_isUnknownUnlessPending() throws IOException {
     journal.recordAccepted(message);
     startCall();
     flush();
     journal.recordCompleted(message);
     journal.recordAccepted(message("m2"));
     journal.compactAndClose();
-    assertEquals(Fate.UNKNOWN, fate());
+    assertEquals(Acceptance.UNKNOWN, acceptance());
     final JournalHistory history = JournalHistory.read(folder, Set.of("m2", "m3"));
-    assertEquals(Fate.TAKEN_ON, history.takeFate("m2", submittedUs));
-    assertEquals(Fate.NOT_TAKEN_ON, history.takeFate("m3", clock.nowUs()), "handed in since");
+    assertEquals(Acceptance.ACCEPTED, history.takeAcceptance("m2", submittedUs));
+    assertEquals(
+        Acceptance.NOT_ACCEPTED,
+        history.takeAcceptance("m3", clock.nowUs()),
+        "submitted after the file was begun");
   }
 
-  /** Guards against two clients that each take one message for theirs. */
+  /** Guards against notifying two clients of the acceptance of one message. */
   @Test
-  void fateIsTakenOnce() throws IOException {
+  void acceptance_isReturnedOnce() throws IOException {
     journal.recordAccepted(message);
     flush();
     final JournalHistory history = JournalHistory.read(folder, Set.of("m1"));
-    assertEquals(Fate.TAKEN_ON, history.takeFate("m1", submittedUs));
-    assertEquals(Fate.NOT_TAKEN_ON, history.takeFate("m1", submittedUs));
+    assertEquals(Acceptance.ACCEPTED, history.takeAcceptance("m1", submittedUs));
+    assertEquals(Acceptance.NOT_ACCEPTED, history.takeAcceptance("m1", submittedUs));
   }
 
   @Test
-  void fileOfAnotherFormat_tellsNothing() throws IOException {
+  void fileOfAnotherFormat_isUnknown() throws IOException {
     journal.close();
     Files.write(folder.resolve("journal"), "no journal".getBytes(StandardCharsets.US_ASCII));
-    assertEquals(Fate.UNKNOWN, fate());
-    assertTrue(Files.size(folder.resolve("journal")) > 0, "it is left as it is");
+    assertEquals(Acceptance.UNKNOWN, acceptance());
+    assertTrue(Files.size(folder.resolve("journal")) > 0, "the file is not changed");
   }
 }
--- a/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
+++ b/courier/src/test/java/thistleturn/courier/journal/JournalTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void failedCompactionOnCloseLeavesJournalComplete() throws IOException {
+  void failedCompactionOnClose_leavesJournalComplete() throws IOException {
     final Journal journal = Journal.open(folder, DISK_BYTES);
     assertTrue(journal.recordAccepted(message("m1", 100)));
     // The compacted file cannot be created where a folder has its name.
@@ -55,9 +55,9 @@
     assertEquals(List.of("m1"), reopenedIds());
   }
 
-  /** A message that has only its outcome to report frees its space, but its id is not free yet. */
+  /** A message whose outcome is still to be reported frees its body's space, but not its id. */
   @Test
-  void finalOutcomeReservesNoSpaceForTheBody() throws IOException {
+  void finalOutcome_reservesNoSpaceForBody() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       for (int count = 0; count < 30; count++) {
         final StoredMessage message = message("m" + count, 10_000);
@@ -72,9 +72,9 @@
             .allMatch(message -> message.finalOutcome().failed() && message.body().length == 0));
   }
 
-  /** The disk is full for a moment: the next flush that succeeds writes all records. */
+  /** A disk that cannot be written for a while: the next flush that succeeds writes all records. */
   @Test
-  void unwrittenRecordsAreWrittenByTheNextSuccessfulFlush() throws IOException {
+  void failedFlush_recordsAreWrittenByNextSuccessfulFlush() throws IOException {
     final Path blocked = folder.resolve("journal.next");
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       final StoredMessage first = message("first", 10_000);
@@ -93,7 +93,7 @@
       assertFalse(journal.isWritable());
       assertFalse(
           journal.recordAccepted(message("third", 10)),
-          "nothing is accepted that cannot be recorded");
+          "a message that cannot be recorded is rejected");
       journal.recordCompleted(first);
       Files.delete(blocked.resolve("in-the-way"));
       Files.delete(blocked);
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void reopenRestoresPendingAndDropsCompletedMessages() throws IOException {
+  void reopenedJournal_restoresPendingAndDropsCompletedMessages() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       final StoredMessage sent =
           new StoredMessage("sent", "keyed", "k", 7, 5_000_000, new byte[] {1, 2, 3});
@@ -133,31 +133,31 @@
   }
 
   @Test
-  void truncatedTailIsDroppedAndEarlierBatchesSurvive() throws IOException {
+  void truncatedTail_isDroppedAndEarlierBatchesSurvive() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertTrue(journal.recordAccepted(message("complete", 50)));
       assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
-      assertTrue(journal.recordAccepted(message("torn", 50)));
+      assertTrue(journal.recordAccepted(message("truncated", 50)));
     }
     final Path file = folder.resolve("journal");
     final byte[] all = Files.readAllBytes(file);
     for (int cut = 1; cut < 60; cut++) {
       Files.write(file, Arrays.copyOf(all, all.length - cut));
-      assertEquals(List.of("whole"), reopenedIds());
+      assertEquals(List.of("complete"), reopenedIds());
     }
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       assertTrue(journal.recordAccepted(message("next", 50)));
     }
-    assertEquals(List.of("whole", "next"), reopenedIds());
+    assertEquals(List.of("complete", "next"), reopenedIds());
   }
 
   /** Wherever a kill cuts a write, either all records of a flush are read back or none. */
   @Test
-  void batchIsReadCompleteOrNotAtAll() throws IOException {
+  void truncatedBatch_isReadCompletelyOrNotAtAll() throws IOException {
     final Path file = folder.resolve("journal");
     final int before;
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertTrue(journal.recordAccepted(message("complete", 50)));
       assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
       before = (int) Files.size(file);
       assertTrue(
@@ -167,15 +167,15 @@
     final byte[] all = Files.readAllBytes(file);
     for (int length = before; length < all.length; length++) {
       Files.write(file, Arrays.copyOf(all, length));
-      assertEquals(List.of("whole"), reopenedIds(), "cut to " + length);
+      assertEquals(List.of("complete"), reopenedIds(), "cut to " + length);
     }
     Files.write(file, all);
-    assertEquals(List.of("whole", "first", "second"), reopenedIds());
+    assertEquals(List.of("complete", "first", "second"), reopenedIds());
   }
 
   /** Bytes that look like a batch but belong to another file are not taken for one. */
   @Test
-  void batchOfAnotherGenerationIsIgnored() throws IOException {
+  void batchOfAnotherGeneration_isIgnored() throws IOException {
     final Path file = folder.resolve("journal");
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       assertTrue(journal.recordAccepted(message("own", 50)));
@@ -194,7 +194,7 @@
 
   /** The journal of versions up to 0.2: single records, timestamps of the wall clock. */
   @Test
-  void legacyFormatIsReadAndReplaced() throws IOException {
+  void legacyFormat_isReadAndReplaced() throws IOException {
     final Clock clock = new Clock();
     final long deadlineWallClockUs = clock.wallClockUs() + 5_000_000;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -232,21 +232,21 @@
   }
 
   @Test
-  void checksumMismatchEndsReading() throws IOException {
+  void checksumMismatch_endsReading() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-      assertTrue(journal.recordAccepted(message("whole", 50)));
+      assertTrue(journal.recordAccepted(message("complete", 50)));
       assertEquals(MessageStore.FlushResult.DURABLE, journal.flush());
-      assertTrue(journal.recordAccepted(message("spoilt", 50)));
+      assertTrue(journal.recordAccepted(message("corrupt", 50)));
     }
     final Path file = folder.resolve("journal");
     final byte[] all = Files.readAllBytes(file);
     all[all.length - 30] ^= 1;
     Files.write(file, all);
-    assertEquals(List.of("whole"), reopenedIds());
+    assertEquals(List.of("complete"), reopenedIds());
   }
 
   @Test
-  void diskUsageStaysBounded() throws IOException {
+  void manyCompletedMessages_diskUsageStaysBounded() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       final StoredMessage staying = message("staying", 500);
       assertTrue(journal.recordAccepted(staying));
@@ -267,7 +267,7 @@
   }
 
   @Test
-  void fullJournalRejectsMessagesButRecordsOutcomes() throws IOException {
+  void fullJournal_rejectsMessagesButRecordsOutcomes() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       int accepted = 0;
       while (accepted < 1000 && journal.recordAccepted(message("m" + accepted, 1000))) {
@@ -288,13 +288,13 @@
       }
       assertTrue(
           journal.recordAccepted(message("later", 1000)),
-          "a message that only has its outcome to report needs no space for a body");
+          "a message with only its outcome left to report reserves no space for a body");
       assertTrue(usedBytes() < DISK_BYTES, "used: " + usedBytes());
     }
   }
 
   @Test
-  void unfinishedCompactionIsDropped() throws IOException {
+  void unfinishedCompaction_isDropped() throws IOException {
     try (Journal journal = Journal.open(folder, DISK_BYTES)) {
       assertTrue(journal.recordAccepted(message("kept", 50)));
     }
