--- a/courier/src/main/java/thistleturn/courier/Main.java
+++ b/courier/src/main/java/thistleturn/courier/Main.java
@@ -22,7 +22,7 @@
 
   private Main() {}
 
-  /** Runs a courier with the configuration that the environment names, until it is ended. */
+  /** Runs a courier with the configuration that the environment names, until the process ends. */
   public static void main(final String[] args) {
     try {
       serve(System.getenv(), null, CourierOptions.platformDefaults());
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Runs a courier as this process: signals are its own, and a start that fails later ends the
-   * process.
+   * Runs a courier as this process: it handles SIGHUP and SIGTERM, and a start that fails after
+   * this method has returned ends the process.
    *
    * @param environment the environment variables that name the configuration
-   * @param extension a subsystem beside the platform's own, or null
+   * @param extension an additional subsystem, or null
    * @param options the size of the courier
    * @throws ConfigurationException if the configuration cannot be used
    * @throws IOException if the journal cannot be opened
@@ -51,7 +51,7 @@
         (thread, failure) -> Log.failure("thread " + thread.getName(), failure));
     final AtomicReference<CourierServer> started = new AtomicReference<>();
     final AtomicBoolean reloadRequested = new AtomicBoolean();
-    // First of all: until this is in place, a SIGHUP ends the process.
+    // Installed first: until then, a SIGHUP ends the process.
     ReloadSignal.onHangup(() -> onHangup(reloadRequested, started.get()));
     final CourierServer server = startWithRetry(environment, extension, options);
     started.set(server);
@@ -80,14 +80,17 @@
     }
   }
 
-  /** One line on why there is no courier; what nobody foresaw is named by its type as well. */
+  /** Returns one line on why the start failed, with the type of an unexpected failure. */
   private static String describe(final Throwable failure) {
-    final boolean foreseen =
+    final boolean expected =
         failure instanceof ConfigurationException || failure instanceof IOException;
-    return "cannot start: " + (foreseen ? failure.getMessage() : failure);
+    return "cannot start: " + (expected ? failure.getMessage() : failure);
   }
 
-  /** Retries after a transient failure: what the system cannot provide now it may provide soon. */
+  /**
+   * Starts a courier, and retries after a transient failure: a resource that the system lacks now
+   * may soon be available.
+   */
   private static CourierServer startWithRetry(
       final Map<String, String> environment,
       final CourierExtension extension,
--- a/courier/src/main/java/thistleturn/courier/MessageClasses.java
+++ b/courier/src/main/java/thistleturn/courier/MessageClasses.java
@@ -37,7 +37,7 @@
     return index == null ? null : classes.get(index);
   }
 
-  /** Returns the index of a class that {@link #contains} knows. */
+  /** Returns the index of a configured class. */
   int indexOf(final String className) {
     return indexes.get(className);
   }
--- a/courier/src/main/java/thistleturn/courier/MessageCompletion.java
+++ b/courier/src/main/java/thistleturn/courier/MessageCompletion.java
@@ -20,9 +20,9 @@
   private final LongFunction<String> blockedReason;
 
   /**
-   * Ends messages of a loop.
+   * Creates the part of a loop that ends its messages.
    *
-   * @param blockedReason says what keeps the next message of a destination from being sent
+   * @param blockedReason returns what keeps the next message of a destination from being sent
    */
   MessageCompletion(
       final LoopContext context,
@@ -33,7 +33,7 @@
     this.blockedReason = blockedReason;
   }
 
-  /** Ends a message undelivered; handing it in again is harmless. */
+  /** Sheds a message, which was not delivered; its client can safely submit it again. */
   void shed(final String messageId, final long retryAfterUs) {
     final PendingDelivery delivery = context.pending().get(messageId);
     if (delivery == null) {
@@ -60,7 +60,7 @@
         context.clock().nowUs());
   }
 
-  /** Ends a message as failed; nothing is promised. */
+  /** Ends a message as failed; whether it was delivered is not known. */
   void fail(final String messageId) {
     final PendingDelivery delivery = context.pending().get(messageId);
     if (delivery == null) {
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Ends a message for which nothing is owed any more, but perhaps the answer to its client.
+   * Ends a message that has no final outcome to report; its client may still have to be answered.
    *
    * @return the client's reply, or null if the client was answered before
    */
--- a/courier/src/main/java/thistleturn/courier/MessageIntake.java
+++ b/courier/src/main/java/thistleturn/courier/MessageIntake.java
@@ -13,10 +13,12 @@
  * answered once the journal is flushed.
  */
 final class MessageIntake {
-  /** From this share of the limit on, another shard's capacity would be of use here. */
+  /**
+   * From this share of the limit on, the shard reports that it could use capacity of other shards.
+   */
   private static final double NEAR_LIMIT_SHARE = 0.9;
 
-  /** A message stays in the store for some seconds, so that a place is free soon. */
+  /** A message stays in the store for some seconds, so there is capacity again soon. */
   private static final long STORE_FULL_RETRY_AFTER_US = 1_000_000;
 
   private final LoopContext context;
@@ -29,7 +31,7 @@
   private boolean limitReached;
 
   /**
-   * Admits up to so many messages.
+   * Creates an intake with a limit on pending messages.
    *
    * @param maxPendingMessages messages that may be pending at a time
    */
@@ -122,7 +124,7 @@
     reply.rejected(Ingress.RejectionReason.NO_ROOM, STORE_FULL_RETRY_AFTER_US);
   }
 
-  /** Admits up to so many messages from now on. */
+  /** Sets how many messages may be pending at a time from now on. */
   void setMaxPendingMessages(final int limit) {
     maxPendingMessages = limit;
   }
@@ -132,7 +134,7 @@
     return context.health().maxPendingMessages(maxPendingMessages);
   }
 
-  /** Returns whether the limit was nearly reached since this was last asked. */
+  /** Returns whether the limit was nearly reached since the last call. */
   boolean takeLimitReached() {
     final boolean reached = limitReached;
     limitReached = false;
--- a/courier/src/main/java/thistleturn/courier/NonDecidingRole.java
+++ b/courier/src/main/java/thistleturn/courier/NonDecidingRole.java
@@ -4,7 +4,7 @@
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.decisions.directives.Directive;
 
-/** The role of a loop that decides nothing: what matters to decisions alone is ignored. */
+/** The role of a loop that does not decide: events that concern only decisions are ignored. */
 abstract class NonDecidingRole implements LoopRole {
   @Override
   public final boolean isDeciding() {
@@ -13,27 +13,27 @@
 
   @Override
   public final void onRetryAfter(final long endpoint, final long retryAfterUs) {
-    // Whoever decides learns it from its own calls.
+    // The process that decides learns it from its own calls.
   }
 
   @Override
   public final void onInterruptionEnded(final PendingDelivery delivery) {
-    // Whoever decides next finds the attempt in the journal.
+    // The process that decides next finds the attempt in the journal.
   }
 
   @Override
   public final void onConfirmed(final List<StoredMessage> messages) {
-    // Whoever decides next reports them once more, which is harmless.
+    // The process that decides next reports them once more, which is harmless.
   }
 
   @Override
   public final void onProcessPaused(final long pausedUs) {
-    // Nothing is judged here.
+    // No time-outs are evaluated here.
   }
 
   @Override
   public final void onConnectivityRestored(final long nowUs, final long cutOffSinceUs) {
-    // Nothing is judged here.
+    // No destinations are evaluated here.
   }
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/OutageReporter.java
+++ b/courier/src/main/java/thistleturn/courier/OutageReporter.java
@@ -18,7 +18,9 @@
  * outages. Without an observer it reports nothing.
  */
 final class OutageReporter {
-  /** The circuit state of a route that gets no calls but trials, as {@link RouteStatus} has it. */
+  /**
+   * The circuit state of a route that gets no calls but trials, as {@link RouteStatus} reports it.
+   */
   private static final String OPEN_CIRCUIT = "OUT";
 
   private final Clock clock;
@@ -52,7 +54,7 @@
     synchronize();
   }
 
-  /** Takes over which destinations are out without reporting them. */
+  /** Records which destinations are out, without reporting them. */
   void synchronize() {
     update(false);
   }
@@ -92,7 +94,7 @@
     return health.report(clock.nowUs()).state() == LocalHealth.State.WELL;
   }
 
-  /** The endpoint list was received. */
+  /** Reports that the endpoint list was received. */
   void reportEndpointsListed() {
     if (observer != null) {
       observer.onEndpointsListed();
--- a/courier/src/main/java/thistleturn/courier/OutcomeRecorder.java
+++ b/courier/src/main/java/thistleturn/courier/OutcomeRecorder.java
@@ -10,14 +10,14 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * Records the outcomes of attempts, in the journal, the metrics and the log, and passes each to the
- * controller; and that the platform has confirmed final outcomes.
+ * Records the outcomes of attempts in the journal, the metrics and the log, and passes each to the
+ * controller; also records that the platform has confirmed final outcomes.
  */
 final class OutcomeRecorder {
   /** An outcome confirmed this long after the deadline is logged; the limit is 300 ms. */
   private static final long LATE_OUTCOME_US = 100_000;
 
-  /** Stands for a response time that cannot be relied on, since this process did not run. */
+  /** Stands for a response time that is unreliable, since this process was paused meanwhile. */
   private static final long NOT_MEASURED = -1;
 
   private final LoopContext context;
@@ -42,7 +42,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Records how a message fared in a call that has ended for it. */
+  /** Records the outcome of a call for one of its messages. */
   void recordAttempt(
       final PendingDelivery delivery,
       final Dispatcher.Call call,
@@ -118,7 +118,7 @@
         outcome.loadReport());
   }
 
-  /** Records that the platform knows these final outcomes: nothing is owed for them any more. */
+  /** Records that the platform has confirmed these final outcomes, which completes the messages. */
   void recordConfirmed(final List<StoredMessage> messages) {
     final long nowUs = context.clock().nowUs();
     for (final StoredMessage message : messages) {
--- a/courier/src/main/java/thistleturn/courier/PendingDelivery.java
+++ b/courier/src/main/java/thistleturn/courier/PendingDelivery.java
@@ -7,9 +7,9 @@
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * A message that this courier has to bring to an end: the client's reply until it is given, the
- * call that carries the message now, and whether the message has ended. It is in one call at most,
- * and its reply is handed out once.
+ * A pending message: the client's reply until it is handed out, the call that carries the message
+ * now, and whether the message has ended. It is in one call at most, and its reply is handed out
+ * once.
  */
 final class PendingDelivery {
   /** The controller's tenant index for a courier without tenants. */
@@ -23,7 +23,7 @@
   private boolean ended;
 
   /**
-   * A message that has not ended.
+   * Creates the delivery of a message that has not ended.
    *
    * @param messageClass null for a class that is not configured any more
    * @param reply where the client's answer goes; null if the message was accepted earlier
@@ -61,7 +61,10 @@
     return reply != null && !ended;
   }
 
-  /** Returns true once the client has its answer; what happens now is reported as an outcome. */
+  /**
+   * Returns true once the client has been answered; the end of the message is then reported as a
+   * final outcome.
+   */
   boolean isAnswered() {
     return reply == null;
   }
--- a/courier/src/main/java/thistleturn/courier/PendingMessageRecovery.java
+++ b/courier/src/main/java/thistleturn/courier/PendingMessageRecovery.java
@@ -16,8 +16,8 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * Brings what an earlier process of this courier left in the journal back to the controller, and
- * the calls that an older process still carries out.
+ * Passes to the controller the messages that an earlier process of this courier left in the
+ * journal, and the calls that the predecessor still carries out.
  */
 final class PendingMessageRecovery {
   /** The controller's kind index of an endpoint of no known kind. */
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Recovers every message in the journal that is not pending yet. One whose attempt an earlier
-   * process may still have in flight waits for the end of that.
+   * Recovers every message in the journal that is not pending yet. A message whose attempt an
+   * earlier process may still have in flight waits until that attempt has ended.
    *
-   * @return how many are delivered on
+   * @return the number of messages whose delivery is resumed
    */
   int recoverMessages(final InterruptedAttempts interrupted) {
     int resumed = 0;
@@ -92,10 +92,10 @@
   }
 
   /**
-   * Adopts the calls that an older process still carries out.
+   * Adopts the calls that the predecessor still carries out.
    *
-   * @param endpointIds the ids of endpoints there, to those here; completed for endpoints that are
-   *     not listed any more
+   * @param endpointIds maps the predecessor's endpoint ids to those of this process; ids of
+   *     endpoints that are not listed any more are added
    */
   void adoptCalls(
       final List<HandoverSnapshot.InFlightRemoteCall> calls, final Map<Long, Long> endpointIds) {
@@ -111,7 +111,9 @@
     removeUnlisted(unlisted);
   }
 
-  /** An endpoint that is not listed any more still has a call in flight: it gets no others. */
+  /**
+   * Adds an endpoint that is not listed any more but still has a call in flight; it gets no others.
+   */
   private long addUnlisted(final long destination, final List<Endpoint> unlisted) {
     final long id = context.endpoints().allocateUnlistedId();
     final Endpoint endpoint = new Endpoint(id, EndpointState.DRAINING, "", 0, NO_KIND, destination);
--- a/courier/src/main/java/thistleturn/courier/PredecessorCalls.java
+++ b/courier/src/main/java/thistleturn/courier/PredecessorCalls.java
@@ -11,7 +11,7 @@
   private final Map<String, DeliveryAttempt> attemptsByMessageId = new HashMap<>();
   private RemoteCallExecutor executor;
 
-  /** From now on calls are abandoned at this process. */
+  /** Sets the process at which calls are abandoned from now on. */
   void connect(final RemoteCallExecutor predecessor) {
     executor = predecessor;
   }
--- a/courier/src/main/java/thistleturn/courier/PredecessorEvents.java
+++ b/courier/src/main/java/thistleturn/courier/PredecessorEvents.java
@@ -9,8 +9,8 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * Brings what an older process of this courier reports into the loop: messages of the clients that
- * are still connected to it, and the outcomes of calls that it carries out.
+ * Passes to the decision loop what the predecessor reports: messages of the clients that are still
+ * connected to it, and the outcomes of calls that it carries out.
  */
 final class PredecessorEvents implements HandoverClient.Listener {
   private static final Dispatcher.DispatchOutcome RESET =
@@ -23,9 +23,9 @@
   private final DecisionLoop loop;
 
   /**
-   * Messages and outcomes go to {@code loop}.
+   * Creates a listener that passes messages and outcomes to {@code loop}.
    *
-   * @param interruption creates what waits for the end of the older process
+   * @param interruption creates the attempts that wait for the end of the older process
    */
   PredecessorEvents(
       final LoopContext context,
@@ -69,7 +69,10 @@
     loop.onOutcome(attempt, call, outcome);
   }
 
-  /** What the older process had in flight may have been executed, or still be in flight. */
+  /**
+   * Resets the calls of the older process once that has ended: they may have been executed, or may
+   * still be in flight.
+   */
   @Override
   public void onPredecessorDisconnected() {
     final InterruptedAttempts interrupted = interruption.get();
--- a/courier/src/main/java/thistleturn/courier/ReachabilityTracker.java
+++ b/courier/src/main/java/thistleturn/courier/ReachabilityTracker.java
@@ -9,11 +9,11 @@
   private final LocalHealth health;
   private final Listener listener;
 
-  /** Is told when this courier is connected again. */
+  /** Is notified when this courier is connected again. */
   interface Listener {
     /**
-     * Somebody answered after nobody had since {@code cutOffSinceUs}: destinations that failed
-     * meanwhile may be healthy.
+     * A destination or the platform answered, for the first time since {@code cutOffSinceUs}:
+     * destinations that failed meanwhile may be healthy.
      */
     void onConnectivityRestored(long nowUs, long cutOffSinceUs);
   }
@@ -23,7 +23,7 @@
     this.listener = listener;
   }
 
-  /** A destination or the platform answered. */
+  /** Records that a destination or the platform answered. */
   void recordResponse(final long nowUs) {
     if (health.isCutOff()) {
       listener.onConnectivityRestored(nowUs, health.cutOffSinceUs());
@@ -31,12 +31,12 @@
     health.recordResponse(nowUs);
   }
 
-  /** The platform did not answer. */
+  /** Records that the platform did not answer. */
   void recordPlatformFailure(final long nowUs) {
     health.recordPlatformFailure(nowUs);
   }
 
-  /** A call to a destination had this result. */
+  /** Records the result of a call to a destination. */
   void recordResult(
       final long destination,
       final Dispatcher.Call call,
@@ -47,7 +47,7 @@
       case NO_CONNECTION, TIMED_OUT ->
           health.recordNoResponse(destination, call.preparedUs(), nowUs);
       default -> {
-        // A call that this courier gave up, or that met a dead connection, says nothing.
+        // A call that this courier abandoned, or whose connection was lost, shows nothing.
       }
     }
   }
--- a/courier/src/main/java/thistleturn/courier/ReloadSignal.java
+++ b/courier/src/main/java/thistleturn/courier/ReloadSignal.java
@@ -4,9 +4,9 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Runs a task at each SIGHUP, which would end the process otherwise. The JDK's class for that is
- * reached by reflection: it is supported, but the compiler's warning of it cannot be suppressed
- * where warnings are errors.
+ * Runs a task at each SIGHUP, which would end the process otherwise. The JDK's signal class is used
+ * by reflection: it is supported, but the compiler's warning about it cannot be suppressed, and
+ * warnings are errors in this build.
  */
 final class ReloadSignal {
   private ReloadSignal() {}
@@ -36,7 +36,7 @@
             "SIGHUP is ignored by whoever started this process: no configuration will be read again");
       }
     } catch (final ReflectiveOperationException e) {
-      throw new IllegalStateException("this Java cannot handle SIGHUP", e);
+      throw new IllegalStateException("this Java runtime cannot handle SIGHUP", e);
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/RoundScheduler.java
+++ b/courier/src/main/java/thistleturn/courier/RoundScheduler.java
@@ -13,7 +13,7 @@
   /** A client waits 400 ms for its answer, so an unwritable journal is tried again this soon. */
   private static final long JOURNAL_RETRY_MS = 20;
 
-  /** A timer this late belongs to a process that did not run: unread input comes first. */
+  /** A timer this late shows that the process was paused: unread input is handled before it. */
   private static final long LATE_TIMER_US = 10_000;
 
   private final EventLoop loop;
@@ -30,7 +30,7 @@
 
     void runRound();
 
-    /** Ends expired messages ahead of the next round, which may be a long way off. */
+    /** Ends expired messages ahead of the next round, which may run much later. */
     void endOverdueMessages();
   }
 
@@ -72,14 +72,14 @@
       requestRound();
       return;
     }
-    // A process that was stopped runs its timers first: input is read before anything is judged.
+    // After a pause the loop runs timers first: read the input before evaluating time-outs.
     if (target.isDeciding()) {
       target.endOverdueMessages();
     }
     ports.afterPoll(dueUs, this::requestRound);
   }
 
-  /** Requests a round soon, for a journal that could not be written. */
+  /** Requests a round soon, to retry a journal that could not be written. */
   void requestJournalRetry() {
     if (journalRetryScheduled) {
       return;
--- a/courier/src/main/java/thistleturn/courier/ServerContext.java
+++ b/courier/src/main/java/thistleturn/courier/ServerContext.java
@@ -12,7 +12,7 @@
  * @param options the size of this courier
  * @param clock the monotonic clock of the process
  * @param latestConfig the configuration as it was read last
- * @param extension the subsystem beside the platform's own
+ * @param extension the additional subsystem
  * @param shards all shards
  * @param stateFolder the folder that outlasts the process
  * @param lifecycle the state of the process
@@ -34,7 +34,10 @@
     return shards.first().eventLoop();
   }
 
-  /** Returns whether operators have an address here, so that a newer process may take over too. */
+  /**
+   * Returns whether an address for operators is configured, so that a newer process may take over
+   * as well.
+   */
   boolean hasOperators() {
     return config.operatorAddress() != null;
   }
--- a/courier/src/main/java/thistleturn/courier/Shard.java
+++ b/courier/src/main/java/thistleturn/courier/Shard.java
@@ -65,7 +65,7 @@
 
   private HttpIngress ingress;
 
-  /** Nothing is under way here; read by the first event loop during a graceful shutdown. */
+  /** True if nothing is under way here; read by the first event loop during a graceful shutdown. */
   private volatile boolean idle;
 
   Shard(
@@ -97,7 +97,7 @@
     return eventLoop;
   }
 
-  /** Returns what decides for this shard now; null before {@link #createDecisionLoop()}. */
+  /** Returns the current decision loop of this shard; null before {@link #createDecisionLoop()}. */
   DecisionLoop decisionLoop() {
     return decisionLoop;
   }
@@ -110,14 +110,14 @@
   /**
    * Sets the journal; the folder is locked by this process.
    *
-   * @param earlier whose calls the journal may show as in flight
+   * @param earlier the processes whose calls the journal may show as in flight
    */
   void useJournal(final Journal opened, final EarlierProcesses earlier) {
     journal = opened;
     earlierProcesses = earlier;
   }
 
-  /** Sets what the decision loop is going to follow, and where learned state is kept or null. */
+  /** Sets the directory that the decision loop follows, and the file of learned state, or null. */
   void prepare(final EndpointDirectory followed, final LearnedStateFile learnedState) {
     directory = followed;
     learnedStateFile = learnedState;
@@ -133,7 +133,7 @@
     return new DecisionLoop(config, eventLoop, clock, journal, this);
   }
 
-  /** Begins to decide with what the journal holds; returns the number of messages resumed. */
+  /** Begins to decide with the messages in the journal; returns the number of messages resumed. */
   int startFromJournal() {
     if (learnedStateFile != null) {
       decisionLoop.restoreWhenListed(learnedStateFile.read(clock.nowUs()));
@@ -141,14 +141,14 @@
     return decisionLoop.start();
   }
 
-  /** Begins to decide for an older process; returns the number of messages resumed. */
+  /** Begins to decide in place of an older process; returns the number of messages resumed. */
   int startFromHandover(final HandoverSnapshot snapshot, final RemoteCallExecutor predecessor) {
     return decisionLoop.start(snapshot, predecessor);
   }
 
   /**
-   * Takes decisions back that had been handed over: a new decision loop takes the place of the one
-   * that handed over, which goes on with the calls that it has in flight.
+   * Resumes the decisions that had been handed over: a new decision loop replaces the one that
+   * handed over, which continues the calls that it has in flight.
    */
   void replaceDecisionLoop(final DecisionLoopReplacement.Setup setup) {
     decisionLoop = DecisionLoopReplacement.replace(decisionLoop, newDecisionLoop(), setup);
@@ -180,14 +180,17 @@
     return ingress.listen(address, sharesAddress);
   }
 
-  /** Saves the learned state from now on: now and then, and soon after a route's state changed. */
+  /**
+   * Starts to save the learned state: once a second, and at the next poll after a route's state
+   * changed.
+   */
   void startSavingLearnedState() {
     if (learnedStateFile == null) {
       return;
     }
     final LearnedStateWriter writer = new LearnedStateWriter(learnedStateFile, clock);
     eventLoop.scheduleWithFixedDelay(
-        GuardedTasks.guard("what was learnt", () -> saveLearnedStateIfDue(writer)),
+        GuardedTasks.guard("save learned state", () -> saveLearnedStateIfDue(writer)),
         LEARNED_STATE_POLL_MS,
         LEARNED_STATE_POLL_MS,
         TimeUnit.MILLISECONDS);
@@ -207,17 +210,20 @@
     }
   }
 
-  /** Asks clients to go elsewhere while they are still accepted. */
+  /** Asks clients to connect elsewhere while they are still accepted. */
   void drainIngress() {
     ingress.drain();
   }
 
-  /** Accepts no further clients, since a newer process does. */
+  /** Accepts no further clients, since a newer process accepts them. */
   void drainIngressForHandover() {
     ingress.drainForHandover();
   }
 
-  /** The process ends at that moment, us: clients are drained, and no call is begun too late. */
+  /**
+   * Prepares for the end of the process at {@code stopUs}: drains clients, and starts no call that
+   * cannot end by then.
+   */
   void startDraining(final long stopUs) {
     ingress.drain();
     decisionLoop.prepareToStop(stopUs);
@@ -232,7 +238,7 @@
     eventLoop.schedule(
         ingress::rejectIncompleteRequests, rejectAtUs - clock.nowUs(), TimeUnit.MICROSECONDS);
     eventLoop.scheduleWithFixedDelay(
-        GuardedTasks.guard("end in order", () -> idle = hasNothingUnderWay()),
+        GuardedTasks.guard("graceful shutdown", () -> idle = hasNothingUnderWay()),
         0,
         SHUTDOWN_POLL_MS,
         TimeUnit.MILLISECONDS);
@@ -251,14 +257,17 @@
     return idle;
   }
 
-  /** Decides and records nothing any more: what breaks from now on breaks with the process. */
+  /**
+   * Stops deciding and recording: calls that break from now on are broken by the end of the
+   * process.
+   */
   void halt() {
     if (decisionLoop != null) {
       decisionLoop.halt();
     }
   }
 
-  /** Ends the event loop with everything that lives on it. */
+  /** Ends the event loop and everything that runs on it. */
   Future<?> terminateEventLoop() {
     return eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
--- a/courier/src/main/java/thistleturn/courier/ShardGroup.java
+++ b/courier/src/main/java/thistleturn/courier/ShardGroup.java
@@ -60,22 +60,21 @@
     shards.forEach(shard -> shard.eventLoop().execute(() -> task.accept(shard)));
   }
 
-  /** Queues a question for each shard on its event loop, and collects the answers. */
-  <T> CompletionStage<List<T>> queryEach(final Function<Shard, T> question) {
-    final List<CompletableFuture<T>> answers =
+  /** Queues a query for each shard on its event loop, and collects the results. */
+  <T> CompletionStage<List<T>> queryEach(final Function<Shard, T> query) {
+    final List<CompletableFuture<T>> results =
         shards.stream()
             .map(
-                shard ->
-                    CompletableFuture.supplyAsync(() -> question.apply(shard), shard.eventLoop()))
+                shard -> CompletableFuture.supplyAsync(() -> query.apply(shard), shard.eventLoop()))
             .toList();
-    return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-        .thenApply(done -> answers.stream().map(CompletableFuture::join).toList());
+    return CompletableFuture.allOf(results.toArray(CompletableFuture[]::new))
+        .thenApply(done -> results.stream().map(CompletableFuture::join).toList());
   }
 
   /**
    * Opens the journal of each shard; the folder must be locked by this process.
    *
-   * @param earlier whose calls the journals may show as in flight
+   * @param earlier the processes whose calls the journals may show as in flight
    */
   void openJournals(final StateFolder folder, final EarlierProcesses earlier) throws IOException {
     final List<Journal> journals = folder.openJournals(shards.size());
@@ -86,12 +85,12 @@
   }
 
   /**
-   * Ends all event loops with everything that lives on them, and waits for that. Not to be called
+   * Ends all event loops and everything that runs on them, and waits for that. Must not be called
    * on one of them.
    */
   void terminateEventLoops() {
-    // Otherwise a loop that is ending would repeat the calls that its own end broke, beside the
-    // next process.
+    // Otherwise a loop that is ending would repeat the calls that its own end broke, while the
+    // next process repeats them too.
     shards.stream()
         .filter(shard -> !shard.eventLoop().isShuttingDown())
         .forEach(shard -> shard.eventLoop().execute(shard::halt));
--- a/courier/src/main/java/thistleturn/courier/SimulatedEndpoints.java
+++ b/courier/src/main/java/thistleturn/courier/SimulatedEndpoints.java
@@ -17,8 +17,8 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * All ports of a decision loop without a network: a few endpoints are listed, two of three calls to
- * them are delivered in the loop's next iteration, and the others stay in flight.
+ * Implements all ports of a decision loop without a network: a few endpoints are listed, two of
+ * three calls to them are delivered in the loop's next iteration, and the others stay in flight.
  */
 final class SimulatedEndpoints
     implements DecisionLoop.Ports, Dispatcher, OutcomeNotifier, EndpointDirectory {
@@ -33,7 +33,7 @@
   private Dispatcher.Listener listener;
   private int startedCalls;
 
-  /** Endpoints that serve so many destinations. */
+  /** Creates endpoints that together serve the given number of destinations. */
   SimulatedEndpoints(
       final CourierConfig config,
       final EventLoop eventLoop,
--- a/courier/src/main/java/thistleturn/courier/Startup.java
+++ b/courier/src/main/java/thistleturn/courier/Startup.java
@@ -28,7 +28,10 @@
  * listeners; each shard's part runs on that shard's event loop, which owns it from then on.
  */
 final class Startup {
-  /** How soon it is seen what operators disabled at another process of this courier. */
+  /**
+   * How often this process reads which endpoints operators disabled at another process of this
+   * courier.
+   */
   private static final long DISABLED_ENDPOINTS_POLL_MS = 200;
 
   private final ServerContext context;
@@ -57,7 +60,7 @@
     this.clientListeners = new ClientListeners(context, takeover, this::onListening);
   }
 
-  /** Runs all steps; a failure ends up in the progress of the start. */
+  /** Runs all steps; a failure is reported to the progress of the start. */
   void run() {
     progress.watch();
     progress.run("begin", this::begin);
@@ -89,14 +92,15 @@
   }
 
   /**
-   * Returns the status of the first shard's routes; other shards may be asked on their loops only.
+   * Returns the status of the first shard's routes; those of other shards are accessible only on
+   * their own loops.
    */
   private JsonNode routeStatus() {
     return shards.first().decisionLoop().routeStatus();
   }
 
   private void listenToOperators() {
-    // Created only here: where operators have no address, the service is not needed.
+    // Created only here: without an address for operators the service is not needed.
     final AdminService adminService =
         new AdminService(context.lifecycle(), shards, directives, disabledEndpoints);
     new OperatorServer(adminService)
@@ -176,7 +180,7 @@
   private void startShard(final Shard shard, final ToIntFunction<Shard> start) {
     final DecisionLoop decisionLoop = shard.createDecisionLoop();
     if (shards.size() > 1) {
-      // An even division, until capacity is moved to where it is needed.
+      // Divided evenly, until capacity is moved to where it is needed.
       final ResourceLimits limits = config.settings().limits();
       decisionLoop.applyCapacityLimits(
           limits.concurrencyLimit() / shards.size(), limits.maxPendingMessages() / shards.size());
@@ -215,7 +219,7 @@
     clientListeners.open();
     if (context.hasOperators()) {
       eventLoop.scheduleWithFixedDelay(
-          GuardedTasks.guard("who is left out", disabledEndpoints::applyStoredChanges),
+          GuardedTasks.guard("apply disabled endpoints", disabledEndpoints::applyStoredChanges),
           DISABLED_ENDPOINTS_POLL_MS,
           DISABLED_ENDPOINTS_POLL_MS,
           TimeUnit.MILLISECONDS);
--- a/courier/src/main/java/thistleturn/courier/StartupProgress.java
+++ b/courier/src/main/java/thistleturn/courier/StartupProgress.java
@@ -12,13 +12,15 @@
 import thistleturn.courier.runtime.TransientFailures;
 
 /**
- * What the steps of a start come to: the address that is served, or why the start failed. Every
- * step runs through this class, so that whatever a step throws ends the start; one that begins no
- * further step for a while is ended as well. Steps that fail for a transient reason are retried
- * within one budget of time for the whole start. Lives on the first event loop.
+ * The progress and the result of a start: the address that is served, or why the start failed.
+ * Every step runs through this class, so that whatever a step throws fails the start; a start that
+ * begins no further step for a while fails as well. Steps that fail for a transient reason are
+ * retried within one time budget for the whole start. Lives on the first event loop.
  */
 final class StartupProgress {
-  /** A courier is to be ready within 30 s; a start in which nothing happens for so long is over. */
+  /**
+   * A courier must be ready within 30 s, so a start that begins no step for that long has failed.
+   */
   private static final int MAX_IDLE_CHECKS = 30;
 
   private static final long CHECK_INTERVAL_MS = 1000;
@@ -28,9 +30,10 @@
   private final long retryUntilUs;
   private final CompletableFuture<String> serving = new CompletableFuture<>();
 
-  /** The step that began last, and for how many checks none has begun since. */
+  /** The step that began last. */
   private String currentStep = "start";
 
+  /** The number of checks since a step began. */
   private int idleChecks;
 
   StartupProgress(final Clock clock, final EventLoop eventLoop, final long startedUs) {
@@ -54,25 +57,25 @@
     return clock.nowUs() < retryUntilUs;
   }
 
-  /** The courier serves at that address; later calls change nothing. */
+  /** Completes the start: the courier serves at that address. Later calls have no effect. */
   void succeed(final String address) {
     serving.complete(address);
   }
 
-  /** The start has failed, unless it has succeeded before. */
+  /** Fails the start, unless it has succeeded before. */
   void fail(final Throwable failure) {
     serving.completeExceptionally(failure);
   }
 
   /**
-   * From now on the start fails if it begins no step for 30 s. Checks are counted, so that a
-   * process that was stopped meanwhile has its time all the same.
+   * From now on the start fails if it begins no step for 30 s. Checks are counted instead of
+   * measuring time, so that time in which the process was paused does not count.
    */
   void watch() {
     watch(CHECK_INTERVAL_MS);
   }
 
-  /** The same with checks at another interval, in milliseconds. */
+  /** Does the same with checks at another interval, in milliseconds. */
   void watch(final long checkIntervalMs) {
     final Future<?> checks =
         eventLoop.scheduleWithFixedDelay(
@@ -124,7 +127,7 @@
     retry(stepName, step);
   }
 
-  /** Retries a step after a transient failure while there is time; else the start has failed. */
+  /** Retries a step after a transient failure while there is time; otherwise fails the start. */
   void retryOrFail(final String stepName, final Throwable failure, final Runnable step) {
     if (TransientFailures.isTransient(failure) && hasTimeLeft()) {
       logAndRetry(stepName, failure, step);
--- a/courier/src/main/java/thistleturn/courier/StateFolder.java
+++ b/courier/src/main/java/thistleturn/courier/StateFolder.java
@@ -14,7 +14,7 @@
 final class StateFolder {
   private final CourierConfig config;
 
-  /** Null while another process writes in the folder. */
+  /** Null while this process does not hold the lock. */
   private StateLock lock;
 
   StateFolder(final CourierConfig config) {
@@ -31,7 +31,10 @@
     return lock != null;
   }
 
-  /** Returns what is recorded of the folder's holders; this process must hold the lock. */
+  /**
+   * Returns the lock, which also records the processes that held it; this process must hold the
+   * lock.
+   */
   StateLock lock() {
     return lock;
   }
@@ -50,7 +53,7 @@
     return ShardJournals.open(config.stateFolder(), config.diskBudgetBytes(), shardCount);
   }
 
-  /** Lets another process write in the folder. */
+  /** Releases the lock, if it is held, so that another process can write in the folder. */
   void unlock() {
     if (lock != null) {
       Resources.close("unlocking the folder", lock);
--- a/courier/src/main/java/thistleturn/courier/StatusJson.java
+++ b/courier/src/main/java/thistleturn/courier/StatusJson.java
@@ -14,7 +14,7 @@
 
   private StatusJson() {}
 
-  /** Returns how each route is, with the names of endpoints in place of their ids. */
+  /** Returns the status of each route, with the names of endpoints in place of their ids. */
   static ArrayNode routes(
       final List<RouteStatus> routes, final EndpointTable endpoints, final long nowUs) {
     final ArrayNode array = JsonNodeFactory.instance.arrayNode();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Returns how the courier itself is, and why that is said. */
+  /** Returns the courier's own health, with the evidence for it. */
   static ObjectNode health(
       final LocalHealth health,
       final int pendingMessages,
--- a/courier/src/main/java/thistleturn/courier/TakeoverCoordinator.java
+++ b/courier/src/main/java/thistleturn/courier/TakeoverCoordinator.java
@@ -14,12 +14,12 @@
  * ShardHandoverSource}.
  */
 final class TakeoverCoordinator {
-  /** How soon a process that cannot hand over now is asked again. */
+  /** The delay before a process that cannot hand over now is asked again. */
   private static final long HANDOVER_RETRY_MS = 50;
 
   private static final String STEP_NAME = "take over";
 
-  /** Who holds the address at which clients are to be accepted, as far as this process knows. */
+  /** The state of the address at which clients are to be accepted, as far as this process knows. */
   private enum ClientAddress {
     /** No older process handed over to this one. */
     UNCONTESTED,
@@ -94,7 +94,7 @@
     onHandover.accept(snapshot, from);
   }
 
-  /** The other process does not hand over now: it may have ended, or must be asked again. */
+  /** Handles a process that does not hand over now: it may have ended, or must be asked again. */
   private void takeFolderOrRetry() {
     try {
       if (!stateFolder.tryLock()) {
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Asks the older process to give up the clients' address before its time. Returns false if there
-   * is no such process, or if it was asked before.
+   * Asks the older process to stop listening at the clients' address before this process listens
+   * there. Returns false if there is no such process, or if it was asked before.
    */
   boolean requestClientAddress() {
     if (clientAddress != ClientAddress.SHARED_WITH_PREDECESSOR) {
@@ -123,9 +123,7 @@
     return true;
   }
 
-  /**
-   * Returns whether the older process was asked to give up the clients' address before its time.
-   */
+  /** Returns whether the older process was asked to stop listening before this process listens. */
   boolean hasRequestedClientAddress() {
     return clientAddress == ClientAddress.REQUESTED_FROM_PREDECESSOR;
   }
--- a/courier/src/main/java/thistleturn/courier/TakeoverWarmUp.java
+++ b/courier/src/main/java/thistleturn/courier/TakeoverWarmUp.java
@@ -46,7 +46,7 @@
     this.clock = clock;
   }
 
-  /** Warms up, then continues with {@code next}; a failure ends the warm-up early. */
+  /** Warms up, then runs {@code next}; a failure ends the warm-up early. */
   void runThen(final Runnable next) {
     Log.setMuted(true);
     final Runnable end =
@@ -121,7 +121,9 @@
         next);
   }
 
-  /** A decision loop that has handed over does not decide beside the real one any more. */
+  /**
+   * Makes a decision loop hand over, so that it does not decide any more alongside the real one.
+   */
   private static void stopDeciding(final DecisionLoop decisionLoop) {
     try {
       decisionLoop.handOver(new DiscardingSuccessor());
@@ -130,7 +132,7 @@
     }
   }
 
-  /** Runs a step when the calls of a round are over; if it fails, the warm-up ends with it. */
+  /** Runs a step when the calls of a round are over; if it fails, the warm-up ends. */
   private void afterRoundTime(final Step step, final Runnable next) {
     eventLoop.schedule(() -> runOrEnd(step, next), ROUND_MS, TimeUnit.MILLISECONDS);
   }
@@ -176,19 +178,19 @@
   private static final class DiscardingSuccessor implements Successor {
     @Override
     public void submit(
-        final StoredMessage message, final long validUntilUs, final Ingress.Reply reply) {
+        final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
       reply.failed();
     }
 
     @Override
-    public void withdraw(final String id, final long destination) {
+    public void withdraw(final String messageId, final long destination) {
       // There are no clients.
     }
 
     @Override
     public void reportOutcome(
         final long call, final String messageId, final Dispatcher.DispatchOutcome outcome) {
-      // Nobody waits for the outcome.
+      // Outcomes are not needed.
     }
   }
 }
--- a/courier/src/main/java/thistleturn/courier/health/StallDetector.java
+++ b/courier/src/main/java/thistleturn/courier/health/StallDetector.java
@@ -9,9 +9,9 @@
 import thistleturn.decisions.health.LocalHealth;
 
 /**
- * Detects periods in which this process did not run, so that nobody else is blamed for them. While
- * the courier is busy a timer ticks; a tick that comes late, or any other event after its time,
- * shows for how long the process was stopped. It does not tick while the courier is idle. Lives on
+ * Detects periods in which this process did not run, so that they are not attributed to endpoints.
+ * While the courier is busy a timer ticks; a late tick, or any other event after the tick was due,
+ * shows for how long the process was paused. It does not tick while the courier is idle. Lives on
  * the event loop.
  */
 public final class StallDetector {
@@ -32,10 +32,10 @@
   private boolean tickWanted;
 
   /**
-   * Makes a detector that does not tick yet.
+   * Creates a detector that does not tick yet.
    *
-   * @param stallListener receives the length of a stall, us, before anything else is handled that
-   *     came meanwhile
+   * @param stallListener receives the length of a stall, us, before any event that arrived
+   *     meanwhile is handled
    */
   public StallDetector(
       final EventLoop loop,
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Records that the process runs now. To be called at each event, before anything is done with it.
+   * Records that the process runs now. Must be called at each event, before the event is handled.
    *
    * @return the time, us
    */
@@ -63,13 +63,16 @@
     if (stallUs > 0) {
       stallListener.accept(stallUs);
       if (stallUs >= MIN_LOGGED_STALL_US) {
-        Log.info("this process did not run for " + stallUs / US_PER_MS + " ms: nobody's time-out");
+        Log.info(
+            "this process did not run for "
+                + stallUs / US_PER_MS
+                + " ms: not counted as time-outs");
       }
     }
     return nowUs;
   }
 
-  /** Ticks from now on, or no more after the next tick. */
+  /** Starts ticking, or stops after the next tick. */
   public void setBusy(final boolean busy) {
     tickWanted = busy;
     if (busy && nextTickUs == NO_TICK) {
@@ -84,7 +87,7 @@
   }
 
   private void onTick() {
-    // This tick has come: it must not be expected again when the activity is recorded.
+    // This tick has run: it must not be expected again when the activity is recorded.
     nextTickUs = NO_TICK;
     final long nowUs = recordActivity();
     logHealthChange(nowUs);
--- a/courier/src/main/java/thistleturn/courier/health/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/health/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Tells {@code decisions.health} when this process ran and when it was due to run, so that a
- * courier that was stopped blames no endpoint for it. {@link
- * thistleturn.courier.health.StallDetector} is the entry point, one for each event loop, and lives
- * there. What follows from a stall is decided elsewhere.
+ * Reports to {@code decisions.health} when this process ran and when it was due to run, so that a
+ * pause of the process is not attributed to endpoints. {@link
+ * thistleturn.courier.health.StallDetector} is the entry point; each event loop has one. The
+ * package does not decide what follows from a stall.
  */
 package thistleturn.courier.health;
--- a/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
@@ -26,18 +26,18 @@
  * <p>The file consists of lines: a header (version, classes, monotonic time), the lines of a
  * {@linkplain HandoverCodec snapshot}, and a trailer with a checksum of all bytes before it. It is
  * replaced by a rename, so a reader finds either the new file or the previous one. A file that is
- * torn, expired, or of another version or configuration is ignored. No delivery guarantee depends
- * on it: a courier that loses it learns anew.
+ * truncated, corrupt, expired, or of another version or configuration is ignored. No delivery
+ * guarantee depends on it: a courier that loses it learns again from its calls.
  */
 public final class LearnedStateFile {
   private static final String FILE_NAME = "learnt";
 
-  /** Enough for some two thousand endpoints. */
+  /** Enough for about 2,000 endpoints. */
   private static final int MAX_FILE_BYTES = 1 << 20;
 
   /**
-   * The part of the disk budget that the file may take: small, since the next one is written beside
-   * it.
+   * The file may take one part in 20 of the disk budget: little, since its replacement is written
+   * beside it.
    */
   private static final int DISK_DIVISOR = 20;
 
@@ -51,12 +51,12 @@
   private final long maxBytes;
 
   /**
-   * Names the file of a shard.
+   * Describes the file of a shard.
    *
    * @param stateFolder the folder that outlasts the process
    * @param shard the index of the shard
-   * @param classNames the names of the message classes, in order: a state that was learned with
-   *     others cannot be used
+   * @param classNames the names of the message classes, in order: state that was learned with other
+   *     classes cannot be used
    * @param diskBudgetBytes the part of the disk that this shard may use
    */
   public LearnedStateFile(
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Returns the bytes of a file with this snapshot, or null if they were too many. */
+  /** Returns the bytes of a file with this snapshot, or null if they exceed the limit. */
   byte[] encode(final HandoverSnapshot snapshot, final long capturedUs) {
     final StringBuilder text = new StringBuilder(header(capturedUs)).append('\n');
     HandoverCodec.encodeSnapshot(snapshot).forEach(line -> text.append(line).append('\n'));
@@ -115,7 +115,7 @@
     return TRAILER_PREFIX + checksum(bytes, bodyLength) + TRAILER_SUFFIX;
   }
 
-  /** Returns how many bytes the file may have, apart from its trailer. */
+  /** Returns the largest size of the file without its trailer, in bytes. */
   long maxBytes() {
     return maxBytes;
   }
@@ -131,8 +131,7 @@
   /**
    * Reads what the previous process had learned.
    *
-   * @return the state, or null if there is no file or it cannot be trusted now; the latter is
-   *     logged
+   * @return the state, or null if there is no file or it is not valid now; the latter is logged
    */
   public StoredState read(final long nowUs) {
     try {
@@ -171,12 +170,12 @@
         return body;
       }
     }
-    throw new IOException("torn, or changed since it was written");
+    throw new IOException("truncated, or changed since it was written");
   }
 
   private static void checkAge(final long ageUs) throws IOException {
     if (ageUs < 0) {
-      throw new IOException("the machine was started anew since it was written");
+      throw new IOException("the machine was restarted since it was written");
     }
     if (ageUs > LearnedState.MAX_AGE_US) {
       throw new IOException("it is " + ageUs / US_PER_S + " s old");
--- a/courier/src/main/java/thistleturn/courier/learned/LearnedStateWriter.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateWriter.java
@@ -9,9 +9,10 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * Writes the learned state away from the event loop: the loop passes a snapshot, and a thread that
+ * Writes the learned state outside the event loop: the loop passes a snapshot, and a thread that
  * all writers share encodes and writes it. A snapshot that arrives during a write replaces the one
- * that waits, so a slow disk costs freshness, but neither memory nor time on the loop.
+ * that waits, so a slow disk makes the stored state older, but costs neither memory nor time on the
+ * loop.
  */
 public final class LearnedStateWriter {
   private static final BackgroundExecutor WRITER_THREAD =
@@ -23,10 +24,13 @@
   private final Clock clock;
   private final AtomicReference<PendingWrite> pendingWrite = new AtomicReference<>();
 
-  /** The last write failed, and that was logged: it is not logged again until one has succeeded. */
+  /**
+   * True if the last write failed and that was logged: failures are logged again after a success
+   * only.
+   */
   private final AtomicBoolean failureLogged = new AtomicBoolean();
 
-  /** Makes a writer of one file. */
+  /** Creates a writer of one file. */
   public LearnedStateWriter(final LearnedStateFile file, final Clock clock) {
     this.file = file;
     this.clock = clock;
--- a/courier/src/main/java/thistleturn/courier/operator/AdminOperations.java
+++ b/courier/src/main/java/thistleturn/courier/operator/AdminOperations.java
@@ -3,7 +3,8 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * What operators can ask of a courier. All methods are called on the courier's first event loop.
+ * The operations of a courier that operators can call. All methods are called on the courier's
+ * first event loop.
  */
 public interface AdminOperations {
   /** Returns whether this process accepts clients. */
--- a/courier/src/main/java/thistleturn/courier/operator/CourierMetrics.java
+++ b/courier/src/main/java/thistleturn/courier/operator/CourierMetrics.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The metrics of a courier: counters since its process began, and gauges of the present.
+ * The metrics of a courier: counters since the process started, and current gauges.
  *
  * @param outcomesByClass how messages ended, by message class
  * @param attempts messages that were written completely to endpoints
--- a/courier/src/main/java/thistleturn/courier/operator/DisabledEndpointsFile.java
+++ b/courier/src/main/java/thistleturn/courier/operator/DisabledEndpointsFile.java
@@ -25,10 +25,10 @@
   private final Path replacement;
 
   /**
-   * Names the file; nothing is read or written yet.
+   * Resolves the file; nothing is read or written yet.
    *
    * @param folder the state folder
-   * @param processId tells the replacements of several processes apart
+   * @param processId makes the names of the replacement files of several processes distinct
    */
   public DisabledEndpointsFile(final Path folder, final long processId) {
     this.file = folder.resolve(FILE_NAME);
@@ -56,7 +56,7 @@
   /**
    * Replaces the names in the file.
    *
-   * @throws IOException if that failed, or they would need over 64 KiB; then the file is as it was
+   * @throws IOException if that failed, or the names need over 64 KiB; then the file is unchanged
    */
   public void replace(final Collection<String> names) throws IOException {
     final byte[] text =
@@ -66,7 +66,11 @@
             .getBytes(StandardCharsets.UTF_8);
     if (text.length > MAX_BYTES) {
       throw new IOException(
-          "the names left out need " + text.length + " bytes; " + MAX_BYTES + " are allowed");
+          "the names of disabled endpoints need "
+              + text.length
+              + " bytes; "
+              + MAX_BYTES
+              + " are allowed");
     }
     Files.write(replacement, text);
     Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
--- a/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
+++ b/courier/src/main/java/thistleturn/courier/operator/OperatorServer.java
@@ -36,15 +36,15 @@
 import thistleturn.courier.transport.RetryingServerSocketChannel;
 
 /**
- * The HTTP server for operators, with one request per connection. Callers that send nothing, or an
- * incomplete request, keep a connection open for a while without delaying others: if there are too
- * many, the connection that has waited longest is closed.
+ * The HTTP server for operators, with one request per connection. Clients that send nothing, or an
+ * incomplete request, cannot delay others: their connections are closed after a time-out, and
+ * beyond a limit the connection that has waited longest is closed.
  */
 public final class OperatorServer {
   private static final int MAX_CONNECTIONS = 24;
   private static final int MAX_REQUEST_BYTES = 1 << 12;
 
-  /** A connection without a complete request is closed after this. */
+  /** Time after which a connection without a complete request is closed. */
   private static final long REQUEST_TIMEOUT_MS = 5000;
 
   private static final int BACKLOG = 128;
@@ -241,7 +241,7 @@
 
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-      Log.failureIfError("an operator's connection", cause);
+      Log.failureIfError("operator connection", cause);
       context.close();
     }
   }
--- a/courier/src/main/java/thistleturn/courier/operator/package-info.java
+++ b/courier/src/main/java/thistleturn/courier/operator/package-info.java
@@ -3,8 +3,8 @@
  * administratively.
  *
  * <p>The entry point is {@link thistleturn.courier.operator.OperatorServer}, which lives on the
- * courier's first event loop and knows the courier only by {@link
- * thistleturn.courier.operator.AdminOperations}. Nothing of this package is loaded where the
+ * courier's first event loop and accesses the courier only through {@link
+ * thistleturn.courier.operator.AdminOperations}. No class of this package is loaded if the
  * configuration names no address for operators. Design: {@code docs/design/operators.md}; use:
  * {@code docs/operations/operators.md}.
  */
--- a/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
+++ b/courier/src/main/java/thistleturn/courier/shard/CapacityExchange.java
@@ -21,12 +21,12 @@
   private final CapacityAllocator messageCapacity;
 
   /**
-   * The capacity that a shard uses, and whether it was limited since it was last asked.
+   * The capacity that a shard uses, and whether it reached its limits since the last query.
    *
    * @param callsInFlight calls that are in flight now
-   * @param callLimitReached whether calls needed more capacity than that limit
+   * @param callLimitReached whether calls needed more capacity than their limit
    * @param pendingMessages messages that are pending now
-   * @param messageLimitReached whether nearly all of that limit was in use
+   * @param messageLimitReached whether nearly all of the limit on messages was in use
    */
   public record CapacityUsage(
       int callsInFlight,
@@ -36,14 +36,14 @@
 
   /** A shard that shares capacity with others. Called on its own event loop. */
   public interface Participant {
-    /** Returns the capacity in usage. */
+    /** Returns the capacity in use. */
     CapacityUsage capacityUsage();
 
     /** Sets the limits that apply from now on. */
     void applyCapacityLimits(int concurrencyLimit, int maxPendingMessages);
   }
 
-  /** Divides the limits evenly to begin with. */
+  /** Creates an exchange that divides the limits evenly at first. */
   public CapacityExchange(
       final ResourceLimits limits,
       final EventLoop owner,
@@ -56,7 +56,7 @@
     this.messageCapacity = new CapacityAllocator(loops.size(), limits.maxPendingMessages());
   }
 
-  /** Begins to move capacity. Called on the owner's event loop. */
+  /** Starts to move capacity. Called on the owner's event loop. */
   public void start() {
     for (int shard = 0; shard < loops.size(); shard++) {
       exchangeWith(shard);
--- a/courier/src/main/java/thistleturn/courier/shard/ShardJournals.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardJournals.java
@@ -23,7 +23,7 @@
  * shards-N/K}. The marker file {@code shards} names the layout that is valid; without it that is
  * one shard. A change of N writes the new journals beside the old ones, then replaces the marker
  * atomically, then deletes the old ones: at every moment exactly one complete layout is valid, and
- * what a kill left of another one is deleted at the next start.
+ * remains of another one, after a kill, are deleted at the next start.
  */
 public final class ShardJournals {
   private static final String MARKER_FILE = "shards";
@@ -44,7 +44,7 @@
    * Opens the journals for {@code shardCount} shards, after moving the messages of another layout
    * to them if there is one.
    *
-   * @throws IOException if a file cannot be read or written, or the marker names no layout
+   * @throws IOException if a file cannot be read or written, or the marker is malformed
    */
   public static List<Journal> open(
       final Path stateFolder, final long diskBytes, final int shardCount) throws IOException {
@@ -128,7 +128,7 @@
     deleteOtherLayouts(shardCount);
   }
 
-  /** Deletes what belongs to another layout than the valid one. */
+  /** Deletes the files of other layouts than the valid one. */
   private void deleteOtherLayouts(final int shardCount) throws IOException {
     final List<Path> others;
     try (Stream<Path> files = Files.list(stateFolder)) {
--- a/courier/src/main/java/thistleturn/courier/shard/ShardedIngressHandler.java
+++ b/courier/src/main/java/thistleturn/courier/shard/ShardedIngressHandler.java
@@ -45,10 +45,10 @@
 
   @Override
   public void submit(
-      final StoredMessage message, final long validUntilUs, final Ingress.Reply reply) {
+      final StoredMessage message, final long deadlineUs, final Ingress.Reply reply) {
     final int shard = ShardPlacement.shardOf(message.destination(), handlers.size());
     if (shard == ownShard) {
-      handlers.get(ownShard).submit(message, validUntilUs, reply);
+      handlers.get(ownShard).submit(message, deadlineUs, reply);
     } else {
       loops
           .get(shard)
@@ -56,17 +56,17 @@
               () ->
                   handlers
                       .get(shard)
-                      .submit(message, validUntilUs, new ReplyOnConnectionLoop(reply)));
+                      .submit(message, deadlineUs, new ReplyOnConnectionLoop(reply)));
     }
   }
 
   @Override
-  public void withdraw(final String id, final long destination) {
+  public void withdraw(final String messageId, final long destination) {
     final int shard = ShardPlacement.shardOf(destination, handlers.size());
     if (shard == ownShard) {
-      handlers.get(ownShard).withdraw(id, destination);
+      handlers.get(ownShard).withdraw(messageId, destination);
     } else {
-      loops.get(shard).execute(() -> handlers.get(shard).withdraw(id, destination));
+      loops.get(shard).execute(() -> handlers.get(shard).withdraw(messageId, destination));
     }
   }
 
--- a/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
+++ b/courier/src/main/java/thistleturn/courier/shard/SharedDirectory.java
@@ -24,7 +24,7 @@
   private final EventLoop owner;
   private final List<ShardView> shardViews = new ArrayList<>();
 
-  /** The shard that knows an endpoint, by the endpoint's name. */
+  /** The shard that has an endpoint, by the endpoint's name. */
   private final Map<String, Integer> shardsByEndpoint = new HashMap<>();
 
   private volatile boolean current;
@@ -73,7 +73,7 @@
               ? shardsByEndpoint.remove(entry.name())
               : shardsByEndpoint.put(entry.name(), shard);
       if (previousShard != null && previousShard != shard) {
-        // The endpoint serves another destination now: the shard that knew it must forget it.
+        // The endpoint serves another destination now: remove it from its former shard.
         parts
             .get(previousShard)
             .add(
--- a/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
@@ -24,7 +24,9 @@
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
-/** Processes that lose their way out, or are stopped while one takes over from the other. */
+/**
+ * Couriers that lose all outgoing connectivity, or are paused while one takes over from the other.
+ */
 @Tag("health")
 final class FaultyFleetTest {
   private static final long TIMEOUT_MS = 8000;
@@ -36,15 +38,15 @@
     return ready.substring(ready.lastIndexOf(' ') + 1);
   }
 
-  private static List<StandInEndpoint> partners(final StandInWorld world, final int destinations) {
-    final List<StandInEndpoint> partners = new ArrayList<>();
+  private static List<StandInEndpoint> endpoints(final StandInWorld world, final int destinations) {
+    final List<StandInEndpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < 2 * destinations; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
       endpoint.fare(Manner.after(10));
       world.platform.tell(endpoint, "Ready", 2000);
-      partners.add(endpoint);
+      endpoints.add(endpoint);
     }
-    return partners;
+    return endpoints;
   }
 
   private static int delivered(final StandInWorld world) {
@@ -52,13 +54,14 @@
   }
 
   /**
-   * Clients reach it, and it reaches nobody, the platform neither: nobody's outage, and all are
-   * back with the first answer.
+   * Clients reach the courier, but it reaches neither destinations nor the platform. It must report
+   * that as its own fault rather than as outages, and resume calls to all destinations with the
+   * first answer.
    */
   @Test
   void egressLost_isReportedAndRecoversTogether() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 3)) {
-      final List<StandInEndpoint> partners = partners(world, 3);
+      final List<StandInEndpoint> endpoints = endpoints(world, 3);
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
@@ -66,21 +69,22 @@
         world.load(30, TIMEOUT_MS, 1, 2, 3);
         world.await("calls", () -> delivered(world) > 200);
         world.platform.silent(true);
-        partners.forEach(partner -> partner.fare(Manner.of(Act.SILENCE)));
+        endpoints.forEach(endpoint -> endpoint.fare(Manner.of(Act.SILENCE)));
         courier.await(line -> line.contains("own health: cut_off"));
         final int before = delivered(world);
-        final long backUs = world.ticks.nowUs();
+        final long restoredUs = world.ticks.nowUs();
         world.platform.silent(false);
-        partners.forEach(partner -> partner.fare(Manner.after(10)));
+        endpoints.forEach(endpoint -> endpoint.fare(Manner.after(10)));
         courier.await(line -> line.contains("had no way out for "));
-        world.await("calls as before", () -> delivered(world) > before + 60);
-        final long tookMs = (world.ticks.nowUs() - backUs) / 1000;
-        assertTrue(tookMs < 6000, "as before after " + tookMs + " ms");
-        final long others =
+        world.await("calls after the recovery", () -> delivered(world) > before + 60);
+        final long recoveryMs = (world.ticks.nowUs() - restoredUs) / 1000;
+        assertTrue(recoveryMs < 6000, "recovered after " + recoveryMs + " ms");
+        final long otherViolations =
             world.stopLoad(TIMEOUT_MS).stream()
-                .filter(one -> !one.toString().contains("sent after it was delivered"))
+                .filter(violation -> !violation.toString().contains("sent after it was delivered"))
                 .count();
-        assertEquals(0, others, () -> world.auditor.finish(world.ticks.nowUs()).toString());
+        assertEquals(
+            0, otherViolations, () -> world.auditor.finish(world.ticks.nowUs()).toString());
       }
     }
   }
@@ -92,15 +96,15 @@
   }
 
   /**
-   * A newer process takes over while it, or the older one, is stopped for longer than any step
-   * takes, at a random moment.
+   * A newer process takes over while it, or the older one, is paused at a random moment for longer
+   * than any step of the takeover takes.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4})
   void handoverWithPausedProcess_losesNothing(final int seed) throws Exception {
     final Random random = new Random(seed);
     try (StandInWorld world = new StandInWorld(folder, seed)) {
-      partners(world, 2);
+      endpoints(world, 2);
       final Map<String, String> older = new HashMap<>(world.environment(CourierFiles.Size.usual()));
       older.put("PROXY_LISTEN", "127.0.0.1:" + freePort());
       older.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
@@ -112,17 +116,17 @@
         world.await("calls", () -> delivered(world) > 100);
         try (ChildProcess second = ChildProcess.java(newer, "", "thistleturn.courier.Main")) {
           second.await(line -> line.contains("takes over"));
-          final ChildProcess victim = seed % 2 == 0 ? first : second;
+          final ChildProcess paused = seed % 2 == 0 ? first : second;
           final long pauseUs = world.ticks.nowUs() + random.nextInt(400_000);
-          world.await("the moment of the stop", () -> world.ticks.nowUs() >= pauseUs);
-          victim.pause();
+          world.await("the start of the pause", () -> world.ticks.nowUs() >= pauseUs);
+          paused.pause();
           final long resumeUs = world.ticks.nowUs() + 500_000 + random.nextInt(1_000_000);
-          world.await("the end of the stop", () -> world.ticks.nowUs() >= resumeUs);
-          victim.resume();
+          world.await("the end of the pause", () -> world.ticks.nowUs() >= resumeUs);
+          paused.resume();
           address(second);
           first.terminate();
           final int before = delivered(world);
-          world.await("calls by the newer one", () -> delivered(world) > before + 100);
+          world.await("calls by the newer process", () -> delivered(world) > before + 100);
           assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
         }
       }
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -19,8 +19,8 @@
 import thistleturn.testkit.rig.ChildProcess;
 
 /**
- * A courier as a process that is stopped and woken (SIGSTOP, SIGCONT) with calls out, among
- * partners that are well.
+ * A courier process that is paused and resumed (SIGSTOP, SIGCONT) with calls in flight to healthy
+ * endpoints.
  */
 @Tag("health")
 final class PausedCourierTest {
@@ -33,13 +33,13 @@
   @TempDir private Path folder;
 
   /**
-   * Answers that came while it was stopped lie unread when it wakes to its timers. Judged first,
-   * they were time-outs, and what had been delivered was sent again; with every destination sent
-   * out for its silence.
+   * Guards against timers that run before the input is read after a pause: answers that arrived
+   * meanwhile were taken for time-outs, delivered messages were sent again, and every destination
+   * was considered out.
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 1000, 2500})
-  void pausedCourier_readsResponsesBeforeJudgingTimeouts(final long pauseMs) throws Exception {
+  void pausedCourier_readsResponsesBeforeEvaluatingTimeouts(final long pauseMs) throws Exception {
     try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
       for (int index = 0; index < 4; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
@@ -52,39 +52,38 @@
         final String ready = courier.await(line -> line.contains("is ready at "));
         world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
         world.load(RATE, TIMEOUT_MS, 1, 2);
-        for (int stop = 1; stop <= 3; stop++) {
-          // Time-outs are learnt after some calls; they are what is judged too soon.
+        for (int pause = 1; pause <= 3; pause++) {
+          // Time-outs are learned after some calls; only learned ones could expire too soon.
           final int before = delivered(world);
-          world.await("calls between the stops", () -> delivered(world) > before + 2 * RATE);
+          world.await("calls between the pauses", () -> delivered(world) > before + 2 * RATE);
           final long fromUs = world.ticks.nowUs();
           courier.pause();
           final long untilUs = world.ticks.nowUs() + pauseMs * 1000;
-          world.await("the end of the stop", () -> world.ticks.nowUs() >= untilUs);
+          world.await("the end of the pause", () -> world.ticks.nowUs() >= untilUs);
           courier.resume();
-          // On a slow machine a line may wait when it is stopped, whose time runs out within the
-          // stop.
+          // On a slow machine messages may be waiting at the pause, whose deadlines pass during it.
           world.auditor.courierStopped(fromUs, world.ticks.nowUs());
         }
         final int before = delivered(world);
-        world.await("calls after the last stop", () -> delivered(world) > before + RATE);
+        world.await("calls after the last pause", () -> delivered(world) > before + RATE);
         assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
         final Map<String, Integer> ends = world.auditor.ends();
-        final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
+        final int submitted = ends.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(
-            ends.getOrDefault("delivered", 0) >= 0.98 * handed,
+            ends.getOrDefault("delivered", 0) >= 0.98 * submitted,
             () -> "ends " + ends + summarizeEvents(courier));
       }
     }
   }
 
-  /** How often the courier told of each event, and its first lines of each. */
+  /** Returns how often the courier logged each event, and the first log lines of each. */
   private static String summarizeEvents(final ChildProcess courier) {
-    final Map<String, List<String>> told =
+    final Map<String, List<String>> linesByEvent =
         courier.lines().stream()
             .filter(line -> line.contains("event="))
             .collect(Collectors.groupingBy(line -> line.replaceFirst(".*event=(\\S+).*", "$1")));
     final StringBuilder text = new StringBuilder();
-    told.forEach(
+    linesByEvent.forEach(
         (event, lines) ->
             text.append('\n')
                 .append(event)
@@ -96,24 +95,24 @@
   }
 
   /**
-   * Stopped at any moment of its start, it starts; and so it does on a starved core with 2,000
-   * messages that it holds.
+   * A courier that gets a fifth of a core, and is paused throughout its start, still starts and
+   * delivers the 2,000 messages that it holds.
    */
   @Test
   void pausedOrStarvedStart_completesInTime() throws Exception {
-    final int held = 2000;
+    final int pending = 2000;
     try (StandInWorld world = new StandInWorld(folder, 7)) {
       final StandInEndpoint endpoint = world.endpoint(1);
       endpoint.fare(Manner.of(StandInEndpoint.Act.SILENCE));
       world.platform.tell(endpoint, "Ready", 2000);
       final Map<String, String> environment =
-          world.environment(new CourierFiles.Size(2 * held, 64, 1024));
+          world.environment(new CourierFiles.Size(2 * pending, 64, 1024));
       try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         final String ready = first.await(line -> line.contains("is ready at "));
         world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
         world.load(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
         world.await(
-            "messages that are held", () -> world.auditor.ends().getOrDefault("open", 0) >= held);
+            "pending messages", () -> world.auditor.ends().getOrDefault("open", 0) >= pending);
         world.stopHandingIn();
         first.kill();
         world.auditor.restarted(world.ticks.nowUs(), false);
@@ -122,7 +121,7 @@
       endpoint.fare(Manner.after(1));
       try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         // A fifth of a core until it is ready and a while longer.
-        boolean up = false;
+        boolean ready = false;
         for (int slice = 0; slice < SLICES; slice++) {
           second.pause();
           final long thenUs = world.ticks.nowUs() + 80_000;
@@ -130,20 +129,20 @@
           second.resume();
           final long nextUs = world.ticks.nowUs() + 20_000;
           world.await("a slice", () -> world.ticks.nowUs() >= nextUs);
-          if (!up && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
-            up = true;
+          if (!ready && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
+            ready = true;
             world.auditor.restarted(world.ticks.nowUs(), true);
           }
         }
         second.await(line -> line.contains("is ready at "));
-        if (!up) {
+        if (!ready) {
           world.auditor.restarted(world.ticks.nowUs(), true);
         }
         assertTrue(
             second.lines().stream().anyMatch(line -> line.contains("resumed ")),
             second.lines().toString());
         assertEquals(List.of(), world.stopLoad());
-        assertTrue(delivered(world) >= 0.95 * held, "ends " + world.auditor.ends());
+        assertTrue(delivered(world) >= 0.95 * pending, "ends " + world.auditor.ends());
       }
     }
   }
--- a/courier/src/test/java/thistleturn/courier/health/StallDetectorTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/StallDetectorTest.java
@@ -10,27 +10,27 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.decisions.health.LocalHealth;
 
-/** The beat of a courier that waits for an answer and has nothing else to do. */
+/** The ticks of a courier that waits for an answer and has nothing else to do. */
 @Tag("health")
 final class StallDetectorTest {
-  private static final int BEATS = 15;
+  private static final int TICKS = 15;
 
   /**
-   * Each beat promised itself at its own moment, so that the next one, a beat later, found an
-   * absence of that length.
+   * Guards against false stalls: a tick that was expected again at the time at which it ran made
+   * the next one, an interval later, report a stall of that interval.
    */
   @Test
   void punctualTicks_reportNoStall() throws Exception {
     final DefaultEventLoop loop = new DefaultEventLoop();
     try {
       final Clock clock = new Clock();
-      final AtomicInteger aways = new AtomicInteger();
-      final StallDetector pulse =
+      final AtomicInteger stalls = new AtomicInteger();
+      final StallDetector detector =
           new StallDetector(
-              loop, clock, new LocalHealth(clock.nowUs()), us -> aways.incrementAndGet());
-      loop.submit(() -> pulse.setBusy(true)).get();
-      loop.schedule(() -> {}, BEATS * LocalHealth.TICK_INTERVAL_US, TimeUnit.MICROSECONDS).get();
-      assertTrue(aways.get() < BEATS / 3, aways + " absences in " + BEATS + " beats");
+              loop, clock, new LocalHealth(clock.nowUs()), us -> stalls.incrementAndGet());
+      loop.submit(() -> detector.setBusy(true)).get();
+      loop.schedule(() -> {}, TICKS * LocalHealth.TICK_INTERVAL_US, TimeUnit.MICROSECONDS).get();
+      assertTrue(stalls.get() < TICKS / 3, stalls + " stalls in " + TICKS + " ticks");
     } finally {
       loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
--- a/courier/src/test/java/thistleturn/courier/learned/LearnedStateFileTest.java
+++ b/courier/src/test/java/thistleturn/courier/learned/LearnedStateFileTest.java
@@ -21,12 +21,12 @@
 import thistleturn.decisions.model.EndpointState;
 
 /**
- * A file that is torn, old, foreign or from before a clock was set is not used; nothing else hangs
- * on it.
+ * A file that is truncated, corrupt, expired, of another configuration, or from before a reboot is
+ * ignored.
  */
 @Tag("noise")
 final class LearnedStateFileTest {
-  private static final long TAKEN_US = 5_000_000_000L;
+  private static final long CAPTURED_US = 5_000_000_000L;
   private static final long SECOND = 1_000_000;
   private static final long DISK_BYTES = 3 << 20;
   private static final List<String> CLASSES = List.of("safe", "once");
@@ -63,39 +63,39 @@
   @BeforeEach
   void write() throws IOException {
     file = new LearnedStateFile(folder, 0, CLASSES, DISK_BYTES);
-    file.replace(file.encode(learnedSnapshot(), TAKEN_US));
+    file.replace(file.encode(learnedSnapshot(), CAPTURED_US));
   }
 
   private LearnedStateFile.StoredState readAfter(final long us) {
-    return file.read(TAKEN_US + us);
+    return file.read(CAPTURED_US + us);
   }
 
   @Test
   void writtenState_isReadBack() {
     final LearnedStateFile.StoredState found = readAfter(SECOND);
-    assertEquals(TAKEN_US, found.capturedUs());
+    assertEquals(CAPTURED_US, found.capturedUs());
     assertEquals(learnedSnapshot().endpoints(), found.snapshot().endpoints());
-    final LearnedState.LearnedRoute lane = found.snapshot().learnedState().routes().get(0);
+    final LearnedState.LearnedRoute route = found.snapshot().learnedState().routes().get(0);
     assertEquals(
         "[3.0, Infinity] [1, 2]",
-        Arrays.toString(lane.figures()) + " " + Arrays.toString(lane.moments()));
+        Arrays.toString(route.figures()) + " " + Arrays.toString(route.moments()));
   }
 
   @Test
-  void tornOrCorruptedFile_isIgnored() throws IOException {
+  void truncatedOrCorruptedFile_isIgnored() throws IOException {
     final Path path = folder.resolve("learnt");
-    final byte[] whole = Files.readAllBytes(path);
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(path, Arrays.copyOf(whole, length));
+    final byte[] complete = Files.readAllBytes(path);
+    for (int length = 0; length < complete.length; length++) {
+      Files.write(path, Arrays.copyOf(complete, length));
       assertNull(readAfter(SECOND), "cut to " + length);
     }
-    for (int at = 0; at < whole.length; at++) {
-      final byte[] flipped = whole.clone();
+    for (int at = 0; at < complete.length; at++) {
+      final byte[] flipped = complete.clone();
       flipped[at] ^= 4;
       Files.write(path, flipped);
       assertNull(readAfter(SECOND), "flipped at " + at);
     }
-    Files.write(path, whole);
+    Files.write(path, complete);
     assertNotNull(readAfter(SECOND));
   }
 
@@ -108,24 +108,26 @@
 
   @Test
   void fileFromBeforeReboot_isIgnored() {
-    assertNull(file.read(TAKEN_US - 1));
+    assertNull(file.read(CAPTURED_US - 1));
     assertNull(file.read(SECOND));
   }
 
   @Test
   void fileForOtherClassesOrShard_isIgnored() {
-    assertNull(new LearnedStateFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(TAKEN_US));
     assertNull(
-        new LearnedStateFile(folder, 1, CLASSES, DISK_BYTES).read(TAKEN_US), "another shard's");
+        new LearnedStateFile(folder, 0, List.of("once", "safe"), DISK_BYTES).read(CAPTURED_US));
+    assertNull(
+        new LearnedStateFile(folder, 1, CLASSES, DISK_BYTES).read(CAPTURED_US), "another shard's");
   }
 
   @Test
   void oversizedState_isNeitherWrittenNorRead() throws IOException {
-    final LearnedState.LearnedEndpoint node =
+    final LearnedState.LearnedEndpoint endpoint =
         new LearnedState.LearnedEndpoint(4, new double[100], new long[100]);
     final LearnedState large =
-        new LearnedState(new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, node));
-    assertNull(file.encode(new HandoverSnapshot(List.of(), large, List.of()), TAKEN_US));
+        new LearnedState(
+            new double[2], new int[2], 1, List.of(), Collections.nCopies(2000, endpoint));
+    assertNull(file.encode(new HandoverSnapshot(List.of(), large, List.of()), CAPTURED_US));
     Files.write(folder.resolve("learnt"), new byte[4 << 20]);
     assertNull(readAfter(SECOND));
   }
--- a/courier/src/test/java/thistleturn/courier/learned/LearnedStateFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/learned/LearnedStateFormatTest.java
@@ -19,11 +19,11 @@
 import thistleturn.decisions.model.EndpointState;
 
 /**
- * The exact text of the file in which a courier keeps what it has learned. The next version reads
- * it, so a change that alters this text must not pass unnoticed.
+ * Pins the exact text of the file in which a courier keeps its learned state: the next version of
+ * the courier reads it.
  */
 final class LearnedStateFormatTest {
-  private static final long TAKEN_US = 5_000_000_000L;
+  private static final long CAPTURED_US = 5_000_000_000L;
   private static final long DISK_BYTES = 3 << 20;
   private static final List<String> CLASSES = List.of("safe", "once");
   private static final String TEXT =
@@ -44,8 +44,8 @@
     return new LearnedStateFile(folder, shard, CLASSES, DISK_BYTES);
   }
 
-  private static HandoverSnapshot learned() {
-    final EndpointDirectory.Entry listing =
+  private static HandoverSnapshot learnedSnapshot() {
+    final EndpointDirectory.Entry entry =
         new EndpointDirectory.Entry(
             "e-1",
             EndpointState.LISTED,
@@ -55,7 +55,7 @@
             "std",
             57);
     return new HandoverSnapshot(
-        List.of(new HandoverSnapshot.NumberedEndpoint(4, listing)),
+        List.of(new HandoverSnapshot.NumberedEndpoint(4, entry)),
         new LearnedState(
             new double[] {1000, 2000},
             new int[] {7, 8},
@@ -70,26 +70,27 @@
   }
 
   @Test
-  void learnedStateIsWrittenAsThisText() {
-    assertEquals(TEXT, new String(file(0).encode(learned(), TAKEN_US), StandardCharsets.UTF_8));
+  void learnedState_isWrittenAsPinnedText() {
+    assertEquals(
+        TEXT, new String(file(0).encode(learnedSnapshot(), CAPTURED_US), StandardCharsets.UTF_8));
   }
 
   @Test
-  void fileWithThisTextIsReadBack() throws IOException {
+  void fileWithPinnedText_isReadBack() throws IOException {
     Files.writeString(folder.resolve("learnt"), TEXT);
-    final LearnedStateFile.StoredState found = file(0).read(TAKEN_US + 1);
+    final LearnedStateFile.StoredState found = file(0).read(CAPTURED_US + 1);
     assertNotNull(found);
-    assertEquals(TAKEN_US, found.capturedUs());
-    assertEquals(learned().endpoints(), found.snapshot().endpoints());
-    final LearnedState memory = found.snapshot().learnedState();
-    assertArrayEquals(new double[] {1000, 2000}, memory.classMeanUs());
-    assertArrayEquals(new int[] {7, 8}, memory.classSamples());
-    assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, memory.routes().get(0).figures());
-    assertArrayEquals(new long[] {Long.MAX_VALUE}, memory.endpoints().get(0).moments());
+    assertEquals(CAPTURED_US, found.capturedUs());
+    assertEquals(learnedSnapshot().endpoints(), found.snapshot().endpoints());
+    final LearnedState state = found.snapshot().learnedState();
+    assertArrayEquals(new double[] {1000, 2000}, state.classMeanUs());
+    assertArrayEquals(new int[] {7, 8}, state.classSamples());
+    assertArrayEquals(new double[] {3, Double.POSITIVE_INFINITY}, state.routes().get(0).figures());
+    assertArrayEquals(new long[] {Long.MAX_VALUE}, state.endpoints().get(0).moments());
   }
 
   @Test
-  void filesOfShardsHaveTheseNames() throws IOException {
+  void filesOfShards_havePinnedNames() throws IOException {
     file(0).replace(new byte[] {1});
     file(2).replace(new byte[] {1});
     assertTrue(Files.exists(folder.resolve("learnt")));
--- a/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/operator/OperatorPageFormatTest.java
@@ -6,12 +6,14 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.courier.runtime.Log;
 
-/** The exact text of the metrics page: monitoring knows metrics and labels by these names. */
+/**
+ * Pins the exact text of the metrics page: monitoring refers to metrics and labels by these names.
+ */
 final class OperatorPageFormatTest {
 
   @Test
-  void figuresOfTheCourierAreThisText() {
-    final CourierMetrics figures =
+  void metricsOfCourier_haveThisText() {
+    final CourierMetrics metrics =
         new CourierMetrics(
             List.of(
                 new CourierMetrics.ClassOutcomes("safe", 1, 2, 3),
@@ -38,11 +40,11 @@
         # TYPE svc_endpoints_excluded gauge
         svc_endpoints_excluded 10
         """,
-        figures.toPrometheusText());
+        metrics.toPrometheusText());
   }
 
   @Test
-  void countersOfEventsHaveTheseNames() {
+  void countersOfEvents_haveTheseNames() {
     assertEquals(
         """
         # TYPE courier_events_total counter
--- a/courier/src/test/java/thistleturn/courier/shard/StateFolderFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/shard/StateFolderFormatTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.journal.Journal;
 
-/** The names of journals in the state folder, and the text of the file that tells their number. */
+/**
+ * Pins the names of the journals in the state folder, and the text of the file that records their
+ * number.
+ */
 final class StateFolderFormatTest {
   private static final long DISK_BYTES = 1_000_000;
 
@@ -34,20 +37,20 @@
   }
 
   @Test
-  void oneShardHasItsJournalInTheFolderItself() throws IOException {
+  void oneShard_hasJournalInStateFolder() throws IOException {
     open(1);
     assertEquals(List.of("journal"), files());
   }
 
   @Test
-  void shardsHaveJournalsInNumberedFolders() throws IOException {
+  void severalShards_haveJournalsInNumberedFolders() throws IOException {
     open(2);
     assertEquals(List.of("shards", "shards-2/0/journal", "shards-2/1/journal"), files());
     assertEquals("2\n", Files.readString(folder.resolve("shards")));
   }
 
   @Test
-  void fileWithTheNumberOfShardsIsReadBack() throws IOException {
+  void fileWithNumberOfShards_isReadBack() throws IOException {
     Files.writeString(folder.resolve("shards"), "3\n");
     open(1);
     assertTrue(Files.exists(folder.resolve("journal")));
