--- a/courier/src/main/java/thistleturn/courier/NoExtension.java
+++ b/courier/src/main/java/thistleturn/courier/NoExtension.java
@@ -12,12 +12,12 @@
 
   @Override
   public void onServing(final String address) {
-    // Nobody else is notified.
+    // There is no extension to notify.
   }
 
   @Override
   public void onShutdownStarted() {
-    // Nobody else is notified.
+    // There is no extension to notify.
   }
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/SimulatedEndpoints.java
+++ b/courier/src/main/java/thistleturn/courier/SimulatedEndpoints.java
@@ -150,12 +150,12 @@
 
   @Override
   public void enqueue(final StoredMessage message) {
-    // Nobody is notified.
+    // No platform is notified.
   }
 
   @Override
   public void flush() {
-    // Nobody is notified.
+    // No platform is notified.
   }
 
   @Override
--- a/courier/src/main/java/thistleturn/courier/UnansweredSubmissions.java
+++ b/courier/src/main/java/thistleturn/courier/UnansweredSubmissions.java
@@ -32,7 +32,9 @@
   /** The delay after which a client may resubmit a message that no process can decide on now. */
   private static final long RETRY_AFTER_US = 1_000_000;
 
-  /** Withdrawals beyond this number are assumed to have been read by the newer process. */
+  /**
+   * The number of latest withdrawals that the newer process may not have read; it read older ones.
+   */
   private static final int MAX_REMEMBERED_WITHDRAWALS = 10_000;
 
   private enum State {
--- a/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
+++ b/courier/src/main/java/thistleturn/courier/learned/LearnedStateFile.java
@@ -21,7 +21,7 @@
 import thistleturn.decisions.LearnedState;
 
 /**
- * The learned state of one shard on disk, for the process that starts after this one has died.
+ * The learned state of one shard on disk, for the process that starts after this one has ended.
  *
  * <p>The file consists of lines: a header (version, classes, monotonic time), the lines of a
  * {@linkplain HandoverCodec snapshot}, and a trailer with a checksum of all bytes before it. It is
@@ -82,7 +82,7 @@
       return snapshot.endpoints();
     }
 
-    /** {@inheritDoc} Its process has died, so the state is as old as the file. */
+    /** {@inheritDoc} Its process has ended, so the state is as old as the file. */
     @Override
     public LearnedState learnedState(final Map<Long, Long> endpointNumbers, final Clock clock) {
       return snapshot.learnedState(endpointNumbers, clock).aged(capturedUs, clock.nowUs());
