--- a/courier/src/test/java/thistleturn/courier/SuccessorDeathTest.java
+++ b/courier/src/test/java/thistleturn/courier/SuccessorDeathTest.java
@@ -171,7 +171,7 @@
     newer.takeOver();
     final Socket client = handIn("m1");
     newer.readOffer("m1");
-    newer.run("journal m1", "answer-accepted-in-part m1");
+    newer.run("journal m1", "reply-accepted-partly m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
@@ -188,7 +188,7 @@
     final Socket unread = handIn("m3");
     newer.run("read-byte", "journal m1");
     older.pause();
-    newer.run("answer-accepted m1", "answer-refused m2");
+    newer.run("reply-accepted m1", "reply-rejected m2");
     newer.kill();
     older.resume();
     assertEquals(202, answer(answered));
@@ -234,7 +234,7 @@
     newer.takeOver();
     final Socket client = handIn("m1");
     newer.readOffer("m1");
-    newer.run("journal-shed m1", "answer-refused-in-part m1");
+    newer.run("journal-shed m1", "reply-rejected-partly m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
@@ -257,7 +257,7 @@
   @Test
   void messageHandedInAfterTheLineHasEnded_isDecidedByOlderProcess() throws Exception {
     newer.takeOver();
-    newer.run("close-line");
+    newer.run("close-connection");
     awaitHandled();
     final Socket client = handIn("m1");
     awaitHandled();
@@ -286,7 +286,7 @@
     newer.readOffer("m1");
     newer.run("journal m1");
     final Socket unread = handIn("m2");
-    newer.run("read-byte", "close-line");
+    newer.run("read-byte", "close-connection");
     awaitHandled();
     final Socket late = handIn("m3");
     awaitHandled();
@@ -302,7 +302,7 @@
   @Test
   void messageThatNobodyDecidesOn_isRefusedWithATime() throws Exception {
     newer.takeOver();
-    newer.run("close-line");
+    newer.run("close-connection");
     awaitHandled();
     final Socket client = handIn("m1");
     final CourierHarness.Response response = CourierHarness.readResponse(client.getInputStream());
@@ -318,7 +318,7 @@
     newer.takeOver();
     final Socket offered = handIn("m1");
     newer.readOffer("m1");
-    newer.run("journal m1", "close-line");
+    newer.run("journal m1", "close-connection");
     assertEquals(500, answer(offered), "its fate is with the process that holds the folder");
     older.await("its end", () -> !older.isRunning());
     assertFalse(sentIds().contains("m1"));
@@ -369,7 +369,7 @@
   void newerProcessThatDiesBehindItsListener_leavesNoClientWithoutAnswer() throws Exception {
     newer.takeOver();
     final Socket client = handIn("m1");
-    newer.run("say-listening");
+    newer.run("announce-listening");
     newer.readOffer("m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
--- a/courier/src/test/java/thistleturn/courier/handover/ScriptedSuccessor.java
+++ b/courier/src/test/java/thistleturn/courier/handover/ScriptedSuccessor.java
@@ -62,11 +62,11 @@
       case "read-byte" -> readByte();
       case "read-snapshot" -> readSnapshot();
       case "take-folder" -> takeFolder();
-      case "say-listening" -> send(new SuccessorLine.Listening().toText() + "\n");
+      case "announce-listening" -> send(new SuccessorLine.Listening().toText() + "\n");
       case "read-offer" -> {
         return readOffer();
       }
-      case "close-line" -> line.close();
+      case "close-connection" -> line.close();
       default -> {
         return runOnMessage(command, messageId);
       }
@@ -84,10 +84,10 @@
       case "journal-delivery" -> complete(message);
       case "journal-end" -> end(message);
       case "trim-journal" -> trim();
-      case "answer-accepted" -> send(accepted(offer) + "\n");
-      case "answer-accepted-in-part" -> send(accepted(offer));
-      case "answer-refused" -> send(refused(offer) + "\n");
-      case "answer-refused-in-part" -> send(refused(offer));
+      case "reply-accepted" -> send(accepted(offer) + "\n");
+      case "reply-accepted-partly" -> send(accepted(offer));
+      case "reply-rejected" -> send(refused(offer) + "\n");
+      case "reply-rejected-partly" -> send(refused(offer));
       default -> throw new IOException("unknown command " + command);
     }
     return DONE;
