--- a/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
+++ b/courier/src/main/java/thistleturn/courier/platform/DiscoveryClient.java
@@ -13,22 +13,23 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * The endpoint list of the platform's discovery service: at first the copy in the configuration,
- * then a watch on its changes. When the watch is lost, unresponsive or invalid, the listener is
- * notified, and another watch is opened after a while.
+ * Provides the endpoint list of the platform's discovery service: first the copy in the
+ * configuration, then the updates that a watch receives. When the watch is lost, unresponsive or
+ * invalid, the listener is notified, and another watch is opened after a delay.
  */
 public final class DiscoveryClient implements EndpointDirectory {
   /**
-   * The delay until another watch is opened. The listener requests updates as well, but with a
-   * growing backoff; a change must be known 6 s after it can be received, whatever failed before,
-   * so this delay and two attempts, the first of which may be rejected, have to fit into that. The
-   * range spreads the couriers that lost their watches at the same time.
+   * The shortest delay before another watch is opened. A change must be known 6 s after it can be
+   * received, whatever failed before: the delay and two attempts, the first of which may be
+   * rejected, have to fit into that time. The listener's own requests for updates do not suffice,
+   * since their backoff grows. The delay is random up to {@link #MAX_RETRY_DELAY_US}, so that
+   * couriers that lost their watches at the same time do not all connect again at once.
    */
   private static final long MIN_RETRY_DELAY_US = 1_200_000;
 
   private static final long MAX_RETRY_DELAY_US = 1_500_000;
 
-  /** The discovery service would not understand any version that is known here. */
+  /** No known version of the list is valid at the service's address, because that has changed. */
   private static final long UNKNOWN_VERSION = -1;
 
   private final EventLoop loop;
@@ -38,13 +39,13 @@
   private Listener listener;
   private InetSocketAddress address;
 
-  /** When a watch last reported something complete: the list was up to date then. */
+  /** When a watch last sent a complete object or a heartbeat: the list was up to date then. */
   private long lastUpToDateUs;
 
   private long listVersion;
   private WatchSession currentWatch;
 
-  /** Creates a client that requests nothing yet. */
+  /** Creates a client that is not connected. */
   public DiscoveryClient(
       final CourierConfig config,
       final EventLoop loop,
@@ -68,8 +69,9 @@
   /**
    * {@inheritDoc}
    *
-   * <p>While the list is outdated a destination that it does not contain may have been added: it
-   * would be wrong to reject its messages. If it has no endpoint in time they are rejected later.
+   * <p>A list that is not current may lack a destination that has been added since, so it is no
+   * reason to reject the messages of an unknown destination. They are rejected later if the
+   * destination has no endpoint in time.
    */
   @Override
   public boolean isCurrent() {
@@ -83,7 +85,7 @@
     }
   }
 
-  /** Uses the address of another configuration, whose list has versions of its own. */
+  /** Switches to the configuration's address if it differs; the list there has other versions. */
   @Override
   public void reload(final CourierConfig config) {
     final InetSocketAddress latest = config.discoveryAddress();
@@ -99,9 +101,9 @@
     }
   }
 
-  // ---------------------------------------------------------------- for the watch
+  // ---------------------------------------------------------------- called by WatchSession
 
-  /** Opens a watch, which takes the place of the current one. */
+  /** Opens a watch, which replaces the current one. */
   void openWatch() {
     final WatchSession watch = new WatchSession(this, address, loop, clock, polls);
     currentWatch = watch;
@@ -112,7 +114,7 @@
     return currentWatch == watch;
   }
 
-  /** True if the changes since {@link #listVersion} can be requested. */
+  /** Returns true if the changes since {@link #listVersion} can be requested. */
   boolean hasListVersion() {
     return listVersion != UNKNOWN_VERSION;
   }
@@ -128,12 +130,12 @@
     listener.onUpdate(update, entries);
   }
 
-  /** The current watch reported that the list is up to date. */
+  /** Called when the current watch reports that the list is up to date. */
   void onHeartbeat() {
     lastUpToDateUs = clock.nowUs();
   }
 
-  /** A watch has ended; if it was the current one another is opened after a while. */
+  /** Called when a watch has ended; if it was the current one, another is opened after a delay. */
   void onWatchEnded(final WatchSession watch) {
     if (isCurrentWatch(watch)) {
       currentWatch = null;
--- a/courier/src/main/java/thistleturn/courier/platform/EndpointListParser.java
+++ b/courier/src/main/java/thistleturn/courier/platform/EndpointListParser.java
@@ -7,7 +7,7 @@
 import thistleturn.courier.runtime.CourierConfig;
 import thistleturn.decisions.model.EndpointState;
 
-/** Parses endpoint lists as the discovery service and the configuration write them. */
+/** Parses endpoint lists in the format of the discovery service and of the configuration. */
 final class EndpointListParser {
   private EndpointListParser() {}
 
@@ -27,7 +27,7 @@
   private static Entry parseEntry(final JsonNode node) {
     final String name = node.path("host").asText();
     if (name.isEmpty() || !node.path("block").canConvertToLong()) {
-      throw new IllegalArgumentException("an entry without a host or a block: " + node);
+      throw new IllegalArgumentException("endpoint list entry without host or block: " + node);
     }
     return new Entry(
         name,
@@ -44,7 +44,8 @@
       case "Ready" -> EndpointState.LISTED;
       case "Terminating" -> EndpointState.DRAINING;
       case "Gone" -> EndpointState.GONE;
-      default -> throw new IllegalArgumentException("unknown health: " + node);
+      default ->
+          throw new IllegalArgumentException("endpoint list entry with unknown health: " + node);
     };
   }
 }
--- a/courier/src/main/java/thistleturn/courier/platform/HttpOutcomeNotifier.java
+++ b/courier/src/main/java/thistleturn/courier/platform/HttpOutcomeNotifier.java
@@ -76,7 +76,7 @@
     opened.connect();
   }
 
-  /** Uses the address of another configuration: unconfirmed reports are sent there at once. */
+  /** Switches to the configuration's address if it differs, and sends unconfirmed reports there. */
   @Override
   public void reload(final CourierConfig config) {
     final InetSocketAddress latest = config.discoveryAddress();
@@ -109,18 +109,18 @@
         TimeUnit.MILLISECONDS);
   }
 
-  // ---------------------------------------------------------------- for the session
+  // ---------------------------------------------------------------- called by ReportSession
 
   boolean isCurrentSession(final ReportSession candidate) {
     return session == candidate;
   }
 
-  /** The messages whose reports are being sent; empty if none are. */
+  /** Returns the messages whose reports are in flight; empty if there are none. */
   List<StoredMessage> batchInFlight() {
     return batchInFlight;
   }
 
-  /** The current session received the confirmation of the batch in flight. */
+  /** Called when the current session has received the confirmation of the batch in flight. */
   void onBatchConfirmed(final ReportSession confirming, final boolean keepAlive) {
     final List<StoredMessage> confirmed = batchInFlight;
     batchInFlight = List.of();
@@ -134,7 +134,7 @@
     flush();
   }
 
-  /** A session has ended; if it was the current one its batch is sent again. */
+  /** Called when a session has ended; if it was the current one, its batch is sent again. */
   void onSessionEnded(final ReportSession ended) {
     if (isCurrentSession(ended)) {
       session = null;
--- a/courier/src/main/java/thistleturn/courier/platform/JsonObjectFramer.java
+++ b/courier/src/main/java/thistleturn/courier/platform/JsonObjectFramer.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream into the JSON objects in it. They may be indented, so that they do not end with
- * lines; a line end between two objects is a heartbeat. The listener is notified of complete
+ * Splits a stream into the JSON objects that it contains. An object may be indented, and so span
+ * several lines; a line end between two objects is a heartbeat. The listener receives complete
  * objects only.
  */
 final class JsonObjectFramer {
@@ -17,7 +17,7 @@
   private boolean inString;
   private boolean escaped;
 
-  /** Notified of what the stream has. */
+  /** Receives the objects and heartbeats of the stream. */
   interface Listener {
     /** A complete object was received. */
     void onObject(String text);
@@ -33,7 +33,7 @@
   /**
    * Reads the next bytes of the stream.
    *
-   * @throws IllegalArgumentException if they cannot belong to an object, or to one up to 4 MiB
+   * @throws IllegalArgumentException if they are not part of an object, or it exceeds 4 MiB
    */
   void read(final byte[] bytes) {
     for (final byte next : bytes) {
@@ -53,20 +53,20 @@
       listener.onLineEnd();
     } else if (next != ' ' && next != '\t' && next != '\r') {
       throw new IllegalArgumentException(
-          "the list cannot be read: no object begins with byte " + next);
+          "cannot read the endpoint list: no object begins with byte " + next);
     }
   }
 
   private void readWithinObject(final byte next) {
     if (object.size() == MAX_OBJECT_BYTES) {
       throw new IllegalArgumentException(
-          "the list cannot be read: an object of over " + MAX_OBJECT_BYTES + " bytes");
+          "cannot read the endpoint list: an object of over " + MAX_OBJECT_BYTES + " bytes");
     }
     object.write(next);
     if (inString) {
       if (next == '\n') {
         // A JSON string has no line end: the object is truncated, and another one follows.
-        throw new IllegalArgumentException("the list cannot be read: a line ends within a text");
+        throw new IllegalArgumentException("cannot read the endpoint list: line end in a string");
       }
       inString = escaped || next != '"';
       escaped = !escaped && next == '\\';
--- a/courier/src/main/java/thistleturn/courier/platform/PlatformConnection.java
+++ b/courier/src/main/java/thistleturn/courier/platform/PlatformConnection.java
@@ -14,10 +14,10 @@
 import thistleturn.courier.transport.SocketUnavailableException;
 
 /**
- * One connection to the platform, from the first attempt to its end. While the local system refuses
- * to begin a connection the attempt is repeated. The owner decides when to close it: the channel's
- * own connect timeout could expire before the poll that reports that the connection is established.
- * Used on the event loop.
+ * One connection to the platform, from the first attempt to connect until it is closed. An attempt
+ * that fails because of the local system is repeated. The owner decides when to give up: the
+ * channel's own connect timeout could expire before the poll that reports that the connection is
+ * established. Used on the event loop.
  */
 final class PlatformConnection {
   private static final long RETRY_DELAY_MS = 10;
@@ -94,12 +94,12 @@
     }
   }
 
-  /** Writes a request; the connection is established. */
+  /** Writes a request. The connection must be established. */
   void write(final Object request) {
     channel.writeAndFlush(request);
   }
 
-  /** Closes the connection; if it is not established the failure callback is run. */
+  /** Closes the connection. If it is not established, the failure callback is run. */
   void close() {
     if (channel != null) {
       channel.close();
--- a/courier/src/main/java/thistleturn/courier/platform/PlatformSession.java
+++ b/courier/src/main/java/thistleturn/courier/platform/PlatformSession.java
@@ -12,9 +12,9 @@
 import thistleturn.courier.runtime.PollTracker;
 
 /**
- * The use of one connection to the platform, from connecting to its end. The client that owns the
- * sessions has at most one current session; another one only waits for its end. Used on the event
- * loop.
+ * The requests and responses on one connection to the platform, from connecting until it is closed.
+ * The client that owns the sessions has at most one current session; any other is only waiting to
+ * be closed. Used on the event loop.
  */
 abstract class PlatformSession extends SimpleChannelInboundHandler<HttpObject> {
   private final EventLoop loop;
@@ -36,13 +36,13 @@
     this.logName = logName;
   }
 
-  /** True if the owner uses this session. */
+  /** Returns true if this is the owner's current session. */
   abstract boolean isCurrent();
 
-  /** The connection of the current session is established. */
+  /** Called when the connection of the current session is established. */
   abstract void onConnected();
 
-  /** The connection has ended, or could not be established. */
+  /** Called when the connection has closed, or could not be established. */
   abstract void onEnded();
 
   /** Begins to connect. */
@@ -50,7 +50,7 @@
     connection = PlatformConnection.open(loop, address, this, this::onEnded);
   }
 
-  /** Writes a request; the connection is established. */
+  /** Writes a request. The connection must be established. */
   final void write(final Object request) {
     connection.write(request);
   }
--- a/courier/src/main/java/thistleturn/courier/platform/ReportSession.java
+++ b/courier/src/main/java/thistleturn/courier/platform/ReportSession.java
@@ -24,11 +24,11 @@
 import thistleturn.courier.runtime.PollTracker;
 
 /**
- * The reports of outcomes over one connection to the platform, a batch at a time.
+ * Reports outcomes over one connection to the platform, one batch at a time.
  *
- * <p>A message ends 200 ms before its deadline, and its report is due 300 ms after it. The platform
- * responds at once; if a connection is not established, or unresponsive, another attempt on a new
- * connection has to fit into that time.
+ * <p>A message ends 200 ms before its deadline, and its report is due 300 ms after the deadline.
+ * The platform responds at once; if a connection is not established or is unresponsive, another
+ * attempt on a new connection has to fit into that time.
  */
 final class ReportSession extends PlatformSession {
   private static final long CONNECT_TIMEOUT_US = 200_000;
@@ -39,7 +39,7 @@
   private final InetSocketAddress address;
   private HttpResponse responseHead;
 
-  /** Counts requests and confirmations, so that an outdated timeout has no effect. */
+  /** Counts requests and confirmations, so that the timeout of an earlier one has no effect. */
   private long step;
 
   ReportSession(
@@ -48,7 +48,7 @@
       final EventLoop loop,
       final Clock clock,
       final PollTracker polls) {
-    super(loop, clock, polls, "connection for notices");
+    super(loop, clock, polls, "outcome report connection");
     this.notifier = notifier;
     this.address = address;
   }
@@ -85,7 +85,7 @@
         });
   }
 
-  /** Sends the batch in flight; the connection is established. */
+  /** Sends the batch in flight. The connection must be established. */
   void sendBatch() {
     final ByteBuf body = encode(notifier.batchInFlight());
     final var request =
@@ -118,7 +118,7 @@
   protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
     final boolean expected = isCurrent() && !notifier.batchInFlight().isEmpty();
     if (!expected || part.decoderResult().isFailure()) {
-      // A response from an earlier address, or to no request, does not confirm the batch.
+      // A response of a replaced session, or without a request, does not confirm the batch.
       ctx.close();
       return;
     }
--- a/courier/src/main/java/thistleturn/courier/platform/WatchSession.java
+++ b/courier/src/main/java/thistleturn/courier/platform/WatchSession.java
@@ -19,19 +19,19 @@
 import thistleturn.decisions.model.EndpointUpdate;
 
 /**
- * One watch on the endpoint list, until its connection ends or it becomes unresponsive. If no
- * version of the list is known it first requests a complete snapshot over the same connection.
+ * One watch on the endpoint list, until its connection closes or it becomes unresponsive. If no
+ * version of the list is known, it first requests a complete snapshot over the same connection.
  *
- * <p>What a watch misses must be known 6 s after it became unresponsive. Detecting that, connecting
- * again and receiving the response have to fit into this time together.
+ * <p>Changes that a watch misses must be known 6 s after it became unresponsive. Detecting that,
+ * connecting again and receiving the response have to fit into this time together.
  */
 final class WatchSession extends PlatformSession implements JsonObjectFramer.Listener {
-  /** A heartbeat comes every 2 s; only a complete line counts. */
+  /** The service sends a heartbeat every 2 s; only a complete line counts. */
   static final long SILENCE_TIMEOUT_US = 2_800_000;
 
   private static final long CONNECT_TIMEOUT_US = 800_000;
 
-  /** The service may delay a response by two seconds. */
+  /** The service may delay a response by 2 s. */
   private static final long RESPONSE_TIMEOUT_US = 2_200_000;
 
   private static final int OK = 200;
@@ -41,10 +41,10 @@
   private final JsonObjectFramer framer = new JsonObjectFramer(this);
   private Progress progress = Progress.WATCH_REQUESTED;
 
-  /** True once the watch has sent anything. */
+  /** True once the watch has sent a complete object or a heartbeat. */
   private boolean established;
 
-  /** When the session is closed unless something complete is received before. */
+  /** When the session is closed unless an object or a heartbeat is received before. */
   private long deadlineUs;
 
   /** What has been requested and received. */
@@ -61,7 +61,7 @@
       final EventLoop loop,
       final Clock clock,
       final PollTracker polls) {
-    super(loop, clock, polls, "watch on the list");
+    super(loop, clock, polls, "endpoint list watch");
     this.client = client;
     this.address = address;
   }
@@ -121,7 +121,7 @@
       return;
     }
     if (established) {
-      // The time without updates is known and counts, so the next watch is opened at once.
+      // The time without updates counts towards the 6 s, so the next watch is opened at once.
       client.openWatch();
     }
     close();
@@ -164,7 +164,7 @@
               ? EndpointUpdate.COMPLETE_SNAPSHOT
               : EndpointUpdate.CHANGES);
     } catch (final IOException e) {
-      throw new IllegalArgumentException("the list cannot be read: " + e.getMessage(), e);
+      throw new IllegalArgumentException("cannot read the endpoint list: " + e.getMessage(), e);
     }
     if (progress == Progress.WATCH_REQUESTED) {
       onHeartbeat();
--- a/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/platform/OutcomeNoticeFormatTest.java
@@ -23,28 +23,28 @@
 import thistleturn.courier.runtime.Clock;
 import thistleturn.courier.runtime.PollTracker;
 
-/** The exact request by which the platform is notified how messages ended. */
+/** The exact request that reports the outcomes of messages to the platform. */
 @Timeout(60)
 final class OutcomeNoticeFormatTest {
   private final Clock clock = new Clock();
-  private final PollTracker turns = new PollTracker(clock);
+  private final PollTracker polls = new PollTracker(clock);
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(
-          1, NioIoHandler.newFactory(SelectorProvider.provider(), turns));
+          1, NioIoHandler.newFactory(SelectorProvider.provider(), polls));
 
   @AfterEach
   void stopLoops() throws InterruptedException {
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private static StoredMessage ended(final String id, final StoredMessage.FinalOutcome notice) {
-    final StoredMessage held = new StoredMessage(id, "safe", null, 7, 5_000_000, new byte[] {1});
-    held.end(notice);
-    return held;
+  private static StoredMessage ended(final String id, final StoredMessage.FinalOutcome outcome) {
+    final StoredMessage message = new StoredMessage(id, "safe", null, 7, 5_000_000, new byte[] {1});
+    message.end(outcome);
+    return message;
   }
 
   @Test
-  void noticesOfThreeMessagesAreThisRequest() throws Exception {
+  void reportOfThreeOutcomes_isThisRequest() throws Exception {
     final String expected =
         "POST /v1/outcomes HTTP/1.1\r\nhost: 127.0.0.1\r\ncontent-length: 116\r\n\r\n"
             + "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n"
@@ -52,17 +52,17 @@
             + "{\"id\":\"m3\",\"status\":\"deferred\"}\n";
     final CompletableFuture<List<StoredMessage>> confirmed = new CompletableFuture<>();
     try (ServerSocket platform = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-      final HttpOutcomeNotifier notices =
+      final HttpOutcomeNotifier notifier =
           new HttpOutcomeNotifier(
               new InetSocketAddress("127.0.0.1", platform.getLocalPort()),
               loops.next(),
               clock,
-              turns,
+              polls,
               confirmed::complete);
-      notices.enqueue(ended("m1", new StoredMessage.FinalOutcome(true, 0)));
-      notices.enqueue(ended("m2", new StoredMessage.FinalOutcome(false, 700)));
-      notices.enqueue(ended("m3", new StoredMessage.FinalOutcome(false, 0)));
-      loops.next().execute(notices::flush);
+      notifier.enqueue(ended("m1", new StoredMessage.FinalOutcome(true, 0)));
+      notifier.enqueue(ended("m2", new StoredMessage.FinalOutcome(false, 700)));
+      notifier.enqueue(ended("m3", new StoredMessage.FinalOutcome(false, 0)));
+      loops.next().execute(notifier::flush);
       try (Socket connection = platform.accept()) {
         assertEquals(expected, read(connection, expected.length()));
         connection
