--- a/courier/src/main/java/thistleturn/courier/handover/EarlierProcesses.java
+++ b/courier/src/main/java/thistleturn/courier/handover/EarlierProcesses.java
@@ -9,17 +9,17 @@
 import thistleturn.courier.runtime.ProcessIdentity;
 
 /**
- * The processes of a courier that held its state folder before this one. An attempt that one of
- * them made may be in flight for as long as that process has not ended, whatever became of the
- * folder's lock and of the connection between the two: the system releases both before it has
+ * The processes of a courier that held its state folder before this one. An attempt of one of them
+ * may be in flight until that process has ended, even if the folder's lock is released and the
+ * connection between the two processes is closed: the operating system does both before it has
  * closed the connections of the calls.
  *
- * <p>An attempt was made by the process that held the folder when it started. A process that did
- * not record itself, as one of an earlier version, is taken to have ended {@value
- * #UNKNOWN_PROCESS_GRACE_US} us after its lock or its connection.
+ * <p>An attempt belongs to the process that held the folder when the attempt started. A process
+ * that did not record itself, such as one of an earlier version, is assumed to have ended {@value
+ * #UNKNOWN_PROCESS_GRACE_US} us after its lock was released or its connection closed.
  */
 public final class EarlierProcesses {
-  /** Several times as long as the slowest end of a process that was measured. */
+  /** Several times the longest end of a process that was measured. */
   static final long UNKNOWN_PROCESS_GRACE_US = 500_000;
 
   private static final EarlierProcesses NONE = new EarlierProcesses(List.of());
@@ -31,17 +31,23 @@
     this.holders = holders;
   }
 
-  /** Returns that there was no other process. */
+  /** Returns an instance without any earlier process. */
   public static EarlierProcesses none() {
     return NONE;
   }
 
-  /** The folder was free. Its last holder recorded itself, unless there is no record. */
+  /**
+   * Returns the earlier processes of one that found the folder free. If there is a record at all,
+   * the last holder is the one recorded last.
+   */
   static EarlierProcesses beforeStart(final List<LockHolder> recorded) {
     return recorded.isEmpty() ? withUnrecorded(recorded) : new EarlierProcesses(recorded);
   }
 
-  /** A process that runs has handed over. It is the one recorded last, if that one runs. */
+  /**
+   * Returns the earlier processes of one to which a running process has handed over: the one
+   * recorded last, if that one runs, and otherwise an unrecorded one.
+   */
   static EarlierProcesses beforeHandover(final List<LockHolder> recorded) {
     final boolean predecessorRecorded =
         !recorded.isEmpty()
@@ -50,7 +56,10 @@
     return predecessorRecorded ? new EarlierProcesses(recorded) : withUnrecorded(recorded);
   }
 
-  /** This process had handed over to one that has ended, which was recorded after this one. */
+  /**
+   * Returns the earlier processes of this one, which had handed over to a successor that has ended.
+   * The successor was recorded after this process, or not at all.
+   */
   static EarlierProcesses beforeTakeBack(final List<LockHolder> recorded) {
     final boolean successorRecorded =
         !recorded.isEmpty() && !lastOf(recorded).process().isCurrent();
@@ -58,8 +67,8 @@
   }
 
   /**
-   * Asks of this process what a takeover asks of others, without an effect: while a process takes
-   * over, clients wait, and code that has run before is several times as fast.
+   * Runs the checks of a takeover on this process, without an effect. Clients wait while a process
+   * takes over, and code that has run before is several times as fast.
    */
   public static void warmUp() {
     final ProcessIdentity current = ProcessIdentity.current();
@@ -67,11 +76,11 @@
     final EarlierProcesses earlier = beforeHandover(LockHolder.parse(recorded).stream().toList());
     final boolean ended = earlier.withoutPredecessor().endedAttempts(0).test(-1);
     if (!ended || current.state() != ProcessIdentity.State.RUNNING) {
-      throw new IllegalStateException("this process runs: " + recorded);
+      throw new IllegalStateException("this running process was considered ended: " + recorded);
     }
   }
 
-  /** Another process held the folder after the last one that is recorded. */
+  /** Adds an unrecorded process, which held the folder after the last recorded one. */
   private static EarlierProcesses withUnrecorded(final List<LockHolder> recorded) {
     final long sinceUs = recorded.isEmpty() ? Long.MIN_VALUE : lastOf(recorded).sinceUs();
     final List<LockHolder> holders = new ArrayList<>(recorded);
@@ -84,24 +93,24 @@
   }
 
   /**
-   * Returns the processes before the one that has handed over to this one: that one tells by itself
-   * which attempts it still carries out, and has no others.
+   * Returns the processes before the one that has handed over to this one. The predecessor itself
+   * reports which attempts it still carries out, and has no others.
    */
   public EarlierProcesses withoutPredecessor() {
     if (holders.isEmpty()) {
       return this;
     }
     final List<LockHolder> before = new ArrayList<>(holders.subList(0, holders.size() - 1));
-    // This process stands in for it: what it has in flight is known here.
+    // This process replaces the predecessor, whose attempts in flight are known here.
     before.add(new LockHolder(ProcessIdentity.current(), lastOf(holders).sinceUs()));
     return new EarlierProcesses(before);
   }
 
   /**
-   * Looks the processes up, and returns which attempts cannot be in flight any more, by the time
-   * when they started. Each process is looked up once at most.
+   * Returns a predicate on the time when an attempt started: true if its process has ended, so that
+   * it cannot be in flight any more. Each process is looked up once at most.
    *
-   * @param elapsedUs how long ago the last sign of them ended: a connection, or the folder's lock
+   * @param elapsedUs how long ago the last connection or the folder's lock was released
    */
   public LongPredicate endedAttempts(final long elapsedUs) {
     final boolean graceOver = elapsedUs >= UNKNOWN_PROCESS_GRACE_US;
@@ -111,7 +120,7 @@
             || ended.computeIfAbsent(holderAt(startedUs), holder -> hasEnded(holder, graceOver));
   }
 
-  /** Returns who held the folder at a time; the oldest that is known if it was before that. */
+  /** Returns the process that held the folder at a time; the oldest known one for times before. */
   private LockHolder holderAt(final long timeUs) {
     LockHolder found = holders.get(0);
     for (final LockHolder holder : holders) {
@@ -121,7 +130,7 @@
   }
 
   private static boolean hasEnded(final LockHolder holder, final boolean graceOver) {
-    // What this process itself has in flight, it knows.
+    // This process knows its own attempts in flight.
     return holder.process().isCurrent()
         || switch (holder.process().state()) {
           case ENDED -> true;
@@ -130,7 +139,7 @@
         };
   }
 
-  /** Returns the numbers of those that have not ended, for the log. */
+  /** Returns the process ids of those that have not ended, for the log. */
   @Override
   public String toString() {
     return holders.stream()
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverClient.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverClient.java
@@ -21,40 +21,40 @@
 
 /**
  * The newer process's side of a handover: asks the serving process for its snapshot, and from then
- * on receives what that process's clients submit and what becomes of its calls. Lives on one event
+ * on receives what that process's clients submit and the outcomes of its calls. Used on one event
  * loop.
  */
 public final class HandoverClient implements RemoteCallExecutor {
 
-  /** Receives what the older process reports once this process decides. On the event loop. */
+  /**
+   * Receives what the older process reports once this process decides. Called on the event loop.
+   */
   public interface Listener {
     /** A client has submitted a message at the older process. */
     void onMessageSubmitted(StoredMessage message, Ingress.Reply reply);
 
-    /** That client has disconnected before it got a reply. */
+    /** The client of a submitted message has disconnected before it received a reply. */
     void withdraw(String id, long destination);
 
     /** The outcome of one message in a call that the older process has in flight. */
     void onRemoteOutcome(String messageId, Dispatcher.DispatchOutcome outcome);
 
     /**
-     * The connection to the older process has ended. That process need not have: the calls that it
-     * had in flight may go on until it has ({@link EarlierProcesses}).
+     * The connection to the older process has closed. The process may still run: its calls in
+     * flight may continue until it has ended ({@link EarlierProcesses}).
      */
     void onPredecessorDisconnected();
   }
 
-  /** How far the handover has come. */
+  /** The progress of the handover. */
   private enum State {
     /** The snapshot is not complete yet. */
     REQUESTING,
-    /** This process has taken over, and nobody listens yet: opening the journal takes its time. */
+    /** This process has taken over, but has no listener until it has opened the journal. */
     AWAITING_LISTENER,
     /** The listener receives each line. */
     FORWARDING,
-    /**
-     * The connection has closed; what came before still waits for the listener, if there is none.
-     */
+    /** The connection has closed; lines received before stay buffered until there is a listener. */
     CLOSED
   }
 
@@ -63,7 +63,7 @@
   private final Consumer<HandoverSnapshot> onSnapshot;
   private final Runnable onFailure;
 
-  /** Lines that came before there was a listener. */
+  /** Lines that were received before there was a listener. */
   private final List<PredecessorLine> bufferedLines = new ArrayList<>();
 
   private State state = State.REQUESTING;
@@ -76,8 +76,8 @@
 
   /**
    * Asks the process that serves from a state folder to hand over. Calls exactly one of the two on
-   * the loop: {@code onSnapshot} once it has, and then the journal is free, or {@code onFailure},
-   * and nothing has changed.
+   * the loop: {@code onSnapshot} once the process has handed over and released the journal, or
+   * {@code onFailure} if it has not, and then nothing has changed.
    */
   public static HandoverClient requestHandover(
       final EventLoop loop,
@@ -89,7 +89,7 @@
     return client;
   }
 
-  /** Returns what stands for the older process where there is none: it has no calls. */
+  /** Returns the executor for when there is no older process: it has no calls. */
   public static RemoteCallExecutor none() {
     return NoRemoteCalls.INSTANCE;
   }
@@ -112,7 +112,7 @@
           LineConnection.socketAddress(stateFolder),
           this::onConnectCompleted);
     } catch (final SocketUnavailableException e) {
-      // The connector has logged it. The caller hears of it after this call has returned.
+      // The connector has logged it. The caller is notified after this method has returned.
       loop.execute(connection::onClosed);
     }
   }
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Tells the older process that this one accepts clients. */
+  /** Notifies the older process that this one accepts clients. */
   public void announceListening() {
     connection.send(new SuccessorLine.Listening());
   }
@@ -174,10 +174,11 @@
           case REQUESTING -> onSnapshotLine(SnapshotLine.fromJson(line));
           case AWAITING_LISTENER -> bufferedLines.add(PredecessorLine.fromJson(line));
           case FORWARDING -> dispatch(PredecessorLine.fromJson(line));
-          case CLOSED -> throw new IllegalStateException("a line after the end: " + line);
+          case CLOSED ->
+              throw new IllegalStateException("line received after the connection closed: " + line);
         }
       } catch (final IOException e) {
-        throw new IllegalArgumentException("handover: " + line, e);
+        throw new IllegalArgumentException("handover: cannot read line " + line, e);
       }
     }
 
@@ -193,7 +194,7 @@
     }
   }
 
-  /** Sends the reply to a submitted message to the process that the client is connected to. */
+  /** Sends the reply to a submitted message to the process to which the client is connected. */
   private final class ForwardedReply implements Ingress.Reply {
     private final long offerNumber;
 
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverCodec.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverCodec.java
@@ -6,17 +6,17 @@
 import thistleturn.courier.runtime.Json;
 import thistleturn.decisions.LearnedState;
 
-/** Snapshots as lines of text, and the version of the protocol. */
+/** Encodes and decodes snapshots as lines of text, and defines the version of the protocol. */
 public final class HandoverCodec {
   /**
-   * To be raised when the lines change. This and the version of the learned state only ever rise,
-   * so that no sum of the two occurs twice.
+   * Must be increased when the format of the lines changes. Neither this nor the version of the
+   * learned state is ever decreased, so that no sum of the two occurs twice.
    */
   private static final int LINE_FORMAT_VERSION = 1;
 
   /**
-   * The version that the newer process states first. A process of any other version, of the lines
-   * or of the learned state, is not handed anything.
+   * The version that the newer process sends first. A process does not hand over to one that has
+   * another version of the lines or of the learned state.
    */
   static final int PROTOCOL_VERSION = LINE_FORMAT_VERSION + LearnedState.VERSION;
 
@@ -55,7 +55,7 @@
     return assembler.toSnapshot();
   }
 
-  /** Returns a snapshot after it has been encoded and decoded, as another process would see it. */
+  /** Encodes and decodes a snapshot, and returns it as another process would receive it. */
   public static HandoverSnapshot encodeAndDecode(final HandoverSnapshot snapshot)
       throws IOException {
     return decodeSnapshot(encodeSnapshot(snapshot));
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverLine.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverLine.java
@@ -11,10 +11,10 @@
 
 /**
  * One line of the handover protocol: a JSON object whose field {@value #TYPE_FIELD} names its type.
- * Each record that implements this holds both directions of its own line.
+ * Each record that implements this both writes and reads its own line.
  */
 interface HandoverLine {
-  /** Names the type of a line. */
+  /** The field with the type of a line. */
   String TYPE_FIELD = "t";
 
   /** Returns the line as the JSON object that is sent or stored. */
@@ -25,12 +25,12 @@
     return Json.toText(toJson());
   }
 
-  /** Returns the type that a line names; empty if it names none. */
+  /** Returns the type of a line; empty if the line has none. */
   static String typeOf(final JsonNode line) {
     return line.path(TYPE_FIELD).asText();
   }
 
-  /** Returns a new object of this type, still without fields. */
+  /** Returns a new object of this type without any other field. */
   static ObjectNode ofType(final String type) {
     return JsonNodeFactory.instance.objectNode().put(TYPE_FIELD, type);
   }
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverServer.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverServer.java
@@ -17,20 +17,20 @@
 
 /**
  * The serving process's side of a handover: listens for a newer process, and hands over to the
- * first one that asks. Lives on one event loop.
+ * first one that asks. Used on one event loop.
  *
  * <p>It has at most one successor. Once there is one, the socket is closed, since the newer process
- * listens there in its turn; connections that were accepted before are rejected.
+ * then listens there itself; connections that were accepted before are rejected.
  */
 public final class HandoverServer {
-  /** How often listening is attempted while the system refuses it for what may pass. */
+  /** How often listening is attempted while it fails with a transient failure. */
   private static final int MAX_LISTEN_ATTEMPTS = 800;
 
   private final HandoverSource source;
   private Channel serverChannel;
   private SuccessorConnection successor;
 
-  /** Makes a server that does not listen yet. */
+  /** Creates a server that does not listen yet. */
   public HandoverServer(final HandoverSource source) {
     this.source = source;
   }
@@ -43,7 +43,8 @@
   private void listen(final EventLoop loop, final Path stateFolder, final int attemptsLeft) {
     final UnixDomainSocketAddress address = LineConnection.socketAddress(stateFolder);
     try {
-      // An earlier process may have left its socket: nobody listens there while we hold the lock.
+      // An earlier process may have left its socket. No other listens there while this one holds
+      // the lock.
       Files.deleteIfExists(address.getPath());
     } catch (final IOException e) {
       retryListen(loop, stateFolder, attemptsLeft, e);
@@ -89,20 +90,20 @@
     }
   }
 
-  /** True if a process has taken over, though it may have ended since. */
+  /** Returns true if a process has taken over, even if it has ended since. */
   boolean hasSuccessor() {
     return successor != null;
   }
 
-  /** True for the connection of the process that has taken over. */
+  /** Returns true for the connection of the process that has taken over. */
   boolean isSuccessor(final SuccessorConnection connection) {
     return successor == connection;
   }
 
-  /** The process at this connection has taken over. */
+  /** Records that the process at this connection has taken over, and stops listening. */
   void setSuccessor(final SuccessorConnection connection) {
     if (successor != null) {
-      throw new IllegalStateException("handed over already, to another connection");
+      throw new IllegalStateException("already handed over on another connection");
     }
     successor = connection;
     serverChannel.close();
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverSnapshot.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverSnapshot.java
@@ -7,9 +7,9 @@
 import thistleturn.decisions.LearnedState;
 
 /**
- * What a process hands over beside the journal. Endpoints have the numbers of that process, which
- * mean nothing to another one until they are mapped; timestamps are those of the machine's
- * monotonic clock.
+ * The state that a process hands over besides the journal. Endpoints have the numbers of that
+ * process, which another one must map to its own; timestamps are those of the machine's monotonic
+ * clock.
  *
  * @param endpoints the endpoint list as last reported
  * @param learnedState what the controller has learned
@@ -19,13 +19,13 @@
     List<NumberedEndpoint> endpoints, LearnedState learnedState, List<InFlightRemoteCall> calls)
     implements LearnedStateSource {
 
-  /** An endpoint's number in the process that hands over, and how the list describes it. */
+  /** An endpoint's number in the process that hands over, and its entry in the endpoint list. */
   public record NumberedEndpoint(long number, EndpointDirectory.Entry entry) {}
 
   /**
    * A call in flight.
    *
-   * @param number how the older process knows the call
+   * @param number identifies the call in the older process
    * @param endpoint the number of the endpoint that it calls
    * @param destination the destination of its messages
    * @param sentUs when the call was prepared
@@ -34,7 +34,7 @@
   public record InFlightRemoteCall(
       long number, long endpoint, long destination, long sentUs, List<String> messageIds) {}
 
-  /** {@inheritDoc} A process that is alive has learned it up to this moment, so nothing ages. */
+  /** {@inheritDoc} A running process has learned it up to this moment, so nothing has aged. */
   @Override
   public LearnedState learnedState(final Map<Long, Long> endpointNumbers, final Clock clock) {
     return LearnedStateSource.withEndpointNumbers(learnedState, endpointNumbers);
--- a/courier/src/main/java/thistleturn/courier/handover/HandoverSource.java
+++ b/courier/src/main/java/thistleturn/courier/handover/HandoverSource.java
@@ -6,10 +6,11 @@
 /** A process that can hand over to a newer one. Called on its event loop. */
 public interface HandoverSource {
   /**
-   * Stops deciding and releases the journal. From here on it only carries out what it has begun.
+   * Stops deciding and releases the journal. From then on the process only completes the calls in
+   * flight and the requests of its clients.
    *
-   * @param successor receives what this process's clients submit and what becomes of its calls
-   * @throws IOException if this is not possible now; then the process goes on as before
+   * @param successor receives what this process's clients submit and the outcomes of its calls
+   * @throws IOException if this is not possible now; then the process continues as before
    */
   HandoverSnapshot handOver(Successor successor) throws IOException;
 
--- a/courier/src/main/java/thistleturn/courier/handover/LearnedStateSource.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LearnedStateSource.java
@@ -6,22 +6,22 @@
 import thistleturn.decisions.LearnedState;
 
 /**
- * What an earlier process of this courier has learned, for the next one: handed over by a process
- * that is alive, or read from the files of one that died. Endpoints have the numbers of that
- * process.
+ * The learned state of an earlier process of this courier: handed over by a running process, or
+ * read from the files of one that has ended. Endpoints have the numbers of that process.
  */
 public interface LearnedStateSource {
-  /** Returns the endpoints that it describes, with their numbers there. */
+  /** Returns the endpoints of the learned state, with their numbers in the earlier process. */
   List<HandoverSnapshot.NumberedEndpoint> endpoints();
 
   /**
-   * Returns what was learned, as far as it can be trusted now.
+   * Returns the learned state, as far as it is still valid.
    *
-   * @param endpointNumbers maps numbers of endpoints there to those here; others are left out
+   * @param endpointNumbers maps endpoint numbers of the earlier process to those of this one;
+   *     endpoints without a mapping are omitted
    */
   LearnedState learnedState(Map<Long, Long> endpointNumbers, Clock clock);
 
-  /** Returns a state with other numbers for its endpoints, without those that have none. */
+  /** Returns a state with mapped endpoint numbers, without the endpoints that have no mapping. */
   static LearnedState withEndpointNumbers(
       final LearnedState state, final Map<Long, Long> endpointNumbers) {
     final List<LearnedState.LearnedRoute> routes =
--- a/courier/src/main/java/thistleturn/courier/handover/LineConnection.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LineConnection.java
@@ -16,12 +16,12 @@
 
 /**
  * One end of the connection between the two processes. Frames, reads and writes lines; a line that
- * cannot be read closes the connection. Lives on the event loop of its channel.
+ * cannot be read closes the connection. Used on the event loop of its channel.
  */
 abstract class LineConnection extends SimpleChannelInboundHandler<ByteBuf> {
   private static final String SOCKET_NAME = "handover";
 
-  /** A message's body has 64 KiB at most, and a third more as Base64. */
+  /** A message's body has 64 KiB at most, and is a third longer in Base64. */
   private static final int MAX_LINE_BYTES = 1 << 18;
 
   private ChannelHandlerContext context;
@@ -32,13 +32,13 @@
   }
 
   /**
-   * A line was received.
+   * Called when a line was received.
    *
-   * @throws IOException if it cannot be read; then the connection closes
+   * @throws IOException if the line cannot be read; then the connection is closed
    */
   abstract void onLine(JsonNode line) throws IOException;
 
-  /** The connection is closed, or was never made. Called once. */
+  /** Called once, when the connection has closed or could not be established. */
   abstract void onClosed();
 
   /** Makes this the handler of a new channel. */
--- a/courier/src/main/java/thistleturn/courier/handover/LockHolder.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LockHolder.java
@@ -4,8 +4,8 @@
 import thistleturn.courier.runtime.ProcessIdentity;
 
 /**
- * A process that held the lock of a state folder, and since when. It made the calls that began
- * between then and the next holder's time.
+ * A process that held the lock of a state folder, and since when. It made the calls that started
+ * between then and the time when the next holder took the lock.
  *
  * @param process the process
  * @param sinceUs when it took the lock, in microseconds of the machine's monotonic clock
@@ -16,7 +16,7 @@
     return sinceUs + " " + process.toText();
   }
 
-  /** Reads what {@link #toText} wrote; empty if it is something else. */
+  /** Parses a line that {@link #toText} wrote; empty for any other line. */
   static Optional<LockHolder> parse(final String line) {
     final int separator = line.indexOf(' ');
     if (separator < 0) {
--- a/courier/src/main/java/thistleturn/courier/handover/LockHolders.java
+++ b/courier/src/main/java/thistleturn/courier/handover/LockHolders.java
@@ -10,20 +10,20 @@
 import thistleturn.courier.runtime.Log;
 
 /**
- * The record of a state folder's holders in the locked file, a line each, the latest last. Versions
- * that do not know it leave it as it is. It is read and written by the holder of the lock alone,
+ * The record of a state folder's holders in the locked file, one per line, the latest last.
+ * Versions without this record leave it unchanged. Only the holder of the lock reads and writes it,
  * over the channel that has the lock: the system releases a lock when its process closes any other
  * descriptor of the same file.
  */
 final class LockHolders {
-  /** No call outlasts so many holders. */
+  /** No call is in flight for so long that more than this number of holders follow its own. */
   private static final int MAX_HOLDERS = 16;
 
   private static final int MAX_BYTES = 1 << 13;
 
   private LockHolders() {}
 
-  /** Records the latest of these holders. A record that cannot be written is emptied. */
+  /** Writes the latest of these holders. A record that cannot be written is emptied. */
   static void write(final FileChannel lockedFile, final List<LockHolder> holders) {
     try {
       writeAll(
--- a/courier/src/main/java/thistleturn/courier/handover/NoRemoteCalls.java
+++ b/courier/src/main/java/thistleturn/courier/handover/NoRemoteCalls.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.model.AttemptResult;
 
-/** There is no older process: nothing is ever reported, and there is no call to abandon. */
+/** Used if there is no older process: nothing is ever reported, and there is no call to abandon. */
 enum NoRemoteCalls implements RemoteCallExecutor {
   INSTANCE;
 
--- a/courier/src/main/java/thistleturn/courier/handover/PredecessorLine.java
+++ b/courier/src/main/java/thistleturn/courier/handover/PredecessorLine.java
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The client of an offered message has disconnected before it got a reply. */
+  /** The client of an offered message has disconnected before it received a reply. */
   record Withdrawal(String messageId, long destination) implements PredecessorLine {
     private static final String TYPE = "withdraw";
 
@@ -102,7 +102,7 @@
   /**
    * Reads a line that follows a snapshot.
    *
-   * @throws IOException if it is of no type that is known here
+   * @throws IOException if its type is unknown
    */
   static PredecessorLine fromJson(final JsonNode line) throws IOException {
     final String type = HandoverLine.typeOf(line);
@@ -110,7 +110,7 @@
       case Offer.TYPE -> Offer.fromJson(line);
       case Withdrawal.TYPE -> Withdrawal.fromJson(line);
       case CallOutcome.TYPE -> CallOutcome.fromJson(line);
-      default -> throw new IOException("unknown line " + type);
+      default -> throw new IOException("unknown line type " + type);
     };
   }
 }
--- a/courier/src/main/java/thistleturn/courier/handover/SnapshotAssembler.java
+++ b/courier/src/main/java/thistleturn/courier/handover/SnapshotAssembler.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import thistleturn.decisions.LearnedState;
 
-/** Collects the lines of a snapshot, in any order but for the last one. */
+/** Collects the lines of a snapshot; only the last one has a fixed position. */
 final class SnapshotAssembler {
   private final List<HandoverSnapshot.NumberedEndpoint> endpoints = new ArrayList<>();
   private final List<LearnedState.LearnedRoute> learnedRoutes = new ArrayList<>();
@@ -29,7 +29,7 @@
     return line instanceof SnapshotLine.SnapshotComplete;
   }
 
-  /** Returns what the lines so far describe. */
+  /** Returns the snapshot that the lines added so far describe. */
   HandoverSnapshot toSnapshot() {
     final LearnedState learnedState =
         new LearnedState(
--- a/courier/src/main/java/thistleturn/courier/handover/SnapshotLine.java
+++ b/courier/src/main/java/thistleturn/courier/handover/SnapshotLine.java
@@ -50,7 +50,7 @@
     }
   }
 
-  /** What was learned of all classes together, in the order of the settings. */
+  /** The learned statistics of all classes, in the order of the settings. */
   record ClassStatistics(double[] meanUs, int[] samples, double trustedIdleUs)
       implements SnapshotLine {
     private static final String TYPE = "classes";
@@ -74,7 +74,7 @@
     }
   }
 
-  /** What was learned of a route. */
+  /** The learned state of a route. */
   record LearnedRoute(LearnedState.LearnedRoute route) implements SnapshotLine {
     private static final String TYPE = "lane";
 
@@ -89,7 +89,7 @@
     }
   }
 
-  /** What was learned of an endpoint. */
+  /** The learned state of an endpoint. */
   record LearnedEndpoint(LearnedState.LearnedEndpoint endpoint) implements SnapshotLine {
     private static final String TYPE = "node";
 
@@ -132,7 +132,7 @@
     }
   }
 
-  /** The snapshot is complete: from here on the process that reads it decides. */
+  /** The snapshot is complete: from this line on the process that reads it decides. */
   record SnapshotComplete() implements SnapshotLine {
     private static final String TYPE = "yours";
 
@@ -145,7 +145,7 @@
   /**
    * Reads a line of a snapshot.
    *
-   * @throws IOException if it is of no type that is known here
+   * @throws IOException if its type is unknown
    */
   static SnapshotLine fromJson(final JsonNode line) throws IOException {
     final String type = HandoverLine.typeOf(line);
@@ -156,7 +156,7 @@
       case LearnedEndpoint.TYPE -> LearnedEndpoint.fromJson(line);
       case RemoteCall.TYPE -> RemoteCall.fromJson(line);
       case SnapshotComplete.TYPE -> new SnapshotComplete();
-      default -> throw new IOException("handover: unknown line " + type);
+      default -> throw new IOException("handover: unknown line type " + type);
     };
   }
 
--- a/courier/src/main/java/thistleturn/courier/handover/StateLock.java
+++ b/courier/src/main/java/thistleturn/courier/handover/StateLock.java
@@ -12,9 +12,9 @@
 import thistleturn.courier.runtime.ProcessIdentity;
 
 /**
- * The right to write in a courier's state folder, which one process has at a time. The operating
+ * The exclusive lock on a courier's state folder; only its holder writes there. The operating
  * system releases the lock of a process that dies, and does so before it has closed all connections
- * of that process. So each holder records itself in the locked file, and the next one can ask
+ * of that process. So each holder records itself in the locked file, and the next one can check
  * whether the processes before it have ended ({@link EarlierProcesses}).
  */
 public final class StateLock implements AutoCloseable {
@@ -22,7 +22,7 @@
 
   private final FileChannel channel;
 
-  /** Who held the lock before, the latest last; this process too if it did. */
+  /** The earlier holders, the latest last; includes this process if it held the lock before. */
   private final List<LockHolder> earlierHolders;
 
   private final long lockedUs;
@@ -48,25 +48,25 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
-    StateLock taken = null;
+    StateLock acquired = null;
     try {
       if (channel.tryLock() != null) {
-        taken = new StateLock(channel, LockHolders.read(channel), new Clock().nowUs());
+        acquired = new StateLock(channel, LockHolders.read(channel), new Clock().nowUs());
       }
     } catch (final OverlappingFileLockException e) {
-      // Another courier of this Java machine holds it.
+      // Another courier in this Java virtual machine holds it.
       return null;
     } finally {
-      if (taken == null) {
+      if (acquired == null) {
         channel.close();
       }
     }
-    return taken;
+    return acquired;
   }
 
   /**
    * Records this process as the holder, before it makes its first call. If that fails, the record
-   * is emptied where possible: then the next holder knows that it does not know this one.
+   * is emptied where possible, so that the next holder knows that this one is unrecorded.
    */
   public void recordHolder() {
     final List<LockHolder> holders = new ArrayList<>(earlierHolders);
--- a/courier/src/main/java/thistleturn/courier/handover/Successor.java
+++ b/courier/src/main/java/thistleturn/courier/handover/Successor.java
@@ -6,13 +6,13 @@
 
 /**
  * The process that decides, as seen by the older one, which still has connections of clients and
- * calls in flight. On the event loop only.
+ * calls in flight. Used on the event loop.
  */
 public interface Successor {
   /** A client has submitted a message at the older process; the reply goes back to it. */
   void submit(StoredMessage message, long deadlineUs, Ingress.Reply reply);
 
-  /** The client has disconnected before it got a reply. */
+  /** The client has disconnected before it received a reply. */
   void withdraw(String id, long destination);
 
   /** The outcome of one message in a call that was in flight at the handover. */
--- a/courier/src/main/java/thistleturn/courier/handover/SuccessorConnection.java
+++ b/courier/src/main/java/thistleturn/courier/handover/SuccessorConnection.java
@@ -11,12 +11,12 @@
 
 /**
  * The older process's end of the connection. The newer one must begin with a {@link
- * SuccessorLine.Hello} of the same version; then it gets the snapshot and is the successor, to
- * which this process forwards what its clients submit and what becomes of its calls. Any other
- * beginning closes the connection.
+ * SuccessorLine.Hello} of the same version; then it receives the snapshot and is the successor, to
+ * which this process forwards what its clients submit and the outcomes of its calls. Any other
+ * first line closes the connection.
  */
 final class SuccessorConnection extends LineConnection implements Successor {
-  /** After which time a client may submit again what nobody can decide on now. */
+  /** After which time a client may retry if no process can decide on its message now. */
   private static final long RETRY_AFTER_US = 1_000_000;
 
   private final HandoverServer server;
@@ -43,11 +43,11 @@
 
   private void onFirstLine(final JsonNode json) {
     if (server.hasSuccessor()) {
-      reject("it is under way");
+      reject("another handover is in progress");
     } else if (isHelloOfThisVersion(json)) {
       handOver();
     } else {
-      reject("another version: " + json);
+      reject("the first line is not a hello of this version: " + json);
     }
   }
 
@@ -81,7 +81,7 @@
     } else if (line instanceof SuccessorLine.OfferReply reply) {
       onReply(reply);
     } else if (line instanceof SuccessorLine.Unknown unknown) {
-      Log.info("handover: unknown line " + unknown.type());
+      Log.info("handover: unknown line type " + unknown.type());
     }
   }
 
--- a/courier/src/main/java/thistleturn/courier/handover/SuccessorLine.java
+++ b/courier/src/main/java/thistleturn/courier/handover/SuccessorLine.java
@@ -56,7 +56,7 @@
     void sendTo(Ingress.Reply client);
   }
 
-  /** The message is accepted: the newer process owes its outcome. */
+  /** The message is accepted: the newer process is responsible for its outcome. */
   record Accepted(long offerNumber) implements OfferReply {
     private static final String KIND = "accepted";
 
@@ -87,7 +87,7 @@
     }
   }
 
-  /** The message is invalid, and would be another time as well. */
+  /** The message is invalid, and submitting it again would not change that. */
   record Invalid(long offerNumber, Ingress.InvalidReason reason) implements OfferReply {
     private static final String KIND = "unusable";
 
@@ -128,7 +128,7 @@
   /** The type of each reply. */
   String REPLY_TYPE = "reply";
 
-  /** The field that says why a message is rejected or invalid. */
+  /** The field with the reason why a message is rejected or invalid. */
   String REASON = "why";
 
   /** Reads a line of the newer process. */
--- a/courier/src/test/java/thistleturn/courier/handover/EarlierProcessesTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/EarlierProcessesTest.java
@@ -16,7 +16,7 @@
 import thistleturn.courier.runtime.ProcessIdentity;
 import thistleturn.courier.runtime.RunningProcess;
 
-/** Who held a state folder before, and whether calls of theirs may be in flight. */
+/** Which processes held a state folder before, and whether their calls may still be in flight. */
 @Tag("operators")
 final class EarlierProcessesTest {
   private static final ProcessIdentity OWN = ProcessIdentity.current();
@@ -34,34 +34,35 @@
     return new LockHolder(OWN, sinceUs);
   }
 
-  /** The number of this process, which started later. */
+  /** A process that had the process id of this one and started earlier: it has ended. */
   private static LockHolder ended(final long sinceUs) {
     return new LockHolder(
         new ProcessIdentity(OWN.pid(), OWN.startTicks() - 1, OWN.bootId(), OWN.pidNamespace()),
         sinceUs);
   }
 
-  /** The parent of this process runs for longer. */
+  /** The parent of this process, which runs for as long as the test does. */
   private static LockHolder running(final long sinceUs) {
     final long pid = ProcessHandle.current().parent().orElseThrow().pid();
     return new LockHolder(RunningProcess.identityOf(pid), sinceUs);
   }
 
-  private static LockHolder elsewhere(final long sinceUs) {
+  /** A process in another pid namespace, whose state is unknown here. */
+  private static LockHolder inOtherNamespace(final long sinceUs) {
     return new LockHolder(
         new ProcessIdentity(OWN.pid(), OWN.startTicks(), OWN.bootId(), "1"), sinceUs);
   }
 
   @Test
-  void attemptOfProcessThatRuns_isAwaitedWithoutBound() {
+  void attemptOfRunningProcess_isAwaitedWithoutLimit() {
     final EarlierProcesses earlier =
         EarlierProcesses.beforeStart(List.of(ended(FIRST_US), running(SECOND_US)));
     assertFalse(earlier.endedAttempts(Long.MAX_VALUE).test(SECOND_US));
   }
 
-  // Guards against holding what a dead process had in flight for as long as another one lives.
+  // Guards against awaiting the attempts of an ended process for as long as another one runs.
   @Test
-  void attemptBelongsToTheHolderOfItsTime() {
+  void attempt_belongsToTheHolderAtItsStart() {
     final EarlierProcesses earlier =
         EarlierProcesses.beforeTakeBack(
             List.of(running(FIRST_US), own(SECOND_US), ended(THIRD_US)));
@@ -70,15 +71,15 @@
     assertFalse(ended.test(SECOND_US - 1), "its process runs");
     assertTrue(ended.test(SECOND_US), "this process knows what it has in flight");
     assertTrue(ended.test(THIRD_US), "its process has ended");
-    assertFalse(ended.test(FIRST_US - 1), "the oldest that is known stands for those before");
+    assertFalse(ended.test(FIRST_US - 1), "the oldest known process stands for those before");
   }
 
   @Test
-  void attemptOfUnrecordedProcess_isAwaitedForTheGrace() {
+  void attemptOfUnrecordedProcess_isAwaitedForTheGracePeriod() {
     for (final EarlierProcesses earlier :
         List.of(
             EarlierProcesses.beforeStart(List.of()),
-            EarlierProcesses.beforeStart(List.of(elsewhere(FIRST_US))),
+            EarlierProcesses.beforeStart(List.of(inOtherNamespace(FIRST_US))),
             EarlierProcesses.beforeHandover(List.of()),
             EarlierProcesses.beforeHandover(List.of(own(FIRST_US))),
             EarlierProcesses.beforeHandover(List.of(ended(FIRST_US))),
@@ -89,12 +90,12 @@
   }
 
   @Test
-  void warmUpHasNoEffect() {
+  void warmUp_hasNoEffect() {
     assertDoesNotThrow(EarlierProcesses::warmUp);
   }
 
   @Test
-  void attemptsOfTheSameProcessBefore_areNotAwaited() {
+  void ownEarlierAttempts_areNotAwaited() {
     final EarlierProcesses earlier =
         EarlierProcesses.beforeStart(List.of(ended(FIRST_US), own(SECOND_US)));
     assertTrue(earlier.endedAttempts(0).test(SECOND_US));
@@ -106,12 +107,12 @@
         EarlierProcesses.beforeHandover(List.of(running(FIRST_US), running(SECOND_US)));
     assertFalse(earlier.endedAttempts(Long.MAX_VALUE).test(SECOND_US));
     final LongPredicate unlisted = earlier.withoutPredecessor().endedAttempts(0);
-    assertTrue(unlisted.test(SECOND_US), "it would have told");
+    assertTrue(unlisted.test(SECOND_US), "the predecessor would have reported it");
     assertFalse(unlisted.test(FIRST_US), "an even earlier process runs");
   }
 
   @Test
-  void eachHolderIsRecordedBehindThoseBefore() throws IOException {
+  void newHolder_isRecordedAfterEarlierOnes() throws IOException {
     Files.writeString(
         folder.resolve("lock"),
         ended(FIRST_US).toText() + "\nno record\n" + running(SECOND_US).toText() + "\n");
@@ -127,7 +128,7 @@
   }
 
   @Test
-  void recordKeepsTheLatestHolders() throws IOException {
+  void fullRecord_keepsTheLatestHolders() throws IOException {
     final StringBuilder text = new StringBuilder();
     for (int holder = 0; holder < 40; holder++) {
       text.append(ended(holder).toText()).append('\n');
@@ -141,13 +142,15 @@
     assertEquals(ended(25).toText(), record.get(0));
   }
 
-  // Guards against taking the record of an attempt to start that failed for another process's.
+  // Guards against locking alone recording a holder: the record of an attempt to start that failed
+  // would be taken for that of another process, such as one of an earlier version.
   @Test
-  void holderIsRecordedOnlyWhenItSaysSo() throws IOException {
+  void lockWithoutRecordHolder_leavesHolderUnrecorded() throws IOException {
     StateLock.tryLock(folder).close();
     try (StateLock lock = StateLock.tryLock(folder)) {
       assertFalse(
-          lock.earlierProcesses().endedAttempts(0).test(0), "an earlier version records nothing");
+          lock.earlierProcesses().endedAttempts(0).test(0),
+          "the previous holder is not recorded, like one of an earlier version");
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverConversationFormatTest.java
@@ -36,15 +36,15 @@
 import thistleturn.decisions.model.AttemptResult;
 
 /**
- * The exact lines that the old and the new process of a courier say to each other during a
- * handover, over the real socket, with the test in the place of the other process.
+ * The exact lines that the older and the newer process of a courier exchange during a handover,
+ * over the real socket. The test acts as the other process.
  */
 @Timeout(60)
 final class HandoverConversationFormatTest {
-  private static final long PATIENCE_S = 20;
-  private static final List<String> EMPTY_INHERITANCE =
+  private static final long TIMEOUT_S = 20;
+  private static final List<String> EMPTY_SNAPSHOT_LINES =
       List.of("{\"t\":\"classes\",\"trust\":1.0,\"mean\":[],\"samples\":[]}", "{\"t\":\"yours\"}");
-  private static final String OFFER_TEXT =
+  private static final String OFFER_FIELDS =
       "\"id\":\"m1\",\"class\":\"safe\",\"key\":null,\"dest\":57,\"valid\":5000000,"
           + "\"body\":\"AQ==\"}";
 
@@ -59,7 +59,7 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
 
-  private static HandoverSnapshot emptyInheritance() {
+  private static HandoverSnapshot emptySnapshot() {
     return new HandoverSnapshot(
         List.of(), new LearnedState(new double[0], new int[0], 1, List.of(), List.of()), List.of());
   }
@@ -84,20 +84,20 @@
     return new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
   }
 
-  private static String next(final BlockingQueue<String> events) throws InterruptedException {
-    return String.valueOf(events.poll(PATIENCE_S, TimeUnit.SECONDS));
+  private static String nextEvent(final BlockingQueue<String> events) throws InterruptedException {
+    return String.valueOf(events.poll(TIMEOUT_S, TimeUnit.SECONDS));
   }
 
-  // ---------------------------------------------------------------- the new process
+  // ---------------------------------------------------------------- the newer process
 
-  /** Answers offers in turn in each possible way, and notes what it is told. */
+  /** Gives each possible reply to one offer after another, and records the events it receives. */
   private static final class DecidingProcess implements HandoverClient.Listener {
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private int offers;
 
     @Override
-    public void onMessageSubmitted(final StoredMessage held, final Ingress.Reply reply) {
-      assertArrayEquals(new byte[] {1}, held.body());
+    public void onMessageSubmitted(final StoredMessage message, final Ingress.Reply reply) {
+      assertArrayEquals(new byte[] {1}, message.body());
       switch (offers++) {
         case 0 -> reply.accepted();
         case 1 -> reply.rejected(Ingress.RejectionReason.NO_ROOM, 1_000_000);
@@ -114,8 +114,8 @@
     }
 
     @Override
-    public void onRemoteOutcome(final String messageId, final Dispatcher.DispatchOutcome answer) {
-      events.add("outcome " + messageId + " " + answer.result().neverExecuted());
+    public void onRemoteOutcome(final String messageId, final Dispatcher.DispatchOutcome outcome) {
+      events.add("outcome " + messageId + " " + outcome.result().neverExecuted());
     }
 
     @Override
@@ -125,24 +125,25 @@
   }
 
   @Test
-  void newProcessSaysTheseLines() throws Exception {
+  void newerProcess_sendsTheseLines() throws Exception {
     try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       server.bind(UnixDomainSocketAddress.of(folder.resolve("handover")));
-      final CompletableFuture<HandoverSnapshot> taken = new CompletableFuture<>();
-      final CompletableFuture<HandoverClient> asked = new CompletableFuture<>();
-      final Runnable failed = () -> taken.completeExceptionally(new IOException("refused"));
+      final CompletableFuture<HandoverSnapshot> received = new CompletableFuture<>();
+      final CompletableFuture<HandoverClient> client = new CompletableFuture<>();
+      final Runnable failed =
+          () -> received.completeExceptionally(new IOException("the handover failed"));
       loop.execute(
           () ->
-              asked.complete(
-                  HandoverClient.requestHandover(loop, folder, taken::complete, failed)));
+              client.complete(
+                  HandoverClient.requestHandover(loop, folder, received::complete, failed)));
       try (SocketChannel connection = server.accept();
           BufferedReader in = reader(connection)) {
         assertEquals("{\"t\":\"hello\",\"version\":4}", in.readLine());
-        write(connection, EMPTY_INHERITANCE.toArray(new String[0]));
-        assertEquals(List.of(), taken.get(PATIENCE_S, TimeUnit.SECONDS).endpoints());
+        write(connection, EMPTY_SNAPSHOT_LINES.toArray(new String[0]));
+        assertEquals(List.of(), received.get(TIMEOUT_S, TimeUnit.SECONDS).endpoints());
 
         final DecidingProcess deciding = new DecidingProcess();
-        final HandoverClient predecessor = asked.get(PATIENCE_S, TimeUnit.SECONDS);
+        final HandoverClient predecessor = client.get(TIMEOUT_S, TimeUnit.SECONDS);
         loop.execute(
             () -> {
               predecessor.setListener(deciding);
@@ -156,7 +157,7 @@
             read(in, 2));
 
         for (int number = 1; number <= 6; number++) {
-          write(connection, "{\"t\":\"offer\",\"number\":" + number + "," + OFFER_TEXT);
+          write(connection, "{\"t\":\"offer\",\"number\":" + number + "," + OFFER_FIELDS);
         }
         assertEquals(
             List.of(
@@ -177,23 +178,23 @@
             "{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}",
             "{\"t\":\"outcome\",\"call\":11,\"id\":\"m2\",\"result\":\"NOT_SENT\","
                 + "\"over\":false,\"wait\":0}");
-        assertEquals("withdraw m1 57", next(deciding.events));
-        assertEquals("outcome m2 true", next(deciding.events));
+        assertEquals("withdraw m1 57", nextEvent(deciding.events));
+        assertEquals("outcome m2 true", nextEvent(deciding.events));
       }
     }
   }
 
-  // ---------------------------------------------------------------- the old process
+  // ---------------------------------------------------------------- the older process
 
-  /** Hands over at once, and notes what it is told. */
+  /** Hands over at once, and records what the newer process requests. */
   private static final class ServingProcess implements HandoverSource {
-    private final CompletableFuture<Successor> heir = new CompletableFuture<>();
+    private final CompletableFuture<Successor> successor = new CompletableFuture<>();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @Override
-    public HandoverSnapshot handOver(final Successor to) {
-      heir.complete(to);
-      return emptyInheritance();
+    public HandoverSnapshot handOver(final Successor newer) {
+      successor.complete(newer);
+      return emptySnapshot();
     }
 
     @Override
@@ -212,16 +213,16 @@
     }
   }
 
-  /** Notes how a client's message was answered. */
-  private record NotedReply(BlockingQueue<String> events) implements Ingress.Reply {
+  /** Records the reply to a client's message. */
+  private record RecordedReply(BlockingQueue<String> events) implements Ingress.Reply {
     @Override
     public void accepted() {
       events.add("accepted");
     }
 
     @Override
-    public void rejected(final Ingress.RejectionReason why, final long retryAfterUs) {
-      events.add("refused " + why.name() + " " + retryAfterUs);
+    public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
+      events.add("rejected " + reason.name() + " " + retryAfterUs);
     }
 
     @Override
@@ -230,49 +231,49 @@
     }
 
     @Override
-    public void invalid(final Ingress.InvalidReason fault) {
-      events.add("unusable " + fault.name());
+    public void invalid(final Ingress.InvalidReason reason) {
+      events.add("invalid " + reason.name());
     }
   }
 
-  private SocketChannel connectToOldProcess() throws IOException {
+  private SocketChannel connectToOlderProcess() throws IOException {
     final UnixDomainSocketAddress address = UnixDomainSocketAddress.of(folder.resolve("handover"));
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    final long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (true) {
       try {
         return SocketChannel.open(address);
       } catch (final IOException e) {
-        assertTrue(System.nanoTime() < untilNs, "nobody listens: " + e);
+        assertTrue(System.nanoTime() < deadlineNs, "no process listens: " + e);
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
       }
     }
   }
 
   @Test
-  void oldProcessSaysTheseLines() throws Exception {
+  void olderProcess_sendsTheseLines() throws Exception {
     final ServingProcess serving = new ServingProcess();
     loop.execute(() -> new HandoverServer(serving).listen(loop, folder));
-    try (SocketChannel connection = connectToOldProcess();
+    try (SocketChannel connection = connectToOlderProcess();
         BufferedReader in = reader(connection)) {
       write(connection, "{\"t\":\"hello\",\"version\":4}");
-      assertEquals(EMPTY_INHERITANCE, read(in, 2));
+      assertEquals(EMPTY_SNAPSHOT_LINES, read(in, 2));
 
-      final Successor heir = serving.heir.get(PATIENCE_S, TimeUnit.SECONDS);
+      final Successor successor = serving.successor.get(TIMEOUT_S, TimeUnit.SECONDS);
       final BlockingQueue<String> replies = new LinkedBlockingQueue<>();
-      final StoredMessage held =
+      final StoredMessage message =
           new StoredMessage("m1", "safe", null, 57, 4_000_000, new byte[] {1});
       loop.execute(
           () -> {
             for (int offer = 1; offer <= 6; offer++) {
-              heir.submit(held, 5_000_000, new NotedReply(replies));
+              successor.submit(message, 5_000_000, new RecordedReply(replies));
             }
-            heir.withdraw("m1", 57);
-            heir.reportOutcome(
+            successor.withdraw("m1", 57);
+            successor.reportOutcome(
                 11, "m2", new Dispatcher.DispatchOutcome(AttemptResult.NOT_SENT, false, 0, null));
           });
       final List<String> expected = new ArrayList<>();
       for (int number = 1; number <= 6; number++) {
-        expected.add("{\"t\":\"offer\",\"number\":" + number + "," + OFFER_TEXT);
+        expected.add("{\"t\":\"offer\",\"number\":" + number + "," + OFFER_FIELDS);
       }
       expected.add("{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}");
       expected.add(
@@ -291,20 +292,20 @@
       for (final String reply :
           List.of(
               "accepted",
-              "refused NO_ROOM 7",
-              "refused DECIDED 0",
-              "unusable NO_DESTINATION",
-              "unusable HELD_ALREADY",
+              "rejected NO_ROOM 7",
+              "rejected DECIDED 0",
+              "invalid NO_DESTINATION",
+              "invalid HELD_ALREADY",
               "failed")) {
-        assertEquals(reply, next(replies));
+        assertEquals(reply, nextEvent(replies));
       }
 
       write(
           connection,
           "{\"t\":\"listening\"}",
           "{\"t\":\"abandon\",\"call\":11,\"result\":\"CANCELLED\"}");
-      assertEquals("listening", next(serving.events));
-      assertEquals("abandon 11 CANCELLED", next(serving.events));
+      assertEquals("listening", nextEvent(serving.events));
+      assertEquals("abandon 11 CANCELLED", nextEvent(serving.events));
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverLineFormatTest.java
@@ -22,8 +22,8 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * The exact text of the lines by which a courier hands over to its successor. The two processes may
- * be of different versions, so a change that alters any of these lines must not pass unnoticed.
+ * The exact text of the lines with which a courier hands over to its successor. The two processes
+ * may be of different versions, so these tests must fail if any of the lines changes.
  */
 final class HandoverLineFormatTest {
   private static final List<String> LINES =
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void reasonsOfRefusalsAreWrittenByTheseNames() {
+  void reasonsOfReplies_areWrittenByTheseNames() {
     assertEquals(
         List.of("NO_ROOM", "DECIDED"),
         Arrays.stream(Ingress.RejectionReason.values()).map(Enum::name).toList());
--- a/courier/src/test/java/thistleturn/courier/handover/HandoverProtocolTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HandoverProtocolTest.java
@@ -40,8 +40,8 @@
 import thistleturn.decisions.model.LoadReport;
 
 /**
- * The course of a handover over the real socket, above all where it does not go as planned. One end
- * is the real one, the other a plain socket of this test.
+ * The steps of a handover over the real socket, above all those that fail. One end is the real
+ * implementation, the other a plain socket of this test.
  */
 @Tag("operators")
 @Timeout(60)
@@ -143,13 +143,13 @@
 
   // ---------------------------------------------------------------- the older process
 
-  /** A process that hands over the snapshot above and records what its successor asks. */
-  private final class RecordedSource implements HandoverSource {
-    private boolean refusing;
+  /** A process that hands over the snapshot above and records what its successor requests. */
+  private final class RecordingSource implements HandoverSource {
+    private boolean handoverFails;
 
     @Override
-    public HandoverSnapshot handOver(final Successor to) throws IOException {
-      if (refusing) {
+    public HandoverSnapshot handOver(final Successor successor) throws IOException {
+      if (handoverFails) {
         throw new IOException("not now");
       }
       return snapshot();
@@ -171,9 +171,9 @@
     }
   }
 
-  private void startServer(final RecordedSource source) throws Exception {
+  private void startServer(final RecordingSource source) throws Exception {
     loop.submit(() -> new HandoverServer(source).listen(loop, folder)).get();
-    // It binds on the loop: the next task finds it bound.
+    // The server binds on the loop, so it is bound when the next task has run.
     loop.submit(() -> {}).get();
   }
 
@@ -182,8 +182,8 @@
   }
 
   @Test
-  void helloOfSameVersion_isAnsweredWithSnapshotLines() throws Exception {
-    startServer(new RecordedSource());
+  void helloOfSameVersion_returnsSnapshotLines() throws Exception {
+    startServer(new RecordingSource());
     try (RawPeer successor = connectAsSuccessor()) {
       successor.write(HELLO);
       assertEquals(SNAPSHOT_LINES, successor.readLines(SNAPSHOT_LINES.size()));
@@ -193,7 +193,7 @@
 
   @Test
   void helloOfOtherVersionOrOtherFirstLine_closesConnection() throws Exception {
-    startServer(new RecordedSource());
+    startServer(new RecordingSource());
     for (final String line :
         List.of("{\"t\":\"hello\",\"version\":3}", "{\"t\":\"listening\"}", "no JSON", "{}")) {
       try (RawPeer successor = connectAsSuccessor()) {
@@ -203,20 +203,20 @@
     }
     try (RawPeer successor = connectAsSuccessor()) {
       successor.write(HELLO);
-      assertNotNull(successor.readLine(), "it still waits for a successor");
+      assertNotNull(successor.readLine(), "the server still waits for a successor");
     }
   }
 
   @Test
   void sourceThatCannotHandOver_closesConnectionAndWaitsForNext() throws Exception {
-    final RecordedSource source = new RecordedSource();
-    source.refusing = true;
+    final RecordingSource source = new RecordingSource();
+    source.handoverFails = true;
     startServer(source);
     try (RawPeer successor = connectAsSuccessor()) {
       successor.write(HELLO);
       assertNull(successor.readLine());
     }
-    loop.submit(() -> source.refusing = false).get();
+    loop.submit(() -> source.handoverFails = false).get();
     try (RawPeer successor = connectAsSuccessor()) {
       successor.write(HELLO);
       assertEquals(SNAPSHOT_LINES, successor.readLines(SNAPSHOT_LINES.size()));
@@ -224,8 +224,8 @@
   }
 
   @Test
-  void secondSuccessor_isRefusedWhileHandoverIsUnderWay() throws Exception {
-    startServer(new RecordedSource());
+  void secondSuccessorDuringHandover_isRejected() throws Exception {
+    startServer(new RecordingSource());
     try (RawPeer second = connectAsSuccessor();
         RawPeer first = connectAsSuccessor()) {
       first.write(HELLO);
@@ -237,7 +237,7 @@
 
   @Test
   void successorLines_reachTheSource() throws Exception {
-    startServer(new RecordedSource());
+    startServer(new RecordingSource());
     try (RawPeer successor = connectAsSuccessor()) {
       successor.write(HELLO);
       successor.readLines(SNAPSHOT_LINES.size());
@@ -253,7 +253,7 @@
   // ---------------------------------------------------------------- the newer process
 
   /** Records what the older process reports. */
-  private final class RecordedListener implements HandoverClient.Listener {
+  private final class RecordingListener implements HandoverClient.Listener {
     @Override
     public void onMessageSubmitted(final StoredMessage message, final Ingress.Reply reply) {
       assertArrayEquals(new byte[] {0, -1, 7}, message.body());
@@ -323,7 +323,7 @@
   }
 
   @Test
-  void nobodyListening_handoverFails() throws Exception {
+  void noListeningPredecessor_handoverFails() throws Exception {
     requestHandover();
     assertEquals("failed", nextEvent());
   }
@@ -354,10 +354,10 @@
   }
 
   @Test
-  void linesBeforeAndAfterTheListener_reachItInOrder() throws Exception {
+  void linesBeforeAndAfterListenerIsSet_reachItInOrder() throws Exception {
     try (ServerSocketChannel listener = listenAsPredecessor()) {
       final HandoverClient client = requestHandover();
-      final RecordedListener recorded = new RecordedListener();
+      final RecordingListener recording = new RecordingListener();
       try (RawPeer predecessor = new RawPeer(listener.accept())) {
         predecessor.readLine();
         writeSnapshot(predecessor);
@@ -366,7 +366,7 @@
                 + "\"dest\":57,\"valid\":1001,\"body\":\"AP8H\"}");
         predecessor.write("{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}");
         assertEquals("snapshot true", nextEvent());
-        loop.submit(() -> client.setListener(recorded)).get();
+        loop.submit(() -> client.setListener(recording)).get();
         predecessor.write(
             "{\"t\":\"outcome\",\"call\":11,\"id\":\"m2\",\"result\":\"REFUSED\",\"over\":true,"
                 + "\"wait\":1500,\"left\":0.25,\"limit\":40.0}");
@@ -383,7 +383,7 @@
   }
 
   @Test
-  void predecessorGoneBeforeTheListener_isReportedAfterItsLines() throws Exception {
+  void predecessorDisconnectedBeforeListenerIsSet_isReportedAfterItsLines() throws Exception {
     try (ServerSocketChannel listener = listenAsPredecessor()) {
       final HandoverClient client = requestHandover();
       try (RawPeer predecessor = new RawPeer(listener.accept())) {
@@ -392,7 +392,7 @@
         predecessor.write("{\"t\":\"withdraw\",\"id\":\"m1\",\"dest\":57}");
       }
       assertEquals("snapshot true", nextEvent());
-      loop.submit(() -> client.setListener(new RecordedListener())).get();
+      loop.submit(() -> client.setListener(new RecordingListener())).get();
       assertEquals("withdraw m1 57", nextEvent());
       assertEquals("gone", nextEvent());
     }
--- a/courier/src/test/java/thistleturn/courier/handover/HolderRecordFaultsTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/HolderRecordFaultsTest.java
@@ -11,27 +11,28 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.courier.runtime.ProcessIdentity;
 
-/** What the record of a folder's holders tells after something went wrong with it. */
+/** How faults in reading or writing the record of a folder's holders are handled. */
 @Tag("operators")
 final class HolderRecordFaultsTest {
   private static final ProcessIdentity OWN = ProcessIdentity.current();
 
-  /** Stands for what the system did not tell when the identity was read. */
-  private static final String NOT_TOLD = "-";
+  /** Stands for a value that could not be read from the system. */
+  private static final String UNREAD = "-";
 
   @TempDir private Path folder;
 
-  // Guards against a second copy behind a process that could not read its own identity (no
-  // descriptor was free): it runs, and must not be taken for one of an earlier boot.
+  // Guards against a second delivery while a process runs that could not read its own identity,
+  // because no descriptor was free: it must not be considered one of an earlier boot, which ended.
   @Test
-  void processThatCouldNotReadItsIdentity_isNotTakenForEnded() {
-    final ProcessIdentity unread = new ProcessIdentity(OWN.pid(), 0, NOT_TOLD, NOT_TOLD);
+  void processWithUnreadIdentity_isNotConsideredEnded() {
+    final ProcessIdentity unread = new ProcessIdentity(OWN.pid(), 0, UNREAD, UNREAD);
     assertNotEquals(ProcessIdentity.State.ENDED, unread.state());
   }
 
-  // Guards against a courier that does not start, or does not take back, for want of a few bytes.
+  // Guards against a courier that cannot start, or cannot take the folder back, because the disk
+  // has no room for the record.
   @Test
-  void fullDisk_doesNotKeepTheFolderFromBeingLocked() throws IOException {
+  void fullDisk_doesNotPreventLocking() throws IOException {
     Files.createSymbolicLink(folder.resolve("lock"), Path.of("/dev/full"));
     try (StateLock lock = StateLock.tryLock(folder)) {
       assertNotNull(lock);
--- a/courier/src/test/java/thistleturn/courier/handover/LearnedStateSourceContractTest.java
+++ b/courier/src/test/java/thistleturn/courier/handover/LearnedStateSourceContractTest.java
@@ -17,7 +17,7 @@
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
-/** Learned state is the same to its receiver whether its process is alive or has died. */
+/** Learned state is the same whether a running process hands it over or it is read from a file. */
 @Tag("decisions")
 final class LearnedStateSourceContractTest {
   private static final Clock CLOCK = new Clock();
@@ -83,12 +83,12 @@
 
   @ParameterizedTest
   @MethodSource("bothSources")
-  void timestamps_areOnThisProcessesClockAndWaitsRemain(final LearnedStateSource source) {
+  void timestampsAndWaits_areOnThisProcessesClock(final LearnedStateSource source) {
     final long[] moments = source.learnedState(Map.of(4L, 17L), CLOCK).routes().get(0).moments();
     assertTrue(
         Math.abs(moments[WAIT] - CLOCK.nowUs()) < 60_000_000,
         "off by " + (moments[WAIT] - CLOCK.nowUs()) + " us");
-    assertEquals(Long.MAX_VALUE, moments[0], "never stays never");
+    assertEquals(Long.MAX_VALUE, moments[0], "an infinite time stays infinite");
   }
 
   @ParameterizedTest
--- a/courier/src/test/java/thistleturn/courier/handover/ScriptedSuccessor.java
+++ b/courier/src/test/java/thistleturn/courier/handover/ScriptedSuccessor.java
@@ -18,13 +18,13 @@
 import thistleturn.courier.runtime.Json;
 
 /**
- * A newer process that takes each step of a takeover only when it is told to, so that a test can
- * end it behind any of them. A process of its own: it reads commands from its standard input, one a
- * line, and answers each with one line once it is done. The line, the lock and the journal are the
- * product's.
+ * A newer process that takes each step of a takeover only on command, so that a test can kill it
+ * after any of them. It runs as a separate process, reads commands from its standard input, one per
+ * line, and answers each with one line once it is done. The protocol's lines, the lock and the
+ * journal are those of the courier.
  */
 public final class ScriptedSuccessor {
-  /** The answer to a command that was carried out and has nothing else to tell. */
+  /** The answer to a completed command that has no other result. */
   public static final String DONE = "done";
 
   private static final long RETRY_AFTER_US = 1_500_000;
@@ -34,7 +34,7 @@
   private final long diskBytes;
   private final Clock clock = new Clock();
   private final Map<String, PredecessorLine.Offer> offers = new HashMap<>();
-  private SocketChannel line;
+  private SocketChannel connection;
   private StateLock lock;
   private Journal journal;
 
@@ -58,15 +58,15 @@
 
   private String run(final String command, final String messageId) throws IOException {
     switch (command) {
-      case "hello" -> sayHello();
+      case "hello" -> sendHello();
       case "read-byte" -> readByte();
       case "read-snapshot" -> readSnapshot();
-      case "take-folder" -> takeFolder();
+      case "take-folder" -> lockFolder();
       case "announce-listening" -> send(new SuccessorLine.Listening().toText() + "\n");
       case "read-offer" -> {
         return readOffer();
       }
-      case "close-connection" -> line.close();
+      case "close-connection" -> connection.close();
       default -> {
         return runOnMessage(command, messageId);
       }
@@ -86,37 +86,37 @@
       case "trim-journal" -> trim();
       case "reply-accepted" -> send(accepted(offer) + "\n");
       case "reply-accepted-partly" -> send(accepted(offer));
-      case "reply-rejected" -> send(refused(offer) + "\n");
-      case "reply-rejected-partly" -> send(refused(offer));
+      case "reply-rejected" -> send(rejected(offer) + "\n");
+      case "reply-rejected-partly" -> send(rejected(offer));
       default -> throw new IOException("unknown command " + command);
     }
     return DONE;
   }
 
-  // ---------------------------------------------------------------- the line
+  // ---------------------------------------------------------------- the connection
 
-  private void sayHello() throws IOException {
-    line = SocketChannel.open(UnixDomainSocketAddress.of(stateFolder.resolve("handover")));
+  private void sendHello() throws IOException {
+    connection = SocketChannel.open(UnixDomainSocketAddress.of(stateFolder.resolve("handover")));
     send(new SuccessorLine.Hello(HandoverCodec.PROTOCOL_VERSION).toText() + "\n");
   }
 
   private void send(final String text) throws IOException {
     final ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     while (bytes.hasRemaining()) {
-      line.write(bytes);
+      connection.write(bytes);
     }
   }
 
-  /** Reads the first byte of a line: the rest stays unread, and is there. */
+  /** Reads one byte: the first of a line whose rest has arrived and stays unread. */
   private byte readByte() throws IOException {
     final ByteBuffer one = ByteBuffer.allocate(1);
-    if (line.read(one) != 1) {
-      throw new IOException("the line has ended");
+    if (connection.read(one) != 1) {
+      throw new IOException("the connection has closed");
     }
     return one.get(0);
   }
 
-  /** Reads one line and nothing behind it. */
+  /** Reads one line and nothing after it. */
   private String readLine() throws IOException {
     final StringBuilder text = new StringBuilder();
     for (byte next = readByte(); next != '\n'; next = readByte()) {
@@ -135,7 +135,7 @@
   private String readOffer() throws IOException {
     final PredecessorLine next = PredecessorLine.fromJson(Json.read(readLine()));
     if (!(next instanceof PredecessorLine.Offer offer)) {
-      throw new IOException("no offer: " + next);
+      throw new IOException("not an offer: " + next);
     }
     offers.put(offer.message().id(), offer);
     return offer.message().id();
@@ -145,7 +145,7 @@
     return new SuccessorLine.Accepted(offer.offerNumber()).toText();
   }
 
-  private static String refused(final PredecessorLine.Offer offer) {
+  private static String rejected(final PredecessorLine.Offer offer) {
     return new SuccessorLine.Rejected(
             offer.offerNumber(), Ingress.RejectionReason.DECIDED, RETRY_AFTER_US)
         .toText();
@@ -153,7 +153,7 @@
 
   // ---------------------------------------------------------------- the journal
 
-  private void takeFolder() throws IOException {
+  private void lockFolder() throws IOException {
     lock = StateLock.tryLock(stateFolder);
     if (lock == null) {
       throw new IOException("the folder is in use");
@@ -170,12 +170,14 @@
 
   private void accept(final StoredMessage message) throws IOException {
     if (!journal.recordAccepted(message)) {
-      throw new IOException("the journal does not take " + message.id());
+      throw new IOException("the journal does not accept " + message.id());
     }
     flush();
   }
 
-  /** What a round leaves that sheds a message before its client is answered: one batch. */
+  /**
+   * Writes the records of a round that sheds a message before its client has a reply: one batch.
+   */
   private void shed(final StoredMessage message) throws IOException {
     journal.recordAccepted(message);
     journal.recordCompleted(message);
@@ -197,7 +199,7 @@
     flush();
   }
 
-  /** Leaves no trace of messages that are completed, as a journal does that has grown too long. */
+  /** Removes the records of completed messages, as the compaction of a long journal does. */
   private void trim() throws IOException {
     journal.compactAndClose();
     journal = Journal.open(stateFolder, diskBytes);
