--- a/adapter/src/main/java/thistleturn/adapter/ActionWriter.java
+++ b/adapter/src/main/java/thistleturn/adapter/ActionWriter.java
@@ -2,7 +2,7 @@
 
 import thistleturn.decisions.DeliveryActions;
 
-/** Appends the actions of one instance to the reply, a line each. */
+/** Appends the actions of one instance to the reply, one line per action. */
 final class ActionWriter implements DeliveryActions {
   private final int instance;
   private final StringBuilder reply;
@@ -12,7 +12,7 @@
     this.reply = reply;
   }
 
-  /** Begins the line of an action; its other fields and the end of the line follow. */
+  /** Begins the line of an action; the caller appends its other fields and the line end. */
   private StringBuilder begin(final String action) {
     return reply.append(action).append("\ti=").append(instance);
   }
@@ -68,7 +68,7 @@
     begin("remind").append("\tdelay=").append(delayUs).append("\ttoken=0\n");
   }
 
-  /** Reports a failure of the decisions, which ends the instance for the simulator. */
+  /** Reports a failure of the decisions, after which the simulator considers the instance ended. */
   void reportFailure(final RuntimeException failure) {
     final StackTraceElement[] trace = failure.getStackTrace();
     final String where = trace.length > 0 ? " at " + trace[0] : "";
--- a/adapter/src/main/java/thistleturn/adapter/EndpointSheets.java
+++ b/adapter/src/main/java/thistleturn/adapter/EndpointSheets.java
@@ -5,10 +5,7 @@
 import java.util.Map;
 import thistleturn.settings.Fields;
 
-/**
- * The endpoint lists that the simulator sent, by number. A number that is used again stands for the
- * newer list.
- */
+/** The endpoint lists that the simulator sent, by number. A newer list replaces an older one. */
 final class EndpointSheets {
   private final Map<Integer, List<Fields>> sheets = new HashMap<>();
 
@@ -17,11 +14,11 @@
     sheets.put(number(header), rows);
   }
 
-  /** The rows of the list that an event refers to. */
+  /** Returns the rows of the list that an event refers to. */
   List<Fields> rows(final Fields event) {
     final List<Fields> rows = sheets.get(number(event));
     if (rows == null) {
-      throw event.malformed("no sheet " + event.text("bank"));
+      throw event.malformed("unknown sheet " + event.text("bank"));
     }
     return rows;
   }
--- a/adapter/src/main/java/thistleturn/adapter/EventParser.java
+++ b/adapter/src/main/java/thistleturn/adapter/EventParser.java
@@ -27,13 +27,14 @@
 
   private final DeliverySettings settings;
 
-  /** Positions of the two values of a load report; {@link #NOT_FOUND} if they are not reported. */
+  /** Position of the remaining share in a load report; {@link #NOT_FOUND} if not reported. */
   private final int remainingShareField;
 
+  /** Position of the rate limit in a load report; {@link #NOT_FOUND} if not reported. */
   private final int rateLimitField;
 
   /**
-   * A parser for one instance.
+   * Creates a parser for one instance.
    *
    * @param enlist the line that started the instance
    */
@@ -44,7 +45,7 @@
     this.rateLimitField = reportedFields.indexOf("x1");
   }
 
-  /** The event of a line; one that is ignored if its tag is unknown. */
+  /** Returns the event of a line; {@link Event#IGNORED} if its tag is unknown. */
   Event parse(final Fields fields, final EndpointSheets sheets) {
     return switch (fields.tag()) {
       case "endpoints" -> parseEndpointUpdate(fields, sheets);
@@ -135,7 +136,7 @@
     };
   }
 
-  /** The load report that came with an answer; null if there was none. */
+  /** Returns the load report of a response; null if it has none. */
   private LoadReport parseLoadReport(final Fields fields) {
     final String[] values = fields.list("load");
     final boolean isReported = remainingShareField != NOT_FOUND && rateLimitField != NOT_FOUND;
@@ -151,7 +152,7 @@
     return (controller, nowUs) -> controller.onMessageAbandoned(nowUs, messageId);
   }
 
-  /** The index of the last of several elements with that name, or {@link #NOT_FOUND}. */
+  /** Returns the index of the last element with that name, or {@link #NOT_FOUND}. */
   private static <T> int indexOf(
       final List<T> elements, final Function<T, String> nameOf, final String name) {
     for (int index = elements.size() - 1; index >= 0; index--) {
--- a/adapter/src/main/java/thistleturn/adapter/SimulatedInstance.java
+++ b/adapter/src/main/java/thistleturn/adapter/SimulatedInstance.java
@@ -12,7 +12,7 @@
   private final EventParser parser;
   private final ActionWriter actions;
 
-  /** Null if its construction failed, which was reported to the simulator. */
+  /** Null if its construction failed; the failure was reported to the simulator. */
   private final DeliveryController controller;
 
   /**
@@ -51,7 +51,7 @@
     }
   }
 
-  /** All events of a batch were handled: the decisions act on them. */
+  /** Makes the decisions on the events of a batch, after all of them were handled. */
   void decide(final long nowUs) {
     try {
       controller.decide(nowUs);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A failure of the decisions is reported to the simulator, with its cause, and logged. */
+  /** Reports a failure of the decisions to the simulator, with its cause, and logs it. */
   private void reportFailure(final RuntimeException failure) {
     actions.reportFailure(failure);
     failure.printStackTrace();
--- a/adapter/src/main/java/thistleturn/adapter/SimulatorAdapter.java
+++ b/adapter/src/main/java/thistleturn/adapter/SimulatorAdapter.java
@@ -11,7 +11,7 @@
 import thistleturn.settings.Fields;
 
 /**
- * Answers the batches of events that a simulator sends. Each event is handed to the instance that
+ * Processes the batches of events that a simulator sends. Each event is passed to the instance that
  * it names; at the end of a batch every instance that had an event decides, in the order of their
  * numbers, and the reply with all their actions is written. Unknown events, settings and fields are
  * ignored.
@@ -34,7 +34,7 @@
     this.out = out;
   }
 
-  /** Answers batch after batch until the input ends. */
+  /** Processes all batches until the input ends. */
   void run() throws IOException {
     String line = readLine();
     while (line != null) {
@@ -99,7 +99,7 @@
   private void dispatch(final Fields fields) {
     final SimulatedInstance instance = instances.get(instanceNumber(fields));
     if (instance == null) {
-      throw fields.malformed("'" + fields.tag() + "' for an instance that was never enlisted");
+      throw fields.malformed("'" + fields.tag() + "' for an unknown instance");
     }
     instance.handle(fields, sheets, nowUs);
     changedInstances.put(instance.number(), instance);
--- a/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/AdapterLineFormatTest.java
@@ -19,9 +19,9 @@
 import thistleturn.settings.MalformedLineException;
 
 /**
- * The exact form of the lines that the adapter exchanges with the program that runs it: the tags
- * and fields of actions, but for the cancellation of an attempt, and the values of reasons,
- * conditions and scopes.
+ * The exact form of the lines that the adapter exchanges with the simulator: the tags and fields of
+ * all actions except the cancellation of an attempt, and the values of reasons, conditions and
+ * scopes.
  */
 final class AdapterLineFormatTest {
   private static final List<Pattern> ACTIONS =
@@ -109,7 +109,7 @@
     return input.toString();
   }
 
-  /** A connection that has been idle for long is closed before its next use. */
+  /** A connection that has been idle for a long time is closed before its next use. */
   private static String idleScenario() {
     return batch(1_000_000, ENLIST, endpoints("warm_copy", "U"))
         + batch(1_100_000, incoming("b", 7, 60_000_000, 58))
@@ -124,7 +124,7 @@
     for (final String line : reply.split("\n")) {
       assertTrue(
           ACTIONS.stream().anyMatch(form -> form.matcher(line).matches()),
-          () -> "a line of another form: " + line);
+          () -> "unexpected form of a line: " + line);
       seen.add(line.split("\t")[0]);
     }
     assertEquals(
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void lossOfTheEndpointListIsRead() throws IOException {
+  void lossOfEndpointList_isParsed() throws IOException {
     final String reply = run(batch(1_000_000, ENLIST, "endpoints\ti=1\tscope=lost\tepoch=1\n"));
     assertFalse(reply.contains("die"), reply);
   }
--- a/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
+++ b/adapter/src/test/java/thistleturn/adapter/SimulatorAdapterTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void emptyBatch_yieldsAnEmptyReply() throws IOException {
+  void emptyBatch_yieldsEmptyReply() throws IOException {
     assertEquals("yield\n", run("batch\tclock=1\nflush\n"));
   }
 
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void restartUnderTheSameNumber_forgetsEverything() throws IOException {
+  void restartWithSameNumber_discardsAllState() throws IOException {
     final String reply =
         run(
             batch(1_000_000, enlist(1), sheet(11), restoredEndpoints(1))
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void reusedSheetNumber_meansTheNewerSheet() throws IOException {
+  void reusedSheetNumber_refersToNewerSheet() throws IOException {
     final String reply =
         run(
             batch(
