--- a/eureka/src/main/java/thistleturn/eureka/AnswerSplitter.java
+++ b/eureka/src/main/java/thistleturn/eureka/AnswerSplitter.java
@@ -8,14 +8,14 @@
 
 /**
  * Splits a registry's response, as its bytes arrive, into the texts of its instances and the frame
- * around them. It only matches brackets and strings; whether the parts are JSON, and what they
- * mean, is left to their parsers. An instance whose text has the length and digest of the expected
- * one is taken for the same and not scanned.
+ * around them. It only matches brackets and strings; the parsers of the parts check that they are
+ * JSON and interpret them. An instance whose text has the length and digest of the expected one is
+ * assumed to be unchanged and is not scanned.
  */
 final class AnswerSplitter {
   private static final byte[] INSTANCE = {'i', 'n', 's', 't', 'a', 'n', 'c', 'e'};
 
-  /** The longest text of an instance that is accepted. */
+  /** The longest instance text that is accepted. */
   private static final int MAX_INSTANCE_BYTES = 1 << 18;
 
   private static final int INITIAL_BUFFER_BYTES = 1 << 15;
@@ -27,13 +27,13 @@
 
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
-  /** The end of the bytes in the buffer. */
+  /** The index after the last byte in the buffer. */
   private int end;
 
-  /** The first byte that was not scanned yet. */
+  /** The index of the first byte that was not scanned yet. */
   private int position;
 
-  /** The first byte that was not passed to the handler yet. */
+  /** The index of the first byte that was not passed to the handler yet. */
   private int pendingStart;
 
   private int depth;
@@ -54,7 +54,7 @@
   /** Whether the value that comes next is that of an {@code instance} field. */
   private boolean keyIsInstance;
 
-  /** Where an instance begins that has not arrived completely, or {@link #NONE}. */
+  /** The start of an instance that has not arrived completely, or {@link #NONE}. */
   private int instanceStart = NONE;
 
   /** Receives the parts of a response in order. */
@@ -96,10 +96,14 @@
     }
   }
 
-  /** Ends the response; an error if it is incomplete. */
+  /**
+   * Ends the response.
+   *
+   * @throws IOException if it is incomplete
+   */
   void end() throws IOException {
     if (instanceStart != NONE || inString || depth != 0) {
-      throw new IOException("the answer is cut off");
+      throw new IOException("the response is incomplete");
     }
     flushFrame(end);
   }
@@ -115,7 +119,7 @@
     if (end == buffer.length) {
       if (buffer.length >= MAX_INSTANCE_BYTES) {
         throw new IOException(
-            "an instance, or a text round it, is longer than " + MAX_INSTANCE_BYTES + " bytes");
+            "an instance, or the text around it, is longer than " + MAX_INSTANCE_BYTES + " bytes");
       }
       buffer = Arrays.copyOf(buffer, 2 * buffer.length);
     }
@@ -196,7 +200,7 @@
 
   private void openBracket(final boolean array, final boolean instanceValue) throws IOException {
     if (depth == MAX_DEPTH) {
-      throw new IOException("nested too deeply");
+      throw new IOException("the response is nested too deeply");
     }
     depth++;
     isArray[depth] = array;
@@ -206,7 +210,7 @@
 
   private void closeBracket() throws IOException {
     if (depth == 0) {
-      throw new IOException("a bracket closes nothing");
+      throw new IOException("unbalanced closing bracket");
     }
     depth--;
     keyIsInstance = false;
@@ -240,7 +244,8 @@
   }
 
   /**
-   * The position after the brace that closes the object here, or {@link #NONE} if it is missing.
+   * The index after the brace that closes the object at {@code from}, or {@link #NONE} if it has
+   * not arrived.
    */
   private int findObjectEnd(final int from) {
     int openBraces = 0;
--- a/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaAnswer.java
@@ -11,9 +11,9 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * One response of a registry, parsed as its bytes arrive. What the registry sent earlier is
- * remembered: an instance whose text has not changed is recognized by its digest and not parsed
- * again.
+ * One response of a registry, parsed as its bytes arrive. The instances of earlier responses are
+ * kept in a {@link Memory}: an instance whose text has not changed is recognized by its digest and
+ * not parsed again.
  */
 public final class EurekaAnswer {
   private static final String DELETED = "DELETED";
@@ -28,7 +28,7 @@
   private final FrameParser frameParser;
   private final Instances current;
 
-  /** Of a delta: the instances in it, in order. */
+  /** The instances of a delta, in order; stays empty for a complete response. */
   private final List<EurekaInstance> changes = new ArrayList<>();
 
   private final Map<String, SourceReport> reports = new LinkedHashMap<>();
@@ -72,7 +72,11 @@
     splitter.feed(bytes);
   }
 
-  /** Ends the response; an error if it is incomplete. */
+  /**
+   * Ends the response.
+   *
+   * @throws IOException if it is incomplete
+   */
   public void end() throws IOException {
     splitter.end();
     frameParser.end();
@@ -112,8 +116,8 @@
     return deleted;
   }
 
-  /** The number of instances that were parsed, as their digest was not known. */
-  public long readAnew() {
+  /** The number of instances that were parsed because their digest was not known. */
+  public long parsedInstances() {
     return parsedInstances;
   }
 
--- a/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaCall.java
@@ -35,7 +35,7 @@
 final class EurekaCall {
   private static final int CONNECT_TIMEOUT_MS = 2000;
 
-  /** Read in one turn of the event loop, so that a long response delays nothing else on it. */
+  /** The most bytes read per turn of the event loop: a long response must not delay other tasks. */
   private static final int READ_BYTES = 1 << 14;
 
   private static final long US_PER_MS = 1000;
@@ -45,7 +45,7 @@
     /** A piece of the body; an exception fails the call. */
     void onBody(int status, ByteBuf piece) throws IOException;
 
-    /** The response is complete; an exception makes it a failure. */
+    /** The response is complete; an exception turns it into a failure. */
     void onCompleted(int status) throws IOException;
 
     /** The call failed; the reason is one line. */
@@ -108,7 +108,8 @@
     call.connect(loop);
     call.timeout =
         loop.schedule(
-            () -> call.fail("no whole answer in " + request.timeoutUs() / US_PER_MS + " ms"),
+            () ->
+                call.fail("no complete response within " + request.timeoutUs() / US_PER_MS + " ms"),
             request.timeoutUs(),
             TimeUnit.MICROSECONDS);
     return call;
@@ -159,12 +160,12 @@
             });
   }
 
-  /** Cancels the call; the listener is not called any more. */
+  /** Cancels the call without notifying the listener. */
   void cancel() {
     end();
   }
 
-  /** Releases what the call uses; returns false if it has ended before. */
+  /** Releases the timer and the connection; returns false if the call had already ended. */
   private boolean end() {
     if (ended) {
       return false;
@@ -186,15 +187,15 @@
   }
 
   private void complete(final int status) {
-    // Whatever the listener makes of the response, the call itself has ended.
+    // The call has ended, even if the listener fails to process the response.
     end();
     try {
       listener.onCompleted(status);
     } catch (final IOException e) {
       listener.onFailed(firstLine(e));
     } catch (final RuntimeException e) {
-      // The listener has to hear of any failure, or it would never make its next call.
-      Log.failure("an answer of a registry", e);
+      // The listener has to be notified of any failure: otherwise it never makes its next call.
+      Log.failure("response of a registry", e);
       listener.onFailed(firstLine(e));
     }
   }
@@ -210,7 +211,7 @@
         return;
       }
       if (part.decoderResult().isFailure()) {
-        fail("what came is no HTTP");
+        fail("the response is not valid HTTP");
         return;
       }
       if (part instanceof HttpResponse response) {
@@ -224,7 +225,7 @@
     private void onContent(final HttpContent content) throws IOException {
       receivedBytes += content.content().readableBytes();
       if (receivedBytes > request.maxResponseBytes()) {
-        fail("the answer is longer than " + request.maxResponseBytes() + " bytes");
+        fail("the response is longer than " + request.maxResponseBytes() + " bytes");
         return;
       }
       listener.onBody(status, content.content());
@@ -235,13 +236,13 @@
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-      fail("the connection ended before the answer did");
+      fail("the connection was closed before the response was complete");
     }
 
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
       if (!(cause instanceof IOException)) {
-        Log.failure("a call to a registry", cause);
+        Log.failure("call to a registry", cause);
       }
       fail(firstLine(cause));
     }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaInstance.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaInstance.java
@@ -1,14 +1,14 @@
 package thistleturn.eureka;
 
 /**
- * The fields of a registry's instance that a courier uses; all others are skipped. A text is empty,
- * and a number -1, if the response has no such field.
+ * The fields of a registry's instance that a courier uses; all others are skipped. If a field is
+ * absent from the response, a text is empty and a number is -1, unless noted otherwise.
  *
  * @param app the application
  * @param id its id, or its host name if it has no id
  * @param key application and id together, which are unique in the registry
  * @param status as the instance reported it
- * @param overridden the status that an operator set in its place
+ * @param overridden the status with which an operator overrides it
  * @param address its IP address
  * @param port its plain HTTP port
  * @param portEnabled whether that port is in use
--- a/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaMapping.java
@@ -9,7 +9,7 @@
 
 /**
  * Maps an instance of a registry to a report of an endpoint. An instance whose metadata is unusable
- * is skipped and counted; nothing is guessed. The status UP is up, DOWN and OUT_OF_SERVICE drain,
+ * is skipped and counted; no value is guessed. The status UP is up, DOWN and OUT_OF_SERVICE drain,
  * and STARTING, UNKNOWN and all others are pending. An operator's override replaces the status if
  * it is more cautious.
  */
@@ -61,7 +61,7 @@
         instance.versionMs());
   }
 
-  /** Why an instance is skipped, or null if it is usable; a negative number is an invalid one. */
+  /** Why an instance is skipped, or null if it is usable; negative arguments are invalid values. */
   private static Unusable unusableReason(
       final EurekaInstance instance, final long destination, final double rate) {
     if (instance.id().isEmpty() || instance.app().isEmpty()) {
@@ -129,7 +129,7 @@
     };
   }
 
-  /** How many instances were skipped so far, by reason. */
+  /** The number of instances skipped so far, by reason. */
   public Map<Unusable, Long> unusable() {
     return new EnumMap<>(unusable);
   }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaRegistration.java
@@ -20,7 +20,8 @@
 /**
  * Keeps this courier registered as an instance in a registry, as {@link RegistrationLease} decides.
  * The instance's id consists of the courier's name and port, so that a process that is restarted on
- * the same address renews or replaces the instance that a killed one left. Runs on the event loop.
+ * the same address renews or replaces the instance that a killed process left behind. Runs on the
+ * event loop.
  */
 public final class EurekaRegistration {
   private static final long CALL_TIMEOUT_US = 2_000_000;
@@ -71,14 +72,14 @@
     step();
   }
 
-  /** Removes the instance; returns whether that has finished. Called until it has. */
+  /** Removes the instance; returns whether that has finished. Callers repeat it until it has. */
   public boolean cancel() {
     lease.cancel(clock.nowUs(), callInFlight);
     step();
     return lease.isFinished() && !callInFlight;
   }
 
-  /** The state and the counts that operators see. */
+  /** The state and the counts, for operators. */
   public Map<String, Object> status() {
     final Map<String, Object> map = new TreeMap<>();
     map.put("id", id);
@@ -168,12 +169,12 @@
     lease.onCompleted(clock.nowUs(), action, status);
     if (wasRegistered != lease.mayBeRegistered()) {
       Log.info(
-          "registry: this courier's entry "
+          "registry: this courier's instance "
               + id
-              + (lease.mayBeRegistered() ? " is there" : " is not there")
+              + (lease.mayBeRegistered() ? " is registered" : " is not registered")
               + " ("
               + action.name().toLowerCase(Locale.ROOT)
-              + " was answered "
+              + ": status "
               + status
               + ")");
     }
--- a/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
+++ b/eureka/src/main/java/thistleturn/eureka/EurekaSource.java
@@ -21,8 +21,8 @@
 
 /**
  * Polls one registry for its instances: all of them first, then deltas, and all of them again if
- * the registry's hash shows that the deltas do not add up. When and at which address to poll is
- * decided by {@link RegistryPollSchedule}, and what the instances mean for the pool by {@link
+ * the registry's hash does not match the instances after a delta. When and at which address to poll
+ * is decided by {@link RegistryPollSchedule}, and what the instances mean for the pool by {@link
  * thistleturn.decisions.membership.Membership}. Runs on the event loop.
  */
 public final class EurekaSource {
@@ -42,12 +42,9 @@
   private EurekaCall callInFlight;
   private boolean closed;
 
-  /** Receives what the registry has. */
+  /** Receives the instances of the registry. */
   public interface Listener {
-    /**
-     * All usable instances of the registry, and the keys of those that it has but that are
-     * unusable.
-     */
+    /** All usable instances of the registry, and the keys of its unusable ones. */
     void onSnapshot(Collection<SourceReport> reports, Collection<String> deleted);
 
     /**
@@ -104,7 +101,7 @@
             settings.deltas() && settings.scope().isEmpty());
   }
 
-  /** The settings that it polls by. */
+  /** The settings of the registry. */
   public RegistrySettings settings() {
     return settings;
   }
@@ -181,7 +178,7 @@
     private void requestNextPath() {
       try {
         // The responses to several paths make up one snapshot, and remembering one of them would
-        // forget the one before: so each starts from an empty memory.
+        // replace the instances of the one before, so each starts from an empty memory.
         response =
             new EurekaAnswer(
                 settings.metadata(),
@@ -219,12 +216,12 @@
         reports.addAll(response.reports());
         deleted.addAll(response.deleted());
       } else if (isDelta) {
-        // A registry without deltas, or without them right now, can still be polled for everything.
+        // A registry that does not serve deltas, now or ever, can still be polled in full.
         schedule.onMismatch(clock.nowUs());
         scheduleNextPoll();
         return;
       } else if (status != STATUS_NOT_FOUND || !paths.get(pathIndex).startsWith("/apps/")) {
-        onFailed("it answers " + status);
+        onFailed("unexpected status " + status);
         return;
       }
       pathIndex++;
@@ -237,7 +234,7 @@
 
     private void complete() {
       final boolean hashMatches = !settings.scope().isEmpty() || response.remember(memory);
-      counts.parsedInstances += response.readAnew();
+      counts.parsedInstances += response.parsedInstances();
       counts.mismatches += hashMatches ? 0 : 1;
       counts.deltas += hashMatches && isDelta ? 1 : 0;
       counts.snapshots += hashMatches && !isDelta ? 1 : 0;
--- a/eureka/src/main/java/thistleturn/eureka/FrameParser.java
+++ b/eureka/src/main/java/thistleturn/eureka/FrameParser.java
@@ -36,12 +36,16 @@
     }
   }
 
-  /** Ends the frame; an error if it is incomplete or not that of a registry. */
+  /**
+   * Ends the frame.
+   *
+   * @throws IOException if it is incomplete or not that of a registry
+   */
   void end() throws IOException {
     parser.endOfInput();
     parseAvailable();
     if (!ended || !hasRoot) {
-      throw new IOException("the answer is cut off, or not a registry's");
+      throw new IOException("the response is incomplete or not that of a registry");
     }
   }
 
--- a/eureka/src/main/java/thistleturn/eureka/InstanceParser.java
+++ b/eureka/src/main/java/thistleturn/eureka/InstanceParser.java
@@ -21,7 +21,7 @@
 
   private final MetadataNames names;
 
-  /** The fields of the instance that is being parsed, as far as they were found. */
+  /** The fields found so far in the instance that is being parsed. */
   private Fields fields = new Fields();
 
   private static final class Fields {
@@ -64,11 +64,16 @@
     this.names = names;
   }
 
+  /**
+   * Parses an instance.
+   *
+   * @throws IOException if the text is not a JSON object
+   */
   EurekaInstance parse(final byte[] bytes, final int from, final int length) throws IOException {
     fields = new Fields();
     try (JsonParser parser = FACTORY.createParser(bytes, from, length)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new IOException("an instance is no object");
+        throw new IOException("an instance is not a JSON object");
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         final String name = parser.currentName();
@@ -144,7 +149,7 @@
     return (int) Math.min(parseUnsigned(text), Integer.MAX_VALUE);
   }
 
-  /** An integer that is not negative, or -1. */
+  /** Parses a non-negative integer; returns -1 for any other text. */
   static long parseUnsigned(final String text) {
     try {
       return Math.max(-1, Long.parseLong(text));
--- a/eureka/src/main/java/thistleturn/eureka/Instances.java
+++ b/eureka/src/main/java/thistleturn/eureka/Instances.java
@@ -8,7 +8,7 @@
 import thistleturn.decisions.membership.SourceReport;
 
 /**
- * The instances of a registry in the order of its responses: of each its key, status and report,
+ * The instances of a registry in the order of its responses. Each has a key, a status, a report,
  * and the length and digest of its text, by which an unchanged text is recognized without being
  * parsed. They are in parallel arrays with a hash index, which take some 30 bytes for each instance
  * beside its key and report.
@@ -17,10 +17,10 @@
   private static final int NONE = -1;
   private static final int MIN_CAPACITY = 16;
 
-  /** Spreads the hash codes of keys that differ in their last characters only. */
+  /** Spreads the hash codes of keys that differ only in their last characters. */
   private static final int HASH_MULTIPLIER = 0x9E3779B9;
 
-  /** The statuses that instances have, by their number. */
+  /** The distinct statuses of instances; a status's number is its index here. */
   private final List<String> statuses = new ArrayList<>();
 
   private String[] keys = new String[MIN_CAPACITY];
@@ -103,7 +103,8 @@
   void remove(final String key) {
     final int position = find(key);
     if (position != NONE) {
-      // Its position remains, as the index has to find those behind it; no key is empty.
+      // Its position stays occupied, because the index has to find the keys behind it; the empty
+      // text that replaces its key equals no key.
       statusNumbers[position] = NONE;
       reports[position] = null;
       digests[position] = 0;
--- a/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
+++ b/eureka/src/main/java/thistleturn/eureka/RegistrySettings.java
@@ -6,7 +6,7 @@
 /**
  * One registry, which may have several addresses with equal content.
  *
- * @param name the name that operators see; unique among all sources
+ * @param name the name shown to operators; unique among all sources
  * @param addresses in order of preference, at least one
  * @param scope the paths to poll, {@code apps/NAME}, {@code vips/NAME} or {@code svips/NAME} each;
  *     empty for all instances
--- a/eureka/src/main/java/thistleturn/membership/MembersPage.java
+++ b/eureka/src/main/java/thistleturn/membership/MembersPage.java
@@ -17,7 +17,7 @@
  * milliseconds, -1 for never.
  */
 final class MembersPage {
-  /** Writes maps of counts as JSON. */
+  /** Converts maps of counts to JSON. */
   static final ObjectMapper JSON = new ObjectMapper();
 
   private static final long US_PER_MS = 1000;
--- a/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
+++ b/eureka/src/main/java/thistleturn/membership/MembershipExtension.java
@@ -27,7 +27,7 @@
   }
 
   /**
-   * Reads the settings to start with.
+   * Reads the initial settings.
    *
    * @throws IllegalArgumentException if the reader does
    */
@@ -81,12 +81,11 @@
     context.eventLoop().execute(() -> apply(fresh));
   }
 
-  /** Changes the registries; everything else takes effect with the next start. */
+  /** Changes the registries; all other settings take effect at the next start. */
   private void apply(final MembershipSettings fresh) {
     if (!fresh.merge().equals(settings.merge())
         || !Objects.equals(fresh.registration(), settings.registration())) {
-      Log.info(
-          "SIGHUP: new rules of membership, and a new entry of this courier, count from the next start");
+      Log.info("SIGHUP: changed merge and registration settings take effect at the next start");
     }
     settings =
         new MembershipSettings(settings.merge(), fresh.registries(), settings.registration());
--- a/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
+++ b/eureka/src/main/java/thistleturn/membership/MergedDirectory.java
@@ -84,7 +84,7 @@
         source.close();
         registries.remove(name);
         if (!wantedByName.containsKey(name)) {
-          Log.info("registry " + name + " is asked no more");
+          Log.info("registry " + name + " is no longer polled");
           membership.removeSource(name);
         }
       }
@@ -101,7 +101,7 @@
         new EurekaSource(registry, loop, clock, random::nextDouble, new RegistryListener(name));
     registries.put(name, source);
     if (listener != null) {
-      Log.info("registry " + name + " is asked from now on");
+      Log.info("registry " + name + " is polled from now on");
       source.start();
     }
   }
@@ -136,7 +136,7 @@
     platformDirectory.reload(config);
   }
 
-  /** The platform's watch has no events while nothing changes, but it is reachable all the same. */
+  /** Refreshes the platform's reachability: its watch sends no events while nothing changes. */
   private void refreshPlatformReachability() {
     if (!platformUnreachable && platformDirectory.isCurrent()) {
       membership.markSourceReachable(clock.nowUs(), PLATFORM_SOURCE);
@@ -191,7 +191,7 @@
         0);
   }
 
-  /** Passes what one registry reports to the merge. */
+  /** Passes the reports of one registry to the merge. */
   private final class RegistryListener implements EurekaSource.Listener {
     private final String name;
     private boolean unreachable;
@@ -245,7 +245,7 @@
     }
   }
 
-  /** Returns the entries that changed, and schedules the next merge that time alone calls for. */
+  /** Returns the entries that changed, and schedules a merge for the next timed state change. */
   private List<Entry> merge() {
     final List<Entry> changed =
         membership.collectChanges(clock.nowUs()).stream().map(MergedDirectory::entry).toList();
--- a/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/EurekaAnswerTest.java
@@ -59,7 +59,7 @@
     return all;
   }
 
-  /** Parses a response in pieces of at most so many bytes. */
+  /** Parses a response in pieces of at most {@code piece} bytes. */
   private EurekaAnswer read(final String text, final boolean delta, final int piece)
       throws IOException {
     final EurekaAnswer answer =
@@ -83,15 +83,16 @@
     final EurekaAnswer first = read(text, false, 100_000);
     assertTrue(first.remember(memory));
     assertEquals(40, first.reports().size());
-    assertEquals(40, first.readAnew());
+    assertEquals(40, first.parsedInstances());
     final EurekaAnswer again = read(text, false, piece);
     assertTrue(again.remember(memory));
     assertEquals(sortedReports(first), sortedReports(again));
-    assertEquals(0, piece >= 1000 ? again.readAnew() : 0, "unchanged instances are not parsed");
+    assertEquals(
+        0, piece >= 1000 ? again.parsedInstances() : 0, "unchanged instances are not parsed");
   }
 
   @Test
-  void randomChangesBetweenSnapshots_giveWhatAFreshParserReads() throws IOException {
+  void randomChangesBetweenSnapshots_giveReportsOfFreshParser() throws IOException {
     final long seed = 11;
     final Random random = new Random(seed);
     List<ObjectNode> now = instances(60);
@@ -137,8 +138,8 @@
     assertTrue(all.remember(memory));
     assertEquals(40, all.reports().size());
     assertTrue(
-        all.readAnew() >= 2 && all.readAnew() < 10,
-        "only the instances in the delta: " + all.readAnew());
+        all.parsedInstances() >= 2 && all.parsedInstances() < 10,
+        "only the instances of the delta are parsed: " + all.parsedInstances());
   }
 
   @Test
--- a/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
+++ b/eureka/src/test/java/thistleturn/eureka/RegistrationBytesTest.java
@@ -29,7 +29,7 @@
 import thistleturn.decisions.membership.RegistrationLease;
 import thistleturn.decisions.membership.StateReason;
 
-/** The exact requests that register a courier, and the names in the admin page of members. */
+/** The exact requests that register a courier, and the names on the admin page of members. */
 @Tag("membership")
 @Timeout(60)
 final class RegistrationBytesTest {
@@ -156,7 +156,7 @@
         new ObjectMapper().valueToTree(counts).toString());
   }
 
-  /** The admin page and the commands have these in lower case. */
+  /** The admin page and the commands show these in lower case. */
   @Test
   void memberStatesAndReasons_haveTheseNames() {
     assertEquals("[UP, DRAINING, GONE]", Arrays.toString(MergedEndpoint.State.values()));
@@ -166,7 +166,7 @@
         Arrays.toString(StateReason.values()));
   }
 
-  /** The admin page has these in lower case as keys of counts. */
+  /** The admin page uses these in lower case as keys of counts. */
   @Test
   void registrationActions_haveTheseNames() {
     assertEquals(
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -19,7 +19,7 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInWorld;
 
-/** A courier with the membership subsystem, among stand-ins for everything around it. */
+/** A courier with the membership subsystem, with stand-ins for its clients and servers. */
 final class CourierUnderTest implements AutoCloseable {
   static final long MS = 1000;
   private static final long AWAIT_S = 30;
@@ -76,7 +76,7 @@
     world.auditor.restarted(world.ticks.nowUs(), false);
     courier.kill();
     world.endConnections();
-    // The kill takes a while, in which endpoints still answer.
+    // Endpoints still respond until the kill has completed.
     world.auditor.restarted(world.ticks.nowUs(), false);
     start();
     world.auditor.restarted(world.ticks.nowUs(), true);
@@ -113,7 +113,7 @@
 
   void awaitMember(final String address, final Predicate<JsonNode> state) {
     world.await(
-        address + " as wanted",
+        address + " in the awaited state",
         () -> {
           final JsonNode member = member(address);
           return member != null && state.test(member);
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -39,7 +39,7 @@
 /** The contract of every {@link EndpointDirectory}. */
 @Tag("membership")
 final class DirectoryContractTest {
-  private static final long PATIENCE_S = 30;
+  private static final long TIMEOUT_S = 30;
 
   /** The implementations under test. */
   enum Kind {
@@ -100,11 +100,11 @@
                                 entry.state()));
                   });
             })
-        .get(PATIENCE_S, TimeUnit.SECONDS);
+        .get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   private void requestUpdates() throws Exception {
-    loop.submit(() -> directory.requestUpdates()).get(PATIENCE_S, TimeUnit.SECONDS);
+    loop.submit(() -> directory.requestUpdates()).get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   private boolean isCurrent() {
@@ -127,7 +127,7 @@
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void followedDirectory_reportsChanges(final Kind kind) throws Exception {
+  void watchedDirectory_reportsChanges(final Kind kind) throws Exception {
     start(kind);
     requestUpdates();
     world.await("current", this::isCurrent);
@@ -143,7 +143,7 @@
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void brokenWatch_isReportedAndCaughtUpWhenFollowedAgain(final Kind kind) throws Exception {
+  void brokenWatch_isReportedAndCaughtUpAfterNextRequest(final Kind kind) throws Exception {
     start(kind);
     requestUpdates();
     world.await("current", this::isCurrent);
@@ -173,7 +173,7 @@
           config, Files.readString(config).replace(world.platform.address(), moved.address()));
       final CourierConfig fresh =
           CourierConfig.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_STATE", "unused"));
-      loop.submit(() -> directory.reload(fresh)).get(PATIENCE_S, TimeUnit.SECONDS);
+      loop.submit(() -> directory.reload(fresh)).get(TIMEOUT_S, TimeUnit.SECONDS);
       awaitState(second, EndpointState.LISTED);
       awaitState(first, EndpointState.GONE);
     }
--- a/eureka/src/test/java/thistleturn/membership/DrainTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DrainTest.java
@@ -134,7 +134,7 @@
     try (CourierUnderTest courier = new CourierUnderTest(folder, 5)) {
       final StandInEndpoint steady = courier.world.endpoint(1);
       register(courier, "steady", steady, "UP");
-      // Nobody listens at these addresses: an attempt costs a refused connection at most.
+      // Nothing listens at these addresses: an attempt costs a refused connection at most.
       for (int index = 0; index < 1000; index++) {
         courier.world.registry.register(
             StandInRegistry.endpoint("flap", "f" + index, 1, 100 + index, "UP"));
@@ -156,7 +156,7 @@
       }
       assertEquals(1001, courier.source("eureka").path("entries").asInt());
       final long callsBefore = steady.calls();
-      courier.world.await("calls after it", () -> steady.calls() > callsBefore + 50);
+      courier.world.await("calls after the flapping", () -> steady.calls() > callsBefore + 50);
       assertEquals(List.of(), courier.world.stopLoad());
       assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
     }
--- a/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
+++ b/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
@@ -13,7 +13,7 @@
 import thistleturn.eureka.RegistrationSettings;
 
 /**
- * The keys and their order in the admin page of members and registries. Operators' scripts depend
+ * The keys and their order on the admin page of members and registries. Operators' scripts depend
  * on them.
  */
 @Tag("membership")
@@ -52,7 +52,7 @@
       courier.world.platform.tell(courier.world.endpoint(1), "Ready", 1000);
       courier.start();
       courier.world.await(
-          "a member, an answer of the registry with the courier's own entry, and a renewal",
+          "a member, a response of the registry with the courier's own instance, and a renewal",
           () -> {
             final JsonNode status = courier.status();
             return !status.path("members").isEmpty()
--- a/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
@@ -123,7 +123,7 @@
       final int fullPolls = courier.world.registry.requests().get("GET apps");
       courier.world.registry.register(
           StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
-      // Later than any delta contains the change: only the hash reveals it.
+      // By then no delta contains the change any more, so only the hash reveals it.
       courier.world.registry.pass(1000);
       courier.awaitState(endpoint.address(), "up");
       assertTrue(courier.world.registry.requests().get("GET apps") > fullPolls);
