--- a/cli/src/main/java/thistleturn/cli/AdminOptions.java
+++ b/cli/src/main/java/thistleturn/cli/AdminOptions.java
@@ -28,7 +28,7 @@
     return json;
   }
 
-  /** Returns whether a row passes the destination filter; without a filter every row does. */
+  /** Returns whether a row passes the destination filter; without a filter, every row passes. */
   boolean includes(final JsonNode row) {
     return destination == null || destination == row.path("destination").asLong();
   }
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -35,8 +35,8 @@
 import thistleturn.testkit.Violation;
 
 /**
- * Runs a courier for some seconds against stand-ins for everything around it, injects faults, and
- * checks that no rule of delivery is broken.
+ * Runs a courier for some seconds against stand-ins for its clients, endpoints and sources, injects
+ * faults, and checks that no delivery rule is broken.
  */
 @Command(
     name = "demo",
@@ -54,7 +54,7 @@
   private static final long MAX_LATENCY_US = 60_000_000L;
   private static final int MAX_VIOLATIONS_PRINTED = 20;
 
-  /** A fault, or the end of one, and how it is announced. */
+  /** A fault, or the end of one, and the text printed when it is injected. */
   private record Fault(String announcement, Runnable injection) {}
 
   @Option(
@@ -178,7 +178,7 @@
         "HEAT", "pump-4", "DOWN", () -> world.auditor.closed(world.ticks.nowUs(), endpoint.name()));
   }
 
-  /** Injects the faults at even distances and prints a line of progress each second. */
+  /** Injects the faults at even intervals and prints a line of progress each second. */
   private void injectFaults(final StandInWorld world, final List<Fault> faults) {
     final long startUs = world.ticks.nowUs();
     for (int second = 1; second <= seconds; second++) {
@@ -238,7 +238,7 @@
     return spec.commandLine().getOut();
   }
 
-  /** The number of messages that ended in one of these ways. */
+  /** The number of messages with one of these outcomes. */
   private static String count(final Map<String, Integer> outcomes, final String... counted) {
     int sum = 0;
     for (final String outcome : counted) {
--- a/cli/src/main/java/thistleturn/cli/Main.java
+++ b/cli/src/main/java/thistleturn/cli/Main.java
@@ -46,7 +46,7 @@
   /** Runs one command and exits with its code. */
   public static void main(final String[] args) {
     final int exitCode = commandLine().execute(args);
-    // A courier runs on its own threads; every other command has finished.
+    // A courier keeps running on its own threads; every other command has finished.
     if (exitCode != ServeCommand.KEEPS_RUNNING) {
       System.exit(exitCode);
     }
--- a/cli/src/main/java/thistleturn/cli/MembersCommand.java
+++ b/cli/src/main/java/thistleturn/cli/MembersCommand.java
@@ -20,7 +20,7 @@
   private static final long MINUTE_MS = 60 * SECOND_MS;
   private static final long HOUR_MS = 60 * MINUTE_MS;
 
-  /** An age is printed in a unit only from this many of it on, to keep two significant digits. */
+  /** An age is printed in a unit only from this many units on, to keep two significant digits. */
   private static final long MIN_UNITS = 10;
 
   MembersCommand() {
@@ -87,7 +87,7 @@
     return ageMs / HOUR_MS + " h";
   }
 
-  /** The sentence for a reason of {@link thistleturn.decisions.membership.Membership}. */
+  /** The text shown for a reason of {@link thistleturn.decisions.membership.Membership}. */
   private static String explain(final String reason) {
     return switch (reason) {
       case "said" -> "said so, and nobody says otherwise";
--- a/cli/src/main/java/thistleturn/cli/PeersCommand.java
+++ b/cli/src/main/java/thistleturn/cli/PeersCommand.java
@@ -65,7 +65,7 @@
             + ": "
             + text(status, "standing")
             + describeView(status));
-    final Table table = matrix ? hearingMatrix(status) : peerTable(status);
+    final Table table = matrix ? reachabilityMatrix(status) : peerTable(status);
     table.print(out);
     return ExitCode.OK;
   }
@@ -129,8 +129,8 @@
     return String.format(Locale.ROOT, "%.1f", ms / 1000.0);
   }
 
-  /** Whom each peer hears: one row for each observer, one column for each observed peer. */
-  private static Table hearingMatrix(final JsonNode status) {
+  /** Which peers each peer receives from: a row for each observer, a column for each subject. */
+  private static Table reachabilityMatrix(final JsonNode status) {
     final Map<String, Map<String, String>> suspicionsBySubject = suspicionsBySubject(status);
     final List<String> names = List.copyOf(suspicionsBySubject.keySet());
     final List<String> headings = new ArrayList<>(names);
@@ -153,7 +153,7 @@
   /** For each peer that is not dead and has not left, the matrix cells of those suspecting it. */
   private static Map<String, Map<String, String>> suspicionsBySubject(final JsonNode status) {
     final Map<String, Map<String, String>> suspicionsBySubject = new TreeMap<>();
-    // Nobody reports suspicions of the courier itself.
+    // The page has no suspicions of the courier that serves it.
     suspicionsBySubject.put(text(status, "name"), Map.of());
     for (final JsonNode peer : status.path("peers")) {
       final String state = text(peer, "state");
--- a/cli/src/main/java/thistleturn/cli/ProductExtension.java
+++ b/cli/src/main/java/thistleturn/cli/ProductExtension.java
@@ -39,7 +39,7 @@
       throw new InvalidSettingException(
           file
               + ": membership.enabled = false: expected true: switching a "
-              + "subsystem off counts from the next start");
+              + "subsystem off takes effect at the next start");
     }
     return membership;
   }
--- a/cli/src/main/java/thistleturn/cli/RoutesCommand.java
+++ b/cli/src/main/java/thistleturn/cli/RoutesCommand.java
@@ -77,7 +77,7 @@
     return table;
   }
 
-  /** What limits each route from outside: what operators, endpoints and other couriers imposed. */
+  /** The limits that operators, endpoints and other couriers imposed on each route. */
   private Table constraintTable(final JsonNode routes) {
     final Table table = new Table("DESTINATION", "ENDPOINT", "WHAT", "VALUE", "BY", "FOR S");
     for (final JsonNode route : routes) {
--- a/cli/src/main/java/thistleturn/cli/StateCommand.java
+++ b/cli/src/main/java/thistleturn/cli/StateCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints and compares the state that the couriers of a fleet replicate among each other. */
+/** Prints and compares the state that the couriers of a fleet replicate. */
 @Command(
     name = "state",
     mixinStandardHelpOptions = true,
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Prints the entries in which the copies of two couriers differ. */
+  /** Prints the entries in which the replicas of two couriers differ. */
   @Command(
       name = "diff",
       mixinStandardHelpOptions = true,
@@ -105,7 +105,7 @@
 
     @Spec private CommandSpec spec;
 
-    /** Identifies an entry: what it is about, and the courier that wrote it. */
+    /** Identifies an entry: its kind and subject, and the courier that wrote it. */
     private record EntryKey(String kind, String subject, String writer)
         implements Comparable<EntryKey> {
       private static final Comparator<EntryKey> ORDER =
@@ -147,7 +147,7 @@
       return table;
     }
 
-    /** The version of each entry that a courier has. */
+    /** The version of each entry in a courier's replica. */
     private static Map<EntryKey, String> fetchVersions(final String address)
         throws InterruptedException {
       final Map<EntryKey, String> versions = new HashMap<>();
--- a/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
+++ b/cli/src/main/java/thistleturn/cli/admin/AdminServer.java
@@ -27,8 +27,8 @@
 
 /**
  * Serves a running courier's state to operators as JSON pages on a loopback address: one request
- * for each connection, a few connections at a time, and nothing can be changed through it. It runs
- * on the courier's event loop, so that a page shows the state of one moment.
+ * for each connection, with a limited number of connections, and read-only. It runs on the
+ * courier's event loop, so that each page is a consistent snapshot.
  */
 public final class AdminServer {
   private static final int MAX_CONNECTIONS = 8;
@@ -38,7 +38,7 @@
   private final Map<String, Supplier<JsonNode>> pages;
   private int openConnections;
 
-  /** A server of these pages, by their path. */
+  /** Creates a server; {@code pages} maps a path to the supplier of its content. */
   public AdminServer(final Map<String, Supplier<JsonNode>> pages) {
     this.pages = Map.copyOf(pages);
   }
@@ -61,8 +61,8 @@
             bound ->
                 Log.info(
                     bound.isSuccess()
-                        ? "operators ask at " + address
-                        : "operators cannot ask at "
+                        ? "admin pages are served at " + address
+                        : "admin pages cannot be served at "
                             + address
                             + ": "
                             + bound.cause().getMessage()));
@@ -115,7 +115,7 @@
 
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-      Log.failureIfError("a connection to the admin page", cause);
+      Log.failureIfError("connection to the admin server", cause);
       context.close();
     }
   }
--- a/cli/src/main/java/thistleturn/cli/config/FleetTables.java
+++ b/cli/src/main/java/thistleturn/cli/config/FleetTables.java
@@ -39,7 +39,7 @@
     return new PeersSettings(address, seeds, fleetKey, gossip, relays);
   }
 
-  /** By a peer's address, the address of the relay through which it is reached. */
+  /** Maps a peer's address to the address of the relay through which it is reached. */
   private static Map<String, String> relays(final StrictTable table) {
     final Map<String, String> relays = new HashMap<>();
     for (final String entry : table.texts("via", false)) {
@@ -91,7 +91,7 @@
       throw table.invalid(
           "enabled",
           true,
-          "peers.enabled = true beside it: what is held by the fleet travels with peers");
+          "peers.enabled = true as well, since the replicas are exchanged between peers");
     }
     return enabled
         ? new ReplicasSettings(ReplicationSettings.defaults(), maintenance, waits, outages, limits)
--- a/cli/src/main/java/thistleturn/cli/config/InvalidSettingException.java
+++ b/cli/src/main/java/thistleturn/cli/config/InvalidSettingException.java
@@ -7,12 +7,12 @@
 public final class InvalidSettingException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
-  /** With the line to show the operator. */
+  /** Creates the exception with the message for the operator. */
   public InvalidSettingException(final String message) {
     super(message);
   }
 
-  /** With the line to show the operator and the failure behind it. */
+  /** Creates the exception with the message for the operator and its cause. */
   public InvalidSettingException(final String message, final Throwable cause) {
     super(message, cause);
   }
--- a/cli/src/main/java/thistleturn/cli/config/LoopbackAddress.java
+++ b/cli/src/main/java/thistleturn/cli/config/LoopbackAddress.java
@@ -7,7 +7,7 @@
 final class LoopbackAddress {
   private LoopbackAddress() {}
 
-  /** The loopback address and port that a text names, or null if it names none. */
+  /** Parses a loopback address with a port; returns null for any other text. */
   static InetSocketAddress parse(final String text) {
     try {
       final InetSocketAddress address = CourierConfig.parseAddress("listen", text);
--- a/cli/src/main/java/thistleturn/cli/config/MembershipTables.java
+++ b/cli/src/main/java/thistleturn/cli/config/MembershipTables.java
@@ -21,11 +21,11 @@
   private static final Pattern SCOPE = Pattern.compile("(apps|vips|svips)/[A-Za-z0-9._-]+");
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
   private static final String NAME_EXPECTED =
-      "up to 64 letters, figures, dots, dashes and underscores";
+      "up to 64 letters, digits, dots, dashes and underscores";
   private static final int MAX_PORT = 65_535;
   private static final int MAX_ENTRIES_LIMIT = 1_000_000;
 
-  /** The name of the platform's own endpoint list, which no registry may take. */
+  /** The name of the platform's own endpoint list, which is reserved. */
   private static final String PLATFORM_SOURCE = "discovery";
 
   private MembershipTables() {}
@@ -168,8 +168,8 @@
     throw table.invalid(
         "urls",
         StrictTable.quoted(url),
-        "http://ADDRESS:PORT/PATH with an address in figures, since there "
-            + "are no name look-ups, such as http://127.0.0.1:8761/eureka");
+        "http://ADDRESS:PORT/PATH with a numeric address (host names "
+            + "are not resolved), such as http://127.0.0.1:8761/eureka");
   }
 
   private static RegistrationSettings registration(
--- a/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
+++ b/cli/src/main/java/thistleturn/cli/config/ProductConfig.java
@@ -14,10 +14,10 @@
 
 /**
  * The product's own settings, from a TOML file. A subsystem is off unless its table has {@code
- * enabled = true}; the table of a disabled subsystem is validated all the same.
+ * enabled = true}; the table of a disabled subsystem is validated as well.
  *
  * @param admin where the admin server listens, or null if it is off
- * @param membership registries beside the platform's endpoint list, or null if they are off
+ * @param membership registries in addition to the platform's endpoint list, or null if they are off
  * @param peers the fleet of which the courier is a member, or null if it runs alone
  * @param replicas how the courier replicates the fleet's state, or null if it does not
  * @param tuning limits and sizes of the courier
--- a/cli/src/main/java/thistleturn/cli/config/StrictTable.java
+++ b/cli/src/main/java/thistleturn/cli/config/StrictTable.java
@@ -11,8 +11,8 @@
 
 /**
  * Reads one table of the settings file strictly: a value of the wrong type or outside its bounds is
- * an error, and so is every key that {@link #rejectUnknownKeys} finds unread. Each error is one
- * line that names the file, the key, the value and what was expected.
+ * an error, and so is every key that was not read before {@link #rejectUnknownKeys}. Each error is
+ * one line that names the file, the key, the value and what was expected.
  */
 final class StrictTable {
   private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
@@ -23,7 +23,7 @@
   private static final long US_PER_MINUTE = 60 * US_PER_SECOND;
   private static final long US_PER_HOUR = 60 * US_PER_MINUTE;
 
-  /** Below every minimum, so that a text that is no quantity is out of bounds. */
+  /** Below every minimum, so that a text that cannot be parsed is out of bounds. */
   private static final long INVALID = -1;
 
   private final String file;
@@ -47,12 +47,12 @@
         file + ": " + qualified(key) + " = " + value + ": expected " + expected);
   }
 
-  /** A string as error messages show it. */
+  /** Formats a string for an error message. */
   static String quoted(final String text) {
     return '"' + text + '"';
   }
 
-  /** A duration as error messages show it. */
+  /** Formats a duration for an error message. */
   static String milliseconds(final long durationUs) {
     return durationUs / US_PER_MS + "ms";
   }
--- a/cli/src/main/java/thistleturn/cli/config/TuningTables.java
+++ b/cli/src/main/java/thistleturn/cli/config/TuningTables.java
@@ -11,6 +11,7 @@
 
   private TuningTables() {}
 
+  /** The courier's options, with the platform's defaults for each table that is off. */
   static CourierOptions tuning(
       final StrictTable front, final StrictTable shards, final StrictTable memory) {
     final CourierOptions defaults = CourierOptions.platformDefaults();
--- a/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
+++ b/cli/src/test/java/thistleturn/cli/ArchitectureTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The rooms, and which of them may know which. */
+/** The permitted dependencies between packages. */
 final class ArchitectureTest {
   private static final String CONTROLLER = "thistleturn.decisions.OverloadController";
   private static final String DECISION_LOOP = "thistleturn.courier.DecisionLoop";
@@ -20,11 +20,11 @@
           .importPackages("thistleturn");
 
   /**
-   * Decisions have no I/O, clock, thread or randomness of their own: all of that comes in by
-   * arguments.
+   * Decisions perform no I/O and use no clock, thread or randomness of their own; callers pass in
+   * times and random numbers.
    */
   @Test
-  void decisionsArePure() {
+  void decisions_arePure() {
     classes()
         .that()
         .resideInAPackage("thistleturn.decisions..")
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void theCourierKnowsNoSubsystem() {
+  void courier_dependsOnNoSubsystem() {
     noClasses()
         .that()
         .resideInAPackage("thistleturn.courier..")
@@ -73,9 +73,9 @@
         .check(ALL);
   }
 
-  /** What implements a port knows the port, not the loop or the process that it serves. */
+  /** The implementation of a port depends on the port, not on the decision loop or the server. */
   @Test
-  void implementationsOfPortsDoNotKnowTheServer() {
+  void portImplementations_doNotDependOnServer() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -91,9 +91,9 @@
         .check(ALL);
   }
 
-  /** Settings, events and outcomes are plain values: they know no policy. */
+  /** Settings, events and outcomes are plain values that depend on no policy. */
   @Test
-  void modelDependsOnNoDecision() {
+  void model_dependsOnNoDecision() {
     classes()
         .that()
         .resideInAPackage("thistleturn.decisions.model..")
@@ -103,17 +103,15 @@
         .check(ALL);
   }
 
-  /**
-   * A rule that names a class by a string passes without a word once that class has another name.
-   */
+  /** A rule that names a class by a string passes silently once that class is renamed. */
   @Test
-  void classesNamedInRulesExist() {
+  void classesNamedInRules_exist() {
     assertEquals(CONTROLLER, ALL.get(CONTROLLER).getName());
     assertEquals(DECISION_LOOP, ALL.get(DECISION_LOOP).getName());
   }
 
   @Test
-  void onlyDecisionLoopTalksToOverloadController() {
+  void overloadController_isUsedOnlyByDecisionLoop() {
     noClasses()
         .that()
         .resideOutsideOfPackages("thistleturn.decisions..", "thistleturn.adapter..")
@@ -126,7 +124,7 @@
   }
 
   @Test
-  void portsKnowNoImplementation() {
+  void ports_dependOnNoImplementation() {
     noClasses()
         .that()
         .resideInAPackage("thistleturn.courier.port..")
@@ -140,9 +138,9 @@
         .check(ALL);
   }
 
-  /** The stand-ins and the Auditor judge the courier; they do not know it. */
+  /** The stand-ins and the auditor check the courier from outside, without its code. */
   @Test
-  void theTestkitKnowsNothingOfTheCourier() {
+  void testkit_doesNotDependOnCourier() {
     noClasses()
         .that()
         .resideInAPackage("thistleturn.testkit..")
--- a/cli/src/test/java/thistleturn/cli/CommandOutputFormatTest.java
+++ b/cli/src/test/java/thistleturn/cli/CommandOutputFormatTest.java
@@ -24,9 +24,9 @@
 /**
  * The text that the commands print for fixed admin pages, and their help texts, byte for byte.
  *
- * <p>The expected file has a block for each command line: its head names the line, with {@code @}
- * and {@code #} for the addresses of two couriers, and the exit code; then stdout follows, a
- * separator, and stderr.
+ * <p>The expected file has a block for each command line. Its head contains the command line, with
+ * {@code @} and {@code #} for the addresses of two couriers, and the exit code. Below it are
+ * stdout, a separator, and stderr.
  */
 final class CommandOutputFormatTest {
   private static final String BLOCK_START = "### ";
--- a/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
+++ b/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
@@ -21,18 +21,18 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * The keys, in their order, of the JSON that running couriers show to operators. Scripts read these
- * pages by their keys, so a change of one must not pass unnoticed.
+ * The keys, in their order, of the JSON pages that running couriers serve to operators. Operators'
+ * scripts depend on the keys, so this test fails if one changes.
  */
 @Tag("peers")
 @Timeout(120)
 final class OperatorsJsonFormatTest {
-  private static final long PATIENCE_S = 15;
+  private static final long AWAIT_S = 15;
   private static final String REPLICAS = "[replicas]\nenabled = true\n";
 
   @TempDir private Path folder;
 
-  /** Keys in their order; of a list its first item; for a value its type. */
+  /** The keys of an object, the shape of an array's first element, the type of a value. */
   private static String shape(final JsonNode node) {
     if (node.isObject()) {
       final List<String> fields = new ArrayList<>();
@@ -47,20 +47,20 @@
   }
 
   private static void await(final RealFleet fleet, final BooleanSupplier condition) {
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_S);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, () -> "never came: " + fleet.lines());
+      assertTrue(System.nanoTime() < untilNs, () -> "timed out: " + fleet.lines());
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
-  /** What the only lane of the second courier says of the excluded endpoint; null: nothing yet. */
+  /** The exclusion of an endpoint on the second courier's only route, or null if there is none. */
   private static JsonNode exclusion(final RealFleet fleet) {
-    final JsonNode lanes = fleet.ask(1, "lanes");
-    if (lanes != null) {
-      for (final JsonNode said : lanes.path(0).path("said")) {
-        if (said.path("what").asText().equals("exclusion")) {
-          return said;
+    final JsonNode routes = fleet.ask(1, "lanes");
+    if (routes != null) {
+      for (final JsonNode constraint : routes.path(0).path("said")) {
+        if (constraint.path("what").asText().equals("exclusion")) {
+          return constraint;
         }
       }
     }
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void pagesOfTwoCouriersHaveTheseKeys() throws IOException {
+  void pagesOfTwoCouriers_haveTheseKeys() throws IOException {
     final Schedule schedule = Schedule.parse("members 2\nseed 61\nend 3s\n");
     try (StandInWorld world = new StandInWorld(folder, schedule.seed())) {
       final StandInEndpoint endpoint = world.endpoint(1);
--- a/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
@@ -18,8 +18,8 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * A fleet of real couriers under load, a third of which is paused in turn: no endpoint is taken for
- * faulty because of it, and no message is lost.
+ * A fleet of real couriers under load, a third of which is paused at a time: no endpoint is
+ * considered faulty because of a pause, and no message is lost.
  */
 @Tag("health")
 final class PausedFleetTest {
@@ -66,9 +66,11 @@
                     && world.auditor.allEnded());
         assertEquals(
             List.of(), world.auditor.finish(world.ticks.nowUs()), () -> fleet.lines().toString());
-        final Map<String, Integer> ends = world.auditor.ends();
-        final int all = ends.values().stream().mapToInt(Integer::intValue).sum();
-        assertTrue(all > 1000 && ends.getOrDefault("delivered", 0) >= 0.98 * all, ends::toString);
+        final Map<String, Integer> outcomes = world.auditor.ends();
+        final int total = outcomes.values().stream().mapToInt(Integer::intValue).sum();
+        assertTrue(
+            total > 1000 && outcomes.getOrDefault("delivered", 0) >= 0.98 * total,
+            outcomes::toString);
         assertTrue(
             fleet.lines().stream().anyMatch(line -> line.contains("did not run for")),
             "no courier noticed its pause");
--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -30,7 +30,7 @@
  */
 @Tag("peers")
 final class PeersFleetTest {
-  /** The most rounds in which malformed datagrams are sent. */
+  /** The maximum number of rounds in which malformed datagrams are sent. */
   private static final int MAX_ROUNDS = 10;
 
   @TempDir private Path folder;
@@ -63,7 +63,8 @@
   }
 
   /**
-   * A kill, a pause below the limit, a one-way cut and a restart at 5% loss; then the admin page.
+   * A kill, a tolerated pause, a one-way cut and a restart at 5% packet loss; then the admin page
+   * is checked.
    */
   @Test
   void fiveProcessesUnderFaults_agreeOnMembers() throws IOException {
@@ -93,15 +94,15 @@
                           .filter(line -> line.startsWith("n0") || line.startsWith("HEARS"))
                           .count()
                       - 1,
-                  () -> "a head and a line for each: " + peers(fleet, 2, "--matrix"));
+                  () -> "a heading and a row for each peer: " + peers(fleet, 2, "--matrix"));
             });
     assertEquals(1, judge.timesToKnow().size());
     assertTrue(judge.timesToKnow().get(0) < 4000, () -> "known after " + judge.timesToKnow());
   }
 
   /**
-   * A split that heals: the minority knows that it is one, and joins again. Malformed datagrams
-   * from outside the fleet do not change the membership.
+   * A network split that heals: the minority detects that it is one, and rejoins. Malformed
+   * datagrams from outside the fleet do not change the membership.
    */
   @Test
   void splitFleetAndMalformedDatagrams_membershipRecovers() throws IOException {
@@ -126,7 +127,7 @@
           JsonNode after = before;
           try (DatagramSocket socket = new DatagramSocket()) {
             final String[] at = before.path("address").asText().split(":");
-            // A busy courier may read them late and its system may drop some: so more are sent.
+            // A busy courier may read them late and its system may drop some, so more are sent.
             for (int number = 0;
                 number < MAX_ROUNDS * datagrams
                     && (number < datagrams || after.path("malformed").asInt() < datagrams / 2);
--- a/cli/src/test/java/thistleturn/cli/RecordedLimitsTest.java
+++ b/cli/src/test/java/thistleturn/cli/RecordedLimitsTest.java
@@ -13,10 +13,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The files that are recorded as breaking a limit of Checkstyle: the list may only shrink. */
+/** The list of files that are exempt from a Checkstyle limit may only shrink. */
 final class RecordedLimitsTest {
-  /** Lowered with each entry that is mended; never raised. */
-  private static final int MOST_ENTRIES = 36;
+  /** Lowered whenever an entry is removed; never raised. */
+  private static final int MAX_ENTRIES = 36;
 
   private static final Path ROOT = Path.of("..");
   private static final Pattern ENTRY =
@@ -25,7 +25,7 @@
   @Test
   void entries_areAtMostTheRecordedNumber() throws IOException {
     final int entries = entries().size();
-    assertTrue(entries <= MOST_ENTRIES, "entries: " + entries);
+    assertTrue(entries <= MAX_ENTRIES, "entries: " + entries);
   }
 
   @Test
--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -30,7 +30,7 @@
  */
 @Tag("replicas")
 final class ReplicasFleetTest {
-  /** Each schedule has this many members. */
+  /** The number of members in each schedule. */
   private static final int COURIERS = 4;
 
   private static final long AWAIT_MS = 15_000;
@@ -50,8 +50,8 @@
 
   private void play(final String schedule, final Script script) throws IOException {
     final Schedule parsed = Schedule.parse(schedule);
-    try (StandInWorld made = new StandInWorld(folder, parsed.seed())) {
-      world = made;
+    try (StandInWorld opened = new StandInWorld(folder, parsed.seed())) {
+      world = opened;
       for (final int destination : new int[] {1, 1, 2}) {
         final StandInEndpoint endpoint = world.endpoint(destination);
         world.platform.tell(endpoint, "Ready", 1000);
@@ -156,13 +156,15 @@
                   deliver(number, 10, 1);
                 }
                 await("all delivered", fleet, () -> allEnded());
-                assertEquals(before, first.calls(), "nothing went there");
+                assertEquals(before, first.calls(), "no call to the excluded endpoint");
               });
           fleet.at(
               9000,
               () -> {
                 await(
-                    "known again after its start", fleet, () -> isExcluded(2, endpoint(0).name()));
+                    "excluded again after the restart",
+                    fleet,
+                    () -> isExcluded(2, endpoint(0).name()));
                 assertTrue(
                     run(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2))
                         .contains("left out: the last word counts"));
@@ -194,7 +196,7 @@
         && world.auditor.allEnded();
   }
 
-  /** Concurrent opposite decisions: the endpoint stays excluded, and both sides are notified. */
+  /** Concurrent opposite decisions: the endpoint stays excluded, and all couriers report them. */
   @Test
   void oppositeDecisionsInSplit_keepEndpointExcludedAndAreReported() throws IOException {
     play(
@@ -209,7 +211,7 @@
           fleet.at(
               3000,
               () -> {
-                await("heard before the cut", fleet, () -> isExcluded(3, endpoint(0).name()));
+                await("excluded before the cut", fleet, () -> isExcluded(3, endpoint(0).name()));
                 assertTrue(fleet.maintain(1, endpoint(0).name(), false));
                 assertTrue(fleet.maintain(2, endpoint(0).name(), true));
               });
@@ -218,7 +220,7 @@
               () -> {
                 awaitExcludedEverywhere(endpoint(0).name());
                 await(
-                    "both sides are told",
+                    "every courier reports the conflict",
                     fleet,
                     () ->
                         fleet.lines().stream()
@@ -256,20 +258,20 @@
                   final long retryAfterNs = System.nanoTime();
                   third.fare(Manner.after(0));
                   await(
-                      "heard by all", fleet, () -> isHeldBack(1) && isHeldBack(2) && isHeldBack(3));
+                      "all others wait", fleet, () -> isWaiting(1) && isWaiting(2) && isWaiting(3));
                   assertTrue(
                       TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs) < 1500,
-                      "received too late to be of use");
+                      "received too late to be useful");
                   for (int number = 1; number < COURIERS; number++) {
                     deliver(number, 2, 2);
                   }
                   await(
-                      "its end",
+                      "the end of the wait",
                       fleet,
                       () -> {
                         if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - retryAfterNs)
                             < 2900) {
-                          assertEquals(before + 1, third.calls(), "a call within the wait");
+                          assertEquals(before + 1, third.calls(), "a call during the wait");
                         }
                         return allEnded();
                       });
@@ -279,7 +281,7 @@
                 }));
   }
 
-  private boolean isHeldBack(final int number) {
+  private boolean isWaiting(final int number) {
     final JsonNode routes = fleet.ask(number, "lanes");
     boolean found = false;
     for (final JsonNode route : routes == null ? List.<JsonNode>of() : routes) {
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -32,7 +32,7 @@
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInWorld;
 
-/** Couriers as processes: started by the platform without settings, and by {@code serve}. */
+/** Courier processes that are started without a settings file, and with {@code serve}. */
 @Tag("membership")
 final class ServeTest {
   private static final long TIMEOUT_S = 30;
@@ -136,8 +136,10 @@
           new RunningProcess(world, "thistleturn.cli.Main", "serve", "--config", file.toString())) {
         world.await(
             "ready",
-            () -> courier.hasPrinted("is ready at") && courier.hasPrinted("operators ask at"));
-        world.await("its own entry", () -> courier.hasPrinted("is there"));
+            () ->
+                courier.hasPrinted("is ready at")
+                    && courier.hasPrinted("admin pages are served at"));
+        world.await("its own instance", () -> courier.hasPrinted("is registered"));
         world.client.courier(courier.readyAddress());
         world.load(100, 3000, 7);
         world.await("deliveries", () -> endpoint.calls() > 50);
@@ -154,7 +156,7 @@
         assertTrue(members(admin).contains("installers"));
         courier.process.destroy();
         assertTrue(courier.process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
-        assertEquals(1, world.registry.size(), "its own entry is gone");
+        assertEquals(1, world.registry.size(), "its own instance is removed");
       }
     }
   }
