--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureDrain.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.Violation;
 
@@ -85,33 +85,34 @@
       final var standIns = world.standIns();
       final StandInEndpoint draining = standIns.endpoint(1);
       final StandInEndpoint other = standIns.endpoint(1);
-      draining.fare(Manner.after(standIns.random(60)));
-      other.fare(Manner.after(standIns.random(60)));
+      draining.setBehavior(Behavior.deliverAfter(standIns.randomInt(60)));
+      other.setBehavior(Behavior.deliverAfter(standIns.randomInt(60)));
       standIns.registry.register(StandInRegistry.endpoint("heat", "a", draining.port(), 1, "UP"));
       standIns.registry.register(StandInRegistry.endpoint("heat", "b", other.port(), 1, "UP"));
       world.start(100 * US_PER_MS);
-      standIns.load(80 + standIns.random(120), TIMEOUT_MS, 1);
-      final long from = 20L + standIns.random(60);
+      standIns.startLoad(80 + standIns.randomInt(120), TIMEOUT_MS, 1);
+      final long from = 20L + standIns.randomInt(60);
       standIns.await("calls", () -> draining.calls() > from);
       final long[] toldUs = new long[1];
-      standIns.registry.status(
+      standIns.registry.setStatus(
           "heat",
           "a",
           "DOWN",
           () -> {
             if (toldUs[0] == 0) {
-              toldUs[0] = standIns.ticks.nowUs();
+              toldUs[0] = standIns.clock.nowUs();
             }
-            standIns.auditor.closed(standIns.ticks.nowUs(), draining.name());
+            standIns.ruleChecker.recordDraining(standIns.clock.nowUs(), draining.name());
           });
       standIns.await(
           "the telling and what follows",
-          () -> toldUs[0] != 0 && standIns.ticks.nowUs() > toldUs[0] + WATCHED_US);
-      final List<Violation> broken = standIns.stopLoad();
+          () -> toldUs[0] != 0 && standIns.clock.nowUs() > toldUs[0] + WATCHED_US);
+      final List<Violation> broken = standIns.stopLoadAndCheck();
       final double last =
-          standIns.auditor.drainLagsUs().stream().mapToLong(Long::longValue).max().orElse(0)
+          standIns.ruleChecker.drainLagsUs().stream().mapToLong(Long::longValue).max().orElse(0)
               / (double) US_PER_MS;
-      return new Run(last, standIns.auditor.ends().getOrDefault("delivered", 0), broken);
+      return new Run(
+          last, standIns.ruleChecker.outcomeCounts().getOrDefault("delivered", 0), broken);
     }
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInRegistry.Fault;
 import thistleturn.testkit.StandInWorld;
@@ -46,7 +46,7 @@
         broken +=
             row(
                 fault.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                world -> world.registry.fault(fault));
+                world -> world.registry.setFault(fault));
       }
     }
     return broken == 0 ? 0 : 1;
@@ -66,29 +66,29 @@
       final StandInEndpoint[] endpoints = new StandInEndpoint[4];
       for (int index = 0; index < endpoints.length; index++) {
         endpoints[index] = standIns.endpoint(1 + index / 2);
-        endpoints[index].fare(Manner.after(10));
+        endpoints[index].setBehavior(Behavior.deliverAfter(10));
         standIns.registry.register(
             StandInRegistry.endpoint(
                 "heat", "i" + index, endpoints[index].port(), 1 + index / 2, "UP"));
       }
       world.start(PERIOD_US);
-      standIns.load(RATE, TIMEOUT_MS, 1, 2);
+      standIns.startLoad(RATE, TIMEOUT_MS, 1, 2);
       standIns.await(
           "calls everywhere", () -> List.of(endpoints).stream().allMatch(one -> one.calls() > 10));
       outage.begin(standIns);
-      final long untilUs = standIns.ticks.nowUs() + seconds * 1_000_000L;
+      final long untilUs = standIns.clock.nowUs() + seconds * 1_000_000L;
       final long[] calls = new long[endpoints.length];
-      standIns.await("the half of it", () -> standIns.ticks.nowUs() > untilUs - seconds * 500_000L);
+      standIns.await("the half of it", () -> standIns.clock.nowUs() > untilUs - seconds * 500_000L);
       for (int index = 0; index < endpoints.length; index++) {
         calls[index] = endpoints[index].calls();
       }
-      standIns.await("the end of it", () -> standIns.ticks.nowUs() > untilUs);
+      standIns.await("the end of it", () -> standIns.clock.nowUs() > untilUs);
       long up = 0;
       for (int index = 0; index < endpoints.length; index++) {
         up += endpoints[index].calls() > calls[index] ? 1 : 0;
       }
-      final List<Violation> broken = standIns.stopLoad();
-      final Map<String, Integer> after = standIns.auditor.ends();
+      final List<Violation> broken = standIns.stopLoadAndCheck();
+      final Map<String, Integer> after = standIns.ruleChecker.outcomeCounts();
       // The whole run counts, from before the outage on: what was open when it began belongs to it.
       final int handed = sum(after);
       final int delivered = after.getOrDefault("delivered", 0);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/World.java
@@ -55,7 +55,8 @@
             standIns.environment(CourierFiles.Size.usual()),
             new MembershipExtension(
                 () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
-    standIns.client.courier(courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
+    standIns.client.setCourierAddress(
+        courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
   }
 
   @Override
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
@@ -14,8 +14,8 @@
 import thistleturn.benchmarks.Folders;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
 import thistleturn.testkit.rig.ChildProcess;
@@ -141,8 +141,8 @@
       final List<StandInEndpoint> endpoints = new ArrayList<>();
       for (int index = 0; index < 2 * DESTINATIONS; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-        endpoint.fare(Manner.after(5 + world.random(20)));
-        world.platform.tell(endpoint, "Ready", 2000);
+        endpoint.setBehavior(Behavior.deliverAfter(5 + world.randomInt(20)));
+        world.platform.announce(endpoint, "Ready", 2000);
         endpoints.add(endpoint);
       }
       partners = endpoints;
@@ -168,17 +168,17 @@
       final Trouble trouble)
       throws IOException {
     final String ready = courier.await(line -> line.contains("is ready at "));
-    world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-    world.load(rate, TIMEOUT_MS, 1, 2, 3);
+    world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+    world.startLoad(rate, TIMEOUT_MS, 1, 2, 3);
     final double undeliverable = trouble.play(world, courier);
-    final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
-    final Map<String, Integer> ends = world.auditor.ends();
+    final List<Violation> broken = world.stopLoadAndCheck(TIMEOUT_MS);
+    final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
     final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
     final int delivered = ends.getOrDefault("delivered", 0);
     final int refused =
-        ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0);
+        ends.getOrDefault("rejected at submission", 0) + ends.getOrDefault("deferred", 0);
     final int failed =
-        ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0);
+        ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at submission", 0);
     final long lost = broken.stream().filter(one -> one.rule() == Violation.Rule.LOST).count();
     final double deliverable = handed - undeliverable;
     System.out.println(
@@ -200,33 +200,33 @@
         .filter(one -> one.rule() != Violation.Rule.LOST)
         .limit(20)
         .forEach(one -> System.out.println("BROKEN: " + one));
-    world.auditor.allowedRepeats().forEach(one -> System.out.println("ALLOWED: " + one));
+    world.ruleChecker.allowedRepeats().forEach(one -> System.out.println("ALLOWED: " + one));
     return broken.isEmpty();
   }
 
   private double stop(
       final StandInWorld world, final ChildProcess courier, final int pauseMs, final int every)
       throws IOException {
-    final long beganUs = world.ticks.nowUs();
+    final long beganUs = world.clock.nowUs();
     final long endUs = beganUs + seconds * 1000L * US_PER_MS;
     double undeliverable = 0;
     long nextUs = beganUs + FIRST_MS * US_PER_MS;
     while (pauseMs > 0 && nextUs + 2L * pauseMs * US_PER_MS < endUs) {
-      world.until(nextUs);
+      world.waitUntil(nextUs);
       courier.pause();
-      world.until(nextUs + pauseMs * US_PER_MS);
+      world.waitUntil(nextUs + pauseMs * US_PER_MS);
       courier.resume();
       undeliverable += Math.max(0, pauseMs - TIMEOUT_MS) / 1000.0 * rate;
       nextUs = every == 0 ? Long.MAX_VALUE / 2 : nextUs + every * 1000L * US_PER_MS;
     }
-    world.until(endUs);
+    world.waitUntil(endUs);
     return undeliverable;
   }
 
   /** For 10 s there are so many busy loops on the courier's core that its share of it is that. */
   private double starve(final StandInWorld world, final double share) throws IOException {
-    final long beganUs = world.ticks.nowUs();
-    world.until(beganUs + FIRST_MS * US_PER_MS);
+    final long beganUs = world.clock.nowUs();
+    world.waitUntil(beganUs + FIRST_MS * US_PER_MS);
     final List<Process> loops = new ArrayList<>();
     try {
       for (int loop = 1; loop < Math.round(1 / share); loop++) {
@@ -235,7 +235,7 @@
                     "taskset", "-c", cores, "timeout", "30", "sh", "-c", "while :; do :; done")
                 .start());
       }
-      world.until(beganUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
+      world.waitUntil(beganUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
     } finally {
       loops.forEach(
           loop -> {
@@ -243,7 +243,7 @@
             loop.destroyForcibly();
           });
     }
-    world.until(beganUs + seconds * 1000L * US_PER_MS);
+    world.waitUntil(beganUs + seconds * 1000L * US_PER_MS);
     return 0;
   }
 
@@ -258,30 +258,30 @@
         "0.05 to 2 s",
         (world, courier) -> {
           final long endUs =
-              world.ticks.nowUs() + (long) (messages / (double) rate * 1000 * US_PER_MS);
-          while (world.ticks.nowUs() < endUs) {
-            world.until(world.ticks.nowUs() + (300 + random.nextInt(3000)) * US_PER_MS);
+              world.clock.nowUs() + (long) (messages / (double) rate * 1000 * US_PER_MS);
+          while (world.clock.nowUs() < endUs) {
+            world.waitUntil(world.clock.nowUs() + (300 + random.nextInt(3000)) * US_PER_MS);
             final StandInEndpoint partner = partners.get(random.nextInt(partners.size()));
-            partner.fare(
+            partner.setBehavior(
                 random.nextInt(3) == 0
-                    ? Manner.after(5 + random.nextInt(40))
+                    ? Behavior.deliverAfter(5 + random.nextInt(40))
                     : switch (random.nextInt(5)) {
-                      case 0 -> Manner.of(Act.SILENCE);
-                      case 1 -> Manner.of(Act.RESET);
-                      case 2 -> Manner.of(Act.FAIL);
-                      case 3 -> new Manner(Act.REFUSE, 0, 200 + random.nextInt(800));
-                      default -> Manner.after(500 + random.nextInt(1000));
+                      case 0 -> Behavior.of(Action.NO_ANSWER);
+                      case 1 -> Behavior.of(Action.RESET);
+                      case 2 -> Behavior.of(Action.FAIL);
+                      case 3 -> new Behavior(Action.REJECT, 0, 200 + random.nextInt(800));
+                      default -> Behavior.deliverAfter(500 + random.nextInt(1000));
                     });
             if (random.nextInt(3) > 0) {
-              final long stoppedUs = world.ticks.nowUs();
+              final long stoppedUs = world.clock.nowUs();
               courier.pause();
-              world.until(world.ticks.nowUs() + (50 + random.nextInt(1950)) * US_PER_MS);
+              world.waitUntil(world.clock.nowUs() + (50 + random.nextInt(1950)) * US_PER_MS);
               courier.resume();
-              world.auditor.courierStopped(stoppedUs, world.ticks.nowUs());
+              world.ruleChecker.recordCourierPause(stoppedUs, world.clock.nowUs());
             }
             // At most half of the partners are in trouble at once.
             final StandInEndpoint other = partners.get(random.nextInt(partners.size()));
-            other.fare(Manner.after(5 + random.nextInt(20)));
+            other.setBehavior(Behavior.deliverAfter(5 + random.nextInt(20)));
           }
           return 0;
         });
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeers.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Folders;
 import thistleturn.testkit.StandInWorld;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
@@ -81,13 +81,13 @@
       description = "one schedule from a file, in place of the table; prints what the couriers say")
   private Path file;
 
-  private static Schedule.Weather weather(final Row row) {
+  private static Schedule.FaultMix weather(final Row row) {
     return switch (row) {
-      case LOSS_5 -> Schedule.Weather.kills(0.05);
-      case LOSS_30 -> Schedule.Weather.kills(0.3);
-      case PAUSES_30 -> new Schedule.Weather(0.3, false, false, 5000, false, false, true, true);
-      case ONE_WAY -> new Schedule.Weather(0.05, false, false, 0, true, false, false, true);
-      case ALL -> Schedule.Weather.all(0.1, 5000);
+      case LOSS_5 -> Schedule.FaultMix.killsOnly(0.05);
+      case LOSS_30 -> Schedule.FaultMix.killsOnly(0.3);
+      case PAUSES_30 -> new Schedule.FaultMix(0.3, false, false, 5000, false, false, true, true);
+      case ONE_WAY -> new Schedule.FaultMix(0.05, false, false, 0, true, false, false, true);
+      case ALL -> Schedule.FaultMix.all(0.1, 5000);
     };
   }
 
@@ -178,18 +178,18 @@
         RealFleet fleet =
             new RealFleet(
                 folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-      final FleetJudge judge = fleet.play();
-      if (talk || !judge.broken().isEmpty() || !judge.isAgreed()) {
-        fleet.lines().forEach(System.err::println);
+      final FleetChecker judge = fleet.run();
+      if (talk || !judge.violations().isEmpty() || !judge.isAgreed()) {
+        fleet.recentLines().forEach(System.err::println);
       }
       return new Played(
           schedule.seed(),
-          judge.timesToKnow(),
-          judge.ended(),
-          judge.wronglyDead(),
+          judge.detectionTimesMs(),
+          judge.endedCount(),
+          judge.wronglyDeadCount(),
           judge.isAgreed(),
-          List.copyOf(judge.broken()),
-          fleet.tally());
+          List.copyOf(judge.violations()),
+          fleet.summary());
     } finally {
       Folders.delete(folder);
     }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
@@ -99,14 +99,14 @@
                 5000)) {
       final Use[] before = new Use[size];
       final JsonNode[] pages = new JsonNode[size];
-      fleet.whole(
+      fleet.onAgreement(
           () -> {
             for (int number = 0; number < size; number++) {
               before[number] = Use.of(fleet.process(number).pid());
-              pages[number] = fleet.page(number);
+              pages[number] = fleet.peersPage(number);
             }
           });
-      fleet.play();
+      fleet.run();
       double ticks = 0;
       double kb = 0;
       double datagrams = 0;
@@ -117,11 +117,11 @@
         ticks += after.ticks() - before[number].ticks();
         kb += after.residentKb();
         datagrams +=
-            fleet.page(number).path("sent").asDouble() - pages[number].path("sent").asDouble();
+            fleet.peersPage(number).path("sent").asDouble() - pages[number].path("sent").asDouble();
         bytes +=
-            fleet.page(number).path("sent_bytes").asDouble()
+            fleet.peersPage(number).path("sent_bytes").asDouble()
                 - pages[number].path("sent_bytes").asDouble();
-        connections += fleet.page(number).path("connections").asDouble();
+        connections += fleet.peersPage(number).path("connections").asDouble();
       }
       System.out.println(
           String.format(
@@ -160,8 +160,8 @@
     try (StandInWorld world = new StandInWorld(folder, 3)) {
       for (int index = 0; index < 6; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-        endpoint.fare(StandInEndpoint.Manner.after(5 + world.random(20)));
-        world.platform.tell(endpoint, "Ready", 2000);
+        endpoint.setBehavior(StandInEndpoint.Behavior.deliverAfter(5 + world.randomInt(20)));
+        world.platform.announce(endpoint, "Ready", 2000);
       }
       if (peers) {
         try (RealFleet fleet =
@@ -172,8 +172,8 @@
                 world.platform.known(),
                 extra(),
                 5000)) {
-          fleet.whole(() -> load(world, fleet.process(0)));
-          fleet.play();
+          fleet.onAgreement(() -> load(world, fleet.process(0)));
+          fleet.run();
           return report(world, "on");
         }
       }
@@ -181,7 +181,7 @@
       try (ChildProcess courier =
           ChildProcess.java(environment, "", "thistleturn.cli.Main", "serve")) {
         load(world, courier);
-        world.until(world.ticks.nowUs() + schedule.endMs() * 1000);
+        world.waitUntil(world.clock.nowUs() + schedule.endMs() * 1000);
         return report(world, "off");
       }
     } finally {
@@ -195,13 +195,13 @@
 
   private void load(final StandInWorld world, final ChildProcess courier) {
     final String ready = courier.await(line -> line.contains("is ready at "));
-    world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-    world.load(rate, TIMEOUT_MS, 1, 2, 3);
+    world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+    world.startLoad(rate, TIMEOUT_MS, 1, 2, 3);
   }
 
   private static boolean report(final StandInWorld world, final String what) {
-    final List<Violation> broken = world.stopLoad(TIMEOUT_MS);
-    final Map<String, Integer> ends = world.auditor.ends();
+    final List<Violation> broken = world.stopLoadAndCheck(TIMEOUT_MS);
+    final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -209,8 +209,8 @@
             what,
             ends.values().stream().mapToInt(Integer::intValue).sum(),
             ends.getOrDefault("delivered", 0),
-            ends.getOrDefault("refused at the door", 0) + ends.getOrDefault("deferred", 0),
-            ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at the door", 0),
+            ends.getOrDefault("rejected at submission", 0) + ends.getOrDefault("deferred", 0),
+            ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at submission", 0),
             broken.size()));
     broken.stream().limit(5).forEach(one -> System.out.println("BROKEN: " + one));
     return broken.isEmpty();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -20,7 +20,7 @@
 import thistleturn.lab.peers.PeersContestant;
 import thistleturn.lab.peers.Swim;
 import thistleturn.lab.peers.VirtualPeers;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.Schedule;
 
 /**
@@ -111,13 +111,13 @@
     return ways;
   }
 
-  private static Schedule.Weather weather(final Row row) {
+  private static Schedule.FaultMix weather(final Row row) {
     return switch (row) {
-      case LOSS_0 -> Schedule.Weather.kills(0);
-      case LOSS_5 -> Schedule.Weather.kills(0.05);
-      case LOSS_30 -> Schedule.Weather.kills(0.3);
-      case PAUSES_30 -> new Schedule.Weather(0.3, true, true, 5000, true, false, true, true);
-      case ALL -> Schedule.Weather.all(0.1, 5000);
+      case LOSS_0 -> Schedule.FaultMix.killsOnly(0);
+      case LOSS_5 -> Schedule.FaultMix.killsOnly(0.05);
+      case LOSS_30 -> Schedule.FaultMix.killsOnly(0.3);
+      case PAUSES_30 -> new Schedule.FaultMix(0.3, true, true, 5000, true, false, true, true);
+      case ALL -> Schedule.FaultMix.all(0.1, 5000);
     };
   }
 
@@ -143,25 +143,25 @@
       world.looking(
           at -> half[0] = half[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : half[0]);
     }
-    final FleetJudge judge = world.play();
+    final FleetChecker judge = world.play();
     final long lastMs =
         schedule.faults().stream()
             .filter(fault -> fault.atMs() > 0)
-            .mapToLong(fault -> fault.forMs() == 0 ? fault.atMs() : fault.untilMs())
+            .mapToLong(fault -> fault.forMs() == 0 ? fault.atMs() : fault.endMs())
             .max()
             .orElse(0);
     // Of a quiet fleet the second half counts: the first has all joins in it.
     return new Played(
         seed,
         size,
-        judge.timesToKnow(),
-        judge.ended(),
-        judge.wronglyDead(),
-        judge.broken().size() - judge.wronglyDead(),
+        judge.detectionTimesMs(),
+        judge.endedCount(),
+        judge.wronglyDeadCount(),
+        judge.violations().size() - judge.wronglyDeadCount(),
         judge.isAgreed(),
-        judge.agreedMs(),
+        judge.lastAgreementMs(),
         lastMs,
-        judge.changes(),
+        judge.viewCount(),
         quiet ? 2 * (world.bytes() - half[0]) : world.bytes());
   }
 
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
@@ -23,8 +23,8 @@
 import thistleturn.benchmarks.Folders;
 import thistleturn.testkit.StandInClient;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
@@ -109,11 +109,11 @@
       long messages,
       String tally) {}
 
-  private static Schedule.Weather weather(final Row row) {
+  private static Schedule.FaultMix weather(final Row row) {
     return switch (row) {
-      case LOSS_5 -> new Schedule.Weather(0.05, true, true, 0, false, false, false, false);
-      case LOSS_20 -> new Schedule.Weather(0.2, true, true, 0, false, false, false, false);
-      case ALL -> new Schedule.Weather(0.1, true, true, 3000, true, true, false, true);
+      case LOSS_5 -> new Schedule.FaultMix(0.05, true, true, 0, false, false, false, false);
+      case LOSS_20 -> new Schedule.FaultMix(0.2, true, true, 0, false, false, false, false);
+      case ALL -> new Schedule.FaultMix(0.1, true, true, 3000, true, true, false, true);
     };
   }
 
@@ -225,8 +225,8 @@
         world = made;
         for (int number = 0; number < ENDPOINTS; number++) {
           final StandInEndpoint endpoint = world.endpoint(number < 3 ? 1 : 2);
-          endpoint.fare(Manner.after(10));
-          world.platform.tell(endpoint, "Ready", 1000);
+          endpoint.setBehavior(Behavior.deliverAfter(10));
+          world.platform.announce(endpoint, "Ready", 1000);
           endpoints.add(endpoint);
         }
         try (RealFleet started =
@@ -247,13 +247,13 @@
     }
 
     private Played run() throws IOException {
-      fleet.whole(
+      fleet.onAgreement(
           () -> {
             for (int number = 0; number < members; number++) {
               final StandInClient client = world.client("c" + number + "-");
-              client.courier(fleet.serves(number));
+              client.setCourierAddress(fleet.clientAddress(number));
               clients.add(client);
-              world.load(client, perSecond, TIMEOUT_MS, 1);
+              world.startLoad(client, perSecond, TIMEOUT_MS, 1);
             }
           });
       final Thread words = new Thread(this::speak, "words");
@@ -269,8 +269,8 @@
               },
               "compares");
       fleet.at(schedule.endMs() - CALM_MS + 100, compares::start);
-      fleet.at(schedule.endMs() - 3000, world::stopHandingIn);
-      fleet.play();
+      fleet.at(schedule.endMs() - 3000, world::stopSubmitting);
+      fleet.run();
       join(words);
       join(compares);
       return new Played(
@@ -281,8 +281,8 @@
           sentAfter,
           equalMs[0],
           broken(),
-          world.auditor.ends().values().stream().mapToLong(Integer::longValue).sum(),
-          fleet.tally());
+          world.ruleChecker.outcomeCounts().values().stream().mapToLong(Integer::longValue).sum(),
+          fleet.summary());
     }
 
     private void join(final Thread thread) {
@@ -298,8 +298,8 @@
      * rule.
      */
     private List<String> broken() {
-      final List<String> broken = new ArrayList<>(fleet.judge().broken());
-      world.auditor.finish(world.ticks.nowUs()).stream()
+      final List<String> broken = new ArrayList<>(fleet.checker().violations());
+      world.ruleChecker.finish(world.clock.nowUs()).stream()
           .map(Object::toString)
           .filter(what -> !what.contains("LOST") && !what.contains("LATE"))
           .forEach(broken::add);
@@ -310,7 +310,7 @@
       JsonNode sum = null;
       for (int number = 0; number < members; number++) {
         if (fleet.process(number) != null) {
-          final JsonNode state = fleet.ask(number, "state");
+          final JsonNode state = fleet.fetchPage(number, "state");
           if (state == null
               || !state.has("sum")
               || (sum != null && !sum.equals(state.path("sum")))) {
@@ -335,7 +335,7 @@
 
     private boolean says(
         final int number, final String what, final String endpoint, final int destination) {
-      final JsonNode lanes = fleet.ask(number, "lanes");
+      final JsonNode lanes = fleet.fetchPage(number, "lanes");
       for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
         for (final JsonNode said : lane.path("said")) {
           if (said.path("what").asText().equals(what)
@@ -368,7 +368,7 @@
     }
 
     private void leaveOut(final int at, final StandInEndpoint endpoint) {
-      if (!fleet.maintain(at, endpoint.name(), true)) {
+      if (!fleet.setDisabled(at, endpoint.name(), true)) {
         return;
       }
       final boolean all = everywhere(bans, number -> says(number, "exclusion", endpoint.name(), 0));
@@ -381,7 +381,7 @@
       // Let serve again by whoever knows of the word.
       for (int number = 0; number < members; number++) {
         final int other = (at + 1 + number) % members;
-        if (fleet.process(other) != null && fleet.maintain(other, endpoint.name(), false)) {
+        if (fleet.process(other) != null && fleet.setDisabled(other, endpoint.name(), false)) {
           everywhere(new ArrayList<>(), one -> !says(one, "exclusion", endpoint.name(), 0));
           return;
         }
@@ -390,15 +390,15 @@
 
     private void tellWait(final int at) {
       final StandInEndpoint slow = endpoints.get(ENDPOINTS - 1);
-      slow.fare(new Manner(Act.REFUSE, 0, WAIT_MS));
+      slow.setBehavior(new Behavior(Action.REJECT, 0, WAIT_MS));
       final long before = slow.calls();
-      clients.get(at).handIn("safe", 2, TIMEOUT_MS);
+      clients.get(at).submit("safe", 2, TIMEOUT_MS);
       if (await(2000, () -> slow.calls() > before) >= 0) {
-        slow.fare(Manner.after(10));
+        slow.setBehavior(Behavior.deliverAfter(10));
         everywhere(waits, number -> says(number, "wait", "", 2));
         await(WAIT_MS, () -> false);
       }
-      slow.fare(Manner.after(10));
+      slow.setBehavior(Behavior.deliverAfter(10));
     }
 
     /** How a courier is asked. */
--- a/cli/src/main/java/thistleturn/cli/DemoCommand.java
+++ b/cli/src/main/java/thistleturn/cli/DemoCommand.java
@@ -28,8 +28,8 @@
 import thistleturn.membership.MembershipSettings;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
@@ -100,16 +100,17 @@
     final List<StandInEndpoint> endpoints = startEndpoints(world);
     final CourierServer courier = startCourier(world);
     try {
-      world.client.courier(courier.ready().orTimeout(START_TIMEOUT_S, TimeUnit.SECONDS).join());
+      world.client.setCourierAddress(
+          courier.ready().orTimeout(START_TIMEOUT_S, TimeUnit.SECONDS).join());
       final ConcurrentHistogram latencies = new ConcurrentHistogram(MAX_LATENCY_US, 3);
       world.client.onAnswer(us -> latencies.recordValue(Math.min(us, MAX_LATENCY_US)));
       out()
           .println(
               "one courier, " + rate + " messages a second for " + seconds + " s, seed " + seed);
-      world.load(rate, TIMEOUT_MS, 1, 2, 3);
+      world.startLoad(rate, TIMEOUT_MS, 1, 2, 3);
       injectFaults(world, faults(world, endpoints));
-      final List<Violation> violations = world.stopLoad();
-      printSummary(world.auditor.ends(), latencies, violations);
+      final List<Violation> violations = world.stopLoadAndCheck();
+      printSummary(world.ruleChecker.outcomeCounts(), latencies, violations);
       printEndpoints(endpoints);
       violations.stream()
           .limit(MAX_VIOLATIONS_PRINTED)
@@ -126,10 +127,10 @@
     final List<StandInEndpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < ENDPOINTS; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-      endpoint.fare(Manner.after(5 + world.random(20)));
+      endpoint.setBehavior(Behavior.deliverAfter(5 + world.randomInt(20)));
       endpoints.add(endpoint);
       if (endpoint.destination() < 3) {
-        world.platform.tell(endpoint, "Ready", 2000);
+        world.platform.announce(endpoint, "Ready", 2000);
       } else {
         world.registry.register(
             StandInRegistry.endpoint("HEAT", "pump-" + index, endpoint.port(), 3, "UP"));
@@ -165,24 +166,31 @@
   private static List<Fault> faults(
       final StandInWorld world, final List<StandInEndpoint> endpoints) {
     return List.of(
-        new Fault("endpoint e0 falls silent", () -> endpoints.get(0).fare(Manner.of(Act.SILENCE))),
+        new Fault(
+            "endpoint e0 falls silent",
+            () -> endpoints.get(0).setBehavior(Behavior.of(Action.NO_ANSWER))),
         new Fault(
             "the list says that e2 drains",
-            () -> world.platform.tell(endpoints.get(2), "Terminating", 2000)),
+            () -> world.platform.announce(endpoints.get(2), "Terminating", 2000)),
         new Fault("the registry says that e4 is DOWN", () -> markDown(world, endpoints.get(4))),
-        new Fault("endpoint e0 answers again", () -> endpoints.get(0).fare(Manner.after(10))));
+        new Fault(
+            "endpoint e0 answers again",
+            () -> endpoints.get(0).setBehavior(Behavior.deliverAfter(10))));
   }
 
   private static void markDown(final StandInWorld world, final StandInEndpoint endpoint) {
-    world.registry.status(
-        "HEAT", "pump-4", "DOWN", () -> world.auditor.closed(world.ticks.nowUs(), endpoint.name()));
+    world.registry.setStatus(
+        "HEAT",
+        "pump-4",
+        "DOWN",
+        () -> world.ruleChecker.recordDraining(world.clock.nowUs(), endpoint.name()));
   }
 
   /** Injects the faults at even distances and prints a line of progress each second. */
   private void injectFaults(final StandInWorld world, final List<Fault> faults) {
-    final long startUs = world.ticks.nowUs();
+    final long startUs = world.clock.nowUs();
     for (int second = 1; second <= seconds; second++) {
-      world.until(startUs + second * US_PER_SECOND);
+      world.waitUntil(startUs + second * US_PER_SECOND);
       final StringBuilder announcements = new StringBuilder();
       for (int index = 0; index < faults.size(); index++) {
         if (second == Math.max(1, (index + 1) * seconds / (faults.size() + 2))) {
@@ -190,7 +198,10 @@
           announcements.append("   <- ").append(faults.get(index).announcement());
         }
       }
-      out().println(String.format("%4d s  %s%s", second, world.auditor.ends(), announcements));
+      out()
+          .println(
+              String.format(
+                  "%4d s  %s%s", second, world.ruleChecker.outcomeCounts(), announcements));
       out().flush();
     }
   }
@@ -214,8 +225,8 @@
     table.addRow(
         Integer.toString(outcomes.values().stream().mapToInt(Integer::intValue).sum()),
         count(outcomes, "delivered"),
-        count(outcomes, "refused at the door", "deferred"),
-        count(outcomes, "undeliverable", "failed at the door"),
+        count(outcomes, "rejected at submission", "deferred"),
+        count(outcomes, "undeliverable", "failed at submission"),
         Long.toString(lost),
         percentileMs(latencies, 50),
         percentileMs(latencies, 99),
--- a/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
+++ b/cli/src/test/java/thistleturn/cli/OperatorsJsonFormatTest.java
@@ -49,14 +49,14 @@
   private static void await(final RealFleet fleet, final BooleanSupplier condition) {
     final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, () -> "never came: " + fleet.lines());
+      assertTrue(System.nanoTime() < untilNs, () -> "never came: " + fleet.recentLines());
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
   /** What the only lane of the second courier says of the excluded endpoint; null: nothing yet. */
   private static JsonNode exclusion(final RealFleet fleet) {
-    final JsonNode lanes = fleet.ask(1, "lanes");
+    final JsonNode lanes = fleet.fetchPage(1, "lanes");
     if (lanes != null) {
       for (final JsonNode said : lanes.path(0).path("said")) {
         if (said.path("what").asText().equals("exclusion")) {
@@ -72,19 +72,19 @@
     final Schedule schedule = Schedule.parse("members 2\nseed 61\nend 3s\n");
     try (StandInWorld world = new StandInWorld(folder, schedule.seed())) {
       final StandInEndpoint endpoint = world.endpoint(1);
-      world.platform.tell(endpoint, "Ready", 1000);
+      world.platform.announce(endpoint, "Ready", 1000);
       try (RealFleet fleet =
           new RealFleet(
               folder, schedule, world.platform.address(), world.platform.known(), REPLICAS, 5000)) {
         fleet.at(
             500,
             () -> {
-              assertTrue(fleet.maintain(0, endpoint.name(), true));
+              assertTrue(fleet.setDisabled(0, endpoint.name(), true));
               await(fleet, () -> exclusion(fleet) != null);
               assertPages(fleet, endpoint.name());
             });
-        fleet.play();
-        assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
+        fleet.run();
+        assertEquals(List.of(), fleet.checker().violations(), () -> fleet.recentLines().toString());
       }
     }
   }
@@ -93,21 +93,21 @@
     assertEquals(
         "{state:text for_s:number evidence:text away_share:number last_away_s:number holds:number"
             + " may_hold:number ended:number}",
-        shape(fleet.ask(1, "health")));
+        shape(fleet.fetchPage(1, "health")));
 
     assertEquals(
         "[{destination:number phase:text window:number in_flight:number silent:number"
             + " waiting:number served_per_s:number cause:text evidence:number"
             + " refused_share:number further_calls:number growing:flag why:text"
             + " said:[{what:text value:number by:text}] endpoints:[text]}]",
-        shape(fleet.ask(1, "lanes")));
-    assertEquals("WELL", fleet.ask(1, "lanes").path(0).path("phase").asText());
-    assertEquals("UNSURE", fleet.ask(1, "lanes").path(0).path("cause").asText());
+        shape(fleet.fetchPage(1, "lanes")));
+    assertEquals("WELL", fleet.fetchPage(1, "lanes").path(0).path("phase").asText());
+    assertEquals("UNSURE", fleet.fetchPage(1, "lanes").path(0).path("cause").asText());
     final JsonNode exclusion = exclusion(fleet);
     assertEquals("{what:text value:number by:text endpoint:text}", shape(exclusion));
     assertEquals(endpoint, exclusion.path("endpoint").asText());
 
-    final JsonNode peers = fleet.ask(1, "peers");
+    final JsonNode peers = fleet.fetchPage(1, "peers");
     assertEquals(
         "{name:text incarnation:number address:text standing:text reached:number sent:number"
             + " sent_bytes:number read:number malformed:number too_large:number"
@@ -121,7 +121,7 @@
     assertEquals("alive", peers.path("peers").get(0).path("state").asText());
     assertEquals("heard", peers.path("peers").get(0).path("here").asText());
 
-    final JsonNode state = fleet.ask(1, "state");
+    final JsonNode state = fleet.fetchPage(1, "state");
     assertEquals(
         "{writer:text entries:number sum:text caught_up:flag together_s:number"
             + " turned_down:number malformed:number sent_bytes:number known:{WRITERS}"
--- a/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PausedFleetTest.java
@@ -41,36 +41,38 @@
     try (StandInWorld world = new StandInWorld(folder, schedule.seed())) {
       for (int destination = 1; destination <= 3; destination++) {
         final StandInEndpoint endpoint = world.endpoint(destination);
-        endpoint.fare(StandInEndpoint.Manner.after(20));
-        world.platform.tell(endpoint, "Ready", 1000);
+        endpoint.setBehavior(StandInEndpoint.Behavior.deliverAfter(20));
+        world.platform.announce(endpoint, "Ready", 1000);
       }
       try (RealFleet fleet =
           new RealFleet(
               folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-        fleet.whole(
+        fleet.onAgreement(
             () -> {
               for (int number = 0; number < schedule.members(); number++) {
                 final StandInClient client = world.client("c" + number + "-");
-                client.courier(fleet.serves(number));
+                client.setCourierAddress(fleet.clientAddress(number));
                 clients.add(client);
-                world.load(client, 20, TIMEOUT_MS, 1, 2, 3);
+                world.startLoad(client, 20, TIMEOUT_MS, 1, 2, 3);
               }
             });
-        fleet.at(16_000, world::stopHandingIn);
-        fleet.play();
-        assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
+        fleet.at(16_000, world::stopSubmitting);
+        fleet.run();
+        assertEquals(List.of(), fleet.checker().violations(), () -> fleet.recentLines().toString());
         world.await(
             "an outcome for every message",
             () ->
-                clients.stream().allMatch(client -> client.unanswered() <= 0)
-                    && world.auditor.allEnded());
+                clients.stream().allMatch(client -> client.pendingRequests() <= 0)
+                    && world.ruleChecker.allEnded());
         assertEquals(
-            List.of(), world.auditor.finish(world.ticks.nowUs()), () -> fleet.lines().toString());
-        final Map<String, Integer> ends = world.auditor.ends();
+            List.of(),
+            world.ruleChecker.finish(world.clock.nowUs()),
+            () -> fleet.recentLines().toString());
+        final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
         final int all = ends.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(all > 1000 && ends.getOrDefault("delivered", 0) >= 0.98 * all, ends::toString);
         assertTrue(
-            fleet.lines().stream().anyMatch(line -> line.contains("did not run for")),
+            fleet.recentLines().stream().anyMatch(line -> line.contains("did not run for")),
             "no courier noticed its pause");
       } finally {
         clients.forEach(StandInClient::close);
--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.testkit.StandInWorld;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
@@ -35,15 +35,15 @@
 
   @TempDir private Path folder;
 
-  private FleetJudge play(final String text, final Check check) throws IOException {
+  private FleetChecker play(final String text, final Check check) throws IOException {
     final Schedule schedule = Schedule.parse(text);
     try (StandInWorld world = new StandInWorld(folder, schedule.seed());
         RealFleet fleet =
             new RealFleet(
                 folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-      final FleetJudge judge = fleet.play();
-      assertEquals(List.of(), judge.broken(), () -> fleet.tally() + fleet.lines());
-      assertTrue(judge.isAgreed(), () -> "views differ at the end: " + fleet.lines());
+      final FleetChecker judge = fleet.run();
+      assertEquals(List.of(), judge.violations(), () -> fleet.summary() + fleet.recentLines());
+      assertTrue(judge.isAgreed(), () -> "views differ at the end: " + fleet.recentLines());
       check.verify(fleet);
       return judge;
     }
@@ -55,7 +55,7 @@
 
   private static String peers(final RealFleet fleet, final int number, final String... more) {
     final StringWriter out = new StringWriter();
-    final List<String> args = new ArrayList<>(List.of("peers", "--at", fleet.admin(number)));
+    final List<String> args = new ArrayList<>(List.of("peers", "--at", fleet.adminAddress(number)));
     args.addAll(Arrays.asList(more));
     assertEquals(
         0, Main.commandLine().setOut(new PrintWriter(out)).execute(args.toArray(String[]::new)));
@@ -67,7 +67,7 @@
    */
   @Test
   void fiveProcessesUnderFaults_agreeOnMembers() throws IOException {
-    final FleetJudge judge =
+    final FleetChecker judge =
         play(
             """
                 members 5
@@ -95,8 +95,9 @@
                       - 1,
                   () -> "a head and a line for each: " + peers(fleet, 2, "--matrix"));
             });
-    assertEquals(1, judge.timesToKnow().size());
-    assertTrue(judge.timesToKnow().get(0) < 4000, () -> "known after " + judge.timesToKnow());
+    assertEquals(1, judge.detectionTimesMs().size());
+    assertTrue(
+        judge.detectionTimesMs().get(0) < 4000, () -> "known after " + judge.detectionTimesMs());
   }
 
   /**
@@ -114,13 +115,13 @@
                 """,
         fleet -> {
           assertTrue(
-              fleet.lines().stream()
+              fleet.recentLines().stream()
                   .anyMatch(
                       line ->
                           line.startsWith("n01: ")
                               && line.contains(" peers: hears no majority: 2 of 5")),
-              fleet.lines()::toString);
-          final JsonNode before = fleet.page(2);
+              fleet.recentLines()::toString);
+          final JsonNode before = fleet.peersPage(2);
           final Random random = new Random(33);
           final int datagrams = 200;
           JsonNode after = before;
--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.testkit.StandInClient;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
@@ -54,24 +54,24 @@
       world = made;
       for (final int destination : new int[] {1, 1, 2}) {
         final StandInEndpoint endpoint = world.endpoint(destination);
-        world.platform.tell(endpoint, "Ready", 1000);
+        world.platform.announce(endpoint, "Ready", 1000);
         endpoints.add(endpoint);
       }
       try (RealFleet started =
           new RealFleet(
               folder, parsed, world.platform.address(), world.platform.known(), REPLICAS, 5000)) {
         fleet = started;
-        fleet.whole(
+        fleet.onAgreement(
             () -> {
               for (int number = 0; number < parsed.members(); number++) {
                 final StandInClient client = world.client("c" + number + "-");
-                client.courier(fleet.serves(number));
+                client.setCourierAddress(fleet.clientAddress(number));
                 clients.add(client);
               }
             });
         script.play();
-        fleet.play();
-        assertEquals(List.of(), fleet.judge().broken(), () -> fleet.lines().toString());
+        fleet.run();
+        assertEquals(List.of(), fleet.checker().violations(), () -> fleet.recentLines().toString());
       } finally {
         clients.forEach(StandInClient::close);
       }
@@ -83,14 +83,15 @@
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_MS);
     while (!condition.getAsBoolean()) {
       assertTrue(
-          System.nanoTime() < untilNs, () -> "timed out waiting for: " + what + ": " + of.lines());
+          System.nanoTime() < untilNs,
+          () -> "timed out waiting for: " + what + ": " + of.recentLines());
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
   /** Whether a courier excludes an endpoint because of an operator's decision. */
   private boolean isExcluded(final int number, final String endpoint) {
-    final JsonNode routes = fleet.ask(number, "lanes");
+    final JsonNode routes = fleet.fetchPage(number, "lanes");
     boolean found = false;
     for (final JsonNode route : routes == null ? List.<JsonNode>of() : routes) {
       for (final JsonNode constraint : route.path("said")) {
@@ -118,7 +119,7 @@
 
   private void deliver(final int number, final int count, final int destination) {
     for (int message = 0; message < count; message++) {
-      clients.get(number).handIn("safe", destination, TIMEOUT_MS);
+      clients.get(number).submit("safe", destination, TIMEOUT_MS);
     }
   }
 
@@ -149,7 +150,7 @@
               1000,
               () -> {
                 final StandInEndpoint first = endpoint(0);
-                assertTrue(fleet.maintain(0, first.name(), true));
+                assertTrue(fleet.setDisabled(0, first.name(), true));
                 awaitExcludedEverywhere(first.name());
                 final long before = first.calls();
                 for (int number = 0; number < COURIERS; number++) {
@@ -164,23 +165,24 @@
                 await(
                     "known again after its start", fleet, () -> isExcluded(2, endpoint(0).name()));
                 assertTrue(
-                    run(0, "state", "why", endpoint(0).name(), "--at", fleet.admin(2))
+                    run(0, "state", "why", endpoint(0).name(), "--at", fleet.adminAddress(2))
                         .contains("left out: the last word counts"));
                 await(
                     "equal state everywhere",
                     fleet,
                     () ->
                         fleet
-                            .ask(2, "state")
+                            .fetchPage(2, "state")
                             .path("sum")
-                            .equals(fleet.ask(0, "state").path("sum")));
+                            .equals(fleet.fetchPage(0, "state").path("sum")));
                 assertTrue(
-                    run(0, "state", "diff", fleet.admin(0), fleet.admin(2))
+                    run(0, "state", "diff", fleet.adminAddress(0), fleet.adminAddress(2))
                         .startsWith("both hold the same"));
                 // The decision at another courier is based on the first one, so it replaces it.
-                assertTrue(fleet.maintain(3, endpoint(0).name(), false));
+                assertTrue(fleet.setDisabled(3, endpoint(0).name(), false));
                 awaitServingEverywhere(endpoint(0).name());
-                assertTrue(run(0, "state", "show", "--at", fleet.admin(1)).contains("may serve"));
+                assertTrue(
+                    run(0, "state", "show", "--at", fleet.adminAddress(1)).contains("may serve"));
               });
         });
   }
@@ -190,8 +192,8 @@
   }
 
   private boolean allEnded() {
-    return clients.stream().allMatch(client -> client.unanswered() <= 0)
-        && world.auditor.allEnded();
+    return clients.stream().allMatch(client -> client.pendingRequests() <= 0)
+        && world.ruleChecker.allEnded();
   }
 
   /** Concurrent opposite decisions: the endpoint stays excluded, and both sides are notified. */
@@ -205,13 +207,13 @@
                 at 1s cut 0,1 <-> 2,3 for 6s
                 """,
         () -> {
-          fleet.at(500, () -> assertTrue(fleet.maintain(0, endpoint(0).name(), true)));
+          fleet.at(500, () -> assertTrue(fleet.setDisabled(0, endpoint(0).name(), true)));
           fleet.at(
               3000,
               () -> {
                 await("heard before the cut", fleet, () -> isExcluded(3, endpoint(0).name()));
-                assertTrue(fleet.maintain(1, endpoint(0).name(), false));
-                assertTrue(fleet.maintain(2, endpoint(0).name(), true));
+                assertTrue(fleet.setDisabled(1, endpoint(0).name(), false));
+                assertTrue(fleet.setDisabled(2, endpoint(0).name(), true));
               });
           fleet.at(
               14_000,
@@ -221,14 +223,15 @@
                     "both sides are told",
                     fleet,
                     () ->
-                        fleet.lines().stream()
+                        fleet.recentLines().stream()
                                 .filter(line -> line.contains("neither knowing of the other"))
                                 .map(line -> line.substring(0, 3))
                                 .distinct()
                                 .count()
                             == 4);
                 assertTrue(
-                    run(0, "state", "show", "--at", fleet.admin(0)).contains("left out, disputed"));
+                    run(0, "state", "show", "--at", fleet.adminAddress(0))
+                        .contains("left out, disputed"));
               });
         });
   }
@@ -249,12 +252,12 @@
                   final StandInEndpoint third = endpoint(2);
                   deliver(0, 1, 2);
                   await("served", fleet, () -> allEnded());
-                  third.fare(new Manner(Act.REFUSE, 0, 3000));
+                  third.setBehavior(new Behavior(Action.REJECT, 0, 3000));
                   final long before = third.calls();
                   deliver(0, 1, 2);
                   await("refused", fleet, () -> third.calls() == before + 1);
                   final long retryAfterNs = System.nanoTime();
-                  third.fare(Manner.after(0));
+                  third.setBehavior(Behavior.deliverAfter(0));
                   await(
                       "heard by all", fleet, () -> isHeldBack(1) && isHeldBack(2) && isHeldBack(3));
                   assertTrue(
@@ -280,7 +283,7 @@
   }
 
   private boolean isHeldBack(final int number) {
-    final JsonNode routes = fleet.ask(number, "lanes");
+    final JsonNode routes = fleet.fetchPage(number, "lanes");
     boolean found = false;
     for (final JsonNode route : routes == null ? List.<JsonNode>of() : routes) {
       for (final JsonNode constraint : route.path("said")) {
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -138,12 +138,12 @@
             "ready",
             () -> courier.hasPrinted("is ready at") && courier.hasPrinted("operators ask at"));
         world.await("its own entry", () -> courier.hasPrinted("is there"));
-        world.client.courier(courier.readyAddress());
-        world.load(100, 3000, 7);
+        world.client.setCourierAddress(courier.readyAddress());
+        world.startLoad(100, 3000, 7);
         world.await("deliveries", () -> endpoint.calls() > 50);
-        assertEquals(List.of(), world.stopLoad());
+        assertEquals(List.of(), world.stopLoadAndCheck());
         assertPagesShowEndpointInUse(admin);
-        world.registry.status("heat", "i", "DOWN");
+        world.registry.setStatus("heat", "i", "DOWN");
         world.await("the drain", () -> members(admin).contains("draining"));
         // An invalid file changes nothing.
         Files.writeString(file, text.replace("100ms", "100"));
--- a/courier/src/test/java/thistleturn/courier/FaultScenario.java
+++ b/courier/src/test/java/thistleturn/courier/FaultScenario.java
@@ -14,7 +14,7 @@
 import java.util.regex.Pattern;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
 import thistleturn.testkit.rig.ChildProcess;
@@ -54,15 +54,15 @@
     state = folder.resolve("state");
     for (int index = 0; index < ENDPOINTS; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index % DESTINATIONS);
-      endpoint.fare(Manner.after(SERVICE_MS));
-      world.platform.tell(endpoint, "Ready", CALLS_PER_SECOND);
+      endpoint.setBehavior(Behavior.deliverAfter(SERVICE_MS));
+      world.platform.announce(endpoint, "Ready", CALLS_PER_SECOND);
       endpoints.add(endpoint);
     }
   }
 
   /** No fault yet, for a courier of this scenario. */
   FaultShim faults() {
-    return FaultShim.below(state);
+    return FaultShim.forFolder(state);
   }
 
   /** Couriers that are started from now on listen there. */
@@ -86,7 +86,7 @@
     courier = ChildProcess.java(faults.environment(environment), "", MAIN);
     processes.add(courier);
     final String ready = courier.await(line -> line.contains("is ready at "));
-    world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
+    world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
   }
 
   /**
@@ -101,19 +101,19 @@
 
   /** Ends the courier in order, as the platform does, and starts another one in its folder. */
   void restartInOrder(final FaultShim faults) throws IOException {
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     end(courier);
-    world.endConnections();
+    world.resetConnections();
     start(faults);
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
   /** SIGTERM, and SIGKILL 3.7 s later unless the process has ended by then. */
   private void end(final ChildProcess process) {
     process.terminate();
-    final long untilUs = world.ticks.nowUs() + KILLED_AFTER_US;
+    final long untilUs = world.clock.nowUs() + KILLED_AFTER_US;
     world.await(
-        "the end of the process", () -> !process.isAlive() || world.ticks.nowUs() >= untilUs);
+        "the end of the process", () -> !process.isAlive() || world.clock.nowUs() >= untilUs);
     process.kill();
   }
 
@@ -125,49 +125,49 @@
     final int before = delivered();
     load(WARM_UP_RATE);
     world.await("the first deliveries", () -> delivered() >= before + WARM_UP_MESSAGES);
-    world.stopHandingIn();
-    world.await("answers to the first messages", () -> world.client.unanswered() <= 0);
-    late.addAll(world.client.withoutAnswer());
+    world.stopSubmitting();
+    world.await("answers to the first messages", () -> world.client.pendingRequests() <= 0);
+    late.addAll(world.client.unansweredIds());
   }
 
   /** Requests that had no answer in their client's time, but for those of a warm-up. */
   List<String> withoutAnswer() {
-    return world.client.withoutAnswer().stream().filter(id -> !late.contains(id)).toList();
+    return world.client.unansweredIds().stream().filter(id -> !late.contains(id)).toList();
   }
 
   /** Kills the courier and starts another one in its folder. */
   void restart(final FaultShim faults) throws IOException {
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
-    world.endConnections();
+    world.resetConnections();
     // What was called up to now is the old process's: it went on until the signal reached it.
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     start(faults);
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
   /** Hands in so many messages a second to all destinations. */
   void load(final double perSecond) {
-    world.load(perSecond, TIMEOUT_MS, 1, 2, 3);
+    world.startLoad(perSecond, TIMEOUT_MS, 1, 2, 3);
   }
 
   /** Lets so much time pass under load. */
   void pass(final long ms) {
-    world.until(world.ticks.nowUs() + ms * 1000);
+    world.waitUntil(world.clock.nowUs() + ms * 1000);
   }
 
   /** Hands in no more; what the rules have to say once every message has its end or is overdue. */
   List<Violation> verdict() {
-    violations = world.stopLoad(TIMEOUT_MS);
+    violations = world.stopLoadAndCheck(TIMEOUT_MS);
     return violations;
   }
 
   int delivered() {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 
   int ended() {
-    return world.auditor.ends().values().stream().mapToInt(Integer::intValue).sum();
+    return world.ruleChecker.outcomeCounts().values().stream().mapToInt(Integer::intValue).sum();
   }
 
   ChildProcess courier() {
@@ -186,7 +186,10 @@
     }
     final StringBuilder text =
         new StringBuilder(
-            "ends " + world.auditor.ends() + ", without answer " + withoutAnswer().size());
+            "ends "
+                + world.ruleChecker.outcomeCounts()
+                + ", without answer "
+                + withoutAnswer().size());
     for (final ChildProcess process : processes) {
       text.append("\nprocess ").append(process.pid());
       process.lines().stream()
--- a/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.Violation;
 import thistleturn.testkit.rig.FaultShim;
 
@@ -94,7 +94,7 @@
   void mixedFaultsBreakNoRule(final int seed) throws IOException {
     final Random random = new Random(seed);
     try (FaultScenario scenario = new FaultScenario(folder, seed)) {
-      scenario.world.loadClasses("safe", "keyed", "brief", "once");
+      scenario.world.setLoadClasses("safe", "keyed", "brief", "once");
       scenario.world.client.keepConnections(random.nextBoolean());
       scenario.start(faults(scenario, random));
       scenario.load(RATE);
@@ -107,7 +107,7 @@
           scenario.restart(faults(scenario, random));
         }
       }
-      scenario.endpoints.forEach(endpoint -> endpoint.fare(Manner.after(20)));
+      scenario.endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(20)));
       assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
     }
   }
@@ -166,20 +166,20 @@
     }
     final long shiftMs = WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)];
     return faults
-        .wallClock(0, shiftMs)
-        .wallClock(
+        .shiftWallClock(0, shiftMs)
+        .shiftWallClock(
             500 + random.nextInt(1500), WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)]);
   }
 
   private static void trouble(final FaultScenario scenario, final Random random) {
     for (final StandInEndpoint endpoint : scenario.endpoints) {
-      endpoint.fare(
+      endpoint.setBehavior(
           switch (random.nextInt(10)) {
-            case 0 -> Manner.of(Act.SILENCE);
-            case 1 -> Manner.of(Act.RESET);
-            case 2 -> Manner.of(Act.FAIL);
-            case 3 -> new Manner(Act.REFUSE, 5, 200);
-            default -> Manner.after(20);
+            case 0 -> Behavior.of(Action.NO_ANSWER);
+            case 1 -> Behavior.of(Action.RESET);
+            case 2 -> Behavior.of(Action.FAIL);
+            case 3 -> new Behavior(Action.REJECT, 5, 200);
+            default -> Behavior.deliverAfter(20);
           });
     }
   }
--- a/courier/src/test/java/thistleturn/courier/HandoverListenerTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverListenerTest.java
@@ -53,7 +53,7 @@
   @Test
   void clientsConnectWhileOlderListenerCloses_allAreAnswered() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 1)) {
-      world.platform.tell(world.endpoint(1), "Ready", 2000);
+      world.platform.announce(world.endpoint(1), "Ready", 2000);
       final Map<String, String> environment =
           new HashMap<>(world.environment(CourierFiles.Size.usual()));
       final int port = freePort();
@@ -64,7 +64,7 @@
       for (int takeover = 0; takeover < TAKEOVERS; takeover++) {
         keepBusy(serving);
         final CourierServer newer = startedCourier(environment);
-        world.until(world.ticks.nowUs() + LISTENER_CLOSED_US);
+        world.waitUntil(world.clock.nowUs() + LISTENER_CLOSED_US);
         serving.kill();
         serving = newer;
       }
--- a/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
@@ -35,7 +35,7 @@
   void startCourier(@TempDir final Path folder) throws Exception {
     world = new StandInWorld(folder, 3);
     final StandInEndpoint endpoint = world.endpoint(7);
-    world.platform.tell(endpoint, "Ready", 500);
+    world.platform.announce(endpoint, "Ready", 500);
     courier = CourierServer.start(world.environment(CourierFiles.Size.usual()));
     address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -14,8 +14,8 @@
 import thistleturn.courier.shard.ShardJournals;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 
 /**
@@ -41,19 +41,20 @@
     try (StandInWorld world = new StandInWorld(folder, 11)) {
       // One call each: whatever a destination's window is, that many are always allowed.
       final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(2));
-      endpoints.forEach(endpoint -> world.platform.tell(endpoint, "Ready", 1000));
+      endpoints.forEach(endpoint -> world.platform.announce(endpoint, "Ready", 1000));
       final CourierServer courier =
           CourierServer.start(world.environment(CourierFiles.Size.usual()));
-      world.client.courier(courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
+      world.client.setCourierAddress(
+          courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       // A destination that serves well is called again at once when a call of its breaks.
-      endpoints.forEach(endpoint -> endpoint.fare(Manner.after(SERVICE_MS)));
-      world.load(10, TIMEOUT_MS, 1, 2);
+      endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(SERVICE_MS)));
+      world.startLoad(10, TIMEOUT_MS, 1, 2);
       world.await("deliveries", () -> calls(endpoints) > 10);
-      assertEquals(List.of(), world.stopLoad());
-      endpoints.forEach(endpoint -> endpoint.fare(Manner.of(Act.SILENCE)));
+      assertEquals(List.of(), world.stopLoadAndCheck());
+      endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.of(Action.NO_ANSWER)));
       final long served = calls(endpoints);
-      world.client.handIn("safe", 1, TIMEOUT_MS);
-      world.client.handIn("keyed", 2, TIMEOUT_MS);
+      world.client.submit("safe", 1, TIMEOUT_MS);
+      world.client.submit("keyed", 2, TIMEOUT_MS);
       world.await("both of them out", () -> calls(endpoints) == served + 2);
       courier.kill();
       // Connections are taken in the order in which they came: what the ending process opened came
@@ -67,7 +68,7 @@
           CourierHarness.readResponse(last.getInputStream());
         }
       }
-      world.endConnections();
+      world.resetConnections();
       assertEquals(served + 2, calls(endpoints));
       final Collection<StoredMessage> owed =
           ShardJournals.open(folder.resolve("state"), 1_000_000, 1).get(0).pendingMessages();
--- a/courier/src/test/java/thistleturn/courier/ShardingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardingTest.java
@@ -22,8 +22,8 @@
 import thistleturn.decisions.shards.ShardPlacement;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 
 /**
@@ -45,9 +45,9 @@
     world = new StandInWorld(folder, 7);
     for (final long destination : DESTINATIONS) {
       final StandInEndpoint endpoint = world.endpoint(destination);
-      endpoint.fare(Manner.after(3));
+      endpoint.setBehavior(Behavior.deliverAfter(3));
       endpoints.add(endpoint);
-      world.platform.tell(endpoint, "Ready", 500);
+      world.platform.announce(endpoint, "Ready", 500);
     }
   }
 
@@ -69,16 +69,16 @@
                 platform.endpointDescriptorShare(),
                 shards,
                 true));
-    world.client.courier(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
+    world.client.setCourierAddress(courier.ready().orTimeout(30, TimeUnit.SECONDS).join());
   }
 
   private void restart(final int shards) throws IOException, ConfigurationException {
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
-    world.endConnections();
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.resetConnections();
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     start(shards);
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
   private void awaitCalls(final long additional) {
@@ -93,22 +93,23 @@
   @Test
   void killsAndChangesOfShardCount_rulesHold() throws Exception {
     start(1);
-    world.load(250, TIMEOUT_MS, DESTINATIONS);
+    world.startLoad(250, TIMEOUT_MS, DESTINATIONS);
     for (final int shards : new int[] {8, 3, 8, 1, 4}) {
       awaitCalls(120);
       restart(shards);
     }
     awaitCalls(200);
-    assertEquals(List.of(), world.stopLoad());
+    assertEquals(List.of(), world.stopLoadAndCheck());
     assertTrue(
-        world.auditor.ends().getOrDefault("delivered", 0) > 500, world.auditor.ends().toString());
+        world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0) > 500,
+        world.ruleChecker.outcomeCounts().toString());
   }
 
   /** One event loop is blocked: the other shards' destinations are served, and nothing is lost. */
   @Test
   void stalledShard_delaysOnlyItsOwnDestinations() throws Exception {
     start(3);
-    world.load(150, TIMEOUT_MS, DESTINATIONS);
+    world.startLoad(150, TIMEOUT_MS, DESTINATIONS);
     awaitCalls(100);
     // The client's connections are spread over all loops: the blocked one serves only some of them.
     final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(250);
@@ -121,7 +122,7 @@
               }
             });
     awaitCalls(100);
-    assertEquals(List.of(), world.stopLoad());
+    assertEquals(List.of(), world.stopLoadAndCheck());
   }
 
   @Test
@@ -130,21 +131,21 @@
     final List<StandInEndpoint> others = new ArrayList<>();
     for (final long destination : DESTINATIONS) {
       final StandInEndpoint other = world.endpoint(destination);
-      other.fare(Manner.after(3));
+      other.setBehavior(Behavior.deliverAfter(3));
       others.add(other);
-      world.platform.tell(other, "Ready", 500);
+      world.platform.announce(other, "Ready", 500);
     }
-    world.load(200, TIMEOUT_MS, DESTINATIONS);
+    world.startLoad(200, TIMEOUT_MS, DESTINATIONS);
     awaitCalls(150);
     for (final StandInEndpoint endpoint : endpoints) {
-      world.platform.tell(endpoint, "Terminating", 500);
-      world.auditor.closed(world.ticks.nowUs(), endpoint.name());
+      world.platform.announce(endpoint, "Terminating", 500);
+      world.ruleChecker.recordDraining(world.clock.nowUs(), endpoint.name());
     }
     final long from = others.stream().mapToLong(StandInEndpoint::calls).sum();
     world.await(
         "calls elsewhere",
         () -> others.stream().mapToLong(StandInEndpoint::calls).sum() > from + 500);
-    assertEquals(List.of(), world.stopLoad());
+    assertEquals(List.of(), world.stopLoadAndCheck());
   }
 
   /** Unresponsive destinations on one shard: their messages end in time, others are delivered. */
@@ -153,12 +154,12 @@
     start(4);
     for (int index = 0; index < endpoints.size(); index++) {
       if (ShardPlacement.shardOf(DESTINATIONS[index], 4) == 0) {
-        endpoints.get(index).fare(Manner.of(Act.SILENCE));
+        endpoints.get(index).setBehavior(Behavior.of(Action.NO_ANSWER));
       }
     }
-    world.load(200, 2000, DESTINATIONS);
+    world.startLoad(200, 2000, DESTINATIONS);
     awaitCalls(300);
-    assertEquals(List.of(), world.stopLoad());
+    assertEquals(List.of(), world.stopLoadAndCheck());
   }
 
   /** After a kill during a migration, exactly the layout that the marker names is valid. */
--- a/courier/src/test/java/thistleturn/courier/ShutdownSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShutdownSoakTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
@@ -67,12 +67,12 @@
     try (StandInWorld world = new StandInWorld(folder, seed)) {
       for (int index = 0; index < ENDPOINTS; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-        endpoint.fare(Manner.after(5 + random.nextInt(100)));
-        world.platform.tell(endpoint, "Ready", 2000);
+        endpoint.setBehavior(Behavior.deliverAfter(5 + random.nextInt(100)));
+        world.platform.announce(endpoint, "Ready", 2000);
       }
       final Map<String, String> environment = world.environment(CourierFiles.Size.usual());
       ChildProcess courier = start(world, environment);
-      world.load(RATE, TIMEOUT_MS, 1, 2);
+      world.startLoad(RATE, TIMEOUT_MS, 1, 2);
       for (int restart = 0; restart < RESTARTS; restart++) {
         if (random.nextInt(3) == 0) {
           connectCrowd(courier);
@@ -81,11 +81,11 @@
         hangUpInSeries(world, courier, random);
         end(world, courier, random);
         courier = start(world, environment);
-        world.auditor.restarted(world.ticks.nowUs(), true);
+        world.ruleChecker.recordRestart(world.clock.nowUs(), true);
         world.client.openConnections(true);
       }
       pass(world, 500);
-      assertEquals(List.of(), world.stopLoad(TIMEOUT_MS), () -> "seed " + seed + story());
+      assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS), () -> "seed " + seed + story());
       assertEquals(Set.of(), readAndNeverAnswered(world), () -> "seed " + seed + story());
     } finally {
       couriers.forEach(ChildProcess::close);
@@ -99,7 +99,7 @@
       throws IOException {
     final ChildProcess courier = ChildProcess.java(environment, "", MAIN);
     couriers.add(courier);
-    world.client.courier(address(courier));
+    world.client.setCourierAddress(address(courier));
     return courier;
   }
 
@@ -109,7 +109,7 @@
   }
 
   private static void pass(final StandInWorld world, final long ms) {
-    world.until(world.ticks.nowUs() + ms * US_PER_MS);
+    world.waitUntil(world.clock.nowUs() + ms * US_PER_MS);
   }
 
   /** Clients that never send anything. */
@@ -133,21 +133,21 @@
   /** SIGTERM, maybe more signals behind it, and SIGKILL at the page's earliest. */
   private static void end(final StandInWorld world, final ChildProcess courier, final Random random)
       throws IOException {
-    final long terminatedUs = world.ticks.nowUs();
-    world.auditor.restarted(terminatedUs, false);
+    final long terminatedUs = world.clock.nowUs();
+    world.ruleChecker.recordRestart(terminatedUs, false);
     courier.terminate();
     if (random.nextBoolean()) {
       pass(world, random.nextInt(100));
       courier.terminate();
     }
     hangUpInSeries(world, courier, random);
-    world.until(terminatedUs + (200 + random.nextInt(200)) * US_PER_MS);
+    world.waitUntil(terminatedUs + (200 + random.nextInt(200)) * US_PER_MS);
     world.client.openConnections(false);
-    world.until(terminatedUs + KILL_AFTER_US);
+    world.waitUntil(terminatedUs + KILL_AFTER_US);
     assertFalse(courier.isAlive(), () -> "it has not ended: " + courier.lines());
-    world.endConnections();
-    world.auditor.restarted(world.ticks.nowUs(), false);
-    world.until(world.ticks.nowUs() + START_AFTER_US);
+    world.resetConnections();
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
+    world.waitUntil(world.clock.nowUs() + START_AFTER_US);
   }
 
   /** What crossed the end of a resting connection was never read, and no courier knows of it. */
@@ -159,7 +159,7 @@
             .filter(Matcher::find)
             .map(id -> id.group(1))
             .collect(Collectors.toSet());
-    known.retainAll(world.client.withoutAnswer());
+    known.retainAll(world.client.unansweredIds());
     return known;
   }
 
--- a/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
@@ -47,7 +47,7 @@
   @BeforeEach
   void world() throws IOException {
     world = new StandInWorld(folder, 3);
-    world.platform.tell(world.endpoint(1), "Ready", 1000);
+    world.platform.announce(world.endpoint(1), "Ready", 1000);
     environment = new HashMap<>(world.environment(CourierFiles.Size.usual()));
   }
 
@@ -72,7 +72,7 @@
   /** Checks that a start on the same folder succeeds once the cause of the failure is removed. */
   private void assertStartsAndReleasesFolder() throws Exception {
     final CourierServer server = CourierServer.start(environment);
-    world.client.courier(server.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
+    world.client.setCourierAddress(server.ready().get(TIMEOUT_S, TimeUnit.SECONDS));
     server.kill();
     try (StateLock lock = StateLock.tryLock(folder.resolve("state"))) {
       assertTrue(lock != null, "the folder is free");
@@ -136,7 +136,7 @@
   void classesGoneDuringRetries_processEndsWithItsReason() throws Exception {
     final Path classes = copyCourierClasses();
     final FaultShim faults =
-        FaultShim.below(folder.resolve("state")).rule("socket,errno=23,for=4000");
+        FaultShim.forFolder(folder.resolve("state")).rule("socket,errno=23,for=4000");
     final String classPath = classes + File.pathSeparator + classPathWithoutCourier();
     try (ChildProcess courier =
         ChildProcess.java(
--- a/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
+++ b/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.rig.FaultShim;
 
 /**
@@ -103,7 +103,7 @@
   @Test
   void socketThatFailsLeavesNoMessageWithoutAnEnd() throws IOException {
     try (FaultScenario own = begin(2)) {
-      own.world.loadClasses("safe");
+      own.world.setLoadClasses("safe");
       own.start(own.faults().rule("socket," + FILES_USED_UP + ",share=0.1,from=1500"));
       own.warmUp();
       own.load(RATE);
@@ -152,8 +152,8 @@
               .rule("write," + DISK_FAILS + ",how=" + how + ",from=3000,period=5000,for=3500"));
       own.warmUp();
       // What is silent is held until its time is up, within the failure.
-      own.endpoints.get(0).fare(Manner.of(Act.SILENCE));
-      own.endpoints.get(3).fare(Manner.of(Act.SILENCE));
+      own.endpoints.get(0).setBehavior(Behavior.of(Action.NO_ANSWER));
+      own.endpoints.get(3).setBehavior(Behavior.of(Action.NO_ANSWER));
       own.load(RATE);
       own.pass(7500);
       allHolds();
@@ -228,13 +228,13 @@
   @Test
   void wallClockThatIsAnotherAtEachStartChangesNothing() throws IOException {
     try (FaultScenario own = begin(7)) {
-      own.world.loadClasses("safe", "keyed", "brief", "once");
+      own.world.setLoadClasses("safe", "keyed", "brief", "once");
       own.start(own.faults());
       own.load(RATE);
       for (final long shiftMs :
           new long[] {5_000, 0, -5_000, 3_600_000, 0, -3_600_000, 0, -4_000}) {
         own.pass(600);
-        own.restart(own.faults().wallClock(0, shiftMs));
+        own.restart(own.faults().shiftWallClock(0, shiftMs));
       }
       assertEquals(List.of(), own.verdict(), own::story);
     }
@@ -244,11 +244,11 @@
   void wallClockThatStepsChangesNothing() throws IOException {
     try (FaultScenario own = begin(8)) {
       // What may have run goes again elsewhere, while its key is kept there.
-      own.world.loadClasses("safe", "keyed");
-      own.endpoints.get(0).fare(Manner.of(Act.RESET));
+      own.world.setLoadClasses("safe", "keyed");
+      own.endpoints.get(0).setBehavior(Behavior.of(Action.RESET));
       final FaultShim faults = own.faults();
       for (int step = 0; step < 16; step++) {
-        faults.wallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
+        faults.shiftWallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
       }
       play(faults);
       own.pass(2000);
--- a/courier/src/test/java/thistleturn/courier/TakeoverKillSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverKillSoakTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
 import thistleturn.testkit.rig.ChildProcess;
@@ -99,17 +99,17 @@
       }
       ChildProcess serving = scenario.launch();
       scenario.awaitReady(serving);
-      world.client.courier(scenario.address());
-      world.client.patienceMs(PATIENCE_MS);
-      world.load(RATE, TIMEOUT_MS, LongStream.rangeClosed(1, DESTINATIONS).toArray());
+      world.client.setCourierAddress(scenario.address());
+      world.client.setAnswerTimeoutMs(PATIENCE_MS);
+      world.startLoad(RATE, TIMEOUT_MS, LongStream.rangeClosed(1, DESTINATIONS).toArray());
       for (final Ending ending : inOrder) {
         scenario.pass(300 + random.nextInt(700));
         serving = takeOver(scenario, serving, ending, random);
         scenario.disconnectCrowd();
       }
       scenario.pass(500);
-      world.stopHandingIn();
-      world.await("an end of every request", () -> world.client.unanswered() == 0);
+      world.stopSubmitting();
+      world.await("an end of every request", () -> world.client.pendingRequests() == 0);
       final List<Violation> violations = scenario.violations(TIMEOUT_MS);
       final String story = "seed " + seed + ", " + inOrder + scenario.story();
       assertAll(
@@ -122,8 +122,8 @@
     final StandInWorld world = new StandInWorld(folder, seed);
     for (int index = 0; index < DESTINATIONS; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index);
-      endpoint.fare(Manner.after(200 + random.nextInt(300)));
-      world.platform.tell(endpoint, "Ready", 2000);
+      endpoint.setBehavior(Behavior.deliverAfter(200 + random.nextInt(300)));
+      world.platform.announce(endpoint, "Ready", 2000);
     }
     return world;
   }
@@ -174,7 +174,7 @@
   /** Messages at once, each of which opens a connection that its client goes on using. */
   private static void useManyConnections(final TakeoverScenario scenario, final Random random) {
     for (int number = 0; number < BURST; number++) {
-      scenario.world.client.handIn(
+      scenario.world.client.submit(
           CLASSES.get(random.nextInt(CLASSES.size())), 1 + number % DESTINATIONS, TIMEOUT_MS);
     }
   }
--- a/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
@@ -78,7 +78,7 @@
   /** Waits until a process accepts clients. */
   void awaitReady(final ChildProcess process) {
     process.await(line -> line.contains(READY));
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
     note("process " + process.pid() + " is ready");
   }
 
@@ -107,7 +107,7 @@
     world.await(
         "the older process to take up again",
         () -> count(older, "this one takes up again") > before);
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
     note("process " + older.pid() + " takes up again");
   }
 
@@ -128,7 +128,7 @@
   /** Asks a process to end in order. */
   void terminate(final ChildProcess process) {
     note("SIGTERM to process " + process.pid());
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     process.terminate();
   }
 
@@ -136,15 +136,15 @@
    * Kills a process after a time, on the busy core if there is one, and returns when it is gone.
    */
   void kill(final ChildProcess process, final long afterMs) throws IOException {
-    final long atUs = world.ticks.nowUs() + afterMs * US_PER_MS;
+    final long atUs = world.clock.nowUs() + afterMs * US_PER_MS;
     if (busyCore != null) {
       process.runOn(busyCoreNumber);
     }
-    world.until(atUs);
-    final long fromUs = world.ticks.nowUs();
-    world.auditor.restarted(fromUs, false);
+    world.waitUntil(atUs);
+    final long fromUs = world.clock.nowUs();
+    world.ruleChecker.recordRestart(fromUs, false);
     process.kill();
-    final long goneUs = world.ticks.nowUs();
+    final long goneUs = world.clock.nowUs();
     kills.add(new Span(fromUs, goneUs + ENDS_READ_US));
     note("process " + process.pid() + " killed in " + (goneUs - fromUs) + " us");
   }
@@ -171,12 +171,12 @@
 
   /** Lets time pass. */
   void pass(final long ms) {
-    world.until(world.ticks.nowUs() + ms * US_PER_MS);
+    world.waitUntil(world.clock.nowUs() + ms * US_PER_MS);
   }
 
   /** What the rules have to say, once the last message's time is up. */
   List<Violation> violations(final long timeoutMs) {
-    return world.stopLoad(timeoutMs);
+    return world.stopLoadAndCheck(timeoutMs);
   }
 
   /**
@@ -192,7 +192,7 @@
     return world.client.unansweredRequests().stream()
         .filter(
             request ->
-                request.patienceOver()
+                request.timedOut()
                     || (!endedWithProcess(request) && log.contains(" id=" + request.id() + " ")))
         .map(request -> request + " (" + moment(request.writtenUs()) + ")")
         .toList();
@@ -210,7 +210,7 @@
   }
 
   private void note(final String what) {
-    story.add(world.ticks.nowUs() + " us: " + what);
+    story.add(world.clock.nowUs() + " us: " + what);
   }
 
   /** What happened when, and what the processes said that is not of one message. */
--- a/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
@@ -40,15 +40,15 @@
     final List<StandInEndpoint> partners = new ArrayList<>();
     for (int index = 0; index < 2 * destinations; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-      endpoint.fare(Manner.after(10));
-      world.platform.tell(endpoint, "Ready", 2000);
+      endpoint.setBehavior(Behavior.deliverAfter(10));
+      world.platform.announce(endpoint, "Ready", 2000);
       partners.add(endpoint);
     }
     return partners;
   }
 
   private static int delivered(final StandInWorld world) {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 
   /**
@@ -62,25 +62,25 @@
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
-        world.client.courier(address(courier));
-        world.load(30, TIMEOUT_MS, 1, 2, 3);
+        world.client.setCourierAddress(address(courier));
+        world.startLoad(30, TIMEOUT_MS, 1, 2, 3);
         world.await("calls", () -> delivered(world) > 200);
-        world.platform.silent(true);
-        partners.forEach(partner -> partner.fare(Manner.of(Act.SILENCE)));
+        world.platform.setUnresponsive(true);
+        partners.forEach(partner -> partner.setBehavior(Behavior.of(Action.NO_ANSWER)));
         courier.await(line -> line.contains("own health: cut_off"));
         final int before = delivered(world);
-        final long backUs = world.ticks.nowUs();
-        world.platform.silent(false);
-        partners.forEach(partner -> partner.fare(Manner.after(10)));
+        final long backUs = world.clock.nowUs();
+        world.platform.setUnresponsive(false);
+        partners.forEach(partner -> partner.setBehavior(Behavior.deliverAfter(10)));
         courier.await(line -> line.contains("had no way out for "));
         world.await("calls as before", () -> delivered(world) > before + 60);
-        final long tookMs = (world.ticks.nowUs() - backUs) / 1000;
+        final long tookMs = (world.clock.nowUs() - backUs) / 1000;
         assertTrue(tookMs < 6000, "as before after " + tookMs + " ms");
         final long others =
-            world.stopLoad(TIMEOUT_MS).stream()
+            world.stopLoadAndCheck(TIMEOUT_MS).stream()
                 .filter(one -> !one.toString().contains("sent after it was delivered"))
                 .count();
-        assertEquals(0, others, () -> world.auditor.finish(world.ticks.nowUs()).toString());
+        assertEquals(0, others, () -> world.ruleChecker.finish(world.clock.nowUs()).toString());
       }
     }
   }
@@ -107,23 +107,23 @@
       final Map<String, String> newer = new HashMap<>(older);
       newer.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
       try (ChildProcess first = ChildProcess.java(older, "", "thistleturn.courier.Main")) {
-        world.client.courier(address(first));
-        world.load(60, TIMEOUT_MS, 1, 2);
+        world.client.setCourierAddress(address(first));
+        world.startLoad(60, TIMEOUT_MS, 1, 2);
         world.await("calls", () -> delivered(world) > 100);
         try (ChildProcess second = ChildProcess.java(newer, "", "thistleturn.courier.Main")) {
           second.await(line -> line.contains("takes over"));
           final ChildProcess victim = seed % 2 == 0 ? first : second;
-          final long pauseUs = world.ticks.nowUs() + random.nextInt(400_000);
-          world.await("the moment of the stop", () -> world.ticks.nowUs() >= pauseUs);
+          final long pauseUs = world.clock.nowUs() + random.nextInt(400_000);
+          world.await("the moment of the stop", () -> world.clock.nowUs() >= pauseUs);
           victim.pause();
-          final long resumeUs = world.ticks.nowUs() + 500_000 + random.nextInt(1_000_000);
-          world.await("the end of the stop", () -> world.ticks.nowUs() >= resumeUs);
+          final long resumeUs = world.clock.nowUs() + 500_000 + random.nextInt(1_000_000);
+          world.await("the end of the stop", () -> world.clock.nowUs() >= resumeUs);
           victim.resume();
           address(second);
           first.terminate();
           final int before = delivered(world);
           world.await("calls by the newer one", () -> delivered(world) > before + 100);
-          assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
+          assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS));
         }
       }
     }
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
@@ -43,32 +43,32 @@
     try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
       for (int index = 0; index < 4; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-        endpoint.fare(Manner.after(40));
-        world.platform.tell(endpoint, "Ready", 2000);
+        endpoint.setBehavior(Behavior.deliverAfter(40));
+        world.platform.announce(endpoint, "Ready", 2000);
       }
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
         final String ready = courier.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(RATE, TIMEOUT_MS, 1, 2);
+        world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.startLoad(RATE, TIMEOUT_MS, 1, 2);
         for (int stop = 1; stop <= 3; stop++) {
           // Time-outs are learnt after some calls; they are what is judged too soon.
           final int before = delivered(world);
           world.await("calls between the stops", () -> delivered(world) > before + 2 * RATE);
-          final long fromUs = world.ticks.nowUs();
+          final long fromUs = world.clock.nowUs();
           courier.pause();
-          final long untilUs = world.ticks.nowUs() + pauseMs * 1000;
-          world.await("the end of the stop", () -> world.ticks.nowUs() >= untilUs);
+          final long untilUs = world.clock.nowUs() + pauseMs * 1000;
+          world.await("the end of the stop", () -> world.clock.nowUs() >= untilUs);
           courier.resume();
           // On a slow machine a line may wait when it is stopped, whose time runs out within the
           // stop.
-          world.auditor.courierStopped(fromUs, world.ticks.nowUs());
+          world.ruleChecker.recordCourierPause(fromUs, world.clock.nowUs());
         }
         final int before = delivered(world);
         world.await("calls after the last stop", () -> delivered(world) > before + RATE);
-        assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
-        final Map<String, Integer> ends = world.auditor.ends();
+        assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS));
+        final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
         final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(
             ends.getOrDefault("delivered", 0) >= 0.98 * handed,
@@ -104,51 +104,52 @@
     final int held = 2000;
     try (StandInWorld world = new StandInWorld(folder, 7)) {
       final StandInEndpoint endpoint = world.endpoint(1);
-      endpoint.fare(Manner.of(StandInEndpoint.Act.SILENCE));
-      world.platform.tell(endpoint, "Ready", 2000);
+      endpoint.setBehavior(Behavior.of(StandInEndpoint.Action.NO_ANSWER));
+      world.platform.announce(endpoint, "Ready", 2000);
       final Map<String, String> environment =
           world.environment(new CourierFiles.Size(2 * held, 64, 1024));
       try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         final String ready = first.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
+        world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.startLoad(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
         world.await(
-            "messages that are held", () -> world.auditor.ends().getOrDefault("open", 0) >= held);
-        world.stopHandingIn();
+            "messages that are held",
+            () -> world.ruleChecker.outcomeCounts().getOrDefault("open", 0) >= held);
+        world.stopSubmitting();
         first.kill();
-        world.auditor.restarted(world.ticks.nowUs(), false);
+        world.ruleChecker.recordRestart(world.clock.nowUs(), false);
       }
-      world.endConnections();
-      endpoint.fare(Manner.after(1));
+      world.resetConnections();
+      endpoint.setBehavior(Behavior.deliverAfter(1));
       try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         // A fifth of a core until it is ready and a while longer.
         boolean up = false;
         for (int slice = 0; slice < SLICES; slice++) {
           second.pause();
-          final long thenUs = world.ticks.nowUs() + 80_000;
-          world.await("a slice", () -> world.ticks.nowUs() >= thenUs);
+          final long thenUs = world.clock.nowUs() + 80_000;
+          world.await("a slice", () -> world.clock.nowUs() >= thenUs);
           second.resume();
-          final long nextUs = world.ticks.nowUs() + 20_000;
-          world.await("a slice", () -> world.ticks.nowUs() >= nextUs);
+          final long nextUs = world.clock.nowUs() + 20_000;
+          world.await("a slice", () -> world.clock.nowUs() >= nextUs);
           if (!up && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
             up = true;
-            world.auditor.restarted(world.ticks.nowUs(), true);
+            world.ruleChecker.recordRestart(world.clock.nowUs(), true);
           }
         }
         second.await(line -> line.contains("is ready at "));
         if (!up) {
-          world.auditor.restarted(world.ticks.nowUs(), true);
+          world.ruleChecker.recordRestart(world.clock.nowUs(), true);
         }
         assertTrue(
             second.lines().stream().anyMatch(line -> line.contains("resumed ")),
             second.lines().toString());
-        assertEquals(List.of(), world.stopLoad());
-        assertTrue(delivered(world) >= 0.95 * held, "ends " + world.auditor.ends());
+        assertEquals(List.of(), world.stopLoadAndCheck());
+        assertTrue(delivered(world) >= 0.95 * held, "ends " + world.ruleChecker.outcomeCounts());
       }
     }
   }
 
   private static int delivered(final StandInWorld world) {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/http/DispatcherFixture.java
+++ b/courier/src/test/java/thistleturn/courier/http/DispatcherFixture.java
@@ -55,7 +55,7 @@
    *
    * @param script handles the calls that the endpoint receives
    */
-  DispatcherFixture(final Path folder, final HttpStandIn.Script script) throws Exception {
+  DispatcherFixture(final Path folder, final HttpStandIn.Handler script) throws Exception {
     server = new HttpStandIn(servers, new InetSocketAddress("127.0.0.1", 0), script);
     final CourierConfig config =
         CourierConfig.read(
--- a/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
@@ -28,22 +28,22 @@
     try (StandInWorld world = new StandInWorld(folder, 5)) {
       final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(1));
       for (final StandInEndpoint endpoint : endpoints) {
-        endpoint.fare(StandInEndpoint.Manner.after(100));
-        world.platform.tell(endpoint, "Ready", 1000);
+        endpoint.setBehavior(StandInEndpoint.Behavior.deliverAfter(100));
+        world.platform.announce(endpoint, "Ready", 1000);
       }
       final CourierServer courier =
           CourierServer.start(world.environment(CourierFiles.Size.usual()));
       try {
-        world.client.courier(courier.ready().get(10, TimeUnit.SECONDS));
-        world.load(200, TIMEOUT_MS, 1);
+        world.client.setCourierAddress(courier.ready().get(10, TimeUnit.SECONDS));
+        world.startLoad(200, TIMEOUT_MS, 1);
         world.await("deliveries", () -> delivered(world) > 50);
-        endpoints.forEach(endpoint -> endpoint.server().resetsKept(true));
+        endpoints.forEach(endpoint -> endpoint.server().resetReusedConnections(true));
         final int before = delivered(world);
-        final long fromUs = world.ticks.nowUs();
+        final long fromUs = world.clock.nowUs();
         world.await("two seconds' deliveries", () -> delivered(world) > before + 400);
-        final long tookMs = (world.ticks.nowUs() - fromUs) / 1000;
-        endpoints.forEach(endpoint -> endpoint.server().resetsKept(false));
-        assertEquals(List.of(), world.stopLoad());
+        final long tookMs = (world.clock.nowUs() - fromUs) / 1000;
+        endpoints.forEach(endpoint -> endpoint.server().resetReusedConnections(false));
+        assertEquals(List.of(), world.stopLoadAndCheck());
         // Non-idempotent messages over a stale connection fail, the others are delivered nearly at
         // once: 1.2 to 1.5 s. If stale connections counted as endpoint faults it would be over 7 s.
         assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
@@ -54,6 +54,6 @@
   }
 
   private static int delivered(final StandInWorld world) {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 }
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -63,7 +63,7 @@
     extension =
         new MembershipExtension(() -> new MembershipSettings(rules, registries, registration));
     courier = CourierServer.start(world.environment(CourierFiles.Size.usual()), extension);
-    world.client.courier(courier.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
+    world.client.setCourierAddress(courier.ready().orTimeout(AWAIT_S, TimeUnit.SECONDS).join());
     return this;
   }
 
@@ -73,13 +73,13 @@
 
   /** Kills the courier without a shutdown and starts another on the same folder. */
   void killAndRestart() throws IOException, ConfigurationException {
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
-    world.endConnections();
+    world.resetConnections();
     // The kill takes a while, in which endpoints still answer.
-    world.auditor.restarted(world.ticks.nowUs(), false);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     start();
-    world.auditor.restarted(world.ticks.nowUs(), true);
+    world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
   /** Shuts the courier down as SIGTERM does; returns when the process would exit. */
--- a/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DirectoryContractTest.java
@@ -66,7 +66,7 @@
     world = new StandInWorld(folder, 1);
     first = world.endpoint(1);
     second = world.endpoint(2);
-    world.platform.tell(first, "Ready", 10);
+    world.platform.announce(first, "Ready", 10);
   }
 
   @AfterEach
@@ -131,13 +131,13 @@
     start(kind);
     requestUpdates();
     world.await("current", this::isCurrent);
-    world.platform.tell(second, "Ready", 10);
+    world.platform.announce(second, "Ready", 10);
     awaitState(second, EndpointState.LISTED);
-    world.platform.tell(first, "Terminating", 10);
+    world.platform.announce(first, "Terminating", 10);
     awaitState(first, EndpointState.DRAINING);
-    world.platform.tell(first, "Gone", 10);
+    world.platform.announce(first, "Gone", 10);
     awaitState(first, EndpointState.GONE);
-    world.platform.tell(first, "Ready", 10);
+    world.platform.announce(first, "Ready", 10);
     awaitState(first, EndpointState.LISTED);
   }
 
@@ -149,12 +149,12 @@
     world.await("current", this::isCurrent);
     // The list can arrive before the watch on it is established.
     world.await("the watch", world.platform::isWatched);
-    world.platform.breakWatches();
+    world.platform.resetWatches();
     world.await("the loss", () -> updates.contains(EndpointUpdate.UNAVAILABLE));
     assertEquals(
         EndpointState.LISTED, view.get(first.address()), "endpoints are kept while unavailable");
-    world.platform.tell(first, "Terminating", 10);
-    world.platform.tell(second, "Ready", 10);
+    world.platform.announce(first, "Terminating", 10);
+    world.platform.announce(second, "Ready", 10);
     requestUpdates();
     awaitState(first, EndpointState.DRAINING);
     awaitState(second, EndpointState.LISTED);
@@ -166,8 +166,8 @@
     start(kind);
     requestUpdates();
     world.await("current", this::isCurrent);
-    try (StandInPlatform moved = new StandInPlatform(group, world.auditor, world.ticks)) {
-      moved.tell(second, "Ready", 10);
+    try (StandInPlatform moved = new StandInPlatform(group, world.ruleChecker, world.clock)) {
+      moved.announce(second, "Ready", 10);
       final Path config = folder.resolve("config.json");
       Files.writeString(
           config, Files.readString(config).replace(world.platform.address(), moved.address()));
--- a/eureka/src/test/java/thistleturn/membership/DrainTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DrainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInRegistry;
 import thistleturn.testkit.Violation;
 
@@ -34,11 +34,12 @@
   /** Sets an endpoint to DOWN; the auditor counts it as draining once the registry reports it. */
   private static void drain(
       final CourierUnderTest courier, final String id, final StandInEndpoint endpoint) {
-    courier.world.registry.status(
+    courier.world.registry.setStatus(
         "heat",
         id,
         "DOWN",
-        () -> courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name()));
+        () ->
+            courier.world.ruleChecker.recordDraining(courier.world.clock.nowUs(), endpoint.name()));
   }
 
   @Test
@@ -46,18 +47,18 @@
     try (CourierUnderTest courier = new CourierUnderTest(folder, 1)) {
       final StandInEndpoint slow = courier.world.endpoint(1);
       final StandInEndpoint other = courier.world.endpoint(1);
-      slow.fare(Manner.after(150));
+      slow.setBehavior(Behavior.deliverAfter(150));
       register(courier, "slow", slow, "UP");
       register(courier, "other", other, "UP");
       courier.start();
       courier.awaitState(slow.address(), "up");
-      courier.world.load(150, TIMEOUT_MS, 1);
+      courier.world.startLoad(150, TIMEOUT_MS, 1);
       courier.world.await("calls in flight", () -> slow.calls() > 10);
       drain(courier, "slow", slow);
       courier.awaitState(slow.address(), "draining");
       final long callsBefore = other.calls();
       courier.world.await("calls at the other", () -> other.calls() > callsBefore + 300);
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
     }
   }
 
@@ -69,12 +70,12 @@
       courier.start();
       courier.awaitState(endpoint.address(), "up");
       // The courier does not know of the drain: its further calls are violations.
-      courier.world.auditor.closed(courier.world.ticks.nowUs(), endpoint.name());
-      courier.world.load(50, TIMEOUT_MS, 1);
+      courier.world.ruleChecker.recordDraining(courier.world.clock.nowUs(), endpoint.name());
+      courier.world.startLoad(50, TIMEOUT_MS, 1);
       courier.world.await(
           "a violation",
           () ->
-              courier.world.auditor.finish(courier.world.ticks.nowUs()).stream()
+              courier.world.ruleChecker.finish(courier.world.clock.nowUs()).stream()
                   .anyMatch(violation -> violation.rule() == Violation.Rule.DRAIN));
     }
   }
@@ -85,21 +86,21 @@
       final StandInEndpoint first = courier.world.endpoint(1);
       final StandInEndpoint second = courier.world.endpoint(1);
       final StandInEndpoint steady = courier.world.endpoint(1);
-      courier.world.platform.tell(first, "Ready", 1000);
-      courier.world.platform.tell(second, "Ready", 1000);
-      courier.world.platform.tell(steady, "Ready", 1000);
+      courier.world.platform.announce(first, "Ready", 1000);
+      courier.world.platform.announce(second, "Ready", 1000);
+      courier.world.platform.announce(steady, "Ready", 1000);
       register(courier, "i1", first, "UP");
       register(courier, "i2", second, "UP");
       courier.start();
       courier.awaitState(second.address(), "up");
-      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.startLoad(100, TIMEOUT_MS, 1);
       drain(courier, "i1", first);
       courier.awaitMember(
           first.address(),
           member ->
               member.path("because").asText().equals("caution")
                   && member.path("by").asText().equals("eureka"));
-      courier.world.platform.tell(second, "Terminating", 1000);
+      courier.world.platform.announce(second, "Terminating", 1000);
       courier.awaitMember(
           second.address(),
           member ->
@@ -107,7 +108,7 @@
                   && member.path("by").asText().equals("discovery"));
       final long callsBefore = steady.calls();
       courier.world.await("calls at the steady one", () -> steady.calls() > callsBefore + 250);
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
     }
   }
 
@@ -118,14 +119,14 @@
       register(courier, "i", endpoint, "UP");
       courier.start();
       courier.awaitState(endpoint.address(), "up");
-      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.startLoad(100, TIMEOUT_MS, 1);
       courier.world.registry.cancel("heat", "i");
       courier.awaitState(endpoint.address(), "gone");
       register(courier, "i", endpoint, "UP");
       courier.awaitState(endpoint.address(), "up");
       final long callsBefore = endpoint.calls();
       courier.world.await("calls again", () -> endpoint.calls() > callsBefore + 50);
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
     }
   }
 
@@ -141,10 +142,10 @@
       }
       courier.start();
       courier.awaitState(steady.address(), "up");
-      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.startLoad(100, TIMEOUT_MS, 1);
       for (int round = 0; round < 10; round++) {
         for (int index = 0; index < 1000; index++) {
-          courier.world.registry.status("flap", "f" + index, round % 2 == 0 ? "DOWN" : "UP");
+          courier.world.registry.setStatus("flap", "f" + index, round % 2 == 0 ? "DOWN" : "UP");
         }
         final int deltasBefore =
             courier.world.registry.requests().getOrDefault("GET apps/delta", 0);
@@ -157,8 +158,8 @@
       assertEquals(1001, courier.source("eureka").path("entries").asInt());
       final long callsBefore = steady.calls();
       courier.world.await("calls after it", () -> steady.calls() > callsBefore + 50);
-      assertEquals(List.of(), courier.world.stopLoad());
-      assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
+      assertEquals(0, courier.world.ruleChecker.outcomeCounts().getOrDefault("undeliverable", 0));
     }
   }
 
@@ -173,7 +174,7 @@
       courier.start();
       courier.awaitState(first.address(), "up");
       assertNull(courier.member(second.address()));
-      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.startLoad(100, TIMEOUT_MS, 1);
       final var eureka = courier.registries.get(0);
       courier.registries =
           new ArrayList<>(List.of(eureka, CourierUnderTest.registry("east", 50, east)));
@@ -182,10 +183,10 @@
       courier.registries = List.of(courier.registries.get(1));
       courier.reload();
       courier.awaitState(first.address(), "gone");
-      courier.world.auditor.closed(courier.world.ticks.nowUs(), first.name());
+      courier.world.ruleChecker.recordDraining(courier.world.clock.nowUs(), first.name());
       final long callsBefore = second.calls();
       courier.world.await("calls at the other", () -> second.calls() > callsBefore + 250);
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
       assertNull(courier.source("eureka"));
     }
   }
@@ -204,7 +205,7 @@
           member ->
               member.path("because").asText().equals("caution")
                   && member.path("state").asText().equals("draining"));
-      east.override("heat", "i", null);
+      east.overrideStatus("heat", "i", null);
       courier.awaitState(endpoint.address(), "up");
     }
   }
@@ -214,20 +215,20 @@
     try (CourierUnderTest courier = new CourierUnderTest(folder, 8)) {
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       register(courier, "i", endpoint, "UP");
-      courier.world.platform.tell(endpoint, "Ready", 1000);
-      endpoint.fare(Manner.after(30));
+      courier.world.platform.announce(endpoint, "Ready", 1000);
+      endpoint.setBehavior(Behavior.deliverAfter(30));
       courier.start();
       courier.awaitState(endpoint.address(), "up");
-      courier.world.load(100, TIMEOUT_MS, 1);
+      courier.world.startLoad(100, TIMEOUT_MS, 1);
       courier.world.await("deliveries", () -> endpoint.calls() > 50);
       courier.world.registry.server().down();
       courier.killAndRestart();
       final long callsBefore = endpoint.calls();
       courier.world.await("deliveries again", () -> endpoint.calls() > callsBefore + 50);
-      assertEquals(List.of(), courier.world.stopLoad(TIMEOUT_MS));
+      assertEquals(List.of(), courier.world.stopLoadAndCheck(TIMEOUT_MS));
       assertTrue(
-          courier.world.auditor.ends().get("delivered") > 80,
-          courier.world.auditor.ends().toString());
+          courier.world.ruleChecker.outcomeCounts().get("delivered") > 80,
+          courier.world.ruleChecker.outcomeCounts().toString());
     }
   }
 }
--- a/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
+++ b/eureka/src/test/java/thistleturn/membership/MembersJsonFormatTest.java
@@ -49,7 +49,7 @@
               "thistleturn",
               100 * CourierUnderTest.MS,
               300 * CourierUnderTest.MS);
-      courier.world.platform.tell(courier.world.endpoint(1), "Ready", 1000);
+      courier.world.platform.announce(courier.world.endpoint(1), "Ready", 1000);
       courier.start();
       courier.world.await(
           "a member, an answer of the registry with the courier's own entry, and a renewal",
--- a/eureka/src/test/java/thistleturn/membership/NetflixClientTest.java
+++ b/eureka/src/test/java/thistleturn/membership/NetflixClientTest.java
@@ -83,11 +83,11 @@
 
         registry.register(StandInRegistry.endpoint("PUMP", "p2", 7002, 5, "UP"));
         world.await("an added instance", () -> seen(client, "PUMP", "p2") != null);
-        registry.status("PUMP", "p2", "DOWN");
+        registry.setStatus("PUMP", "p2", "DOWN");
         world.await(
             "a changed instance",
             () -> seen(client, "PUMP", "p2").getStatus() == InstanceInfo.InstanceStatus.DOWN);
-        registry.override("PUMP", "p1", "OUT_OF_SERVICE");
+        registry.overrideStatus("PUMP", "p1", "OUT_OF_SERVICE");
         world.await(
             "an override",
             () ->
--- a/eureka/src/test/java/thistleturn/membership/RegistrationTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistrationTest.java
@@ -71,11 +71,11 @@
       courier.world.await("the registration", () -> instance(courier) != null);
       courier.world.registry.refuseRenewals(true);
       final int renewalsBefore = count(courier, "PUT apps/{app}/{id}");
-      final long startUs = courier.world.ticks.nowUs();
+      final long startUs = courier.world.clock.nowUs();
       courier.world.await(
           "rejected renewals", () -> count(courier, "PUT apps/{app}/{id}") >= renewalsBefore + 8);
       // The backoff starts at a thirtieth of the interval and doubles up to the interval.
-      assertTrue(courier.world.ticks.nowUs() - startUs >= 250 * CourierUnderTest.MS);
+      assertTrue(courier.world.clock.nowUs() - startUs >= 250 * CourierUnderTest.MS);
       courier.world.registry.refuseRenewals(false);
       final int rejected = count(courier, "PUT apps/{app}/{id}");
       courier.world.await(
@@ -110,13 +110,13 @@
   @Test
   void shutdownDuringRegistration_isNotDelayed() throws Exception {
     try (CourierUnderTest courier = registeringCourier()) {
-      courier.world.registry.fault(Fault.HUNG);
+      courier.world.registry.setFault(Fault.HUNG);
       courier.start();
       courier.world.await("a registration request", () -> count(courier, "POST apps/{app}") > 0);
-      final long startUs = courier.world.ticks.nowUs();
+      final long startUs = courier.world.clock.nowUs();
       courier.stop();
       assertTrue(
-          courier.world.ticks.nowUs() - startUs < 4000 * CourierUnderTest.MS,
+          courier.world.clock.nowUs() - startUs < 4000 * CourierUnderTest.MS,
           "the shutdown does not wait for the registry");
     }
   }
@@ -128,10 +128,10 @@
       final String oldId = id(courier);
       courier.killAndRestart();
       courier.world.await("the new registration", () -> instance(courier) != null);
-      courier.world.registry.pass(250);
+      courier.world.registry.advanceTime(250);
       courier.world.await("a renewal", () -> instance(courier) != null);
       if (!oldId.equals(id(courier))) {
-        courier.world.registry.pass(1000);
+        courier.world.registry.advanceTime(1000);
         assertNull(courier.world.registry.entry(APP, oldId));
       }
     }
@@ -140,13 +140,13 @@
   @Test
   void courierKilledDuringRegistration_registersAfterRestart() throws Exception {
     try (CourierUnderTest courier = registeringCourier()) {
-      courier.world.registry.fault(Fault.HUNG);
+      courier.world.registry.setFault(Fault.HUNG);
       courier.start();
       courier.world.await("a registration request", () -> count(courier, "POST apps/{app}") > 0);
       courier.killAndRestart();
       courier.world.await(
           "another registration request", () -> count(courier, "POST apps/{app}") > 1);
-      courier.world.registry.fault(Fault.NONE);
+      courier.world.registry.setFault(Fault.NONE);
       courier.world.await("the registration", () -> instance(courier) != null);
     }
   }
--- a/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
@@ -32,7 +32,7 @@
     courier.world.registry.register(
         StandInRegistry.endpoint("heat", "i1", registered.port(), 1, "UP"));
     courier.world.registry.register(StandInRegistry.endpoint("heat", "i2", both.port(), 2, "UP"));
-    courier.world.platform.tell(both, "Ready", 1000);
+    courier.world.platform.announce(both, "Ready", 1000);
     return new StandInEndpoint[] {registered, both};
   }
 
@@ -44,10 +44,10 @@
       courier.start();
       courier.awaitState(endpoints[0].address(), "up");
       courier.awaitState(endpoints[1].address(), "up");
-      courier.world.registry.fault(fault);
+      courier.world.registry.setFault(fault);
       final int requestsBefore =
           courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum();
-      courier.world.load(200, TIMEOUT_MS, 1, 2);
+      courier.world.startLoad(200, TIMEOUT_MS, 1, 2);
       // Several polls have to take place during the fault.
       courier.world.await(
           "polls during the fault",
@@ -55,14 +55,15 @@
               courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum()
                   >= requestsBefore + 4);
       courier.world.await(
-          "deliveries", () -> courier.world.auditor.ends().getOrDefault("delivered", 0) >= 100);
+          "deliveries",
+          () -> courier.world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0) >= 100);
       assertEquals("up", courier.member(endpoints[0].address()).path("state").asText());
       assertEquals("up", courier.member(endpoints[1].address()).path("state").asText());
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
       assertTrue(endpoints[0].calls() > 0 && endpoints[1].calls() > 0);
-      assertEquals(0, courier.world.auditor.ends().getOrDefault("undeliverable", 0));
-      courier.world.registry.fault(Fault.NONE);
-      courier.world.registry.status("heat", "i1", "DOWN");
+      assertEquals(0, courier.world.ruleChecker.outcomeCounts().getOrDefault("undeliverable", 0));
+      courier.world.registry.setFault(Fault.NONE);
+      courier.world.registry.setStatus("heat", "i1", "DOWN");
       courier.awaitState(endpoints[0].address(), "draining");
     }
   }
@@ -73,7 +74,7 @@
       final StandInEndpoint[] endpoints = twoDestinations(courier);
       courier.start();
       courier.awaitState(endpoints[0].address(), "up");
-      courier.world.load(200, TIMEOUT_MS, 1, 2);
+      courier.world.startLoad(200, TIMEOUT_MS, 1, 2);
       courier.world.registry.server().down();
       courier.awaitMember(
           endpoints[0].address(), member -> member.path("because").asText().equals("stale"));
@@ -90,7 +91,7 @@
           StandInRegistry.endpoint("heat", "i2", endpoints[1].port(), 2, "UP"));
       courier.awaitMember(
           endpoints[0].address(), member -> member.path("because").asText().equals("said"));
-      assertEquals(List.of(), courier.world.stopLoad());
+      assertEquals(List.of(), courier.world.stopLoadAndCheck());
     }
   }
 
@@ -124,7 +125,7 @@
       courier.world.registry.register(
           StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
       // Later than any delta contains the change: only the hash reveals it.
-      courier.world.registry.pass(1000);
+      courier.world.registry.advanceTime(1000);
       courier.awaitState(endpoint.address(), "up");
       assertTrue(courier.world.registry.requests().get("GET apps") > fullPolls);
       assertTrue(courier.source("eureka").path("registry").path("mismatches").asInt() > 0);
@@ -140,7 +141,7 @@
       courier.world.registry.register(
           StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
       courier.awaitState(endpoint.address(), "up");
-      courier.world.registry.status("heat", "i1", "OUT_OF_SERVICE");
+      courier.world.registry.setStatus("heat", "i1", "OUT_OF_SERVICE");
       courier.awaitState(endpoint.address(), "draining");
     }
   }
@@ -172,7 +173,7 @@
       courier.awaitState(heat.address(), "up");
       courier.awaitState(pump.address(), "up");
       assertEquals(2, courier.status().path("members").size());
-      courier.world.registry.status("pump", "i2", "DOWN");
+      courier.world.registry.setStatus("pump", "i2", "DOWN");
       courier.awaitState(pump.address(), "draining");
     }
   }
--- a/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
+++ b/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import thistleturn.lab.virtual.EventQueue;
 import thistleturn.testkit.rig.Fault;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.Schedule;
 
 /**
@@ -47,7 +47,7 @@
   private final SimulatedProcess[] processes;
   private final int[] lives;
   private final int[][] cuts;
-  private final FleetJudge judge;
+  private final FleetChecker judge;
   private Consumer<VirtualPeers> look = world -> {};
   private double loss;
   private double doubled;
@@ -110,13 +110,13 @@
       final String now = contestant.life();
       if (!now.equals(life)) {
         life = now;
-        judge.begins(name, now, nowMs());
+        judge.processStarted(name, now, nowMs());
       }
       if (contestant.number() != view || !contestant.line().equals(line)) {
         view = contestant.number();
         line = contestant.line();
         if (!line.isEmpty()) {
-          judge.holds(name, line, view, contestant.members(), nowMs());
+          judge.viewObserved(name, line, view, contestant.members(), nowMs());
         }
       }
     }
@@ -126,7 +126,7 @@
         return;
       }
       stopped = stop;
-      judge.paused(name, stop, nowMs());
+      judge.setPaused(name, stop, nowMs());
       if (!stop) {
         contestant.tick(agenda.nowUs());
         while (!waiting.isEmpty() && !over) {
@@ -138,7 +138,7 @@
 
     private void end() {
       over = true;
-      judge.ends(name, nowMs());
+      judge.processEnded(name, nowMs());
       for (final SimulatedProcess other : processes) {
         if (other != null && !other.over && other.lifelines.containsKey(number)) {
           final int connection = other.lifelines.get(number);
@@ -259,7 +259,7 @@
     this.processes = new SimulatedProcess[schedule.members()];
     this.lives = new int[schedule.members()];
     this.cuts = new int[schedule.members()][schedule.members()];
-    this.judge = new FleetJudge(pauseLimitMs);
+    this.judge = new FleetChecker(pauseLimitMs);
     names.forEach(name -> numbers.put(name, numbers.size()));
   }
 
@@ -301,7 +301,7 @@
   }
 
   /** Plays it to its end. */
-  public FleetJudge play() {
+  public FleetChecker play() {
     for (final Fault fault : schedule.faults()) {
       agenda.at(beganUs + fault.atMs() * MS, () -> begin(fault));
     }
@@ -314,7 +314,7 @@
     while (agenda.step(endUs)) {
       look.accept(this);
     }
-    judge.agree(nowMs());
+    judge.compareViews(nowMs());
     return judge;
   }
 
@@ -331,7 +331,7 @@
               });
       case START ->
           fault
-              .one()
+              .targets()
               .forEach(
                   number -> {
                     if (processes[number] == null || processes[number].over) {
@@ -348,24 +348,24 @@
       case STARVE -> each(fault, process -> starve(process, fault.value(), untilUs));
       case CUT -> {
         cut(fault, 1);
-        judge.cut(fault, names);
+        judge.linksCut(fault, names);
         agenda.at(untilUs, () -> cut(fault, -1));
       }
       case BREAK -> {
-        reset(fault.one(), fault.other());
-        reset(fault.other(), fault.one());
+        reset(fault.targets(), fault.others());
+        reset(fault.others(), fault.targets());
       }
       case LOSS -> loss = fault.value();
       case DOUBLE -> doubled = fault.value();
       case DELAY -> jitterUs = (long) (fault.value() * MS);
     }
-    if (fault.forMs() > 0 && fault.one().isEmpty()) {
+    if (fault.forMs() > 0 && fault.targets().isEmpty()) {
       agenda.at(untilUs, () -> begin(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
     }
   }
 
   private void each(final Fault fault, final Consumer<SimulatedProcess> what) {
-    for (final int number : fault.one()) {
+    for (final int number : fault.targets()) {
       if (processes[number] != null && !processes[number].over) {
         what.accept(processes[number]);
       }
@@ -386,8 +386,8 @@
   }
 
   private void cut(final Fault fault, final int by) {
-    final Set<Integer> to = new HashSet<>(fault.other());
-    for (final int one : fault.one()) {
+    final Set<Integer> to = new HashSet<>(fault.others());
+    for (final int one : fault.targets()) {
       to.forEach(other -> cuts[one][other] += by);
     }
   }
@@ -405,7 +405,7 @@
   }
 
   /** The judge. */
-  public FleetJudge judge() {
+  public FleetChecker judge() {
     return judge;
   }
 
--- a/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/ReplicasDay.java
@@ -64,7 +64,7 @@
             seed,
             members,
             END_MS,
-            new Schedule.Weather(loss, true, true, 5000, true, true, false, false));
+            new Schedule.FaultMix(loss, true, true, 5000, true, true, false, false));
     final ReplicasDay day = new ReplicasDay(schedule);
     for (long ms = 1000; ms < END_MS - CALM_MS; ms += 100 + day.random.nextInt(900)) {
       day.world.at(ms, day::speak);
--- a/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
@@ -356,7 +356,7 @@
       case KILL, LEAVE -> each(fault, Courier::end);
       case START ->
           fault
-              .one()
+              .targets()
               .forEach(
                   number -> {
                     if (couriers[number] == null || couriers[number].over) {
@@ -380,17 +380,17 @@
       // A connection that is reset loses one piece at most: as many are lost by cuts.
       case BREAK -> {}
     }
-    if (fault.forMs() > 0 && fault.one().isEmpty()) {
+    if (fault.forMs() > 0 && fault.targets().isEmpty()) {
       agenda.at(untilUs, () -> begin(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
     }
   }
 
   private void cut(final Fault fault, final int by) {
-    fault.one().forEach(one -> fault.other().forEach(other -> cuts[one][other] += by));
+    fault.targets().forEach(one -> fault.others().forEach(other -> cuts[one][other] += by));
   }
 
   private void each(final Fault fault, final Consumer<Courier> what) {
-    for (final int number : fault.one()) {
+    for (final int number : fault.targets()) {
       if (couriers[number] != null && !couriers[number].over) {
         what.accept(couriers[number]);
       }
--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -20,7 +20,7 @@
 import thistleturn.decisions.peers.PeerEvent;
 import thistleturn.decisions.peers.PeerSnapshot;
 import thistleturn.decisions.peers.PeerState;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.Schedule;
 
 /** The hard cases of knowing one another, each as a schedule of faults in virtual time. */
@@ -77,15 +77,15 @@
       return this;
     }
 
-    FleetJudge judge() {
-      final FleetJudge judge = world.play();
+    FleetChecker judge() {
+      final FleetChecker judge = world.play();
       assertTrue(looks.isEmpty(), "all looks were due");
       return judge;
     }
 
-    FleetJudge good() {
-      final FleetJudge judge = judge();
-      assertEquals(List.of(), judge.broken());
+    FleetChecker good() {
+      final FleetChecker judge = judge();
+      assertEquals(List.of(), judge.violations());
       assertTrue(judge.isAgreed(), () -> "views differ at the end: " + said);
       return judge;
     }
@@ -113,12 +113,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.05, 0.3})
   void aKillIsKnownToAllSoon(final double loss) {
-    final FleetJudge judge =
+    final FleetChecker judge =
         new Play("members 10\nseed 3\nend 25s\nat 0s loss " + loss + "\nat 8s kill 3").good();
-    assertEquals(1, judge.timesToKnow().size());
+    assertEquals(1, judge.detectionTimesMs().size());
     assertTrue(
-        judge.timesToKnow().get(0) < (loss < 0.1 ? 2000 : 4000),
-        () -> "known after " + judge.timesToKnow());
+        judge.detectionTimesMs().get(0) < (loss < 0.1 ? 2000 : 4000),
+        () -> "known after " + judge.detectionTimesMs());
   }
 
   /**
@@ -147,7 +147,7 @@
     assertEquals(9, play.count("n000 is heard by some"), "each says it once");
     assertEquals(0, play.count("is suspect"));
     assertEquals(
-        1, play.world.judge().changes() - 1, "no view beyond the founding and the whole one");
+        1, play.world.judge().viewCount() - 1, "no view beyond the founding and the whole one");
   }
 
   @Test
@@ -213,7 +213,8 @@
             .noneMatch(line -> line.contains("suspect") || line.contains("not by n003")),
         "it accuses nobody");
     assertTrue(
-        play.world.judge().agreedMs() < 23_000, () -> "back at " + play.world.judge().agreedMs());
+        play.world.judge().lastAgreementMs() < 23_000,
+        () -> "back at " + play.world.judge().lastAgreementMs());
   }
 
   /** At the very limit it may be out or not: either way all agree again, as it wakes. */
@@ -323,8 +324,8 @@
                 + who
                 + "\nat 9s start "
                 + who);
-    final FleetJudge judge = play.good();
-    assertTrue(judge.agreedMs() < 16_000, () -> "agreed at " + judge.agreedMs());
+    final FleetChecker judge = play.good();
+    assertTrue(judge.lastAgreementMs() < 16_000, () -> "agreed at " + judge.lastAgreementMs());
   }
 
   @Test
@@ -363,8 +364,9 @@
   @Test
   void whoLeavesByWordIsGoneAtOnce() {
     final Play play = new Play("members 5\nseed 16\nend 20s\nat 0s loss 0.05\nat 8s leave 2");
-    final FleetJudge judge = play.good();
-    assertTrue(judge.timesToKnow().get(0) < 1500, () -> "known after " + judge.timesToKnow());
+    final FleetChecker judge = play.good();
+    assertTrue(
+        judge.detectionTimesMs().get(0) < 1500, () -> "known after " + judge.detectionTimesMs());
     assertEquals(0, play.count("is suspect"));
   }
 
@@ -380,8 +382,8 @@
 
   @Test
   void manyJoinAtOnce() {
-    final FleetJudge judge = new Play(new Schedule(200, 18, 20_000, List.of())).good();
-    assertTrue(judge.agreedMs() < 12_000, () -> "agreed at " + judge.agreedMs());
+    final FleetChecker judge = new Play(new Schedule(200, 18, 20_000, List.of())).good();
+    assertTrue(judge.lastAgreementMs() < 12_000, () -> "agreed at " + judge.lastAgreementMs());
   }
 
   /** Views, deaths and agreement under everything at once; each seed replays. */
@@ -390,18 +392,18 @@
     final List<Long> times = new ArrayList<>();
     for (long seed = 0; seed < 120; seed++) {
       final int members = 3 + (int) (seed * 7 % 11);
-      final Schedule.Weather weather =
+      final Schedule.FaultMix weather =
           seed % 3 == 0
-              ? Schedule.Weather.kills(0.05)
-              : seed % 3 == 1 ? Schedule.Weather.kills(0.3) : Schedule.Weather.all(0.1, 4500);
+              ? Schedule.FaultMix.killsOnly(0.05)
+              : seed % 3 == 1 ? Schedule.FaultMix.killsOnly(0.3) : Schedule.FaultMix.all(0.1, 4500);
       final Schedule schedule = Schedule.random(seed, members, 40_000, weather);
       final long of = seed;
-      final FleetJudge judge = new Play(schedule).judge();
-      assertEquals(List.of(), judge.broken(), () -> "seed " + of + "\n" + schedule.text());
+      final FleetChecker judge = new Play(schedule).judge();
+      assertEquals(List.of(), judge.violations(), () -> "seed " + of + "\n" + schedule.text());
       assertTrue(
           judge.isAgreed(), () -> "views differ at the end, seed " + of + "\n" + schedule.text());
       if (seed % 3 < 2) {
-        times.addAll(judge.timesToKnow());
+        times.addAll(judge.detectionTimesMs());
       }
     }
     Collections.sort(times);
@@ -411,7 +413,7 @@
   /** The same schedule is the same run, to the last word. */
   @Test
   void aSeedReplays() {
-    final Schedule schedule = Schedule.random(5, 7, 30_000, Schedule.Weather.all(0.1, 4500));
+    final Schedule schedule = Schedule.random(5, 7, 30_000, Schedule.FaultMix.all(0.1, 4500));
     final Play one = new Play(Schedule.parse(schedule.text()));
     final Play other = new Play(schedule);
     one.judge();
--- a/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
@@ -19,7 +19,7 @@
 import thistleturn.decisions.peers.View;
 import thistleturn.decisions.peers.ViewChange;
 import thistleturn.decisions.peers.ViewId;
-import thistleturn.testkit.rig.FleetJudge;
+import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.Schedule;
 
 /**
@@ -335,14 +335,14 @@
             }
           }
         });
-    final FleetJudge judge = world.play();
-    broken.addAll(judge.broken());
+    final FleetChecker judge = world.play();
+    broken.addAll(judge.violations());
     if (!judge.isAgreed()) {
       broken.add("views differ at the end");
     }
-    if (judge.timesToKnow().size() < judge.ended()
-        || judge.timesToKnow().stream().anyMatch(ms -> ms > 3000)) {
-      broken.add("ends are known after " + judge.timesToKnow());
+    if (judge.detectionTimesMs().size() < judge.endedCount()
+        || judge.detectionTimesMs().stream().anyMatch(ms -> ms > 3000)) {
+      broken.add("ends are known after " + judge.detectionTimesMs());
     }
     return broken;
   }
--- a/testkit/src/main/java/thistleturn/testkit/ColdDestination.java
+++ b/testkit/src/main/java/thistleturn/testkit/ColdDestination.java
@@ -12,7 +12,7 @@
   private static final long MS = 1000;
   private static final long SECOND_US = 1_000_000;
 
-  private final RuleChecker.Figures figures;
+  private final RuleChecker.Tolerances figures;
   private final Deque<Long> calls = new ArrayDeque<>();
   private long returnedUs = Long.MAX_VALUE;
   private double callsPerSecond;
@@ -20,7 +20,7 @@
   private long coldUs;
 
   /** A destination without an outage so far. */
-  ColdDestination(final RuleChecker.Figures figures) {
+  ColdDestination(final RuleChecker.Tolerances figures) {
     this.figures = figures;
   }
 
@@ -49,11 +49,11 @@
    * @return what was sent and what it bears, at the first call that is too many; empty otherwise
    */
   Optional<String> recordCall(final long atUs) {
-    if (atUs < returnedUs || atUs > returnedUs + coldUs + figures.fallUs()) {
+    if (atUs < returnedUs || atUs > returnedUs + coldUs + figures.overloadWindowUs()) {
       return Optional.empty();
     }
     calls.add(atUs);
-    while (calls.peekFirst() < atUs - figures.fallUs()) {
+    while (calls.peekFirst() < atUs - figures.overloadWindowUs()) {
       calls.pollFirst();
     }
     final double budget = budget(atUs);
@@ -65,15 +65,19 @@
         "was sent "
             + calls.size()
             + " calls in "
-            + figures.fallUs() / MS
+            + figures.overloadWindowUs() / MS
             + " ms after its return; it bears "
             + Math.round(budget));
   }
 
   private double budget(final long atUs) {
-    final long fromUs = Math.max(returnedUs, atUs - figures.fallUs());
+    final long fromUs = Math.max(returnedUs, atUs - figures.overloadWindowUs());
     final double meanWarmth = (warmthAt(fromUs) + warmthAt(atUs)) / 2;
-    return figures.tipMultiple() * callsPerSecond * meanWarmth * figures.fallUs() / SECOND_US;
+    return figures.overloadMultiple()
+        * callsPerSecond
+        * meanWarmth
+        * figures.overloadWindowUs()
+        / SECOND_US;
   }
 
   /** The share of its calls that it bears at a time. */
--- a/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
@@ -28,7 +28,7 @@
   private static final int MOST_BODY_BYTES = 1 << 22;
 
   private final EventLoopGroup group;
-  private final Script script;
+  private final Handler script;
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
   private volatile Channel listener;
   private volatile InetSocketAddress address;
@@ -38,13 +38,13 @@
 
   /** What it does with a request that has come in whole. Called on the connection's event loop. */
   @FunctionalInterface
-  public interface Script {
+  public interface Handler {
     /** Answers, now or later, or does not. */
-    void serve(HttpExchange exchange);
+    void handle(HttpExchange exchange);
   }
 
   /** Listens at once; port 0 lets the system choose. */
-  public HttpStandIn(final EventLoopGroup group, final InetSocketAddress at, final Script script) {
+  public HttpStandIn(final EventLoopGroup group, final InetSocketAddress at, final Handler script) {
     this.group = group;
     this.script = script;
     this.address = at;
@@ -70,7 +70,7 @@
    * While true, a connection that has carried a request is reset when the first byte of the next
    * one comes.
    */
-  public void resetsKept(final boolean on) {
+  public void resetReusedConnections(final boolean on) {
     resetsKept = on;
   }
 
@@ -207,7 +207,7 @@
       final byte[] body = new byte[request.content().readableBytes()];
       request.content().readBytes(body);
       firstByte.inRequest = false;
-      script.serve(
+      script.handle(
           new HttpExchange(
               context.channel(),
               request.method().name(),
--- a/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
+++ b/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
@@ -45,7 +45,7 @@
   /** How long before its end a process may have been answered without having read it. */
   private static final long UNREAD_US = SECOND;
 
-  private final Figures figures;
+  private final Tolerances figures;
   private final Map<String, MessageClass> classes = new HashMap<>();
   private final Map<String, Message> messages = new LinkedHashMap<>();
   private final Map<String, Endpoint> endpoints = new HashMap<>();
@@ -70,36 +70,36 @@
    * @param fallUs for how long it bears more
    * @param restartUs after a restart's end, until when ends may be late
    */
-  public record Figures(
+  public record Tolerances(
       long graceUs,
-      long drainUs,
-      long waitSlackUs,
-      long settleUs,
-      double tipMultiple,
-      long fallUs,
-      long restartUs) {
+      long drainGraceUs,
+      long retryAfterSlackUs,
+      long settleDelayUs,
+      double overloadMultiple,
+      long overloadWindowUs,
+      long restartGraceUs) {
     /** The platform's: 300 ms, 2.05 s, 100 ms, 1 s, 2 times for 3 s, 1.5 s. */
-    public static Figures standard() {
-      return new Figures(300 * MS, 2050 * MS, 100 * MS, SECOND, 2, 3 * SECOND, 1500 * MS);
+    public static Tolerances standard() {
+      return new Tolerances(300 * MS, 2050 * MS, 100 * MS, SECOND, 2, 3 * SECOND, 1500 * MS);
     }
   }
 
   /** How a call ended, as its endpoint knows it. */
-  public enum End {
+  public enum CallResult {
     /** Answered that it is delivered. */
     DELIVERED(true),
     /** Answered that it failed; it may have run. */
     ERROR(true),
     /** Turned away; it never ran. */
-    REFUSED(false),
+    REJECTED(false),
     /** Its connection ended after its last byte had come, without an answer. */
-    CUT(true),
+    CONNECTION_LOST(true),
     /** Its connection ended before its last byte had come. */
-    NEVER_WHOLE(false);
+    INCOMPLETE_REQUEST(false);
 
     private final boolean mayHaveRun;
 
-    End(final boolean mayHaveRun) {
+    CallResult(final boolean mayHaveRun) {
       this.mayHaveRun = mayHaveRun;
     }
   }
@@ -182,15 +182,15 @@
     private long waitUntilUs = Long.MIN_VALUE;
     private final ColdDestination recovery;
 
-    private Destination(final Figures figures) {
+    private Destination(final Tolerances figures) {
       recovery = new ColdDestination(figures);
     }
   }
 
   /** An Auditor that has seen nothing yet. */
-  public RuleChecker(final Figures figures, final List<MessageClass> kinds) {
+  public RuleChecker(final Tolerances figures, final List<MessageClass> kinds) {
     this.figures = figures;
-    this.lifetimes = new CourierLifetimes(figures.restartUs());
+    this.lifetimes = new CourierLifetimes(figures.restartGraceUs());
     this.lateEnds = new LateEnds(figures.graceUs());
     kinds.forEach(kind -> classes.put(kind.name(), kind));
   }
@@ -202,7 +202,7 @@
   // ---------------------------------------------------------------- clients and the platform
 
   /** A client sends a message; {@code key} orders it in a class in turn, and may be null. */
-  public synchronized void handedIn(
+  public synchronized void recordSubmitted(
       final long nowUs,
       final String id,
       final String className,
@@ -214,7 +214,7 @@
   }
 
   /** A client was answered that its message is taken on. */
-  public synchronized void taken(final long nowUs, final String id) {
+  public synchronized void recordAccepted(final long nowUs, final String id) {
     final Message message = messages.get(id);
     message.taken = true;
     if (message.kind.orderedByKey() && message.key != null && !message.over) {
@@ -223,20 +223,21 @@
   }
 
   /** A client was refused. */
-  public synchronized void refused(final long nowUs, final String id) {
-    end(nowUs, messages.get(id), "refused at the door", true);
+  public synchronized void recordRejected(final long nowUs, final String id) {
+    end(nowUs, messages.get(id), "rejected at submission", true);
   }
 
   /**
    * A client was answered that its message failed, or had no answer in its time: nothing is
    * promised.
    */
-  public synchronized void failed(final long nowUs, final String id) {
-    end(nowUs, messages.get(id), "failed at the door", false);
+  public synchronized void recordFailed(final long nowUs, final String id) {
+    end(nowUs, messages.get(id), "failed at submission", false);
   }
 
   /** The platform was told an end. */
-  public synchronized void noticed(final long nowUs, final String id, final boolean deferred) {
+  public synchronized void recordOutcomeNotice(
+      final long nowUs, final String id, final boolean deferred) {
     final Message message = messages.get(id);
     if (message == null) {
       broken(Rule.LOST, nowUs, "a notice for " + id + ", which nobody handed in");
@@ -296,7 +297,7 @@
    * The stand-ins did not run between two moments though they meant to: what came to them meanwhile
    * was seen late by their own fault. It counts by as much, and no more.
    */
-  public synchronized void judgeAway(final long fromUs, final long toUs) {
+  public synchronized void recordCheckerPause(final long fromUs, final long toUs) {
     lateEnds.excuse(fromUs, toUs);
   }
 
@@ -304,13 +305,13 @@
    * The courier was stopped between two moments by whoever plays it: what ran out meanwhile could
    * be ended by nobody before it was over. It counts by as much, and no more.
    */
-  public synchronized void courierStopped(final long fromUs, final long toUs) {
+  public synchronized void recordCourierPause(final long fromUs, final long toUs) {
     lifetimes.recordStop(fromUs, toUs);
-    judgeAway(fromUs, toUs);
+    recordCheckerPause(fromUs, toUs);
   }
 
   /** The courier's process was ended, or is ready again. */
-  public synchronized void restarted(final long nowUs, final boolean ready) {
+  public synchronized void recordRestart(final long nowUs, final boolean ready) {
     if (ready) {
       lifetimes.recordReady(nowUs);
     } else {
@@ -321,29 +322,29 @@
   // ---------------------------------------------------------------- endpoints
 
   /** An endpoint exists. */
-  public synchronized void endpoint(final String name, final long destination) {
+  public synchronized void registerEndpoint(final String name, final long destination) {
     endpoints.putIfAbsent(name, new Endpoint(destination));
   }
 
   /** The courier was told that an endpoint drains or is gone. A second telling changes nothing. */
-  public synchronized void closed(final long nowUs, final String name) {
+  public synchronized void recordDraining(final long nowUs, final String name) {
     final Endpoint endpoint = endpoints.get(name);
     endpoint.closedUs = Math.min(endpoint.closedUs, nowUs);
   }
 
   /** The courier was told that an endpoint takes messages again. */
-  public synchronized void opened(final String name) {
+  public synchronized void recordReady(final String name) {
     endpoints.get(name).closedUs = Long.MAX_VALUE;
   }
 
   /** A call began to come in over a connection of which nobody can tell how it stands. */
-  public synchronized void called(
+  public synchronized void recordCall(
       final long firstByteUs, final String name, final List<String> ids) {
-    called(firstByteUs, name, ids, () -> CallConnection.Side.UNKNOWN);
+    recordCall(firstByteUs, name, ids, () -> CallConnection.Side.UNKNOWN);
   }
 
   /** A call began to come in: its first byte and, for each message in it, its id. */
-  public synchronized void called(
+  public synchronized void recordCall(
       final long firstByteUs,
       final String name,
       final List<String> ids,
@@ -352,7 +353,7 @@
     final Destination destination = destination(endpoint.destination);
     if (firstByteUs > endpoint.closedUs) {
       drainLagsUs.add(firstByteUs - endpoint.closedUs);
-      if (firstByteUs > endpoint.closedUs + figures.drainUs()) {
+      if (firstByteUs > endpoint.closedUs + figures.drainGraceUs()) {
         broken(
             Rule.DRAIN,
             firstByteUs,
@@ -363,7 +364,7 @@
       }
     }
     if (firstByteUs < destination.waitUntilUs
-        && firstByteUs > destination.waitToldUs + figures.waitSlackUs()) {
+        && firstByteUs > destination.waitToldUs + figures.retryAfterSlackUs()) {
       broken(
           Rule.WAIT,
           firstByteUs,
@@ -535,8 +536,8 @@
    * A call's part for one message ended at its endpoint; {@code firstByteUs} is when that call
    * began.
    */
-  public synchronized void ended(
-      final long nowUs, final long firstByteUs, final String id, final End end) {
+  public synchronized void recordCallEnd(
+      final long nowUs, final long firstByteUs, final String id, final CallResult end) {
     final Message message = messages.get(id);
     if (message == null) {
       return;
@@ -544,7 +545,7 @@
     message.out.remove(firstByteUs);
     if (message.copies != null
         && message.firstCopySide == CallConnection.Side.UNKNOWN
-        && (end == End.CUT || end == End.NEVER_WHOLE)
+        && (end == CallResult.CONNECTION_LOST || end == CallResult.INCOMPLETE_REQUEST)
         && message.kind.idempotence() != Idempotence.NON_IDEMPOTENT
         && firstByteUs < message.copies.atUs()
         && nowUs - message.copies.atUs() <= SAME_BATCH_US) {
@@ -573,7 +574,7 @@
     if (end.mayHaveRun) {
       message.firstRunUs = Math.min(message.firstRunUs, firstByteUs);
     }
-    if (end == End.DELIVERED) {
+    if (end == CallResult.DELIVERED) {
       message.deliveries.add(
           new Delivery(
               firstByteUs, nowUs, message.sharedUntilUs.getOrDefault(firstByteUs, Long.MAX_VALUE)));
@@ -581,8 +582,8 @@
       if (!message.over) {
         close(nowUs, message, "delivered");
       }
-    } else if (end == End.CUT && message.key != null) {
-      final long restUntilUs = nowUs + figures.settleUs();
+    } else if (end == CallResult.CONNECTION_LOST && message.key != null) {
+      final long restUntilUs = nowUs + figures.settleDelayUs();
       lines.getOrDefault(message.key, new ArrayDeque<>()).stream()
           .filter(other -> other != message)
           .forEach(other -> other.restUntilUs = Math.max(other.restUntilUs, restUntilUs));
@@ -590,7 +591,8 @@
   }
 
   /** An answer told to wait before the destination is called again. */
-  public synchronized void waitTold(final long nowUs, final long destination, final long waitUs) {
+  public synchronized void recordRetryAfter(
+      final long nowUs, final long destination, final long waitUs) {
     final Destination told = destination(destination);
     if (nowUs + waitUs > told.waitUntilUs) {
       told.waitToldUs = nowUs >= told.waitUntilUs ? nowUs : told.waitToldUs;
@@ -604,7 +606,7 @@
    * A destination is back from an outage, cold: it takes a share of its calls a second, and all of
    * them later.
    */
-  public synchronized void returned(
+  public synchronized void recordRecovery(
       final long nowUs,
       final long destination,
       final double callsPerSecond,
@@ -660,7 +662,7 @@
    * How messages ended so far, by how: delivered, deferred, undeliverable, refused or failed at the
    * door, open.
    */
-  public synchronized Map<String, Integer> ends() {
+  public synchronized Map<String, Integer> outcomeCounts() {
     final Map<String, Integer> ends = new LinkedHashMap<>();
     messages
         .values()
--- a/testkit/src/main/java/thistleturn/testkit/StandInClient.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInClient.java
@@ -62,7 +62,7 @@
    * @param endedUs when its connection ended
    * @param patienceOver whether the client ended it, having waited for as long as it does
    */
-  public record Unanswered(String id, long writtenUs, long endedUs, boolean patienceOver) {}
+  public record Unanswered(String id, long writtenUs, long endedUs, boolean timedOut) {}
 
   /** A client of the courier at that address; ids begin with the prefix. */
   public StandInClient(
@@ -77,7 +77,7 @@
   }
 
   /** Where the courier is from now on; older connections are not used again. */
-  public void courier(final String address) {
+  public void setCourierAddress(final String address) {
     final int colon = address.lastIndexOf(':');
     courier =
         new InetSocketAddress(
@@ -108,7 +108,7 @@
    * From now on it waits so long for an answer, where a late one is to be told from none. Clients
    * of the protocol wait 400 ms.
    */
-  public void patienceMs(final long ms) {
+  public void setAnswerTimeoutMs(final long ms) {
     patienceMs = ms;
   }
 
@@ -116,7 +116,7 @@
    * The requests that were written, and then had no answer in the client's patience, or whose
    * connection ended without one.
    */
-  public List<String> withoutAnswer() {
+  public List<String> unansweredIds() {
     return unansweredRequests.stream().map(Unanswered::id).toList();
   }
 
@@ -126,12 +126,12 @@
   }
 
   /** Requests without an answer as yet. */
-  public long unanswered() {
+  public long pendingRequests() {
     return out.get();
   }
 
   /** Hands in one message; returns its id. */
-  public String handIn(final String className, final long destination, final long timeoutMs) {
+  public String submit(final String className, final long destination, final long timeoutMs) {
     final String id = prefix + numbers.incrementAndGet();
     final InetSocketAddress to = courier;
     out.incrementAndGet();
@@ -218,7 +218,7 @@
           .set("Content-Length", request.content().readableBytes());
       channel.pipeline().get(Answers.class).request = this;
       sentUs = ticks.nowUs();
-      auditor.handedIn(sentUs, id, className, destination, null, timeoutMs * 1000);
+      auditor.recordSubmitted(sentUs, id, className, destination, null, timeoutMs * 1000);
       patience =
           loop.schedule(
               () -> {
@@ -235,11 +235,11 @@
       patience.cancel(false);
       final long nowUs = ticks.nowUs();
       if (status >= TAKEN_LEAST && status <= TAKEN_MOST) {
-        auditor.taken(nowUs, id);
+        auditor.recordAccepted(nowUs, id);
       } else if (status == BUSY || status == UNAVAILABLE) {
-        auditor.refused(nowUs, id);
+        auditor.recordRejected(nowUs, id);
       } else {
-        auditor.failed(nowUs, id);
+        auditor.recordFailed(nowUs, id);
       }
       latencyUs.accept(nowUs - sentUs);
     }
--- a/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
@@ -26,36 +26,36 @@
   private final long destination;
   private final RuleChecker auditor;
   private final MonotonicClock ticks;
-  private final AtomicReference<Manner> manner = new AtomicReference<>(Manner.after(0));
+  private final AtomicReference<Behavior> manner = new AtomicReference<>(Behavior.deliverAfter(0));
   private final AtomicLong calls = new AtomicLong();
   private final HttpStandIn server;
 
   /** What it does with a call. */
-  public enum Act {
+  public enum Action {
     /** 200 after the delay. */
     DELIVER,
     /** 500 after the delay. */
     FAIL,
     /** 429 after the delay, with the wait. */
-    REFUSE,
+    REJECT,
     /** 503 after the delay, without a wait. */
-    SHUT,
+    UNAVAILABLE,
     /** No answer, ever. */
-    SILENCE,
+    NO_ANSWER,
     /** The connection is reset after the delay. */
     RESET
   }
 
   /** How it fares with calls: what it does, after which delay, and the wait that it tells. */
-  public record Manner(Act act, long delayMs, long waitMs) {
+  public record Behavior(Action action, long delayMs, long retryAfterMs) {
     /** Delivers after a delay. */
-    public static Manner after(final long delayMs) {
-      return new Manner(Act.DELIVER, delayMs, 0);
+    public static Behavior deliverAfter(final long delayMs) {
+      return new Behavior(Action.DELIVER, delayMs, 0);
     }
 
     /** Does something else at once. */
-    public static Manner of(final Act act) {
-      return new Manner(act, 0, 0);
+    public static Behavior of(final Action act) {
+      return new Behavior(act, 0, 0);
     }
   }
 
@@ -70,7 +70,7 @@
     this.destination = destination;
     this.auditor = auditor;
     this.ticks = ticks;
-    auditor.endpoint(name, destination);
+    auditor.registerEndpoint(name, destination);
     this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** From the next call on it fares like this. */
-  public void fare(final Manner next) {
+  public void setBehavior(final Behavior next) {
     manner.set(next);
   }
 
@@ -133,13 +133,16 @@
       return;
     }
     final long beganUs = ticks.ofNs(exchange.firstByteNs());
-    auditor.called(beganUs, name, ids, () -> SocketTable.remoteSide(exchange.channel()));
+    auditor.recordCall(beganUs, name, ids, () -> SocketTable.remoteSide(exchange.channel()));
     calls.incrementAndGet();
     final Call call = new Call(exchange, ids, bulk, beganUs);
     // Whatever else becomes of it: the end of its connection ends it.
-    exchange.channel().closeFuture().addListener(closed -> call.end(RuleChecker.End.CUT));
-    final Manner now = manner.get();
-    if (now.act() == Act.SILENCE) {
+    exchange
+        .channel()
+        .closeFuture()
+        .addListener(closed -> call.end(RuleChecker.CallResult.CONNECTION_LOST));
+    final Behavior now = manner.get();
+    if (now.action() == Action.NO_ANSWER) {
       return;
     }
     if (now.delayMs() == 0) {
@@ -168,37 +171,37 @@
       this.beganUs = beganUs;
     }
 
-    void end(final RuleChecker.End how) {
+    void end(final RuleChecker.CallResult how) {
       if (!over) {
         over = true;
-        ids.forEach(id -> auditor.ended(ticks.nowUs(), beganUs, id, how));
+        ids.forEach(id -> auditor.recordCallEnd(ticks.nowUs(), beganUs, id, how));
       }
     }
 
-    void fare(final Manner now) {
+    void fare(final Behavior now) {
       if (over) {
         return;
       }
-      switch (now.act()) {
+      switch (now.action()) {
         case DELIVER -> {
-          end(RuleChecker.End.DELIVERED);
+          end(RuleChecker.CallResult.DELIVERED);
           exchange.answer(OK, bulk ? accepted() : "");
         }
         case FAIL -> {
-          end(RuleChecker.End.ERROR);
+          end(RuleChecker.CallResult.ERROR);
           exchange.answer(ERROR, "");
         }
-        case REFUSE -> {
-          end(RuleChecker.End.REFUSED);
-          if (now.waitMs() > 0) {
-            auditor.waitTold(ticks.nowUs(), destination, now.waitMs() * 1000);
-            exchange.answer(BUSY, "", "Retry-After", Double.toString(now.waitMs() / 1000.0));
+        case REJECT -> {
+          end(RuleChecker.CallResult.REJECTED);
+          if (now.retryAfterMs() > 0) {
+            auditor.recordRetryAfter(ticks.nowUs(), destination, now.retryAfterMs() * 1000);
+            exchange.answer(BUSY, "", "Retry-After", Double.toString(now.retryAfterMs() / 1000.0));
           } else {
             exchange.answer(BUSY, "");
           }
         }
-        case SHUT -> {
-          end(RuleChecker.End.REFUSED);
+        case UNAVAILABLE -> {
+          end(RuleChecker.CallResult.REJECTED);
           exchange.answer(UNAVAILABLE, "");
         }
         case RESET -> exchange.reset();
--- a/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
@@ -44,7 +44,7 @@
    * While true it answers no question about the list, and says nothing on watches; ends are taken
    * all the same.
    */
-  public void silent(final boolean on) {
+  public void setUnresponsive(final boolean on) {
     silent = on;
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Breaks all watches. */
-  public void breakWatches() {
+  public void resetWatches() {
     watches.forEach(HttpExchange::reset);
     watches.clear();
   }
@@ -68,7 +68,7 @@
    * Names an endpoint, or changes its state: {@code ReadyRoute}, {@code Terminating} or {@code
    * Gone}.
    */
-  public synchronized void tell(
+  public synchronized void announce(
       final StandInEndpoint endpoint, final String health, final double share) {
     final ObjectNode host =
         JSON.createObjectNode()
@@ -89,7 +89,7 @@
     final ObjectNode change = JSON.createObjectNode().put("seq", seq).put("whole", false);
     change.putArray("hosts").add(host);
     if (health.equals("Ready")) {
-      auditor.opened(endpoint.name());
+      auditor.recordReady(endpoint.name());
     }
     for (final HttpExchange watch : watches) {
       watch
@@ -97,7 +97,7 @@
           .addListener(
               written -> {
                 if (written.isSuccess() && !health.equals("Ready")) {
-                  auditor.closed(ticks.nowUs(), endpoint.name());
+                  auditor.recordDraining(ticks.nowUs(), endpoint.name());
                 }
               });
     }
@@ -145,7 +145,7 @@
     try {
       for (final String line : new String(exchange.body(), StandardCharsets.UTF_8).split("\n")) {
         final JsonNode notice = JSON.readTree(line);
-        auditor.noticed(
+        auditor.recordOutcomeNotice(
             ticks.nowUs(),
             notice.path("id").asText(),
             notice.path("status").asText().equals("deferred"));
--- a/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
@@ -47,7 +47,7 @@
     /** It answers 200 with text that is no JSON. */
     NOT_JSON,
     /** It breaks off in the middle of its JSON. */
-    CUT,
+    TRUNCATED,
     /** It begins well and goes on for a gigabyte. */
     HUGE,
     /** It answers whole and well-formed, with no instance. */
@@ -88,7 +88,7 @@
   }
 
   /** From now on this is wrong with its answers. */
-  public synchronized void fault(final Fault next) {
+  public synchronized void setFault(final Fault next) {
     snapshot = next == Fault.STALE ? all(false, unused -> true).toString() : "";
     fault = next;
   }
@@ -202,7 +202,7 @@
   }
 
   /** The instance itself says that its status is another one. */
-  public synchronized boolean status(final String app, final String id, final String status) {
+  public synchronized boolean setStatus(final String app, final String id, final String status) {
     final Lease lease = find(app, id);
     if (lease == null) {
       return false;
@@ -214,17 +214,18 @@
   }
 
   /**
-   * As {@link #status(String, String, String)}; each answer from then on that is written whole is
-   * told of.
+   * As {@link #setStatus(String, String, String)}; each answer from then on that is written whole
+   * is told of.
    */
-  public synchronized boolean status(
+  public synchronized boolean setStatus(
       final String app, final String id, final String status, final Runnable onAnswer) {
     onTold = onAnswer;
-    return status(app, id, status);
+    return setStatus(app, id, status);
   }
 
   /** An operator overrides its status; null ends that. */
-  public synchronized boolean override(final String app, final String id, final String status) {
+  public synchronized boolean overrideStatus(
+      final String app, final String id, final String status) {
     final Lease lease = find(app, id);
     if (lease == null) {
       return false;
@@ -260,7 +261,7 @@
    * So much time has passed: leases that were not renewed expire, and older changes are told no
    * more.
    */
-  public synchronized void pass(final long ms) {
+  public synchronized void advanceTime(final long ms) {
     nowMs += ms;
     recent.clear();
     for (final Map<String, Lease> leases : List.copyOf(apps.values())) {
@@ -382,7 +383,7 @@
       case NOISE -> exchange.raw(noise());
       case NOT_JSON ->
           exchange.answer(200, "<html>proxy</html>", "Content-Type", "application/json");
-      case CUT -> cut(exchange, whatIsAsked(parts));
+      case TRUNCATED -> cut(exchange, whatIsAsked(parts));
       case HUGE -> huge(exchange);
       case EMPTY ->
           tell(
@@ -506,7 +507,7 @@
     } else if (parts.length == 4 && parts[3].equals("status")) {
       final boolean put = exchange.method().equals("PUT");
       exchange.answer(
-          override(parts[1], parts[2], put ? exchange.query("value") : null) ? 200 : 404, "");
+          overrideStatus(parts[1], parts[2], put ? exchange.query("value") : null) ? 200 : 404, "");
     } else if (parts.length == 4
         && parts[3].equals("metadata")
         && exchange.method().equals("PUT")) {
--- a/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
@@ -35,11 +35,11 @@
   private static final List<String> CLASSES = List.of("safe", "keyed", "once");
 
   /** What the rules have to say. */
-  public final RuleChecker auditor =
-      new RuleChecker(RuleChecker.Figures.standard(), CourierFiles.CLASSES);
+  public final RuleChecker ruleChecker =
+      new RuleChecker(RuleChecker.Tolerances.standard(), CourierFiles.CLASSES);
 
   /** The clock of all that is told to the Auditor. */
-  public final MonotonicClock ticks = new MonotonicClock();
+  public final MonotonicClock clock = new MonotonicClock();
 
   /** The list, the watch and the ends. */
   public final StandInPlatform platform;
@@ -63,20 +63,20 @@
   public StandInWorld(final Path folder, final long seed) {
     this.folder = folder;
     this.random = new Random(seed);
-    this.platform = new StandInPlatform(group, auditor, ticks);
+    this.platform = new StandInPlatform(group, ruleChecker, clock);
     this.registry = registry();
-    this.client = new StandInClient(group, "m" + Long.toHexString(seed) + "-", auditor, ticks);
-    group.forEach(loop -> beat((EventLoop) loop, ticks.nowUs() + BEAT_MS * US_PER_MS));
+    this.client = new StandInClient(group, "m" + Long.toHexString(seed) + "-", ruleChecker, clock);
+    group.forEach(loop -> beat((EventLoop) loop, clock.nowUs() + BEAT_MS * US_PER_MS));
   }
 
   /** The judge's own pulse: a loop that did not run saw what came meanwhile late. */
   private void beat(final EventLoop loop, final long dueUs) {
-    final long delayUs = Math.max(0, dueUs - ticks.nowUs());
+    final long delayUs = Math.max(0, dueUs - clock.nowUs());
     loop.schedule(
         () -> {
-          final long nowUs = ticks.nowUs();
+          final long nowUs = clock.nowUs();
           if (nowUs - dueUs > LATE_BEAT_US) {
-            auditor.judgeAway(dueUs, nowUs);
+            ruleChecker.recordCheckerPause(dueUs, nowUs);
           }
           beat(loop, nowUs + BEAT_MS * US_PER_MS);
         },
@@ -86,7 +86,7 @@
 
   /** A further client, of another courier of the same fleet; to be closed by whoever asks. */
   public StandInClient client(final String prefix) {
-    return new StandInClient(group, prefix, auditor, ticks);
+    return new StandInClient(group, prefix, ruleChecker, clock);
   }
 
   /** A further registry. */
@@ -99,7 +99,7 @@
   /** A further endpoint of a destination; nobody names it yet. */
   public StandInEndpoint endpoint(final long destination) {
     final StandInEndpoint endpoint =
-        new StandInEndpoint(group, "e" + endpoints.size(), destination, auditor, ticks);
+        new StandInEndpoint(group, "e" + endpoints.size(), destination, ruleChecker, clock);
     endpoints.add(endpoint);
     return endpoint;
   }
@@ -110,7 +110,7 @@
    * whatever is read from then on is the next one's, which within one Java machine begins within
    * milliseconds.
    */
-  public void endConnections() {
+  public void resetConnections() {
     endpoints.forEach(endpoint -> endpoint.server().resetAll());
     await(
         "the end of the old process at every endpoint",
@@ -118,7 +118,7 @@
   }
 
   /** A number from the world's chance. */
-  public int random(final int bound) {
+  public int randomInt(final int bound) {
     return random.nextInt(bound);
   }
 
@@ -128,24 +128,27 @@
   }
 
   /** From now on messages of these classes are handed in, evenly mixed. */
-  public void loadClasses(final String... names) {
+  public void setLoadClasses(final String... names) {
     loadedClasses = List.of(names);
   }
 
-  /** Hands in so many messages a second, to each destination in turn, until {@link #stopLoad}. */
-  public void load(final double perSecond, final long timeoutMs, final long... destinations) {
-    load(client, perSecond, timeoutMs, destinations);
+  /**
+   * Hands in so many messages a second, to each destination in turn, until {@link
+   * #stopLoadAndCheck}.
+   */
+  public void startLoad(final double perSecond, final long timeoutMs, final long... destinations) {
+    startLoad(client, perSecond, timeoutMs, destinations);
   }
 
   /** The same by a further client. */
-  public void load(
+  public void startLoad(
       final StandInClient by,
       final double perSecond,
       final long timeoutMs,
       final long... destinations) {
     loading = true;
     final long gapUs = (long) (1_000_000 / perSecond);
-    final long beganUs = ticks.nowUs();
+    final long beganUs = clock.nowUs();
     group.next().execute(() -> handIn(by, beganUs, 0, gapUs, timeoutMs, destinations));
   }
 
@@ -161,8 +164,8 @@
     }
     long next = number;
     // The pace is that of the clock: what a late timer missed is handed in at once.
-    while (beganUs + next * gapUs <= ticks.nowUs()) {
-      by.handIn(
+    while (beganUs + next * gapUs <= clock.nowUs()) {
+      by.submit(
           loadedClasses.get(random.nextInt(loadedClasses.size())),
           destinations[(int) (next % destinations.length)],
           timeoutMs);
@@ -173,37 +176,38 @@
         .next()
         .schedule(
             () -> handIn(by, beganUs, then, gapUs, timeoutMs, destinations),
-            Math.max(1, beganUs + then * gapUs - ticks.nowUs()),
+            Math.max(1, beganUs + then * gapUs - clock.nowUs()),
             TimeUnit.MICROSECONDS);
   }
 
   /** Hands in no more; what is out comes to its end. */
-  public void stopHandingIn() {
+  public void stopSubmitting() {
     loading = false;
   }
 
   /** Hands in no more, and waits until all that was taken on has its end, or its time is up. */
-  public List<Violation> stopLoad() {
+  public List<Violation> stopLoadAndCheck() {
     loading = false;
-    await("an end for every message", () -> client.unanswered() <= 0 && auditor.allEnded());
-    return auditor.finish(ticks.nowUs());
+    await(
+        "an end for every message", () -> client.pendingRequests() <= 0 && ruleChecker.allEnded());
+    return ruleChecker.finish(clock.nowUs());
   }
 
   /**
    * Hands in no more, and lets the last messages' time pass, unless all have ended before: for
    * couriers that may lose some. Messages whose clients gave up waiting are waited for as well.
    */
-  public List<Violation> stopLoad(final long timeoutMs) {
+  public List<Violation> stopLoadAndCheck(final long timeoutMs) {
     loading = false;
-    final long untilUs = ticks.nowUs() + (timeoutMs + GRACE_MS) * 1000;
-    await("the last message's time", () -> ticks.nowUs() > untilUs || auditor.allSettled());
-    return auditor.finish(ticks.nowUs());
+    final long untilUs = clock.nowUs() + (timeoutMs + GRACE_MS) * 1000;
+    await("the last message's time", () -> clock.nowUs() > untilUs || ruleChecker.allSettled());
+    return ruleChecker.finish(clock.nowUs());
   }
 
   /** Waits until that moment of the stand-ins' clock, us. */
-  public void until(final long us) {
-    while (ticks.nowUs() < us) {
-      LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Math.max(1, us - ticks.nowUs())));
+  public void waitUntil(final long us) {
+    while (clock.nowUs() < us) {
+      LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Math.max(1, us - clock.nowUs())));
     }
   }
 
@@ -216,9 +220,9 @@
             "never came: "
                 + what
                 + "; ends so far "
-                + auditor.ends()
+                + ruleChecker.outcomeCounts()
                 + ", "
-                + auditor.finish(ticks.nowUs()));
+                + ruleChecker.finish(clock.nowUs()));
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
     }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
@@ -13,7 +13,7 @@
  * @param value of LOSS and DOUBLE a share, of DELAY ms, of STARVE the share of a core
  */
 public record Fault(
-    long atMs, long forMs, Kind kind, List<Integer> one, List<Integer> other, double value) {
+    long atMs, long forMs, Kind kind, List<Integer> targets, List<Integer> others, double value) {
   /** Kinds of faults. */
   public enum Kind {
     /** SIGKILL. */
@@ -42,12 +42,12 @@
 
   /** Lists that nobody changes any more. */
   public Fault {
-    one = List.copyOf(one);
-    other = List.copyOf(other);
+    targets = List.copyOf(targets);
+    others = List.copyOf(others);
   }
 
   /** When it is over, ms; for good: never. */
-  public long untilMs() {
+  public long endMs() {
     return forMs == 0 ? Long.MAX_VALUE : atMs + forMs;
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
@@ -22,7 +22,7 @@
   }
 
   /** No fault yet; rules on files count below that folder. */
-  public static FaultShim below(final Path folder) {
+  public static FaultShim forFolder(final Path folder) {
     return new FaultShim(folder.toAbsolutePath());
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** From so long after the start of the process its wall clock is off by so much. */
-  public FaultShim wallClock(final long fromMs, final long shiftMs) {
+  public FaultShim shiftWallClock(final long fromMs, final long shiftMs) {
     environment.merge("WALL_STEPS", fromMs + ":" + shiftMs, (before, more) -> before + "," + more);
     return this;
   }
--- a/testkit/src/main/java/thistleturn/testkit/rig/FleetJudge.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FleetChecker.java
@@ -13,7 +13,7 @@
  * virtual ones. It is told which lives begin, end and stand still, and which views couriers hold,
  * all with the time, ms.
  */
-public final class FleetJudge {
+public final class FleetChecker {
   private final long pauseLimitMs;
 
   /** Views by line and number: the promise is that one number has one content. */
@@ -28,33 +28,33 @@
   private final Map<String, Long> longestPauseMs = new HashMap<>();
   private final Set<String> excused = new HashSet<>();
   private final Map<String, Map<String, Long>> known = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private final Set<String> wronglyDead = new HashSet<>();
   private long disagreeSinceMs = -1;
   private long agreedMs;
   private int changes;
 
   /** A courier that stood still for longer than that may be declared dead. */
-  public FleetJudge(final long pauseLimitMs) {
+  public FleetChecker(final long pauseLimitMs) {
     this.pauseLimitMs = pauseLimitMs;
   }
 
   /** A life begins: {@code life} is the name with its incarnation, as views have it. */
-  public void begins(final String name, final String life, final long atMs) {
+  public void processStarted(final String name, final String life, final long atMs) {
     if (livesByName.put(name, life) == null) {
       startedMs.put(name, atMs);
     }
   }
 
   /** A process ends, by a kill or in order. */
-  public void ends(final String name, final long atMs) {
+  public void processEnded(final String name, final long atMs) {
     endedMs.put(livesByName.get(name), atMs);
     held.remove(name);
     livesByName.remove(name);
   }
 
   /** A process stands still from now on, or goes on. */
-  public void paused(final String name, final boolean paused, final long atMs) {
+  public void setPaused(final String name, final boolean paused, final long atMs) {
     if (paused) {
       pausedMs.put(name, atMs);
     } else if (pausedMs.containsKey(name)) {
@@ -67,19 +67,19 @@
    * A cut begins: those who lose half of the fleet or more for longer than the limit may be
    * declared dead.
    */
-  public void cut(final Fault fault, final List<String> names) {
+  public void linksCut(final Fault fault, final List<String> names) {
     if (fault.forMs() > pauseLimitMs) {
-      if (2 * fault.other().size() >= names.size()) {
-        fault.one().forEach(number -> excused.add(names.get(number)));
+      if (2 * fault.others().size() >= names.size()) {
+        fault.targets().forEach(number -> excused.add(names.get(number)));
       }
-      if (2 * fault.one().size() >= names.size()) {
-        fault.other().forEach(number -> excused.add(names.get(number)));
+      if (2 * fault.targets().size() >= names.size()) {
+        fault.others().forEach(number -> excused.add(names.get(number)));
       }
     }
   }
 
   /** A courier holds that view: members are lives. */
-  public void holds(
+  public void viewObserved(
       final String observer,
       final String line,
       final long number,
@@ -88,7 +88,7 @@
     final String view = line + '.' + number;
     final Set<String> before = contents.putIfAbsent(view, members);
     if (before != null && !before.equals(members)) {
-      broken.add(
+      violations.add(
           atMs
               + " ms: view "
               + view
@@ -109,14 +109,14 @@
             && life.equals(livesByName.get(name))
             && !mayBeDead(name, atMs)) {
           if (wronglyDead.add(life)) {
-            broken.add(
+            violations.add(
                 atMs + " ms: " + life + " lives, and is out of view " + view + " of " + observer);
           }
         }
       }
     }
     note(observer, atMs);
-    agree(atMs);
+    compareViews(atMs);
   }
 
   private boolean mayBeDead(final String name, final long atMs) {
@@ -136,7 +136,7 @@
   }
 
   /** Views are compared again: some courier may have begun or ended. */
-  public void agree(final long atMs) {
+  public void compareViews(final long atMs) {
     final Set<String> living = new HashSet<>(livesByName.values());
     final boolean agree =
         held.keySet().containsAll(livesByName.keySet())
@@ -155,7 +155,7 @@
   }
 
   /** When all came to hold one view for the last time, ms. */
-  public long agreedMs() {
+  public long lastAgreementMs() {
     return agreedMs;
   }
 
@@ -163,7 +163,7 @@
    * For each life that was ended: how long, ms, until the last of those who live now knew; those
    * nobody knows of are missing.
    */
-  public List<Long> timesToKnow() {
+  public List<Long> detectionTimesMs() {
     final List<Long> times = new ArrayList<>();
     endedMs.forEach(
         (life, atMs) -> {
@@ -182,22 +182,22 @@
   }
 
   /** How many lives were ended. */
-  public int ended() {
+  public int endedCount() {
     return endedMs.size();
   }
 
   /** How many views there were. */
-  public int changes() {
+  public int viewCount() {
     return changes;
   }
 
   /** Lives that were declared dead though nothing allowed it. */
-  public int wronglyDead() {
+  public int wronglyDeadCount() {
     return wronglyDead.size();
   }
 
   /** What was not as promised. */
-  public List<String> broken() {
-    return broken;
+  public List<String> violations() {
+    return violations;
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Links.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Links.java
@@ -27,7 +27,7 @@
   }
 
   /** A cut begins (1) or ends (-1). */
-  public synchronized void cut(final List<Integer> from, final List<Integer> to, final int by) {
+  public synchronized void addCuts(final List<Integer> from, final List<Integer> to, final int by) {
     for (final int one : from) {
       for (final int other : to) {
         cuts[one][other] += by;
@@ -36,17 +36,17 @@
   }
 
   /** That share is lost from now on. */
-  public synchronized void lose(final double share) {
+  public synchronized void setLoss(final double share) {
     loss = share;
   }
 
   /** That share comes twice from now on. */
-  public synchronized void repeat(final double share) {
+  public synchronized void setDuplication(final double share) {
     doubled = share;
   }
 
   /** Datagrams are late by up to that from now on, each by lot. */
-  public synchronized void jitter(final long ms) {
+  public synchronized void setJitter(final long ms) {
     jitterMs = ms;
   }
 
@@ -68,12 +68,12 @@
   }
 
   /** How late a datagram is, ms. */
-  public synchronized long lateMs() {
+  public synchronized long delayMs() {
     return jitterMs > 0 ? random.nextLong(jitterMs) : 0;
   }
 
   /** How late a piece of a connection is, ms: what is lost is sent again after a while. */
-  public synchronized long stallMs() {
+  public synchronized long retransmissionDelayMs() {
     long ms = 0;
     while (random.nextDouble() < loss) {
       ms += AGAIN_MS;
@@ -82,7 +82,7 @@
   }
 
   /** What took place so far. */
-  public synchronized String tally() {
+  public synchronized String summary() {
     return passed + " datagrams passed, " + lost + " lost, " + held + " looks at a cut way";
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
@@ -67,7 +67,7 @@
   private final JsonNode[] pages;
   private final Links links;
   private final Relay[][] relays;
-  private final FleetJudge judge;
+  private final FleetChecker checker;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final HttpClient http =
@@ -121,7 +121,7 @@
     this.pages = new JsonNode[members];
     this.links = new Links(members, schedule.seed());
     this.relays = new Relay[members][members];
-    this.judge = new FleetJudge(pauseLimitMs);
+    this.checker = new FleetChecker(pauseLimitMs);
     for (int from = 0; from < members; from++) {
       for (int to = 0; to < members; to++) {
         if (from != to) {
@@ -220,11 +220,11 @@
   @FunctionalInterface
   public interface Step {
     /** Does it. */
-    void take() throws IOException;
+    void run() throws IOException;
   }
 
   /** Has that done as soon as all hold one view, before the schedule begins. */
-  public void whole(final Step step) {
+  public void onAgreement(final Step step) {
     onWhole = step;
   }
 
@@ -234,13 +234,13 @@
   }
 
   /** Starts all, waits until they agree, and plays the schedule from then on. */
-  public FleetJudge play() throws IOException {
+  public FleetChecker run() throws IOException {
     beganNs = System.nanoTime();
     for (int number = 0; number < names.size(); number++) {
       start(number);
     }
     awaitAgreement();
-    onWhole.take();
+    onWhole.run();
     final long zeroMs = nowMs();
     final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
     steps.forEach(step -> due.add(new Due(zeroMs + step.atMs(), step.step())));
@@ -249,7 +249,7 @@
     }
     while (nowMs() < zeroMs + schedule.endMs()) {
       while (!due.isEmpty() && due.peek().atMs() <= nowMs()) {
-        due.poll().step().take();
+        due.poll().step().run();
       }
       look();
       LockSupport.parkNanos(
@@ -258,17 +258,20 @@
                   ? LOOK_MS
                   : Math.max(1, Math.min(LOOK_MS, due.peek().atMs() - nowMs()))));
     }
-    judge.agree(nowMs());
-    return judge;
+    checker.compareViews(nowMs());
+    return checker;
   }
 
   private void awaitAgreement() {
-    judge.agree(nowMs());
+    checker.compareViews(nowMs());
     while (!isWhole()) {
       look();
       if (nowMs() > PATIENCE_MS) {
         throw new AssertionError(
-            "the fleet never came together: " + List.of((Object[]) lastSeen) + ", " + lines());
+            "the fleet never came together: "
+                + List.of((Object[]) lastSeen)
+                + ", "
+                + recentLines());
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LOOK_MS));
     }
@@ -280,8 +283,8 @@
         return false;
       }
     }
-    judge.agree(nowMs());
-    return judge.isAgreed();
+    checker.compareViews(nowMs());
+    return checker.isAgreed();
   }
 
   /** Asks all that run what they hold; what they answer is told to the judge when it comes. */
@@ -324,7 +327,7 @@
     if (page.path("incarnation").isMissingNode()) {
       return;
     }
-    judge.begins(
+    checker.processStarted(
         names.get(number), names.get(number) + '#' + page.path("incarnation").asLong(), nowMs());
     final String line = view.path("generation").asText() + '/' + view.path("founder").asText();
     final String seen = line + '.' + view.path("number").asText();
@@ -336,56 +339,56 @@
               member ->
                   members.add(
                       member.path("name").asText() + '#' + member.path("incarnation").asLong()));
-      judge.holds(names.get(number), line, view.path("number").asLong(), members, nowMs());
+      checker.viewObserved(names.get(number), line, view.path("number").asLong(), members, nowMs());
     }
   }
 
   private synchronized void begin(
       final Fault fault, final long zeroMs, final PriorityQueue<Due> due) throws IOException {
-    tookPlace.merge(fault.kind(), Math.max(1, fault.one().size()), Integer::sum);
-    final long untilMs = fault.forMs() == 0 ? Long.MAX_VALUE : zeroMs + fault.untilMs();
+    tookPlace.merge(fault.kind(), Math.max(1, fault.targets().size()), Integer::sum);
+    final long untilMs = fault.forMs() == 0 ? Long.MAX_VALUE : zeroMs + fault.endMs();
     switch (fault.kind()) {
       case KILL, LEAVE -> {
-        for (final int number : fault.one()) {
+        for (final int number : fault.targets()) {
           end(number, fault.kind() == Fault.Kind.LEAVE);
         }
       }
       case START -> {
-        for (final int number : fault.one()) {
+        for (final int number : fault.targets()) {
           if (processes[number] == null) {
             start(number);
           }
         }
       }
       case PAUSE -> {
-        for (final int number : fault.one()) {
+        for (final int number : fault.targets()) {
           stop(number, true);
           due.add(new Due(untilMs, () -> stop(number, false)));
         }
       }
       case STARVE -> {
-        for (final int number : fault.one()) {
+        for (final int number : fault.targets()) {
           starve(number, fault.value(), untilMs, due);
         }
       }
       case CUT -> {
-        judge.cut(fault, names);
-        links.cut(fault.one(), fault.other(), 1);
-        due.add(new Due(untilMs, () -> links.cut(fault.one(), fault.other(), -1)));
+        checker.linksCut(fault, names);
+        links.addCuts(fault.targets(), fault.others(), 1);
+        due.add(new Due(untilMs, () -> links.addCuts(fault.targets(), fault.others(), -1)));
       }
       case BREAK -> {
-        for (final int one : fault.one()) {
-          for (final int other : fault.other()) {
+        for (final int one : fault.targets()) {
+          for (final int other : fault.others()) {
             relays[one][other].reset();
             relays[other][one].reset();
           }
         }
       }
-      case LOSS -> links.lose(fault.value());
-      case DOUBLE -> links.repeat(fault.value());
-      case DELAY -> links.jitter((long) fault.value());
+      case LOSS -> links.setLoss(fault.value());
+      case DOUBLE -> links.setDuplication(fault.value());
+      case DELAY -> links.setJitter((long) fault.value());
     }
-    if (fault.forMs() > 0 && fault.one().isEmpty()) {
+    if (fault.forMs() > 0 && fault.targets().isEmpty()) {
       due.add(
           new Due(
               untilMs,
@@ -401,12 +404,12 @@
     processes[number] = null;
     if (inOrder) {
       process.terminate();
-      judge.ends(names.get(number), nowMs());
+      checker.processEnded(names.get(number), nowMs());
       said.addAll(process.lines());
       ending.add(process);
     } else {
       process.kill();
-      judge.ends(names.get(number), nowMs());
+      checker.processEnded(names.get(number), nowMs());
     }
     stopped[number] = false;
     pages[number] = null;
@@ -422,7 +425,7 @@
       processes[number].resume();
     }
     stopped[number] = stop;
-    judge.paused(names.get(number), stop, nowMs());
+    checker.setPaused(names.get(number), stop, nowMs());
   }
 
   private synchronized void starve(
@@ -443,22 +446,22 @@
   }
 
   /** What each process said last of its fleet; null: it does not run, or has said nothing yet. */
-  public synchronized JsonNode page(final int number) {
+  public synchronized JsonNode peersPage(final int number) {
     return pages[number];
   }
 
   /** Its address for operators. */
-  public String admin(final int number) {
+  public String adminAddress(final int number) {
     return "127.0.0.1:" + admins[number];
   }
 
   /** Its address for operators' calls. */
-  public String operator(final int number) {
+  public String operatorAddress(final int number) {
     return "127.0.0.1:" + operators[number];
   }
 
   /** Where it takes clients; null while it does not run, or has not said so yet. */
-  public synchronized String serves(final int number) {
+  public synchronized String clientAddress(final int number) {
     return processes[number] == null
         ? null
         : processes[number].lines().stream()
@@ -472,11 +475,11 @@
   }
 
   /** One page of a courier's, as it is now; null if none is to be had within 2 s. */
-  public JsonNode ask(final int number, final String page) {
+  public JsonNode fetchPage(final int number, final String page) {
     try {
       final HttpResponse<String> answer =
           http.send(
-              HttpRequest.newBuilder(URI.create("http://" + admin(number) + "/" + page))
+              HttpRequest.newBuilder(URI.create("http://" + adminAddress(number) + "/" + page))
                   .timeout(Duration.ofSeconds(2))
                   .build(),
               HttpResponse.BodyHandlers.ofString());
@@ -493,13 +496,13 @@
    * An operator leaves an endpoint out, or lets it serve, at one courier; true if that was answered
    * with a yes.
    */
-  public boolean maintain(final int number, final String endpoint, final boolean leaveOut) {
+  public boolean setDisabled(final int number, final String endpoint, final boolean leaveOut) {
     try {
       return http.send(
                   HttpRequest.newBuilder(
                           URI.create(
                               "http://"
-                                  + operator(number)
+                                  + operatorAddress(number)
                                   + "/-/endpoints/"
                                   + endpoint
                                   + (leaveOut ? "/disable" : "/enable")))
@@ -523,17 +526,17 @@
   }
 
   /** The judge. */
-  public FleetJudge judge() {
-    return judge;
+  public FleetChecker checker() {
+    return checker;
   }
 
   /** Which faults took place, and what passed. */
-  public String tally() {
-    return tookPlace + "; " + links.tally();
+  public String summary() {
+    return tookPlace + "; " + links.summary();
   }
 
   /** The last lines that each process said. */
-  public synchronized List<String> lines() {
+  public synchronized List<String> recentLines() {
     final List<String> lines = new ArrayList<>(said);
     for (int number = 0; number < names.size(); number++) {
       if (processes[number] != null) {
--- a/testkit/src/main/java/thistleturn/testkit/rig/Relay.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Relay.java
@@ -101,7 +101,7 @@
       for (int copy = links.copies(from, to); copy > 0; copy--) {
         final DatagramPacket next =
             new DatagramPacket(packet.content().retainedDuplicate(), target);
-        final long lateMs = links.lateMs();
+        final long lateMs = links.delayMs();
         if (lateMs == 0) {
           context.writeAndFlush(next, context.voidPromise());
         } else {
@@ -161,7 +161,7 @@
     private void go() {
       if (!going && into != null) {
         going = true;
-        loop.schedule(this::pass, links.stallMs(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::pass, links.retransmissionDelayMs(), TimeUnit.MILLISECONDS);
       }
     }
 
@@ -195,7 +195,7 @@
       crossings.add(this);
       near.pipeline().addLast(out);
       near.closeFuture().addListener(closed -> crossings.remove(this));
-      loop.schedule(this::connect, links.stallMs(), TimeUnit.MILLISECONDS);
+      loop.schedule(this::connect, links.retransmissionDelayMs(), TimeUnit.MILLISECONDS);
     }
 
     private void connect() {
--- a/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
@@ -121,15 +121,15 @@
     final StringBuilder text =
         new StringBuilder("members " + members + "\nseed " + seed + "\nend " + endMs + "ms\n");
     for (final Fault fault : faults) {
-      final boolean share = fault.one().isEmpty();
+      final boolean share = fault.targets().isEmpty();
       text.append("at ")
           .append(fault.atMs())
           .append("ms ")
           .append(fault.kind().name().toLowerCase(Locale.ROOT))
           .append(' ')
-          .append(share ? Double.toString(fault.value()) : names(fault.one()));
-      if (!fault.other().isEmpty()) {
-        text.append(" -> ").append(names(fault.other()));
+          .append(share ? Double.toString(fault.value()) : names(fault.targets()));
+      if (!fault.others().isEmpty()) {
+        text.append(" -> ").append(names(fault.others()));
       }
       text.append(fault.forMs() == 0 ? "\n" : " for " + fault.forMs() + "ms\n");
     }
@@ -141,23 +141,23 @@
   }
 
   /** What the faults of a random schedule may be. */
-  public record Weather(
+  public record FaultMix(
       double loss,
       boolean kills,
       boolean restarts,
-      long mostPauseMs,
-      boolean oneWay,
-      boolean splits,
-      boolean starves,
-      boolean breaks) {
+      long maxPauseMs,
+      boolean oneWayCuts,
+      boolean partitions,
+      boolean starvation,
+      boolean connectionResets) {
     /** Kills and restarts alone, at that loss. */
-    public static Weather kills(final double loss) {
-      return new Weather(loss, true, true, 0, false, false, false, false);
+    public static FaultMix killsOnly(final double loss) {
+      return new FaultMix(loss, true, true, 0, false, false, false, false);
     }
 
     /** Everything at once. */
-    public static Weather all(final double loss, final long mostPauseMs) {
-      return new Weather(loss, true, true, mostPauseMs, true, true, true, true);
+    public static FaultMix all(final double loss, final long mostPauseMs) {
+      return new FaultMix(loss, true, true, mostPauseMs, true, true, true, true);
     }
   }
 
@@ -165,7 +165,7 @@
    * A schedule by lot: a fault every few seconds, one after the other or at once; calm at its end.
    */
   public static Schedule random(
-      final long seed, final int members, final long endMs, final Weather weather) {
+      final long seed, final int members, final long endMs, final FaultMix weather) {
     final Random random = new Random(seed);
     final List<Fault> faults = new ArrayList<>();
     if (weather.loss() > 0) {
@@ -175,16 +175,16 @@
     if (weather.kills()) {
       kinds.add(Fault.Kind.KILL);
     }
-    if (weather.mostPauseMs() > 0) {
+    if (weather.maxPauseMs() > 0) {
       kinds.add(Fault.Kind.PAUSE);
     }
-    if (weather.oneWay() || weather.splits()) {
+    if (weather.oneWayCuts() || weather.partitions()) {
       kinds.add(Fault.Kind.CUT);
     }
-    if (weather.starves()) {
+    if (weather.starvation()) {
       kinds.add(Fault.Kind.STARVE);
     }
-    if (weather.breaks()) {
+    if (weather.connectionResets()) {
       kinds.add(Fault.Kind.BREAK);
     }
     final List<Integer> standing = new ArrayList<>(IntStream.range(0, members).boxed().toList());
@@ -212,7 +212,7 @@
       final long calmFromMs,
       final List<Integer> standing,
       final int members,
-      final Weather weather,
+      final FaultMix weather,
       final Random random) {
     final int who = standing.get(random.nextInt(standing.size()));
     int peer = random.nextInt(members);
@@ -241,7 +241,7 @@
               new Fault(
                   atMs,
                   Math.min(
-                      mostMs, 200 + (long) (random.nextDouble() * (weather.mostPauseMs() - 200))),
+                      mostMs, 200 + (long) (random.nextDouble() * (weather.maxPauseMs() - 200))),
                   kind,
                   some(standing, random, random.nextInt(3) == 0 ? members / 3 : 1),
                   List.of(),
@@ -258,7 +258,7 @@
       case BREAK -> faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(peer), 0));
       default -> {
         final long forMs = Math.min(mostMs, 2000 + random.nextInt(10_000));
-        if (weather.splits() && random.nextInt(3) == 0 && members > 2) {
+        if (weather.partitions() && random.nextInt(3) == 0 && members > 2) {
           final List<Integer> side =
               some(
                   IntStream.range(0, members).boxed().toList(),
