--- a/testkit/src/test/java/thistleturn/testkit/RuleCheckerTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/RuleCheckerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import thistleturn.decisions.model.Idempotence;
 import thistleturn.decisions.model.MessageClass;
-import thistleturn.testkit.RuleChecker.End;
+import thistleturn.testkit.RuleChecker.CallResult;
 import thistleturn.testkit.Violation.Rule;
 
 /**
@@ -41,12 +41,12 @@
           new MessageClass(
               "line", Idempotence.IDEMPOTENT, false, true, 1, 0, SECOND, 9 * SECOND, 0));
 
-  private final RuleChecker auditor = new RuleChecker(RuleChecker.Figures.standard(), CLASSES);
+  private final RuleChecker auditor = new RuleChecker(RuleChecker.Tolerances.standard(), CLASSES);
 
   @BeforeEach
   void endpoints() {
-    auditor.endpoint("e1", 1);
-    auditor.endpoint("e2", 2);
+    auditor.registerEndpoint("e1", 1);
+    auditor.registerEndpoint("e2", 2);
   }
 
   private void take(final long atUs, final String id, final String kind) {
@@ -54,13 +54,13 @@
   }
 
   private void take(final long atUs, final String id, final String kind, final String key) {
-    auditor.handedIn(atUs, id, kind, 1, key, TIMEOUT);
-    auditor.taken(atUs + MS, id);
+    auditor.recordSubmitted(atUs, id, kind, 1, key, TIMEOUT);
+    auditor.recordAccepted(atUs + MS, id);
   }
 
-  private void call(final long fromUs, final long toUs, final String id, final End end) {
-    auditor.called(fromUs, "e1", List.of(id));
-    auditor.ended(toUs, fromUs, id, end);
+  private void call(final long fromUs, final long toUs, final String id, final CallResult end) {
+    auditor.recordCall(fromUs, "e1", List.of(id));
+    auditor.recordCallEnd(toUs, fromUs, id, end);
   }
 
   private void assertBroken(final Rule... rules) {
@@ -73,19 +73,19 @@
   @Test
   void aGoodCourierBreaksNothing() {
     take(0, "a", "safe");
-    call(10 * MS, 500 * MS, "a", End.CUT);
-    call(600 * MS, 700 * MS, "a", End.DELIVERED);
+    call(10 * MS, 500 * MS, "a", CallResult.CONNECTION_LOST);
+    call(600 * MS, 700 * MS, "a", CallResult.DELIVERED);
     take(0, "b", "keyed");
-    call(10 * MS, 20 * MS, "b", End.ERROR);
-    call(900 * MS, 950 * MS, "b", End.DELIVERED);
+    call(10 * MS, 20 * MS, "b", CallResult.ERROR);
+    call(900 * MS, 950 * MS, "b", CallResult.DELIVERED);
     take(0, "c", "once");
-    call(10 * MS, 20 * MS, "c", End.REFUSED);
-    call(30 * MS, 40 * MS, "c", End.CUT);
-    auditor.noticed(TIMEOUT, "c", false);
+    call(10 * MS, 20 * MS, "c", CallResult.REJECTED);
+    call(30 * MS, 40 * MS, "c", CallResult.CONNECTION_LOST);
+    auditor.recordOutcomeNotice(TIMEOUT, "c", false);
     take(0, "d", "once");
-    auditor.noticed(TIMEOUT + 299 * MS, "d", true);
-    auditor.handedIn(0, "e", "once", 1, null, TIMEOUT);
-    auditor.refused(MS, "e");
+    auditor.recordOutcomeNotice(TIMEOUT + 299 * MS, "d", true);
+    auditor.recordSubmitted(0, "e", "once", 1, null, TIMEOUT);
+    auditor.recordRejected(MS, "e");
     assertBroken();
   }
 
@@ -98,7 +98,7 @@
   @Test
   void anEndThatIsTooLateIsALoss() {
     take(0, "a", "safe");
-    auditor.noticed(TIMEOUT + 301 * MS, "a", true);
+    auditor.recordOutcomeNotice(TIMEOUT + 301 * MS, "a", true);
     assertBroken(Rule.LOST);
   }
 
@@ -111,14 +111,14 @@
     take(0, "a", "safe");
     take(0, "b", "safe");
     take(0, "c", "safe");
-    auditor.noticed(TIMEOUT + 900 * MS, "a", true);
-    auditor.judgeAway(TIMEOUT + 200 * MS, TIMEOUT + 850 * MS);
-    auditor.judgeAway(TIMEOUT + 250 * MS, TIMEOUT + 840 * MS);
-    auditor.noticed(TIMEOUT + 1000 * MS, "b", true);
+    auditor.recordOutcomeNotice(TIMEOUT + 900 * MS, "a", true);
+    auditor.recordCheckerPause(TIMEOUT + 200 * MS, TIMEOUT + 850 * MS);
+    auditor.recordCheckerPause(TIMEOUT + 250 * MS, TIMEOUT + 840 * MS);
+    auditor.recordOutcomeNotice(TIMEOUT + 1000 * MS, "b", true);
     // What it was away for before the message's time, or after it saw the end, excuses nothing.
-    auditor.judgeAway(TIMEOUT - SECOND, TIMEOUT);
-    auditor.judgeAway(TIMEOUT + 1200 * MS, TIMEOUT + 3 * SECOND);
-    auditor.noticed(TIMEOUT + 1100 * MS, "c", true);
+    auditor.recordCheckerPause(TIMEOUT - SECOND, TIMEOUT);
+    auditor.recordCheckerPause(TIMEOUT + 1200 * MS, TIMEOUT + 3 * SECOND);
+    auditor.recordOutcomeNotice(TIMEOUT + 1100 * MS, "c", true);
     final List<Violation> broken = auditor.finish(10 * SECOND);
     assertEquals(
         List.of(Rule.LOST, Rule.LOST),
@@ -134,10 +134,10 @@
   void aRestartExcusesLateEndsForAWhileOnly() {
     take(0, "a", "safe");
     take(0, "b", "safe");
-    auditor.restarted(SECOND, false);
-    auditor.restarted(3 * SECOND, true);
-    auditor.noticed(4 * SECOND, "a", true);
-    auditor.noticed(5 * SECOND, "b", true);
+    auditor.recordRestart(SECOND, false);
+    auditor.recordRestart(3 * SECOND, true);
+    auditor.recordOutcomeNotice(4 * SECOND, "a", true);
+    auditor.recordOutcomeNotice(5 * SECOND, "b", true);
     assertBroken(Rule.LOST);
   }
 
@@ -148,18 +148,18 @@
   @Test
   void aRestartExcusesLateEndsBeforeItIsReadyToo() {
     take(0, "a", "safe");
-    auditor.restarted(SECOND, false);
-    auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
-    auditor.restarted(TIMEOUT + 3 * SECOND, true);
+    auditor.recordRestart(SECOND, false);
+    auditor.recordOutcomeNotice(TIMEOUT + 2 * SECOND, "a", true);
+    auditor.recordRestart(TIMEOUT + 3 * SECOND, true);
     assertBroken();
   }
 
   @Test
   void aRestartExcusesNothingThatWasOverdueBefore() {
     take(0, "a", "safe");
-    auditor.restarted(TIMEOUT + SECOND, false);
-    auditor.noticed(TIMEOUT + 2 * SECOND, "a", true);
-    auditor.restarted(TIMEOUT + 3 * SECOND, true);
+    auditor.recordRestart(TIMEOUT + SECOND, false);
+    auditor.recordOutcomeNotice(TIMEOUT + 2 * SECOND, "a", true);
+    auditor.recordRestart(TIMEOUT + 3 * SECOND, true);
     assertBroken(Rule.LOST);
   }
 
@@ -176,22 +176,22 @@
   @Test
   void restartsInARowExcuseLateEndsAllTheWay() {
     take(0, "a", "safe");
-    auditor.restarted(TIMEOUT - SECOND, false);
-    auditor.restarted(TIMEOUT + SECOND, true);
-    auditor.restarted(TIMEOUT + 2 * SECOND, false);
-    auditor.restarted(TIMEOUT + 3 * SECOND, true);
-    auditor.noticed(TIMEOUT + 4 * SECOND, "a", true);
+    auditor.recordRestart(TIMEOUT - SECOND, false);
+    auditor.recordRestart(TIMEOUT + SECOND, true);
+    auditor.recordRestart(TIMEOUT + 2 * SECOND, false);
+    auditor.recordRestart(TIMEOUT + 3 * SECOND, true);
+    auditor.recordOutcomeNotice(TIMEOUT + 4 * SECOND, "a", true);
     assertBroken();
   }
 
   @Test
   void aRestartAfterTheExcuseOfTheOneBeforeHasRunOutExcusesNothing() {
     take(0, "a", "safe");
-    auditor.restarted(TIMEOUT - SECOND, false);
-    auditor.restarted(TIMEOUT + SECOND, true);
-    auditor.restarted(TIMEOUT + 2501 * MS, false);
-    auditor.restarted(TIMEOUT + 3 * SECOND, true);
-    auditor.noticed(TIMEOUT + 3 * SECOND, "a", true);
+    auditor.recordRestart(TIMEOUT - SECOND, false);
+    auditor.recordRestart(TIMEOUT + SECOND, true);
+    auditor.recordRestart(TIMEOUT + 2501 * MS, false);
+    auditor.recordRestart(TIMEOUT + 3 * SECOND, true);
+    auditor.recordOutcomeNotice(TIMEOUT + 3 * SECOND, "a", true);
     assertBroken(Rule.LOST);
   }
 
@@ -199,16 +199,16 @@
   void afterAKillWhatMayBeRepeatedGoesOnceMoreAndNothingElse() {
     for (final String kind : List.of("safe", "keyed", "once")) {
       take(0, kind, kind);
-      call(10 * MS, 90 * MS, kind, End.DELIVERED);
+      call(10 * MS, 90 * MS, kind, CallResult.DELIVERED);
     }
     take(0, "late", "keyed");
-    call(10 * MS, 90 * MS, "late", End.DELIVERED);
-    auditor.restarted(100 * MS, false);
-    auditor.restarted(500 * MS, true);
+    call(10 * MS, 90 * MS, "late", CallResult.DELIVERED);
+    auditor.recordRestart(100 * MS, false);
+    auditor.recordRestart(500 * MS, true);
     for (final String kind : List.of("safe", "keyed", "once")) {
-      call(600 * MS, 610 * MS, kind, End.DELIVERED);
+      call(600 * MS, 610 * MS, kind, CallResult.DELIVERED);
     }
-    call(1020 * MS, 1030 * MS, "late", End.DELIVERED);
+    call(1020 * MS, 1030 * MS, "late", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE, Rule.DOUBLE);
   }
 
@@ -219,13 +219,13 @@
   void anAnswerWrittenAfterAKillToACallOfBeforeIsNotRead() {
     take(0, "a", "safe");
     take(0, "b", "safe");
-    auditor.restarted(50 * MS, false);
-    call(10 * MS, 52 * MS, "a", End.DELIVERED);
-    auditor.restarted(200 * MS, true);
-    call(300 * MS, 310 * MS, "a", End.DELIVERED);
+    auditor.recordRestart(50 * MS, false);
+    call(10 * MS, 52 * MS, "a", CallResult.DELIVERED);
+    auditor.recordRestart(200 * MS, true);
+    call(300 * MS, 310 * MS, "a", CallResult.DELIVERED);
     // But what the next process was told, it knows.
-    call(300 * MS, 310 * MS, "b", End.DELIVERED);
-    call(400 * MS, 410 * MS, "b", End.DELIVERED);
+    call(300 * MS, 310 * MS, "b", CallResult.DELIVERED);
+    call(400 * MS, 410 * MS, "b", CallResult.DELIVERED);
     assertBroken(Rule.LOST);
   }
 
@@ -241,14 +241,14 @@
   void anAnswerThatWasNotReadBeforeTheFirstOfTwoKillsMayBeRepeatedAfterTheSecond() {
     take(4400 * MS, "a", "safe");
     take(4400 * MS, "once", "once");
-    auditor.restarted(4506 * MS, false);
-    call(4486 * MS, 4511 * MS, "a", End.DELIVERED);
-    call(4486 * MS, 4511 * MS, "once", End.DELIVERED);
-    auditor.restarted(5000 * MS, true);
-    auditor.restarted(5746 * MS, false);
-    auditor.restarted(6746 * MS, true);
-    call(7000 * MS, 7025 * MS, "a", End.DELIVERED);
-    call(7000 * MS, 7025 * MS, "once", End.DELIVERED);
+    auditor.recordRestart(4506 * MS, false);
+    call(4486 * MS, 4511 * MS, "a", CallResult.DELIVERED);
+    call(4486 * MS, 4511 * MS, "once", CallResult.DELIVERED);
+    auditor.recordRestart(5000 * MS, true);
+    auditor.recordRestart(5746 * MS, false);
+    auditor.recordRestart(6746 * MS, true);
+    call(7000 * MS, 7025 * MS, "a", CallResult.DELIVERED);
+    call(7000 * MS, 7025 * MS, "once", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 
@@ -256,12 +256,12 @@
   @Test
   void anAnswerThatWasReadBeforeItsProcessEndedIsNoExcuseAfterTwoKills() {
     take(0, "a", "safe");
-    call(10 * MS, 35 * MS, "a", End.DELIVERED);
-    auditor.restarted(1036 * MS, false);
-    auditor.restarted(1200 * MS, true);
-    auditor.restarted(1300 * MS, false);
-    auditor.restarted(1400 * MS, true);
-    call(1500 * MS, 1525 * MS, "a", End.DELIVERED);
+    call(10 * MS, 35 * MS, "a", CallResult.DELIVERED);
+    auditor.recordRestart(1036 * MS, false);
+    auditor.recordRestart(1200 * MS, true);
+    auditor.recordRestart(1300 * MS, false);
+    auditor.recordRestart(1400 * MS, true);
+    call(1500 * MS, 1525 * MS, "a", CallResult.DELIVERED);
     assertBroken(Rule.LOST);
   }
 
@@ -270,27 +270,27 @@
   void whatWasRepeatedAndReadIsNotRepeatedOnceMore() {
     take(0, "a", "safe");
     take(0, "b", "safe");
-    call(80 * MS, 95 * MS, "a", End.DELIVERED);
-    call(80 * MS, 95 * MS, "b", End.DELIVERED);
-    auditor.restarted(100 * MS, false);
-    auditor.restarted(200 * MS, true);
-    call(210 * MS, 235 * MS, "a", End.DELIVERED);
-    call(210 * MS, 235 * MS, "b", End.DELIVERED);
+    call(80 * MS, 95 * MS, "a", CallResult.DELIVERED);
+    call(80 * MS, 95 * MS, "b", CallResult.DELIVERED);
+    auditor.recordRestart(100 * MS, false);
+    auditor.recordRestart(200 * MS, true);
+    call(210 * MS, 235 * MS, "a", CallResult.DELIVERED);
+    call(210 * MS, 235 * MS, "b", CallResult.DELIVERED);
     // The same process again, and another one after more than a second.
-    call(300 * MS, 325 * MS, "a", End.DELIVERED);
-    auditor.restarted(1240 * MS, false);
-    auditor.restarted(1300 * MS, true);
-    call(1400 * MS, 1425 * MS, "b", End.DELIVERED);
+    call(300 * MS, 325 * MS, "a", CallResult.DELIVERED);
+    auditor.recordRestart(1240 * MS, false);
+    auditor.recordRestart(1300 * MS, true);
+    call(1400 * MS, 1425 * MS, "b", CallResult.DELIVERED);
     assertBroken(Rule.LOST, Rule.LOST);
   }
 
   /** A call of two messages, the first of which has so much time left when it begins. */
   private void sharedCall(final long fromUs, final long answeredUs, final long firstHasUs) {
-    auditor.handedIn(0, "first", "safe", 1, null, fromUs + firstHasUs);
-    auditor.handedIn(0, "other", "safe", 1, null, 10 * SECOND);
-    auditor.called(fromUs, "e1", List.of("first", "other"));
-    auditor.ended(answeredUs, fromUs, "first", End.DELIVERED);
-    auditor.ended(answeredUs, fromUs, "other", End.DELIVERED);
+    auditor.recordSubmitted(0, "first", "safe", 1, null, fromUs + firstHasUs);
+    auditor.recordSubmitted(0, "other", "safe", 1, null, 10 * SECOND);
+    auditor.recordCall(fromUs, "e1", List.of("first", "other"));
+    auditor.recordCallEnd(answeredUs, fromUs, "first", CallResult.DELIVERED);
+    auditor.recordCallEnd(answeredUs, fromUs, "other", CallResult.DELIVERED);
   }
 
   /**
@@ -305,8 +305,8 @@
   @Test
   void anAnswerReadAfterAStopAndAfterTheTimeOfTheFirstOfItsCallMayBeRepeated() {
     sharedCall(1000 * MS, 1040 * MS, 500 * MS);
-    auditor.courierStopped(1010 * MS, 2000 * MS);
-    call(2100 * MS, 2140 * MS, "other", End.DELIVERED);
+    auditor.recordCourierPause(1010 * MS, 2000 * MS);
+    call(2100 * MS, 2140 * MS, "other", CallResult.DELIVERED);
     assertBroken();
   }
 
@@ -319,8 +319,8 @@
   @Test
   void anAnswerReadAfterAStopMayBeRepeatedIfTheFirstOfItsCallWasOverByTheCouriersReckoning() {
     sharedCall(1000 * MS, 1040 * MS, 1400 * MS);
-    auditor.courierStopped(1010 * MS, 2000 * MS);
-    call(2100 * MS, 2140 * MS, "other", End.DELIVERED);
+    auditor.recordCourierPause(1010 * MS, 2000 * MS);
+    call(2100 * MS, 2140 * MS, "other", CallResult.DELIVERED);
     assertBroken();
   }
 
@@ -328,33 +328,33 @@
   void aRepeatIsCaughtIfTheFirstOfItsCallHadTimeLeftOrTheAnswerCameBeforeTheStopOrToOneAlone() {
     // Its time was up later after the stop than the request can have lain unread.
     sharedCall(1000 * MS, 1040 * MS, 1401 * MS);
-    auditor.courierStopped(1010 * MS, 2000 * MS);
-    call(2600 * MS, 2640 * MS, "other", End.DELIVERED);
+    auditor.recordCourierPause(1010 * MS, 2000 * MS);
+    call(2600 * MS, 2640 * MS, "other", CallResult.DELIVERED);
     // Nobody was stopped when the answer came.
     sharedCall(3000 * MS, 3040 * MS, 500 * MS);
-    auditor.courierStopped(3041 * MS, 4000 * MS);
-    call(4100 * MS, 4140 * MS, "other", End.DELIVERED);
+    auditor.recordCourierPause(3041 * MS, 4000 * MS);
+    call(4100 * MS, 4140 * MS, "other", CallResult.DELIVERED);
     // One message in its call.
     take(4500 * MS, "alone", "safe");
-    call(5000 * MS, 5040 * MS, "alone", End.DELIVERED);
-    auditor.courierStopped(5010 * MS, 7000 * MS);
-    call(7100 * MS, 7140 * MS, "alone", End.DELIVERED);
+    call(5000 * MS, 5040 * MS, "alone", CallResult.DELIVERED);
+    auditor.recordCourierPause(5010 * MS, 7000 * MS);
+    call(7100 * MS, 7140 * MS, "alone", CallResult.DELIVERED);
     assertBroken(Rule.LOST, Rule.LOST, Rule.LOST);
   }
 
   /** Who gave up waiting for an answer has a message under way all the same. */
   @Test
   void aMessageWhoseClientGaveUpIsSettledOnceItIsDeliveredOrItsProcessIsGone() {
-    auditor.handedIn(0, "a", "safe", 1, null, TIMEOUT);
+    auditor.recordSubmitted(0, "a", "safe", 1, null, TIMEOUT);
     assertTrue(auditor.allEnded());
     assertFalse(auditor.allSettled());
-    call(10 * MS, 20 * MS, "a", End.DELIVERED);
+    call(10 * MS, 20 * MS, "a", CallResult.DELIVERED);
     assertTrue(auditor.allSettled());
-    auditor.handedIn(SECOND, "b", "safe", 1, null, TIMEOUT);
+    auditor.recordSubmitted(SECOND, "b", "safe", 1, null, TIMEOUT);
     assertFalse(auditor.allSettled());
-    auditor.restarted(SECOND + MS, false);
+    auditor.recordRestart(SECOND + MS, false);
     assertTrue(auditor.allSettled());
-    auditor.handedIn(2 * SECOND, "c", "safe", 1, null, TIMEOUT);
+    auditor.recordSubmitted(2 * SECOND, "c", "safe", 1, null, TIMEOUT);
     assertFalse(auditor.allSettled());
   }
 
@@ -372,22 +372,22 @@
     for (final String id : List.of("old", "next")) {
       take(2000 * MS, id, "safe");
     }
-    auditor.restarted(3038 * MS, false);
-    call(3042 * MS, 3067 * MS, "old", End.DELIVERED);
-    auditor.restarted(3070 * MS, false);
-    call(3071 * MS, 3096 * MS, "next", End.DELIVERED);
-    auditor.restarted(4900 * MS, true);
-    call(5045 * MS, 5070 * MS, "old", End.DELIVERED);
-    call(5045 * MS, 5070 * MS, "next", End.DELIVERED);
+    auditor.recordRestart(3038 * MS, false);
+    call(3042 * MS, 3067 * MS, "old", CallResult.DELIVERED);
+    auditor.recordRestart(3070 * MS, false);
+    call(3071 * MS, 3096 * MS, "next", CallResult.DELIVERED);
+    auditor.recordRestart(4900 * MS, true);
+    call(5045 * MS, 5070 * MS, "old", CallResult.DELIVERED);
+    call(5045 * MS, 5070 * MS, "next", CallResult.DELIVERED);
     assertBroken(Rule.LOST);
   }
 
   @Test
   void twoDifferentEndsAreCaught() {
     take(0, "a", "safe");
-    auditor.noticed(SECOND, "a", true);
-    auditor.noticed(SECOND, "a", true);
-    auditor.noticed(SECOND, "a", false);
+    auditor.recordOutcomeNotice(SECOND, "a", true);
+    auditor.recordOutcomeNotice(SECOND, "a", true);
+    auditor.recordOutcomeNotice(SECOND, "a", false);
     assertBroken(Rule.LOST);
   }
 
@@ -406,10 +406,10 @@
   @Test
   void aDeferralThatARestartTellsAsUndeliverableDoesNoHarm() {
     take(0, "a", "once");
-    auditor.noticed(TIMEOUT + 10 * MS, "a", true);
-    auditor.restarted(TIMEOUT + 100 * MS, false);
-    auditor.restarted(TIMEOUT + 900 * MS, true);
-    auditor.noticed(TIMEOUT + 950 * MS, "a", false);
+    auditor.recordOutcomeNotice(TIMEOUT + 10 * MS, "a", true);
+    auditor.recordRestart(TIMEOUT + 100 * MS, false);
+    auditor.recordRestart(TIMEOUT + 900 * MS, true);
+    auditor.recordOutcomeNotice(TIMEOUT + 950 * MS, "a", false);
     assertBroken();
   }
 
@@ -418,47 +418,47 @@
     take(0, "sameProcess", "once");
     take(0, "otherWay", "once");
     take(0, "refused", "once");
-    auditor.handedIn(0, "early", "once", 1, null, 2 * TIMEOUT);
-    auditor.taken(MS, "early");
-    auditor.refused(2 * MS, "refused");
-    auditor.noticed(TIMEOUT + 10 * MS, "otherWay", false);
-    auditor.noticed(TIMEOUT + 10 * MS, "early", true);
-    auditor.restarted(TIMEOUT + 20 * MS, false);
-    auditor.noticed(TIMEOUT + 30 * MS, "sameProcess", true);
-    auditor.restarted(TIMEOUT + 40 * MS, true);
-    auditor.noticed(TIMEOUT + 50 * MS, "otherWay", true);
-    auditor.noticed(TIMEOUT + 50 * MS, "early", false);
-    auditor.noticed(TIMEOUT + 50 * MS, "sameProcess", false);
-    auditor.noticed(TIMEOUT + 50 * MS, "refused", false);
+    auditor.recordSubmitted(0, "early", "once", 1, null, 2 * TIMEOUT);
+    auditor.recordAccepted(MS, "early");
+    auditor.recordRejected(2 * MS, "refused");
+    auditor.recordOutcomeNotice(TIMEOUT + 10 * MS, "otherWay", false);
+    auditor.recordOutcomeNotice(TIMEOUT + 10 * MS, "early", true);
+    auditor.recordRestart(TIMEOUT + 20 * MS, false);
+    auditor.recordOutcomeNotice(TIMEOUT + 30 * MS, "sameProcess", true);
+    auditor.recordRestart(TIMEOUT + 40 * MS, true);
+    auditor.recordOutcomeNotice(TIMEOUT + 50 * MS, "otherWay", true);
+    auditor.recordOutcomeNotice(TIMEOUT + 50 * MS, "early", false);
+    auditor.recordOutcomeNotice(TIMEOUT + 50 * MS, "sameProcess", false);
+    auditor.recordOutcomeNotice(TIMEOUT + 50 * MS, "refused", false);
     assertBroken(Rule.LOST, Rule.LOST, Rule.LOST, Rule.LOST);
   }
 
   @Test
   void anUnsafeMessageThatMayHaveRunGoesNeverAgainAndIsNotRefused() {
     take(0, "a", "once");
-    call(10 * MS, 20 * MS, "a", End.CUT);
-    call(30 * MS, 40 * MS, "a", End.DELIVERED);
+    call(10 * MS, 20 * MS, "a", CallResult.CONNECTION_LOST);
+    call(30 * MS, 40 * MS, "a", CallResult.DELIVERED);
     take(0, "b", "once");
-    call(10 * MS, 20 * MS, "b", End.ERROR);
-    auditor.noticed(SECOND, "b", true);
+    call(10 * MS, 20 * MS, "b", CallResult.ERROR);
+    auditor.recordOutcomeNotice(SECOND, "b", true);
     assertBroken(Rule.DOUBLE, Rule.DOUBLE);
   }
 
   @Test
   void aKeyedMessageGoesAgainOnlyWhileItsKeyIsKept() {
     take(0, "a", "keyed");
-    call(10 * MS, 20 * MS, "a", End.CUT);
-    call(1011 * MS, 1020 * MS, "a", End.DELIVERED);
+    call(10 * MS, 20 * MS, "a", CallResult.CONNECTION_LOST);
+    call(1011 * MS, 1020 * MS, "a", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 
   @Test
   void twoCopiesOutAreCaught() {
     take(0, "a", "safe");
-    auditor.called(10 * MS, "e1", List.of("a"));
-    auditor.called(20 * MS, "e1", List.of("a"));
-    auditor.ended(30 * MS, 10 * MS, "a", End.DELIVERED);
-    auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
+    auditor.recordCall(10 * MS, "e1", List.of("a"));
+    auditor.recordCall(20 * MS, "e1", List.of("a"));
+    auditor.recordCallEnd(30 * MS, 10 * MS, "a", CallResult.DELIVERED);
+    auditor.recordCallEnd(30 * MS, 20 * MS, "a", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 
@@ -469,10 +469,10 @@
   @Test
   void anEndThatIsReadRightAfterTheNextBeginningIsNoDouble() {
     take(0, "a", "safe");
-    auditor.called(10 * MS, "e1", List.of("a"));
-    auditor.called(20 * MS, "e1", List.of("a"));
-    auditor.ended(21 * MS, 10 * MS, "a", End.CUT);
-    auditor.ended(30 * MS, 20 * MS, "a", End.DELIVERED);
+    auditor.recordCall(10 * MS, "e1", List.of("a"));
+    auditor.recordCall(20 * MS, "e1", List.of("a"));
+    auditor.recordCallEnd(21 * MS, 10 * MS, "a", CallResult.CONNECTION_LOST);
+    auditor.recordCallEnd(30 * MS, 20 * MS, "a", CallResult.DELIVERED);
     assertBroken();
   }
 
@@ -480,14 +480,15 @@
   void anEndThatComesLaterOrOfTheSecondCopyOrOfAnUnsafeOneIsADouble() {
     for (final String id : List.of("late", "second", "unsafe")) {
       take(0, id, id.equals("unsafe") ? "once" : "safe");
-      auditor.called(10 * MS, "e1", List.of(id));
-      auditor.called(20 * MS, "e1", List.of(id));
-      auditor.ended(
+      auditor.recordCall(10 * MS, "e1", List.of(id));
+      auditor.recordCall(20 * MS, "e1", List.of(id));
+      auditor.recordCallEnd(
           id.equals("late") ? 26 * MS : 21 * MS,
           id.equals("second") ? 20 * MS : 10 * MS,
           id,
-          End.CUT);
-      auditor.ended(30 * MS, id.equals("second") ? 10 * MS : 20 * MS, id, End.DELIVERED);
+          CallResult.CONNECTION_LOST);
+      auditor.recordCallEnd(
+          30 * MS, id.equals("second") ? 10 * MS : 20 * MS, id, CallResult.DELIVERED);
     }
     assertBroken(Rule.DOUBLE, Rule.DOUBLE, Rule.DOUBLE);
   }
@@ -495,8 +496,8 @@
   @Test
   void aSendAfterTheEndIsCaught() {
     take(0, "a", "once");
-    auditor.noticed(SECOND, "a", true);
-    call(SECOND + MS, SECOND + 2 * MS, "a", End.DELIVERED);
+    auditor.recordOutcomeNotice(SECOND, "a", true);
+    call(SECOND + MS, SECOND + 2 * MS, "a", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 
@@ -505,11 +506,11 @@
     take(0, "a", "safe");
     take(0, "b", "safe");
     take(0, "c", "safe");
-    auditor.closed(0, "e1");
-    call(1900 * MS, 1910 * MS, "a", End.DELIVERED);
-    call(2100 * MS, 2110 * MS, "b", End.DELIVERED);
-    auditor.opened("e1");
-    call(2200 * MS, 2210 * MS, "c", End.DELIVERED);
+    auditor.recordDraining(0, "e1");
+    call(1900 * MS, 1910 * MS, "a", CallResult.DELIVERED);
+    call(2100 * MS, 2110 * MS, "b", CallResult.DELIVERED);
+    auditor.recordReady("e1");
+    call(2200 * MS, 2210 * MS, "c", CallResult.DELIVERED);
     assertBroken(Rule.DRAIN);
     assertEquals(List.of(1900 * MS, 2100 * MS), auditor.drainLagsUs());
   }
@@ -519,29 +520,29 @@
     take(0, "a", "safe");
     take(0, "b", "safe");
     take(0, "c", "safe");
-    auditor.waitTold(10 * MS, 1, SECOND);
-    call(50 * MS, 60 * MS, "a", End.DELIVERED);
-    call(500 * MS, 510 * MS, "b", End.DELIVERED);
-    call(1011 * MS, 1020 * MS, "c", End.DELIVERED);
+    auditor.recordRetryAfter(10 * MS, 1, SECOND);
+    call(50 * MS, 60 * MS, "a", CallResult.DELIVERED);
+    call(500 * MS, 510 * MS, "b", CallResult.DELIVERED);
+    call(1011 * MS, 1020 * MS, "c", CallResult.DELIVERED);
     assertBroken(Rule.WAIT);
   }
 
   @Test
   void aReturningDestinationThatIsFloodedIsCaughtOnce() {
-    auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
+    auditor.recordRecovery(0, 1, 10, 0.2, 5 * SECOND);
     for (int index = 0; index < 60; index++) {
       take(0, "m" + index, "safe");
-      call(index * 20L * MS, index * 20L * MS + MS, "m" + index, End.DELIVERED);
+      call(index * 20L * MS, index * 20L * MS + MS, "m" + index, CallResult.DELIVERED);
     }
     assertBroken(Rule.TIPPED);
   }
 
   @Test
   void oneThatIsWarmedUpGentlyIsNot() {
-    auditor.returned(0, 1, 10, 0.2, 5 * SECOND);
+    auditor.recordRecovery(0, 1, 10, 0.2, 5 * SECOND);
     for (int index = 0; index < 40; index++) {
       take(index * 200L * MS, "m" + index, "safe");
-      call(index * 200L * MS, index * 200L * MS + MS, "m" + index, End.DELIVERED);
+      call(index * 200L * MS, index * 200L * MS + MS, "m" + index, CallResult.DELIVERED);
     }
     assertBroken();
   }
@@ -551,25 +552,25 @@
     take(0, "a", "line", "k");
     take(MS, "b", "line", "k");
     take(MS, "other", "line", "l");
-    call(10 * MS, 20 * MS, "other", End.DELIVERED);
-    call(30 * MS, 40 * MS, "b", End.REFUSED);
-    call(50 * MS, 60 * MS, "a", End.CUT);
-    auditor.noticed(100 * MS, "a", false);
-    call(200 * MS, 210 * MS, "b", End.DELIVERED);
+    call(10 * MS, 20 * MS, "other", CallResult.DELIVERED);
+    call(30 * MS, 40 * MS, "b", CallResult.REJECTED);
+    call(50 * MS, 60 * MS, "a", CallResult.CONNECTION_LOST);
+    auditor.recordOutcomeNotice(100 * MS, "a", false);
+    call(200 * MS, 210 * MS, "b", CallResult.DELIVERED);
     assertBroken(Rule.ORDER, Rule.ORDER);
   }
 
   @Test
   void aMessageForAnotherDestinationAndOneThatNobodyHandedInAreCaught() {
     take(0, "a", "safe");
-    auditor.called(10 * MS, "e2", List.of("a", "unknown"));
-    auditor.ended(20 * MS, 10 * MS, "a", End.DELIVERED);
-    auditor.noticed(SECOND, "never", true);
+    auditor.recordCall(10 * MS, "e2", List.of("a", "unknown"));
+    auditor.recordCallEnd(20 * MS, 10 * MS, "a", CallResult.DELIVERED);
+    auditor.recordOutcomeNotice(SECOND, "never", true);
     assertBroken(Rule.DESTINATION, Rule.DESTINATION, Rule.LOST);
   }
 
   private void callOver(final long fromUs, final String id, final CallConnection.Side laterSide) {
-    auditor.called(fromUs, "e1", List.of(id), () -> laterSide);
+    auditor.recordCall(fromUs, "e1", List.of(id), () -> laterSide);
   }
 
   /** Guards against a verdict on a stand-in that read the first copy's end late. */
@@ -578,8 +579,8 @@
     take(0, "a", "safe");
     callOver(10 * MS, "a", CallConnection.Side.ENDED);
     callOver(500 * MS, "a", CallConnection.Side.OPEN);
-    auditor.ended(600 * MS, 10 * MS, "a", End.CUT);
-    auditor.ended(700 * MS, 500 * MS, "a", End.DELIVERED);
+    auditor.recordCallEnd(600 * MS, 10 * MS, "a", CallResult.CONNECTION_LOST);
+    auditor.recordCallEnd(700 * MS, 500 * MS, "a", CallResult.DELIVERED);
     assertBroken();
   }
 
@@ -588,8 +589,8 @@
     take(0, "a", "safe");
     callOver(10 * MS, "a", CallConnection.Side.OPEN);
     callOver(500 * MS, "a", CallConnection.Side.OPEN);
-    auditor.ended(501 * MS, 10 * MS, "a", End.CUT);
-    auditor.ended(700 * MS, 500 * MS, "a", End.DELIVERED);
+    auditor.recordCallEnd(501 * MS, 10 * MS, "a", CallResult.CONNECTION_LOST);
+    auditor.recordCallEnd(700 * MS, 500 * MS, "a", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 
@@ -598,13 +599,13 @@
     take(0, "a", "safe");
     callOver(10 * MS, "a", CallConnection.Side.UNKNOWN);
     callOver(500 * MS, "a", CallConnection.Side.UNKNOWN);
-    auditor.ended(505 * MS, 10 * MS, "a", End.CUT);
-    auditor.ended(700 * MS, 500 * MS, "a", End.DELIVERED);
+    auditor.recordCallEnd(505 * MS, 10 * MS, "a", CallResult.CONNECTION_LOST);
+    auditor.recordCallEnd(700 * MS, 500 * MS, "a", CallResult.DELIVERED);
     take(0, "b", "safe");
     callOver(11 * MS, "b", CallConnection.Side.UNKNOWN);
     callOver(500 * MS, "b", CallConnection.Side.UNKNOWN);
-    auditor.ended(505 * MS + 1, 11 * MS, "b", End.CUT);
-    auditor.ended(700 * MS, 500 * MS, "b", End.DELIVERED);
+    auditor.recordCallEnd(505 * MS + 1, 11 * MS, "b", CallResult.CONNECTION_LOST);
+    auditor.recordCallEnd(700 * MS, 500 * MS, "b", CallResult.DELIVERED);
     assertBroken(Rule.DOUBLE);
   }
 }
--- a/testkit/src/test/java/thistleturn/testkit/StandInEndpointTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/StandInEndpointTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 
 /** What a stand-in tells the rule checker when one of its two loops is held up. */
 @Tag("health")
@@ -39,7 +39,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final RuleChecker auditor =
-      new RuleChecker(RuleChecker.Figures.standard(), CourierFiles.CLASSES);
+      new RuleChecker(RuleChecker.Tolerances.standard(), CourierFiles.CLASSES);
   private final MonotonicClock ticks = new MonotonicClock();
   private final StandInEndpoint endpoint = new StandInEndpoint(group, "e", 1, auditor, ticks);
   private final CountDownLatch heldUp = new CountDownLatch(1);
@@ -47,9 +47,9 @@
 
   @BeforeEach
   void handIn() {
-    endpoint.fare(Manner.of(Act.SILENCE));
-    auditor.handedIn(ticks.nowUs(), "m1", "keyed", 1, null, TIMEOUT_US);
-    auditor.taken(ticks.nowUs(), "m1");
+    endpoint.setBehavior(Behavior.of(Action.NO_ANSWER));
+    auditor.recordSubmitted(ticks.nowUs(), "m1", "keyed", 1, null, TIMEOUT_US);
+    auditor.recordAccepted(ticks.nowUs(), "m1");
   }
 
   @AfterEach
@@ -157,7 +157,7 @@
                   blocked.countDown();
                   awaitRelease();
                 })) {
-      slow.fare(Manner.after(ANSWER_MS));
+      slow.setBehavior(Behavior.deliverAfter(ANSWER_MS));
       final Socket first = call(slow, 1);
       send(blocker.port());
       await(() -> blocked.getCount() == 0);
@@ -165,9 +165,9 @@
       final long releaseUs = ticks.nowUs() + 2 * ANSWER_MS * 1000;
       await(() -> ticks.nowUs() >= releaseUs);
       heldUp.countDown();
-      await(() -> !auditor.ends().containsKey("open") || slow.server().connections() == 0);
+      await(() -> !auditor.outcomeCounts().containsKey("open") || slow.server().connections() == 0);
       call(slow, 2);
-      await(() -> auditor.ends().containsKey("delivered"));
+      await(() -> auditor.outcomeCounts().containsKey("delivered"));
       assertEquals(List.of(), auditor.finish(ticks.nowUs()));
     } finally {
       oneLoop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
