--- a/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
+++ b/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
@@ -60,15 +60,17 @@
   private final CourierLifetimes lifetimes;
 
   /**
-   * The figures of the rules.
+   * The time bounds and limits that the rules allow.
    *
-   * @param graceUs how long after its time a message's end may be told
-   * @param drainUs how long after the telling something new may still go to an endpoint that drains
-   * @param waitSlackUs how long after a wait was told calls that crossed it are let through
-   * @param settleUs how long a key rests after an attempt whose outcome is unknown
-   * @param tipMultiple of its present capacity that a returning destination bears
-   * @param fallUs for how long it bears more
-   * @param restartUs after a restart's end, until when ends may be late
+   * @param graceUs how long after its deadline a message's final outcome may be reported
+   * @param drainGraceUs how long after its state was announced a draining endpoint may be called
+   * @param retryAfterSlackUs how long after a Retry-After was sent calls may still ignore it,
+   *     because they crossed it on the way
+   * @param settleDelayUs the settle delay of a key after an attempt whose result is unknown
+   * @param overloadMultiple the multiple of its present capacity that a recovering destination
+   *     tolerates
+   * @param overloadWindowUs the window over which that multiple is measured
+   * @param restartGraceUs how long after the end of a restart outcomes may still be late
    */
   public record Tolerances(
       long graceUs,
@@ -78,7 +80,7 @@
       double overloadMultiple,
       long overloadWindowUs,
       long restartGraceUs) {
-    /** The platform's: 300 ms, 2.05 s, 100 ms, 1 s, 2 times for 3 s, 1.5 s. */
+    /** The platform's values: 300 ms, 2.05 s, 100 ms, 1 s, 2 times over 3 s, 1.5 s. */
     public static Tolerances standard() {
       return new Tolerances(300 * MS, 2050 * MS, 100 * MS, SECOND, 2, 3 * SECOND, 1500 * MS);
     }
--- a/testkit/src/main/java/thistleturn/testkit/StandInClient.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInClient.java
@@ -60,7 +60,7 @@
    * A request that was written and never had a whole answer.
    *
    * @param endedUs when its connection ended
-   * @param patienceOver whether the client ended it, having waited for as long as it does
+   * @param timedOut whether the client closed it at the end of its answer timeout
    */
   public record Unanswered(String id, long writtenUs, long endedUs, boolean timedOut) {}
 
--- a/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
@@ -8,8 +8,8 @@
  * @param atMs when it begins
  * @param forMs for how long; 0: for good, or it takes no time
  * @param kind what it is
- * @param one whom it strikes; of a cut, from whom
- * @param other of a cut or a break, to whom
+ * @param targets the numbers of the processes that it affects; of a cut, the senders
+ * @param others of a cut, the receivers; of a break, the other ends of the connections
  * @param value of LOSS and DOUBLE a share, of DELAY ms, of STARVE the share of a core
  */
 public record Fault(
