--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -69,8 +69,8 @@
     private void collectLines(final BufferedReader out) {
       try {
         out.lines().forEach(lines::add);
-      } catch (final UncheckedIOException expected) {
-        // The stream is closed when the process is killed.
+      } catch (
+          final UncheckedIOException expected) { // The stream is closed when the process is killed.
       }
     }
 
@@ -140,14 +140,15 @@
                 courier.hasPrinted("is ready at")
                     && courier.hasPrinted("admin pages are served at"));
         world.await("its own instance", () -> courier.hasPrinted("is registered"));
-        world.client.courier(courier.readyAddress());
-        world.load(100, 3000, 7);
+        world.client.setCourierAddress(courier.readyAddress());
+        world.startLoad(100, 3000, 7);
         world.await("deliveries", () -> endpoint.calls() > 50);
-        assertEquals(List.of(), world.stopLoad());
+        assertEquals(List.of(), world.stopLoadAndCheck());
         assertPagesShowEndpointInUse(admin);
-        world.registry.status("heat", "i", "DOWN");
-        world.await("the drain", () -> members(admin).contains("draining"));
-        // An invalid file changes nothing.
+        world.registry.setStatus("heat", "i", "DOWN");
+        world.await(
+            "the drain",
+            () -> members(admin).contains("draining")); // An invalid file changes nothing.
         Files.writeString(file, text.replace("100ms", "100"));
         sendHangUp(courier.process);
         world.await(
--- a/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/FaultyFleetTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Act;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Action;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
@@ -42,15 +42,15 @@
     final List<StandInEndpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < 2 * destinations; index++) {
       final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-      endpoint.fare(Manner.after(10));
-      world.platform.tell(endpoint, "Ready", 2000);
+      endpoint.setBehavior(Behavior.deliverAfter(10));
+      world.platform.announce(endpoint, "Ready", 2000);
       endpoints.add(endpoint);
     }
     return endpoints;
   }
 
   private static int delivered(final StandInWorld world) {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 
   /**
@@ -65,26 +65,26 @@
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
-        world.client.courier(address(courier));
-        world.load(30, TIMEOUT_MS, 1, 2, 3);
+        world.client.setCourierAddress(address(courier));
+        world.startLoad(30, TIMEOUT_MS, 1, 2, 3);
         world.await("calls", () -> delivered(world) > 200);
-        world.platform.silent(true);
-        endpoints.forEach(endpoint -> endpoint.fare(Manner.of(Act.SILENCE)));
+        world.platform.setUnresponsive(true);
+        endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.of(Action.NO_ANSWER)));
         courier.await(line -> line.contains("own health: cut_off"));
         final int before = delivered(world);
-        final long restoredUs = world.ticks.nowUs();
-        world.platform.silent(false);
-        endpoints.forEach(endpoint -> endpoint.fare(Manner.after(10)));
+        final long restoredUs = world.clock.nowUs();
+        world.platform.setUnresponsive(false);
+        endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(10)));
         courier.await(line -> line.contains("had no way out for "));
         world.await("calls after the recovery", () -> delivered(world) > before + 60);
-        final long recoveryMs = (world.ticks.nowUs() - restoredUs) / 1000;
+        final long recoveryMs = (world.clock.nowUs() - restoredUs) / 1000;
         assertTrue(recoveryMs < 6000, "recovered after " + recoveryMs + " ms");
         final long otherViolations =
-            world.stopLoad(TIMEOUT_MS).stream()
+            world.stopLoadAndCheck(TIMEOUT_MS).stream()
                 .filter(violation -> !violation.toString().contains("sent after it was delivered"))
                 .count();
         assertEquals(
-            0, otherViolations, () -> world.auditor.finish(world.ticks.nowUs()).toString());
+            0, otherViolations, () -> world.ruleChecker.finish(world.clock.nowUs()).toString());
       }
     }
   }
@@ -111,23 +111,23 @@
       final Map<String, String> newer = new HashMap<>(older);
       newer.put("PROXY_OPERATOR", "127.0.0.1:" + freePort());
       try (ChildProcess first = ChildProcess.java(older, "", "thistleturn.courier.Main")) {
-        world.client.courier(address(first));
-        world.load(60, TIMEOUT_MS, 1, 2);
+        world.client.setCourierAddress(address(first));
+        world.startLoad(60, TIMEOUT_MS, 1, 2);
         world.await("calls", () -> delivered(world) > 100);
         try (ChildProcess second = ChildProcess.java(newer, "", "thistleturn.courier.Main")) {
           second.await(line -> line.contains("takes over"));
           final ChildProcess paused = seed % 2 == 0 ? first : second;
-          final long pauseUs = world.ticks.nowUs() + random.nextInt(400_000);
-          world.await("the start of the pause", () -> world.ticks.nowUs() >= pauseUs);
+          final long pauseUs = world.clock.nowUs() + random.nextInt(400_000);
+          world.await("the start of the pause", () -> world.clock.nowUs() >= pauseUs);
           paused.pause();
-          final long resumeUs = world.ticks.nowUs() + 500_000 + random.nextInt(1_000_000);
-          world.await("the end of the pause", () -> world.ticks.nowUs() >= resumeUs);
+          final long resumeUs = world.clock.nowUs() + 500_000 + random.nextInt(1_000_000);
+          world.await("the end of the pause", () -> world.clock.nowUs() >= resumeUs);
           paused.resume();
           address(second);
           first.terminate();
           final int before = delivered(world);
           world.await("calls by the newer process", () -> delivered(world) > before + 100);
-          assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
+          assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS));
         }
       }
     }
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInEndpoint;
-import thistleturn.testkit.StandInEndpoint.Manner;
+import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.rig.ChildProcess;
 
@@ -43,31 +43,34 @@
     try (StandInWorld world = new StandInWorld(folder, pauseMs)) {
       for (int index = 0; index < 4; index++) {
         final StandInEndpoint endpoint = world.endpoint(1 + index / 2);
-        endpoint.fare(Manner.after(40));
-        world.platform.tell(endpoint, "Ready", 2000);
+        endpoint.setBehavior(Behavior.deliverAfter(40));
+        world.platform.announce(endpoint, "Ready", 2000);
       }
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), "", "thistleturn.courier.Main")) {
         final String ready = courier.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(RATE, TIMEOUT_MS, 1, 2);
-        for (int pause = 1; pause <= 3; pause++) {
-          // Time-outs are learned after some calls; only learned ones could expire too soon.
+        world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.startLoad(RATE, TIMEOUT_MS, 1, 2);
+        for (int pause = 1;
+            pause <= 3;
+            pause++) { // Time-outs are learned after some calls; only learned ones could expire too
+          // soon.
           final int before = delivered(world);
           world.await("calls between the pauses", () -> delivered(world) > before + 2 * RATE);
-          final long fromUs = world.ticks.nowUs();
+          final long fromUs = world.clock.nowUs();
           courier.pause();
-          final long untilUs = world.ticks.nowUs() + pauseMs * 1000;
-          world.await("the end of the pause", () -> world.ticks.nowUs() >= untilUs);
-          courier.resume();
-          // On a slow machine messages may be waiting at the pause, whose deadlines pass during it.
-          world.auditor.courierStopped(fromUs, world.ticks.nowUs());
+          final long untilUs = world.clock.nowUs() + pauseMs * 1000;
+          world.await("the end of the pause", () -> world.clock.nowUs() >= untilUs);
+          courier
+              .resume(); // On a slow machine messages may be waiting at the pause, whose deadlines
+          // pass during it.
+          world.ruleChecker.recordCourierPause(fromUs, world.clock.nowUs());
         }
         final int before = delivered(world);
         world.await("calls after the last pause", () -> delivered(world) > before + RATE);
-        assertEquals(List.of(), world.stopLoad(TIMEOUT_MS));
-        final Map<String, Integer> ends = world.auditor.ends();
+        assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS));
+        final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
         final int submitted = ends.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(
             ends.getOrDefault("delivered", 0) >= 0.98 * submitted,
@@ -103,51 +106,56 @@
     final int pending = 2000;
     try (StandInWorld world = new StandInWorld(folder, 7)) {
       final StandInEndpoint endpoint = world.endpoint(1);
-      endpoint.fare(Manner.of(StandInEndpoint.Act.SILENCE));
-      world.platform.tell(endpoint, "Ready", 2000);
+      endpoint.setBehavior(Behavior.of(StandInEndpoint.Action.NO_ANSWER));
+      world.platform.announce(endpoint, "Ready", 2000);
       final Map<String, String> environment =
           world.environment(new CourierFiles.Size(2 * pending, 64, 1024));
       try (ChildProcess first = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
         final String ready = first.await(line -> line.contains("is ready at "));
-        world.client.courier(ready.substring(ready.lastIndexOf(' ') + 1));
-        world.load(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
+        world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
+        world.startLoad(PENDING_PER_SECOND, PENDING_DEADLINE_MS, 1);
         world.await(
-            "pending messages", () -> world.auditor.ends().getOrDefault("open", 0) >= pending);
-        world.stopHandingIn();
+            "pending messages",
+            () -> world.ruleChecker.outcomeCounts().getOrDefault("open", 0) >= pending);
+        world.stopSubmitting();
         first.kill();
-        world.auditor.restarted(world.ticks.nowUs(), false);
+        world.ruleChecker.recordRestart(world.clock.nowUs(), false);
       }
-      world.endConnections();
-      endpoint.fare(Manner.after(1));
-      try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
-        // A fifth of a core until it is ready and a while longer.
+      world.resetConnections();
+      endpoint.setBehavior(Behavior.deliverAfter(1));
+      try (ChildProcess second =
+          ChildProcess.java(
+              environment,
+              "",
+              "thistleturn.courier.Main")) { // A fifth of a core until it is ready and a while
+        // longer.
         boolean ready = false;
         for (int slice = 0; slice < SLICES; slice++) {
           second.pause();
-          final long thenUs = world.ticks.nowUs() + 80_000;
-          world.await("a slice", () -> world.ticks.nowUs() >= thenUs);
+          final long thenUs = world.clock.nowUs() + 80_000;
+          world.await("a slice", () -> world.clock.nowUs() >= thenUs);
           second.resume();
-          final long nextUs = world.ticks.nowUs() + 20_000;
-          world.await("a slice", () -> world.ticks.nowUs() >= nextUs);
+          final long nextUs = world.clock.nowUs() + 20_000;
+          world.await("a slice", () -> world.clock.nowUs() >= nextUs);
           if (!ready && second.lines().stream().anyMatch(line -> line.contains("is ready at "))) {
             ready = true;
-            world.auditor.restarted(world.ticks.nowUs(), true);
+            world.ruleChecker.recordRestart(world.clock.nowUs(), true);
           }
         }
         second.await(line -> line.contains("is ready at "));
         if (!ready) {
-          world.auditor.restarted(world.ticks.nowUs(), true);
+          world.ruleChecker.recordRestart(world.clock.nowUs(), true);
         }
         assertTrue(
             second.lines().stream().anyMatch(line -> line.contains("resumed ")),
             second.lines().toString());
-        assertEquals(List.of(), world.stopLoad());
-        assertTrue(delivered(world) >= 0.95 * pending, "ends " + world.auditor.ends());
+        assertEquals(List.of(), world.stopLoadAndCheck());
+        assertTrue(delivered(world) >= 0.95 * pending, "ends " + world.ruleChecker.outcomeCounts());
       }
     }
   }
 
   private static int delivered(final StandInWorld world) {
-    return world.auditor.ends().getOrDefault("delivered", 0);
+    return world.ruleChecker.outcomeCounts().getOrDefault("delivered", 0);
   }
 }
