--- a/testkit/src/main/java/thistleturn/testkit/CallConnection.java
+++ b/testkit/src/main/java/thistleturn/testkit/CallConnection.java
@@ -1,19 +1,19 @@
 package thistleturn.testkit;
 
-/** The connection over which a call came, as far as the rule checker has to know it. */
+/** The connection over which a call came, as far as the rule checker needs it. */
 @FunctionalInterface
 public interface CallConnection {
 
   /** Whether the courier has ended its side of a connection. */
   enum Side {
-    /** It has not. */
+    /** It is open. */
     OPEN,
-    /** It has, whether or not the stand-in has read that yet. */
+    /** The courier has ended it, whether or not the stand-in has read that yet. */
     ENDED,
-    /** Nobody can tell. */
+    /** Its state cannot be determined. */
     UNKNOWN
   }
 
-  /** Returns how it stands at this moment. */
+  /** Returns the present state of the courier's side. */
   Side courierSide();
 }
--- a/testkit/src/main/java/thistleturn/testkit/ColdDestination.java
+++ b/testkit/src/main/java/thistleturn/testkit/ColdDestination.java
@@ -5,84 +5,87 @@
 import java.util.Optional;
 
 /**
- * A destination that is back from an outage: for a while it bears only a share of its calls. It
- * finds whether it was sent more than it bears. Times are microseconds and only advance.
+ * A destination that recovers from an outage: for a while it tolerates only a share of its normal
+ * rate. Detects that it was sent more than that. Times are microseconds and only advance.
  */
 final class ColdDestination {
   private static final long MS = 1000;
   private static final long SECOND_US = 1_000_000;
 
-  private final RuleChecker.Tolerances figures;
+  private final RuleChecker.Tolerances tolerances;
   private final Deque<Long> calls = new ArrayDeque<>();
-  private long returnedUs = Long.MAX_VALUE;
+  private long recoveredUs = Long.MAX_VALUE;
   private double callsPerSecond;
-  private double coldFrom;
-  private long coldUs;
+  private double shareAtRecovery;
+  private long warmUpDurationUs;
 
-  /** A destination without an outage so far. */
-  ColdDestination(final RuleChecker.Tolerances figures) {
-    this.figures = figures;
+  /** Starts without an outage. */
+  ColdDestination(final RuleChecker.Tolerances tolerances) {
+    this.tolerances = tolerances;
   }
 
   /**
-   * It is back, cold.
+   * The destination is back, and warms up from now on.
    *
-   * @param fullCallsPerSecond what it bears once it is warm
-   * @param initialShare the share of that which it bears at once
-   * @param warmUpUs how long it takes to be warm
+   * @param fullCallsPerSecond what it tolerates once it is warm
+   * @param initialShare the share of that which it tolerates at first
+   * @param warmUpUs how long the warm-up takes
    */
-  void markReturned(
+  void markRecovered(
       final long nowUs,
       final double fullCallsPerSecond,
       final double initialShare,
       final long warmUpUs) {
-    returnedUs = nowUs;
+    recoveredUs = nowUs;
     callsPerSecond = fullCallsPerSecond;
-    coldFrom = initialShare;
-    coldUs = warmUpUs;
+    shareAtRecovery = initialShare;
+    warmUpDurationUs = warmUpUs;
     calls.clear();
   }
 
   /**
-   * Notes a call.
+   * Records a call.
    *
-   * @return what was sent and what it bears, at the first call that is too many; empty otherwise
+   * @return what was sent and what it tolerates, at the first call that is too many; empty
+   *     otherwise
    */
   Optional<String> recordCall(final long atUs) {
-    if (atUs < returnedUs || atUs > returnedUs + coldUs + figures.overloadWindowUs()) {
+    if (atUs < recoveredUs
+        || atUs > recoveredUs + warmUpDurationUs + tolerances.overloadWindowUs()) {
       return Optional.empty();
     }
     calls.add(atUs);
-    while (calls.peekFirst() < atUs - figures.overloadWindowUs()) {
+    while (calls.peekFirst() < atUs - tolerances.overloadWindowUs()) {
       calls.pollFirst();
     }
-    final double budget = budget(atUs);
-    if (calls.size() <= budget + 2 * Math.sqrt(budget) + 1) {
+    final double allowed = allowedCalls(atUs);
+    if (calls.size() <= allowed + 2 * Math.sqrt(allowed) + 1) {
       return Optional.empty();
     }
-    returnedUs = Long.MAX_VALUE;
+    recoveredUs = Long.MAX_VALUE;
     return Optional.of(
         "was sent "
             + calls.size()
             + " calls in "
-            + figures.overloadWindowUs() / MS
-            + " ms after its return; it bears "
-            + Math.round(budget));
+            + tolerances.overloadWindowUs() / MS
+            + " ms after its recovery; it tolerates "
+            + Math.round(allowed));
   }
 
-  private double budget(final long atUs) {
-    final long fromUs = Math.max(returnedUs, atUs - figures.overloadWindowUs());
+  private double allowedCalls(final long atUs) {
+    final long fromUs = Math.max(recoveredUs, atUs - tolerances.overloadWindowUs());
     final double meanWarmth = (warmthAt(fromUs) + warmthAt(atUs)) / 2;
-    return figures.overloadMultiple()
+    return tolerances.overloadMultiple()
         * callsPerSecond
         * meanWarmth
-        * figures.overloadWindowUs()
+        * tolerances.overloadWindowUs()
         / SECOND_US;
   }
 
-  /** The share of its calls that it bears at a time. */
+  /** The share of its normal rate that it tolerates at a time. */
   private double warmthAt(final long atUs) {
-    final double grown = coldUs == 0 ? 1 : Math.min(1, (double) (atUs - returnedUs) / coldUs);
-    return coldFrom + (1 - coldFrom) * grown;
+    final double progress =
+        warmUpDurationUs == 0 ? 1 : Math.min(1, (double) (atUs - recoveredUs) / warmUpDurationUs);
+    return shareAtRecovery + (1 - shareAtRecovery) * progress;
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
+++ b/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
@@ -9,37 +9,40 @@
 import thistleturn.decisions.model.MessageClass;
 
 /**
- * What the platform hands a courier at its start, for tests and demonstrations: the file and the
- * environment.
+ * The configuration file and the environment that the platform gives a courier at its start, for
+ * tests and demonstrations.
  */
 public final class CourierFiles {
-  /** Classes of message of each kind of effect; {@code brief} is keyed with a window of 300 ms. */
+  /**
+   * One message class of each idempotence; {@code brief} is idempotent by key within a window of
+   * 300 ms.
+   */
   public static final List<MessageClass> CLASSES =
       List.of(
-          kind("safe", Idempotence.IDEMPOTENT, 0),
-              kind("keyed", Idempotence.IDEMPOTENT_BY_KEY, 10_000_000),
-          kind("brief", Idempotence.IDEMPOTENT_BY_KEY, 300_000),
-              kind("once", Idempotence.NON_IDEMPOTENT, 0));
+          messageClass("safe", Idempotence.IDEMPOTENT, 0),
+              messageClass("keyed", Idempotence.IDEMPOTENT_BY_KEY, 10_000_000),
+          messageClass("brief", Idempotence.IDEMPOTENT_BY_KEY, 300_000),
+              messageClass("once", Idempotence.NON_IDEMPOTENT, 0));
 
-  private static final long AIM_US = 4_000_000;
+  private static final long LATENCY_OBJECTIVE_US = 4_000_000;
   private static final long DEADLINE_US = 16_000_000;
 
   private CourierFiles() {}
 
-  private static MessageClass kind(
+  private static MessageClass messageClass(
       final String name, final Idempotence effect, final long windowUs) {
     return new MessageClass(name, effect, false, false, 1, 0, 4_000_000, 16_000_000, windowUs);
   }
 
-  /** How much a courier may hold: messages, slots for calls, descriptors. */
+  /** The limits of a courier: messages, concurrent calls, descriptors. */
   public record Size(int maxOpen, int slots, int sockets) {
-    /** 2,000 messages, 64 slots and 1,024 descriptors. */
+    /** 2,000 messages, 64 concurrent calls and 1,024 descriptors. */
     public static Size usual() {
       return new Size(2000, 64, 1024);
     }
   }
 
-  /** Writes the configuration into the folder, and gives the environment that names it. */
+  /** Writes the configuration into the folder, and returns the environment that refers to it. */
   public static Map<String, String> write(
       final Path folder,
       final String name,
@@ -48,22 +51,23 @@
       final Size size)
       throws IOException {
     final StringBuilder classes = new StringBuilder();
-    for (final MessageClass one : CLASSES) {
+    for (final MessageClass messageClass : CLASSES) {
       final String effect =
-          switch (one.idempotence()) {
+          switch (messageClass.idempotence()) {
             case IDEMPOTENT -> "\"pure\"";
             case IDEMPOTENT_BY_KEY ->
-                "\"token\",\"group\":\"all\",\"dedup_window\":" + one.idempotencyWindowUs();
+                "\"token\",\"group\":\"all\",\"dedup_window\":"
+                    + messageClass.idempotencyWindowUs();
             case NON_IDEMPOTENT -> "\"side_effect\"";
           };
       classes
           .append(classes.isEmpty() ? "" : ",")
           .append("{\"name\":\"")
-          .append(one.name())
+          .append(messageClass.name())
           .append("\",\"effect\":")
           .append(effect)
           .append(",\"target\":")
-          .append(AIM_US)
+          .append(LATENCY_OBJECTIVE_US)
           .append(",\"deadline\":")
           .append(DEADLINE_US)
           .append(",\"points\":1.0}");
--- a/testkit/src/main/java/thistleturn/testkit/HttpExchange.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpExchange.java
@@ -19,9 +19,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/**
- * One request at a stand-in, with the ways of answering it. Times are of {@link System#nanoTime}.
- */
+/** One request at a stand-in, with the ways to answer it. Times are of {@link System#nanoTime}. */
 public record HttpExchange(
     Channel channel,
     String method,
@@ -47,12 +45,12 @@
     return headers.get(name);
   }
 
-  /** Answers whole; headers come as name, value, name, value. */
+  /** Sends a complete answer; headers are given as name, value, name, value. */
   public ChannelFuture answer(final int status, final String text, final String... namesAndValues) {
     return answer(status, text.getBytes(StandardCharsets.UTF_8), namesAndValues);
   }
 
-  /** Answers whole; headers come as name, value, name, value. */
+  /** Sends a complete answer; headers are given as name, value, name, value. */
   public ChannelFuture answer(
       final int status, final byte[] bytes, final String... namesAndValues) {
     final var response =
@@ -67,7 +65,7 @@
     return channel.writeAndFlush(response);
   }
 
-  /** Begins an answer that goes on until {@link #end}. */
+  /** Begins a chunked answer, which {@link #end} completes. */
   public void begin(final int status) {
     final var response =
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
@@ -75,18 +73,18 @@
     channel.writeAndFlush(response);
   }
 
-  /** Goes on with an answer that was begun. */
+  /** Sends a chunk of an answer that was begun. */
   public ChannelFuture chunk(final String text) {
     return channel.writeAndFlush(
         new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
   }
 
-  /** Ends an answer that was begun. */
+  /** Completes an answer that was begun. */
   public void end() {
     channel.writeAndFlush(new DefaultLastHttpContent());
   }
 
-  /** Writes bytes as they are, whatever they mean. */
+  /** Writes raw bytes, without HTTP framing. */
   public ChannelFuture raw(final byte[] bytes) {
     if (channel.pipeline().get(HttpServerCodec.class) != null) {
       channel.pipeline().remove(HttpServerCodec.class);
@@ -94,14 +92,14 @@
     return channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
   }
 
-  /** Breaks the connection without a word. */
+  /** Resets the connection. */
   public void reset() {
     HttpStandIn.reset(channel);
   }
 
   /**
-   * Does something later, on the connection's event loop. What has come over the connection by then
-   * is read first, above all its end: a loop that was held up runs its timers before it polls.
+   * Runs an action later, on the connection's event loop. What has arrived on the connection by
+   * then is read first, above all its end: a loop that was blocked runs its timers before it polls.
    */
   public void after(final long delayMs, final Runnable action) {
     channel
--- a/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
@@ -20,38 +20,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP/1.1 server that does what its script says, on a loopback address. It notes when the first
- * byte of each request came, can go down and come back on its port, reset connections before a
- * request is whole, and read slowly.
+ * An HTTP/1.1 server on a loopback address, with a handler that the test provides. It records when
+ * the first byte of each request came, can stop and start again on its port, reset connections
+ * before a request is complete, and read slowly.
  */
 public final class HttpStandIn implements AutoCloseable {
-  private static final int MOST_BODY_BYTES = 1 << 22;
+  private static final int MAX_BODY_BYTES = 1 << 22;
 
   private final EventLoopGroup group;
-  private final Handler script;
+  private final Handler handler;
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
   private volatile Channel listener;
   private volatile InetSocketAddress address;
   private volatile boolean resetsAtFirstByte;
-  private volatile boolean resetsKept;
+  private volatile boolean resetsReused;
   private volatile long readDelayMs;
 
-  /** What it does with a request that has come in whole. Called on the connection's event loop. */
+  /** Handles a complete request. Called on the connection's event loop. */
   @FunctionalInterface
   public interface Handler {
-    /** Answers, now or later, or does not. */
+    /** Answers now, later or never. */
     void handle(HttpExchange exchange);
   }
 
-  /** Listens at once; port 0 lets the system choose. */
-  public HttpStandIn(final EventLoopGroup group, final InetSocketAddress at, final Handler script) {
+  /** Starts listening; port 0 lets the system choose. */
+  public HttpStandIn(
+      final EventLoopGroup group, final InetSocketAddress at, final Handler handler) {
     this.group = group;
-    this.script = script;
+    this.handler = handler;
     this.address = at;
     up();
   }
 
-  /** Where it listens, or did before it went down. */
+  /** The address at which it listens, or listened before it stopped. */
   public String address() {
     return address.getHostString() + ":" + address.getPort();
   }
@@ -71,15 +72,15 @@
    * one comes.
    */
   public void resetReusedConnections(final boolean on) {
-    resetsKept = on;
+    resetsReused = on;
   }
 
-  /** A new connection is read only after so many milliseconds. */
+  /** Starts reading new connections only after this delay. */
   public void readDelayMs(final long ms) {
     readDelayMs = ms;
   }
 
-  /** Listens (again), at the address it had. */
+  /** Starts listening, again at the address it had. */
   public void up() {
     final Channel bound =
         new ServerBootstrap()
@@ -101,21 +102,21 @@
     address = (InetSocketAddress) bound.localAddress();
   }
 
-  /** Refuses connections from now on, and resets those that stand. */
+  /** Refuses connections from now on, and resets the open ones. */
   public void down() {
     listener.close().syncUninterruptibly();
     resetAll();
   }
 
   /**
-   * How many connections stand: one that its other side has ended does until all it said has been
-   * read.
+   * The number of open connections. A connection that the other side has ended counts until all its
+   * data have been read.
    */
   public int connections() {
     return connections.size();
   }
 
-  /** Returns whether a loop serves the connection that comes from a port. */
+  /** Returns whether an event loop serves the connection from a remote port. */
   boolean serves(final int remotePort, final EventExecutor loop) {
     return connections.stream()
         .anyMatch(
@@ -131,7 +132,7 @@
   }
 
   static void reset(final Channel channel) {
-    // On its own loop, so that it cannot be closed between the two steps.
+    // Runs on its own loop, so that it cannot be closed between the two steps.
     channel
         .eventLoop()
         .execute(
@@ -157,8 +158,8 @@
         .addLast(
             firstByte,
             new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_BODY_BYTES),
-            new Server(firstByte));
+            new HttpObjectAggregator(MAX_BODY_BYTES),
+            new RequestReader(firstByte));
     if (readDelayMs > 0) {
       channel.config().setAutoRead(false);
       channel
@@ -167,21 +168,21 @@
     }
   }
 
-  /** Notes when a request began to come. */
+  /** Records when the first byte of a request came. */
   private final class FirstByte extends ChannelInboundHandlerAdapter {
     private long atNs;
     private boolean inRequest;
-    private boolean kept;
+    private boolean reused;
 
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object part) {
-      final boolean next = !inRequest && kept;
+      final boolean nextRequest = !inRequest && reused;
       if (!inRequest) {
         inRequest = true;
-        kept = true;
+        reused = true;
         atNs = System.nanoTime();
       }
-      if (resetsAtFirstByte || (resetsKept && next)) {
+      if (resetsAtFirstByte || (resetsReused && nextRequest)) {
         ((ByteBuf) part).release();
         reset(context.channel());
         return;
@@ -190,10 +191,10 @@
     }
   }
 
-  private final class Server extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestReader extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final FirstByte firstByte;
 
-    Server(final FirstByte firstByte) {
+    RequestReader(final FirstByte firstByte) {
       this.firstByte = firstByte;
     }
 
@@ -207,7 +208,7 @@
       final byte[] body = new byte[request.content().readableBytes()];
       request.content().readBytes(body);
       firstByte.inRequest = false;
-      script.handle(
+      handler.handle(
           new HttpExchange(
               context.channel(),
               request.method().name(),
--- a/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
+++ b/testkit/src/main/java/thistleturn/testkit/RuleChecker.java
@@ -15,18 +15,20 @@
 import thistleturn.testkit.Violation.Rule;
 
 /**
- * Checks the six rules from what the stand-ins saw, with code of its own: it knows nothing of the
- * courier's. Times are microseconds on one clock; events may be told by any thread, those of one
- * message in their order. After the last one {@link #finish} says what was never ended.
+ * Checks the six delivery rules from what the stand-ins observed, with code of its own that shares
+ * nothing with the courier's. Times are microseconds on one clock. Events may be reported by any
+ * thread, those of one message in their order. After the last one {@link #finish} adds the messages
+ * that have no final outcome.
  */
 public final class RuleChecker {
   /**
-   * An end and a beginning on two connections that come in one batch of the selector are read in
-   * any order, us. Counts only where nobody can tell how the first connection stood.
+   * The end of a call and the start of the next one on two connections may be read in either order
+   * if they arrive in one batch of the selector, us. Used only where the state of the first
+   * connection cannot be determined.
    */
   private static final long SAME_BATCH_US = 5_000;
 
-  /** How long before its time is up a message may be ended, us. */
+  /** How long before its deadline a message may be expired, us. */
   private static final long EXPIRY_MARGIN_US = 50_000;
 
   private static final String DEFERRED = "deferred";
@@ -38,24 +40,25 @@
   private static final long SECOND = 1_000_000;
 
   /**
-   * For so long a request may have lain unread; a courier counts its time from the earliest moment.
+   * How long a request may have lain unread; a courier counts a message's time from the earliest
+   * possible moment.
    */
-  private static final long CLIENT_PATIENCE_US = 400 * MS;
+  private static final long CLIENT_TIMEOUT_US = 400 * MS;
 
-  /** How long before its end a process may have been answered without having read it. */
-  private static final long UNREAD_US = SECOND;
+  /** How long before its end a process may have been answered without having read the answer. */
+  private static final long MAX_UNREAD_US = SECOND;
 
-  private final Tolerances figures;
+  private final Tolerances tolerances;
   private final Map<String, MessageClass> classes = new HashMap<>();
   private final Map<String, Message> messages = new LinkedHashMap<>();
   private final Map<String, Endpoint> endpoints = new HashMap<>();
   private final Map<Long, Destination> destinations = new HashMap<>();
-  private final Map<String, Deque<Message>> lines = new HashMap<>();
+  private final Map<String, Deque<Message>> queuesByKey = new HashMap<>();
   private final List<Violation> violations = new ArrayList<>();
   private final List<Long> drainLagsUs = new ArrayList<>();
   private final List<String> allowedRepeats = new ArrayList<>();
 
-  private final LateEnds lateEnds;
+  private final LateOutcomes lateOutcomes;
 
   private final CourierLifetimes lifetimes;
 
@@ -86,17 +89,17 @@
     }
   }
 
-  /** How a call ended, as its endpoint knows it. */
+  /** How a call ended, as its endpoint observed it. */
   public enum CallResult {
     /** Answered that it is delivered. */
     DELIVERED(true),
-    /** Answered that it failed; it may have run. */
+    /** Answered with an error; the message may have run. */
     ERROR(true),
-    /** Turned away; it never ran. */
+    /** Rejected; the message never ran. */
     REJECTED(false),
-    /** Its connection ended after its last byte had come, without an answer. */
+    /** Its connection ended after the last byte of the request, without an answer. */
     CONNECTION_LOST(true),
-    /** Its connection ended before its last byte had come. */
+    /** Its connection ended before the last byte of the request. */
     INCOMPLETE_REQUEST(false);
 
     private final boolean mayHaveRun;
@@ -107,72 +110,77 @@
   }
 
   /**
-   * A call that delivered a message: when its first byte came, when it was answered, and when the
-   * time of the first of several messages in it was up; never, for a message alone.
+   * A call that delivered a message: when its first byte came, when it was answered, and the
+   * earliest deadline of the messages in it; {@link Long#MAX_VALUE} for a single message.
    */
-  private record Delivery(long callUs, long answeredUs, long sharedUntilUs) {
+  private record Delivery(long callUs, long answeredUs, long sharedDeadlineUs) {
     private String describe() {
       final String shared =
-          sharedUntilUs == Long.MAX_VALUE ? "alone" : "shared until " + sharedUntilUs;
+          sharedDeadlineUs == Long.MAX_VALUE ? "alone" : "shared until " + sharedDeadlineUs;
       return "called " + callUs + ", answered " + answeredUs + ", " + shared;
     }
   }
 
   private static final class Message {
-    /** That two copies were out, until it is known that the first had been ended; else null. */
-    private Violation copies;
+    /**
+     * The violation that two copies were in flight; null once it is known whether the first had
+     * been ended.
+     */
+    private Violation copiesViolation;
 
-    /** How the first one's connection stood then. */
+    /** The state of the first copy's connection at that time. */
     private CallConnection.Side firstCopySide = CallConnection.Side.UNKNOWN;
 
     private final String id;
-    private final MessageClass kind;
+    private final MessageClass messageClass;
     private final long destination;
     private final String key;
-    private final long handedInUs;
-    private final long timeUpUs;
-    private boolean taken;
-    private boolean over;
-    private String end = "";
+    private final long submittedUs;
+    private final long deadlineUs;
+    private boolean accepted;
+    private boolean ended;
+    private String outcome = "";
     private long endedUs;
     private boolean delivered;
 
-    /** The calls that delivered it; more than one if the answer of the one before was not read. */
+    /** The calls that delivered it; more than one if an earlier answer was not read. */
     private final List<Delivery> deliveries = new ArrayList<>();
 
-    /** For each call that it shared, when the time of the first message in it was up. */
-    private final Map<Long, Long> sharedUntilUs = new HashMap<>();
+    /**
+     * The earliest deadline of the messages in each call that it shared, by the start of the call.
+     */
+    private final Map<Long, Long> sharedDeadlinesUs = new HashMap<>();
 
-    /** The connections of the calls that are out, by when each began. */
-    private final Map<Long, CallConnection> out = new HashMap<>();
+    /** The connections of the calls in flight, by the start of the call. */
+    private final Map<Long, CallConnection> connectionsInFlight = new HashMap<>();
 
     private long firstRunUs = Long.MAX_VALUE;
-    private long restUntilUs;
+    private long settleUntilUs;
 
     private Message(
         final String id,
-        final MessageClass kind,
+        final MessageClass messageClass,
         final long destination,
         final String key,
-        final long handedInUs,
-        final long timeUpUs) {
+        final long submittedUs,
+        final long deadlineUs) {
       this.id = id;
-      this.kind = kind;
+      this.messageClass = messageClass;
       this.destination = destination;
       this.key = key;
-      this.handedInUs = handedInUs;
-      this.timeUpUs = timeUpUs;
+      this.submittedUs = submittedUs;
+      this.deadlineUs = deadlineUs;
     }
 
     @Override
     public String toString() {
-      return id + " (" + kind.name() + ")";
+      return id + " (" + messageClass.name() + ")";
     }
   }
 
   private static final class Endpoint {
     private final long destination;
-    private long closedUs = Long.MAX_VALUE;
+    private long drainingUs = Long.MAX_VALUE;
 
     private Endpoint(final long destination) {
       this.destination = destination;
@@ -180,8 +188,8 @@
   }
 
   private static final class Destination {
-    private long waitToldUs = Long.MIN_VALUE;
-    private long waitUntilUs = Long.MIN_VALUE;
+    private long retryAfterSentUs = Long.MIN_VALUE;
+    private long retryAfterUntilUs = Long.MIN_VALUE;
     private final ColdDestination recovery;
 
     private Destination(final Tolerances figures) {
@@ -189,21 +197,24 @@
     }
   }
 
-  /** An Auditor that has seen nothing yet. */
-  public RuleChecker(final Tolerances figures, final List<MessageClass> kinds) {
-    this.figures = figures;
-    this.lifetimes = new CourierLifetimes(figures.restartGraceUs());
-    this.lateEnds = new LateEnds(figures.graceUs());
-    kinds.forEach(kind -> classes.put(kind.name(), kind));
+  /** A checker without any events yet. */
+  public RuleChecker(final Tolerances tolerances, final List<MessageClass> messageClasses) {
+    this.tolerances = tolerances;
+    this.lifetimes = new CourierLifetimes(tolerances.restartGraceUs());
+    this.lateOutcomes = new LateOutcomes(tolerances.graceUs());
+    messageClasses.forEach(messageClass -> classes.put(messageClass.name(), messageClass));
   }
 
-  private void broken(final Rule rule, final long nowUs, final String what) {
-    violations.add(new Violation(rule, nowUs, what));
+  private void addViolation(final Rule rule, final long nowUs, final String text) {
+    violations.add(new Violation(rule, nowUs, text));
   }
 
   // ---------------------------------------------------------------- clients and the platform
 
-  /** A client sends a message; {@code key} orders it in a class in turn, and may be null. */
+  /**
+   * A client submits a message; {@code key} orders it within a class that is ordered by key, and
+   * may be null.
+   */
   public synchronized void recordSubmitted(
       final long nowUs,
       final String id,
@@ -215,104 +226,106 @@
         id, new Message(id, classes.get(className), destination, key, nowUs, nowUs + timeoutUs));
   }
 
-  /** A client was answered that its message is taken on. */
+  /** A client was answered that its message is accepted. */
   public synchronized void recordAccepted(final long nowUs, final String id) {
     final Message message = messages.get(id);
-    message.taken = true;
-    if (message.kind.orderedByKey() && message.key != null && !message.over) {
-      lines.computeIfAbsent(message.key, unused -> new ArrayDeque<>()).add(message);
+    message.accepted = true;
+    if (message.messageClass.orderedByKey() && message.key != null && !message.ended) {
+      queuesByKey.computeIfAbsent(message.key, unused -> new ArrayDeque<>()).add(message);
     }
   }
 
-  /** A client was refused. */
+  /** A client was answered that its message is rejected. */
   public synchronized void recordRejected(final long nowUs, final String id) {
-    end(nowUs, messages.get(id), "rejected at submission", true);
+    recordEnd(nowUs, messages.get(id), "rejected at submission", true);
   }
 
-  /**
-   * A client was answered that its message failed, or had no answer in its time: nothing is
-   * promised.
-   */
+  /** A client was answered that its message failed, or timed out: the message needs no outcome. */
   public synchronized void recordFailed(final long nowUs, final String id) {
-    end(nowUs, messages.get(id), "failed at submission", false);
+    recordEnd(nowUs, messages.get(id), "failed at submission", false);
   }
 
-  /** The platform was told an end. */
+  /** The platform received an outcome notice. */
   public synchronized void recordOutcomeNotice(
       final long nowUs, final String id, final boolean deferred) {
     final Message message = messages.get(id);
     if (message == null) {
-      broken(Rule.LOST, nowUs, "a notice for " + id + ", which nobody handed in");
+      addViolation(Rule.LOST, nowUs, "an outcome notice for " + id + ", which was never submitted");
     } else {
-      end(nowUs, message, deferred ? DEFERRED : UNDELIVERABLE, deferred);
+      recordEnd(nowUs, message, deferred ? DEFERRED : UNDELIVERABLE, deferred);
     }
   }
 
-  private void end(
-      final long nowUs, final Message message, final String end, final boolean deferred) {
-    if (message.over) {
+  private void recordEnd(
+      final long nowUs, final Message message, final String outcome, final boolean deferred) {
+    if (message.ended) {
       if (!message.delivered
-          && !message.end.equals(end)
-          && !isRetoldAfterRestart(message, end, nowUs)) {
-        broken(Rule.LOST, nowUs, message + " ended twice: " + message.end + ", then " + end);
+          && !message.outcome.equals(outcome)
+          && !isReportedAgainAfterRestart(message, outcome, nowUs)) {
+        addViolation(
+            Rule.LOST,
+            nowUs,
+            message + " has two outcomes: " + message.outcome + ", then " + outcome);
       }
       return;
     }
     if (deferred
         && message.firstRunUs != Long.MAX_VALUE
-        && message.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
-      broken(Rule.DOUBLE, nowUs, message + " may have run and was " + end);
+        && message.messageClass.idempotence() == Idempotence.NON_IDEMPOTENT) {
+      addViolation(Rule.DOUBLE, nowUs, message + " may have run and was " + outcome);
     }
-    close(nowUs, message, end);
+    closeMessage(nowUs, message, outcome);
   }
 
   /**
-   * While the journal cannot be written, a deferral is told once the message's time is up. A
-   * restart may know of an attempt, and not that it never began: the message is then undeliverable.
+   * While the journal cannot be written, a deferral is reported once the message's deadline has
+   * passed. After a restart the journal may hold an attempt without its result: the message is then
+   * undeliverable.
    */
-  private boolean isRetoldAfterRestart(final Message message, final String end, final long nowUs) {
-    return message.end.equals(DEFERRED)
-        && end.equals(UNDELIVERABLE)
-        && message.endedUs >= message.timeUpUs - EXPIRY_MARGIN_US
+  private boolean isReportedAgainAfterRestart(
+      final Message message, final String outcome, final long nowUs) {
+    return message.outcome.equals(DEFERRED)
+        && outcome.equals(UNDELIVERABLE)
+        && message.endedUs >= message.deadlineUs - EXPIRY_MARGIN_US
         && lifetimes.wasKilledBetween(message.endedUs, nowUs);
   }
 
-  private void close(final long nowUs, final Message message, final String end) {
-    message.over = true;
-    message.end = end;
+  private void closeMessage(final long nowUs, final Message message, final String outcome) {
+    message.ended = true;
+    message.outcome = outcome;
     message.endedUs = nowUs;
-    // From the end of a process until a while after the next one is ready no end is late, also
-    // ahead of its being ready.
-    final long dueUs = message.timeUpUs + figures.graceUs();
-    if (message.taken && nowUs > dueUs && !lifetimes.excuseLateEnd(dueUs, nowUs)) {
-      lateEnds.record(message.toString(), message.timeUpUs, nowUs);
+    // From the end of a process until the restart grace after the next one is ready no outcome is
+    // late, including those reported before it is ready.
+    final long dueUs = message.deadlineUs + tolerances.graceUs();
+    if (message.accepted && nowUs > dueUs && !lifetimes.excusesLateOutcome(dueUs, nowUs)) {
+      lateOutcomes.record(message.toString(), message.deadlineUs, nowUs);
     }
     if (message.key != null) {
-      final Deque<Message> line = lines.get(message.key);
-      if (line != null) {
-        line.remove(message);
+      final Deque<Message> queue = queuesByKey.get(message.key);
+      if (queue != null) {
+        queue.remove(message);
       }
     }
   }
 
   /**
-   * The stand-ins did not run between two moments though they meant to: what came to them meanwhile
-   * was seen late by their own fault. It counts by as much, and no more.
+   * The stand-ins were paused between two times and observed late what arrived meanwhile: this part
+   * of a delay is not the courier's.
    */
   public synchronized void recordCheckerPause(final long fromUs, final long toUs) {
-    lateEnds.excuse(fromUs, toUs);
+    lateOutcomes.excuse(fromUs, toUs);
   }
 
   /**
-   * The courier was stopped between two moments by whoever plays it: what ran out meanwhile could
-   * be ended by nobody before it was over. It counts by as much, and no more.
+   * The test paused the courier between two times; it couldn't complete what expired meanwhile any
+   * earlier. This part of a delay is excused, and no more.
    */
   public synchronized void recordCourierPause(final long fromUs, final long toUs) {
-    lifetimes.recordStop(fromUs, toUs);
+    lifetimes.recordPause(fromUs, toUs);
     recordCheckerPause(fromUs, toUs);
   }
 
-  /** The courier's process was ended, or is ready again. */
+  /** The courier's process was killed, or is ready again. */
   public synchronized void recordRestart(final long nowUs, final boolean ready) {
     if (ready) {
       lifetimes.recordReady(nowUs);
@@ -323,29 +336,32 @@
 
   // ---------------------------------------------------------------- endpoints
 
-  /** An endpoint exists. */
+  /** Registers an endpoint. */
   public synchronized void registerEndpoint(final String name, final long destination) {
     endpoints.putIfAbsent(name, new Endpoint(destination));
   }
 
-  /** The courier was told that an endpoint drains or is gone. A second telling changes nothing. */
+  /**
+   * The courier was notified that an endpoint drains or is gone. A repeated notification changes
+   * nothing.
+   */
   public synchronized void recordDraining(final long nowUs, final String name) {
     final Endpoint endpoint = endpoints.get(name);
-    endpoint.closedUs = Math.min(endpoint.closedUs, nowUs);
+    endpoint.drainingUs = Math.min(endpoint.drainingUs, nowUs);
   }
 
-  /** The courier was told that an endpoint takes messages again. */
+  /** The courier was notified that an endpoint is ready again. */
   public synchronized void recordReady(final String name) {
-    endpoints.get(name).closedUs = Long.MAX_VALUE;
+    endpoints.get(name).drainingUs = Long.MAX_VALUE;
   }
 
-  /** A call began to come in over a connection of which nobody can tell how it stands. */
+  /** A call arrives over a connection whose state cannot be determined. */
   public synchronized void recordCall(
       final long firstByteUs, final String name, final List<String> ids) {
     recordCall(firstByteUs, name, ids, () -> CallConnection.Side.UNKNOWN);
   }
 
-  /** A call began to come in: its first byte and, for each message in it, its id. */
+  /** A call arrives: its first byte, and the ids of the messages in it. */
   public synchronized void recordCall(
       final long firstByteUs,
       final String name,
@@ -353,127 +369,132 @@
       final CallConnection connection) {
     final Endpoint endpoint = endpoints.get(name);
     final Destination destination = destination(endpoint.destination);
-    if (firstByteUs > endpoint.closedUs) {
-      drainLagsUs.add(firstByteUs - endpoint.closedUs);
-      if (firstByteUs > endpoint.closedUs + figures.drainGraceUs()) {
-        broken(
+    if (firstByteUs > endpoint.drainingUs) {
+      drainLagsUs.add(firstByteUs - endpoint.drainingUs);
+      if (firstByteUs > endpoint.drainingUs + tolerances.drainGraceUs()) {
+        addViolation(
             Rule.DRAIN,
             firstByteUs,
             name
                 + " was called "
-                + (firstByteUs - endpoint.closedUs) / MS
-                + " ms after it was told to drain or gone");
+                + (firstByteUs - endpoint.drainingUs) / MS
+                + " ms after its draining or removal was announced");
       }
     }
-    if (firstByteUs < destination.waitUntilUs
-        && firstByteUs > destination.waitToldUs + figures.retryAfterSlackUs()) {
-      broken(
+    if (firstByteUs < destination.retryAfterUntilUs
+        && firstByteUs > destination.retryAfterSentUs + tolerances.retryAfterSlackUs()) {
+      addViolation(
           Rule.WAIT,
           firstByteUs,
           "destination "
               + endpoint.destination
               + " was called "
-              + (destination.waitUntilUs - firstByteUs) / MS
-              + " ms before its wait was over");
+              + (destination.retryAfterUntilUs - firstByteUs) / MS
+              + " ms before its Retry-After was over");
     }
     destination
         .recovery
         .recordCall(firstByteUs)
         .ifPresent(
-            what ->
-                broken(
-                    Rule.TIPPED, firstByteUs, "destination " + endpoint.destination + " " + what));
-    noteShared(firstByteUs, ids);
-    ids.forEach(id -> begun(firstByteUs, endpoint, id, connection));
+            text ->
+                addViolation(
+                    Rule.TIPPED, firstByteUs, "destination " + endpoint.destination + " " + text));
+    recordSharedDeadline(firstByteUs, ids);
+    ids.forEach(id -> recordMessageCall(firstByteUs, endpoint, id, connection));
   }
 
-  private void noteShared(final long firstByteUs, final List<String> ids) {
+  private void recordSharedDeadline(final long firstByteUs, final List<String> ids) {
     if (ids.size() > 1) {
       final List<Message> shared =
           ids.stream().map(messages::get).filter(Objects::nonNull).toList();
       final long untilUs =
-          shared.stream().mapToLong(message -> message.timeUpUs).min().orElse(Long.MAX_VALUE);
-      shared.forEach(message -> message.sharedUntilUs.put(firstByteUs, untilUs));
+          shared.stream().mapToLong(message -> message.deadlineUs).min().orElse(Long.MAX_VALUE);
+      shared.forEach(message -> message.sharedDeadlinesUs.put(firstByteUs, untilUs));
     }
   }
 
-  private void begun(
+  private void recordMessageCall(
       final long firstByteUs,
       final Endpoint endpoint,
       final String id,
       final CallConnection connection) {
     final Message message = messages.get(id);
     if (message == null) {
-      broken(Rule.DESTINATION, firstByteUs, id + " was sent, and nobody handed it in");
+      addViolation(Rule.DESTINATION, firstByteUs, id + " was sent and never submitted");
       return;
     }
     if (message.destination != endpoint.destination) {
-      broken(
+      addViolation(
           Rule.DESTINATION,
           firstByteUs,
           message + " for " + message.destination + " went to " + endpoint.destination);
     }
-    noteCopies(firstByteUs, message);
-    message.out.put(firstByteUs, connection);
-    if (message.over && mayRepeat(firstByteUs, message)) {
+    checkCopies(firstByteUs, message);
+    message.connectionsInFlight.put(firstByteUs, connection);
+    if (message.ended && isAllowedRepeat(firstByteUs, message)) {
       return;
     }
-    if (message.over) {
-      broken(
-          message.delivered && message.kind.idempotence() == Idempotence.IDEMPOTENT
+    if (message.ended) {
+      addViolation(
+          message.delivered && message.messageClass.idempotence() == Idempotence.IDEMPOTENT
               ? Rule.LOST
               : Rule.DOUBLE,
           firstByteUs,
           message
               + " was sent after it was "
-              + message.end
-              + (message.delivered ? afterItsAnswer(message, firstByteUs) : ""));
+              + message.outcome
+              + (message.delivered ? describeRepeat(message, firstByteUs) : ""));
     } else if (message.firstRunUs != Long.MAX_VALUE) {
-      if (message.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
-        broken(Rule.DOUBLE, firstByteUs, message + " may have run and was sent again");
-      } else if (message.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
-          && firstByteUs > message.firstRunUs + message.kind.idempotencyWindowUs()) {
-        broken(
+      if (message.messageClass.idempotence() == Idempotence.NON_IDEMPOTENT) {
+        addViolation(Rule.DOUBLE, firstByteUs, message + " may have run and was sent again");
+      } else if (message.messageClass.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+          && firstByteUs > message.firstRunUs + message.messageClass.idempotencyWindowUs()) {
+        addViolation(
             Rule.DOUBLE,
             firstByteUs,
             message
                 + " was sent again "
                 + (firstByteUs - message.firstRunUs) / MS
                 + " ms after it may have run; its key is kept for "
-                + message.kind.idempotencyWindowUs() / MS);
+                + message.messageClass.idempotencyWindowUs() / MS);
       }
     }
-    if (message.key != null && message.kind.orderedByKey()) {
-      final Deque<Message> line = lines.get(message.key);
-      final Message first = line == null ? null : line.peekFirst();
+    if (message.key != null && message.messageClass.orderedByKey()) {
+      final Deque<Message> queue = queuesByKey.get(message.key);
+      final Message first = queue == null ? null : queue.peekFirst();
       if (first != null && first != message) {
-        broken(Rule.ORDER, firstByteUs, message + " went before " + first);
-      } else if (firstByteUs < message.restUntilUs) {
-        broken(Rule.ORDER, firstByteUs, message + " went while its key rested");
+        addViolation(Rule.ORDER, firstByteUs, message + " was sent before " + first);
+      } else if (firstByteUs < message.settleUntilUs) {
+        addViolation(
+            Rule.ORDER, firstByteUs, message + " was sent during the settle delay of its key");
       }
     }
   }
 
   /**
-   * A second copy while the first one's connection is open breaks a rule. One whose end has come
-   * and lies unread at a stand-in was over before: the courier ended it first.
+   * A second copy while the first one's connection is open is a violation. If the end of the first
+   * connection has arrived and lies unread at a stand-in, the courier ended the first copy before
+   * it sent the second.
    */
-  private void noteCopies(final long firstByteUs, final Message message) {
+  private void checkCopies(final long firstByteUs, final Message message) {
     final List<CallConnection.Side> sides =
-        message.out.values().stream().map(CallConnection::courierSide).toList();
+        message.connectionsInFlight.values().stream().map(CallConnection::courierSide).toList();
     if (sides.stream().allMatch(side -> side == CallConnection.Side.ENDED)) {
       return;
     }
-    broken(Rule.DOUBLE, firstByteUs, message + ": two copies are out");
-    message.copies = violations.get(violations.size() - 1);
+    addViolation(Rule.DOUBLE, firstByteUs, message + ": two copies are in flight");
+    message.copiesViolation = violations.get(violations.size() - 1);
     message.firstCopySide =
         sides.contains(CallConnection.Side.OPEN)
             ? CallConnection.Side.OPEN
             : CallConnection.Side.UNKNOWN;
   }
 
-  /** What tells whose doing a repeat is: the calls that delivered the message, and all kills. */
-  private String afterItsAnswer(final Message message, final long firstByteUs) {
+  /**
+   * Describes a repeat so that its cause can be found: the calls that delivered the message, and
+   * all kills.
+   */
+  private String describeRepeat(final Message message, final long firstByteUs) {
     final long answeredUs = message.deliveries.get(0).answeredUs();
     final String calls =
         message.deliveries.stream().map(Delivery::describe).collect(Collectors.joining("; "));
@@ -489,180 +510,186 @@
   }
 
   /**
-   * A process that was killed may not have read that a message is delivered: the answer was written
-   * shortly before its end, or even after it, to a call that it had made. One that may be repeated
-   * then goes once more, by whichever process comes to it first, and is answered as delivered once
-   * more; nothing is owed for it.
+   * A killed process may not have read that a message is delivered: the answer was written shortly
+   * before its end, or even after it, to a call that it had made. A repeatable message is then sent
+   * once more by whichever process comes to it first, and is answered as delivered again; no
+   * further outcome is due.
    */
-  private boolean mayRepeat(final long firstByteUs, final Message message) {
-    final boolean unread =
+  private boolean isAllowedRepeat(final long firstByteUs, final Message message) {
+    final boolean allUnread =
         message.delivered
             && message.deliveries.stream()
                 .allMatch(
                     delivery ->
                         mayBeUnread(delivery, firstByteUs)
-                            || wasOverWhenRead(delivery, firstByteUs));
+                            || wasExpiredWhenRead(delivery, firstByteUs));
     final boolean repeatable =
-        message.kind.idempotence() == Idempotence.IDEMPOTENT
-            || (message.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
-                && firstByteUs <= message.firstRunUs + message.kind.idempotencyWindowUs());
-    final boolean allowed = unread && repeatable;
+        message.messageClass.idempotence() == Idempotence.IDEMPOTENT
+            || (message.messageClass.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
+                && firstByteUs <= message.firstRunUs + message.messageClass.idempotencyWindowUs());
+    final boolean allowed = allUnread && repeatable;
     if (allowed) {
-      allowedRepeats.add(message + " was repeated" + afterItsAnswer(message, firstByteUs));
+      allowedRepeats.add(message + " was repeated" + describeRepeat(message, firstByteUs));
     }
     return allowed;
   }
 
-  /** True if the process that made a call had ended by now, and may not have read its answer. */
+  /** True if the process that made a call has been killed, and may not have read its answer. */
   private boolean mayBeUnread(final Delivery delivery, final long nowUs) {
     final OptionalLong killUs = lifetimes.firstKillSince(delivery.callUs());
     return killUs.isPresent()
-        && killUs.getAsLong() - delivery.answeredUs() <= UNREAD_US
+        && killUs.getAsLong() - delivery.answeredUs() <= MAX_UNREAD_US
         && nowUs > killUs.getAsLong();
   }
 
   /**
-   * True if the courier was stopped when a call with several messages was answered, and the time of
-   * the first of them was up when it woke, by the courier's reckoning: it may take a request to
-   * have come up to a client's patience earlier than it did.
+   * True if the courier was paused when a shared call was answered, and the earliest deadline in it
+   * had passed when it resumed, as the courier counts: it may take a request to have come up to a
+   * client's timeout earlier than it did.
    */
-  private boolean wasOverWhenRead(final Delivery delivery, final long nowUs) {
-    final OptionalLong wokenUs = lifetimes.endOfStopAt(delivery.answeredUs());
-    return delivery.sharedUntilUs() != Long.MAX_VALUE
-        && wokenUs.isPresent()
-        && delivery.sharedUntilUs() - CLIENT_PATIENCE_US <= wokenUs.getAsLong()
-        && nowUs > wokenUs.getAsLong();
+  private boolean wasExpiredWhenRead(final Delivery delivery, final long nowUs) {
+    final OptionalLong resumedUs = lifetimes.endOfPauseAt(delivery.answeredUs());
+    return delivery.sharedDeadlineUs() != Long.MAX_VALUE
+        && resumedUs.isPresent()
+        && delivery.sharedDeadlineUs() - CLIENT_TIMEOUT_US <= resumedUs.getAsLong()
+        && nowUs > resumedUs.getAsLong();
   }
 
-  /**
-   * A call's part for one message ended at its endpoint; {@code firstByteUs} is when that call
-   * began.
-   */
+  /** A call ended at its endpoint for one message; {@code firstByteUs} is when that call began. */
   public synchronized void recordCallEnd(
-      final long nowUs, final long firstByteUs, final String id, final CallResult end) {
+      final long nowUs, final long firstByteUs, final String id, final CallResult result) {
     final Message message = messages.get(id);
     if (message == null) {
       return;
     }
-    message.out.remove(firstByteUs);
-    if (message.copies != null
+    message.connectionsInFlight.remove(firstByteUs);
+    if (message.copiesViolation != null
         && message.firstCopySide == CallConnection.Side.UNKNOWN
-        && (end == CallResult.CONNECTION_LOST || end == CallResult.INCOMPLETE_REQUEST)
-        && message.kind.idempotence() != Idempotence.NON_IDEMPOTENT
-        && firstByteUs < message.copies.atUs()
-        && nowUs - message.copies.atUs() <= SAME_BATCH_US) {
+        && (result == CallResult.CONNECTION_LOST || result == CallResult.INCOMPLETE_REQUEST)
+        && message.messageClass.idempotence() != Idempotence.NON_IDEMPOTENT
+        && firstByteUs < message.copiesViolation.atUs()
+        && nowUs - message.copiesViolation.atUs() <= SAME_BATCH_US) {
       // The courier had ended the first copy before it sent the second: both were read in one
-      // batch, in any order.
-      violations.remove(message.copies);
-      message.copies = null;
-    } else if (message.copies != null && firstByteUs < message.copies.atUs()) {
-      // How and when the first one ended tells what crossed what.
+      // batch, in either order.
+      violations.remove(message.copiesViolation);
+      message.copiesViolation = null;
+    } else if (message.copiesViolation != null && firstByteUs < message.copiesViolation.atUs()) {
+      // How and when the first one ended shows which events crossed.
       violations.set(
-          violations.indexOf(message.copies),
+          violations.indexOf(message.copiesViolation),
           new Violation(
-              message.copies.rule(),
-              message.copies.atUs(),
-              message.copies.what()
-                  + ", the first one of "
-                  + (message.copies.atUs() - firstByteUs)
-                  + " us ended "
-                  + (nowUs - message.copies.atUs())
+              message.copiesViolation.rule(),
+              message.copiesViolation.atUs(),
+              message.copiesViolation.what()
+                  + ", the first one, sent "
+                  + (message.copiesViolation.atUs() - firstByteUs)
+                  + " us before, ended "
+                  + (nowUs - message.copiesViolation.atUs())
                   + " us later: "
-                  + end
+                  + result
                   + ", its connection was "
                   + message.firstCopySide));
-      message.copies = null;
+      message.copiesViolation = null;
     }
-    if (end.mayHaveRun) {
+    if (result.mayHaveRun) {
       message.firstRunUs = Math.min(message.firstRunUs, firstByteUs);
     }
-    if (end == CallResult.DELIVERED) {
+    if (result == CallResult.DELIVERED) {
       message.deliveries.add(
           new Delivery(
-              firstByteUs, nowUs, message.sharedUntilUs.getOrDefault(firstByteUs, Long.MAX_VALUE)));
+              firstByteUs,
+              nowUs,
+              message.sharedDeadlinesUs.getOrDefault(firstByteUs, Long.MAX_VALUE)));
       message.delivered = true;
-      if (!message.over) {
-        close(nowUs, message, "delivered");
+      if (!message.ended) {
+        closeMessage(nowUs, message, "delivered");
       }
-    } else if (end == CallResult.CONNECTION_LOST && message.key != null) {
-      final long restUntilUs = nowUs + figures.settleDelayUs();
-      lines.getOrDefault(message.key, new ArrayDeque<>()).stream()
+    } else if (result == CallResult.CONNECTION_LOST && message.key != null) {
+      final long settleUntilUs = nowUs + tolerances.settleDelayUs();
+      queuesByKey.getOrDefault(message.key, new ArrayDeque<>()).stream()
           .filter(other -> other != message)
-          .forEach(other -> other.restUntilUs = Math.max(other.restUntilUs, restUntilUs));
+          .forEach(other -> other.settleUntilUs = Math.max(other.settleUntilUs, settleUntilUs));
     }
   }
 
-  /** An answer told to wait before the destination is called again. */
+  /** An answer carried a Retry-After: the destination may not be called before. */
   public synchronized void recordRetryAfter(
-      final long nowUs, final long destination, final long waitUs) {
-    final Destination told = destination(destination);
-    if (nowUs + waitUs > told.waitUntilUs) {
-      told.waitToldUs = nowUs >= told.waitUntilUs ? nowUs : told.waitToldUs;
-      told.waitUntilUs = nowUs + waitUs;
+      final long nowUs, final long destination, final long retryAfterUs) {
+    final Destination target = destination(destination);
+    if (nowUs + retryAfterUs > target.retryAfterUntilUs) {
+      target.retryAfterSentUs = nowUs >= target.retryAfterUntilUs ? nowUs : target.retryAfterSentUs;
+      target.retryAfterUntilUs = nowUs + retryAfterUs;
     }
   }
 
-  // ---------------------------------------------------------------- destinations that return
+  // ---------------------------------------------------------------- recovering destinations
 
   /**
-   * A destination is back from an outage, cold: it takes a share of its calls a second, and all of
-   * them later.
+   * A destination recovers from an outage: it tolerates a share of its normal rate at first, and
+   * all of it later.
    */
   public synchronized void recordRecovery(
       final long nowUs,
       final long destination,
       final double callsPerSecond,
-      final double coldFrom,
-      final long coldUs) {
-    destination(destination).recovery.markReturned(nowUs, callsPerSecond, coldFrom, coldUs);
+      final double initialShare,
+      final long warmUpUs) {
+    destination(destination).recovery.markRecovered(nowUs, callsPerSecond, initialShare, warmUpUs);
   }
 
   private Destination destination(final long id) {
-    return destinations.computeIfAbsent(id, unused -> new Destination(figures));
+    return destinations.computeIfAbsent(id, unused -> new Destination(tolerances));
   }
 
-  // ---------------------------------------------------------------- the verdict
+  // ---------------------------------------------------------------- results
 
-  /** All that was broken, with what was taken on and never ended although its time is up by now. */
+  /**
+   * Returns all violations, including accepted messages without a final outcome whose deadline has
+   * passed.
+   */
   public synchronized List<Violation> finish(final long nowUs) {
-    violations.addAll(lateEnds.takeViolations());
+    violations.addAll(lateOutcomes.takeViolations());
     for (final Message message : messages.values()) {
-      if (message.taken && !message.over && nowUs > message.timeUpUs + figures.graceUs()) {
-        broken(Rule.LOST, nowUs, message + " was taken on and never ended");
+      if (message.accepted && !message.ended && nowUs > message.deadlineUs + tolerances.graceUs()) {
+        addViolation(Rule.LOST, nowUs, message + " was accepted and has no final outcome");
       }
     }
     return List.copyOf(violations);
   }
 
-  /** True once every message that was taken on has its end. */
+  /** True once every accepted message has its final outcome. */
   public synchronized boolean allEnded() {
-    return messages.values().stream().noneMatch(message -> message.taken && !message.over);
+    return messages.values().stream().noneMatch(message -> message.accepted && !message.ended);
   }
 
   /**
-   * True once every message has its end that the courier may still have: also one whose client gave
-   * up waiting for its answer, unless the process that may have read it was ended.
+   * True once every message has the outcome that the courier can still report: also one whose
+   * client timed out, unless the process that may have read it was killed.
    */
   public synchronized boolean allSettled() {
     return messages.values().stream()
         .allMatch(
             message ->
-                message.over || (!message.taken && message.handedInUs < lifetimes.lastKillUs()));
+                message.ended
+                    || (!message.accepted && message.submittedUs < lifetimes.lastKillUs()));
   }
 
-  /** For each call to an endpoint after it was told to drain or gone, how long after, us. */
+  /**
+   * For each call to an endpoint after the notification that it drains or is gone, how long after,
+   * us.
+   */
   public synchronized List<Long> drainLagsUs() {
     return List.copyOf(drainLagsUs);
   }
 
-  /** Each repeat after a delivery that no rule forbids, with the times that make it so. */
+  /** Each repeat after a delivery that no rule forbids, with the times that explain it. */
   public synchronized List<String> allowedRepeats() {
     return List.copyOf(allowedRepeats);
   }
 
   /**
-   * How messages ended so far, by how: delivered, deferred, undeliverable, refused or failed at the
-   * door, open.
+   * The number of messages by outcome: delivered, deferred, undeliverable, rejected or failed at
+   * submission, open, unanswered.
    */
   public synchronized Map<String, Integer> outcomeCounts() {
     final Map<String, Integer> ends = new LinkedHashMap<>();
@@ -671,7 +698,7 @@
         .forEach(
             message ->
                 ends.merge(
-                    message.over ? message.end : message.taken ? "open" : "unanswered",
+                    message.ended ? message.outcome : message.accepted ? "open" : "unanswered",
                     1,
                     Integer::sum));
     return ends;
--- a/testkit/src/main/java/thistleturn/testkit/SocketTable.java
+++ b/testkit/src/main/java/thistleturn/testkit/SocketTable.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The system's own table of TCP sockets. It knows that the other side has ended a connection before
- * a stand-in that is held up reads it.
+ * The kernel's table of TCP sockets. It shows that the other side has ended a connection before a
+ * stand-in whose event loop is blocked reads that.
  */
 public final class SocketTable {
   private static final List<Path> TABLES =
@@ -20,7 +20,7 @@
   private static final int REMOTE_COLUMN = 2;
   private static final int STATE_COLUMN = 3;
 
-  /** Linux' numbers of the states in which the other side's end has come, or everything is over. */
+  /** Linux's state numbers for which the other side's FIN has arrived or the connection is over. */
   private static final Set<String> ENDED_STATES = Set.of("06", "07", "08", "09", "0B");
 
   private SocketTable() {}
@@ -29,7 +29,7 @@
   static CallConnection.Side remoteSide(final Channel accepted) {
     if (!(accepted.localAddress() instanceof InetSocketAddress local)
         || !(accepted.remoteAddress() instanceof InetSocketAddress remote)) {
-      // Closed here, so its end is being told.
+      // Closed on this side: its end is already being reported.
       return CallConnection.Side.ENDED;
     }
     try {
@@ -47,8 +47,8 @@
    */
   public static boolean hasRemoteEnded(
       final InetSocketAddress local, final InetSocketAddress remote) throws IOException {
-    // Compared as text: a crowd's table has thousands of rows, and the connection may end
-    // meanwhile.
+    // Compares text before it parses a row: with many connections the table has thousands of rows,
+    // and the connection may end while it is read.
     final String localPort = portColumnEnd(local);
     final String remotePort = portColumnEnd(remote);
     for (final Path table : TABLES) {
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Returns how the system writes the end of an address with this port. */
+  /** Returns how the table writes the end of an address with this port. */
   private static String portColumnEnd(final InetSocketAddress address) {
     return String.format(":%04X", address.getPort());
   }
--- a/testkit/src/main/java/thistleturn/testkit/StandInClient.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInClient.java
@@ -30,53 +30,48 @@
 import java.util.function.LongConsumer;
 
 /**
- * A client as the protocol has it: one request at a time on a connection, connections kept, 400 ms
- * of patience for an answer, and no second try. It tells the Auditor what it handed in and what it
- * was answered.
+ * A client as the protocol describes it: one request at a time on a connection, persistent
+ * connections, 400 ms to wait for an answer, and no retry. It reports to the rule checker what it
+ * submitted and what it was answered.
  */
 public final class StandInClient implements AutoCloseable {
-  private static final long PATIENCE_MS = 400;
-  private static final int TAKEN_LEAST = 200;
-  private static final int TAKEN_MOST = 202;
+  private static final long ANSWER_TIMEOUT_MS = 400;
+  private static final int ACCEPTED_MIN = 200;
+  private static final int ACCEPTED_MAX = 202;
   private static final int BUSY = 429;
   private static final int UNAVAILABLE = 503;
 
   private final EventLoop loop;
-  private final RuleChecker auditor;
-  private final MonotonicClock ticks;
+  private final RuleChecker ruleChecker;
+  private final MonotonicClock clock;
   private final Deque<Channel> idle = new ArrayDeque<>();
-  private final AtomicLong out = new AtomicLong();
-  private final AtomicLong numbers = new AtomicLong();
+  private final AtomicLong pending = new AtomicLong();
+  private final AtomicLong lastNumber = new AtomicLong();
   private final String prefix;
   private volatile InetSocketAddress courier;
   private volatile LongConsumer latencyUs = unused -> {};
   private volatile boolean keepsConnections = true;
   private volatile boolean opensConnections = true;
-  private volatile long patienceMs = PATIENCE_MS;
+  private volatile long answerTimeoutMs = ANSWER_TIMEOUT_MS;
 
   private final Queue<Unanswered> unansweredRequests = new ConcurrentLinkedQueue<>();
 
-  /**
-   * A request that was written and never had a whole answer.
-   *
-   * @param endedUs when its connection ended
-   * @param timedOut whether the client closed it at the end of its answer timeout
-   */
+  /** A request that was written and never completely answered. */
   public record Unanswered(String id, long writtenUs, long endedUs, boolean timedOut) {}
 
-  /** A client of the courier at that address; ids begin with the prefix. */
+  /** Ids of its messages begin with the prefix. */
   public StandInClient(
       final EventLoopGroup group,
       final String prefix,
-      final RuleChecker auditor,
-      final MonotonicClock ticks) {
+      final RuleChecker ruleChecker,
+      final MonotonicClock clock) {
     this.loop = group.next();
     this.prefix = prefix;
-    this.auditor = auditor;
-    this.ticks = ticks;
+    this.ruleChecker = ruleChecker;
+    this.clock = clock;
   }
 
-  /** Where the courier is from now on; older connections are not used again. */
+  /** Sets the courier's address; connections to an earlier one are not used again. */
   public void setCourierAddress(final String address) {
     final int colon = address.lastIndexOf(':');
     courier =
@@ -89,52 +84,52 @@
         });
   }
 
-  /** Is told how long each answer took, us. */
+  /** Reports how long each answer took, us. */
   public void onAnswer(final LongConsumer listener) {
     latencyUs = listener;
   }
 
-  /** From now on each message goes over a connection of its own, or not. */
+  /** Keeps connections for further messages, or uses a new connection for each. */
   public void keepConnections(final boolean keep) {
     keepsConnections = keep;
   }
 
-  /** From now on it opens new connections, or hands in over those alone that it has kept. */
+  /** Opens new connections when needed, or submits only over those that it has kept. */
   public void openConnections(final boolean open) {
     opensConnections = open;
   }
 
   /**
-   * From now on it waits so long for an answer, where a late one is to be told from none. Clients
-   * of the protocol wait 400 ms.
+   * Sets how long it waits for an answer, for tests that must distinguish a late one from none.
+   * Clients of the protocol wait 400 ms.
    */
   public void setAnswerTimeoutMs(final long ms) {
-    patienceMs = ms;
+    answerTimeoutMs = ms;
   }
 
   /**
-   * The requests that were written, and then had no answer in the client's patience, or whose
-   * connection ended without one.
+   * The ids of requests that were written and had no answer within the timeout, or whose connection
+   * ended without one.
    */
   public List<String> unansweredIds() {
     return unansweredRequests.stream().map(Unanswered::id).toList();
   }
 
-  /** The same requests, with the times that tell why each had no answer. */
+  /** The same requests, with the times that show why each had no answer. */
   public List<Unanswered> unansweredRequests() {
     return List.copyOf(unansweredRequests);
   }
 
-  /** Requests without an answer as yet. */
+  /** The number of requests that have no answer yet. */
   public long pendingRequests() {
-    return out.get();
+    return pending.get();
   }
 
-  /** Hands in one message; returns its id. */
+  /** Submits one message; returns its id. */
   public String submit(final String className, final long destination, final long timeoutMs) {
-    final String id = prefix + numbers.incrementAndGet();
+    final String id = prefix + lastNumber.incrementAndGet();
     final InetSocketAddress to = courier;
-    out.incrementAndGet();
+    pending.incrementAndGet();
     loop.execute(
         () -> {
           final Channel kept = idle.pollLast();
@@ -144,7 +139,7 @@
             return;
           }
           if (!opensConnections) {
-            out.decrementAndGet();
+            pending.decrementAndGet();
             return;
           }
           connect(to, request);
@@ -164,7 +159,9 @@
                 channel
                     .pipeline()
                     .addLast(
-                        new HttpClientCodec(), new HttpObjectAggregator(1 << 16), new Answers());
+                        new HttpClientCodec(),
+                        new HttpObjectAggregator(1 << 16),
+                        new AnswerHandler());
               }
             })
         .connect(to)
@@ -173,7 +170,7 @@
               if (connected.isSuccess()) {
                 request.write(connected.channel());
               } else {
-                out.decrementAndGet();
+                pending.decrementAndGet();
               }
             });
   }
@@ -183,15 +180,15 @@
     loop.execute(() -> idle.forEach(Channel::close));
   }
 
-  /** One request under way. */
+  /** One request in progress. */
   private final class Request {
     private final String id;
     private final String className;
     private final long destination;
     private final long timeoutMs;
     private long sentUs;
-    private Future<?> patience;
-    private boolean patienceOver;
+    private Future<?> timeout;
+    private boolean timedOut;
 
     Request(final String id, final String className, final long destination, final long timeoutMs) {
       this.id = id;
@@ -216,45 +213,45 @@
           .set("Idempotency-Key", "key-" + id)
           .set("X-Consignee", "dest=" + destination)
           .set("Content-Length", request.content().readableBytes());
-      channel.pipeline().get(Answers.class).request = this;
-      sentUs = ticks.nowUs();
-      auditor.recordSubmitted(sentUs, id, className, destination, null, timeoutMs * 1000);
-      patience =
+      channel.pipeline().get(AnswerHandler.class).request = this;
+      sentUs = clock.nowUs();
+      ruleChecker.recordSubmitted(sentUs, id, className, destination, null, timeoutMs * 1000);
+      timeout =
           loop.schedule(
               () -> {
-                patienceOver = true;
+                timedOut = true;
                 channel.close();
               },
-              patienceMs,
+              answerTimeoutMs,
               TimeUnit.MILLISECONDS);
       channel.writeAndFlush(request);
     }
 
     private void answered(final int status) {
-      out.decrementAndGet();
-      patience.cancel(false);
-      final long nowUs = ticks.nowUs();
-      if (status >= TAKEN_LEAST && status <= TAKEN_MOST) {
-        auditor.recordAccepted(nowUs, id);
+      pending.decrementAndGet();
+      timeout.cancel(false);
+      final long nowUs = clock.nowUs();
+      if (status >= ACCEPTED_MIN && status <= ACCEPTED_MAX) {
+        ruleChecker.recordAccepted(nowUs, id);
       } else if (status == BUSY || status == UNAVAILABLE) {
-        auditor.recordRejected(nowUs, id);
+        ruleChecker.recordRejected(nowUs, id);
       } else {
-        auditor.recordFailed(nowUs, id);
+        ruleChecker.recordFailed(nowUs, id);
       }
       latencyUs.accept(nowUs - sentUs);
     }
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Request request;
 
     @Override
     protected void channelRead0(
         final ChannelHandlerContext context, final FullHttpResponse answer) {
-      final Request done = request;
+      final Request finished = request;
       request = null;
-      if (done != null) {
-        done.answered(answer.status().code());
+      if (finished != null) {
+        finished.answered(answer.status().code());
       }
       if (keepsConnections && HttpUtil.isKeepAlive(answer) && context.channel().isActive()) {
         idle.addLast(context.channel());
@@ -266,12 +263,13 @@
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
       idle.remove(context.channel());
-      final Request cut = request;
+      final Request unfinished = request;
       request = null;
-      if (cut != null) {
-        cut.patience.cancel(false);
-        out.decrementAndGet();
-        unansweredRequests.add(new Unanswered(cut.id, cut.sentUs, ticks.nowUs(), cut.patienceOver));
+      if (unfinished != null) {
+        unfinished.timeout.cancel(false);
+        pending.decrementAndGet();
+        unansweredRequests.add(
+            new Unanswered(unfinished.id, unfinished.sentUs, clock.nowUs(), unfinished.timedOut));
       }
     }
 
--- a/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * A partner's endpoint: it takes calls as the protocol says, fares with them by its script, and
- * tells the Auditor.
+ * An endpoint of a destination: it takes calls as the protocol says, handles each as its current
+ * {@link Behavior} says, and reports them to the rule checker.
  */
 public final class StandInEndpoint implements AutoCloseable {
   private static final int OK = 200;
@@ -24,89 +24,93 @@
 
   private final String name;
   private final long destination;
-  private final RuleChecker auditor;
-  private final MonotonicClock ticks;
-  private final AtomicReference<Behavior> manner = new AtomicReference<>(Behavior.deliverAfter(0));
+  private final RuleChecker ruleChecker;
+  private final MonotonicClock clock;
+  private final AtomicReference<Behavior> behavior =
+      new AtomicReference<>(Behavior.deliverAfter(0));
   private final AtomicLong calls = new AtomicLong();
   private final HttpStandIn server;
 
-  /** What it does with a call. */
+  /** What the endpoint does with a call. */
   public enum Action {
     /** 200 after the delay. */
     DELIVER,
     /** 500 after the delay. */
     FAIL,
-    /** 429 after the delay, with the wait. */
+    /** 429 after the delay, with a Retry-After header. */
     REJECT,
-    /** 503 after the delay, without a wait. */
+    /** 503 after the delay, without a Retry-After header. */
     UNAVAILABLE,
-    /** No answer, ever. */
+    /** Never answers. */
     NO_ANSWER,
     /** The connection is reset after the delay. */
     RESET
   }
 
-  /** How it fares with calls: what it does, after which delay, and the wait that it tells. */
+  /**
+   * What the endpoint does with a call, after which delay, and the Retry-After that it sends; 0 for
+   * none.
+   */
   public record Behavior(Action action, long delayMs, long retryAfterMs) {
-    /** Delivers after a delay. */
+    /** Answers 200 after the delay. */
     public static Behavior deliverAfter(final long delayMs) {
       return new Behavior(Action.DELIVER, delayMs, 0);
     }
 
-    /** Does something else at once. */
+    /** Performs the action without a delay. */
     public static Behavior of(final Action act) {
       return new Behavior(act, 0, 0);
     }
   }
 
-  /** Listens on 127.0.0.1, on a port of the system's choice. */
+  /** Listens on 127.0.0.1, on a port that the system chooses. */
   public StandInEndpoint(
       final EventLoopGroup group,
       final String name,
       final long destination,
-      final RuleChecker auditor,
-      final MonotonicClock ticks) {
+      final RuleChecker ruleChecker,
+      final MonotonicClock clock) {
     this.name = name;
     this.destination = destination;
-    this.auditor = auditor;
-    this.ticks = ticks;
-    auditor.registerEndpoint(name, destination);
+    this.ruleChecker = ruleChecker;
+    this.clock = clock;
+    ruleChecker.registerEndpoint(name, destination);
     this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
   }
 
-  /** The name by which the Auditor knows it. */
+  /** The name by which the rule checker knows it. */
   public String name() {
     return name;
   }
 
-  /** Its destination's number. */
+  /** The number of its destination. */
   public long destination() {
     return destination;
   }
 
-  /** Where it listens. */
+  /** The address at which it listens. */
   public String address() {
     return server.address();
   }
 
-  /** Its port. */
+  /** The port at which it listens. */
   public int port() {
     return server.port();
   }
 
-  /** Calls that have come so far. */
+  /** The number of calls received so far. */
   public long calls() {
     return calls.get();
   }
 
-  /** The server, to bring it down or make it reset or read slowly. */
+  /** The server; stops it, or makes it reset connections or read slowly. */
   public HttpStandIn server() {
     return server;
   }
 
-  /** From the next call on it fares like this. */
+  /** Sets what it does with calls from the next one on. */
   public void setBehavior(final Behavior next) {
-    manner.set(next);
+    behavior.set(next);
   }
 
   @Override
@@ -132,33 +136,33 @@
       exchange.answer(400, "");
       return;
     }
-    final long beganUs = ticks.ofNs(exchange.firstByteNs());
-    auditor.recordCall(beganUs, name, ids, () -> SocketTable.remoteSide(exchange.channel()));
+    final long beganUs = clock.ofNs(exchange.firstByteNs());
+    ruleChecker.recordCall(beganUs, name, ids, () -> SocketTable.remoteSide(exchange.channel()));
     calls.incrementAndGet();
     final Call call = new Call(exchange, ids, bulk, beganUs);
-    // Whatever else becomes of it: the end of its connection ends it.
+    // The end of the connection ends the call, whatever else happens to it.
     exchange
         .channel()
         .closeFuture()
         .addListener(closed -> call.end(RuleChecker.CallResult.CONNECTION_LOST));
-    final Behavior now = manner.get();
-    if (now.action() == Action.NO_ANSWER) {
+    final Behavior behaviorNow = behavior.get();
+    if (behaviorNow.action() == Action.NO_ANSWER) {
       return;
     }
-    if (now.delayMs() == 0) {
-      call.fare(now);
+    if (behaviorNow.delayMs() == 0) {
+      call.perform(behaviorNow);
     } else {
-      exchange.after(now.delayMs(), () -> call.fare(now));
+      exchange.after(behaviorNow.delayMs(), () -> call.perform(behaviorNow));
     }
   }
 
-  /** One call, which ends once. */
+  /** One call; only its first end counts. */
   private final class Call {
     private final HttpExchange exchange;
     private final List<String> ids;
     private final boolean bulk;
     private final long beganUs;
-    private boolean over;
+    private boolean ended;
 
     Call(
         final HttpExchange exchange,
@@ -171,21 +175,21 @@
       this.beganUs = beganUs;
     }
 
-    void end(final RuleChecker.CallResult how) {
-      if (!over) {
-        over = true;
-        ids.forEach(id -> auditor.recordCallEnd(ticks.nowUs(), beganUs, id, how));
+    void end(final RuleChecker.CallResult result) {
+      if (!ended) {
+        ended = true;
+        ids.forEach(id -> ruleChecker.recordCallEnd(clock.nowUs(), beganUs, id, result));
       }
     }
 
-    void fare(final Behavior now) {
-      if (over) {
+    void perform(final Behavior behaviorNow) {
+      if (ended) {
         return;
       }
-      switch (now.action()) {
+      switch (behaviorNow.action()) {
         case DELIVER -> {
           end(RuleChecker.CallResult.DELIVERED);
-          exchange.answer(OK, bulk ? accepted() : "");
+          exchange.answer(OK, bulk ? bulkAnswer() : "");
         }
         case FAIL -> {
           end(RuleChecker.CallResult.ERROR);
@@ -193,9 +197,11 @@
         }
         case REJECT -> {
           end(RuleChecker.CallResult.REJECTED);
-          if (now.retryAfterMs() > 0) {
-            auditor.recordRetryAfter(ticks.nowUs(), destination, now.retryAfterMs() * 1000);
-            exchange.answer(BUSY, "", "Retry-After", Double.toString(now.retryAfterMs() / 1000.0));
+          if (behaviorNow.retryAfterMs() > 0) {
+            ruleChecker.recordRetryAfter(
+                clock.nowUs(), destination, behaviorNow.retryAfterMs() * 1000);
+            exchange.answer(
+                BUSY, "", "Retry-After", Double.toString(behaviorNow.retryAfterMs() / 1000.0));
           } else {
             exchange.answer(BUSY, "");
           }
@@ -205,11 +211,11 @@
           exchange.answer(UNAVAILABLE, "");
         }
         case RESET -> exchange.reset();
-        default -> throw new IllegalStateException("silence does nothing");
+        default -> throw new IllegalStateException("NO_ANSWER has nothing to perform");
       }
     }
 
-    private String accepted() {
+    private String bulkAnswer() {
       final ArrayNode items = JSON.createArrayNode();
       ids.forEach(id -> items.addObject().put("id", id).put("state", "accepted"));
       return items.toString();
--- a/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInPlatform.java
@@ -14,58 +14,58 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** The platform: the list of endpoints, the watch on it, and where ends are told. */
+/** The platform: the list of endpoints, the watch on it, and the receiver of outcome notices. */
 public final class StandInPlatform implements AutoCloseable {
   private static final long HEARTBEAT_MS = 2000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final RuleChecker auditor;
-  private final MonotonicClock ticks;
+  private final RuleChecker ruleChecker;
+  private final MonotonicClock clock;
   private final HttpStandIn server;
   private final Map<String, ObjectNode> hosts = new LinkedHashMap<>();
   private final List<HttpExchange> watches = new CopyOnWriteArrayList<>();
   private long seq = 1;
-  private volatile boolean silent;
+  private volatile boolean unresponsive;
 
-  /** Listens on 127.0.0.1, on a port of the system's choice; its list is empty. */
+  /** Listens on 127.0.0.1, on a port that the system chooses; its list is empty. */
   public StandInPlatform(
-      final EventLoopGroup group, final RuleChecker auditor, final MonotonicClock ticks) {
-    this.auditor = auditor;
-    this.ticks = ticks;
+      final EventLoopGroup group, final RuleChecker ruleChecker, final MonotonicClock clock) {
+    this.ruleChecker = ruleChecker;
+    this.clock = clock;
     this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
   }
 
-  /** Where it listens. */
+  /** The address at which it listens. */
   public String address() {
     return server.address();
   }
 
   /**
-   * While true it answers no question about the list, and says nothing on watches; ends are taken
-   * all the same.
+   * While true, requests for the list are not answered and watches get no heartbeats; outcome
+   * notices are still accepted.
    */
   public void setUnresponsive(final boolean on) {
-    silent = on;
+    unresponsive = on;
   }
 
-  /** True while somebody follows the list. */
+  /** True while at least one watch is open. */
   public boolean isWatched() {
     return !watches.isEmpty();
   }
 
-  /** Breaks all watches. */
+  /** Resets the connections of all watches. */
   public void resetWatches() {
     watches.forEach(HttpExchange::reset);
     watches.clear();
   }
 
-  /** The list as a courier finds it in its configuration. */
+  /** The list in the form in which a courier's configuration holds it. */
   public synchronized String known() {
-    return whole().toString();
+    return completeList().toString();
   }
 
   /**
-   * Names an endpoint, or changes its state: {@code ReadyRoute}, {@code Terminating} or {@code
+   * Announces an endpoint or a change of its state: {@code Ready}, {@code Terminating} or {@code
    * Gone}.
    */
   public synchronized void announce(
@@ -89,7 +89,7 @@
     final ObjectNode change = JSON.createObjectNode().put("seq", seq).put("whole", false);
     change.putArray("hosts").add(host);
     if (health.equals("Ready")) {
-      auditor.recordReady(endpoint.name());
+      ruleChecker.recordReady(endpoint.name());
     }
     for (final HttpExchange watch : watches) {
       watch
@@ -97,13 +97,13 @@
           .addListener(
               written -> {
                 if (written.isSuccess() && !health.equals("Ready")) {
-                  auditor.recordDraining(ticks.nowUs(), endpoint.name());
+                  ruleChecker.recordDraining(clock.nowUs(), endpoint.name());
                 }
               });
     }
   }
 
-  private ObjectNode whole() {
+  private ObjectNode completeList() {
     final ObjectNode list = JSON.createObjectNode().put("seq", seq).put("whole", true);
     final ArrayNode all = list.putArray("hosts");
     hosts.values().forEach(all::add);
@@ -112,8 +112,8 @@
 
   private void serve(final HttpExchange exchange) {
     if (exchange.path().equals("/v1/outcomes")) {
-      outcomes(exchange);
-    } else if (silent) {
+      receiveOutcomes(exchange);
+    } else if (unresponsive) {
       return;
     } else if (exchange.query("watch") != null) {
       watch(exchange);
@@ -124,7 +124,7 @@
 
   private synchronized void watch(final HttpExchange exchange) {
     exchange.begin(200);
-    exchange.chunk(whole() + "\n");
+    exchange.chunk(completeList() + "\n");
     watches.add(exchange);
     exchange.channel().closeFuture().addListener(closed -> watches.remove(exchange));
     exchange
@@ -132,7 +132,7 @@
         .eventLoop()
         .scheduleWithFixedDelay(
             () -> {
-              if (!silent && exchange.channel().isActive()) {
+              if (!unresponsive && exchange.channel().isActive()) {
                 exchange.chunk("\n");
               }
             },
@@ -141,12 +141,12 @@
             TimeUnit.MILLISECONDS);
   }
 
-  private void outcomes(final HttpExchange exchange) {
+  private void receiveOutcomes(final HttpExchange exchange) {
     try {
       for (final String line : new String(exchange.body(), StandardCharsets.UTF_8).split("\n")) {
         final JsonNode notice = JSON.readTree(line);
-        auditor.recordOutcomeNotice(
-            ticks.nowUs(),
+        ruleChecker.recordOutcomeNotice(
+            clock.nowUs(),
             notice.path("id").asText(),
             notice.path("status").asText().equals("deferred"));
       }
--- a/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInRegistry.java
@@ -19,10 +19,10 @@
 import java.util.function.Predicate;
 
 /**
- * A registry that speaks Eureka's REST operations (wiki page "Eureka REST operations") in JSON
- * under {@code /eureka}: register, renew, cancel, status overrides, metadata, all, deltas, one
- * application, one instance, and VIPs. Entries keep whatever a registration held. Faults can be
- * switched on, and leases expire when a test says that time has passed.
+ * A registry with Eureka's REST operations (wiki page "Eureka REST operations") in JSON under
+ * {@code /eureka}: register, renew, cancel, status overrides, metadata, all, deltas, one
+ * application, one instance, and VIPs. Entries keep everything that a registration held. Faults can
+ * be injected, and leases expire when a test advances the time.
  */
 public final class StandInRegistry implements AutoCloseable {
   private static final String BASE = "/eureka";
@@ -32,29 +32,29 @@
   private static final long DEFAULT_LEASE_MS = 90_000;
 
   /**
-   * What is wrong with its answers to questions (registrations and renewals go by {@link
-   * #refuseRenewals}).
+   * The fault of its answers to queries; registrations and renewals are controlled by {@link
+   * #refuseRenewals}.
    */
   public enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** It takes questions and never answers. */
+    /** Accepts queries and never answers. */
     HUNG,
-    /** It answers 503. */
+    /** Answers 503. */
     UNAVAILABLE,
-    /** It answers with bytes that are no HTTP. */
+    /** Answers with bytes that are not HTTP. */
     NOISE,
-    /** It answers 200 with text that is no JSON. */
+    /** Answers 200 with text that is not JSON. */
     NOT_JSON,
-    /** It breaks off in the middle of its JSON. */
+    /** Closes the connection in the middle of its JSON. */
     TRUNCATED,
-    /** It begins well and goes on for a gigabyte. */
+    /** Begins with valid JSON and continues for a gigabyte. */
     HUGE,
-    /** It answers whole and well-formed, with no instance. */
+    /** Answers completely and well-formed, without any instance. */
     EMPTY,
-    /** It answers with what it had when the fault began. */
+    /** Answers with the content it had when the fault began. */
     STALE,
-    /** Its hash does not match what it tells. */
+    /** Sends a hash that does not match its content. */
     WRONG_HASH
   }
 
@@ -70,26 +70,26 @@
   private boolean refusesDeltas;
   private long nowMs = System.currentTimeMillis();
   private long version = 1;
-  private Runnable onTold = () -> {};
+  private Runnable onAnswerWritten = () -> {};
 
-  /** Listens on 127.0.0.1, on a port of the system's choice; it knows nobody. */
+  /** Listens on 127.0.0.1, on a port that the system chooses; it has no instances. */
   public StandInRegistry(final EventLoopGroup group) {
     this.server = new HttpStandIn(group, new InetSocketAddress("127.0.0.1", 0), this::serve);
   }
 
-  /** The base of its addresses, as clients are configured with it. */
+  /** The base URL, as clients are configured with it. */
   public String url() {
     return "http://" + server.address() + BASE;
   }
 
-  /** The server, to bring it down and up again. */
+  /** The server; stops it and starts it again. */
   public HttpStandIn server() {
     return server;
   }
 
-  /** From now on this is wrong with its answers. */
+  /** Sets the fault of its answers. */
   public synchronized void setFault(final Fault next) {
-    snapshot = next == Fault.STALE ? all(false, unused -> true).toString() : "";
+    snapshot = next == Fault.STALE ? applicationsJson(false, unused -> true).toString() : "";
     fault = next;
   }
 
@@ -98,21 +98,19 @@
     refusesRenewals = on;
   }
 
-  /**
-   * While true, it answers no question for changes, as a registry on which they are switched off.
-   */
+  /** While true, it answers delta queries with 404, as a registry with deltas switched off. */
   public synchronized void refuseDeltas(final boolean on) {
     refusesDeltas = on;
   }
 
-  /** How often each kind of request came, by method and operation. */
+  /** How many requests of each kind came, by method and operation. */
   public synchronized Map<String, Integer> requests() {
     return new TreeMap<>(requests);
   }
 
   // ---------------------------------------------------------------- entries
 
-  /** An instance as a registration would have it; metadata come as name, value, name, value. */
+  /** An instance as a registration holds it; metadata are given as name, value, name, value. */
   public static ObjectNode instance(
       final String app,
       final String id,
@@ -143,9 +141,9 @@
         .put("lastRenewalTimestamp", 0)
         .put("evictionTimestamp", 0)
         .put("serviceUpTimestamp", 0);
-    final ObjectNode about = instance.putObject("metadata");
+    final ObjectNode metadataNode = instance.putObject("metadata");
     for (int index = 0; index < metadata.length; index += 2) {
-      about.put(metadata[index], metadata[index + 1]);
+      metadataNode.put(metadata[index], metadata[index + 1]);
     }
     return instance
         .put("vipAddress", app.toLowerCase(Locale.ROOT))
@@ -176,11 +174,11 @@
         "1000");
   }
 
-  /** Enters an instance, or enters it anew. */
+  /** Adds or replaces an instance. */
   public synchronized void register(final ObjectNode instance) {
     final String app = instance.path("app").asText();
     final boolean known = apps.containsKey(app) && apps.get(app).containsKey(id(instance));
-    final String stamp = Long.toString(tick());
+    final String stamp = Long.toString(nextTimestamp());
     instance.put("lastUpdatedTimestamp", stamp).put("actionType", known ? "MODIFIED" : "ADDED");
     if (!instance.has("lastDirtyTimestamp")) {
       instance.put("lastDirtyTimestamp", stamp);
@@ -195,35 +193,35 @@
     return new Lease(instance, nowMs + ms);
   }
 
-  /** Time stamps that grow even within one millisecond. */
-  private long tick() {
+  /** Returns a time stamp; they increase even within one millisecond. */
+  private long nextTimestamp() {
     version++;
     return nowMs + version;
   }
 
-  /** The instance itself says that its status is another one. */
+  /** Changes the status that the instance itself reports. */
   public synchronized boolean setStatus(final String app, final String id, final String status) {
     final Lease lease = find(app, id);
     if (lease == null) {
       return false;
     }
     final ObjectNode changed = lease.instance().deepCopy().put("status", status);
-    changed.put("lastDirtyTimestamp", Long.toString(tick()));
+    changed.put("lastDirtyTimestamp", Long.toString(nextTimestamp()));
     register(changed);
     return true;
   }
 
   /**
-   * As {@link #setStatus(String, String, String)}; each answer from then on that is written whole
-   * is told of.
+   * As {@link #setStatus(String, String, String)}; runs the listener whenever a complete answer has
+   * been written from then on.
    */
   public synchronized boolean setStatus(
       final String app, final String id, final String status, final Runnable onAnswer) {
-    onTold = onAnswer;
+    onAnswerWritten = onAnswer;
     return setStatus(app, id, status);
   }
 
-  /** An operator overrides its status; null ends that. */
+  /** Overrides its status as an operator does; null removes the override. */
   public synchronized boolean overrideStatus(
       final String app, final String id, final String status) {
     final Lease lease = find(app, id);
@@ -238,7 +236,7 @@
     return true;
   }
 
-  /** Takes an instance out. */
+  /** Removes an instance. */
   public synchronized boolean cancel(final String app, final String id) {
     final Lease lease = find(app, id);
     if (lease == null) {
@@ -253,14 +251,11 @@
             .instance()
             .deepCopy()
             .put("actionType", "DELETED")
-            .put("lastUpdatedTimestamp", Long.toString(tick())));
+            .put("lastUpdatedTimestamp", Long.toString(nextTimestamp())));
     return true;
   }
 
-  /**
-   * So much time has passed: leases that were not renewed expire, and older changes are told no
-   * more.
-   */
+  /** Advances the time: leases that were not renewed expire, and older changes leave the delta. */
   public synchronized void advanceTime(final long ms) {
     nowMs += ms;
     recent.clear();
@@ -273,7 +268,7 @@
     }
   }
 
-  /** It restarts and has forgotten everybody. */
+  /** Restarts without its entries. */
   public synchronized void restart() {
     apps.clear();
     recent.clear();
@@ -286,7 +281,7 @@
     return lease == null ? null : lease.instance().deepCopy();
   }
 
-  /** How many instances it has. */
+  /** The number of instances it has. */
   public synchronized int size() {
     return apps.values().stream().mapToInt(Map::size).sum();
   }
@@ -304,16 +299,17 @@
 
   // ---------------------------------------------------------------- answers
 
-  /** All instances of a kind, or the recent changes, as the registry tells them. */
-  private ObjectNode all(final boolean changes, final Predicate<JsonNode> wanted) {
+  /** The applications with all matching instances, or with the recent changes only. */
+  private ObjectNode applicationsJson(final boolean changes, final Predicate<JsonNode> wanted) {
     final Map<String, ArrayNode> byApp = new LinkedHashMap<>();
-    final List<ObjectNode> told = new ArrayList<>();
+    final List<ObjectNode> selected = new ArrayList<>();
     if (changes) {
-      told.addAll(recent);
+      selected.addAll(recent);
     } else {
-      apps.values().forEach(leases -> leases.values().forEach(lease -> told.add(lease.instance())));
+      apps.values()
+          .forEach(leases -> leases.values().forEach(lease -> selected.add(lease.instance())));
     }
-    for (final ObjectNode instance : told) {
+    for (final ObjectNode instance : selected) {
       if (wanted.test(instance)) {
         byApp
             .computeIfAbsent(instance.path("app").asText(), unused -> JSON.createArrayNode())
@@ -330,7 +326,7 @@
     return root;
   }
 
-  /** How many instances there are of each status: "DOWN_1_UP_7_". */
+  /** The number of instances of each status, as Eureka's hash: "DOWN_1_UP_7_". */
   private String hash(final Predicate<JsonNode> wanted) {
     final Map<String, Integer> counts = new TreeMap<>();
     apps.values()
@@ -358,9 +354,9 @@
     final String[] parts = path.substring(BASE.length() + 1).split("/");
     requests.merge(exchange.method() + " " + operation(parts), 1, Integer::sum);
     if (exchange.method().equals("GET")) {
-      ask(exchange, parts);
+      answerQuery(exchange, parts);
     } else {
-      change(exchange, parts);
+      handleChange(exchange, parts);
     }
   }
 
@@ -376,34 +372,34 @@
                     : parts.length > 3 ? "/{app}/{id}/" + parts[3] : "");
   }
 
-  private void ask(final HttpExchange exchange, final String[] parts) {
+  private void answerQuery(final HttpExchange exchange, final String[] parts) {
     switch (fault) {
       case HUNG -> {}
       case UNAVAILABLE -> exchange.answer(503, "");
       case NOISE -> exchange.raw(noise());
       case NOT_JSON ->
           exchange.answer(200, "<html>proxy</html>", "Content-Type", "application/json");
-      case TRUNCATED -> cut(exchange, whatIsAsked(parts));
+      case TRUNCATED -> cut(exchange, queryResult(parts));
       case HUGE -> huge(exchange);
       case EMPTY ->
-          tell(
+          answerJson(
               exchange,
               "{\"applications\":{\"versions__delta\":\"1\",\"apps__hashcode\":\"\","
                   + "\"application\":[]}}");
-      case STALE -> tell(exchange, snapshot);
+      case STALE -> answerJson(exchange, snapshot);
       default -> {
-        final String answer = whatIsAsked(parts);
+        final String answer = queryResult(parts);
         if (answer == null) {
           exchange.answer(404, "");
         } else {
-          tell(exchange, answer);
+          answerJson(exchange, answer);
         }
       }
     }
   }
 
-  private void tell(final HttpExchange exchange, final String json) {
-    final Runnable listener = onTold;
+  private void answerJson(final HttpExchange exchange, final String json) {
+    final Runnable listener = onAnswerWritten;
     exchange
         .answer(200, json, "Content-Type", "application/json")
         .addListener(
@@ -427,32 +423,32 @@
         .addListener(written -> exchange.channel().close());
   }
 
-  /** A gigabyte of well-formed instances without end, at the pace at which it is read. */
+  /** Sends a gigabyte of well-formed instances, at the pace at which it is read. */
   private static void huge(final HttpExchange exchange) {
     exchange.begin(200);
     exchange.chunk(
         "{\"applications\":{\"application\":[{\"name\":\"X\",\"instance\":[{\"app\":\"X\"}");
     final String filler = ",{\"app\":\"X\"}".repeat(HUGE_CHUNK_BYTES / 12);
-    more(exchange, filler, HUGE_BYTES);
+    writeMore(exchange, filler, HUGE_BYTES);
   }
 
-  private static void more(final HttpExchange exchange, final String filler, final long left) {
+  private static void writeMore(final HttpExchange exchange, final String filler, final long left) {
     final ChannelFuture written = exchange.chunk(filler);
     written.addListener(
         done -> {
           if (done.isSuccess() && left > 0) {
-            more(exchange, filler, left - filler.length());
+            writeMore(exchange, filler, left - filler.length());
           }
         });
   }
 
-  /** The JSON of a question; null if there is no such thing. */
-  private String whatIsAsked(final String[] parts) {
+  /** The JSON that answers a query; null if there is no such resource. */
+  private String queryResult(final String[] parts) {
     if (parts[0].equals("apps") && parts.length == 1) {
-      return all(false, unused -> true).toString();
+      return applicationsJson(false, unused -> true).toString();
     }
     if (parts[0].equals("apps") && parts.length == 2 && parts[1].equals("delta")) {
-      return refusesDeltas ? null : all(true, unused -> true).toString();
+      return refusesDeltas ? null : applicationsJson(true, unused -> true).toString();
     }
     if (parts[0].equals("apps") && parts.length == 2) {
       final Map<String, Lease> leases = apps.get(parts[1].toUpperCase(Locale.ROOT));
@@ -469,19 +465,19 @@
     }
     if (parts[0].equals("vips") || parts[0].equals("svips")) {
       final String field = parts[0].equals("vips") ? "vipAddress" : "secureVipAddress";
-      return all(
+      return applicationsJson(
               false,
               instance -> List.of(instance.path(field).asText().split(",")).contains(parts[1]))
           .toString();
     }
     final JsonNode one =
         parts[0].equals("instances") && parts.length == 2
-            ? anywhere(parts[1])
+            ? findById(parts[1])
             : parts.length == 3 ? entry(parts[1], parts[2]) : null;
     return one == null ? null : JSON.createObjectNode().set("instance", one).toString();
   }
 
-  private JsonNode anywhere(final String id) {
+  private JsonNode findById(final String id) {
     for (final Map<String, Lease> leases : apps.values()) {
       final Iterator<Lease> same =
           leases.values().stream().filter(lease -> id(lease.instance()).equals(id)).iterator();
@@ -492,7 +488,7 @@
     return null;
   }
 
-  private void change(final HttpExchange exchange, final String[] parts) {
+  private void handleChange(final HttpExchange exchange, final String[] parts) {
     if (fault == Fault.HUNG) {
       return;
     }
--- a/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInWorld.java
@@ -15,39 +15,40 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Everything round one courier: the platform, endpoints, a registry, a client that hands in at a
- * seeded pace, and the Auditor that sees it all. Whoever makes one starts a courier of its own with
- * {@link #environment}.
+ * Everything around one courier: the platform, endpoints, a registry, a client that submits
+ * messages at a seeded rate, and the rule checker that observes them. The caller starts its own
+ * courier with {@link #environment}.
  */
 public final class StandInWorld implements AutoCloseable {
-  private static final long AWAIT_S = 30;
+  private static final long AWAIT_TIMEOUT_S = 30;
   private static final long US_PER_MS = 1000;
   private static final long GRACE_MS = 400;
 
   /**
-   * How often each loop of the stand-ins looks whether it runs; later by so much, us, it did not.
+   * Interval at which each event loop of the stand-ins checks that it runs; a check that is late by
+   * more than {@link #LATE_CHECK_US} means that the loop was paused.
    */
-  private static final long BEAT_MS = 20;
+  private static final long LOOP_CHECK_MS = 20;
 
-  private static final long LATE_BEAT_US = 20_000;
+  private static final long LATE_CHECK_US = 20_000;
 
-  /** The classes that are handed in, evenly mixed. */
+  /** The message classes that are submitted, evenly mixed. */
   private static final List<String> CLASSES = List.of("safe", "keyed", "once");
 
-  /** What the rules have to say. */
+  /** Checks the rules. */
   public final RuleChecker ruleChecker =
       new RuleChecker(RuleChecker.Tolerances.standard(), CourierFiles.CLASSES);
 
-  /** The clock of all that is told to the Auditor. */
+  /** The clock of everything that is reported to the rule checker. */
   public final MonotonicClock clock = new MonotonicClock();
 
-  /** The list, the watch and the ends. */
+  /** The endpoint list, the watch on it and the receiver of outcome notices. */
   public final StandInPlatform platform;
 
-  /** A registry, at first empty and sound. */
+  /** A registry, empty and without a fault at first. */
   public final StandInRegistry registry;
 
-  /** Who hands in. */
+  /** The client that submits messages. */
   public final StandInClient client;
 
   private final EventLoopGroup group =
@@ -59,44 +60,47 @@
   private volatile boolean loading;
   private volatile List<String> loadedClasses = CLASSES;
 
-  /** A world that keeps its files in a folder; all chance comes from the seed. */
+  /** Keeps its files in a folder; all randomness comes from the seed. */
   public StandInWorld(final Path folder, final long seed) {
     this.folder = folder;
     this.random = new Random(seed);
     this.platform = new StandInPlatform(group, ruleChecker, clock);
     this.registry = registry();
     this.client = new StandInClient(group, "m" + Long.toHexString(seed) + "-", ruleChecker, clock);
-    group.forEach(loop -> beat((EventLoop) loop, clock.nowUs() + BEAT_MS * US_PER_MS));
+    group.forEach(loop -> monitorLoop((EventLoop) loop, clock.nowUs() + LOOP_CHECK_MS * US_PER_MS));
   }
 
-  /** The judge's own pulse: a loop that did not run saw what came meanwhile late. */
-  private void beat(final EventLoop loop, final long dueUs) {
+  /**
+   * Detects pauses of the test process itself: what arrived while a loop did not run was observed
+   * late.
+   */
+  private void monitorLoop(final EventLoop loop, final long dueUs) {
     final long delayUs = Math.max(0, dueUs - clock.nowUs());
     loop.schedule(
         () -> {
           final long nowUs = clock.nowUs();
-          if (nowUs - dueUs > LATE_BEAT_US) {
+          if (nowUs - dueUs > LATE_CHECK_US) {
             ruleChecker.recordCheckerPause(dueUs, nowUs);
           }
-          beat(loop, nowUs + BEAT_MS * US_PER_MS);
+          monitorLoop(loop, nowUs + LOOP_CHECK_MS * US_PER_MS);
         },
         delayUs,
         TimeUnit.MICROSECONDS);
   }
 
-  /** A further client, of another courier of the same fleet; to be closed by whoever asks. */
+  /** Returns a further client, for another courier of the same fleet; the caller closes it. */
   public StandInClient client(final String prefix) {
     return new StandInClient(group, prefix, ruleChecker, clock);
   }
 
-  /** A further registry. */
+  /** Returns a further registry. */
   public StandInRegistry registry() {
-    final StandInRegistry further = new StandInRegistry(group);
-    registries.add(further);
-    return further;
+    final StandInRegistry added = new StandInRegistry(group);
+    registries.add(added);
+    return added;
   }
 
-  /** A further endpoint of a destination; nobody names it yet. */
+  /** Returns a further endpoint of a destination; the platform doesn't list it yet. */
   public StandInEndpoint endpoint(final long destination) {
     final StandInEndpoint endpoint =
         new StandInEndpoint(group, "e" + endpoints.size(), destination, ruleChecker, clock);
@@ -105,55 +109,58 @@
   }
 
   /**
-   * Ends what a killed process had open at the endpoints, and waits until all of it is over. What
-   * it said and is not read yet goes with its connections, also one that its end left half made:
-   * whatever is read from then on is the next one's, which within one Java machine begins within
-   * milliseconds.
+   * Resets the connections that a killed process had open at the endpoints, and waits until all of
+   * them are gone. Unread data on them is dropped, also that of a connection that was only half
+   * established. Whatever is read from then on comes from the next process, which starts within
+   * milliseconds when it runs in the same Java machine.
    */
   public void resetConnections() {
     endpoints.forEach(endpoint -> endpoint.server().resetAll());
     await(
-        "the end of the old process at every endpoint",
+        "the end of the old connections at every endpoint",
         () -> endpoints.stream().allMatch(endpoint -> endpoint.server().connections() == 0));
   }
 
-  /** A number from the world's chance. */
+  /** Returns a random number below the bound, from the seed. */
   public int randomInt(final int bound) {
     return random.nextInt(bound);
   }
 
-  /** What a courier of this world finds in its environment, with the list as it is now. */
+  /**
+   * Writes the configuration with the endpoint list as it is now, and returns the environment of a
+   * courier.
+   */
   public Map<String, String> environment(final CourierFiles.Size size) throws IOException {
     return CourierFiles.write(folder, "n0", platform.address(), platform.known(), size);
   }
 
-  /** From now on messages of these classes are handed in, evenly mixed. */
+  /** Submits messages of these classes from now on, evenly mixed. */
   public void setLoadClasses(final String... names) {
     loadedClasses = List.of(names);
   }
 
   /**
-   * Hands in so many messages a second, to each destination in turn, until {@link
+   * Submits that many messages a second, to each destination in turn, until {@link
    * #stopLoadAndCheck}.
    */
   public void startLoad(final double perSecond, final long timeoutMs, final long... destinations) {
     startLoad(client, perSecond, timeoutMs, destinations);
   }
 
-  /** The same by a further client. */
+  /** Does the same with a further client. */
   public void startLoad(
-      final StandInClient by,
+      final StandInClient sender,
       final double perSecond,
       final long timeoutMs,
       final long... destinations) {
     loading = true;
     final long gapUs = (long) (1_000_000 / perSecond);
     final long beganUs = clock.nowUs();
-    group.next().execute(() -> handIn(by, beganUs, 0, gapUs, timeoutMs, destinations));
+    group.next().execute(() -> submitDue(sender, beganUs, 0, gapUs, timeoutMs, destinations));
   }
 
-  private void handIn(
-      final StandInClient by,
+  private void submitDue(
+      final StandInClient sender,
       final long beganUs,
       final long number,
       final long gapUs,
@@ -163,63 +170,68 @@
       return;
     }
     long next = number;
-    // The pace is that of the clock: what a late timer missed is handed in at once.
+    // The rate follows the clock: messages missed by a late timer are submitted at once.
     while (beganUs + next * gapUs <= clock.nowUs()) {
-      by.submit(
+      sender.submit(
           loadedClasses.get(random.nextInt(loadedClasses.size())),
           destinations[(int) (next % destinations.length)],
           timeoutMs);
       next++;
     }
-    final long then = next;
+    final long following = next;
     group
         .next()
         .schedule(
-            () -> handIn(by, beganUs, then, gapUs, timeoutMs, destinations),
-            Math.max(1, beganUs + then * gapUs - clock.nowUs()),
+            () -> submitDue(sender, beganUs, following, gapUs, timeoutMs, destinations),
+            Math.max(1, beganUs + following * gapUs - clock.nowUs()),
             TimeUnit.MICROSECONDS);
   }
 
-  /** Hands in no more; what is out comes to its end. */
+  /** Stops submitting; messages in progress run to their final outcome. */
   public void stopSubmitting() {
     loading = false;
   }
 
-  /** Hands in no more, and waits until all that was taken on has its end, or its time is up. */
+  /**
+   * Stops submitting, waits until every accepted message has its final outcome, and returns the
+   * violations.
+   */
   public List<Violation> stopLoadAndCheck() {
     loading = false;
     await(
-        "an end for every message", () -> client.pendingRequests() <= 0 && ruleChecker.allEnded());
+        "the final outcome of every message",
+        () -> client.pendingRequests() <= 0 && ruleChecker.allEnded());
     return ruleChecker.finish(clock.nowUs());
   }
 
   /**
-   * Hands in no more, and lets the last messages' time pass, unless all have ended before: for
-   * couriers that may lose some. Messages whose clients gave up waiting are waited for as well.
+   * Stops submitting, and waits until the deadline of the last message has passed, unless all have
+   * their outcome earlier: for couriers that may lose some. Messages whose clients timed out are
+   * waited for as well.
    */
   public List<Violation> stopLoadAndCheck(final long timeoutMs) {
     loading = false;
     final long untilUs = clock.nowUs() + (timeoutMs + GRACE_MS) * 1000;
-    await("the last message's time", () -> clock.nowUs() > untilUs || ruleChecker.allSettled());
+    await("the last message's deadline", () -> clock.nowUs() > untilUs || ruleChecker.allSettled());
     return ruleChecker.finish(clock.nowUs());
   }
 
-  /** Waits until that moment of the stand-ins' clock, us. */
+  /** Waits until the stand-ins' clock shows that time, us. */
   public void waitUntil(final long us) {
     while (clock.nowUs() < us) {
       LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Math.max(1, us - clock.nowUs())));
     }
   }
 
-  /** Waits for what must come, under a bound that only a failure reaches. */
+  /** Waits for a condition; the limit is only reached by a failure. */
   public void await(final String what, final BooleanSupplier condition) {
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_S);
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > untilNs) {
         throw new AssertionError(
-            "never came: "
+            "timed out waiting for "
                 + what
-                + "; ends so far "
+                + "; outcomes so far "
                 + ruleChecker.outcomeCounts()
                 + ", "
                 + ruleChecker.finish(clock.nowUs()));
--- a/testkit/src/main/java/thistleturn/testkit/Violation.java
+++ b/testkit/src/main/java/thistleturn/testkit/Violation.java
@@ -1,9 +1,9 @@
 package thistleturn.testkit;
 
-/** A rule that was broken: which, when (us after the Auditor's start), and by what. */
+/** A violated rule: which, when (us after the start of the stand-ins' clock), and what happened. */
 public record Violation(Rule rule, long atUs, String what) {
 
-  /** The six rules, and the one that a message is for its own destination only. */
+  /** The six delivery rules, and the rule that a message goes to its own destination only. */
   public enum Rule {
     LOST,
     DOUBLE,
--- a/testkit/src/main/java/thistleturn/testkit/rig/ChildProcess.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/ChildProcess.java
@@ -15,11 +15,11 @@
 import java.util.function.Predicate;
 
 /**
- * One process of the program as a child of this one: what it says, and the signals that end, stop
- * and wake it. It is ended by its pid, which this test started, and by nothing else.
+ * One process of the program as a child of this one: its output, and the signals that end, pause
+ * and resume it. It is signalled only by the pid that was started here.
  */
 public final class ChildProcess implements AutoCloseable {
-  private static final long PATIENCE_S = 60;
+  private static final long WAIT_S = 60;
   private static final String TASKSET = "/usr/bin/taskset";
 
   private final Process process;
@@ -27,7 +27,7 @@
 
   private ChildProcess(final Process process) {
     this.process = process;
-    final Thread reader = new Thread(this::read, "says-" + process.pid());
+    final Thread reader = new Thread(this::readOutput, "says-" + process.pid());
     reader.setDaemon(true);
     reader.start();
   }
@@ -35,8 +35,7 @@
   /**
    * Starts a main class of this class path with the Java options of a small courier.
    *
-   * @param cores the cores that it may use, as taskset takes them; empty, or where there is no
-   *     taskset: all
+   * @param cores the cores that it may use, in taskset's syntax; all if empty or without taskset
    */
   public static ChildProcess java(
       final Map<String, String> environment, final String cores, final String... mainAndArguments)
@@ -62,7 +61,7 @@
     return new ChildProcess(builder.start());
   }
 
-  private void read() {
+  private void readOutput() {
     try (BufferedReader out =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
@@ -70,31 +69,31 @@
         lines.add(line);
       }
     } catch (final IOException e) {
-      lines.add("cannot be read any more: " + e.getMessage());
+      lines.add("its output cannot be read any more: " + e.getMessage());
     }
   }
 
-  /** Its number, as the system has it. */
+  /** The process id. */
   public long pid() {
     return process.pid();
   }
 
-  /** True until it has ended. */
+  /** True until the process has ended. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** What it has said so far, a line each. */
+  /** Its output so far, by line. */
   public List<String> lines() {
     return lines;
   }
 
   /**
-   * Waits for a line under a bound that only a failure reaches; a process that ends before is a
-   * failure.
+   * Waits for a line of output, with a limit that only a failure reaches; a process that ends
+   * before fails the wait.
    */
   public String await(final Predicate<String> wanted) {
-    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     while (true) {
       for (final String line : lines) {
         if (wanted.test(line)) {
@@ -102,46 +101,47 @@
         }
       }
       if (System.nanoTime() > untilNs || (!process.isAlive() && lines.stream().noneMatch(wanted))) {
-        throw new AssertionError("process " + process.pid() + " never said it: " + lines);
+        throw new AssertionError(
+            "process " + process.pid() + " did not print the expected line: " + lines);
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
     }
   }
 
-  /** Stands still from now on, with all that it holds. */
+  /** Pauses the process (SIGSTOP). */
   public void pause() throws IOException {
     signal("STOP");
   }
 
-  /** Goes on. */
+  /** Resumes the process (SIGCONT). */
   public void resume() throws IOException {
     signal("CONT");
   }
 
-  /** Is asked to read its configuration again. */
+  /** Makes it reload its configuration (SIGHUP). */
   public void hangUp() throws IOException {
     signal("HUP");
   }
 
-  /** Runs on these cores alone from now on, with all its threads, as taskset takes them. */
+  /** Restricts all its threads to these cores, in taskset's syntax. */
   public void runOn(final String cores) throws IOException {
     if (process.isAlive() && Files.isExecutable(Path.of(TASKSET))) {
       run(TASKSET, "-a", "-c", "-p", cores, Long.toString(process.pid()));
     }
   }
 
-  /** Is asked to end. */
+  /** Ends it gracefully (SIGTERM). */
   public void terminate() {
     process.destroy();
   }
 
-  /** Ends at once, and is over when this returns. */
+  /** Kills it, and returns once it has ended. */
   public void kill() {
     process.destroyForcibly();
     try {
-      // By this thread alone: a future's would need one of a pool whose threads may all be waiting
-      // for this one.
-      if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+      // Waits on this thread: a future would need a thread of a pool whose threads may all be
+      // waiting for this one.
+      if (!process.waitFor(WAIT_S, TimeUnit.SECONDS)) {
         throw new AssertionError("process " + process.pid() + " does not end");
       }
     } catch (final InterruptedException e) {
--- a/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One fault of a schedule.
+ * A fault of a schedule.
  *
- * @param atMs when it begins
- * @param forMs for how long; 0: for good, or it takes no time
- * @param kind what it is
+ * @param atMs when it begins, ms
+ * @param forMs its duration, ms; 0 if it lasts to the end or is instantaneous
+ * @param kind the kind of fault
  * @param targets the numbers of the processes that it affects; of a cut, the senders
  * @param others of a cut, the receivers; of a break, the other ends of the connections
- * @param value of LOSS and DOUBLE a share, of DELAY ms, of STARVE the share of a core
+ * @param value the share for LOSS and DOUBLE, ms for DELAY, the share of a core for STARVE
  */
 public record Fault(
     long atMs, long forMs, Kind kind, List<Integer> targets, List<Integer> others, double value) {
@@ -18,35 +18,33 @@
   public enum Kind {
     /** SIGKILL. */
     KILL,
-    /** A further life of one that was killed or left. */
+    /** Starts one that was killed or left again, as a new incarnation. */
     START,
     /** SIGTERM. */
     LEAVE,
-    /** SIGSTOP, and SIGCONT when it is over. */
+    /** SIGSTOP, and SIGCONT at the end. */
     PAUSE,
-    /** It gets that share of a core. */
+    /** The process gets that share of a core. */
     STARVE,
-    /** Nothing passes from one to the other. */
+    /** No data pass from one to the other. */
     CUT,
-    /** Open connections between them are reset, both ways. */
+    /** Resets the open connections between them, both ways. */
     BREAK,
-    /**
-     * That share of datagrams is lost between all; connections stall as if they were sent again.
-     */
+    /** That share of datagrams is lost between all; connections stall as for a retransmission. */
     LOSS,
-    /** That share of datagrams comes twice. */
+    /** That share of datagrams is duplicated. */
     DOUBLE,
-    /** Datagrams take up to so much longer, each by lot, so that they overtake each other. */
+    /** Datagrams are delayed by a random time up to that, so that they may be reordered. */
     DELAY
   }
 
-  /** Lists that nobody changes any more. */
+  /** Copies the lists, so that they are immutable. */
   public Fault {
     targets = List.copyOf(targets);
     others = List.copyOf(others);
   }
 
-  /** When it is over, ms; for good: never. */
+  /** When it ends, ms; {@link Long#MAX_VALUE} without an end. */
   public long endMs() {
     return forMs == 0 ? Long.MAX_VALUE : atMs + forMs;
   }
--- a/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FaultShim.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Makes system calls of one child process fail: a library for {@code LD_PRELOAD}, built once for
- * each Java machine from the source beside this class, which names the rules that it takes.
+ * Makes system calls of one child process fail with a library for {@code LD_PRELOAD}. It is built
+ * once for each Java machine from the source beside this class, which documents the rules.
  */
 public final class FaultShim {
   private static final String SOURCE = "faults.c";
@@ -21,30 +21,30 @@
     environment.put("FAULTS_FOLDER", folder.toString());
   }
 
-  /** No fault yet; rules on files count below that folder. */
+  /** Starts without rules; rules on files apply below that folder. */
   public static FaultShim forFolder(final Path folder) {
     return new FaultShim(folder.toAbsolutePath());
   }
 
-  /** A further rule, as {@code faults.c} reads it. */
+  /** Adds a rule in the syntax of {@code faults.c}. */
   public FaultShim rule(final String rule) {
     environment.merge("FAULTS", rule, (before, more) -> before + ";" + more);
     return this;
   }
 
-  /** What chance a rule leaves comes from this. */
+  /** Sets the seed of the rules' random choices. */
   public FaultShim seed(final long seed) {
     environment.put("FAULTS_SEED", Long.toString(seed & Integer.MAX_VALUE));
     return this;
   }
 
-  /** From so long after the start of the process its wall clock is off by so much. */
+  /** Shifts the process's wall clock, from a time after its start on. */
   public FaultShim shiftWallClock(final long fromMs, final long shiftMs) {
     environment.merge("WALL_STEPS", fromMs + ":" + shiftMs, (before, more) -> before + "," + more);
     return this;
   }
 
-  /** What the child finds in its environment, beside what it is given anyway. */
+  /** Returns the environment of the child: the given one with the rules. */
   public Map<String, String> environment(final Map<String, String> given) throws IOException {
     final Map<String, String> all = new HashMap<>(given);
     all.putAll(environment);
@@ -72,12 +72,12 @@
                   "-ldl")
               .redirectErrorStream(true)
               .start();
-      final String said =
+      final String output =
           new String(
               compiler.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
       try {
         if (compiler.waitFor() != 0) {
-          throw new IOException("cc: " + said);
+          throw new IOException("cc: " + output);
         }
       } catch (final InterruptedException e) {
         Thread.currentThread().interrupt();
--- a/testkit/src/main/java/thistleturn/testkit/rig/FleetChecker.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/FleetChecker.java
@@ -9,51 +9,51 @@
 import java.util.TreeMap;
 
 /**
- * Judges what couriers say of one another against what was done to them: of real processes and of
- * virtual ones. It is told which lives begin, end and stand still, and which views couriers hold,
- * all with the time, ms.
+ * Checks the membership views of couriers against the faults that were injected, for real and for
+ * simulated processes. It is notified of processes that start, end and pause, and of the views that
+ * couriers hold, all with the time, ms.
  */
 public final class FleetChecker {
   private final long pauseLimitMs;
 
-  /** Views by line and number: the promise is that one number has one content. */
-  private final Map<String, Set<String>> contents = new HashMap<>();
+  /** Members by lineage and view number: a view number must have one content only. */
+  private final Map<String, Set<String>> membersByView = new HashMap<>();
 
-  private final Map<String, Set<String>> held = new TreeMap<>();
-  private final Map<String, String> heldLine = new HashMap<>();
-  private final Map<String, String> livesByName = new HashMap<>();
+  private final Map<String, Set<String>> heldViews = new TreeMap<>();
+  private final Map<String, String> heldLineage = new HashMap<>();
+  private final Map<String, String> runningByName = new HashMap<>();
   private final Map<String, Long> startedMs = new HashMap<>();
   private final Map<String, Long> endedMs = new HashMap<>();
   private final Map<String, Long> pausedMs = new HashMap<>();
   private final Map<String, Long> longestPauseMs = new HashMap<>();
   private final Set<String> excused = new HashSet<>();
-  private final Map<String, Map<String, Long>> known = new HashMap<>();
+  private final Map<String, Map<String, Long>> knownEnds = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
   private final Set<String> wronglyDead = new HashSet<>();
   private long disagreeSinceMs = -1;
-  private long agreedMs;
-  private int changes;
+  private long lastAgreementMs;
+  private int viewCount;
 
-  /** A courier that stood still for longer than that may be declared dead. */
+  /** A courier that was paused for longer than the limit may be declared dead. */
   public FleetChecker(final long pauseLimitMs) {
     this.pauseLimitMs = pauseLimitMs;
   }
 
-  /** A life begins: {@code life} is the name with its incarnation, as views have it. */
-  public void processStarted(final String name, final String life, final long atMs) {
-    if (livesByName.put(name, life) == null) {
+  /** A process starts: {@code incarnation} is its name with its incarnation number, as in views. */
+  public void processStarted(final String name, final String incarnation, final long atMs) {
+    if (runningByName.put(name, incarnation) == null) {
       startedMs.put(name, atMs);
     }
   }
 
-  /** A process ends, by a kill or in order. */
+  /** A process ends, by a kill or a graceful shutdown. */
   public void processEnded(final String name, final long atMs) {
-    endedMs.put(livesByName.get(name), atMs);
-    held.remove(name);
-    livesByName.remove(name);
+    endedMs.put(runningByName.get(name), atMs);
+    heldViews.remove(name);
+    runningByName.remove(name);
   }
 
-  /** A process stands still from now on, or goes on. */
+  /** A process is paused, or resumes. */
   public void setPaused(final String name, final boolean paused, final long atMs) {
     if (paused) {
       pausedMs.put(name, atMs);
@@ -64,7 +64,7 @@
   }
 
   /**
-   * A cut begins: those who lose half of the fleet or more for longer than the limit may be
+   * A cut begins: members that lose half of the fleet or more for longer than the limit may be
    * declared dead.
    */
   public void linksCut(final Fault fault, final List<String> names) {
@@ -78,125 +78,134 @@
     }
   }
 
-  /** A courier holds that view: members are lives. */
+  /** A courier holds this view; members are incarnations. */
   public void viewObserved(
       final String observer,
-      final String line,
+      final String lineage,
       final long number,
       final Set<String> members,
       final long atMs) {
-    final String view = line + '.' + number;
-    final Set<String> before = contents.putIfAbsent(view, members);
-    if (before != null && !before.equals(members)) {
+    final String view = lineage + '.' + number;
+    final Set<String> previous = membersByView.putIfAbsent(view, members);
+    if (previous != null && !previous.equals(members)) {
       violations.add(
           atMs
               + " ms: view "
               + view
-              + " has two contents: "
-              + before
+              + " has two member sets: "
+              + previous
               + " and "
               + members
               + " at "
               + observer);
     }
-    changes += before == null ? 1 : 0;
-    final Set<String> last = held.put(observer, members);
-    // Whoever begins another line declares nobody dead by it.
-    if (line.equals(heldLine.put(observer, line)) && last != null) {
-      for (final String life : last) {
-        final String name = life.substring(0, life.indexOf('#'));
-        if (!members.contains(life)
-            && life.equals(livesByName.get(name))
-            && !mayBeDead(name, atMs)) {
-          if (wronglyDead.add(life)) {
+    viewCount += previous == null ? 1 : 0;
+    final Set<String> lastMembers = heldViews.put(observer, members);
+    // A courier that changes to another lineage declares no member of the earlier one dead.
+    if (lineage.equals(heldLineage.put(observer, lineage)) && lastMembers != null) {
+      for (final String incarnation : lastMembers) {
+        final String name = incarnation.substring(0, incarnation.indexOf('#'));
+        if (!members.contains(incarnation)
+            && incarnation.equals(runningByName.get(name))
+            && !mayBeDeclaredDead(name, atMs)) {
+          if (wronglyDead.add(incarnation)) {
             violations.add(
-                atMs + " ms: " + life + " lives, and is out of view " + view + " of " + observer);
+                atMs
+                    + " ms: "
+                    + incarnation
+                    + " is running, and is missing in view "
+                    + view
+                    + " of "
+                    + observer);
           }
         }
       }
     }
-    note(observer, atMs);
+    recordKnownEnds(observer, atMs);
     compareViews(atMs);
   }
 
-  private boolean mayBeDead(final String name, final long atMs) {
-    final Long since = pausedMs.get(name);
+  private boolean mayBeDeclaredDead(final String name, final long atMs) {
+    final Long pausedSinceMs = pausedMs.get(name);
     return excused.contains(name)
         || longestPauseMs.getOrDefault(name, 0L) > pauseLimitMs
-        || (since != null && atMs - since > pauseLimitMs);
+        || (pausedSinceMs != null && atMs - pausedSinceMs > pauseLimitMs);
   }
 
-  private void note(final String observer, final long atMs) {
-    final Set<String> members = held.get(observer);
+  private void recordKnownEnds(final String observer, final long atMs) {
+    final Set<String> members = heldViews.get(observer);
     for (final Map.Entry<String, Long> one : endedMs.entrySet()) {
       if (!members.contains(one.getKey())) {
-        known.computeIfAbsent(one.getKey(), life -> new HashMap<>()).putIfAbsent(observer, atMs);
+        knownEnds
+            .computeIfAbsent(one.getKey(), incarnation -> new HashMap<>())
+            .putIfAbsent(observer, atMs);
       }
     }
   }
 
-  /** Views are compared again: some courier may have begun or ended. */
+  /** Compares the views again, as a courier may have started or ended. */
   public void compareViews(final long atMs) {
-    final Set<String> living = new HashSet<>(livesByName.values());
+    final Set<String> runningNow = new HashSet<>(runningByName.values());
     final boolean agree =
-        held.keySet().containsAll(livesByName.keySet())
-            && held.values().stream().allMatch(members -> members.equals(living));
+        heldViews.keySet().containsAll(runningByName.keySet())
+            && heldViews.values().stream().allMatch(members -> members.equals(runningNow));
     if (agree && disagreeSinceMs >= 0) {
-      agreedMs = atMs;
+      lastAgreementMs = atMs;
       disagreeSinceMs = -1;
     } else if (!agree && disagreeSinceMs < 0) {
       disagreeSinceMs = atMs;
     }
   }
 
-  /** True if all that live hold one view, of just those that live. */
+  /** True if all running couriers hold one view, of exactly the running couriers. */
   public boolean isAgreed() {
     return disagreeSinceMs < 0;
   }
 
   /** When all came to hold one view for the last time, ms. */
   public long lastAgreementMs() {
-    return agreedMs;
+    return lastAgreementMs;
   }
 
   /**
-   * For each life that was ended: how long, ms, until the last of those who live now knew; those
-   * nobody knows of are missing.
+   * For each ended process, how long, ms, until the last of the running couriers knew of its end;
+   * ends that no courier knows of are left out.
    */
   public List<Long> detectionTimesMs() {
     final List<Long> times = new ArrayList<>();
     endedMs.forEach(
-        (life, atMs) -> {
-          long last = 0;
-          for (final String name : livesByName.keySet()) {
-            final Long knownMs = known.getOrDefault(life, Map.of()).get(name);
-            // One that began later never held a view with that life.
-            last =
-                Math.max(last, knownMs == null || startedMs.get(name) > atMs ? 0 : knownMs - atMs);
+        (incarnation, atMs) -> {
+          long longestMs = 0;
+          for (final String name : runningByName.keySet()) {
+            final Long knownMs = knownEnds.getOrDefault(incarnation, Map.of()).get(name);
+            // A courier that started later never held a view with that incarnation.
+            longestMs =
+                Math.max(
+                    longestMs, knownMs == null || startedMs.get(name) > atMs ? 0 : knownMs - atMs);
           }
-          if (last > 0) {
-            times.add(last);
+          if (longestMs > 0) {
+            times.add(longestMs);
           }
         });
     return times;
   }
 
-  /** How many lives were ended. */
+  /** The number of processes that ended. */
   public int endedCount() {
     return endedMs.size();
   }
 
-  /** How many views there were. */
+  /** The number of different views. */
   public int viewCount() {
-    return changes;
+    return viewCount;
   }
 
-  /** Lives that were declared dead though nothing allowed it. */
+  /** The number of incarnations that were wrongly declared dead. */
   public int wronglyDeadCount() {
     return wronglyDead.size();
   }
 
-  /** What was not as promised. */
+  /** The violations found so far. */
   public List<String> violations() {
     return violations;
   }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Links.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Links.java
@@ -4,29 +4,29 @@
 import java.util.SplittableRandom;
 
 /**
- * The state of all ways between processes, one for each pair and direction: whether it is cut, what
- * is lost, doubled and late on it. Seeded; asked by the relays' loops and changed by the schedule's
+ * The state of all links between processes, one for each pair and direction: cuts, loss,
+ * duplication and delay. Seeded; queried by the relays' event loops and changed by the schedule's
  * thread.
  */
 public final class Links {
-  private static final long AGAIN_MS = 200;
+  private static final long RETRANSMIT_MS = 200;
 
   private final int[][] cuts;
   private final SplittableRandom random;
   private double loss;
-  private double doubled;
-  private long jitterMs;
+  private double duplication;
+  private long maxDelayMs;
   private long passed;
   private long lost;
-  private long held;
+  private long blockedChecks;
 
-  /** Ways among so many, all open. */
+  /** Open links among that many processes. */
   public Links(final int members, final long seed) {
     cuts = new int[members][members];
     random = new SplittableRandom(seed);
   }
 
-  /** A cut begins (1) or ends (-1). */
+  /** Begins (1) or ends (-1) a cut. */
   public synchronized void addCuts(final List<Integer> from, final List<Integer> to, final int by) {
     for (final int one : from) {
       for (final int other : to) {
@@ -35,54 +35,59 @@
     }
   }
 
-  /** That share is lost from now on. */
+  /** Sets the share of data that is lost. */
   public synchronized void setLoss(final double share) {
     loss = share;
   }
 
-  /** That share comes twice from now on. */
+  /** Sets the share of datagrams that is duplicated. */
   public synchronized void setDuplication(final double share) {
-    doubled = share;
+    duplication = share;
   }
 
-  /** Datagrams are late by up to that from now on, each by lot. */
+  /** Sets the maximum of the random delay of datagrams. */
   public synchronized void setJitter(final long ms) {
-    jitterMs = ms;
+    maxDelayMs = ms;
   }
 
-  /** True while something can pass. */
+  /** True while the link is not cut. */
   public synchronized boolean isOpen(final int from, final int to) {
     final boolean open = cuts[from][to] == 0;
-    held += open ? 0 : 1;
+    blockedChecks += open ? 0 : 1;
     return open;
   }
 
-  /** How often a datagram that comes now arrives: 0, 1 or 2 times. */
+  /** How many copies of an arriving datagram are forwarded: 0, 1 or 2. */
   public synchronized int copies(final int from, final int to) {
     if (cuts[from][to] > 0 || random.nextDouble() < loss) {
       lost++;
       return 0;
     }
     passed++;
-    return doubled > 0 && random.nextDouble() < doubled ? 2 : 1;
+    return duplication > 0 && random.nextDouble() < duplication ? 2 : 1;
   }
 
-  /** How late a datagram is, ms. */
+  /** The delay of a datagram, ms. */
   public synchronized long delayMs() {
-    return jitterMs > 0 ? random.nextLong(jitterMs) : 0;
+    return maxDelayMs > 0 ? random.nextLong(maxDelayMs) : 0;
   }
 
-  /** How late a piece of a connection is, ms: what is lost is sent again after a while. */
+  /** The delay of a piece of a connection's data, ms: lost data are retransmitted after a while. */
   public synchronized long retransmissionDelayMs() {
     long ms = 0;
     while (random.nextDouble() < loss) {
-      ms += AGAIN_MS;
+      ms += RETRANSMIT_MS;
     }
     return ms;
   }
 
-  /** What took place so far. */
+  /** Describes what passed so far. */
   public synchronized String summary() {
-    return passed + " datagrams passed, " + lost + " lost, " + held + " looks at a cut way";
+    return passed
+        + " datagrams passed, "
+        + lost
+        + " lost, "
+        + blockedChecks
+        + " checks of a cut link";
   }
 }
--- a/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/RealFleet.java
@@ -34,20 +34,20 @@
 import thistleturn.testkit.CourierFiles;
 
 /**
- * Couriers as real processes, each pair joined by a relay in each direction, under a schedule of
- * faults. It reads what each holds at its operators' address and tells the judge. Processes are
- * ended by the pids that it started.
+ * Couriers as real processes, each pair connected by a relay in each direction, under a schedule of
+ * faults. It polls what each reports at its admin address and passes it to the checker. Processes
+ * are ended by the pids that it started.
  */
 public final class RealFleet implements AutoCloseable {
-  private static final long LOOK_MS = 40;
-  private static final long PATIENCE_MS = 120_000;
+  private static final long POLL_MS = 40;
+  private static final long AGREEMENT_TIMEOUT_MS = 120_000;
   private static final long STARVED_PERIOD_MS = 200;
-  private static final Duration ASK = Duration.ofSeconds(15);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
   private static final String KEY = "a fleet under test";
   private static final int FIRST_PORT = 20_000;
   private static final int LAST_PORT = 32_000;
 
-  /** Fleets of one Java machine take one after the other; two machines begin apart. */
+  /** Fleets of one Java machine take ports in turn; two Java machines start at different ports. */
   private static final AtomicInteger NEXT_PORT =
       new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % (LAST_PORT - FIRST_PORT)));
 
@@ -61,9 +61,9 @@
   private final int[] admins;
   private final int[] operators;
   private final ChildProcess[] processes;
-  private final boolean[] asked;
-  private final boolean[] stopped;
-  private final String[] lastSeen;
+  private final boolean[] requestPending;
+  private final boolean[] paused;
+  private final String[] lastView;
   private final JsonNode[] pages;
   private final Links links;
   private final Relay[][] relays;
@@ -73,22 +73,23 @@
   private final HttpClient http =
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
   private final ObjectMapper json = new ObjectMapper();
-  private final Map<Fault.Kind, Integer> tookPlace = new EnumMap<>(Fault.Kind.class);
-  private final List<String> said = new ArrayList<>();
+  private final Map<Fault.Kind, Integer> faultCounts = new EnumMap<>(Fault.Kind.class);
+  private final List<String> output = new ArrayList<>();
 
-  /** Those that were asked to end, and may still be at it. */
+  /** Processes that were asked to shut down and may still be running. */
   private final List<ChildProcess> ending = new ArrayList<>();
 
-  private Step onWhole = () -> {};
-  private final List<Due> steps = new ArrayList<>();
+  private Step onAgreement = () -> {};
+  private final List<ScheduledStep> steps = new ArrayList<>();
   private long beganNs;
 
   /**
-   * A fleet that is not started yet.
+   * Creates a fleet without starting it.
    *
-   * @param discovery the platform's address, and {@code known} the list that couriers begin with
+   * @param discovery the platform's address, and {@code known} the endpoint list that couriers
+   *     start with
    * @param extra further settings of each courier, as TOML
-   * @param pauseLimitMs longer stops may cost a life its place
+   * @param pauseLimitMs how long a courier may be paused without being declared dead
    */
   public RealFleet(
       final Path folder,
@@ -115,9 +116,9 @@
       operators[number] = freePort();
     }
     this.processes = new ChildProcess[members];
-    this.asked = new boolean[members];
-    this.stopped = new boolean[members];
-    this.lastSeen = new String[members];
+    this.requestPending = new boolean[members];
+    this.paused = new boolean[members];
+    this.lastView = new String[members];
     this.pages = new JsonNode[members];
     this.links = new Links(members, schedule.seed());
     this.relays = new Relay[members][members];
@@ -138,9 +139,9 @@
   }
 
   /**
-   * A number that is free for datagrams and connections alike, below those that the system gives to
-   * connections by itself: one of these may be taken again before the process that is to listen
-   * there has begun.
+   * Returns a port that is free for datagrams and connections, below the kernel's ephemeral range:
+   * a port of that range may be taken by another connection before the process that is to listen
+   * there has started.
    */
   private static int freePort() throws IOException {
     for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++) {
@@ -151,7 +152,7 @@
               new DatagramSocket(free.getLocalPort(), InetAddress.getLoopbackAddress())) {
         return same.getLocalPort();
       } catch (final BindException e) {
-        // Taken: the next one.
+        // Taken; tries the next one.
 
       }
     }
@@ -204,59 +205,60 @@
     processes[number] =
         ChildProcess.java(
             environment, "", "thistleturn.cli.Main", "serve", "--config", file.toString());
-    lastSeen[number] = "";
-    asked[number] = false;
+    lastView[number] = "";
+    requestPending[number] = false;
   }
 
-  /** Milliseconds since all began. */
+  /** Milliseconds since the start. */
   public long nowMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNs);
   }
 
-  /** Something that is due. */
-  private record Due(long atMs, Step step) {}
+  /** A step that is due at a time. */
+  private record ScheduledStep(long atMs, Step step) {}
 
-  /** Something that is done at a moment of the schedule. */
+  /** A step of the schedule. */
   @FunctionalInterface
   public interface Step {
-    /** Does it. */
+    /** Executes the step. */
     void run() throws IOException;
   }
 
-  /** Has that done as soon as all hold one view, before the schedule begins. */
+  /** Sets a step to run once all couriers hold one view, before the schedule begins. */
   public void onAgreement(final Step step) {
-    onWhole = step;
+    onAgreement = step;
   }
 
-  /** Has something done at a moment of the schedule, beside its faults. */
+  /** Adds a step at a time of the schedule, beside its faults. */
   public void at(final long ms, final Step step) {
-    steps.add(new Due(ms, step));
+    steps.add(new ScheduledStep(ms, step));
   }
 
-  /** Starts all, waits until they agree, and plays the schedule from then on. */
+  /** Starts all couriers, waits until they agree, and then runs the schedule. */
   public FleetChecker run() throws IOException {
     beganNs = System.nanoTime();
     for (int number = 0; number < names.size(); number++) {
       start(number);
     }
     awaitAgreement();
-    onWhole.run();
-    final long zeroMs = nowMs();
-    final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
-    steps.forEach(step -> due.add(new Due(zeroMs + step.atMs(), step.step())));
+    onAgreement.run();
+    final long startMs = nowMs();
+    final PriorityQueue<ScheduledStep> due =
+        new PriorityQueue<>(Comparator.comparingLong(ScheduledStep::atMs));
+    steps.forEach(step -> due.add(new ScheduledStep(startMs + step.atMs(), step.step())));
     for (final Fault fault : schedule.faults()) {
-      due.add(new Due(zeroMs + fault.atMs(), () -> begin(fault, zeroMs, due)));
+      due.add(new ScheduledStep(startMs + fault.atMs(), () -> applyFault(fault, startMs, due)));
     }
-    while (nowMs() < zeroMs + schedule.endMs()) {
+    while (nowMs() < startMs + schedule.endMs()) {
       while (!due.isEmpty() && due.peek().atMs() <= nowMs()) {
         due.poll().step().run();
       }
-      look();
+      pollAll();
       LockSupport.parkNanos(
           TimeUnit.MILLISECONDS.toNanos(
               due.isEmpty()
-                  ? LOOK_MS
-                  : Math.max(1, Math.min(LOOK_MS, due.peek().atMs() - nowMs()))));
+                  ? POLL_MS
+                  : Math.max(1, Math.min(POLL_MS, due.peek().atMs() - nowMs()))));
     }
     checker.compareViews(nowMs());
     return checker;
@@ -264,20 +266,20 @@
 
   private void awaitAgreement() {
     checker.compareViews(nowMs());
-    while (!isWhole()) {
-      look();
-      if (nowMs() > PATIENCE_MS) {
+    while (!isComplete()) {
+      pollAll();
+      if (nowMs() > AGREEMENT_TIMEOUT_MS) {
         throw new AssertionError(
-            "the fleet never came together: "
-                + List.of((Object[]) lastSeen)
+            "the fleet did not agree on one view: "
+                + List.of((Object[]) lastView)
                 + ", "
                 + recentLines());
       }
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LOOK_MS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_MS));
     }
   }
 
-  private synchronized boolean isWhole() {
+  private synchronized boolean isComplete() {
     for (final JsonNode page : pages) {
       if (page == null || page.path("view").path("members").size() != names.size()) {
         return false;
@@ -287,37 +289,37 @@
     return checker.isAgreed();
   }
 
-  /** Asks all that run what they hold; what they answer is told to the judge when it comes. */
-  private synchronized void look() {
+  /** Polls all running processes; their answers are passed to the checker when they come. */
+  private synchronized void pollAll() {
     for (int number = 0; number < names.size(); number++) {
-      if (processes[number] == null || asked[number] || stopped[number]) {
+      if (processes[number] == null || requestPending[number] || paused[number]) {
         continue;
       }
-      asked[number] = true;
+      requestPending[number] = true;
       final int one = number;
-      final ChildProcess of = processes[number];
+      final ChildProcess process = processes[number];
       http.sendAsync(
               HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + admins[number] + "/peers"))
-                  .timeout(ASK)
+                  .timeout(REQUEST_TIMEOUT)
                   .build(),
               HttpResponse.BodyHandlers.ofString())
-          .whenComplete((answer, failure) -> told(one, of, answer));
+          .whenComplete((answer, failure) -> pageReceived(one, process, answer));
     }
   }
 
-  private synchronized void told(
-      final int number, final ChildProcess of, final HttpResponse<String> answer) {
-    if (processes[number] != of) {
+  private synchronized void pageReceived(
+      final int number, final ChildProcess process, final HttpResponse<String> answer) {
+    if (processes[number] != process) {
       return;
     }
-    asked[number] = false;
+    requestPending[number] = false;
     if (answer == null || answer.statusCode() != 200) {
       return;
     }
     try {
       observe(number, json.readTree(answer.body()));
     } catch (final IOException e) {
-      said.add(names.get(number) + ": a page that is none: " + e.getMessage());
+      output.add(names.get(number) + ": the page is not JSON: " + e.getMessage());
     }
   }
 
@@ -329,28 +331,30 @@
     }
     checker.processStarted(
         names.get(number), names.get(number) + '#' + page.path("incarnation").asLong(), nowMs());
-    final String line = view.path("generation").asText() + '/' + view.path("founder").asText();
-    final String seen = line + '.' + view.path("number").asText();
-    if (!view.isMissingNode() && !seen.equals(lastSeen[number])) {
-      lastSeen[number] = seen;
+    final String lineage = view.path("generation").asText() + '/' + view.path("founder").asText();
+    final String seen = lineage + '.' + view.path("number").asText();
+    if (!view.isMissingNode() && !seen.equals(lastView[number])) {
+      lastView[number] = seen;
       final Set<String> members = new TreeSet<>();
       view.path("members")
           .forEach(
               member ->
                   members.add(
                       member.path("name").asText() + '#' + member.path("incarnation").asLong()));
-      checker.viewObserved(names.get(number), line, view.path("number").asLong(), members, nowMs());
+      checker.viewObserved(
+          names.get(number), lineage, view.path("number").asLong(), members, nowMs());
     }
   }
 
-  private synchronized void begin(
-      final Fault fault, final long zeroMs, final PriorityQueue<Due> due) throws IOException {
-    tookPlace.merge(fault.kind(), Math.max(1, fault.targets().size()), Integer::sum);
-    final long untilMs = fault.forMs() == 0 ? Long.MAX_VALUE : zeroMs + fault.endMs();
+  private synchronized void applyFault(
+      final Fault fault, final long startMs, final PriorityQueue<ScheduledStep> due)
+      throws IOException {
+    faultCounts.merge(fault.kind(), Math.max(1, fault.targets().size()), Integer::sum);
+    final long untilMs = fault.forMs() == 0 ? Long.MAX_VALUE : startMs + fault.endMs();
     switch (fault.kind()) {
       case KILL, LEAVE -> {
         for (final int number : fault.targets()) {
-          end(number, fault.kind() == Fault.Kind.LEAVE);
+          endProcess(number, fault.kind() == Fault.Kind.LEAVE);
         }
       }
       case START -> {
@@ -362,8 +366,8 @@
       }
       case PAUSE -> {
         for (final int number : fault.targets()) {
-          stop(number, true);
-          due.add(new Due(untilMs, () -> stop(number, false)));
+          setPaused(number, true);
+          due.add(new ScheduledStep(untilMs, () -> setPaused(number, false)));
         }
       }
       case STARVE -> {
@@ -374,7 +378,8 @@
       case CUT -> {
         checker.linksCut(fault, names);
         links.addCuts(fault.targets(), fault.others(), 1);
-        due.add(new Due(untilMs, () -> links.addCuts(fault.targets(), fault.others(), -1)));
+        due.add(
+            new ScheduledStep(untilMs, () -> links.addCuts(fault.targets(), fault.others(), -1)));
       }
       case BREAK -> {
         for (final int one : fault.targets()) {
@@ -390,91 +395,101 @@
     }
     if (fault.forMs() > 0 && fault.targets().isEmpty()) {
       due.add(
-          new Due(
+          new ScheduledStep(
               untilMs,
-              () -> begin(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0), zeroMs, due)));
+              () ->
+                  applyFault(
+                      new Fault(0, 0, fault.kind(), List.of(), List.of(), 0), startMs, due)));
     }
   }
 
-  private void end(final int number, final boolean inOrder) {
+  private void endProcess(final int number, final boolean gracefully) {
     final ChildProcess process = processes[number];
     if (process == null) {
       return;
     }
     processes[number] = null;
-    if (inOrder) {
+    if (gracefully) {
       process.terminate();
       checker.processEnded(names.get(number), nowMs());
-      said.addAll(process.lines());
+      output.addAll(process.lines());
       ending.add(process);
     } else {
       process.kill();
       checker.processEnded(names.get(number), nowMs());
     }
-    stopped[number] = false;
+    paused[number] = false;
     pages[number] = null;
   }
 
-  private synchronized void stop(final int number, final boolean stop) throws IOException {
-    if (processes[number] == null || stopped[number] == stop) {
+  private synchronized void setPaused(final int number, final boolean pause) throws IOException {
+    if (processes[number] == null || paused[number] == pause) {
       return;
     }
-    if (stop) {
+    if (pause) {
       processes[number].pause();
     } else {
       processes[number].resume();
     }
-    stopped[number] = stop;
-    checker.setPaused(names.get(number), stop, nowMs());
+    paused[number] = pause;
+    checker.setPaused(names.get(number), pause, nowMs());
   }
 
   private synchronized void starve(
-      final int number, final double share, final long untilMs, final PriorityQueue<Due> due)
+      final int number,
+      final double share,
+      final long untilMs,
+      final PriorityQueue<ScheduledStep> due)
       throws IOException {
-    stop(number, true);
+    setPaused(number, true);
     final long nowMs = nowMs();
     due.add(
-        new Due(
+        new ScheduledStep(
             nowMs + (long) (STARVED_PERIOD_MS * (1 - share)),
             () -> {
-              stop(number, false);
+              setPaused(number, false);
               if (nowMs() < untilMs) {
                 due.add(
-                    new Due(nowMs + STARVED_PERIOD_MS, () -> starve(number, share, untilMs, due)));
+                    new ScheduledStep(
+                        nowMs + STARVED_PERIOD_MS, () -> starve(number, share, untilMs, due)));
               }
             }));
   }
 
-  /** What each process said last of its fleet; null: it does not run, or has said nothing yet. */
+  /**
+   * The last {@code /peers} page of a process; null while it doesn't run or hasn't answered yet.
+   */
   public synchronized JsonNode peersPage(final int number) {
     return pages[number];
   }
 
-  /** Its address for operators. */
+  /** The address of its admin pages. */
   public String adminAddress(final int number) {
     return "127.0.0.1:" + admins[number];
   }
 
-  /** Its address for operators' calls. */
+  /** The address of its operator commands. */
   public String operatorAddress(final int number) {
     return "127.0.0.1:" + operators[number];
   }
 
-  /** Where it takes clients; null while it does not run, or has not said so yet. */
+  /**
+   * The address at which it accepts clients; null while it doesn't run or hasn't reported it yet.
+   */
   public synchronized String clientAddress(final int number) {
     return processes[number] == null
         ? null
         : processes[number].lines().stream()
-            .filter(line -> line.contains("is ready at "))
+            .filter(lineage -> lineage.contains("is ready at "))
             .map(
-                line ->
-                    line.substring(line.lastIndexOf("is ready at ") + "is ready at ".length())
+                lineage ->
+                    lineage.substring(lineage.lastIndexOf("is ready at ") + "is ready at ".length())
                         .split(" ")[0])
             .findFirst()
             .orElse(null);
   }
 
-  /** One page of a courier's, as it is now; null if none is to be had within 2 s. */
+  /** Fetches a page of a courier; null if it doesn't answer within 2 s. */
   public JsonNode fetchPage(final int number, final String page) {
     try {
       final HttpResponse<String> answer =
@@ -493,10 +508,10 @@
   }
 
   /**
-   * An operator leaves an endpoint out, or lets it serve, at one courier; true if that was answered
-   * with a yes.
+   * Administratively disables or enables an endpoint at one courier; true if that was answered with
+   * 200.
    */
-  public boolean setDisabled(final int number, final String endpoint, final boolean leaveOut) {
+  public boolean setDisabled(final int number, final String endpoint, final boolean disabled) {
     try {
       return http.send(
                   HttpRequest.newBuilder(
@@ -505,7 +520,7 @@
                                   + operatorAddress(number)
                                   + "/-/endpoints/"
                                   + endpoint
-                                  + (leaveOut ? "/disable" : "/enable")))
+                                  + (disabled ? "/disable" : "/enable")))
                       .timeout(Duration.ofSeconds(2))
                       .POST(HttpRequest.BodyPublishers.noBody())
                       .build(),
@@ -520,30 +535,31 @@
     }
   }
 
-  /** The process, or null while it does not run. */
+  /** The process; null while it doesn't run. */
   public synchronized ChildProcess process(final int number) {
     return processes[number];
   }
 
-  /** The judge. */
+  /** The checker of the membership views. */
   public FleetChecker checker() {
     return checker;
   }
 
-  /** Which faults took place, and what passed. */
+  /** Describes the faults that were injected and the traffic that passed. */
   public String summary() {
-    return tookPlace + "; " + links.summary();
+    return faultCounts + "; " + links.summary();
   }
 
-  /** The last lines that each process said. */
+  /** The last lines of output of each process. */
   public synchronized List<String> recentLines() {
-    final List<String> lines = new ArrayList<>(said);
+    final List<String> lines = new ArrayList<>(output);
     for (int number = 0; number < names.size(); number++) {
       if (processes[number] != null) {
-        final List<String> own = processes[number].lines();
+        final List<String> processLines = processes[number].lines();
         final String name = names.get(number);
-        own.subList(Math.max(0, own.size() - 20), own.size())
-            .forEach(line -> lines.add(name + ": " + line));
+        processLines
+            .subList(Math.max(0, processLines.size() - 20), processLines.size())
+            .forEach(lineage -> lines.add(name + ": " + lineage));
       }
     }
     return lines;
--- a/testkit/src/main/java/thistleturn/testkit/rig/Relay.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Relay.java
@@ -25,21 +25,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The way from one process to another, for datagrams and for connections that the first one begins.
- * An end passes as an end, a refusal as an end before any byte; over a cut nothing passes, and
- * nothing is refused.
+ * Relays datagrams and connections from one process to another; the first one opens the
+ * connections. The end of a connection is passed on; a refused connection appears as one that ends
+ * before any byte. During a cut nothing passes, and nothing is refused.
  */
 final class Relay implements AutoCloseable {
-  private static final long LOOK_MS = 20;
-  private static final int TRIES = 50;
-  private static final int MOST_HELD = 4096;
+  private static final long POLL_MS = 20;
+  private static final int MAX_TRIES = 50;
+  private static final int MAX_HELD = 4096;
 
   private final int from;
   private final int to;
   private final InetSocketAddress target;
   private final Links links;
   private final EventLoop loop;
-  private final Set<Crossing> crossings = new HashSet<>();
+  private final Set<RelayedConnection> connections = new HashSet<>();
   private Channel datagrams;
   private Channel listener;
 
@@ -55,7 +55,7 @@
     this.target = target;
     this.links = links;
     this.loop = loop;
-    // One number for both kinds: that of the first may be taken for the second.
+    // Both need the same port number: the number of the first may be taken for the second.
     for (int tries = 0; listener == null; tries++) {
       datagrams =
           new Bootstrap()
@@ -74,7 +74,7 @@
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
-                      new Crossing(channel).begin();
+                      new RelayedConnection(channel).begin();
                     }
                   })
               .bind(InetAddress.getLoopbackAddress(), port())
@@ -83,14 +83,14 @@
         listener = bound.channel();
       } else {
         datagrams.close().syncUninterruptibly();
-        if (tries >= TRIES) {
+        if (tries >= MAX_TRIES) {
           throw new IOException("no port for a relay", bound.cause());
         }
       }
     }
   }
 
-  /** Where the first one reaches the second. */
+  /** The port at which the first process reaches the second. */
   int port() {
     return ((InetSocketAddress) datagrams.localAddress()).getPort();
   }
@@ -115,21 +115,21 @@
 
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-      // Nobody listens there just now; the next datagram may find somebody.
+      // No process listens there at the moment; a later datagram may arrive.
     }
   }
 
   /**
-   * One direction of a connection: pieces in order, each when the way lets it pass; the empty one
-   * is the end.
+   * One direction of a connection: passes its data in order, each piece when the link is open, and
+   * then its end.
    */
   private final class Pipe extends ChannelInboundHandlerAdapter {
     private final int source;
     private final int sink;
     private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-    private Channel into;
+    private Channel target;
     private boolean ended;
-    private boolean going;
+    private boolean passScheduled;
 
     Pipe(final int source, final int sink) {
       this.source = source;
@@ -138,9 +138,9 @@
 
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object message) {
-      if (waiting.size() < MOST_HELD) {
+      if (waiting.size() < MAX_HELD) {
         waiting.add((ByteBuf) message);
-        go();
+        schedulePass();
       } else {
         ((ByteBuf) message).release();
         context.close();
@@ -150,7 +150,7 @@
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
       ended = true;
-      go();
+      schedulePass();
     }
 
     @Override
@@ -158,52 +158,52 @@
       context.close();
     }
 
-    private void go() {
-      if (!going && into != null) {
-        going = true;
+    private void schedulePass() {
+      if (!passScheduled && target != null) {
+        passScheduled = true;
         loop.schedule(this::pass, links.retransmissionDelayMs(), TimeUnit.MILLISECONDS);
       }
     }
 
     private void pass() {
       if (!links.isOpen(source, sink)) {
-        loop.schedule(this::pass, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::pass, POLL_MS, TimeUnit.MILLISECONDS);
         return;
       }
-      going = false;
+      passScheduled = false;
       while (!waiting.isEmpty()) {
-        into.write(waiting.poll());
+        target.write(waiting.poll());
       }
-      into.flush();
+      target.flush();
       if (ended) {
-        into.close();
+        target.close();
       }
     }
   }
 
-  /** A connection over this way, with its two ends. */
-  private final class Crossing {
-    private final Channel near;
+  /** A relayed connection with its two sides. */
+  private final class RelayedConnection {
+    private final Channel clientSide;
     private final Pipe out = new Pipe(from, to);
     private final Pipe back = new Pipe(to, from);
 
-    Crossing(final Channel near) {
-      this.near = near;
+    RelayedConnection(final Channel clientSide) {
+      this.clientSide = clientSide;
     }
 
     private void begin() {
-      crossings.add(this);
-      near.pipeline().addLast(out);
-      near.closeFuture().addListener(closed -> crossings.remove(this));
+      connections.add(this);
+      clientSide.pipeline().addLast(out);
+      clientSide.closeFuture().addListener(closed -> connections.remove(this));
       loop.schedule(this::connect, links.retransmissionDelayMs(), TimeUnit.MILLISECONDS);
     }
 
     private void connect() {
-      if (!near.isActive()) {
+      if (!clientSide.isActive()) {
         return;
       }
       if (!links.isOpen(from, to)) {
-        loop.schedule(this::connect, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::connect, POLL_MS, TimeUnit.MILLISECONDS);
         return;
       }
       new Bootstrap()
@@ -213,34 +213,34 @@
           .connect(target)
           .addListener(
               done -> {
-                back.into = near;
+                back.target = clientSide;
                 if (done.isSuccess()) {
-                  out.into = ((ChannelFuture) done).channel();
-                  near.config().setAutoRead(true);
-                  near.read();
-                  back.go();
-                  if (!near.isActive()) {
+                  out.target = ((ChannelFuture) done).channel();
+                  clientSide.config().setAutoRead(true);
+                  clientSide.read();
+                  back.schedulePass();
+                  if (!clientSide.isActive()) {
                     out.ended = true;
-                    out.go();
+                    out.schedulePass();
                   }
                 } else {
                   back.ended = true;
-                  back.go();
+                  back.schedulePass();
                 }
               });
     }
 
     private void reset() {
-      near.close();
-      if (out.into != null) {
-        out.into.close();
+      clientSide.close();
+      if (out.target != null) {
+        out.target.close();
       }
     }
   }
 
-  /** Ends all connections over it, both ways. */
+  /** Closes all connections over it, both ways. */
   void reset() {
-    loop.execute(() -> Set.copyOf(crossings).forEach(Crossing::reset));
+    loop.execute(() -> Set.copyOf(connections).forEach(RelayedConnection::reset));
   }
 
   @Override
--- a/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Faults on a time line, for real processes and for virtual ones alike. As text, a line each:
+ * Faults with their times, for real and for simulated processes. As text, one a line:
  *
  * <pre>
  * members 10          seed 7          end 30s
@@ -25,9 +25,9 @@
  * at 9s break 0 &lt;-&gt; 4
  * </pre>
  *
- * @param members how many couriers begin
- * @param seed of all chance
- * @param endMs when it is over
+ * @param members the number of couriers at the start
+ * @param seed the seed of all random choices
+ * @param endMs when it ends, ms
  * @param faults in the order of their times
  */
 public record Schedule(int members, long seed, long endMs, List<Fault> faults) {
@@ -36,15 +36,15 @@
       Pattern.compile(
           "at (\\d+)(ms|s) ([a-z]+) ([0-9.,]+)(?: (->|<->) ([0-9,]+))?(?: for (\\d+)(ms|s))?");
 
-  /** In order. */
+  /** Sorts the faults by time. */
   public Schedule {
     faults = faults.stream().sorted(Comparator.comparingLong(Fault::atMs)).toList();
   }
 
   /**
-   * Reads one.
+   * Parses a schedule.
    *
-   * @throws IllegalArgumentException one line that names the line and what was expected
+   * @throws IllegalArgumentException with one line that names the line and what was expected
    */
   public static Schedule parse(final String text) {
     int members = 0;
@@ -74,15 +74,16 @@
                 + "\": expected members N, seed N, end T, or "
                 + "at T KIND WHO [->|<-> WHO] [for T]");
       }
-      read(line, matcher, faults);
+      parseFault(line, matcher, faults);
     }
     if (members < 1 || endMs < 1) {
-      throw new IllegalArgumentException("schedule: members and end are missing");
+      throw new IllegalArgumentException("schedule: expected members and end");
     }
     return new Schedule(members, seed, endMs, faults);
   }
 
-  private static void read(final String line, final Matcher matcher, final List<Fault> faults) {
+  private static void parseFault(
+      final String line, final Matcher matcher, final List<Fault> faults) {
     final Fault.Kind kind;
     try {
       kind = Fault.Kind.valueOf(matcher.group(3).toUpperCase(Locale.ROOT));
@@ -116,7 +117,7 @@
     return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
   }
 
-  /** As text, from which the same is read. */
+  /** Returns the text from which the same schedule is parsed. */
   public String text() {
     final StringBuilder text =
         new StringBuilder("members " + members + "\nseed " + seed + "\nend " + endMs + "ms\n");
@@ -127,20 +128,20 @@
           .append("ms ")
           .append(fault.kind().name().toLowerCase(Locale.ROOT))
           .append(' ')
-          .append(share ? Double.toString(fault.value()) : names(fault.targets()));
+          .append(share ? Double.toString(fault.value()) : joinNumbers(fault.targets()));
       if (!fault.others().isEmpty()) {
-        text.append(" -> ").append(names(fault.others()));
+        text.append(" -> ").append(joinNumbers(fault.others()));
       }
       text.append(fault.forMs() == 0 ? "\n" : " for " + fault.forMs() + "ms\n");
     }
     return text.toString();
   }
 
-  private static String names(final List<Integer> numbers) {
+  private static String joinNumbers(final List<Integer> numbers) {
     return String.join(",", numbers.stream().map(String::valueOf).toList());
   }
 
-  /** What the faults of a random schedule may be. */
+  /** The kinds of faults that a random schedule may contain. */
   public record FaultMix(
       double loss,
       boolean kills,
@@ -150,117 +151,117 @@
       boolean partitions,
       boolean starvation,
       boolean connectionResets) {
-    /** Kills and restarts alone, at that loss. */
+    /** Kills and restarts only, with that loss. */
     public static FaultMix killsOnly(final double loss) {
       return new FaultMix(loss, true, true, 0, false, false, false, false);
     }
 
-    /** Everything at once. */
+    /** All kinds of faults. */
     public static FaultMix all(final double loss, final long mostPauseMs) {
       return new FaultMix(loss, true, true, mostPauseMs, true, true, true, true);
     }
   }
 
   /**
-   * A schedule by lot: a fault every few seconds, one after the other or at once; calm at its end.
+   * Returns a random schedule: a fault every few seconds, possibly overlapping, and a quiet period
+   * at its end.
    */
   public static Schedule random(
-      final long seed, final int members, final long endMs, final FaultMix weather) {
+      final long seed, final int members, final long endMs, final FaultMix mix) {
     final Random random = new Random(seed);
     final List<Fault> faults = new ArrayList<>();
-    if (weather.loss() > 0) {
-      faults.add(new Fault(0, 0, Fault.Kind.LOSS, List.of(), List.of(), weather.loss()));
+    if (mix.loss() > 0) {
+      faults.add(new Fault(0, 0, Fault.Kind.LOSS, List.of(), List.of(), mix.loss()));
     }
     final List<Fault.Kind> kinds = new ArrayList<>();
-    if (weather.kills()) {
+    if (mix.kills()) {
       kinds.add(Fault.Kind.KILL);
     }
-    if (weather.maxPauseMs() > 0) {
+    if (mix.maxPauseMs() > 0) {
       kinds.add(Fault.Kind.PAUSE);
     }
-    if (weather.oneWayCuts() || weather.partitions()) {
+    if (mix.oneWayCuts() || mix.partitions()) {
       kinds.add(Fault.Kind.CUT);
     }
-    if (weather.starvation()) {
+    if (mix.starvation()) {
       kinds.add(Fault.Kind.STARVE);
     }
-    if (weather.connectionResets()) {
+    if (mix.connectionResets()) {
       kinds.add(Fault.Kind.BREAK);
     }
-    final List<Integer> standing = new ArrayList<>(IntStream.range(0, members).boxed().toList());
-    final long calmMs = 12_000;
+    final List<Integer> running = new ArrayList<>(IntStream.range(0, members).boxed().toList());
+    final long quietMs = 12_000;
     long atMs = 5000;
-    while (atMs < endMs - calmMs && !kinds.isEmpty()) {
-      add(
+    while (atMs < endMs - quietMs && !kinds.isEmpty()) {
+      addRandomFault(
           faults,
           kinds.get(random.nextInt(kinds.size())),
           atMs,
-          endMs - calmMs,
-          standing,
+          endMs - quietMs,
+          running,
           members,
-          weather,
+          mix,
           random);
       atMs += 1500 + random.nextInt(5000);
     }
     return new Schedule(members, seed, endMs, faults);
   }
 
-  private static void add(
+  private static void addRandomFault(
       final List<Fault> faults,
       final Fault.Kind kind,
       final long atMs,
-      final long calmFromMs,
-      final List<Integer> standing,
+      final long quietFromMs,
+      final List<Integer> running,
       final int members,
-      final FaultMix weather,
+      final FaultMix mix,
       final Random random) {
-    final int who = standing.get(random.nextInt(standing.size()));
+    final int target = running.get(random.nextInt(running.size()));
     int peer = random.nextInt(members);
-    peer = peer == who ? (peer + 1) % members : peer;
-    final long mostMs = Math.max(1, calmFromMs - atMs);
+    peer = peer == target ? (peer + 1) % members : peer;
+    final long maxMs = Math.max(1, quietFromMs - atMs);
     switch (kind) {
       case KILL -> {
-        // Most stand at any time, so that what is killed can be known by a majority.
-        if (standing.size() > members / 2 + 1) {
-          faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(), 0));
-          if (weather.restarts() && random.nextBoolean()) {
+        // A majority runs at any time, so that it can agree on the ends of the others.
+        if (running.size() > members / 2 + 1) {
+          faults.add(new Fault(atMs, 0, kind, List.of(target), List.of(), 0));
+          if (mix.restarts() && random.nextBoolean()) {
             faults.add(
                 new Fault(
                     atMs + 200 + random.nextInt(6000),
                     0,
                     Fault.Kind.START,
-                    List.of(who),
+                    List.of(target),
                     List.of(),
                     0));
           }
-          standing.remove(Integer.valueOf(who));
+          running.remove(Integer.valueOf(target));
         }
       }
       case PAUSE ->
           faults.add(
               new Fault(
                   atMs,
-                  Math.min(
-                      mostMs, 200 + (long) (random.nextDouble() * (weather.maxPauseMs() - 200))),
+                  Math.min(maxMs, 200 + (long) (random.nextDouble() * (mix.maxPauseMs() - 200))),
                   kind,
-                  some(standing, random, random.nextInt(3) == 0 ? members / 3 : 1),
+                  randomSubset(running, random, random.nextInt(3) == 0 ? members / 3 : 1),
                   List.of(),
                   0));
       case STARVE ->
           faults.add(
               new Fault(
                   atMs,
-                  Math.min(mostMs, 2000 + random.nextInt(4000)),
+                  Math.min(maxMs, 2000 + random.nextInt(4000)),
                   kind,
-                  List.of(who),
+                  List.of(target),
                   List.of(),
                   0.05));
-      case BREAK -> faults.add(new Fault(atMs, 0, kind, List.of(who), List.of(peer), 0));
+      case BREAK -> faults.add(new Fault(atMs, 0, kind, List.of(target), List.of(peer), 0));
       default -> {
-        final long forMs = Math.min(mostMs, 2000 + random.nextInt(10_000));
-        if (weather.partitions() && random.nextInt(3) == 0 && members > 2) {
+        final long forMs = Math.min(maxMs, 2000 + random.nextInt(10_000));
+        if (mix.partitions() && random.nextInt(3) == 0 && members > 2) {
           final List<Integer> side =
-              some(
+              randomSubset(
                   IntStream.range(0, members).boxed().toList(),
                   random,
                   1 + random.nextInt(members / 2));
@@ -269,13 +270,14 @@
           faults.add(new Fault(atMs, forMs, kind, side, rest, 0));
           faults.add(new Fault(atMs, forMs, kind, rest, side, 0));
         } else {
-          faults.add(new Fault(atMs, forMs, kind, List.of(who), List.of(peer), 0));
+          faults.add(new Fault(atMs, forMs, kind, List.of(target), List.of(peer), 0));
         }
       }
     }
   }
 
-  private static List<Integer> some(final List<Integer> of, final Random random, final int count) {
+  private static List<Integer> randomSubset(
+      final List<Integer> of, final Random random, final int count) {
     final List<Integer> left = new ArrayList<>(of);
     Collections.shuffle(left, random);
     return left.subList(0, Math.max(1, Math.min(count, left.size()))).stream().sorted().toList();
--- a/testkit/src/main/java/thistleturn/testkit/rig/package-info.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Several real processes of the program, and what is done to them: pauses, kills, faults between
- * them.
+ * Runs several real processes of the program, and injects faults: pauses, kills, and network faults
+ * between them.
  */
 package thistleturn.testkit.rig;
--- a/testkit/src/main/resources/thistleturn/testkit/rig/faults.c
+++ b/testkit/src/main/resources/thistleturn/testkit/rig/faults.c
@@ -1,17 +1,17 @@
 /*
- * A library for LD_PRELOAD that makes system calls of one process fail as Linux documents, by rules of the environment. It is
- * a test instrument: a courier under test is started with it, and nothing else is touched.
+ * A library for LD_PRELOAD that makes system calls of one process fail with errors that Linux documents, by rules from the
+ * environment. For tests only: a courier under test is started with it, and no other process is affected.
  *
- * FAULTS: rules separated by ';', each a call's name followed by fields that are separated by ',':
+ * FAULTS: rules separated by ';', each the name of a call followed by fields separated by ',':
  *   accept socket connect recv send epoll_ctl   calls on sockets
  *   write open rename truncate read             calls on files below FAULTS_FOLDER
- *   errno=N          the error reported (default EIO); errno=A/B: one of two, by chance
- *   nth=N            the N-th matching call fails, and with count=M the M-1 behind it (0: all behind it)
+ *   errno=N          the error reported (default EIO); errno=A/B: one of two at random
+ *   nth=N            the N-th matching call fails, and with count=M the M-1 after it (0: all after it)
  *   share=P          each call fails with that probability
- *   period=MS,for=MS for so long in each period, counted from the start of the process; from=MS: not before
- *   how=none|half|whole|short   what a failing write has done: nothing, half, all of it; short: half, told as a short count
- * A rule fails a call where all its conditions hold. FAULTS_SEED makes chance repeatable.
- * WALL_STEPS: "MS:SHIFT_MS" separated by ',': from MS after the start the wall clock is off by SHIFT_MS.
+ *   period=MS,for=MS calls fail for that time in each period, counted from the start of the process; from=MS: not before
+ *   how=none|half|whole|short   what a failing write has written: nothing, half, all; short: half, returned as a short count
+ * A rule fails a call where all its conditions hold. FAULTS_SEED makes random choices repeatable.
+ * WALL_STEPS: "MS:SHIFT_MS" separated by ',': from MS after the start the wall clock is shifted by SHIFT_MS.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -28,8 +28,8 @@
 #include <time.h>
 #include <unistd.h>
 
-#define MOST_RULES 16
-#define MOST_STEPS 16
+#define MAX_RULES 16
+#define MAX_STEPS 16
 
 enum how { NONE, HALF, WHOLE, SHORT };
 
@@ -42,14 +42,14 @@
     long seen;
 };
 
-static struct rule rules[MOST_RULES];
+static struct rule rules[MAX_RULES];
 static int rule_count;
-static long steps[MOST_STEPS][2];
+static long steps[MAX_STEPS][2];
 static int step_count;
 static char folder[4096];
-static struct timespec began;
+static struct timespec started;
 static unsigned int seed;
-static pthread_mutex_t guard = PTHREAD_MUTEX_INITIALIZER;
+static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static int (*real_clock)(clockid_t, struct timespec *);
 
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
@@ -58,7 +58,7 @@
     struct rule *rule = &rules[rule_count];
     char *rest = NULL;
     char *field = strtok_r(text, ",", &rest);
-    if (field == NULL || rule_count == MOST_RULES) {
+    if (field == NULL || rule_count == MAX_RULES) {
         return;
     }
     snprintf(rule->call, sizeof rule->call, "%s", field);
@@ -89,7 +89,7 @@
 
 __attribute__((constructor)) static void read_rules(void) {
     real_clock = REAL(clock_gettime);
-    real_clock(CLOCK_MONOTONIC, &began);
+    real_clock(CLOCK_MONOTONIC, &started);
     const char *text = getenv("FAULTS");
     const char *under = getenv("FAULTS_FOLDER");
     const char *chance = getenv("FAULTS_SEED");
@@ -100,7 +100,7 @@
     for (char *one = text ? strtok_r(strdup(text), ";", &rest) : NULL; one; one = strtok_r(NULL, ";", &rest)) {
         read_rule(one);
     }
-    for (char *one = wall ? strtok_r(strdup(wall), ",", &rest) : NULL; one && step_count < MOST_STEPS;
+    for (char *one = wall ? strtok_r(strdup(wall), ",", &rest) : NULL; one && step_count < MAX_STEPS;
             one = strtok_r(NULL, ",", &rest)) {
         if (sscanf(one, "%ld:%ld", &steps[step_count][0], &steps[step_count][1]) == 2) {
             step_count++;
@@ -111,13 +111,13 @@
 static long since_start_ms(void) {
     struct timespec now;
     real_clock(CLOCK_MONOTONIC, &now);
-    return (now.tv_sec - began.tv_sec) * 1000 + (now.tv_nsec - began.tv_nsec) / 1000000;
+    return (now.tv_sec - started.tv_sec) * 1000 + (now.tv_nsec - started.tv_nsec) / 1000000;
 }
 
-/* The error with which this call fails, or 0; how much it has done goes to how. */
+/* Returns the error with which this call fails, or 0; sets how to what the call has done before. */
 static int fails(const char *call, enum how *how) {
     int error = 0;
-    pthread_mutex_lock(&guard);
+    pthread_mutex_lock(&lock);
     for (int i = 0; i < rule_count && error == 0; i++) {
         struct rule *rule = &rules[i];
         if (strcmp(rule->call, call)) {
@@ -142,7 +142,7 @@
             if (how) *how = rule->how;
         }
     }
-    pthread_mutex_unlock(&guard);
+    pthread_mutex_unlock(&lock);
     return error;
 }
 
--- a/testkit/src/test/java/thistleturn/testkit/StandInEndpointTest.java
+++ b/testkit/src/test/java/thistleturn/testkit/StandInEndpointTest.java
@@ -24,37 +24,37 @@
 import thistleturn.testkit.StandInEndpoint.Action;
 import thistleturn.testkit.StandInEndpoint.Behavior;
 
-/** What a stand-in tells the rule checker when one of its two loops is held up. */
+/** What a stand-in reports to the rule checker while one of its two event loops is blocked. */
 @Tag("health")
 final class StandInEndpointTest {
   private static final long TIMEOUT_US = 60_000_000;
 
-  /** Longer than what is read in one batch. */
-  private static final long HOLD_UP_US = 50_000;
+  /** Longer than one batch of the selector. */
+  private static final long BLOCK_US = 50_000;
 
   private static final long ANSWER_MS = 100;
 
-  private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(10);
+  private static final long WAIT_NS = TimeUnit.SECONDS.toNanos(10);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final RuleChecker auditor =
+  private final RuleChecker ruleChecker =
       new RuleChecker(RuleChecker.Tolerances.standard(), CourierFiles.CLASSES);
-  private final MonotonicClock ticks = new MonotonicClock();
-  private final StandInEndpoint endpoint = new StandInEndpoint(group, "e", 1, auditor, ticks);
-  private final CountDownLatch heldUp = new CountDownLatch(1);
+  private final MonotonicClock clock = new MonotonicClock();
+  private final StandInEndpoint endpoint = new StandInEndpoint(group, "e", 1, ruleChecker, clock);
+  private final CountDownLatch release = new CountDownLatch(1);
   private final List<Socket> connections = new ArrayList<>();
 
   @BeforeEach
-  void handIn() {
+  void submitMessage() {
     endpoint.setBehavior(Behavior.of(Action.NO_ANSWER));
-    auditor.recordSubmitted(ticks.nowUs(), "m1", "keyed", 1, null, TIMEOUT_US);
-    auditor.recordAccepted(ticks.nowUs(), "m1");
+    ruleChecker.recordSubmitted(clock.nowUs(), "m1", "keyed", 1, null, TIMEOUT_US);
+    ruleChecker.recordAccepted(clock.nowUs(), "m1");
   }
 
   @AfterEach
   void close() throws IOException {
-    heldUp.countDown();
+    release.countDown();
     for (final Socket connection : connections) {
       connection.close();
     }
@@ -63,9 +63,9 @@
   }
 
   private static void await(final BooleanSupplier condition) {
-    final long untilNs = System.nanoTime() + PATIENCE_NS;
+    final long untilNs = System.nanoTime() + WAIT_NS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, "not in time");
+      assertTrue(System.nanoTime() < untilNs, "condition not met in time");
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
     }
   }
@@ -91,8 +91,8 @@
     return connection;
   }
 
-  /** Holds up the loop of the first connection: the group gives its loops out in turn. */
-  private void holdUpLoopOf(final Socket first) {
+  /** Blocks the event loop of a connection. */
+  private void blockLoopOf(final Socket first) {
     group.forEach(
         loop ->
             loop.execute(
@@ -105,50 +105,54 @@
 
   private void awaitRelease() {
     try {
-      heldUp.await();
+      release.await();
     } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private List<Violation> verdict() {
-    final long releaseUs = ticks.nowUs() + HOLD_UP_US;
-    await(() -> ticks.nowUs() >= releaseUs);
-    heldUp.countDown();
+  private List<Violation> violations() {
+    final long releaseUs = clock.nowUs() + BLOCK_US;
+    await(() -> clock.nowUs() >= releaseUs);
+    release.countDown();
     endpoint.server().resetAll();
     await(() -> endpoint.server().connections() == 0);
-    return auditor.finish(ticks.nowUs());
+    return ruleChecker.finish(clock.nowUs());
   }
 
-  /** Guards against "two copies are out" where a held-up loop read the first one's end late. */
+  /**
+   * Guards against a reported second copy where a blocked event loop read the end of the first one
+   * late.
+   */
   @Test
-  void firstCopyEndedBeforeSecond_loopOfFirstHeldUp_nothingIsBroken() throws IOException {
+  void firstCopyEndedBeforeSecond_loopOfFirstBlocked_hasNoViolation() throws IOException {
     final Socket first = call(1);
-    holdUpLoopOf(first);
+    blockLoopOf(first);
     first.shutdownOutput();
     call(2);
-    assertEquals(List.of(), verdict());
+    assertEquals(List.of(), violations());
   }
 
   @Test
-  void firstCopyStillOut_loopOfFirstHeldUp_isBroken() throws IOException {
+  void firstCopyInFlight_loopOfFirstBlocked_isDouble() throws IOException {
     final Socket first = call(1);
-    holdUpLoopOf(first);
+    blockLoopOf(first);
     call(2);
     first.close();
-    assertEquals(List.of(Violation.Rule.DOUBLE), verdict().stream().map(Violation::rule).toList());
+    assertEquals(
+        List.of(Violation.Rule.DOUBLE), violations().stream().map(Violation::rule).toList());
   }
 
   /**
-   * Guards against "sent after it was delivered" where an answer was written to a connection whose
-   * end lay unread: its loop was held up between its poll and its timers.
+   * Guards against a reported repeat of a delivered message where an answer was written to a
+   * connection whose end lay unread: its event loop was blocked between its poll and its timers.
    */
   @Test
-  void firstCopyEndedBeforeItsAnswer_loopHeldUp_isNoDelivery() throws IOException {
+  void firstCopyEndedBeforeItsAnswer_loopBlocked_isNoDelivery() throws IOException {
     final CountDownLatch blocked = new CountDownLatch(1);
     final EventLoopGroup oneLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    try (StandInEndpoint slow = new StandInEndpoint(oneLoop, "slow", 1, auditor, ticks);
+    try (StandInEndpoint slow = new StandInEndpoint(oneLoop, "slow", 1, ruleChecker, clock);
         HttpStandIn blocker =
             new HttpStandIn(
                 oneLoop,
@@ -162,13 +166,15 @@
       send(blocker.port());
       await(() -> blocked.getCount() == 0);
       first.shutdownOutput();
-      final long releaseUs = ticks.nowUs() + 2 * ANSWER_MS * 1000;
-      await(() -> ticks.nowUs() >= releaseUs);
-      heldUp.countDown();
-      await(() -> !auditor.outcomeCounts().containsKey("open") || slow.server().connections() == 0);
+      final long releaseUs = clock.nowUs() + 2 * ANSWER_MS * 1000;
+      await(() -> clock.nowUs() >= releaseUs);
+      release.countDown();
+      await(
+          () ->
+              !ruleChecker.outcomeCounts().containsKey("open") || slow.server().connections() == 0);
       call(slow, 2);
-      await(() -> auditor.outcomeCounts().containsKey("delivered"));
-      assertEquals(List.of(), auditor.finish(ticks.nowUs()));
+      await(() -> ruleChecker.outcomeCounts().containsKey("delivered"));
+      assertEquals(List.of(), ruleChecker.finish(clock.nowUs()));
     } finally {
       oneLoop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
