--- a/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
+++ b/testkit/src/main/java/thistleturn/testkit/HttpStandIn.java
@@ -57,7 +57,7 @@
     return address.getHostString() + ":" + address.getPort();
   }
 
-  /** Its port. */
+  /** The port at which it listens. */
   public int port() {
     return address.getPort();
   }
@@ -126,7 +126,7 @@
                     && remote.getPort() == remotePort);
   }
 
-  /** Resets all connections that stand. */
+  /** Resets all open connections. */
   public void resetAll() {
     connections.forEach(HttpStandIn::reset);
   }
--- a/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
+++ b/testkit/src/main/java/thistleturn/testkit/StandInEndpoint.java
@@ -145,14 +145,14 @@
         .channel()
         .closeFuture()
         .addListener(closed -> call.end(RuleChecker.CallResult.CONNECTION_LOST));
-    final Behavior behaviorNow = behavior.get();
-    if (behaviorNow.action() == Action.NO_ANSWER) {
+    final Behavior current = behavior.get();
+    if (current.action() == Action.NO_ANSWER) {
       return;
     }
-    if (behaviorNow.delayMs() == 0) {
-      call.perform(behaviorNow);
+    if (current.delayMs() == 0) {
+      call.perform(current);
     } else {
-      exchange.after(behaviorNow.delayMs(), () -> call.perform(behaviorNow));
+      exchange.after(current.delayMs(), () -> call.perform(current));
     }
   }
 
@@ -182,11 +182,11 @@
       }
     }
 
-    void perform(final Behavior behaviorNow) {
+    void perform(final Behavior current) {
       if (ended) {
         return;
       }
-      switch (behaviorNow.action()) {
+      switch (current.action()) {
         case DELIVER -> {
           end(RuleChecker.CallResult.DELIVERED);
           exchange.answer(OK, bulk ? bulkAnswer() : "");
@@ -197,11 +197,10 @@
         }
         case REJECT -> {
           end(RuleChecker.CallResult.REJECTED);
-          if (behaviorNow.retryAfterMs() > 0) {
-            ruleChecker.recordRetryAfter(
-                clock.nowUs(), destination, behaviorNow.retryAfterMs() * 1000);
+          if (current.retryAfterMs() > 0) {
+            ruleChecker.recordRetryAfter(clock.nowUs(), destination, current.retryAfterMs() * 1000);
             exchange.answer(
-                BUSY, "", "Retry-After", Double.toString(behaviorNow.retryAfterMs() / 1000.0));
+                BUSY, "", "Retry-After", Double.toString(current.retryAfterMs() / 1000.0));
           } else {
             exchange.answer(BUSY, "");
           }
--- a/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Fault.java
@@ -16,11 +16,11 @@
     long atMs, long forMs, Kind kind, List<Integer> targets, List<Integer> others, double value) {
   /** Kinds of faults. */
   public enum Kind {
-    /** SIGKILL. */
+    /** Kills the process with SIGKILL. */
     KILL,
     /** Starts one that was killed or left again, as a new incarnation. */
     START,
-    /** SIGTERM. */
+    /** Ends the process with SIGTERM. */
     LEAVE,
     /** SIGSTOP, and SIGCONT at the end. */
     PAUSE,
--- a/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
+++ b/testkit/src/main/java/thistleturn/testkit/rig/Schedule.java
@@ -157,8 +157,8 @@
     }
 
     /** All kinds of faults. */
-    public static FaultMix all(final double loss, final long mostPauseMs) {
-      return new FaultMix(loss, true, true, mostPauseMs, true, true, true, true);
+    public static FaultMix all(final double loss, final long maxPauseMs) {
+      return new FaultMix(loss, true, true, maxPauseMs, true, true, true, true);
     }
   }
 
