--- a/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
+++ b/testkit/src/main/java/thistleturn/testkit/CourierFiles.java
@@ -51,19 +51,18 @@
       final Size size)
       throws IOException {
     final StringBuilder classes = new StringBuilder();
-    for (final MessageClass messageClass : CLASSES) {
+    for (final MessageClass each : CLASSES) {
       final String effect =
-          switch (messageClass.idempotence()) {
+          switch (each.idempotence()) {
             case IDEMPOTENT -> "\"pure\"";
             case IDEMPOTENT_BY_KEY ->
-                "\"token\",\"group\":\"all\",\"dedup_window\":"
-                    + messageClass.idempotencyWindowUs();
+                "\"token\",\"group\":\"all\",\"dedup_window\":" + each.idempotencyWindowUs();
             case NON_IDEMPOTENT -> "\"side_effect\"";
           };
       classes
           .append(classes.isEmpty() ? "" : ",")
           .append("{\"name\":\"")
-          .append(messageClass.name())
+          .append(each.name())
           .append("\",\"effect\":")
           .append(effect)
           .append(",\"target\":")
