--- a/courier/src/test/java/thistleturn/courier/BusyCore.java
+++ b/courier/src/test/java/thistleturn/courier/BusyCore.java
@@ -7,7 +7,7 @@
 /** A process that keeps the cores it may use busy, so that others get little of them. */
 final class BusyCore {
   /** The line that says that it has begun. */
-  static final String BEGUN = "busy";
+  static final String STARTED = "busy";
 
   /** It ends by itself, should nobody end it. */
   private static final long LIFETIME_S = 120;
@@ -23,7 +23,7 @@
       thread.start();
       threads.add(thread);
     }
-    System.out.println(BEGUN);
+    System.out.println(STARTED);
     for (final Thread thread : threads) {
       thread.join();
     }
--- a/courier/src/test/java/thistleturn/courier/LineTrackingEventLoop.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionTrackingEventLoop.java
@@ -14,10 +14,10 @@
  * An event loop that knows the lines of the handover protocol on it, so that a test can end one of
  * them while everything else of its process goes on.
  */
-final class LineTrackingEventLoop extends SingleThreadIoEventLoop {
+final class ConnectionTrackingEventLoop extends SingleThreadIoEventLoop {
   private final List<NioDomainSocketChannel> lines = new CopyOnWriteArrayList<>();
 
-  LineTrackingEventLoop() {
+  ConnectionTrackingEventLoop() {
     super(
         null,
         new ThreadPerTaskExecutor(Executors.defaultThreadFactory()),
@@ -33,7 +33,7 @@
   }
 
   /** Returns the lines that are open, the oldest first. */
-  List<NioDomainSocketChannel> openLines() {
+  List<NioDomainSocketChannel> openConnections() {
     return lines.stream().filter(NioDomainSocketChannel::isOpen).toList();
   }
 }
--- a/courier/src/test/java/thistleturn/courier/FaultScenario.java
+++ b/courier/src/test/java/thistleturn/courier/FaultScenario.java
@@ -66,12 +66,12 @@
   }
 
   /** Couriers that are started from now on listen there. */
-  void listenAt(final int port) {
+  void setListenPort(final int port) {
     addresses.put("PROXY_LISTEN", "127.0.0.1:" + port);
   }
 
   /** Couriers that are started from now on hear operators there. */
-  void operatorAt(final int port) {
+  void setOperatorPort(final int port) {
     addresses.put("PROXY_OPERATOR", "127.0.0.1:" + port);
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Ends the courier in order, as the platform does, and starts another one in its folder. */
-  void restartInOrder(final FaultShim faults) throws IOException {
+  void restartGracefully(final FaultShim faults) throws IOException {
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     end(courier);
     world.resetConnections();
@@ -123,7 +123,7 @@
    */
   void warmUp() {
     final int before = delivered();
-    load(WARM_UP_RATE);
+    startLoad(WARM_UP_RATE);
     world.await("the first deliveries", () -> delivered() >= before + WARM_UP_MESSAGES);
     world.stopSubmitting();
     world.await("answers to the first messages", () -> world.client.pendingRequests() <= 0);
@@ -131,12 +131,12 @@
   }
 
   /** Requests that had no answer in their client's time, but for those of a warm-up. */
-  List<String> withoutAnswer() {
+  List<String> unansweredIds() {
     return world.client.unansweredIds().stream().filter(id -> !late.contains(id)).toList();
   }
 
   /** Kills the courier and starts another one in its folder. */
-  void restart(final FaultShim faults) throws IOException {
+  void killAndRestart(final FaultShim faults) throws IOException {
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
     world.resetConnections();
@@ -147,17 +147,17 @@
   }
 
   /** Hands in so many messages a second to all destinations. */
-  void load(final double perSecond) {
+  void startLoad(final double perSecond) {
     world.startLoad(perSecond, TIMEOUT_MS, 1, 2, 3);
   }
 
   /** Lets so much time pass under load. */
-  void pass(final long ms) {
+  void runFor(final long ms) {
     world.waitUntil(world.clock.nowUs() + ms * 1000);
   }
 
   /** Hands in no more; what the rules have to say once every message has its end or is overdue. */
-  List<Violation> verdict() {
+  List<Violation> stopAndCheck() {
     violations = world.stopLoadAndCheck(TIMEOUT_MS);
     return violations;
   }
@@ -178,7 +178,7 @@
    * What the couriers said of the messages that a verdict names, and of themselves, with the counts
    * of ends.
    */
-  String story() {
+  String diagnostics() {
     final Set<String> named = new TreeSet<>();
     final Matcher ids = ID.matcher(violations.toString());
     while (ids.find() && named.size() < MOST_NAMED) {
@@ -189,7 +189,7 @@
             "ends "
                 + world.ruleChecker.outcomeCounts()
                 + ", without answer "
-                + withoutAnswer().size());
+                + unansweredIds().size());
     for (final ChildProcess process : processes) {
       text.append("\nprocess ").append(process.pid());
       process.lines().stream()
--- a/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
@@ -79,13 +79,13 @@
     try (FaultScenario scenario = new FaultScenario(folder, rule.hashCode())) {
       final FaultShim faults = scenario.faults().rule(rule);
       scenario.start(faults);
-      scenario.load(RATE);
-      scenario.pass(500);
-      scenario.restart(faults);
-      scenario.pass(500);
-      scenario.restartInOrder(scenario.faults());
-      scenario.pass(300);
-      assertEquals(List.of(), broken(scenario), scenario::story);
+      scenario.startLoad(RATE);
+      scenario.runFor(500);
+      scenario.killAndRestart(faults);
+      scenario.runFor(500);
+      scenario.restartGracefully(scenario.faults());
+      scenario.runFor(300);
+      assertEquals(List.of(), broken(scenario), scenario::diagnostics);
     }
   }
 
@@ -97,18 +97,19 @@
       scenario.world.setLoadClasses("safe", "keyed", "brief", "once");
       scenario.world.client.keepConnections(random.nextBoolean());
       scenario.start(faults(scenario, random));
-      scenario.load(RATE);
+      scenario.startLoad(RATE);
       for (int step = 0; step < 5; step++) {
         trouble(scenario, random);
-        scenario.pass(400 + random.nextInt(1200));
+        scenario.runFor(400 + random.nextInt(1200));
         if (random.nextInt(3) == 0) {
-          scenario.restartInOrder(faults(scenario, random));
+          scenario.restartGracefully(faults(scenario, random));
         } else if (random.nextInt(2) == 0) {
-          scenario.restart(faults(scenario, random));
+          scenario.killAndRestart(faults(scenario, random));
         }
       }
       scenario.endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(20)));
-      assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
+      assertEquals(
+          List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.diagnostics());
     }
   }
 
@@ -118,15 +119,16 @@
   void aTakeoverUnderFaultsBreaksNoRule(final int seed) throws IOException {
     final Random random = new Random(1000 + seed);
     try (FaultScenario scenario = new FaultScenario(folder, seed)) {
-      scenario.listenAt(freePort());
-      scenario.operatorAt(freePort());
+      scenario.setListenPort(freePort());
+      scenario.setOperatorPort(freePort());
       scenario.start(faults(scenario, random));
-      scenario.load(RATE);
-      scenario.pass(700);
-      scenario.operatorAt(freePort());
+      scenario.startLoad(RATE);
+      scenario.runFor(700);
+      scenario.setOperatorPort(freePort());
       scenario.takeOver(faults(scenario, random));
-      scenario.pass(700);
-      assertEquals(List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.story());
+      scenario.runFor(700);
+      assertEquals(
+          List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.diagnostics());
     }
   }
 
@@ -135,7 +137,7 @@
    * more: an answer that crosses the end of its call, or of the process, makes it go again.
    */
   private static List<Violation> broken(final FaultScenario scenario) {
-    return scenario.verdict().stream().filter(one -> !isHarmlessRepeat(one.what())).toList();
+    return scenario.stopAndCheck().stream().filter(one -> !isHarmlessRepeat(one.what())).toList();
   }
 
   private static boolean isHarmlessRepeat(final String what) {
--- a/courier/src/test/java/thistleturn/courier/LoadClients.java
+++ b/courier/src/test/java/thistleturn/courier/LoadClients.java
@@ -23,10 +23,10 @@
  */
 final class LoadClients {
   /** The status of a request with no answer in time on a connection that stayed open. */
-  static final int SILENT = -1;
+  static final int TIMED_OUT = -1;
 
   /** The status of a request whose connection ended without an answer. */
-  static final int CUT = -2;
+  static final int CONNECTION_LOST = -2;
 
   /** The status of a request that was not handed in, since nobody accepted its connection. */
   static final int UNCONNECTED = -3;
@@ -148,11 +148,11 @@
           .write(CourierHarness.submitRequest(id, "once").getBytes(StandardCharsets.ISO_8859_1));
       final CourierHarness.Response response = CourierHarness.readResponse(socket.getInputStream());
       reusable = response.status() == 202 && !response.head().contains("connection: close");
-      return response.status() == 0 ? CUT : response.status();
+      return response.status() == 0 ? CONNECTION_LOST : response.status();
     } catch (final SocketTimeoutException e) {
-      return SILENT;
+      return TIMED_OUT;
     } catch (final IOException e) {
-      return CUT;
+      return CONNECTION_LOST;
     } finally {
       if (reusable) {
         idle.add(connection);
--- a/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
@@ -72,7 +72,7 @@
   private final Path stateFolder;
   private final InetSocketAddress endpoint;
   private final Clock clock = new Clock();
-  private final LineTrackingEventLoop loop = new LineTrackingEventLoop();
+  private final ConnectionTrackingEventLoop loop = new ConnectionTrackingEventLoop();
   private final ScriptedCalls calls;
   private StateLock lock;
   private Journal journal;
@@ -243,7 +243,7 @@
   }
 
   private void endLines() throws InterruptedException {
-    for (final NioDomainSocketChannel line : loop.openLines()) {
+    for (final NioDomainSocketChannel line : loop.openConnections()) {
       line.close().sync();
     }
   }
@@ -262,7 +262,7 @@
   }
 
   private void sendLine(final String line) {
-    for (final NioDomainSocketChannel open : loop.openLines()) {
+    for (final NioDomainSocketChannel open : loop.openConnections()) {
       open.writeAndFlush(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8));
     }
   }
--- a/courier/src/test/java/thistleturn/courier/SuccessorKillSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/SuccessorKillSoakTest.java
@@ -119,7 +119,8 @@
       requests.stream()
           .filter(
               request ->
-                  (request.status() == LoadClients.SILENT || request.status() == LoadClients.CUT)
+                  (request.status() == LoadClients.TIMED_OUT
+                          || request.status() == LoadClients.CONNECTION_LOST)
                       && !mayBelongToNewer(request.connectedNs()))
           .forEach(this::describe);
     }
@@ -273,9 +274,9 @@
         final boolean newer) {
       requests++;
       switch (request.status()) {
-        case LoadClients.SILENT -> silent++;
+        case LoadClients.TIMED_OUT -> silent++;
         case LoadClients.UNCONNECTED -> unconnected++;
-        case LoadClients.CUT -> {
+        case LoadClients.CONNECTION_LOST -> {
           cut += newer ? 0 : 1;
           cutByKill += newer ? 1 : 0;
         }
--- a/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
+++ b/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
@@ -38,13 +38,13 @@
   private void play(final FaultShim faults) throws IOException {
     scenario.start(faults);
     scenario.warmUp();
-    scenario.load(RATE);
+    scenario.startLoad(RATE);
     scenario.world.await("messages", () -> scenario.ended() >= ENOUGH);
   }
 
   private void allHolds() {
-    assertEquals(List.of(), scenario.verdict(), scenario::story);
-    assertEquals(List.of(), scenario.withoutAnswer(), scenario::story);
+    assertEquals(List.of(), scenario.stopAndCheck(), scenario::diagnostics);
+    assertEquals(List.of(), scenario.unansweredIds(), scenario::diagnostics);
   }
 
   private FaultScenario begin(final long seed) {
@@ -65,7 +65,7 @@
       own.world.client.keepConnections(false);
       play(own.faults().rule(rule));
       allHolds();
-      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::diagnostics);
     }
   }
 
@@ -106,13 +106,13 @@
       own.world.setLoadClasses("safe");
       own.start(own.faults().rule("socket," + FILES_USED_UP + ",share=0.1,from=1500"));
       own.warmUp();
-      own.load(RATE);
+      own.startLoad(RATE);
       for (int time = 0; time < 20; time++) {
-        own.pass(300);
+        own.runFor(300);
         own.endpoints.forEach(endpoint -> endpoint.server().resetAll());
       }
       allHolds();
-      assertTrue(own.delivered() >= 0.95 * own.ended(), own::story);
+      assertTrue(own.delivered() >= 0.95 * own.ended(), own::diagnostics);
     }
   }
 
@@ -127,7 +127,7 @@
     try (FaultScenario own = begin(11)) {
       play(own.faults().rule(rule));
       allHolds();
-      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::diagnostics);
     }
   }
 
@@ -154,8 +154,8 @@
       // What is silent is held until its time is up, within the failure.
       own.endpoints.get(0).setBehavior(Behavior.of(Action.NO_ANSWER));
       own.endpoints.get(3).setBehavior(Behavior.of(Action.NO_ANSWER));
-      own.load(RATE);
-      own.pass(7500);
+      own.startLoad(RATE);
+      own.runFor(7500);
       allHolds();
     }
   }
@@ -171,11 +171,11 @@
   void journalThatCannotBeReplacedForAWhileLosesNothing(final String rule) throws IOException {
     try (FaultScenario own = begin(10)) {
       own.start(own.faults().rule(rule));
-      own.load(RATE);
-      own.pass(5000);
-      own.restart(own.faults());
-      own.pass(500);
-      assertEquals(List.of(), own.verdict(), own::story);
+      own.startLoad(RATE);
+      own.runFor(5000);
+      own.killAndRestart(own.faults());
+      own.runFor(500);
+      assertEquals(List.of(), own.stopAndCheck(), own::diagnostics);
     }
   }
 
@@ -191,12 +191,12 @@
       final FaultShim faults =
           own.faults().rule("write," + DISK_FAILS + ",how=" + how + ",period=90,for=60");
       own.start(faults);
-      own.load(RATE);
+      own.startLoad(RATE);
       for (int kill = 1; kill <= 6; kill++) {
-        own.pass(400);
-        own.restart(faults.seed(kill));
+        own.runFor(400);
+        own.killAndRestart(faults.seed(kill));
       }
-      assertEquals(List.of(), own.verdict(), own::story);
+      assertEquals(List.of(), own.stopAndCheck(), own::diagnostics);
     }
   }
 
@@ -214,11 +214,11 @@
   void startWaitsForWhatPasses(final String rule) throws IOException {
     try (FaultScenario own = begin(6)) {
       own.start(own.faults().rule(rule));
-      own.load(RATE);
-      own.pass(1000);
-      own.restart(own.faults().rule(rule));
-      own.pass(1000);
-      assertEquals(List.of(), own.verdict(), own::story);
+      own.startLoad(RATE);
+      own.runFor(1000);
+      own.killAndRestart(own.faults().rule(rule));
+      own.runFor(1000);
+      assertEquals(List.of(), own.stopAndCheck(), own::diagnostics);
     }
   }
 
@@ -230,13 +230,13 @@
     try (FaultScenario own = begin(7)) {
       own.world.setLoadClasses("safe", "keyed", "brief", "once");
       own.start(own.faults());
-      own.load(RATE);
+      own.startLoad(RATE);
       for (final long shiftMs :
           new long[] {5_000, 0, -5_000, 3_600_000, 0, -3_600_000, 0, -4_000}) {
-        own.pass(600);
-        own.restart(own.faults().shiftWallClock(0, shiftMs));
+        own.runFor(600);
+        own.killAndRestart(own.faults().shiftWallClock(0, shiftMs));
       }
-      assertEquals(List.of(), own.verdict(), own::story);
+      assertEquals(List.of(), own.stopAndCheck(), own::diagnostics);
     }
   }
 
@@ -251,9 +251,9 @@
         faults.shiftWallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
       }
       play(faults);
-      own.pass(2000);
+      own.runFor(2000);
       allHolds();
-      assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
+      assertTrue(own.delivered() >= 0.98 * own.ended(), own::diagnostics);
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
@@ -122,7 +122,7 @@
     busyCore =
         ChildProcess.java(
             Map.of(), busyCoreNumber, BusyCore.class.getName(), Integer.toString(BUSY_THREADS));
-    busyCore.await(line -> line.contains(BusyCore.BEGUN));
+    busyCore.await(line -> line.contains(BusyCore.STARTED));
   }
 
   /** Asks a process to end in order. */
