--- a/courier/src/test/java/thistleturn/courier/BulkResponseTest.java
+++ b/courier/src/test/java/thistleturn/courier/BulkResponseTest.java
@@ -67,8 +67,8 @@
   }
 
   /**
-   * The messages of a call share its fate: once one has expired, the response delivers none of
-   * them.
+   * Once one message of a call has expired, the response to the call counts for none of them: the
+   * others are sent again.
    */
   @ParameterizedTest
   @EnumSource(ResponseKind.class)
--- a/courier/src/test/java/thistleturn/courier/BusyCore.java
+++ b/courier/src/test/java/thistleturn/courier/BusyCore.java
@@ -4,17 +4,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A process that keeps the cores it may use busy, so that others get little of them. */
+/**
+ * A process that keeps the cores it may use busy, so that other processes get little processor
+ * time.
+ */
 final class BusyCore {
-  /** The line that says that it has begun. */
+  /** The output line that reports that the process has started. */
   static final String STARTED = "busy";
 
-  /** It ends by itself, should nobody end it. */
+  /** The process ends after this time if the test does not stop it earlier. */
   private static final long LIFETIME_S = 120;
 
   private BusyCore() {}
 
-  /** Runs as many threads as the only argument says. */
+  /** Runs busy threads; the only argument is their number. */
   public static void main(final String[] arguments) throws InterruptedException {
     final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIFETIME_S);
     final List<Thread> threads = new ArrayList<>();
--- a/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConfigurationReloadTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a new configuration and a SIGHUP change in a courier that runs. */
+/** A running courier applies a changed configuration file after a SIGHUP. */
 @Timeout(120)
 final class ConfigurationReloadTest {
   @TempDir private Path folder;
@@ -49,14 +49,16 @@
     harness.start();
     harness.await("the watch", () -> harness.watchConnections.size() == 1);
     moveDiscoveryAndAwaitWatch();
-    harness.await("the end of the old one", () -> harness.watchConnections.get(0).closedByPeer);
+    harness.await("the end of the old watch", () -> harness.watchConnections.get(0).closedByPeer);
     assertEquals(
         "GET /discovery/hosts HTTP/1.1",
         harness.relocatedPlatform.requests.get(0).requestLine(),
-        "no version of the old address");
+        "the first request names no version from the old address");
     assertEquals(202, harness.submit("m1", "safe").status());
     harness.await("the call", () -> harness.secondEndpoint.requests.size() == 1);
-    assertTrue(harness.firstEndpoint.requests.isEmpty(), "the new address does not list it");
+    assertTrue(
+        harness.firstEndpoint.requests.isEmpty(),
+        "the new address does not list the first endpoint");
     harness.sendEndpointChange(
         4,
         CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready")
@@ -122,7 +124,7 @@
     final int before = harness.logLines.size();
     Files.writeString(folder.resolve("config.json"), "{\"discovery\":\n\"nowhere");
     harness.sendHangupSignal();
-    harness.await("its line", () -> harness.logLines.size() > before);
+    harness.await("the log line about the invalid file", () -> harness.logLines.size() > before);
     assertTrue(
         harness.logLines.get(before).contains("stays as it was"), harness.logLines.toString());
     assertEquals(202, harness.submit("m1", "safe").status());
@@ -159,14 +161,14 @@
     final Path pipe = folder.resolve("pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     harness.launch(pipe);
-    // Opens once the process reads: from then on it waits for what is written.
+    // Opening blocks until the process reads; it then waits until something is written.
     try (OutputStream first = Files.newOutputStream(pipe)) {
       harness.sendHangupSignal();
       harness.await(
           "the signal", () -> harness.logLines.stream().anyMatch(line -> line.contains("SIGHUP")));
       first.write(before.getBytes(StandardCharsets.UTF_8));
     }
-    // The first reading is over by then: what is written from now on is read by the second.
+    // The first read has finished by then, so that the second read gets what is written later.
     harness.await(
         "the start",
         () -> harness.logLines.stream().anyMatch(line -> line.contains("is ready at")));
--- a/courier/src/test/java/thistleturn/courier/ConnectionCloseTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionCloseTest.java
@@ -21,7 +21,7 @@
 import thistleturn.courier.runtime.CourierOptions;
 
 /**
- * Connections that a courier closes, and requests that cross the close: each request gets its one
+ * Requests that cross the close of their connection by the courier: each one gets exactly one
  * response, or is certainly not accepted.
  */
 @Tag("crossings")
@@ -30,7 +30,7 @@
   private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
   private static final long IDLE_TIMEOUT_US = 300_000;
 
-  /** A process that waits for its clients to the last ends so long after SIGTERM. */
+  /** After SIGTERM, a process waits this long at most for its clients. */
   private static final long FULL_SHUTDOWN_MS = 2800;
 
   @TempDir private Path folder;
@@ -111,7 +111,7 @@
     return shutdown;
   }
 
-  /** The request lies unread in the socket when the shutdown begins: it came before. */
+  /** The request arrived before the shutdown and is still unread in the socket. */
   @Test
   void requestUnreadAtShutdown_isAnswered() throws Exception {
     final Socket socket = connectIdle();
@@ -127,7 +127,7 @@
     final CourierHarness.Response response = CourierHarness.readResponse(socket.getInputStream());
     assertEquals(202, response.status());
     assertTrue(response.head().contains("connection: close"), response.head());
-    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
+    assertEquals(-1, socket.getInputStream().read(), "expected an orderly close");
     harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
     shutdown.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
   }
@@ -135,32 +135,37 @@
   @Test
   void requestCrossingIdleTimeout_doesNotResetConnection() throws Exception {
     final Socket socket = connectIdle();
-    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
+    assertEquals(-1, socket.getInputStream().read(), "expected an orderly close");
     write(socket, CourierHarness.submitRequest("m1", "safe"));
     write(socket, CourierHarness.submitRequest("m1", "safe"));
-    assertEquals(-1, socket.getInputStream().read(), "no response, and no reset");
+    assertEquals(-1, socket.getInputStream().read(), "expected no response and no reset");
     assertTrue(
-        harness.firstEndpoint.requests.isEmpty(), "read after the close, it is not forwarded");
+        harness.firstEndpoint.requests.isEmpty(),
+        "a request read after the close must not be forwarded");
   }
 
   /**
-   * What crosses the close of a connection is read and discarded: a reset could overtake a response
-   * that is still being sent.
+   * Bytes that cross the close of a connection are read and discarded, because a reset could
+   * overtake a response that is still being sent.
    */
   @Test
   void requestCrossingShutdown_doesNotResetConnection() throws Exception {
     final Socket socket = connectIdle();
     final Thread shutdown = startShutdown();
-    assertEquals(-1, socket.getInputStream().read(), "an orderly close");
+    assertEquals(-1, socket.getInputStream().read(), "expected an orderly close");
     write(socket, CourierHarness.submitRequest("m1", "safe"));
     write(socket, CourierHarness.submitRequest("m1", "safe"));
-    assertEquals(-1, socket.getInputStream().read(), "no response, and no reset");
+    assertEquals(-1, socket.getInputStream().read(), "expected no response and no reset");
     shutdown.join(TimeUnit.SECONDS.toMillis(CourierHarness.TIMEOUT_S));
     assertTrue(
-        harness.firstEndpoint.requests.isEmpty(), "read after the close, it is not forwarded");
+        harness.firstEndpoint.requests.isEmpty(),
+        "a request read after the close must not be forwarded");
   }
 
-  /** The first half comes before the shutdown, the second after the listener was closed. */
+  /**
+   * The first half of the request arrives before the shutdown, the second after the listener was
+   * closed.
+   */
   @Test
   void requestInPiecesAcrossShutdown_isAnswered(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
@@ -168,7 +173,8 @@
       final String text = CourierHarness.submitRequest("m1", "safe");
       final Socket socket = process.connect();
       write(socket, text.substring(0, text.length() / 2));
-      assertEquals(200, process.send(UP).status(), "the half has been read by then");
+      assertEquals(
+          200, process.send(UP).status(), "the first half of the request has been read by then");
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
       write(socket, text.substring(text.length() / 2));
@@ -176,17 +182,17 @@
       assertEquals(202, response.status());
       assertTrue(response.head().contains("connection: close"), response.head());
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
-      // A call that the end of this process could interrupt is left to the next one.
+      // The process leaves a call that its end could interrupt to the next process.
       process.start();
       process.await(
-          "its call, by this process or the next",
+          "the call, by this process or the next",
           () -> process.firstEndpoint.requests.size() == 1);
     }
   }
 
   private static void awaitNoMoreConnections(final CourierHarness process) {
     process.await(
-        "no more connections",
+        "the listener to refuse connections",
         () -> {
           try {
             process.connect().close();
@@ -200,27 +206,29 @@
   }
 
   /**
-   * Connections without a request, and others that open and close, do not make the process use all
-   * of the time for its shutdown.
+   * Connections without a request, and others that open and close, do not make the shutdown last
+   * until its time limit.
    */
   @Test
   void connectionsWithoutRequest_doNotDelayShutdown(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
       process.start();
-      final Socket silent = process.connect();
+      final Socket withoutRequest = process.connect();
       assertEquals(
-          200, process.send(UP).status(), "the silent connection has been accepted by then");
+          200,
+          process.send(UP).status(),
+          "the connection without a request has been accepted by then");
       final long sinceNs = System.nanoTime();
       final Process ending = process.terminate();
       awaitNoMoreConnections(process);
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
       assertTrue(tookMs < FULL_SHUTDOWN_MS, "ended after " + tookMs + " ms");
-      silent.close();
+      withoutRequest.close();
     }
   }
 
-  /** A request that is never complete gets a response before the process ends. */
+  /** A request that stays incomplete is rejected before the process ends. */
   @Test
   void incompleteRequestAtShutdown_isRejected(@TempDir final Path other) throws Exception {
     try (CourierHarness process = new CourierHarness(other)) {
@@ -228,12 +236,13 @@
       final String text = CourierHarness.submitRequest("m1", "safe");
       final Socket socket = process.connect();
       write(socket, text.substring(0, text.length() / 2));
-      assertEquals(200, process.send(UP).status(), "the half has been read by then");
+      assertEquals(
+          200, process.send(UP).status(), "the first half of the request has been read by then");
       final Process ending = process.terminate();
-      // 408 for the time that the request took, or 503 since the process ends.
+      // 408 if the request timed out first, or 503 because the process shuts down.
       final int status = CourierHarness.readResponse(socket.getInputStream()).status();
       assertTrue(status == 408 || status == 503, "status " + status);
-      assertEquals(-1, socket.getInputStream().read(), "an orderly close");
+      assertEquals(-1, socket.getInputStream().read(), "expected an orderly close");
       assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
       assertTrue(process.firstEndpoint.requests.isEmpty());
     }
--- a/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionLimitAfterPauseTest.java
@@ -18,10 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * While the courier is paused more clients connect than its limit allows, each with a complete
- * request.
- */
+/** More clients connect to a paused courier than its limit allows, each with a complete request. */
 @Tag("crossings")
 @Timeout(120)
 final class ConnectionLimitAfterPauseTest {
@@ -58,7 +55,10 @@
     harness.close();
   }
 
-  /** Connections whose requests are unread seem idle: they are read before any is evicted. */
+  /**
+   * A connection with an unread request looks idle: all requests are read before any connection is
+   * evicted.
+   */
   @Test
   void connectionsOverLimitWithUnreadRequests_areAllAnswered() throws Exception {
     final CountDownLatch paused = new CountDownLatch(1);
--- a/courier/src/test/java/thistleturn/courier/ConnectionTrackingEventLoop.java
+++ b/courier/src/test/java/thistleturn/courier/ConnectionTrackingEventLoop.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.Executors;
 
 /**
- * An event loop that knows the lines of the handover protocol on it, so that a test can end one of
- * them while everything else of its process goes on.
+ * An event loop that tracks its connections of the handover protocol, so that a test can close one
+ * of them while the rest of the process keeps running.
  */
 final class ConnectionTrackingEventLoop extends SingleThreadIoEventLoop {
-  private final List<NioDomainSocketChannel> lines = new CopyOnWriteArrayList<>();
+  private final List<NioDomainSocketChannel> connections = new CopyOnWriteArrayList<>();
 
   ConnectionTrackingEventLoop() {
     super(
@@ -26,14 +26,14 @@
 
   @Override
   public ChannelFuture register(final ChannelPromise promise) {
-    if (promise.channel() instanceof NioDomainSocketChannel line) {
-      lines.add(line);
+    if (promise.channel() instanceof NioDomainSocketChannel connection) {
+      connections.add(connection);
     }
     return super.register(promise);
   }
 
-  /** Returns the lines that are open, the oldest first. */
+  /** Returns the open connections, the oldest first. */
   List<NioDomainSocketChannel> openConnections() {
-    return lines.stream().filter(NioDomainSocketChannel::isOpen).toList();
+    return connections.stream().filter(NioDomainSocketChannel::isOpen).toList();
   }
 }
--- a/courier/src/test/java/thistleturn/courier/CourierHarness.java
+++ b/courier/src/test/java/thistleturn/courier/CourierHarness.java
@@ -21,7 +21,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** A courier in a process of its own, between a fake platform and fake endpoints. */
+/** Runs a courier in its own process, between a fake platform and fake endpoints. */
 final class CourierHarness implements AutoCloseable {
   static final long TIMEOUT_S = 20;
   private static final String MESSAGE_CLASSES =
@@ -34,7 +34,7 @@
   /** The response that a client received. */
   record Response(int status, String head) {}
 
-  /** The outcome reports that the platform received, a line each. */
+  /** The outcome reports that the platform received, one line each. */
   final List<String> outcomeReports = new CopyOnWriteArrayList<>();
 
   final List<FakeHttpServer.Connection> watchConnections = new CopyOnWriteArrayList<>();
@@ -50,7 +50,7 @@
   final List<String> logLines = new CopyOnWriteArrayList<>();
   volatile int outcomeResponseStatus = 204;
 
-  /** Sees each line of the log as it comes, on the thread that reads it. */
+  /** Called with each log line, on the thread that reads the log. */
   Consumer<String> lineListener = line -> {};
 
   int maxOpenConnections = 50;
@@ -65,7 +65,7 @@
   int socketLimit = 1024;
   String extraSetting = "\"unheard_of\":[{\"x\":1}]";
 
-  /** The program of the process. */
+  /** The main class of the process. */
   String mainClass = "thistleturn.courier.Main";
 
   /** The endpoints in the configuration. */
@@ -76,13 +76,13 @@
 
   private final Path workDirectory;
 
-  /** The harness whose platform is used, if this is another process of its courier. */
+  /** The harness whose platform is used, if this one runs another process of the same courier. */
   private CourierHarness platformOwner;
 
   private Process process;
   private int port;
 
-  /** True if the courier listens for operators. */
+  /** Whether the courier opens an operator port. */
   boolean operatorPortEnabled;
 
   int operatorPort;
@@ -151,7 +151,7 @@
     final List<String> before = List.copyOf(logLines);
     await("ready", () -> readyLine(before.size()) != null);
     final String ready = readyLine(before.size());
-    // Several shards are named behind the address.
+    // With several shards, their number follows the address.
     port = Integer.parseInt(ready.substring(ready.lastIndexOf(':') + 1).split(" ")[0]);
     if (operatorPortEnabled) {
       final String operatorLine =
@@ -267,12 +267,12 @@
     sendSignal("-HUP");
   }
 
-  /** Stops the process until {@link #resume}. */
+  /** Pauses the process with SIGSTOP until {@link #resume}. */
   void pause() throws IOException, InterruptedException {
     sendSignal("-STOP");
   }
 
-  /** Lets the process go on. */
+  /** Resumes the process with SIGCONT. */
   void resume() throws IOException, InterruptedException {
     sendSignal("-CONT");
   }
@@ -322,7 +322,7 @@
     return socket;
   }
 
-  /** Sends bytes over a connection of their own, and reads the response. */
+  /** Sends a request over a new connection, and reads the response. */
   Response send(final String raw) throws IOException {
     try (Socket socket = connect()) {
       return send(socket, raw);
@@ -345,11 +345,12 @@
     return new Response(status, String.join("\n", lines).toLowerCase(Locale.ROOT));
   }
 
-  /** Waits for a condition, up to a limit that is reached only on failure. */
+  /** Waits for a condition; fails if it is not met within {@link #TIMEOUT_S}. */
   void await(final String what, final BooleanSupplier condition) {
     final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < untilNs, "not in time: " + what + "; log: " + logLines);
+      assertTrue(
+          System.nanoTime() < untilNs, "timed out waiting for: " + what + "; log: " + logLines);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
     }
   }
@@ -360,7 +361,7 @@
             .anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
   }
 
-  /** Returns the ids of all messages whose outcome the platform was told. */
+  /** Returns the ids of all messages whose outcome was reported to the platform. */
   Set<String> reportedIds() {
     final Set<String> ids = new HashSet<>();
     outcomeReports.forEach(line -> ids.add(line.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1")));
--- a/courier/src/test/java/thistleturn/courier/DiscoveryWatchTest.java
+++ b/courier/src/test/java/thistleturn/courier/DiscoveryWatchTest.java
@@ -27,7 +27,7 @@
   private static final String WATCH_RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** What an unresponsive watch misses must be known after this time. */
+  /** A change that an unresponsive watch misses must be known after this time. */
   private static final long MAX_STALENESS_MS = 6000;
 
   /** The discovery service may delay a response by this time. */
@@ -106,9 +106,9 @@
         });
   }
 
-  /** Detection, connecting and a delayed response have to fit into the limit together. */
+  /** Detection, connecting and a delayed response must together fit into the staleness limit. */
   @Test
-  void silentWatch_isReplacedWithinMaximumStaleness() throws IOException {
+  void unresponsiveWatch_isReplacedWithinMaximumStaleness() throws IOException {
     scriptPlatform(
         harness.platform,
         (number, request, connection) -> {
@@ -132,11 +132,12 @@
         });
     harness.start();
     harness.await("the first watch", () -> listRequests.size() == 1);
-    final long silentNs = System.nanoTime();
+    final long unresponsiveSinceNs = System.nanoTime();
     harness.await("the second watch", () -> listRequests.size() == 2);
-    final long atMs = requestedAfterMs(silentNs, 1) + MAX_RESPONSE_DELAY_MS;
+    final long atMs = requestedAfterMs(unresponsiveSinceNs, 1) + MAX_RESPONSE_DELAY_MS;
     assertTrue(
-        atMs < MAX_STALENESS_MS, "known " + atMs + " ms after the watch became unresponsive");
+        atMs < MAX_STALENESS_MS,
+        "the change was known " + atMs + " ms after the watch became unresponsive");
     awaitCallToSecondEndpoint();
   }
 
@@ -158,15 +159,16 @@
         });
     harness.start();
     harness.await("the first watch", () -> listRequests.size() == 1);
-    final long silentNs = System.nanoTime();
+    final long unresponsiveSinceNs = System.nanoTime();
     harness.await("another watch", () -> listRequests.size() == 2);
     assertTrue(
-        requestedAfterMs(silentNs, 1) < MAX_STALENESS_MS - MAX_RESPONSE_DELAY_MS,
-        "requested after " + requestedAfterMs(silentNs, 1) + " ms");
-    harness.await("the end of the first", () -> listRequests.get(0).connection().closedByPeer);
+        requestedAfterMs(unresponsiveSinceNs, 1) < MAX_STALENESS_MS - MAX_RESPONSE_DELAY_MS,
+        "requested after " + requestedAfterMs(unresponsiveSinceNs, 1) + " ms");
+    harness.await(
+        "the end of the first watch", () -> listRequests.get(0).connection().closedByPeer);
   }
 
-  /** A courier requests a snapshot from a new address; it never ends. */
+  /** The response to the snapshot request at a new address never ends. */
   @Test
   void unfinishedSnapshot_isRequestedAgain() throws IOException, InterruptedException {
     scriptPlatform(
@@ -202,7 +204,7 @@
     harness.await("the call", () -> harness.secondEndpoint.requests.size() == 1);
   }
 
-  /** An object may contain line ends, which are no heartbeats. */
+  /** Line ends within an object are not heartbeats. */
   @Test
   void indentedList_isParsed() throws IOException {
     scriptPlatform(
@@ -224,7 +226,7 @@
     harness.start();
     harness.await("the watch", () -> listRequests.size() == 1);
     awaitCallToSecondEndpoint();
-    assertEquals(1, listRequests.size(), "the watch stands: " + harness.logLines);
+    assertEquals(1, listRequests.size(), "the watch was replaced: " + harness.logLines);
   }
 
   /** A truncated object is not joined with what follows it. */
@@ -246,10 +248,10 @@
     harness.await("another watch", () -> listRequests.size() == 2);
     assertTrue(
         listRequests.get(1).requestLine().contains("after=41"),
-        "nothing of it counts: " + listRequests.get(1).requestLine());
+        "part of the truncated object was applied: " + listRequests.get(1).requestLine());
   }
 
-  /** Requests are rejected repeatedly: the retries stay frequent enough for the staleness limit. */
+  /** However often the request is rejected, the retries meet the staleness limit. */
   @Test
   void rejectedListRequest_isRetriedSoon() throws IOException {
     scriptPlatform(
@@ -273,7 +275,7 @@
     }
   }
 
-  /** Over sockets nothing is pushed: in this mode the list is watched all the same. */
+  /** Nothing is pushed over sockets, so that the list is watched in this mode, too. */
   @Test
   void pushedMode_isWatched() throws IOException {
     harness.discoveryMode = "pushed";
--- a/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
+++ b/courier/src/test/java/thistleturn/courier/DurableEffectsTest.java
@@ -13,7 +13,7 @@
 import thistleturn.courier.port.StoredMessage;
 import thistleturn.courier.runtime.CourierConfig;
 
-/** Which effects take place, and when, by the result of the journal's last flush. */
+/** Which effects are carried out, and when, for each result of the last journal flush. */
 @Tag("faults")
 final class DurableEffectsTest {
   private static final long NOW_US = 1_000_000;
@@ -27,13 +27,13 @@
     public void accept(final PendingDelivery delivery) {
       executed.add("accept " + delivery.id());
       if (delivery.id().equals("bad")) {
-        throw new IllegalStateException("its answer fails");
+        throw new IllegalStateException("the answer fails");
       }
     }
 
     @Override
     public void rejectUnjournaled(final PendingDelivery delivery) {
-      executed.add("refuse " + delivery.id());
+      executed.add("reject " + delivery.id());
     }
 
     @Override
@@ -50,12 +50,12 @@
   private final class RecordingNotifier implements OutcomeNotifier {
     @Override
     public void enqueue(final StoredMessage message) {
-      executed.add("end " + message.id());
+      executed.add("outcome " + message.id());
     }
 
     @Override
     public void flush() {
-      // Not needed here.
+      // Not needed by these tests.
     }
 
     @Override
@@ -65,29 +65,29 @@
 
     @Override
     public void reload(final CourierConfig fresh) {
-      // Not needed here.
+      // Not needed by these tests.
     }
   }
 
   private static final class IgnoringReply implements Ingress.Reply {
     @Override
     public void accepted() {
-      // Not needed here.
+      // Not needed by these tests.
     }
 
     @Override
     public void rejected(final Ingress.RejectionReason reason, final long retryAfterUs) {
-      // Not needed here.
+      // Not needed by these tests.
     }
 
     @Override
     public void failed() {
-      // Not needed here.
+      // Not needed by these tests.
     }
 
     @Override
     public void invalid(final Ingress.InvalidReason reason) {
-      // Not needed here.
+      // Not needed by these tests.
     }
   }
 
@@ -102,7 +102,7 @@
 
   private void addOneOfEach() {
     effects.addAcceptance(pendingDelivery("m"), NOW_US);
-    effects.addRejection(() -> executed.add("refusal"), NOW_US);
+    effects.addRejection(() -> executed.add("rejection"), NOW_US);
     effects.addCall(
         new Dispatcher.Call() {
           @Override
@@ -120,44 +120,45 @@
   }
 
   @Test
-  void durableFlushRunsEveryEffectInOrder() {
+  void durableFlush_runsEveryEffectInOrder() {
     addOneOfEach();
     effects.runAfterFlush(FlushResult.DURABLE, NOW_US);
-    assertEquals(List.of("refusal", "accept m", "start", "end later", "end due"), executed);
+    assertEquals(
+        List.of("rejection", "accept m", "start", "outcome later", "outcome due"), executed);
   }
 
   @Test
-  void failedFlushRejectsAndReportsOnlyExpiredOutcomes() {
+  void failedFlush_rejectsAndReportsOnlyExpiredOutcomes() {
     addOneOfEach();
     effects.runAfterFlush(FlushResult.FAILED, NOW_US);
-    assertEquals(List.of("refusal", "refuse m", "drop", "end due"), executed);
+    assertEquals(List.of("rejection", "reject m", "drop", "outcome due"), executed);
     executed.clear();
     effects.runAfterFlush(FlushResult.FAILED, 2 * NOW_US);
-    assertEquals(List.of("end later"), executed, "it has expired now");
+    assertEquals(List.of("outcome later"), executed, "the message has expired by now");
   }
 
   @Test
-  void unknownFlushWaitsThenRejects() {
+  void unknownFlush_waitsThenRejects() {
     addOneOfEach();
     effects.runAfterFlush(FlushResult.UNKNOWN, NOW_US);
-    assertEquals(List.of("drop", "end due"), executed);
+    assertEquals(List.of("drop", "outcome due"), executed);
     executed.clear();
     effects.runAfterFlush(FlushResult.UNKNOWN, NOW_US + 250_000);
     assertEquals(
-        List.of("refusal", "refuse m"), executed, "its client waits no longer than 400 ms");
+        List.of("rejection", "reject m"), executed, "the client waits no longer than 400 ms");
   }
 
   @Test
-  void failingEffectDoesNotStopTheOthers() {
+  void failingEffect_doesNotStopOthers() {
     effects.addRejection(
         () -> {
-          throw new IllegalStateException("its connection fails");
+          throw new IllegalStateException("the connection fails");
         },
         NOW_US);
     effects.addAcceptance(pendingDelivery("bad"), NOW_US);
     effects.addAcceptance(pendingDelivery("good"), NOW_US);
     effects.addFinalOutcome(storedMessage("ended", NOW_US));
     effects.runAfterFlush(FlushResult.DURABLE, NOW_US);
-    assertEquals(List.of("accept bad", "accept good", "end ended"), executed);
+    assertEquals(List.of("accept bad", "accept good", "outcome ended"), executed);
   }
 }
--- a/courier/src/test/java/thistleturn/courier/EndpointCopies.java
+++ b/courier/src/test/java/thistleturn/courier/EndpointCopies.java
@@ -20,10 +20,10 @@
   private final Map<String, FakeHttpServer.Connection> heldConnections = new ConcurrentHashMap<>();
 
   /**
-   * A copy of a message that has come.
+   * A copy of a message that the endpoint received.
    *
-   * @param heldHasEnded whether the message's first copy was held, and its connection had ended by
-   *     then
+   * @param heldHasEnded whether the message's first copy was held and its connection had ended when
+   *     this copy arrived
    */
   record Copy(String id, long receivedNs, boolean heldHasEnded) {}
 
@@ -78,9 +78,7 @@
     return copies.stream().filter(copy -> copy.id().equals(id)).toList();
   }
 
-  /**
-   * Returns whether the connection of a message's held copy has ended, as the system has it now.
-   */
+  /** Returns whether the kernel reports that the connection of a message's held copy has ended. */
   boolean hasHeldEnded(final String id) {
     return heldConnections.get(id).hasPeerEnded();
   }
--- a/courier/src/test/java/thistleturn/courier/FakeHttpServer.java
+++ b/courier/src/test/java/thistleturn/courier/FakeHttpServer.java
@@ -16,9 +16,7 @@
 import java.util.function.BiConsumer;
 import thistleturn.testkit.SocketTable;
 
-/**
- * An HTTP server for tests on any free port: it records requests, and a script responds to them.
- */
+/** An HTTP server for tests on a free port: it records requests, and a script responds to them. */
 final class FakeHttpServer implements AutoCloseable {
   /** A request that was received completely. */
   record Request(
@@ -157,7 +155,7 @@
       write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** Returns whether the peer has ended the connection, as the system has it at this moment. */
+    /** Returns whether the kernel reports that the peer has ended the connection. */
     boolean hasPeerEnded() {
       try {
         return socket.isClosed()
--- a/courier/src/test/java/thistleturn/courier/FaultScenario.java
+++ b/courier/src/test/java/thistleturn/courier/FaultScenario.java
@@ -21,8 +21,8 @@
 import thistleturn.testkit.rig.FaultShim;
 
 /**
- * One courier as a process of its own whose system calls fail by rules, among six endpoints of
- * three destinations that are well.
+ * A courier in its own process whose system calls fail according to rules, with six healthy
+ * endpoints of three destinations.
  */
 final class FaultScenario implements AutoCloseable {
   static final long TIMEOUT_MS = 3000;
@@ -30,21 +30,21 @@
   private static final int DESTINATIONS = 3;
   private static final long SERVICE_MS = 25;
   private static final double CALLS_PER_SECOND = 2000;
-  private static final long KILLED_AFTER_US = 3_700_000;
+  private static final long SHUTDOWN_LIMIT_US = 3_700_000;
   private static final double WARM_UP_RATE = 60;
   private static final int WARM_UP_MESSAGES = 60;
   private static final Pattern ID = Pattern.compile("m[0-9a-f]+-[0-9]+");
-  private static final Pattern OF_A_MESSAGE =
+  private static final Pattern MESSAGE_EVENT =
       Pattern.compile(" id=|event=(connect_failed|socket_failed|accept_failed)");
-  private static final int MOST_NAMED = 3;
-  private static final int MOST_LINES = 60;
+  private static final int MAX_MESSAGES_SHOWN = 3;
+  private static final int MAX_LINES_PER_PROCESS = 60;
   private static final String MAIN = "thistleturn.courier.Main";
 
   final StandInWorld world;
   final List<StandInEndpoint> endpoints = new ArrayList<>();
   private final Path state;
   private final Map<String, String> addresses = new HashMap<>();
-  private final Set<String> late = new HashSet<>();
+  private final Set<String> unansweredInWarmUp = new HashSet<>();
   private final List<ChildProcess> processes = new ArrayList<>();
   private ChildProcess courier;
   private List<Violation> violations = List.of();
@@ -60,27 +60,27 @@
     }
   }
 
-  /** No fault yet, for a courier of this scenario. */
+  /** Returns a shim without faults for a courier of this scenario. */
   FaultShim faults() {
     return FaultShim.forFolder(state);
   }
 
-  /** Couriers that are started from now on listen there. */
+  /** Sets the client port of couriers that are started from now on. */
   void setListenPort(final int port) {
     addresses.put("PROXY_LISTEN", "127.0.0.1:" + port);
   }
 
-  /** Couriers that are started from now on hear operators there. */
+  /** Sets the operator port of couriers that are started from now on. */
   void setOperatorPort(final int port) {
     addresses.put("PROXY_OPERATOR", "127.0.0.1:" + port);
   }
 
-  /** Starts a courier under these faults, and waits until it serves. */
+  /** Starts a courier with these faults, and waits until it serves. */
   void start(final FaultShim faults) throws IOException {
     final Map<String, String> environment =
         new HashMap<>(world.environment(CourierFiles.Size.usual()));
     environment.putAll(addresses);
-    // So small a disk that the journal is replaced every few seconds.
+    // The disk limit is so small that the journal is replaced every few seconds.
     final Path config = Path.of(environment.get("PROXY_CONFIG"));
     Files.writeString(config, Files.readString(config).replace("\"disk_mb\":64", "\"disk_mb\":1"));
     courier = ChildProcess.java(faults.environment(environment), "", MAIN);
@@ -90,49 +90,51 @@
   }
 
   /**
-   * Starts a newer courier beside the one that serves, and ends the older one in order once the
+   * Starts a newer courier beside the serving one, and shuts the older one down gracefully once the
    * newer one serves.
    */
   void takeOver(final FaultShim faults) throws IOException {
     final ChildProcess older = courier;
     start(faults);
-    end(older);
+    shutDown(older);
   }
 
-  /** Ends the courier in order, as the platform does, and starts another one in its folder. */
+  /** Shuts the courier down as the platform does, and starts another one in its folder. */
   void restartGracefully(final FaultShim faults) throws IOException {
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
-    end(courier);
+    shutDown(courier);
     world.resetConnections();
     start(faults);
     world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
-  /** SIGTERM, and SIGKILL 3.7 s later unless the process has ended by then. */
-  private void end(final ChildProcess process) {
+  /** Sends SIGTERM, and SIGKILL 3.7 s later unless the process has ended by then. */
+  private void shutDown(final ChildProcess process) {
     process.terminate();
-    final long untilUs = world.clock.nowUs() + KILLED_AFTER_US;
+    final long untilUs = world.clock.nowUs() + SHUTDOWN_LIMIT_US;
     world.await(
         "the end of the process", () -> !process.isAlive() || world.clock.nowUs() >= untilUs);
     process.kill();
   }
 
   /**
-   * Lets a courier that has just begun run its code some times, on however little of a core: what
-   * it answers late is not counted.
+   * Lets a newly started courier deliver a few messages, however little processor time it gets.
+   * Requests that it does not answer in time are not counted.
    */
   void warmUp() {
     final int before = delivered();
     startLoad(WARM_UP_RATE);
     world.await("the first deliveries", () -> delivered() >= before + WARM_UP_MESSAGES);
     world.stopSubmitting();
-    world.await("answers to the first messages", () -> world.client.pendingRequests() <= 0);
-    late.addAll(world.client.unansweredIds());
+    world.await("answers to the warm-up messages", () -> world.client.pendingRequests() <= 0);
+    unansweredInWarmUp.addAll(world.client.unansweredIds());
   }
 
-  /** Requests that had no answer in their client's time, but for those of a warm-up. */
+  /** Returns the requests that timed out without an answer, except those of the warm-up. */
   List<String> unansweredIds() {
-    return world.client.unansweredIds().stream().filter(id -> !late.contains(id)).toList();
+    return world.client.unansweredIds().stream()
+        .filter(id -> !unansweredInWarmUp.contains(id))
+        .toList();
   }
 
   /** Kills the courier and starts another one in its folder. */
@@ -140,23 +142,26 @@
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
     world.resetConnections();
-    // What was called up to now is the old process's: it went on until the signal reached it.
+    // Calls up to now were made by the old process, which ran until the signal reached it.
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     start(faults);
     world.ruleChecker.recordRestart(world.clock.nowUs(), true);
   }
 
-  /** Hands in so many messages a second to all destinations. */
+  /** Starts to submit this many messages per second, spread over all destinations. */
   void startLoad(final double perSecond) {
     world.startLoad(perSecond, TIMEOUT_MS, 1, 2, 3);
   }
 
-  /** Lets so much time pass under load. */
+  /** Waits this long while the load continues. */
   void runFor(final long ms) {
     world.waitUntil(world.clock.nowUs() + ms * 1000);
   }
 
-  /** Hands in no more; what the rules have to say once every message has its end or is overdue. */
+  /**
+   * Stops the load, waits until every message has its final outcome or is overdue, and returns the
+   * violations of the rules.
+   */
   List<Violation> stopAndCheck() {
     violations = world.stopLoadAndCheck(TIMEOUT_MS);
     return violations;
@@ -175,18 +180,18 @@
   }
 
   /**
-   * What the couriers said of the messages that a verdict names, and of themselves, with the counts
-   * of ends.
+   * Returns the counts of outcomes, and the couriers' log lines about themselves and about the
+   * messages that the violations name.
    */
   String diagnostics() {
-    final Set<String> named = new TreeSet<>();
+    final Set<String> shownIds = new TreeSet<>();
     final Matcher ids = ID.matcher(violations.toString());
-    while (ids.find() && named.size() < MOST_NAMED) {
-      named.add("id=" + ids.group() + " ");
+    while (ids.find() && shownIds.size() < MAX_MESSAGES_SHOWN) {
+      shownIds.add("id=" + ids.group() + " ");
     }
     final StringBuilder text =
         new StringBuilder(
-            "ends "
+            "outcomes "
                 + world.ruleChecker.outcomeCounts()
                 + ", without answer "
                 + unansweredIds().size());
@@ -194,8 +199,9 @@
       text.append("\nprocess ").append(process.pid());
       process.lines().stream()
           .filter(
-              line -> !OF_A_MESSAGE.matcher(line).find() || named.stream().anyMatch(line::contains))
-          .limit(MOST_LINES)
+              line ->
+                  !MESSAGE_EVENT.matcher(line).find() || shownIds.stream().anyMatch(line::contains))
+          .limit(MAX_LINES_PER_PROCESS)
           .forEach(line -> text.append('\n').append(line));
     }
     return text.toString();
--- a/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/FaultSoakTest.java
@@ -24,23 +24,23 @@
 import thistleturn.testkit.rig.FaultShim;
 
 /**
- * Of each kind of system call the n-th fails, once or from then on for a while, over a start,
- * messages, a kill, a restart and an end in order; then seeded mixes of calls, disk, clock, signals
- * and partners. A few in every run; by hand as many as {@code -Dfaults.seeds} and {@code
- * -Dfaults.nth} say.
+ * The n-th system call of each kind fails, alone or as the first of 40, during a start, deliveries,
+ * a kill, a restart and a graceful shutdown. Further tests use seeded mixes of faults of system
+ * calls, disk, clock, signals and endpoints. A normal run plays a few cases; {@code -Dfaults.seeds}
+ * and {@code -Dfaults.nth} set how many.
  */
 @Tag("faults")
 final class FaultSoakTest {
   private static final int SEEDS = Integer.getInteger("faults.seeds", 2);
   private static final int FIRST_SEED = Integer.getInteger("faults.first", 1);
-  private static final int MOST_NTH = Integer.getInteger("faults.nth", 1);
+  private static final int MAX_NTH = Integer.getInteger("faults.nth", 1);
   private static final double RATE = 150;
-  private static final Pattern REPEAT =
+  private static final Pattern REPEATED_CALL =
       Pattern.compile(
           "\\S+ \\((safe|keyed|brief)\\) was sent after it was delivered, (\\d+) us after its answer"
               + " \\(called [^()]*\\)");
 
-  /** The window of the class {@code brief}, less the time of a call. */
+  /** The idempotency window of the class {@code brief}, minus the duration of a call. */
   private static final long BRIEF_WINDOW_US = 270_000;
 
   private static final long[] WALL_SHIFTS_MS = {0, 5_000, -5_000, 3_600_000, -3_600_000};
@@ -62,7 +62,7 @@
     return CALLS.stream()
         .flatMap(
             call ->
-                IntStream.rangeClosed(1, MOST_NTH)
+                IntStream.rangeClosed(1, MAX_NTH)
                     .boxed()
                     .flatMap(
                         nth ->
@@ -75,7 +75,7 @@
 
   @ParameterizedTest
   @MethodSource("nthFailures")
-  void theNthCallFails(final String rule) throws IOException {
+  void nthSystemCallFails_rulesHold(final String rule) throws IOException {
     try (FaultScenario scenario = new FaultScenario(folder, rule.hashCode())) {
       final FaultShim faults = scenario.faults().rule(rule);
       scenario.start(faults);
@@ -85,13 +85,13 @@
       scenario.runFor(500);
       scenario.restartGracefully(scenario.faults());
       scenario.runFor(300);
-      assertEquals(List.of(), broken(scenario), scenario::diagnostics);
+      assertEquals(List.of(), harmfulViolations(scenario), scenario::diagnostics);
     }
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void mixedFaultsBreakNoRule(final int seed) throws IOException {
+  void mixedFaults_rulesHold(final int seed) throws IOException {
     final Random random = new Random(seed);
     try (FaultScenario scenario = new FaultScenario(folder, seed)) {
       scenario.world.setLoadClasses("safe", "keyed", "brief", "once");
@@ -99,7 +99,7 @@
       scenario.start(faults(scenario, random));
       scenario.startLoad(RATE);
       for (int step = 0; step < 5; step++) {
-        trouble(scenario, random);
+        changeEndpointBehavior(scenario, random);
         scenario.runFor(400 + random.nextInt(1200));
         if (random.nextInt(3) == 0) {
           scenario.restartGracefully(faults(scenario, random));
@@ -109,14 +109,16 @@
       }
       scenario.endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(20)));
       assertEquals(
-          List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.diagnostics());
+          List.of(),
+          harmfulViolations(scenario),
+          () -> "seed " + seed + ": " + scenario.diagnostics());
     }
   }
 
-  /** A newer process takes over while calls of both fail. */
+  /** A newer process takes over while system calls of both processes fail. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aTakeoverUnderFaultsBreaksNoRule(final int seed) throws IOException {
+  void takeoverUnderFaults_rulesHold(final int seed) throws IOException {
     final Random random = new Random(1000 + seed);
     try (FaultScenario scenario = new FaultScenario(folder, seed)) {
       scenario.setListenPort(freePort());
@@ -128,20 +130,23 @@
       scenario.takeOver(faults(scenario, random));
       scenario.runFor(700);
       assertEquals(
-          List.of(), broken(scenario), () -> "seed " + seed + ": " + scenario.diagnostics());
+          List.of(),
+          harmfulViolations(scenario),
+          () -> "seed " + seed + ": " + scenario.diagnostics());
     }
   }
 
   /**
-   * What the rules forbid. What was delivered and may be repeated is answered as delivered once
-   * more: an answer that crosses the end of its call, or of the process, makes it go again.
+   * Returns the violations except harmless repeats. A message that may be repeated is sent again
+   * when its answer crosses the end of its call or of the process; the endpoint then answers once
+   * more that it is delivered.
    */
-  private static List<Violation> broken(final FaultScenario scenario) {
+  private static List<Violation> harmfulViolations(final FaultScenario scenario) {
     return scenario.stopAndCheck().stream().filter(one -> !isHarmlessRepeat(one.what())).toList();
   }
 
   private static boolean isHarmlessRepeat(final String what) {
-    final Matcher repeat = REPEAT.matcher(what);
+    final Matcher repeat = REPEATED_CALL.matcher(what);
     return repeat.matches()
         && (!repeat.group(1).equals("brief") || Long.parseLong(repeat.group(2)) < BRIEF_WINDOW_US);
   }
@@ -173,7 +178,7 @@
             500 + random.nextInt(1500), WALL_SHIFTS_MS[random.nextInt(WALL_SHIFTS_MS.length)]);
   }
 
-  private static void trouble(final FaultScenario scenario, final Random random) {
+  private static void changeEndpointBehavior(final FaultScenario scenario, final Random random) {
     for (final StandInEndpoint endpoint : scenario.endpoints) {
       endpoint.setBehavior(
           switch (random.nextInt(10)) {
--- a/courier/src/test/java/thistleturn/courier/HandoverListenerTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverListenerTest.java
@@ -28,8 +28,8 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * Two couriers of one Java machine, the older one with a busy loop: clients that connect while its
- * listener closes have their answers.
+ * Two couriers in one JVM, the older one with a busy event loop: clients that connect while its
+ * listener closes are answered.
  */
 @Tag("operators")
 @Timeout(120)
@@ -40,7 +40,7 @@
   private static final int READ_TIMEOUT_MS = 20_000;
   private static final long TIMEOUT_S = 20;
 
-  /** Behind the newer one's ready: the older one's listener is closed by then. */
+  /** The older courier's listener is closed by this time after the newer one is ready. */
   private static final long LISTENER_CLOSED_US = 600_000;
 
   @TempDir private Path folder;
@@ -49,7 +49,7 @@
   private final AtomicInteger answered = new AtomicInteger();
   private final Queue<String> failures = new ConcurrentLinkedQueue<>();
 
-  /** Guards against requests that are reset with what is in the backlog of a closing listener. */
+  /** Guards against resets of connections that are in the backlog of a closing listener. */
   @Test
   void clientsConnectWhileOlderListenerCloses_allAreAnswered() throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 1)) {
@@ -59,11 +59,11 @@
       final int port = freePort();
       environment.put("PROXY_LISTEN", "127.0.0.1:" + port);
       environment.put("PROXY_OPERATOR", "127.0.0.1:0");
-      CourierServer serving = startedCourier(environment);
+      CourierServer serving = startCourier(environment);
       final List<Thread> clients = startClients(port);
       for (int takeover = 0; takeover < TAKEOVERS; takeover++) {
         keepBusy(serving);
-        final CourierServer newer = startedCourier(environment);
+        final CourierServer newer = startCourier(environment);
         world.waitUntil(world.clock.nowUs() + LISTENER_CLOSED_US);
         serving.kill();
         serving = newer;
@@ -73,8 +73,9 @@
         client.join();
       }
       serving.kill();
-      assertEquals(List.of(), List.copyOf(failures), () -> "beside " + answered + " answers");
-      assertTrue(answered.get() > 0, "clients were answered");
+      assertEquals(
+          List.of(), List.copyOf(failures), () -> "failures besides " + answered + " answers");
+      assertTrue(answered.get() > 0, "no client was answered");
     }
   }
 
@@ -84,14 +85,14 @@
     }
   }
 
-  private static CourierServer startedCourier(final Map<String, String> environment)
+  private static CourierServer startCourier(final Map<String, String> environment)
       throws Exception {
     final CourierServer courier = CourierServer.start(environment);
     courier.ready().get(TIMEOUT_S, TimeUnit.SECONDS);
     return courier;
   }
 
-  /** Makes each round of its loop long, so that much comes between two polls. */
+  /** Delays each iteration of the event loop, so that many connections arrive between two polls. */
   private static void keepBusy(final CourierServer courier) {
     courier
         .eventLoop()
@@ -120,7 +121,7 @@
     }
   }
 
-  /** One request on a connection of its own. */
+  /** Sends one request over a new connection. */
   private static void send(final String id, final int port) throws IOException {
     try (Socket socket = new Socket()) {
       socket.setSoTimeout(READ_TIMEOUT_MS);
--- a/courier/src/test/java/thistleturn/courier/HandoverTest.java
+++ b/courier/src/test/java/thistleturn/courier/HandoverTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A newer process takes over from the serving one: to everyone outside the two are one courier. */
+/**
+ * A newer process takes over from the serving one; clients, endpoints and the platform see a single
+ * courier.
+ */
 @Tag("operators")
 @Timeout(120)
 final class HandoverTest {
@@ -61,11 +64,11 @@
     newer.start();
     assertTrue(newer.sendOperatorRequest("GET", "/-/ready").startsWith("HTTP/1.1 200"));
     newer.await(
-        "the call in flight, in its metrics",
+        "the call in flight in the newer process's metrics",
         () -> newer.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 1\n"));
     heldCall.connection().respond(200, "");
     newer.await(
-        "its outcome",
+        "the outcome in the newer process's metrics",
         () ->
             newer
                 .sendOperatorRequest("GET", "/-/metrics")
@@ -75,7 +78,7 @@
     newer.await("the next call", () -> older.firstEndpoint.requests.size() == 2);
     assertTrue(
         older.outcomeReports.isEmpty(),
-        () -> "delivered, so nothing is owed: " + older.outcomeReports);
+        () -> "a delivered message was reported: " + older.outcomeReports);
   }
 
   @Test
@@ -93,7 +96,9 @@
       assertEquals(202, response.status());
       assertTrue(response.head().contains("connection: close"), response.head());
       assertEquals(
-          -1, oldConnection.getInputStream().read(), "the client is to reconnect elsewhere");
+          -1,
+          oldConnection.getInputStream().read(),
+          "expected a close, so that the client reconnects to the newer process");
     }
     newer.await("both calls", () -> requestIds(older.firstEndpoint).equals(Set.of("m1", "m2")));
     newer.await(
@@ -121,7 +126,7 @@
         (older.firstEndpoint.requests.get(1).receivedNs()
                 - older.firstEndpoint.requests.get(0).receivedNs())
             / 1_000_000;
-    assertTrue(waitedMs >= 1500, "it came after " + waitedMs + " ms");
+    assertTrue(waitedMs >= 1500, "the next call came after " + waitedMs + " ms");
   }
 
   @Test
@@ -163,8 +168,10 @@
       newer.await("its call", () -> older.firstEndpoint.requests.size() >= sent.size());
     }
     newer.await("all calls", () -> requestIds(older.firstEndpoint).equals(sent));
-    assertEquals(sent.size(), older.firstEndpoint.requests.size(), "no duplicates");
-    assertTrue(older.outcomeReports.isEmpty(), () -> "all delivered: " + older.outcomeReports);
+    assertEquals(sent.size(), older.firstEndpoint.requests.size(), "expected no duplicate calls");
+    assertTrue(
+        older.outcomeReports.isEmpty(),
+        () -> "expected all messages to be delivered: " + older.outcomeReports);
   }
 
   @Test
@@ -217,8 +224,8 @@
   }
 
   /**
-   * It is read while the newer one waits for the older one to hand over, and has nobody to tell
-   * yet.
+   * The newer process reads the configuration while it waits for the older one to hand over, when
+   * it cannot apply the change yet.
    */
   @Test
   void reloadDuringHandover_isAppliedByNewerProcess() throws Exception {
@@ -237,7 +244,7 @@
       next.reload();
       next.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
       older.await(
-          "its watch at the new address",
+          "the watch at the new address",
           () ->
               older.relocatedPlatform.requests.stream()
                   .anyMatch(request -> request.requestLine().contains("after=3")));
--- a/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
+++ b/courier/src/test/java/thistleturn/courier/IdleClientConnectionsTest.java
@@ -97,7 +97,7 @@
       final Socket socket = hibernating.get(index);
       assertEquals(index % 2 == 0 ? 200 : 202, readStatus(socket), "connection " + index);
       if (index % 3 == 0) {
-        assertEquals(200, readStatus(socket), "second on connection " + index);
+        assertEquals(200, readStatus(socket), "second response on connection " + index);
       }
     }
   }
--- a/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
+++ b/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
@@ -20,29 +20,29 @@
 import thistleturn.courier.ScriptedCourierProcess.HandoverManner;
 
 /**
- * A message whose attempt an earlier process may still have in flight is held. It is neither lost
- * nor sent twice when the process that holds it ends, hands over or takes back meanwhile, and it
- * ends in time.
+ * A message is held while an earlier process may still have its attempt in flight. It is neither
+ * lost nor sent twice if the holding process ends, hands over or resumes after a failed takeover,
+ * and it gets its final outcome in time.
  */
 @Tag("operators")
 @Timeout(120)
 final class InterruptedAttemptsTest {
   private static final String HELD = "held";
 
-  /** A message that is handed in after the other process has handed over. */
+  /** A message that is submitted after the other process has handed over. */
   private static final String LATER = "later";
 
-  /** For so long the repeat is looked for that must not come. */
-  private static final long WATCH_NS = TimeUnit.MILLISECONDS.toNanos(700);
+  /** How long the test checks that no further copy is sent. */
+  private static final long NO_COPY_NS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** The bound for what is to go on at once. */
+  /** The bound for a repeat that must not be delayed. */
   private static final long AT_ONCE_NS = TimeUnit.SECONDS.toNanos(1);
 
-  /** The bound for a repeat; an endpoint that left a call unanswered is avoided for a second. */
+  /** The bound for a repeat; an endpoint that did not answer a call is avoided for a second. */
   private static final long REPEAT_BOUND_NS = TimeUnit.SECONDS.toNanos(4);
 
-  /** The timeout of the other process's messages, and what an outcome may be late. */
-  private static final long ENDED_NS = TimeUnit.MILLISECONDS.toNanos(20_300);
+  /** The timeout of the other process's messages, plus the tolerated delay of an outcome. */
+  private static final long OUTCOME_BOUND_NS = TimeUnit.MILLISECONDS.toNanos(20_300);
 
   @TempDir private Path folder;
   private final EndpointCopies copies = new EndpointCopies(HELD);
@@ -67,7 +67,7 @@
     courier.close();
   }
 
-  private void otherCalls(final String messageClass) {
+  private void startCallByOther(final String messageClass) {
     other.call(HELD, messageClass);
     courier.await("the held call", () -> copies.of(HELD).size() == 1);
   }
@@ -76,9 +76,9 @@
     return copies.of(HELD) + "; " + other + "; log: " + courier.logLines;
   }
 
-  private void assertHeldWhileOtherLives(final CourierHarness deciding) {
-    final long untilNs = System.nanoTime() + WATCH_NS;
-    deciding.await("the time to look for a repeat", () -> System.nanoTime() > untilNs);
+  private void assertHeldWhileOtherRuns(final CourierHarness deciding) {
+    final long untilNs = System.nanoTime() + NO_COPY_NS;
+    deciding.await("the end of the check for a repeat", () -> System.nanoTime() > untilNs);
     assertTrue(other.isAlive());
     assertEquals(1, copies.of(HELD).size(), this::traceText);
     assertFalse(courier.hasOutcomeReport(HELD, ""), this::traceText);
@@ -92,8 +92,8 @@
     assertTrue(
         copies.of(HELD).get(1).receivedNs() - killedNs < REPEAT_BOUND_NS,
         () -> traceText() + "; " + deciding.logLines);
-    final long untilNs = System.nanoTime() + WATCH_NS;
-    deciding.await("the time to look for a third copy", () -> System.nanoTime() > untilNs);
+    final long untilNs = System.nanoTime() + NO_COPY_NS;
+    deciding.await("the end of the check for a third copy", () -> System.nanoTime() > untilNs);
     assertEquals(2, copies.of(HELD).size(), this::traceText);
     assertFalse(courier.hasOutcomeReport(HELD, ""), this::traceText);
   }
@@ -101,63 +101,64 @@
   // Guards against losing or repeating a held message at SIGTERM.
   @Test
   void holderIsTerminated_nextProcessHolds() throws Exception {
-    otherCalls("safe");
+    startCallByOther("safe");
     other.freeLock();
     courier.start();
-    assertHeldWhileOtherLives(courier);
+    assertHeldWhileOtherRuns(courier);
     assertTrue(courier.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     try (CourierHarness third = courier.successor()) {
       third.start();
-      assertHeldWhileOtherLives(third);
+      assertHeldWhileOtherRuns(third);
       assertRepeatedOnceAfterKill(third);
     }
   }
 
-  // Guards against losing or repeating a message that is held for a killed process's journal, when
-  // the holder hands over and then takes back.
+  // Guards against losing or repeating a message from a killed process's journal when the holding
+  // process hands over and then resumes because its successor was killed.
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void holderHandsOver_andMayTakeBack(final boolean takesBack) throws Exception {
-    otherCalls("safe");
+  void holderHandsOver_andMayResume(final boolean resumes) throws Exception {
+    startCallByOther("safe");
     other.freeLock();
     courier.start();
-    assertHandedOverAndHeld(takesBack);
+    assertHeldAfterHandover(resumes);
   }
 
-  // The same for an adopted call whose process is out of reach.
+  // The same for a call taken over from a process whose handover connection is lost.
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void holderOfAdoptedCallHandsOver_andMayTakeBack(final boolean takesBack) throws Exception {
-    otherCalls("safe");
+  void holderOfAdoptedCallHandsOver_andMayResume(final boolean resumes) throws Exception {
+    startCallByOther("safe");
     other.listen(HandoverManner.HAND_OVER);
     courier.start();
     other.endLine();
-    assertHeldWhileOtherLives(courier);
-    assertHandedOverAndHeld(takesBack);
+    assertHeldWhileOtherRuns(courier);
+    assertHeldAfterHandover(resumes);
   }
 
-  private void assertHandedOverAndHeld(final boolean takesBack) throws Exception {
+  private void assertHeldAfterHandover(final boolean resumes) throws Exception {
     try (CourierHarness third = courier.successor()) {
       third.start();
-      assertHeldWhileOtherLives(third);
-      if (takesBack) {
+      assertHeldWhileOtherRuns(third);
+      if (resumes) {
         third.kill();
-        awaitTakenBack();
-        assertHeldWhileOtherLives(courier);
+        awaitResumed();
+        assertHeldWhileOtherRuns(courier);
       }
-      assertRepeatedOnceAfterKill(takesBack ? courier : third);
+      assertRepeatedOnceAfterKill(resumes ? courier : third);
     }
   }
 
-  private void awaitTakenBack() {
+  private void awaitResumed() {
     awaitLogLine("takes up again");
   }
 
-  // Guards against a second copy behind a process of an earlier version, if the first attempt to
-  // open the folder records the new process and then fails for what passes.
+  // Guards against a second copy while a process of an earlier version, which records no holder,
+  // may still have a call in flight. The first attempt to open the folder records the new process
+  // and then fails with a transient failure; the retry must still grant the grace period.
   @Test
-  void startIsRetried_processThatIsNotRecordedHasItsGrace() throws Exception {
-    otherCalls("safe");
+  void startIsRetried_unrecordedProcessKeepsItsGracePeriod() throws Exception {
+    startCallByOther("safe");
     other.freeLock();
     final Path state = folder.resolve("state");
     Files.writeString(state.resolve("lock"), "");
@@ -175,46 +176,47 @@
     courier.await(text, () -> courier.logLines.stream().anyMatch(line -> line.contains(text)));
   }
 
-  // Guards against a repeat beyond the time for which a key is remembered.
+  // Guards against a repeat after the end of the idempotency window of a key.
   @Test
-  void keyIsForgottenWhileHeld_messageEndsUnsent() throws Exception {
-    otherCalls("brief");
+  void idempotencyWindowEndsWhileHeld_messageEndsUnsent() throws Exception {
+    startCallByOther("brief");
     other.freeLock();
     courier.start();
-    assertHeldWhileOtherLives(courier);
+    assertHeldWhileOtherRuns(courier);
     other.kill();
-    courier.await("its notice", () -> courier.hasOutcomeReport(HELD, ""));
+    courier.await("the outcome report", () -> courier.hasOutcomeReport(HELD, ""));
     assertEquals(1, copies.of(HELD).size(), this::traceText);
   }
 
-  // Guards against a message that ends late, or never, while an earlier process does not end.
+  // Guards against a message that gets its outcome late or never while an earlier process runs.
   @ParameterizedTest
   @ValueSource(strings = {"safe", "once"})
   void otherProcessOutlivesDeadline_messageEndsInTime(final String messageClass) throws Exception {
     final long calledNs = System.nanoTime();
-    otherCalls(messageClass);
+    startCallByOther(messageClass);
     other.freeLock();
     courier.start();
     final String status = messageClass.equals("once") ? "undeliverable" : "deferred";
     courier.await(
-        "its notice",
+        "the outcome report",
         () ->
-            courier.hasOutcomeReport(HELD, status) || System.nanoTime() - calledNs > 2 * ENDED_NS);
-    assertTrue(System.nanoTime() - calledNs < ENDED_NS, this::traceText);
+            courier.hasOutcomeReport(HELD, status)
+                || System.nanoTime() - calledNs > 2 * OUTCOME_BOUND_NS);
+    assertTrue(System.nanoTime() - calledNs < OUTCOME_BOUND_NS, this::traceText);
     assertEquals(1, copies.of(HELD).size(), this::traceText);
     assertEquals(1, courier.outcomeReports.stream().filter(line -> line.contains(HELD)).count());
   }
 
-  // Guards against holding a message of a process that has ended for another one that lives on and
-  // handed over before the message was there.
+  // Guards against holding a message of an ended process because of another process that still runs
+  // but handed over before the message was accepted.
   @Test
-  void callOfEndedProcess_doesNotWaitForOlderOneThatLives() throws Exception {
+  void callOfEndedProcess_doesNotWaitForOlderRunningProcess() throws Exception {
     other.listen(HandoverManner.HAND_OVER);
     courier.start();
     final EndpointCopies later = new EndpointCopies(LATER);
     courier.firstEndpoint.script(later::answer);
     assertEquals(202, courier.submit(LATER, "safe").status());
-    courier.await("its call", () -> later.of(LATER).size() == 1);
+    courier.await("the call", () -> later.of(LATER).size() == 1);
     courier.kill();
     final long killedNs = System.nanoTime();
     try (CourierHarness third = courier.successor()) {
@@ -229,10 +231,11 @@
     }
   }
 
-  // The same behind a take-back, with none but the product's processes: the oldest of three lives
-  // until its operator ends it.
+  // The same after a failed takeover, with real courier processes only: the oldest of the three
+  // runs
+  // until the test ends it.
   @Test
-  void callOfEndedSuccessor_doesNotWaitForOldestProcessThatLives() throws Exception {
+  void callOfEndedSuccessor_doesNotWaitForOldestRunningProcess() throws Exception {
     other.close();
     final EndpointCopies later = new EndpointCopies(LATER);
     courier.firstEndpoint.script(later::answer);
@@ -242,7 +245,7 @@
       second.start();
       third.start();
       assertEquals(202, third.submit(LATER, "safe").status());
-      third.await("its call", () -> later.of(LATER).size() == 1);
+      third.await("the call", () -> later.of(LATER).size() == 1);
       third.kill();
       final long killedNs = System.nanoTime();
       second.await(
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -18,47 +18,44 @@
 import thistleturn.testkit.StandInEndpoint.Behavior;
 import thistleturn.testkit.StandInWorld;
 
-/**
- * A courier that is killed within its Java machine ends as a power cut would end it: nothing is
- * decided any more.
- */
+/** A courier that is killed within its JVM makes no further decisions, as after a power failure. */
 final class KillTest {
   /**
-   * A call may take eight times what is expected of it, and no less than a message has left: so
-   * long a service and so short a time leave no time-out of a call before its message's own end,
-   * however long the machine stands still in between.
+   * A call's timeout is eight times the expected duration, and at least the time left until the
+   * message's deadline. With this service time and message timeout no call times out before its
+   * message expires, however long the machine is paused.
    */
   private static final long TIMEOUT_MS = 8000;
 
   private static final long SERVICE_MS = 1000;
 
   /**
-   * Calls whose connections break with the process are not sent again by the process that is
-   * ending.
+   * Guards against retries by the process that is being killed, of calls whose connections broke
+   * because of the kill.
    */
   @Test
-  void whatBreaksWithTheProcessIsNotSentAgainByIt(@TempDir final Path folder) throws Exception {
+  void callsBrokenByKill_areNotRetriedByKilledCourier(@TempDir final Path folder) throws Exception {
     try (StandInWorld world = new StandInWorld(folder, 11)) {
-      // One call each: whatever a destination's window is, that many are always allowed.
+      // One call per destination is allowed whatever its concurrency window.
       final List<StandInEndpoint> endpoints = List.of(world.endpoint(1), world.endpoint(2));
       endpoints.forEach(endpoint -> world.platform.announce(endpoint, "Ready", 1000));
       final CourierServer courier =
           CourierServer.start(world.environment(CourierFiles.Size.usual()));
       world.client.setCourierAddress(
           courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
-      // A destination that serves well is called again at once when a call of its breaks.
+      // After a connection loss, a healthy destination would be called again immediately.
       endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.deliverAfter(SERVICE_MS)));
       world.startLoad(10, TIMEOUT_MS, 1, 2);
       world.await("deliveries", () -> calls(endpoints) > 10);
       assertEquals(List.of(), world.stopLoadAndCheck());
       endpoints.forEach(endpoint -> endpoint.setBehavior(Behavior.of(Action.NO_ANSWER)));
-      final long served = calls(endpoints);
+      final long earlierCalls = calls(endpoints);
       world.client.submit("safe", 1, TIMEOUT_MS);
       world.client.submit("keyed", 2, TIMEOUT_MS);
-      world.await("both of them out", () -> calls(endpoints) == served + 2);
+      world.await("both calls in flight", () -> calls(endpoints) == earlierCalls + 2);
       courier.kill();
-      // Connections are taken in the order in which they came: what the ending process opened came
-      // before this one.
+      // Connections are accepted in order of arrival: any that the killed courier opened is
+      // accepted before this one.
       for (final StandInEndpoint endpoint : endpoints) {
         try (Socket last = new Socket("127.0.0.1", endpoint.port())) {
           last.getOutputStream()
@@ -69,10 +66,10 @@
         }
       }
       world.resetConnections();
-      assertEquals(served + 2, calls(endpoints));
-      final Collection<StoredMessage> owed =
+      assertEquals(earlierCalls + 2, calls(endpoints));
+      final Collection<StoredMessage> pending =
           ShardJournals.open(folder.resolve("state"), 1_000_000, 1).get(0).pendingMessages();
-      assertEquals(List.of(1, 1), owed.stream().map(StoredMessage::attempts).toList());
+      assertEquals(List.of(1, 1), pending.stream().map(StoredMessage::attempts).toList());
     }
   }
 
--- a/courier/src/test/java/thistleturn/courier/LifecycleTest.java
+++ b/courier/src/test/java/thistleturn/courier/LifecycleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The states of a courier process follow each other as documented, and in no other way. */
+/** A courier process changes between its states as documented, and in no other way. */
 @Tag("decisions")
 final class LifecycleTest {
   private final Lifecycle lifecycle = new Lifecycle();
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void illegalMove_failsWithBothStatesAndChangesNothing() {
+  void illegalTransition_failsWithBothStatesAndChangesNothing() {
     final IllegalStateException failure =
         assertThrows(IllegalStateException.class, lifecycle::onShutdownStarted);
     assertEquals(
--- a/courier/src/test/java/thistleturn/courier/LoadClients.java
+++ b/courier/src/test/java/thistleturn/courier/LoadClients.java
@@ -18,29 +18,29 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Clients that hand in messages at a steady rate, one at a time on each connection, and note what
- * they hear. A connection is used again until its answer says that it closes.
+ * Clients that submit messages at a steady rate, one at a time on each connection, and record the
+ * responses. A connection is reused unless the response announces its close.
  */
 final class LoadClients {
-  /** The status of a request with no answer in time on a connection that stayed open. */
+  /** The status of a request that timed out without a response on an open connection. */
   static final int TIMED_OUT = -1;
 
-  /** The status of a request whose connection ended without an answer. */
+  /** The status of a request whose connection ended without a response. */
   static final int CONNECTION_LOST = -2;
 
-  /** The status of a request that was not handed in, since nobody accepted its connection. */
+  /** The status of a request that was not sent because its connection was refused. */
   static final int UNCONNECTED = -3;
 
-  private static final int PATIENCE_MS = 3000;
+  private static final int RESPONSE_TIMEOUT_MS = 3000;
 
-  /** So long a connection is read to see whether it is closed. */
+  /** How long a read waits to find out whether a connection is closed. */
   private static final int CLOSED_CHECK_MS = 1;
 
   /**
-   * A request and its answer.
+   * A request and its response.
    *
-   * @param connectedNs when its connection was made; it belongs to the process that listened then
-   * @param answeredNs 0 without an answer
+   * @param connectedNs when its connection was opened, to the process that listened at that time
+   * @param answeredNs when the response was read, or 0 without one
    */
   record Request(String id, int status, long connectedNs, long sentNs, long answeredNs) {}
 
@@ -64,18 +64,18 @@
     pacer.start();
   }
 
-  /** Ends the load, and returns all requests once each has its answer or none. */
+  /** Stops the load, and returns all requests once each has been answered or has failed. */
   List<Request> stop() throws InterruptedException {
     stopped = true;
     pacer.join();
     workers.shutdown();
     if (!workers.awaitTermination(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("clients did not end");
+      throw new IllegalStateException("the clients have not finished in time");
     }
     return List.copyOf(requests);
   }
 
-  /** Returns when the first answer was read after that moment, or null. */
+  /** Returns when the first response after a moment was read, or null. */
   Long firstAnswerAfter(final long momentNs) {
     return answersNs.higher(momentNs);
   }
@@ -84,13 +84,13 @@
     long dueNs = System.nanoTime();
     for (int number = 0; !stopped; number++) {
       final String id = "k" + number;
-      workers.execute(() -> handIn(id));
+      workers.execute(() -> submit(id));
       dueNs += intervalNs;
       LockSupport.parkNanos(dueNs - System.nanoTime());
     }
   }
 
-  private void handIn(final String id) {
+  private void submit(final String id) {
     final long sentNs = System.nanoTime();
     try {
       final Connection connection = openConnection();
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Returns a connection that the courier has not closed between two requests. */
+  /** Returns an idle connection that the courier has not closed, or else a new one. */
   private Connection openConnection() throws IOException {
     for (Connection pooled = idle.poll(); pooled != null; pooled = idle.poll()) {
       if (isOpen(pooled.socket())) {
@@ -124,7 +124,7 @@
     try {
       return socket.getInputStream().read() >= 0;
     } catch (final SocketTimeoutException e) {
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
       return true;
     } catch (final IOException e) {
       return false;
@@ -134,11 +134,11 @@
   private Connection connect() throws IOException {
     final Socket socket = courier.connect();
     final long connectedNs = System.nanoTime();
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
     return new Connection(socket, connectedNs);
   }
 
-  /** Returns the status of the answer, or what stands for none. */
+  /** Returns the status of the response, or one of the negative values above. */
   private int exchange(final Connection connection, final String id) throws IOException {
     final Socket socket = connection.socket();
     boolean reusable = false;
@@ -162,12 +162,12 @@
     }
   }
 
-  /** Returns P50, P99 and the maximum of some spans, ms. */
-  static String percentiles(final List<Long> spansNs) {
-    if (spansNs.isEmpty()) {
+  /** Returns P50, P99 and the maximum of some durations, in milliseconds. */
+  static String percentiles(final List<Long> durationsNs) {
+    if (durationsNs.isEmpty()) {
       return "none";
     }
-    final List<Long> sorted = new ArrayList<>(spansNs);
+    final List<Long> sorted = new ArrayList<>(durationsNs);
     sorted.sort(null);
     return String.format(
         Locale.ROOT,
