--- a/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
+++ b/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
@@ -232,8 +232,7 @@
   }
 
   // The same after a failed takeover, with real courier processes only: the oldest of the three
-  // runs
-  // until the test ends it.
+  // runs until the test ends it.
   @Test
   void callOfEndedSuccessor_doesNotWaitForOldestRunningProcess() throws Exception {
     other.close();
--- a/courier/src/test/java/thistleturn/courier/KillTest.java
+++ b/courier/src/test/java/thistleturn/courier/KillTest.java
@@ -22,7 +22,7 @@
 final class KillTest {
   /**
    * A call's timeout is eight times the expected duration, and at least the time left until the
-   * message's deadline. With this service time and message timeout no call times out before its
+   * message's deadline. With this service time and message timeout, no call times out before its
    * message expires, however long the machine is paused.
    */
   private static final long TIMEOUT_MS = 8000;
@@ -30,8 +30,8 @@
   private static final long SERVICE_MS = 1000;
 
   /**
-   * Guards against retries by the process that is being killed, of calls whose connections broke
-   * because of the kill.
+   * Guards against a killed courier that retries the calls whose connections broke because of the
+   * kill.
    */
   @Test
   void callsBrokenByKill_areNotRetriedByKilledCourier(@TempDir final Path folder) throws Exception {
