--- a/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
+++ b/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
@@ -102,7 +102,7 @@
   @Test
   void holderIsTerminated_nextProcessHolds() throws Exception {
     otherCalls("safe");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHeldWhileOtherLives(courier);
     assertTrue(courier.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
@@ -119,7 +119,7 @@
   @ValueSource(booleans = {false, true})
   void holderHandsOver_andMayTakeBack(final boolean takesBack) throws Exception {
     otherCalls("safe");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHandedOverAndHeld(takesBack);
   }
@@ -131,7 +131,7 @@
     otherCalls("safe");
     other.listen(HandoverManner.HAND_OVER);
     courier.start();
-    other.endLine();
+    other.closeConnection();
     assertHeldWhileOtherLives(courier);
     assertHandedOverAndHeld(takesBack);
   }
@@ -158,7 +158,7 @@
   @Test
   void startIsRetried_processThatIsNotRecordedHasItsGrace() throws Exception {
     otherCalls("safe");
-    other.freeLock();
+    other.releaseLock();
     final Path state = folder.resolve("state");
     Files.writeString(state.resolve("lock"), "");
     Files.writeString(state.resolve("shards"), "no number");
@@ -179,7 +179,7 @@
   @Test
   void keyIsForgottenWhileHeld_messageEndsUnsent() throws Exception {
     otherCalls("brief");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHeldWhileOtherLives(courier);
     other.kill();
@@ -193,7 +193,7 @@
   void otherProcessOutlivesDeadline_messageEndsInTime(final String messageClass) throws Exception {
     final long calledNs = System.nanoTime();
     otherCalls(messageClass);
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     final String status = messageClass.equals("once") ? "undeliverable" : "deferred";
     courier.await(
--- a/courier/src/test/java/thistleturn/courier/ProcessEndBoundsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ProcessEndBoundsTest.java
@@ -94,11 +94,11 @@
     }
     final long signNs = System.nanoTime();
     if (sign != Sign.LOCK) {
-      other.endLine();
+      other.closeConnection();
       note("the line has ended");
     }
     if (sign != Sign.LINE) {
-      other.freeLock();
+      other.releaseLock();
       note("the lock is free");
     }
     onSign.run();
@@ -133,7 +133,7 @@
     final long untilNs = System.nanoTime() + WATCH_NS;
     courier.await(
         "the watch", () -> olderHasEndedAndNewerHoldsFolder() && System.nanoTime() >= untilNs);
-    other.freeLock();
+    other.releaseLock();
     try (CourierHarness third = courier.successor()) {
       third.start();
       assertNotRepeatedWhileOtherLives(third);
@@ -219,7 +219,7 @@
     otherServes(messageClass);
     other.call(HELD_ELSEWHERE, messageClass, OTHER_DESTINATION, ScriptedCourier.MESSAGE_TIMEOUT_MS);
     courier.await("the other held call", () -> copies.of(HELD_ELSEWHERE).size() == 1);
-    other.freeLock();
+    other.releaseLock();
     note("the lock is free");
     courier.start();
     assertNotRepeatedWhileOtherLives(courier);
--- a/courier/src/test/java/thistleturn/courier/ProcessEndTest.java
+++ b/courier/src/test/java/thistleturn/courier/ProcessEndTest.java
@@ -29,7 +29,7 @@
     otherServes(messageClass);
     other.listen(HandoverManner.HAND_OVER);
     courier.start();
-    other.endLine();
+    other.closeConnection();
     note("the line has ended");
     assertNotRepeatedWhileOtherLives(courier);
     assertRepeatedOnceOtherIsGone(courier, messageClass);
@@ -41,7 +41,7 @@
   void startOnFolderJustFreed_callIsNotRepeatedBeforeItsProcessIsGone(final String messageClass)
       throws Exception {
     otherServes(messageClass);
-    other.freeLock();
+    other.releaseLock();
     note("the lock is free");
     courier.start();
     assertNotRepeatedWhileOtherLives(courier);
@@ -58,7 +58,7 @@
     final CompletableFuture<Void> started = startInBackground(courier);
     other.awaitEvent("asked to hand over", 2);
     otherCalls(messageClass);
-    other.freeLock();
+    other.releaseLock();
     note("the lock is free");
     started.get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
     assertNotRepeatedWhileOtherLives(courier);
@@ -87,9 +87,9 @@
     courier.start();
     other.takeOver();
     otherCalls(messageClass);
-    other.endLine();
+    other.closeConnection();
     note("the line has ended");
-    other.freeLock();
+    other.releaseLock();
     note("the lock is free");
     courier.await(
         "the older process to resume",
--- a/courier/src/test/java/thistleturn/courier/ScriptedCourier.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCourier.java
@@ -105,14 +105,14 @@
     tell("take-over");
   }
 
-  /** Ends the line to the other courier, and nothing else. */
-  void endLine() {
-    tell("end-line");
+  /** Closes the connection to the other courier, and changes nothing else. */
+  void closeConnection() {
+    tell("close-connection");
   }
 
-  /** Ends the hold on the folder's lock, and nothing else. */
-  void freeLock() {
-    tell("free-lock");
+  /** Releases the folder's lock, and changes nothing else. */
+  void releaseLock() {
+    tell("release-lock");
   }
 
   /** Sends the other courier a line that it cannot read. */
--- a/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
@@ -119,8 +119,8 @@
       case "call" -> onLoop(() -> call(MessageToSend.of(command)));
       case "listen" -> listen(HandoverManner.valueOf(command[1]));
       case "take-over" -> takeOver();
-      case "end-line" -> endLines();
-      case "free-lock" -> freeLockAsTheSystemDoes();
+      case "close-connection" -> closeConnections();
+      case "release-lock" -> releaseLockAsOnProcessExit();
       case "send-unreadable" -> sendUnreadable(UnreadableLine.valueOf(command[1]));
       case "expect-locked-by-other" -> onLoop(this::expectLockedByOther);
       default -> throw new IOException("unknown command");
@@ -242,7 +242,7 @@
     }
   }
 
-  private void endLines() throws InterruptedException {
+  private void closeConnections() throws InterruptedException {
     for (final NioDomainSocketChannel line : loop.openLines()) {
       line.close().sync();
     }
@@ -253,7 +253,7 @@
    * does: a process that is killed tells nobody. Any descriptor of the file that is closed takes
    * the process's lock with it.
    */
-  private void freeLockAsTheSystemDoes() throws IOException {
+  private void releaseLockAsOnProcessExit() throws IOException {
     FileChannel.open(stateFolder.resolve("lock"), StandardOpenOption.WRITE).close();
   }
 
