--- a/courier/src/test/java/thistleturn/courier/MisbehavingClientTest.java
+++ b/courier/src/test/java/thistleturn/courier/MisbehavingClientTest.java
@@ -52,10 +52,10 @@
     try (Socket socket = harness.connect()) {
       final long startNs = System.nanoTime();
       socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-      final String said = readUntilClosed(socket);
+      final String response = readUntilClosed(socket);
       final double seconds = (System.nanoTime() - startNs) / 1e9;
       assertTrue(seconds < MAX_RESPONSE_S, "after " + seconds + " s");
-      return said;
+      return response;
     }
   }
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void silentConnection_isClosed() throws IOException {
+  void connectionWithoutRequest_isClosed() throws IOException {
     assertEquals("", sendAndReadUntilClosed(""));
   }
 
@@ -81,8 +81,8 @@
   void unfinishedBodyOnReusedConnection_isRejectedWith408() throws IOException {
     final String half =
         CourierHarness.submitRequest("half", "safe").replace("Length: 5", "Length: 50");
-    final String said = sendAndReadUntilClosed("GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + half);
-    assertTrue(said.startsWith("HTTP/1.1 200") && said.contains("HTTP/1.1 408"), said);
+    final String response = sendAndReadUntilClosed("GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + half);
+    assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("HTTP/1.1 408"), response);
     assertOnlyValidRequestDelivered();
   }
 
@@ -104,9 +104,10 @@
                 "Transfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n"),
             good.replace("dest=7", "dest=none"));
     for (final String raw : bad) {
-      final String said = sendAndReadUntilClosed(raw + hidden);
+      final String response = sendAndReadUntilClosed(raw + hidden);
       assertTrue(
-          said.startsWith("HTTP/1.1 4") && said.indexOf("HTTP/1.1", 1) < 0, said + " for " + raw);
+          response.startsWith("HTTP/1.1 4") && response.indexOf("HTTP/1.1", 1) < 0,
+          response + " for " + raw);
     }
     assertOnlyValidRequestDelivered();
   }
@@ -138,16 +139,16 @@
   }
 
   @Test
-  void manySilentConnections_areEvictedForOneWithARequest() throws IOException {
-    final List<Socket> silent = new ArrayList<>();
+  void manyIdleConnections_areEvictedForOneWithARequest() throws IOException {
+    final List<Socket> idle = new ArrayList<>();
     for (int count = 0; count < 780; count++) {
-      silent.add(harness.connect());
+      idle.add(harness.connect());
     }
     assertEquals(202, harness.submit("good", "safe").status());
     // Clients have their share of 1,024 descriptors and half of the endpoints', which is unused
     // here; the connections above that limit are closed.
     int closed = 0;
-    for (final Socket socket : silent) {
+    for (final Socket socket : idle) {
       socket.setSoTimeout(1);
       try {
         closed += socket.getInputStream().read() < 0 ? 1 : 0;
@@ -156,7 +157,7 @@
       }
     }
     assertTrue(closed >= 150, "closed at once: " + closed);
-    for (final Socket socket : silent) {
+    for (final Socket socket : idle) {
       socket.close();
     }
   }
@@ -167,9 +168,9 @@
     for (int count = 0; count < 300; count++) {
       many.append(CourierHarness.submitRequest("m" + count, "safe"));
     }
-    final String said = sendAndReadUntilClosed(many.toString());
-    final int answers = said.split("HTTP/1.1 ", -1).length - 1;
-    assertTrue(answers >= 1 && answers <= 40, "answers: " + answers);
+    final String response = sendAndReadUntilClosed(many.toString());
+    final int responseCount = response.split("HTTP/1.1 ", -1).length - 1;
+    assertTrue(responseCount >= 1 && responseCount <= 40, "responses: " + responseCount);
   }
 
   /** A client may close its sending side after its request; it still reads the response. */
@@ -183,9 +184,10 @@
                 CourierHarness.submitRequest("m" + count, "safe")
                     .getBytes(StandardCharsets.ISO_8859_1));
         socket.shutdownOutput();
-        final String said = readUntilClosed(socket);
+        final String response = readUntilClosed(socket);
         assertTrue(
-            said.startsWith("HTTP/1.1 202") || said.startsWith("HTTP/1.1 503"), "said: " + said);
+            response.startsWith("HTTP/1.1 202") || response.startsWith("HTTP/1.1 503"),
+            "response: " + response);
       }
     }
   }
--- a/courier/src/test/java/thistleturn/courier/NodeTest.java
+++ b/courier/src/test/java/thistleturn/courier/NodeTest.java
@@ -17,24 +17,24 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The real courier over loopback sockets: what the protocol promises, and what goes wrong on a
+ * A courier process over loopback sockets: the guarantees of its protocol, and the faults of a
  * network.
  */
 @Timeout(120)
 final class NodeTest {
-  private static final long STOP_LIMIT_MS = 3700;
+  private static final long MAX_SHUTDOWN_MS = 3700;
 
-  @TempDir private Path folder;
-  private CourierHarness rig;
+  @TempDir private Path workDirectory;
+  private CourierHarness harness;
 
   @BeforeEach
-  void build() throws IOException {
-    rig = new CourierHarness(folder);
+  void createHarness() throws IOException {
+    harness = new CourierHarness(workDirectory);
   }
 
   @AfterEach
-  void end() throws IOException {
-    rig.close();
+  void closeHarness() throws IOException {
+    harness.close();
   }
 
   private static List<String> idsAt(final FakeHttpServer server) {
@@ -42,149 +42,153 @@
   }
 
   @Test
-  void takesAMessageOnAndDeliversItUnchanged() throws IOException {
-    rig.start();
-    assertEquals(200, rig.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+  void submittedMessage_isAcceptedAndDeliveredUnchanged() throws IOException {
+    harness.start();
+    assertEquals(200, harness.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     assertEquals(
         202,
-        rig.send(CourierHarness.submitRequest("m1", "keyed", "\u00ff\u0000 any bytes")).status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    final FakeHttpServer.Request call = rig.firstEndpoint.requests.get(0);
+        harness
+            .send(CourierHarness.submitRequest("m1", "keyed", "\u00ff\u0000 any bytes"))
+            .status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    final FakeHttpServer.Request call = harness.firstEndpoint.requests.get(0);
     assertEquals("POST /inbox HTTP/1.1", call.requestLine());
     assertEquals("m1", call.header("X-Request-ID"));
     assertEquals("key-m1", call.header("Idempotency-Key"));
     assertEquals((byte) 0xff, call.body()[0]);
     assertTrue(Long.parseLong(call.header("X-Timeout-Ms")) > 0);
-    assertTrue(rig.outcomeReports.isEmpty(), "a message that is delivered is owed nothing");
+    assertTrue(harness.outcomeReports.isEmpty(), "a delivered message has no outcome report");
   }
 
   // ---------------------------------------------------------------- restarts
 
   @Test
-  void aSafeMessageThatWasOutAtAKillGoesAgain() throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
-    rig.killAndRestart();
-    rig.await("the second call", () -> rig.firstEndpoint.requests.size() == 2);
-    assertEquals(List.of("m1", "m1"), idsAt(rig.firstEndpoint));
-    // Another call on the same connection shows that the answer to the second one has been read.
-    final FakeHttpServer.Connection used = rig.firstEndpoint.requests.get(1).connection();
+  void idempotentMessageInFlightAtKill_isSentAgain() throws IOException, InterruptedException {
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    harness.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
+    harness.killAndRestart();
+    harness.await("the second call", () -> harness.firstEndpoint.requests.size() == 2);
+    assertEquals(List.of("m1", "m1"), idsAt(harness.firstEndpoint));
+    // Another call on the same connection shows that the response to the second one has been read.
+    final FakeHttpServer.Connection used = harness.firstEndpoint.requests.get(1).connection();
     for (int count = 0;
-        rig.firstEndpoint.requests.stream().filter(one -> one.connection() == used).count() < 2;
+        harness.firstEndpoint.requests.stream().filter(one -> one.connection() == used).count() < 2;
         count++) {
       final String id = "more" + count;
-      assertEquals(202, rig.submit(id, "safe").status());
-      rig.await(id, () -> idsAt(rig.firstEndpoint).contains(id));
+      assertEquals(202, harness.submit(id, "safe").status());
+      harness.await(id, () -> idsAt(harness.firstEndpoint).contains(id));
     }
-    rig.killAndRestart();
-    assertEquals(202, rig.submit("last", "safe").status());
-    rig.await("the last message", () -> idsAt(rig.firstEndpoint).contains("last"));
+    harness.killAndRestart();
+    assertEquals(202, harness.submit("last", "safe").status());
+    harness.await("the last message", () -> idsAt(harness.firstEndpoint).contains("last"));
     assertEquals(
         2,
-        idsAt(rig.firstEndpoint).stream().filter("m1"::equals).count(),
-        "delivered, it does not go again");
+        idsAt(harness.firstEndpoint).stream().filter("m1"::equals).count(),
+        "a delivered message is not sent again");
   }
 
   @Test
-  void aKeyedMessageGoesAgainAfterAKillWhileItsKeyIsHeld()
+  void keyedMessageInFlightAtKill_isSentAgainWhileKeyIsRetained()
       throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "keyed").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
-    rig.killAndRestart();
-    rig.await("the second call", () -> rig.firstEndpoint.requests.size() == 2);
-    assertEquals("key-m1", rig.firstEndpoint.requests.get(1).header("Idempotency-Key"));
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "keyed").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    harness.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
+    harness.killAndRestart();
+    harness.await("the second call", () -> harness.firstEndpoint.requests.size() == 2);
+    assertEquals("key-m1", harness.firstEndpoint.requests.get(1).header("Idempotency-Key"));
   }
 
   @Test
-  void aKeyedMessageWhoseKeyMayBeForgottenDoesNotGoAgain()
+  void keyedMessageWhoseKeyMayHaveExpired_isNotSentAgain()
       throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "brief").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    final long calledNs = rig.firstEndpoint.requests.get(0).receivedNs();
-    rig.kill();
-    rig.await(
-        "the key's window to pass",
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "brief").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    final long calledNs = harness.firstEndpoint.requests.get(0).receivedNs();
+    harness.kill();
+    harness.await(
+        "the key's retention time to pass",
         () -> System.nanoTime() - calledNs > TimeUnit.MILLISECONDS.toNanos(400));
-    rig.start();
-    rig.await("its notice", () -> rig.hasOutcomeReport("m1", "deferred"));
+    harness.start();
+    harness.await("the outcome report", () -> harness.hasOutcomeReport("m1", "deferred"));
     assertTrue(
-        rig.hasOutcomeReport("m1", "again_ms"),
-        "it tells when to come again: " + rig.outcomeReports);
-    assertEquals(1, rig.firstEndpoint.requests.size());
+        harness.hasOutcomeReport("m1", "again_ms"),
+        "the report says when to submit the message again: " + harness.outcomeReports);
+    assertEquals(1, harness.firstEndpoint.requests.size());
   }
 
   @Test
-  void anUnsafeMessageThatWasOutAtAKillIsFailed() throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "once").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    rig.killAndRestart();
-    rig.await("its notice", () -> rig.hasOutcomeReport("m1", "undeliverable"));
-    assertEquals(1, rig.firstEndpoint.requests.size());
+  void nonIdempotentMessageInFlightAtKill_isReportedUndeliverable()
+      throws IOException, InterruptedException {
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "once").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    harness.killAndRestart();
+    harness.await("the outcome report", () -> harness.hasOutcomeReport("m1", "undeliverable"));
+    assertEquals(1, harness.firstEndpoint.requests.size());
   }
 
   @Test
-  void aNoticeIsSentUntilItIsConfirmedAlsoByTheNextProcess()
+  void unconfirmedOutcomeReport_isRetriedAlsoByNextProcess()
       throws IOException, InterruptedException {
-    rig.outcomeResponseStatus = 503;
-    rig.firstEndpoint.script((request, connection) -> connection.reset());
-    rig.start();
-    assertEquals(202, rig.submit("m1", "once").status());
-    rig.await("two tries", () -> rig.outcomeReports.size() >= 2);
-    rig.kill();
-    final int before = rig.outcomeReports.size();
-    rig.start();
-    rig.await("a try by the next process", () -> rig.outcomeReports.size() > before);
-    rig.outcomeResponseStatus = 204;
-    final int refused = rig.outcomeReports.size();
-    rig.await("the one that is confirmed", () -> rig.outcomeReports.size() > refused);
-    rig.killAndRestart();
-    rig.outcomeResponseStatus = 503;
-    assertEquals(202, rig.submit("m2", "once").status());
-    rig.await("the next notice", () -> rig.hasOutcomeReport("m2", "undeliverable"));
+    harness.outcomeResponseStatus = 503;
+    harness.firstEndpoint.script((request, connection) -> connection.reset());
+    harness.start();
+    assertEquals(202, harness.submit("m1", "once").status());
+    harness.await("two attempts to report", () -> harness.outcomeReports.size() >= 2);
+    harness.kill();
+    final int before = harness.outcomeReports.size();
+    harness.start();
+    harness.await("a report by the next process", () -> harness.outcomeReports.size() > before);
+    harness.outcomeResponseStatus = 204;
+    final int unconfirmed = harness.outcomeReports.size();
+    harness.await(
+        "the report that is confirmed", () -> harness.outcomeReports.size() > unconfirmed);
+    harness.killAndRestart();
+    harness.outcomeResponseStatus = 503;
+    assertEquals(202, harness.submit("m2", "once").status());
+    harness.await("the next outcome report", () -> harness.hasOutcomeReport("m2", "undeliverable"));
     assertFalse(
-        rig.outcomeReports.get(rig.outcomeReports.size() - 1).contains("m1"),
-        "confirmed is confirmed");
+        harness.outcomeReports.get(harness.outcomeReports.size() - 1).contains("m1"),
+        "a confirmed report is not sent again");
   }
 
   @Test
-  void onSigtermItServesOnForAWhileAndEndsBeforeTheKill() throws IOException, InterruptedException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    final Socket idle = rig.connect();
+  void sigterm_servesForAWhileAndExitsBeforeSigkill() throws IOException, InterruptedException {
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    final Socket idle = harness.connect();
     assertEquals(
         202, CourierHarness.send(idle, CourierHarness.submitRequest("m1", "safe")).status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
     final long termNs = System.nanoTime();
-    final Process ending = rig.terminate();
+    final Process ending = harness.terminate();
     assertEquals(-1, idle.getInputStream().read(), "an idle client's connection is closed");
-    final CourierHarness.Response late = rig.submit("m2", "safe");
+    final CourierHarness.Response late = harness.submit("m2", "safe");
     assertEquals(202, late.status());
     assertTrue(late.head().contains("connection: close"), late.head());
     assertTrue(ending.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - termNs);
-    assertTrue(tookMs < STOP_LIMIT_MS, "took " + tookMs);
+    assertTrue(tookMs < MAX_SHUTDOWN_MS, "took " + tookMs);
     idle.close();
-    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
-    final int before = rig.firstEndpoint.requests.size();
-    rig.start();
-    // Alone or, since both wait, in one call.
-    rig.await(
-        "what was held goes on",
+    harness.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
+    final int before = harness.firstEndpoint.requests.size();
+    harness.start();
+    // Each in its own call or, since both are pending, in a shared one.
+    harness.await(
+        "the pending messages to be sent",
         () ->
             List.of("m1", "m2").stream()
                 .allMatch(
                     id ->
-                        rig.firstEndpoint.requests.stream()
+                        harness.firstEndpoint.requests.stream()
                             .skip(before)
                             .anyMatch(
                                 call ->
@@ -195,117 +199,118 @@
   // ---------------------------------------------------------------- calls
 
   @Test
-  void theConnectionOfACallThatTimedOutIsClosedBeforeTheNextAttempt() throws IOException {
+  void callTimedOut_connectionIsClosedBeforeNextAttempt() throws IOException {
     final List<Boolean> closedBefore = new ArrayList<>();
-    rig.firstEndpoint.script(
+    harness.firstEndpoint.script(
         (request, connection) -> {
-          if (rig.firstEndpoint.requests.size() > 1) {
-            rig.await(
-                "the first connection's end",
-                () -> rig.firstEndpoint.requests.get(0).connection().closedByPeer);
+          if (harness.firstEndpoint.requests.size() > 1) {
+            harness.await(
+                "the first connection to be closed",
+                () -> harness.firstEndpoint.requests.get(0).connection().closedByPeer);
             closedBefore.add(true);
             connection.respond(200, "");
           }
         });
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the second attempt", () -> closedBefore.size() == 1);
-    assertEquals(List.of("m1", "m1"), idsAt(rig.firstEndpoint));
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the second attempt", () -> closedBefore.size() == 1);
+    assertEquals(List.of("m1", "m1"), idsAt(harness.firstEndpoint));
   }
 
   @Test
-  void anUnsafeMessageIsTriedAgainOnlyWhereTheFirstTryNeverCameUp() throws IOException {
-    final FakeHttpServer shut = new FakeHttpServer((request, connection) -> {});
-    shut.close();
-    rig.configuredHosts = CourierHarness.hostEntry("e0", shut, "Ready");
-    rig.start();
-    assertEquals(202, rig.submit("m1", "once").status());
-    rig.await("the watch", () -> !rig.watchConnections.isEmpty());
-    rig.sendEndpointChange(42, CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready"));
-    rig.await("another endpoint's call", () -> rig.firstEndpoint.requests.size() == 1);
-    assertTrue(rig.outcomeReports.isEmpty());
+  void connectFailed_nonIdempotentMessageIsRetriedElsewhere() throws IOException {
+    final FakeHttpServer closedEndpoint = new FakeHttpServer((request, connection) -> {});
+    closedEndpoint.close();
+    harness.configuredHosts = CourierHarness.hostEntry("e0", closedEndpoint, "Ready");
+    harness.start();
+    assertEquals(202, harness.submit("m1", "once").status());
+    harness.await("the watch", () -> !harness.watchConnections.isEmpty());
+    harness.sendEndpointChange(42, CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready"));
+    harness.await("another endpoint's call", () -> harness.firstEndpoint.requests.size() == 1);
+    assertTrue(harness.outcomeReports.isEmpty());
   }
 
   @Test
-  void anUnsafeMessageWhoseConnectionBrokeAfterTheLastByteIsFailedAtOnce() throws IOException {
-    rig.firstEndpoint.script((request, connection) -> connection.reset());
-    rig.start();
-    final long handedNs = System.nanoTime();
-    assertEquals(202, rig.submit("m1", "once").status());
-    rig.await("its notice", () -> rig.hasOutcomeReport("m1", "undeliverable"));
-    assertEquals(1, rig.firstEndpoint.requests.size());
+  void connectionResetAfterRequest_nonIdempotentMessageFailsAtOnce() throws IOException {
+    harness.firstEndpoint.script((request, connection) -> connection.reset());
+    harness.start();
+    final long submittedNs = System.nanoTime();
+    assertEquals(202, harness.submit("m1", "once").status());
+    harness.await("the outcome report", () -> harness.hasOutcomeReport("m1", "undeliverable"));
+    assertEquals(1, harness.firstEndpoint.requests.size());
     assertTrue(
-        System.nanoTime() - handedNs < TimeUnit.SECONDS.toNanos(15), "long before its 20 s are up");
+        System.nanoTime() - submittedNs < TimeUnit.SECONDS.toNanos(15),
+        "long before its deadline of 20 s");
   }
 
   @Test
-  void aDeliveredMessageStaysDeliveredIfItsConnectionBreaksBehindTheFirstLine() throws IOException {
-    rig.firstEndpoint.script(
+  void connectionResetAfterStatusLine_messageStaysDelivered() throws IOException {
+    harness.firstEndpoint.script(
         (request, connection) -> {
           connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
           connection.reset();
         });
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    rig.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
-    assertEquals(202, rig.submit("m2", "safe").status());
-    rig.await("the next", () -> idsAt(rig.firstEndpoint).contains("m2"));
-    assertEquals(2, rig.firstEndpoint.requests.size());
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    harness.firstEndpoint.script((request, connection) -> connection.respond(200, ""));
+    assertEquals(202, harness.submit("m2", "safe").status());
+    harness.await("the next call", () -> idsAt(harness.firstEndpoint).contains("m2"));
+    assertEquals(2, harness.firstEndpoint.requests.size());
   }
 
   @Test
-  void connectionsAreUsedAgain() throws IOException {
-    rig.start();
+  void sequentialCalls_reuseConnections() throws IOException {
+    harness.start();
     for (int round = 0; round < 5; round++) {
       final int calls = round + 1;
-      assertEquals(202, rig.submit("m" + round, "safe").status());
-      rig.await("call " + calls, () -> rig.firstEndpoint.requests.size() == calls);
+      assertEquals(202, harness.submit("m" + round, "safe").status());
+      harness.await("call " + calls, () -> harness.firstEndpoint.requests.size() == calls);
     }
     assertTrue(
-        rig.firstEndpoint.connections.size() <= 2,
-        "connections: " + rig.firstEndpoint.connections.size());
+        harness.firstEndpoint.connections.size() <= 2,
+        "connections: " + harness.firstEndpoint.connections.size());
   }
 
   @Test
-  void aToldWaitBindsTheWholeDestination() throws IOException {
+  void retryAfter_appliesToWholeDestination() throws IOException {
     final long waitMs = 1500;
-    rig.configuredHosts =
-        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready")
+    harness.configuredHosts =
+        CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready")
             + ","
-            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready");
-    final List<Long> toldNs = new ArrayList<>();
-    final List<Long> laterNs = new ArrayList<>();
+            + CourierHarness.hostEntry("e2", harness.secondEndpoint, "Ready");
+    final List<Long> rejectedNs = new ArrayList<>();
+    final List<Long> deliveredNs = new ArrayList<>();
     final var script =
         (java.util.function.BiConsumer<FakeHttpServer.Request, FakeHttpServer.Connection>)
             (request, connection) -> {
-              synchronized (toldNs) {
-                if (toldNs.isEmpty()) {
-                  toldNs.add(System.nanoTime());
+              synchronized (rejectedNs) {
+                if (rejectedNs.isEmpty()) {
+                  rejectedNs.add(System.nanoTime());
                   connection.respond(429, "", "Retry-After: 1.5");
                 } else {
-                  laterNs.add(request.receivedNs());
+                  deliveredNs.add(request.receivedNs());
                   connection.respond(200, "");
                 }
               }
             };
-    rig.firstEndpoint.script(script);
-    rig.secondEndpoint.script(script);
-    rig.start();
-    assertEquals(202, rig.submit("m0", "safe").status());
-    rig.await("the wait", () -> !toldNs.isEmpty());
+    harness.firstEndpoint.script(script);
+    harness.secondEndpoint.script(script);
+    harness.start();
+    assertEquals(202, harness.submit("m0", "safe").status());
+    harness.await("the response with Retry-After", () -> !rejectedNs.isEmpty());
     for (int count = 1; count < 5; count++) {
-      assertEquals(202, rig.submit("m" + count, "safe").status());
+      assertEquals(202, harness.submit("m" + count, "safe").status());
     }
-    rig.await("what waited", () -> !laterNs.isEmpty());
-    final long tookMs = TimeUnit.NANOSECONDS.toMillis(laterNs.get(0) - toldNs.get(0));
+    harness.await("a call after the wait", () -> !deliveredNs.isEmpty());
+    final long tookMs = TimeUnit.NANOSECONDS.toMillis(deliveredNs.get(0) - rejectedNs.get(0));
     assertTrue(tookMs >= waitMs, "sent after " + tookMs);
   }
 
   @Test
-  void theMessagesOfOneCallFareEachByTheirOwnState() throws IOException {
+  void bulkCall_eachMessageEndsByItsOwnState() throws IOException {
     final List<FakeHttpServer.Request> bulks = new ArrayList<>();
-    rig.firstEndpoint.script(
+    harness.firstEndpoint.script(
         (request, connection) -> {
           if (request.requestLine().contains("/inbox/bulk")) {
             bulks.add(request);
@@ -313,110 +318,114 @@
                 200,
                 "[{\"id\":\"ok\",\"state\":\"accepted\"},{\"id\":\"bad\",\"state\":\"fault\"},"
                     + "{\"id\":\"off\",\"state\":\"deferred\"},{\"id\":\"old\",\"state\":\"expired\"}]");
-          } else if (rig.firstEndpoint.requests.size() == 1) {
+          } else if (harness.firstEndpoint.requests.size() == 1) {
             connection.respond(429, "", "Retry-After: 1");
           } else {
             connection.respond(200, "");
           }
         });
-    rig.start();
-    assertEquals(202, rig.submit("off", "brief").status());
-    rig.await("the wait", () -> rig.firstEndpoint.requests.size() == 1);
+    harness.start();
+    assertEquals(202, harness.submit("off", "brief").status());
+    harness.await(
+        "the response with Retry-After", () -> harness.firstEndpoint.requests.size() == 1);
     for (final String id : List.of("ok", "bad", "old")) {
-      assertEquals(202, rig.submit(id, "brief").status());
+      assertEquals(202, harness.submit(id, "brief").status());
     }
-    rig.await(
-        "all ends",
+    harness.await(
+        "all outcomes",
         () ->
-            rig.hasOutcomeReport("bad", "deferred")
-                && rig.firstEndpoint.requests.size() >= 3
+            harness.hasOutcomeReport("bad", "deferred")
+                && harness.firstEndpoint.requests.size() >= 3
                 && "off"
                     .equals(
-                        rig.firstEndpoint
+                        harness
+                            .firstEndpoint
                             .requests
-                            .get(rig.firstEndpoint.requests.size() - 1)
+                            .get(harness.firstEndpoint.requests.size() - 1)
                             .header("X-Request-ID")));
     assertEquals(1, bulks.size());
     assertTrue(bulks.get(0).text().contains("\"body\":\"aGVsbG8=\""), bulks.get(0).text());
     assertEquals(
         1,
-        rig.outcomeReports.size(),
-        "of these only the one that may have run is owed a notice: " + rig.outcomeReports);
+        harness.outcomeReports.size(),
+        "only the message that may have been executed is reported: " + harness.outcomeReports);
   }
 
-  // ---------------------------------------------------------------- the list
+  // ---------------------------------------------------------------- the endpoint list
 
   @Test
-  void nothingNewGoesToAnEndpointThatDrains() throws IOException {
-    rig.configuredHosts =
-        CourierHarness.hostEntry("e1", rig.firstEndpoint, "Ready")
+  void drainingEndpoint_getsNoNewCalls() throws IOException {
+    harness.configuredHosts =
+        CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready")
             + ","
-            + CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready");
-    rig.start();
-    rig.await("the watch", () -> !rig.watchConnections.isEmpty());
-    // In pieces: a line may come in several reads.
+            + CourierHarness.hostEntry("e2", harness.secondEndpoint, "Ready");
+    harness.start();
+    harness.await("the watch", () -> !harness.watchConnections.isEmpty());
+    // In two parts: a line may arrive in several reads.
     final String line =
         "{\"seq\":42,\"whole\":false,\"hosts\":["
-            + CourierHarness.hostEntry("e1", rig.firstEndpoint, "Terminating")
+            + CourierHarness.hostEntry("e1", harness.firstEndpoint, "Terminating")
             + "]}\n";
-    rig.watchConnections.get(0).writeChunk(line.substring(0, 30));
-    rig.watchConnections.get(0).writeChunk(line.substring(30));
-    rig.sendEndpointChange(43, CourierHarness.hostEntry("e3", rig.firstEndpoint, "Gone"));
-    assertEquals(202, rig.submit("warm", "safe").status());
-    rig.await(
-        "the news to have been read",
-        () -> rig.secondEndpoint.requests.size() + rig.firstEndpoint.requests.size() == 1);
-    final int before = rig.firstEndpoint.requests.size();
+    harness.watchConnections.get(0).writeChunk(line.substring(0, 30));
+    harness.watchConnections.get(0).writeChunk(line.substring(30));
+    harness.sendEndpointChange(43, CourierHarness.hostEntry("e3", harness.firstEndpoint, "Gone"));
+    assertEquals(202, harness.submit("warm", "safe").status());
+    harness.await(
+        "the first call after the changes",
+        () -> harness.secondEndpoint.requests.size() + harness.firstEndpoint.requests.size() == 1);
+    final int before = harness.firstEndpoint.requests.size();
     for (int round = 0; round < 6; round++) {
       final int calls = round + 2;
-      assertEquals(202, rig.submit("m" + round, "safe").status());
-      rig.await(
+      assertEquals(202, harness.submit("m" + round, "safe").status());
+      harness.await(
           "call " + calls,
-          () -> rig.secondEndpoint.requests.size() + rig.firstEndpoint.requests.size() == calls);
+          () ->
+              harness.secondEndpoint.requests.size() + harness.firstEndpoint.requests.size()
+                  == calls);
     }
-    assertEquals(before, rig.firstEndpoint.requests.size());
+    assertEquals(before, harness.firstEndpoint.requests.size());
   }
 
   @Test
-  void aBrokenWatchIsAskedForAgainFromWhereItStood() throws IOException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    assertTrue(rig.platform.requests.get(0).requestLine().contains("after=41"));
-    rig.sendEndpointChange(42, CourierHarness.hostEntry("e2", rig.secondEndpoint, "Ready"));
-    rig.sendEndpointChange(43, CourierHarness.hostEntry("e1", rig.firstEndpoint, "Gone"));
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await(
+  void brokenWatch_resumesAfterLastSequenceNumber() throws IOException {
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
+    assertTrue(harness.platform.requests.get(0).requestLine().contains("after=41"));
+    harness.sendEndpointChange(42, CourierHarness.hostEntry("e2", harness.secondEndpoint, "Ready"));
+    harness.sendEndpointChange(43, CourierHarness.hostEntry("e1", harness.firstEndpoint, "Gone"));
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await(
         "the call",
-        () -> rig.secondEndpoint.requests.size() + rig.firstEndpoint.requests.size() == 1);
-    rig.watchConnections.get(0).reset();
-    rig.await("the next watch", () -> rig.watchConnections.size() == 2);
-    final int last = rig.platform.requests.size() - 1;
-    assertTrue(rig.platform.requests.get(last).requestLine().contains("after=43"));
+        () -> harness.secondEndpoint.requests.size() + harness.firstEndpoint.requests.size() == 1);
+    harness.watchConnections.get(0).reset();
+    harness.await("the next watch", () -> harness.watchConnections.size() == 2);
+    final int last = harness.platform.requests.size() - 1;
+    assertTrue(harness.platform.requests.get(last).requestLine().contains("after=43"));
   }
 
   @Test
-  void aWatchThatFallsSilentIsAskedForAgain() throws IOException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    rig.await("the next watch", () -> rig.watchConnections.size() == 2);
-    assertTrue(rig.watchConnections.get(0).closedByPeer, "the silent one is closed");
+  void unresponsiveWatch_isClosedAndReopened() throws IOException {
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
+    harness.await("the next watch", () -> harness.watchConnections.size() == 2);
+    assertTrue(harness.watchConnections.get(0).closedByPeer, "the unresponsive watch is closed");
   }
 
   @Test
-  void aLineThatCannotBeReadEndsTheWatchAndNotTheCourier() throws IOException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    rig.watchConnections.get(0).writeChunk("{\"seq\":42,\"hosts\":[{\"host\":\"e9\"\n");
-    rig.await("the next watch", () -> rig.watchConnections.size() == 2);
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
+  void unparsableWatchEvent_endsTheWatchButNotTheCourier() throws IOException {
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
+    harness.watchConnections.get(0).writeChunk("{\"seq\":42,\"hosts\":[{\"host\":\"e9\"\n");
+    harness.await("the next watch", () -> harness.watchConnections.size() == 2);
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
   }
 
   // ---------------------------------------------------------------- clients
 
   @Test
-  void whatCannotBeReadOrUsedIsAnsweredAndNothingIsTaken() throws IOException {
-    rig.start();
+  void invalidRequests_areRejectedAndNotAccepted() throws IOException {
+    harness.start();
     final String good = CourierHarness.submitRequest("bad", "keyed");
     final List<String> bad =
         List.of(
@@ -436,34 +445,36 @@
             "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\n\r\n",
             good.replace("Host: backend.local", "Host: " + "x".repeat(20_000)));
     for (final String raw : bad) {
-      final int status = rig.send(raw).status();
+      final int status = harness.send(raw).status();
       assertTrue(status >= 400 && status < 500, status + " for " + raw.lines().limit(8).toList());
     }
-    try (Socket half = rig.connect()) {
+    try (Socket half = harness.connect()) {
       half.getOutputStream()
           .write(
               good.substring(0, good.length() - 2)
                   .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
     }
-    assertEquals(202, rig.submit("m1", "safe").status());
-    rig.await("the good one", () -> rig.firstEndpoint.requests.size() == 1);
-    assertEquals(List.of("m1"), idsAt(rig.firstEndpoint));
-    assertTrue(rig.outcomeReports.isEmpty());
+    assertEquals(202, harness.submit("m1", "safe").status());
+    harness.await(
+        "the call with the valid message", () -> harness.firstEndpoint.requests.size() == 1);
+    assertEquals(List.of("m1"), idsAt(harness.firstEndpoint));
+    assertTrue(harness.outcomeReports.isEmpty());
   }
 
   @Test
-  void theLargestBodyIsTaken() throws IOException {
-    rig.start();
+  void largestAllowedBody_isAccepted() throws IOException {
+    harness.start();
     assertEquals(
-        202, rig.send(CourierHarness.submitRequest("m1", "safe", "x".repeat(1 << 16))).status());
-    rig.await("the call", () -> rig.firstEndpoint.requests.size() == 1);
-    assertEquals(1 << 16, rig.firstEndpoint.requests.get(0).body().length);
+        202,
+        harness.send(CourierHarness.submitRequest("m1", "safe", "x".repeat(1 << 16))).status());
+    harness.await("the call", () -> harness.firstEndpoint.requests.size() == 1);
+    assertEquals(1 << 16, harness.firstEndpoint.requests.get(0).body().length);
   }
 
   @Test
-  void requestsThatComeTogetherAreAnsweredInTheirOrder() throws IOException {
-    rig.start();
-    try (Socket socket = rig.connect()) {
+  void pipelinedRequests_areAnsweredInOrder() throws IOException {
+    harness.start();
+    try (Socket socket = harness.connect()) {
       final String three =
           CourierHarness.submitRequest("m1", "safe")
               + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -475,67 +486,72 @@
   }
 
   @Test
-  void anIdThatIsHeldAlreadyIsNotTakenTwice() throws IOException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    assertEquals(409, rig.submit("m1", "safe").status());
+  void idOfPendingMessage_isRejectedWith409() throws IOException {
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    assertEquals(409, harness.submit("m1", "safe").status());
   }
 
   @Test
-  void aFullStoreRefusesInsteadOfLosing() throws IOException {
-    rig.maxOpenConnections = 3;
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
+  void fullStore_rejectsInsteadOfLosingMessages() throws IOException {
+    harness.maxOpenConnections = 3;
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
     final List<Integer> statuses = new ArrayList<>();
     for (int count = 0; count < 8; count++) {
-      final CourierHarness.Response answer = rig.submit("m" + count, "once");
-      statuses.add(answer.status());
-      assertTrue(answer.status() == 202 || answer.head().contains("retry-after"), answer.head());
+      final CourierHarness.Response response = harness.submit("m" + count, "once");
+      statuses.add(response.status());
+      assertTrue(
+          response.status() == 202 || response.head().contains("retry-after"), response.head());
     }
-    final long taken = statuses.stream().filter(status -> status == 202).count();
-    assertTrue(taken >= 2 && taken <= 3 + rig.outcomeReports.size(), statuses.toString());
+    final long accepted = statuses.stream().filter(status -> status == 202).count();
+    assertTrue(accepted >= 2 && accepted <= 3 + harness.outcomeReports.size(), statuses.toString());
     assertTrue(
         statuses.stream().allMatch(status -> status == 202 || status == 429 || status == 503));
   }
 
   @Test
-  void aFullJournalRefusesInsteadOfPromising() throws IOException {
-    rig.diskMb = 1;
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
+  void fullJournal_rejectsInsteadOfAccepting() throws IOException {
+    harness.diskMb = 1;
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
     final List<Integer> statuses = new ArrayList<>();
     for (int count = 0; count < 20; count++) {
       statuses.add(
-          rig.send(CourierHarness.submitRequest("m" + count, "once", "x".repeat(50_000))).status());
+          harness
+              .send(CourierHarness.submitRequest("m" + count, "once", "x".repeat(50_000)))
+              .status());
     }
     assertEquals(202, statuses.get(0));
     assertEquals(503, statuses.get(statuses.size() - 1));
   }
 
-  // ---------------------------------------------------------------- the start
+  // ---------------------------------------------------------------- startup
 
   @Test
-  void aBadValueEndsTheStartWithOneLine() throws IOException, InterruptedException {
-    rig.extraSetting = "\"step\":5000,\"goal\":{\"whole\":0.5}";
-    rig.maxOpenConnections = 0;
-    final Process process = rig.launch();
+  void invalidSetting_startFailsWithOneLogLine() throws IOException, InterruptedException {
+    harness.extraSetting = "\"step\":5000,\"goal\":{\"whole\":0.5}";
+    harness.maxOpenConnections = 0;
+    final Process process = harness.launch();
     assertTrue(process.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     assertEquals(1, process.exitValue());
-    rig.await("its line", () -> !rig.logLines.isEmpty());
-    assertEquals(1, rig.logLines.size(), rig.logLines.toString());
+    harness.await("the log line", () -> !harness.logLines.isEmpty());
+    assertEquals(1, harness.logLines.size(), harness.logLines.toString());
     assertTrue(
-        rig.logLines.get(0).contains("at least one message, not 0"), rig.logLines.toString());
+        harness.logLines.get(0).contains("at least one message, not 0"),
+        harness.logLines.toString());
   }
 
   @Test
-  void aListThatCannotBeReadEndsTheStartToo() throws IOException, InterruptedException {
-    rig.configuredHosts = CourierHarness.hostEntry("e1", "nowhere", "Ready");
-    final Process process = rig.launch();
+  void invalidEndpointAddress_startFails() throws IOException, InterruptedException {
+    harness.configuredHosts = CourierHarness.hostEntry("e1", "nowhere", "Ready");
+    final Process process = harness.launch();
     assertTrue(process.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     assertEquals(1, process.exitValue());
-    rig.await("its line", () -> !rig.logLines.isEmpty());
+    harness.await("the log line", () -> !harness.logLines.isEmpty());
     assertTrue(
-        rig.logLines.get(0).contains("'dial' is no address: 'nowhere'"), rig.logLines.toString());
+        harness.logLines.get(0).contains("'dial' is no address: 'nowhere'"),
+        harness.logLines.toString());
   }
 }
--- a/courier/src/test/java/thistleturn/courier/OperatorEndpointTest.java
+++ b/courier/src/test/java/thistleturn/courier/OperatorEndpointTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The operators' endpoint: metrics match what endpoints received, and an endpoint that is disabled
- * administratively stays so whatever the endpoint list says.
+ * The operators' endpoint: metrics match what endpoints received, and an administratively disabled
+ * endpoint stays disabled whatever the endpoint list says.
  */
 @Tag("operators")
 @Timeout(120)
@@ -27,7 +27,7 @@
   private CourierHarness harness;
 
   @BeforeEach
-  void build() throws IOException {
+  void createHarness() throws IOException {
     harness = new CourierHarness(folder);
     harness.operatorPortEnabled = true;
     harness.configuredHosts =
@@ -37,7 +37,7 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void closeHarness() throws IOException {
     harness.close();
   }
 
@@ -47,7 +47,7 @@
 
   private void deliver(final String prefix, final int messages) throws IOException {
     for (int number = 0; number < messages; number++) {
-      // One by one: messages that wait together are sent in one call.
+      // One at a time: pending messages may be sent in a shared call.
       final int calls = callCount(harness.firstEndpoint) + callCount(harness.secondEndpoint) + 1;
       assertEquals(202, harness.submit(prefix + number, "safe").status());
       harness.await(
@@ -55,13 +55,13 @@
           () -> callCount(harness.firstEndpoint) + callCount(harness.secondEndpoint) == calls);
       // Its response must be received too: otherwise the next process retries it after a kill.
       harness.await(
-          "its end",
+          "the end of the call",
           () -> harness.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 0\n"));
     }
   }
 
   @Test
-  void metrics_matchWhatPeersObserved() throws IOException {
+  void metrics_matchWhatEndpointsReceived() throws IOException {
     harness.start();
     assertTrue(harness.sendOperatorRequest("GET", "/-/ready").startsWith("HTTP/1.1 200"));
     deliver("m", 5);
@@ -90,10 +90,10 @@
         harness.sendOperatorRequest("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"));
     assertTrue(
         harness.sendOperatorRequest("POST", "/-/endpoints/e1/disable").startsWith("HTTP/1.1 200"),
-        "it may be repeated");
+        "the request may be repeated");
     assertTrue(
         harness.sendOperatorRequest("POST", "/-/endpoints/e9/disable").startsWith("HTTP/1.1 404"),
-        "it was never listed");
+        "the endpoint was never listed");
     harness.sendEndpointChange(
         42, CourierHarness.hostEntry("e1", harness.firstEndpoint, "Terminating"));
     harness.sendEndpointChange(43, CourierHarness.hostEntry("e1", harness.firstEndpoint, "Ready"));
@@ -108,7 +108,7 @@
     harness.secondEndpoint.script((request, connection) -> {});
     assertEquals(202, harness.submit("c1", "safe").status());
     assertEquals(202, harness.submit("c2", "safe").status());
-    harness.await("a call to it", () -> callCount(harness.firstEndpoint) > 0);
+    harness.await("a call to the enabled endpoint", () -> callCount(harness.firstEndpoint) > 0);
   }
 
   @Test
@@ -123,7 +123,7 @@
     }
     assertTrue(
         harness.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 4\n"),
-        "they wait");
+        "the messages are pending");
     assertTrue(
         harness.sendOperatorRequest("POST", "/-/endpoints/e1/enable").startsWith("HTTP/1.1 200"));
     harness.await("all calls", () -> callCount(harness.firstEndpoint) == 4);
@@ -135,20 +135,20 @@
   }
 
   @Test
-  void silentOrIncompleteCallers_doNotDelayOthers() throws IOException {
+  void idleOrIncompleteRequests_doNotDelayOthers() throws IOException {
     harness.start();
-    final List<Socket> silent = new ArrayList<>();
+    final List<Socket> idle = new ArrayList<>();
     try {
       for (int number = 0; number < 60; number++) {
         final Socket socket = new Socket("127.0.0.1", harness.operatorPort);
-        silent.add(socket);
+        idle.add(socket);
         if (number % 2 == 0) {
           socket.getOutputStream().write("GET /-/metr".getBytes(StandardCharsets.US_ASCII));
         }
       }
       assertTrue(harness.sendOperatorRequest("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
     } finally {
-      for (final Socket socket : silent) {
+      for (final Socket socket : idle) {
         socket.close();
       }
     }
--- a/courier/src/test/java/thistleturn/courier/OutcomeNotifierTest.java
+++ b/courier/src/test/java/thistleturn/courier/OutcomeNotifierTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Outcome reports over an unresponsive connection: a retry fits into the time limit. */
+/** An outcome report over an unresponsive connection is retried within its time limit. */
 @Tag("crossings")
 @Timeout(120)
 final class OutcomeNotifierTest {
--- a/courier/src/test/java/thistleturn/courier/ProcessEndBoundsTest.java
+++ b/courier/src/test/java/thistleturn/courier/ProcessEndBoundsTest.java
@@ -27,13 +27,13 @@
 import thistleturn.decisions.shards.ShardPlacement;
 
 /**
- * The bounds of the wait for another process's end: its message's deadline, a process that recorded
- * nothing, one that is stopped; and the wait goes on in the next process of the courier.
+ * The bounds of the wait until another process has exited: the deadline of its message, a process
+ * that recorded nothing, one that is stopped. A later process of the courier continues the wait.
  */
 @Tag("operators")
 @Timeout(120)
 final class ProcessEndBoundsTest extends ProcessEndScenario {
-  private static final long NOTICE_TOLERANCE_NS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long REPORT_TOLERANCE_NS = TimeUnit.MILLISECONDS.toNanos(300);
 
   /** The wait for a process that recorded nothing. */
   private static final long UNKNOWN_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -44,38 +44,40 @@
           .findFirst()
           .orElseThrow();
 
-  /** What the courier sees end of the other process, which lives. */
-  enum Sign {
-    /** The line to it, after it has handed over. */
-    LINE,
-    /** Its hold on the folder, which the courier finds free when it starts. */
-    LOCK,
-    /** Both, after the courier has handed over to it. */
-    LINE_AND_LOCK
+  /** What the courier sees end while the other process keeps running. */
+  enum EndSignal {
+    /** Its connection is closed, after it has handed over. */
+    CONNECTION_CLOSED,
+    /** The folder's lock is released before the courier starts. */
+    LOCK_RELEASED,
+    /** Its connection is closed and its lock released, after the courier has handed over to it. */
+    CONNECTION_AND_LOCK
   }
 
-  /** A step of the test itself between those of the two processes. */
+  /** An action of the test between the steps of the two processes. */
   @FunctionalInterface
-  private interface Step {
+  private interface TestStep {
     void run() throws IOException, InterruptedException;
   }
 
-  /** When the held call began, within two bounds, and when the sign was given at the earliest. */
-  private record Times(long callFromNs, long callUntilNs, long signNs) {}
+  /** Two bounds for the start of the held call, and the earliest time of the end signal. */
+  private record Times(long callFromNs, long callUntilNs, long signalNs) {}
 
   private static int shardOf(final long destination) {
     return ShardPlacement.shardOf(destination, ShardedCourierProcess.SHARDS);
   }
 
-  /** The other process has a call out and shows a sign of its end; the courier decides. */
-  private Times showSign(
-      final Sign sign,
+  /**
+   * Starts a call of the other process, then gives a signal of that process's end to the courier.
+   */
+  private Times startAndSignalEnd(
+      final EndSignal endSignal,
       final String messageClass,
       final long timeoutMs,
-      final Step onCalled,
-      final Step onSign)
+      final TestStep onCalled,
+      final TestStep onSignal)
       throws IOException, InterruptedException {
-    if (sign == Sign.LINE_AND_LOCK) {
+    if (endSignal == EndSignal.CONNECTION_AND_LOCK) {
       courier.start();
       other.takeOver();
     } else {
@@ -86,36 +88,37 @@
     other.call(HELD, messageClass, ScriptedCalls.DESTINATION, timeoutMs);
     final long callUntilNs = System.nanoTime();
     courier.await("the held call", () -> copies.of(HELD).size() == 1);
-    note("the first copy is out");
+    recordEvent("the first copy was received");
     onCalled.run();
-    if (sign == Sign.LINE) {
+    if (endSignal == EndSignal.CONNECTION_CLOSED) {
       other.listen(HandoverManner.HAND_OVER);
       courier.start();
     }
-    final long signNs = System.nanoTime();
-    if (sign != Sign.LOCK) {
+    final long signalNs = System.nanoTime();
+    if (endSignal != EndSignal.LOCK_RELEASED) {
       other.closeConnection();
-      note("the line has ended");
+      recordEvent("the connection is closed");
     }
-    if (sign != Sign.LINE) {
+    if (endSignal != EndSignal.CONNECTION_CLOSED) {
       other.releaseLock();
-      note("the lock is free");
+      recordEvent("the lock is released");
     }
-    onSign.run();
-    if (sign == Sign.LOCK) {
+    onSignal.run();
+    if (endSignal == EndSignal.LOCK_RELEASED) {
       courier.start();
-    } else if (sign == Sign.LINE_AND_LOCK) {
-      awaitTakeBack();
+    } else if (endSignal == EndSignal.CONNECTION_AND_LOCK) {
+      awaitResumed();
     }
-    return new Times(callFromNs, callUntilNs, signNs);
+    return new Times(callFromNs, callUntilNs, signalNs);
   }
 
-  private Times showSign(final Sign sign, final String messageClass)
+  private Times startAndSignalEnd(final EndSignal endSignal, final String messageClass)
       throws IOException, InterruptedException {
-    return showSign(sign, messageClass, ScriptedCourier.MESSAGE_TIMEOUT_MS, () -> {}, () -> {});
+    return startAndSignalEnd(
+        endSignal, messageClass, ScriptedCourier.MESSAGE_TIMEOUT_MS, () -> {}, () -> {});
   }
 
-  /** Guards against two deciding processes where it is the newer one that sends what is no line. */
+  /** Guards against two active processes after the newer one has sent an unreadable line. */
   @ParameterizedTest
   @EnumSource(UnreadableLine.class)
   void unreadableLineFromNewerProcess_oneDecidesAndNoCallIsRepeated(final UnreadableLine kind)
@@ -124,26 +127,27 @@
     assertEquals(202, courier.submit(HELD_BY_COURIER, "safe").status());
     courier.await("the courier's call", () -> copies.of(HELD_BY_COURIER).size() == 1);
     other.takeOver();
-    otherCalls("safe");
+    callFromOther("safe");
     other.sendUnreadable(kind);
     other.awaitEvent("predecessor gone", 1);
-    note("the line has ended");
-    courier.await("the older process to end", this::olderHasEndedAndNewerHoldsFolder);
-    note("the older process has ended");
-    final long untilNs = System.nanoTime() + WATCH_NS;
+    recordEvent("the connection is closed");
+    courier.await("the older process to exit", this::olderHasEndedAndNewerHoldsFolder);
+    recordEvent("the older process has exited");
+    final long untilNs = System.nanoTime() + OBSERVATION_NS;
     courier.await(
-        "the watch", () -> olderHasEndedAndNewerHoldsFolder() && System.nanoTime() >= untilNs);
+        "the observation to end",
+        () -> olderHasEndedAndNewerHoldsFolder() && System.nanoTime() >= untilNs);
     other.releaseLock();
     try (CourierHarness third = courier.successor()) {
       third.start();
-      assertNotRepeatedWhileOtherLives(third);
-      assertRepeatedOnceOtherIsGone(third, "safe");
+      assertNotRepeatedWhileOtherRuns(third);
+      assertRepeatedAfterOtherIsKilled(third, "safe");
       third.await("the older one's call", () -> copies.of(HELD_BY_COURIER).size() == 2);
       assertTrue(copies.of(HELD_BY_COURIER).get(1).heldHasEnded(), this::traceText);
     }
   }
 
-  /** Returns whether the older process has ended; all that must hold until then is asserted. */
+  /** Returns whether the older process has exited, and checks what must hold until then. */
   private boolean olderHasEndedAndNewerHoldsFolder() {
     assertFolderLocked();
     assertNoRepeat();
@@ -166,34 +170,35 @@
     return folder.resolve("state").resolve("lock");
   }
 
-  /** Guards against a wait without end for a process that lives on with its call. */
+  /** Guards against an endless wait for a process that keeps running with its call. */
   @ParameterizedTest
   @CsvSource({
-    "LINE_AND_LOCK, safe, 3000",
-    "LINE_AND_LOCK, keyed, 3000",
-    "LINE_AND_LOCK, once, 3000",
-    "LINE, safe, 10000",
-    "LOCK, safe, 10000"
+    "CONNECTION_AND_LOCK, safe, 3000",
+    "CONNECTION_AND_LOCK, keyed, 3000",
+    "CONNECTION_AND_LOCK, once, 3000",
+    "CONNECTION_CLOSED, safe, 10000",
+    "LOCK_RELEASED, safe, 10000"
   })
-  void processLivesOn_heldMessageEndsAtItsDeadlineAndIsNotSentAgain(
-      final Sign sign, final String messageClass, final long timeoutMs) throws Exception {
-    final Times times = showSign(sign, messageClass, timeoutMs, () -> {}, () -> {});
-    awaitAtOnce(courier, WAITING);
-    courier.await("its notice", () -> courier.hasOutcomeReport(HELD, ""));
-    final long noticeNs = System.nanoTime();
+  void processKeepsRunning_heldMessageExpiresAndIsNotSentAgain(
+      final EndSignal endSignal, final String messageClass, final long timeoutMs) throws Exception {
+    final Times times = startAndSignalEnd(endSignal, messageClass, timeoutMs, () -> {}, () -> {});
+    awaitPromptDelivery(courier, WAITING);
+    courier.await("the outcome report", () -> courier.hasOutcomeReport(HELD, ""));
+    final long reportedNs = System.nanoTime();
     final long timeoutNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-    note(
+    recordEvent(
         String.format(
-            "the notice, %.1f ms after the deadline",
-            (noticeNs - timeoutNs - times.callUntilNs()) / 1e6));
-    assertTrue(noticeNs >= times.callFromNs() + timeoutNs - NOTICE_TOLERANCE_NS, this::traceText);
-    assertTrue(noticeNs <= times.callUntilNs() + timeoutNs + NOTICE_TOLERANCE_NS, this::traceText);
-    assertNotRepeatedWhileOtherLives(courier);
+            "the outcome report, %.1f ms after the deadline",
+            (reportedNs - timeoutNs - times.callUntilNs()) / 1e6));
+    assertTrue(reportedNs >= times.callFromNs() + timeoutNs - REPORT_TOLERANCE_NS, this::traceText);
+    assertTrue(
+        reportedNs <= times.callUntilNs() + timeoutNs + REPORT_TOLERANCE_NS, this::traceText);
+    assertNotRepeatedWhileOtherRuns(courier);
     other.kill();
-    note("gone");
+    recordEvent("exited");
     for (int sent = 0; sent < 5; sent++) {
       assertEquals(202, courier.submit("after-" + sent, "safe").status(), this::traceText);
-      awaitAtOnce(courier, "after-" + sent);
+      awaitPromptDelivery(courier, "after-" + sent);
     }
     assertEquals(1, copies.of(HELD).size(), this::traceText);
     assertEquals(
@@ -203,12 +208,12 @@
   }
 
   /**
-   * Guards against a shard that does not wait where a courier of several shards finds the folder
-   * free.
+   * Guards against a shard that does not wait when a courier of several shards starts on a folder
+   * that was just released.
    */
   @ParameterizedTest
   @ValueSource(strings = {"safe", "keyed", "once"})
-  void severalShardsStartOnFolderJustFreed_callsOfTwoShardsAreNotRepeated(final String messageClass)
+  void severalShardsStartOnReleasedFolder_callsOfTwoShardsAreNotRepeated(final String messageClass)
       throws Exception {
     courier.mainClass = ShardedCourierProcess.class.getName();
     courier.secondEndpoint.script(copies::answer);
@@ -216,136 +221,159 @@
         ","
             + CourierHarness.hostEntry("e2", courier.secondEndpoint, "Ready")
                 .replace("\"block\":7", "\"block\":" + OTHER_DESTINATION);
-    otherServes(messageClass);
+    startOtherWithCall(messageClass);
     other.call(HELD_ELSEWHERE, messageClass, OTHER_DESTINATION, ScriptedCourier.MESSAGE_TIMEOUT_MS);
     courier.await("the other held call", () -> copies.of(HELD_ELSEWHERE).size() == 1);
     other.releaseLock();
-    note("the lock is free");
+    recordEvent("the lock is released");
     courier.start();
-    assertNotRepeatedWhileOtherLives(courier);
+    assertNotRepeatedWhileOtherRuns(courier);
     assertEquals(1, copies.of(HELD_ELSEWHERE).size(), this::traceText);
-    assertRepeatedOnceOtherIsGone(courier, messageClass);
+    assertRepeatedAfterOtherIsKilled(courier, messageClass);
     if (messageClass.equals("once")) {
-      courier.await("its notice", () -> courier.hasOutcomeReport(HELD_ELSEWHERE, "undeliverable"));
+      courier.await(
+          "the outcome report", () -> courier.hasOutcomeReport(HELD_ELSEWHERE, "undeliverable"));
       assertEquals(1, copies.of(HELD_ELSEWHERE).size(), this::traceText);
     } else {
-      courier.await("the other second copy", () -> copies.of(HELD_ELSEWHERE).size() == 2);
+      courier.await(
+          "the second copy of the other held message", () -> copies.of(HELD_ELSEWHERE).size() == 2);
       assertTrue(copies.of(HELD_ELSEWHERE).get(1).heldHasEnded(), this::traceText);
     }
   }
 
-  /**
-   * Guards against no wait, or one without end, for a process of a version that records nothing.
-   */
+  /** Guards against no wait, or an endless one, for a process of a version that records nothing. */
   @ParameterizedTest
-  @CsvSource({"LINE, false", "LOCK, false", "LINE_AND_LOCK, false", "LINE_AND_LOCK, true"})
-  void holderRecordedNothing_callIsRepeatedOnceAfterTheGrace(
-      final Sign sign, final boolean recordIsEmpty) throws Exception {
+  @CsvSource({
+    "CONNECTION_CLOSED, false",
+    "LOCK_RELEASED, false",
+    "CONNECTION_AND_LOCK, false",
+    "CONNECTION_AND_LOCK, true"
+  })
+  void holderRecordedNothing_callIsRepeatedOnceAfterGracePeriod(
+      final EndSignal endSignal, final boolean recordIsEmpty) throws Exception {
     final Times times =
-        showSign(
-            sign,
+        startAndSignalEnd(
+            endSignal,
             "safe",
             ScriptedCourier.MESSAGE_TIMEOUT_MS,
-            () -> forgetHolders(recordIsEmpty),
+            () -> removeHolderRecords(recordIsEmpty),
             () -> {});
-    final long decidesNs = System.nanoTime();
+    final long waitStartNs = System.nanoTime();
     courier.await("the second copy", () -> copies.of(HELD).size() == 2);
     final long repeatNs = copies.of(HELD).get(1).receivedNs();
-    note(String.format("the second copy at %.1f ms", ms(repeatNs)));
-    assertTrue(repeatNs >= times.signNs() + UNKNOWN_GRACE_NS, this::traceText);
-    assertTrue(repeatNs <= decidesNs + UNKNOWN_GRACE_NS + AT_ONCE_NS, this::traceText);
-    awaitAtOnce(courier, WAITING);
-    final long untilNs = System.nanoTime() + WATCH_NS;
-    courier.await("the watch", () -> copies.of(HELD).size() > 2 || System.nanoTime() >= untilNs);
+    recordEvent(String.format("the second copy at %.1f ms", msSinceStart(repeatNs)));
+    assertTrue(repeatNs >= times.signalNs() + UNKNOWN_GRACE_NS, this::traceText);
+    assertTrue(repeatNs <= waitStartNs + UNKNOWN_GRACE_NS + PROMPT_LIMIT_NS, this::traceText);
+    awaitPromptDelivery(courier, WAITING);
+    final long untilNs = System.nanoTime() + OBSERVATION_NS;
+    courier.await(
+        "the observation to end", () -> copies.of(HELD).size() > 2 || System.nanoTime() >= untilNs);
     assertEquals(2, copies.of(HELD).size(), this::traceText);
     assertFalse(courier.hasOutcomeReport(HELD, ""), this::traceText);
   }
 
-  /** Removes the other process's record, or all of them, as an earlier version left the file. */
-  private void forgetHolders(final boolean all) throws IOException {
+  /** Removes the other process's record, or all records, as an earlier version leaves the file. */
+  private void removeHolderRecords(final boolean all) throws IOException {
     final List<String> recorded = Files.readAllLines(lockFile());
     assertTrue(recorded.stream().anyMatch(this::namesOther), recorded::toString);
     Files.write(lockFile(), recorded.stream().filter(line -> !all && !namesOther(line)).toList());
   }
 
-  /** A line of the record: since when, and the number of the process. */
+  /** A line of the record holds the start time and the process id. */
   private boolean namesOther(final String line) {
     return line.split(" ")[1].equals(Long.toString(other.pid()));
   }
 
-  /** Guards against forgetting what is held when the courier that holds it hands over. */
+  /**
+   * Guards against forgetting the calls of a process when the courier that waits for it hands over.
+   */
   @ParameterizedTest
-  @CsvSource({"LINE, safe", "LINE, keyed", "LINE, once", "LOCK, safe", "LINE_AND_LOCK, safe"})
+  @CsvSource({
+    "CONNECTION_CLOSED, safe",
+    "CONNECTION_CLOSED, keyed",
+    "CONNECTION_CLOSED, once",
+    "LOCK_RELEASED, safe",
+    "CONNECTION_AND_LOCK, safe"
+  })
   void holdingCourierHandsOver_thirdProcessDoesNotRepeatCallOfTheFirst(
-      final Sign sign, final String messageClass) throws Exception {
-    showSign(sign, messageClass);
-    awaitAtOnce(courier, WAITING);
+      final EndSignal endSignal, final String messageClass) throws Exception {
+    startAndSignalEnd(endSignal, messageClass);
+    awaitPromptDelivery(courier, WAITING);
     try (CourierHarness third = courier.successor()) {
       third.start();
-      note("the third process decides");
-      assertNotRepeatedWhileOtherLives(third);
-      assertRepeatedOnceOtherIsGone(third, messageClass);
+      recordEvent("the third process serves");
+      assertNotRepeatedWhileOtherRuns(third);
+      assertRepeatedAfterOtherIsKilled(third, messageClass);
     }
   }
 
-  /** Guards against forgetting what is held when the courier that holds it is shut down. */
+  /**
+   * Guards against forgetting the calls of a process when the courier that waits for it shuts down.
+   */
   @ParameterizedTest
-  @CsvSource({"LINE, safe", "LINE, keyed", "LINE, once", "LOCK, safe", "LINE_AND_LOCK, safe"})
+  @CsvSource({
+    "CONNECTION_CLOSED, safe",
+    "CONNECTION_CLOSED, keyed",
+    "CONNECTION_CLOSED, once",
+    "LOCK_RELEASED, safe",
+    "CONNECTION_AND_LOCK, safe"
+  })
   void holdingCourierIsTerminated_nextProcessDoesNotRepeatCallOfTheFirst(
-      final Sign sign, final String messageClass) throws Exception {
-    showSign(sign, messageClass);
-    awaitAtOnce(courier, WAITING);
+      final EndSignal endSignal, final String messageClass) throws Exception {
+    startAndSignalEnd(endSignal, messageClass);
+    awaitPromptDelivery(courier, WAITING);
     assertTrue(courier.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
-    note("the second process has ended");
+    recordEvent("the second process has exited");
     assertNoRepeat();
     try (CourierHarness third = courier.successor()) {
       third.start();
-      note("the third process decides");
-      assertNotRepeatedWhileOtherLives(third);
-      assertRepeatedOnceOtherIsGone(third, messageClass);
+      recordEvent("the third process serves");
+      assertNotRepeatedWhileOtherRuns(third);
+      assertRepeatedAfterOtherIsKilled(third, messageClass);
     }
   }
 
-  /** Guards against taking a process that stands still for one that is gone. */
+  /** Guards against taking a stopped process for one that has exited. */
   @ParameterizedTest
-  @EnumSource(Sign.class)
-  void otherProcessIsStopped_callIsNotRepeatedBeforeItIsGone(final Sign sign) throws Exception {
-    showSign(
-        sign,
+  @EnumSource(EndSignal.class)
+  void otherProcessIsStopped_callIsNotRepeatedBeforeItExits(final EndSignal endSignal)
+      throws Exception {
+    startAndSignalEnd(
+        endSignal,
         "safe",
         ScriptedCourier.MESSAGE_TIMEOUT_MS,
         () -> {},
         () -> {
           other.stop();
-          note("stopped");
+          recordEvent("stopped");
         });
-    assertNotRepeatedWhileOtherLives(courier);
-    assertRepeatedOnceOtherIsGone(courier, "safe");
+    assertNotRepeatedWhileOtherRuns(courier);
+    assertRepeatedAfterOtherIsKilled(courier, "safe");
   }
 
-  /** Guards against the same where the process that stands still is asked to hand over. */
+  /** Guards against the same where the stopped process is asked to hand over. */
   @Test
-  void stoppedProcessIsAskedToHandOver_callIsNotRepeatedBeforeItIsGone() throws Exception {
-    otherServes("safe");
+  void stoppedProcessIsAskedToHandOver_callIsNotRepeatedBeforeItExits() throws Exception {
+    startOtherWithCall("safe");
     other.listen(HandoverManner.HAND_OVER);
     other.stop();
-    note("stopped");
+    recordEvent("stopped");
     final CompletableFuture<Void> started = startInBackground(courier);
     courier.await(
         "the takeover",
         () -> courier.logLines.stream().anyMatch(line -> line.contains("takes over from")));
-    final long untilNs = System.nanoTime() + WATCH_NS;
+    final long untilNs = System.nanoTime() + OBSERVATION_NS;
     courier.await(
-        "the watch",
+        "the observation to end",
         () -> {
           assertNoRepeat();
           return System.nanoTime() >= untilNs;
         });
     assertTrue(other.isAlive() && !started.isDone(), this::traceText);
     other.kill();
-    note("gone");
+    recordEvent("exited");
     started.get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
-    awaitAtOnce(courier, WAITING);
+    awaitPromptDelivery(courier, WAITING);
     courier.await("the second copy", () -> copies.of(HELD).size() == 2);
     assertTrue(copies.of(HELD).get(1).heldHasEnded(), this::traceText);
   }
--- a/courier/src/test/java/thistleturn/courier/ProcessEndScenario.java
+++ b/courier/src/test/java/thistleturn/courier/ProcessEndScenario.java
@@ -17,32 +17,33 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A courier beside another process of its own that ends its line, its lock and itself one by one,
- * and an endpoint that holds the first copy of the messages in their calls.
+ * A courier process beside another process of the same courier that closes its connection, releases
+ * its lock and exits in separate steps, and an endpoint that does not respond to the first copy of
+ * certain messages.
  */
 abstract class ProcessEndScenario {
-  /** In a call of the other process. */
+  /** The message in a call of the other process. */
   static final String HELD = "held";
 
-  /** In another call of the other process. */
+  /** The message in another call of the other process. */
   static final String HELD_ELSEWHERE = "held-elsewhere";
 
-  /** In a call of the courier. */
+  /** The message in a call of the courier. */
   static final String HELD_BY_COURIER = "held-by-courier";
 
-  /** In the journal, and in no call. */
+  /** The message that is in the journal but in no call. */
   static final String WAITING = "waiting";
 
-  /** For so long, and so many messages, the repeat is looked for that must not come. */
-  static final long WATCH_NS = TimeUnit.MILLISECONDS.toNanos(1000);
+  /** How long, and over how many messages, a forbidden repeat is watched for. */
+  static final long OBSERVATION_NS = TimeUnit.MILLISECONDS.toNanos(1000);
 
-  private static final int WATCH_MESSAGES = 20;
+  private static final int OBSERVATION_MESSAGES = 20;
 
-  /** The bound for what is to go on at once: what was in no call, and repeats after the end. */
-  static final long AT_ONCE_NS = TimeUnit.SECONDS.toNanos(1);
+  /** The limit for messages that were in no call, and for repeats after the process has exited. */
+  static final long PROMPT_LIMIT_NS = TimeUnit.SECONDS.toNanos(1);
 
-  private final long beganNs = System.nanoTime();
-  private final List<String> trace = new CopyOnWriteArrayList<>();
+  private final long startNs = System.nanoTime();
+  private final List<String> events = new CopyOnWriteArrayList<>();
   final EndpointCopies copies = new EndpointCopies(HELD, HELD_ELSEWHERE, HELD_BY_COURIER);
   @TempDir Path folder;
   CourierHarness courier;
@@ -66,53 +67,55 @@
     courier.close();
   }
 
-  final double ms(final long ns) {
-    return (ns - beganNs) / 1e6;
+  final double msSinceStart(final long ns) {
+    return (ns - startNs) / 1e6;
   }
 
-  final void note(final String what) {
-    trace.add(String.format("%.1f ms: %s", ms(System.nanoTime()), what));
+  final void recordEvent(final String what) {
+    events.add(String.format("%.1f ms: %s", msSinceStart(System.nanoTime()), what));
   }
 
   final String traceText() {
-    return trace + "; " + other + "; log: " + courier.logLines;
+    return events + "; " + other + "; log: " + courier.logLines;
   }
 
-  /** The other process takes the folder, with one message in a call and one in none. */
-  final void otherServes(final String messageClass) {
+  /** The other process locks the folder, with one message in a call and one in none. */
+  final void startOtherWithCall(final String messageClass) {
     other.lockFolder();
-    otherCalls(messageClass);
+    callFromOther(messageClass);
   }
 
-  final void otherCalls(final String messageClass) {
+  final void callFromOther(final String messageClass) {
     other.accept(WAITING, "safe");
     other.call(HELD, messageClass);
     courier.await("the held call", () -> copies.of(HELD).size() == 1);
-    note("the first copy is out");
+    recordEvent("the first copy was received");
   }
 
   /**
-   * New messages go through, one after the other, and so has the one that waited; the held one does
-   * not come again.
+   * Checks that the waiting message and new ones are delivered promptly while the message in the
+   * other process's call is not sent again.
    */
-  final void assertNotRepeatedWhileOtherLives(final CourierHarness deciding) throws IOException {
-    awaitAtOnce(deciding, WAITING);
-    final long untilNs = System.nanoTime() + WATCH_NS;
-    for (int sent = 0; sent < WATCH_MESSAGES || System.nanoTime() < untilNs; sent++) {
+  final void assertNotRepeatedWhileOtherRuns(final CourierHarness activeCourier)
+      throws IOException {
+    awaitPromptDelivery(activeCourier, WAITING);
+    final long untilNs = System.nanoTime() + OBSERVATION_NS;
+    for (int sent = 0; sent < OBSERVATION_MESSAGES || System.nanoTime() < untilNs; sent++) {
       final String id = "new-" + submitted++;
-      assertEquals(202, deciding.submit(id, "safe").status(), this::traceText);
-      awaitAtOnce(deciding, id);
+      assertEquals(202, activeCourier.submit(id, "safe").status(), this::traceText);
+      awaitPromptDelivery(activeCourier, id);
       assertNoRepeat();
     }
-    note("looked for a repeat while " + submitted + " new messages went through");
+    recordEvent("no repeat while " + submitted + " new messages were delivered");
     assertTrue(other.isAlive() && !copies.hasHeldEnded(HELD), this::traceText);
   }
 
-  final void awaitAtOnce(final CourierHarness deciding, final String id) {
+  final void awaitPromptDelivery(final CourierHarness activeCourier, final String id) {
     final long fromNs = System.nanoTime();
-    deciding.await("delivery of " + id, () -> !copies.of(id).isEmpty());
+    activeCourier.await("delivery of " + id, () -> !copies.of(id).isEmpty());
     final long tookNs = System.nanoTime() - fromNs;
-    assertTrue(tookNs < AT_ONCE_NS, () -> id + " took " + tookNs / 1e6 + " ms; " + traceText());
+    assertTrue(
+        tookNs < PROMPT_LIMIT_NS, () -> id + " took " + tookNs / 1e6 + " ms; " + traceText());
   }
 
   final void assertNoRepeat() {
@@ -121,38 +124,42 @@
       throw new AssertionError(
           String.format(
               "a second copy at %.1f ms, while the first one's connection was %s and its process %s: %s",
-              ms(held.get(1).receivedNs()),
+              msSinceStart(held.get(1).receivedNs()),
               held.get(1).heldHasEnded() ? "ended" : "open",
-              other.isAlive() ? "lived" : "was gone",
+              other.isAlive() ? "was running" : "had exited",
               traceText()));
     }
   }
 
-  /** Kills the other process: what may be repeated comes again, what may not ends by a notice. */
-  final void assertRepeatedOnceOtherIsGone(final CourierHarness deciding, final String messageClass)
-      throws InterruptedException {
+  /**
+   * Kills the other process, and checks that its message is then sent again, or is reported as
+   * undeliverable if it is non-idempotent.
+   */
+  final void assertRepeatedAfterOtherIsKilled(
+      final CourierHarness activeCourier, final String messageClass) throws InterruptedException {
     final long killedNs = System.nanoTime();
-    note("kill");
+    recordEvent("kill");
     other.kill();
-    note("gone");
+    recordEvent("exited");
     if (messageClass.equals("once")) {
-      deciding.await("its notice", () -> courier.hasOutcomeReport(HELD, "undeliverable"));
+      activeCourier.await(
+          "the outcome report", () -> courier.hasOutcomeReport(HELD, "undeliverable"));
       assertEquals(1, copies.of(HELD).size(), this::traceText);
       return;
     }
-    deciding.await("the second copy", () -> copies.of(HELD).size() == 2);
+    activeCourier.await("the second copy", () -> copies.of(HELD).size() == 2);
     final EndpointCopies.Copy repeat = copies.of(HELD).get(1);
     final long tookNs = repeat.receivedNs() - killedNs;
-    note(String.format("the second copy came %.1f ms after the kill", tookNs / 1e6));
+    recordEvent(String.format("the second copy arrived %.1f ms after the kill", tookNs / 1e6));
     assertTrue(repeat.heldHasEnded(), this::traceText);
-    assertTrue(tookNs < AT_ONCE_NS, this::traceText);
+    assertTrue(tookNs < PROMPT_LIMIT_NS, this::traceText);
     assertFalse(courier.hasOutcomeReport(HELD, ""), this::traceText);
   }
 
-  /** Waits until the courier, which had handed over, decides again. */
-  final void awaitTakeBack() {
+  /** Waits until the courier, which had handed over, serves again. */
+  final void awaitResumed() {
     courier.await("the older process to resume", () -> timesReady(courier) == 2);
-    note("the older process decides again");
+    recordEvent("the older process serves again");
   }
 
   static long timesReady(final CourierHarness process) {
--- a/courier/src/test/java/thistleturn/courier/ScriptedCalls.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCalls.java
@@ -13,18 +13,22 @@
 import thistleturn.decisions.LearnedState;
 import thistleturn.decisions.model.EndpointState;
 
-/** The calls that a {@link ScriptedCourierProcess} has out, and how it describes them to others. */
+/**
+ * The calls in flight of a {@link ScriptedCourierProcess}, and their form in a handover snapshot.
+ */
 final class ScriptedCalls {
-  /** The destination of all messages: the one of {@link CourierHarness}'s endpoints. */
+  /** The destination of {@link CourierHarness}'s endpoints. */
   static final long DESTINATION = 7;
 
   private static final long ENDPOINT = 1;
   private static final double WEIGHT = 100;
 
-  /** The classes of {@link CourierHarness}, and a quarter of the time that they aim at. */
+  /** The number of {@link CourierHarness}'s message classes. */
   private static final int CLASSES = 4;
 
+  /** A quarter of the latency objective of these classes. */
   private static final double INITIAL_MEAN_US = 1_250_000;
+
   private static final double TRUSTED_IDLE_US = 10_000_000;
 
   private final InetSocketAddress endpoint;
@@ -41,7 +45,7 @@
     calls.add(new Call(id, sentUs, connection));
   }
 
-  /** Ends the call of that number and returns its message's id. */
+  /** Closes the connection of the call with this number and returns the id of its message. */
   String abandon(final long number) {
     final Call call = calls.get((int) number);
     try {
@@ -52,7 +56,7 @@
     return call.id();
   }
 
-  /** Returns what is handed over: the endpoint and the calls, and nothing that was learned. */
+  /** Returns a handover snapshot of the endpoint and the calls, without learned state. */
   HandoverSnapshot snapshot() {
     final List<HandoverSnapshot.InFlightRemoteCall> described = new ArrayList<>();
     for (int number = 0; number < calls.size(); number++) {
@@ -71,14 +75,14 @@
         described);
   }
 
-  /** Returns what a courier with {@link CourierHarness}'s classes knows before its first call. */
+  /** Returns the learned state of a courier of {@link CourierHarness} before its first call. */
   private static LearnedState nothingLearned() {
     final double[] classMeanUs = new double[CLASSES];
     Arrays.fill(classMeanUs, INITIAL_MEAN_US);
     return new LearnedState(classMeanUs, new int[CLASSES], TRUSTED_IDLE_US, List.of(), List.of());
   }
 
-  /** Returns the lines of a snapshot that breaks off before its end. */
+  /** Returns the lines of the snapshot without its last one. */
   List<String> snapshotLinesButLast() {
     final List<String> lines = HandoverCodec.encodeSnapshot(snapshot());
     return lines.subList(0, lines.size() - 1);
--- a/courier/src/test/java/thistleturn/courier/ScriptedCourier.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCourier.java
@@ -17,9 +17,12 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** The test's side of a {@link ScriptedCourierProcess}: each command returns once it is done. */
+/**
+ * Controls a {@link ScriptedCourierProcess}: each method sends a command and returns once it is
+ * done.
+ */
 final class ScriptedCourier implements AutoCloseable {
-  /** The time that messages have, unless a test gives them another. */
+  /** The timeout of messages, unless a test sets another. */
   static final long MESSAGE_TIMEOUT_MS = 20_000;
 
   private final Process process;
@@ -60,8 +63,8 @@
     return lines.stream().filter(ScriptedCourier::isAnswer).toList();
   }
 
-  /** Has the process do something, and returns once that is done. */
-  private void tell(final String command) {
+  /** Sends a command to the process, and returns once it is done. */
+  private void execute(final String command) {
     final int earlier = answers().size();
     commands.println(command);
     await("the answer to " + command, () -> answers().size() > earlier);
@@ -71,12 +74,12 @@
 
   /** Takes the folder's lock and opens its journal. */
   void lockFolder() {
-    tell("lock");
+    execute("lock");
   }
 
   /** Writes an accepted message to the journal. */
   void accept(final String id, final String messageClass) {
-    tell("accept " + describe(id, messageClass, ScriptedCalls.DESTINATION, MESSAGE_TIMEOUT_MS));
+    execute("accept " + describe(id, messageClass, ScriptedCalls.DESTINATION, MESSAGE_TIMEOUT_MS));
   }
 
   /** Writes a message to the journal and begins a call with it. */
@@ -87,7 +90,7 @@
   /** Writes a message for a destination to the journal and begins a call with it. */
   void call(
       final String id, final String messageClass, final long destination, final long timeoutMs) {
-    tell("call " + describe(id, messageClass, destination, timeoutMs));
+    execute("call " + describe(id, messageClass, destination, timeoutMs));
   }
 
   private static String describe(
@@ -97,40 +100,40 @@
 
   /** Listens for a newer courier. */
   void listen(final ScriptedCourierProcess.HandoverManner manner) {
-    tell("listen " + manner);
+    execute("listen " + manner);
   }
 
   /** Takes over from the courier that serves, with the lock and the journal. */
   void takeOver() {
-    tell("take-over");
+    execute("take-over");
   }
 
   /** Closes the connection to the other courier, and changes nothing else. */
   void closeConnection() {
-    tell("close-connection");
+    execute("close-connection");
   }
 
   /** Releases the folder's lock, and changes nothing else. */
   void releaseLock() {
-    tell("release-lock");
+    execute("release-lock");
   }
 
   /** Sends the other courier a line that it cannot read. */
   void sendUnreadable(final ScriptedCourierProcess.UnreadableLine kind) {
-    tell("send-unreadable " + kind);
+    execute("send-unreadable " + kind);
   }
 
   /** Fails unless another process holds the folder's lock. */
   void assertLockedByOther() {
-    tell("expect-locked-by-other");
+    execute("assert-locked-by-other");
   }
 
-  /** Returns how often an event has come. */
+  /** Returns how often the process has printed an event. */
   long count(final String event) {
     return lines.stream().filter(line -> line.equals(ScriptedCourierProcess.EVENT + event)).count();
   }
 
-  /** Waits until an event has come so often. */
+  /** Waits until the process has printed an event this often. */
   void awaitEvent(final String event, final int times) {
     await(event, () -> count(event) >= times);
   }
@@ -151,7 +154,7 @@
     return process.isAlive();
   }
 
-  /** Stops the process with SIGSTOP and waits until it stands still. */
+  /** Stops the process with SIGSTOP and waits until it is stopped. */
   void stop() throws IOException, InterruptedException {
     assertEquals(
         0, new ProcessBuilder("kill", "-STOP", Long.toString(process.pid())).start().waitFor());
@@ -166,7 +169,7 @@
     }
   }
 
-  /** Kills the process and waits until it is gone. */
+  /** Kills the process and waits until it has exited. */
   void kill() throws InterruptedException {
     process.destroyForcibly();
     assertTrue(process.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
--- a/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedCourierProcess.java
@@ -23,20 +23,22 @@
 import thistleturn.courier.runtime.Clock;
 
 /**
- * A process that shares a courier's state folder as another process of it would, through the
- * product's own classes, and ends its line, its lock and itself one by one, when it is told to. A
- * process that is killed ends them within milliseconds, in an order that the system chooses.
+ * A process that shares a courier's state folder as another process of that courier does, through
+ * the production classes, and closes its connection, releases its lock and exits in separate steps,
+ * each on command. In a killed process all of these end within milliseconds, in an order that the
+ * system chooses.
  *
- * <p>Reads commands from its standard input, a line each, and answers each with a line on its
- * standard output; {@link ScriptedCourier} is the test's side of that. Ends with its input.
+ * <p>Reads commands from its standard input, one per line, and responds to each with a line on its
+ * standard output; {@link ScriptedCourier} sends the commands. Exits at the end of its input.
  */
 final class ScriptedCourierProcess {
-  /** What the answers to commands begin with. */
+  /** The prefix of the response to a command that succeeded. */
   static final String DONE = "done ";
 
+  /** The prefix of the response to a command that failed. */
   static final String FAILED = "failed ";
 
-  /** What lines begin with that tell what the other courier does. */
+  /** The prefix of lines that report an action of the other courier. */
   static final String EVENT = "event ";
 
   private static final long DISK_BYTES = 3_000_000;
@@ -45,13 +47,13 @@
   private static final String BODY = "hello";
   private static final int TOO_LONG_CHARS = 300_000;
 
-  /** How a newer courier's request to hand over is answered. */
+  /** The response to a newer courier's handover request. */
   enum HandoverManner {
-    /** As it should be. */
+    /** Hands over as a courier does. */
     HAND_OVER,
-    /** Not now; everything stays as it is. */
+    /** Refuses, and changes nothing. */
     REFUSE,
-    /** The journal and the lock are released, and the line ends within the snapshot. */
+    /** Releases the journal and the lock, and closes the connection within the snapshot. */
     DROP_WITHIN_SNAPSHOT
   }
 
@@ -61,7 +63,7 @@
     TOO_LONG
   }
 
-  /** A message as a command describes it. */
+  /** A message with the parameters of a command. */
   private record MessageToSend(String id, String className, long destination, long timeoutMs) {
     private static MessageToSend of(final String[] command) {
       return new MessageToSend(
@@ -122,7 +124,7 @@
       case "close-connection" -> closeConnections();
       case "release-lock" -> releaseLockAsOnProcessExit();
       case "send-unreadable" -> sendUnreadable(UnreadableLine.valueOf(command[1]));
-      case "expect-locked-by-other" -> onLoop(this::expectLockedByOther);
+      case "assert-locked-by-other" -> onLoop(this::assertLockedByOther);
       default -> throw new IOException("unknown command");
     }
   }
@@ -152,7 +154,7 @@
             clock.nowUs() + toSend.timeoutMs() * US_PER_MS,
             BODY.getBytes(StandardCharsets.UTF_8));
     if (!journal.recordAccepted(message)) {
-      throw new IOException("not accepted");
+      throw new IOException("the journal did not accept the message");
     }
     flushJournal();
     return message;
@@ -164,7 +166,7 @@
     }
   }
 
-  /** Accepts a message and begins a call with it, which nobody ends but this process. */
+  /** Accepts a message and begins a call with it that only this process ends. */
   private Void call(final MessageToSend toSend) throws IOException {
     final String id = toSend.id();
     final StoredMessage message = accept(toSend);
@@ -198,7 +200,7 @@
           server.listen(loop, stateFolder);
           return null;
         });
-    // It binds on the loop: the next task finds it bound.
+    // It binds on the loop, so it is bound once the next task runs.
     onLoop(() -> null);
   }
 
@@ -210,14 +212,14 @@
     lock.close();
     if (manner == HandoverManner.DROP_WITHIN_SNAPSHOT) {
       calls.snapshotLinesButLast().forEach(this::sendLine);
-      throw new IOException("dropped");
+      throw new IOException("the connection is closed within the snapshot");
     }
     return calls.snapshot();
   }
 
   /** Takes over from the courier that serves. */
   private void takeOver() throws ExecutionException, InterruptedException {
-    final CompletableFuture<Void> tookOver = new CompletableFuture<>();
+    final CompletableFuture<Void> takeoverDone = new CompletableFuture<>();
     final CompletableFuture<HandoverClient> client = new CompletableFuture<>();
     onLoop(
         () ->
@@ -227,18 +229,20 @@
                     stateFolder,
                     snapshot -> {
                       client.join().setListener(new ScriptedSuccessorListener());
-                      completeTakeover(tookOver);
+                      completeTakeover(takeoverDone);
                     },
-                    () -> tookOver.completeExceptionally(new IOException("not handed over")))));
-    tookOver.get();
+                    () ->
+                        takeoverDone.completeExceptionally(
+                            new IOException("the other courier did not hand over")))));
+    takeoverDone.get();
   }
 
-  private void completeTakeover(final CompletableFuture<Void> tookOver) {
+  private void completeTakeover(final CompletableFuture<Void> takeoverDone) {
     try {
       lockFolder();
-      tookOver.complete(null);
+      takeoverDone.complete(null);
     } catch (final IOException e) {
-      tookOver.completeExceptionally(e);
+      takeoverDone.completeExceptionally(e);
     }
   }
 
@@ -249,9 +253,9 @@
   }
 
   /**
-   * Releases the lock as the system does for a process that ends, and not as {@link StateLock}
-   * does: a process that is killed tells nobody. Any descriptor of the file that is closed takes
-   * the process's lock with it.
+   * Releases the lock as the system does for a process that exits, without the cleanup of {@link
+   * StateLock}: a killed process notifies no other process. Closing any descriptor of the file
+   * releases the process's lock.
    */
   private void releaseLockAsOnProcessExit() throws IOException {
     FileChannel.open(stateFolder.resolve("lock"), StandardOpenOption.WRITE).close();
@@ -267,7 +271,7 @@
     }
   }
 
-  private Void expectLockedByOther() throws IOException {
+  private Void assertLockedByOther() throws IOException {
     final StateLock taken = StateLock.tryLock(stateFolder);
     if (taken != null) {
       taken.close();
--- a/courier/src/test/java/thistleturn/courier/ScriptedHandoverSource.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedHandoverSource.java
@@ -7,19 +7,19 @@
 import thistleturn.courier.port.Dispatcher;
 import thistleturn.decisions.model.AttemptResult;
 
-/** What a {@link ScriptedCourierProcess} does as the older one of two; it prints each event. */
+/** The handover source of a {@link ScriptedCourierProcess} as predecessor; prints each event. */
 final class ScriptedHandoverSource implements HandoverSource {
   private final ScriptedCalls calls;
   private final Answer answer;
   private Successor successor;
 
-  /** Answers a request to hand over. */
+  /** Responds to a handover request. */
   @FunctionalInterface
   interface Answer {
     /**
-     * Returns what is handed over.
+     * Returns the snapshot that is handed over.
      *
-     * @throws IOException if nothing is
+     * @throws IOException if the request is refused or fails
      */
     HandoverSnapshot handOver() throws IOException;
   }
--- a/courier/src/test/java/thistleturn/courier/ScriptedSuccessorListener.java
+++ b/courier/src/test/java/thistleturn/courier/ScriptedSuccessorListener.java
@@ -5,7 +5,7 @@
 import thistleturn.courier.port.Ingress;
 import thistleturn.courier.port.StoredMessage;
 
-/** What a {@link ScriptedCourierProcess} does as the newer one of two; it prints each event. */
+/** The handover listener of a {@link ScriptedCourierProcess} as successor; prints each event. */
 final class ScriptedSuccessorListener implements HandoverClient.Listener {
   private static final long RETRY_AFTER_US = 1_000_000;
 
--- a/courier/src/test/java/thistleturn/courier/SentMessages.java
+++ b/courier/src/test/java/thistleturn/courier/SentMessages.java
@@ -5,14 +5,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The messages that an endpoint of a test received, in calls of one or of several. */
+/** The messages that a test endpoint received, alone or several in a call. */
 final class SentMessages {
   private static final String BULK_PATH = "/inbox/bulk";
   private static final Pattern BULK_ID = Pattern.compile("\"id\":\"([^\"]+)\"");
 
   private SentMessages() {}
 
-  /** Returns the ids of all messages that were received, as often as each was. */
+  /** Returns the ids of all messages that were received, with duplicates. */
   static List<String> ids(final FakeHttpServer endpoint) {
     final List<String> ids = new ArrayList<>();
     endpoint.requests.forEach(request -> ids.addAll(ids(request)));
@@ -31,7 +31,7 @@
     return ids;
   }
 
-  /** Answers a call: all that it carries is delivered. */
+  /** Responds to a call that all its messages are delivered. */
   static void deliver(
       final FakeHttpServer.Request request, final FakeHttpServer.Connection connection) {
     if (!request.requestLine().contains(BULK_PATH)) {
--- a/courier/src/test/java/thistleturn/courier/ShardedCourierProcess.java
+++ b/courier/src/test/java/thistleturn/courier/ShardedCourierProcess.java
@@ -4,13 +4,13 @@
 import thistleturn.courier.runtime.ConfigurationException;
 import thistleturn.courier.runtime.CourierOptions;
 
-/** The courier as a process of its own, as {@link Main} runs it, with several shards. */
+/** Runs a courier with several shards as a separate process, otherwise as {@link Main} does. */
 final class ShardedCourierProcess {
   static final int SHARDS = 4;
 
   private ShardedCourierProcess() {}
 
-  /** Runs a courier with the configuration that the environment names, until it is ended. */
+  /** Runs a courier with the configuration that the environment names, until it is terminated. */
   public static void main(final String[] arguments) throws IOException, ConfigurationException {
     final CourierOptions platform = CourierOptions.platformDefaults();
     Main.serve(
--- a/courier/src/test/java/thistleturn/courier/ShardingTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShardingTest.java
@@ -27,8 +27,8 @@
 import thistleturn.testkit.StandInWorld;
 
 /**
- * A courier of several shards keeps the six delivery rules as one of a single shard does, also when
- * the number of shards changes.
+ * A courier of several shards obeys the six delivery rules as a courier of one shard does, also
+ * after a change of the number of shards.
  */
 @Tag("scale")
 final class ShardingTest {
@@ -41,7 +41,7 @@
   private CourierServer courier;
 
   @BeforeEach
-  void begin() {
+  void createWorld() {
     world = new StandInWorld(folder, 7);
     for (final long destination : DESTINATIONS) {
       final StandInEndpoint endpoint = world.endpoint(destination);
@@ -52,7 +52,7 @@
   }
 
   @AfterEach
-  void end() {
+  void stopCourierAndWorld() {
     courier.kill();
     world.close();
   }
@@ -143,7 +143,7 @@
     }
     final long from = others.stream().mapToLong(StandInEndpoint::calls).sum();
     world.await(
-        "calls elsewhere",
+        "calls to the other endpoints",
         () -> others.stream().mapToLong(StandInEndpoint::calls).sum() > from + 500);
     assertEquals(List.of(), world.stopLoadAndCheck());
   }
@@ -170,7 +170,7 @@
     final Path state = folder.resolve("state");
     assertTrue(Files.exists(state.resolve("shards-3")));
     assertFalse(Files.exists(state.resolve("journal")));
-    // Half a migration to 8, and the marker's replacement, as a kill before the commit leaves them.
+    // A partial migration to 8 and a new marker file, as a kill before the commit leaves them.
     Files.createDirectories(state.resolve("shards-8/0"));
     Files.write(state.resolve("shards-8/0/journal"), new byte[] {1, 2, 3});
     Files.writeString(state.resolve("shards.next"), "8\n");
--- a/courier/src/test/java/thistleturn/courier/ShutdownSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/ShutdownSoakTest.java
@@ -28,10 +28,9 @@
 import thistleturn.testkit.rig.ChildProcess;
 
 /**
- * Planned restarts, one after another, under clients that go on using the connections that they
- * have for as long as these stay open; signals come in series, and now and then a crowd is
- * connected. A few seeds in every run; by hand as many as {@code -Dshutdown.seeds} and {@code
- * -Dshutdown.first} say.
+ * Planned restarts, one after another, under clients that keep using their connections while these
+ * are open. Signals are sent in series, and some restarts happen with many idle connections. Every
+ * run plays a few seeds; {@code -Dshutdown.seeds} and {@code -Dshutdown.first} choose others.
  */
 @Tag("faults")
 final class ShutdownSoakTest {
@@ -40,29 +39,31 @@
   private static final String MAIN = "thistleturn.courier.Main";
   private static final int ENDPOINTS = 4;
   private static final int RESTARTS = 3;
-  private static final int CROWD = 300;
+  private static final int IDLE_CLIENTS = 300;
   private static final double RATE = 150;
   private static final long TIMEOUT_MS = 4000;
   private static final long US_PER_MS = 1000;
 
-  /** From the platform's page: SIGKILL comes no sooner after SIGTERM, the next start behind it. */
+  /** The shortest time from SIGTERM to SIGKILL that the platform documents. */
   private static final long KILL_AFTER_US = 3_700_000;
 
+  /** The time from SIGKILL to the next start. */
   private static final long START_AFTER_US = 600_000;
+
   private static final Pattern ID = Pattern.compile(" id=(\\S+)");
 
   @TempDir private Path folder;
-  private final List<Socket> crowd = new ArrayList<>();
+  private final List<Socket> idleClients = new ArrayList<>();
   private final List<ChildProcess> couriers = new ArrayList<>();
 
   static Stream<Integer> seeds() {
     return IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).boxed();
   }
 
-  /** Guards against requests that are read and never answered when a process ends in order. */
+  /** Guards against requests that a process reads and never answers during graceful shutdown. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void restartsUnderClientsThatStay_loseNothing(final int seed) throws IOException {
+  void restartsUnderPersistentClients_loseNothing(final int seed) throws IOException {
     final Random random = new Random(seed);
     try (StandInWorld world = new StandInWorld(folder, seed)) {
       for (int index = 0; index < ENDPOINTS; index++) {
@@ -75,21 +76,22 @@
       world.startLoad(RATE, TIMEOUT_MS, 1, 2);
       for (int restart = 0; restart < RESTARTS; restart++) {
         if (random.nextInt(3) == 0) {
-          connectCrowd(courier);
+          connectIdleClients(courier);
         }
-        pass(world, 500 + random.nextInt(1000));
-        hangUpInSeries(world, courier, random);
-        end(world, courier, random);
+        waitUnderLoad(world, 500 + random.nextInt(1000));
+        sendHangupSignals(world, courier, random);
+        shutDown(world, courier, random);
         courier = start(world, environment);
         world.ruleChecker.recordRestart(world.clock.nowUs(), true);
         world.client.openConnections(true);
       }
-      pass(world, 500);
-      assertEquals(List.of(), world.stopLoadAndCheck(TIMEOUT_MS), () -> "seed " + seed + story());
-      assertEquals(Set.of(), readAndNeverAnswered(world), () -> "seed " + seed + story());
+      waitUnderLoad(world, 500);
+      assertEquals(
+          List.of(), world.stopLoadAndCheck(TIMEOUT_MS), () -> "seed " + seed + logExcerpt());
+      assertEquals(Set.of(), readButUnansweredIds(world), () -> "seed " + seed + logExcerpt());
     } finally {
       couriers.forEach(ChildProcess::close);
-      for (final Socket client : crowd) {
+      for (final Socket client : idleClients) {
         client.close();
       }
     }
@@ -108,62 +110,66 @@
     return ready.substring(ready.lastIndexOf(' ') + 1);
   }
 
-  private static void pass(final StandInWorld world, final long ms) {
+  private static void waitUnderLoad(final StandInWorld world, final long ms) {
     world.waitUntil(world.clock.nowUs() + ms * US_PER_MS);
   }
 
   /** Clients that never send anything. */
-  private void connectCrowd(final ChildProcess courier) throws IOException {
+  private void connectIdleClients(final ChildProcess courier) throws IOException {
     final String address = address(courier);
     final int port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
-    for (int number = 0; number < CROWD; number++) {
-      crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
+    for (int number = 0; number < IDLE_CLIENTS; number++) {
+      idleClients.add(new Socket(InetAddress.getLoopbackAddress(), port));
     }
   }
 
-  private static void hangUpInSeries(
+  private static void sendHangupSignals(
       final StandInWorld world, final ChildProcess courier, final Random random)
       throws IOException {
     for (int count = random.nextInt(4); count > 0; count--) {
       courier.hangUp();
-      pass(world, random.nextInt(30));
+      waitUnderLoad(world, random.nextInt(30));
     }
   }
 
-  /** SIGTERM, maybe more signals behind it, and SIGKILL at the page's earliest. */
-  private static void end(final StandInWorld world, final ChildProcess courier, final Random random)
+  /** Sends SIGTERM, in some runs more signals, and checks that the process exits before SIGKILL. */
+  private static void shutDown(
+      final StandInWorld world, final ChildProcess courier, final Random random)
       throws IOException {
     final long terminatedUs = world.clock.nowUs();
     world.ruleChecker.recordRestart(terminatedUs, false);
     courier.terminate();
     if (random.nextBoolean()) {
-      pass(world, random.nextInt(100));
+      waitUnderLoad(world, random.nextInt(100));
       courier.terminate();
     }
-    hangUpInSeries(world, courier, random);
+    sendHangupSignals(world, courier, random);
     world.waitUntil(terminatedUs + (200 + random.nextInt(200)) * US_PER_MS);
     world.client.openConnections(false);
     world.waitUntil(terminatedUs + KILL_AFTER_US);
-    assertFalse(courier.isAlive(), () -> "it has not ended: " + courier.lines());
+    assertFalse(courier.isAlive(), () -> "the process has not exited: " + courier.lines());
     world.resetConnections();
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     world.waitUntil(world.clock.nowUs() + START_AFTER_US);
   }
 
-  /** What crossed the end of a resting connection was never read, and no courier knows of it. */
-  private Set<String> readAndNeverAnswered(final StandInWorld world) {
-    final Set<String> known =
+  /**
+   * Returns the ids of unanswered requests that a courier has logged. Requests that were under way
+   * when an idle connection was closed were never read, so no courier has logged them.
+   */
+  private Set<String> readButUnansweredIds(final StandInWorld world) {
+    final Set<String> logged =
         couriers.stream()
             .flatMap(courier -> courier.lines().stream())
             .map(ID::matcher)
             .filter(Matcher::find)
             .map(id -> id.group(1))
             .collect(Collectors.toSet());
-    known.retainAll(world.client.unansweredIds());
-    return known;
+    logged.retainAll(world.client.unansweredIds());
+    return logged;
   }
 
-  private String story() {
+  private String logExcerpt() {
     return couriers.stream()
         .flatMap(courier -> courier.lines().stream())
         .filter(line -> line.contains("request_unanswered") || !line.contains(" id="))
--- a/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
+++ b/courier/src/test/java/thistleturn/courier/SignalDuringDeliveryTest.java
@@ -36,7 +36,7 @@
 
   private static final String MESSAGE_ID = "m1";
 
-  /** A message of this class may be called once only. */
+  /** The class whose messages are sent in one call at most. */
   private static final String NON_IDEMPOTENT_CLASS = "once";
 
   private static final long SHORT_DEADLINE_MS = 600;
@@ -55,7 +55,7 @@
     PARTIAL_HEADERS,
     /** All of its headers were received, and half of its body. */
     PARTIAL_BODY,
-    /** Its message was accepted and called, and the endpoint has not responded. */
+    /** Its message was accepted and sent, and the endpoint has not responded. */
     CALL_IN_FLIGHT,
     /** Half of the response's status line was received. */
     PARTIAL_RESPONSE,
@@ -82,7 +82,7 @@
   }
 
   @BeforeEach
-  void start() throws IOException {
+  void startCourier() throws IOException {
     harness = new CourierHarness(folder);
     harness.firstEndpoint.script(
         (request, connection) -> {
@@ -99,7 +99,7 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void closeHarness() throws IOException {
     client.close();
     harness.close();
   }
@@ -112,7 +112,11 @@
     return CourierHarness.readResponse(client.getInputStream()).status();
   }
 
-  /** Sends a signal; a killed process has ended when this returns. Returns one that is ending. */
+  /**
+   * Sends a signal. After SIGKILL the process has exited when this returns.
+   *
+   * @return the process that is shutting down after SIGTERM, otherwise null
+   */
   private Process send(final Signal signal) throws IOException, InterruptedException {
     switch (signal) {
       case HUP -> harness.sendHangupSignal();
@@ -138,7 +142,7 @@
     } else {
       assertTrue(
           endingProcess == null || endingProcess.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS),
-          "it does not end");
+          "the process does not exit");
       harness.start();
     }
     assertEquals(202, harness.submit("next", NON_IDEMPOTENT_CLASS).status());
@@ -147,7 +151,7 @@
         () -> calls.contains("next") || !harness.secondEndpoint.requests.isEmpty());
   }
 
-  /** Checks that the message was called once at most, and ended by that call or by one report. */
+  /** Checks that the message was in one call at most, and ended by that call or by one report. */
   private void assertOneOutcome(final boolean delivered) {
     final List<String> reports =
         harness.outcomeReports.stream()
@@ -184,7 +188,7 @@
     assertEquals(200, readStatus());
     final Process endingProcess = send(signal);
     if (signal == Signal.TERM) {
-      assertEquals(-1, client.getInputStream().read(), "it is closed in order");
+      assertEquals(-1, client.getInputStream().read(), "the connection is closed without a reset");
     }
     awaitRecovery(signal, endingProcess);
   }
@@ -206,7 +210,7 @@
     awaitRecovery(signal, endingProcess);
     if (accepted) {
       harness.await(
-          "its outcome",
+          "the outcome",
           () -> calls.contains(MESSAGE_ID) || harness.hasOutcomeReport(MESSAGE_ID, ""));
       assertOneOutcome(calls.contains(MESSAGE_ID));
     } else {
@@ -245,7 +249,7 @@
     watch.writeChunk(change.substring(change.length() / 2));
     if (signal == Signal.HUP) {
       harness.await(
-          "what the complete line says",
+          "a call to the endpoint of the complete event",
           () -> {
             try {
               return harness.submit("w" + System.nanoTime(), NON_IDEMPOTENT_CLASS).status() == 202
--- a/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
+++ b/courier/src/test/java/thistleturn/courier/StalledLoopTest.java
@@ -17,27 +17,27 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A loop that stands still (a garbage collection, a machine that gives its core to others) while a
- * message comes in, and again while its end is due: its end is told in time all the same, since how
- * long it lay unread is reckoned with.
+ * An event loop that stalls (garbage collection, or a core that runs other processes) while a
+ * message arrives, and again while its outcome report is due. The report is in time only if the
+ * courier counts the time that the request waited unread against the message's deadline.
  */
 final class StalledLoopTest {
   private static final long TIMEOUT_MS = 1500;
 
-  /** Nearly as long as a client waits for its answer. */
+  /** Nearly as long as a client waits for its response. */
   private static final long STALL_MS = 370;
 
   /**
-   * The second standstill begins this long after the sending: after the time that an end has
-   * without a reckoning.
+   * When the second stall begins, counted from the sending of the request: after the time at which
+   * a courier reports the outcome that does not count the time unread.
    */
-  private static final long SECOND_AT_MS = 1640;
+  private static final long SECOND_STALL_MS = 1640;
 
-  /** A message whose end is not told so long after its time is lost. */
+  /** A message whose outcome is not reported this long after its deadline counts as lost. */
   private static final long GRACE_MS = 300;
 
-  /** Where the message is when the loop stops. */
-  enum Point {
+  /** The next step of the request when the loop stalls. */
+  enum StallPoint {
     ACCEPT,
     READ,
     DECODE
@@ -46,55 +46,56 @@
   private FakeHttpServer platform;
   private CourierServer courier;
   private String address;
-  private volatile long noticedNs;
+  private volatile long reportedNs;
 
   @BeforeEach
-  void start(@TempDir final Path folder) throws Exception {
+  void startCourier(@TempDir final Path folder) throws Exception {
     platform =
         new FakeHttpServer(
             (request, connection) -> {
               if (request.requestLine().startsWith("POST")) {
-                noticedNs = request.text().contains("\"late\"") ? request.receivedNs() : noticedNs;
+                reportedNs =
+                    request.text().contains("\"late\"") ? request.receivedNs() : reportedNs;
                 connection.respond(204, "");
               } else {
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 connection.writeChunk("\n");
               }
             });
-    final CourierHarness rig = new CourierHarness(folder);
-    // Nothing may be sent to it, so that the message waits until its time is up, with no attempt.
-    rig.configuredHosts = CourierHarness.hostEntry("e1", rig.firstEndpoint, "Terminating");
+    final CourierHarness harness = new CourierHarness(folder);
+    // No calls are sent to a draining endpoint, so the message expires without an attempt.
+    harness.configuredHosts = CourierHarness.hostEntry("e1", harness.firstEndpoint, "Terminating");
     courier =
         CourierServer.start(
             Map.of(
                 "PROXY_CONFIG",
-                rig.writeConfiguration(platform.address()).toString(),
+                harness.writeConfiguration(platform.address()).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()));
-    rig.close();
+    harness.close();
     address = courier.ready().get(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopCourier() throws IOException {
     courier.kill();
     platform.close();
   }
 
-  /** Stops the loop; returns once it stands. */
+  /** Blocks the event loop for a time; returns once it is blocked. */
   private void stall(final long ms) throws InterruptedException {
-    final CountDownLatch standing = new CountDownLatch(1);
+    final CountDownLatch blocked = new CountDownLatch(1);
     courier
         .eventLoop()
         .execute(
             () -> {
-              standing.countDown();
+              blocked.countDown();
               final long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
               while (System.nanoTime() < untilNs) {
                 Thread.onSpinWait();
               }
             });
-    assertTrue(standing.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
+    assertTrue(blocked.await(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
   }
 
   private Socket connect() throws IOException {
@@ -105,37 +106,38 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Point.class)
-  void theEndOfAMessageThatLayUnreadIsToldInTime(final Point point) throws Exception {
+  @EnumSource(StallPoint.class)
+  void requestReadLate_outcomeIsReportedInTime(final StallPoint stallPoint) throws Exception {
     final String text =
         CourierHarness.submitRequest("late", "safe").replace("20000", Long.toString(TIMEOUT_MS));
     final byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-    final int early = point == Point.DECODE ? bytes.length / 2 : 0;
+    final int earlyBytes = stallPoint == StallPoint.DECODE ? bytes.length / 2 : 0;
     Socket socket = null;
-    if (point != Point.ACCEPT) {
+    if (stallPoint != StallPoint.ACCEPT) {
       socket = connect();
       assertEquals(
           200, CourierHarness.send(socket, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-      socket.getOutputStream().write(bytes, 0, early);
+      socket.getOutputStream().write(bytes, 0, earlyBytes);
     }
     stall(STALL_MS);
     socket = socket == null ? connect() : socket;
     final long sentNs = System.nanoTime();
-    socket.getOutputStream().write(bytes, early, bytes.length - early);
+    socket.getOutputStream().write(bytes, earlyBytes, bytes.length - earlyBytes);
     assertEquals(202, CourierHarness.readResponse(socket.getInputStream()).status());
     socket.close();
-    final long secondNs = sentNs + TimeUnit.MILLISECONDS.toNanos(SECOND_AT_MS);
-    while (System.nanoTime() < secondNs && noticedNs == 0) {
+    final long secondStallNs = sentNs + TimeUnit.MILLISECONDS.toNanos(SECOND_STALL_MS);
+    while (System.nanoTime() < secondStallNs && reportedNs == 0) {
       Thread.onSpinWait();
     }
-    if (noticedNs == 0) {
+    if (reportedNs == 0) {
       stall(STALL_MS);
     }
     final long giveUpNs = sentNs + TimeUnit.SECONDS.toNanos(CourierHarness.TIMEOUT_S);
-    while (noticedNs == 0 && System.nanoTime() < giveUpNs) {
+    while (reportedNs == 0 && System.nanoTime() < giveUpNs) {
       Thread.onSpinWait();
     }
-    final long tookMs = TimeUnit.NANOSECONDS.toMillis(noticedNs - sentNs);
-    assertTrue(noticedNs != 0 && tookMs <= TIMEOUT_MS + GRACE_MS, "told after " + tookMs + " ms");
+    final long tookMs = TimeUnit.NANOSECONDS.toMillis(reportedNs - sentNs);
+    assertTrue(
+        reportedNs != 0 && tookMs <= TIMEOUT_MS + GRACE_MS, "reported after " + tookMs + " ms");
   }
 }
--- a/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupFailureTest.java
@@ -45,14 +45,14 @@
   private Map<String, String> environment;
 
   @BeforeEach
-  void world() throws IOException {
+  void createWorld() throws IOException {
     world = new StandInWorld(folder, 3);
     world.platform.announce(world.endpoint(1), "Ready", 1000);
     environment = new HashMap<>(world.environment(CourierFiles.Size.usual()));
   }
 
   @AfterEach
-  void end() {
+  void closeWorld() {
     world.close();
   }
 
@@ -131,7 +131,7 @@
     assertStartsAndReleasesFolder();
   }
 
-  /** Guards against a process that stands for ever, neither ready nor over: an error was lost. */
+  /** Guards against a lost error that leaves a process running without ever being ready. */
   @Test
   void classesGoneDuringRetries_processEndsWithItsReason() throws Exception {
     final Path classes = copyCourierClasses();
@@ -178,7 +178,7 @@
     }
   }
 
-  /** An extension that throws when it is asked for its directory. */
+  /** An extension whose directory cannot be created. */
   private static final class FailingExtension implements CourierExtension {
     @Override
     public EndpointDirectory createDirectory(
@@ -188,12 +188,12 @@
 
     @Override
     public void onServing(final String address) {
-      throw new AssertionError("it is not ready");
+      throw new AssertionError("the courier is not ready");
     }
 
     @Override
     public void onShutdownStarted() {
-      throw new AssertionError("it never began");
+      throw new AssertionError("the extension was never started");
     }
 
     @Override
@@ -203,7 +203,7 @@
 
     @Override
     public void onConfigurationReload() {
-      throw new AssertionError("nobody asked for it");
+      throw new AssertionError("no reload was requested");
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/StartupProgressTest.java
+++ b/courier/src/test/java/thistleturn/courier/StartupProgressTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.courier.runtime.Clock;
 
-/** A start ends in one of two ways: it serves, or it has failed and says why. */
+/** A start either serves, or fails and reports why. */
 @Tag("decisions")
 final class StartupProgressTest {
   private static final long TIMEOUT_S = 10;
@@ -27,7 +27,7 @@
   private final StartupProgress progress = new StartupProgress(clock, eventLoop, clock.nowUs());
 
   @AfterEach
-  void end() {
+  void stopEventLoop() {
     eventLoop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
   }
 
@@ -49,7 +49,7 @@
         : new IllegalStateException("second run");
   }
 
-  /** Guards against a start that stands for ever: what a retried step threw went nowhere. */
+  /** Guards against a start that hangs because the exception of a retried step was lost. */
   @ParameterizedTest
   @ValueSource(strings = {"exception", "error"})
   void retriedStepThrows_startFails(final String type) {
@@ -58,7 +58,7 @@
     assertSame(second, failureOf(progress.serving()));
   }
 
-  /** Guards against a start that stands for ever: a continuation's exception went nowhere. */
+  /** Guards against a start that hangs because the exception of a continuation was lost. */
   @ParameterizedTest
   @ValueSource(strings = {"exception", "error"})
   void continuationThrows_startFails(final String type) {
@@ -69,9 +69,9 @@
     assertSame(failure, failureOf(progress.serving()));
   }
 
-  /** Guards against a start that stands for ever: whatever swallowed its next step. */
+  /** Guards against a start that hangs because its next step never began, whatever the cause. */
   @Test
-  void noFurtherStepBegins_startFailsAndNamesTheLastOne() {
+  void noFurtherStepBegins_startFailsAndNamesLastStep() {
     eventLoop.execute(
         () -> {
           progress.watch(1);
--- a/courier/src/test/java/thistleturn/courier/SuccessorDeathTest.java
+++ b/courier/src/test/java/thistleturn/courier/SuccessorDeathTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A newer process takes over and dies. Whatever it had done with a message that a client handed to
- * the older process, the client gets one answer, and the message is delivered as that answer says.
+ * A newer process takes over and is killed. Whatever it had done with a message that a client sent
+ * to the older process, the client gets one response, and the message is handled accordingly.
  *
- * <p>Each state is forced: the newer process is a {@link SuccessorProcess}, which takes one step at
- * a time, and is killed behind the one that the test names.
+ * <p>The newer process is a {@link SuccessorProcess}, which takes one step at a time and is killed
+ * after the step that the test names.
  */
 @Tag("operators")
 @Timeout(120)
 final class SuccessorDeathTest {
-  /** By then a request has its answer that is ever to get one: a client waits 400 ms. */
-  private static final int ANSWER_LIMIT_MS = 5000;
+  /** The limit for a response; clients wait only 400 ms. */
+  private static final int RESPONSE_TIMEOUT_MS = 5000;
 
-  /** What a client gets that is left without an answer. */
-  private static final int NO_ANSWER = -1;
+  /** The status of a client that gets no response. */
+  private static final int NO_RESPONSE = -1;
 
   @TempDir private Path folder;
   private final List<Socket> clients = new ArrayList<>();
@@ -63,248 +63,249 @@
     }
   }
 
-  /** Returns the ids of all messages that were sent, as often as each was. */
+  /** Returns the ids of all messages that were sent, with duplicates. */
   private List<String> sentIds() {
     return SentMessages.ids(older.firstEndpoint).stream().sorted().toList();
   }
 
-  /** A client hands a message in at the older process, and waits. */
-  private Socket handIn(final String id) throws IOException {
+  /** Submits a message to the older process from a new client, without reading the response. */
+  private Socket submit(final String id) throws IOException {
     final Socket client = older.connect();
     clients.add(client);
-    client.setSoTimeout(ANSWER_LIMIT_MS);
+    client.setSoTimeout(RESPONSE_TIMEOUT_MS);
     client
         .getOutputStream()
         .write(CourierHarness.submitRequest(id, "once").getBytes(StandardCharsets.ISO_8859_1));
     return client;
   }
 
-  /** The client goes away for good: one that ends its sending alone may still read. */
+  /** Resets a client's connection: one that only closes its sending side may still read. */
   private static void reset(final Socket client) throws IOException {
     client.setSoLinger(true, 0);
     client.close();
   }
 
-  /** Returns the status that a client gets, or {@link #NO_ANSWER}. */
-  private static int answer(final Socket client) throws IOException {
+  /** Returns the status of the response to a client, or {@link #NO_RESPONSE}. */
+  private static int readStatus(final Socket client) throws IOException {
     try {
       return CourierHarness.readResponse(client.getInputStream()).status();
     } catch (final SocketTimeoutException e) {
-      return NO_ANSWER;
+      return NO_RESPONSE;
     }
   }
 
-  /** Returns once the older process has handled all that was sent to it before. */
-  private void awaitHandled() {
-    // Its loop reads what has come before it accepts this connection and reads that request.
+  /** Returns once the older process has read all earlier requests. */
+  private void awaitRequestsRead() {
+    // Its event loop reads what has arrived before it accepts this connection and reads the
+    // request.
     assertTrue(older.sendOperatorRequest("GET", "/-/metrics").startsWith("HTTP/1.1 200"));
   }
 
-  private void awaitTakenBack() {
+  private void awaitResumed() {
     older.await(
-        "the older process to decide again",
+        "the older process to serve again",
         () -> older.logLines.stream().filter(line -> line.contains("is ready at")).count() == 2);
   }
 
-  /** Each message of these was sent once, and nothing else was sent, by the end of all work. */
+  /** Checks that by the end of all work each of these messages was sent once, and no other. */
   private void assertSentOnce(final String... ids) throws IOException {
-    awaitTakenBack();
-    assertEquals(202, older.submit("last", "once").status(), "it serves again");
+    awaitResumed();
+    assertEquals(202, older.submit("last", "once").status(), "the older process serves again");
     final List<String> expected = new ArrayList<>(List.of(ids));
     expected.add("last");
     Collections.sort(expected);
     older.await("all calls to begin", () -> sentIds().containsAll(expected));
-    // The journal owes nothing any more: no call can follow.
+    // No message is pending, so no further call can follow.
     older.await(
         "all messages to end",
         () -> older.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 0\n"));
     assertEquals(expected, sentIds());
   }
 
-  /** Nothing follows an answer: the connection ends, or stays silent. */
+  /** Checks that nothing follows the response on its connection. */
   private static void assertNothingFollows(final Socket client) throws IOException {
-    assertEquals(0, client.getInputStream().available(), "bytes behind the answer");
+    assertEquals(0, client.getInputStream().available(), "bytes after the response");
   }
 
   private void assertAcceptedAndSentOnce(final String id, final Socket client) throws IOException {
-    assertEquals(202, answer(client), "the answer to " + id);
+    assertEquals(202, readStatus(client), "the response to " + id);
     assertSentOnce(id);
     assertNothingFollows(client);
   }
 
-  // ---------------------------------------------------------------- the four states of an offer
+  // ---------------------------------------------------------------- the states of an offer
 
-  /** Guards against an offer that is lost on the line between the two processes. */
+  /** Guards against an offer that is lost on the connection between the two processes. */
   @Test
-  void offerThatWasNotRead_isDecidedByOlderProcess() throws Exception {
+  void unreadOffer_isDecidedByOlderProcess() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.run("read-byte");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against an offer that is lost in the memory of the process that died. */
+  /** Guards against an offer that is lost in the memory of the killed process. */
   @Test
-  void offerThatWasRead_isDecidedByOlderProcess() throws Exception {
+  void readOffer_isDecidedByOlderProcess() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against a second copy, and against a rejection, of what the journal has taken on. */
+  /** Guards against a repeat or a rejection of a message that the journal has accepted. */
   @Test
-  void offerThatWasJournaled_isAcceptedAndSentOnce() throws Exception {
+  void journaledOffer_isAcceptedAndSentOnce() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against an answer that is lost with the line: all but its last byte has come. */
+  /** Guards against a reply that is lost with the connection, all but its last byte received. */
   @Test
-  void offerWhoseAnswerWasNotRead_isAcceptedAndSentOnce() throws Exception {
+  void offerWithPartialReply_isAcceptedAndSentOnce() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1", "reply-accepted-partly m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against a second answer, where the first one was on the line when the process died. */
+  /** Guards against a second response when the first reply was unread as the process was killed. */
   @Test
-  void answersThatLieOnTheLineOfADeadProcess_reachTheirClientsOnce() throws Exception {
+  void unreadRepliesOfKilledProcess_reachTheirClientsOnce() throws Exception {
     newer.takeOver();
-    final Socket answered = handIn("m1");
+    final Socket answered = submit("m1");
     newer.readOffer("m1");
-    final Socket refused = handIn("m2");
+    final Socket rejected = submit("m2");
     newer.readOffer("m2");
-    // Its line closes with bytes unread: that is an error of the line for the older process.
-    final Socket unread = handIn("m3");
+    // The newer process closes with bytes unread, which the older one sees as a connection error.
+    final Socket unread = submit("m3");
     newer.run("read-byte", "journal m1");
     older.pause();
     newer.run("reply-accepted m1", "reply-rejected m2");
     newer.kill();
     older.resume();
-    assertEquals(202, answer(answered));
-    assertEquals(202, answer(unread));
-    // A refusal that was read counts; one that was not leaves the message to the older process.
-    final boolean refusalCounts = answer(refused) != 202;
-    assertSentOnce(refusalCounts ? new String[] {"m1", "m3"} : new String[] {"m1", "m2", "m3"});
-    for (final Socket client : List.of(answered, refused, unread)) {
+    assertEquals(202, readStatus(answered));
+    assertEquals(202, readStatus(unread));
+    // A rejection that was read is final; without it the older process decides on the message.
+    final boolean rejectionWasRead = readStatus(rejected) != 202;
+    assertSentOnce(rejectionWasRead ? new String[] {"m1", "m3"} : new String[] {"m1", "m2", "m3"});
+    for (final Socket client : List.of(answered, rejected, unread)) {
       assertNothingFollows(client);
     }
   }
 
-  // ---------------------------------------------------------------- what the journal tells
+  // ---------------------------------------------------------------- what the journal records
 
-  /** Guards against a second copy of a message that the process that died has delivered. */
+  /** Guards against a repeat of a message that the killed process has delivered. */
   @Test
-  void offerThatWasDelivered_isAcceptedAndNotSentAgain() throws Exception {
+  void deliveredOffer_isAcceptedAndNotSentAgain() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1", "journal-call m1", "journal-delivery m1");
     newer.kill();
-    assertEquals(202, answer(client));
+    assertEquals(202, readStatus(client));
     assertSentOnce();
   }
 
-  /** Guards against an end that is told to the platform of a message whose client knows nothing. */
+  /** Guards against an outcome report for a message whose client got no response. */
   @Test
-  void offerThatHasEnded_isAcceptedAndItsEndIsReported() throws Exception {
+  void endedOffer_isAcceptedAndItsOutcomeIsReported() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1", "journal-end m1");
     newer.kill();
-    assertEquals(202, answer(client));
-    older.await("its notice", () -> older.hasOutcomeReport("m1", "deferred"));
+    assertEquals(202, readStatus(client));
+    older.await("the outcome report", () -> older.hasOutcomeReport("m1", "deferred"));
     assertSentOnce();
   }
 
-  /** Guards against an acceptance of a message that was shed before its client was answered. */
+  /** Guards against acceptance of a message that was shed before its client got a response. */
   @Test
-  void offerThatWasShedUnanswered_isDecidedByOlderProcess() throws Exception {
+  void shedOfferWithPartialReply_isDecidedByOlderProcess() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal-shed m1", "reply-rejected-partly m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against a promise, or a second copy, where the journal has lost every trace. */
+  /** Guards against acceptance or a repeat of a message that was trimmed from the journal. */
   @Test
-  void offerWhoseTraceWasTrimmed_isNeitherAcceptedNorSent() throws Exception {
+  void offerTrimmedFromJournal_isNeitherAcceptedNorSent() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1", "journal-call m1", "journal-delivery m1", "trim-journal m1");
     newer.kill();
-    assertEquals(500, answer(client));
+    assertEquals(500, readStatus(client));
     assertSentOnce();
   }
 
-  // ---------------------------------------------------------------- while nobody decides
+  // ---------------------------------------------------------------- while no process decides
 
-  /** Guards against a request that is written to a line that has ended. */
+  /** Guards against a request that is lost on a closed connection between the processes. */
   @Test
-  void messageHandedInAfterTheLineHasEnded_isDecidedByOlderProcess() throws Exception {
+  void messageSubmittedAfterDisconnect_isDecidedByOlderProcess() throws Exception {
     newer.takeOver();
     newer.run("close-connection");
-    awaitHandled();
-    final Socket client = handIn("m1");
-    awaitHandled();
+    awaitRequestsRead();
+    final Socket client = submit("m1");
+    awaitRequestsRead();
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against a delivery for a client that has gone, and may have handed in anew. */
+  /** Guards against delivery for a client that has disconnected and may have submitted again. */
   @Test
-  void clientThatGoesAwayBeforeTheDeath_isWithdrawn() throws Exception {
+  void clientResetBeforeKill_messageIsWithdrawn() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1");
     reset(client);
-    awaitHandled();
+    awaitRequestsRead();
     newer.kill();
     assertSentOnce();
   }
 
-  /** Guards against the same where nobody decides when the client goes. */
+  /** Guards against the same when no process decides as the client disconnects. */
   @Test
-  void clientThatGoesAwayWhileNobodyDecides_isWithdrawn() throws Exception {
+  void clientResetWhileNoProcessDecides_messageIsWithdrawn() throws Exception {
     newer.takeOver();
-    final Socket journaled = handIn("m1");
+    final Socket journaled = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1");
-    final Socket unread = handIn("m2");
+    final Socket unread = submit("m2");
     newer.run("read-byte", "close-connection");
-    awaitHandled();
-    final Socket late = handIn("m3");
-    awaitHandled();
+    awaitRequestsRead();
+    final Socket late = submit("m3");
+    awaitRequestsRead();
     reset(journaled);
     reset(unread);
     reset(late);
-    awaitHandled();
+    awaitRequestsRead();
     newer.kill();
     assertSentOnce();
   }
 
-  /** Guards against requests that wait longer than their clients, for a folder that is in use. */
+  /** Guards against requests that wait for a folder in use for longer than their clients do. */
   @Test
-  void messageThatNobodyDecidesOn_isRefusedWithATime() throws Exception {
+  void messageWhileNoProcessDecides_isRejectedWithRetryAfter() throws Exception {
     newer.takeOver();
     newer.run("close-connection");
-    awaitHandled();
-    final Socket client = handIn("m1");
+    awaitRequestsRead();
+    final Socket client = submit("m1");
     final CourierHarness.Response response = CourierHarness.readResponse(client.getInputStream());
     assertEquals(503, response.status());
     assertTrue(response.head().contains("retry-after:"), response.head());
@@ -312,32 +313,32 @@
     assertSentOnce();
   }
 
-  /** Guards against clients that hear nothing of a process that cannot decide again, and ends. */
+  /** Guards against missing responses of a process that cannot resume, and exits. */
   @Test
-  void olderProcessThatCannotDecideAgain_answersBeforeItEnds() throws Exception {
+  void olderProcessCannotResume_respondsBeforeItExits() throws Exception {
     newer.takeOver();
-    final Socket offered = handIn("m1");
+    final Socket offered = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1", "close-connection");
-    assertEquals(500, answer(offered), "its fate is with the process that holds the folder");
-    older.await("its end", () -> !older.isRunning());
+    assertEquals(500, readStatus(offered), "the process that holds the folder decides on it");
+    older.await("the older process to exit", () -> !older.isRunning());
     assertFalse(sentIds().contains("m1"));
   }
 
-  /** Guards against the same in a process that was told to end before the newer one died. */
+  /** Guards against the same in a process that shuts down before the newer one is killed. */
   @Test
-  void olderProcessThatIsEnding_answersByTheJournal() throws Exception {
+  void olderProcessShuttingDown_respondsByJournal() throws Exception {
     newer.takeOver();
-    final Socket journaled = handIn("m1");
+    final Socket journaled = submit("m1");
     newer.readOffer("m1");
-    final Socket read = handIn("m2");
+    final Socket read = submit("m2");
     newer.readOffer("m2");
     newer.run("journal m1");
     older.terminate();
     awaitShutdown();
     newer.kill();
-    assertEquals(202, answer(journaled), "the journal has it");
-    assertEquals(503, answer(read), "nobody has it");
+    assertEquals(202, readStatus(journaled), "the message is in the journal");
+    assertEquals(503, readStatus(read), "no process has the message");
     assertTrue(older.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
     assertEquals(List.of(), sentIds());
     try (CourierHarness next = older.successor()) {
@@ -348,51 +349,51 @@
 
   private void awaitShutdown() {
     older.await(
-        "its shutdown",
+        "the shutdown to begin",
         () -> !older.sendOperatorRequest("GET", "/-/ready").startsWith("HTTP/1.1 200"));
   }
 
   // ---------------------------------------------------------------- the steps of a takeover
 
-  /** Guards against a takeover that ends within its first lines. */
+  /** Guards against missing responses when a takeover ends within the snapshot. */
   @Test
-  void newerProcessThatDiesWithinTheSnapshot_leavesNoClientWithoutAnswer() throws Exception {
+  void newerProcessKilledDuringSnapshot_clientGetsResponse() throws Exception {
     newer.run("hello", "read-byte");
-    final Socket client = handIn("m1");
-    awaitHandled();
+    final Socket client = submit("m1");
+    awaitRequestsRead();
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against a takeover that ends behind the newer process's own listener. */
+  /** Guards against missing responses when the newer process is killed after it listens. */
   @Test
-  void newerProcessThatDiesBehindItsListener_leavesNoClientWithoutAnswer() throws Exception {
+  void newerProcessKilledWhileListening_clientGetsResponse() throws Exception {
     newer.takeOver();
-    final Socket client = handIn("m1");
+    final Socket client = submit("m1");
     newer.run("announce-listening");
     newer.readOffer("m1");
     newer.kill();
     assertAcceptedAndSentOnce("m1", client);
   }
 
-  /** Guards against what the first death leaves behind for the second one. */
+  /** Guards against state that the first killed process leaves behind for the second one. */
   @Test
-  void twoNewerProcessesThatDieInARow_leaveNoClientWithoutAnswer() throws Exception {
+  void twoNewerProcessesKilledInARow_clientsGetResponses() throws Exception {
     newer.takeOver();
-    final Socket first = handIn("m1");
+    final Socket first = submit("m1");
     newer.readOffer("m1");
     newer.run("journal m1");
     newer.kill();
-    assertEquals(202, answer(first));
-    awaitTakenBack();
-    older.await("its call", () -> sentIds().equals(List.of("m1")));
+    assertEquals(202, readStatus(first));
+    awaitResumed();
+    older.await("the call", () -> sentIds().equals(List.of("m1")));
     try (SuccessorProcess second = new SuccessorProcess(folder.resolve("state"))) {
       second.takeOver();
-      final Socket client = handIn("m2");
+      final Socket client = submit("m2");
       second.readOffer("m2");
       second.kill();
-      assertEquals(202, answer(client));
+      assertEquals(202, readStatus(client));
     }
-    older.await("its call", () -> sentIds().equals(List.of("m1", "m2")));
+    older.await("the call", () -> sentIds().equals(List.of("m1", "m2")));
   }
 }
--- a/courier/src/test/java/thistleturn/courier/SuccessorKillSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/SuccessorKillSoakTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Newer processes that are killed at random moments of their takeover, under load: no client of the
- * older process is left without an answer, and no message is lost, doubled, or sent after it was
- * refused. {@code -Dsuccessor.kills=N} plays more, {@code -Dsuccessor.seed=N} others. Prints what
- * it measured.
+ * Kills newer processes at random moments of their takeover, under load. Every client of the older
+ * process gets a response, and no message is lost, duplicated, or sent after its rejection. {@code
+ * -Dsuccessor.kills=N} sets the number of kills, {@code -Dsuccessor.seed=N} the seed. Prints its
+ * measurements.
  */
 @Tag("operators")
 @Timeout(600)
@@ -38,19 +38,19 @@
   private static final long SEED = Long.getLong("successor.seed", 1);
   private static final int MESSAGES_PER_SECOND = Integer.getInteger("successor.rate", 300);
 
-  /** The latest moment of a kill behind the event that it is counted from. */
+  /** The longest time from the event that a kill is counted from to the kill. */
   private static final int MAX_DELAY_MS = 300;
 
-  /** What lies around a handover is measured within so much on either side of it. */
-  private static final long AROUND_NS = TimeUnit.MILLISECONDS.toNanos(250);
+  /** Requests sent within this time before or after a handover are measured. */
+  private static final long NEAR_HANDOVER_NS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** Takeovers this near to a request that has no answer are printed with it. */
+  /** Takeovers within this time of an unanswered request are printed with it. */
   private static final long NEAR_NS = TimeUnit.SECONDS.toNanos(3);
 
-  /** From which line of the newer process the moment of its kill is counted. */
+  /** The log line of the newer process that the time of its kill is counted from. */
   enum Moment {
-    BEHIND_READY("is ready at"),
-    BEHIND_FIRST_LINE("takes over from");
+    AFTER_READY("is ready at"),
+    AFTER_TAKEOVER_START("takes over from");
 
     private final String line;
 
@@ -64,10 +64,10 @@
   private final List<Long> killToAnswerNs = new ArrayList<>();
   private final List<Long> handoversNs = new CopyOnWriteArrayList<>();
 
-  /** From the handover to a newer process to its end, each. */
-  private final List<long[]> newerLivedNs = new ArrayList<>();
+  /** For each newer process, the times of the handover to it and of its end. */
+  private final List<long[]> newerActiveNs = new ArrayList<>();
 
-  /** The span in which kills lie; below 0 until it is known how long a takeover takes here. */
+  /** The longest delay of a kill; below 0 until the duration of a takeover has been measured. */
   private long maxDelayNs;
 
   private CourierHarness older;
@@ -78,7 +78,7 @@
     try (ServerSocket free = new ServerSocket(0)) {
       older.listenPort = free.getLocalPort();
     }
-    enlarge(older);
+    raiseLimits(older);
     older.firstEndpoint.script(SentMessages::deliver);
     older.lineListener =
         line -> {
@@ -89,7 +89,7 @@
     older.start();
   }
 
-  private static void enlarge(final CourierHarness courier) {
+  private static void raiseLimits(final CourierHarness courier) {
     courier.operatorPortEnabled = true;
     courier.maxOpenConnections = 2000;
     courier.maxCallsInFlight = 100;
@@ -103,10 +103,10 @@
 
   @ParameterizedTest
   @EnumSource(Moment.class)
-  void killedNewerProcesses_leaveEachRequestWithItsAnswer(final Moment moment) throws Exception {
+  void newerProcessesKilled_everyRequestIsAnswered(final Moment moment) throws Exception {
     final LoadClients clients = new LoadClients(older, MESSAGES_PER_SECOND);
     clients.start();
-    maxDelayNs = moment == Moment.BEHIND_READY ? TimeUnit.MILLISECONDS.toNanos(MAX_DELAY_MS) : -1;
+    maxDelayNs = moment == Moment.AFTER_READY ? TimeUnit.MILLISECONDS.toNanos(MAX_DELAY_MS) : -1;
     for (int kill = 0; kill < KILLS; kill++) {
       killOne(moment, clients);
     }
@@ -114,8 +114,8 @@
     older.await(
         "all work to end",
         () -> older.sendOperatorRequest("GET", "/-/metrics").contains("svc_in_flight 0\n"));
-    final FateCount fates = count(requests);
-    if (!fates.isClean()) {
+    final OutcomeCounts outcomeCounts = count(requests);
+    if (!outcomeCounts.isClean()) {
       requests.stream()
           .filter(
               request ->
@@ -133,24 +133,27 @@
             + " kills, "
             + handoversNs.size()
             + " handovers, "
-            + fates
+            + outcomeCounts
             + "; kill to first answer "
             + LoadClients.percentiles(killToAnswerNs)
-            + "; handed in to answered within 0.25 s of a handover "
-            + LoadClients.percentiles(aroundHandovers(requests)));
-    assertTrue(fates.isClean(), () -> "seed " + SEED + ": " + fates);
+            + "; request to response within 0.25 s of a handover "
+            + LoadClients.percentiles(responseTimesNearHandovers(requests)));
+    assertTrue(outcomeCounts.isClean(), () -> "seed " + SEED + ": " + outcomeCounts);
   }
 
-  /** Starts a newer process and kills it; the first of its kind always lives until it is ready. */
+  /**
+   * Starts a newer process and kills it. With {@link Moment#AFTER_TAKEOVER_START} the first one is
+   * not killed before it is ready.
+   */
   private void killOne(final Moment moment, final LoadClients clients) throws Exception {
     final int linesBefore = older.logLines.size();
     try (CourierHarness newer = older.successor()) {
-      enlarge(newer);
+      raiseLimits(newer);
       newer.launch();
       awaitLine(newer, moment.line);
       final long countedFromNs = System.nanoTime();
       if (maxDelayNs < 0) {
-        awaitLine(newer, Moment.BEHIND_READY.line);
+        awaitLine(newer, Moment.AFTER_READY.line);
         maxDelayNs = System.nanoTime() - countedFromNs;
       } else {
         LockSupport.parkNanos((long) (random.nextDouble() * maxDelayNs));
@@ -158,13 +161,13 @@
       newer.kill();
       final long killedNs = System.nanoTime();
       older.await("an answer after the kill", () -> clients.firstAnswerAfter(killedNs) != null);
-      if (saidSince(linesBefore, "handed over with")) {
-        older.await("the older process to serve", () -> saidSince(linesBefore, "is ready at"));
+      if (loggedSince(linesBefore, "handed over with")) {
+        older.await("the older process to serve", () -> loggedSince(linesBefore, "is ready at"));
         killToAnswerNs.add(clients.firstAnswerAfter(killedNs) - killedNs);
-        newerLivedNs.add(new long[] {handoversNs.get(handoversNs.size() - 1), killedNs});
+        newerActiveNs.add(new long[] {handoversNs.get(handoversNs.size() - 1), killedNs});
       }
       final long settledNs = killedNs + TimeUnit.MILLISECONDS.toNanos(MAX_DELAY_MS);
-      older.await("load behind it", () -> clients.firstAnswerAfter(settledNs) != null);
+      older.await("load after the kill", () -> clients.firstAnswerAfter(settledNs) != null);
     }
   }
 
@@ -172,15 +175,16 @@
     courier.await(text, () -> courier.logLines.stream().anyMatch(line -> line.contains(text)));
   }
 
-  private boolean saidSince(final int from, final String text) {
+  private boolean loggedSince(final int from, final String text) {
     return older.logLines.stream().skip(from).anyMatch(line -> line.contains(text));
   }
 
-  private List<Long> aroundHandovers(final List<LoadClients.Request> requests) {
+  private List<Long> responseTimesNearHandovers(final List<LoadClients.Request> requests) {
     final List<Long> waitsNs = new ArrayList<>();
     for (final LoadClients.Request request : requests) {
       if (request.answeredNs() > 0
-          && handoversNs.stream().anyMatch(at -> Math.abs(request.sentNs() - at) < AROUND_NS)) {
+          && handoversNs.stream()
+              .anyMatch(at -> Math.abs(request.sentNs() - at) < NEAR_HANDOVER_NS)) {
         waitsNs.add(request.answeredNs() - request.sentNs());
       }
     }
@@ -188,10 +192,10 @@
     return waitsNs;
   }
 
-  /** Prints a request that has no answer, with the takeovers near it and what the log has of it. */
+  /** Prints an unanswered request with the takeovers near it and its log lines. */
   private void describe(final LoadClients.Request request) {
     final List<String> takeovers =
-        newerLivedNs.stream()
+        newerActiveNs.stream()
             .filter(lived -> Math.abs(lived[1] - request.sentNs()) < NEAR_NS)
             .map(
                 lived ->
@@ -207,7 +211,7 @@
             + request.status()
             + ", connected "
             + millis(request.sentNs() - request.connectedNs())
-            + " ms before; newer processes decided from, ms behind it: "
+            + " ms before; newer processes active from, to, ms after it: "
             + takeovers
             + "; log: "
             + logged);
@@ -217,54 +221,54 @@
     return TimeUnit.NANOSECONDS.toMillis(spanNs);
   }
 
-  /** Returns whether a connection that was made then may have been one of a killed process. */
+  /** Returns whether a connection of that time may have been to a process that was killed. */
   private boolean mayBelongToNewer(final long connectedNs) {
-    return newerLivedNs.stream().anyMatch(l -> l[0] <= connectedNs && connectedNs <= l[1]);
+    return newerActiveNs.stream().anyMatch(l -> l[0] <= connectedNs && connectedNs <= l[1]);
   }
 
-  private FateCount count(final List<LoadClients.Request> requests) {
+  private OutcomeCounts count(final List<LoadClients.Request> requests) {
     final Map<String, Integer> copies = new HashMap<>();
     SentMessages.ids(older.firstEndpoint).forEach(id -> copies.merge(id, 1, Integer::sum));
     final Set<String> ended = older.reportedIds();
-    final FateCount fates = new FateCount();
+    final OutcomeCounts outcomeCounts = new OutcomeCounts();
     for (final LoadClients.Request request : requests) {
-      fates.add(
+      outcomeCounts.add(
           request,
           copies.containsKey(request.id()),
           ended.contains(request.id()),
           mayBelongToNewer(request.connectedNs()));
     }
-    fates.doubled = copies.values().stream().filter(count -> count > 1).count();
-    return fates;
+    outcomeCounts.duplicated = copies.values().stream().filter(count -> count > 1).count();
+    return outcomeCounts;
   }
 
-  /** How the requests fared. */
-  private static final class FateCount {
+  /** The number of requests by outcome. */
+  private static final class OutcomeCounts {
     private long requests;
 
-    /** No answer in time on a connection that stayed open. */
-    private long silent;
+    /** Requests without a response in time on a connection that stayed open. */
+    private long timedOut;
 
-    /** The connection to the older process ended without an answer. */
-    private long cut;
+    /** Requests whose connection to the older process ended without a response. */
+    private long disconnected;
 
-    /** The same on a connection that may have been to the process that was killed. */
-    private long cutByKill;
+    /** The same on a connection that may have been to a killed process. */
+    private long disconnectedByKill;
 
-    /** Nobody listened between the kill and the older process's listener. */
+    /** Requests that found no listener, between a kill and the older process listening again. */
     private long unconnected;
 
-    /** Accepted, and neither sent nor reported. */
+    /** Messages that were accepted, and neither sent nor reported. */
     private long lost;
 
-    /** Sent more than once, though not repeatable. */
-    private long doubled;
+    /** Non-idempotent messages that were sent more than once. */
+    private long duplicated;
 
-    /** Answered otherwise than by an acceptance. */
-    private long refused;
+    /** Requests with a response other than acceptance. */
+    private long rejected;
 
-    /** Of these the ones that were sent all the same. */
-    private long refusedAndSent;
+    /** Rejected messages that were sent nevertheless. */
+    private long rejectedAndSent;
 
     private void add(
         final LoadClients.Request request,
@@ -273,39 +277,43 @@
         final boolean newer) {
       requests++;
       switch (request.status()) {
-        case LoadClients.SILENT -> silent++;
+        case LoadClients.SILENT -> timedOut++;
         case LoadClients.UNCONNECTED -> unconnected++;
         case LoadClients.CUT -> {
-          cut += newer ? 0 : 1;
-          cutByKill += newer ? 1 : 0;
+          disconnected += newer ? 0 : 1;
+          disconnectedByKill += newer ? 1 : 0;
         }
         case ACCEPTED -> lost += sent || ended ? 0 : 1;
         default -> {
-          refused++;
-          refusedAndSent += sent ? 1 : 0;
+          rejected++;
+          rejectedAndSent += sent ? 1 : 0;
         }
       }
     }
 
     private boolean isClean() {
-      return silent == 0 && cut == 0 && lost == 0 && doubled == 0 && refusedAndSent == 0;
+      return timedOut == 0
+          && disconnected == 0
+          && lost == 0
+          && duplicated == 0
+          && rejectedAndSent == 0;
     }
 
     @Override
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%d requests: %d silent, %d cut at the older process, %d cut by kills, %d not connected,"
-              + " %d lost, %d doubled, %d refused, %d of them sent",
+          "%d requests: %d timed out, %d disconnected by the older process, %d by kills,"
+              + " %d not connected, %d lost, %d duplicated, %d rejected, %d of them sent",
           requests,
-          silent,
-          cut,
-          cutByKill,
+          timedOut,
+          disconnected,
+          disconnectedByKill,
           unconnected,
           lost,
-          doubled,
-          refused,
-          refusedAndSent);
+          duplicated,
+          rejected,
+          rejectedAndSent);
     }
   }
 }
--- a/courier/src/test/java/thistleturn/courier/SuccessorProcess.java
+++ b/courier/src/test/java/thistleturn/courier/SuccessorProcess.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import thistleturn.courier.handover.ScriptedSuccessor;
 
-/** A {@link ScriptedSuccessor} in its process, as the test commands it. */
+/** Runs a {@link ScriptedSuccessor} as a process and sends it the commands of a test. */
 final class SuccessorProcess implements AutoCloseable {
   private static final long DISK_BYTES = 3_000_000;
 
   private final Process process;
   private final OutputStream commands;
-  private final BufferedReader answers;
+  private final BufferedReader responses;
 
   SuccessorProcess(final Path stateFolder) throws IOException {
     process =
@@ -35,34 +35,34 @@
             .redirectError(ProcessBuilder.Redirect.INHERIT)
             .start();
     commands = process.getOutputStream();
-    answers =
+    responses =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
   }
 
-  /** Has it carry out these commands, one after the other, and returns once the last is done. */
+  /** Runs commands one after the other, and returns once the last is done. */
   void run(final String... steps) throws IOException {
     for (final String step : steps) {
-      assertEquals(ScriptedSuccessor.DONE, answerTo(step), step);
+      assertEquals(ScriptedSuccessor.DONE, exchange(step), step);
     }
   }
 
-  /** Has it read the next offer, which must be of this message. */
+  /** Reads the next offer, which must be of this message. */
   void readOffer(final String messageId) throws IOException {
-    assertEquals(messageId, answerTo("read-offer"));
+    assertEquals(messageId, exchange("read-offer"));
   }
 
-  /** Has it take over: from here on it decides. */
+  /** Takes over: from then on this process decides. */
   void takeOver() throws IOException {
     run("hello", "read-snapshot", "take-folder");
   }
 
-  private String answerTo(final String command) throws IOException {
+  private String exchange(final String command) throws IOException {
     commands.write((command + "\n").getBytes(StandardCharsets.UTF_8));
     commands.flush();
-    return answers.readLine();
+    return responses.readLine();
   }
 
-  /** Kills it, and returns once it is gone. */
+  /** Kills the process and waits until it has exited. */
   void kill() throws InterruptedException {
     process.destroyForcibly();
     assertTrue(process.waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
--- a/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
+++ b/courier/src/test/java/thistleturn/courier/SystemCallFaultsTest.java
@@ -16,43 +16,48 @@
 import thistleturn.testkit.rig.FaultShim;
 
 /**
- * System calls and clocks of a courier's process fail for a while, or now and then, and all rules
- * hold.
+ * All delivery rules hold while system calls or clocks of a courier process fail for a while or at
+ * random.
  */
 @Tag("faults")
 final class SystemCallFaultsTest {
-  /**
-   * ENFILE, ECONNABORTED, ENOBUFS, ENOSPC, EIO, EADDRNOTAVAIL, ENETUNREACH, as Linux numbers them.
-   */
-  private static final String FILES_USED_UP = "errno=23/105";
+  /** ENFILE and ENOBUFS, by their Linux numbers. */
+  private static final String NO_SOCKET = "errno=23/105";
 
+  /** ENOSPC and EIO. */
   private static final String DISK_FAILS = "errno=28/5";
+
+  /** EADDRNOTAVAIL and ENETUNREACH. */
   private static final String NO_ROUTE = "errno=99/101";
+
   private static final double RATE = 250;
-  private static final int ENOUGH = 1200;
+  private static final int MIN_ENDED_MESSAGES = 1200;
 
   @TempDir private Path folder;
 
   private FaultScenario scenario;
 
-  private void play(final FaultShim faults) throws IOException {
+  private void runUnderFaults(final FaultShim faults) throws IOException {
     scenario.start(faults);
     scenario.warmUp();
     scenario.load(RATE);
-    scenario.world.await("messages", () -> scenario.ended() >= ENOUGH);
+    scenario.world.await("messages", () -> scenario.ended() >= MIN_ENDED_MESSAGES);
   }
 
-  private void allHolds() {
+  private void assertAllRulesHold() {
     assertEquals(List.of(), scenario.verdict(), scenario::story);
     assertEquals(List.of(), scenario.withoutAnswer(), scenario::story);
   }
 
-  private FaultScenario begin(final long seed) {
+  private FaultScenario createScenario(final long seed) {
     scenario = new FaultScenario(folder, seed);
     return scenario;
   }
 
-  /** A connection that could not be accepted waits, with its request; the next try takes it. */
+  /**
+   * A connection that could not be accepted stays queued with its request until the next attempt.
+   * The errors are ENFILE, ENOBUFS, ECONNABORTED and EMFILE.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -61,106 +66,106 @@
         "accept,errno=23/105,from=1500,period=3000,for=20"
       })
   void acceptThatFailsLeavesNoRequestWithoutAnAnswer(final String rule) throws IOException {
-    try (FaultScenario own = begin(1)) {
+    try (FaultScenario own = createScenario(1)) {
       own.world.client.keepConnections(false);
-      play(own.faults().rule(rule));
-      allHolds();
+      runUnderFaults(own.faults().rule(rule));
+      assertAllRulesHold();
       assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
   }
 
   /**
-   * The selector never tells of a connection that the system refuses to watch, and Java does not
-   * say so.
+   * The selector never reports events of a connection whose registration the system rejected, and
+   * Java does not report the rejection.
    */
   @Test
-  void connectionThatIsNotWatchedIsReadAllTheSame() throws IOException {
-    try (FaultScenario own = begin(9)) {
+  void unwatchedConnection_isReadNevertheless() throws IOException {
+    try (FaultScenario own = createScenario(9)) {
       own.world.client.keepConnections(false);
-      play(own.faults().rule("epoll_ctl,errno=12/28,share=0.02,from=1500"));
-      allHolds();
+      runUnderFaults(own.faults().rule("epoll_ctl,errno=12/28,share=0.02,from=1500"));
+      assertAllRulesHold();
     }
   }
 
   /**
-   * Guards against requests without an answer while the selector never tells of the listener, or of
-   * another of the first things that are watched.
+   * Guards against unanswered requests when the system rejects the registration of the listener, or
+   * of another of the first channels, with the selector.
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6, 7})
-  void listenerThatIsNotWatchedAcceptsAllTheSame(final int nth) throws IOException {
-    try (FaultScenario own = begin(12)) {
+  void unwatchedListener_acceptsNevertheless(final int nth) throws IOException {
+    try (FaultScenario own = createScenario(12)) {
       own.world.client.keepConnections(false);
-      play(own.faults().rule("epoll_ctl,errno=12,nth=" + nth));
-      allHolds();
+      runUnderFaults(own.faults().rule("epoll_ctl,errno=12,nth=" + nth));
+      assertAllRulesHold();
     }
   }
 
   /**
-   * A call for which no socket can be had is told to its owner on the owner's thread, and tried
-   * again or given up.
+   * A call for which no socket can be created is reported to its owner on the owner's thread, and
+   * retried or given up.
    */
   @Test
-  void socketThatFailsLeavesNoMessageWithoutAnEnd() throws IOException {
-    try (FaultScenario own = begin(2)) {
+  void socketCreationFails_everyMessageEnds() throws IOException {
+    try (FaultScenario own = createScenario(2)) {
       own.world.setLoadClasses("safe");
-      own.start(own.faults().rule("socket," + FILES_USED_UP + ",share=0.1,from=1500"));
+      own.start(own.faults().rule("socket," + NO_SOCKET + ",share=0.1,from=1500"));
       own.warmUp();
       own.load(RATE);
       for (int time = 0; time < 20; time++) {
         own.pass(300);
         own.endpoints.forEach(endpoint -> endpoint.server().resetAll());
       }
-      allHolds();
+      assertAllRulesHold();
       assertTrue(own.delivered() >= 0.95 * own.ended(), own::story);
     }
   }
 
   /**
-   * ENOBUFS, ENOMEM: the connection stands, and what it could not read or write now it can in a
-   * moment.
+   * After ENOBUFS or ENOMEM the connection is still usable, and the read or write succeeds a moment
+   * later.
    */
   @ParameterizedTest
   @ValueSource(
       strings = {"send,errno=105/12,share=0.1,from=1500", "recv,errno=105/12,share=0.1,from=1500"})
-  void connectionThatIsShortOfMemoryIsKept(final String rule) throws IOException {
-    try (FaultScenario own = begin(11)) {
-      play(own.faults().rule(rule));
-      allHolds();
+  void readOrWriteShortOfMemory_connectionIsKept(final String rule) throws IOException {
+    try (FaultScenario own = createScenario(11)) {
+      runUnderFaults(own.faults().rule(rule));
+      assertAllRulesHold();
       assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
   }
 
   @Test
-  void connectThatFailsAtOnceLeavesNoMessageWithoutAnEnd() throws IOException {
-    try (FaultScenario own = begin(3)) {
-      play(own.faults().rule("connect," + NO_ROUTE + ",share=0.2,from=1500"));
-      allHolds();
+  void connectFailsImmediately_everyMessageEnds() throws IOException {
+    try (FaultScenario own = createScenario(3)) {
+      runUnderFaults(own.faults().rule("connect," + NO_ROUTE + ",share=0.2,from=1500"));
+      assertAllRulesHold();
     }
   }
 
   /**
-   * While nothing can be written nothing is taken on or sent; ends that no restart could undo are
-   * told in time.
+   * While the folder is not writable no message is accepted or sent. Outcomes that a restart could
+   * not change are reported in time.
    */
   @ParameterizedTest
   @ValueSource(strings = {"none", "half", "whole", "short"})
-  void folderThatCannotBeWrittenHoldsUpNoEndThatIsDue(final String how) throws IOException {
-    try (FaultScenario own = begin(4)) {
+  void folderNotWritable_dueOutcomesAreNotDelayed(final String how) throws IOException {
+    try (FaultScenario own = createScenario(4)) {
       own.start(
           own.faults()
               .rule("write," + DISK_FAILS + ",how=" + how + ",from=3000,period=5000,for=3500"));
       own.warmUp();
-      // What is silent is held until its time is up, within the failure.
+      // Messages to unresponsive endpoints are pending until they expire, during the failure.
       own.endpoints.get(0).setBehavior(Behavior.of(Action.NO_ANSWER));
       own.endpoints.get(3).setBehavior(Behavior.of(Action.NO_ANSWER));
       own.load(RATE);
       own.pass(7500);
-      allHolds();
+      assertAllRulesHold();
     }
   }
 
-  /** The journal grows to its bound every few seconds, and cannot be replaced for a while. */
+  /** The journal reaches its size limit every few seconds, and cannot be replaced for a while. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -168,8 +173,8 @@
         "rename,errno=5,how=whole,period=3000,for=1500",
         "open,errno=23/5,from=1500,period=3000,for=1500"
       })
-  void journalThatCannotBeReplacedForAWhileLosesNothing(final String rule) throws IOException {
-    try (FaultScenario own = begin(10)) {
+  void journalCannotBeReplaced_nothingIsLost(final String rule) throws IOException {
+    try (FaultScenario own = createScenario(10)) {
       own.start(own.faults().rule(rule));
       own.load(RATE);
       own.pass(5000);
@@ -180,14 +185,13 @@
   }
 
   /**
-   * What was written in part before a kill is whole or nothing: who was turned away is never sent
-   * on.
+   * A record that was partly written before a kill is either complete or ignored, so that a message
+   * whose client got a rejection is never sent.
    */
   @ParameterizedTest
   @ValueSource(strings = {"half", "whole"})
-  void folderThatFailsAmidKillsBringsBackNothingThatWasTurnedAway(final String how)
-      throws IOException {
-    try (FaultScenario own = begin(5)) {
+  void writesFailBetweenKills_rejectedMessagesAreNotSent(final String how) throws IOException {
+    try (FaultScenario own = createScenario(5)) {
       final FaultShim faults =
           own.faults().rule("write," + DISK_FAILS + ",how=" + how + ",period=90,for=60");
       own.start(faults);
@@ -200,7 +204,7 @@
     }
   }
 
-  /** What cannot be opened, locked, read or written in the first second can be in the next one. */
+  /** Operations on files and sockets that fail at first succeed 1.5 s later. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -211,8 +215,8 @@
         "rename,errno=5,for=1500",
         "socket,errno=23,for=1500"
       })
-  void startWaitsForWhatPasses(final String rule) throws IOException {
-    try (FaultScenario own = begin(6)) {
+  void transientFailureAtStart_isRetried(final String rule) throws IOException {
+    try (FaultScenario own = createScenario(6)) {
       own.start(own.faults().rule(rule));
       own.load(RATE);
       own.pass(1000);
@@ -223,11 +227,12 @@
   }
 
   /**
-   * Deadlines and windows are spans of real time: another process may find the wall clock anywhere.
+   * Deadlines and retention times are spans of real time: the wall clock may differ in the next
+   * process.
    */
   @Test
-  void wallClockThatIsAnotherAtEachStartChangesNothing() throws IOException {
-    try (FaultScenario own = begin(7)) {
+  void wallClockDiffersAtEachStart_rulesHold() throws IOException {
+    try (FaultScenario own = createScenario(7)) {
       own.world.setLoadClasses("safe", "keyed", "brief", "once");
       own.start(own.faults());
       own.load(RATE);
@@ -241,18 +246,19 @@
   }
 
   @Test
-  void wallClockThatStepsChangesNothing() throws IOException {
-    try (FaultScenario own = begin(8)) {
-      // What may have run goes again elsewhere, while its key is kept there.
+  void wallClockSteps_rulesHold() throws IOException {
+    try (FaultScenario own = createScenario(8)) {
+      // Messages that may have been executed are sent to another endpoint while their key is
+      // retained.
       own.world.setLoadClasses("safe", "keyed");
       own.endpoints.get(0).setBehavior(Behavior.of(Action.RESET));
       final FaultShim faults = own.faults();
       for (int step = 0; step < 16; step++) {
         faults.shiftWallClock(2000 + 300 * step, step % 2 == 0 ? 3_600_000 : -5_000);
       }
-      play(faults);
+      runUnderFaults(faults);
       own.pass(2000);
-      allHolds();
+      assertAllRulesHold();
       assertTrue(own.delivered() >= 0.98 * own.ended(), own::story);
     }
   }
--- a/courier/src/test/java/thistleturn/courier/TakeoverKillSoakTest.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverKillSoakTest.java
@@ -25,12 +25,11 @@
 import thistleturn.testkit.rig.ChildProcess;
 
 /**
- * Takeovers, one after another, in which a process is killed at a seeded moment from the handover
- * on, while calls that were handed over are out and clients go on using the connections that they
- * have. Some seeds connect a crowd just before the handover, so that the line between the two
- * processes has a higher descriptor than the calls and ends before them, and some keep the killed
- * process from its core. A few seeds in every run; by hand as many as {@code -Dtakeover.seeds} and
- * {@code -Dtakeover.first} say.
+ * Consecutive takeovers in which a process is killed at a seeded moment after the handover, while
+ * handed-over calls are in flight and clients keep using their connections. Some seeds connect many
+ * idle clients just before the handover, so that the connection between the two processes has a
+ * higher descriptor than the calls and ends before them; some keep the killed process's core busy.
+ * Every run plays a few seeds; {@code -Dtakeover.seeds} and {@code -Dtakeover.first} choose others.
  */
 @Tag("faults")
 @Timeout(300)
@@ -40,31 +39,31 @@
   private static final int DESTINATIONS = 24;
 
   /**
-   * As many descriptors as in the platform's example: a crowd of these is not idle for too long.
+   * As many descriptors as in the platform's example, so that idle clients keep their connections.
    */
   private static final CourierFiles.Size SIZE = new CourierFiles.Size(2000, 64, 4096);
 
-  private static final int CROWD = 1150;
+  private static final int IDLE_CLIENTS = 1150;
 
-  /** Connections that take the descriptors which have become free since the crowd came. */
-  private static final int LATE_CROWD = 50;
+  /** Connections that use the descriptors freed since the other idle clients connected. */
+  private static final int LATE_IDLE_CLIENTS = 50;
 
-  /** So many messages at once have each a connection that its client keeps. */
+  /** The number of messages of a burst, each over a connection that its client keeps. */
   private static final int BURST = 60;
 
   private static final int KILL_WITHIN_MS = 300;
   private static final double RATE = 150;
   private static final long TIMEOUT_MS = 4000;
 
-  /** Longer than a client's, so that a machine that is busy makes no answer late: none came. */
-  private static final long PATIENCE_MS = 3000;
+  /** Longer than a client's timeout, so that a busy machine does not make responses late. */
+  private static final long RESPONSE_TIMEOUT_MS = 3000;
 
   private static final List<String> CLASSES = List.of("safe", "keyed", "once");
 
   @TempDir private Path folder;
 
-  /** How a takeover is broken off. */
-  private enum Ending {
+  /** How a takeover is interrupted. */
+  private enum Interruption {
     OLDER_KILLED,
     OLDER_TERMINATED_AND_KILLED,
     NEWER_KILLED
@@ -74,23 +73,29 @@
     return IntStream.range(FIRST_SEED, FIRST_SEED + SEEDS).boxed();
   }
 
-  /** Guards against a repeat while the first copy is out at the process that is being killed. */
+  /** Guards against a repeat while the call of the process that is being killed is in flight. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void olderProcessKilled_breaksNoRule(final int seed) throws IOException {
-    play(seed, Ending.OLDER_KILLED, Ending.OLDER_TERMINATED_AND_KILLED, Ending.OLDER_KILLED);
+  void olderProcessKilled_rulesHold(final int seed) throws IOException {
+    runTakeovers(
+        seed,
+        Interruption.OLDER_KILLED,
+        Interruption.OLDER_TERMINATED_AND_KILLED,
+        Interruption.OLDER_KILLED);
   }
 
-  /** Guards the same the other way round, and against requests that nobody answers then. */
+  /** Guards against the same for the newer process, and against unanswered requests. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void newerProcessKilled_breaksNoRule(final int seed) throws IOException {
-    play(seed, Ending.NEWER_KILLED, Ending.NEWER_KILLED, Ending.OLDER_KILLED);
+  void newerProcessKilled_rulesHold(final int seed) throws IOException {
+    runTakeovers(
+        seed, Interruption.NEWER_KILLED, Interruption.NEWER_KILLED, Interruption.OLDER_KILLED);
   }
 
-  private void play(final int seed, final Ending... endings) throws IOException {
+  private void runTakeovers(final int seed, final Interruption... interruptions)
+      throws IOException {
     final Random random = new Random(seed);
-    final List<Ending> inOrder = new ArrayList<>(List.of(endings));
+    final List<Interruption> inOrder = new ArrayList<>(List.of(interruptions));
     Collections.shuffle(inOrder, random);
     try (StandInWorld world = world(seed, random);
         TakeoverScenario scenario = new TakeoverScenario(world, SIZE)) {
@@ -100,21 +105,21 @@
       ChildProcess serving = scenario.launch();
       scenario.awaitReady(serving);
       world.client.setCourierAddress(scenario.address());
-      world.client.setAnswerTimeoutMs(PATIENCE_MS);
+      world.client.setAnswerTimeoutMs(RESPONSE_TIMEOUT_MS);
       world.startLoad(RATE, TIMEOUT_MS, LongStream.rangeClosed(1, DESTINATIONS).toArray());
-      for (final Ending ending : inOrder) {
-        scenario.pass(300 + random.nextInt(700));
-        serving = takeOver(scenario, serving, ending, random);
-        scenario.disconnectCrowd();
+      for (final Interruption interruption : inOrder) {
+        scenario.waitUnderLoad(300 + random.nextInt(700));
+        serving = takeOver(scenario, serving, interruption, random);
+        scenario.disconnectIdleClients();
       }
-      scenario.pass(500);
+      scenario.waitUnderLoad(500);
       world.stopSubmitting();
-      world.await("an end of every request", () -> world.client.pendingRequests() == 0);
+      world.await("the end of every request", () -> world.client.pendingRequests() == 0);
       final List<Violation> violations = scenario.violations(TIMEOUT_MS);
-      final String story = "seed " + seed + ", " + inOrder + scenario.story();
+      final String timeline = "seed " + seed + ", " + inOrder + scenario.timeline();
       assertAll(
-          () -> assertEquals(List.of(), violations, story),
-          () -> assertEquals(List.of(), scenario.unansweredByLivingProcess(), story));
+          () -> assertEquals(List.of(), violations, timeline),
+          () -> assertEquals(List.of(), scenario.unansweredByRunningProcess(), timeline));
     }
   }
 
@@ -128,28 +133,28 @@
     return world;
   }
 
-  /** A newer process takes over and one of the two ends; returns the other. */
+  /** Lets a newer process take over, ends one of the two, and returns the other. */
   private static ChildProcess takeOver(
       final TakeoverScenario scenario,
       final ChildProcess older,
-      final Ending ending,
+      final Interruption interruption,
       final Random random)
       throws IOException {
     final long handovers = TakeoverScenario.handovers(older);
     if (random.nextBoolean()) {
-      useManyConnections(scenario, random);
+      submitBurst(scenario, random);
     }
-    final boolean crowded = random.nextInt(3) > 0;
-    if (crowded) {
-      scenario.connectCrowd(CROWD);
+    final boolean withIdleClients = random.nextInt(3) > 0;
+    if (withIdleClients) {
+      scenario.connectIdleClients(IDLE_CLIENTS);
     }
     final ChildProcess newer = scenario.launch();
     scenario.awaitWarmUp(newer);
-    if (crowded) {
-      scenario.connectCrowd(LATE_CROWD);
+    if (withIdleClients) {
+      scenario.connectIdleClients(LATE_IDLE_CLIENTS);
     }
     scenario.awaitHandover(older, handovers);
-    return switch (ending) {
+    return switch (interruption) {
       case OLDER_KILLED -> {
         scenario.kill(older, random.nextInt(KILL_WITHIN_MS));
         scenario.awaitReady(newer);
@@ -163,16 +168,16 @@
         yield newer;
       }
       case NEWER_KILLED -> {
-        final long takeBacks = TakeoverScenario.takeBacks(older);
+        final long resumptions = TakeoverScenario.resumptions(older);
         scenario.kill(newer, random.nextInt(KILL_WITHIN_MS));
-        scenario.awaitTakeBack(older, takeBacks);
+        scenario.awaitResumed(older, resumptions);
         yield older;
       }
     };
   }
 
-  /** Messages at once, each of which opens a connection that its client goes on using. */
-  private static void useManyConnections(final TakeoverScenario scenario, final Random random) {
+  /** Submits messages at once, each over a connection that its client keeps using. */
+  private static void submitBurst(final TakeoverScenario scenario, final Random random) {
     for (int number = 0; number < BURST; number++) {
       scenario.world.client.submit(
           CLASSES.get(random.nextInt(CLASSES.size())), 1 + number % DESTINATIONS, TIMEOUT_MS);
--- a/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
@@ -17,8 +17,8 @@
 import thistleturn.testkit.rig.ChildProcess;
 
 /**
- * One courier at one address whose processes take over from one another, between stand-ins. It
- * notes which process was ended when, and judges what clients and endpoints saw.
+ * A courier at one address whose processes take over from one another, with a simulated platform,
+ * clients and endpoints. Records when each process was ended, and checks the delivery rules.
  */
 final class TakeoverScenario implements AutoCloseable {
   private static final String MAIN = "thistleturn.courier.Main";
@@ -29,26 +29,26 @@
   private static final int BUSY_THREADS = 8;
   private static final long US_PER_MS = 1000;
 
-  /** Within so long after a process is gone its clients have read that their connections ended. */
-  private static final long ENDS_READ_US = 200 * US_PER_MS;
+  /** The time in which clients notice that their connections to a killed process have closed. */
+  private static final long CLOSE_NOTICED_US = 200 * US_PER_MS;
 
   final StandInWorld world;
   private final Map<String, String> environment;
   private final List<ChildProcess> processes = new ArrayList<>();
-  private final List<Socket> crowd = new ArrayList<>();
-  private final List<Span> kills = new ArrayList<>();
-  private final List<String> story = new ArrayList<>();
+  private final List<Socket> idleClients = new ArrayList<>();
+  private final List<KillInterval> kills = new ArrayList<>();
+  private final List<String> timeline = new ArrayList<>();
   private ChildProcess busyCore;
   private String busyCoreNumber = "";
 
-  /** From the signal that ends a process until its connections' ends have been read. */
-  private record Span(long fromUs, long toUs) {
+  /** From the signal that kills a process until clients have noticed that it has exited. */
+  private record KillInterval(long fromUs, long toUs) {
     private boolean contains(final long atUs) {
       return fromUs <= atUs && atUs <= toUs;
     }
   }
 
-  /** Starts the world and no process; all endpoints are to be listed by then. */
+  /** Creates the scenario without a process; all endpoints must be listed before. */
   TakeoverScenario(final StandInWorld world, final CourierFiles.Size size) throws IOException {
     this.world = world;
     this.environment = new HashMap<>(world.environment(size));
@@ -62,16 +62,16 @@
     }
   }
 
-  /** The address of clients, at which each process listens. */
+  /** Returns the address at which each process accepts clients. */
   String address() {
     return environment.get("PROXY_LISTEN");
   }
 
-  /** Starts a process, and does not wait for it. */
+  /** Starts a process without waiting for it. */
   ChildProcess launch() throws IOException {
     final ChildProcess process = ChildProcess.java(environment, "", MAIN);
     processes.add(process);
-    note("process " + process.pid() + " started");
+    recordEvent("process " + process.pid() + " started");
     return process;
   }
 
@@ -79,7 +79,7 @@
   void awaitReady(final ChildProcess process) {
     process.await(line -> line.contains(READY));
     world.ruleChecker.recordRestart(world.clock.nowUs(), true);
-    note("process " + process.pid() + " is ready");
+    recordEvent("process " + process.pid() + " is ready");
   }
 
   /** Waits until a process that is about to take over has begun its warm-up. */
@@ -87,7 +87,7 @@
     newer.await(line -> line.contains("takes over from the process that serves"));
   }
 
-  /** Counts how often a process has handed over, to be given to {@link #awaitHandover}. */
+  /** Returns how often a process has handed over, for {@link #awaitHandover}. */
   static long handovers(final ChildProcess process) {
     return count(process, HANDED_OVER);
   }
@@ -96,27 +96,26 @@
     return process.lines().stream().filter(line -> line.contains(text)).count();
   }
 
-  /** Waits until a process that had handed over so many times has done so once more. */
+  /** Waits until a process has handed over more often than before. */
   void awaitHandover(final ChildProcess older, final long before) {
     world.await("the handover", () -> handovers(older) > before);
-    note("process " + older.pid() + " has handed over");
+    recordEvent("process " + older.pid() + " has handed over");
   }
 
   /** Waits until the older process serves again, after the end of the newer one. */
-  void awaitTakeBack(final ChildProcess older, final long before) {
+  void awaitResumed(final ChildProcess older, final long before) {
     world.await(
-        "the older process to take up again",
-        () -> count(older, "this one takes up again") > before);
+        "the older process to serve again", () -> count(older, "this one takes up again") > before);
     world.ruleChecker.recordRestart(world.clock.nowUs(), true);
-    note("process " + older.pid() + " takes up again");
+    recordEvent("process " + older.pid() + " serves again");
   }
 
-  /** Counts how often a process has taken up again, to be given to {@link #awaitTakeBack}. */
-  static long takeBacks(final ChildProcess process) {
+  /** Returns how often a process has resumed serving, for {@link #awaitResumed}. */
+  static long resumptions(final ChildProcess process) {
     return count(process, "this one takes up again");
   }
 
-  /** Keeps a core busy from now on; a process that is killed then has little of it. */
+  /** Keeps a core busy from now on, so that processes get little of it while they are killed. */
   void keepCoreBusy() throws IOException {
     busyCoreNumber = Integer.toString(Runtime.getRuntime().availableProcessors() - 1);
     busyCore =
@@ -125,15 +124,15 @@
     busyCore.await(line -> line.contains(BusyCore.BEGUN));
   }
 
-  /** Asks a process to end in order. */
+  /** Requests a graceful shutdown of a process. */
   void terminate(final ChildProcess process) {
-    note("SIGTERM to process " + process.pid());
+    recordEvent("SIGTERM to process " + process.pid());
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     process.terminate();
   }
 
   /**
-   * Kills a process after a time, on the busy core if there is one, and returns when it is gone.
+   * Kills a process after a delay, on the busy core if there is one, and waits until it has exited.
    */
   void kill(final ChildProcess process, final long afterMs) throws IOException {
     final long atUs = world.clock.nowUs() + afterMs * US_PER_MS;
@@ -145,46 +144,47 @@
     world.ruleChecker.recordRestart(fromUs, false);
     process.kill();
     final long goneUs = world.clock.nowUs();
-    kills.add(new Span(fromUs, goneUs + ENDS_READ_US));
-    note("process " + process.pid() + " killed in " + (goneUs - fromUs) + " us");
+    kills.add(new KillInterval(fromUs, goneUs + CLOSE_NOTICED_US));
+    recordEvent("process " + process.pid() + " killed in " + (goneUs - fromUs) + " us");
   }
 
-  /** Clients that ask once whether the courier is up, and stay. */
-  void connectCrowd(final int size) throws IOException {
+  /** Connects clients that send one liveness request and stay connected. */
+  void connectIdleClients(final int size) throws IOException {
     final int port = Integer.parseInt(address().substring(address().lastIndexOf(':') + 1));
     for (int number = 0; number < size; number++) {
       final Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
       client.setSoLinger(true, 0);
-      crowd.add(client);
+      idleClients.add(client);
       client.getOutputStream().write(UP_REQUEST);
     }
-    note("a crowd of " + size);
+    recordEvent(size + " idle clients");
   }
 
-  /** The crowd leaves. */
-  void disconnectCrowd() throws IOException {
-    for (final Socket client : crowd) {
+  /** Disconnects the idle clients. */
+  void disconnectIdleClients() throws IOException {
+    for (final Socket client : idleClients) {
       client.close();
     }
-    crowd.clear();
+    idleClients.clear();
   }
 
-  /** Lets time pass. */
-  void pass(final long ms) {
+  /** Waits while the load goes on. */
+  void waitUnderLoad(final long ms) {
     world.waitUntil(world.clock.nowUs() + ms * US_PER_MS);
   }
 
-  /** What the rules have to say, once the last message's time is up. */
+  /** Returns the violations of the delivery rules once the last message has expired. */
   List<Violation> violations(final long timeoutMs) {
     return world.stopLoadAndCheck(timeoutMs);
   }
 
   /**
-   * Requests of clients at processes that lived: their connection stayed open for as long as they
-   * wait, or ended at another moment than a process and was read by then. What crosses the end of a
-   * resting connection was never read, and no process knows of it.
+   * Returns the unanswered requests to processes that were running: those whose connection stayed
+   * open for the client's whole timeout, and those that a process has logged and whose connection
+   * ended at another time than a process. Requests that were under way when an idle connection was
+   * closed were never read, so no process has logged them.
    */
-  List<String> unansweredByLivingProcess() {
+  List<String> unansweredByRunningProcess() {
     final String log =
         processes.stream()
             .flatMap(process -> process.lines().stream())
@@ -193,33 +193,33 @@
         .filter(
             request ->
                 request.timedOut()
-                    || (!endedWithProcess(request) && log.contains(" id=" + request.id() + " ")))
-        .map(request -> request + " (" + moment(request.writtenUs()) + ")")
+                    || (!endedWithKill(request) && log.contains(" id=" + request.id() + " ")))
+        .map(request -> request + " (" + describeTime(request.writtenUs()) + ")")
         .toList();
   }
 
-  private boolean endedWithProcess(final Unanswered request) {
+  private boolean endedWithKill(final Unanswered request) {
     return kills.stream().anyMatch(kill -> kill.contains(request.endedUs()));
   }
 
-  private String moment(final long us) {
+  private String describeTime(final long us) {
     return kills.stream()
         .min((one, other) -> Long.compare(Math.abs(one.fromUs - us), Math.abs(other.fromUs - us)))
         .map(kill -> (us - kill.fromUs) / US_PER_MS + " ms after the nearest kill")
         .orElse("no kill");
   }
 
-  private void note(final String what) {
-    story.add(world.clock.nowUs() + " us: " + what);
+  private void recordEvent(final String what) {
+    timeline.add(world.clock.nowUs() + " us: " + what);
   }
 
-  /** What happened when, and what the processes said that is not of one message. */
-  String story() {
+  /** Returns the recorded events, and the log lines that do not concern a single message. */
+  String timeline() {
     return processes.stream()
         .flatMap(process -> process.lines().stream())
         .filter(line -> !line.contains(" id="))
         .limit(60)
-        .collect(Collectors.joining("\n", "\n" + String.join("\n", story) + "\n", ""));
+        .collect(Collectors.joining("\n", "\n" + String.join("\n", timeline) + "\n", ""));
   }
 
   @Override
@@ -228,6 +228,6 @@
     if (busyCore != null) {
       busyCore.close();
     }
-    disconnectCrowd();
+    disconnectIdleClients();
   }
 }
