--- a/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
+++ b/courier/src/test/java/thistleturn/courier/WireTextFormatTest.java
@@ -14,43 +14,46 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The exact bytes of answers to clients and operators, and of the poll for the endpoint list. */
+/**
+ * The exact bytes of responses to clients and operators, and of the request for the endpoint list.
+ */
 @Timeout(120)
 final class WireTextFormatTest {
   @TempDir private Path folder;
-  private CourierHarness rig;
+  private CourierHarness harness;
 
   @BeforeEach
-  void build() throws IOException {
-    rig = new CourierHarness(folder);
-    rig.operatorPortEnabled = true;
+  void createHarness() throws IOException {
+    harness = new CourierHarness(folder);
+    harness.operatorPortEnabled = true;
   }
 
   @AfterEach
-  void end() throws IOException {
-    rig.close();
+  void closeHarness() throws IOException {
+    harness.close();
   }
 
-  private String answer(final String request) throws IOException {
-    try (Socket socket = rig.connect()) {
+  /** Sends a request and returns all bytes that arrive until the courier closes the connection. */
+  private String exchange(final String request) throws IOException {
+    try (Socket socket = harness.connect()) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
   }
 
-  private static String closing(final String request) {
+  private static String withConnectionClose(final String request) {
     return request.replaceFirst("\r\n", "\r\nConnection: close\r\n");
   }
 
-  private static String empty(final String status) {
+  private static String emptyResponse(final String status) {
     return "HTTP/1.1 " + status + "\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
   }
 
   @Test
-  void acceptedMessageIsAnsweredByTheseBytes() throws IOException {
-    rig.start();
+  void acceptedMessage_getsExactResponse() throws IOException {
+    harness.start();
     final String expected = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
-    try (Socket socket = rig.connect()) {
+    try (Socket socket = harness.connect()) {
       socket
           .getOutputStream()
           .write(CourierHarness.submitRequest("m1", "safe").getBytes(StandardCharsets.ISO_8859_1));
@@ -60,71 +63,79 @@
               socket.getInputStream().readNBytes(expected.length()), StandardCharsets.ISO_8859_1));
     }
     assertEquals(
-        empty("202 Accepted"), answer(closing(CourierHarness.submitRequest("m2", "safe"))));
+        emptyResponse("202 Accepted"),
+        exchange(withConnectionClose(CourierHarness.submitRequest("m2", "safe"))));
   }
 
   @Test
-  void requestsThatCannotBeServedAreAnsweredByTheseBytes() throws IOException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    assertEquals(empty("200 OK"), answer(closing("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")));
-    assertEquals(empty("404 Not Found"), answer("GET /unknown HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertEquals(empty("405 Method Not Allowed"), answer("GET /safe HTTP/1.1\r\nHost: x\r\n\r\n"));
+  void unservableRequests_getExactResponses() throws IOException {
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
     assertEquals(
-        empty("400 Bad Request"),
-        answer("POST /safe HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
+        emptyResponse("200 OK"),
+        exchange(withConnectionClose("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")));
     assertEquals(
-        empty("404 Not Found"),
-        answer(CourierHarness.submitRequest("m1", "safe").replace("dest=7", "dest=8")));
+        emptyResponse("404 Not Found"), exchange("GET /unknown HTTP/1.1\r\nHost: x\r\n\r\n"));
+    assertEquals(
+        emptyResponse("405 Method Not Allowed"), exchange("GET /safe HTTP/1.1\r\nHost: x\r\n\r\n"));
+    assertEquals(
+        emptyResponse("400 Bad Request"),
+        exchange("POST /safe HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
+    assertEquals(
+        emptyResponse("404 Not Found"),
+        exchange(CourierHarness.submitRequest("m1", "safe").replace("dest=7", "dest=8")));
   }
 
   @Test
-  void messageOfAnIdInUseIsAnsweredByTheseBytes() throws IOException {
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    assertEquals(empty("409 Conflict"), answer(CourierHarness.submitRequest("m1", "safe")));
+  void idOfPendingMessage_getsExactResponse() throws IOException {
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    assertEquals(
+        emptyResponse("409 Conflict"), exchange(CourierHarness.submitRequest("m1", "safe")));
   }
 
   @Test
-  void messageWithoutRoomIsAnsweredByTheseBytes() throws IOException {
-    rig.maxOpenConnections = 1;
-    rig.firstEndpoint.script((request, connection) -> {});
-    rig.start();
-    assertEquals(202, rig.submit("m1", "safe").status());
-    final String said = answer(closing(CourierHarness.submitRequest("m2", "safe")));
+  void fullStore_getsExactResponse() throws IOException {
+    harness.maxOpenConnections = 1;
+    harness.firstEndpoint.script((request, connection) -> {});
+    harness.start();
+    assertEquals(202, harness.submit("m1", "safe").status());
+    final String response =
+        exchange(withConnectionClose(CourierHarness.submitRequest("m2", "safe")));
     assertTrue(
-        said.matches(
+        response.matches(
             "HTTP/1\\.1 (503 Service Unavailable|429 Too Many Requests)\r\ncontent-length: 0\r\n"
                 + "retry-after: \\d+\\.\\d{3}\r\nconnection: close\r\n\r\n"),
-        said);
+        response);
   }
 
   @Test
-  void operatorsAreAnsweredByTheseBytes() throws IOException {
-    rig.start();
-    assertEquals(operatorAnswer("200 OK", "ready"), rig.sendOperatorRequest("GET", "/-/ready"));
+  void operatorRequests_getExactResponses() throws IOException {
+    harness.start();
+    assertEquals(
+        operatorResponse("200 OK", "ready"), harness.sendOperatorRequest("GET", "/-/ready"));
     assertEquals(
-        operatorAnswer("404 Not Found", "no such call"),
-        rig.sendOperatorRequest("GET", "/-/nothing"));
+        operatorResponse("404 Not Found", "no such call"),
+        harness.sendOperatorRequest("GET", "/-/nothing"));
     assertEquals(
-        operatorAnswer("405 Method Not Allowed", "asked by GET"),
-        rig.sendOperatorRequest("POST", "/-/metrics"));
+        operatorResponse("405 Method Not Allowed", "asked by GET"),
+        harness.sendOperatorRequest("POST", "/-/metrics"));
     assertEquals(
-        operatorAnswer("405 Method Not Allowed", "asked by POST"),
-        rig.sendOperatorRequest("GET", "/-/endpoints/e1/disable"));
+        operatorResponse("405 Method Not Allowed", "asked by POST"),
+        harness.sendOperatorRequest("GET", "/-/endpoints/e1/disable"));
     assertEquals(
-        operatorAnswer("200 OK", "left out"),
-        rig.sendOperatorRequest("POST", "/-/endpoints/e1/disable"));
+        operatorResponse("200 OK", "left out"),
+        harness.sendOperatorRequest("POST", "/-/endpoints/e1/disable"));
     assertEquals(
-        operatorAnswer("200 OK", "may serve"),
-        rig.sendOperatorRequest("POST", "/-/endpoints/e1/enable"));
+        operatorResponse("200 OK", "may serve"),
+        harness.sendOperatorRequest("POST", "/-/endpoints/e1/enable"));
     assertEquals(
-        operatorAnswer("404 Not Found", "no endpoint of that name was ever listed"),
-        rig.sendOperatorRequest("POST", "/-/endpoints/e9/disable"));
+        operatorResponse("404 Not Found", "no endpoint of that name was ever listed"),
+        harness.sendOperatorRequest("POST", "/-/endpoints/e9/disable"));
   }
 
-  private static String operatorAnswer(final String status, final String text) {
+  private static String operatorResponse(final String status, final String text) {
     return "HTTP/1.1 "
         + status
         + "\r\ncontent-type: text/plain; version=0.0.4; charset=utf-8\r\ncontent-length: "
@@ -135,10 +146,10 @@
   }
 
   @Test
-  void endpointListIsPolledByThisRequest() throws IOException {
-    rig.start();
-    rig.await("the watch", () -> rig.watchConnections.size() == 1);
-    final FakeHttpServer.Request poll = rig.platform.requests.get(0);
+  void endpointListPoll_sendsExactRequest() throws IOException {
+    harness.start();
+    harness.await("the watch", () -> harness.watchConnections.size() == 1);
+    final FakeHttpServer.Request poll = harness.platform.requests.get(0);
     assertEquals("GET /discovery/hosts?watch=1&after=41 HTTP/1.1", poll.requestLine());
     assertEquals(Map.of("host", "127.0.0.1"), poll.headers());
     assertEquals("", poll.text());
