--- a/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
+++ b/courier/src/test/java/thistleturn/courier/TakeoverScenario.java
@@ -157,7 +157,7 @@
       idleClients.add(client);
       client.getOutputStream().write(UP_REQUEST);
     }
-    recordEvent(size + " idle clients");
+    recordEvent("idle clients connected: " + size);
   }
 
   /** Disconnects the idle clients. */
