--- a/courier/src/test/java/thistleturn/courier/NodeTest.java
+++ b/courier/src/test/java/thistleturn/courier/NodeTest.java
@@ -539,7 +539,10 @@
     harness.await("the log line", () -> !harness.logLines.isEmpty());
     assertEquals(1, harness.logLines.size(), harness.logLines.toString());
     assertTrue(
-        harness.logLines.get(0).contains("at least one message, not 0"),
+        harness
+            .logLines
+            .get(0)
+            .contains("the maximum of pending messages must be at least 1, not 0"),
         harness.logLines.toString());
   }
 
