--- a/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/PeersFleetTest.java
@@ -127,13 +127,8 @@
           final int datagrams = 200;
           JsonNode after = before;
           try (DatagramSocket socket = new DatagramSocket()) {
-            final String[] at =
-                before
-                    .path("address")
-                    .asText()
-                    .split(
-                        ":"); // A busy courier may read them late and its system may drop some, so
-            // more are sent.
+            final String[] at = before.path("address").asText().split(":");
+            // A busy courier may read them late and its system may drop some, so more are sent.
             for (int number = 0;
                 number < MAX_ROUNDS * datagrams
                     && (number < datagrams || after.path("malformed").asInt() < datagrams / 2);
--- a/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
+++ b/cli/src/test/java/thistleturn/cli/ReplicasFleetTest.java
@@ -179,9 +179,8 @@
                             .equals(fleet.fetchPage(0, "state").path("sum")));
                 assertTrue(
                     run(0, "state", "diff", fleet.adminAddress(0), fleet.adminAddress(2))
-                        .startsWith(
-                            "both hold the same")); // The decision at another courier is based on
-                // the first one, so it replaces it.
+                        .startsWith("both hold the same"));
+                // The decision at another courier is based on the first one, so it replaces it.
                 assertTrue(fleet.setDisabled(3, endpoint(0).name(), false));
                 awaitServingEverywhere(endpoint(0).name());
                 assertTrue(
--- a/cli/src/test/java/thistleturn/cli/ServeTest.java
+++ b/cli/src/test/java/thistleturn/cli/ServeTest.java
@@ -69,8 +69,8 @@
     private void collectLines(final BufferedReader out) {
       try {
         out.lines().forEach(lines::add);
-      } catch (
-          final UncheckedIOException expected) { // The stream is closed when the process is killed.
+      } catch (final UncheckedIOException expected) {
+        // The stream is closed when the process is killed.
       }
     }
 
@@ -146,9 +146,8 @@
         assertEquals(List.of(), world.stopLoadAndCheck());
         assertPagesShowEndpointInUse(admin);
         world.registry.setStatus("heat", "i", "DOWN");
-        world.await(
-            "the drain",
-            () -> members(admin).contains("draining")); // An invalid file changes nothing.
+        world.await("the drain", () -> members(admin).contains("draining"));
+        // An invalid file changes nothing.
         Files.writeString(file, text.replace("100ms", "100"));
         sendHangUp(courier.process);
         world.await(
--- a/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
+++ b/courier/src/test/java/thistleturn/courier/InterruptedAttemptsTest.java
@@ -102,7 +102,7 @@
   @Test
   void holderIsTerminated_nextProcessHolds() throws Exception {
     startCallByOther("safe");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHeldWhileOtherRuns(courier);
     assertTrue(courier.terminate().waitFor(CourierHarness.TIMEOUT_S, TimeUnit.SECONDS));
@@ -119,7 +119,7 @@
   @ValueSource(booleans = {false, true})
   void holderHandsOver_andMayResume(final boolean resumes) throws Exception {
     startCallByOther("safe");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHeldAfterHandover(resumes);
   }
@@ -131,7 +131,7 @@
     startCallByOther("safe");
     other.listen(HandoverManner.HAND_OVER);
     courier.start();
-    other.endLine();
+    other.closeConnection();
     assertHeldWhileOtherRuns(courier);
     assertHeldAfterHandover(resumes);
   }
@@ -159,7 +159,7 @@
   @Test
   void startIsRetried_unrecordedProcessKeepsItsGracePeriod() throws Exception {
     startCallByOther("safe");
-    other.freeLock();
+    other.releaseLock();
     final Path state = folder.resolve("state");
     Files.writeString(state.resolve("lock"), "");
     Files.writeString(state.resolve("shards"), "no number");
@@ -180,7 +180,7 @@
   @Test
   void idempotencyWindowEndsWhileHeld_messageEndsUnsent() throws Exception {
     startCallByOther("brief");
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     assertHeldWhileOtherRuns(courier);
     other.kill();
@@ -194,7 +194,7 @@
   void otherProcessOutlivesDeadline_messageEndsInTime(final String messageClass) throws Exception {
     final long calledNs = System.nanoTime();
     startCallByOther(messageClass);
-    other.freeLock();
+    other.releaseLock();
     courier.start();
     final String status = messageClass.equals("once") ? "undeliverable" : "deferred";
     courier.await(
--- a/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
+++ b/courier/src/test/java/thistleturn/courier/health/PausedCourierTest.java
@@ -52,19 +52,16 @@
         final String ready = courier.await(line -> line.contains("is ready at "));
         world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
         world.startLoad(RATE, TIMEOUT_MS, 1, 2);
-        for (int pause = 1;
-            pause <= 3;
-            pause++) { // Time-outs are learned after some calls; only learned ones could expire too
-          // soon.
+        for (int pause = 1; pause <= 3; pause++) {
+          // Time-outs are learned after some calls; only learned ones could expire too soon.
           final int before = delivered(world);
           world.await("calls between the pauses", () -> delivered(world) > before + 2 * RATE);
           final long fromUs = world.clock.nowUs();
           courier.pause();
           final long untilUs = world.clock.nowUs() + pauseMs * 1000;
           world.await("the end of the pause", () -> world.clock.nowUs() >= untilUs);
-          courier
-              .resume(); // On a slow machine messages may be waiting at the pause, whose deadlines
-          // pass during it.
+          courier.resume();
+          // On a slow machine messages may be waiting at the pause, whose deadlines pass during it.
           world.ruleChecker.recordCourierPause(fromUs, world.clock.nowUs());
         }
         final int before = delivered(world);
@@ -123,12 +120,8 @@
       }
       world.resetConnections();
       endpoint.setBehavior(Behavior.deliverAfter(1));
-      try (ChildProcess second =
-          ChildProcess.java(
-              environment,
-              "",
-              "thistleturn.courier.Main")) { // A fifth of a core until it is ready and a while
-        // longer.
+      try (ChildProcess second = ChildProcess.java(environment, "", "thistleturn.courier.Main")) {
+        // A fifth of a core until it is ready and a while longer.
         boolean ready = false;
         for (int slice = 0; slice < SLICES; slice++) {
           second.pause();
--- a/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
+++ b/courier/src/test/java/thistleturn/courier/http/StaleConnectionTest.java
@@ -43,10 +43,8 @@
         world.await("400 further deliveries", () -> delivered(world) > before + 400);
         final long tookMs = (world.clock.nowUs() - fromUs) / 1000;
         endpoints.forEach(endpoint -> endpoint.server().resetReusedConnections(false));
-        assertEquals(
-            List.of(),
-            world.stopLoadAndCheck()); // Non-idempotent messages sent over a stale connection fail;
-        // the others are delivered
+        assertEquals(List.of(), world.stopLoadAndCheck());
+        // Non-idempotent messages sent over a stale connection fail; the others are delivered
         // almost at once, which takes 1.2 to 1.5 s. It would take over 7 s if stale connections
         // were counted as endpoint faults.
         assertTrue(tookMs < 4500, "400 deliveries took " + tookMs + " ms at 200 messages a second");
--- a/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
+++ b/eureka/src/test/java/thistleturn/membership/CourierUnderTest.java
@@ -75,7 +75,8 @@
   void killAndRestart() throws IOException, ConfigurationException {
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     courier.kill();
-    world.resetConnections(); // Endpoints still respond until the kill has completed.
+    world.resetConnections();
+    // Endpoints still respond until the kill has completed.
     world.ruleChecker.recordRestart(world.clock.nowUs(), false);
     start();
     world.ruleChecker.recordRestart(world.clock.nowUs(), true);
--- a/eureka/src/test/java/thistleturn/membership/DrainTest.java
+++ b/eureka/src/test/java/thistleturn/membership/DrainTest.java
@@ -68,9 +68,8 @@
       final StandInEndpoint endpoint = courier.world.endpoint(1);
       register(courier, "i", endpoint, "UP");
       courier.start();
-      courier.awaitState(
-          endpoint.address(),
-          "up"); // The courier does not know of the drain: its further calls are violations.
+      courier.awaitState(endpoint.address(), "up");
+      // The courier does not know of the drain: its further calls are violations.
       courier.world.ruleChecker.recordDraining(courier.world.clock.nowUs(), endpoint.name());
       courier.world.startLoad(50, TIMEOUT_MS, 1);
       courier.world.await(
@@ -135,10 +134,8 @@
   void thousandFlappingEndpoints_costNeitherServiceNorMemory() throws Exception {
     try (CourierUnderTest courier = new CourierUnderTest(folder, 5)) {
       final StandInEndpoint steady = courier.world.endpoint(1);
-      register(
-          courier, "steady", steady,
-          "UP"); // Nothing listens at these addresses: an attempt costs a refused connection at
-      // most.
+      register(courier, "steady", steady, "UP");
+      // Nothing listens at these addresses: an attempt costs a refused connection at most.
       for (int index = 0; index < 1000; index++) {
         courier.world.registry.register(
             StandInRegistry.endpoint("flap", "f" + index, 1, 100 + index, "UP"));
--- a/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
+++ b/eureka/src/test/java/thistleturn/membership/RegistryFaultTest.java
@@ -47,8 +47,8 @@
       courier.world.registry.setFault(fault);
       final int requestsBefore =
           courier.world.registry.requests().values().stream().mapToInt(Integer::intValue).sum();
-      courier.world.startLoad(
-          200, TIMEOUT_MS, 1, 2); // Several polls have to take place during the fault.
+      courier.world.startLoad(200, TIMEOUT_MS, 1, 2);
+      // Several polls have to take place during the fault.
       courier.world.await(
           "polls during the fault",
           () ->
@@ -123,12 +123,8 @@
           "deltas", () -> courier.world.registry.requests().getOrDefault("GET apps/delta", 0) > 1);
       final int fullPolls = courier.world.registry.requests().get("GET apps");
       courier.world.registry.register(
-          StandInRegistry.endpoint(
-              "heat",
-              "i1",
-              endpoint.port(),
-              1,
-              "UP")); // By then no delta contains the change any more, so only the hash reveals it.
+          StandInRegistry.endpoint("heat", "i1", endpoint.port(), 1, "UP"));
+      // By then no delta contains the change any more, so only the hash reveals it.
       courier.world.registry.advanceTime(1000);
       courier.awaitState(endpoint.address(), "up");
       assertTrue(courier.world.registry.requests().get("GET apps") > fullPolls);
