--- a/benchmarks/src/main/java/thistleturn/benchmarks/Paired.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/PairedDifference.java
@@ -8,9 +8,9 @@
  * of its interval of 95%.
  *
  * @param mean of the first less the second
- * @param half Student's, two-sided
+ * @param halfWidth Student's, two-sided
  */
-public record Paired(double mean, double half) {
+public record PairedDifference(double mean, double halfWidth) {
   /**
    * Student's t for a two-sided interval of 95%, from two pairs on; beyond the last, the normal
    * one's 1.96.
@@ -24,7 +24,7 @@
   private static final double NORMAL = 1.96;
 
   /** Of two lists in the same order of seeds, two days at least. */
-  public static <T> Paired of(
+  public static <T> PairedDifference of(
       final List<T> first, final List<T> second, final ToDoubleFunction<T> figure) {
     final int seeds = first.size();
     double sum = 0;
@@ -38,6 +38,6 @@
     final double mean = sum / seeds;
     final double deviation = Math.sqrt(Math.max(0, squares - seeds * mean * mean) / (seeds - 1));
     final double student = seeds - 2 < STUDENT.length ? STUDENT[seeds - 2] : NORMAL;
-    return new Paired(mean, student * deviation / Math.sqrt(seeds));
+    return new PairedDifference(mean, student * deviation / Math.sqrt(seeds));
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.benchmarks.Paired;
+import thistleturn.benchmarks.PairedDifference;
 import thistleturn.decisions.OverloadController;
 import thistleturn.lab.fleet.FleetDay;
 import thistleturn.lab.fleet.FleetTally;
@@ -85,7 +85,7 @@
             strict
                 ? OverloadController::withStrictRateShares
                 : OverloadController::withoutRateSharing);
-    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
+    final PairedDifference goodput = PairedDifference.of(with, without, FleetTally::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -96,7 +96,7 @@
             mean(with, FleetTally::goodput),
             mean(without, FleetTally::goodput),
             goodput.mean(),
-            goodput.half(),
+            goodput.halfWidth(),
             mean(with, FleetTally::callsAMessage),
             mean(without, FleetTally::callsAMessage),
             share(with, Count.REFUSED_CALLS),
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -10,7 +10,7 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.benchmarks.Paired;
+import thistleturn.benchmarks.PairedDifference;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.replicas.EntryType;
 import thistleturn.lab.fleet.FleetDay;
@@ -86,8 +86,8 @@
       final List<FleetTally> without) {
     final List<FleetTally> copies = play(trouble, size, Sharing.byCopies(kinds, 0.05));
     final List<FleetTally> perfect = play(trouble, size, Sharing.perfectly(kinds));
-    final Paired byCopies = Paired.of(copies, without, FleetTally::goodput);
-    final Paired byOne = Paired.of(perfect, without, FleetTally::goodput);
+    final PairedDifference byCopies = PairedDifference.of(copies, without, FleetTally::goodput);
+    final PairedDifference byOne = PairedDifference.of(perfect, without, FleetTally::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -99,10 +99,10 @@
             mean(without, FleetTally::goodput),
             mean(copies, FleetTally::goodput),
             byCopies.mean(),
-            byCopies.half(),
+            byCopies.halfWidth(),
             mean(perfect, FleetTally::goodput),
             byOne.mean(),
-            byOne.half(),
+            byOne.halfWidth(),
             mean(without, FleetTally::callsAMessage),
             mean(copies, FleetTally::callsAMessage),
             refused(without),
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import thistleturn.benchmarks.Paired;
+import thistleturn.benchmarks.PairedDifference;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.fleet.FleetSize;
 import thistleturn.lab.fleet.FleetDay;
@@ -63,7 +63,7 @@
   private void row(final FleetDay.Trouble trouble, final int size) {
     final List<FleetTally> with = play(trouble, size, true);
     final List<FleetTally> without = play(trouble, size, false);
-    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
+    final PairedDifference goodput = PairedDifference.of(with, without, FleetTally::goodput);
     final int rules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
     broken += rules;
     with.stream()
@@ -79,7 +79,7 @@
             mean(with, FleetTally::goodput),
             mean(without, FleetTally::goodput),
             goodput.mean(),
-            goodput.half(),
+            goodput.halfWidth(),
             mean(with, tally -> tally.total(Count.WRONGLY_OUT)),
             mean(without, tally -> tally.total(Count.WRONGLY_OUT)),
             mean(with, MeasureAway::refused),
