--- a/benchmarks/src/main/java/thistleturn/benchmarks/Cost.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/Cost.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * What something costs on this thread: processor time and allocated bytes, the medians of several
- * runs.
+ * Processor time and allocated memory of one operation on the current thread, as medians over
+ * several runs.
  */
 record Cost(double cpuMs, double allocatedKb) {
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -14,45 +14,45 @@
   private static final double BYTES_PER_KB = 1024;
   private static final int GC_ROUNDS = 4;
 
-  /** One run of what is measured. */
+  /** The measured operation. */
   @FunctionalInterface
   interface Work {
-    /** Does it; the result is looked at, lest it be left out. */
+    /** Runs the operation once; using its result keeps the JIT from eliminating the work. */
     Object run() throws Exception;
   }
 
-  /** Runs it some times unmeasured, then some times measured. */
+  /** Runs the operation {@code warmUps} times unmeasured, then {@code runs} times measured. */
   static Cost of(final int warmUps, final int runs, final Work work) throws Exception {
-    int seen = 0;
+    int resultHash = 0;
     for (int run = 0; run < warmUps; run++) {
-      seen ^= System.identityHashCode(work.run());
+      resultHash ^= System.identityHashCode(work.run());
     }
     final double[] cpuMs = new double[runs];
-    final double[] kb = new double[runs];
-    final long thread = Thread.currentThread().getId();
+    final double[] allocatedKb = new double[runs];
+    final long threadId = Thread.currentThread().getId();
     for (int run = 0; run < runs; run++) {
-      final long bytes = THREADS.getThreadAllocatedBytes(thread);
-      final long ns = THREADS.getCurrentThreadCpuTime();
-      seen ^= System.identityHashCode(work.run());
-      cpuMs[run] = (THREADS.getCurrentThreadCpuTime() - ns) / NS_PER_MS;
-      kb[run] = (THREADS.getThreadAllocatedBytes(thread) - bytes) / BYTES_PER_KB;
+      final long startBytes = THREADS.getThreadAllocatedBytes(threadId);
+      final long startNs = THREADS.getCurrentThreadCpuTime();
+      resultHash ^= System.identityHashCode(work.run());
+      cpuMs[run] = (THREADS.getCurrentThreadCpuTime() - startNs) / NS_PER_MS;
+      allocatedKb[run] = (THREADS.getThreadAllocatedBytes(threadId) - startBytes) / BYTES_PER_KB;
     }
-    if (seen == Integer.MIN_VALUE) {
+    if (resultHash == Integer.MIN_VALUE) {
       System.err.print("");
     }
     Arrays.sort(cpuMs);
-    Arrays.sort(kb);
-    return new Cost(cpuMs[runs / 2], kb[runs / 2]);
+    Arrays.sort(allocatedKb);
+    return new Cost(cpuMs[runs / 2], allocatedKb[runs / 2]);
   }
 
-  /** Heap in use once what nobody holds is gone, bytes. */
+  /** Returns the heap in use, bytes: the minimum after each of several garbage collections. */
   static long heapBytes() {
     final Runtime runtime = Runtime.getRuntime();
-    long least = Long.MAX_VALUE;
+    long minBytes = Long.MAX_VALUE;
     for (int round = 0; round < GC_ROUNDS; round++) {
       System.gc();
-      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+      minBytes = Math.min(minBytes, runtime.totalMemory() - runtime.freeMemory());
     }
-    return least;
+    return minBytes;
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/World.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/CourierWithRegistry.java
@@ -18,14 +18,14 @@
 import thistleturn.testkit.CourierFiles;
 import thistleturn.testkit.StandInWorld;
 
-/** A courier that follows a registry, in a world of its own. */
-final class World implements AutoCloseable {
-  private static final long STARTING_S = 60;
+/** A courier in this process that follows a simulated registry, with its temporary folder. */
+final class CourierWithRegistry implements AutoCloseable {
+  private static final long START_TIMEOUT_S = 60;
   private final Path folder;
   private final StandInWorld standIns;
   private CourierServer courier;
 
-  World(final long seed) throws IOException {
+  CourierWithRegistry(final long seed) throws IOException {
     this.folder = Files.createTempDirectory("thistleturn-measure");
     this.standIns = new StandInWorld(folder, seed);
   }
@@ -34,7 +34,7 @@
     return standIns;
   }
 
-  /** Starts the courier; the registry is asked at that period. */
+  /** Starts the courier, which polls the registry every {@code periodUs}. */
   void start(final long periodUs) throws IOException, ConfigurationException {
     final RegistrySettings registry =
         new RegistrySettings(
@@ -56,7 +56,7 @@
             new MembershipExtension(
                 () -> new MembershipSettings(MergeSettings.defaults(), List.of(registry), null)));
     standIns.client.setCourierAddress(
-        courier.ready().orTimeout(STARTING_S, TimeUnit.SECONDS).join());
+        courier.ready().orTimeout(START_TIMEOUT_S, TimeUnit.SECONDS).join());
   }
 
   @Override
--- a/benchmarks/src/main/java/thistleturn/benchmarks/Folders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/Folders.java
@@ -6,11 +6,11 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Folders that a measurement makes and leaves behind for nobody. */
+/** Temporary folders of a measurement. */
 public final class Folders {
   private Folders() {}
 
-  /** Deletes one with all that is in it. */
+  /** Deletes a folder and everything in it. */
   public static void delete(final Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
--- a/benchmarks/src/main/java/thistleturn/benchmarks/Main.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/Main.java
@@ -18,7 +18,7 @@
 import thistleturn.benchmarks.scale.MeasureScale;
 import thistleturn.benchmarks.scale.MeasureShards;
 
-/** {@code bin/thistleturn measure}. */
+/** Entry point of {@code bin/thistleturn measure}. */
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
@@ -47,7 +47,7 @@
 public final class Main {
   private Main() {}
 
-  /** Measures one thing. */
+  /** Runs the subcommand that the arguments name and exits with its status. */
   public static void main(final String[] args) {
     System.exit(new CommandLine(new Main()).execute(args));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureMembership.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureMembership.java
@@ -16,17 +16,18 @@
 import thistleturn.eureka.MetadataNames;
 
 /**
- * What a registry costs a courier: whole answers, deltas and what is held, beside Netflix's client.
+ * Measures what following a registry costs a courier, compared with Netflix's client: processor
+ * time, allocation and retained heap for complete responses and deltas.
  */
 @Command(
     name = "membership",
     mixinStandardHelpOptions = true,
     description =
-        "Whole answers and deltas of 1%% of 100, 1,000 and 10,000 instances, beside Netflix's own parser.")
+        "Complete responses of 100, 1,000 and 10,000 instances, deltas of 1%% of them, and Netflix's own parser.")
 final class MeasureMembership implements Callable<Integer> {
   private static final int[] SIZES = {100, 1_000, 10_000};
-  private static final long SECOND = 1_000_000;
-  private static final int RUNS = 15;
+  private static final long SECOND_US = 1_000_000;
+  private static final int MEASURED_RUNS = 15;
 
   @Override
   public Integer call() throws Exception {
@@ -37,29 +38,29 @@
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (final int size : SIZES) {
-      row(size);
+      printRow(size);
     }
     return 0;
   }
 
-  /** What the courier holds of a registry. */
-  private static final class Held {
+  /** The state that the courier keeps for one registry. */
+  private static final class RegistryState {
     private final Membership membership = new Membership(MergeSettings.defaults());
     private final EurekaAnswer.Memory memory = new EurekaAnswer.Memory();
-    private long nowUs = SECOND;
+    private long nowUs = SECOND_US;
 
-    Held() {
+    RegistryState() {
       membership.addSource(nowUs, "r", 1, false);
     }
 
-    private int take(final byte[] text, final boolean whole) throws IOException {
+    private int apply(final byte[] response, final boolean complete) throws IOException {
       final EurekaAnswer answer =
-          new EurekaAnswer(MetadataNames.standard(), new EurekaMapping(), memory, !whole);
-      answer.feed(Unpooled.wrappedBuffer(text));
+          new EurekaAnswer(MetadataNames.standard(), new EurekaMapping(), memory, !complete);
+      answer.feed(Unpooled.wrappedBuffer(response));
       answer.end();
       answer.remember(memory);
-      nowUs += SECOND;
-      if (whole) {
+      nowUs += SECOND_US;
+      if (complete) {
         membership.applySnapshot(nowUs, "r", answer.reports());
       } else {
         membership.applyChanges(nowUs, "r", answer.reports(), answer.deleted());
@@ -68,58 +69,63 @@
     }
   }
 
-  private static void row(final int size) throws Exception {
-    final byte[] whole = RegistryText.of(0, size, "UP", "UP_" + size + "_", null);
+  private static void printRow(final int size) throws Exception {
+    final byte[] complete = RegistryText.of(0, size, "UP", "UP_" + size + "_", null);
     final byte[] down = RegistryText.of(0, Math.max(1, size / 100), "DOWN", "-", "MODIFIED");
     final byte[] up = RegistryText.of(0, Math.max(1, size / 100), "UP", "-", "MODIFIED");
     final int warmUps = Math.max(30, 30_000 / size);
-    final Held held = new Held();
-    final Cost first = Cost.of(warmUps, RUNS, () -> new Held().take(whole, true));
-    final Cost ours = Cost.of(warmUps, RUNS, () -> held.take(whole, true));
+    final RegistryState state = new RegistryState();
+    final Cost firstComplete =
+        Cost.of(warmUps, MEASURED_RUNS, () -> new RegistryState().apply(complete, true));
+    final Cost repeatedComplete =
+        Cost.of(warmUps, MEASURED_RUNS, () -> state.apply(complete, true));
     final boolean[] isDown = new boolean[1];
     final Cost delta =
         Cost.of(
             warmUps * 10,
-            RUNS,
+            MEASURED_RUNS,
             () -> {
               isDown[0] = !isDown[0];
-              return held.take(isDown[0] ? down : up, false);
+              return state.apply(isDown[0] ? down : up, false);
             });
-    final DecoderWrapper codec = CodecWrappers.getCodec(CodecWrappers.JacksonJson.class);
-    final Cost theirs =
+    final DecoderWrapper netflixDecoder = CodecWrappers.getCodec(CodecWrappers.JacksonJson.class);
+    final Cost netflix =
         Cost.of(
-            warmUps, RUNS, () -> codec.decode(new ByteArrayInputStream(whole), Applications.class));
-    final long before = Cost.heapBytes();
-    final Held fresh = new Held();
-    fresh.take(whole, true);
-    final long between = Cost.heapBytes();
+            warmUps,
+            MEASURED_RUNS,
+            () -> netflixDecoder.decode(new ByteArrayInputStream(complete), Applications.class));
+    final long initialHeap = Cost.heapBytes();
+    final RegistryState retainedState = new RegistryState();
+    retainedState.apply(complete, true);
+    final long heapWithRegistryState = Cost.heapBytes();
     final Applications applications =
-        codec.decode(new ByteArrayInputStream(whole), Applications.class);
-    final long after = Cost.heapBytes();
-    if (fresh.membership.endpoints().size() != size || applications.size() != size) {
-      throw new IllegalStateException("the answer was not read whole");
+        netflixDecoder.decode(new ByteArrayInputStream(complete), Applications.class);
+    final long heapWithBoth = Cost.heapBytes();
+    if (retainedState.membership.endpoints().size() != size || applications.size() != size) {
+      throw new IllegalStateException(
+          "the number of parsed instances differs from the number in the response");
     }
-    final double ourHeap = (double) (between - before) / size;
-    final double theirHeap = (double) (after - between) / size;
+    final double courierHeapPerInstance = (double) (heapWithRegistryState - initialHeap) / size;
+    final double netflixHeapPerInstance = (double) (heapWithBoth - heapWithRegistryState) / size;
     System.out.println(
         String.format(
             Locale.ROOT,
             "| %,d | %,d | %.2f | %,.0f | %.2f | %,.0f | %.0f | %.3f | %,.0f | %.2f | %,.0f | %.0f | %.2f | %.2f "
                 + "| %.2f |",
             size,
-            whole.length / 1024,
-            first.cpuMs(),
-            first.allocatedKb(),
-            ours.cpuMs(),
-            ours.allocatedKb(),
-            ourHeap,
+            complete.length / 1024,
+            firstComplete.cpuMs(),
+            firstComplete.allocatedKb(),
+            repeatedComplete.cpuMs(),
+            repeatedComplete.allocatedKb(),
+            courierHeapPerInstance,
             delta.cpuMs(),
             delta.allocatedKb(),
-            theirs.cpuMs(),
-            theirs.allocatedKb(),
-            theirHeap,
-            first.cpuMs() / theirs.cpuMs(),
-            ours.cpuMs() / theirs.cpuMs(),
-            ourHeap / theirHeap));
+            netflix.cpuMs(),
+            netflix.allocatedKb(),
+            netflixHeapPerInstance,
+            firstComplete.cpuMs() / netflix.cpuMs(),
+            repeatedComplete.cpuMs() / netflix.cpuMs(),
+            courierHeapPerInstance / netflixHeapPerInstance));
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/MeasureOutage.java
@@ -15,13 +15,13 @@
 import thistleturn.testkit.StandInWorld;
 import thistleturn.testkit.Violation;
 
-/** Service through each kind of outage of the registry, beside a run without one. */
+/** Measures delivery during each kind of registry outage, compared with a run without one. */
 @Command(
     name = "outage",
     mixinStandardHelpOptions = true,
     description =
-        "Service through each kind of outage of the "
-            + "registry, beside a run without one: every endpoint is known by the registry alone.")
+        "Delivery during each kind of registry outage, compared with a run without one; "
+            + "the registry is the only source of endpoints.")
 final class MeasureOutage implements Callable<Integer> {
   private static final long TIMEOUT_MS = 3000;
   private static final double RATE = 200;
@@ -30,7 +30,7 @@
   @Option(
       names = "--seconds",
       defaultValue = "6",
-      description = "of outage, each; ${DEFAULT-VALUE} unless told")
+      description = "duration of each outage; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Override
@@ -38,31 +38,31 @@
     System.out.println(
         "| outage | handed in | delivered | share | endpoints up at the end | rules broken |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    int broken = row("none (sound registry)", world -> {});
-    broken += row("unreachable", world -> world.registry.server().down());
-    broken += row("restarted, empty", world -> world.registry.restart());
+    int violationCount = measure("none (sound registry)", world -> {});
+    violationCount += measure("unreachable", world -> world.registry.server().down());
+    violationCount += measure("restarted, empty", world -> world.registry.restart());
     for (final Fault fault : Fault.values()) {
       if (fault != Fault.NONE) {
-        broken +=
-            row(
+        violationCount +=
+            measure(
                 fault.name().toLowerCase(Locale.ROOT).replace('_', ' '),
                 world -> world.registry.setFault(fault));
       }
     }
-    return broken == 0 ? 0 : 1;
+    return violationCount == 0 ? 0 : 1;
   }
 
-  /** What befalls the registry. */
+  /** Starts an outage of the registry. */
   @FunctionalInterface
   private interface Outage {
-    /** Begins it. */
+    /** Starts the outage. */
     void begin(StandInWorld world);
   }
 
-  private int row(final String name, final Outage outage)
+  private int measure(final String name, final Outage outage)
       throws IOException, ConfigurationException {
-    try (World world = new World(1)) {
-      final StandInWorld standIns = world.standIns();
+    try (CourierWithRegistry courier = new CourierWithRegistry(1)) {
+      final StandInWorld standIns = courier.standIns();
       final StandInEndpoint[] endpoints = new StandInEndpoint[4];
       for (int index = 0; index < endpoints.length; index++) {
         endpoints[index] = standIns.endpoint(1 + index / 2);
@@ -71,43 +71,45 @@
             StandInRegistry.endpoint(
                 "heat", "i" + index, endpoints[index].port(), 1 + index / 2, "UP"));
       }
-      world.start(PERIOD_US);
+      courier.start(PERIOD_US);
       standIns.startLoad(RATE, TIMEOUT_MS, 1, 2);
       standIns.await(
-          "calls everywhere", () -> List.of(endpoints).stream().allMatch(one -> one.calls() > 10));
+          "more than 10 calls to each endpoint",
+          () -> List.of(endpoints).stream().allMatch(endpoint -> endpoint.calls() > 10));
       outage.begin(standIns);
-      final long untilUs = standIns.clock.nowUs() + seconds * 1_000_000L;
-      final long[] calls = new long[endpoints.length];
-      standIns.await("the half of it", () -> standIns.clock.nowUs() > untilUs - seconds * 500_000L);
+      final long outageEndUs = standIns.clock.nowUs() + seconds * 1_000_000L;
+      final long[] callsAtHalf = new long[endpoints.length];
+      standIns.await(
+          "half of the outage", () -> standIns.clock.nowUs() > outageEndUs - seconds * 500_000L);
       for (int index = 0; index < endpoints.length; index++) {
-        calls[index] = endpoints[index].calls();
+        callsAtHalf[index] = endpoints[index].calls();
       }
-      standIns.await("the end of it", () -> standIns.clock.nowUs() > untilUs);
+      standIns.await("the end of the outage", () -> standIns.clock.nowUs() > outageEndUs);
       long up = 0;
       for (int index = 0; index < endpoints.length; index++) {
-        up += endpoints[index].calls() > calls[index] ? 1 : 0;
+        up += endpoints[index].calls() > callsAtHalf[index] ? 1 : 0;
       }
-      final List<Violation> broken = standIns.stopLoadAndCheck();
-      final Map<String, Integer> after = standIns.ruleChecker.outcomeCounts();
-      // The whole run counts, from before the outage on: what was open when it began belongs to it.
-      final int handed = sum(after);
-      final int delivered = after.getOrDefault("delivered", 0);
+      final List<Violation> violations = standIns.stopLoadAndCheck();
+      final Map<String, Integer> outcomeCounts = standIns.ruleChecker.outcomeCounts();
+      // Counts the complete run: messages pending when the outage began are affected by it too.
+      final int messages = sum(outcomeCounts);
+      final int delivered = outcomeCounts.getOrDefault("delivered", 0);
       System.out.println(
           String.format(
               Locale.ROOT,
               "| %s | %,d | %,d | %.4f | %d of %d | %d |",
               name,
-              handed,
+              messages,
               delivered,
-              (double) delivered / handed,
+              (double) delivered / messages,
               up,
               endpoints.length,
-              broken.size()));
-      return broken.size();
+              violations.size()));
+      return violations.size();
     }
   }
 
-  private static int sum(final Map<String, Integer> ends) {
-    return ends.values().stream().mapToInt(Integer::intValue).sum();
+  private static int sum(final Map<String, Integer> outcomeCounts) {
+    return outcomeCounts.values().stream().mapToInt(Integer::intValue).sum();
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/RegistryText.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/RegistryText.java
@@ -6,13 +6,17 @@
 import java.nio.charset.StandardCharsets;
 import thistleturn.testkit.StandInRegistry;
 
-/** A registry's answers of a given size. */
+/** Generates registry responses of a given size. */
 final class RegistryText {
   private static final int INSTANCES_PER_APP = 20;
 
   private RegistryText() {}
 
-  /** Instances from one number to another, all of status; {@code action} for a delta, or null. */
+  /**
+   * Returns a response that lists the instances numbered {@code from} up to but excluding {@code
+   * to}, all with the same status; {@code action} is their action in a delta, or null in a complete
+   * response.
+   */
   static byte[] of(
       final int from, final int to, final String status, final String hash, final String action) {
     final ObjectNode root = new ObjectMapper().createObjectNode();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -17,49 +17,52 @@
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
- * Goodput and calls of fleets of several sizes, with and without sharing, by the same seeds in
- * virtual time.
+ * Measures goodput and calls of simulated fleets of several sizes, with and without rate sharing,
+ * for the same seeds in virtual time.
  */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
     description =
-        "Worth delivered, calls, refusals, handshakes and "
-            + "list calls of fleets in virtual time: the decisions as they are, and without sharing, by the same seeds.")
+        "Delivered value, calls, rejections, handshakes and list calls of simulated "
+            + "fleets in virtual time: the current controller and one without rate sharing, for the same seeds.")
 public final class MeasureFleet implements Callable<Integer> {
   @Option(
       names = "--seeds",
       defaultValue = "30",
-      description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
+      description = "scenarios per row, at least 2; default: ${DEFAULT-VALUE}")
   private int seeds;
 
   @Option(
       names = "--couriers",
       split = ",",
       defaultValue = "1,2,8,14,50",
-      description = "sizes; ${DEFAULT-VALUE} unless told")
+      description = "fleet sizes; default: ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
-  @Option(names = "--trouble", description = "${COMPLETION-CANDIDATES}; all of them unless told")
-  private FleetDay.Trouble only;
+  @Option(
+      names = "--trouble",
+      description = "one of ${COMPLETION-CANDIDATES}; default: all but the faults of couriers")
+  private FleetDay.Trouble onlyTrouble;
 
   @Option(
       names = "--thin",
-      description = "days on which each courier sees little, and couriers differ by ten in load")
+      description = "scenarios with little traffic per courier, whose load differs up to tenfold")
   private boolean thin;
 
   @Option(
       names = "--strict",
       description =
-          "against couriers that keep to even parts strictly, in place of such that share nothing")
+          "compares with couriers that strictly observe equal rate shares, not with ones that share nothing")
   private boolean strict;
 
-  private int broken;
+  private int violationCount;
 
   @Override
   public Integer call() {
     if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
-      System.err.println("measure fleet: --seeds is 2 at least, and each of --couriers 1 at least");
+      System.err.println(
+          "measure fleet: --seeds must be at least 2 and each of --couriers at least 1");
       return 2;
     }
     System.out.println(
@@ -68,15 +71,15 @@
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (final FleetDay.Trouble trouble :
-        only == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {only}) {
-      if (only != null || !trouble.isOwn()) {
-        sizes.forEach(size -> row(trouble, size));
+        onlyTrouble == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {onlyTrouble}) {
+      if (onlyTrouble != null || !trouble.isOwn()) {
+        sizes.forEach(size -> printRow(trouble, size));
       }
     }
-    return broken == 0 ? 0 : 1;
+    return violationCount == 0 ? 0 : 1;
   }
 
-  private void row(final FleetDay.Trouble trouble, final int size) {
+  private void printRow(final FleetDay.Trouble trouble, final int size) {
     final List<FleetTally> with = play(trouble, size, OverloadController::new);
     final List<FleetTally> without =
         play(
@@ -99,13 +102,13 @@
             goodput.halfWidth(),
             mean(with, FleetTally::callsAMessage),
             mean(without, FleetTally::callsAMessage),
-            share(with, Count.REFUSED_CALLS),
-            share(without, Count.REFUSED_CALLS),
-            share(with, Count.REFUSED_MESSAGES),
-            share(without, Count.REFUSED_MESSAGES),
-            share(with, Count.HANDSHAKES),
-            share(without, Count.HANDSHAKES),
-            share(with, Count.LIST_CALLS),
+            perMessage(with, Count.REFUSED_CALLS),
+            perMessage(without, Count.REFUSED_CALLS),
+            perMessage(with, Count.REFUSED_MESSAGES),
+            perMessage(without, Count.REFUSED_MESSAGES),
+            perMessage(with, Count.HANDSHAKES),
+            perMessage(without, Count.HANDSHAKES),
+            perMessage(with, Count.LIST_CALLS),
             mean(with, tally -> tally.mostIn100Ms(Count.CALLS)),
             mean(without, tally -> tally.mostIn100Ms(Count.CALLS))));
   }
@@ -125,8 +128,10 @@
                         maker))
             .toList();
     for (final FleetTally tally : tallies) {
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+      violationCount += tally.broken().size();
+      tally.broken().stream()
+          .limit(3)
+          .forEach(violation -> System.out.println("BROKEN: " + violation));
     }
     return tallies;
   }
@@ -136,11 +141,11 @@
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
-  /** Of each message handed in. */
-  private static String share(final List<FleetTally> tallies, final Count what) {
+  /** Returns the mean of a count per message submitted. */
+  private static String perMessage(final List<FleetTally> tallies, final Count count) {
     return String.format(
         Locale.ROOT,
         "%.3f",
-        mean(tallies, tally -> (double) tally.total(what) / Math.max(1, tally.handed())));
+        mean(tallies, tally -> (double) tally.total(count) / Math.max(1, tally.handed())));
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -19,40 +19,43 @@
 import thistleturn.lab.fleet.Sharing;
 import thistleturn.lab.fleet.VirtualFleet;
 
-/** What sharing is worth: the same days without, by copies, and by one perfect memory. */
+/**
+ * Measures the benefit of sharing state among couriers: the same scenarios without sharing, with
+ * replicas over a lossy network, and with one ideal memory common to all.
+ */
 @Command(
     name = "sharing",
     mixinStandardHelpOptions = true,
     description =
-        "Virtual fleets that share what they are told and have learnt, paired with such that share nothing.")
+        "Simulated fleets that share requested waits, outages and learned rates, paired by seed with fleets that share nothing.")
 public final class MeasureSharing implements Callable<Integer> {
   @Option(
       names = "--seeds",
       defaultValue = "30",
-      description = "days a row; ${DEFAULT-VALUE} unless told")
+      description = "scenarios per row; default: ${DEFAULT-VALUE}")
   private int seeds;
 
   @Option(
       names = "--couriers",
       split = ",",
       defaultValue = "14,100",
-      description = "sizes; ${DEFAULT-VALUE} unless told")
+      description = "fleet sizes; default: ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   @Option(
       names = "--troubles",
       split = ",",
       defaultValue = "JOIN,ZONE,HERD,CRASHES",
-      description = "${DEFAULT-VALUE} unless told")
+      description = "default: ${DEFAULT-VALUE}")
   private List<FleetDay.Trouble> troubles;
 
   @Option(
       names = "--kinds",
       split = ",",
-      description = "only these; else each alone, and all together")
-  private List<EntryType> only;
+      description = "measures only this set of entry types; default: each alone, and all together")
+  private List<EntryType> onlyTypes;
 
-  private int broken;
+  private int violationCount;
 
   @Override
   public Integer call() {
@@ -64,30 +67,31 @@
     for (final FleetDay.Trouble trouble : troubles) {
       for (final int size : sizes) {
         final List<FleetTally> without = play(trouble, size, Sharing.NOTHING);
-        for (final Set<EntryType> kinds :
-            only != null
-                ? List.<Set<EntryType>>of(EnumSet.copyOf(only))
+        for (final Set<EntryType> entryTypes :
+            onlyTypes != null
+                ? List.<Set<EntryType>>of(EnumSet.copyOf(onlyTypes))
                 : List.<Set<EntryType>>of(
                     EnumSet.of(EntryType.WAIT),
                     EnumSet.of(EntryType.OUTAGE),
                     EnumSet.of(EntryType.LEARNT),
                     EnumSet.of(EntryType.WAIT, EntryType.OUTAGE, EntryType.LEARNT))) {
-          row(trouble, size, kinds, without);
+          printRow(trouble, size, entryTypes, without);
         }
       }
     }
-    return broken == 0 ? 0 : 1;
+    return violationCount == 0 ? 0 : 1;
   }
 
-  private void row(
+  private void printRow(
       final FleetDay.Trouble trouble,
       final int size,
-      final Set<EntryType> kinds,
+      final Set<EntryType> entryTypes,
       final List<FleetTally> without) {
-    final List<FleetTally> copies = play(trouble, size, Sharing.byCopies(kinds, 0.05));
-    final List<FleetTally> perfect = play(trouble, size, Sharing.perfectly(kinds));
-    final PairedDifference byCopies = PairedDifference.of(copies, without, FleetTally::goodput);
-    final PairedDifference byOne = PairedDifference.of(perfect, without, FleetTally::goodput);
+    final List<FleetTally> replicated = play(trouble, size, Sharing.byCopies(entryTypes, 0.05));
+    final List<FleetTally> ideal = play(trouble, size, Sharing.perfectly(entryTypes));
+    final PairedDifference replicationGain =
+        PairedDifference.of(replicated, without, FleetTally::goodput);
+    final PairedDifference idealGain = PairedDifference.of(ideal, without, FleetTally::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -95,20 +99,20 @@
                 + "| %.4f | %.0f | %.0f |",
             trouble.name().toLowerCase(Locale.ROOT),
             size,
-            kinds.toString().toLowerCase(Locale.ROOT),
+            entryTypes.toString().toLowerCase(Locale.ROOT),
             mean(without, FleetTally::goodput),
-            mean(copies, FleetTally::goodput),
-            byCopies.mean(),
-            byCopies.halfWidth(),
-            mean(perfect, FleetTally::goodput),
-            byOne.mean(),
-            byOne.halfWidth(),
+            mean(replicated, FleetTally::goodput),
+            replicationGain.mean(),
+            replicationGain.halfWidth(),
+            mean(ideal, FleetTally::goodput),
+            idealGain.mean(),
+            idealGain.halfWidth(),
             mean(without, FleetTally::callsAMessage),
-            mean(copies, FleetTally::callsAMessage),
-            refused(without),
-            refused(copies),
+            mean(replicated, FleetTally::callsAMessage),
+            rejectedCallsPerMessage(without),
+            rejectedCallsPerMessage(replicated),
             mean(without, tally -> tally.mostIn100Ms(Count.CALLS)),
-            mean(copies, tally -> tally.mostIn100Ms(Count.CALLS))));
+            mean(replicated, tally -> tally.mostIn100Ms(Count.CALLS))));
   }
 
   private List<FleetTally> play(
@@ -128,8 +132,10 @@
                         sharing))
             .toList();
     for (final FleetTally tally : tallies) {
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+      violationCount += tally.broken().size();
+      tally.broken().stream()
+          .limit(3)
+          .forEach(violation -> System.out.println("BROKEN: " + violation));
     }
     return tallies;
   }
@@ -139,7 +145,7 @@
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
-  private static double refused(final List<FleetTally> tallies) {
+  private static double rejectedCallsPerMessage(final List<FleetTally> tallies) {
     return mean(
         tallies, tally -> (double) tally.total(Count.REFUSED_CALLS) / Math.max(1, tally.handed()));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** What a fleet of many couriers does to partners that all of them share. */
+/** Measures the load that a fleet of couriers puts on the destinations they share. */
 package thistleturn.benchmarks.fleet;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -17,16 +17,17 @@
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
- * Goodput under trouble that does not answer to load, and under limits that do; in virtual time.
+ * Measures goodput under faults that do not depend on load, and under capacity limits, in virtual
+ * time.
  */
 @Command(
     name = "noise",
     mixinStandardHelpOptions = true,
     description =
-        "Goodput under random trouble and under true "
-            + "limits, in virtual time: the decisions as they are, without reading, and plain senders, by the same seeds.")
+        "Goodput under random faults and under capacity limits, in virtual time: the current "
+            + "controller, the one without fault classification, and simple senders, for the same seeds.")
 public final class MeasureNoise implements Callable<Integer> {
-  /** A table of the page. */
+  /** A table of the measurement; the names are values of {@code --part}. */
   enum Part {
     TROUBLES,
     LIMITS,
@@ -35,158 +36,174 @@
     KILLS
   }
 
-  @Option(names = "--part", description = "${COMPLETION-CANDIDATES}; all of them unless told")
+  @Option(names = "--part", description = "one of ${COMPLETION-CANDIDATES}; default: all")
   private Part part;
 
   @Option(
       names = "--seeds",
       defaultValue = "3",
-      description = "evenings a row; ${DEFAULT-VALUE} unless told")
+      description = "scenarios per row; default: ${DEFAULT-VALUE}")
   private int seeds;
 
   @Option(
       names = "--seconds",
       defaultValue = "25",
-      description = "length of one; ${DEFAULT-VALUE} unless told")
+      description = "length of a scenario; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Option(
       names = "--returns",
       defaultValue = "10000",
-      description = "seeded evenings; ${DEFAULT-VALUE} unless told")
+      description = "returning destinations per row, two per scenario; default: ${DEFAULT-VALUE}")
   private int returns;
 
-  private int broken;
+  private int violationCount;
 
   @Override
   public Integer call() {
     if (part == null || part == Part.TROUBLES) {
-      troubles();
+      printFaults();
     }
     if (part == null || part == Part.LIMITS) {
-      limits();
+      printLimits();
     }
     if (part == null || part == Part.STORM) {
-      storm();
+      printStorm();
     }
     if (part == null || part == Part.RETURNS) {
-      returns();
+      printReturns();
     }
     if (part == null || part == Part.KILLS) {
-      kills();
+      printKills();
     }
-    return broken == 0 ? 0 : 1;
+    return violationCount == 0 ? 0 : 1;
   }
 
-  private void kills() {
+  private void printKills() {
     System.out.println(
         "| trouble | lives | what was learnt | delivered | ms to the earlier rate, p50 | p99 |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    for (final Map.Entry<String, double[]> trouble : Worlds.killed().entrySet()) {
-      for (final Map.Entry<String, long[]> lives : Worlds.lives().entrySet()) {
-        for (final boolean remembers : new boolean[] {false, true}) {
-          final CrashSchedule kills =
+    for (final Map.Entry<String, double[]> faultShares :
+        NoiseScenarios.faultsWithKills().entrySet()) {
+      for (final Map.Entry<String, long[]> lifetimes : NoiseScenarios.lifetimes().entrySet()) {
+        for (final boolean keepsLearnedState : new boolean[] {false, true}) {
+          final CrashSchedule crashSchedule =
               new CrashSchedule(
-                  40, lives.getValue()[0], lives.getValue()[1], Worlds.START_US, remembers);
+                  40,
+                  lifetimes.getValue()[0],
+                  lifetimes.getValue()[1],
+                  NoiseScenarios.RESTART_US,
+                  keepsLearnedState);
           final List<ScenarioStatistics> tallies =
               play(
-                  () -> Worlds.troubled(trouble.getValue(), 62 * Worlds.SECOND_US, false),
-                  kills,
+                  () ->
+                      NoiseScenarios.withFaults(
+                          faultShares.getValue(), 62 * NoiseScenarios.SECOND_US, false),
+                  crashSchedule,
                   OverloadController::new);
-          final List<Long> times =
+          final List<Long> recoveryTimesUs =
               tallies.stream()
-                  .flatMap(tally -> tally.untilRateUs(0.9 * Worlds.PER_SECOND, 200_000).stream())
+                  .flatMap(
+                      tally ->
+                          tally
+                              .untilRateUs(0.9 * NoiseScenarios.MESSAGES_PER_SECOND, 200_000)
+                              .stream())
                   .sorted()
                   .toList();
           System.out.println(
               "| "
-                  + trouble.getKey()
+                  + faultShares.getKey()
                   + " | "
-                  + lives.getKey()
+                  + lifetimes.getKey()
                   + " | "
-                  + (remembers ? "taken up" : "begun anew")
+                  + (keepsLearnedState ? "taken up" : "begun anew")
                   + " | "
-                  + spread(tallies, ScenarioStatistics::goodput)
+                  + range(tallies, ScenarioStatistics::goodput)
                   + " | "
-                  + times.get(times.size() / 2) / 1000
+                  + recoveryTimesUs.get(recoveryTimesUs.size() / 2) / 1000
                   + " | "
-                  + times.get(times.size() * 99 / 100) / 1000
+                  + recoveryTimesUs.get(recoveryTimesUs.size() * 99 / 100) / 1000
                   + " |");
         }
       }
     }
   }
 
-  /** The heading holds a plain per cent sign, no format. */
+  /** The per cent sign in the heading is text, not a format specifier. */
   @SuppressWarnings("OrphanedFormatString")
-  private void storm() {
+  private void printStorm() {
     System.out.println(
         "| messages a second | sender | calls a second before | in the storm, most | seconds after it "
             + "until 99% are delivered |");
     System.out.println("| --- | --- | --- | --- | --- |");
-    for (final double perSecond : new double[] {40, 400}) {
+    for (final double messagesPerSecond : new double[] {40, 400}) {
       Senders.all()
           .forEach(
               (name, maker) -> {
-                final List<ScenarioStatistics> tallies = play(() -> Worlds.storm(perSecond), maker);
+                final List<ScenarioStatistics> tallies =
+                    play(() -> NoiseScenarios.storm(messagesPerSecond), maker);
                 System.out.println(
                     "| "
-                        + (int) perSecond
+                        + (int) messagesPerSecond
                         + " | "
                         + name
                         + " | "
-                        + spread(
+                        + range(
                             tallies,
                             tally ->
-                                tally.seconds().subList(5, Worlds.STORM_FROM_S).stream()
+                                tally.seconds().subList(5, NoiseScenarios.STORM_FROM_S).stream()
                                     .mapToInt(ScenarioStatistics.Second::calls)
                                     .average()
                                     .orElse(0))
                         + " | "
-                        + spread(
+                        + range(
                             tallies,
                             tally ->
                                 tally
                                     .seconds()
-                                    .subList(Worlds.STORM_FROM_S + 2, Worlds.STORM_TO_S - 1)
+                                    .subList(
+                                        NoiseScenarios.STORM_FROM_S + 2,
+                                        NoiseScenarios.STORM_TO_S - 1)
                                     .stream()
                                     .mapToInt(ScenarioStatistics.Second::calls)
                                     .max()
                                     .orElse(0))
                         + " | "
-                        + spread(tallies, MeasureNoise::secondsUntilServed)
+                        + range(tallies, MeasureNoise::secondsUntilServed)
                         + " |");
               });
     }
   }
 
+  /** Returns the seconds from the end of the storm until 99% of messages are delivered. */
   private static double secondsUntilServed(final ScenarioStatistics tally) {
     int second = tally.seconds().size() - 1;
-    while (second > Worlds.STORM_TO_S
-        && (second >= Worlds.STORM_EVENING_S
+    while (second > NoiseScenarios.STORM_TO_S
+        && (second >= NoiseScenarios.STORM_SCENARIO_S
             || tally.seconds().get(second - 1).delivered()
                 >= 0.99 * tally.seconds().get(second - 1).handed())) {
       second--;
     }
-    return second - Worlds.STORM_TO_S;
+    return second - NoiseScenarios.STORM_TO_S;
   }
 
-  private void returns() {
+  private void printReturns() {
     System.out.println("| sender | noise | returns | pushed over | rules broken | delivered |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (final double noise : new double[] {0, 0.05}) {
       Senders.all()
           .forEach(
               (name, maker) -> {
-                final List<SlowStartModel> all = new ArrayList<>();
-                final int before = broken;
-                final long plays = returns / 2;
+                final List<SlowStartModel> models = new ArrayList<>();
+                final int violationsBefore = violationCount;
+                final long scenarioCount = returns / 2;
                 double goodput = 0;
-                for (long seed = 1; seed <= plays; seed++) {
+                for (long seed = 1; seed <= scenarioCount; seed++) {
                   final ScenarioStatistics tally =
-                      VirtualCourier.play(Worlds.returns(seed, all, noise), seed, maker);
-                  broken += tally.broken().size();
-                  goodput += tally.goodput() / plays;
+                      VirtualCourier.play(
+                          NoiseScenarios.slowStarts(seed, models, noise), seed, maker);
+                  violationCount += tally.broken().size();
+                  goodput += tally.goodput() / scenarioCount;
                   if (seed % 1000 == 0) {
                     System.err.println(name + ": " + 2 * seed + " of " + returns + " returns");
                   }
@@ -197,96 +214,104 @@
                         "| %s | %.0f%% | %,d | %d | %d | %.3f |",
                         name,
                         100 * noise,
-                        all.size(),
-                        all.stream().filter(SlowStartModel::isFallen).count(),
-                        broken - before,
+                        models.size(),
+                        models.stream().filter(SlowStartModel::isFallen).count(),
+                        violationCount - violationsBefore,
                         goodput));
               });
     }
   }
 
   private List<ScenarioStatistics> play(
-      final Supplier<Scenario> evening, final VirtualCourier.Maker maker) {
-    return play(evening, CrashSchedule.NONE, maker);
+      final Supplier<Scenario> scenario, final VirtualCourier.Maker maker) {
+    return play(scenario, CrashSchedule.NONE, maker);
   }
 
   private List<ScenarioStatistics> play(
-      final Supplier<Scenario> evening,
-      final CrashSchedule kills,
+      final Supplier<Scenario> scenario,
+      final CrashSchedule crashSchedule,
       final VirtualCourier.Maker maker) {
     final List<ScenarioStatistics> tallies = new ArrayList<>();
     for (long seed = 1; seed <= seeds; seed++) {
-      final ScenarioStatistics tally = VirtualCourier.play(evening.get(), kills, seed, maker);
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+      final ScenarioStatistics tally =
+          VirtualCourier.play(scenario.get(), crashSchedule, seed, maker);
+      violationCount += tally.broken().size();
+      tally.broken().stream()
+          .limit(3)
+          .forEach(violation -> System.out.println("BROKEN: " + violation));
       tallies.add(tally);
     }
     return tallies;
   }
 
-  private static String spread(
+  private static String range(
       final List<ScenarioStatistics> tallies, final ToDoubleFunction<ScenarioStatistics> figure) {
-    final double least = tallies.stream().mapToDouble(figure).min().orElse(0);
-    final double most = tallies.stream().mapToDouble(figure).max().orElse(0);
-    return most - least < 0.0005
-        ? String.format(Locale.ROOT, "%.3f", least)
-        : String.format(Locale.ROOT, "%.3f to %.3f", least, most);
+    final double min = tallies.stream().mapToDouble(figure).min().orElse(0);
+    final double max = tallies.stream().mapToDouble(figure).max().orElse(0);
+    return max - min < 0.0005
+        ? String.format(Locale.ROOT, "%.3f", min)
+        : String.format(Locale.ROOT, "%.3f to %.3f", min, max);
   }
 
-  private void troubles() {
+  private void printFaults() {
     System.out.println(
         "| trouble | rates told | sender | delivered | calls a message | refused calls a message |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    for (final boolean told : new boolean[] {false, true}) {
-      for (final Map.Entry<String, double[]> trouble : Worlds.troubles().entrySet()) {
+    for (final boolean ratesConfigured : new boolean[] {false, true}) {
+      for (final Map.Entry<String, double[]> faultShares : NoiseScenarios.faults().entrySet()) {
         Senders.all()
             .forEach(
                 (name, maker) -> {
                   final List<ScenarioStatistics> tallies =
                       play(
                           () ->
-                              Worlds.troubled(trouble.getValue(), seconds * Worlds.SECOND_US, told),
+                              NoiseScenarios.withFaults(
+                                  faultShares.getValue(),
+                                  seconds * NoiseScenarios.SECOND_US,
+                                  ratesConfigured),
                           maker);
                   System.out.println(
                       "| "
-                          + trouble.getKey()
+                          + faultShares.getKey()
                           + " | "
-                          + (told ? "yes" : "no")
+                          + (ratesConfigured ? "yes" : "no")
                           + " | "
                           + name
                           + " | "
-                          + spread(tallies, ScenarioStatistics::goodput)
+                          + range(tallies, ScenarioStatistics::goodput)
                           + " | "
-                          + spread(tallies, ScenarioStatistics::callsAMessage)
+                          + range(tallies, ScenarioStatistics::callsAMessage)
                           + " | "
-                          + spread(tallies, ScenarioStatistics::refusedAMessage)
+                          + range(tallies, ScenarioStatistics::refusedAMessage)
                           + " |");
                 });
       }
     }
   }
 
-  private void limits() {
+  private void printLimits() {
     System.out.println("| limit | sender | delivered, of capacity | refused calls a message |");
     System.out.println("| --- | --- | --- | --- |");
-    Worlds.limits(seconds * Worlds.SECOND_US)
+    NoiseScenarios.limits(seconds * NoiseScenarios.SECOND_US)
         .forEach(
-            (world, evening) ->
+            (limit, scenario) ->
                 Senders.all()
                     .forEach(
                         (name, maker) -> {
-                          final List<ScenarioStatistics> tallies = play(evening, maker);
+                          final List<ScenarioStatistics> tallies = play(scenario, maker);
                           System.out.println(
                               "| "
-                                  + world
+                                  + limit
                                   + " | "
                                   + name
                                   + " | "
-                                  + spread(
+                                  + range(
                                       tallies,
-                                      tally -> tally.delivered() / (3 * Worlds.CAPACITY * seconds))
+                                      tally ->
+                                          tally.delivered()
+                                              / (3 * NoiseScenarios.CAPACITY * seconds))
                                   + " | "
-                                  + spread(tallies, ScenarioStatistics::refusedAMessage)
+                                  + range(tallies, ScenarioStatistics::refusedAMessage)
                                   + " |");
                         }));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
@@ -7,19 +7,20 @@
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
- * Who is compared: the decisions as they are, as they were before they read their refusals, and two
- * plain senders.
+ * The compared senders: the current controller, the controller without classification of rejections
+ * and failures, and two simple senders.
  */
 final class Senders {
   private Senders() {}
 
+  /** Returns the senders by the name that the tables show, in the order of their rows. */
   static Map<String, VirtualCourier.Maker> all() {
-    final Map<String, VirtualCourier.Maker> all = new LinkedHashMap<>();
-    all.put("thistleturn", OverloadController::new);
-    all.put("without reading", OverloadController::withoutFaultClassification);
-    all.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
-    all.put(
+    final Map<String, VirtualCourier.Maker> senders = new LinkedHashMap<>();
+    senders.put("thistleturn", OverloadController::new);
+    senders.put("without reading", OverloadController::withoutFaultClassification);
+    senders.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
+    senders.put(
         "fixed window", (settings, seed, actions) -> SimpleSender.fixedWindow(settings, actions));
-    return all;
+    return senders;
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures how rejections that do not answer to load are told apart from overload, against plain
- * senders.
+ * Measures how well the controller distinguishes rejections that do not depend on load from
+ * overload, compared with simple senders.
  */
 package thistleturn.benchmarks.noise;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The programs behind {@code bin/thistleturn measure}: each prints one table of {@code
- * docs/measurements}. Other products are dependencies here only.
+ * The commands of {@code bin/thistleturn measure}: each prints the tables of one page of {@code
+ * docs/measurements}. Only this module depends on other products, for comparison.
  */
 package thistleturn.benchmarks;
