--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -83,46 +83,35 @@
     System.out.println(
         "| trouble | lives | what was learnt | delivered | ms to the earlier rate, p50 | p99 |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    for (final Map.Entry<String, double[]> faultShares :
-        NoiseScenarios.faultsWithKills().entrySet()) {
-      for (final Map.Entry<String, long[]> lifetimes : NoiseScenarios.lifetimes().entrySet()) {
-        for (final boolean keepsLearnedState : new boolean[] {false, true}) {
-          final CrashSchedule crashSchedule =
+    for (final Map.Entry<String, double[]> fault : Scenarios.faultsWithKills().entrySet()) {
+      for (final Map.Entry<String, long[]> bounds : Scenarios.lifetimes().entrySet()) {
+        for (final boolean restores : new boolean[] {false, true}) {
+          final CrashSchedule crashes =
               new CrashSchedule(
-                  40,
-                  lifetimes.getValue()[0],
-                  lifetimes.getValue()[1],
-                  NoiseScenarios.RESTART_US,
-                  keepsLearnedState);
+                  40, bounds.getValue()[0], bounds.getValue()[1], Scenarios.RESTART_US, restores);
           final List<ScenarioStatistics> tallies =
               play(
-                  () ->
-                      NoiseScenarios.withFaults(
-                          faultShares.getValue(), 62 * NoiseScenarios.SECOND_US, false),
-                  crashSchedule,
+                  () -> Scenarios.withFaults(fault.getValue(), 62 * Scenarios.SECOND_US, false),
+                  crashes,
                   OverloadController::new);
-          final List<Long> recoveryTimesUs =
+          final List<Long> timesUs =
               tallies.stream()
-                  .flatMap(
-                      tally ->
-                          tally
-                              .untilRateUs(0.9 * NoiseScenarios.MESSAGES_PER_SECOND, 200_000)
-                              .stream())
+                  .flatMap(tally -> tally.untilRateUs(0.9 * Scenarios.RATE, 200_000).stream())
                   .sorted()
                   .toList();
           System.out.println(
               "| "
-                  + faultShares.getKey()
+                  + fault.getKey()
                   + " | "
-                  + lifetimes.getKey()
+                  + bounds.getKey()
                   + " | "
-                  + (keepsLearnedState ? "taken up" : "begun anew")
+                  + (restores ? "taken up" : "begun anew")
                   + " | "
                   + range(tallies, ScenarioStatistics::goodput)
                   + " | "
-                  + recoveryTimesUs.get(recoveryTimesUs.size() / 2) / 1000
+                  + timesUs.get(timesUs.size() / 2) / 1000
                   + " | "
-                  + recoveryTimesUs.get(recoveryTimesUs.size() * 99 / 100) / 1000
+                  + timesUs.get(timesUs.size() * 99 / 100) / 1000
                   + " |");
         }
       }
@@ -136,22 +125,21 @@
         "| messages a second | sender | calls a second before | in the storm, most | seconds after it "
             + "until 99% are delivered |");
     System.out.println("| --- | --- | --- | --- | --- |");
-    for (final double messagesPerSecond : new double[] {40, 400}) {
+    for (final double rate : new double[] {40, 400}) {
       Senders.all()
           .forEach(
               (name, maker) -> {
-                final List<ScenarioStatistics> tallies =
-                    play(() -> NoiseScenarios.storm(messagesPerSecond), maker);
+                final List<ScenarioStatistics> tallies = play(() -> Scenarios.storm(rate), maker);
                 System.out.println(
                     "| "
-                        + (int) messagesPerSecond
+                        + (int) rate
                         + " | "
                         + name
                         + " | "
                         + range(
                             tallies,
                             tally ->
-                                tally.seconds().subList(5, NoiseScenarios.STORM_FROM_S).stream()
+                                tally.seconds().subList(5, Scenarios.STORM_FROM_S).stream()
                                     .mapToInt(ScenarioStatistics.Second::calls)
                                     .average()
                                     .orElse(0))
@@ -161,9 +149,7 @@
                             tally ->
                                 tally
                                     .seconds()
-                                    .subList(
-                                        NoiseScenarios.STORM_FROM_S + 2,
-                                        NoiseScenarios.STORM_TO_S - 1)
+                                    .subList(Scenarios.STORM_FROM_S + 2, Scenarios.STORM_TO_S - 1)
                                     .stream()
                                     .mapToInt(ScenarioStatistics.Second::calls)
                                     .max()
@@ -178,13 +164,13 @@
   /** Returns the seconds from the end of the storm until 99% of messages are delivered. */
   private static double secondsUntilServed(final ScenarioStatistics tally) {
     int second = tally.seconds().size() - 1;
-    while (second > NoiseScenarios.STORM_TO_S
-        && (second >= NoiseScenarios.STORM_SCENARIO_S
+    while (second > Scenarios.STORM_TO_S
+        && (second >= Scenarios.STORM_SCENARIO_S
             || tally.seconds().get(second - 1).delivered()
                 >= 0.99 * tally.seconds().get(second - 1).handed())) {
       second--;
     }
-    return second - NoiseScenarios.STORM_TO_S;
+    return second - Scenarios.STORM_TO_S;
   }
 
   private void printReturns() {
@@ -200,8 +186,7 @@
                 double goodput = 0;
                 for (long seed = 1; seed <= scenarioCount; seed++) {
                   final ScenarioStatistics tally =
-                      VirtualCourier.play(
-                          NoiseScenarios.slowStarts(seed, models, noise), seed, maker);
+                      VirtualCourier.play(Scenarios.slowStarts(seed, models, noise), seed, maker);
                   violationCount += tally.broken().size();
                   goodput += tally.goodput() / scenarioCount;
                   if (seed % 1000 == 0) {
@@ -229,12 +214,11 @@
 
   private List<ScenarioStatistics> play(
       final Supplier<Scenario> scenario,
-      final CrashSchedule crashSchedule,
+      final CrashSchedule crashes,
       final VirtualCourier.Maker maker) {
     final List<ScenarioStatistics> tallies = new ArrayList<>();
     for (long seed = 1; seed <= seeds; seed++) {
-      final ScenarioStatistics tally =
-          VirtualCourier.play(scenario.get(), crashSchedule, seed, maker);
+      final ScenarioStatistics tally = VirtualCourier.play(scenario.get(), crashes, seed, maker);
       violationCount += tally.broken().size();
       tally.broken().stream()
           .limit(3)
@@ -258,21 +242,19 @@
         "| trouble | rates told | sender | delivered | calls a message | refused calls a message |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (final boolean ratesConfigured : new boolean[] {false, true}) {
-      for (final Map.Entry<String, double[]> faultShares : NoiseScenarios.faults().entrySet()) {
+      for (final Map.Entry<String, double[]> fault : Scenarios.faults().entrySet()) {
         Senders.all()
             .forEach(
                 (name, maker) -> {
                   final List<ScenarioStatistics> tallies =
                       play(
                           () ->
-                              NoiseScenarios.withFaults(
-                                  faultShares.getValue(),
-                                  seconds * NoiseScenarios.SECOND_US,
-                                  ratesConfigured),
+                              Scenarios.withFaults(
+                                  fault.getValue(), seconds * Scenarios.SECOND_US, ratesConfigured),
                           maker);
                   System.out.println(
                       "| "
-                          + faultShares.getKey()
+                          + fault.getKey()
                           + " | "
                           + (ratesConfigured ? "yes" : "no")
                           + " | "
@@ -292,7 +274,7 @@
   private void printLimits() {
     System.out.println("| limit | sender | delivered, of capacity | refused calls a message |");
     System.out.println("| --- | --- | --- | --- |");
-    NoiseScenarios.limits(seconds * NoiseScenarios.SECOND_US)
+    Scenarios.limits(seconds * Scenarios.SECOND_US)
         .forEach(
             (limit, scenario) ->
                 Senders.all()
@@ -308,8 +290,7 @@
                                   + range(
                                       tallies,
                                       tally ->
-                                          tally.delivered()
-                                              / (3 * NoiseScenarios.CAPACITY * seconds))
+                                          tally.delivered() / (3 * Scenarios.CAPACITY * seconds))
                                   + " | "
                                   + range(tallies, ScenarioStatistics::refusedAMessage)
                                   + " |");
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/NoiseScenarios.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Scenarios.java
@@ -17,10 +17,12 @@
 import thistleturn.lab.virtual.Scenario;
 
 /** Scenarios of the measurement: faults that do not depend on load, and limits that do. */
-final class NoiseScenarios {
+final class Scenarios {
   static final long SECOND_US = 1_000_000;
   private static final int DESTINATIONS = 3;
-  static final double MESSAGES_PER_SECOND = 200;
+
+  /** Messages per second of the scenarios with random faults. */
+  static final double RATE = 200;
 
   /** Time from a kill until the next process serves, us. */
   static final long RESTART_US = 300_000;
@@ -28,7 +30,7 @@
   /** The rate configured for each endpoint in scenarios with configured rates, per second. */
   private static final double CONFIGURED_RATE = 500;
 
-  private NoiseScenarios() {}
+  private Scenarios() {}
 
   /** Returns a scenario with three identical destinations. */
   static Scenario identicalDestinations(
@@ -87,10 +89,7 @@
       final double[] shares, final long lengthUs, final boolean ratesConfigured) {
     final Fault fault = Fault.shares(shares[0], shares[1], shares[2], shares[3]);
     return identicalDestinations(
-        id -> SimulatedDestination.plain(id).faulty(fault),
-        MESSAGES_PER_SECOND,
-        lengthUs,
-        ratesConfigured);
+        id -> SimulatedDestination.plain(id).faulty(fault), RATE, lengthUs, ratesConfigured);
   }
 
   /**
