--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import thistleturn.decisions.peers.GossipSettings;
-import thistleturn.lab.peers.Contestant;
 import thistleturn.lab.peers.Heartbeats;
-import thistleturn.lab.peers.PeersContestant;
+import thistleturn.lab.peers.MembershipNode;
+import thistleturn.lab.peers.ProtocolNode;
 import thistleturn.lab.peers.Swim;
 import thistleturn.lab.peers.VirtualPeers;
 import thistleturn.testkit.rig.FleetChecker;
@@ -93,15 +93,15 @@
       int changes,
       long bytes) {}
 
-  private Map<String, Contestant.Maker> ways() {
-    final Map<String, Contestant.Maker> ways = new LinkedHashMap<>();
-    ways.put("peers", PeersContestant.maker(GossipSettings.defaults(), true, event -> {}));
+  private Map<String, MembershipNode.Factory> ways() {
+    final Map<String, MembershipNode.Factory> ways = new LinkedHashMap<>();
+    ways.put("peers", ProtocolNode.factory(GossipSettings.defaults(), true, event -> {}));
     ways.put(
         "peers, datagrams alone",
-        PeersContestant.maker(GossipSettings.defaults(), false, event -> {}));
+        ProtocolNode.factory(GossipSettings.defaults(), false, event -> {}));
     if (!oursAlone) {
       for (final long ms : new long[] {500, 2000, 7000}) {
-        ways.put("SWIM, suspicion " + ms + " ms", Swim.maker(ms * MS));
+        ways.put("SWIM, suspicion " + ms + " ms", Swim.factory(ms * MS));
       }
       for (final long ms : new long[] {1500, 3000, 8000}) {
         ways.put("heartbeats, limit " + ms + " ms", Heartbeats.fixed(ms * MS));
@@ -131,7 +131,7 @@
             : kind < 10 ? 21 + random.nextInt(80) : 3 + random.nextInt(18);
   }
 
-  private Played play(final Row row, final long seed, final Contestant.Maker maker) {
+  private Played play(final Row row, final long seed, final MembershipNode.Factory maker) {
     final int size = size(seed);
     final Schedule schedule =
         quiet
@@ -140,7 +140,7 @@
     final VirtualPeers world = new VirtualPeers(schedule, maker, 5000);
     final long[] half = new long[1];
     if (quiet) {
-      world.looking(
+      world.onEachStep(
           at -> half[0] = half[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : half[0]);
     }
     final FleetChecker judge = world.play();
@@ -175,14 +175,14 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     boolean kept = true;
     for (final Row row : rows) {
-      for (final Map.Entry<String, Contestant.Maker> way : ways().entrySet()) {
+      for (final Map.Entry<String, MembershipNode.Factory> way : ways().entrySet()) {
         kept &= row(row, way.getKey(), way.getValue());
       }
     }
     return kept ? 0 : 1;
   }
 
-  private boolean row(final Row row, final String name, final Contestant.Maker maker)
+  private boolean row(final Row row, final String name, final MembershipNode.Factory maker)
       throws InterruptedException, ExecutionException {
     final ExecutorService pool = Executors.newFixedThreadPool(threads);
     final List<Future<Played>> running = new ArrayList<>();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
@@ -18,7 +18,7 @@
 import thistleturn.decisions.replicas.ReplicationProtocol;
 import thistleturn.decisions.replicas.ReplicationSettings;
 import thistleturn.decisions.replicas.WriterId;
-import thistleturn.lab.replicas.ReplicasDay;
+import thistleturn.lab.replicas.ReplicationScenario;
 import thistleturn.lab.replicas.VirtualReplicas;
 import thistleturn.testkit.rig.Schedule;
 
@@ -90,7 +90,8 @@
             .parallel()
             .mapToObj(
                 one -> {
-                  final ReplicasDay day = ReplicasDay.random(one * 31 + members, members, loss);
+                  final ReplicationScenario day =
+                      ReplicationScenario.random(one * 31 + members, members, loss);
                   final String broken = day.play();
                   return new Played(one, day.settledMs(), broken, day.world().bytes());
                 })
--- a/lab/src/main/java/thistleturn/lab/peers/Baseline.java
+++ b/lab/src/main/java/thistleturn/lab/peers/Baseline.java
@@ -10,103 +10,106 @@
 import java.util.stream.Collectors;
 
 /**
- * What the rules of others have in common here: all names are known from the start, and each keeps
- * a state of its own for each.
+ * Common part of the baseline protocols: all names are known from the start, and each process keeps
+ * its own state for each peer.
  */
-abstract class Baseline implements Contestant {
+abstract class Baseline implements MembershipNode {
   static final long MS = 1000;
 
-  /** A datagram without anything piggybacked, with the headers below it. */
-  static final int HEAD_BYTES = 80;
+  /** Size of a datagram without piggybacked items, including lower-layer headers. */
+  static final int HEADER_BYTES = 80;
 
   final String name;
   final long incarnationAtStart;
   final SplittableRandom random;
-  final Wire wire;
-  final Map<String, Other> others = new TreeMap<>();
-  private long number;
+  final Network network;
+  final Map<String, PeerRecord> others = new TreeMap<>();
+  private long viewNumber;
   private Set<String> members;
 
-  /** One of the others. */
-  static final class Other {
+  /** State kept for one peer. */
+  static final class PeerRecord {
     final String name;
     long incarnation;
     boolean dead;
 
-    /** Raised by the life itself to speak against a suspicion. */
-    long refuted;
+    /** Refutation counter; the subject itself raises it to refute a suspicion. */
+    long refutation;
 
     long suspectUs = -1;
-    long heardUs;
-    final List<Long> gapsUs = new ArrayList<>();
+    long lastHeardUs;
+    final List<Long> intervalsUs = new ArrayList<>();
 
-    Other(final String name) {
+    PeerRecord(final String name) {
       this.name = name;
     }
   }
 
   Baseline(
       final int number,
-      final int life,
+      final int restarts,
       final List<String> names,
       final long seed,
       final long nowUs,
-      final Wire wire) {
+      final Network network) {
     this.name = names.get(number);
-    this.incarnationAtStart = nowUs + life;
+    this.incarnationAtStart = nowUs + restarts;
     this.random = new SplittableRandom(seed);
-    this.wire = wire;
+    this.network = network;
     for (final String other : names) {
       if (!other.equals(name)) {
-        final Other made = new Other(other);
-        made.heardUs = nowUs;
-        others.put(other, made);
+        final PeerRecord peer = new PeerRecord(other);
+        peer.lastHeardUs = nowUs;
+        others.put(other, peer);
       }
     }
   }
 
-  /** Something of that life came: an earlier one is over, a dead one lives. */
-  final void heard(final Other other, final long incarnation, final long nowUs) {
+  /**
+   * Records a message from an incarnation of the peer. A newer incarnation replaces the earlier one
+   * and clears its death.
+   */
+  final void recordHeard(final PeerRecord other, final long incarnation, final long nowUs) {
     if (incarnation < other.incarnation) {
       return;
     }
     if (incarnation > other.incarnation) {
       other.incarnation = incarnation;
-      other.refuted = 0;
+      other.refutation = 0;
       other.suspectUs = -1;
-      other.gapsUs.clear();
+      other.intervalsUs.clear();
       other.dead = false;
-      changed();
+      onMembersChanged();
     }
-    other.heardUs = nowUs;
+    other.lastHeardUs = nowUs;
   }
 
-  final void dead(final Other other, final boolean dead) {
+  final void setDead(final PeerRecord other, final boolean dead) {
     if (other.dead != dead) {
       other.dead = dead;
-      changed();
+      onMembersChanged();
     }
   }
 
-  private void changed() {
-    number++;
+  private void onMembersChanged() {
+    viewNumber++;
     members = null;
   }
 
   @Override
-  public String life() {
+  public String id() {
     return name + '#' + incarnationAtStart;
   }
 
   @Override
-  public String line() {
-    // Everybody has a truth of his own.
-    return life();
+  public String viewLineage() {
+    // There is no agreed view: each process has its own.
+    return id();
   }
 
   @Override
-  public long number() {
-    return number;
+  public long viewNumber() {
+    return viewNumber;
   }
 
   @Override
@@ -117,7 +120,7 @@
               .filter(other -> !other.dead && other.incarnation > 0)
               .map(other -> other.name + '#' + other.incarnation)
               .collect(Collectors.toCollection(TreeSet::new));
-      members.add(life());
+      members.add(id());
     }
     return members;
   }
--- a/lab/src/main/java/thistleturn/lab/peers/PeersContestant.java
+++ b/lab/src/main/java/thistleturn/lab/peers/ProtocolNode.java
@@ -14,44 +14,44 @@
 import thistleturn.decisions.peers.PeerId;
 import thistleturn.decisions.peers.View;
 
-/** The program's own decisions. */
-public final class PeersContestant implements Contestant {
-  /** A datagram's head, seal and the headers below it, bytes at most. */
-  private static final int HEAD_BYTES = 120;
+/** A node that runs the courier's own {@link MembershipProtocol}. */
+public final class ProtocolNode implements MembershipNode {
+  /** Upper bound of a datagram's header, authentication tag and lower-layer headers, bytes. */
+  private static final int HEADER_BYTES = 120;
 
   private static final int MEMBER_BYTES = 40;
 
-  private final MembershipProtocol peers;
-  private View seen;
+  private final MembershipProtocol protocol;
+  private View cachedView;
   private Set<String> members = Set.of();
 
-  /** With connections that tell ends, or (false) with datagrams alone. */
-  public static Maker maker(
-      final GossipSettings rules, final boolean connections, final Consumer<PeerEvent> events) {
-    return (number, life, names, seed, nowUs, wire) ->
-        new PeersContestant(
-            rules,
-            new PeerId(names.get(number), nowUs + life),
+  /** Uses connections, whose loss reveals the end of a peer, or, if false, datagrams only. */
+  public static Factory factory(
+      final GossipSettings settings, final boolean connections, final Consumer<PeerEvent> events) {
+    return (number, restarts, names, seed, nowUs, network) ->
+        new ProtocolNode(
+            settings,
+            new PeerId(names.get(number), nowUs + restarts),
             names,
             seed,
             nowUs,
-            wire,
+            network,
             connections,
             events);
   }
 
-  private PeersContestant(
-      final GossipSettings rules,
+  private ProtocolNode(
+      final GossipSettings settings,
       final PeerId id,
       final List<String> names,
       final long seed,
       final long nowUs,
-      final Wire wire,
+      final Network network,
       final boolean connections,
       final Consumer<PeerEvent> events) {
-    this.peers =
+    this.protocol =
         new MembershipProtocol(
-            rules,
+            settings,
             id,
             id.name(),
             names.subList(0, Math.min(3, names.size())),
@@ -60,30 +60,30 @@
             new PeerActions() {
               @Override
               public void send(final String to, final Packet packet) {
-                wire.send(
+                network.send(
                     to,
                     packet,
-                    HEAD_BYTES + packet.items().stream().mapToInt(GossipItem::maxBytes).sum());
+                    HEADER_BYTES + packet.items().stream().mapToInt(GossipItem::maxBytes).sum());
               }
 
               @Override
               public void connect(final String to) {
                 if (connections) {
-                  wire.connect(to);
+                  network.connect(to);
                 }
               }
 
               @Override
               public void disconnect(final String to) {
-                wire.disconnect(to);
+                network.disconnect(to);
               }
 
               @Override
               public void sendFullState(final String to, final FullStateMessage full) {
-                wire.pass(
+                network.sendOverConnection(
                     to,
                     full,
-                    HEAD_BYTES
+                    HEADER_BYTES
                         + full.items().stream().mapToInt(GossipItem::maxBytes).sum()
                         + (full.view() == null ? 0 : MEMBER_BYTES * full.view().members().size()));
               }
@@ -95,68 +95,74 @@
             });
   }
 
-  /** The decisions themselves. */
-  public MembershipProtocol peers() {
-    return peers;
+  /** The protocol instance. */
+  public MembershipProtocol protocol() {
+    return protocol;
   }
 
   @Override
   public void tick(final long nowUs) {
-    peers.tick(nowUs);
+    protocol.tick(nowUs);
   }
 
   @Override
   public void receive(final Object message, final long nowUs) {
     if (message instanceof Packet packet) {
-      peers.onPacket(packet, nowUs);
+      protocol.onPacket(packet, nowUs);
     } else {
-      peers.onFullState((FullStateMessage) message, nowUs);
+      protocol.onFullState((FullStateMessage) message, nowUs);
     }
   }
 
   @Override
-  public void greeted(final String to, final String life, final long nowUs) {
-    final int mark = life.indexOf('#');
-    peers.onConnectionGreeted(
-        to, new PeerId(life.substring(0, mark), Long.parseLong(life.substring(mark + 1))), nowUs);
+  public void onConnected(final String to, final String incarnation, final long nowUs) {
+    final int separator = incarnation.indexOf('#');
+    protocol.onConnectionGreeted(
+        to,
+        new PeerId(
+            incarnation.substring(0, separator),
+            Long.parseLong(incarnation.substring(separator + 1))),
+        nowUs);
   }
 
   @Override
-  public void closed(final String to, final long nowUs) {
-    peers.onConnectionClosed(to, nowUs);
+  public void onConnectionClosed(final String to, final long nowUs) {
+    protocol.onConnectionClosed(to, nowUs);
   }
 
   @Override
-  public void unanswered(final String to, final long nowUs) {
-    peers.onConnectionUnanswered(to, nowUs);
+  public void onConnectTimeout(final String to, final long nowUs) {
+    protocol.onConnectionUnanswered(to, nowUs);
   }
 
   @Override
   public void leave(final long nowUs) {
-    peers.leave(nowUs);
+    protocol.leave(nowUs);
   }
 
   @Override
-  public String life() {
-    return peers.self().toString();
+  public String id() {
+    return protocol.self().toString();
   }
 
   @Override
-  public String line() {
-    return peers.view() == null ? "" : peers.view().generation() + "/" + peers.view().founder();
+  public String viewLineage() {
+    return protocol.view() == null
+        ? ""
+        : protocol.view().generation() + "/" + protocol.view().founder();
   }
 
   @Override
-  public long number() {
-    return peers.view() == null ? 0 : peers.view().number();
+  public long viewNumber() {
+    return protocol.view() == null ? 0 : protocol.view().number();
   }
 
   @Override
   public Set<String> members() {
-    if (seen != peers.view()) {
-      seen = peers.view();
+    if (cachedView != protocol.view()) {
+      cachedView = protocol.view();
       members = new TreeSet<>();
-      seen.members().forEach(member -> members.add(member.id().toString()));
+      cachedView.members().forEach(member -> members.add(member.id().toString()));
     }
     return members;
   }
--- a/lab/src/main/java/thistleturn/lab/peers/Swim.java
+++ b/lab/src/main/java/thistleturn/lab/peers/Swim.java
@@ -9,215 +9,223 @@
 
 /**
  * SWIM with suspicion, after its publication (Das, Gupta, Motivala: "SWIM: scalable
- * weakly-consistent infection-style process group membership protocol", DSN 2002): one is asked
- * each period in a shuffled round; if it does not answer, some others are asked to ask it; then it
- * is suspect, and dead after a time unless it speaks against that. News rides on what is sent
- * anyway.
+ * weakly-consistent infection-style process group membership protocol", DSN 2002): each period, one
+ * peer of a shuffled round is probed; if it does not acknowledge, some other peers probe it
+ * indirectly; if that fails too, it is suspected, and declared dead after a timeout unless it
+ * refutes the suspicion. Updates are piggybacked on the messages of the failure detector.
  */
 public final class Swim extends Baseline {
   private static final long PERIOD_US = 500 * MS;
-  private static final long ANSWER_US = 200 * MS;
-  private static final int HELPERS = 3;
-  private static final int SPREAD = 4;
-  private static final int MOST_NEWS = 10;
-  private static final int NEWS_BYTES = 40;
-  private static final int DEAD_MEMORY = 64;
+  private static final long ACK_TIMEOUT_US = 200 * MS;
+  private static final int INDIRECT_PROBES = 3;
+  private static final int DISSEMINATION_FACTOR = 4;
+  private static final int MAX_PIGGYBACKED = 10;
+  private static final int UPDATE_BYTES = 40;
+  private static final int DEAD_PROBE_DIVISOR = 64;
 
   private final long suspicionUs;
-  private final Map<String, Rumour> rumours = new HashMap<>();
+  private final Map<String, Dissemination> disseminations = new HashMap<>();
   private final List<String> round = new ArrayList<>();
-  private long refuted;
-  private long periodUs;
-  private String asked;
-  private long askedUs;
-  private boolean helped;
-  private boolean answered;
-
-  private enum Life {
+  private long refutation;
+  private long nextPeriodUs;
+  private String probed;
+  private long probedUs;
+  private boolean indirectlyProbed;
+  private boolean acknowledged;
+
+  private enum Liveness {
     ALIVE,
     SUSPECT,
     DEAD
   }
 
-  private record News(String about, long incarnation, long refuted, Life life) {}
+  private record Update(String subject, long incarnation, long refutation, Liveness liveness) {}
 
-  private record Message(Kind kind, String from, long incarnation, String about, List<News> news) {
+  private record Message(
+      Kind kind, String from, long incarnation, String subject, List<Update> updates) {
     enum Kind {
       PING,
       ACK,
-      HELP
+      PING_REQUEST
     }
   }
 
-  private static final class Rumour {
-    private News news;
-    private int left;
+  private static final class Dissemination {
+    private Update update;
+    private int remainingSends;
   }
 
   private Swim(
       final int number,
-      final int life,
+      final int restarts,
       final List<String> names,
       final long seed,
       final long nowUs,
-      final Wire wire,
+      final Network network,
       final long suspicionUs) {
-    super(number, life, names, seed, nowUs, wire);
+    super(number, restarts, names, seed, nowUs, network);
     this.suspicionUs = suspicionUs;
-    spread(new News(name, incarnationAtStart, 0, Life.ALIVE));
+    disseminate(new Update(name, incarnationAtStart, 0, Liveness.ALIVE));
   }
 
-  /** With that time from suspicion to death, us. */
-  public static Maker maker(final long suspicionUs) {
-    return (number, life, names, seed, nowUs, wire) ->
-        new Swim(number, life, names, seed, nowUs, wire, suspicionUs);
+  /** A node with the given suspicion timeout, us. */
+  public static Factory factory(final long suspicionUs) {
+    return (number, restarts, names, seed, nowUs, network) ->
+        new Swim(number, restarts, names, seed, nowUs, network, suspicionUs);
   }
 
-  private void spread(final News news) {
-    final Rumour rumour = rumours.computeIfAbsent(news.about(), about -> new Rumour());
-    rumour.news = news;
-    rumour.left = SPREAD * (Integer.SIZE - Integer.numberOfLeadingZeros(others.size()));
+  private void disseminate(final Update update) {
+    final Dissemination dissemination =
+        disseminations.computeIfAbsent(update.subject(), subject -> new Dissemination());
+    dissemination.update = update;
+    dissemination.remainingSends =
+        DISSEMINATION_FACTOR * (Integer.SIZE - Integer.numberOfLeadingZeros(others.size()));
   }
 
-  private void send(final String to, final Message.Kind kind, final String about) {
-    final List<News> news = new ArrayList<>();
-    rumours.values().stream()
-        .filter(one -> one.left > 0)
-        .sorted((one, other) -> other.left - one.left)
-        .limit(MOST_NEWS)
+  private void send(final String to, final Message.Kind kind, final String subject) {
+    final List<Update> updates = new ArrayList<>();
+    disseminations.values().stream()
+        .filter(one -> one.remainingSends > 0)
+        .sorted((one, other) -> other.remainingSends - one.remainingSends)
+        .limit(MAX_PIGGYBACKED)
         .forEach(
             one -> {
-              one.left--;
-              news.add(one.news);
+              one.remainingSends--;
+              updates.add(one.update);
             });
-    wire.send(
+    network.send(
         to,
-        new Message(kind, name, incarnationAtStart, about, news),
-        HEAD_BYTES + news.size() * NEWS_BYTES);
+        new Message(kind, name, incarnationAtStart, subject, updates),
+        HEADER_BYTES + updates.size() * UPDATE_BYTES);
   }
 
   @Override
   public void tick(final long nowUs) {
-    if (asked != null && !answered && !helped && nowUs - askedUs >= ANSWER_US) {
-      helped = true;
-      final List<String> helpers = new ArrayList<>(others.keySet());
-      Collections.shuffle(helpers, new Random(random.nextLong()));
-      helpers.stream()
-          .filter(helper -> !helper.equals(asked) && !others.get(helper).dead)
-          .limit(HELPERS)
-          .forEach(helper -> send(helper, Message.Kind.HELP, asked));
+    if (probed != null
+        && !acknowledged
+        && !indirectlyProbed
+        && nowUs - probedUs >= ACK_TIMEOUT_US) {
+      indirectlyProbed = true;
+      final List<String> relays = new ArrayList<>(others.keySet());
+      Collections.shuffle(relays, new Random(random.nextLong()));
+      relays.stream()
+          .filter(relay -> !relay.equals(probed) && !others.get(relay).dead)
+          .limit(INDIRECT_PROBES)
+          .forEach(relay -> send(relay, Message.Kind.PING_REQUEST, probed));
     }
-    if (nowUs >= periodUs) {
-      periodUs = nowUs + PERIOD_US;
-      if (asked != null && !answered) {
-        suspect(others.get(asked), nowUs);
+    if (nowUs >= nextPeriodUs) {
+      nextPeriodUs = nowUs + PERIOD_US;
+      if (probed != null && !acknowledged) {
+        suspect(others.get(probed), nowUs);
       }
-      next(nowUs);
+      probeNext(nowUs);
     }
-    for (final Other other : others.values()) {
+    for (final PeerRecord other : others.values()) {
       if (other.suspectUs >= 0 && nowUs - other.suspectUs >= suspicionUs) {
         other.suspectUs = -1;
-        dead(other, true);
-        spread(new News(other.name, other.incarnation, other.refuted, Life.DEAD));
+        setDead(other, true);
+        disseminate(new Update(other.name, other.incarnation, other.refutation, Liveness.DEAD));
       }
     }
   }
 
-  private void next(final long nowUs) {
+  private void probeNext(final long nowUs) {
     if (round.isEmpty()) {
       round.addAll(others.keySet());
       Collections.shuffle(round, new Random(random.nextLong()));
     }
-    asked = null;
-    while (!round.isEmpty() && asked == null) {
-      final Other other = others.get(round.remove(round.size() - 1));
-      // The dead are asked now and then, too, so that a healed cut heals the views.
-      if (!other.dead || random.nextInt(DEAD_MEMORY) < DEAD_MEMORY / 4) {
-        asked = other.name;
-        askedUs = nowUs;
-        answered = false;
-        helped = false;
+    probed = null;
+    while (!round.isEmpty() && probed == null) {
+      final PeerRecord other = others.get(round.remove(round.size() - 1));
+      // Dead peers are probed at times, too, so that the views recover after a healed partition.
+      if (!other.dead || random.nextInt(DEAD_PROBE_DIVISOR) < DEAD_PROBE_DIVISOR / 4) {
+        probed = other.name;
+        probedUs = nowUs;
+        acknowledged = false;
+        indirectlyProbed = false;
         send(other.name, Message.Kind.PING, "");
       }
     }
   }
 
-  private void suspect(final Other other, final long nowUs) {
+  private void suspect(final PeerRecord other, final long nowUs) {
     if (!other.dead && other.suspectUs < 0 && other.incarnation > 0) {
       other.suspectUs = nowUs;
-      spread(new News(other.name, other.incarnation, other.refuted, Life.SUSPECT));
+      disseminate(new Update(other.name, other.incarnation, other.refutation, Liveness.SUSPECT));
     }
   }
 
   @Override
-  public void receive(final Object what, final long nowUs) {
-    final Message message = (Message) what;
-    final Other from = others.get(message.from());
-    heard(from, message.incarnation(), nowUs);
-    message.news().forEach(news -> learn(news, nowUs));
+  public void receive(final Object received, final long nowUs) {
+    final Message message = (Message) received;
+    final PeerRecord from = others.get(message.from());
+    recordHeard(from, message.incarnation(), nowUs);
+    message.updates().forEach(update -> applyUpdate(update, nowUs));
     switch (message.kind()) {
       case PING -> {
         if (from.dead) {
-          // It lives, and is told that it is held for dead.
-          spread(new News(from.name, from.incarnation, from.refuted, Life.DEAD));
+          // It is running: inform it that it is regarded as dead, so that it can refute this.
+          disseminate(new Update(from.name, from.incarnation, from.refutation, Liveness.DEAD));
         }
-        send(message.from(), Message.Kind.ACK, message.about());
+        send(message.from(), Message.Kind.ACK, message.subject());
       }
-      case HELP ->
-          wire.send(
-              message.about(),
+      case PING_REQUEST ->
+          network.send(
+              message.subject(),
               new Message(Message.Kind.PING, name, incarnationAtStart, message.from(), List.of()),
-              HEAD_BYTES);
+              HEADER_BYTES);
       case ACK -> {
-        if (!message.about().isEmpty() && !message.about().equals(name)) {
-          // Asked for another's sake.
-          wire.send(
-              message.about(),
+        if (!message.subject().isEmpty() && !message.subject().equals(name)) {
+          // Acknowledgement of an indirect probe: forward it to the process that requested it.
+          network.send(
+              message.subject(),
               new Message(Message.Kind.ACK, message.from(), message.incarnation(), "", List.of()),
-              HEAD_BYTES);
-        } else if (message.from().equals(asked)) {
-          answered = true;
+              HEADER_BYTES);
+        } else if (message.from().equals(probed)) {
+          acknowledged = true;
         }
       }
     }
   }
 
-  private void learn(final News news, final long nowUs) {
-    if (news.about().equals(name)) {
-      if (news.incarnation() == incarnationAtStart
-          && news.life() != Life.ALIVE
-          && news.refuted() >= refuted) {
-        refuted = news.refuted() + 1;
-        spread(new News(name, incarnationAtStart, refuted, Life.ALIVE));
+  private void applyUpdate(final Update update, final long nowUs) {
+    if (update.subject().equals(name)) {
+      if (update.incarnation() == incarnationAtStart
+          && update.liveness() != Liveness.ALIVE
+          && update.refutation() >= refutation) {
+        refutation = update.refutation() + 1;
+        disseminate(new Update(name, incarnationAtStart, refutation, Liveness.ALIVE));
       }
       return;
     }
-    final Other other = others.get(news.about());
-    if (news.incarnation() < other.incarnation) {
+    final PeerRecord other = others.get(update.subject());
+    if (update.incarnation() < other.incarnation) {
       return;
     }
-    if (news.incarnation() > other.incarnation) {
-      heard(other, news.incarnation(), nowUs);
-      if (news.life() != Life.DEAD) {
-        spread(news);
+    if (update.incarnation() > other.incarnation) {
+      recordHeard(other, update.incarnation(), nowUs);
+      if (update.liveness() != Liveness.DEAD) {
+        disseminate(update);
       }
     }
-    if (news.life() == Life.ALIVE && news.refuted() > other.refuted) {
-      other.refuted = news.refuted();
+    if (update.liveness() == Liveness.ALIVE && update.refutation() > other.refutation) {
+      other.refutation = update.refutation();
       other.suspectUs = -1;
-      dead(other, false);
-      spread(news);
-    } else if (news.life() == Life.SUSPECT
-        && news.refuted() >= other.refuted
+      setDead(other, false);
+      disseminate(update);
+    } else if (update.liveness() == Liveness.SUSPECT
+        && update.refutation() >= other.refutation
         && !other.dead
         && other.suspectUs < 0) {
-      other.refuted = news.refuted();
+      other.refutation = update.refutation();
       suspect(other, nowUs);
-    } else if (news.life() == Life.DEAD && news.refuted() >= other.refuted && !other.dead) {
-      other.refuted = news.refuted();
+    } else if (update.liveness() == Liveness.DEAD
+        && update.refutation() >= other.refutation
+        && !other.dead) {
+      other.refutation = update.refutation();
       other.suspectUs = -1;
-      dead(other, true);
-      spread(news);
+      setDead(other, true);
+      disseminate(update);
     }
   }
 }
--- a/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
+++ b/lab/src/main/java/thistleturn/lab/peers/VirtualPeers.java
@@ -17,139 +17,142 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * Plays a schedule of faults on virtual processes. A process that stands still gets all that came
- * meanwhile when it goes on, its timers first, as a real one does. Connections behave as the
- * system's: the end of a process ends or refuses them, a process that stands still neither ends nor
- * greets, and over a cut nothing is heard.
+ * Runs a schedule of faults on simulated processes in virtual time. A paused process handles, on
+ * resuming, everything that arrived during the pause, its timers first, as a real process does.
+ * Connections behave like those of the operating system: the end of a process closes or refuses
+ * them, a paused process neither closes nor establishes any, and nothing passes a cut link.
  */
 public final class VirtualPeers {
   private static final long MS = 1000;
   private static final long TICK_US = 100 * MS;
-  private static final long LEAST_DELAY_US = 200;
-  private static final long MORE_DELAY_US = 2 * MS;
+  private static final long MIN_DELAY_US = 200;
+  private static final long EXTRA_DELAY_US = 2 * MS;
 
-  /**
-   * After which a lost segment of a connection is sent again, and after which nobody waits for a
-   * greeting any more, us.
-   */
-  private static final long AGAIN_US = 200 * MS;
+  /** Delay until a lost segment of a connection is retransmitted, us. */
+  private static final long RETRANSMIT_US = 200 * MS;
+
+  /** Time limit for establishing a connection, us. */
+  private static final long CONNECT_TIMEOUT_US = 1000 * MS;
 
-  private static final long PATIENCE_US = 1000 * MS;
-  private static final long SLICE_US = 10 * MS;
+  private static final long TIME_SLICE_US = 10 * MS;
 
-  private final EventQueue agenda = new EventQueue(1_000_000_000L);
-  private final long beganUs = agenda.nowUs();
+  private final EventQueue events = new EventQueue(1_000_000_000L);
+  private final long startUs = events.nowUs();
   private final Schedule schedule;
-  private final Contestant.Maker maker;
+  private final MembershipNode.Factory factory;
   private final SplittableRandom random;
   private final List<String> names;
   private final Map<String, Integer> numbers = new HashMap<>();
   private final SimulatedProcess[] processes;
-  private final int[] lives;
+  private final int[] startCounts;
   private final int[][] cuts;
-  private final FleetChecker judge;
-  private Consumer<VirtualPeers> look = world -> {};
+  private final FleetChecker checker;
+  private Consumer<VirtualPeers> stepListener = simulation -> {};
   private double loss;
-  private double doubled;
+  private double duplication;
   private long jitterUs;
   private long datagrams;
   private long bytes;
   private long lost;
 
-  /** One process. */
-  private final class SimulatedProcess implements Contestant.Wire {
+  /** One simulated process and its side of the network. */
+  private final class SimulatedProcess implements MembershipNode.Network {
     private final int number;
     private final String name;
-    private final Contestant contestant;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private final Map<Integer, Integer> lifelines = new HashMap<>();
-    private int connects;
-    private boolean stopped;
-    private boolean over;
-    private String life = "";
-    private long view = -1;
-    private String line = "";
+    private final MembershipNode node;
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
+    private final Map<Integer, Integer> connections = new HashMap<>();
+    private int lastConnectionId;
+    private boolean paused;
+    private boolean ended;
+    private String lastId = "";
+    private long lastViewNumber = -1;
+    private String lastLineage = "";
 
     SimulatedProcess(final int number) {
       this.number = number;
       this.name = names.get(number);
-      this.contestant =
-          maker.make(number, lives[number]++, names, random.nextLong(), agenda.nowUs(), this);
+      this.node =
+          factory.create(
+              number, startCounts[number]++, names, random.nextLong(), events.nowUs(), this);
       observe();
-      agenda.in(random.nextLong(TICK_US), this::tick);
+      events.in(random.nextLong(TICK_US), this::tick);
     }
 
     private void tick() {
-      if (over) {
+      if (ended) {
         return;
       }
-      agenda.in(TICK_US, this::tick);
-      if (!stopped) {
-        contestant.tick(agenda.nowUs());
+      events.in(TICK_US, this::tick);
+      if (!paused) {
+        node.tick(events.nowUs());
         observe();
       }
     }
 
-    /** Something for this process, now or when it goes on. */
-    private void run(final Runnable what) {
-      if (over) {
+    /** Runs the action now or, if the process is paused, when it resumes. */
+    private void run(final Runnable action) {
+      if (ended) {
         return;
       }
-      if (stopped) {
-        waiting.add(what);
+      if (paused) {
+        deferred.add(action);
       } else {
-        what.run();
+        action.run();
         observe();
       }
     }
 
     private void observe() {
-      if (over) {
+      if (ended) {
         return;
       }
-      final String now = contestant.life();
-      if (!now.equals(life)) {
-        life = now;
-        judge.processStarted(name, now, nowMs());
+      final String id = node.id();
+      if (!id.equals(lastId)) {
+        lastId = id;
+        checker.processStarted(name, id, nowMs());
       }
-      if (contestant.number() != view || !contestant.line().equals(line)) {
-        view = contestant.number();
-        line = contestant.line();
-        if (!line.isEmpty()) {
-          judge.viewObserved(name, line, view, contestant.members(), nowMs());
+      if (node.viewNumber() != lastViewNumber || !node.viewLineage().equals(lastLineage)) {
+        lastViewNumber = node.viewNumber();
+        lastLineage = node.viewLineage();
+        if (!lastLineage.isEmpty()) {
+          checker.viewObserved(name, lastLineage, lastViewNumber, node.members(), nowMs());
         }
       }
     }
 
-    private void stop(final boolean stop) {
-      if (over || stopped == stop) {
+    private void setPaused(final boolean pause) {
+      if (ended || paused == pause) {
         return;
       }
-      stopped = stop;
-      judge.setPaused(name, stop, nowMs());
-      if (!stop) {
-        contestant.tick(agenda.nowUs());
-        while (!waiting.isEmpty() && !over) {
-          waiting.poll().run();
+      paused = pause;
+      checker.setPaused(name, pause, nowMs());
+      if (!pause) {
+        node.tick(events.nowUs());
+        while (!deferred.isEmpty() && !ended) {
+          deferred.poll().run();
         }
         observe();
       }
     }
 
     private void end() {
-      over = true;
-      judge.processEnded(name, nowMs());
+      ended = true;
+      checker.processEnded(name, nowMs());
       for (final SimulatedProcess other : processes) {
-        if (other != null && !other.over && other.lifelines.containsKey(number)) {
-          final int connection = other.lifelines.get(number);
-          whenOpen(number, other.number, () -> other.run(() -> other.ended(number, connection)));
+        if (other != null && !other.ended && other.connections.containsKey(number)) {
+          final int connection = other.connections.get(number);
+          deliverReliably(
+              number,
+              other.number,
+              () -> other.run(() -> other.onConnectionEnded(number, connection)));
         }
       }
     }
 
-    private void ended(final int to, final int connection) {
-      if (lifelines.remove(to, connection)) {
-        contestant.closed(names.get(to), agenda.nowUs());
+    private void onConnectionEnded(final int to, final int connection) {
+      if (connections.remove(to, connection)) {
+        node.onConnectionClosed(names.get(to), events.nowUs());
       }
     }
 
@@ -162,14 +165,14 @@
         lost++;
         return;
       }
-      final int times = doubled > 0 && random.nextDouble() < doubled ? 2 : 1;
-      for (int copy = 0; copy < times; copy++) {
-        agenda.in(
+      final int copies = duplication > 0 && random.nextDouble() < duplication ? 2 : 1;
+      for (int copy = 0; copy < copies; copy++) {
+        events.in(
             delayUs(),
             () -> {
-              final SimulatedProcess there = processes[target];
-              if (there != null && cuts[number][target] == 0) {
-                there.run(() -> there.contestant.receive(message, agenda.nowUs()));
+              final SimulatedProcess receiver = processes[target];
+              if (receiver != null && cuts[number][target] == 0) {
+                receiver.run(() -> receiver.node.receive(message, events.nowUs()));
               }
             });
       }
@@ -178,45 +181,46 @@
     @Override
     public void connect(final String to) {
       final int target = numbers.get(to);
-      final int connection = ++connects;
-      lifelines.put(target, connection);
-      final long begunUs = agenda.nowUs();
-      agenda.in(
-          PATIENCE_US,
+      final int connection = ++lastConnectionId;
+      connections.put(target, connection);
+      final long requestedUs = events.nowUs();
+      events.in(
+          CONNECT_TIMEOUT_US,
           () ->
               run(
                   () -> {
-                    if (lifelines.getOrDefault(target, 0) == connection) {
-                      lifelines.remove(target);
-                      contestant.unanswered(to, agenda.nowUs());
+                    if (connections.getOrDefault(target, 0) == connection) {
+                      connections.remove(target);
+                      node.onConnectTimeout(to, events.nowUs());
                     }
                   }));
-      whenOpen(number, target, () -> arrive(target, to, connection, begunUs));
+      deliverReliably(number, target, () -> acceptConnection(target, to, connection, requestedUs));
     }
 
-    private void arrive(
-        final int target, final String to, final int connection, final long begunUs) {
-      final SimulatedProcess there = processes[target];
-      if (there == null || there.over) {
-        whenOpen(target, number, () -> run(() -> ended(target, connection)));
+    private void acceptConnection(
+        final int target, final String to, final int connection, final long requestedUs) {
+      final SimulatedProcess receiver = processes[target];
+      if (receiver == null || receiver.ended) {
+        deliverReliably(target, number, () -> run(() -> onConnectionEnded(target, connection)));
       } else {
-        there.run(
+        receiver.run(
             () ->
-                whenOpen(
+                deliverReliably(
                     target,
                     number,
                     () ->
                         run(
                             () -> {
-                              if (lifelines.getOrDefault(target, 0) == connection
-                                  && agenda.nowUs() - begunUs < PATIENCE_US) {
-                                // Greeted: the patience of a later connection has another number.
-                                lifelines.put(target, ++connects);
-                                final int kept = connects;
-                                if (there.over) {
-                                  ended(target, kept);
+                              if (connections.getOrDefault(target, 0) == connection
+                                  && events.nowUs() - requestedUs < CONNECT_TIMEOUT_US) {
+                                // Established: the new number keeps the pending connect timeout
+                                // from applying to it.
+                                connections.put(target, ++lastConnectionId);
+                                final int established = lastConnectionId;
+                                if (receiver.ended) {
+                                  onConnectionEnded(target, established);
                                 } else {
-                                  contestant.greeted(to, there.contestant.life(), agenda.nowUs());
+                                  node.onConnected(to, receiver.node.id(), events.nowUs());
                                 }
                               }
                             })));
@@ -225,108 +229,112 @@
 
     @Override
     public void disconnect(final String to) {
-      lifelines.remove(numbers.get(to));
+      connections.remove(numbers.get(to));
     }
 
     @Override
-    public void pass(final String to, final Object message, final int size) {
+    public void sendOverConnection(final String to, final Object message, final int size) {
       bytes += size;
       final Integer target = numbers.get(to);
       if (target != null) {
-        whenOpen(
+        deliverReliably(
             number,
             target,
             () -> {
-              final SimulatedProcess there = processes[target];
-              if (there != null) {
-                there.run(() -> there.contestant.receive(message, agenda.nowUs()));
+              final SimulatedProcess receiver = processes[target];
+              if (receiver != null) {
+                receiver.run(() -> receiver.node.receive(message, events.nowUs()));
               }
             });
       }
     }
   }
 
-  /** A schedule for processes of that maker; a pause of that length may cost a life its place. */
+  /**
+   * Creates a simulation of a schedule.
+   *
+   * @param pauseLimitMs length from which a paused process may be removed from the view, ms
+   */
   public VirtualPeers(
-      final Schedule schedule, final Contestant.Maker maker, final long pauseLimitMs) {
+      final Schedule schedule, final MembershipNode.Factory factory, final long pauseLimitMs) {
     this.schedule = schedule;
-    this.maker = maker;
+    this.factory = factory;
     this.random = new SplittableRandom(schedule.seed());
     this.names =
         IntStream.range(0, schedule.members())
             .mapToObj(number -> String.format("n%03d", number))
             .toList();
     this.processes = new SimulatedProcess[schedule.members()];
-    this.lives = new int[schedule.members()];
+    this.startCounts = new int[schedule.members()];
     this.cuts = new int[schedule.members()][schedule.members()];
-    this.judge = new FleetChecker(pauseLimitMs);
+    this.checker = new FleetChecker(pauseLimitMs);
     names.forEach(name -> numbers.put(name, numbers.size()));
   }
 
-  /** Has that called after every moment in which anything happened. */
-  public VirtualPeers looking(final Consumer<VirtualPeers> at) {
-    look = at;
+  /** Sets a listener that is called after each simulated event. */
+  public VirtualPeers onEachStep(final Consumer<VirtualPeers> listener) {
+    stepListener = listener;
     return this;
   }
 
   private long delayUs() {
-    return LEAST_DELAY_US
-        + random.nextLong(MORE_DELAY_US)
+    return MIN_DELAY_US
+        + random.nextLong(EXTRA_DELAY_US)
         + (jitterUs > 0 ? random.nextLong(jitterUs) : 0);
   }
 
   /**
-   * Something over a connection's way: it waits for a cut to end, and for what is lost to be sent
-   * again.
+   * Delivers over a reliable connection: waits for the end of a cut and for lost segments to be
+   * retransmitted.
    */
-  private void whenOpen(final int from, final int to, final Runnable what) {
+  private void deliverReliably(final int from, final int to, final Runnable action) {
     long delayUs = delayUs();
     while (random.nextDouble() < loss) {
-      delayUs += AGAIN_US;
+      delayUs += RETRANSMIT_US;
     }
-    agenda.in(
+    events.in(
         delayUs,
         () -> {
           if (cuts[from][to] > 0) {
-            agenda.in(AGAIN_US, () -> whenOpen(from, to, what));
+            events.in(RETRANSMIT_US, () -> deliverReliably(from, to, action));
           } else {
-            what.run();
+            action.run();
           }
         });
   }
 
-  /** The time of the schedule, ms. */
+  /** Time since the start of the schedule, ms. */
   public long nowMs() {
-    return (agenda.nowUs() - beganUs) / MS;
+    return (events.nowUs() - startUs) / MS;
   }
 
-  /** Plays it to its end. */
+  /** Runs the schedule to its end. */
   public FleetChecker play() {
     for (final Fault fault : schedule.faults()) {
-      agenda.at(beganUs + fault.atMs() * MS, () -> begin(fault));
+      events.at(startUs + fault.atMs() * MS, () -> applyFault(fault));
     }
     for (int number = 0; number < processes.length; number++) {
       final int one = number;
-      agenda.at(
-          beganUs + random.nextLong(200 * MS), () -> processes[one] = new SimulatedProcess(one));
+      events.at(
+          startUs + random.nextLong(200 * MS), () -> processes[one] = new SimulatedProcess(one));
     }
-    final long endUs = beganUs + schedule.endMs() * MS;
-    while (agenda.step(endUs)) {
-      look.accept(this);
+    final long endUs = startUs + schedule.endMs() * MS;
+    while (events.step(endUs)) {
+      stepListener.accept(this);
     }
-    judge.compareViews(nowMs());
-    return judge;
+    checker.compareViews(nowMs());
+    return checker;
   }
 
-  private void begin(final Fault fault) {
-    final long untilUs = fault.forMs() == 0 ? Long.MAX_VALUE : agenda.nowUs() + fault.forMs() * MS;
+  private void applyFault(final Fault fault) {
+    final long untilUs = fault.forMs() == 0 ? Long.MAX_VALUE : events.nowUs() + fault.forMs() * MS;
     switch (fault.kind()) {
-      case KILL -> each(fault, SimulatedProcess::end);
+      case KILL -> forEachTarget(fault, SimulatedProcess::end);
       case LEAVE ->
-          each(
+          forEachTarget(
               fault,
               process -> {
-                process.contestant.leave(agenda.nowUs());
+                process.node.leave(events.nowUs());
                 process.end();
               });
       case START ->
@@ -334,103 +342,103 @@
               .targets()
               .forEach(
                   number -> {
-                    if (processes[number] == null || processes[number].over) {
+                    if (processes[number] == null || processes[number].ended) {
                       processes[number] = new SimulatedProcess(number);
                     }
                   });
       case PAUSE ->
-          each(
+          forEachTarget(
               fault,
               process -> {
-                process.stop(true);
-                agenda.at(untilUs, () -> process.stop(false));
+                process.setPaused(true);
+                events.at(untilUs, () -> process.setPaused(false));
               });
-      case STARVE -> each(fault, process -> starve(process, fault.value(), untilUs));
+      case STARVE -> forEachTarget(fault, process -> starve(process, fault.value(), untilUs));
       case CUT -> {
-        cut(fault, 1);
-        judge.linksCut(fault, names);
-        agenda.at(untilUs, () -> cut(fault, -1));
+        changeCuts(fault, 1);
+        checker.linksCut(fault, names);
+        events.at(untilUs, () -> changeCuts(fault, -1));
       }
       case BREAK -> {
-        reset(fault.targets(), fault.others());
-        reset(fault.others(), fault.targets());
+        resetConnections(fault.targets(), fault.others());
+        resetConnections(fault.others(), fault.targets());
       }
       case LOSS -> loss = fault.value();
-      case DOUBLE -> doubled = fault.value();
+      case DOUBLE -> duplication = fault.value();
       case DELAY -> jitterUs = (long) (fault.value() * MS);
     }
     if (fault.forMs() > 0 && fault.targets().isEmpty()) {
-      agenda.at(untilUs, () -> begin(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
+      events.at(untilUs, () -> applyFault(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
     }
   }
 
-  private void each(final Fault fault, final Consumer<SimulatedProcess> what) {
+  private void forEachTarget(final Fault fault, final Consumer<SimulatedProcess> action) {
     for (final int number : fault.targets()) {
-      if (processes[number] != null && !processes[number].over) {
-        what.accept(processes[number]);
+      if (processes[number] != null && !processes[number].ended) {
+        action.accept(processes[number]);
       }
     }
   }
 
   private void starve(final SimulatedProcess process, final double share, final long untilUs) {
-    if (process.over || agenda.nowUs() >= untilUs) {
+    if (process.ended || events.nowUs() >= untilUs) {
       return;
     }
-    process.stop(true);
-    agenda.in(
-        (long) (SLICE_US / share) - SLICE_US,
+    process.setPaused(true);
+    events.in(
+        (long) (TIME_SLICE_US / share) - TIME_SLICE_US,
         () -> {
-          process.stop(false);
-          agenda.in(SLICE_US, () -> starve(process, share, untilUs));
+          process.setPaused(false);
+          events.in(TIME_SLICE_US, () -> starve(process, share, untilUs));
         });
   }
 
-  private void cut(final Fault fault, final int by) {
-    final Set<Integer> to = new HashSet<>(fault.others());
+  private void changeCuts(final Fault fault, final int delta) {
+    final Set<Integer> others = new HashSet<>(fault.others());
     for (final int one : fault.targets()) {
-      to.forEach(other -> cuts[one][other] += by);
+      others.forEach(other -> cuts[one][other] += delta);
     }
   }
 
-  private void reset(final List<Integer> from, final List<Integer> to) {
+  private void resetConnections(final List<Integer> from, final List<Integer> to) {
     for (final int one : from) {
       final SimulatedProcess process = processes[one];
       for (final int other : to) {
-        if (process != null && process.lifelines.containsKey(other)) {
-          final int connection = process.lifelines.get(other);
-          process.run(() -> process.ended(other, connection));
+        if (process != null && process.connections.containsKey(other)) {
+          final int connection = process.connections.get(other);
+          process.run(() -> process.onConnectionEnded(other, connection));
         }
       }
     }
   }
 
-  /** The judge. */
-  public FleetChecker judge() {
-    return judge;
+  /** The checker of the fleet's guarantees. */
+  public FleetChecker checker() {
+    return checker;
   }
 
-  /** Those that run or stand still now. */
-  public List<Contestant> living() {
-    final List<Contestant> living = new ArrayList<>();
+  /** The nodes of all processes that run or are paused. */
+  public List<MembershipNode> running() {
+    final List<MembershipNode> running = new ArrayList<>();
     for (final SimulatedProcess process : processes) {
-      if (process != null && !process.over) {
-        living.add(process.contestant);
+      if (process != null && !process.ended) {
+        running.add(process.node);
       }
     }
-    return living;
+    return running;
   }
 
-  /** Bytes that were sent. */
+  /** Number of bytes sent. */
   public long bytes() {
     return bytes;
   }
 
-  /** Datagrams that were sent, and how many of them were lost. */
+  /** Number of datagrams sent, including lost ones. */
   public long datagrams() {
     return datagrams;
   }
 
-  /** Datagrams that were lost. */
+  /** Number of datagrams lost. */
   public long lost() {
     return lost;
   }
--- a/lab/src/main/java/thistleturn/lab/peers/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of couriers that watch one another, in virtual time: the decisions of {@code peers}, and
- * what they are measured against.
+ * Simulation in virtual time of couriers that monitor one another: the membership protocol of
+ * {@code decisions.peers}, and the baselines it is compared with (SWIM, heartbeats, phi accrual).
  */
 package thistleturn.lab.peers;
--- a/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/VirtualReplicas.java
@@ -25,212 +25,215 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * Plays a schedule of faults on virtual couriers that hold the fleet's state. Each has a clock of
- * its own; messages are lost, doubled, late and cut off as the schedule says; a killed one starts
- * again from what it had put down, which may be some seconds old, torn (then nothing), or from a
- * folder that was wiped.
+ * Runs a schedule of faults on simulated couriers that replicate the fleet's state, in virtual
+ * time. Each courier has its own clock. Messages are lost, duplicated, delayed and cut off
+ * according to the schedule. A killed courier restarts from its last snapshot, which may be some
+ * seconds old, or without one if it was wiped or is torn.
  */
 public final class VirtualReplicas {
   private static final long MS = 1000;
   private static final long SECOND_US = 1_000_000;
-  private static final long LEAST_DELAY_US = 200;
-  private static final long MORE_DELAY_US = 2 * MS;
-  private static final long AGAIN_US = 200 * MS;
+  private static final long MIN_DELAY_US = 200;
+  private static final long EXTRA_DELAY_US = 2 * MS;
+  private static final long RETRANSMIT_US = 200 * MS;
 
-  /** How soon it is known that one began or ended: what peers take for it. */
-  private static final long KNOWN_US = 900 * MS;
+  /** Delay until the start or end of a courier is known; the time that peers need to detect it. */
+  private static final long DETECTION_DELAY_US = 900 * MS;
 
-  private static final long PUT_DOWN_US = 2 * SECOND_US;
+  private static final long SNAPSHOT_INTERVAL_US = 2 * SECOND_US;
 
-  /** Clocks differ by up to so long. */
-  private static final long SKEW_US = 3600 * SECOND_US;
+  /** Largest offset of a courier's clock in either direction. */
+  private static final long MAX_SKEW_US = 3600 * SECOND_US;
 
-  private final EventQueue agenda = new EventQueue(10 * SKEW_US);
-  private final long beganUs = agenda.nowUs();
+  private final EventQueue events = new EventQueue(10 * MAX_SKEW_US);
+  private final long startUs = events.nowUs();
   private final Schedule schedule;
-  private final ReplicationSettings rules;
+  private final ReplicationSettings settings;
   private final SplittableRandom random;
   private final Courier[] couriers;
-  private final PutDown[] folders;
-  private final long[] skewUs;
-  private final long[] births;
+  private final Snapshot[] snapshots;
+  private final long[] clockOffsetUs;
+  private final long[] incarnations;
   private final int[][] cuts;
-  private final List<String> happened = new ArrayList<>();
-  private UnaryOperator<ReplicationMessage> says = message -> message;
-  private boolean keepsBirth;
+  private final List<String> eventLines = new ArrayList<>();
+  private UnaryOperator<ReplicationMessage> messageTransform = message -> message;
+  private boolean reusesIncarnation;
   private double loss;
-  private double doubled;
+  private double duplication;
   private long jitterUs;
   private long bytes;
   private long messages;
 
-  /** What a courier last put down: entries with the age that they had, and when that was. */
-  private record PutDown(List<Delta> deltas, long atUs, long togetherUs) {}
+  /** The last stored state of a courier: the entries, the time of storing and of the last sync. */
+  private record Snapshot(List<Delta> deltas, long savedUs, long lastSyncedUs) {}
 
-  /** One courier. */
+  /** One simulated courier. */
   public final class Courier {
     private final int number;
     private final ReplicationProtocol replicas;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private final Set<Integer> knows = new HashSet<>();
-    private final Map<String, Long> firstOutUs = new HashMap<>();
-    private boolean stopped;
-    private boolean over;
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
+    private final Set<Integer> knownPeers = new HashSet<>();
+    private final Map<String, Long> firstDisabledUs = new HashMap<>();
+    private boolean paused;
+    private boolean ended;
 
     private Courier(final int number) {
       this.number = number;
-      births[number] =
-          keepsBirth && births[number] > 0 ? births[number] : Math.max(births[number] + 1, nowUs());
+      incarnations[number] =
+          reusesIncarnation && incarnations[number] > 0
+              ? incarnations[number]
+              : Math.max(incarnations[number] + 1, nowUs());
       this.replicas =
           new ReplicationProtocol(
-              rules,
-              new WriterId(name(number), births[number]),
+              settings,
+              new WriterId(name(number), incarnations[number]),
               random.nextLong(),
               nowUs(),
-              new Out(this));
-      if (folders[number] != null) {
-        replicas.restore(folders[number].deltas, folders[number].togetherUs, nowUs());
+              new SimulatedNetwork(this));
+      if (snapshots[number] != null) {
+        replicas.restore(snapshots[number].deltas, snapshots[number].lastSyncedUs, nowUs());
       }
-      agenda.in(random.nextLong(rules.tickIntervalUs()), this::tick);
-      agenda.in(random.nextLong(PUT_DOWN_US), this::putDown);
-      agenda.in(
-          KNOWN_US,
+      events.in(random.nextLong(settings.tickIntervalUs()), this::tick);
+      events.in(random.nextLong(SNAPSHOT_INTERVAL_US), this::saveSnapshot);
+      events.in(
+          DETECTION_DELAY_US,
           () ->
-              everyone(
+              forEachRunning(
                   other -> {
-                    if (!over && other != this) {
-                      other.knows.add(number);
-                      knows.add(other.number);
+                    if (!ended && other != this) {
+                      other.knownPeers.add(number);
+                      knownPeers.add(other.number);
                     }
                   }));
     }
 
-    /** Its own clock. */
+    /** Time on the courier's own clock, us. */
     public long nowUs() {
-      return agenda.nowUs() + skewUs[number];
+      return events.nowUs() + clockOffsetUs[number];
     }
 
-    /** What it holds. */
+    /** The courier's replica. */
     public ReplicationProtocol replicas() {
       return replicas;
     }
 
-    /** Its number. */
+    /** Index of the courier. */
     public int number() {
       return number;
     }
 
-    /** When it first held an endpoint for left out, by the time of the schedule, ms; -1: never. */
-    public long leftOutMs(final String endpoint) {
-      final Long us = firstOutUs.get(endpoint);
-      return us == null ? -1 : (us - beganUs) / MS;
+    /** When the courier first regarded the endpoint as disabled, ms of the schedule; -1: never. */
+    public long disabledAtMs(final String endpoint) {
+      final Long us = firstDisabledUs.get(endpoint);
+      return us == null ? -1 : (us - startUs) / MS;
     }
 
     private void tick() {
-      if (over) {
+      if (ended) {
         return;
       }
-      agenda.in(rules.tickIntervalUs(), this::tick);
-      if (!stopped) {
-        replicas.setReachablePeers(knows.stream().sorted().map(String::valueOf).toList());
+      events.in(settings.tickIntervalUs(), this::tick);
+      if (!paused) {
+        replicas.setReachablePeers(knownPeers.stream().sorted().map(String::valueOf).toList());
         replicas.tick(nowUs());
       }
     }
 
-    private void putDown() {
-      if (!over) {
-        agenda.in(PUT_DOWN_US, this::putDown);
-        if (!stopped) {
-          folders[number] = new PutDown(replicas.allDeltas(), nowUs(), replicas.lastSyncedUs());
+    private void saveSnapshot() {
+      if (!ended) {
+        events.in(SNAPSHOT_INTERVAL_US, this::saveSnapshot);
+        if (!paused) {
+          snapshots[number] = new Snapshot(replicas.allDeltas(), nowUs(), replicas.lastSyncedUs());
         }
       }
     }
 
-    private void run(final Runnable what) {
-      if (!over && stopped) {
-        waiting.add(what);
-      } else if (!over) {
-        what.run();
+    private void run(final Runnable action) {
+      if (!ended && paused) {
+        deferred.add(action);
+      } else if (!ended) {
+        action.run();
       }
     }
 
-    private void stop(final boolean stop) {
-      stopped = stop;
-      while (!stopped && !waiting.isEmpty() && !over) {
-        waiting.poll().run();
+    private void setPaused(final boolean pause) {
+      paused = pause;
+      while (!paused && !deferred.isEmpty() && !ended) {
+        deferred.poll().run();
       }
     }
 
     private void end() {
-      over = true;
-      agenda.in(
-          KNOWN_US,
+      ended = true;
+      events.in(
+          DETECTION_DELAY_US,
           () ->
-              everyone(
+              forEachRunning(
                   other -> {
-                    if (couriers[number] == null || couriers[number].over) {
-                      other.knows.remove(number);
+                    if (couriers[number] == null || couriers[number].ended) {
+                      other.knownPeers.remove(number);
                     }
                   }));
     }
   }
 
-  /** What a courier sends. */
-  private final class Out implements ReplicationActions {
+  /** The simulated network as seen by one courier. */
+  private final class SimulatedNetwork implements ReplicationActions {
     private final Courier from;
 
-    private Out(final Courier from) {
+    private SimulatedNetwork(final Courier from) {
       this.from = from;
     }
 
     @Override
     public void send(final String to, final ReplicationMessage message) {
       final int target = Integer.parseInt(to);
-      count(message);
+      countSent(message);
       if (cuts[from.number][target] > 0 || random.nextDouble() < loss) {
         return;
       }
-      final int times = doubled > 0 && random.nextDouble() < doubled ? 2 : 1;
+      final int copies = duplication > 0 && random.nextDouble() < duplication ? 2 : 1;
       final long sentUs = from.nowUs();
-      for (int copy = 0; copy < times; copy++) {
-        agenda.in(delayUs(), () -> arrive(target, message, sentUs));
+      for (int copy = 0; copy < copies; copy++) {
+        events.in(delayUs(), () -> arrive(target, message, sentUs));
       }
     }
 
     /**
-     * Over a connection: what is lost is sent again, and what is cut off waits for the cut to end
-     * or is lost with it.
+     * Sends over a connection: lost segments are retransmitted, and a message that meets a cut is
+     * lost.
      */
     @Override
     public void sendOverConnection(final String to, final ReplicationMessage message) {
       final int target = Integer.parseInt(to);
-      count(message);
+      countSent(message);
       long delayUs = delayUs();
       while (random.nextDouble() < loss) {
-        delayUs += AGAIN_US;
+        delayUs += RETRANSMIT_US;
       }
       final long sentUs = from.nowUs();
       if (cuts[from.number][target] == 0) {
-        agenda.in(delayUs, () -> arrive(target, message, sentUs));
+        events.in(delayUs, () -> arrive(target, message, sentUs));
       }
     }
 
-    private void count(final ReplicationMessage message) {
+    private void countSent(final ReplicationMessage message) {
       messages++;
       bytes += message.estimatedBytes();
     }
 
     private void arrive(final int target, final ReplicationMessage message, final long sentUs) {
-      final Courier there = couriers[target];
-      if (there != null && cuts[from.number][target] == 0) {
-        // Ages are what passes between clocks; what was on its way, or lay unread, is thought to be
-        // as much younger.
-        there.run(
+      final Courier receiver = couriers[target];
+      if (receiver != null && cuts[from.number][target] == 0) {
+        // Entries carry ages, since clocks differ. Time in transit or in the receiver's queue is
+        // not
+        // counted, so entries appear younger by that time.
+        receiver.run(
             () ->
-                there.replicas.onMessage(
+                receiver.replicas.onMessage(
                     String.valueOf(from.number),
-                    moved(says.apply(message), there.nowUs() - sentUs),
-                    there.nowUs()));
+                    shiftTimes(messageTransform.apply(message), receiver.nowUs() - sentUs),
+                    receiver.nowUs()));
       }
     }
 
@@ -239,44 +242,44 @@
       if (kind == EntryType.MAINTENANCE
           && from.replicas != null
           && from.replicas.mergedValue(kind, subject).state().equals("left out")) {
-        from.firstOutUs.putIfAbsent(subject, agenda.nowUs());
+        from.firstDisabledUs.putIfAbsent(subject, events.nowUs());
       }
     }
 
     @Override
     public void onEvent(final String text) {
-      happened.add(name(from.number) + ": " + text);
+      eventLines.add(name(from.number) + ": " + text);
     }
   }
 
-  /** A schedule for couriers that begin with nothing. */
-  public VirtualReplicas(final Schedule schedule, final ReplicationSettings rules) {
+  /** Creates a simulation of a schedule; all couriers start without entries. */
+  public VirtualReplicas(final Schedule schedule, final ReplicationSettings settings) {
     this.schedule = schedule;
-    this.rules = rules;
+    this.settings = settings;
     this.random = new SplittableRandom(schedule.seed());
     final int members = schedule.members();
     this.couriers = new Courier[members];
-    this.folders = new PutDown[members];
-    this.births = new long[members];
+    this.snapshots = new Snapshot[members];
+    this.incarnations = new long[members];
     this.cuts = new int[members][members];
-    this.skewUs = new long[members];
+    this.clockOffsetUs = new long[members];
     for (int number = 0; number < members; number++) {
-      skewUs[number] = random.nextLong(-SKEW_US, SKEW_US);
+      clockOffsetUs[number] = random.nextLong(-MAX_SKEW_US, MAX_SKEW_US);
     }
     for (int number = 0; number < members; number++) {
       couriers[number] = new Courier(number);
     }
   }
 
-  /** Has that done to whatever is said: faults that are planted. */
-  public VirtualReplicas saying(final UnaryOperator<ReplicationMessage> how) {
-    says = how;
+  /** Applies the function to each message received, to plant faults. */
+  public VirtualReplicas transformingMessages(final UnaryOperator<ReplicationMessage> transform) {
+    messageTransform = transform;
     return this;
   }
 
-  /** A fault that is planted: a life that starts again writes on as the one before. */
-  public VirtualReplicas keepingBirths() {
-    keepsBirth = true;
+  /** Planted fault: a restarted courier writes under the incarnation of its predecessor. */
+  public VirtualReplicas reusingIncarnations() {
+    reusesIncarnation = true;
     return this;
   }
 
@@ -285,26 +288,27 @@
   }
 
   private long delayUs() {
-    return LEAST_DELAY_US
-        + random.nextLong(MORE_DELAY_US)
+    return MIN_DELAY_US
+        + random.nextLong(EXTRA_DELAY_US)
         + (jitterUs > 0 ? random.nextLong(jitterUs) : 0);
   }
 
-  /** The same entries on another's clock. */
-  private static ReplicationMessage moved(final ReplicationMessage message, final long byUs) {
-    if (message instanceof ReplicationMessage.EntryBroadcast news) {
-      return new ReplicationMessage.EntryBroadcast(movedAll(news.deltas(), byUs));
+  /** Shifts the creation times of a message's entries to another courier's clock. */
+  private static ReplicationMessage shiftTimes(
+      final ReplicationMessage message, final long offsetUs) {
+    if (message instanceof ReplicationMessage.EntryBroadcast broadcast) {
+      return new ReplicationMessage.EntryBroadcast(shiftAll(broadcast.deltas(), offsetUs));
     }
-    return message instanceof ReplicationMessage.DeltaBatch piece
+    return message instanceof ReplicationMessage.DeltaBatch batch
         ? new ReplicationMessage.DeltaBatch(
-            piece.partition(),
-            piece.partitionCount(),
-            movedAll(piece.deltas(), byUs),
-            piece.hasMore())
+            batch.partition(),
+            batch.partitionCount(),
+            shiftAll(batch.deltas(), offsetUs),
+            batch.hasMore())
         : message;
   }
 
-  private static List<Delta> movedAll(final List<Delta> deltas, final long byUs) {
+  private static List<Delta> shiftAll(final List<Delta> deltas, final long offsetUs) {
     return deltas.stream()
         .map(
             delta ->
@@ -321,136 +325,139 @@
                                     entry.writer(),
                                     entry.version(),
                                     entry.ttlUs(),
-                                    entry.createdUs() + byUs,
+                                    entry.createdUs() + offsetUs,
                                     entry.fields()))
                         .toList()))
         .toList();
   }
 
-  /** Plans something for a moment of the schedule. */
-  public void at(final long ms, final Runnable what) {
-    agenda.at(beganUs + ms * MS, what);
+  /** Schedules an action at a time of the schedule, ms. */
+  public void at(final long ms, final Runnable action) {
+    events.at(startUs + ms * MS, action);
   }
 
-  /** Plays it to its end. */
+  /** Runs the schedule to its end. */
   public void play() {
     for (final Fault fault : schedule.faults()) {
-      agenda.at(beganUs + fault.atMs() * MS, () -> begin(fault));
+      events.at(startUs + fault.atMs() * MS, () -> applyFault(fault));
     }
-    final long endUs = beganUs + schedule.endMs() * MS;
-    while (agenda.step(endUs)) {}
+    final long endUs = startUs + schedule.endMs() * MS;
+    while (events.step(endUs)) {}
   }
 
-  /** Goes on until all that run hold the same, at most so long; the time that took, ms, or -1. */
-  public long settle(final long mostMs) {
-    final long fromUs = agenda.nowUs();
-    while (!isEqual() && agenda.nowUs() - fromUs < mostMs * MS) {
-      agenda.step(agenda.nowUs() + 10 * MS);
+  /**
+   * Continues until all running couriers hold the same entries, for at most the given time; returns
+   * the time that took, ms, or -1.
+   */
+  public long settle(final long maxMs) {
+    final long fromUs = events.nowUs();
+    while (!isEqual() && events.nowUs() - fromUs < maxMs * MS) {
+      events.step(events.nowUs() + 10 * MS);
     }
-    return isEqual() ? (agenda.nowUs() - fromUs) / MS : -1;
+    return isEqual() ? (events.nowUs() - fromUs) / MS : -1;
   }
 
-  private void begin(final Fault fault) {
-    final long untilUs = fault.forMs() == 0 ? Long.MAX_VALUE : agenda.nowUs() + fault.forMs() * MS;
+  private void applyFault(final Fault fault) {
+    final long untilUs = fault.forMs() == 0 ? Long.MAX_VALUE : events.nowUs() + fault.forMs() * MS;
     switch (fault.kind()) {
-      case KILL, LEAVE -> each(fault, Courier::end);
+      case KILL, LEAVE -> forEachTarget(fault, Courier::end);
       case START ->
           fault
               .targets()
               .forEach(
                   number -> {
-                    if (couriers[number] == null || couriers[number].over) {
+                    if (couriers[number] == null || couriers[number].ended) {
                       couriers[number] = new Courier(number);
                     }
                   });
       case PAUSE, STARVE ->
-          each(
+          forEachTarget(
               fault,
               courier -> {
-                courier.stop(true);
-                agenda.at(untilUs, () -> courier.stop(false));
+                courier.setPaused(true);
+                events.at(untilUs, () -> courier.setPaused(false));
               });
       case CUT -> {
-        cut(fault, 1);
-        agenda.at(untilUs, () -> cut(fault, -1));
+        changeCuts(fault, 1);
+        events.at(untilUs, () -> changeCuts(fault, -1));
       }
       case LOSS -> loss = fault.value();
-      case DOUBLE -> doubled = fault.value();
+      case DOUBLE -> duplication = fault.value();
       case DELAY -> jitterUs = (long) (fault.value() * MS);
-      // A connection that is reset loses one piece at most: as many are lost by cuts.
+      // A connection reset loses one batch at most, which cuts already cover.
       case BREAK -> {}
     }
     if (fault.forMs() > 0 && fault.targets().isEmpty()) {
-      agenda.at(untilUs, () -> begin(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
+      events.at(untilUs, () -> applyFault(new Fault(0, 0, fault.kind(), List.of(), List.of(), 0)));
     }
   }
 
-  private void cut(final Fault fault, final int by) {
-    fault.targets().forEach(one -> fault.others().forEach(other -> cuts[one][other] += by));
+  private void changeCuts(final Fault fault, final int delta) {
+    fault.targets().forEach(one -> fault.others().forEach(other -> cuts[one][other] += delta));
   }
 
-  private void each(final Fault fault, final Consumer<Courier> what) {
+  private void forEachTarget(final Fault fault, final Consumer<Courier> action) {
     for (final int number : fault.targets()) {
-      if (couriers[number] != null && !couriers[number].over) {
-        what.accept(couriers[number]);
+      if (couriers[number] != null && !couriers[number].ended) {
+        action.accept(couriers[number]);
       }
     }
   }
 
-  private void everyone(final Consumer<Courier> what) {
+  private void forEachRunning(final Consumer<Courier> action) {
     for (final Courier courier : couriers) {
-      if (courier != null && !courier.over) {
-        what.accept(courier);
+      if (courier != null && !courier.ended) {
+        action.accept(courier);
       }
     }
   }
 
-  /** A courier that runs or stands still, or null. */
+  /** A courier that runs or is paused, or null. */
   public Courier courier(final int number) {
-    return couriers[number] == null || couriers[number].over ? null : couriers[number];
+    return couriers[number] == null || couriers[number].ended ? null : couriers[number];
   }
 
-  /** Those that run or stand still. */
+  /** The couriers that run or are paused. */
   public List<Courier> running() {
     final List<Courier> running = new ArrayList<>();
-    everyone(running::add);
+    forEachRunning(running::add);
     return running;
   }
 
-  /** Loses what a courier that does not run had put down. */
+  /** Deletes the snapshot of a courier that does not run. */
   public void wipe(final int number) {
-    folders[number] = null;
+    snapshots[number] = null;
   }
 
-  /** True if all that run hold the same. */
+  /** Returns true if all running couriers hold the same entries. */
   public boolean isEqual() {
     return running().stream().map(courier -> courier.replicas.checksum()).distinct().count() <= 1;
   }
 
-  /** How many hold which sum. */
-  public Map<Long, Integer> sums() {
-    final Map<Long, Integer> sums = new TreeMap<>();
-    running().forEach(courier -> sums.merge(courier.replicas.checksum(), 1, Integer::sum));
-    return sums;
+  /** Number of couriers by checksum. */
+  public Map<Long, Integer> checksums() {
+    final Map<Long, Integer> checksums = new TreeMap<>();
+    running().forEach(courier -> checksums.merge(courier.replicas.checksum(), 1, Integer::sum));
+    return checksums;
   }
 
-  /** The time of the schedule, ms. */
+  /** Time since the start of the schedule, ms. */
   public long nowMs() {
-    return (agenda.nowUs() - beganUs) / MS;
+    return (events.nowUs() - startUs) / MS;
   }
 
-  /** Bytes that were sent, about. */
+  /** Estimated number of bytes sent. */
   public long bytes() {
     return bytes;
   }
 
-  /** Messages that were sent. */
+  /** Number of messages sent. */
   public long messages() {
     return messages;
   }
 
-  /** What couriers told their operators. */
-  public List<String> happened() {
-    return happened;
+  /** The events reported by all couriers. */
+  public List<String> eventLines() {
+    return eventLines;
   }
 }
--- a/lab/src/main/java/thistleturn/lab/replicas/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of copies ({@code decisions.replicas}) in virtual time, under the schedules of faults that
- * real fleets play, too.
+ * Simulation in virtual time of fleets of replicas ({@code decisions.replicas}), under the same
+ * schedules of faults as tests with real processes.
  */
 package thistleturn.lab.replicas;
--- a/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PeersUnderFaultsTest.java
@@ -23,16 +23,16 @@
 import thistleturn.testkit.rig.FleetChecker;
 import thistleturn.testkit.rig.Schedule;
 
-/** The hard cases of knowing one another, each as a schedule of faults in virtual time. */
+/** Difficult cases of the membership protocol, each as a schedule of faults in virtual time. */
 @Tag("peers")
 final class PeersUnderFaultsTest {
   private static final long BEGAN_US = 1_000_000_000L;
   private static final long PAUSE_LIMIT_MS = 5000;
 
-  /** A schedule that was played, with what was said on the way. */
+  /** A run of a schedule that records the events of all members. */
   private static final class Play {
-    private final List<String> said = new ArrayList<>();
-    private final Map<Long, Runnable> looks = new HashMap<>();
+    private final List<String> eventLines = new ArrayList<>();
+    private final Map<Long, Runnable> observations = new HashMap<>();
     private final VirtualPeers world;
 
     Play(final String schedule) {
@@ -43,12 +43,12 @@
       world =
           new VirtualPeers(
               schedule,
-              (number, life, names, seed, nowUs, wire) ->
-                  PeersContestant.maker(
+              (number, restarts, names, seed, nowUs, wire) ->
+                  ProtocolNode.factory(
                           GossipSettings.defaults(),
                           true,
                           event ->
-                              said.add(
+                              eventLines.add(
                                   names.get(number)
                                       + ": "
                                       + event.type()
@@ -56,111 +56,115 @@
                                       + event.peerName()
                                       + ' '
                                       + event.message()))
-                      .make(number, life, names, seed, nowUs, wire),
+                      .create(number, restarts, names, seed, nowUs, wire),
               PAUSE_LIMIT_MS);
-      world.looking(
+      world.onEachStep(
           at ->
-              looks
+              observations
                   .entrySet()
                   .removeIf(
-                      look -> {
-                        final boolean due = at.nowMs() >= look.getKey();
+                      observation -> {
+                        final boolean due = at.nowMs() >= observation.getKey();
                         if (due) {
-                          look.getValue().run();
+                          observation.getValue().run();
                         }
                         return due;
                       }));
     }
 
-    Play at(final long ms, final Runnable look) {
-      looks.put(ms, look);
+    Play at(final long ms, final Runnable observation) {
+      observations.put(ms, observation);
       return this;
     }
 
-    FleetChecker judge() {
-      final FleetChecker judge = world.play();
-      assertTrue(looks.isEmpty(), "all looks were due");
-      return judge;
+    FleetChecker run() {
+      final FleetChecker checker = world.play();
+      assertTrue(observations.isEmpty(), "every planned observation was made");
+      return checker;
     }
 
-    FleetChecker good() {
-      final FleetChecker judge = judge();
-      assertEquals(List.of(), judge.violations());
-      assertTrue(judge.isAgreed(), () -> "views differ at the end: " + said);
-      return judge;
+    FleetChecker runWithoutViolations() {
+      final FleetChecker checker = run();
+      assertEquals(List.of(), checker.violations());
+      assertTrue(checker.isAgreed(), () -> "views differ at the end: " + eventLines);
+      return checker;
     }
 
-    PeersContestant one(final int number) {
-      return (PeersContestant)
-          world.living().stream()
-              .filter(one -> one.life().startsWith(String.format("n%03d#", number)))
+    ProtocolNode node(final int number) {
+      return (ProtocolNode)
+          world.running().stream()
+              .filter(one -> one.id().startsWith(String.format("n%03d#", number)))
               .findFirst()
               .orElseThrow();
     }
 
-    PeerSnapshot known(final int by, final int of) {
-      return one(by).peers().snapshots(BEGAN_US + world.nowMs() * 1000).stream()
+    PeerSnapshot snapshot(final int by, final int of) {
+      return node(by).protocol().snapshots(BEGAN_US + world.nowMs() * 1000).stream()
           .filter(one -> one.id().name().equals(String.format("n%03d", of)))
           .findFirst()
           .orElseThrow();
     }
 
     long count(final String text) {
-      return said.stream().filter(line -> line.contains(text)).count();
+      return eventLines.stream().filter(line -> line.contains(text)).count();
     }
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.05, 0.3})
-  void aKillIsKnownToAllSoon(final double loss) {
-    final FleetChecker judge =
-        new Play("members 10\nseed 3\nend 25s\nat 0s loss " + loss + "\nat 8s kill 3").good();
-    assertEquals(1, judge.detectionTimesMs().size());
+  void killedProcess_isDetectedByAllInTime(final double loss) {
+    final FleetChecker checker =
+        new Play("members 10\nseed 3\nend 25s\nat 0s loss " + loss + "\nat 8s kill 3")
+            .runWithoutViolations();
+    assertEquals(1, checker.detectionTimesMs().size());
     assertTrue(
-        judge.detectionTimesMs().get(0) < (loss < 0.1 ? 2000 : 4000),
-        () -> "known after " + judge.detectionTimesMs());
+        checker.detectionTimesMs().get(0) < (loss < 0.1 ? 2000 : 4000),
+        () -> "detected after " + checker.detectionTimesMs());
   }
 
   /**
-   * It hears nothing of one that all others hear: all say the same of it, without flapping, and
-   * nobody is dead.
+   * One member does not receive another's messages while all others do: all members report the same
+   * state, without flapping, and no member is declared dead.
    */
   @Test
-  void aCutOfOneDirectionIsOneStableAnswer() {
+  void oneDirectionalCut_givesStableStateWithoutDeath() {
     final Play play =
         new Play("members 10\nseed 4\nend 60s\nat 0s loss 0.05\nat 8s cut 0 -> 4 for 40s");
     play.at(
         20_000,
         () -> {
           for (int by = 1; by < 10; by++) {
-            assertEquals(PeerState.PARTLY, play.known(by, 0).state(), "of 0 by " + by);
+            assertEquals(PeerState.PARTLY, play.snapshot(by, 0).state(), "of 0 by " + by);
             assertEquals(
                 List.of("n004"),
-                play.known(by, 0).unreachableReports().stream()
+                play.snapshot(by, 0).unreachableReports().stream()
                     .map(PeerSnapshot.UnreachableReport::observer)
                     .toList());
-            assertEquals(MembershipStatus.MAJORITY, play.one(by).peers().status());
+            assertEquals(MembershipStatus.MAJORITY, play.node(by).protocol().status());
           }
-          assertEquals(PeerState.ALIVE, play.known(0, 4).state(), "the other direction is open");
+          assertEquals(
+              PeerState.ALIVE, play.snapshot(0, 4).state(), "the other direction is not cut");
         });
-    play.good();
-    assertEquals(9, play.count("n000 is reached by some"), "each says it once");
+    play.runWithoutViolations();
+    assertEquals(9, play.count("n000 is reached by some"), "each member reports it once");
     assertEquals(0, play.count("is suspect"));
     assertEquals(
-        1, play.world.judge().viewCount() - 1, "no view beyond the founding and the whole one");
+        1,
+        play.world.checker().viewCount() - 1,
+        "no view besides the founding one and the one with all members");
   }
 
   @Test
-  void aChainIsOneFleet() {
+  void twoMembersCutFromEachOther_remainOneFleet() {
     final Play play = new Play("members 3\nseed 5\nend 40s\nat 8s cut 0 <-> 2 for 25s");
     play.at(
         30_000,
         () -> {
-          assertEquals(PeerState.PARTLY, play.known(0, 2).state());
-          assertEquals(PeerState.PARTLY, play.known(1, 2).state());
-          assertEquals(MembershipStatus.MAJORITY, play.one(2).peers().status());
+          assertEquals(PeerState.PARTLY, play.snapshot(0, 2).state());
+          assertEquals(PeerState.PARTLY, play.snapshot(1, 2).state());
+          assertEquals(MembershipStatus.MAJORITY, play.node(2).protocol().status());
         });
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("is suspect"));
   }
 
@@ -175,59 +179,59 @@
         "0,1,2,3,4,5,6,7,8,9 for 8s",
         "0,1,2,3,4 for 5s"
       })
-  void pausesCostNobodyHisPlace(final String pause) {
+  void pauseBelowLimit_keepsMembership(final String pause) {
     final Play play = new Play("members 10\nseed 6\nend 30s\nat 0s loss 0.3\nat 8s pause " + pause);
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("is dead"));
     assertEquals(0, play.count("starts another incarnation"));
   }
 
   /**
-   * Cut off from some for long, then still for less than the limit: those who heard it until then
-   * do not agree to its end.
+   * A member is first cut off from some members, then paused for less than the limit: the members
+   * that received its messages until the pause do not agree to its death.
    */
   @Test
-  void aCutBeforeAPauseAddsNothingToIt() {
+  void cutBeforePause_doesNotShortenPauseLimit() {
     final Play play =
         new Play(
             "members 12\nseed 182\nend 45s\nat 0s loss 0.1\nat 10s cut 3,4,5,8,10 <-> 0,1,2,6,7,9,11 for 7500ms\n"
                 + "at 16300ms pause 7 for 4500ms");
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("n007 is dead"));
   }
 
   /**
-   * Longer than the limit: it is out by agreement, accuses nobody on waking, and is back as another
-   * life.
+   * A member paused beyond the limit is removed by agreement, reports no peer as unreachable on
+   * resuming, and rejoins as a new incarnation.
    */
   @Test
-  void aPauseBeyondTheLimitIsAnEndAndAComingBack() {
+  void pauseBeyondLimit_removesAndRejoinsAsNewIncarnation() {
     final Play play = new Play("members 10\nseed 7\nend 30s\nat 8s pause 3 for 12s");
-    play.good();
+    play.runWithoutViolations();
     assertEquals(9, play.count("n003 is dead by agreement"));
     assertEquals(1, play.count("n003: PROCESS_PAUSED"));
     assertEquals(1, play.count("starts another incarnation"));
     assertTrue(
-        play.said.stream()
+        play.eventLines.stream()
             .filter(line -> line.startsWith("n003: PEER_STATE"))
             .noneMatch(line -> line.contains("suspect") || line.contains("not by n003")),
-        "it accuses nobody");
+        "it reports no peer as unreachable");
     assertTrue(
-        play.world.judge().lastAgreementMs() < 23_000,
-        () -> "back at " + play.world.judge().lastAgreementMs());
+        play.world.checker().lastAgreementMs() < 23_000,
+        () -> "rejoined at " + play.world.checker().lastAgreementMs());
   }
 
-  /** At the very limit it may be out or not: either way all agree again, as it wakes. */
+  /** At the limit a paused member may be removed or not; either way all agree after it resumes. */
   @Test
-  void aPauseAtTheLimitHarmsNobodyElse() {
+  void pauseAtLimit_affectsNoOtherMember() {
     for (final String pause :
         List.of("3 for 7800ms", "3 for 8s", "3,5,8 for 8200ms", "3 for 8500ms")) {
       final Play play =
           new Play("members 10\nseed 22\nend 30s\nat 0s loss 0.1\nat 8s pause " + pause);
-      play.good();
+      play.runWithoutViolations();
       assertEquals(
           0,
-          play.said.stream()
+          play.eventLines.stream()
               .filter(
                   line ->
                       line.contains("is dead")
@@ -239,30 +243,30 @@
   }
 
   @Test
-  void oneOnATwentiethOfACoreStays() {
+  void memberOnTwentiethOfCore_keepsMembership() {
     final Play play =
         new Play("members 10\nseed 8\nend 40s\nat 0s loss 0.05\nat 8s starve 3 for 20s");
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("is dead"));
   }
 
   /**
-   * Halves, thirds and a lone one: each knows where it stands within 5 s, and nobody is dead where
-   * there is no majority.
+   * Partitions into halves, into thirds and with a single isolated member: each member recognizes
+   * its status within 5 s, and no member is declared dead where there is no majority.
    */
   @Test
-  void splitsAreKnownOnBothSides() {
+  void partition_isRecognizedOnAllSides() {
     final Play halves =
         new Play("members 10\nseed 9\nend 45s\nat 8s cut 0,1,2,3,4 <-> 5,6,7,8,9 for 20s");
     halves.at(
         13_000,
         () -> {
           for (int one = 0; one < 10; one++) {
-            assertEquals(MembershipStatus.MINORITY, halves.one(one).peers().status());
-            assertEquals(5, halves.one(one).peers().reachableMembers());
+            assertEquals(MembershipStatus.MINORITY, halves.node(one).protocol().status());
+            assertEquals(5, halves.node(one).protocol().reachableMembers());
           }
         });
-    halves.good();
+    halves.runWithoutViolations();
     assertEquals(0, halves.count("is dead"));
 
     final Play pieces =
@@ -278,10 +282,10 @@
         13_000,
         () -> {
           for (int one = 0; one < 9; one++) {
-            assertEquals(MembershipStatus.MINORITY, pieces.one(one).peers().status());
+            assertEquals(MembershipStatus.MINORITY, pieces.node(one).protocol().status());
           }
         });
-    pieces.good();
+    pieces.runWithoutViolations();
     assertEquals(0, pieces.count("is dead"));
 
     final Play lone =
@@ -289,15 +293,15 @@
     lone.at(
         13_000,
         () -> {
-          assertEquals(MembershipStatus.ALONE, lone.one(4).peers().status());
-          assertEquals(MembershipStatus.MAJORITY, lone.one(5).peers().status());
+          assertEquals(MembershipStatus.ALONE, lone.node(4).protocol().status());
+          assertEquals(MembershipStatus.MAJORITY, lone.node(5).protocol().status());
         });
-    lone.good();
+    lone.runWithoutViolations();
     assertEquals(9, lone.count("n004 is dead by agreement"));
   }
 
   @Test
-  void aLoneOneInALargeFleetKnowsIt() {
+  void smallMinorityOfLargeFleet_recognizesPartition() {
     final StringBuilder others = new StringBuilder();
     for (int other = 0; other < 60; other++) {
       others.append(other == 40 || other == 41 ? "" : (others.isEmpty() ? "" : ",") + other);
@@ -307,43 +311,40 @@
     play.at(
         15_500,
         () -> {
-          assertTrue(play.one(40).peers().status() != MembershipStatus.MAJORITY);
-          assertTrue(play.one(41).peers().status() != MembershipStatus.MAJORITY);
-          assertEquals(MembershipStatus.MAJORITY, play.one(7).peers().status());
+          assertTrue(play.node(40).protocol().status() != MembershipStatus.MAJORITY);
+          assertTrue(play.node(41).protocol().status() != MembershipStatus.MAJORITY);
+          assertEquals(MembershipStatus.MAJORITY, play.node(7).protocol().status());
         });
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("is dead"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"0,1,2,3,4,5,6,7,8,9", "0,1,2,3,4,5,6", "0,1,2"})
-  void whoeverIsRestartedAtOnceIsBackSoon(final String who) {
+  void simultaneousRestart_rejoinsInTime(final String who) {
     final Play play =
         new Play(
             "members 10\nseed 13\nend 40s\nat 0s loss 0.05\nat 8s kill "
                 + who
                 + "\nat 9s start "
                 + who);
-    final FleetChecker judge = play.good();
-    assertTrue(judge.lastAgreementMs() < 16_000, () -> "agreed at " + judge.lastAgreementMs());
+    final FleetChecker checker = play.runWithoutViolations();
+    assertTrue(checker.lastAgreementMs() < 16_000, () -> "agreed at " + checker.lastAgreementMs());
   }
 
   @Test
-  void aRestartInTheSameMomentIsAnotherLife() {
+  void restartAtTimeOfKill_isNewIncarnation() {
     final Play play = new Play("members 5\nseed 14\nend 20s\nat 8s kill 3\nat 8s start 3");
-    play.good();
+    play.runWithoutViolations();
     assertEquals(
         0,
         play.count("is dead by agreement"),
-        "its later life proves that the earlier one is over");
+        "the later incarnation proves the end of the earlier one");
   }
 
-  /**
-   * All that others name as their seeds is gone for good; who comes then still finds the fleet once
-   * one seed is back.
-   */
+  /** All seeds end; a member that starts then finds the fleet as soon as one seed is back. */
   @Test
-  void theFleetLivesWithoutItsSeeds() {
+  void lossOfAllSeeds_fleetContinues() {
     final Play play =
         new Play(
             "members 9\nseed 15\nend 60s\nat 8s kill 0\nat 11s kill 1\nat 14s kill 2\nat 20s kill 7\n"
@@ -351,86 +352,88 @@
     play.at(
         34_000,
         () -> {
-          assertEquals(5, play.one(5).peers().view().members().size());
+          assertEquals(5, play.node(5).protocol().view().members().size());
           assertEquals(
               1,
-              play.one(7).peers().view().members().size(),
-              "it founds a fleet of its own, knowing of no other");
+              play.node(7).protocol().view().members().size(),
+              "it founds its own fleet, since it reaches no seed");
         });
-    play.good();
-    assertEquals(7, play.one(7).peers().view().members().size());
+    play.runWithoutViolations();
+    assertEquals(7, play.node(7).protocol().view().members().size());
   }
 
   @Test
-  void whoLeavesByWordIsGoneAtOnce() {
+  void announcedLeave_isDetectedWithoutSuspicion() {
     final Play play = new Play("members 5\nseed 16\nend 20s\nat 0s loss 0.05\nat 8s leave 2");
-    final FleetChecker judge = play.good();
+    final FleetChecker checker = play.runWithoutViolations();
     assertTrue(
-        judge.detectionTimesMs().get(0) < 1500, () -> "known after " + judge.detectionTimesMs());
+        checker.detectionTimesMs().get(0) < 1500,
+        () -> "detected after " + checker.detectionTimesMs());
     assertEquals(0, play.count("is suspect"));
   }
 
   @Test
-  void doubledAndOvertakingDatagramsChangeNothing() {
+  void duplicatedAndReorderedDatagrams_areHarmless() {
     final Play play =
         new Play(
             "members 8\nseed 17\nend 40s\nat 0s loss 0.1\nat 0s double 0.5\nat 0s delay 300\nat 8s kill 3\n"
                 + "at 14s start 3\nat 18s pause 5 for 4s");
-    play.good();
+    play.runWithoutViolations();
     assertEquals(0, play.count("n005 is dead"));
   }
 
   @Test
-  void manyJoinAtOnce() {
-    final FleetChecker judge = new Play(new Schedule(200, 18, 20_000, List.of())).good();
-    assertTrue(judge.lastAgreementMs() < 12_000, () -> "agreed at " + judge.lastAgreementMs());
+  void simultaneousJoinOfManyMembers_agreesInTime() {
+    final FleetChecker checker =
+        new Play(new Schedule(200, 18, 20_000, List.of())).runWithoutViolations();
+    assertTrue(checker.lastAgreementMs() < 12_000, () -> "agreed at " + checker.lastAgreementMs());
   }
 
-  /** Views, deaths and agreement under everything at once; each seed replays. */
+  /** Views, deaths and agreement under random combinations of faults; each seed is repeatable. */
   @Test
-  void randomSchedulesKeepThePromises() {
+  void randomSchedules_violateNoGuarantee() {
     final List<Long> times = new ArrayList<>();
     for (long seed = 0; seed < 120; seed++) {
       final int members = 3 + (int) (seed * 7 % 11);
-      final Schedule.FaultMix weather =
+      final Schedule.FaultMix mix =
           seed % 3 == 0
               ? Schedule.FaultMix.killsOnly(0.05)
               : seed % 3 == 1 ? Schedule.FaultMix.killsOnly(0.3) : Schedule.FaultMix.all(0.1, 4500);
-      final Schedule schedule = Schedule.random(seed, members, 40_000, weather);
+      final Schedule schedule = Schedule.random(seed, members, 40_000, mix);
       final long of = seed;
-      final FleetChecker judge = new Play(schedule).judge();
-      assertEquals(List.of(), judge.violations(), () -> "seed " + of + "\n" + schedule.text());
+      final FleetChecker checker = new Play(schedule).run();
+      assertEquals(List.of(), checker.violations(), () -> "seed " + of + "\n" + schedule.text());
       assertTrue(
-          judge.isAgreed(), () -> "views differ at the end, seed " + of + "\n" + schedule.text());
+          checker.isAgreed(), () -> "views differ at the end, seed " + of + "\n" + schedule.text());
       if (seed % 3 < 2) {
-        times.addAll(judge.detectionTimesMs());
+        times.addAll(checker.detectionTimesMs());
       }
     }
     Collections.sort(times);
-    assertTrue(times.get(times.size() * 99 / 100) < 4000, () -> "known after " + times);
+    assertTrue(times.get(times.size() * 99 / 100) < 4000, () -> "detected after " + times);
   }
 
-  /** The same schedule is the same run, to the last word. */
+  /** The same schedule yields exactly the same events. */
   @Test
-  void aSeedReplays() {
+  void sameSchedule_givesSameEvents() {
     final Schedule schedule = Schedule.random(5, 7, 30_000, Schedule.FaultMix.all(0.1, 4500));
     final Play one = new Play(Schedule.parse(schedule.text()));
     final Play other = new Play(schedule);
-    one.judge();
-    other.judge();
-    assertEquals(one.said, other.said);
-    assertFalse(one.said.isEmpty());
+    one.run();
+    other.run();
+    assertEquals(one.eventLines, other.eventLines);
+    assertFalse(one.eventLines.isEmpty());
   }
 
   @Test
-  void watchersAreManyAndNobodyIsForgotten() {
+  void everyMember_isMonitoredByAtLeastThree() {
     final Play play = new Play(new Schedule(40, 19, 12_000, List.of()));
-    play.good();
+    play.runWithoutViolations();
     final Map<String, Integer> watchedBy = new HashMap<>();
-    for (final Contestant one : play.world.living()) {
+    for (final MembershipNode one : play.world.running()) {
       final Set<String> here = new HashSet<>();
-      ((PeersContestant) one)
-          .peers()
+      ((ProtocolNode) one)
+          .protocol()
           .snapshots(BEGAN_US + 12_000_000)
           .forEach(
               known -> {
@@ -440,15 +443,15 @@
               });
     }
     assertEquals(40, watchedBy.size());
-    assertTrue(Collections.min(watchedBy.values()) >= 3, () -> "watched by " + watchedBy);
+    assertTrue(Collections.min(watchedBy.values()) >= 3, () -> "monitored by " + watchedBy);
   }
 
   @Test
-  void eventsNameWhoAndWhy() {
+  void events_nameSubjectAndReason() {
     final List<PeerEvent> events = new ArrayList<>();
     new VirtualPeers(
             Schedule.parse("members 3\nseed 20\nend 15s\nat 6s kill 1"),
-            PeersContestant.maker(GossipSettings.defaults(), true, events::add),
+            ProtocolNode.factory(GossipSettings.defaults(), true, events::add),
             PAUSE_LIMIT_MS)
         .play();
     assertTrue(
--- a/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/peers/PlantedPeersFaultsTest.java
@@ -23,8 +23,8 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * One judge over one schedule of faults; each of the faults planted in what a courier does is
- * caught by it.
+ * Mutation tests of the checks: one schedule of faults runs without violations, and each fault
+ * planted in a courier's behavior is detected.
  */
 @Tag("peers")
 final class PlantedPeersFaultsTest {
@@ -43,81 +43,82 @@
             at 33s kill 0
             """);
 
-  /** What goes wrong. */
+  /** The planted faults. */
   enum Fault {
     SUSPICION_NEVER_CLEARED,
-    ROW_NOT_COUNTED,
+    REPORT_VERSION_NOT_RAISED,
     INCARNATION_NOT_RAISED,
     VIEW_NUMBER_REUSED,
-    VIEW_TOLD_SHORT,
-    WAKES_AND_ACCUSES,
-    SIGNS_FOR_THE_DEAD,
-    ENDS_BY_FORGED_VOICES,
-    DATAGRAMS_NOT_COUNTED,
+    VIEW_SENT_INCOMPLETE,
+    REPORTS_PEERS_AFTER_PAUSE,
+    FORGES_HEARTBEATS,
+    FORGES_END_REPORTS,
+    SEQUENCE_NOT_RAISED,
     DECISIONS_LOST,
-    OTHERS_VIEWS_UNSEEN
+    VIEW_ID_OMITTED
   }
 
   /**
-   * A courier with that fault, or (null) without one; the fault is in the third of the names where
-   * one is enough.
+   * A node with the given planted fault, or without one if null. Where a single faulty node is
+   * enough, it is the third one.
    */
-  private static final class Planted implements Contestant {
+  private static final class FaultyNode implements MembershipNode {
     private final Fault fault;
-    private final boolean here;
-    private final Contestant inner;
-    private final PeerId first;
-    private long ranUs;
+    private final boolean faulty;
+    private final MembershipNode inner;
+    private final PeerId firstId;
+    private long lastTickUs;
 
-    Planted(
+    FaultyNode(
         final Fault fault,
         final int number,
-        final int life,
+        final int restarts,
         final List<String> names,
         final long seed,
         final long nowUs,
-        final Wire wire) {
+        final Network network) {
       this.fault = fault;
-      this.here = number == 2;
-      this.first = new PeerId(names.get(number), nowUs + life);
-      this.ranUs = nowUs;
+      this.faulty = number == 2;
+      this.firstId = new PeerId(names.get(number), nowUs + restarts);
+      this.lastTickUs = nowUs;
       this.inner =
-          PeersContestant.maker(GossipSettings.defaults(), true, event -> {})
-              .make(
+          ProtocolNode.factory(GossipSettings.defaults(), true, event -> {})
+              .create(
                   number,
-                  life,
+                  restarts,
                   names,
                   seed,
                   nowUs,
-                  new Wire() {
+                  new Network() {
                     @Override
                     public void send(final String to, final Object message, final int bytes) {
-                      wire.send(to, spoilt((Packet) message), bytes);
+                      network.send(to, corrupt((Packet) message), bytes);
                     }
 
                     @Override
                     public void connect(final String to) {
-                      wire.connect(to);
+                      network.connect(to);
                     }
 
                     @Override
                     public void disconnect(final String to) {
-                      wire.disconnect(to);
+                      network.disconnect(to);
                     }
 
                     @Override
-                    public void pass(final String to, final Object message, final int bytes) {
+                    public void sendOverConnection(
+                        final String to, final Object message, final int bytes) {
                       if (fault != Fault.DECISIONS_LOST || number != 5) {
-                        wire.pass(to, spoilt((FullStateMessage) message), bytes);
+                        network.sendOverConnection(to, corrupt((FullStateMessage) message), bytes);
                       }
                     }
                   });
     }
 
-    private Packet spoilt(final Packet packet) {
+    private Packet corrupt(final Packet packet) {
       final List<GossipItem> items = new ArrayList<>();
       for (final GossipItem item : packet.items()) {
-        if (fault == Fault.ROW_NOT_COUNTED
+        if (fault == Fault.REPORT_VERSION_NOT_RAISED
             && item instanceof GossipItem.ReachabilityReport report) {
           items.add(
               new GossipItem.ReachabilityReport(
@@ -128,7 +129,7 @@
           items.add(item);
         }
       }
-      if (fault == Fault.SIGNS_FOR_THE_DEAD && here) {
+      if (fault == Fault.FORGES_HEARTBEATS && faulty) {
         for (final String name : List.of("n000", "n003")) {
           inner.members().stream()
               .filter(life -> life.startsWith(name))
@@ -140,7 +141,7 @@
                               packet.heartbeat() + 1_000_000)));
         }
       }
-      if (fault == Fault.ENDS_BY_FORGED_VOICES && here) {
+      if (fault == Fault.FORGES_END_REPORTS && faulty) {
         inner.members().stream()
             .filter(life -> life.startsWith("n004"))
             .forEach(
@@ -161,13 +162,13 @@
                                       0)));
                 });
       }
-      final PeerId sender = fault == Fault.INCARNATION_NOT_RAISED ? first : packet.sender();
+      final PeerId sender = fault == Fault.INCARNATION_NOT_RAISED ? firstId : packet.sender();
       return new Packet(
           sender,
           packet.address(),
-          fault == Fault.DATAGRAMS_NOT_COUNTED ? 1 : packet.sequence(),
+          fault == Fault.SEQUENCE_NOT_RAISED ? 1 : packet.sequence(),
           packet.heartbeat(),
-          fault == Fault.OTHERS_VIEWS_UNSEEN ? ViewId.NONE : packet.viewId(),
+          fault == Fault.VIEW_ID_OMITTED ? ViewId.NONE : packet.viewId(),
           packet.statusVersion(),
           packet.status(),
           packet.type(),
@@ -175,9 +176,9 @@
           items);
     }
 
-    private FullStateMessage spoilt(final FullStateMessage full) {
+    private FullStateMessage corrupt(final FullStateMessage full) {
       final View view = full.view();
-      if (fault == Fault.VIEW_TOLD_SHORT && view != null && view.members().size() > 2) {
+      if (fault == Fault.VIEW_SENT_INCOMPLETE && view != null && view.members().size() > 2) {
         return new FullStateMessage(
             full.sender(),
             full.address(),
@@ -189,27 +190,27 @@
                 view.committee()),
             full.items());
       }
-      return fault == Fault.SUSPICION_NEVER_CLEARED || fault == Fault.ROW_NOT_COUNTED
+      return fault == Fault.SUSPICION_NEVER_CLEARED || fault == Fault.REPORT_VERSION_NOT_RAISED
           ? new FullStateMessage(full.sender(), full.address(), view, List.of())
           : full;
     }
 
     @Override
     public void tick(final long nowUs) {
-      if (fault == Fault.WAKES_AND_ACCUSES && here) {
-        // As if it had run all the time.
-        while (nowUs - ranUs > 200 * MS) {
-          ranUs += 100 * MS;
-          inner.tick(ranUs);
+      if (fault == Fault.REPORTS_PEERS_AFTER_PAUSE && faulty) {
+        // Catches up on the ticks of the pause, as if the process had run all the time.
+        while (nowUs - lastTickUs > 200 * MS) {
+          lastTickUs += 100 * MS;
+          inner.tick(lastTickUs);
         }
       }
-      ranUs = nowUs;
+      lastTickUs = nowUs;
       inner.tick(nowUs);
     }
 
     @Override
     public void receive(final Object message, final long nowUs) {
-      if (message instanceof Packet packet && fault == Fault.VIEW_NUMBER_REUSED && here) {
+      if (message instanceof Packet packet && fault == Fault.VIEW_NUMBER_REUSED && faulty) {
         inner.receive(
             new Packet(
                 packet.sender(),
@@ -231,7 +232,7 @@
                                 : item)
                     .toList()),
             nowUs);
-      } else if (message instanceof Packet packet && fault == Fault.DECISIONS_LOST && here) {
+      } else if (message instanceof Packet packet && fault == Fault.DECISIONS_LOST && faulty) {
         inner.receive(
             new Packet(
                 packet.sender(),
@@ -252,40 +253,40 @@
             nowUs);
       } else if (!(message instanceof FullStateMessage)
           || fault != Fault.DECISIONS_LOST
-          || !here
-          || inner.line().isEmpty()) {
+          || !faulty
+          || inner.viewLineage().isEmpty()) {
         inner.receive(message, nowUs);
       }
     }
 
     @Override
-    public void greeted(final String to, final String life, final long nowUs) {
-      inner.greeted(to, life, nowUs);
+    public void onConnected(final String to, final String incarnation, final long nowUs) {
+      inner.onConnected(to, incarnation, nowUs);
     }
 
     @Override
-    public void closed(final String to, final long nowUs) {
-      inner.closed(to, nowUs);
+    public void onConnectionClosed(final String to, final long nowUs) {
+      inner.onConnectionClosed(to, nowUs);
     }
 
     @Override
-    public void unanswered(final String to, final long nowUs) {
-      inner.unanswered(to, nowUs);
+    public void onConnectTimeout(final String to, final long nowUs) {
+      inner.onConnectTimeout(to, nowUs);
     }
 
     @Override
-    public String life() {
-      return inner.life();
+    public String id() {
+      return inner.id();
     }
 
     @Override
-    public String line() {
-      return inner.line();
+    public String viewLineage() {
+      return inner.viewLineage();
     }
 
     @Override
-    public long number() {
-      return inner.number();
+    public long viewNumber() {
+      return inner.viewNumber();
     }
 
     @Override
@@ -294,67 +295,69 @@
     }
   }
 
-  /** Everything that is promised, over the whole schedule. */
-  private static List<String> judge(final Fault fault) {
-    final List<String> broken = new ArrayList<>();
-    final List<Long> looked = new ArrayList<>();
+  /** Runs the schedule and returns all violations of the guarantees. */
+  private static List<String> runAndCheck(final Fault fault) {
+    final List<String> violations = new ArrayList<>();
+    final List<Long> checkedAtMs = new ArrayList<>();
     final VirtualPeers world =
         new VirtualPeers(
             SCHEDULE,
-            (number, life, names, seed, nowUs, wire) ->
-                new Planted(fault, number, life, names, seed, nowUs, wire),
+            (number, restarts, names, seed, nowUs, network) ->
+                new FaultyNode(fault, number, restarts, names, seed, nowUs, network),
             5000);
-    world.looking(
+    world.onEachStep(
         at -> {
-          final boolean calm = at.nowMs() > 13_500 && looked.isEmpty();
+          final boolean calm = at.nowMs() > 13_500 && checkedAtMs.isEmpty();
           final boolean waking = at.nowMs() > 10_050 && at.nowMs() < 10_300;
           if (calm || waking) {
             if (calm) {
-              looked.add(at.nowMs());
+              checkedAtMs.add(at.nowMs());
             }
-            for (final Contestant one : at.living()) {
-              ((PeersContestant) ((Planted) one).inner)
-                  .peers()
+            for (final MembershipNode one : at.running()) {
+              ((ProtocolNode) ((FaultyNode) one).inner)
+                  .protocol()
                   .snapshots(1_000_000_000L + at.nowMs() * MS)
                   .forEach(
                       known -> {
                         if (calm && !known.unreachableReports().isEmpty()) {
-                          broken.add(
-                              "in doubt with no trouble: "
+                          violations.add(
+                              "reported unreachable without a fault: "
                                   + known.id().name()
                                   + " at "
-                                  + one.life());
+                                  + one.id());
                         }
                         if (waking
                             && !known.id().name().equals("n002")
                             && known.unreachableReports().stream()
                                 .anyMatch(cell -> cell.observer().equals("n002"))) {
-                          broken.add("accused on waking: " + known.id().name());
+                          violations.add(
+                              "reported unreachable after its observer's pause: "
+                                  + known.id().name());
                         }
                       });
             }
           }
         });
-    final FleetChecker judge = world.play();
-    broken.addAll(judge.violations());
-    if (!judge.isAgreed()) {
-      broken.add("views differ at the end");
+    final FleetChecker checker = world.play();
+    violations.addAll(checker.violations());
+    if (!checker.isAgreed()) {
+      violations.add("views differ at the end");
     }
-    if (judge.detectionTimesMs().size() < judge.endedCount()
-        || judge.detectionTimesMs().stream().anyMatch(ms -> ms > 3000)) {
-      broken.add("ends are known after " + judge.detectionTimesMs());
+    if (checker.detectionTimesMs().size() < checker.endedCount()
+        || checker.detectionTimesMs().stream().anyMatch(ms -> ms > 3000)) {
+      violations.add("process ends detected after " + checker.detectionTimesMs());
     }
-    return broken;
+    return violations;
   }
 
   @Test
-  void withoutAFaultAllIsAsPromised() {
-    assertEquals(List.of(), judge(null));
+  void withoutPlantedFault_noViolation() {
+    assertEquals(List.of(), runAndCheck(null));
   }
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void eachFaultIsCaught(final Fault fault) {
-    assertNotEquals(List.of(), judge(fault));
+  void plantedFault_isDetected(final Fault fault) {
+    assertNotEquals(List.of(), runAndCheck(fault));
   }
 }
--- a/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/PlantedReplicasFaultsTest.java
@@ -17,59 +17,61 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * Faults that are planted in what copies say and keep: the judge of random days finds each of them.
+ * Mutation tests of the checks: the check of random scenarios detects each fault planted in the
+ * messages or the incarnations of replicas.
  */
 @Tag("replicas")
 final class PlantedReplicasFaultsTest {
-  private static final int DAYS = 40;
+  private static final int SCENARIOS = 40;
 
-  /** What is done wrongly. */
-  enum Planted {
-    /** Words do not say which words they take the place of. */
-    NOTHING_SEEN,
-    /** They claim to take the place of everything of everybody. */
-    ALL_SEEN,
-    /** A gap is passed over as if nothing were lacking. */
-    GAP_CLAIMED,
-    /** Pieces are told without their last entry, as if they were whole. */
+  /** The faults to plant. */
+  enum PlantedFault {
+    /** Disable entries do not name the entries that they supersede. */
+    NOTHING_SUPERSEDED,
+    /** Disable entries claim to supersede all entries of all writers. */
+    ALL_SUPERSEDED,
+    /** Deltas claim to start at version 0, which hides gaps. */
+    GAP_IGNORED,
+    /** Batches lack their last entry but claim to be complete. */
     LAST_ENTRY_LOST,
-    /** Nothing is ever compared. */
+    /** Checksums are never compared. */
     NEVER_COMPARED,
-    /** Pieces are never told. */
+    /** Batches are never delivered. */
     NEVER_SERVED,
-    /** A life that starts again writes on under versions that were used. */
-    BIRTH_KEPT,
-    /** Versions are told one too high. */
+    /** A restarted courier reuses its incarnation and versions. */
+    INCARNATION_REUSED,
+    /** Broadcast versions are one too high. */
     VERSION_SHIFTED,
-    /** What leaves out is told as what lets serve. */
-    FLAG_TURNED,
-    /** Words of one writer are told as those of another. */
-    WRITER_MIXED_UP
+    /** The flag of broadcast disable entries is inverted. */
+    FLAG_INVERTED,
+    /** Broadcast entries name another writer. */
+    WRITER_REPLACED
   }
 
-  private static ReplicationMessage changed(
-      final ReplicationMessage message, final UnaryOperator<Delta> how) {
-    if (message instanceof ReplicationMessage.EntryBroadcast news) {
-      return new ReplicationMessage.EntryBroadcast(news.deltas().stream().map(how).toList());
+  private static ReplicationMessage changeDeltas(
+      final ReplicationMessage message, final UnaryOperator<Delta> change) {
+    if (message instanceof ReplicationMessage.EntryBroadcast broadcast) {
+      return new ReplicationMessage.EntryBroadcast(
+          broadcast.deltas().stream().map(change).toList());
     }
-    return message instanceof ReplicationMessage.DeltaBatch piece
+    return message instanceof ReplicationMessage.DeltaBatch batch
         ? new ReplicationMessage.DeltaBatch(
-            piece.partition(),
-            piece.partitionCount(),
-            piece.deltas().stream().map(how).toList(),
-            piece.hasMore())
+            batch.partition(),
+            batch.partitionCount(),
+            batch.deltas().stream().map(change).toList(),
+            batch.hasMore())
         : message;
   }
 
-  private static Delta entries(final Delta delta, final UnaryOperator<Entry> how) {
+  private static Delta changeEntries(final Delta delta, final UnaryOperator<Entry> change) {
     return new Delta(
         delta.writer(),
         delta.afterVersion(),
         delta.upToVersion(),
-        delta.entries().stream().map(how).toList());
+        delta.entries().stream().map(change).toList());
   }
 
-  private static Entry fields(final Entry entry, final UnaryOperator<List<Object>> how) {
+  private static Entry changeFields(final Entry entry, final UnaryOperator<List<Object>> change) {
     return entry.typeCode() != EntryType.MAINTENANCE.code()
         ? entry
         : new Entry(
@@ -79,24 +81,26 @@
             entry.version(),
             entry.ttlUs(),
             entry.createdUs(),
-            how.apply(entry.fields()));
+            change.apply(entry.fields()));
   }
 
-  private static ReplicationMessage plant(final Planted planted, final ReplicationMessage message) {
-    return switch (planted) {
-      case NOTHING_SEEN ->
-          changed(
+  private static ReplicationMessage applyFault(
+      final PlantedFault fault, final ReplicationMessage message) {
+    return switch (fault) {
+      case NOTHING_SUPERSEDED ->
+          changeDeltas(
               message,
               delta ->
-                  entries(delta, entry -> fields(entry, all -> List.copyOf(all.subList(0, 2)))));
-      case ALL_SEEN ->
-          changed(
+                  changeEntries(
+                      delta, entry -> changeFields(entry, all -> List.copyOf(all.subList(0, 2)))));
+      case ALL_SUPERSEDED ->
+          changeDeltas(
               message,
               delta ->
-                  entries(
+                  changeEntries(
                       delta,
                       entry ->
-                          fields(
+                          changeFields(
                               entry,
                               all -> {
                                 final List<Object> more = new ArrayList<>(all);
@@ -105,12 +109,12 @@
                                 }
                                 return List.copyOf(more);
                               })));
-      case GAP_CLAIMED ->
-          changed(
+      case GAP_IGNORED ->
+          changeDeltas(
               message, delta -> new Delta(delta.writer(), 0, delta.upToVersion(), delta.entries()));
       case LAST_ENTRY_LOST ->
           message instanceof ReplicationMessage.DeltaBatch
-              ? changed(
+              ? changeDeltas(
                   message,
                   delta ->
                       new Delta(
@@ -129,13 +133,13 @@
           message instanceof ReplicationMessage.DeltaBatch
               ? new ReplicationMessage.EntryBroadcast(List.of())
               : message;
-      case BIRTH_KEPT -> message;
+      case INCARNATION_REUSED -> message;
       case VERSION_SHIFTED ->
           message instanceof ReplicationMessage.EntryBroadcast
-              ? changed(
+              ? changeDeltas(
                   message,
                   delta ->
-                      entries(
+                      changeEntries(
                           delta,
                           entry ->
                               new Entry(
@@ -147,25 +151,25 @@
                                   entry.createdUs(),
                                   entry.fields())))
               : message;
-      case FLAG_TURNED ->
+      case FLAG_INVERTED ->
           message instanceof ReplicationMessage.EntryBroadcast
-              ? changed(
+              ? changeDeltas(
                   message,
                   delta ->
-                      entries(
+                      changeEntries(
                           delta,
                           entry ->
-                              fields(
+                              changeFields(
                                   entry,
                                   all -> {
-                                    final List<Object> turned = new ArrayList<>(all);
-                                    turned.set(0, !(Boolean) all.get(0));
-                                    return List.copyOf(turned);
+                                    final List<Object> inverted = new ArrayList<>(all);
+                                    inverted.set(0, !(Boolean) all.get(0));
+                                    return List.copyOf(inverted);
                                   })))
               : message;
-      case WRITER_MIXED_UP ->
+      case WRITER_REPLACED ->
           message instanceof ReplicationMessage.EntryBroadcast
-              ? changed(
+              ? changeDeltas(
                   message,
                   delta -> {
                     final WriterId other = new WriterId(delta.writer().name(), 1);
@@ -191,24 +195,26 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Planted.class)
-  void eachIsFound(final Planted planted) {
-    int found = 0;
-    for (long seed = 1; seed <= DAYS && found == 0; seed++) {
-      final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1);
-      day.world().saying(message -> plant(planted, message));
-      if (planted == Planted.BIRTH_KEPT) {
-        day.world().keepingBirths();
+  @EnumSource(PlantedFault.class)
+  void plantedFault_isDetected(final PlantedFault fault) {
+    int detected = 0;
+    for (long seed = 1; seed <= SCENARIOS && detected == 0; seed++) {
+      final ReplicationScenario scenario =
+          ReplicationScenario.random(seed, 3 + (int) (seed % 5), 0.1);
+      scenario.world().transformingMessages(message -> applyFault(fault, message));
+      if (fault == PlantedFault.INCARNATION_REUSED) {
+        scenario.world().reusingIncarnations();
       }
-      found += day.play().isEmpty() ? 0 : 1;
+      detected += scenario.play().isEmpty() ? 0 : 1;
     }
-    assertTrue(found > 0, "not found on " + DAYS + " days: " + planted);
+    assertTrue(detected > 0, "not detected in " + SCENARIOS + " scenarios: " + fault);
   }
 
   @Test
-  void withoutAnyNothingIsFound() {
-    for (long seed = 1; seed <= DAYS; seed++) {
-      assertEquals("", ReplicasDay.random(seed, 3 + (int) (seed % 5), 0.1).play(), "seed " + seed);
+  void withoutPlantedFault_noViolation() {
+    for (long seed = 1; seed <= SCENARIOS; seed++) {
+      assertEquals(
+          "", ReplicationScenario.random(seed, 3 + (int) (seed % 5), 0.1).play(), "seed " + seed);
     }
   }
 }
--- a/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
+++ b/lab/src/test/java/thistleturn/lab/replicas/VirtualReplicasTest.java
@@ -13,7 +13,7 @@
 import thistleturn.decisions.replicas.ReplicationSettings;
 import thistleturn.testkit.rig.Schedule;
 
-/** The hard cases of holding one state, each as a schedule of faults in virtual time. */
+/** Difficult cases of replication, each as a schedule of faults in virtual time. */
 @Tag("replicas")
 final class VirtualReplicasTest {
   private static final long SECOND = 1_000_000;
@@ -23,10 +23,13 @@
     return new VirtualReplicas(Schedule.parse(schedule), ReplicationSettings.defaults());
   }
 
-  private static void maintain(
-      final VirtualReplicas world, final int number, final String endpoint, final boolean out) {
+  private static void writeDisableEntry(
+      final VirtualReplicas world,
+      final int number,
+      final String endpoint,
+      final boolean disabled) {
     final VirtualReplicas.Courier courier = world.courier(number);
-    courier.replicas().setEndpointDisabled(endpoint, out, "o" + number, courier.nowUs());
+    courier.replicas().setEndpointDisabled(endpoint, disabled, "o" + number, courier.nowUs());
   }
 
   private static String state(
@@ -34,12 +37,12 @@
     return world.courier(number).replicas().mergedValue(EntryType.MAINTENANCE, endpoint).state();
   }
 
-  private static void settles(final VirtualReplicas world) {
-    assertTrue(world.settle(SETTLE_MS) >= 0, () -> "copies differ: " + world.sums());
+  private static void assertSettles(final VirtualReplicas world) {
+    assertTrue(world.settle(SETTLE_MS) >= 0, () -> "replicas differ: " + world.checksums());
   }
 
   @Test
-  void aWordReachesAllWithinASecondAtOneInTwentyLost() {
+  void disableEntry_reachesAllWithinOneSecondAtFivePercentLoss() {
     final VirtualReplicas world =
         world(
             """
@@ -50,13 +53,13 @@
                 """);
     for (int number = 0; number < 100; number++) {
       final int one = number;
-      world.at(2000 + number * 200L, () -> maintain(world, one % 8, "e" + one, true));
+      world.at(2000 + number * 200L, () -> writeDisableEntry(world, one % 8, "e" + one, true));
     }
     world.play();
     final List<Long> times = new ArrayList<>();
     for (int number = 0; number < 100; number++) {
       for (final VirtualReplicas.Courier courier : world.running()) {
-        times.add(courier.leftOutMs("e" + number) - 2000 - number * 200L);
+        times.add(courier.disabledAtMs("e" + number) - 2000 - number * 200L);
       }
     }
     times.sort(null);
@@ -64,11 +67,11 @@
     assertTrue(
         times.get(times.size() * 99 / 100) < 1000,
         "p99 " + times.get(times.size() * 99 / 100) + " ms");
-    settles(world);
+    assertSettles(world);
   }
 
   @Test
-  void bothSidesOfASplitSayTheOppositeOfOneEndpoint() {
+  void conflictingEntriesOfPartition_areMergedAndReported() {
     final VirtualReplicas world =
         world(
             """
@@ -78,9 +81,9 @@
                 at 2s cut 0,1,2 <-> 3,4,5,6,7,8 for 8s
                 at 2s cut 3,4,5 <-> 6,7,8 for 14s
                 """);
-    world.at(1000, () -> maintain(world, 0, "e", true));
-    world.at(4000, () -> maintain(world, 1, "e", false));
-    world.at(4100, () -> maintain(world, 4, "e", true));
+    world.at(1000, () -> writeDisableEntry(world, 0, "e", true));
+    world.at(4000, () -> writeDisableEntry(world, 1, "e", false));
+    world.at(4100, () -> writeDisableEntry(world, 4, "e", true));
     world.at(
         5000,
         () -> {
@@ -90,24 +93,25 @@
     world.at(
         25_000,
         () -> {
-          // Nobody knew of the other: both operators are told, and the careful word holds until one
-          // of them knows of both.
+          // Neither writer knew of the other's entry: the conflict is reported, and the endpoint
+          // stays
+          // disabled until an entry is written that supersedes both.
           assertTrue(
               world.running().stream()
                   .allMatch(
                       courier ->
                           courier.replicas().mergedValue(EntryType.MAINTENANCE, "e").conflict()));
-          maintain(world, 7, "e", false);
+          writeDisableEntry(world, 7, "e", false);
         });
     world.play();
-    settles(world);
+    assertSettles(world);
     assertTrue(
         world.running().stream()
             .allMatch(courier -> state(world, courier.number(), "e").equals("may serve")));
   }
 
   @Test
-  void oneInFiveLostAndTwoSecondsLate() {
+  void lossDelayAndDuplication_replicasBecomeEqual() {
     final VirtualReplicas world =
         world(
             """
@@ -120,14 +124,16 @@
                 """);
     for (int number = 0; number < 30; number++) {
       final int one = number;
-      world.at(1000 + number * 300L, () -> maintain(world, one % 6, "e" + one % 7, one % 3 > 0));
+      world.at(
+          1000 + number * 300L,
+          () -> writeDisableEntry(world, one % 6, "e" + one % 7, one % 3 > 0));
     }
     world.play();
-    settles(world);
+    assertSettles(world);
   }
 
   @Test
-  void aOneSidedCutIsGoneRound() {
+  void oneDirectionalCut_isBypassed() {
     final VirtualReplicas world =
         world(
             """
@@ -136,17 +142,17 @@
                 end 6s
                 at 0s cut 0 -> 3 for 60s
                 """);
-    world.at(2000, () -> maintain(world, 0, "e", true));
+    world.at(2000, () -> writeDisableEntry(world, 0, "e", true));
     world.play();
     assertEquals("left out", state(world, 3, "e"));
     assertTrue(
-        world.courier(3).leftOutMs("e") < 4000,
-        "heard of it at " + world.courier(3).leftOutMs("e"));
+        world.courier(3).disabledAtMs("e") < 4000,
+        "received it at " + world.courier(3).disabledAtMs("e"));
   }
 
-  /** Paused for a minute in the midst of it; what ended meanwhile is not held to be in force. */
+  /** A courier is paused for a minute; entries that expired meanwhile do not take effect. */
   @Test
-  void aMinutesPause() {
+  void pauseOfOneMinute_catchesUp() {
     final VirtualReplicas world =
         world(
             """
@@ -158,23 +164,23 @@
     world.at(
         2990,
         () -> {
-          maintain(world, 0, "e", true);
+          writeDisableEntry(world, 0, "e", true);
           final VirtualReplicas.Courier courier = world.courier(0);
           courier.replicas().recordWait("7", courier.nowUs() + 5 * SECOND, courier.nowUs());
         });
-    world.at(30_000, () -> maintain(world, 1, "e", false));
+    world.at(30_000, () -> writeDisableEntry(world, 1, "e", false));
     world.at(
         63_500,
         () -> {
           assertEquals("may serve", state(world, 2, "e"));
         });
     world.play();
-    settles(world);
+    assertSettles(world);
     assertEquals("nothing", world.courier(2).replicas().mergedValue(EntryType.WAIT, "7").state());
   }
 
   @Test
-  void aCourierComesBackWithAnOlderFolderOrWithNone() {
+  void restartFromOldOrNoSnapshot_recoversState() {
     final VirtualReplicas world =
         world(
             """
@@ -184,28 +190,30 @@
                 at 5s kill 1,2
                 at 20s start 1,2
                 """);
-    world.at(1000, () -> maintain(world, 1, "old", true));
-    world.at(4900, () -> maintain(world, 1, "fresh", true));
-    world.at(8000, () -> maintain(world, 0, "old", false));
+    world.at(1000, () -> writeDisableEntry(world, 1, "old", true));
+    world.at(4900, () -> writeDisableEntry(world, 1, "fresh", true));
+    world.at(8000, () -> writeDisableEntry(world, 0, "old", false));
     world.at(10_000, () -> world.wipe(2));
-    world.at(21_000, () -> maintain(world, 1, "again", true));
+    world.at(21_000, () -> writeDisableEntry(world, 1, "again", true));
     world.play();
-    settles(world);
+    assertSettles(world);
     for (final VirtualReplicas.Courier courier : world.running()) {
       assertEquals(
-          "may serve", state(world, courier.number(), "old"), "nothing deleted comes back");
+          "may serve",
+          state(world, courier.number(), "old"),
+          "the superseded entry does not return");
       assertEquals(
           "left out",
           state(world, courier.number(), "fresh"),
-          "said just before the end, and heard");
+          "written just before the kill, and received by others");
       assertEquals("left out", state(world, courier.number(), "again"));
     }
-    assertEquals(List.of(), world.happened());
+    assertEquals(List.of(), world.eventLines());
   }
 
-  /** A hundred thousand entries are caught up with while the others go on speaking. */
+  /** A courier receives a hundred thousand entries while the others keep writing. */
   @Test
-  void aWipedCourierCatchesUpWithAHundredThousandEntries() {
+  void wipedCourier_catchesUpWithHundredThousandEntries() {
     final VirtualReplicas world =
         world(
             """
@@ -237,40 +245,41 @@
     }
     for (int number = 0; number < 10; number++) {
       final int one = number;
-      world.at(11_000 + number * 1000L, () -> maintain(world, 0, "e" + one, true));
+      world.at(11_000 + number * 1000L, () -> writeDisableEntry(world, 0, "e" + one, true));
     }
     world.play();
-    settles(world);
+    assertSettles(world);
     assertTrue(equalMs[0] > 0 && equalMs[0] < 40_000, "caught up after " + equalMs[0] + " ms");
     for (int number = 0; number < 10; number++) {
-      final long tookMs = world.courier(4).leftOutMs("e" + number) - 11_000 - number * 1000L;
+      final long tookMs = world.courier(4).disabledAtMs("e" + number) - 11_000 - number * 1000L;
       assertTrue(
-          tookMs >= 0 && tookMs < 1000, "fresh words are heard meanwhile: after " + tookMs + " ms");
+          tookMs >= 0 && tookMs < 1000, "new entries arrive meanwhile: after " + tookMs + " ms");
     }
   }
 
   /**
-   * Random schedules of everything: copies are equal some seconds after the last fault, and hold
-   * what was said last.
+   * Under random schedules of all faults, replicas are equal some seconds after the last fault and
+   * hold the latest entries.
    */
   @Test
-  void randomSchedulesEndInEqualCopiesAndNothingComesBack() {
+  void randomSchedules_endInEqualReplicasWithoutSupersededEntries() {
     for (long seed = 1; seed <= 150; seed++) {
-      final ReplicasDay day = ReplicasDay.random(seed, 3 + (int) (seed % 8), 0.05 * (seed % 5));
-      final String broken = day.play();
-      assertEquals("", broken, "seed " + seed + "\n" + day.schedule().text());
+      final ReplicationScenario scenario =
+          ReplicationScenario.random(seed, 3 + (int) (seed % 8), 0.05 * (seed % 5));
+      final String violations = scenario.play();
+      assertEquals("", violations, "seed " + seed + "\n" + scenario.schedule().text());
     }
   }
 
   @Test
-  void theSameSeedPlaysTheSameDay() {
+  void sameSeed_sendsSameNumberOfBytes() {
     final Map<Long, Long> bytes = new HashMap<>();
     for (int turn = 0; turn < 2; turn++) {
       for (long seed = 1; seed <= 3; seed++) {
-        final ReplicasDay day = ReplicasDay.random(seed, 5, 0.1);
-        day.play();
-        final Long before = bytes.put(seed, day.world().bytes());
-        assertTrue(before == null || before.equals(day.world().bytes()));
+        final ReplicationScenario scenario = ReplicationScenario.random(seed, 5, 0.1);
+        scenario.play();
+        final Long before = bytes.put(seed, scenario.world().bytes());
+        assertTrue(before == null || before.equals(scenario.world().bytes()));
       }
     }
   }
