--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -17,27 +17,28 @@
 import thistleturn.lab.fleet.VirtualFleet;
 
 /**
- * Couriers of a fleet that stand still or starve, in virtual time, with and without knowing of
- * their own health.
+ * Measures in virtual time fleets whose couriers are paused or starved of CPU, with and without
+ * local health detection.
  */
 @Command(
     name = "away",
     mixinStandardHelpOptions = true,
     description =
-        "What fleets deliver whose couriers stand still or "
-            + "starve, with and without own health, by the same seeds in virtual time; and whom they send out wrongly.")
+        "What fleets deliver while couriers are paused or starved of CPU, "
+            + "with and without local health detection, on the same seeds in virtual time; "
+            + "and how many healthy destinations they exclude wrongly.")
 public final class MeasureAway implements Callable<Integer> {
   @Option(
       names = "--seeds",
       defaultValue = "30",
-      description = "days a row, 2 at least; ${DEFAULT-VALUE} unless told")
+      description = "runs per row, at least 2; default: ${DEFAULT-VALUE}")
   private int seeds;
 
   @Option(
       names = "--couriers",
       split = ",",
       defaultValue = "14,100",
-      description = "sizes; ${DEFAULT-VALUE} unless told")
+      description = "fleet sizes; default: ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   private int broken;
@@ -45,7 +46,8 @@
   @Override
   public Integer call() {
     if (seeds < 2 || sizes.stream().anyMatch(size -> size < 1)) {
-      System.err.println("measure away: --seeds is 2 at least, and each of --couriers 1 at least");
+      System.err.println(
+          "measure away: --seeds must be at least 2, and each size in --couriers at least 1");
       return 2;
     }
     System.out.println(
@@ -64,8 +66,8 @@
     final List<FleetTally> with = play(trouble, size, true);
     final List<FleetTally> without = play(trouble, size, false);
     final Paired goodput = Paired.of(with, without, FleetTally::goodput);
-    final int rules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
-    broken += rules;
+    final int brokenRules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
+    broken += brokenRules;
     with.stream()
         .flatMap(tally -> tally.broken().stream())
         .limit(3)
@@ -85,7 +87,7 @@
             mean(with, MeasureAway::refused),
             mean(without, MeasureAway::refused),
             mean(with, tally -> tally.total(Count.LATE_BY_PAUSE)),
-            rules,
+            brokenRules,
             without.stream().mapToInt(tally -> tally.broken().size()).sum()));
   }
 
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureHealth.java
@@ -21,79 +21,81 @@
 import thistleturn.testkit.rig.ChildProcess;
 
 /**
- * A real courier that stands still now and then, or gets little of a core, among partners that are
- * well.
+ * Measures a real courier that is paused now and then, or gets only a share of a core, while its
+ * endpoints are healthy.
  */
 @Command(
     name = "health",
     mixinStandardHelpOptions = true,
     description =
-        "What a courier delivers that is stopped (SIGSTOP) "
-            + "now and then, with stand-ins on other cores, against what could still be delivered.")
+        "What a courier delivers that is paused (SIGSTOP) now and then, "
+            + "with stand-ins on other cores, against what could still be delivered.")
 public final class MeasureHealth implements Callable<Integer> {
   private static final long US_PER_MS = 1000;
   private static final long TIMEOUT_MS = 4000;
   private static final int DESTINATIONS = 3;
 
-  /** When the trouble begins, and how long a courier is starved. */
+  /** When the first fault begins, after the start of the load. */
   private static final long FIRST_MS = 5000;
 
+  /** How long a courier is starved of CPU. */
   private static final long STARVED_MS = 10_000;
 
   @Option(
       names = "--pauses",
       split = ",",
       defaultValue = "0,50,300,1000,3000,8000",
-      description = "ms; ${DEFAULT-VALUE} unless told")
+      description = "length of a pause, ms; default: ${DEFAULT-VALUE}")
   private List<Integer> pausesMs;
 
   @Option(
       names = "--shares",
       split = ",",
-      description = "shares of a core, in place of pauses, got for 10 s beside busy loops")
+      description =
+          "shares of a core left to the courier for 10 s by busy loops, instead of pauses")
   private List<Double> shares = List.of();
 
   @Option(
       names = "--random",
       description =
-          "so many messages under random pauses and partners' troubles, in place of the table")
+          "number of messages to submit under random pauses and endpoint faults, instead of the table")
   private int messages;
 
   @Option(
       names = "--every",
       split = ",",
       defaultValue = "0,5",
-      description = "s; 0: once; ${DEFAULT-VALUE} unless told")
+      description = "time between pauses, s; 0: a single pause; default: ${DEFAULT-VALUE}")
   private List<Integer> everyS;
 
   @Option(
       names = "--seconds",
       defaultValue = "25",
-      description = "a row; ${DEFAULT-VALUE} unless told")
+      description = "duration of a row; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Option(
       names = "--rate",
       defaultValue = "200",
-      description = "messages a second; ${DEFAULT-VALUE} unless told")
+      description = "messages a second; default: ${DEFAULT-VALUE}")
   private int rate;
 
   @Option(
       names = "--cores",
       defaultValue = "0",
-      description = "the courier's, as taskset takes them; ${DEFAULT-VALUE} unless told")
+      description = "cores of the courier, in the syntax of taskset; default: ${DEFAULT-VALUE}")
   private String cores;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "of all chance; ${DEFAULT-VALUE} unless told")
+      description = "seed of all random choices; default: ${DEFAULT-VALUE}")
   private long seed;
 
-  @Option(names = "--log", description = "print what the courier says")
+  @Option(names = "--log", description = "print the courier's output")
   private boolean log;
 
-  private List<StandInEndpoint> partners = List.of();
+  private List<StandInEndpoint> faultableEndpoints = List.of();
 
   @Override
   public Integer call() throws IOException {
@@ -101,40 +103,43 @@
         "| pause, s | every, s | handed in | of them deliverable | delivered | share | refused | failed | no answer "
             + "| late or lost | other rules |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    boolean kept = true;
+    boolean passed = true;
     if (messages > 0) {
-      return random() ? 0 : 1;
+      return runRandom() ? 0 : 1;
     }
     for (final double share : shares) {
-      kept &=
-          row(
+      passed &=
+          measureRow(
               String.format(Locale.ROOT, "share %.2f", share),
               "10 s",
               (world, courier) -> starve(world, share));
     }
     if (!shares.isEmpty()) {
-      return kept ? 0 : 1;
+      return passed ? 0 : 1;
     }
     for (final int pauseMs : pausesMs) {
       for (final int every : everyS) {
         if (pauseMs > 0 ? every == 0 || every * 1000 > 2 * pauseMs : every == 0) {
-          kept &=
-              row(
+          passed &=
+              measureRow(
                   String.format(Locale.ROOT, "%.2f", pauseMs / 1000.0),
                   every == 0 ? "once" : Integer.toString(every),
-                  (world, courier) -> stop(world, courier, pauseMs, every));
+                  (world, courier) -> pauseRepeatedly(world, courier, pauseMs, every));
         }
       }
     }
-    return kept ? 0 : 1;
+    return passed ? 0 : 1;
   }
 
-  /** What is done to a courier; tells how many messages cannot be delivered for that alone. */
-  private interface Trouble {
+  /**
+   * A fault applied to a courier; returns how many messages cannot be delivered because of that
+   * fault alone.
+   */
+  private interface Fault {
     double play(StandInWorld world, ChildProcess courier) throws IOException;
   }
 
-  private boolean row(final String what, final String when, final Trouble trouble)
+  private boolean measureRow(final String what, final String when, final Fault fault)
       throws IOException {
     final Path folder = Files.createTempDirectory("thistleturn-health");
     try (StandInWorld world = new StandInWorld(folder, seed)) {
@@ -145,15 +150,15 @@
         world.platform.announce(endpoint, "Ready", 2000);
         endpoints.add(endpoint);
       }
-      partners = endpoints;
+      faultableEndpoints = endpoints;
       try (ChildProcess courier =
           ChildProcess.java(
               world.environment(CourierFiles.Size.usual()), cores, "thistleturn.courier.Main")) {
-        final boolean kept = play(world, courier, what, when, trouble);
+        final boolean passed = play(world, courier, what, when, fault);
         if (log) {
           courier.lines().forEach(System.err::println);
         }
-        return kept;
+        return passed;
       }
     } finally {
       Folders.delete(folder);
@@ -165,35 +170,35 @@
       final ChildProcess courier,
       final String what,
       final String when,
-      final Trouble trouble)
+      final Fault fault)
       throws IOException {
     final String ready = courier.await(line -> line.contains("is ready at "));
     world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
     world.startLoad(rate, TIMEOUT_MS, 1, 2, 3);
-    final double undeliverable = trouble.play(world, courier);
+    final double undeliverable = fault.play(world, courier);
     final List<Violation> broken = world.stopLoadAndCheck(TIMEOUT_MS);
     final Map<String, Integer> ends = world.ruleChecker.outcomeCounts();
-    final int handed = ends.values().stream().mapToInt(Integer::intValue).sum();
+    final int submitted = ends.values().stream().mapToInt(Integer::intValue).sum();
     final int delivered = ends.getOrDefault("delivered", 0);
     final int refused =
         ends.getOrDefault("rejected at submission", 0) + ends.getOrDefault("deferred", 0);
     final int failed =
         ends.getOrDefault("undeliverable", 0) + ends.getOrDefault("failed at submission", 0);
     final long lost = broken.stream().filter(one -> one.rule() == Violation.Rule.LOST).count();
-    final double deliverable = handed - undeliverable;
+    final double deliverable = submitted - undeliverable;
     System.out.println(
         String.format(
             Locale.ROOT,
             "| %s | %s | %d | %.0f | %d | %.3f | %d | %d | %d | %d | %d |",
             what,
             when,
-            handed,
+            submitted,
             deliverable,
             delivered,
             delivered / deliverable,
             refused,
             failed,
-            handed - delivered - refused - failed,
+            submitted - delivered - refused - failed,
             lost,
             broken.size() - lost));
     broken.stream()
@@ -204,13 +209,13 @@
     return broken.isEmpty();
   }
 
-  private double stop(
+  private double pauseRepeatedly(
       final StandInWorld world, final ChildProcess courier, final int pauseMs, final int every)
       throws IOException {
-    final long beganUs = world.clock.nowUs();
-    final long endUs = beganUs + seconds * 1000L * US_PER_MS;
+    final long startUs = world.clock.nowUs();
+    final long endUs = startUs + seconds * 1000L * US_PER_MS;
     double undeliverable = 0;
-    long nextUs = beganUs + FIRST_MS * US_PER_MS;
+    long nextUs = startUs + FIRST_MS * US_PER_MS;
     while (pauseMs > 0 && nextUs + 2L * pauseMs * US_PER_MS < endUs) {
       world.waitUntil(nextUs);
       courier.pause();
@@ -223,10 +228,10 @@
     return undeliverable;
   }
 
-  /** For 10 s there are so many busy loops on the courier's core that its share of it is that. */
+  /** Runs as many busy loops on the courier's core for 10 s as leave it the given share. */
   private double starve(final StandInWorld world, final double share) throws IOException {
-    final long beganUs = world.clock.nowUs();
-    world.waitUntil(beganUs + FIRST_MS * US_PER_MS);
+    final long startUs = world.clock.nowUs();
+    world.waitUntil(startUs + FIRST_MS * US_PER_MS);
     final List<Process> loops = new ArrayList<>();
     try {
       for (int loop = 1; loop < Math.round(1 / share); loop++) {
@@ -235,7 +240,7 @@
                     "taskset", "-c", cores, "timeout", "30", "sh", "-c", "while :; do :; done")
                 .start());
       }
-      world.waitUntil(beganUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
+      world.waitUntil(startUs + (FIRST_MS + STARVED_MS) * US_PER_MS);
     } finally {
       loops.forEach(
           loop -> {
@@ -243,17 +248,17 @@
             loop.destroyForcibly();
           });
     }
-    world.waitUntil(beganUs + seconds * 1000L * US_PER_MS);
+    world.waitUntil(startUs + seconds * 1000L * US_PER_MS);
     return 0;
   }
 
   /**
-   * Random stops of up to 2 s and random troubles of the partners, until so many messages were
-   * handed in.
+   * Pauses the courier for random times of up to 2 s and applies random faults to the endpoints,
+   * until {@link #messages} messages have been submitted.
    */
-  private boolean random() throws IOException {
+  private boolean runRandom() throws IOException {
     final Random random = new Random(seed);
-    return row(
+    return measureRow(
         "random",
         "0.05 to 2 s",
         (world, courier) -> {
@@ -261,8 +266,9 @@
               world.clock.nowUs() + (long) (messages / (double) rate * 1000 * US_PER_MS);
           while (world.clock.nowUs() < endUs) {
             world.waitUntil(world.clock.nowUs() + (300 + random.nextInt(3000)) * US_PER_MS);
-            final StandInEndpoint partner = partners.get(random.nextInt(partners.size()));
-            partner.setBehavior(
+            final StandInEndpoint endpoint =
+                faultableEndpoints.get(random.nextInt(faultableEndpoints.size()));
+            endpoint.setBehavior(
                 random.nextInt(3) == 0
                     ? Behavior.deliverAfter(5 + random.nextInt(40))
                     : switch (random.nextInt(5)) {
@@ -279,8 +285,9 @@
               courier.resume();
               world.ruleChecker.recordCourierPause(stoppedUs, world.clock.nowUs());
             }
-            // At most half of the partners are in trouble at once.
-            final StandInEndpoint other = partners.get(random.nextInt(partners.size()));
+            // Keeps at most half of the endpoints faulty at once.
+            final StandInEndpoint other =
+                faultableEndpoints.get(random.nextInt(faultableEndpoints.size()));
             other.setBehavior(Behavior.deliverAfter(5 + random.nextInt(20)));
           }
           return 0;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/package-info.java
@@ -1,2 +1,2 @@
-/** Measures couriers that are stopped, starved or cut off from their network. */
+/** Measures couriers that are paused, starved of CPU or cut off from the network. */
 package thistleturn.benchmarks.health;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeers.java
@@ -21,16 +21,17 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * Real processes, each pair joined by a relay in each direction, under seeded schedules of faults.
+ * Measures real processes under seeded schedules of faults; each pair is connected by one relay in
+ * each direction.
  */
 @Command(
     name = "peers",
     mixinStandardHelpOptions = true,
     description =
-        "Real couriers through relays under seeded schedules: how soon "
-            + "an end is known to all, who is wrongly declared dead, how soon views agree.")
+        "Real couriers connected through relays, under seeded schedules: how soon "
+            + "all know of an ended courier, how many are wrongly declared dead, how soon views agree.")
 public final class MeasurePeers implements Callable<Integer> {
-  /** Which faults a row of the table has. */
+  /** The faults of one row of the table. */
   enum Row {
     LOSS_5,
     LOSS_30,
@@ -49,39 +50,40 @@
   @Option(
       names = "--schedules",
       defaultValue = "20",
-      description = "a row; ${DEFAULT-VALUE} unless told")
+      description = "schedules per row; default: ${DEFAULT-VALUE}")
   private int schedules;
 
   @Option(
       names = "--members",
       defaultValue = "10",
-      description = "real processes at once in a fleet; ${DEFAULT-VALUE} unless told")
+      description = "processes in a fleet; default: ${DEFAULT-VALUE}")
   private int members;
 
   @Option(
       names = "--fleets",
       defaultValue = "3",
-      description = "fleets at the same time; ${DEFAULT-VALUE} unless told")
+      description = "fleets that run at the same time; default: ${DEFAULT-VALUE}")
   private int fleets;
 
   @Option(
       names = "--seconds",
       defaultValue = "35",
-      description = "a schedule; ${DEFAULT-VALUE} unless told")
+      description = "duration of a schedule; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "of the first schedule; ${DEFAULT-VALUE} unless told")
+      description = "seed of the first schedule; default: ${DEFAULT-VALUE}")
   private long seed;
 
   @Option(
       names = "--file",
-      description = "one schedule from a file, in place of the table; prints what the couriers say")
+      description =
+          "runs one schedule from a file instead of the table, and prints the couriers' output")
   private Path file;
 
-  private static Schedule.FaultMix weather(final Row row) {
+  private static Schedule.FaultMix faultMix(final Row row) {
     return switch (row) {
       case LOSS_5 -> Schedule.FaultMix.killsOnly(0.05);
       case LOSS_30 -> Schedule.FaultMix.killsOnly(0.3);
@@ -91,7 +93,7 @@
     };
   }
 
-  /** One schedule's outcome. */
+  /** Result of one schedule. {@code --file} prints it with the names of its components. */
   private record Played(
       long seed,
       List<Long> times,
@@ -112,21 +114,24 @@
         "| faults | schedules | ends | known to all, ms: p50 | p99 | most | wrongly dead | other promises broken | "
             + "not agreed at the end |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    boolean kept = true;
+    boolean passed = true;
     for (final Row row : rows) {
-      kept &= row(row);
+      passed &= row(row);
     }
-    return kept ? 0 : 1;
+    return passed ? 0 : 1;
   }
 
   private boolean row(final Row row) throws InterruptedException, ExecutionException {
     final ExecutorService pool = Executors.newFixedThreadPool(fleets);
     final List<Future<Played>> running = new ArrayList<>();
     for (int number = 0; number < schedules; number++) {
-      final long of = seed + number;
+      final long scheduleSeed = seed + number;
       running.add(
           pool.submit(
-              () -> play(Schedule.random(of, members, seconds * 1000L, weather(row)), false)));
+              () ->
+                  play(
+                      Schedule.random(scheduleSeed, members, seconds * 1000L, faultMix(row)),
+                      false)));
     }
     final List<Long> times = new ArrayList<>();
     final List<Played> all = new ArrayList<>();
@@ -143,7 +148,7 @@
     Collections.sort(times);
     final int wrong = all.stream().mapToInt(Played::wrong).sum();
     final int broken = all.stream().mapToInt(played -> played.broken().size()).sum();
-    final long apart = all.stream().filter(played -> !played.agreed()).count();
+    final long notAgreed = all.stream().filter(played -> !played.agreed()).count();
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -156,13 +161,14 @@
             quantile(times, 1),
             wrong,
             broken - wrong,
-            apart));
+            notAgreed));
     all.stream()
         .limit(3)
         .forEach(
             played ->
-                System.out.println("took place, seed " + played.seed() + ": " + played.tally()));
-    return broken == 0 && apart == 0;
+                System.out.println(
+                    "injected faults, seed " + played.seed() + ": " + played.tally()));
+    return broken == 0 && notAgreed == 0;
   }
 
   static String quantile(final List<Long> sorted, final double share) {
@@ -172,23 +178,24 @@
             sorted.get((int) Math.min(sorted.size() - 1, Math.floor(share * sorted.size()))));
   }
 
-  private static Played play(final Schedule schedule, final boolean talk) throws IOException {
+  private static Played play(final Schedule schedule, final boolean printOutput)
+      throws IOException {
     final Path folder = Files.createTempDirectory("thistleturn-peers");
     try (StandInWorld world = new StandInWorld(folder, schedule.seed());
         RealFleet fleet =
             new RealFleet(
                 folder, schedule, world.platform.address(), world.platform.known(), "", 5000)) {
-      final FleetChecker judge = fleet.run();
-      if (talk || !judge.violations().isEmpty() || !judge.isAgreed()) {
+      final FleetChecker checker = fleet.run();
+      if (printOutput || !checker.violations().isEmpty() || !checker.isAgreed()) {
         fleet.recentLines().forEach(System.err::println);
       }
       return new Played(
           schedule.seed(),
-          judge.detectionTimesMs(),
-          judge.endedCount(),
-          judge.wronglyDeadCount(),
-          judge.isAgreed(),
-          List.copyOf(judge.violations()),
+          checker.detectionTimesMs(),
+          checker.endedCount(),
+          checker.wronglyDeadCount(),
+          checker.isAgreed(),
+          List.copyOf(checker.violations()),
           fleet.summary());
     } finally {
       Folders.delete(folder);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasurePeersCost.java
@@ -20,16 +20,18 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * What knowing one another costs a real courier, and what it does to the messages of one of them.
+ * Measures what the membership protocol costs a real courier, and how it affects the deliveries of
+ * one courier.
  */
 @Command(
     name = "peers-cost",
     mixinStandardHelpOptions = true,
     description =
-        "CPU, memory and bytes a second of real couriers that know "
-            + "one another and are idle else; then one's deliveries while others are killed, stopped and cut off, beside peers off.")
+        "CPU, memory and bytes a second of real couriers that run the membership protocol "
+            + "and are otherwise idle; then the deliveries of one courier while others are killed, paused and cut off, "
+            + "compared with peers off.")
 public final class MeasurePeersCost implements Callable<Integer> {
-  /** The system's tick, in which it counts processor time: 100 a second. */
+  /** The unit of processor time in /proc: 100 ticks a second. */
   private static final double TICKS_PER_S = 100;
 
   private static final int USER_FIELD = 13;
@@ -41,31 +43,31 @@
       names = "--members",
       split = ",",
       defaultValue = "1,5,10,20",
-      description = "sizes of idle fleets; ${DEFAULT-VALUE} unless told")
+      description = "sizes of the idle fleets; default: ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "measured of each; ${DEFAULT-VALUE} unless told")
+      description = "measured time of each fleet; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Option(
       names = "--rate",
       defaultValue = "200",
-      description = "messages a second; ${DEFAULT-VALUE} unless told")
+      description = "messages a second; default: ${DEFAULT-VALUE}")
   private int rate;
 
-  @Option(names = "--replicas", description = "with replicas on, too")
+  @Option(names = "--replicas", description = "enable replicas as well")
   private boolean replicas;
 
-  /** Processor time, ticks, and resident memory, KB, of a process until now. */
-  private record Use(double ticks, double residentKb) {
-    static Use of(final long pid) throws IOException {
+  /** Processor time used by a process so far, in ticks, and its resident memory, in KB. */
+  private record ResourceUsage(double ticks, double residentKb) {
+    static ResourceUsage of(final long pid) throws IOException {
       final String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-      // Behind the name, which may hold anything.
+      // Skips the process name, which may contain spaces and parentheses.
       final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-      return new Use(
+      return new ResourceUsage(
           Double.parseDouble(fields[USER_FIELD - 2]) + Double.parseDouble(fields[USER_FIELD - 1]),
           Double.parseDouble(fields[RESIDENT_FIELD - 2]) * KB_PER_PAGE);
     }
@@ -77,15 +79,15 @@
         "| members | CPU, ms a second each | resident, MB each | datagrams a second each | bytes a second each | connections |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (final int size : sizes) {
-      idle(size);
+      measureIdle(size);
     }
     System.out.println();
     System.out.println("| peers | handed in | delivered | refused | failed | rules broken |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
-    return delivery(false) && delivery(true) ? 0 : 1;
+    return measureDelivery(false) && measureDelivery(true) ? 0 : 1;
   }
 
-  private void idle(final int size) throws IOException {
+  private void measureIdle(final int size) throws IOException {
     final Path folder = Files.createTempDirectory("thistleturn-peers");
     final Schedule schedule = new Schedule(size, 1, seconds * 1000L, List.of());
     try (StandInWorld world = new StandInWorld(folder, 1);
@@ -95,14 +97,14 @@
                 schedule,
                 world.platform.address(),
                 world.platform.known(),
-                extra(),
+                extraSettings(),
                 5000)) {
-      final Use[] before = new Use[size];
+      final ResourceUsage[] before = new ResourceUsage[size];
       final JsonNode[] pages = new JsonNode[size];
       fleet.onAgreement(
           () -> {
             for (int number = 0; number < size; number++) {
-              before[number] = Use.of(fleet.process(number).pid());
+              before[number] = ResourceUsage.of(fleet.process(number).pid());
               pages[number] = fleet.peersPage(number);
             }
           });
@@ -113,7 +115,7 @@
       double bytes = 0;
       double connections = 0;
       for (int number = 0; number < size; number++) {
-        final Use after = Use.of(fleet.process(number).pid());
+        final ResourceUsage after = ResourceUsage.of(fleet.process(number).pid());
         ticks += after.ticks() - before[number].ticks();
         kb += after.residentKb();
         datagrams +=
@@ -139,10 +141,10 @@
   }
 
   /**
-   * Messages to the first of five; the other four are killed, stopped, cut off and started again,
-   * at 10% loss.
+   * Submits messages to the first of five couriers, at 10% loss, while the other four are killed,
+   * paused, cut off and started again.
    */
-  private boolean delivery(final boolean peers) throws IOException {
+  private boolean measureDelivery(final boolean peers) throws IOException {
     final Path folder = Files.createTempDirectory("thistleturn-peers");
     final Schedule schedule =
         Schedule.parse(
@@ -170,9 +172,9 @@
                 schedule,
                 world.platform.address(),
                 world.platform.known(),
-                extra(),
+                extraSettings(),
                 5000)) {
-          fleet.onAgreement(() -> load(world, fleet.process(0)));
+          fleet.onAgreement(() -> startLoad(world, fleet.process(0)));
           fleet.run();
           return report(world, "on");
         }
@@ -180,7 +182,7 @@
       final Map<String, String> environment = world.environment(CourierFiles.Size.usual());
       try (ChildProcess courier =
           ChildProcess.java(environment, "", "thistleturn.cli.Main", "serve")) {
-        load(world, courier);
+        startLoad(world, courier);
         world.waitUntil(world.clock.nowUs() + schedule.endMs() * 1000);
         return report(world, "off");
       }
@@ -189,11 +191,11 @@
     }
   }
 
-  private String extra() {
+  private String extraSettings() {
     return replicas ? "[replicas]\nenabled = true\n" : "";
   }
 
-  private void load(final StandInWorld world, final ChildProcess courier) {
+  private void startLoad(final StandInWorld world, final ChildProcess courier) {
     final String ready = courier.await(line -> line.contains("is ready at "));
     world.client.setCourierAddress(ready.substring(ready.lastIndexOf(' ') + 1));
     world.startLoad(rate, TIMEOUT_MS, 1, 2, 3);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/MeasureVirtualPeers.java
@@ -24,21 +24,21 @@
 import thistleturn.testkit.rig.Schedule;
 
 /**
- * The program's way of knowing one another against the rules of others, on the same schedules in
- * virtual time.
+ * Compares this project's membership protocol with other protocols on the same schedules in virtual
+ * time.
  */
 @Command(
     name = "peers-virtual",
     mixinStandardHelpOptions = true,
     description =
-        "Seeded schedules in virtual time, the same for each way: "
-            + "wrong deaths an hour, time until all know of an end, views, bytes.")
+        "Seeded schedules in virtual time, the same for each protocol: couriers wrongly declared dead "
+            + "an hour, time until all know of an ended courier, views, bytes.")
 public final class MeasureVirtualPeers implements Callable<Integer> {
   private static final long END_MS = 45_000;
   private static final long MS = 1000;
   private static final double MS_PER_HOUR = 3_600_000;
 
-  /** Which faults a row of the table has. */
+  /** The faults of one row of the table. */
   enum Row {
     LOSS_0,
     LOSS_5,
@@ -57,30 +57,30 @@
   @Option(
       names = "--schedules",
       defaultValue = "400",
-      description = "a row; ${DEFAULT-VALUE} unless told")
+      description = "schedules per row; default: ${DEFAULT-VALUE}")
   private int schedules;
 
   @Option(
       names = "--members",
       defaultValue = "0",
       description =
-          "in a fleet; 0: 3 to 20, one in ten schedules 21 to 100, one in a "
+          "couriers in a fleet; 0: 3 to 20, one in ten schedules 21 to 100, one in a "
               + "hundred 101 to 500")
   private int members;
 
-  @Option(names = "--threads", defaultValue = "6", description = "${DEFAULT-VALUE} unless told")
+  @Option(names = "--threads", defaultValue = "6", description = "default: ${DEFAULT-VALUE}")
   private int threads;
 
-  @Option(names = "--ours-alone", description = "without the rules of others")
+  @Option(names = "--ours-alone", description = "without the other protocols")
   private boolean oursAlone;
 
   @Option(
       names = "--quiet",
-      description = "fleets of --members without any fault, for what they cost")
+      description = "fleets of --members couriers without any fault, to measure their cost")
   private boolean quiet;
 
-  /** One way's outcome on one schedule. */
-  private record Played(
+  /** Result of one protocol on one schedule. */
+  private record RunResult(
       long seed,
       int members,
       List<Long> times,
@@ -111,7 +111,7 @@
     return ways;
   }
 
-  private static Schedule.FaultMix weather(final Row row) {
+  private static Schedule.FaultMix faultMix(final Row row) {
     return switch (row) {
       case LOSS_0 -> Schedule.FaultMix.killsOnly(0);
       case LOSS_5 -> Schedule.FaultMix.killsOnly(0.05);
@@ -131,38 +131,40 @@
             : kind < 10 ? 21 + random.nextInt(80) : 3 + random.nextInt(18);
   }
 
-  private Played play(final Row row, final long seed, final Contestant.Maker maker) {
+  private RunResult play(final Row row, final long seed, final Contestant.Maker maker) {
     final int size = size(seed);
     final Schedule schedule =
         quiet
             ? new Schedule(size, seed, END_MS, List.of())
-            : Schedule.random(seed, size, END_MS, weather(row));
+            : Schedule.random(seed, size, END_MS, faultMix(row));
     final VirtualPeers world = new VirtualPeers(schedule, maker, 5000);
-    final long[] half = new long[1];
+    final long[] bytesAtHalf = new long[1];
     if (quiet) {
       world.looking(
-          at -> half[0] = half[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : half[0]);
+          at ->
+              bytesAtHalf[0] =
+                  bytesAtHalf[0] == 0 && at.nowMs() >= END_MS / 2 ? at.bytes() : bytesAtHalf[0]);
     }
-    final FleetChecker judge = world.play();
-    final long lastMs =
+    final FleetChecker checker = world.play();
+    final long lastFaultMs =
         schedule.faults().stream()
             .filter(fault -> fault.atMs() > 0)
             .mapToLong(fault -> fault.forMs() == 0 ? fault.atMs() : fault.endMs())
             .max()
             .orElse(0);
-    // Of a quiet fleet the second half counts: the first has all joins in it.
-    return new Played(
+    // Only the second half of a quiet run counts, since all joins are in the first.
+    return new RunResult(
         seed,
         size,
-        judge.detectionTimesMs(),
-        judge.endedCount(),
-        judge.wronglyDeadCount(),
-        judge.violations().size() - judge.wronglyDeadCount(),
-        judge.isAgreed(),
-        judge.lastAgreementMs(),
-        lastMs,
-        judge.viewCount(),
-        quiet ? 2 * (world.bytes() - half[0]) : world.bytes());
+        checker.detectionTimesMs(),
+        checker.endedCount(),
+        checker.wronglyDeadCount(),
+        checker.violations().size() - checker.wronglyDeadCount(),
+        checker.isAgreed(),
+        checker.lastAgreementMs(),
+        lastFaultMs,
+        checker.viewCount(),
+        quiet ? 2 * (world.bytes() - bytesAtHalf[0]) : world.bytes());
   }
 
   @Override
@@ -173,49 +175,49 @@
             + "bytes a second a member |");
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    boolean kept = true;
+    boolean passed = true;
     for (final Row row : rows) {
       for (final Map.Entry<String, Contestant.Maker> way : ways().entrySet()) {
-        kept &= row(row, way.getKey(), way.getValue());
+        passed &= row(row, way.getKey(), way.getValue());
       }
     }
-    return kept ? 0 : 1;
+    return passed ? 0 : 1;
   }
 
   private boolean row(final Row row, final String name, final Contestant.Maker maker)
       throws InterruptedException, ExecutionException {
     final ExecutorService pool = Executors.newFixedThreadPool(threads);
-    final List<Future<Played>> running = new ArrayList<>();
+    final List<Future<RunResult>> running = new ArrayList<>();
     for (long seed = 0; seed < schedules; seed++) {
-      final long of = seed;
-      running.add(pool.submit(() -> play(row, of, maker)));
+      final long scheduleSeed = seed;
+      running.add(pool.submit(() -> play(row, scheduleSeed, maker)));
     }
-    final List<Played> all = new ArrayList<>();
-    for (final Future<Played> one : running) {
+    final List<RunResult> all = new ArrayList<>();
+    for (final Future<RunResult> one : running) {
       all.add(one.get());
     }
     pool.shutdown();
     final List<Long> times = new ArrayList<>();
     final List<Long> agreed = new ArrayList<>();
     all.forEach(
-        played -> {
-          times.addAll(played.times());
-          if (played.agreed() && played.lastFaultMs() > 0) {
-            agreed.add(Math.max(0, played.agreedMs() - played.lastFaultMs()));
+        result -> {
+          times.addAll(result.times());
+          if (result.agreed() && result.lastFaultMs() > 0) {
+            agreed.add(Math.max(0, result.agreedMs() - result.lastFaultMs()));
           }
         });
     Collections.sort(times);
     Collections.sort(agreed);
-    final int ended = all.stream().mapToInt(Played::ended).sum();
-    final int wrong = all.stream().mapToInt(Played::wrong).sum();
-    final int two = all.stream().mapToInt(Played::brokenOtherwise).sum();
-    final long apart = all.stream().filter(played -> !played.agreed()).count();
+    final int ended = all.stream().mapToInt(RunResult::ended).sum();
+    final int wrong = all.stream().mapToInt(RunResult::wrong).sum();
+    final int brokenOtherwise = all.stream().mapToInt(RunResult::brokenOtherwise).sum();
+    final long notAgreed = all.stream().filter(result -> !result.agreed()).count();
     final double bytes =
         all.stream()
-            .mapToDouble(played -> played.bytes() / (END_MS / 1000.0) / played.members())
+            .mapToDouble(result -> result.bytes() / (END_MS / 1000.0) / result.members())
             .average()
             .orElse(0);
-    final boolean ours = name.startsWith("peers");
+    final boolean isOurs = name.startsWith("peers");
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -229,36 +231,36 @@
             MeasurePeers.quantile(times, 1),
             ended - times.size(),
             wrong * MS_PER_HOUR / END_MS / schedules,
-            ours ? Integer.toString(two) : "-",
-            apart,
+            isOurs ? Integer.toString(brokenOtherwise) : "-",
+            notAgreed,
             MeasurePeers.quantile(agreed, 0.5),
             MeasurePeers.quantile(agreed, 0.99),
-            ours && ended > 0
+            isOurs && ended > 0
                 ? String.format(
                     Locale.ROOT,
                     "%.2f",
-                    (all.stream().mapToInt(Played::changes).sum() - 2.0 * schedules)
-                        / Math.max(1, all.stream().mapToInt(Played::ended).sum()))
+                    (all.stream().mapToInt(RunResult::changes).sum() - 2.0 * schedules)
+                        / Math.max(1, all.stream().mapToInt(RunResult::ended).sum()))
                 : "-",
             bytes));
-    if (ours) {
+    if (isOurs) {
       all.stream()
-          .filter(played -> played.wrong() + played.brokenOtherwise() > 0 || !played.agreed())
+          .filter(result -> result.wrong() + result.brokenOtherwise() > 0 || !result.agreed())
           .limit(5)
           .forEach(
-              played ->
+              result ->
                   System.out.println(
                       "seed "
-                          + played.seed()
+                          + result.seed()
                           + " of "
                           + row
                           + ", "
-                          + played.members()
+                          + result.members()
                           + " members: wrong "
-                          + played.wrong()
+                          + result.wrong()
                           + ", agreed "
-                          + played.agreed()));
+                          + result.agreed()));
     }
-    return !ours || (wrong == 0 && two == 0 && apart == 0);
+    return !isOurs || (wrong == 0 && brokenOtherwise == 0 && notAgreed == 0);
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/peers/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How couriers know one another under faults: real processes through relays, and virtual fleets
- * against the rules of others.
+ * Measures the membership protocol under faults: real processes connected through relays, and
+ * virtual fleets in comparison with other protocols.
  */
 package thistleturn.benchmarks.peers;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureReplicas.java
@@ -29,15 +29,16 @@
 import thistleturn.testkit.rig.RealFleet;
 import thistleturn.testkit.rig.Schedule;
 
-/** Real couriers that hold one state, under load and seeded schedules of faults. */
+/** Measures real couriers with replicas, under load and seeded schedules of faults. */
 @Command(
     name = "replicas",
     mixinStandardHelpOptions = true,
     description =
-        "Real couriers through relays: how soon an endpoint left out by "
-            + "hand at one is left out by all, how soon a wait told to one binds all, what is sent after that, and whether copies are equal.")
+        "Real couriers connected through relays: how soon an endpoint disabled at one courier "
+            + "is excluded by all, how soon a Retry-After sent to one is observed by all, what is sent after that, "
+            + "and whether replicas are equal.")
 public final class MeasureReplicas implements Callable<Integer> {
-  /** Which faults a row of the table has. */
+  /** The faults of one row of the table. */
   enum Row {
     LOSS_5,
     LOSS_20,
@@ -45,14 +46,14 @@
   }
 
   private static final String REPLICAS = "[replicas]\nenabled = true\n";
-  private static final long MOST_MS = 8000;
-  private static final long CALM_MS = 12_000;
+  private static final long MAX_WAIT_MS = 8000;
+  private static final long NO_FAULTS_MS = 12_000;
   private static final long TIMEOUT_MS = 6000;
   private static final int ENDPOINTS = 4;
   private static final long WAIT_MS = 2500;
 
-  /** What is on its way when a word comes is there by then. */
-  private static final long ON_ITS_WAY_MS = 150;
+  /** Calls already sent when a disable entry arrives have reached the endpoint by then. */
+  private static final long IN_FLIGHT_MS = 150;
 
   @Option(
       names = "--rows",
@@ -64,52 +65,52 @@
   @Option(
       names = "--schedules",
       defaultValue = "10",
-      description = "a row; ${DEFAULT-VALUE} unless told")
+      description = "schedules per row; default: ${DEFAULT-VALUE}")
   private int schedules;
 
   @Option(
       names = "--members",
       defaultValue = "8",
-      description = "real processes at once in a fleet; ${DEFAULT-VALUE} unless told")
+      description = "processes in a fleet; default: ${DEFAULT-VALUE}")
   private int members;
 
   @Option(
       names = "--fleets",
       defaultValue = "2",
-      description = "fleets at the same time; ${DEFAULT-VALUE} unless told")
+      description = "fleets that run at the same time; default: ${DEFAULT-VALUE}")
   private int fleets;
 
   @Option(
       names = "--seconds",
       defaultValue = "30",
-      description = "a schedule; ${DEFAULT-VALUE} unless told")
+      description = "duration of a schedule; default: ${DEFAULT-VALUE}")
   private int seconds;
 
   @Option(
       names = "--per-second",
       defaultValue = "15",
-      description = "messages a courier; ${DEFAULT-VALUE} unless told")
+      description = "messages a second for each courier; default: ${DEFAULT-VALUE}")
   private double perSecond;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "of the first schedule; ${DEFAULT-VALUE} unless told")
+      description = "seed of the first schedule; default: ${DEFAULT-VALUE}")
   private long seed;
 
-  /** One schedule's outcome; times in ms. */
-  private record Played(
+  /** Result of one schedule; times in ms. */
+  private record RunResult(
       long seed,
-      List<Long> bans,
-      List<Long> waits,
-      long never,
+      List<Long> disableTimes,
+      List<Long> waitTimes,
+      long unobserved,
       long sentAfter,
       long equalMs,
       List<String> broken,
       long messages,
       String tally) {}
 
-  private static Schedule.FaultMix weather(final Row row) {
+  private static Schedule.FaultMix faultMix(final Row row) {
     return switch (row) {
       case LOSS_5 -> new Schedule.FaultMix(0.05, true, true, 0, false, false, false, false);
       case LOSS_20 -> new Schedule.FaultMix(0.2, true, true, 0, false, false, false, false);
@@ -134,56 +135,56 @@
 
   private int row(final Row row) throws InterruptedException, ExecutionException {
     final ExecutorService pool = Executors.newFixedThreadPool(fleets);
-    final List<Future<Played>> running = new ArrayList<>();
+    final List<Future<RunResult>> running = new ArrayList<>();
     for (int number = 0; number < schedules; number++) {
-      final long of = seed + number;
+      final long scheduleSeed = seed + number;
       running.add(
           pool.submit(
               () ->
-                  new Play(
-                          Schedule.random(of, members, seconds * 1000L, weather(row)),
+                  new ScheduleRun(
+                          Schedule.random(scheduleSeed, members, seconds * 1000L, faultMix(row)),
                           row == Row.ALL)
-                      .play()));
+                      .run()));
     }
-    final List<Long> bans = new ArrayList<>();
-    final List<Long> waits = new ArrayList<>();
-    long never = 0;
+    final List<Long> disableTimes = new ArrayList<>();
+    final List<Long> waitTimes = new ArrayList<>();
+    long unobserved = 0;
     long sentAfter = 0;
     long equalMs = 0;
     long messages = 0;
     int broken = 0;
-    for (final Future<Played> one : running) {
-      final Played played = one.get();
-      bans.addAll(played.bans);
-      waits.addAll(played.waits);
-      never += played.never;
-      sentAfter += played.sentAfter;
-      equalMs = played.equalMs < 0 || equalMs < 0 ? -1 : Math.max(equalMs, played.equalMs);
-      messages += played.messages;
-      broken += played.broken.size();
-      played.broken.stream()
+    for (final Future<RunResult> one : running) {
+      final RunResult result = one.get();
+      disableTimes.addAll(result.disableTimes);
+      waitTimes.addAll(result.waitTimes);
+      unobserved += result.unobserved;
+      sentAfter += result.sentAfter;
+      equalMs = result.equalMs < 0 || equalMs < 0 ? -1 : Math.max(equalMs, result.equalMs);
+      messages += result.messages;
+      broken += result.broken.size();
+      result.broken.stream()
           .limit(5)
-          .forEach(what -> System.out.println("BROKEN, seed " + played.seed + ": " + what));
+          .forEach(what -> System.out.println("BROKEN, seed " + result.seed + ": " + what));
     }
     pool.shutdown();
-    Collections.sort(bans);
-    Collections.sort(waits);
+    Collections.sort(disableTimes);
+    Collections.sort(waitTimes);
     System.out.println(
         String.format(
             Locale.ROOT,
             "| %s | %d | %d | %s | %s | %s | %d | %d | %d | %s | %s | %s | %d | %d | %d |",
             row,
             schedules,
-            bans.size(),
-            quantile(bans, 0.5),
-            quantile(bans, 0.99),
-            quantile(bans, 1),
-            never,
+            disableTimes.size(),
+            quantile(disableTimes, 0.5),
+            quantile(disableTimes, 0.99),
+            quantile(disableTimes, 1),
+            unobserved,
             sentAfter,
-            waits.size(),
-            quantile(waits, 0.5),
-            quantile(waits, 0.99),
-            quantile(waits, 1),
+            waitTimes.size(),
+            quantile(waitTimes, 0.5),
+            quantile(waitTimes, 0.99),
+            quantile(waitTimes, 1),
             equalMs,
             messages,
             broken));
@@ -197,32 +198,35 @@
             sorted.get((int) Math.min(sorted.size() - 1, Math.floor(share * sorted.size()))));
   }
 
-  /** One schedule. */
-  private final class Play {
+  /** Runs one schedule. */
+  private final class ScheduleRun {
     private final Schedule schedule;
-    private final boolean partly;
+    private final boolean partitioned;
     private final Random random;
     private final List<StandInEndpoint> endpoints = new ArrayList<>();
     private final List<StandInClient> clients = new ArrayList<>();
-    private final List<Long> bans = Collections.synchronizedList(new ArrayList<>());
-    private final List<Long> waits = Collections.synchronizedList(new ArrayList<>());
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final List<Long> disableTimes = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> waitTimes = Collections.synchronizedList(new ArrayList<>());
+    private final AtomicBoolean faultsEnded = new AtomicBoolean();
     private StandInWorld world;
     private RealFleet fleet;
-    private long never;
+    private long unobserved;
     private long sentAfter;
 
-    /** {@code partly}: not everybody can be reached at any time. */
-    Play(final Schedule schedule, final boolean partly) {
+    /**
+     * Prepares a run; {@code partitioned}: the schedule cuts links and pauses couriers, so that not
+     * every courier can be reached at all times.
+     */
+    ScheduleRun(final Schedule schedule, final boolean partitioned) {
       this.schedule = schedule;
-      this.partly = partly;
+      this.partitioned = partitioned;
       this.random = new Random(schedule.seed());
     }
 
-    Played play() throws IOException {
+    RunResult run() throws IOException {
       final Path folder = Files.createTempDirectory("thistleturn-replicas");
-      try (StandInWorld made = new StandInWorld(folder, schedule.seed())) {
-        world = made;
+      try (StandInWorld created = new StandInWorld(folder, schedule.seed())) {
+        world = created;
         for (int number = 0; number < ENDPOINTS; number++) {
           final StandInEndpoint endpoint = world.endpoint(number < 3 ? 1 : 2);
           endpoint.setBehavior(Behavior.deliverAfter(10));
@@ -238,7 +242,7 @@
                 REPLICAS,
                 5000)) {
           fleet = started;
-          return run();
+          return runFleet();
         }
       } finally {
         clients.forEach(StandInClient::close);
@@ -246,7 +250,7 @@
       }
     }
 
-    private Played run() throws IOException {
+    private RunResult runFleet() throws IOException {
       fleet.onAgreement(
           () -> {
             for (int number = 0; number < members; number++) {
@@ -256,28 +260,28 @@
               world.startLoad(client, perSecond, TIMEOUT_MS, 1);
             }
           });
-      final Thread words = new Thread(this::speak, "words");
-      fleet.at(500, words::start);
-      fleet.at(schedule.endMs() - CALM_MS, () -> over.set(true));
-      final long[] calmNs = {0};
+      final Thread directives = new Thread(this::issueDirectives, "directives");
+      fleet.at(500, directives::start);
+      fleet.at(schedule.endMs() - NO_FAULTS_MS, () -> faultsEnded.set(true));
+      final long[] noFaultsNs = {0};
       final long[] equalMs = {-1};
-      final Thread compares =
+      final Thread comparison =
           new Thread(
               () -> {
-                calmNs[0] = System.nanoTime();
-                equalMs[0] = await(CALM_MS - 1000, this::isEqual);
+                noFaultsNs[0] = System.nanoTime();
+                equalMs[0] = await(NO_FAULTS_MS - 1000, this::isEqual);
               },
-              "compares");
-      fleet.at(schedule.endMs() - CALM_MS + 100, compares::start);
+              "comparison");
+      fleet.at(schedule.endMs() - NO_FAULTS_MS + 100, comparison::start);
       fleet.at(schedule.endMs() - 3000, world::stopSubmitting);
       fleet.run();
-      join(words);
-      join(compares);
-      return new Played(
+      join(directives);
+      join(comparison);
+      return new RunResult(
           schedule.seed(),
-          List.copyOf(bans),
-          List.copyOf(waits),
-          never,
+          List.copyOf(disableTimes),
+          List.copyOf(waitTimes),
+          unobserved,
           sentAfter,
           equalMs[0],
           broken(),
@@ -294,8 +298,8 @@
     }
 
     /**
-     * Couriers that are killed and not started again leave messages without an end; that breaks no
-     * rule.
+     * Returns the broken rules. LOST and LATE are ignored: couriers that are killed and not started
+     * again leave messages without a final outcome, which breaks no rule.
      */
     private List<String> broken() {
       final List<String> broken = new ArrayList<>(fleet.checker().violations());
@@ -333,7 +337,7 @@
       return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
     }
 
-    private boolean says(
+    private boolean hasDirective(
         final int number, final String what, final String endpoint, final int destination) {
       final JsonNode lanes = fleet.fetchPage(number, "lanes");
       for (final JsonNode lane : lanes == null ? List.<JsonNode>of() : lanes) {
@@ -350,90 +354,93 @@
     }
 
     /**
-     * In turn: an endpoint is left out at one courier and let serve at another; a destination tells
-     * one to wait.
+     * Alternates between disabling an endpoint at one courier and enabling it at another, and a
+     * destination that sends a Retry-After to one courier.
      */
-    private void speak() {
-      for (int turn = 0; !over.get(); turn++) {
+    private void issueDirectives() {
+      for (int turn = 0; !faultsEnded.get(); turn++) {
         final int at = random.nextInt(members);
         if (fleet.process(at) == null) {
           continue;
         }
-        if (turn % 3 == 2 && !partly) {
-          tellWait(at);
+        if (turn % 3 == 2 && !partitioned) {
+          sendRetryAfter(at);
         } else {
-          leaveOut(at, endpoints.get(random.nextInt(2)));
+          disableAndEnable(at, endpoints.get(random.nextInt(2)));
         }
       }
     }
 
-    private void leaveOut(final int at, final StandInEndpoint endpoint) {
+    private void disableAndEnable(final int at, final StandInEndpoint endpoint) {
       if (!fleet.setDisabled(at, endpoint.name(), true)) {
         return;
       }
-      final boolean all = everywhere(bans, number -> says(number, "exclusion", endpoint.name(), 0));
-      if (all) {
-        await(ON_ITS_WAY_MS, () -> false);
+      final boolean excludedByAll =
+          awaitEverywhere(
+              disableTimes, number -> hasDirective(number, "exclusion", endpoint.name(), 0));
+      if (excludedByAll) {
+        await(IN_FLIGHT_MS, () -> false);
         final long before = endpoint.calls();
         await(300, () -> false);
         sentAfter += endpoint.calls() - before;
       }
-      // Let serve again by whoever knows of the word.
+      // Enabled again at the first other courier that accepts the request.
       for (int number = 0; number < members; number++) {
         final int other = (at + 1 + number) % members;
         if (fleet.process(other) != null && fleet.setDisabled(other, endpoint.name(), false)) {
-          everywhere(new ArrayList<>(), one -> !says(one, "exclusion", endpoint.name(), 0));
+          awaitEverywhere(
+              new ArrayList<>(), one -> !hasDirective(one, "exclusion", endpoint.name(), 0));
           return;
         }
       }
     }
 
-    private void tellWait(final int at) {
-      final StandInEndpoint slow = endpoints.get(ENDPOINTS - 1);
-      slow.setBehavior(new Behavior(Action.REJECT, 0, WAIT_MS));
-      final long before = slow.calls();
+    private void sendRetryAfter(final int at) {
+      final StandInEndpoint rejecting = endpoints.get(ENDPOINTS - 1);
+      rejecting.setBehavior(new Behavior(Action.REJECT, 0, WAIT_MS));
+      final long before = rejecting.calls();
       clients.get(at).submit("safe", 2, TIMEOUT_MS);
-      if (await(2000, () -> slow.calls() > before) >= 0) {
-        slow.setBehavior(Behavior.deliverAfter(10));
-        everywhere(waits, number -> says(number, "wait", "", 2));
+      if (await(2000, () -> rejecting.calls() > before) >= 0) {
+        rejecting.setBehavior(Behavior.deliverAfter(10));
+        awaitEverywhere(waitTimes, number -> hasDirective(number, "wait", "", 2));
         await(WAIT_MS, () -> false);
       }
-      slow.setBehavior(Behavior.deliverAfter(10));
+      rejecting.setBehavior(Behavior.deliverAfter(10));
     }
 
-    /** How a courier is asked. */
-    private interface Ask {
-      boolean of(int number);
+    /** A condition on one courier. */
+    private interface CourierCondition {
+      boolean holds(int number);
     }
 
     /**
-     * Asks all that run, each until it says so; adds how long that took. One that ends meanwhile is
-     * not asked any more.
+     * Polls every running courier until the condition holds there, and adds to {@code times} how
+     * long that took. A courier that ends meanwhile is no longer polled.
      */
-    private boolean everywhere(final List<Long> times, final Ask ask) {
+    private boolean awaitEverywhere(final List<Long> times, final CourierCondition condition) {
       final long fromNs = System.nanoTime();
-      final List<Integer> left = new ArrayList<>();
+      final List<Integer> remaining = new ArrayList<>();
       for (int number = 0; number < members; number++) {
-        left.add(number);
+        remaining.add(number);
       }
       final long took =
           await(
-              MOST_MS,
+              MAX_WAIT_MS,
               () -> {
-                left.removeIf(
+                remaining.removeIf(
                     number -> {
                       if (fleet.process(number) == null) {
                         return true;
                       }
-                      final boolean is = ask.of(number);
-                      if (is) {
+                      final boolean holds = condition.holds(number);
+                      if (holds) {
                         times.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs));
                       }
-                      return is;
+                      return holds;
                     });
-                return left.isEmpty();
+                return remaining.isEmpty();
               });
-      never += took < 0 && !partly ? left.size() : 0;
+      unobserved += took < 0 && !partitioned ? remaining.size() : 0;
       return took >= 0;
     }
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/MeasureVirtualReplicas.java
@@ -22,12 +22,14 @@
 import thistleturn.lab.replicas.VirtualReplicas;
 import thistleturn.testkit.rig.Schedule;
 
-/** Random schedules of faults in virtual time, and what catching up costs. */
+/**
+ * Measures replicas under random schedules of faults in virtual time, and the cost of catching up.
+ */
 @Command(
     name = "replicas-virtual",
     mixinStandardHelpOptions = true,
     description =
-        "Copies under random schedules: when they are equal, whether anything comes back or is lost; bytes to catch up.")
+        "Replicas under random schedules: when they are equal, whether any entry reappears or is lost; bytes to catch up.")
 public final class MeasureVirtualReplicas implements Callable<Integer> {
   private static final long NOW = 1_000_000_000L;
   private static final int WRITERS = 20;
@@ -39,23 +41,23 @@
   @Option(
       names = "--schedules",
       defaultValue = "10000",
-      description = "${DEFAULT-VALUE} unless told")
+      description = "schedules in all; default: ${DEFAULT-VALUE}")
   private int schedules;
 
   @Option(
       names = "--members",
       split = ",",
       defaultValue = "3,8,20",
-      description = "${DEFAULT-VALUE} unless told")
+      description = "fleet sizes; default: ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "of the first; ${DEFAULT-VALUE} unless told")
+      description = "seed of the first schedule; default: ${DEFAULT-VALUE}")
   private long seed;
 
-  private record Played(long seed, long settledMs, String broken, long bytes) {}
+  private record RunResult(long seed, long settledMs, String broken, long bytes) {}
 
   @Override
   public Integer call() {
@@ -78,25 +80,25 @@
     System.out.println("| --- | --- | --- | --- | --- |");
     for (final int size : new int[] {5, 20, 100}) {
       for (final int changes : new int[] {0, 10, 1000}) {
-        load(size, changes);
+        measureLoad(size, changes);
       }
     }
     return broken == 0 ? 0 : 1;
   }
 
   private int row(final int members, final double loss, final int count) {
-    final List<Played> all =
+    final List<RunResult> all =
         LongStream.range(seed, seed + count)
             .parallel()
             .mapToObj(
                 one -> {
                   final ReplicasDay day = ReplicasDay.random(one * 31 + members, members, loss);
                   final String broken = day.play();
-                  return new Played(one, day.settledMs(), broken, day.world().bytes());
+                  return new RunResult(one, day.settledMs(), broken, day.world().bytes());
                 })
             .toList();
     final List<Long> settled =
-        new ArrayList<>(all.stream().map(Played::settledMs).filter(ms -> ms >= 0).toList());
+        new ArrayList<>(all.stream().map(RunResult::settledMs).filter(ms -> ms >= 0).toList());
     Collections.sort(settled);
     final long late = all.stream().filter(one -> one.settledMs < 0).count();
     final long broken = all.stream().filter(one -> !one.broken.isEmpty()).count();
@@ -116,12 +118,12 @@
             settled.get(settled.size() - 1),
             late,
             broken,
-            all.stream().mapToLong(Played::bytes).average().orElse(0) / 40 / members));
+            all.stream().mapToLong(RunResult::bytes).average().orElse(0) / 40 / members));
     return (int) broken;
   }
 
-  /** So many changes a second over the whole fleet, for ten seconds. */
-  private static void load(final int members, final int changesPerS) {
+  /** Makes the given number of changes a second across the fleet for ten seconds. */
+  private static void measureLoad(final int members, final int changesPerS) {
     final VirtualReplicas world =
         new VirtualReplicas(
             new Schedule(members, 5, LOAD_MS, List.of()), ReplicationSettings.defaults());
@@ -151,8 +153,8 @@
   }
 
   /**
-   * Between two copies: how many bytes, and at the bound on bytes a second how long, against
-   * telling everything.
+   * Prints the bytes that two replicas exchange to become equal, the time that takes at the limit
+   * on bytes a second, and the bytes of sending every entry.
    */
   private static void catchUp() {
     System.out.println(
@@ -160,24 +162,24 @@
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (final int entries : new int[] {1000, 10_000, 100_000}) {
       for (final double share : new double[] {0, 0.01, 0.1, 1}) {
-        final Two two = new Two(entries, share);
-        two.exchange();
+        final ReplicaPair pair = new ReplicaPair(entries, share);
+        pair.exchange();
         System.out.println(
             String.format(
                 Locale.ROOT,
                 "| %d | %.2f | %d | %.1f | %d | %d |",
                 entries,
                 share,
-                two.bytes,
-                two.bytes / (double) ReplicationSettings.defaults().batchBytesPerSecond(),
-                two.messages,
-                two.everything));
+                pair.bytes,
+                pair.bytes / (double) ReplicationSettings.defaults().batchBytesPerSecond(),
+                pair.messages,
+                pair.allEntriesBytes));
       }
     }
   }
 
-  /** One copy that has all, and one that lacks the latest words of a share of the subjects. */
-  private static final class Two implements ReplicationActions {
+  /** A full replica, and one that lacks the latest entries of each writer. */
+  private static final class ReplicaPair implements ReplicationActions {
     private final ReplicationProtocol full =
         new ReplicationProtocol(
             ReplicationSettings.defaults(), new WriterId("full", 1), 1, NOW, this);
@@ -188,18 +190,18 @@
     private final int entries;
     private long bytes;
     private long messages;
-    private long everything;
+    private long allEntriesBytes;
     private long nowUs = NOW;
 
-    Two(final int entries, final double share) {
+    ReplicaPair(final int entries, final double share) {
       this.entries = entries;
       final List<Delta> all = new ArrayList<>();
-      final List<Delta> some = new ArrayList<>();
+      final List<Delta> partial = new ArrayList<>();
       for (int writer = 0; writer < WRITERS; writer++) {
         final WriterId by = new WriterId("writer-" + writer, 5);
-        final List<Entry> its = new ArrayList<>();
+        final List<Entry> entriesOfWriter = new ArrayList<>();
         for (int number = 1; number <= entries / WRITERS; number++) {
-          its.add(
+          entriesOfWriter.add(
               new Entry(
                   EntryType.LIMIT.code(),
                   String.valueOf(writer * 1_000_000L + number),
@@ -209,18 +211,18 @@
                   NOW,
                   List.of(12.5)));
         }
-        final int known = (int) Math.round(its.size() * (1 - share));
-        all.add(new Delta(by, 0, its.size(), its));
-        some.add(new Delta(by, 0, known, its.subList(0, known)));
+        final int known = (int) Math.round(entriesOfWriter.size() * (1 - share));
+        all.add(new Delta(by, 0, entriesOfWriter.size(), entriesOfWriter));
+        partial.add(new Delta(by, 0, known, entriesOfWriter.subList(0, known)));
       }
       full.restore(all, 0, NOW);
-      part.restore(some, 0, NOW);
+      part.restore(partial, 0, NOW);
       full.setReachablePeers(List.of("part"));
       part.setReachablePeers(List.of("full"));
-      everything = all.stream().mapToLong(Delta::estimatedBytes).sum();
+      allEntriesBytes = all.stream().mapToLong(Delta::estimatedBytes).sum();
     }
 
-    /** Until both hold the same: marks, pages and pieces alone. */
+    /** Exchanges messages until both replicas are equal, by reconciliation alone. */
     void exchange() {
       part.onMessage(
           "full", new ReplicationMessage.Checksum(full.checksum(), full.entryCount()), nowUs);
@@ -234,7 +236,7 @@
       }
       if (part.checksum() != full.checksum() || part.entryCount() != entries / WRITERS * WRITERS) {
         throw new IllegalStateException(
-            "copies still differ: " + part.entryCount() + " of " + entries);
+            "replicas still differ: " + part.entryCount() + " of " + entries);
       }
     }
 
@@ -255,7 +257,7 @@
 
     @Override
     public void onSubjectChanged(final EntryType kind, final String subject) {
-      // Nobody acts on it here.
+      // Nothing depends on the merged values here.
     }
 
     @Override
--- a/benchmarks/src/main/java/thistleturn/benchmarks/replicas/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/replicas/package-info.java
@@ -1,2 +1,2 @@
-/** The tables of {@code docs/measurements/replicas.md}. */
+/** Measures replicas; prints the tables of {@code docs/measurements/replicas.md}. */
 package thistleturn.benchmarks.replicas;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Clients.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/Clients.java
@@ -24,64 +24,65 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that hand in over connections that are kept, one request at a time on each. Closed: the
- * next request follows the answer, while {@code mayAsk} says so. Open: requests fall due at a rate
- * and go over a free connection; where none is free they are given up at once, and those answered
- * later than a client's patience were for nothing.
+ * Clients that submit messages over persistent connections, one request at a time on each. In a
+ * closed loop the next request follows the response, while {@code maySubmit} returns true. In an
+ * open loop requests become due at a fixed rate and are sent over an idle connection; a request for
+ * which no connection is idle is given up at once, and one answered after the client's timeout
+ * counts as late.
  */
 final class Clients implements AutoCloseable {
   private static final String BODY = "x".repeat(200);
-  private static final long PATIENCE_NS = 400_000_000;
+  private static final long TIMEOUT_NS = 400_000_000;
   private static final long TICK_US = 500;
   private static final int ACCEPTED = 202;
-  private static final int BUSY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
   final AtomicLong accepted = new AtomicLong();
   final AtomicLong refused = new AtomicLong();
   final AtomicLong failed = new AtomicLong();
 
-  /** Requests that fell due and were not answered within a client's patience. */
+  /** Requests that became due and were not answered within the client's timeout. */
   final AtomicLong late = new AtomicLong();
 
   final Histogram latencyUs = new ConcurrentHistogram(60_000_000, 3);
-  private final AtomicInteger numbers = new AtomicInteger(1);
+  private final AtomicInteger nextMessageId = new AtomicInteger(1);
   private final EventLoopGroup group;
   private final InetSocketAddress address;
   private final int destinations;
-  private final BooleanSupplier mayAsk;
-  private final List<Line> lines = new ArrayList<>();
+  private final BooleanSupplier maySubmit;
+  private final List<OpenLoop> openLoops = new ArrayList<>();
   private volatile boolean stopped;
 
   Clients(
       final EventLoopGroup group,
       final InetSocketAddress address,
       final int destinations,
-      final BooleanSupplier mayAsk) {
+      final BooleanSupplier maySubmit) {
     this.group = group;
     this.address = address;
     this.destinations = destinations;
-    this.mayAsk = mayAsk;
+    this.maySubmit = maySubmit;
   }
 
-  /** Clients that ask while fewer messages than {@code held} are taken on and not delivered. */
+  /** Clients that submit while fewer than {@code held} messages are accepted but not delivered. */
   static Clients holding(
       final EventLoopGroup group,
       final InetSocketAddress address,
       final int destinations,
       final Endpoints endpoints,
       final int held) {
-    final Clients[] made = new Clients[1];
-    made[0] =
+    final Clients[] created = new Clients[1];
+    created[0] =
         new Clients(
             group,
             address,
             destinations,
-            () -> made[0].accepted.get() - endpoints.calls.get() < held);
-    return made[0];
+            () -> created[0].accepted.get() - endpoints.calls.get() < held);
+    return created[0];
   }
 
-  /** So many connections in a closed loop. */
+  /** Starts a closed loop over the given number of connections. */
   void closed(final int connections) {
     for (int index = 0; index < connections; index++) {
       new Connection(null, index).connect();
@@ -89,17 +90,17 @@
   }
 
   /**
-   * So many requests a second, over so many connections at most; each of several loops drives a
-   * part of them.
+   * Starts an open loop at the given rate over at most {@code connections} connections, which are
+   * divided among {@code loops} event loops.
    */
   void open(final double perSecond, final int connections, final int loops) {
     for (int index = 0; index < loops; index++) {
-      final Line line = new Line(group.next(), perSecond / loops);
-      lines.add(line);
+      final OpenLoop openLoop = new OpenLoop(group.next(), perSecond / loops);
+      openLoops.add(openLoop);
       for (int one = index; one < connections; one += loops) {
-        new Connection(line, one).connect();
+        new Connection(openLoop, one).connect();
       }
-      line.loop.execute(line::begin);
+      openLoop.loop.execute(openLoop::start);
     }
   }
 
@@ -108,36 +109,36 @@
     stopped = true;
   }
 
-  /** What falls due on one loop, and who is free to ask it. */
-  private final class Line {
+  /** The due requests and the idle connections of one event loop. */
+  private final class OpenLoop {
     private final EventLoop loop;
     private final double perNs;
     private final ArrayDeque<Long> due = new ArrayDeque<>();
-    private final ArrayDeque<Connection> free = new ArrayDeque<>();
-    private long beganNs;
-    private long fallen;
+    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private long startNs;
+    private long dueCount;
 
-    private Line(final EventLoop loop, final double perSecond) {
+    private OpenLoop(final EventLoop loop, final double perSecond) {
       this.loop = loop;
       this.perNs = perSecond / 1e9;
     }
 
-    private void begin() {
-      beganNs = System.nanoTime();
+    private void start() {
+      startNs = System.nanoTime();
       loop.scheduleAtFixedRate(this::tick, TICK_US, TICK_US, TimeUnit.MICROSECONDS);
     }
 
     private void tick() {
       final long nowNs = System.nanoTime();
-      while (!stopped && fallen < (nowNs - beganNs) * perNs) {
-        due.add(beganNs + (long) (fallen++ / perNs));
+      while (!stopped && dueCount < (nowNs - startNs) * perNs) {
+        due.add(startNs + (long) (dueCount++ / perNs));
       }
-      serve();
+      sendDue();
     }
 
-    private void serve() {
-      while (!due.isEmpty() && !free.isEmpty()) {
-        free.poll().ask(due.poll());
+    private void sendDue() {
+      while (!due.isEmpty() && !idle.isEmpty()) {
+        idle.poll().submit(due.poll());
       }
       late.addAndGet(due.size());
       due.clear();
@@ -145,19 +146,19 @@
   }
 
   private final class Connection extends Framing {
-    private final Line line;
+    private final OpenLoop openLoop;
     private final SplittableRandom random;
     private Channel channel;
     private long sinceNs;
 
-    private Connection(final Line line, final int seed) {
-      this.line = line;
+    private Connection(final OpenLoop openLoop, final int seed) {
+      this.openLoop = openLoop;
       this.random = new SplittableRandom(seed);
     }
 
     private void connect() {
       new Bootstrap()
-          .group(line == null ? group.next() : line.loop)
+          .group(openLoop == null ? group.next() : openLoop.loop)
           .channel(NioSocketChannel.class)
           .option(ChannelOption.TCP_NODELAY, true)
           .handler(
@@ -177,22 +178,22 @@
     }
 
     private void next() {
-      if (line != null) {
-        line.free.add(this);
+      if (openLoop != null) {
+        openLoop.idle.add(this);
       } else if (stopped) {
         channel.close();
-      } else if (mayAsk.getAsBoolean()) {
-        ask(System.nanoTime());
+      } else if (maySubmit.getAsBoolean()) {
+        submit(System.nanoTime());
       } else {
         channel.eventLoop().schedule(this::next, 1, TimeUnit.MILLISECONDS);
       }
     }
 
-    private void ask(final long dueNs) {
+    private void submit(final long dueNs) {
       sinceNs = dueNs;
       final String text =
           "POST /safe HTTP/1.1\r\nHost: b\r\nX-Request-ID: "
-              + numbers.getAndIncrement()
+              + nextMessageId.getAndIncrement()
               + "\r\nX-Priority-Class: safe\r\nX-Timeout-Ms: 600000\r\nX-Consignee: dest="
               + (1 + random.nextInt(destinations))
               + "\r\nContent-Length: "
@@ -203,25 +204,25 @@
     }
 
     @Override
-    void message(
+    void onMessage(
         final ChannelHandlerContext context,
         final ByteBuf bytes,
         final int from,
         final int headEnd) {
       final int status = number(bytes, from + "HTTP/1.1 ".length());
-      final long tookNs = System.nanoTime() - sinceNs;
-      latencyUs.recordValue(Math.min(tookNs / 1000, 59_000_000));
-      if (line != null && tookNs > PATIENCE_NS) {
+      final long latencyNs = System.nanoTime() - sinceNs;
+      latencyUs.recordValue(Math.min(latencyNs / 1000, 59_000_000));
+      if (openLoop != null && latencyNs > TIMEOUT_NS) {
         late.incrementAndGet();
       } else if (status == ACCEPTED) {
         accepted.incrementAndGet();
-      } else if (status == BUSY || status == UNAVAILABLE) {
+      } else if (status == TOO_MANY_REQUESTS || status == UNAVAILABLE) {
         refused.incrementAndGet();
       } else {
         failed.incrementAndGet();
       }
-      if (status == ACCEPTED || line != null) {
-        // Outside of the reading, so that its bytes are taken first.
+      if (status == ACCEPTED || openLoop != null) {
+        // Deferred, so that the decoder consumes the bytes of this response first.
         channel.eventLoop().execute(this::next);
       } else {
         channel.eventLoop().schedule(this::next, 2, TimeUnit.MILLISECONDS);
@@ -232,7 +233,7 @@
     public void channelInactive(final ChannelHandlerContext context) {
       if (!stopped) {
         failed.incrementAndGet();
-        new Connection(line, random.nextInt()).connect();
+        new Connection(openLoop, random.nextInt()).connect();
       }
     }
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Seen.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/ConcurrentIdSet.java
@@ -2,25 +2,25 @@
 
 import java.util.BitSet;
 
-/** Which numbers there have been, from any thread. */
-final class Seen {
+/** Thread-safe set of message numbers, striped to reduce contention. */
+final class ConcurrentIdSet {
   private static final int STRIPES = 64;
 
   private final BitSet[] stripes = new BitSet[STRIPES];
 
-  Seen() {
+  ConcurrentIdSet() {
     for (int index = 0; index < STRIPES; index++) {
       stripes[index] = new BitSet();
     }
   }
 
-  /** False if it was there already. */
+  /** Adds a number; returns false if the set already contains it. */
   boolean add(final int number) {
     final BitSet stripe = stripes[number % STRIPES];
     synchronized (stripe) {
-      final boolean fresh = !stripe.get(number / STRIPES);
+      final boolean added = !stripe.get(number / STRIPES);
       stripe.set(number / STRIPES);
-      return fresh;
+      return added;
     }
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/CourierChild.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/CourierChild.java
@@ -22,25 +22,25 @@
 import java.util.stream.Stream;
 
 /**
- * A courier as a process of its own, on cores of its own where {@code taskset} is there, with a
- * platform beside it.
+ * A courier that runs as a separate process, on its own cores if {@code taskset} is installed, and
+ * the stand-in platform that serves its endpoint list and receives its notices.
  */
 final class CourierChild implements AutoCloseable {
   private static final Pattern READY = Pattern.compile("is ready at (\\S+):(\\d+)");
   private static final long START_S = 90;
   private static final double TICKS_PER_S = 100;
 
-  /** As the platform's line: on one core the second compiler would work beside what is measured. */
-  private static final int TIERS = Integer.getInteger("scale.tiers", 1);
-
   /**
-   * How large it is, and what it finds. {@code cores} are the numbers of cores, as taskset takes
-   * them.
+   * C1 only, like the platform's command line: on one core, C2 would compete with the measured
+   * work.
    */
-  record Size(
+  private static final int TIERS = Integer.getInteger("scale.tiers", 1);
+
+  /** Configuration of a courier. {@code cores} has the syntax of taskset. */
+  record Config(
       String cores,
       int heapMb,
-      int slots,
+      int callLimit,
       int maxOpen,
       int sockets,
       int destinations,
@@ -48,32 +48,32 @@
       long idleUs,
       double clientShare,
       List<String> javaOptions) {
-    /** One shard with the platform's shares and idle times. */
-    static Size plain(
+    /** One shard with the platform's descriptor shares and idle timeout. */
+    static Config singleShard(
         final String cores,
         final int heapMb,
-        final int slots,
+        final int callLimit,
         final int maxOpen,
         final int destinations) {
-      return new Size(
-          cores, heapMb, slots, maxOpen, 19_000, destinations, 1, 10_000_000, 0.4, List.of());
+      return new Config(
+          cores, heapMb, callLimit, maxOpen, 19_000, destinations, 1, 10_000_000, 0.4, List.of());
     }
   }
 
-  /** Ends told to the platform. */
-  final AtomicLong notices = new AtomicLong();
+  /** Final outcomes reported to the platform. */
+  final AtomicLong outcomeNotices = new AtomicLong();
 
   private final Path folder = Files.createTempDirectory("thistleturn-scale");
   private final ExecutorService threads = Executors.newCachedThreadPool();
   private final HttpServer platform;
-  private final Size size;
-  private final String list;
+  private final Config config;
+  private final String endpointList;
   private Process process;
   private InetSocketAddress address;
 
-  CourierChild(final Size size, final String endpoint) throws IOException {
-    this.size = size;
-    this.list = list(size.destinations(), endpoint);
+  CourierChild(final Config config, final String endpoint) throws IOException {
+    this.config = config;
+    this.endpointList = endpointList(config.destinations(), endpoint);
     this.platform = platform();
     Files.createDirectories(folder.resolve("state"));
     Files.writeString(
@@ -89,14 +89,14 @@
                    "connect_timeout":1000000,"max_retry_after":2000000}}}"""
             .formatted(
                 platform.getAddress().getPort(),
-                size.sockets(),
-                list,
-                size.slots(),
-                size.maxOpen()));
+                config.sockets(),
+                endpointList,
+                config.callLimit(),
+                config.maxOpen()));
     start();
   }
 
-  private static String list(final int destinations, final String endpoint) {
+  private static String endpointList(final int destinations, final String endpoint) {
     final StringBuilder hosts = new StringBuilder("{\"seq\":3,\"whole\":true,\"hosts\":[");
     for (int index = 1; index <= destinations; index++) {
       hosts
@@ -118,7 +118,7 @@
     server.createContext(
         "/v1/outcomes",
         exchange -> {
-          notices.addAndGet(
+          outcomeNotices.addAndGet(
               new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8)
                   .lines()
                   .count());
@@ -130,10 +130,10 @@
         exchange -> {
           final boolean watch =
               String.valueOf(exchange.getRequestURI().getQuery()).contains("watch=1");
-          exchange.sendResponseHeaders(200, watch ? 0 : list.length());
+          exchange.sendResponseHeaders(200, watch ? 0 : endpointList.length());
           try (OutputStream out = exchange.getResponseBody()) {
             if (!watch) {
-              out.write(list.getBytes(StandardCharsets.US_ASCII));
+              out.write(endpointList.getBytes(StandardCharsets.US_ASCII));
             }
             while (watch && !threads.isShutdown()) {
               out.write('\n');
@@ -148,11 +148,11 @@
     return server;
   }
 
-  /** Starts it (again): it resumes what its folder holds. */
+  /** Starts or restarts the process, which resumes the messages stored in its folder. */
   void start() throws IOException {
     final List<String> command = new ArrayList<>();
-    if (Files.isExecutable(Path.of("/usr/bin/taskset")) && !size.cores().isEmpty()) {
-      command.addAll(List.of("/usr/bin/taskset", "-c", size.cores()));
+    if (Files.isExecutable(Path.of("/usr/bin/taskset")) && !config.cores().isEmpty()) {
+      command.addAll(List.of("/usr/bin/taskset", "-c", config.cores()));
     }
     command.addAll(
         List.of(
@@ -162,17 +162,17 @@
             "-Xshare:auto",
             "-Dio.netty.allocator.type=unpooled",
             "-XX:TieredStopAtLevel=" + TIERS,
-            "-Xms" + size.heapMb() + "m",
-            "-Xmx" + size.heapMb() + "m"));
-    command.addAll(size.javaOptions());
+            "-Xms" + config.heapMb() + "m",
+            "-Xmx" + config.heapMb() + "m"));
+    command.addAll(config.javaOptions());
     command.addAll(
         List.of(
             "-cp",
             System.getProperty("java.class.path"),
             ScaleCourier.class.getName(),
-            Integer.toString(size.shards()),
-            Long.toString(size.idleUs()),
-            Double.toString(size.clientShare())));
+            Integer.toString(config.shards()),
+            Long.toString(config.idleUs()),
+            Double.toString(config.clientShare())));
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
     builder.environment().put("PROXY_STATE", folder.resolve("state").toString());
@@ -198,7 +198,7 @@
           } catch (final IOException e) {
             log.add(e.toString());
           }
-          ready.completeExceptionally(new IOException("the courier ended: " + log));
+          ready.completeExceptionally(new IOException("the courier process ended: " + log));
         });
     address = ready.orTimeout(START_S, TimeUnit.SECONDS).join();
   }
@@ -207,7 +207,7 @@
     return address;
   }
 
-  /** Processor time used so far, s: its own, and the system's for it. */
+  /** User and system CPU time used so far, in s. */
   double[] cpuS() throws IOException {
     final String[] fields =
         Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"))
@@ -218,7 +218,7 @@
     };
   }
 
-  /** A line of the process's status, in kB. */
+  /** A field of /proc/PID/status, in kB; 0 if it is absent. */
   long statusKb(final String name) throws IOException {
     return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
         .filter(line -> line.startsWith(name + ":"))
@@ -227,9 +227,7 @@
         .orElse(0);
   }
 
-  /**
-   * Heap in use once what nobody holds is gone, bytes; 0 where the Java machine has no tool to ask.
-   */
+  /** Heap in use after a full garbage collection, in bytes; 0 if the JDK has no {@code jcmd}. */
   long heapBytes() throws IOException, InterruptedException {
     final Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
     if (!Files.isExecutable(jcmd)) {
@@ -241,10 +239,11 @@
         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
         .start()
         .waitFor();
-    final Process asked = new ProcessBuilder(jcmd.toString(), pid, "GC.heap_info").start();
-    final String told = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    final Process heapInfo = new ProcessBuilder(jcmd.toString(), pid, "GC.heap_info").start();
+    final String output =
+        new String(heapInfo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     final Matcher matcher =
-        Pattern.compile("(?:generation|heap)\\s+total \\d+K, used (\\d+)K").matcher(told);
+        Pattern.compile("(?:generation|heap)\\s+total \\d+K, used (\\d+)K").matcher(output);
     long kb = 0;
     while (matcher.find()) {
       kb += Long.parseLong(matcher.group(1));
@@ -252,7 +251,7 @@
     return kb * 1024;
   }
 
-  /** Ends it at once. */
+  /** Kills the process and waits for its end. */
   void kill() {
     process.destroyForcibly();
     process.onExit().join();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Curve.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/Curve.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Shares by offered load, drawn as lines over a logarithmic axis. */
+/** SVG line chart of shares by offered load, over a logarithmic axis. */
 final class Curve {
   private static final int WIDTH = 720;
   private static final int HEIGHT = 360;
@@ -15,14 +15,14 @@
 
   private Curve() {}
 
-  /** One line: its name, and its share (0 to 1) at each load. */
+  /** A line of the chart: its name, and its share (0 to 1) at each load. */
   record Line(String name, double[] shares) {}
 
-  /** Writes the picture. {@code loads} are ascending and above 0. */
+  /** Writes the chart to a file. {@code loads} are ascending and above 0. */
   static void write(final Path file, final List<Double> loads, final List<Line> lines)
       throws IOException {
-    final double least = Math.log(loads.get(0));
-    final double span = Math.max(1e-9, Math.log(loads.get(loads.size() - 1)) - least);
+    final double minLog = Math.log(loads.get(0));
+    final double span = Math.max(1e-9, Math.log(loads.get(loads.size() - 1)) - minLog);
     final StringBuilder svg =
         new StringBuilder(
             String.format(
@@ -50,7 +50,7 @@
           String.format(
               Locale.ROOT,
               "<text x=\"%.0f\" y=\"%d\" text-anchor=\"middle\">%s</text>%n",
-              x(load, least, span),
+              x(load, minLog, span),
               HEIGHT - MARGIN + 18,
               load));
     }
@@ -65,7 +65,7 @@
             String.format(
                 Locale.ROOT,
                 "%.1f,%.1f ",
-                x(loads.get(at), least, span),
+                x(loads.get(at), minLog, span),
                 y(Math.min(1.05, lines.get(index).shares()[at]))));
       }
       svg.append(
@@ -82,8 +82,8 @@
     Files.writeString(file, svg.append("</svg>\n"));
   }
 
-  private static double x(final double load, final double least, final double span) {
-    return MARGIN + (Math.log(load) - least) / span * (WIDTH - 2 * MARGIN);
+  private static double x(final double load, final double minLog, final double span) {
+    return MARGIN + (Math.log(load) - minLog) / span * (WIDTH - 2 * MARGIN);
   }
 
   private static double y(final double share) {
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Endpoints.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/Endpoints.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** One address that answers every call with 200, at once or after a while, and counts them. */
+/** A server that answers every call with 200, at once or after a delay, and counts the calls. */
 final class Endpoints implements AutoCloseable {
   private static final ByteBuf OK =
       Unpooled.unreleasableBuffer(
@@ -28,13 +28,13 @@
   /** Calls answered so far. */
   final AtomicLong calls = new AtomicLong();
 
-  /** Calls beyond the first with one message. */
-  final AtomicLong doubles = new AtomicLong();
+  /** Calls beyond the first for the same message. */
+  final AtomicLong duplicates = new AtomicLong();
 
-  private final Seen seen = new Seen();
+  private final ConcurrentIdSet seenIds = new ConcurrentIdSet();
   private final Channel channel;
 
-  /** {@code delayMs}: how long a call takes. */
+  /** Binds a free port; {@code delayMs} is the duration of a call. */
   Endpoints(final EventLoopGroup group, final int delayMs) {
     this.channel =
         new ServerBootstrap()
@@ -46,7 +46,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(final Channel child) {
-                    child.pipeline().addLast(new Answering(delayMs));
+                    child.pipeline().addLast(new CallHandler(delayMs));
                   }
                 })
             .bind(new InetSocketAddress("127.0.0.1", 0))
@@ -63,22 +63,22 @@
     channel.close().awaitUninterruptibly();
   }
 
-  private final class Answering extends Framing {
+  private final class CallHandler extends Framing {
     private final int delayMs;
 
-    private Answering(final int delayMs) {
+    private CallHandler(final int delayMs) {
       this.delayMs = delayMs;
     }
 
     @Override
-    void message(
+    void onMessage(
         final ChannelHandlerContext context,
         final ByteBuf bytes,
         final int from,
         final int headEnd) {
       final int at = indexOf(bytes, ID, from, headEnd);
-      if (at >= 0 && !seen.add(number(bytes, at + ID.length))) {
-        doubles.incrementAndGet();
+      if (at >= 0 && !seenIds.add(number(bytes, at + ID.length))) {
+        duplicates.incrementAndGet();
       }
       if (delayMs == 0) {
         answer(context);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/FlameGraph.java
@@ -13,13 +13,13 @@
 import jdk.jfr.consumer.RecordingFile;
 
 /**
- * Samples of a flight recording, drawn as a flame graph: the width of a box is its share of the
- * samples.
+ * A node of a flame graph built from the samples of a flight recording; the width of a box is its
+ * share of the samples.
  */
 final class FlameGraph {
   private static final int WIDTH = 1200;
-  private static final int ROW = 16;
-  private static final double LEAST_WIDTH = 1.5;
+  private static final int ROW_HEIGHT = 16;
+  private static final double MIN_WIDTH = 1.5;
   private static final double CHAR_WIDTH = 6.2;
 
   private final Map<String, FlameGraph> callees = new TreeMap<>();
@@ -27,7 +27,7 @@
 
   private FlameGraph() {}
 
-  /** Reads the samples of threads whose stacks hold such a frame, from that frame on upwards. */
+  /** Reads the samples whose stacks contain the frame {@code from}, starting at that frame. */
   static FlameGraph read(final Path recording, final String from) throws IOException {
     final FlameGraph root = new FlameGraph();
     try (RecordingFile file = new RecordingFile(recording)) {
@@ -65,9 +65,9 @@
     return samples;
   }
 
-  /** Writes the picture. */
+  /** Writes the graph to an SVG file. */
   void write(final Path file) throws IOException {
-    final int height = (depth() + 1) * ROW;
+    final int height = (depth() + 1) * ROW_HEIGHT;
     final StringBuilder svg =
         new StringBuilder(
             String.format(
@@ -76,7 +76,7 @@
                     + "width=\"%d\" height=\"%d\" font-family=\"monospace\" font-size=\"10\">%n",
                 WIDTH,
                 height));
-    draw(svg, "all: " + samples + " samples", 0, WIDTH, height - ROW);
+    draw(svg, "all: " + samples + " samples", 0, WIDTH, height - ROW_HEIGHT);
     Files.writeString(file, svg.append("</svg>\n"));
   }
 
@@ -91,10 +91,10 @@
 
   private void draw(
       final StringBuilder svg, final String name, final double x, final double width, final int y) {
-    if (width < LEAST_WIDTH) {
+    if (width < MIN_WIDTH) {
       return;
     }
-    final boolean own =
+    final boolean isProjectCode =
         name.matches(
             "(DecisionLoop|Http|Journal|OverloadController|Submit|Request|Response|Route|Destination"
                 + "|Ranking|Ordered|TimeHeap|EndpointTable|EndpointConnection|ClientConnection"
@@ -111,22 +111,22 @@
             x,
             y,
             width,
-            ROW - 1,
-            own ? "#e8743b" : "#f3c77a"));
+            ROW_HEIGHT - 1,
+            isProjectCode ? "#e8743b" : "#f3c77a"));
     if (chars > 2) {
       svg.append(
           String.format(
               Locale.ROOT,
               "<text x=\"%.1f\" y=\"%d\">%s</text>",
               x + 2,
-              y + ROW - 5,
+              y + ROW_HEIGHT - 5,
               name.length() <= chars ? shown : name.substring(0, chars).replaceAll("[<>]", "")));
     }
     svg.append("</g>\n");
     double at = x;
     for (final Map.Entry<String, FlameGraph> callee : callees.entrySet()) {
       final double part = width * callee.getValue().samples / samples;
-      callee.getValue().draw(svg, callee.getKey(), at, part, y - ROW);
+      callee.getValue().draw(svg, callee.getKey(), at, part, y - ROW_HEIGHT);
       at += part;
     }
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/Framing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/Framing.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * The least that tells where one HTTP/1.1 message ends that has a Content-Length and no other
- * framing: so the driver costs a fraction of what it drives. What comes here was written by this
- * project; it is no reader for strangers.
+ * Minimal decoder of HTTP/1.1 messages that are framed by Content-Length alone, so that the load
+ * driver costs a fraction of the courier it drives. It reads only messages written by this project
+ * and does not validate its input.
  */
 abstract class Framing extends ByteToMessageDecoder {
   private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] LENGTH = "content-length:".getBytes(StandardCharsets.US_ASCII);
 
   /**
-   * One whole message lies in {@code bytes} from {@code from} on; its head ends before {@code
-   * headEnd}.
+   * Called for each complete message. It starts at {@code from} in {@code bytes}, and its head ends
+   * before {@code headEnd}.
    */
-  abstract void message(ChannelHandlerContext context, ByteBuf bytes, int from, int headEnd);
+  abstract void onMessage(ChannelHandlerContext context, ByteBuf bytes, int from, int headEnd);
 
   @Override
   protected void decode(
@@ -30,14 +30,14 @@
       return;
     }
     final int at = indexOf(bytes, LENGTH, from, end);
-    final int whole = end + END.length + (at < 0 ? 0 : number(bytes, at + LENGTH.length));
-    if (whole <= bytes.writerIndex()) {
-      message(context, bytes, from, end);
-      bytes.readerIndex(whole);
+    final int messageEnd = end + END.length + (at < 0 ? 0 : number(bytes, at + LENGTH.length));
+    if (messageEnd <= bytes.writerIndex()) {
+      onMessage(context, bytes, from, end);
+      bytes.readerIndex(messageEnd);
     }
   }
 
-  /** The whole number that stands there. */
+  /** Parses the decimal number at {@code from}, after any spaces. */
   static int number(final ByteBuf bytes, final int from) {
     int at = from;
     while (bytes.getByte(at) == ' ') {
@@ -50,14 +50,14 @@
     return number;
   }
 
-  /** Where a text stands that is given in small letters, or -1. */
+  /** Index of a text given in lower case, ignoring case; -1 if absent. */
   static int indexOf(final ByteBuf bytes, final byte[] text, final int from, final int to) {
     for (int at = from; at <= to - text.length; at++) {
-      int same = 0;
-      while (same < text.length && lower(bytes.getByte(at + same)) == text[same]) {
-        same++;
+      int matched = 0;
+      while (matched < text.length && lower(bytes.getByte(at + matched)) == text[matched]) {
+        matched++;
       }
-      if (same == text.length) {
+      if (matched == text.length) {
         return at;
       }
     }
@@ -68,7 +68,7 @@
     return one >= 'A' && one <= 'Z' ? one + 'a' - 'A' : one;
   }
 
-  /** Connections end as they like here; that is counted where it matters. */
+  /** Closes the connection; subclasses count ended connections where that matters. */
   @Override
   public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
     context.close();
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureFlood.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureFlood.java
@@ -12,16 +12,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What is still delivered when far more is offered than can be. */
+/** Measures what is delivered when the offered load far exceeds the capacity. */
 @Command(
     name = "flood",
     mixinStandardHelpOptions = true,
     description =
-        "One courier on one core; first its capacity in a "
-            + "closed loop, then 0.5 to 10 times that in an open loop by clients that wait 400 ms: what is delivered.")
+        "One courier on one core: first its capacity in a closed loop, then what it delivers "
+            + "at 0.5 to 10 times that in an open loop, by clients with a timeout of 400 ms.")
 public final class MeasureFlood implements Callable<Integer> {
   private static final int DESTINATIONS = 100;
-  private static final int SLOTS = 2048;
+  private static final int CALL_LIMIT = 2048;
   private static final int HELD = 5000;
   private static final int DRIVER_LOOPS = 4;
 
@@ -29,27 +29,27 @@
       names = "--times",
       split = ",",
       defaultValue = "0.5,0.8,1,1.5,2,4,7,10",
-      description = "${DEFAULT-VALUE}")
+      description = "offered loads, as multiples of the capacity; default: ${DEFAULT-VALUE}")
   private List<Double> times;
 
-  @Option(names = "--picture", description = "a file for the curve")
+  @Option(names = "--picture", description = "SVG file for the chart")
   private Path picture;
 
   @Option(names = "--core", defaultValue = "0", description = "the courier's core")
   private String core;
 
-  @Option(names = "--connections", defaultValue = "2000", description = "${DEFAULT-VALUE}")
+  @Option(names = "--connections", defaultValue = "2000", description = "default: ${DEFAULT-VALUE}")
   private int connections;
 
   @Option(
       names = "--seconds",
       defaultValue = "6",
-      description = "measured, after as many of warming up")
+      description = "measured seconds, after as many of warm-up")
   private int seconds;
 
   @Override
   public Integer call() throws Exception {
-    final double capacity = play(0)[0];
+    final double capacity = measure(0)[0];
     System.out.println(
         String.format(Locale.ROOT, "Capacity in a closed loop: %,.0f a second.%n", capacity));
     System.out.println(
@@ -59,7 +59,7 @@
     final List<double[]> rows = new ArrayList<>();
     for (final double one : times) {
       System.err.println(one + " times the capacity ...");
-      rows.add(play(one * capacity));
+      rows.add(measure(one * capacity));
     }
     final double best = rows.stream().mapToDouble(row -> row[4]).max().orElse(1);
     for (int index = 0; index < rows.size(); index++) {
@@ -93,17 +93,17 @@
   }
 
   /**
-   * Delivered, refused and given up a second, and the p99 of answers in ms; an offer of 0 is a
-   * closed loop.
+   * Runs one load and returns, in this order: delivered, refused and given up a second, the p99
+   * latency in ms, and accepted a second. A rate of 0 runs a closed loop.
    */
-  private double[] play(final double perSecond) throws Exception {
+  private double[] measure(final double perSecond) throws Exception {
     final EventLoopGroup group =
         new MultiThreadIoEventLoopGroup(DRIVER_LOOPS, NioIoHandler.newFactory());
-    final CourierChild.Size plain =
-        new CourierChild.Size(
-            core, 512, SLOTS, HELD, 19_000, DESTINATIONS, 1, 10_000_000, 0.45, List.of());
+    final CourierChild.Config config =
+        new CourierChild.Config(
+            core, 512, CALL_LIMIT, HELD, 19_000, DESTINATIONS, 1, 10_000_000, 0.45, List.of());
     try (Endpoints endpoints = new Endpoints(group, 0);
-        CourierChild courier = new CourierChild(plain, endpoints.address())) {
+        CourierChild courier = new CourierChild(config, endpoints.address())) {
       final Clients clients = new Clients(group, courier.address(), DESTINATIONS, () -> true);
       if (perSecond == 0) {
         clients.closed(64);
@@ -117,13 +117,13 @@
       clients.latencyUs.reset();
       final long fromNs = System.nanoTime();
       TimeUnit.SECONDS.sleep(seconds);
-      final double tookS = (System.nanoTime() - fromNs) / 1e9;
+      final double elapsedS = (System.nanoTime() - fromNs) / 1e9;
       final double[] row = {
-        (endpoints.calls.get() - before[0]) / tookS,
-        (clients.refused.get() - before[1]) / tookS,
-        (clients.late.get() - before[2]) / tookS,
+        (endpoints.calls.get() - before[0]) / elapsedS,
+        (clients.refused.get() - before[1]) / elapsedS,
+        (clients.late.get() - before[2]) / elapsedS,
         clients.latencyUs.getValueAtPercentile(99) / 1000.0,
-        (clients.accepted.get() - before[3]) / tookS
+        (clients.accepted.get() - before[3]) / elapsedS
       };
       clients.close();
       return row;
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureIdle.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureIdle.java
@@ -25,13 +25,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What connections cost that say nothing. */
+/** Measures the cost of idle connections. */
 @Command(
     name = "idle",
     mixinStandardHelpOptions = true,
     description =
-        "Couriers that share one core, so many idle "
-            + "connections on each: memory a connection, what active traffic waits, and the wake-up of all at once.")
+        "Couriers that share one core, with idle connections to each: memory per connection, "
+            + "the latency of active traffic, and the effect of all idle connections waking up at once.")
 public final class MeasureIdle implements Callable<Integer> {
   private static final int ACTIVE = 16;
   private static final double RATE = 300;
@@ -41,22 +41,25 @@
   @Option(
       names = "--connections",
       defaultValue = "17000",
-      description = "for each courier: ${DEFAULT-VALUE}")
+      description = "idle connections to each courier; default: ${DEFAULT-VALUE}")
   private int connections;
 
   @Option(
       names = "--couriers",
       defaultValue = "1",
-      description = "${DEFAULT-VALUE}; each is a process")
+      description = "number of courier processes; default: ${DEFAULT-VALUE}")
   private int couriers;
 
-  @Option(names = "--seconds", defaultValue = "8", description = "of active traffic in each phase")
+  @Option(
+      names = "--seconds",
+      defaultValue = "8",
+      description = "duration of each phase of active traffic")
   private int seconds;
 
   @Option(
       names = "--hold",
       hidden = true,
-      description = "an address whose connections this process holds")
+      description = "address to which this process holds idle connections")
   private String hold;
 
   @Override
@@ -71,7 +74,7 @@
       for (int index = 0; index < couriers; index++) {
         children.add(
             new CourierChild(
-                new CourierChild.Size(
+                new CourierChild.Config(
                     "0", 256, 256, 2000, 19_900, 10, 1, 3_600_000_000L, 0.9, List.of()),
                 endpoints.address()));
       }
@@ -101,7 +104,7 @@
       for (final Process holder : holders) {
         await(holder, "holding");
       }
-      // A connection gives back what it does not need within some seconds.
+      // A connection releases memory that it does not need within a few seconds.
       TimeUnit.SECONDS.sleep(4);
       final long heapAfter = children.get(0).heapBytes();
       final long kbAfter = memoryKb(children);
@@ -115,17 +118,17 @@
       for (final Process holder : holders) {
         await(holder, "woken");
       }
-      final long all = (long) connections * couriers;
+      final long totalConnections = (long) connections * couriers;
       System.out.println(
           String.format(
               Locale.ROOT,
               "%,d idle connections, %d courier(s) on one core: heap %.0f bytes "
                   + "a connection, process memory %.0f, the system's for both ends %.0f.%n",
-              all,
+              totalConnections,
               couriers,
               (heapAfter - heapBefore) / (double) connections,
-              (kbAfter - kbBefore) * 1024.0 / all,
-              (kernelAfter - kernelBefore) * 1024.0 / all));
+              (kbAfter - kbBefore) * 1024.0 / totalConnections,
+              (kernelAfter - kernelBefore) * 1024.0 / totalConnections));
       System.out.println("| active traffic | p50 ms | p99 ms | p99.9 ms | requests |");
       System.out.println("| --- | --- | --- | --- | --- |");
       print("without", before);
@@ -167,7 +170,7 @@
     return sum;
   }
 
-  /** The system's memory that is no process's: slabs and socket buffers. */
+  /** Memory of the kernel outside any process: slabs and socket buffers. */
   private static long kernelKb() throws IOException {
     return Files.readAllLines(Path.of("/proc/meminfo")).stream()
         .filter(line -> line.startsWith("Slab:"))
@@ -180,22 +183,25 @@
     while (!line.toString().contains(word)) {
       final int next = holder.getInputStream().read();
       if (next < 0) {
-        throw new IOException("a holder of connections ended: " + line);
+        throw new IOException("a process that holds idle connections ended: " + line);
       }
       line.append((char) next);
     }
   }
 
-  /** Holds connections to a courier; woken, asks {@code /up} over each of them at once. */
+  /**
+   * Holds idle connections to a courier; after a line on standard input, requests {@code /up} over
+   * all of them at once.
+   */
   private int hold() throws Exception {
     final String[] parts = hold.split(":");
     final InetSocketAddress address = new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final Bootstrap bootstrap =
-        new Bootstrap().group(group).channel(NioSocketChannel.class).handler(new Silent());
+        new Bootstrap().group(group).channel(NioSocketChannel.class).handler(new DiscardHandler());
     final List<Channel> channels = new ArrayList<>();
     for (int index = 0; index < connections; index++) {
-      // Several local addresses, since one has too few ports for all.
+      // Several local addresses, since one has too few ports for all connections.
       final Channel channel =
           bootstrap
               .connect(address, new InetSocketAddress("127.0.0." + (2 + index / 8000), 0))
@@ -212,9 +218,9 @@
     return 0;
   }
 
-  /** Lets pass whatever comes. */
+  /** Discards everything it receives. */
   @ChannelHandler.Sharable
-  private static final class Silent extends ChannelInboundHandlerAdapter {
+  private static final class DiscardHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object part) {
       ReferenceCountUtil.release(part);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureProfile.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/MeasureProfile.java
@@ -11,25 +11,28 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Where a message's time goes. */
+/** Profiles where the time of a message is spent. */
 @Command(
     name = "profile",
     mixinStandardHelpOptions = true,
     description =
         "One courier on one core under a closed loop, "
-            + "sampled by the Java machine's flight recorder: a flame graph of its event loop.")
+            + "sampled by JDK Flight Recorder: a flame graph of its event loop.")
 public final class MeasureProfile implements Callable<Integer> {
   private static final int DESTINATIONS = 100;
   private static final int HELD = 1000;
-  private static final long RECORDING_S = 60;
+  private static final long MAX_WAIT_S = 60;
 
-  @Option(names = "--picture", defaultValue = "scale-flame.svg", description = "${DEFAULT-VALUE}")
+  @Option(
+      names = "--picture",
+      defaultValue = "scale-flame.svg",
+      description = "default: ${DEFAULT-VALUE}")
   private Path picture;
 
   @Option(
       names = "--seconds",
       defaultValue = "12",
-      description = "after half as many of warming up")
+      description = "recorded seconds, after half as many of warm-up")
   private int seconds;
 
   @Option(names = "--core", defaultValue = "0", description = "the courier's core")
@@ -39,8 +42,8 @@
   public Integer call() throws Exception {
     final Path recording = Files.createTempFile("thistleturn", ".jfr");
     final EventLoopGroup group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
-    final CourierChild.Size size =
-        new CourierChild.Size(
+    final CourierChild.Config config =
+        new CourierChild.Config(
             core,
             256,
             2048,
@@ -61,15 +64,15 @@
                 "-XX:FlightRecorderOptions=stackdepth=64",
                 "-Xlog:jfr+startup=off"));
     try (Endpoints endpoints = new Endpoints(group, 0);
-        CourierChild courier = new CourierChild(size, endpoints.address())) {
+        CourierChild courier = new CourierChild(config, endpoints.address())) {
       final Clients clients =
           Clients.holding(group, courier.address(), DESTINATIONS, endpoints, HELD);
       clients.closed(64);
-      final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(RECORDING_S);
-      while (Files.size(recording) == 0 && System.nanoTime() < untilNs) {
+      final long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
+      while (Files.size(recording) == 0 && System.nanoTime() < deadlineNs) {
         TimeUnit.MILLISECONDS.sleep(100);
       }
-      // The recorder writes its file at the end, and its last chunk soon after.
+      // The recorder creates its file when the recording ends and writes the last chunk soon after.
       TimeUnit.SECONDS.sleep(1);
       clients.close();
       final FlameGraph graph = FlameGraph.read(recording, "SingleThreadIoEventLoop.run");
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/ScaleCourier.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/ScaleCourier.java
@@ -4,24 +4,24 @@
 import thistleturn.courier.runtime.CourierOptions;
 
 /**
- * A courier as the measurements start it: shards, idle time in us and clients' share of descriptors
- * as arguments.
+ * Entry point of the measured courier. Arguments: number of shards, idle timeout in us, and the
+ * clients' share of the descriptors.
  */
 final class ScaleCourier {
-  private static final double ALL = 0.94;
-  private static final double MOST_ENDPOINTS = 0.4;
+  private static final double MAX_TOTAL_SHARE = 0.94;
+  private static final double MAX_ENDPOINT_SHARE = 0.4;
 
   private ScaleCourier() {}
 
   public static void main(final String[] args) throws Exception {
-    final double clients = Double.parseDouble(args[2]);
+    final double clientShare = Double.parseDouble(args[2]);
     Main.serve(
         System.getenv(),
         null,
         new CourierOptions(
             Long.parseLong(args[1]),
-            clients,
-            Math.min(MOST_ENDPOINTS, ALL - clients),
+            clientShare,
+            Math.min(MAX_ENDPOINT_SHARE, MAX_TOTAL_SHARE - clientShare),
             Integer.parseInt(args[0]),
             false));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/scale/package-info.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/scale/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How a courier bears size: a process of its own on cores of its own, and round it endpoints,
- * clients and a platform that cost little enough to drive it to its limit. Pages: {@code
- * docs/measurements/scale.md}.
+ * Measures how a courier scales. The courier runs as a separate process on its own cores; the
+ * endpoints, clients and platform around it are cheap enough to drive it to its limit. Results:
+ * {@code docs/measurements/scale.md}.
  */
 package thistleturn.benchmarks.scale;
