--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -10,9 +10,9 @@
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.Paired;
 import thistleturn.decisions.OverloadController;
-import thistleturn.lab.fleet.FleetDay;
-import thistleturn.lab.fleet.FleetTally;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetScenario;
+import thistleturn.lab.fleet.FleetStatistics;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.fleet.VirtualFleet;
 import thistleturn.lab.virtual.VirtualCourier;
 
@@ -41,7 +41,7 @@
   private List<Integer> sizes;
 
   @Option(names = "--trouble", description = "${COMPLETION-CANDIDATES}; all of them unless told")
-  private FleetDay.Trouble only;
+  private FleetScenario.Disturbance only;
 
   @Option(
       names = "--thin",
@@ -67,25 +67,27 @@
             + "| without | refused calls | without | refused messages | without | handshakes | without | list calls | most calls in 100 ms | without |");
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (final FleetDay.Trouble trouble :
-        only == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {only}) {
-      if (only != null || !trouble.isOwn()) {
+    for (final FleetScenario.Disturbance trouble :
+        only == null
+            ? FleetScenario.Disturbance.values()
+            : new FleetScenario.Disturbance[] {only}) {
+      if (only != null || !trouble.pausesCouriers()) {
         sizes.forEach(size -> row(trouble, size));
       }
     }
     return broken == 0 ? 0 : 1;
   }
 
-  private void row(final FleetDay.Trouble trouble, final int size) {
-    final List<FleetTally> with = play(trouble, size, OverloadController::new);
-    final List<FleetTally> without =
+  private void row(final FleetScenario.Disturbance trouble, final int size) {
+    final List<FleetStatistics> with = play(trouble, size, OverloadController::new);
+    final List<FleetStatistics> without =
         play(
             trouble,
             size,
             strict
                 ? OverloadController::withStrictRateShares
                 : OverloadController::withoutRateSharing);
-    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
+    final Paired goodput = Paired.of(with, without, FleetStatistics::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -93,12 +95,12 @@
                 + "| %.0f | %.0f |",
             trouble.name().toLowerCase(Locale.ROOT),
             size,
-            mean(with, FleetTally::goodput),
-            mean(without, FleetTally::goodput),
+            mean(with, FleetStatistics::goodput),
+            mean(without, FleetStatistics::goodput),
             goodput.mean(),
             goodput.half(),
-            mean(with, FleetTally::callsAMessage),
-            mean(without, FleetTally::callsAMessage),
+            mean(with, FleetStatistics::callsPerMessage),
+            mean(without, FleetStatistics::callsPerMessage),
             share(with, Count.REFUSED_CALLS),
             share(without, Count.REFUSED_CALLS),
             share(with, Count.REFUSED_MESSAGES),
@@ -106,38 +108,40 @@
             share(with, Count.HANDSHAKES),
             share(without, Count.HANDSHAKES),
             share(with, Count.LIST_CALLS),
-            mean(with, tally -> tally.mostIn100Ms(Count.CALLS)),
-            mean(without, tally -> tally.mostIn100Ms(Count.CALLS))));
+            mean(with, tally -> tally.maxIn100Ms(Count.CALLS)),
+            mean(without, tally -> tally.maxIn100Ms(Count.CALLS))));
   }
 
-  private List<FleetTally> play(
-      final FleetDay.Trouble trouble, final int size, final VirtualCourier.Maker maker) {
-    final List<FleetTally> tallies =
+  private List<FleetStatistics> play(
+      final FleetScenario.Disturbance trouble,
+      final int size,
+      final VirtualCourier.ControllerFactory maker) {
+    final List<FleetStatistics> tallies =
         LongStream.rangeClosed(1, seeds)
             .parallel()
             .mapToObj(
                 seed ->
-                    VirtualFleet.play(
+                    VirtualFleet.run(
                         thin
-                            ? FleetDay.thin(size, trouble, new Random(seed))
-                            : FleetDay.drawn(size, trouble, new Random(seed)),
+                            ? FleetScenario.generateSparse(size, trouble, new Random(seed))
+                            : FleetScenario.generate(size, trouble, new Random(seed)),
                         seed,
                         maker))
             .toList();
-    for (final FleetTally tally : tallies) {
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+    for (final FleetStatistics tally : tallies) {
+      broken += tally.violations().size();
+      tally.violations().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
     }
     return tallies;
   }
 
   private static double mean(
-      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+      final List<FleetStatistics> tallies, final ToDoubleFunction<FleetStatistics> figure) {
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
   /** Of each message handed in. */
-  private static String share(final List<FleetTally> tallies, final Count what) {
+  private static String share(final List<FleetStatistics> tallies, final Count what) {
     return String.format(
         Locale.ROOT,
         "%.3f",
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -13,9 +13,9 @@
 import thistleturn.benchmarks.Paired;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.replicas.EntryType;
-import thistleturn.lab.fleet.FleetDay;
-import thistleturn.lab.fleet.FleetTally;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetScenario;
+import thistleturn.lab.fleet.FleetStatistics;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.fleet.Sharing;
 import thistleturn.lab.fleet.VirtualFleet;
 
@@ -44,7 +44,7 @@
       split = ",",
       defaultValue = "JOIN,ZONE,HERD,CRASHES",
       description = "${DEFAULT-VALUE} unless told")
-  private List<FleetDay.Trouble> troubles;
+  private List<FleetScenario.Disturbance> troubles;
 
   @Option(
       names = "--kinds",
@@ -61,9 +61,9 @@
             + "| calls a message without | by copies | refused calls a message without | by copies | most calls in 100 ms without | by copies |");
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (final FleetDay.Trouble trouble : troubles) {
+    for (final FleetScenario.Disturbance trouble : troubles) {
       for (final int size : sizes) {
-        final List<FleetTally> without = play(trouble, size, Sharing.NOTHING);
+        final List<FleetStatistics> without = play(trouble, size, Sharing.NOTHING);
         for (final Set<EntryType> kinds :
             only != null
                 ? List.<Set<EntryType>>of(EnumSet.copyOf(only))
@@ -80,14 +80,14 @@
   }
 
   private void row(
-      final FleetDay.Trouble trouble,
+      final FleetScenario.Disturbance trouble,
       final int size,
       final Set<EntryType> kinds,
-      final List<FleetTally> without) {
-    final List<FleetTally> copies = play(trouble, size, Sharing.byCopies(kinds, 0.05));
-    final List<FleetTally> perfect = play(trouble, size, Sharing.perfectly(kinds));
-    final Paired byCopies = Paired.of(copies, without, FleetTally::goodput);
-    final Paired byOne = Paired.of(perfect, without, FleetTally::goodput);
+      final List<FleetStatistics> without) {
+    final List<FleetStatistics> copies = play(trouble, size, Sharing.throughReplicas(kinds, 0.05));
+    final List<FleetStatistics> perfect = play(trouble, size, Sharing.throughSharedMemory(kinds));
+    final Paired byCopies = Paired.of(copies, without, FleetStatistics::goodput);
+    final Paired byOne = Paired.of(perfect, without, FleetStatistics::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -96,50 +96,50 @@
             trouble.name().toLowerCase(Locale.ROOT),
             size,
             kinds.toString().toLowerCase(Locale.ROOT),
-            mean(without, FleetTally::goodput),
-            mean(copies, FleetTally::goodput),
+            mean(without, FleetStatistics::goodput),
+            mean(copies, FleetStatistics::goodput),
             byCopies.mean(),
             byCopies.half(),
-            mean(perfect, FleetTally::goodput),
+            mean(perfect, FleetStatistics::goodput),
             byOne.mean(),
             byOne.half(),
-            mean(without, FleetTally::callsAMessage),
-            mean(copies, FleetTally::callsAMessage),
+            mean(without, FleetStatistics::callsPerMessage),
+            mean(copies, FleetStatistics::callsPerMessage),
             refused(without),
             refused(copies),
-            mean(without, tally -> tally.mostIn100Ms(Count.CALLS)),
-            mean(copies, tally -> tally.mostIn100Ms(Count.CALLS))));
+            mean(without, tally -> tally.maxIn100Ms(Count.CALLS)),
+            mean(copies, tally -> tally.maxIn100Ms(Count.CALLS))));
   }
 
-  private List<FleetTally> play(
-      final FleetDay.Trouble trouble, final int size, final Sharing sharing) {
-    final List<FleetTally> tallies =
+  private List<FleetStatistics> play(
+      final FleetScenario.Disturbance trouble, final int size, final Sharing sharing) {
+    final List<FleetStatistics> tallies =
         LongStream.rangeClosed(1, seeds)
             .parallel()
             .mapToObj(
                 seed ->
-                    VirtualFleet.play(
+                    VirtualFleet.run(
                         size > 25
-                            ? FleetDay.thin(size, trouble, new Random(seed))
-                            : FleetDay.drawn(size, trouble, new Random(seed)),
+                            ? FleetScenario.generateSparse(size, trouble, new Random(seed))
+                            : FleetScenario.generate(size, trouble, new Random(seed)),
                         seed,
                         OverloadController::new,
                         true,
                         sharing))
             .toList();
-    for (final FleetTally tally : tallies) {
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+    for (final FleetStatistics tally : tallies) {
+      broken += tally.violations().size();
+      tally.violations().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
     }
     return tallies;
   }
 
   private static double mean(
-      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+      final List<FleetStatistics> tallies, final ToDoubleFunction<FleetStatistics> figure) {
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
-  private static double refused(final List<FleetTally> tallies) {
+  private static double refused(final List<FleetStatistics> tallies) {
     return mean(
         tallies, tally -> (double) tally.total(Count.REFUSED_CALLS) / Math.max(1, tally.handed()));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/health/MeasureAway.java
@@ -11,9 +11,9 @@
 import thistleturn.benchmarks.Paired;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.fleet.FleetSize;
-import thistleturn.lab.fleet.FleetDay;
-import thistleturn.lab.fleet.FleetTally;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetScenario;
+import thistleturn.lab.fleet.FleetStatistics;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.fleet.VirtualFleet;
 
 /**
@@ -52,22 +52,22 @@
         "| trouble | couriers | worth delivered | without | paired difference, 95% | wrongly sent out | without "
             + "| refused messages | without | late by the pause alone | rules broken | without |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (final FleetDay.Trouble trouble : FleetDay.Trouble.values()) {
-      if (trouble.isOwn()) {
+    for (final FleetScenario.Disturbance trouble : FleetScenario.Disturbance.values()) {
+      if (trouble.pausesCouriers()) {
         sizes.forEach(size -> row(trouble, size));
       }
     }
     return broken == 0 ? 0 : 1;
   }
 
-  private void row(final FleetDay.Trouble trouble, final int size) {
-    final List<FleetTally> with = play(trouble, size, true);
-    final List<FleetTally> without = play(trouble, size, false);
-    final Paired goodput = Paired.of(with, without, FleetTally::goodput);
-    final int rules = with.stream().mapToInt(tally -> tally.broken().size()).sum();
+  private void row(final FleetScenario.Disturbance trouble, final int size) {
+    final List<FleetStatistics> with = play(trouble, size, true);
+    final List<FleetStatistics> without = play(trouble, size, false);
+    final Paired goodput = Paired.of(with, without, FleetStatistics::goodput);
+    final int rules = with.stream().mapToInt(tally -> tally.violations().size()).sum();
     broken += rules;
     with.stream()
-        .flatMap(tally -> tally.broken().stream())
+        .flatMap(tally -> tally.violations().stream())
         .limit(3)
         .forEach(what -> System.out.println("BROKEN: " + what));
     System.out.println(
@@ -76,8 +76,8 @@
             "| %s | %d | %.4f | %.4f | %+.4f ± %.4f | %.2f | %.2f | %.3f | %.3f | %.1f | %d | %d |",
             trouble.name().toLowerCase(Locale.ROOT),
             size,
-            mean(with, FleetTally::goodput),
-            mean(without, FleetTally::goodput),
+            mean(with, FleetStatistics::goodput),
+            mean(without, FleetStatistics::goodput),
             goodput.mean(),
             goodput.half(),
             mean(with, tally -> tally.total(Count.WRONGLY_OUT)),
@@ -86,23 +86,23 @@
             mean(without, MeasureAway::refused),
             mean(with, tally -> tally.total(Count.LATE_BY_PAUSE)),
             rules,
-            without.stream().mapToInt(tally -> tally.broken().size()).sum()));
+            without.stream().mapToInt(tally -> tally.violations().size()).sum()));
   }
 
-  private static double refused(final FleetTally tally) {
+  private static double refused(final FleetStatistics tally) {
     return (double) tally.total(Count.REFUSED_MESSAGES) / Math.max(1, tally.handed());
   }
 
-  private List<FleetTally> play(
-      final FleetDay.Trouble trouble, final int size, final boolean feels) {
+  private List<FleetStatistics> play(
+      final FleetScenario.Disturbance trouble, final int size, final boolean feels) {
     return LongStream.rangeClosed(1, seeds)
         .parallel()
         .mapToObj(
             seed ->
-                VirtualFleet.play(
+                VirtualFleet.run(
                     FleetSize.isVast(size)
-                        ? FleetDay.thin(size, trouble, new Random(seed))
-                        : FleetDay.drawn(size, trouble, new Random(seed)),
+                        ? FleetScenario.generateSparse(size, trouble, new Random(seed))
+                        : FleetScenario.generate(size, trouble, new Random(seed)),
                     seed,
                     OverloadController::new,
                     feels))
@@ -110,7 +110,7 @@
   }
 
   private static double mean(
-      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+      final List<FleetStatistics> tallies, final ToDoubleFunction<FleetStatistics> figure) {
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -95,7 +95,7 @@
                   OverloadController::new);
           final List<Long> times =
               tallies.stream()
-                  .flatMap(tally -> tally.untilRateUs(0.9 * Worlds.PER_SECOND, 200_000).stream())
+                  .flatMap(tally -> tally.timeToRateUs(0.9 * Worlds.PER_SECOND, 200_000).stream())
                   .sorted()
                   .toList();
           System.out.println(
@@ -184,8 +184,8 @@
                 double goodput = 0;
                 for (long seed = 1; seed <= plays; seed++) {
                   final ScenarioStatistics tally =
-                      VirtualCourier.play(Worlds.returns(seed, all, noise), seed, maker);
-                  broken += tally.broken().size();
+                      VirtualCourier.run(Worlds.returns(seed, all, noise), seed, maker);
+                  broken += tally.violations().size();
                   goodput += tally.goodput() / plays;
                   if (seed % 1000 == 0) {
                     System.err.println(name + ": " + 2 * seed + " of " + returns + " returns");
@@ -198,7 +198,7 @@
                         name,
                         100 * noise,
                         all.size(),
-                        all.stream().filter(SlowStartModel::isFallen).count(),
+                        all.stream().filter(SlowStartModel::hasCollapsed).count(),
                         broken - before,
                         goodput));
               });
@@ -206,19 +206,19 @@
   }
 
   private List<ScenarioStatistics> play(
-      final Supplier<Scenario> evening, final VirtualCourier.Maker maker) {
+      final Supplier<Scenario> evening, final VirtualCourier.ControllerFactory maker) {
     return play(evening, CrashSchedule.NONE, maker);
   }
 
   private List<ScenarioStatistics> play(
       final Supplier<Scenario> evening,
       final CrashSchedule kills,
-      final VirtualCourier.Maker maker) {
+      final VirtualCourier.ControllerFactory maker) {
     final List<ScenarioStatistics> tallies = new ArrayList<>();
     for (long seed = 1; seed <= seeds; seed++) {
-      final ScenarioStatistics tally = VirtualCourier.play(evening.get(), kills, seed, maker);
-      broken += tally.broken().size();
-      tally.broken().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
+      final ScenarioStatistics tally = VirtualCourier.run(evening.get(), kills, seed, maker);
+      broken += tally.violations().size();
+      tally.violations().stream().limit(3).forEach(what -> System.out.println("BROKEN: " + what));
       tallies.add(tally);
     }
     return tallies;
@@ -257,9 +257,9 @@
                           + " | "
                           + spread(tallies, ScenarioStatistics::goodput)
                           + " | "
-                          + spread(tallies, ScenarioStatistics::callsAMessage)
+                          + spread(tallies, ScenarioStatistics::callsPerMessage)
                           + " | "
-                          + spread(tallies, ScenarioStatistics::refusedAMessage)
+                          + spread(tallies, ScenarioStatistics::refusedCallsPerMessage)
                           + " |");
                 });
       }
@@ -286,7 +286,7 @@
                                       tallies,
                                       tally -> tally.delivered() / (3 * Worlds.CAPACITY * seconds))
                                   + " | "
-                                  + spread(tallies, ScenarioStatistics::refusedAMessage)
+                                  + spread(tallies, ScenarioStatistics::refusedCallsPerMessage)
                                   + " |");
                         }));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
@@ -13,8 +13,8 @@
 final class Senders {
   private Senders() {}
 
-  static Map<String, VirtualCourier.Maker> all() {
-    final Map<String, VirtualCourier.Maker> all = new LinkedHashMap<>();
+  static Map<String, VirtualCourier.ControllerFactory> all() {
+    final Map<String, VirtualCourier.ControllerFactory> all = new LinkedHashMap<>();
     all.put("thistleturn", OverloadController::new);
     all.put("without reading", OverloadController::withoutFaultClassification);
     all.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Worlds.java
@@ -81,7 +81,8 @@
 
   static Scenario troubled(final double[] shares, final long lengthUs, final boolean told) {
     final Fault fault = Fault.shares(shares[0], shares[1], shares[2], shares[3]);
-    return evening(id -> SimulatedDestination.plain(id).faulty(fault), PER_SECOND, lengthUs, told);
+    return evening(
+        id -> SimulatedDestination.plain(id).withFault(fault), PER_SECOND, lengthUs, told);
   }
 
   /**
@@ -98,12 +99,13 @@
         final Fault fault = noisy ? noise : Fault.NONE;
         worlds.put(
             "spans of 1 s, 30 a span" + name,
-            () -> limited(() -> Limit.spans(30, SECOND_US, false), fault, load, lengthUs));
+            () -> limited(() -> Limit.fixedWindow(30, SECOND_US, false), fault, load, lengthUs));
         worlds.put(
             "spans that tell waits" + name,
-            () -> limited(() -> Limit.spans(30, SECOND_US, true), fault, load, lengthUs));
+            () -> limited(() -> Limit.fixedWindow(30, SECOND_US, true), fault, load, lengthUs));
         worlds.put(
-            "tokens, 30/s" + name, () -> limited(() -> Limit.tokens(30, 5), fault, load, lengthUs));
+            "tokens, 30/s" + name,
+            () -> limited(() -> Limit.tokenBucket(30, 5), fault, load, lengthUs));
         worlds.put(
             "3 at once, 100 ms" + name,
             () -> limited(() -> Limit.concurrency(3), fault, load, lengthUs));
@@ -122,7 +124,7 @@
   static Scenario storm(final double perSecond) {
     final Fault all = Fault.shares(1, 0, 0, 0).between(STORM_FROM_US, STORM_TO_US, Fault.NONE);
     return evening(
-        id -> SimulatedDestination.plain(id).faulty(all),
+        id -> SimulatedDestination.plain(id).withFault(all),
         perSecond,
         STORM_EVENING_S * SECOND_US,
         false);
@@ -156,7 +158,7 @@
           new SlowStartModel(fromUs, toUs, capacity, COLD_FROM, COLD_US, 2, 3 * SECOND_US);
       returns.add(cold);
       partners.add(
-          SimulatedDestination.plain(id).faulty(Fault.shares(noise, 0, 0, 0)).returning(cold));
+          SimulatedDestination.plain(id).withFault(Fault.shares(noise, 0, 0, 0)).withOutage(cold));
     }
     return new Scenario(
         partners,
@@ -177,9 +179,9 @@
     return evening(
         id ->
             SimulatedDestination.plain(id)
-                .serving(SimulatedDestination.Service.exponential(100_000))
-                .limited(limit.get())
-                .faulty(fault),
+                .withService(SimulatedDestination.Service.exponential(100_000))
+                .withLimit(limit.get())
+                .withFault(fault),
         PARTNERS * CAPACITY * load,
         lengthUs,
         false);
--- a/lab/src/main/java/thistleturn/lab/fleet/FleetDay.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/FleetScenario.java
@@ -13,86 +13,92 @@
 import thistleturn.decisions.model.WeightMeaning;
 
 /**
- * What a fleet is played on.
+ * The input of one simulated run of a fleet.
  *
- * @param couriers how many, in two zones in turn
- * @param destinations what they deliver to
+ * @param couriers number of couriers, alternating between two zones
+ * @param destinations the destinations that all couriers deliver to
  * @param perSecond messages a second, over the whole fleet, as a Poisson process
- * @param lengthUs how long traffic lasts, us; then all that is open comes to its end
- * @param trouble what happens
- * @param fromUs when that begins, us from the start of the traffic
- * @param settings what each courier is handed; its zone is its own
- * @param loads by courier, how much more than others it is handed; empty: all are handed alike
+ * @param lengthUs how long traffic lasts, us; afterwards the pending messages run to their final
+ *     outcomes
+ * @param disturbance what goes wrong during the run
+ * @param fromUs when the disturbance begins, us from the start of the traffic
+ * @param settings settings of every courier, apart from its zone
+ * @param loads relative load of each courier; empty if all get the same
  */
-public record FleetDay(
+public record FleetScenario(
     int couriers,
     List<Destination> destinations,
     double perSecond,
     long lengthUs,
-    Trouble trouble,
+    Disturbance disturbance,
     long fromUs,
     DeliverySettings settings,
     List<Double> loads) {
   static final long SECOND_US = 1_000_000;
 
-  /** Fills about six tenths of what the destinations take from all couriers. */
+  /** Lower bound of the load on a destination, as a share of its rate. */
   private static final double LOAD = 0.6;
 
   private static final int DESTINATIONS = 8;
 
   /**
-   * Of thin days: messages a second and courier, destinations and how unlike they are, load,
-   * unlikeness of couriers.
+   * Sparse scenarios: messages a second per courier, number of destinations, skew of their shares,
+   * load, and ratio between the busiest and the idlest courier.
    */
-  private static final double THIN_PER_SECOND = 3;
+  private static final double SPARSE_PER_SECOND = 3;
 
-  private static final int THIN_DESTINATIONS = 7;
-  private static final double THIN_SKEW = 0.85;
-  private static final double THIN_LOAD = 0.7;
-  private static final double THIN_SPREAD = 10;
+  private static final int SPARSE_DESTINATIONS = 7;
+  private static final double SPARSE_SKEW = 0.85;
+  private static final double SPARSE_LOAD = 0.7;
+  private static final double SPARSE_SPREAD = 10;
 
-  /** Destinations that the troubles of partners strike: about half of the traffic. */
-  private static final int STRUCK = 2;
+  /**
+   * Number of destinations that a disturbance of destinations affects: about half of the traffic.
+   */
+  private static final int AFFECTED = 2;
 
-  /** The troubles of a large fleet. */
-  public enum Trouble {
+  /** Disturbances of a large fleet. */
+  public enum Disturbance {
     /** None. */
     NONE,
     /**
-     * Two couriers in three are killed at once and start again 1.6 s later; discovery turns callers
-     * away.
+     * Two couriers in three are killed at once and start again 1.6 s later; discovery rejects a
+     * part of the requests.
      */
     HERD,
-    /** The same, and each of them is killed thrice again, soon after its start. */
+    /** As HERD, and each of these couriers is killed three more times, soon after its start. */
     CRASHES,
     /** Destinations with half of the traffic are down for 5 s and return cold. */
     ZONE,
     /**
-     * Destinations with half of the traffic take half of their rate for 9 s, and nobody is told.
+     * Destinations with half of the traffic accept half of their rate for 9 s, without notice to
+     * the couriers.
      */
     JOIN,
-    /** Half as much traffic again for 8 s. */
+    /** Traffic rises to 1.5 times the usual rate for 8 s. */
     BURST,
-    /** All couriers are restarted, a tenth at a time; every second one without a word. */
+    /**
+     * All couriers are restarted, a tenth at a time; every second one without a graceful shutdown.
+     */
     ROLL,
-    /** For 6 s a fifth of the endpoints neither take a connection nor answer. */
+    /** For 6 s a fifth of the endpoints neither accept a connection nor answer. */
     SPLIT,
-    /** One courier in ten stands still for 3 s, while the partners are well. */
+    /** One courier in ten is paused for 3 s, while the destinations are healthy. */
     PAUSED_TENTH,
-    /** One in three. */
+    /** One courier in three is paused for 3 s. */
     PAUSED_THIRD,
-    /** All, one after the other within 3 s. */
+    /** All couriers are paused for 3 s, with starts spread over 3 s. */
     PAUSED_ALL,
-    /** One in three runs for a tenth of the time, for 8 s. */
+    /** One courier in three runs for only a tenth of the time, for 8 s. */
     STARVED_THIRD,
     /**
-     * All stand still for 1 s, and destinations with half of the traffic go down in that moment,
-     * for 5 s.
+     * All couriers are paused for 1 s, and destinations with half of the traffic go down at the
+     * same moment, for 5 s.
      */
     PAUSED_ZONE;
 
-    /** True where couriers themselves do not run. */
-    public boolean isOwn() {
+    /** True if the couriers themselves are paused. */
+    public boolean pausesCouriers() {
       return ordinal() >= PAUSED_TENTH.ordinal();
     }
   }
@@ -100,13 +106,14 @@
   /**
    * One destination.
    *
-   * @param ratePerSecond calls that it takes from all couriers, refused ones included
-   * @param endpoints how many it has, in two zones in turn
-   * @param connections how many an endpoint takes, idle ones counted
-   * @param messagesPerCall how many messages may share a call
-   * @param serviceUs mean time of a call, exponential
-   * @param waitUs what a refusal tells, 0: nothing
-   * @param share its part of the messages
+   * @param ratePerSecond calls a second that it accepts from all couriers; rejected calls count
+   *     towards it
+   * @param endpoints number of endpoints, alternating between two zones
+   * @param connections connections that an endpoint accepts, idle ones included
+   * @param messagesPerCall maximum number of messages in a call
+   * @param serviceUs mean service time of a call, exponentially distributed, us
+   * @param waitUs Retry-After of a rejection, us; 0 for none
+   * @param share its share of the messages
    */
   public record Destination(
       double ratePerSecond,
@@ -118,25 +125,26 @@
       double share) {}
 
   /**
-   * A day on which each of many couriers sees little: three messages a second in the mean, for
-   * seven destinations, and by the day's draw ten times as much at the busiest as at the idlest.
-   * Few slots, small stores, as a large fleet has.
+   * Generates a scenario with little traffic per courier: three messages a second on average for
+   * seven destinations, with a ratio of up to ten between the busiest and the idlest courier.
+   * Concurrency limits and message stores are small, as in a large fleet.
    */
-  public static FleetDay thin(
-      final int couriers, final Trouble trouble, final RandomGenerator random) {
-    final double perSecond = THIN_PER_SECOND * couriers;
+  public static FleetScenario generateSparse(
+      final int couriers, final Disturbance disturbance, final RandomGenerator random) {
+    final double perSecond = SPARSE_PER_SECOND * couriers;
     double shares = 0;
-    for (int index = 0; index < THIN_DESTINATIONS; index++) {
-      shares += Math.pow(1 + index, -THIN_SKEW);
+    for (int index = 0; index < SPARSE_DESTINATIONS; index++) {
+      shares += Math.pow(1 + index, -SPARSE_SKEW);
     }
     final List<Destination> destinations = new ArrayList<>();
-    for (int index = 0; index < THIN_DESTINATIONS; index++) {
-      final double share = Math.pow(1 + index, -THIN_SKEW) / shares;
+    for (int index = 0; index < SPARSE_DESTINATIONS; index++) {
+      final double share = Math.pow(1 + index, -SPARSE_SKEW) / shares;
       final boolean several = index % 4 == 0;
       final double headroom = 1 + random.nextDouble();
       final double rate =
           Math.max(
-              4, Math.ceil(perSecond * share / (THIN_LOAD + 0.2 * random.nextDouble()) * headroom));
+              4,
+              Math.ceil(perSecond * share / (SPARSE_LOAD + 0.2 * random.nextDouble()) * headroom));
       final int endpoints = index < 2 ? 3 : 1 + random.nextInt(3);
       final long serviceUs = 100_000L + random.nextInt(120_000);
       final int connections =
@@ -155,34 +163,34 @@
     }
     final List<Double> loads = new ArrayList<>();
     for (int index = 0; index < couriers; index++) {
-      loads.add(Math.pow(THIN_SPREAD, random.nextDouble()));
+      loads.add(Math.pow(SPARSE_SPREAD, random.nextDouble()));
     }
-    final FleetDay like = drawn(couriers, trouble, random);
-    final DeliverySettings its = like.settings;
-    return new FleetDay(
+    final FleetScenario base = generate(couriers, disturbance, random);
+    final DeliverySettings baseSettings = base.settings;
+    return new FleetScenario(
         couriers,
         destinations,
         perSecond,
-        like.lengthUs,
-        trouble,
-        like.fromUs,
+        base.lengthUs,
+        disturbance,
+        base.fromUs,
         new DeliverySettings(
             couriers,
-            its.zone(),
-            its.subscribesToEndpointList(),
-            its.weightMeaning(),
-            its.valueDecay(),
-            its.classes(),
-            its.tenants(),
-            its.kinds(),
-            its.guarantees(),
+            baseSettings.zone(),
+            baseSettings.subscribesToEndpointList(),
+            baseSettings.weightMeaning(),
+            baseSettings.valueDecay(),
+            baseSettings.classes(),
+            baseSettings.tenants(),
+            baseSettings.kinds(),
+            baseSettings.guarantees(),
             new ResourceLimits(3, 26, 12, true, 10 * SECOND_US, 1, 2 * SECOND_US)),
         loads);
   }
 
-  /** A day for so many couriers, with traffic in proportion, drawn from a seed. */
-  public static FleetDay drawn(
-      final int couriers, final Trouble trouble, final RandomGenerator random) {
+  /** Generates a scenario at random, with traffic in proportion to the number of couriers. */
+  public static FleetScenario generate(
+      final int couriers, final Disturbance disturbance, final RandomGenerator random) {
     final double perSecond = 17.0 * couriers;
     final List<Destination> destinations = new ArrayList<>();
     double shares = 0;
@@ -227,12 +235,12 @@
                 SECOND_US,
                 5 * SECOND_US,
                 5 * SECOND_US));
-    return new FleetDay(
+    return new FleetScenario(
         couriers,
         destinations,
         perSecond,
         30 * SECOND_US,
-        trouble,
+        disturbance,
         10 * SECOND_US,
         new DeliverySettings(
             couriers,
@@ -249,11 +257,10 @@
   }
 
   /**
-   * True for a destination that the trouble strikes; what strikes single endpoints strikes those of
-   * all.
+   * True if the disturbance affects this destination; SPLIT affects endpoints of all destinations.
    */
-  boolean isStruck(final int destination) {
-    return destination < STRUCK || trouble == Trouble.SPLIT;
+  boolean isAffected(final int destination) {
+    return destination < AFFECTED || disturbance == Disturbance.SPLIT;
   }
 
   /** The settings of one courier. */
@@ -271,7 +278,7 @@
         settings.limits());
   }
 
-  /** Zones in turn. */
+  /** The zone of a courier or endpoint: they alternate. */
   static String zone(final int index) {
     return index % 2 == 0 ? "a" : "b";
   }
--- a/lab/src/main/java/thistleturn/lab/fleet/FleetTally.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/FleetStatistics.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What was seen of one day over the whole fleet, from outside the couriers. */
-public final class FleetTally {
+/** Statistics of one simulated run over all couriers, observed from outside them. */
+public final class FleetStatistics {
   private static final long BIN_US = 100_000;
 
   /** What is counted. */
@@ -17,22 +17,25 @@
     LIST_CALLS,
     LIST_CALLS_TURNED_AWAY,
     REFUSED_MESSAGES,
-    /** Destinations sent out by a courier that had stood still, though they were well. */
+    /** Healthy destinations whose circuit a courier opened after it had been paused. */
     WRONGLY_OUT,
-    /** Ends that were late since their courier stood still, told as soon as it ran. */
+    /**
+     * Final outcomes that were late because the courier was paused, reported as soon as it ran
+     * again.
+     */
     LATE_BY_PAUSE
   }
 
   private final long[][] byCourier;
   private final List<int[]> bins = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private double asked;
   private double gained;
   private long delivered;
   private long handed;
-  private double mostOfColdBudget;
+  private double maxColdBudgetShare;
 
-  FleetTally(final int couriers) {
+  FleetStatistics(final int couriers) {
     byCourier = new long[couriers][Count.values().length];
   }
 
@@ -55,32 +58,32 @@
     gained += worth;
   }
 
-  void broke(final String what) {
-    broken.add(what);
+  void violated(final String what) {
+    violations.add(what);
   }
 
-  /** How often something was done, by all couriers. */
+  /** The count over all couriers. */
   public long total(final Count what) {
     return Arrays.stream(byCourier).mapToLong(one -> one[what.ordinal()]).sum();
   }
 
-  /** How often one courier did it. */
+  /** The count of one courier. */
   public long of(final Count what, final int courier) {
     return byCourier[courier][what.ordinal()];
   }
 
-  /** The most that all couriers together did of it in 100 ms. */
-  public int mostIn100Ms(final Count what) {
+  /** The highest count of all couriers together in 100 ms. */
+  public int maxIn100Ms(final Count what) {
     return bins.stream().mapToInt(bin -> bin[what.ordinal()]).max().orElse(0);
   }
 
-  /** Worth delivered over worth asked for. */
+  /** Value delivered over value handed in. */
   public double goodput() {
     return asked == 0 ? 1 : gained / asked;
   }
 
-  /** Calls for each message delivered; several messages may share one. */
-  public double callsAMessage() {
+  /** Calls per delivered message; several messages may share a call. */
+  public double callsPerMessage() {
     return (double) total(Count.CALLS) / Math.max(1, delivered);
   }
 
@@ -95,23 +98,23 @@
   }
 
   void coldBudget(final double share) {
-    mostOfColdBudget = Math.max(mostOfColdBudget, share);
+    maxColdBudgetShare = Math.max(maxColdBudgetShare, share);
   }
 
   /**
-   * The most that all couriers together sent to a destination that had returned cold, as a share of
-   * what it bore then.
+   * The highest number of calls that all couriers together sent to a destination that had returned
+   * cold, as a share of what it could bear at that moment.
    */
-  public double mostOfColdBudget() {
-    return mostOfColdBudget;
+  public double maxColdBudgetShare() {
+    return maxColdBudgetShare;
   }
 
-  /** Rules broken, in words. */
-  public List<String> broken() {
-    return broken;
+  /** Descriptions of the rules that were violated. */
+  public List<String> violations() {
+    return violations;
   }
 
-  /** All of it in figures: two days that were the same have the same. */
+  /** All figures; equal for two runs that went the same way. */
   @Override
   public String toString() {
     return handed
@@ -122,6 +125,6 @@
         + " "
         + Arrays.deepToString(byCourier)
         + " "
-        + broken;
+        + violations;
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/Open.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/PendingMessage.java
@@ -4,8 +4,8 @@
 import thistleturn.decisions.model.MessageClass;
 import thistleturn.decisions.model.PriorAttempts;
 
-/** A message that a courier has taken on, with what its journal knows of it. */
-final class Open {
+/** A message that a courier has accepted, with the journal's record of its attempts. */
+final class PendingMessage {
   final String id;
   final int kindIndex;
   final MessageClass kind;
@@ -14,15 +14,15 @@
   final long untilUs;
   int attempts;
 
-  /** When an attempt may first have run; below 0: none may. */
+  /** When the first attempt that may have run was sent, us; negative if none may have run. */
   long ranUs = -1;
 
   String ranZone;
 
-  /** Its call that is out, or null. */
-  CallOut out;
+  /** Its call in flight, or null. */
+  SimulatedCall out;
 
-  Open(
+  PendingMessage(
       final String id,
       final int kindIndex,
       final MessageClass kind,
--- a/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SharedStateModel.java
@@ -17,19 +17,19 @@
 import thistleturn.decisions.replicas.WriterId;
 
 /**
- * What the couriers of a virtual fleet tell each other of their partners: by copies over a network,
- * or by one memory that all share.
+ * Exchanges state about destinations between the couriers of a virtual fleet: through replicas over
+ * a simulated network, or through one shared memory.
  */
 final class SharedStateModel {
   private static final long MS = 1000;
-  private static final long LEAST_DELAY_US = 200;
-  private static final long MORE_DELAY_US = 2 * MS;
-  private static final String BY = "fleet: ";
+  private static final long MIN_DELAY_US = 200;
+  private static final long DELAY_SPREAD_US = 2 * MS;
+  private static final String ISSUER_PREFIX = "fleet: ";
 
   /**
-   * What is said of a rate that was learnt: so much more than the mean of those who were refused.
+   * A learned rate is passed on as this multiple of the mean over the couriers that were refused.
    */
-  private static final double LEARNT_SLACK = 1.1;
+  private static final double LEARNED_RATE_SLACK = 1.1;
 
   private final VirtualFleet fleet;
   private final Sharing sharing;
@@ -44,10 +44,10 @@
     for (int index = 0; index < couriers; index++) {
       copies.add(new Copy(index));
     }
-    if (!sharing.perfect()) {
+    if (!sharing.sharedMemory()) {
       copies.forEach(
           copy ->
-              fleet.agenda.in(
+              fleet.events.in(
                   random.nextLong(ReplicationSettings.defaults().tickIntervalUs()), copy::tick));
     }
   }
@@ -56,7 +56,7 @@
     return String.format("n%03d", index);
   }
 
-  /** One courier's copy; it outlives the courier's processes, as its folder does. */
+  /** One courier's replica; it outlives the courier's processes, as its state folder does. */
   private final class Copy implements ReplicationActions {
     private final int index;
     private final ReplicationProtocol replicas;
@@ -69,12 +69,12 @@
               ReplicationSettings.defaults(),
               new WriterId(name(index), 1),
               random.nextLong(),
-              fleet.agenda.nowUs(),
+              fleet.events.nowUs(),
               this);
     }
 
     private void tick() {
-      fleet.agenda.in(ReplicationSettings.defaults().tickIntervalUs(), this::tick);
+      fleet.events.in(ReplicationSettings.defaults().tickIntervalUs(), this::tick);
       if (others.isEmpty()) {
         for (int other = 0; other < copies.size(); other++) {
           if (other != index) {
@@ -84,7 +84,7 @@
         replicas.setReachablePeers(others);
       }
       if (fleet.isRunning(index)) {
-        replicas.tick(fleet.agenda.nowUs());
+        replicas.tick(fleet.events.nowUs());
       }
     }
 
@@ -97,9 +97,9 @@
 
     @Override
     public void sendOverConnection(final String to, final ReplicationMessage message) {
-      final long sentUs = fleet.agenda.nowUs();
-      fleet.agenda.in(
-          LEAST_DELAY_US + random.nextLong(MORE_DELAY_US),
+      final long sentUs = fleet.events.nowUs();
+      fleet.events.in(
+          MIN_DELAY_US + random.nextLong(DELAY_SPREAD_US),
           () -> {
             final int target = Integer.parseInt(to);
             if (fleet.isRunning(target)) {
@@ -108,16 +108,16 @@
                   .replicas
                   .onMessage(
                       String.valueOf(index),
-                      later(message, fleet.agenda.nowUs() - sentUs),
-                      fleet.agenda.nowUs());
+                      withCreationShifted(message, fleet.events.nowUs() - sentUs),
+                      fleet.events.nowUs());
             }
           });
     }
 
     @Override
     public void onSubjectChanged(final EntryType kind, final String subject) {
-      if (!sharing.perfect()) {
-        tell(index, replicas.mergedValue(kind, subject), replicas.self());
+      if (!sharing.sharedMemory()) {
+        notifyCourier(index, replicas.mergedValue(kind, subject), replicas.self());
       }
     }
 
@@ -127,22 +127,26 @@
     }
   }
 
-  /** One clock for all here; what was on its way is thought to be as much younger. */
-  private static ReplicationMessage later(final ReplicationMessage message, final long byUs) {
-    if (message instanceof ReplicationMessage.EntryBroadcast news) {
+  /**
+   * Adds the network delay to the creation times: all couriers share one clock here, while a real
+   * receiver dates an entry by its age at sending.
+   */
+  private static ReplicationMessage withCreationShifted(
+      final ReplicationMessage message, final long byUs) {
+    if (message instanceof ReplicationMessage.EntryBroadcast broadcast) {
       return new ReplicationMessage.EntryBroadcast(
-          news.deltas().stream().map(delta -> later(delta, byUs)).toList());
+          broadcast.deltas().stream().map(delta -> withCreationShifted(delta, byUs)).toList());
     }
-    return message instanceof ReplicationMessage.DeltaBatch piece
+    return message instanceof ReplicationMessage.DeltaBatch batch
         ? new ReplicationMessage.DeltaBatch(
-            piece.partition(),
-            piece.partitionCount(),
-            piece.deltas().stream().map(delta -> later(delta, byUs)).toList(),
-            piece.hasMore())
+            batch.partition(),
+            batch.partitionCount(),
+            batch.deltas().stream().map(delta -> withCreationShifted(delta, byUs)).toList(),
+            batch.hasMore())
         : message;
   }
 
-  private static Delta later(final Delta delta, final long byUs) {
+  private static Delta withCreationShifted(final Delta delta, final long byUs) {
     return new Delta(
         delta.writer(),
         delta.afterVersion(),
@@ -161,38 +165,45 @@
             .toList());
   }
 
-  /** Says to a courier's decisions what counts, unless it comes from itself. */
-  private void tell(final int courier, final MergedValue verdict, final WriterId self) {
-    if (!verdict.isPresent()
-        || verdict.writers().contains(self)
-        || !sharing.kinds().contains(verdict.type())) {
+  /**
+   * Passes a merged value to a courier's decisions as a directive, unless the courier wrote it
+   * itself.
+   */
+  private void notifyCourier(final int courier, final MergedValue merged, final WriterId self) {
+    if (!merged.isPresent()
+        || merged.writers().contains(self)
+        || !sharing.kinds().contains(merged.type())) {
       return;
     }
-    final String by = BY + verdict.writers().get(0).name();
-    final int destination = Integer.parseInt(verdict.subject());
-    switch (verdict.type()) {
+    final String by = ISSUER_PREFIX + merged.writers().get(0).name();
+    final int destination = Integer.parseInt(merged.subject());
+    switch (merged.type()) {
       case WAIT ->
-          fleet.say(courier, destination, Directive.of(Directive.Kind.WAIT, by, verdict.untilUs()));
+          fleet.onDirective(
+              courier, destination, Directive.of(Directive.Kind.WAIT, by, merged.untilUs()));
       case OUTAGE ->
-          fleet.say(
+          fleet.onDirective(
               courier,
               destination,
               new Directive(
-                  verdict.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
-                  verdict.sinceUs(),
+                  merged.state().equals("out") ? Directive.Kind.OUTAGE : Directive.Kind.RETURN,
+                  merged.sinceUs(),
                   by,
-                  verdict.untilUs()));
+                  merged.untilUs()));
       case LEARNT ->
-          fleet.say(
+          fleet.onDirective(
               courier,
               destination,
               new Directive(
-                  Directive.Kind.RATE, LEARNT_SLACK * verdict.value(), "fleet", verdict.untilUs()));
+                  Directive.Kind.RATE,
+                  LEARNED_RATE_SLACK * merged.value(),
+                  "fleet",
+                  merged.untilUs()));
       default -> {}
     }
   }
 
-  /** Writes something of one courier's; with one memory all read it at once. */
+  /** Writes an entry for one courier; with shared memory, every other courier reads it at once. */
   private void write(
       final int courier,
       final EntryType kind,
@@ -203,50 +214,50 @@
     }
     final ReplicationProtocol own = copies.get(courier).replicas;
     what.accept(own);
-    if (sharing.perfect()) {
+    if (sharing.sharedMemory()) {
       final List<Delta> all = own.allDeltas();
-      final List<MergedValue> verdicts = new ArrayList<>();
+      final List<MergedValue> mergedValues = new ArrayList<>();
       for (final Copy other : copies) {
         if (other.index != courier) {
           other.replicas.onMessage(
               String.valueOf(courier),
               new ReplicationMessage.DeltaBatch(0, 1, all, false),
-              fleet.agenda.nowUs());
+              fleet.events.nowUs());
         }
-        verdicts.add(other.replicas.mergedValue(kind, String.valueOf(destination)));
+        mergedValues.add(other.replicas.mergedValue(kind, String.valueOf(destination)));
       }
       for (final Copy other : copies) {
-        tell(other.index, verdicts.get(other.index), other.replicas.self());
+        notifyCourier(other.index, mergedValues.get(other.index), other.replicas.self());
       }
     }
   }
 
-  void waits(final int courier, final int destination, final long untilUs) {
+  void recordWait(final int courier, final int destination, final long untilUs) {
     write(
         courier,
         EntryType.WAIT,
         destination,
-        own -> own.recordWait(String.valueOf(destination), untilUs, fleet.agenda.nowUs()));
+        own -> own.recordWait(String.valueOf(destination), untilUs, fleet.events.nowUs()));
   }
 
-  void turned(final int courier, final int destination, final boolean isOut) {
+  void recordOutage(final int courier, final int destination, final boolean isOut) {
     write(
         courier,
         EntryType.OUTAGE,
         destination,
-        own -> own.recordOutage(String.valueOf(destination), isOut, fleet.agenda.nowUs()));
+        own -> own.recordOutage(String.valueOf(destination), isOut, fleet.events.nowUs()));
   }
 
-  void learnt(final int courier, final int destination, final double perSecond) {
+  void recordLearnedRate(final int courier, final int destination, final double perSecond) {
     write(
         courier,
         EntryType.LEARNT,
         destination,
-        own -> own.recordLearnedRate(String.valueOf(destination), perSecond, fleet.agenda.nowUs()));
+        own -> own.recordLearnedRate(String.valueOf(destination), perSecond, fleet.events.nowUs()));
   }
 
-  /** What counts is said again to a courier that began anew. */
-  void begins(final int courier) {
+  /** Passes all merged values to a courier that has restarted. */
+  void onCourierStarted(final int courier) {
     final ReplicationProtocol own = copies.get(courier).replicas;
     final TreeMap<String, EntryType> subjects = new TreeMap<>();
     for (final EntryType kind : sharing.kinds()) {
@@ -254,10 +265,11 @@
     }
     subjects.forEach(
         (key, kind) ->
-            tell(courier, own.mergedValue(kind, key.split(" ")[0]), new WriterId("nobody", 1)));
+            notifyCourier(
+                courier, own.mergedValue(kind, key.split(" ")[0]), new WriterId("nobody", 1)));
   }
 
-  /** Bytes that all copies sent. */
+  /** Bytes sent by all replicas. */
   long bytes() {
     return copies.stream().mapToLong(copy -> copy.replicas.sentBytes()).sum();
   }
--- a/lab/src/main/java/thistleturn/lab/fleet/Sharing.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/Sharing.java
@@ -5,23 +5,24 @@
 import thistleturn.decisions.replicas.EntryType;
 
 /**
- * How a virtual fleet shares what its couriers are told and have learnt.
+ * How the couriers of a virtual fleet share waits, outages and learned rates.
  *
- * @param kinds what is shared
- * @param perfect by one memory that all read at once; else by copies over a network
- * @param loss share of datagrams that are lost on it
+ * @param kinds the types of entries that are shared
+ * @param sharedMemory true if all couriers see an entry at once; false if replicas exchange entries
+ *     over a simulated network
+ * @param loss share of datagrams that the simulated network loses
  */
-public record Sharing(Set<EntryType> kinds, boolean perfect, double loss) {
+public record Sharing(Set<EntryType> kinds, boolean sharedMemory, double loss) {
   /** Nothing is shared. */
   public static final Sharing NOTHING = new Sharing(Set.of(), true, 0);
 
-  /** One memory for all. */
-  public static Sharing perfectly(final Set<EntryType> kinds) {
+  /** All couriers see every entry at once. */
+  public static Sharing throughSharedMemory(final Set<EntryType> kinds) {
     return new Sharing(EnumSet.copyOf(kinds), true, 0);
   }
 
-  /** Copies over a network that loses some. */
-  public static Sharing byCopies(final Set<EntryType> kinds, final double loss) {
+  /** Replicas exchange entries over a network that loses a share of its datagrams. */
+  public static Sharing throughReplicas(final Set<EntryType> kinds, final double loss) {
     return new Sharing(EnumSet.copyOf(kinds), false, loss);
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/SimulatedCourier.java
@@ -17,74 +17,76 @@
 import thistleturn.decisions.model.AttemptResult;
 import thistleturn.decisions.model.EndpointUpdate;
 import thistleturn.decisions.model.Idempotence;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.model.CallFault;
 
 /**
- * One courier of the fleet: its decisions, and what a host does for them. It can be killed at any
- * moment; what its journal holds is taken up by the next process. Its connections are its
- * process's.
+ * One courier of the fleet: the decision loop and its simulated host. It can be killed at any
+ * moment; the next process resumes the messages of its journal. Connections end with the process.
  */
 final class SimulatedCourier implements DeliveryActions {
-  /** Round trips that a handshake takes. */
+  /** Round trips of a handshake. */
   private static final int HANDSHAKE_TRIPS = 2;
 
-  /** A connection that does not come up is given up after so long. */
+  /** Connect timeout, us. */
   private static final long CONNECT_US = 1_000_000;
 
-  /** An end is late so long after a message's time, us; none is until so long after a start. */
+  /**
+   * A final outcome is late this long after the message's deadline, us, and never earlier than
+   * SETTLED_US after a start.
+   */
   private static final long GRACE_US = 300_000;
 
   private static final long SETTLED_US = 1_500_000;
 
-  /** What ran out while it stood still is ended so soon after, us. */
+  /** Messages that expired during a pause must be ended within this time after it, us. */
   private static final long AT_ONCE_US = 50_000;
 
-  /** So long after it stood still its lanes are watched, us. */
-  private static final long WATCHED_US = 4_000_000;
+  /** Time after a pause during which its circuit states are checked, us. */
+  private static final long WATCH_US = 4_000_000;
 
   final int index;
   private final VirtualFleet fleet;
   private DeliveryController courier;
 
-  /** Distinguishes processes: what was planned for one that is dead does not happen. */
-  private int life;
+  /** Distinguishes processes: events scheduled for an earlier process are dropped. */
+  private int incarnation;
 
   private long startedUs;
-  private boolean believedUp = true;
+  private boolean routedTo = true;
 
-  /** It has been told to end, and its clients go elsewhere. */
-  private boolean leaving;
+  /** True during a graceful shutdown: clients use other couriers. */
+  private boolean stopping;
 
-  private boolean touched;
+  private boolean hasInput;
 
-  /** It stands still: what its timers and its sockets have for it until it runs again. */
-  private boolean frozen;
+  /** True while the process is paused; expired timers and received data wait in the lists below. */
+  private boolean paused;
 
   private final List<Runnable> overdue = new ArrayList<>();
   private final List<Runnable> unread = new ArrayList<>();
   private LocalHealth health = new LocalHealth(0);
 
   /**
-   * Until when its lanes are watched for having been sent out by its own fault, and those that
-   * were.
+   * Until when open circuits of healthy destinations are attributed to a pause of this courier, and
+   * the destinations found so far.
    */
   private long watchedUntilUs;
 
-  private long thawedUs = Long.MIN_VALUE / 2;
-  private final Set<Integer> sentOut = new HashSet<>();
+  private long resumedUs = Long.MIN_VALUE / 2;
+  private final Set<Integer> wronglyOut = new HashSet<>();
 
   /**
-   * Destinations that it was last known to be out for, and at which count of turns that was looked
-   * at.
+   * Destinations whose circuit was open at the last check, and the number of circuit transitions at
+   * that check.
    */
   private final Set<Integer> out = new HashSet<>();
 
-  private long toldTurns;
-  private final Map<String, Open> open = new LinkedHashMap<>();
+  private long seenTransitions;
+  private final Map<String, PendingMessage> open = new LinkedHashMap<>();
   private final Map<Long, Integer> idle = new HashMap<>();
   private final Map<Integer, Long> waitUntilUs = new HashMap<>();
-  private final Map<Long, List<Open>> outbox = new LinkedHashMap<>();
+  private final Map<Long, List<PendingMessage>> outbox = new LinkedHashMap<>();
   private final Map<String, Long> timeouts = new HashMap<>();
 
   SimulatedCourier(final VirtualFleet fleet, final int index) {
@@ -96,35 +98,35 @@
     return courier != null;
   }
 
-  boolean isBelievedUp() {
-    return believedUp;
+  boolean isRoutedTo() {
+    return routedTo;
   }
 
   void start() {
-    courier = fleet.make(index, this);
+    courier = fleet.create(index, this);
     startedUs = now();
     health = new LocalHealth(now());
-    believedUp = true;
-    leaving = false;
+    routedTo = true;
+    stopping = false;
     courier.onEndpointList(now(), EndpointUpdate.RESTORED_SNAPSHOT, fleet.list());
     open.values().forEach(one -> courier.onMessageResumed(now(), one.message(), one.past()));
-    toldTurns = 0;
+    seenTransitions = 0;
     out.clear();
-    if (fleet.commons != null) {
-      fleet.commons.begins(index);
+    if (fleet.sharedState != null) {
+      fleet.sharedState.onCourierStarted(index);
     }
-    touched = true;
+    hasInput = true;
   }
 
-  /** Its connections break, and what was out may have run. */
+  /** Kills the process: its connections break, and calls in flight may have run. */
   void kill() {
-    life++;
-    frozen = false;
+    incarnation++;
+    paused = false;
     overdue.clear();
     unread.clear();
     courier = null;
-    touched = false;
-    for (final Open one : open.values()) {
+    hasInput = false;
+    for (final PendingMessage one : open.values()) {
       if (one.out != null) {
         mayHaveRun(one, one.out);
         hangUp(one.out);
@@ -138,31 +140,32 @@
     outbox.clear();
   }
 
-  /** It stands still from now on, with all that it holds; its last beat lies up to one back. */
-  void freeze(final long untilUs) {
+  /** Pauses the process; its last health tick lies up to one interval back. */
+  void pause(final long untilUs) {
     if (courier != null) {
-      frozen = true;
+      paused = true;
       health.recordRun(now());
       health.expectRunBy(now() + (long) (fleet.random.nextDouble() * LocalHealth.TICK_INTERVAL_US));
-      watchedUntilUs = untilUs + WATCHED_US;
+      watchedUntilUs = untilUs + WATCH_US;
     }
   }
 
   /**
-   * It runs again. One that knows of its health first reads what came; else its timers come first.
+   * Ends the pause. A courier that detects pauses reads received data before its timers run;
+   * otherwise the timers run first.
    */
-  void thaw() {
-    if (!frozen) {
+  void resume() {
+    if (!paused) {
       return;
     }
-    frozen = false;
-    thawedUs = now();
+    paused = false;
+    resumedUs = now();
     final long awayUs = health.recordRun(now());
     final List<Runnable> late = List.copyOf(overdue);
     final List<Runnable> came = List.copyOf(unread);
     overdue.clear();
     unread.clear();
-    if (fleet.feels) {
+    if (fleet.detectsPauses) {
       if (courier instanceof OverloadController control && awayUs > 0) {
         control.onHostPaused(now(), awayUs);
       }
@@ -170,121 +173,125 @@
       late.forEach(Runnable::run);
     } else {
       late.forEach(Runnable::run);
-      touched = true;
+      hasInput = true;
       pass();
       came.forEach(Runnable::run);
     }
-    touched = courier != null;
+    hasInput = courier != null;
   }
 
-  /** Lanes that are out though their destination is well: this courier's own doing. */
-  private void watchLanes() {
+  /** Counts open circuits of healthy destinations: this courier's pause has caused them. */
+  private void countWronglyOut() {
     if (now() < watchedUntilUs && courier instanceof OverloadController control) {
-      for (final RouteStatus lane : control.routes()) {
-        final int destination = (int) lane.destinationId();
-        if (lane.circuitState().equals("OUT")
+      for (final RouteStatus route : control.routes()) {
+        final int destination = (int) route.destinationId();
+        if (route.circuitState().equals("OUT")
             && fleet.services.get(destination).isWell()
-            && sentOut.add(destination)) {
+            && wronglyOut.add(destination)) {
           count(Count.WRONGLY_OUT);
         }
       }
     }
   }
 
-  /** It ends at that moment, and begins nothing that cannot end by then. */
+  /** Starts a graceful shutdown, which starts nothing that cannot end by {@code atUs}. */
   void stop(final long atUs) {
-    leaving = true;
+    stopping = true;
     courier.onStopping(now(), atUs);
-    touched = true;
+    hasInput = true;
   }
 
-  /** The front has seen that it is dead, or leaves. */
-  void noticed() {
-    believedUp = isUp() && !leaving;
+  /** The load balancer notices that this courier is down or shuts down. */
+  void updateRouting() {
+    routedTo = isUp() && !stopping;
   }
 
-  /** Every message has had its end. */
+  /** Checks that every message has had its final outcome. */
   void close() {
-    open.values().forEach(one -> fleet.tally.broke("no end for " + one.id));
+    open.values().forEach(one -> fleet.statistics.violated("no final outcome for  " + one.id));
   }
 
-  void take(final Open one) {
-    if (frozen) {
+  void take(final PendingMessage one) {
+    if (paused) {
       unread.add(() -> take(one));
       return;
     }
-    if (open.size() >= fleet.day.settings().limits().maxPendingMessages()) {
+    if (open.size() >= fleet.scenario.settings().limits().maxPendingMessages()) {
       return;
     }
     open.put(one.id, one);
     courier.onMessage(now(), one.message());
-    touched = true;
+    hasInput = true;
   }
 
-  /** Lets it decide, if something was told. */
+  /** Runs a decision round if there was any input since the last one. */
   void pass() {
-    if (!touched || courier == null || frozen) {
+    if (!hasInput || courier == null || paused) {
       return;
     }
-    touched = false;
+    hasInput = false;
     courier.decide(now());
-    watchLanes();
-    turned(true);
-    final Map<Long, List<Open>> sends = new LinkedHashMap<>(outbox);
+    countWronglyOut();
+    checkCircuits(true);
+    final Map<Long, List<PendingMessage>> sends = new LinkedHashMap<>(outbox);
     outbox.clear();
     sends.forEach(this::call);
   }
 
-  /** Something is said to its decisions by others. */
-  void say(final int destination, final Directive word) {
+  /** Passes a directive from other couriers to the decisions. */
+  void onDirective(final int destination, final Directive directive) {
     if (courier instanceof OverloadController control
-        && !frozen
-        && control.onDestinationDirective(now(), destination, word)) {
-      turned(false);
-      touched = true;
+        && !paused
+        && control.onDestinationDirective(now(), destination, directive)) {
+      checkCircuits(false);
+      hasInput = true;
     }
   }
 
-  /** Looks which destinations are out; what it found out by itself it tells. */
-  private void turned(final boolean tells) {
-    if (fleet.commons == null
+  /** Records which circuits are open; shares those changes that this courier observed itself. */
+  private void checkCircuits(final boolean shares) {
+    if (fleet.sharedState == null
         || !(courier instanceof OverloadController control)
-        || control.circuitTransitions() == toldTurns) {
+        || control.circuitTransitions() == seenTransitions) {
       return;
     }
-    toldTurns = control.circuitTransitions();
-    for (final RouteStatus lane : control.routes()) {
-      final int destination = (int) lane.destinationId();
-      final boolean isOut = lane.circuitState().equals("OUT");
-      if ((isOut ? out.add(destination) : out.remove(destination)) && tells) {
-        fleet.commons.turned(index, destination, isOut);
+    seenTransitions = control.circuitTransitions();
+    for (final RouteStatus route : control.routes()) {
+      final int destination = (int) route.destinationId();
+      final boolean isOut = route.circuitState().equals("OUT");
+      if ((isOut ? out.add(destination) : out.remove(destination)) && shares) {
+        fleet.sharedState.recordOutage(index, destination, isOut);
       }
     }
   }
 
-  /** What a refusal taught it goes to the others: the rate that it keeps to since. */
-  private void learnt(final int destination) {
-    if (fleet.commons != null && courier instanceof OverloadController control) {
+  /** Shares the permitted rate that a rejection has led to. */
+  private void shareLearnedRate(final int destination) {
+    if (fleet.sharedState != null && courier instanceof OverloadController control) {
       control.routes().stream()
           .filter(
-              lane ->
-                  lane.destinationId() == destination && Double.isFinite(lane.permittedPerSecond()))
-          .forEach(lane -> fleet.commons.learnt(index, destination, lane.permittedPerSecond()));
+              route ->
+                  route.destinationId() == destination
+                      && Double.isFinite(route.permittedPerSecond()))
+          .forEach(
+              route ->
+                  fleet.sharedState.recordLearnedRate(
+                      index, destination, route.permittedPerSecond()));
     }
   }
 
   private long now() {
-    return fleet.agenda.nowUs();
+    return fleet.events.nowUs();
   }
 
-  /** Plans something for this process. */
+  /** Schedules an action for this process; a later process does not run it. */
   private void in(final long delayUs, final Runnable what) {
-    final int planned = life;
-    fleet.agenda.in(
+    final int planned = incarnation;
+    fleet.events.in(
         delayUs,
         () -> {
-          if (life == planned && courier != null) {
-            if (frozen) {
+          if (incarnation == planned && courier != null) {
+            if (paused) {
               overdue.add(what);
             } else {
               what.run();
@@ -295,15 +302,15 @@
 
   // ---------------------------------------------------------------- calls
 
-  private void call(final long endpoint, final List<Open> messages) {
-    final SimulatedService service = fleet.services.get(VirtualFleet.destination(endpoint));
+  private void call(final long endpoint, final List<PendingMessage> messages) {
+    final SharedDestination service = fleet.services.get(VirtualFleet.destination(endpoint));
     for (int from = 0; from < messages.size(); from += service.shape.messagesPerCall()) {
-      final CallOut call = new CallOut(endpoint, now());
+      final SimulatedCall call = new SimulatedCall(endpoint, now());
       call.messages.addAll(
           messages.subList(
               from, Math.min(messages.size(), from + service.shape.messagesPerCall())));
-      for (final Open one : call.messages) {
-        watch(one, endpoint);
+      for (final PendingMessage one : call.messages) {
+        checkAttempt(one, endpoint);
         one.out = call;
         in(timeouts.remove(one.id), () -> giveUp(call, AttemptResult.TIMED_OUT));
       }
@@ -311,94 +318,94 @@
       if (idle.merge(endpoint, 0, Integer::sum) > 0) {
         idle.merge(endpoint, -1, Integer::sum);
         call.connected = true;
-        fleet.agenda.in(wayUs, () -> reach(call, service));
+        fleet.events.in(wayUs, () -> reach(call, service));
       } else {
-        fleet.agenda.in(wayUs, () -> connect(call, service));
+        fleet.events.in(wayUs, () -> connect(call, service));
       }
     }
   }
 
-  /** What a send must not do. */
-  private void watch(final Open one, final long endpoint) {
+  /** Checks the rules for an attempt. */
+  private void checkAttempt(final PendingMessage one, final long endpoint) {
     if (one.out != null) {
-      fleet.tally.broke("two copies out: " + one.id);
+      fleet.statistics.violated("two attempts in flight:  " + one.id);
     }
-    if (++one.attempts > fleet.day.settings().limits().maxAttempts()) {
-      fleet.tally.broke("attempt " + one.attempts + ": " + one.id);
+    if (++one.attempts > fleet.scenario.settings().limits().maxAttempts()) {
+      fleet.statistics.violated("attempt " + one.attempts + ": " + one.id);
     }
     if (VirtualFleet.destination(endpoint) != one.destination) {
-      fleet.tally.broke("to another destination: " + one.id);
+      fleet.statistics.violated("to another destination: " + one.id);
     }
     if (now() < waitUntilUs.getOrDefault(one.destination, 0L)) {
-      fleet.tally.broke("a wait not heeded: " + one.id);
+      fleet.statistics.violated("sent before Retry-After elapsed:  " + one.id);
     }
     if (one.ranUs >= 0
         && one.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
         && now() > one.ranUs + one.kind.idempotencyWindowUs()) {
-      fleet.tally.broke("again after its key was forgotten: " + one.id);
+      fleet.statistics.violated("attempt after the deduplication window:  " + one.id);
     }
   }
 
-  private void connect(final CallOut call, final SimulatedService service) {
+  private void connect(final SimulatedCall call, final SharedDestination service) {
     if (call.over) {
       return;
     }
     count(Count.HANDSHAKES);
-    if (service.isSilent(VirtualFleet.place(call.endpoint), now())) {
-      fleet.agenda.in(CONNECT_US, () -> back(call, AttemptResult.NO_CONNECTION, 0));
+    if (service.isUnresponsive(VirtualFleet.place(call.endpoint), now())) {
+      fleet.events.in(CONNECT_US, () -> back(call, AttemptResult.NO_CONNECTION, 0));
       return;
     }
     if (!service.connects(VirtualFleet.place(call.endpoint))) {
-      // One connection too many is taken, and its first call turned away.
+      // An excess connection is accepted, and its first call is rejected.
       count(Count.REFUSED_CONNECTIONS);
-      fleet.agenda.in(
+      fleet.events.in(
           HANDSHAKE_TRIPS * 2 * fleet.wayUs(index, call.endpoint),
           () -> back(call, AttemptResult.REFUSED, 0));
       return;
     }
     call.connected = true;
-    fleet.agenda.in(
+    fleet.events.in(
         HANDSHAKE_TRIPS * 2 * fleet.wayUs(index, call.endpoint), () -> reach(call, service));
   }
 
-  /** Its last byte comes to the endpoint. */
-  private void reach(final CallOut call, final SimulatedService service) {
+  /** The last byte of a call arrives at the endpoint. */
+  private void reach(final SimulatedCall call, final SharedDestination service) {
     if (call.over) {
       return;
     }
     count(Count.CALLS);
-    if (service.isSilent(VirtualFleet.place(call.endpoint), now())) {
+    if (service.isUnresponsive(VirtualFleet.place(call.endpoint), now())) {
       return;
     }
-    final CallFault fate = service.takes(now());
-    if (fate == CallFault.UNREACHABLE) {
+    final CallFault fault = service.takes(now());
+    if (fault == CallFault.UNREACHABLE) {
       hangUp(call);
       back(call, AttemptResult.NO_CONNECTION, 0);
-    } else if (fate == CallFault.REFUSE) {
+    } else if (fault == CallFault.REFUSE) {
       count(Count.REFUSED_CALLS);
       back(call, AttemptResult.REFUSED, service.shape.waitUs());
     } else {
       final double items = 1 + 0.15 * (call.messages.size() - 1);
-      fleet.agenda.in(
+      fleet.events.in(
           (long) (fleet.random.nextExponential() * service.shape.serviceUs() * items),
           () -> back(call, AttemptResult.DELIVERED, 0));
     }
   }
 
-  private void back(final CallOut call, final AttemptResult result, final long waitUs) {
-    fleet.agenda.in(fleet.wayUs(index, call.endpoint), () -> come(call, result, waitUs));
+  private void back(final SimulatedCall call, final AttemptResult result, final long waitUs) {
+    fleet.events.in(fleet.wayUs(index, call.endpoint), () -> arrive(call, result, waitUs));
   }
 
-  private void come(final CallOut call, final AttemptResult result, final long waitUs) {
-    if (frozen) {
-      unread.add(() -> come(call, result, waitUs));
+  private void arrive(final SimulatedCall call, final AttemptResult result, final long waitUs) {
+    if (paused) {
+      unread.add(() -> arrive(call, result, waitUs));
     } else if (!call.over) {
       over(call, result, waitUs);
     }
   }
 
-  /** Nobody waits for it any more: its connection is closed. */
-  private void giveUp(final CallOut call, final AttemptResult result) {
+  /** Gives up on a call and closes its connection. */
+  private void giveUp(final SimulatedCall call, final AttemptResult result) {
     if (!call.over) {
       call.messages.forEach(one -> mayHaveRun(one, call));
       hangUp(call);
@@ -406,7 +413,7 @@
     }
   }
 
-  private void over(final CallOut call, final AttemptResult result, final long waitUs) {
+  private void over(final SimulatedCall call, final AttemptResult result, final long waitUs) {
     call.over = true;
     if (call.connected) {
       call.connected = false;
@@ -414,17 +421,18 @@
     }
     if (waitUs > 0) {
       waitUntilUs.merge(VirtualFleet.destination(call.endpoint), now() + waitUs, Math::max);
-      if (fleet.commons != null) {
-        fleet.commons.waits(index, VirtualFleet.destination(call.endpoint), now() + waitUs);
+      if (fleet.sharedState != null) {
+        fleet.sharedState.recordWait(
+            index, VirtualFleet.destination(call.endpoint), now() + waitUs);
       }
     }
-    for (final Open one : call.messages) {
+    for (final PendingMessage one : call.messages) {
       one.out = null;
       final boolean delivered = result == AttemptResult.DELIVERED;
       if (delivered && open.remove(one.id) != null) {
-        fleet.tally.delivered(fleet.worth(one));
+        fleet.statistics.delivered(fleet.worth(one));
       }
-      final boolean measured = !fleet.feels || health.wasRunningBetween(call.sentUs, now());
+      final boolean measured = !fleet.detectsPauses || health.wasRunningBetween(call.sentUs, now());
       courier.onOutcome(
           now(),
           new AttemptOutcome(
@@ -437,17 +445,17 @@
               null));
     }
     if (result == AttemptResult.REFUSED && waitUs == 0) {
-      learnt(VirtualFleet.destination(call.endpoint));
+      shareLearnedRate(VirtualFleet.destination(call.endpoint));
     }
-    touched = true;
+    hasInput = true;
   }
 
-  private void mayHaveRun(final Open one, final CallOut call) {
+  private void mayHaveRun(final PendingMessage one, final SimulatedCall call) {
     one.ranUs = one.ranUs < 0 ? call.sentUs : one.ranUs;
-    one.ranZone = FleetDay.zone(VirtualFleet.place(call.endpoint));
+    one.ranZone = FleetScenario.zone(VirtualFleet.place(call.endpoint));
   }
 
-  private void hangUp(final CallOut call) {
+  private void hangUp(final SimulatedCall call) {
     if (call.connected) {
       call.connected = false;
       disconnect(call.endpoint, 1);
@@ -464,10 +472,11 @@
   }
 
   private void count(final Count what) {
-    fleet.tally.count(what, index, now() - VirtualFleet.START_US);
+    fleet.statistics.count(what, index, now() - VirtualFleet.START_US);
   }
 
-  // ---------------------------------------------------------------- what the decisions ask for
+  // ---------------------------------------------------------------- actions requested by the
+  // decisions
 
   @Override
   public void send(final String messageId, final long endpoint, final long timeoutUs) {
@@ -487,23 +496,22 @@
   }
 
   private void end(final String messageId) {
-    final Open one = open.remove(messageId);
+    final PendingMessage one = open.remove(messageId);
     if (one == null) {
-      fleet.tally.broke("a second end: " + messageId);
-    } else if (now() > one.untilUs + GRACE_US && now() <= thawedUs + AT_ONCE_US) {
-      // It could not have been told sooner; that it is told first and at once is all that can be
-      // asked.
+      fleet.statistics.violated("a second final outcome:  " + messageId);
+    } else if (now() > one.untilUs + GRACE_US && now() <= resumedUs + AT_ONCE_US) {
+      // The paused process could not report it earlier; it must do so first and at once.
       count(Count.LATE_BY_PAUSE);
     } else if (now() > Math.max(one.untilUs + GRACE_US, startedUs + SETTLED_US)) {
-      fleet.tally.broke("a late end: " + messageId);
+      fleet.statistics.violated("a late final outcome:  " + messageId);
     }
   }
 
   @Override
   public void cancel(final String messageId, final int attempt) {
-    final Open one = open.get(messageId);
+    final PendingMessage one = open.get(messageId);
     if (one != null && one.out != null) {
-      final CallOut out = one.out;
+      final SimulatedCall out = one.out;
       in(0, () -> giveUp(out, AttemptResult.CANCELLED));
     }
   }
@@ -529,11 +537,11 @@
   private void listed(final EndpointUpdate update) {
     courier.onEndpointList(
         now(), update, update == EndpointUpdate.UNAVAILABLE ? List.of() : fleet.list());
-    touched = true;
+    hasInput = true;
   }
 
   @Override
   public void scheduleDecision(final long delayUs) {
-    in(delayUs, () -> touched = true);
+    in(delayUs, () -> hasInput = true);
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/VirtualFleet.java
@@ -14,52 +14,52 @@
 import thistleturn.lab.virtual.VirtualCourier;
 
 /**
- * Plays a day of many couriers in virtual time, against destinations and a discovery that they
- * share. Clients hand each message to one of the couriers that a front believes to be up; one that
- * meets a dead courier is handed in again a second later. The rules are watched from outside. The
- * same seed plays the same day, bit for bit.
+ * Simulates many couriers in virtual time, with destinations and a discovery service that they
+ * share. A load balancer hands each message to one of the couriers that it considers up; a message
+ * that meets a stopped courier is handed in again a second later. The rules are checked from
+ * outside. The same seed gives the same run, bit for bit.
  */
 public final class VirtualFleet {
-  static final long SECOND_US = FleetDay.SECOND_US;
+  static final long SECOND_US = FleetScenario.SECOND_US;
 
-  /** Traffic begins so long after the clock's zero, us: lists have been had by then. */
+  /** Start of the traffic on the virtual clock, us; couriers have their endpoint lists by then. */
   static final long START_US = 5 * SECOND_US;
 
-  /** One way within a zone and between two, us. */
-  private static final long NEAR_US = 15_000;
+  /** One-way latency within a zone and between two zones, us. */
+  private static final long SAME_ZONE_US = 15_000;
 
-  private static final long FAR_US = 45_000;
+  private static final long OTHER_ZONE_US = 45_000;
   private static final long LIST_CALL_US = 60_000;
 
   /**
-   * Of a herd's couriers so many in three are killed, for so long; the front notices after so long.
+   * HERD kills this many couriers in three, for this long; the load balancer notices after a delay.
    */
   private static final int KILLED_OF_THREE = 2;
 
-  private static final long DEAD_US = 1_600_000;
+  private static final long DOWN_US = 1_600_000;
   private static final long NOTICED_US = 1_000_000;
 
-  /** A courier that crashes again does so that soon after its start, so often. */
+  /** CRASHES: a courier crashes again this long after its start, this many times. */
   private static final long CRASH_US = 300_000;
 
   private static final int CRASHES = 3;
-  private static final long AGAIN_US = SECOND_US;
+  private static final long RESUBMIT_US = SECOND_US;
 
-  /** A burst: so much as usual, for so long. */
+  /** BURST: multiple of the usual traffic, and its duration. */
   private static final double BURST = 1.5;
 
   private static final long BURST_US = 8 * SECOND_US;
 
-  /**
-   * Couriers restarted in turn: so many steps, so far apart; one that is told has so long to end.
-   */
+  /** ROLL: number of steps and the time between them; a graceful shutdown may take this long. */
   private static final int ROLL_STEPS = 10;
 
   private static final long ROLL_US = 1_500_000;
   private static final long STOP_US = 3_100_000;
   private static final long RESTART_US = 600_000;
 
-  /** Couriers that stand still: so long, or for so much of each slice of a while. */
+  /**
+   * Paused couriers: length of a pause, or, for starved couriers, the paused share of each slice.
+   */
   private static final long PAUSE_US = 3 * SECOND_US;
 
   private static final long SHORT_PAUSE_US = SECOND_US;
@@ -67,78 +67,85 @@
   private static final double STARVED_AWAY = 0.9;
   private static final int STARVED_SLICES = 20;
 
-  /** More endpoints than a destination has. */
-  private static final int MOST_PLACES = 1000;
+  /** Exceeds the number of endpoints of any destination. */
+  private static final int MAX_ENDPOINTS = 1000;
 
-  final FleetDay day;
-  final EventQueue agenda = new EventQueue(0);
+  final FleetScenario scenario;
+  final EventQueue events = new EventQueue(0);
   final RandomGenerator random;
-  final FleetTally tally;
-  final List<SimulatedService> services = new ArrayList<>();
-  final SimulatedService.Listing listing;
+  final FleetStatistics statistics;
+  final List<SharedDestination> services = new ArrayList<>();
+  final SharedDestination.Discovery listing;
   private final List<SimulatedCourier> members = new ArrayList<>();
-  private final VirtualCourier.Maker maker;
+  private final VirtualCourier.ControllerFactory factory;
 
-  /** Whether couriers know of their own health; without, they judge by the clock alone. */
-  final boolean feels;
+  /** Whether couriers detect their own pauses; otherwise they rely on the clock alone. */
+  final boolean detectsPauses;
 
   private int messages;
 
-  /** What couriers tell each other; null: nothing. */
-  final SharedStateModel commons;
+  /** State exchanged between couriers; null if none is. */
+  final SharedStateModel sharedState;
 
   private VirtualFleet(
-      final FleetDay day,
+      final FleetScenario scenario,
       final long seed,
-      final VirtualCourier.Maker maker,
-      final boolean feels,
+      final VirtualCourier.ControllerFactory factory,
+      final boolean detectsPauses,
       final Sharing sharing) {
-    this.day = day;
-    this.feels = feels;
+    this.scenario = scenario;
+    this.detectsPauses = detectsPauses;
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    this.tally = new FleetTally(day.couriers());
-    this.maker = maker;
-    this.listing = new SimulatedService.Listing(isHerd() ? 3 * LIST_CALL_US : LIST_CALL_US);
-    for (int index = 0; index < day.destinations().size(); index++) {
+    this.statistics = new FleetStatistics(scenario.couriers());
+    this.factory = factory;
+    this.listing = new SharedDestination.Discovery(isMassCrash() ? 3 * LIST_CALL_US : LIST_CALL_US);
+    for (int index = 0; index < scenario.destinations().size(); index++) {
       services.add(
-          new SimulatedService(
+          new SharedDestination(
               index,
-              day.destinations().get(index),
-              day.isStruck(index) ? day.trouble() : FleetDay.Trouble.NONE,
-              START_US + day.fromUs(),
-              day.settings().guarantees()));
+              scenario.destinations().get(index),
+              scenario.isAffected(index) ? scenario.disturbance() : FleetScenario.Disturbance.NONE,
+              START_US + scenario.fromUs(),
+              scenario.settings().guarantees()));
     }
-    for (int index = 0; index < day.couriers(); index++) {
+    for (int index = 0; index < scenario.couriers(); index++) {
       members.add(new SimulatedCourier(this, index));
     }
-    this.commons =
+    this.sharedState =
         sharing.kinds().isEmpty()
             ? null
-            : new SharedStateModel(this, sharing, day.couriers(), seed);
+            : new SharedStateModel(this, sharing, scenario.couriers(), seed);
   }
 
-  /** Plays a day to its end. */
-  public static FleetTally play(
-      final FleetDay day, final long seed, final VirtualCourier.Maker maker) {
-    return play(day, seed, maker, true);
+  /** Runs a scenario to its end, with couriers that detect their own pauses. */
+  public static FleetStatistics run(
+      final FleetScenario scenario,
+      final long seed,
+      final VirtualCourier.ControllerFactory factory) {
+    return run(scenario, seed, factory, true);
   }
 
-  /** The same, with couriers that ({@code feels}) know of their own health or do not. */
-  public static FleetTally play(
-      final FleetDay day, final long seed, final VirtualCourier.Maker maker, final boolean feels) {
-    return play(day, seed, maker, feels, Sharing.NOTHING);
+  /**
+   * Runs a scenario to its end; {@code detectsPauses} tells whether couriers detect their pauses.
+   */
+  public static FleetStatistics run(
+      final FleetScenario scenario,
+      final long seed,
+      final VirtualCourier.ControllerFactory factory,
+      final boolean detectsPauses) {
+    return run(scenario, seed, factory, detectsPauses, Sharing.NOTHING);
   }
 
-  /** The same, with couriers that share what they are told and have learnt. */
-  public static FleetTally play(
-      final FleetDay day,
+  /** Runs a scenario to its end, with couriers that share state about destinations. */
+  public static FleetStatistics run(
+      final FleetScenario scenario,
       final long seed,
-      final VirtualCourier.Maker maker,
-      final boolean feels,
+      final VirtualCourier.ControllerFactory factory,
+      final boolean detectsPauses,
       final Sharing sharing) {
-    final VirtualFleet fleet = new VirtualFleet(day, seed, maker, feels, sharing);
-    fleet.run();
-    return fleet.tally;
+    final VirtualFleet fleet = new VirtualFleet(scenario, seed, factory, detectsPauses, sharing);
+    fleet.runToEnd();
+    return fleet.statistics;
   }
 
   /** True while a courier's process runs. */
@@ -146,55 +153,55 @@
     return members.get(courier).isUp();
   }
 
-  /** Says something to one courier's decisions. */
-  void say(final int courier, final int destination, final Directive word) {
-    members.get(courier).say(destination, word);
+  /** Passes a directive to one courier's decisions. */
+  void onDirective(final int courier, final int destination, final Directive directive) {
+    members.get(courier).onDirective(destination, directive);
   }
 
-  private void run() {
+  private void runToEnd() {
     members.forEach(SimulatedCourier::start);
-    agenda.at(START_US, this::arrive);
-    if (isHerd()) {
-      agenda.at(
-          START_US + day.fromUs(),
-          () -> kill(day.trouble() == FleetDay.Trouble.CRASHES ? CRASHES : 0));
-    } else if (day.trouble() == FleetDay.Trouble.ROLL) {
-      members.forEach(this::planRestart);
-    } else if (day.trouble().isOwn()) {
-      members.forEach(this::planPause);
+    events.at(START_US, this::arrive);
+    if (isMassCrash()) {
+      events.at(
+          START_US + scenario.fromUs(),
+          () -> kill(scenario.disturbance() == FleetScenario.Disturbance.CRASHES ? CRASHES : 0));
+    } else if (scenario.disturbance() == FleetScenario.Disturbance.ROLL) {
+      members.forEach(this::scheduleRestart);
+    } else if (scenario.disturbance().pausesCouriers()) {
+      members.forEach(this::schedulePauses);
     }
-    long lifeUs = 0;
-    for (final MessageClass kind : day.settings().classes()) {
-      lifeUs = Math.max(lifeUs, kind.deadlineUs());
+    long maxDeadlineUs = 0;
+    for (final MessageClass kind : scenario.settings().classes()) {
+      maxDeadlineUs = Math.max(maxDeadlineUs, kind.deadlineUs());
     }
-    final long endUs = START_US + day.lengthUs() + 2 * lifeUs;
-    boolean goesOn = true;
-    while (goesOn) {
-      goesOn = agenda.step(endUs);
+    final long endUs = START_US + scenario.lengthUs() + 2 * maxDeadlineUs;
+    boolean hasMore = true;
+    while (hasMore) {
+      hasMore = events.step(endUs);
       members.forEach(SimulatedCourier::pass);
     }
     members.forEach(SimulatedCourier::close);
-    services.forEach(service -> tally.coldBudget(service.mostOfColdBudget()));
+    services.forEach(service -> statistics.coldBudget(service.maxColdBudgetShare()));
     services.stream()
-        .filter(SimulatedService::isFallen)
-        .forEach(fallen -> tally.broke("a returning destination was pushed over"));
+        .filter(SharedDestination::hasCollapsed)
+        .forEach(collapsed -> statistics.violated("a returning destination collapsed"));
   }
 
-  DeliveryController make(final int courier, final DeliveryActions actions) {
-    return maker.make(day.settingsOf(courier), random.nextLong(), actions);
+  DeliveryController create(final int courier, final DeliveryActions actions) {
+    return factory.create(scenario.settingsOf(courier), random.nextLong(), actions);
   }
 
-  /** The list as a courier is given it. */
+  /** The endpoint list that discovery returns. */
   List<Endpoint> list() {
     final List<Endpoint> entries = new ArrayList<>();
     for (int index = 0; index < services.size(); index++) {
-      final FleetDay.Destination shape = services.get(index).shape;
+      final FleetScenario.Destination shape = services.get(index).shape;
       for (int place = 0; place < shape.endpoints(); place++) {
         entries.add(
             new Endpoint(
                 number(index, place),
                 EndpointState.LISTED,
-                FleetDay.zone(place),
+                FleetScenario.zone(place),
                 shape.ratePerSecond(),
                 shape.messagesPerCall() > 1 ? 1 : 0,
                 index));
@@ -204,39 +211,43 @@
   }
 
   private static long number(final int destination, final int place) {
-    return 1L + (long) destination * MOST_PLACES + place;
+    return 1L + (long) destination * MAX_ENDPOINTS + place;
   }
 
   static int destination(final long endpoint) {
-    return (int) ((endpoint - 1) / MOST_PLACES);
+    return (int) ((endpoint - 1) / MAX_ENDPOINTS);
   }
 
   static int place(final long endpoint) {
-    return (int) ((endpoint - 1) % MOST_PLACES);
+    return (int) ((endpoint - 1) % MAX_ENDPOINTS);
   }
 
-  /** One way between a courier and an endpoint, with some jitter, us. */
+  /** One-way latency between a courier and an endpoint, with jitter, us. */
   long wayUs(final int courier, final long endpoint) {
     final long meanUs =
-        FleetDay.zone(courier).equals(FleetDay.zone(place(endpoint))) ? NEAR_US : FAR_US;
+        FleetScenario.zone(courier).equals(FleetScenario.zone(place(endpoint)))
+            ? SAME_ZONE_US
+            : OTHER_ZONE_US;
     return (long) (meanUs * (0.9 + 0.2 * random.nextDouble()));
   }
 
   // ---------------------------------------------------------------- clients
 
   private void arrive() {
-    final long sinceUs = agenda.nowUs() - START_US - day.fromUs();
+    final long sinceUs = events.nowUs() - START_US - scenario.fromUs();
     final boolean burst =
-        day.trouble() == FleetDay.Trouble.BURST && sinceUs >= 0 && sinceUs < BURST_US;
-    final double perSecond = day.perSecond() * (burst ? BURST : 1);
+        scenario.disturbance() == FleetScenario.Disturbance.BURST
+            && sinceUs >= 0
+            && sinceUs < BURST_US;
+    final double perSecond = scenario.perSecond() * (burst ? BURST : 1);
     final long gapUs = (long) (random.nextExponential() / perSecond * SECOND_US);
-    if (agenda.nowUs() + gapUs < START_US + day.lengthUs()) {
-      agenda.in(
+    if (events.nowUs() + gapUs < START_US + scenario.lengthUs()) {
+      events.in(
           gapUs,
           () -> {
-            final int kind = random.nextInt(day.settings().classes().size());
-            tally.handed(day.settings().classes().get(kind).priorityWeight());
-            hand(kind, destination(), agenda.nowUs());
+            final int kind = random.nextInt(scenario.settings().classes().size());
+            statistics.handed(scenario.settings().classes().get(kind).priorityWeight());
+            hand(kind, destination(), events.nowUs());
             arrive();
           });
     }
@@ -252,41 +263,43 @@
   }
 
   /**
-   * A message first handed in at that moment; its time goes on running while it finds no courier.
+   * Hands in a message that was first handed in at {@code handedUs}; its deadline counts from then,
+   * also while no courier accepts it.
    */
   void hand(final int kind, final int destination, final long handedUs) {
-    final MessageClass its = day.settings().classes().get(kind);
+    final MessageClass its = scenario.settings().classes().get(kind);
     final long untilUs = handedUs + its.deadlineUs();
-    if (agenda.nowUs() >= untilUs) {
+    if (events.nowUs() >= untilUs) {
       return;
     }
     final List<SimulatedCourier> seen =
-        members.stream().filter(SimulatedCourier::isBelievedUp).toList();
+        members.stream().filter(SimulatedCourier::isRoutedTo).toList();
     final SimulatedCourier member = seen.isEmpty() ? null : drawn(seen);
     if (member != null && member.isUp()) {
-      member.take(new Open("m" + messages++, kind, its, destination, handedUs, untilUs));
+      member.take(new PendingMessage("m" + messages++, kind, its, destination, handedUs, untilUs));
     } else {
-      agenda.in(AGAIN_US, () -> hand(kind, destination, handedUs));
+      events.in(RESUBMIT_US, () -> hand(kind, destination, handedUs));
     }
   }
 
-  /** One of these, as the day loads them. */
+  /** Selects one of the couriers at random, weighted by the loads of the scenario. */
   private SimulatedCourier drawn(final List<SimulatedCourier> seen) {
-    if (day.loads().isEmpty()) {
+    if (scenario.loads().isEmpty()) {
       return seen.get(random.nextInt(seen.size()));
     }
     double draw =
-        random.nextDouble() * seen.stream().mapToDouble(one -> day.loads().get(one.index)).sum();
+        random.nextDouble()
+            * seen.stream().mapToDouble(one -> scenario.loads().get(one.index)).sum();
     int place = 0;
-    while (place < seen.size() - 1 && draw >= day.loads().get(seen.get(place).index)) {
-      draw -= day.loads().get(seen.get(place++).index);
+    while (place < seen.size() - 1 && draw >= scenario.loads().get(seen.get(place).index)) {
+      draw -= scenario.loads().get(seen.get(place++).index);
     }
     return seen.get(place);
   }
 
-  /** What a message is worth that is delivered now. */
-  double worth(final Open open) {
-    final long ageUs = agenda.nowUs() - open.handedUs;
+  /** The value of a message that is delivered now. */
+  double worth(final PendingMessage open) {
+    final long ageUs = events.nowUs() - open.handedUs;
     final MessageClass kind = open.kind;
     if (ageUs <= kind.latencyObjectiveUs()) {
       return kind.priorityWeight();
@@ -299,20 +312,21 @@
     return kind.priorityWeight() * (1 - late * (1 - kind.lateWeight()));
   }
 
-  // ---------------------------------------------------------------- trouble
+  // ---------------------------------------------------------------- disturbances
 
-  private boolean isHerd() {
-    return day.trouble() == FleetDay.Trouble.HERD || day.trouble() == FleetDay.Trouble.CRASHES;
+  private boolean isMassCrash() {
+    return scenario.disturbance() == FleetScenario.Disturbance.HERD
+        || scenario.disturbance() == FleetScenario.Disturbance.CRASHES;
   }
 
-  /** It stands still, as the day has it. */
-  private void planPause(final SimulatedCourier member) {
-    final long fromUs = START_US + day.fromUs();
-    switch (day.trouble()) {
+  /** Schedules the pauses of a courier. */
+  private void schedulePauses(final SimulatedCourier member) {
+    final long fromUs = START_US + scenario.fromUs();
+    switch (scenario.disturbance()) {
       case PAUSED_TENTH -> pause(member, 10, fromUs, PAUSE_US);
       case PAUSED_THIRD -> pause(member, 3, fromUs, PAUSE_US);
       case PAUSED_ALL ->
-          pause(member, 1, fromUs + PAUSE_US * member.index / day.couriers(), PAUSE_US);
+          pause(member, 1, fromUs + PAUSE_US * member.index / scenario.couriers(), PAUSE_US);
       case PAUSED_ZONE -> pause(member, 1, fromUs, SHORT_PAUSE_US);
       default -> {
         for (int slice = 0; slice < STARVED_SLICES; slice++) {
@@ -325,32 +339,32 @@
   private void pause(
       final SimulatedCourier member, final int oneIn, final long fromUs, final long forUs) {
     if (member.index % oneIn == 0) {
-      agenda.at(fromUs, () -> member.freeze(fromUs + forUs));
-      agenda.at(fromUs + forUs, member::thaw);
+      events.at(fromUs, () -> member.pause(fromUs + forUs));
+      events.at(fromUs + forUs, member::resume);
     }
   }
 
-  /** It is restarted with its tenth; every second one is told before. */
-  private void planRestart(final SimulatedCourier member) {
+  /** Schedules the restart of a courier with its tenth; every second one shuts down gracefully. */
+  private void scheduleRestart(final SimulatedCourier member) {
     final long stepUs =
-        START_US + day.fromUs() + ROLL_US * (member.index * ROLL_STEPS / day.couriers());
-    final boolean told = member.index % 2 == 0;
-    if (told) {
-      agenda.at(stepUs, () -> member.stop(agenda.nowUs() + STOP_US));
-      agenda.at(stepUs + NOTICED_US / 2, member::noticed);
+        START_US + scenario.fromUs() + ROLL_US * (member.index * ROLL_STEPS / scenario.couriers());
+    final boolean graceful = member.index % 2 == 0;
+    if (graceful) {
+      events.at(stepUs, () -> member.stop(events.nowUs() + STOP_US));
+      events.at(stepUs + NOTICED_US / 2, member::updateRouting);
     }
-    agenda.at(
-        stepUs + (told ? STOP_US : 0),
+    events.at(
+        stepUs + (graceful ? STOP_US : 0),
         () -> {
           member.kill();
-          agenda.in(NOTICED_US, member::noticed);
-          agenda.in(RESTART_US + NOTICED_US / 2, member::start);
+          events.in(NOTICED_US, member::updateRouting);
+          events.in(RESTART_US + NOTICED_US / 2, member::start);
         });
   }
 
   private void kill(final int again) {
     for (final SimulatedCourier member : members) {
-      if (member.index % 3 < KILLED_OF_THREE && day.couriers() > 1) {
+      if (member.index % 3 < KILLED_OF_THREE && scenario.couriers() > 1) {
         kill(member, again);
       }
     }
@@ -358,10 +372,10 @@
 
   private void kill(final SimulatedCourier member, final int again) {
     member.kill();
-    agenda.in(NOTICED_US, member::noticed);
-    agenda.in(DEAD_US, member::start);
+    events.in(NOTICED_US, member::updateRouting);
+    events.in(DOWN_US, member::start);
     if (again > 0) {
-      agenda.in(DEAD_US + CRASH_US, () -> kill(member, again - 1));
+      events.in(DOWN_US + CRASH_US, () -> kill(member, again - 1));
     }
   }
 }
--- a/lab/src/main/java/thistleturn/lab/fleet/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Many couriers in virtual time against partners and a discovery that they share, with the troubles
- * of a large fleet.
+ * Simulation in virtual time of many couriers that share destinations and discovery, with the
+ * troubles of a large fleet.
  */
 package thistleturn.lab.fleet;
--- a/lab/src/main/java/thistleturn/lab/model/CallFault.java
+++ b/lab/src/main/java/thistleturn/lab/model/CallFault.java
@@ -1,17 +1,17 @@
 package thistleturn.lab.model;
 
-/** What happens to a call on its way or at its endpoint, whatever the load is. */
+/** What happens to a call on its way or at its endpoint, independent of load. */
 public enum CallFault {
-  /** It is served, if there is room. */
+  /** The call is served, if the limit admits it. */
   SERVE,
-  /** It is answered that there is no room. */
+  /** The endpoint rejects the call. */
   REFUSE,
-  /** It runs, and its connection is reset. */
+  /** The call runs, and its connection is reset. */
   RESET,
-  /** It runs, and is answered that it failed. */
+  /** The call runs, and the endpoint answers with an error. */
   ERROR,
-  /** It runs, and is never answered. */
-  SILENT,
-  /** No connection is made. */
+  /** The call runs, and is never answered. */
+  UNRESPONSIVE,
+  /** No connection can be established. */
   UNREACHABLE
 }
--- a/lab/src/main/java/thistleturn/lab/model/Fault.java
+++ b/lab/src/main/java/thistleturn/lab/model/Fault.java
@@ -2,19 +2,19 @@
 
 import java.util.random.RandomGenerator;
 
-/** Trouble that does not answer to load. */
+/** A fault that does not depend on load. */
 @FunctionalInterface
 public interface Fault {
-  /** Nothing is wrong. */
+  /** No fault. */
   Fault NONE = (nowUs, endpoint, kind, random) -> CallFault.SERVE;
 
   /**
-   * What becomes of a call of a class that comes to an endpoint of its partner (0, 1, ...) at a
-   * moment.
+   * Decides what happens to a call of a message class that arrives at an endpoint of its
+   * destination (0, 1, ...).
    */
   CallFault of(long nowUs, int endpoint, int kind, RandomGenerator random);
 
-  /** Each call by itself, with these shares. */
+  /** Affects each call independently, with these probabilities. */
   static Fault shares(
       final double refused, final double reset, final double error, final double silent) {
     return (nowUs, endpoint, kind, random) -> {
@@ -25,23 +25,25 @@
               ? CallFault.RESET
               : draw < refused + reset + error
                   ? CallFault.ERROR
-                  : draw < refused + reset + error + silent ? CallFault.SILENT : CallFault.SERVE;
+                  : draw < refused + reset + error + silent
+                      ? CallFault.UNRESPONSIVE
+                      : CallFault.SERVE;
     };
   }
 
-  /** This one between two moments, and another before and after. */
+  /** This fault from {@code fromUs} until {@code toUs}, and {@code otherwise} before and after. */
   default Fault between(final long fromUs, final long toUs, final Fault otherwise) {
     return (nowUs, endpoint, kind, random) ->
         (nowUs >= fromUs && nowUs < toUs ? this : otherwise).of(nowUs, endpoint, kind, random);
   }
 
-  /** This one at one endpoint alone. */
+  /** This fault at one endpoint only. */
   default Fault atEndpoint(final int only) {
     return (nowUs, endpoint, kind, random) ->
         endpoint == only ? of(nowUs, endpoint, kind, random) : CallFault.SERVE;
   }
 
-  /** This one for one class alone. */
+  /** This fault for one message class only. */
   default Fault forClass(final int only) {
     return (nowUs, endpoint, kind, random) ->
         kind == only ? of(nowUs, endpoint, kind, random) : CallFault.SERVE;
--- a/lab/src/main/java/thistleturn/lab/model/Limit.java
+++ b/lab/src/main/java/thistleturn/lab/model/Limit.java
@@ -4,65 +4,73 @@
 import java.util.Deque;
 
 /**
- * What a partner takes: calls in spans, tokens, calls at once, or a queue before so many servers.
- * Refused ones may count.
+ * The limit of a destination: calls per window, a token bucket, concurrent calls, or a queue before
+ * a number of servers. Rejected calls may count towards it.
  */
 public interface Limit {
-  /** A second, us. */
+  /** One second, us. */
   long SECOND_US = 1_000_000;
 
-  /** True if a call that comes now is taken; each that is taken ends once by {@link #ended}. */
+  /**
+   * True if a call that arrives now is accepted; {@link #ended} follows once for each accepted
+   * call.
+   */
   boolean takes(long nowUs);
 
-  /** A call that was taken is over. */
+  /** Reports the end of an accepted call. */
   default void ended(final long nowUs) {}
 
   /**
-   * How long a call taken now waits until it is served, us, given that serving it takes so long.
+   * Time that a call accepted now waits before it is served, us; serving it then takes {@code
+   * serviceUs}.
    */
   default long queueUs(final long nowUs, final long serviceUs) {
     return 0;
   }
 
-  /** The wait told with a refusal now, us; 0: none. */
+  /** Retry-After of a rejection now, us; 0 for none. */
   default long waitUs(final long nowUs) {
     return 0;
   }
 
-  /** Any number of calls. */
+  /** No limit. */
   static Limit none() {
     return nowUs -> true;
   }
 
-  /** So many calls in each span; a refusal tells the span's end, or nothing. */
-  static Limit spans(final int calls, final long spanUs, final boolean tellsWait) {
-    return new Spans(calls, spanUs, tellsWait);
+  /**
+   * A number of calls in each fixed window; with {@code tellsWait}, a rejection carries the time
+   * until the window's end as Retry-After.
+   */
+  static Limit fixedWindow(final int calls, final long spanUs, final boolean tellsWait) {
+    return new FixedWindow(calls, spanUs, tellsWait);
   }
 
   /**
-   * So many calls in any span, those it refused included: one that is called at just its rate
-   * refuses for as long as that goes on. A refusal tells a wait, us, or (0) nothing.
+   * A number of calls in any window, rejected ones included: a sender that keeps calling above the
+   * rate is rejected for as long as it does so. {@code waitUs} is the Retry-After of a rejection, 0
+   * for none.
    */
-  static Limit sliding(final double calls, final long spanUs, final long waitUs) {
-    return new Sliding(calls, spanUs, waitUs);
+  static Limit slidingWindow(final double calls, final long spanUs, final long waitUs) {
+    return new SlidingWindow(calls, spanUs, waitUs);
   }
 
-  /** So many calls a second, and so many at once after a rest. */
-  static Limit tokens(final double perSecond, final double burst) {
-    return new Tokens(perSecond, burst);
+  /** A token bucket with a rate per second and a burst size. */
+  static Limit tokenBucket(final double perSecond, final double burst) {
+    return new TokenBucket(perSecond, burst);
   }
 
-  /** So many calls at once. */
+  /** A number of concurrent calls. */
   static Limit concurrency(final int calls) {
     return new Queue(calls, 0);
   }
 
-  /** So many servers, and so many calls that wait for one. */
+  /** A number of servers, and a queue of limited length before them. */
   static Limit queue(final int servers, final int places) {
     return new Queue(servers, places);
   }
 
-  /** One limit up to a moment, another from then on. */
+  /** This limit until {@code untilUs}, and {@code next} from then on. */
   default Limit until(final long untilUs, final Limit next) {
     final Limit first = this;
     return new Limit() {
@@ -78,15 +86,15 @@
     };
   }
 
-  /** Calls counted in fixed spans of the clock. */
-  final class Spans implements Limit {
+  /** Counts calls in fixed windows of the clock. */
+  final class FixedWindow implements Limit {
     private final int most;
     private final long spanUs;
     private final boolean tellsWait;
     private long span = Long.MIN_VALUE;
     private int taken;
 
-    Spans(final int most, final long spanUs, final boolean tellsWait) {
+    FixedWindow(final int most, final long spanUs, final boolean tellsWait) {
       this.most = most;
       this.spanUs = spanUs;
       this.tellsWait = tellsWait;
@@ -107,14 +115,14 @@
     }
   }
 
-  /** Calls counted in the span that ends now, refused ones too. */
-  final class Sliding implements Limit {
+  /** Counts calls, rejected ones included, in the window that ends now. */
+  final class SlidingWindow implements Limit {
     private final double most;
     private final long spanUs;
     private final long waitUs;
     private final Deque<Long> came = new ArrayDeque<>();
 
-    Sliding(final double most, final long spanUs, final long waitUs) {
+    SlidingWindow(final double most, final long spanUs, final long waitUs) {
       this.most = most;
       this.spanUs = spanUs;
       this.waitUs = waitUs;
@@ -136,13 +144,13 @@
   }
 
   /** A token bucket. */
-  final class Tokens implements Limit {
+  final class TokenBucket implements Limit {
     private final double perSecond;
     private final double burst;
     private double tokens;
     private long atUs;
 
-    Tokens(final double perSecond, final double burst) {
+    TokenBucket(final double perSecond, final double burst) {
       this.perSecond = perSecond;
       this.burst = burst;
       this.tokens = burst;
@@ -160,7 +168,7 @@
     }
   }
 
-  /** Servers, and places before them; first come, first served. */
+  /** Servers with a first-come, first-served queue. */
   final class Queue implements Limit {
     private final int servers;
     private final int places;
--- a/lab/src/main/java/thistleturn/lab/model/SlowStartModel.java
+++ b/lab/src/main/java/thistleturn/lab/model/SlowStartModel.java
@@ -4,11 +4,11 @@
 import java.util.Deque;
 
 /**
- * A partner that is out for a while and comes back cold: its capacity rises evenly from a share to
- * the whole. Sent more than a multiple of what it can do at that moment, over a span of time, it
- * falls over and stays down. What all senders together may send in such a span is N, that multiple
- * of its present capacity, and 2 x root of N + 2 for chance. The figures are those of the rule on
- * returning destinations.
+ * A destination that has an outage and returns cold: its capacity rises linearly from a share to
+ * full capacity. If it gets more than a multiple of its present capacity within a window, it
+ * collapses and stays down. All senders together may send N + 2 x sqrt(N) + 2 calls in such a
+ * window, where N is that multiple of its present capacity and the rest allows for random
+ * variation. The figures are those of the rule on returning destinations.
  */
 public final class SlowStartModel {
   private final long fromUs;
@@ -17,16 +17,16 @@
   private final double coldFrom;
   private final long coldUs;
   private final double multiple;
-  private final long fallUs;
+  private final long collapseWindowUs;
   private final Deque<Long> arrivals = new ArrayDeque<>();
   private double room = 1;
   private long roomUs;
-  private boolean fallen;
-  private double mostOfBudget;
+  private boolean collapsed;
+  private double maxBudgetShare;
 
   /**
-   * Out between two moments; then warm within {@code coldUs}. {@code perSecond}: its whole
-   * capacity, calls.
+   * Creates a destination that is out from {@code fromUs} until {@code toUs} and warm {@code
+   * coldUs} later. {@code perSecond} is its full capacity in calls a second.
    */
   public SlowStartModel(
       final long fromUs,
@@ -35,36 +35,36 @@
       final double coldFrom,
       final long coldUs,
       final double multiple,
-      final long fallUs) {
+      final long collapseWindowUs) {
     this.fromUs = fromUs;
     this.toUs = toUs;
     this.perSecond = perSecond;
     this.coldFrom = coldFrom;
     this.coldUs = coldUs;
     this.multiple = multiple;
-    this.fallUs = fallUs;
+    this.collapseWindowUs = collapseWindowUs;
   }
 
-  /** What becomes of a call that comes now: nothing to connect to, no room, or it may be served. */
+  /** Decides about a call that arrives now: unreachable, rejected or served. */
   public CallFault arrives(final long nowUs) {
-    if (fallen || (nowUs >= fromUs && nowUs < toUs)) {
+    if (collapsed || (nowUs >= fromUs && nowUs < toUs)) {
       return CallFault.UNREACHABLE;
     }
     arrivals.add(nowUs);
-    while (arrivals.peekFirst() <= nowUs - fallUs) {
+    while (arrivals.peekFirst() <= nowUs - collapseWindowUs) {
       arrivals.removeFirst();
     }
-    // Once it is warm, more than it can do is refused, and no more than that.
-    if (nowUs >= toUs && nowUs < toUs + coldUs + fallUs) {
-      final double bears = multiple * perSecond * share(nowUs) * fallUs / Limit.SECOND_US;
+    // After the warm-up, excess calls are rejected, but no longer make it collapse.
+    if (nowUs >= toUs && nowUs < toUs + coldUs + collapseWindowUs) {
+      final double bears = multiple * perSecond * share(nowUs) * collapseWindowUs / Limit.SECOND_US;
       final double budget = bears + 2 * Math.sqrt(bears) + 2;
-      mostOfBudget = Math.max(mostOfBudget, arrivals.size() / budget);
+      maxBudgetShare = Math.max(maxBudgetShare, arrivals.size() / budget);
       if (arrivals.size() > budget) {
-        fallen = true;
+        collapsed = true;
         return CallFault.UNREACHABLE;
       }
     }
-    // A small queue: what is over the present capacity is refused.
+    // A small queue: calls above the present capacity are rejected.
     room =
         Math.min(
             Math.max(1, perSecond / 4),
@@ -77,7 +77,7 @@
     return CallFault.SERVE;
   }
 
-  /** Calls that it can do between two moments after its return. */
+  /** Calls that it can serve between two times after its return. */
   private double capacity(final long sinceUs, final long untilUs) {
     return perSecond
         * (share(sinceUs) + share(untilUs))
@@ -92,13 +92,13 @@
         : coldFrom + (1 - coldFrom) * Math.min(1, Math.max(0, atUs - toUs) / (double) coldUs);
   }
 
-  /** The most that was sent in a span after its return, as a share of what it bore then. */
-  public double mostOfBudget() {
-    return mostOfBudget;
+  /** The highest number of calls in a window after its return, as a share of what it could bear. */
+  public double maxBudgetShare() {
+    return maxBudgetShare;
   }
 
-  /** True if it was pushed over. */
-  public boolean isFallen() {
-    return fallen;
+  /** True if it has collapsed. */
+  public boolean hasCollapsed() {
+    return collapsed;
   }
 }
--- a/lab/src/main/java/thistleturn/lab/model/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/model/package-info.java
@@ -1,2 +1,2 @@
-/** Partners: how long they serve, what they take, what goes wrong there. */
+/** Models of destinations: service time, limits, faults and outages. */
 package thistleturn.lab.model;
--- a/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
+++ b/lab/src/main/java/thistleturn/lab/policy/SimpleSender.java
@@ -19,25 +19,25 @@
 import thistleturn.decisions.model.PriorAttempts;
 
 /**
- * What a plain sender does, to be compared with: a window for each destination, fixed or moved by
- * additive increase and multiplicative decrease (RFC 5681's rule, on calls), endpoints in turn,
- * first come first served, and a further attempt at once. It keeps the rules on effects, attempts
- * and waits, as any sender must here.
+ * Baseline sender: a concurrency window for each destination, fixed or adapted by additive increase
+ * and multiplicative decrease (the rule of RFC 5681, applied to calls), round-robin over endpoints,
+ * first come, first served, and immediate retries. It respects idempotence, the attempt limit and
+ * Retry-After, as every sender must here.
  */
 public final class SimpleSender implements DeliveryController {
   private static final long END_MARGIN_US = 12_000;
   private static final long TIMEOUT_US = 1_000_000;
-  private static final double LEAST = 1;
+  private static final double MIN_WINDOW = 1;
 
   private final DeliverySettings settings;
   private final DeliveryActions actions;
-  private final boolean moves;
+  private final boolean adaptive;
   private final double startWindow;
-  private final Map<Long, Lane> lanes = new LinkedHashMap<>();
+  private final Map<Long, Route> routes = new LinkedHashMap<>();
   private final Map<String, Item> items = new HashMap<>();
   private int out;
 
-  private static final class Lane {
+  private static final class Route {
     private final List<Long> endpoints = new ArrayList<>();
     private final ArrayDeque<Item> waiting = new ArrayDeque<>();
     private double window;
@@ -63,53 +63,53 @@
   private SimpleSender(
       final DeliverySettings settings,
       final DeliveryActions actions,
-      final boolean moves,
+      final boolean adaptive,
       final double window) {
     this.settings = settings;
     this.actions = actions;
-    this.moves = moves;
+    this.adaptive = adaptive;
     this.startWindow = window;
   }
 
-  /** Additive increase, multiplicative decrease. */
+  /** A window with additive increase and multiplicative decrease. */
   public static DeliveryController aimd(
       final DeliverySettings settings, final DeliveryActions actions) {
     return new SimpleSender(settings, actions, true, 2);
   }
 
-  /** Three quarters of the slots at most for a destination, always. */
+  /** A fixed window of three quarters of the concurrency limit for each destination. */
   public static DeliveryController fixedWindow(
       final DeliverySettings settings, final DeliveryActions actions) {
     return new SimpleSender(settings, actions, false, 0.75 * settings.limits().concurrencyLimit());
   }
 
-  private Lane lane(final long destination) {
-    return lanes.computeIfAbsent(
+  private Route route(final long destination) {
+    return routes.computeIfAbsent(
         destination,
         id -> {
-          final Lane lane = new Lane();
-          lane.window = startWindow;
-          return lane;
+          final Route route = new Route();
+          route.window = startWindow;
+          return route;
         });
   }
 
   @Override
   public void onEndpointList(
       final long nowUs, final EndpointUpdate update, final List<Endpoint> entries) {
-    entries.forEach(entry -> lane(entry.destinationId()).endpoints.add(entry.id()));
+    entries.forEach(entry -> route(entry.destinationId()).endpoints.add(entry.id()));
   }
 
   @Override
   public void onMessage(final long nowUs, final Message message) {
     final Item item = new Item(message, settings.classes().get(message.classIndex()));
     items.put(message.id(), item);
-    lane(message.destinationId()).waiting.add(item);
+    route(message.destinationId()).waiting.add(item);
     actions.scheduleDecision(message.validUntilUs() - END_MARGIN_US - nowUs);
   }
 
   @Override
   public void onMessageResumed(final long nowUs, final Message message, final PriorAttempts past) {
-    throw new UnsupportedOperationException("a plain sender remembers nothing");
+    throw new UnsupportedOperationException("a simple sender does not resume messages");
   }
 
   @Override
@@ -124,48 +124,48 @@
   @Override
   public void onOutcome(final long nowUs, final AttemptOutcome outcome) {
     final Item item = items.get(outcome.messageId());
-    final Lane lane = lane(item.message.destinationId());
+    final Route route = route(item.message.destinationId());
     out--;
-    lane.out--;
-    lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + outcome.retryAfterUs());
+    route.out--;
+    route.waitUntilUs = Math.max(route.waitUntilUs, nowUs + outcome.retryAfterUs());
     if (outcome.result() == AttemptResult.DELIVERED) {
-      lane.window += moves ? 1 / lane.window : 0;
+      route.window += adaptive ? 1 / route.window : 0;
       items.remove(outcome.messageId());
       return;
     }
     if (!outcome.result().neverExecuted()) {
       item.firstRunUs = Math.min(item.firstRunUs, item.sentUs);
     }
-    if (moves && item.sentUs >= lane.cutUs) {
-      lane.window = Math.max(LEAST, lane.window / 2);
-      lane.cutUs = nowUs;
+    if (adaptive && item.sentUs >= route.cutUs) {
+      route.window = Math.max(MIN_WINDOW, route.window / 2);
+      route.cutUs = nowUs;
     }
-    lane.waiting.addFirst(item);
+    route.waiting.addFirst(item);
   }
 
   @Override
   public void decide(final long nowUs) {
-    for (final Lane lane : lanes.values()) {
-      lane.waiting.removeIf(item -> isOver(item, nowUs));
-      while (!lane.waiting.isEmpty()
-          && nowUs >= lane.waitUntilUs
-          && lane.out < (int) lane.window
+    for (final Route route : routes.values()) {
+      route.waiting.removeIf(item -> isOver(item, nowUs));
+      while (!route.waiting.isEmpty()
+          && nowUs >= route.waitUntilUs
+          && route.out < (int) route.window
           && out < settings.limits().concurrencyLimit()) {
-        final Item item = lane.waiting.poll();
+        final Item item = route.waiting.poll();
         item.attempts++;
         item.sentUs = nowUs;
         out++;
-        lane.out++;
+        route.out++;
         final long leftUs = item.message.validUntilUs() - nowUs;
         actions.send(
             item.message.id(),
-            lane.endpoints.get(lane.next++ % lane.endpoints.size()),
+            route.endpoints.get(route.next++ % route.endpoints.size()),
             item.kind.idempotence() == Idempotence.NON_IDEMPOTENT
                 ? leftUs
                 : Math.min(leftUs, TIMEOUT_US));
       }
-      if (!lane.waiting.isEmpty() && nowUs < lane.waitUntilUs) {
-        actions.scheduleDecision(lane.waitUntilUs - nowUs);
+      if (!route.waiting.isEmpty() && nowUs < route.waitUntilUs) {
+        actions.scheduleDecision(route.waitUntilUs - nowUs);
       }
     }
   }
--- a/lab/src/main/java/thistleturn/lab/policy/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Plain senders that the courier is compared with. */
+/** Simple sending policies that serve as a baseline for the courier. */
 package thistleturn.lab.policy;
--- a/lab/src/main/java/thistleturn/lab/virtual/CrashSchedule.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/CrashSchedule.java
@@ -1,17 +1,17 @@
 package thistleturn.lab.virtual;
 
 /**
- * A courier's process that is killed again and again: calls that are out break, open messages are
- * taken up from the journal by the next process, and nobody is answered meanwhile.
+ * Repeated crashes of a courier process: calls in flight break, the next process resumes the
+ * pending messages from the journal, and no client is answered in between.
  *
- * @param lives processes that are killed; one more lives on
- * @param leastLifeUs shortest life of one, us; lives are drawn evenly
- * @param mostLifeUs longest life, us
+ * @param crashes how many processes are killed; the process after the last crash keeps running
+ * @param minLifetimeUs shortest lifetime of a process, us; lifetimes are uniformly distributed
+ * @param maxLifetimeUs longest lifetime, us
  * @param startUs time from a kill until the next process serves, us
- * @param remembers true if the next process takes up what was learnt; else it begins anew
+ * @param keepsLearnedState true if the next process restores the learned state
  */
 public record CrashSchedule(
-    int lives, long leastLifeUs, long mostLifeUs, long startUs, boolean remembers) {
+    int crashes, long minLifetimeUs, long maxLifetimeUs, long startUs, boolean keepsLearnedState) {
   /** No process is killed. */
   public static final CrashSchedule NONE = new CrashSchedule(0, 0, 0, 0, false);
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/EventQueue.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/EventQueue.java
@@ -3,7 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: what is to happen, in the order of its moments, and of its planning among equals.
+ * Virtual clock with scheduled events, ordered by time and, at equal times, by when they were
+ * scheduled.
  */
 public final class EventQueue {
   private record Entry(long atUs, long number, Runnable what) {}
@@ -17,29 +18,29 @@
   private long nowUs;
   private long planned;
 
-  /** Begins at a moment, us. */
+  /** Starts the clock at {@code startUs}. */
   public EventQueue(final long startUs) {
     this.nowUs = startUs;
   }
 
-  /** The moment that it is, us. */
+  /** Current virtual time, us. */
   public long nowUs() {
     return nowUs;
   }
 
-  /** Plans something for a moment, or for now if that is past. */
+  /** Schedules an event at a time, or now if that time has passed. */
   public void at(final long atUs, final Runnable what) {
     entries.add(new Entry(Math.max(atUs, nowUs), planned++, what));
   }
 
-  /** Plans something for so long from now, us. */
+  /** Schedules an event after a delay, us. */
   public void in(final long delayUs, final Runnable what) {
     at(nowUs + delayUs, what);
   }
 
   /**
-   * Lets all happen that is planned for the next moment; false if that is after a given one, or
-   * never.
+   * Advances to the next scheduled time and runs all its events; returns false if none is scheduled
+   * up to {@code untilUs}.
    */
   public boolean step(final long untilUs) {
     if (entries.isEmpty() || entries.peek().atUs() > untilUs) {
--- a/lab/src/main/java/thistleturn/lab/virtual/Scenario.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/Scenario.java
@@ -12,28 +12,32 @@
 import thistleturn.lab.model.SimulatedDestination;
 
 /**
- * What is played: partners, traffic in open loop, and one courier's settings.
+ * Input of a simulated run: destinations, open-loop traffic and the settings of one courier.
  *
- * @param partners destinations
+ * @param destinations destinations
  * @param perSecond messages a second in all, as a Poisson process
- * @param lengthUs how long traffic lasts, us; then all that is open comes to its end
- * @param settings the courier's
- * @param weight the rate told in the list for each endpoint; 0: none
+ * @param lengthUs how long traffic lasts, us; afterwards the pending messages run to their final
+ *     outcomes
+ * @param settings settings of the courier
+ * @param weight rate of each endpoint in the endpoint list; 0 for none
  */
 public record Scenario(
-    List<SimulatedDestination> partners,
+    List<SimulatedDestination> destinations,
     double perSecond,
     long lengthUs,
     DeliverySettings settings,
     double weight) {
   private static final long SECOND_US = 1_000_000;
 
-  /** Three classes (safe, keyed with 1.5 s of memory, unsafe), 60 slots, 400 places. */
+  /**
+   * Settings with three classes (idempotent, idempotent by key with a deduplication window of 1.5
+   * s, non-idempotent), a concurrency limit of 60 and at most 400 pending messages.
+   */
   public static DeliverySettings settings(final WeightMeaning weights) {
     return settings(weights, SECOND_US);
   }
 
-  /** The same, where a destination that returns is warm within {@code coldUs}. */
+  /** As above, where a destination that returns from an outage is warm within {@code coldUs}. */
   public static DeliverySettings settings(final WeightMeaning weights, final long coldUs) {
     final List<MessageClass> classes =
         List.of(
--- a/lab/src/main/java/thistleturn/lab/virtual/ScenarioStatistics.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/ScenarioStatistics.java
@@ -3,42 +3,42 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was seen of one evening, from outside the courier. */
+/** Statistics of one simulated run, observed from outside the courier. */
 public final class ScenarioStatistics {
-  /** One second of it. */
+  /** Counts of one second of the run. */
   public static final class Second {
     private int handed;
     private int delivered;
     private int calls;
     private int refusedCalls;
 
-    /** Messages handed in; messages of that second's that were delivered. */
+    /** Messages handed in within this second. */
     public int handed() {
       return handed;
     }
 
-    /** Messages handed in within this second that were delivered in the end. */
+    /** Messages handed in within this second that were eventually delivered. */
     public int delivered() {
       return delivered;
     }
 
-    /** Calls that came to partners. */
+    /** Calls that arrived at destinations. */
     public int calls() {
       return calls;
     }
 
-    /** Of these, those refused. */
+    /** Rejected calls among them. */
     public int refusedCalls() {
       return refusedCalls;
     }
   }
 
   private final List<Second> seconds = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   /**
-   * Moments from the start of the traffic, us: when processes began to serve after a kill, and
-   * messages were served.
+   * Times from the start of the traffic, us: when processes began to serve after a crash, and when
+   * messages were delivered.
    */
   private final List<Long> starts = new ArrayList<>();
 
@@ -87,22 +87,22 @@
     served.add(atUs);
   }
 
-  /** When the last process began to serve, us; long ago if none was killed. */
+  /** When the last process began to serve after a crash, us; far in the past if none crashed. */
   long startedUs() {
     return starts.isEmpty() ? Long.MIN_VALUE / 2 : starts.get(starts.size() - 1);
   }
 
-  /** Processes that were killed and came back. */
+  /** Number of crashes that were followed by a restart. */
   public int kills() {
     return starts.size();
   }
 
   /**
-   * For each process after a kill, how long after it began to serve it had served, within a span,
-   * as many messages as a steady rate serves in it, us; one that was killed before that counts as
-   * long as it lived.
+   * For each process after a crash, the time from its start until it delivered, within {@code
+   * spanUs}, as many messages as {@code perSecond} implies, us. For a process that was killed
+   * before that, the time until its last delivery.
    */
-  public List<Long> untilRateUs(final double perSecond, final long spanUs) {
+  public List<Long> timeToRateUs(final double perSecond, final long spanUs) {
     final long wanted = Math.round(perSecond * spanUs / 1_000_000);
     final List<Long> times = new ArrayList<>();
     for (int process = 0; process < starts.size(); process++) {
@@ -133,18 +133,18 @@
     failed++;
   }
 
-  void broke(final String what) {
-    broken.add(what);
+  void violated(final String what) {
+    violations.add(what);
   }
 
-  /** Second by second, from the start of the traffic. */
+  /** Counts by second, from the start of the traffic. */
   public List<Second> seconds() {
     return seconds;
   }
 
-  /** Rules broken, in words. */
-  public List<String> broken() {
-    return broken;
+  /** Descriptions of the rules that were violated. */
+  public List<String> violations() {
+    return violations;
   }
 
   /** Messages handed in. */
@@ -157,17 +157,17 @@
     return delivered;
   }
 
-  /** Messages that ended undelivered: for want of room at the door, refused, failed. */
+  /** Messages that were not delivered: rejected for lack of room, shed or failed. */
   public int undelivered() {
     return turnedAway + refused + failed;
   }
 
-  /** Calls that came to partners. */
+  /** Calls that arrived at destinations. */
   public int calls() {
     return calls;
   }
 
-  /** Calls that were refused. */
+  /** Calls that were rejected. */
   public int refusedCalls() {
     return refusedCalls;
   }
@@ -177,13 +177,13 @@
     return (double) delivered / Math.max(1, handed);
   }
 
-  /** Calls for each message delivered. */
-  public double callsAMessage() {
+  /** Calls per delivered message. */
+  public double callsPerMessage() {
     return (double) calls / Math.max(1, delivered);
   }
 
-  /** Refused calls for each message handed in. */
-  public double refusedAMessage() {
+  /** Rejected calls per message handed in. */
+  public double refusedCallsPerMessage() {
     return (double) refusedCalls / Math.max(1, handed);
   }
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
@@ -26,38 +26,38 @@
 import thistleturn.lab.model.SimulatedDestination;
 
 /**
- * Plays an evening in virtual time: clients, one courier's decisions, partners. It does what a host
- * does (carries out actions, tells outcomes, ends calls at their time-outs) and watches the rules
- * from outside: no two copies out, none again that may have run beyond its effect's allowance,
- * waits heeded, no more attempts than allowed, one end for each message in time. The same seed
- * plays the same evening.
+ * Simulates clients, one courier's decisions and destinations in virtual time. It acts as the host
+ * (carries out actions, reports outcomes, ends calls at their timeouts) and checks the rules from
+ * outside: at most one attempt of a message in flight, no further attempt that its idempotence
+ * forbids, Retry-After respected, no more attempts than allowed, one final outcome for each message
+ * in time. The same seed gives the same run.
  */
 public final class VirtualCourier implements DeliveryActions {
-  /** Traffic begins so long after the clock's zero, us. */
+  /** Start of the traffic on the virtual clock, us. */
   private static final long START_US = 5_000_000;
 
-  /** One way between courier and partner, us. */
+  /** One-way latency between courier and destination, us. */
   private static final long WAY_US = 200;
 
   /**
-   * What was learnt is put down so often, us, and sooner after a lane went out or returns: as the
-   * courier does.
+   * Interval of saving the learned state, us; it is saved earlier after a circuit transition, as in
+   * the courier.
    */
-  private static final long KEEP_US = 1_000_000;
+  private static final long SAVE_US = 1_000_000;
 
-  private static final long LOOK_US = 200_000;
+  private static final long CHECK_US = 200_000;
 
-  /** After a start ends may be late for so long, us. */
+  /** Final outcomes may be late within this time after a start, us. */
   private static final long SETTLED_US = 1_500_000;
 
-  /** Makes the decisions that are played. */
+  /** Creates the controller under simulation. */
   @FunctionalInterface
-  public interface Maker {
-    /** A courier that asks the actions. */
-    DeliveryController make(DeliverySettings settings, long seed, DeliveryActions actions);
+  public interface ControllerFactory {
+    /** Creates a controller that requests its actions from {@code actions}. */
+    DeliveryController create(DeliverySettings settings, long seed, DeliveryActions actions);
   }
 
-  /** A message from its client's side and from its partner's. */
+  /** A message as seen by its client and by its destination. */
   private static final class Sent {
     private final Message message;
     private final MessageClass kind;
@@ -66,8 +66,8 @@
     private int attempts;
 
     /**
-     * When the first attempt began that may have run, by what a journal knows of it; below 0: none
-     * may.
+     * When the first attempt that may have run was sent, according to the journal; negative if none
+     * may have run.
      */
     private long mayHaveRunUs = -1;
 
@@ -79,13 +79,13 @@
       this.handedUs = handedUs;
     }
 
-    /** An attempt is over, and nothing says that it never ran. */
+    /** Records that an attempt is over and may have run. */
     void mayHaveRun(final Attempt attempt) {
       mayHaveRunUs = mayHaveRunUs < 0 ? attempt.sentUs : mayHaveRunUs;
     }
   }
 
-  private record Place(SimulatedDestination partner, int index) {}
+  private record Place(SimulatedDestination destination, int index) {}
 
   private static final class Attempt {
     private final Sent sent;
@@ -100,151 +100,161 @@
     }
   }
 
-  private final Scenario evening;
-  private final EventQueue agenda = new EventQueue(START_US);
+  private final Scenario scenario;
+  private final EventQueue events = new EventQueue(START_US);
   private final RandomGenerator random;
-  private final ScenarioStatistics tally = new ScenarioStatistics();
+  private final ScenarioStatistics statistics = new ScenarioStatistics();
   private final Map<String, Sent> open = new LinkedHashMap<>();
   private final Map<Long, Place> places = new HashMap<>();
   private final Map<Long, Long> waitUntilUs = new HashMap<>();
   private final List<Endpoint> entries = new ArrayList<>();
-  private final CrashSchedule kills;
+  private final CrashSchedule crashes;
   private final LongFunction<DeliveryController> next;
 
-  /**
-   * Kills draw on chance of their own: the traffic of an evening is the same with them and without.
-   */
-  private final RandomGenerator fates;
+  /** Separate random generator for crashes, so that traffic is the same with and without them. */
+  private final RandomGenerator crashRandom;
 
-  /** The process that runs; null while none does. */
+  /** The running process; null while there is none. */
   private DeliveryController courier;
 
-  private int lives;
+  private int incarnation;
 
-  /** What was put down of what was learnt, when, and how often a lane had turned by then. */
-  private LearnedState kept;
+  /** The saved learned state, when it was saved, and the number of circuit transitions by then. */
+  private LearnedState savedState;
 
-  private long keptUs;
-  private long keptTurns;
-  private double shares;
+  private long savedUs;
+  private long savedTransitions;
+  private double totalShares;
   private int messages;
 
   private VirtualCourier(
-      final Scenario evening, final CrashSchedule kills, final long seed, final Maker maker) {
-    this.evening = evening;
-    this.kills = kills;
+      final Scenario scenario,
+      final CrashSchedule crashes,
+      final long seed,
+      final ControllerFactory factory) {
+    this.scenario = scenario;
+    this.crashes = crashes;
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    this.fates = RandomGeneratorFactory.of("L64X128MixRandom").create(~seed);
-    this.next = life -> maker.make(evening.settings(), seed + life, this);
+    this.crashRandom = RandomGeneratorFactory.of("L64X128MixRandom").create(~seed);
+    this.next = number -> factory.create(scenario.settings(), seed + number, this);
     this.courier = next.apply(0);
   }
 
-  /** Plays an evening to its end. */
-  public static ScenarioStatistics play(
-      final Scenario evening, final long seed, final Maker maker) {
-    return play(evening, CrashSchedule.NONE, seed, maker);
+  /** Runs a scenario to its end. */
+  public static ScenarioStatistics run(
+      final Scenario scenario, final long seed, final ControllerFactory factory) {
+    return run(scenario, CrashSchedule.NONE, seed, factory);
   }
 
-  /** Plays an evening to its end, in which the courier is killed now and then. */
-  public static ScenarioStatistics play(
-      final Scenario evening, final CrashSchedule kills, final long seed, final Maker maker) {
-    final VirtualCourier world = new VirtualCourier(evening, kills, seed, maker);
-    world.list();
-    world.arrive();
-    world.live();
-    final long untilUs = START_US + evening.lengthUs();
-    long lifeUs = 0;
-    for (final MessageClass kind : evening.settings().classes()) {
-      lifeUs = Math.max(lifeUs, kind.deadlineUs());
+  /** Runs a scenario to its end, with crashes of the courier. */
+  public static ScenarioStatistics run(
+      final Scenario scenario,
+      final CrashSchedule crashes,
+      final long seed,
+      final ControllerFactory factory) {
+    final VirtualCourier simulation = new VirtualCourier(scenario, crashes, seed, factory);
+    simulation.list();
+    simulation.arrive();
+    simulation.scheduleCrash();
+    final long untilUs = START_US + scenario.lengthUs();
+    long maxDeadlineUs = 0;
+    for (final MessageClass kind : scenario.settings().classes()) {
+      maxDeadlineUs = Math.max(maxDeadlineUs, kind.deadlineUs());
     }
-    while (world.agenda.step(untilUs + lifeUs)) {
-      if (world.courier != null) {
-        world.courier.decide(world.agenda.nowUs());
+    while (simulation.events.step(untilUs + maxDeadlineUs)) {
+      if (simulation.courier != null) {
+        simulation.courier.decide(simulation.events.nowUs());
       }
     }
-    world.open.values().forEach(sent -> world.tally.broke("no end for " + sent.message.id()));
-    return world.tally;
+    simulation
+        .open
+        .values()
+        .forEach(
+            sent -> simulation.statistics.violated("no final outcome for  " + sent.message.id()));
+    return simulation.statistics;
   }
 
   private void list() {
     long number = 1;
-    for (final SimulatedDestination partner : evening.partners()) {
-      shares += partner.share();
-      for (int index = 0; index < partner.endpoints(); index++) {
-        places.put(number, new Place(partner, index));
+    for (final SimulatedDestination destination : scenario.destinations()) {
+      totalShares += destination.share();
+      for (int index = 0; index < destination.endpoints(); index++) {
+        places.put(number, new Place(destination, index));
         entries.add(
             new Endpoint(
                 number++,
                 EndpointState.LISTED,
                 index % 2 == 0 ? "a" : "b",
-                evening.weight(),
+                scenario.weight(),
                 0,
-                partner.id()));
+                destination.id()));
       }
     }
-    courier.onEndpointList(agenda.nowUs(), EndpointUpdate.COMPLETE_SNAPSHOT, entries);
+    courier.onEndpointList(events.nowUs(), EndpointUpdate.COMPLETE_SNAPSHOT, entries);
   }
 
   // ---------------------------------------------------------------- processes
 
-  private void live() {
-    if (lives >= kills.lives()) {
+  private void scheduleCrash() {
+    if (incarnation >= crashes.crashes()) {
       return;
     }
-    if (kills.remembers()) {
-      look();
+    if (crashes.keepsLearnedState()) {
+      checkLearnedState();
     }
-    agenda.in(
-        kills.leastLifeUs()
-            + (long) (fates.nextDouble() * (kills.mostLifeUs() - kills.leastLifeUs())),
+    events.in(
+        crashes.minLifetimeUs()
+            + (long)
+                (crashRandom.nextDouble() * (crashes.maxLifetimeUs() - crashes.minLifetimeUs())),
         this::kill);
   }
 
-  /** Looks now and then, while this process lives, whether what was learnt is to be put down. */
-  private void look() {
-    final int life = lives;
-    agenda.in(
-        LOOK_US,
+  /** Periodically checks, while this process runs, whether the learned state is to be saved. */
+  private void checkLearnedState() {
+    final int expected = incarnation;
+    events.in(
+        CHECK_US,
         () -> {
-          if (life == lives && courier instanceof OverloadController control) {
-            keep(control);
-            look();
+          if (incarnation == expected && courier instanceof OverloadController control) {
+            saveLearnedState(control);
+            checkLearnedState();
           }
         });
   }
 
-  private void keep(final OverloadController control) {
-    if (agenda.nowUs() - keptUs >= KEEP_US || control.circuitTransitions() != keptTurns) {
-      kept = control.learnedState();
-      keptUs = agenda.nowUs();
-      keptTurns = control.circuitTransitions();
+  private void saveLearnedState(final OverloadController control) {
+    if (events.nowUs() - savedUs >= SAVE_US || control.circuitTransitions() != savedTransitions) {
+      savedState = control.learnedState();
+      savedUs = events.nowUs();
+      savedTransitions = control.circuitTransitions();
     }
   }
 
   private void kill() {
     courier = null;
-    lives++;
+    incarnation++;
     open.values()
         .forEach(
             sent -> {
               if (sent.out != null) {
-                // Its partner may be at it: the journal knows of the attempt, and of no outcome.
+                // Its destination may be at it: the journal knows of the attempt, and of no
+                // outcome.
                 sent.mayHaveRun(sent.out);
                 sent.out.over = true;
                 sent.out = null;
               }
             });
     waitUntilUs.clear();
-    agenda.in(kills.startUs(), this::restart);
+    events.in(crashes.startUs(), this::restart);
   }
 
   private void restart() {
-    final long nowUs = agenda.nowUs();
-    courier = next.apply(lives);
+    final long nowUs = events.nowUs();
+    courier = next.apply(incarnation);
     courier.onEndpointList(nowUs, EndpointUpdate.RESTORED_SNAPSHOT, entries);
-    if (kept != null && courier instanceof OverloadController control) {
-      control.onLearnedState(nowUs, kept.aged(keptUs, nowUs));
-      keptTurns = control.circuitTransitions();
+    if (savedState != null && courier instanceof OverloadController control) {
+      control.onLearnedState(nowUs, savedState.aged(savedUs, nowUs));
+      savedTransitions = control.circuitTransitions();
     }
     for (final Sent sent : open.values()) {
       courier.onMessageResumed(
@@ -253,16 +263,16 @@
           new PriorAttempts(
               sent.attempts, sent.mayHaveRunUs >= 0, Math.max(0, sent.mayHaveRunUs), "a"));
     }
-    tally.started(nowUs - START_US);
-    live();
+    statistics.started(nowUs - START_US);
+    scheduleCrash();
   }
 
   // ---------------------------------------------------------------- clients
 
   private void arrive() {
-    final long gapUs = (long) (random.nextExponential() / evening.perSecond() * 1_000_000);
-    if (agenda.nowUs() + gapUs < START_US + evening.lengthUs()) {
-      agenda.in(
+    final long gapUs = (long) (random.nextExponential() / scenario.perSecond() * 1_000_000);
+    if (events.nowUs() + gapUs < START_US + scenario.lengthUs()) {
+      events.in(
           gapUs,
           () -> {
             hand();
@@ -272,21 +282,21 @@
   }
 
   private void hand() {
-    final long nowUs = agenda.nowUs();
+    final long nowUs = events.nowUs();
     if (courier == null) {
       return;
     }
-    tally.handed(nowUs - START_US);
-    final int index = random.nextInt(evening.settings().classes().size());
-    final MessageClass kind = evening.settings().classes().get(index);
-    double draw = random.nextDouble() * shares;
-    int partner = 0;
-    while (partner < evening.partners().size() - 1
-        && draw >= evening.partners().get(partner).share()) {
-      draw -= evening.partners().get(partner++).share();
+    statistics.handed(nowUs - START_US);
+    final int index = random.nextInt(scenario.settings().classes().size());
+    final MessageClass kind = scenario.settings().classes().get(index);
+    double draw = random.nextDouble() * totalShares;
+    int destination = 0;
+    while (destination < scenario.destinations().size() - 1
+        && draw >= scenario.destinations().get(destination).share()) {
+      draw -= scenario.destinations().get(destination++).share();
     }
-    if (open.size() >= evening.settings().limits().maxPendingMessages()) {
-      tally.turnedAway();
+    if (open.size() >= scenario.settings().limits().maxPendingMessages()) {
+      statistics.turnedAway();
       return;
     }
     final String id = "m" + messages++;
@@ -297,7 +307,7 @@
             -1,
             kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY ? id : null,
             nowUs + kind.deadlineUs(),
-            evening.partners().get(partner).id());
+            scenario.destinations().get(destination).id());
     open.put(id, new Sent(message, kind, nowUs));
     courier.onMessage(nowUs, message);
   }
@@ -306,70 +316,75 @@
 
   @Override
   public void send(final String messageId, final long endpoint, final long timeoutUs) {
-    final long nowUs = agenda.nowUs();
+    final long nowUs = events.nowUs();
     final Sent sent = open.get(messageId);
     final Place place = places.get(endpoint);
-    if (sent == null || place == null || place.partner().id() != sent.message.destinationId()) {
-      tally.broke("a call that no message asked for: " + messageId + " to " + endpoint);
+    if (sent == null || place == null || place.destination().id() != sent.message.destinationId()) {
+      statistics.violated(
+          "call without a pending message or to a wrong endpoint:  "
+              + messageId
+              + " to "
+              + endpoint);
       return;
     }
     if (sent.out != null) {
-      tally.broke("two copies out: " + messageId);
+      statistics.violated("two attempts in flight:  " + messageId);
     }
-    if (++sent.attempts > evening.settings().limits().maxAttempts()) {
-      tally.broke("attempt " + sent.attempts + ": " + messageId);
+    if (++sent.attempts > scenario.settings().limits().maxAttempts()) {
+      statistics.violated("attempt " + sent.attempts + ": " + messageId);
     }
-    if (nowUs < waitUntilUs.getOrDefault(place.partner().id(), 0L)) {
-      tally.broke("a wait not heeded: " + messageId);
+    if (nowUs < waitUntilUs.getOrDefault(place.destination().id(), 0L)) {
+      statistics.violated("sent before Retry-After elapsed:  " + messageId);
     }
     final Attempt attempt = new Attempt(sent, endpoint, nowUs);
     sent.out = attempt;
-    agenda.in(WAY_US, () -> reach(attempt, place));
-    agenda.in(timeoutUs, () -> end(attempt, AttemptResult.TIMED_OUT, 0));
+    events.in(WAY_US, () -> reach(attempt, place));
+    events.in(timeoutUs, () -> end(attempt, AttemptResult.TIMED_OUT, 0));
   }
 
-  /** A call comes to its endpoint. */
+  /** A call arrives at its endpoint. */
   private void reach(final Attempt attempt, final Place place) {
-    final long nowUs = agenda.nowUs();
+    final long nowUs = events.nowUs();
     final Sent sent = attempt.sent;
-    final SimulatedDestination partner = place.partner();
-    final CallFault fate = partner.fate(nowUs, place.index(), sent.message.classIndex(), random);
-    tally.called(nowUs - START_US);
-    if (fate == CallFault.UNREACHABLE) {
+    final SimulatedDestination destination = place.destination();
+    final CallFault fault =
+        destination.faultAt(nowUs, place.index(), sent.message.classIndex(), random);
+    statistics.called(nowUs - START_US);
+    if (fault == CallFault.UNREACHABLE) {
       back(attempt, AttemptResult.NO_CONNECTION, 0);
       return;
     }
-    if (fate == CallFault.REFUSE || !partner.limit().takes(nowUs)) {
-      tally.callRefused(nowUs - START_US);
+    if (fault == CallFault.REFUSE || !destination.limit().takes(nowUs)) {
+      statistics.callRefused(nowUs - START_US);
       back(
           attempt,
           AttemptResult.REFUSED,
-          fate == CallFault.REFUSE ? 0 : partner.limit().waitUs(nowUs));
+          fault == CallFault.REFUSE ? 0 : destination.limit().waitUs(nowUs));
       return;
     }
     if (sent.ranUs >= 0 && sent.kind.idempotence() == Idempotence.NON_IDEMPOTENT) {
-      tally.broke("again after it may have run: " + sent.message.id());
+      statistics.violated("non-idempotent message executed twice:  " + sent.message.id());
     }
     if (sent.ranUs >= 0
         && sent.kind.idempotence() == Idempotence.IDEMPOTENT_BY_KEY
         && nowUs > sent.ranUs + sent.kind.idempotencyWindowUs()) {
-      tally.broke("again after its key was forgotten: " + sent.message.id());
+      statistics.violated("executed after the deduplication window:  " + sent.message.id());
     }
     sent.ranUs = sent.ranUs < 0 ? nowUs : sent.ranUs;
-    final long serviceUs = partner.service().drawUs(sent.message.classIndex(), random);
-    final long doneUs = partner.limit().queueUs(nowUs, serviceUs) + serviceUs;
-    // Cancelled and timed-out calls run on.
-    agenda.in(doneUs, () -> partner.limit().ended(agenda.nowUs()));
-    switch (fate) {
+    final long serviceUs = destination.service().drawUs(sent.message.classIndex(), random);
+    final long doneUs = destination.limit().queueUs(nowUs, serviceUs) + serviceUs;
+    // Cancelled and timed-out calls continue at the destination.
+    events.in(doneUs, () -> destination.limit().ended(events.nowUs()));
+    switch (fault) {
       case RESET -> back(attempt, AttemptResult.RESET, 0);
       case ERROR -> back(attempt, AttemptResult.ERROR, 0);
-      case SERVE -> agenda.in(doneUs, () -> back(attempt, AttemptResult.DELIVERED, 0));
+      case SERVE -> events.in(doneUs, () -> back(attempt, AttemptResult.DELIVERED, 0));
       default -> {}
     }
   }
 
   private void back(final Attempt attempt, final AttemptResult result, final long waitUs) {
-    agenda.in(WAY_US, () -> end(attempt, result, waitUs));
+    events.in(WAY_US, () -> end(attempt, result, waitUs));
   }
 
   private void end(final Attempt attempt, final AttemptResult result, final long waitUs) {
@@ -379,14 +394,14 @@
     attempt.over = true;
     final Sent sent = attempt.sent;
     sent.out = null;
-    final long nowUs = agenda.nowUs();
+    final long nowUs = events.nowUs();
     if (waitUs > 0) {
       waitUntilUs.merge(sent.message.destinationId(), nowUs + waitUs, Math::max);
     }
     final boolean delivered = result == AttemptResult.DELIVERED;
     if (delivered && open.remove(sent.message.id()) != null) {
-      tally.delivered(sent.handedUs - START_US);
-      tally.servedAt(nowUs - START_US);
+      statistics.delivered(sent.handedUs - START_US);
+      statistics.servedAt(nowUs - START_US);
     } else if (!delivered && !result.neverExecuted()) {
       sent.mayHaveRun(attempt);
     }
@@ -407,33 +422,33 @@
     final Sent sent = open.get(messageId);
     if (sent != null && sent.out != null) {
       final Attempt out = sent.out;
-      agenda.in(0, () -> end(out, AttemptResult.CANCELLED, 0));
+      events.in(0, () -> end(out, AttemptResult.CANCELLED, 0));
     }
   }
 
-  // ---------------------------------------------------------------- ends
+  // ---------------------------------------------------------------- final outcomes
 
   @Override
   public void shed(final String messageId, final long retryAfterUs) {
     if (ended(messageId)) {
-      tally.refused();
+      statistics.refused();
     }
   }
 
   @Override
   public void fail(final String messageId) {
     if (ended(messageId)) {
-      tally.failed();
+      statistics.failed();
     }
   }
 
   private boolean ended(final String messageId) {
     final Sent sent = open.remove(messageId);
     if (sent == null) {
-      tally.broke("a second end: " + messageId);
-    } else if (agenda.nowUs()
-        > Math.max(sent.message.validUntilUs(), tally.startedUs() + START_US + SETTLED_US)) {
-      tally.broke("a late end: " + messageId);
+      statistics.violated("a second final outcome:  " + messageId);
+    } else if (events.nowUs()
+        > Math.max(sent.message.validUntilUs(), statistics.startedUs() + START_US + SETTLED_US)) {
+      statistics.violated("a late final outcome:  " + messageId);
     }
     return sent != null;
   }
@@ -446,6 +461,6 @@
 
   @Override
   public void scheduleDecision(final long delayUs) {
-    agenda.in(delayUs, () -> {});
+    events.in(delayUs, () -> {});
   }
 }
--- a/lab/src/main/java/thistleturn/lab/virtual/package-info.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An evening in virtual time: clients, one courier's decisions, partners, and the rules watched
- * from outside.
+ * Simulation in virtual time of clients, one courier's decisions and destinations, with the rules
+ * checked from outside.
  */
 package thistleturn.lab.virtual;
--- a/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
+++ b/lab/src/test/java/thistleturn/lab/HardWeatherTest.java
@@ -40,7 +40,7 @@
       final double perSecond,
       final long lengthUs,
       final long seed,
-      final VirtualCourier.Maker maker) {
+      final VirtualCourier.ControllerFactory maker) {
     return play(partner, perSecond, lengthUs, seed, maker, SECOND);
   }
 
@@ -49,19 +49,19 @@
       final double perSecond,
       final long lengthUs,
       final long seed,
-      final VirtualCourier.Maker maker,
+      final VirtualCourier.ControllerFactory maker,
       final long coldUs) {
     final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= 3; id++) {
       partners.add(partner.apply(id));
     }
     final ScenarioStatistics tally =
-        VirtualCourier.play(
+        VirtualCourier.run(
             new Scenario(
                 partners, perSecond, lengthUs, Scenario.settings(WeightMeaning.NONE, coldUs), 0),
             seed,
             maker);
-    assertEquals(List.of(), tally.broken(), "seed " + seed);
+    assertEquals(List.of(), tally.violations(), "seed " + seed);
     return tally;
   }
 
@@ -94,9 +94,9 @@
   @Test
   void theSameSeedPlaysTheSameEvening() {
     final ScenarioStatistics one =
-        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, 7);
+        play(id -> SimulatedDestination.plain(id).withFault(refusing(0.1)), 200, 7);
     final ScenarioStatistics other =
-        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, 7);
+        play(id -> SimulatedDestination.plain(id).withFault(refusing(0.1)), 200, 7);
     assertEquals(one.calls(), other.calls());
     assertEquals(one.delivered(), other.delivered());
     assertTrue(one.handed() > 3500);
@@ -113,9 +113,9 @@
     double calls = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       final ScenarioStatistics tally =
-          play(id -> SimulatedDestination.plain(id).faulty(refusing(0.1)), 200, seed);
+          play(id -> SimulatedDestination.plain(id).withFault(refusing(0.1)), 200, seed);
       goodput += tally.goodput() / SEEDS;
-      calls += tally.callsAMessage() / SEEDS;
+      calls += tally.callsPerMessage() / SEEDS;
     }
     assertTrue(goodput >= 0.97, "delivered " + goodput);
     // One call in ten is refused: 1.11 a message is the least.
@@ -125,7 +125,7 @@
   @Test
   void singleSilenceIsNoOutage() {
     assertTrue(
-        goodput(id -> SimulatedDestination.plain(id).faulty(Fault.shares(0, 0, 0, 0.03)), 200)
+        goodput(id -> SimulatedDestination.plain(id).withFault(Fault.shares(0, 0, 0, 0.03)), 200)
             >= 0.97);
   }
 
@@ -135,7 +135,7 @@
         (nowUs, endpoint, kind, random) ->
             nowUs % (5 * SECOND) < 300_000 ? CallFault.REFUSE : CallFault.SERVE;
     final LongFunction<SimulatedDestination> stalling =
-        id -> SimulatedDestination.plain(id).faulty(stall);
+        id -> SimulatedDestination.plain(id).withFault(stall);
     // It begins within a stall: of nothing but refusals nobody can tell what they answer to.
     assertTrue(goodput(stalling, 200) > withoutReading(stalling, 200));
     assertTrue(share(play(stalling, 200, 30 * SECOND, 1, OverloadController::new), 16, 28) >= 0.97);
@@ -148,10 +148,11 @@
         play(
             id ->
                 SimulatedDestination.plain(id)
-                    .faulty(refusing(0.1))
-                    .limited(
+                    .withFault(refusing(0.1))
+                    .withLimit(
                         none.until(
-                            10 * SECOND, Limit.spans(20, SECOND, false).until(16 * SECOND, none))),
+                            10 * SECOND,
+                            Limit.fixedWindow(20, SECOND, false).until(16 * SECOND, none))),
             150,
             30 * SECOND,
             1,
@@ -174,9 +175,9 @@
         play(
             id ->
                 SimulatedDestination.plain(id)
-                    .limited(
-                        Limit.spans(100, SECOND, false)
-                            .until(15 * SECOND, Limit.spans(10, SECOND, false))),
+                    .withLimit(
+                        Limit.fixedWindow(100, SECOND, false)
+                            .until(15 * SECOND, Limit.fixedWindow(10, SECOND, false))),
             150,
             1);
     assertTrue(share(tally, 0, 9) >= 0.98, "before " + share(tally, 0, 9));
@@ -193,13 +194,14 @@
   void oneOfTwoEndpointsThatRefusesAllHalfOrLittle() {
     for (final double share : new double[] {1, 0.5, 0.03}) {
       final double goodput =
-          goodput(id -> SimulatedDestination.plain(id).faulty(refusing(share).atEndpoint(0)), 200);
+          goodput(
+              id -> SimulatedDestination.plain(id).withFault(refusing(share).atEndpoint(0)), 200);
       final double least = share == 1 ? 0.65 : share == 0.5 ? 0.8 : 0.995;
       assertTrue(goodput >= least, "refusing " + share + ": " + goodput);
       assertTrue(
           share(
                   play(
-                      id -> SimulatedDestination.plain(id).faulty(refusing(share).atEndpoint(0)),
+                      id -> SimulatedDestination.plain(id).withFault(refusing(share).atEndpoint(0)),
                       200,
                       1),
                   12,
@@ -211,7 +213,7 @@
   @Test
   void refusalsForOneClassAloneLeaveTheOthers() {
     final ScenarioStatistics tally =
-        play(id -> SimulatedDestination.plain(id).faulty(refusing(1).forClass(0)), 150, 1);
+        play(id -> SimulatedDestination.plain(id).withFault(refusing(1).forClass(0)), 150, 1);
     // A third of the messages cannot be delivered at all, and the first seconds are lost to finding
     // that out.
     assertTrue(tally.goodput() >= 0.5, "delivered " + tally.goodput());
@@ -220,19 +222,20 @@
 
   @Test
   void aSharedLimitThatIsUnknownIsHeededByBoth() {
-    final Limit shared = Limit.spans(40, SECOND, false);
+    final Limit shared = Limit.fixedWindow(40, SECOND, false);
     final ScenarioStatistics tally =
-        play(id -> SimulatedDestination.plain(id).limited(shared), 150, 1);
+        play(id -> SimulatedDestination.plain(id).withLimit(shared), 150, 1);
     assertTrue(tally.delivered() >= 0.7 * 40 * 20, "delivered " + tally.delivered());
     assertTrue(
-        tally.refusedAMessage() <= 0.3, "refused calls a message " + tally.refusedAMessage());
+        tally.refusedCallsPerMessage() <= 0.3,
+        "refused calls a message " + tally.refusedCallsPerMessage());
   }
 
   @Test
   void mostRefusedForLoadIsBackedOffFrom() {
     final ScenarioStatistics tally =
-        play(id -> SimulatedDestination.plain(id).faulty(refusing(0.6)), 200, 1);
-    assertTrue(tally.callsAMessage() <= 4, "calls a message " + tally.callsAMessage());
+        play(id -> SimulatedDestination.plain(id).withFault(refusing(0.6)), 200, 1);
+    assertTrue(tally.callsPerMessage() <= 4, "calls a message " + tally.callsPerMessage());
     assertTrue(
         tally.seconds().stream().skip(3).limit(15).allMatch(second -> second.calls() <= 150));
   }
@@ -241,7 +244,7 @@
   void noiseAtOneCallInTenSeconds() {
     final ScenarioStatistics tally =
         play(
-            id -> SimulatedDestination.plain(id).faulty(refusing(0.1)),
+            id -> SimulatedDestination.plain(id).withFault(refusing(0.1)),
             0.3,
             300 * SECOND,
             1,
@@ -255,7 +258,7 @@
     final Fault all = refusing(1).between(10 * SECOND, 40 * SECOND, Fault.NONE);
     final ScenarioStatistics tally =
         play(
-            id -> SimulatedDestination.plain(id).faulty(all),
+            id -> SimulatedDestination.plain(id).withFault(all),
             400,
             60 * SECOND,
             1,
@@ -280,14 +283,14 @@
             final SlowStartModel cold =
                 new SlowStartModel(from, from + 6 * SECOND, 60, 0.3, 8 * SECOND, 2, 3 * SECOND);
             returns.add(cold);
-            return SimulatedDestination.plain(id).faulty(refusing(0.05)).returning(cold);
+            return SimulatedDestination.plain(id).withFault(refusing(0.05)).withOutage(cold);
           },
           120,
           30 * SECOND,
           seed,
           OverloadController::new,
           8 * SECOND);
-      returns.forEach(cold -> assertFalse(cold.isFallen()));
+      returns.forEach(cold -> assertFalse(cold.hasCollapsed()));
     }
   }
 }
--- a/lab/src/test/java/thistleturn/lab/KillsTest.java
+++ b/lab/src/test/java/thistleturn/lab/KillsTest.java
@@ -38,17 +38,17 @@
       final boolean remembers) {
     final List<SimulatedDestination> partners = new ArrayList<>();
     for (long id = 1; id <= 3; id++) {
-      partners.add(SimulatedDestination.plain(id).faulty(fault).limited(limit));
+      partners.add(SimulatedDestination.plain(id).withFault(fault).withLimit(limit));
     }
     final Scenario evening =
         new Scenario(partners, perSecond, 31 * SECOND, Scenario.settings(WeightMeaning.NONE), 0);
     final ScenarioStatistics tally =
-        VirtualCourier.play(
+        VirtualCourier.run(
             evening,
             new CrashSchedule(20, LIFE, LIFE, START, remembers),
             seed,
             OverloadController::new);
-    assertEquals(List.of(), tally.broken(), "seed " + seed);
+    assertEquals(List.of(), tally.violations(), "seed " + seed);
     assertEquals(20, tally.kills());
     return tally;
   }
@@ -91,8 +91,12 @@
     double anew = 0;
     double taken = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      anew += play(Fault.NONE, Limit.spans(90, SECOND, false), 120, seed, false).refusedAMessage();
-      taken += play(Fault.NONE, Limit.spans(90, SECOND, false), 120, seed, true).refusedAMessage();
+      anew +=
+          play(Fault.NONE, Limit.fixedWindow(90, SECOND, false), 120, seed, false)
+              .refusedCallsPerMessage();
+      taken +=
+          play(Fault.NONE, Limit.fixedWindow(90, SECOND, false), 120, seed, true)
+              .refusedCallsPerMessage();
     }
     assertTrue(
         taken <= 1.1 * anew,
--- a/lab/src/test/java/thistleturn/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/thistleturn/lab/fleet/VirtualFleetTest.java
@@ -12,44 +12,49 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import thistleturn.decisions.OverloadController;
-import thistleturn.lab.fleet.FleetDay.Trouble;
-import thistleturn.lab.fleet.FleetTally.Count;
-import thistleturn.lab.virtual.VirtualCourier.Maker;
+import thistleturn.lab.fleet.FleetScenario.Disturbance;
+import thistleturn.lab.fleet.FleetStatistics.Count;
+import thistleturn.lab.virtual.VirtualCourier.ControllerFactory;
 
 /**
- * Couriers of one fleet against partners that they share: what each does alone, counted over all.
+ * Couriers of one fleet with shared destinations: decisions are made per courier, and results are
+ * counted over the fleet.
  */
 @Tag("fleet")
 final class VirtualFleetTest {
-  private static final Maker SHARING = OverloadController::new;
-  private static final Maker ALONE = OverloadController::withoutRateSharing;
+  private static final ControllerFactory RATE_SHARING = OverloadController::new;
+  private static final ControllerFactory NO_RATE_SHARING = OverloadController::withoutRateSharing;
 
-  private static FleetTally play(
-      final int couriers, final Trouble trouble, final long seed, final Maker maker) {
-    return VirtualFleet.play(FleetDay.drawn(couriers, trouble, new Random(seed)), seed, maker);
+  private static FleetStatistics play(
+      final int couriers,
+      final Disturbance disturbance,
+      final long seed,
+      final ControllerFactory maker) {
+    return VirtualFleet.run(
+        FleetScenario.generate(couriers, disturbance, new Random(seed)), seed, maker);
   }
 
   /**
-   * On each day of fourteen couriers a fleet that shares delivers more with fewer calls, and breaks
-   * no rule.
+   * For each disturbance of fourteen couriers, a fleet with rate sharing delivers more with fewer
+   * calls and violates no rule.
    */
   @ParameterizedTest
-  @EnumSource(Trouble.class)
-  void aFleetThatSharesDoesBetterThanCouriersThatKnowOfNoOthers(final Trouble trouble) {
+  @EnumSource(Disturbance.class)
+  void rateSharing_deliversMoreWithFewerRejectedCalls(final Disturbance disturbance) {
     double sharing = 0;
     double alone = 0;
     long refused = 0;
     long refusedAlone = 0;
     for (long seed = 1; seed <= 3; seed++) {
-      final FleetTally with = play(14, trouble, seed, SHARING);
-      final FleetTally without = play(14, trouble, seed, ALONE);
-      assertEquals(List.of(), with.broken(), trouble + ", seed " + seed);
+      final FleetStatistics with = play(14, disturbance, seed, RATE_SHARING);
+      final FleetStatistics without = play(14, disturbance, seed, NO_RATE_SHARING);
+      assertEquals(List.of(), with.violations(), disturbance + ", seed " + seed);
       sharing += with.goodput() / 3;
       alone += without.goodput() / 3;
       refused += with.total(Count.REFUSED_CALLS);
       refusedAlone += without.total(Count.REFUSED_CALLS);
     }
-    final String seen =
+    final String figures =
         "goodput "
             + sharing
             + " against "
@@ -58,32 +63,35 @@
             + refused
             + " against "
             + refusedAlone;
-    assertTrue(sharing > alone, seen);
-    assertTrue(refused < refusedAlone / 2, seen);
+    assertTrue(sharing > alone, figures);
+    assertTrue(refused < refusedAlone / 2, figures);
   }
 
-  /** A courier alone, and a few, decide as if nothing had been built for fleets. */
+  /** A single courier and small fleets decide as without rate sharing. */
   @Test
-  void aSmallFleetIsAsItWas() {
+  void smallFleet_decidesAsWithoutRateSharing() {
     for (final int couriers : List.of(1, 2, 6)) {
       assertEquals(
-          play(couriers, Trouble.HERD, 5, ALONE).toString(),
-          play(couriers, Trouble.HERD, 5, SHARING).toString());
+          play(couriers, Disturbance.HERD, 5, NO_RATE_SHARING).toString(),
+          play(couriers, Disturbance.HERD, 5, RATE_SHARING).toString());
     }
   }
 
   @Test
-  void theSameSeedPlaysTheSameDayAndAnotherAnother() {
-    final String first = play(8, Trouble.ZONE, 11, SHARING).toString();
-    assertEquals(first, play(8, Trouble.ZONE, 11, SHARING).toString());
-    assertNotEquals(first, play(8, Trouble.ZONE, 12, SHARING).toString());
+  void sameSeed_givesSameRunAndAnotherSeedDoesNot() {
+    final String first = play(8, Disturbance.ZONE, 11, RATE_SHARING).toString();
+    assertEquals(first, play(8, Disturbance.ZONE, 11, RATE_SHARING).toString());
+    assertNotEquals(first, play(8, Disturbance.ZONE, 12, RATE_SHARING).toString());
   }
 
-  /** Each call of fourteen couriers paid a handshake; endpoints may not be filled instead. */
+  /**
+   * Without kept connections, each call of fourteen couriers costs a handshake; kept ones must not
+   * exhaust the connections of endpoints.
+   */
   @Test
-  void keptConnectionsSaveHandshakesAndDoNotFillEndpoints() {
-    final FleetTally with = play(14, Trouble.NONE, 2, SHARING);
-    final FleetTally without = play(14, Trouble.NONE, 2, ALONE);
+  void keptConnections_saveHandshakesWithoutExhaustingEndpoints() {
+    final FleetStatistics with = play(14, Disturbance.NONE, 2, RATE_SHARING);
+    final FleetStatistics without = play(14, Disturbance.NONE, 2, NO_RATE_SHARING);
     assertTrue(
         with.total(Count.HANDSHAKES) < 0.8 * without.total(Count.HANDSHAKES),
         with.total(Count.HANDSHAKES) + " handshakes against " + without.total(Count.HANDSHAKES));
@@ -93,119 +101,128 @@
   }
 
   /**
-   * A discovery that turns callers away is asked by all at once after a kill, and not again at once
-   * by all.
+   * After a mass crash, all couriers request the list at once from a discovery that rejects some;
+   * their retries must back off.
    */
   @Test
-  void aListThatCannotBeHadIsAskedForMoreAndMoreRarely() {
-    final FleetTally herd = play(50, Trouble.HERD, 3, SHARING);
-    assertEquals(List.of(), herd.broken());
-    assertTrue(herd.total(Count.LIST_CALLS_TURNED_AWAY) > 0, "discovery was never short");
+  void rejectedListRequests_backOff() {
+    final FleetStatistics herd = play(50, Disturbance.HERD, 3, RATE_SHARING);
+    assertEquals(List.of(), herd.violations());
+    assertTrue(herd.total(Count.LIST_CALLS_TURNED_AWAY) > 0, "discovery never rejected a request");
     assertTrue(
         herd.total(Count.LIST_CALLS) < 8 * 50, "list calls: " + herd.total(Count.LIST_CALLS));
   }
 
-  /** One destination that is not like those of the drawn days. */
-  private static FleetTally played(
+  /** Runs a scenario with a single given destination. */
+  private static FleetStatistics played(
       final int couriers,
       final double perSecond,
-      final FleetDay.Destination shape,
+      final FleetScenario.Destination shape,
       final long seed) {
-    final FleetDay drawn = FleetDay.drawn(couriers, Trouble.NONE, new Random(seed));
-    return VirtualFleet.play(
-        new FleetDay(
+    final FleetScenario drawn =
+        FleetScenario.generate(couriers, Disturbance.NONE, new Random(seed));
+    return VirtualFleet.run(
+        new FleetScenario(
             couriers,
             List.of(shape),
             perSecond,
             10_000_000,
-            Trouble.NONE,
+            Disturbance.NONE,
             0,
             drawn.settings(),
             List.of()),
         seed,
-        SHARING);
+        RATE_SHARING);
   }
 
   /**
-   * Of a thousand couriers each may call a destination of 40 a second once in half a minute. At
-   * eight tenths of that rate chance alone crosses it now and then; a message that is refused then
-   * does not go again in time.
+   * Each of a thousand couriers may call a destination with 40 calls a second about once in half a
+   * minute. At 0.8 of that rate, random variation alone exceeds it now and then; a message that is
+   * rejected then is not retried in time.
    */
   @Test
-  void aThousandCouriersStayWithinAStatedRate() {
-    final FleetTally tally =
-        played(1000, 30, new FleetDay.Destination(40, 4, 10, 1, 100_000, 0, 1), 9);
-    assertEquals(List.of(), tally.broken());
-    assertTrue(tally.goodput() > 0.8, "goodput " + tally.goodput());
+  void thousandCouriers_stayWithinStatedRate() {
+    final FleetStatistics statistics =
+        played(1000, 30, new FleetScenario.Destination(40, 4, 10, 1, 100_000, 0, 1), 9);
+    assertEquals(List.of(), statistics.violations());
+    assertTrue(statistics.goodput() > 0.8, "goodput " + statistics.goodput());
     assertTrue(
-        tally.mostIn100Ms(Count.CALLS) <= 20, "calls in 100 ms: " + tally.mostIn100Ms(Count.CALLS));
+        statistics.maxIn100Ms(Count.CALLS) <= 20,
+        "calls in 100 ms: " + statistics.maxIn100Ms(Count.CALLS));
   }
 
   /**
-   * An endpoint that bears three connections serves fourteen couriers, one after the other. One too
-   * many is found out by the answer to its first call, as on the bench: that costs a handshake more
-   * than a connection that is not taken (0.82).
+   * An endpoint that accepts three connections serves fourteen couriers in turn. An excess
+   * connection is noticed by the response to its first call, as on the bench, which costs a
+   * handshake more than a connection that is not accepted (goodput 0.82 in that case).
    */
   @Test
-  void endpointsWithFewerConnectionsThanCouriersStillServe() {
-    final FleetTally tally = played(14, 10, new FleetDay.Destination(40, 2, 3, 1, 50_000, 0, 1), 9);
-    assertEquals(List.of(), tally.broken());
+  void fewerConnectionsThanCouriers_messagesAreStillDelivered() {
+    final FleetStatistics statistics =
+        played(14, 10, new FleetScenario.Destination(40, 2, 3, 1, 50_000, 0, 1), 9);
+    assertEquals(List.of(), statistics.violations());
     assertTrue(
-        tally.goodput() > 0.75,
+        statistics.goodput() > 0.75,
         "goodput "
-            + tally.goodput()
+            + statistics.goodput()
             + ", refused connections "
-            + tally.total(Count.REFUSED_CONNECTIONS));
+            + statistics.total(Count.REFUSED_CONNECTIONS));
   }
 
   /**
-   * A hundred couriers that see little each, some ten times as much as others: kept to even parts
-   * strictly, with four idle connections an endpoint, the same days gave 0.94, 0.93, 0.93 and 0.92.
+   * A hundred couriers with little traffic each, some with ten times as much as others. With
+   * strictly equal rate shares and four idle connections per endpoint, the same scenarios gave a
+   * goodput of 0.94, 0.93, 0.93 and 0.92.
    */
   @Tag("mass")
   @ParameterizedTest
   @EnumSource(
-      value = Trouble.class,
+      value = Disturbance.class,
       names = {"NONE", "HERD", "ROLL", "BURST"})
-  void aHundredCouriersDoNotWaitForPartsThatChanceDecides(final Trouble trouble) {
+  void hundredCouriersWithUnevenLoad_goodputStaysHigh(final Disturbance disturbance) {
     double goodput = 0;
     long refused = 0;
     long handed = 0;
     for (long seed = 1; seed <= 3; seed++) {
-      final FleetTally day =
-          VirtualFleet.play(FleetDay.thin(100, trouble, new Random(seed)), seed, SHARING);
-      assertEquals(List.of(), day.broken(), trouble + ", seed " + seed);
-      goodput += day.goodput() / 3;
-      refused += day.total(Count.REFUSED_CALLS);
-      handed += day.handed();
+      final FleetStatistics statistics =
+          VirtualFleet.run(
+              FleetScenario.generateSparse(100, disturbance, new Random(seed)), seed, RATE_SHARING);
+      assertEquals(List.of(), statistics.violations(), disturbance + ", seed " + seed);
+      goodput += statistics.goodput() / 3;
+      refused += statistics.total(Count.REFUSED_CALLS);
+      handed += statistics.handed();
     }
-    final String seen =
-        trouble + ": goodput " + goodput + ", refused calls " + refused + " of " + handed;
-    assertTrue(goodput > 0.965, seen);
-    assertTrue(refused < 0.03 * handed, seen);
+    final String figures =
+        disturbance + ": goodput " + goodput + ", refused calls " + refused + " of " + handed;
+    assertTrue(goodput > 0.965, figures);
+    assertTrue(refused < 0.03 * handed, figures);
   }
 
   /**
-   * What each courier sends a destination that returns cold adds up: N by the settings, and 2 x
-   * root of N + 2 for chance, over all of them, however many and however unlike in load, and
-   * without a word between them. None is left without calls.
+   * All couriers together send a destination that returns cold at most N + 2 x sqrt(N) + 2 calls,
+   * where N follows from the settings and the rest allows for random variation, for any number of
+   * couriers and any distribution of load, without communication between them. Each courier gets
+   * some calls through.
    */
   @Tag("mass")
   @ParameterizedTest
   @ValueSource(ints = {1, 5, 20, 30, 100})
-  void allCouriersTogetherKeepWithinWhatAColdDestinationBears(final int couriers) {
-    double most = 0;
+  void coldDestination_allCouriersTogetherStayWithinItsBudget(final int couriers) {
+    double maxShare = 0;
     for (long seed = 1; seed <= 4; seed++) {
-      final FleetTally day =
-          VirtualFleet.play(FleetDay.thin(couriers, Trouble.ZONE, new Random(seed)), seed, SHARING);
-      assertEquals(List.of(), day.broken(), "seed " + seed);
-      most = Math.max(most, day.mostOfColdBudget());
+      final FleetStatistics statistics =
+          VirtualFleet.run(
+              FleetScenario.generateSparse(couriers, Disturbance.ZONE, new Random(seed)),
+              seed,
+              RATE_SHARING);
+      assertEquals(List.of(), statistics.violations(), "seed " + seed);
+      maxShare = Math.max(maxShare, statistics.maxColdBudgetShare());
       for (int courier = 0; courier < couriers; courier++) {
         assertTrue(
-            day.of(Count.CALLS, courier) > 0,
+            statistics.of(Count.CALLS, courier) > 0,
             "courier " + courier + " of " + couriers + ", seed " + seed);
       }
     }
-    assertTrue(most > 0 && most <= 1, "share of the budget " + most);
+    assertTrue(maxShare > 0 && maxShare <= 1, "share of the budget " + maxShare);
   }
 }
