--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureFleet.java
@@ -10,9 +10,9 @@
 import picocli.CommandLine.Option;
 import thistleturn.benchmarks.PairedDifference;
 import thistleturn.decisions.OverloadController;
-import thistleturn.lab.fleet.FleetDay;
-import thistleturn.lab.fleet.FleetTally;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetScenario;
+import thistleturn.lab.fleet.FleetStatistics;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.fleet.VirtualFleet;
 import thistleturn.lab.virtual.VirtualCourier;
 
@@ -43,7 +43,7 @@
   @Option(
       names = "--trouble",
       description = "one of ${COMPLETION-CANDIDATES}; default: all but the faults of couriers")
-  private FleetDay.Trouble onlyTrouble;
+  private FleetScenario.Disturbance onlyTrouble;
 
   @Option(
       names = "--thin",
@@ -70,25 +70,27 @@
             + "| without | refused calls | without | refused messages | without | handshakes | without | list calls | most calls in 100 ms | without |");
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (final FleetDay.Trouble trouble :
-        onlyTrouble == null ? FleetDay.Trouble.values() : new FleetDay.Trouble[] {onlyTrouble}) {
-      if (onlyTrouble != null || !trouble.isOwn()) {
+    for (final FleetScenario.Disturbance trouble :
+        onlyTrouble == null
+            ? FleetScenario.Disturbance.values()
+            : new FleetScenario.Disturbance[] {onlyTrouble}) {
+      if (onlyTrouble != null || !trouble.pausesCouriers()) {
         sizes.forEach(size -> printRow(trouble, size));
       }
     }
     return violationCount == 0 ? 0 : 1;
   }
 
-  private void printRow(final FleetDay.Trouble trouble, final int size) {
-    final List<FleetTally> with = play(trouble, size, OverloadController::new);
-    final List<FleetTally> without =
+  private void printRow(final FleetScenario.Disturbance trouble, final int size) {
+    final List<FleetStatistics> with = play(trouble, size, OverloadController::new);
+    final List<FleetStatistics> without =
         play(
             trouble,
             size,
             strict
                 ? OverloadController::withStrictRateShares
                 : OverloadController::withoutRateSharing);
-    final PairedDifference goodput = PairedDifference.of(with, without, FleetTally::goodput);
+    final PairedDifference goodput = PairedDifference.of(with, without, FleetStatistics::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -96,12 +98,12 @@
                 + "| %.0f | %.0f |",
             trouble.name().toLowerCase(Locale.ROOT),
             size,
-            mean(with, FleetTally::goodput),
-            mean(without, FleetTally::goodput),
+            mean(with, FleetStatistics::goodput),
+            mean(without, FleetStatistics::goodput),
             goodput.mean(),
             goodput.halfWidth(),
-            mean(with, FleetTally::callsAMessage),
-            mean(without, FleetTally::callsAMessage),
+            mean(with, FleetStatistics::callsPerMessage),
+            mean(without, FleetStatistics::callsPerMessage),
             perMessage(with, Count.REFUSED_CALLS),
             perMessage(without, Count.REFUSED_CALLS),
             perMessage(with, Count.REFUSED_MESSAGES),
@@ -109,27 +111,29 @@
             perMessage(with, Count.HANDSHAKES),
             perMessage(without, Count.HANDSHAKES),
             perMessage(with, Count.LIST_CALLS),
-            mean(with, tally -> tally.mostIn100Ms(Count.CALLS)),
-            mean(without, tally -> tally.mostIn100Ms(Count.CALLS))));
+            mean(with, tally -> tally.maxIn100Ms(Count.CALLS)),
+            mean(without, tally -> tally.maxIn100Ms(Count.CALLS))));
   }
 
-  private List<FleetTally> play(
-      final FleetDay.Trouble trouble, final int size, final VirtualCourier.Maker maker) {
-    final List<FleetTally> tallies =
+  private List<FleetStatistics> play(
+      final FleetScenario.Disturbance trouble,
+      final int size,
+      final VirtualCourier.ControllerFactory maker) {
+    final List<FleetStatistics> tallies =
         LongStream.rangeClosed(1, seeds)
             .parallel()
             .mapToObj(
                 seed ->
-                    VirtualFleet.play(
+                    VirtualFleet.run(
                         thin
-                            ? FleetDay.thin(size, trouble, new Random(seed))
-                            : FleetDay.drawn(size, trouble, new Random(seed)),
+                            ? FleetScenario.generateSparse(size, trouble, new Random(seed))
+                            : FleetScenario.generate(size, trouble, new Random(seed)),
                         seed,
                         maker))
             .toList();
-    for (final FleetTally tally : tallies) {
-      violationCount += tally.broken().size();
-      tally.broken().stream()
+    for (final FleetStatistics tally : tallies) {
+      violationCount += tally.violations().size();
+      tally.violations().stream()
           .limit(3)
           .forEach(violation -> System.out.println("BROKEN: " + violation));
     }
@@ -137,12 +141,12 @@
   }
 
   private static double mean(
-      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+      final List<FleetStatistics> tallies, final ToDoubleFunction<FleetStatistics> figure) {
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
   /** Returns the mean of a count per message submitted. */
-  private static String perMessage(final List<FleetTally> tallies, final Count count) {
+  private static String perMessage(final List<FleetStatistics> tallies, final Count count) {
     return String.format(
         Locale.ROOT,
         "%.3f",
--- a/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/fleet/MeasureSharing.java
@@ -13,9 +13,9 @@
 import thistleturn.benchmarks.PairedDifference;
 import thistleturn.decisions.OverloadController;
 import thistleturn.decisions.replicas.EntryType;
-import thistleturn.lab.fleet.FleetDay;
-import thistleturn.lab.fleet.FleetTally;
-import thistleturn.lab.fleet.FleetTally.Count;
+import thistleturn.lab.fleet.FleetScenario;
+import thistleturn.lab.fleet.FleetStatistics;
+import thistleturn.lab.fleet.FleetStatistics.Count;
 import thistleturn.lab.fleet.Sharing;
 import thistleturn.lab.fleet.VirtualFleet;
 
@@ -47,7 +47,7 @@
       split = ",",
       defaultValue = "JOIN,ZONE,HERD,CRASHES",
       description = "default: ${DEFAULT-VALUE}")
-  private List<FleetDay.Trouble> troubles;
+  private List<FleetScenario.Disturbance> troubles;
 
   @Option(
       names = "--kinds",
@@ -64,9 +64,9 @@
             + "| calls a message without | by copies | refused calls a message without | by copies | most calls in 100 ms without | by copies |");
     System.out.println(
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (final FleetDay.Trouble trouble : troubles) {
+    for (final FleetScenario.Disturbance trouble : troubles) {
       for (final int size : sizes) {
-        final List<FleetTally> without = play(trouble, size, Sharing.NOTHING);
+        final List<FleetStatistics> without = play(trouble, size, Sharing.NOTHING);
         for (final Set<EntryType> entryTypes :
             onlyTypes != null
                 ? List.<Set<EntryType>>of(EnumSet.copyOf(onlyTypes))
@@ -83,15 +83,18 @@
   }
 
   private void printRow(
-      final FleetDay.Trouble trouble,
+      final FleetScenario.Disturbance trouble,
       final int size,
       final Set<EntryType> entryTypes,
-      final List<FleetTally> without) {
-    final List<FleetTally> replicated = play(trouble, size, Sharing.byCopies(entryTypes, 0.05));
-    final List<FleetTally> ideal = play(trouble, size, Sharing.perfectly(entryTypes));
+      final List<FleetStatistics> without) {
+    final List<FleetStatistics> replicated =
+        play(trouble, size, Sharing.throughReplicas(entryTypes, 0.05));
+    final List<FleetStatistics> ideal =
+        play(trouble, size, Sharing.throughSharedMemory(entryTypes));
     final PairedDifference replicationGain =
-        PairedDifference.of(replicated, without, FleetTally::goodput);
-    final PairedDifference idealGain = PairedDifference.of(ideal, without, FleetTally::goodput);
+        PairedDifference.of(replicated, without, FleetStatistics::goodput);
+    final PairedDifference idealGain =
+        PairedDifference.of(ideal, without, FleetStatistics::goodput);
     System.out.println(
         String.format(
             Locale.ROOT,
@@ -100,40 +103,40 @@
             trouble.name().toLowerCase(Locale.ROOT),
             size,
             entryTypes.toString().toLowerCase(Locale.ROOT),
-            mean(without, FleetTally::goodput),
-            mean(replicated, FleetTally::goodput),
+            mean(without, FleetStatistics::goodput),
+            mean(replicated, FleetStatistics::goodput),
             replicationGain.mean(),
             replicationGain.halfWidth(),
-            mean(ideal, FleetTally::goodput),
+            mean(ideal, FleetStatistics::goodput),
             idealGain.mean(),
             idealGain.halfWidth(),
-            mean(without, FleetTally::callsAMessage),
-            mean(replicated, FleetTally::callsAMessage),
+            mean(without, FleetStatistics::callsPerMessage),
+            mean(replicated, FleetStatistics::callsPerMessage),
             rejectedCallsPerMessage(without),
             rejectedCallsPerMessage(replicated),
-            mean(without, tally -> tally.mostIn100Ms(Count.CALLS)),
-            mean(replicated, tally -> tally.mostIn100Ms(Count.CALLS))));
+            mean(without, tally -> tally.maxIn100Ms(Count.CALLS)),
+            mean(replicated, tally -> tally.maxIn100Ms(Count.CALLS))));
   }
 
-  private List<FleetTally> play(
-      final FleetDay.Trouble trouble, final int size, final Sharing sharing) {
-    final List<FleetTally> tallies =
+  private List<FleetStatistics> play(
+      final FleetScenario.Disturbance trouble, final int size, final Sharing sharing) {
+    final List<FleetStatistics> tallies =
         LongStream.rangeClosed(1, seeds)
             .parallel()
             .mapToObj(
                 seed ->
-                    VirtualFleet.play(
+                    VirtualFleet.run(
                         size > 25
-                            ? FleetDay.thin(size, trouble, new Random(seed))
-                            : FleetDay.drawn(size, trouble, new Random(seed)),
+                            ? FleetScenario.generateSparse(size, trouble, new Random(seed))
+                            : FleetScenario.generate(size, trouble, new Random(seed)),
                         seed,
                         OverloadController::new,
                         true,
                         sharing))
             .toList();
-    for (final FleetTally tally : tallies) {
-      violationCount += tally.broken().size();
-      tally.broken().stream()
+    for (final FleetStatistics tally : tallies) {
+      violationCount += tally.violations().size();
+      tally.violations().stream()
           .limit(3)
           .forEach(violation -> System.out.println("BROKEN: " + violation));
     }
@@ -141,11 +144,11 @@
   }
 
   private static double mean(
-      final List<FleetTally> tallies, final ToDoubleFunction<FleetTally> figure) {
+      final List<FleetStatistics> tallies, final ToDoubleFunction<FleetStatistics> figure) {
     return tallies.stream().mapToDouble(figure).average().orElse(0);
   }
 
-  private static double rejectedCallsPerMessage(final List<FleetTally> tallies) {
+  private static double rejectedCallsPerMessage(final List<FleetStatistics> tallies) {
     return mean(
         tallies, tally -> (double) tally.total(Count.REFUSED_CALLS) / Math.max(1, tally.handed()));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/MeasureNoise.java
@@ -96,7 +96,7 @@
                   OverloadController::new);
           final List<Long> timesUs =
               tallies.stream()
-                  .flatMap(tally -> tally.untilRateUs(0.9 * Scenarios.RATE, 200_000).stream())
+                  .flatMap(tally -> tally.timeToRateUs(0.9 * Scenarios.RATE, 200_000).stream())
                   .sorted()
                   .toList();
           System.out.println(
@@ -186,8 +186,8 @@
                 double goodput = 0;
                 for (long seed = 1; seed <= scenarioCount; seed++) {
                   final ScenarioStatistics tally =
-                      VirtualCourier.play(Scenarios.slowStarts(seed, models, noise), seed, maker);
-                  violationCount += tally.broken().size();
+                      VirtualCourier.run(Scenarios.slowStarts(seed, models, noise), seed, maker);
+                  violationCount += tally.violations().size();
                   goodput += tally.goodput() / scenarioCount;
                   if (seed % 1000 == 0) {
                     System.err.println(name + ": " + 2 * seed + " of " + returns + " returns");
@@ -200,7 +200,7 @@
                         name,
                         100 * noise,
                         models.size(),
-                        models.stream().filter(SlowStartModel::isFallen).count(),
+                        models.stream().filter(SlowStartModel::hasCollapsed).count(),
                         violationCount - violationsBefore,
                         goodput));
               });
@@ -208,19 +208,19 @@
   }
 
   private List<ScenarioStatistics> play(
-      final Supplier<Scenario> scenario, final VirtualCourier.Maker maker) {
+      final Supplier<Scenario> scenario, final VirtualCourier.ControllerFactory maker) {
     return play(scenario, CrashSchedule.NONE, maker);
   }
 
   private List<ScenarioStatistics> play(
       final Supplier<Scenario> scenario,
       final CrashSchedule crashes,
-      final VirtualCourier.Maker maker) {
+      final VirtualCourier.ControllerFactory maker) {
     final List<ScenarioStatistics> tallies = new ArrayList<>();
     for (long seed = 1; seed <= seeds; seed++) {
-      final ScenarioStatistics tally = VirtualCourier.play(scenario.get(), crashes, seed, maker);
-      violationCount += tally.broken().size();
-      tally.broken().stream()
+      final ScenarioStatistics tally = VirtualCourier.run(scenario.get(), crashes, seed, maker);
+      violationCount += tally.violations().size();
+      tally.violations().stream()
           .limit(3)
           .forEach(violation -> System.out.println("BROKEN: " + violation));
       tallies.add(tally);
@@ -262,9 +262,9 @@
                           + " | "
                           + range(tallies, ScenarioStatistics::goodput)
                           + " | "
-                          + range(tallies, ScenarioStatistics::callsAMessage)
+                          + range(tallies, ScenarioStatistics::callsPerMessage)
                           + " | "
-                          + range(tallies, ScenarioStatistics::refusedAMessage)
+                          + range(tallies, ScenarioStatistics::refusedCallsPerMessage)
                           + " |");
                 });
       }
@@ -292,7 +292,7 @@
                                       tally ->
                                           tally.delivered() / (3 * Scenarios.CAPACITY * seconds))
                                   + " | "
-                                  + range(tallies, ScenarioStatistics::refusedAMessage)
+                                  + range(tallies, ScenarioStatistics::refusedCallsPerMessage)
                                   + " |");
                         }));
   }
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Scenarios.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Scenarios.java
@@ -89,7 +89,7 @@
       final double[] shares, final long lengthUs, final boolean ratesConfigured) {
     final Fault fault = Fault.shares(shares[0], shares[1], shares[2], shares[3]);
     return identicalDestinations(
-        id -> SimulatedDestination.plain(id).faulty(fault), RATE, lengthUs, ratesConfigured);
+        id -> SimulatedDestination.plain(id).withFault(fault), RATE, lengthUs, ratesConfigured);
   }
 
   /**
@@ -106,13 +106,13 @@
         final Fault fault = noisy ? noise : Fault.NONE;
         scenarios.put(
             "spans of 1 s, 30 a span" + labelSuffix,
-            () -> limited(() -> Limit.spans(30, SECOND_US, false), fault, load, lengthUs));
+            () -> limited(() -> Limit.fixedWindow(30, SECOND_US, false), fault, load, lengthUs));
         scenarios.put(
             "spans that tell waits" + labelSuffix,
-            () -> limited(() -> Limit.spans(30, SECOND_US, true), fault, load, lengthUs));
+            () -> limited(() -> Limit.fixedWindow(30, SECOND_US, true), fault, load, lengthUs));
         scenarios.put(
             "tokens, 30/s" + labelSuffix,
-            () -> limited(() -> Limit.tokens(30, 5), fault, load, lengthUs));
+            () -> limited(() -> Limit.tokenBucket(30, 5), fault, load, lengthUs));
         scenarios.put(
             "3 at once, 100 ms" + labelSuffix,
             () -> limited(() -> Limit.concurrency(3), fault, load, lengthUs));
@@ -132,7 +132,7 @@
     final Fault rejectAll =
         Fault.shares(1, 0, 0, 0).between(STORM_FROM_US, STORM_TO_US, Fault.NONE);
     return identicalDestinations(
-        id -> SimulatedDestination.plain(id).faulty(rejectAll),
+        id -> SimulatedDestination.plain(id).withFault(rejectAll),
         messagesPerSecond,
         STORM_SCENARIO_S * SECOND_US,
         false);
@@ -171,7 +171,9 @@
               fromUs, toUs, capacity, COLD_CAPACITY_SHARE, SLOW_START_US, 2, 3 * SECOND_US);
       models.add(slowStart);
       destinations.add(
-          SimulatedDestination.plain(id).faulty(Fault.shares(noise, 0, 0, 0)).returning(slowStart));
+          SimulatedDestination.plain(id)
+              .withFault(Fault.shares(noise, 0, 0, 0))
+              .withOutage(slowStart));
     }
     return new Scenario(
         destinations,
@@ -192,9 +194,9 @@
     return identicalDestinations(
         id ->
             SimulatedDestination.plain(id)
-                .serving(SimulatedDestination.Service.exponential(100_000))
-                .limited(limit.get())
-                .faulty(fault),
+                .withService(SimulatedDestination.Service.exponential(100_000))
+                .withLimit(limit.get())
+                .withFault(fault),
         DESTINATIONS * CAPACITY * load,
         lengthUs,
         false);
--- a/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
+++ b/benchmarks/src/main/java/thistleturn/benchmarks/noise/Senders.java
@@ -14,8 +14,8 @@
   private Senders() {}
 
   /** Returns the senders by the name that the tables show, in the order of their rows. */
-  static Map<String, VirtualCourier.Maker> all() {
-    final Map<String, VirtualCourier.Maker> senders = new LinkedHashMap<>();
+  static Map<String, VirtualCourier.ControllerFactory> all() {
+    final Map<String, VirtualCourier.ControllerFactory> senders = new LinkedHashMap<>();
     senders.put("thistleturn", OverloadController::new);
     senders.put("without reading", OverloadController::withoutFaultClassification);
     senders.put("AIMD", (settings, seed, actions) -> SimpleSender.aimd(settings, actions));
