--- a/lab/src/main/java/thistleturn/lab/replicas/ReplicationScenario.java
+++ b/lab/src/main/java/thistleturn/lab/replicas/ReplicationScenario.java
@@ -191,11 +191,7 @@
         for (final WrittenEntry one : held) {
           if (held.stream().anyMatch(other -> other.superseded.contains(one))) {
             violations.add(
-                endpoint
-                    + ": superseded entry is still held: version "
-                    + one.version
-                    + " of "
-                    + one.writer);
+                endpoint + ": superseded entry held: version " + one.version + " of " + one.writer);
           }
         }
         final String state =
--- a/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
+++ b/lab/src/main/java/thistleturn/lab/virtual/VirtualCourier.java
@@ -215,7 +215,7 @@
     events.in(
         CHECK_US,
         () -> {
-          if (incarnation == expected && courier instanceof OverloadController control) {
+          if (expected == incarnation && courier instanceof OverloadController control) {
             saveLearnedState(control);
             checkLearnedState();
           }
@@ -237,8 +237,7 @@
         .forEach(
             sent -> {
               if (sent.out != null) {
-                // Its destination may be at it: the journal knows of the attempt, and of no
-                // outcome.
+                // The destination may still execute it: the journal has the attempt and no outcome.
                 sent.mayHaveRun(sent.out);
                 sent.out.over = true;
                 sent.out = null;
